--- /dev/null
+++ b/crates/channel/tests/wire_format.rs
@@ -0,0 +1,256 @@
+//! The bytes of every message of the control protocol, and the names of its service. Processes of an older and of a newer
+//! version talk to each other while a fleet is upgraded, so neither may change.
+
+use badgerramp_channel::wire::{
+    self, change, control_server, outcome_reply, refusal, reply, request, vote_reply, CutOff,
+};
+use badgerramp_channel::{digest, Purpose, Secret};
+use prost::Message;
+use std::collections::HashMap;
+use std::fmt::{Debug, Write};
+
+/// Collects messages as lines of `name: bytes`, and reads each one back.
+#[derive(Default)]
+struct Pinned(String);
+
+impl Pinned {
+    fn add<M: Message + Default + PartialEq + Debug>(&mut self, name: &str, message: M) {
+        let bytes = message.encode_to_vec();
+        assert_eq!(M::decode(bytes.as_slice()).as_ref(), Ok(&message), "{name}");
+        writeln!(self.0, "{name}: {}", hex(&bytes)).expect("written to memory");
+    }
+
+    fn request(&mut self, name: &str, what: request::What) {
+        self.add(name, wire::Request { nonce: 0x0102_0304_0506_0708, what: Some(what) });
+    }
+
+    fn reply(&mut self, name: &str, what: reply::What) {
+        self.add(name, wire::Reply { nonce: 0x1112_1314_1516_1718, what: Some(what) });
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn identity() -> wire::Identity {
+    wire::Identity { name: "caja-1".to_owned(), incarnation: 0xa1b2_c3d4_e5f6_0718 }
+}
+
+fn files() -> HashMap<String, String> {
+    HashMap::from([("tablet".to_owned(), "listen = 1".to_owned())])
+}
+
+fn mode() -> wire::Mode {
+    wire::Mode { revision: 300, old: 4, new: 5 }
+}
+
+fn text() -> wire::Text {
+    wire::Text { generation: 5, files: files() }
+}
+
+fn change_ref() -> wire::ChangeRef {
+    wire::ChangeRef { id: 0x2122_2324_2526_2728, coordinator: "norte".to_owned(), number: 9 }
+}
+
+#[test]
+fn requests_keep_their_bytes() {
+    let mut pinned = Pinned::default();
+    for (name, cut_off) in [
+        ("ask, cut off unspecified", CutOff::Unspecified),
+        ("ask, cut off refuse", CutOff::Refuse),
+        ("ask, cut off narrow", CutOff::Narrow),
+        ("ask, cut off keep", CutOff::Keep),
+    ] {
+        let ask = wire::Ask {
+            identity: Some(identity()),
+            number: 7,
+            acting: 299,
+            has: vec![3, 4],
+            unread: Some(wire::Unread { generation: 6, reason: "line 3".to_owned() }),
+            cut_off: cut_off.into(),
+            application: "tablet".to_owned(),
+            region: "sur".to_owned(),
+        };
+        pinned.request(name, request::What::Ask(ask));
+    }
+    pinned.request("leave", request::What::Leave(identity()));
+    let publish = || wire::Publish { files: files(), revision: 300 };
+    pinned.request("publish", request::What::Publish(publish()));
+    pinned.request("publish all", request::What::PublishAll(publish()));
+    pinned.request("status", request::What::Status(wire::StatusAsked {}));
+    pinned.request("abort", request::What::Abort(wire::Abort { generation: 5, why: "too slow".to_owned() }));
+    pinned.request("evict", request::What::Evict(identity()));
+    pinned.request("text", request::What::Text(text()));
+    let prepare = wire::Prepare {
+        change: Some(change_ref()),
+        region: "sur".to_owned(),
+        text: r#"{"tablet":"listen = 1"}"#.to_owned(),
+    };
+    pinned.request("prepare", request::What::Prepare(prepare));
+    let commit = wire::Commit { change: Some(change_ref()), region: "sur".to_owned() };
+    pinned.request("commit", request::What::Commit(commit));
+    let outcome = wire::OutcomeAsked { id: 77, region: "sur".to_owned(), coordinator: "norte".to_owned() };
+    pinned.request("outcome", request::What::Outcome(outcome));
+    insta::assert_snapshot!(pinned.0);
+}
+
+#[test]
+fn replies_keep_their_bytes() {
+    let mut pinned = Pinned::default();
+    let grant = wire::Grant {
+        number: 7,
+        mode: Some(mode()),
+        lease: 10_000_000,
+        texts: vec![text()],
+        digests: HashMap::from([(5, digest("listen = 1"))]),
+    };
+    pinned.reply("grant", reply::What::Grant(grant));
+    pinned.reply("done", reply::What::Done(wire::Done {}));
+    pinned.reply("begun", reply::What::Begun(wire::Begun { generation: 5 }));
+    pinned.reply("text", reply::What::Text(text()));
+    pinned.reply("word", reply::What::Word(wire::Word { revision: 300 }));
+    for (name, vote) in [
+        ("vote unspecified", vote_reply::Vote::Unspecified),
+        ("vote preparing", vote_reply::Vote::Preparing),
+        ("vote prepared", vote_reply::Vote::Prepared),
+        ("vote refused", vote_reply::Vote::Refused),
+        ("vote in force", vote_reply::Vote::InForce),
+        ("vote not in force", vote_reply::Vote::NotInForce),
+    ] {
+        let vote = wire::VoteReply { id: 77, vote: vote.into(), why: "moved".to_owned() };
+        pinned.reply(name, reply::What::Vote(vote));
+    }
+    for (name, decision) in [
+        ("decision unspecified", outcome_reply::Decision::Unspecified),
+        ("decision open", outcome_reply::Decision::Open),
+        ("decision in force", outcome_reply::Decision::InForce),
+        ("decision not in force", outcome_reply::Decision::NotInForce),
+    ] {
+        let outcome = wire::OutcomeReply { id: 77, decision: decision.into() };
+        pinned.reply(name, reply::What::Outcome(outcome));
+    }
+    for (name, code) in [
+        ("refusal unspecified", refusal::Code::Unspecified),
+        ("refusal not leader", refusal::Code::NotLeader),
+        ("refusal no policy", refusal::Code::NoPolicy),
+        ("refusal stale", refusal::Code::Stale),
+        ("refusal evicted", refusal::Code::Evicted),
+        ("refusal under way", refusal::Code::UnderWay),
+        ("refusal moved", refusal::Code::Moved),
+        ("refusal bad", refusal::Code::Bad),
+        ("refusal other region", refusal::Code::OtherRegion),
+        ("refusal not coordinator", refusal::Code::NotCoordinator),
+    ] {
+        let refusal = wire::Refusal {
+            code: code.into(),
+            text: "another replica leads".to_owned(),
+            leader: "127.0.0.1:7400".to_owned(),
+            replicas: vec!["127.0.0.1:7401".to_owned(), "127.0.0.1:7402".to_owned()],
+        };
+        pinned.reply(name, reply::What::Refusal(refusal));
+    }
+    insta::assert_snapshot!(pinned.0);
+}
+
+#[test]
+fn the_status_keeps_its_bytes() {
+    let ended =
+        [change::Ended::Unspecified, change::Ended::Open, change::Ended::InForce, change::Ended::NotInForce];
+    let changes = ended.into_iter().zip(1..).map(|(ended, generation)| wire::Change {
+        generation,
+        from: generation - 1,
+        ended: ended.into(),
+        why: "unread".to_owned(),
+        all_regions: 0x3132_3334_3536_3738,
+    });
+    let cross_region = wire::CrossRegion {
+        id: 0x2122_2324_2526_2728,
+        generation: 5,
+        coordinator: "norte".to_owned(),
+        voted: true,
+        participants: vec![wire::ParticipantStatus {
+            region: "sur".to_owned(),
+            prepared: true,
+            acknowledged: true,
+        }],
+    };
+    let status = wire::Status {
+        mode: Some(mode()),
+        changes: changes.collect(),
+        blockers: vec![wire::Blocker {
+            identity: Some(identity()),
+            why: "its lease runs".to_owned(),
+            left: 1_500_000,
+            region: "sur".to_owned(),
+        }],
+        proxies: vec![wire::Proxy { identity: Some(identity()), acting: 299, cut_off: CutOff::Keep.into() }],
+        leader: "127.0.0.1:7400".to_owned(),
+        revision: 300,
+        region: Some(wire::RegionStatus {
+            name: "sur".to_owned(),
+            coordinator: "norte".to_owned(),
+            coordinator_replicas: vec!["127.0.0.1:7500".to_owned()],
+            change: Some(cross_region),
+        }),
+    };
+    let mut pinned = Pinned::default();
+    pinned.reply("status", reply::What::Status(status));
+    insta::assert_snapshot!(pinned.0);
+}
+
+#[test]
+fn the_mac_of_every_purpose_keeps_its_bytes() {
+    let secret = Secret::new(b"0123456789abcdef").expect("a secret");
+    let mut pinned = Pinned::default();
+    for (name, purpose) in [
+        ("request", Purpose::Request),
+        ("reply", Purpose::Reply),
+        ("replica request", Purpose::ReplicaRequest),
+        ("replica reply", Purpose::ReplicaReply),
+        ("region request", Purpose::RegionRequest),
+        ("region reply", Purpose::RegionReply),
+    ] {
+        let sealed = secret.seal_bytes(purpose, b"body".to_vec());
+        assert_eq!(secret.open_bytes(purpose, sealed.clone()), Ok(b"body".to_vec()));
+        pinned.add(name, sealed);
+    }
+    let tag = secret.tag("badgerramp peers", &[b"north", b"body"]);
+    writeln!(pinned.0, "datagram: {}", hex(&tag)).expect("written to memory");
+    insta::assert_snapshot!(pinned.0);
+}
+
+/// What gRPC puts into the path of a call. The methods' names are those of the schema, which the next test pins.
+#[test]
+fn the_service_keeps_its_name() {
+    assert_eq!(control_server::SERVICE_NAME, "badgerramp.control.v1.Control");
+}
+
+/// Every field of the schema by number and type, every value of its enumerations, every method of its service. Names of
+/// messages and fields do not travel and are free.
+#[test]
+fn the_schema_keeps_its_numbers_and_methods() {
+    let proto = concat!(env!("CARGO_MANIFEST_DIR"), "/proto");
+    let set = protox::compile(["control.proto"], [proto]).expect("the schema compiles");
+    let file = &set.file[0];
+    let mut pinned = format!("package {}\n", file.package());
+    for service in &file.service {
+        writeln!(pinned, "service {}", service.name()).expect("written to memory");
+        for method in &service.method {
+            let streams = if method.server_streaming() { " streams" } else { "" };
+            writeln!(pinned, "  rpc {}{streams}", method.name()).expect("written to memory");
+        }
+    }
+    for message in &file.message_type {
+        let mut fields: Vec<String> = message
+            .field
+            .iter()
+            .map(|field| {
+                format!("{}:{}:{}", field.number(), field.r#type().as_str_name(), field.label().as_str_name())
+            })
+            .collect();
+        fields.sort();
+        writeln!(pinned, "message {}", fields.join(" ")).expect("written to memory");
+    }
+    insta::assert_snapshot!(pinned);
+}
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -119,3 +119,6 @@
     };
     answer.map_err(|e| e.to_string())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -89,3 +89,16 @@
         words.iter().for_each(|word| assert!(fault.contains(word), "{word:?} is not in: {fault}"));
     }
 }
+
+/// An unknown key is refused with the list of the known ones.
+#[test]
+fn the_file_of_a_replica_takes_the_keys_it_took() {
+    let file = File::new("keys");
+    let known = |more: &str| {
+        let message = file.load(more).expect_err("there is an unknown key");
+        let line = message.lines().find(|line| line.starts_with("unknown field")).expect("it says which");
+        line.to_owned()
+    };
+    let region = "region = \"norte\"\n[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\nzzzz = 1\n";
+    insta::assert_snapshot!([known("zzzz = 1\n"), known(region)].join("\n"));
+}
--- a/crates/peers/src/peer/message.rs
+++ b/crates/peers/src/peer/message.rs
@@ -26,3 +26,6 @@
     pub(super) from: Member,
     pub(super) message: Message,
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/tests/stored_forms.rs
@@ -0,0 +1,165 @@
+//! The JSON of every command, outcome and record that replicas log, store in snapshots and send each other. What one
+//! version wrote the next one reads, and writes the same again.
+
+use badgerramp_policy::regions::{AllRegions, ChangeId, ChangeRef, Region};
+use badgerramp_policy::{Command, CutOff, Generation, Identity, Outcome, Record, Refused};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+
+/// Each value as a line of JSON, after it was read back.
+fn lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(values: &[T]) -> String {
+    let line = |value: &T| {
+        let text = serde_json::to_string(value).expect("it can be written");
+        assert_eq!(&serde_json::from_str::<T>(&text).expect("it can be read"), value);
+        text
+    };
+    values.iter().map(line).collect::<Vec<_>>().join("\n")
+}
+
+fn region(name: &str) -> Region {
+    name.parse().expect("a region")
+}
+
+fn change() -> ChangeRef {
+    ChangeRef { id: ChangeId(0x1122_3344_5566_7788), coordinator: region("norte"), number: Generation(9) }
+}
+
+fn identity(name: &str) -> Identity {
+    Identity { name: name.to_owned(), incarnation: 0xfedc_ba98_7654_3210 }
+}
+
+fn floors() -> BTreeSet<Generation> {
+    BTreeSet::from([Generation(1), Generation(3)])
+}
+
+fn all_regions(id: u64) -> AllRegions {
+    AllRegions {
+        id: ChangeId(id),
+        coordinator: region("norte"),
+        participants: BTreeSet::from([region("sur")]),
+    }
+}
+
+fn commands() -> Vec<Command> {
+    let publish = |all_regions| Command::Publish {
+        revision: 4,
+        text: "{\"tablet\":\"listen = 1\"}".to_owned(),
+        floors: floors(),
+        all_regions,
+    };
+    vec![
+        publish(None),
+        publish(Some(all_regions(77))),
+        Command::Prepare { revision: 4, change: change(), text: "{}".to_owned(), floors: floors() },
+        Command::Vote { revision: 5 },
+        Command::Prepared { revision: 5, region: region("sur") },
+        Command::Advance { revision: 5 },
+        Command::Abort { revision: 5, why: "unread".to_owned() },
+        Command::Committed { id: ChangeId(77) },
+        Command::Aborted { id: ChangeId(77) },
+        Command::Acknowledged { id: ChangeId(77), region: region("sur") },
+        Command::Register { identity: identity("caja"), cut_off: CutOff::Refuse },
+        Command::Register { identity: identity("caja"), cut_off: CutOff::Narrow },
+        Command::Register { identity: identity("caja"), cut_off: CutOff::Keep },
+        Command::Acting { revision: 5, proxies: BTreeSet::from([identity("caja"), identity("a#b")]) },
+        Command::Retire { identity: identity("caja") },
+        Command::Evict { identity: identity("caja") },
+    ]
+}
+
+#[test]
+fn commands_keep_their_json() {
+    insta::assert_snapshot!(lines(&commands()));
+}
+
+#[test]
+fn outcomes_keep_their_json() {
+    let refused = [
+        Refused::UnderWay(Generation(2)),
+        Refused::AcrossRegions {
+            generation: Generation(2),
+            id: ChangeId(77),
+            waits_for: BTreeSet::from([region("sur")]),
+        },
+        Refused::NotPrepared { regions: BTreeSet::from([region("sur")]) },
+        Refused::AwaitsDecision { coordinator: region("norte") },
+        Refused::Moved,
+        Refused::Evicted,
+    ];
+    let outcomes = [Outcome::Begun(Generation(3)), Outcome::Done];
+    let outcomes: Vec<_> = outcomes.into_iter().chain(refused.map(Outcome::Refused)).collect();
+    insta::assert_snapshot!(lines(&outcomes));
+}
+
+/// Applies what goes before the next change of all regions: policies in force and aborted, proxies of each kind.
+fn record_with_history() -> Record {
+    let mut record = Record::default();
+    let publish = |record: &mut Record, text: &str, all_regions| {
+        let command = Command::Publish {
+            revision: record.revision(),
+            text: text.to_owned(),
+            floors: record.floors(),
+            all_regions,
+        };
+        record.apply(&command)
+    };
+    publish(&mut record, "one", None);
+    for (name, cut_off) in [("caja", CutOff::Narrow), ("a#b", CutOff::Keep), ("gone", CutOff::Keep)] {
+        record.apply(&Command::Register { identity: identity(name), cut_off });
+    }
+    record.apply(&Command::Evict { identity: identity("gone") });
+    publish(&mut record, "two", None);
+    record.apply(&Command::Abort { revision: record.revision(), why: "unread".to_owned() });
+    publish(&mut record, "three", None);
+    record.apply(&Command::Advance { revision: record.revision() });
+    let acting = BTreeSet::from([identity("a#b")]);
+    record.apply(&Command::Acting { revision: record.revision(), proxies: acting });
+    record
+}
+
+#[test]
+fn records_keep_their_json() {
+    let empty = Record::default();
+    let settled = record_with_history();
+    let mut coordinator = settled.clone();
+    let revision = coordinator.revision();
+    let publish = Command::Publish {
+        revision,
+        text: "four".to_owned(),
+        floors: coordinator.floors(),
+        all_regions: Some(all_regions(77)),
+    };
+    assert_eq!(coordinator.apply(&publish), Outcome::Begun(Generation(4)));
+    let mut with_vote = coordinator.clone();
+    let prepared = Command::Prepared { revision: revision + 1, region: region("sur") };
+    assert_eq!(with_vote.apply(&prepared), Outcome::Done);
+    let mut unacknowledged = with_vote.clone();
+    assert_eq!(unacknowledged.apply(&Command::Advance { revision: revision + 1 }), Outcome::Done);
+    let mut participant = settled.clone();
+    let prepare = Command::Prepare {
+        revision,
+        change: change(),
+        text: "four".to_owned(),
+        floors: participant.floors(),
+    };
+    assert_eq!(participant.apply(&prepare), Outcome::Begun(Generation(4)));
+    let mut voted = participant.clone();
+    assert_eq!(voted.apply(&Command::Vote { revision: revision + 1 }), Outcome::Done);
+    let mut committed = voted.clone();
+    assert_eq!(committed.apply(&Command::Committed { id: change().id }), Outcome::Done);
+    let mut aborted = participant.clone();
+    assert_eq!(aborted.apply(&Command::Aborted { id: change().id }), Outcome::Done);
+    insta::assert_snapshot!(lines(&[
+        empty,
+        settled,
+        coordinator,
+        with_vote,
+        unacknowledged,
+        participant,
+        voted,
+        committed,
+        aborted,
+    ]));
+}
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -402,38 +402,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn seals(secret: &str, fleet: &str) -> Seals {
-        Seals::new(Secret::new(secret.as_bytes()).expect("a secret"), fleet.to_owned())
-    }
-
-    #[test]
-    fn strange_datagrams_are_told_apart() {
-        let own = seals("0123456789abcdef", "north");
-        let sealed = own.seal(Kind::Letter, (7, 9), b"body");
-        assert_eq!(own.open(Kind::Letter, &sealed), Ok((7, 9, &b"body"[..])));
-        for other in [seals("0123456789abcdeF", "north"), seals("0123456789abcdef", "south")] {
-            assert_eq!(other.open(Kind::Letter, &sealed), Err(Strange::Seal));
-        }
-        for place in 2..sealed.len() {
-            let mut torn = sealed.clone();
-            torn[place] ^= 1;
-            assert_eq!(own.open(Kind::Letter, &torn), Err(Strange::Seal));
-        }
-        assert_eq!(own.open(Kind::Look, &sealed), Err(Strange::Form));
-        assert_eq!(own.open(Kind::Letter, &[&[2], &sealed[1..]].concat()), Err(Strange::Form));
-        (0..HEAD).for_each(|n| assert_eq!(own.open(Kind::Letter, &sealed[..n]), Err(Strange::Form)));
-    }
-
-    #[test]
-    fn entries_go_there_and_back() {
-        let text = r#"{"name":"s","address":"10.0.0.1:9","zone":"a","type":"m2","group":3,"status":"draining","weight":1.5,"since_ms":7}"#;
-        let one: Endpoint = serde_json::from_str(text).expect("an entry");
-        let change = Change::from(one);
-        assert_eq!(Change::from(Endpoint::from(change.clone())), change);
-        let gone = Change { name: "s".to_owned(), entry: None };
-        assert_eq!(Change::from(Endpoint::from(gone.clone())), gone);
-    }
-}
+mod tests;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -111,3 +111,6 @@
     };
     Ok(program::run(setup, reload, |_| {}, async {})?)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/policy_copy.rs
+++ b/crates/proxy/src/policy_copy.rs
@@ -74,27 +74,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_copy_on_disk_is_whole_or_is_not_used() {
-        let folder = std::env::temp_dir().join(format!("badgerramp-policy-copy-{}", std::process::id()));
-        assert!(load(&folder, "a").expect("nothing yet").is_none());
-        let texts = BTreeMap::from([(3, "some text".to_owned())]);
-        let kept = PolicyCopy::new("a".to_owned(), texts.clone());
-        save(&folder, &kept).expect("written");
-        assert_eq!(load(&folder, "a").expect("good").expect("there").texts, texts);
-        let path = place(&folder, "a");
-        let whole = fs::read(&path).expect("a file");
-        for place in 0..whole.len() {
-            fs::write(&path, &whole[..place]).expect("a file");
-            assert!(load(&folder, "a").is_err(), "cut at {place}");
-            let mut flipped = whole.clone();
-            flipped[place] ^= 1;
-            fs::write(&path, &flipped).expect("a file");
-            assert!(load(&folder, "a").is_err(), "a bit at {place}");
-        }
-        fs::remove_dir_all(&folder).expect("a folder");
-    }
-}
+mod tests;
