--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -37,7 +37,14 @@
         let id = CallId(self.next);
         self.next += 1;
         self.numbers.insert(word.to_owned(), id);
-        self.names.insert(id, Name { word: word.to_owned(), out: 0, ended: false });
+        self.names.insert(
+            id,
+            Name {
+                word: word.to_owned(),
+                out: 0,
+                ended: false,
+            },
+        );
         id
     }
 
@@ -66,7 +73,9 @@
 impl Host {
     fn batch(&mut self, line: &str) -> Result<String, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
-        let mut reply = Reply { cmds: Vec::with_capacity(batch.input.len()) };
+        let mut reply = Reply {
+            cmds: Vec::with_capacity(batch.input.len()),
+        };
         for input in batch.input {
             self.input(batch.clock_us, input, &mut reply)?;
         }
@@ -88,14 +97,23 @@
             let balancer = Balancer::new(seed, facts.settings);
             let (numbers, names) = (HashMap::new(), HashMap::new());
             let (classes, tenants) = (facts.classes, facts.tenants);
-            let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
+            let instance = Instance {
+                balancer,
+                classes,
+                tenants,
+                numbers,
+                names,
+                next: 0,
+            };
             self.instances.insert(proxy, instance);
         } else if verb == "DETACH" {
             self.instances.remove(&proxy);
             return Ok(());
         }
-        let instance =
-            self.instances.get_mut(&proxy).ok_or_else(|| format!("{verb} for unknown proxy {proxy}"))?;
+        let instance = self
+            .instances
+            .get_mut(&proxy)
+            .ok_or_else(|| format!("{verb} for unknown proxy {proxy}"))?;
         let mut touched = None;
         let event = match verb {
             "CREATE" => Event::Start,
@@ -111,9 +129,13 @@
                     ListKind::Failed => Vec::new(),
                     _ => {
                         let list = need(input.roster_id, verb, "roster_id")?;
-                        let list =
-                            self.lists.get(&list).ok_or_else(|| format!("MEMBERS of unknown list {list}"))?;
-                        list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
+                        let list = self
+                            .lists
+                            .get(&list)
+                            .ok_or_else(|| format!("MEMBERS of unknown list {list}"))?;
+                        list.iter()
+                            .map(wire::Element::entry)
+                            .collect::<Result<_, _>>()?
                     }
                 };
                 Event::Members { kind, entries }
@@ -140,7 +162,10 @@
                         Event::Request {
                             call,
                             class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
-                            tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
+                            tenant: input
+                                .user_group
+                                .and_then(|t| place(&instance.tenants, &t))
+                                .map(TenantId),
                             time_left: need(input.time_budget_us, verb, "time_budget_us")?,
                             resent: input.resent,
                             terms: Terms::default(),
@@ -161,7 +186,10 @@
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
-                    "UNDER_WAY" => Event::Streaming { call, attempt: need(input.seq_no, verb, "seq_no")? },
+                    "UNDER_WAY" => Event::Streaming {
+                        call,
+                        attempt: need(input.seq_no, verb, "seq_no")?,
+                    },
                     _ => {
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
@@ -189,32 +217,64 @@
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
     let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
     Some(match action {
-        Action::Send { call, server, until, .. } => {
+        Action::Send {
+            call,
+            server,
+            until,
+            ..
+        } => {
             let name = instance.names.get_mut(&call)?;
             name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: until }
+            Command::Route {
+                proxy,
+                call: name.word.clone(),
+                host: server.0,
+                stop_at_us: until,
+            }
         }
         Action::Refuse { call, retry_after } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
-            let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
+            let command = Command::Bounce {
+                proxy,
+                call: name.word.clone(),
+                hold_off_us: retry_after,
+            };
             instance.tidy(call);
             command
         }
         Action::Fail { call } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
-            let command = Command::DropRequest { proxy, call: name.word.clone() };
+            let command = Command::DropRequest {
+                proxy,
+                call: name.word.clone(),
+            };
             instance.tidy(call);
             command
         }
-        Action::Cancel { call, attempt } => {
-            Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
-        }
-        Action::Probe { server } => Command::Test { proxy, host: server.0 },
-        Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
-        Action::Subscribe => Command::Listen { proxy, enable: true },
-        Action::Log { text } => Command::Trace { proxy, note_text: text },
+        Action::Cancel { call, attempt } => Command::DropAttempt {
+            proxy,
+            call: word(call, &instance.names)?,
+            seq_no: attempt,
+        },
+        Action::Probe { server } => Command::Test {
+            proxy,
+            host: server.0,
+        },
+        Action::Wake { after } => Command::SetAlarm {
+            proxy,
+            offset_us: after,
+            tag: 0,
+        },
+        Action::Subscribe => Command::Listen {
+            proxy,
+            enable: true,
+        },
+        Action::Log { text } => Command::Trace {
+            proxy,
+            note_text: text,
+        },
     })
 }
 
@@ -222,10 +282,15 @@
     let mut host = Host::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
-        let answer = line.map_err(|e| format!("unreadable: {e}")).and_then(|line| host.batch(&line));
+        let answer = line
+            .map_err(|e| format!("unreadable: {e}"))
+            .and_then(|line| host.batch(&line));
         match answer {
             Ok(reply) => {
-                if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
+                if writeln!(output, "{reply}")
+                    .and_then(|()| output.flush())
+                    .is_err()
+                {
                     std::process::exit(1);
                 }
             }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -52,7 +52,12 @@
 
 impl Stats {
     pub fn load(&self) -> Load {
-        Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu, error_rate: self.err_rps }
+        Load {
+            in_hand: self.active,
+            waiting: self.waiting,
+            busy: self.cpu,
+            error_rate: self.err_rps,
+        }
     }
 }
 
--- a/crates/adapter/tests/deploy_file.rs
+++ b/crates/adapter/tests/deploy_file.rs
@@ -6,7 +6,9 @@
 
 fn paths(table: &toml::Table, key: &str) -> Vec<String> {
     let list = table[key].as_array().expect("a list");
-    list.iter().map(|path| path.as_str().expect("a path").to_owned()).collect()
+    list.iter()
+        .map(|path| path.as_str().expect("a path").to_owned())
+        .collect()
 }
 
 #[test]
@@ -18,9 +20,19 @@
         let mut keys: Vec<&str> = table.keys().map(String::as_str).collect();
         keys.sort_unstable();
         assert_eq!(keys, KEYS, "{name}");
-        assert_eq!(table["build"].as_str(), Some("cargo build --release"), "{name}");
-        assert!(table["run"].as_str().is_some_and(|run| run.starts_with("exec target/release/badgerramp")));
-        assert_eq!(table["sim"].as_str(), Some("exec target/release/badgerramp-adapter"), "{name}");
+        assert_eq!(
+            table["build"].as_str(),
+            Some("cargo build --release"),
+            "{name}"
+        );
+        assert!(table["run"]
+            .as_str()
+            .is_some_and(|run| run.starts_with("exec target/release/badgerramp")));
+        assert_eq!(
+            table["sim"].as_str(),
+            Some("exec target/release/badgerramp-adapter"),
+            "{name}"
+        );
         for path in paths(&table, "policy").iter().chain(&paths(&table, "node")) {
             assert!(root.join(path).exists(), "{name}: {path}");
         }
--- a/crates/adapter/tests/recorded_course.rs
+++ b/crates/adapter/tests/recorded_course.rs
@@ -50,7 +50,10 @@
 fn commands(reply: &str) -> Vec<serde_json::Value> {
     let reply: serde_json::Value = serde_json::from_str(reply).expect("a reply");
     let all = reply["cmds"].as_array().expect("commands");
-    all.iter().filter(|command| command["verb"] != "TRACE").cloned().collect()
+    all.iter()
+        .filter(|command| command["verb"] != "TRACE")
+        .cloned()
+        .collect()
 }
 
 fn feed(input: &[String], mut to: ChildStdin) {
@@ -61,7 +64,12 @@
 
 fn play(day: &Day) {
     let (input, expected) = (lines(day.input), lines(day.replies));
-    assert_eq!((input.len(), expected.len()), (day.steps, day.steps), "{}", day.name);
+    assert_eq!(
+        (input.len(), expected.len()),
+        (day.steps, day.steps),
+        "{}",
+        day.name
+    );
     let mut child = Command::new(env!("CARGO_BIN_EXE_badgerramp-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -75,7 +83,13 @@
     assert!(child.wait().expect("it ends").success());
     assert_eq!(replies.len(), expected.len(), "{}", day.name);
     for (step, (reply, expected)) in replies.iter().zip(&expected).enumerate() {
-        assert_eq!(commands(reply), commands(expected), "{}, step {}", day.name, step + 1);
+        assert_eq!(
+            commands(reply),
+            commands(expected),
+            "{}, step {}",
+            day.name,
+            step + 1
+        );
     }
 }
 
--- a/crates/adversary/src/lib.rs
+++ b/crates/adversary/src/lib.rs
@@ -85,8 +85,17 @@
             calls: BTreeMap::new(),
         };
         world.tell(Event::Start);
-        let entries = config.upstream.endpoints.iter().zip(0..).map(|(e, n)| e.entry(ServerId(n))).collect();
-        world.tell(Event::Members { kind: ListKind::Full, entries });
+        let entries = config
+            .upstream
+            .endpoints
+            .iter()
+            .zip(0..)
+            .map(|(e, n)| e.entry(ServerId(n)))
+            .collect();
+        world.tell(Event::Members {
+            kind: ListKind::Full,
+            entries,
+        });
         world
     }
 
@@ -117,7 +126,10 @@
         if request.once {
             class.repeat = Repeat::SingleShot;
         }
-        let time_left = route.timing.total.min(request.told.unwrap_or(class.deadline));
+        let time_left = route
+            .timing
+            .total
+            .min(request.told.unwrap_or(class.deadline));
         assert!(time_left <= class.deadline, "longer than the client waits");
         let terms = route.timing.terms(request.once);
         let open = Open {
@@ -131,7 +143,14 @@
         let call = CallId(self.calls.len() as u64);
         self.calls.insert(call, open);
         let class = ClassId(route.class);
-        self.tell(Event::Request { call, class, tenant: None, time_left, resent: false, terms });
+        self.tell(Event::Request {
+            call,
+            class,
+            tenant: None,
+            time_left,
+            resent: false,
+            terms,
+        });
         call
     }
 
@@ -140,12 +159,19 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { call, server, until, .. } => self.send(call, server, until),
+                Action::Send {
+                    call,
+                    server,
+                    until,
+                    ..
+                } => self.send(call, server, until),
                 Action::Refuse { call, .. } => self.answer(call, Answer::Refused),
                 Action::Fail { call } => self.answer(call, Answer::Failed),
                 Action::Cancel { call, attempt } => {
-                    if let Some(tried) =
-                        self.calls.get_mut(&call).and_then(|c| c.tried.get_mut(attempt as usize))
+                    if let Some(tried) = self
+                        .calls
+                        .get_mut(&call)
+                        .and_then(|c| c.tried.get_mut(attempt as usize))
                     {
                         (tried.ends, tried.outcome) = (self.now, Outcome::CalledOff);
                     }
@@ -165,13 +191,31 @@
 
     fn send(&mut self, call: CallId, server: ServerId, until: Option<Micros>) {
         let (group, now) = (self.group(server), self.now);
-        let groups: Vec<u32> = self.config.upstream.endpoints.iter().map(|e| e.group).collect();
+        let groups: Vec<u32> = self
+            .config
+            .upstream
+            .endpoints
+            .iter()
+            .map(|e| e.group)
+            .collect();
         let open = self.calls.get_mut(&call).expect("a call that came");
-        assert!(open.answered.is_none(), "nothing goes out after the final answer");
-        assert!(now < open.deadline, "nothing goes out after the client's time");
-        assert!((open.tried.len() as u32) < open.most, "more attempts than the file allows");
+        assert!(
+            open.answered.is_none(),
+            "nothing goes out after the final answer"
+        );
+        assert!(
+            now < open.deadline,
+            "nothing goes out after the client's time"
+        );
+        assert!(
+            (open.tried.len() as u32) < open.most,
+            "more attempts than the file allows"
+        );
         let out = open.tried.iter().filter(|t| t.over.is_none()).count();
-        assert!(out == 0 || open.hedged, "a second copy where the file wants none");
+        assert!(
+            out == 0 || open.hedged,
+            "a second copy where the file wants none"
+        );
         if let Some(first) = open.tried.iter().find(|t| t.may_have_run()) {
             match open.class.repeat {
                 Repeat::Free => {}
@@ -195,17 +239,41 @@
             _ => Outcome::Unknown,
         };
         // Fast and slow ends both, and some that never come.
-        let ends = if self.random.gen_bool(0.3) { now + 1 + (ends - now) / 50 } else { ends };
-        let (ends, outcome) = if ends >= until { (until, Outcome::TimedOut) } else { (ends, outcome) };
-        open.tried.push(Tried { server, sent: now, ends: ends.max(now + 1), outcome, over: None });
+        let ends = if self.random.gen_bool(0.3) {
+            now + 1 + (ends - now) / 50
+        } else {
+            ends
+        };
+        let (ends, outcome) = if ends >= until {
+            (until, Outcome::TimedOut)
+        } else {
+            (ends, outcome)
+        };
+        open.tried.push(Tried {
+            server,
+            sent: now,
+            ends: ends.max(now + 1),
+            outcome,
+            over: None,
+        });
     }
 
     fn answer(&mut self, call: CallId, answer: Answer) {
         let open = self.calls.get_mut(&call).expect("a call that came");
         assert!(open.answered.is_none(), "two final answers");
-        assert!(self.now <= open.deadline, "answered after the client's time");
+        assert!(
+            self.now <= open.deadline,
+            "answered after the client's time"
+        );
         let ran = open.tried.iter().any(Tried::may_have_run);
-        let harmless = matches!(open.class.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
+        let harmless = matches!(
+            open.class.repeat,
+            Repeat::Free
+                | Repeat::Guarded {
+                    scope: Scope::All,
+                    ..
+                }
+        );
         if answer == Answer::Refused {
             assert!(harmless || !ran, "refused though it may have run");
         }
@@ -215,7 +283,11 @@
     /// The next attempt to end.
     fn next_end(&self) -> Option<(Micros, CallId, usize)> {
         let all = self.calls.iter().flat_map(|(&id, open)| {
-            let out = open.tried.iter().enumerate().filter(|(_, t)| t.over.is_none());
+            let out = open
+                .tried
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.over.is_none());
             out.map(move |(n, t)| (t.ends, id, n))
         });
         all.min()
@@ -228,7 +300,9 @@
     pub fn run(&mut self, end: Micros) {
         loop {
             let ends = self.next_end();
-            let at = ends.map_or(Micros::MAX, |e| e.0).min(self.wake.unwrap_or(Micros::MAX));
+            let at = ends
+                .map_or(Micros::MAX, |e| e.0)
+                .min(self.wake.unwrap_or(Micros::MAX));
             if at > end {
                 break;
             }
@@ -259,7 +333,10 @@
                 }
             }
             for open in self.calls.values().filter(|o| o.deadline < self.now) {
-                assert!(open.answered.is_some(), "no answer within the client's time");
+                assert!(
+                    open.answered.is_some(),
+                    "no answer within the client's time"
+                );
             }
         }
         self.now = end;
--- a/crates/bench/src/chain.rs
+++ b/crates/bench/src/chain.rs
@@ -44,7 +44,10 @@
         match self {
             Effect::Safe => "effect = \"safe\"\n".to_owned(),
             Effect::Keyed => {
-                format!("effect = \"keyed\"\ngroup = \"all\"\nwindow = \"{}ms\"\n", deadline.as_millis())
+                format!(
+                    "effect = \"keyed\"\ngroup = \"all\"\nwindow = \"{}ms\"\n",
+                    deadline.as_millis()
+                )
             }
             Effect::Unsafe => "effect = \"unsafe\"\n".to_owned(),
         }
@@ -107,7 +110,10 @@
 
     /// The operator's file of a sidecar.
     fn operators_file(&self, service: SocketAddr, effect: Effect) -> String {
-        let attempts = self.attempts.map(|n| format!("attempts = {n}\n")).unwrap_or_default();
+        let attempts = self
+            .attempts
+            .map(|n| format!("attempts = {n}\n"))
+            .unwrap_or_default();
         format!(
             "listen = \"127.0.0.1:0\"\n[upstream]\nendpoints = [{{ name = \"service\", address = \"{service}\" }}]\n\
              [class.call]\naim = \"{}ms\"\ndeadline = \"{}ms\"\n{}{attempts}{}\n\
@@ -129,7 +135,11 @@
 
 impl Counter {
     fn new(depth: usize, most: u64) -> Self {
-        Counter { by_depth: vec![Cell::new(0); depth], most, full: Notify::new() }
+        Counter {
+            by_depth: vec![Cell::new(0); depth],
+            most,
+            full: Notify::new(),
+        }
     }
 
     fn count(&self, depth: usize) {
@@ -174,7 +184,9 @@
                 let service = Rc::clone(&service);
                 async move { Ok::<_, Infallible>(service.answer(request).await) }
             });
-            tokio::task::spawn_local(http1::Builder::new().serve_connection(TokioIo::new(stream), answer));
+            tokio::task::spawn_local(
+                http1::Builder::new().serve_connection(TokioIo::new(stream), answer),
+            );
         }
     }
 
@@ -190,7 +202,9 @@
         let passed = tokio::task::spawn_local(async move { plain::pass(&next, request).await });
         // A task goes on when nobody waits for it, unless it is told to end.
         let _ended = (!self.no_cancel).then(|| AbortOnDrop(passed.abort_handle()));
-        passed.await.unwrap_or_else(|_| status(StatusCode::INTERNAL_SERVER_ERROR))
+        passed
+            .await
+            .unwrap_or_else(|_| status(StatusCode::INTERNAL_SERVER_ERROR))
     }
 }
 
@@ -213,7 +227,10 @@
     match failure {
         Failure::Error => {}
         Failure::NeverRan => {
-            response.headers_mut().insert("x-not-processed", hyper::header::HeaderValue::from_static("1"));
+            response.headers_mut().insert(
+                "x-not-processed",
+                hyper::header::HeaderValue::from_static("1"),
+            );
         }
         Failure::Hang => std::future::pending().await,
     }
@@ -229,7 +246,12 @@
 }
 
 impl Chain {
-    async fn start(plan: &Plan, depth: usize, effect: Effect, failure: Failure) -> Result<Self, Fault> {
+    async fn start(
+        plan: &Plan,
+        depth: usize,
+        effect: Effect,
+        failure: Failure,
+    ) -> Result<Self, Fault> {
         let counter = Rc::new(Counter::new(depth, plan.most));
         let (mut sidecars, mut files) = (Vec::new(), Vec::new());
         // From the bottom up: each service must know the sidecar below it.
@@ -242,10 +264,19 @@
                 None => Role::Fails(failure),
             };
             let (no_deadline, no_cancel) = (plan.no_deadline, plan.no_cancel);
-            let service =
-                Service { depth: place, counter: Rc::clone(&counter), role, no_deadline, no_cancel };
+            let service = Service {
+                depth: place,
+                counter: Rc::clone(&counter),
+                role,
+                no_deadline,
+                no_cancel,
+            };
             tokio::task::spawn_local(Rc::new(service).serve(listener));
-            let name = format!("badgerramp-chain-{}-{}.toml", std::process::id(), address.port());
+            let name = format!(
+                "badgerramp-chain-{}-{}.toml",
+                std::process::id(),
+                address.port()
+            );
             let file = TemporaryFile::write(&name, &plan.operators_file(address, effect))?;
             let sidecar = Process::sidecar(&file)?;
             below = Some(sidecar.address);
@@ -253,7 +284,12 @@
             files.push(file);
         }
         let top = Rc::new(Pool::new(vec![below.ok_or("a chain has a depth")?]));
-        Ok(Chain { top, counter, _sidecars: sidecars, _files: files })
+        Ok(Chain {
+            top,
+            counter,
+            _sidecars: sidecars,
+            _files: files,
+        })
     }
 
     /// One call at the top.
@@ -273,7 +309,11 @@
             },
             () = self.counter.full.notified() => Answer::Stopped,
         };
-        Ok(Answered { answer, after: began.elapsed(), requests: self.counter.counts() })
+        Ok(Answered {
+            answer,
+            after: began.elapsed(),
+            requests: self.counter.counts(),
+        })
     }
 
     /// Waits until no further request reaches a service.
@@ -348,8 +388,12 @@
     if plan.calls > 1 && last != Answer::Stopped {
         chain.quiet().await;
         let calls = f64::from(plan.calls - 1);
-        let each =
-            chain.counter.counts().into_iter().zip(&all).map(|(now, then)| (now - then) as f64 / calls);
+        let each = chain
+            .counter
+            .counts()
+            .into_iter()
+            .zip(&all)
+            .map(|(now, then)| (now - then) as f64 / calls);
         let each: Vec<f64> = each.collect();
         println!(
             "{:<23}{:>7} {:>8.1} {:>8.2}         {}",
@@ -364,7 +408,10 @@
 }
 
 fn name(value: impl ValueEnum) -> String {
-    value.to_possible_value().map(|v| v.get_name().to_owned()).unwrap_or_default()
+    value
+        .to_possible_value()
+        .map(|v| v.get_name().to_owned())
+        .unwrap_or_default()
 }
 
 /// Measures every depth with every effect and failure, and prints the table.
--- a/crates/bench/src/chart.rs
+++ b/crates/bench/src/chart.rs
@@ -14,7 +14,11 @@
         .x_label_area_size(34)
         .y_label_area_size(48)
         .build_cartesian_2d(0..seconds.len(), 0..most + most / 8 + 1)?;
-    chart.configure_mesh().x_desc("seconds").y_desc("questions a second").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc("questions a second")
+        .draw()?;
     chart.draw_series(LineSeries::new(seconds.iter().copied().enumerate(), &BLUE))?;
     for &(at, _) in marks {
         chart.draw_series(LineSeries::new([(at, 0), (at, most)], &RED))?;
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -37,12 +37,16 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wanted = || format!("found {text:?}, allowed is NAME:NUMBER with a number from 1, like n0:5");
+        let wanted =
+            || format!("found {text:?}, allowed is NAME:NUMBER with a number from 1, like n0:5");
         let (proxy, number) = text.split_once(':').ok_or_else(wanted)?;
         let number = number.parse().ok().filter(|&n| n > 0).ok_or_else(wanted)?;
         match proxy {
             "" => Err(wanted()),
-            proxy => Ok(Ignored { proxy: proxy.to_owned(), number }),
+            proxy => Ok(Ignored {
+                proxy: proxy.to_owned(),
+                number,
+            }),
         }
     }
 }
@@ -78,16 +82,35 @@
 /// # Errors
 /// If the variable names no address, or nothing can listen there.
 pub fn serve(ignored: Option<Ignored>) -> io::Result<()> {
-    let odd = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, format!("RELAY_LISTEN: {fault}"));
+    let odd = |fault: String| {
+        io::Error::new(
+            io::ErrorKind::InvalidInput,
+            format!("RELAY_LISTEN: {fault}"),
+        )
+    };
     let listen = std::env::var("RELAY_LISTEN").map_err(|e| odd(e.to_string()))?;
-    let listen: SocketAddr = listen.parse().map_err(|e| odd(format!("{listen:?}: {e}")))?;
+    let listen: SocketAddr = listen
+        .parse()
+        .map_err(|e| odd(format!("{listen:?}: {e}")))?;
     let name = std::env::var("RELAY_NAME").unwrap_or_default();
     let ignored = ignored.filter(|i| i.proxy == name).map(|i| i.number);
-    let control = Rc::new(Control { ignored, read: Cell::new(0) });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let control = Rc::new(Control {
+        ignored,
+        read: Cell::new(0),
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (mut term, mut hangup) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
-        let socket = if listen.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        let (mut term, mut hangup) = (
+            signal(SignalKind::terminate())?,
+            signal(SignalKind::hangup())?,
+        );
+        let socket = if listen.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        }?;
         socket.set_reuseaddr(true)?;
         socket.bind(listen)?;
         let listener = socket.listen(BACKLOG)?;
@@ -119,7 +142,11 @@
         let control = Rc::clone(&control);
         async move {
             let fate = control.fate(request.uri().path());
-            let id = request.headers().get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or("-");
+            let id = request
+                .headers()
+                .get("x-request-id")
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or("-");
             note(format_args!("{fate:?} {id}"));
             // The body is taken, so that the connection can be used again; bad clients send more than they may.
             let _ = Limited::new(request.into_body(), BODY).collect().await;
@@ -132,7 +159,10 @@
             Ok::<_, Infallible>(response)
         }
     });
-    if let Err(fault) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
+    if let Err(fault) = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await
+    {
         note(format_args!("connection: {fault}"));
     }
 }
@@ -143,17 +173,32 @@
 
     #[test]
     fn one_request_is_ignored_and_health_never() {
-        let control = Control { ignored: Some(2), read: Cell::new(0) };
+        let control = Control {
+            ignored: Some(2),
+            read: Cell::new(0),
+        };
         let fates = ["/a", "/_health", "/a", "/a"].map(|path| control.fate(path));
-        assert_eq!(fates, [Fate::Refused, Fate::Well, Fate::Ignored, Fate::Refused]);
+        assert_eq!(
+            fates,
+            [Fate::Refused, Fate::Well, Fate::Ignored, Fate::Refused]
+        );
     }
 
     #[test]
     fn the_one_to_ignore_is_read_with_reasons() {
-        assert_eq!("n0:5".parse(), Ok(Ignored { proxy: "n0".to_owned(), number: 5 }));
+        assert_eq!(
+            "n0:5".parse(),
+            Ok(Ignored {
+                proxy: "n0".to_owned(),
+                number: 5
+            })
+        );
         for odd in ["n0", "n0:", "n0:0", ":5", "n0:x", ""] {
             let fault = odd.parse::<Ignored>().unwrap_err();
-            assert!(fault.contains(&format!("{odd:?}")) && fault.contains("NAME:NUMBER"), "{fault}");
+            assert!(
+                fault.contains(&format!("{odd:?}")) && fault.contains("NAME:NUMBER"),
+                "{fault}"
+            );
         }
     }
 }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -30,8 +30,13 @@
 
 async fn course(process: &Process, connections: usize, seconds: f64) -> Result<Figures, Fault> {
     let before = process.cpu()?;
-    let outcome =
-        load::run(process.address, connections, Duration::from_secs_f64(seconds), REQUESTS_MOST).await?;
+    let outcome = load::run(
+        process.address,
+        connections,
+        Duration::from_secs_f64(seconds),
+        REQUESTS_MOST,
+    )
+    .await?;
     let cpu = process.cpu()? - before;
     let answered = outcome.answered.max(1) as f64;
     Ok(Figures {
@@ -58,7 +63,11 @@
 
 async fn proxy(endpoints: usize, ports: &[u16], extra: &str) -> Result<TemporaryFile, Fault> {
     let discovery = hosts::discovery(endpoints, ports).await?;
-    let name = format!("badgerramp-bench-{}-{endpoints}-{}.toml", std::process::id(), discovery.port());
+    let name = format!(
+        "badgerramp-bench-{}-{endpoints}-{}.toml",
+        std::process::id(),
+        discovery.port()
+    );
     TemporaryFile::write(&name, &operators_file(discovery, extra))
 }
 
@@ -76,7 +85,10 @@
         arguments.extend(ports.iter().map(u16::to_string));
         let mut all = vec![
             ("plain", Process::start(&me, &arguments)?),
-            ("proxy", Process::start(&me, &["proxy".to_owned(), path.clone()])?),
+            (
+                "proxy",
+                Process::start(&me, &["proxy".to_owned(), path.clone()])?,
+            ),
         ];
         let mut others = Vec::new();
         if let Some(other) = &course_of.other {
@@ -84,11 +96,17 @@
             let path = others[0].path();
             all.push(("other", Process::start(other, &["run".to_owned(), path])?));
         }
-        let control = if course_of.policy { Some(policy::Control::start()?) } else { None };
+        let control = if course_of.policy {
+            Some(policy::Control::start()?)
+        } else {
+            None
+        };
         if let Some(control) = &control {
             let extra = format!("{}\n{}", course_of.extra, control.table());
             others.push(proxy(endpoints, &other_ports, &extra).await?);
-            control.publish(std::fs::read_to_string(others[0].path())?).await?;
+            control
+                .publish(std::fs::read_to_string(others[0].path())?)
+                .await?;
             let path = others[0].path();
             all.push(("policy", Process::start(&me, &["proxy".to_owned(), path])?));
         }
@@ -107,7 +125,12 @@
             for ((name, _), all) in all.iter().zip(&seen) {
                 // Each round's ratio is of neighbours in time: the machine's own pace comes and goes.
                 let of_plain = |get: fn(&Figures) -> f64| {
-                    middle(all.iter().zip(&seen[0]).map(|(own, plain)| get(own) / get(plain)).collect())
+                    middle(
+                        all.iter()
+                            .zip(&seen[0])
+                            .map(|(own, plain)| get(own) / get(plain))
+                            .collect(),
+                    )
                 };
                 let figure = |get: fn(&Figures) -> f64| middle(all.iter().map(get).collect());
                 println!(
@@ -123,7 +146,13 @@
             }
             if let [_, own, third] = seen.as_slice() {
                 let of_own = |get: fn(&Figures) -> f64| {
-                    middle(third.iter().zip(own).map(|(a, b)| get(a) / get(b)).collect())
+                    middle(
+                        third
+                            .iter()
+                            .zip(own)
+                            .map(|(a, b)| get(a) / get(b))
+                            .collect(),
+                    )
                 };
                 let (cpu, rate) = (of_own(|f| f.cpu), of_own(|f| f.rate));
                 println!("{endpoints:>9} {connections:>8}  {} of proxy, round by round: CPU {cpu:.3}, rate {rate:.3}", all[2].0);
@@ -139,12 +168,18 @@
     let mut first: Option<(usize, u64)> = None;
     for &endpoints in sizes {
         let file = proxy(endpoints, &[9], "").await?;
-        let process = Process::start(&std::env::current_exe()?, &["proxy".to_owned(), file.path()])?;
+        let process = Process::start(
+            &std::env::current_exe()?,
+            &["proxy".to_owned(), file.path()],
+        )?;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let kib = process.memory()?;
         let (least, base) = *first.get_or_insert((endpoints, kib));
         let more = (endpoints - least).max(1) as u64;
-        println!("{endpoints:>9} {kib:>13} {:>10}", kib.saturating_sub(base) * 1024 / more);
+        println!(
+            "{endpoints:>9} {kib:>13} {:>10}",
+            kib.saturating_sub(base) * 1024 / more
+        );
     }
     Ok(())
 }
--- a/crates/bench/src/hosts.rs
+++ b/crates/bench/src/hosts.rs
@@ -20,7 +20,9 @@
 
 /// Serves until it is ended. Prints the ports of the hosts on one line.
 pub fn serve() -> io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut line = String::new();
         for _ in 0..PORTS {
@@ -41,7 +43,8 @@
 /// Answers every request on a connection at once.
 async fn answer(mut stream: TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok";
+    const ANSWER: &[u8] =
+        b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok";
     let _ = stream.set_nodelay(true);
     let mut buffer = vec![0; 4096];
     let mut filled = 0;
@@ -93,7 +96,9 @@
 async fn question(request: &Request<Incoming>, text: Bytes) -> Response<Full<Bytes>> {
     if request.uri().query().is_some() {
         tokio::time::sleep(Duration::from_secs(10)).await;
-        return plain::answer(Bytes::from_static(br#"{"index":1,"snapshot":false,"endpoints":[]}"#));
+        return plain::answer(Bytes::from_static(
+            br#"{"index":1,"snapshot":false,"endpoints":[]}"#,
+        ));
     }
     plain::answer(text)
 }
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -73,7 +73,11 @@
 
 impl Times {
     fn new() -> Self {
-        Times { answered: histogram(), sent: histogram(), odd: 0 }
+        Times {
+            answered: histogram(),
+            sent: histogram(),
+            odd: 0,
+        }
     }
 
     fn add(&mut self, other: &Times) -> Result<(), Fault> {
@@ -118,7 +122,10 @@
 
 /// One course of calls to these addresses, to which connections go in turn.
 fn course(to: &[SocketAddr], rate: f64, seconds: f64, connections: u16) -> Result<Times, Fault> {
-    assert!(to.iter().all(|a| a.ip().is_loopback()), "load goes to loopback only");
+    assert!(
+        to.iter().all(|a| a.ip().is_loopback()),
+        "load goes to loopback only"
+    );
     let schedule = Schedule {
         start: Instant::now() + LEAD,
         rate,
@@ -144,7 +151,9 @@
         format!("{{ name = \"h{n}\", address = \"127.0.0.1:{port}\" }}")
     };
     // Two endpoints may not share an address, and there are only so many ports.
-    let endpoints: Vec<String> = (0..plan.endpoints.min(ports.len() as u16)).map(endpoint).collect();
+    let endpoints: Vec<String> = (0..plan.endpoints.min(ports.len() as u16))
+        .map(endpoint)
+        .collect();
     format!(
         "listen = \"127.0.0.1:0\"\n{}\n[upstream]\nendpoints = [{}]\n[class.safe]\naim = \"500ms\"\n\
          deadline = \"1200ms\"\neffect = \"safe\"\n[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
@@ -156,7 +165,10 @@
 /// The machine's load, as the system tells it: means of 1, 5 and 15 minutes, and runnable threads of all.
 fn machine_load() -> String {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    load.split_whitespace().take(4).collect::<Vec<_>>().join(" ")
+    load.split_whitespace()
+        .take(4)
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// Measures every rate and prints the table.
@@ -165,7 +177,10 @@
     let name = format!("badgerramp-latency-{}.toml", std::process::id());
     let file = TemporaryFile::write(&name, &operators_file(plan, &ports))?;
     let sidecar = Process::sidecar(&file)?;
-    let hosts: Vec<SocketAddr> = ports.iter().map(|&port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let hosts: Vec<SocketAddr> = ports
+        .iter()
+        .map(|&port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     let cores = thread::available_parallelism()?;
     println!("{cores} cores, load {} before", machine_load());
     println!(
@@ -174,7 +189,11 @@
     for &rate in &plan.rate {
         measure(plan, rate, &hosts, &sidecar)?;
     }
-    println!("load {} after; memory of the sidecar {} KiB", machine_load(), sidecar.memory()?);
+    println!(
+        "load {} after; memory of the sidecar {} KiB",
+        machine_load(),
+        sidecar.memory()?
+    );
     Ok(())
 }
 
@@ -198,8 +217,15 @@
     let cpu = cpu / proxied.answered.len().max(1) as f64;
     print_row(rate, "direct", &direct, "");
     print_row(rate, "sidecar", &proxied, &format!("{cpu:.0}"));
-    let added = QUANTILES.map(|q| format!("{:>9.3}", proxied.at(q) - direct.at(q))).concat();
-    println!("{rate:>6.0}  {:<8}{:>8}{added}  p99 by round: {}", "added", "", by_round.join(" "));
+    let added = QUANTILES
+        .map(|q| format!("{:>9.3}", proxied.at(q) - direct.at(q)))
+        .concat();
+    println!(
+        "{rate:>6.0}  {:<8}{:>8}{added}  p99 by round: {}",
+        "added",
+        "",
+        by_round.join(" ")
+    );
     Ok(())
 }
 
--- a/crates/bench/src/list.rs
+++ b/crates/bench/src/list.rs
@@ -8,7 +8,12 @@
 const ROUNDS: u32 = 200;
 
 fn entry(server: u32, started: u64) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, started, ..Entry::default() }
+    Entry {
+        server: ServerId(server),
+        state: State::Ready,
+        started,
+        ..Entry::default()
+    }
 }
 
 /// Mean microseconds of a step.
@@ -26,7 +31,14 @@
         let mut balancer = Balancer::new(1, Settings::default());
         let mut actions = Vec::new();
         let all: Vec<Entry> = (0..size).map(|n| entry(n, 0)).collect();
-        balancer.handle(1, Event::Members { kind: ListKind::Full, entries: all.clone() }, &mut actions);
+        balancer.handle(
+            1,
+            Event::Members {
+                kind: ListKind::Full,
+                entries: all.clone(),
+            },
+            &mut actions,
+        );
         let mut tell = |kind, entries, now| {
             balancer.handle(now, Event::Members { kind, entries }, &mut actions);
             actions.clear();
@@ -34,10 +46,18 @@
         let same = timed(|n| tell(ListKind::Full, all.clone(), u64::from(n)));
         // Ten processes a time are new ones under their old names.
         let few = timed(|n| {
-            let changed = (0..10).map(|k| entry((n * 10 + k) % size, u64::from(n) + 1)).collect();
+            let changed = (0..10)
+                .map(|k| entry((n * 10 + k) % size, u64::from(n) + 1))
+                .collect();
             tell(ListKind::Delta, changed, u64::from(n));
         });
-        let mut subset = Subset::new(Need::of(20), Instance { number: 7, count: 2_000 });
+        let mut subset = Subset::new(
+            Need::of(20),
+            Instance {
+                number: 7,
+                count: 2_000,
+            },
+        );
         (0..size).for_each(|n| subset.add(n, &format!("endpoint-{n}"), false));
         subset.listed(0, &(0..size).collect::<Vec<_>>());
         let dealt = timed(|n| {
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -24,12 +24,24 @@
 }
 
 /// Asks on so many connections until the time is up or so many are answered.
-pub async fn run(to: SocketAddr, connections: usize, time: Duration, most: u64) -> io::Result<Outcome> {
+pub async fn run(
+    to: SocketAddr,
+    connections: usize,
+    time: Duration,
+    most: u64,
+) -> io::Result<Outcome> {
     assert!(to.ip().is_loopback(), "load goes to loopback only");
     let began = Instant::now();
     let (until, each) = (began + time, most / connections as u64);
-    let clients: Vec<_> = (0..connections).map(|_| tokio::spawn(client(to, until, each))).collect();
-    let mut whole = Outcome { answered: 0, odd: 0, times: histogram(), elapsed: Duration::ZERO };
+    let clients: Vec<_> = (0..connections)
+        .map(|_| tokio::spawn(client(to, until, each)))
+        .collect();
+    let mut whole = Outcome {
+        answered: 0,
+        odd: 0,
+        times: histogram(),
+        elapsed: Duration::ZERO,
+    };
     for client in clients {
         let (odd, times) = client.await.map_err(io::Error::other)??;
         whole.answered += times.len();
@@ -71,10 +83,14 @@
 
 /// Is this an answer with all of its body? They all tell their length.
 pub fn whole(answer: &[u8]) -> bool {
-    let Some(head) = answer.windows(4).position(|w| w == b"\r\n\r\n") else { return false };
+    let Some(head) = answer.windows(4).position(|w| w == b"\r\n\r\n") else {
+        return false;
+    };
     let length = answer[..head].split(|&b| b == b'\n').find_map(|line| {
         let (name, value) = line.split_at_checked(LENGTH.len())?;
-        let value = name.eq_ignore_ascii_case(LENGTH).then(|| value.trim_ascii())?;
+        let value = name
+            .eq_ignore_ascii_case(LENGTH)
+            .then(|| value.trim_ascii())?;
         std::str::from_utf8(value).ok()?.parse::<usize>().ok()
     });
     answer.len() >= head + 4 + length.unwrap_or(0)
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -100,7 +100,11 @@
     },
     /// The program under measure, pinned to a core.
     #[command(hide = true)]
-    Pinned { core: usize, program: PathBuf, arguments: Vec<String> },
+    Pinned {
+        core: usize,
+        program: PathBuf,
+        arguments: Vec<String>,
+    },
     #[command(hide = true)]
     Proxy { file: PathBuf },
     #[command(hide = true)]
@@ -125,12 +129,38 @@
 
 fn measure(what: What) -> Result<(), Fault> {
     match what {
-        What::Fleet { endpoints, connections, seconds, rounds, other, policy, extra } => {
-            let course = fleet::Course { seconds, rounds, other, policy, extra };
+        What::Fleet {
+            endpoints,
+            connections,
+            seconds,
+            rounds,
+            other,
+            policy,
+            extra,
+        } => {
+            let course = fleet::Course {
+                seconds,
+                rounds,
+                other,
+                policy,
+                extra,
+            };
             runtime()?.block_on(fleet::fleet(&endpoints, &connections, &course))
         }
-        What::Quiet { proxies, endpoints, seconds, rate, svg } => {
-            let plan = quiet::Plan { proxies, endpoints, seconds, rate, svg };
+        What::Quiet {
+            proxies,
+            endpoints,
+            seconds,
+            rate,
+            svg,
+        } => {
+            let plan = quiet::Plan {
+                proxies,
+                endpoints,
+                seconds,
+                rate,
+                svg,
+            };
             tokio::task::LocalSet::new().block_on(&runtime()?, quiet::play(&plan))
         }
         What::Chain(plan) => tokio::task::LocalSet::new().block_on(&runtime()?, chain::run(&plan)),
@@ -143,7 +173,11 @@
         What::List { endpoints } => list::play(&endpoints),
         What::Control { ignore } => Ok(control::serve(ignore)?),
         What::Memory { endpoints } => runtime()?.block_on(fleet::memory(&endpoints)),
-        What::Pinned { core, program, arguments } => {
+        What::Pinned {
+            core,
+            program,
+            arguments,
+        } => {
             let mut cores = rustix::thread::CpuSet::new();
             cores.set(core);
             rustix::thread::sched_setaffinity(None, &cores)?;
@@ -156,5 +190,7 @@
 }
 
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build()
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
 }
--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -88,25 +88,43 @@
 
 fn measure(plan: &Plan, proxies: usize, seed: u64) -> Result<Measured, Fault> {
     let until = (plan.from + plan.window) * 1_000_000;
-    let world = World { proxies, hosts: plan.hosts as usize, until, ..World::default() };
+    let world = World {
+        proxies,
+        hosts: plan.hosts as usize,
+        until,
+        ..World::default()
+    };
     let Played { sent, alive, .. } = play(&world, seed);
     let (from, window) = (plan.from as usize, plan.window as usize);
-    let calm_seconds = sent.get(from..from + window).ok_or("nothing was sent in the window")?;
+    let calm_seconds = sent
+        .get(from..from + window)
+        .ok_or("nothing was sent in the window")?;
     let calm = Rate::of(sum(calm_seconds).sum(), proxies, window);
-    let rates: Vec<Rate> = sent.iter().map(|second| Rate::of(second.sum(), proxies, 1)).collect();
+    let rates: Vec<Rate> = sent
+        .iter()
+        .map(|second| Rate::of(second.sum(), proxies, 1))
+        .collect();
     let spans: Vec<Rate> = sent
         .chunks_exact(SPAN_SECONDS)
         .map(|span| Rate::of(sum(span).sum(), proxies, SPAN_SECONDS))
         .collect();
     let busy = |rate: &Rate| rate.sealed > calm.sealed * (1.0 + CALM_SHARE);
     let start = &sent[..START_SECONDS.min(sent.len())];
-    let of_kind = |&kind: &MessageKind| (kind, Rate::of(sum(calm_seconds).of(kind), proxies, window));
+    let of_kind =
+        |&kind: &MessageKind| (kind, Rate::of(sum(calm_seconds).of(kind), proxies, window));
     Ok(Measured {
         calm,
         by_kind: MessageKind::ALL.iter().map(of_kind).collect(),
         start: Rate::of(sum(start).sum(), proxies, start.len()),
-        busiest: rates.iter().copied().max_by(|a, b| a.sealed.total_cmp(&b.sealed)).unwrap_or_default(),
-        settled: spans.iter().rposition(busy).map_or(0, |last| (last + 1) * SPAN_SECONDS),
+        busiest: rates
+            .iter()
+            .copied()
+            .max_by(|a, b| a.sealed.total_cmp(&b.sealed))
+            .unwrap_or_default(),
+        settled: spans
+            .iter()
+            .rposition(busy)
+            .map_or(0, |last| (last + 1) * SPAN_SECONDS),
         alive,
     })
 }
@@ -126,7 +144,11 @@
         let b = (&xs).covariance(&ys) / (&xs).variance();
         let a = (&ys).mean() - b * (&xs).mean();
         let distance = |&(x, y): &(f64, f64)| ((a + b * x - y) / y).abs();
-        Line { a, b, worst: points.iter().map(distance).fold(0.0, f64::max) }
+        Line {
+            a,
+            b,
+            worst: points.iter().map(distance).fold(0.0, f64::max),
+        }
     }
 
     fn print(&self, what: &str) {
@@ -156,7 +178,10 @@
         }
     }
     let line = |get: fn(&Measured) -> f64| {
-        let points: Vec<(f64, f64)> = points.iter().map(|(size, measured)| (*size, get(measured))).collect();
+        let points: Vec<(f64, f64)> = points
+            .iter()
+            .map(|(size, measured)| (*size, get(measured)))
+            .collect();
         Line::through(&points)
     };
     if plan.proxies.len() > 1 {
@@ -169,10 +194,18 @@
 }
 
 fn print_row(proxies: usize, seed: u64, measured: &Measured) {
-    let Measured { calm, by_kind, start, busiest, settled, alive } = measured;
+    let Measured {
+        calm,
+        by_kind,
+        start,
+        busiest,
+        settled,
+        alive,
+    } = measured;
     let kinds = by_kind.iter().filter(|(_, rate)| rate.messages > 0.0);
-    let kinds: Vec<String> =
-        kinds.map(|(kind, rate)| format!("{} {:.2}", kind.name(), rate.messages)).collect();
+    let kinds: Vec<String> = kinds
+        .map(|(kind, rate)| format!("{} {:.2}", kind.name(), rate.messages))
+        .collect();
     println!(
         "{proxies:>7} {seed:>4} {:>11.2} {:>10.0} {:>5.2} {:>10.2} | {:>11.1} {:>5.1} {:>13.1} {settled:>13} {:>17} | {}",
         calm.messages,
--- a/crates/bench/src/plain.rs
+++ b/crates/bench/src/plain.rs
@@ -30,7 +30,11 @@
     /// One without connections yet.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let idle = addresses.iter().map(|_| RefCell::default()).collect();
-        Pool { addresses, idle, next: Cell::new(0) }
+        Pool {
+            addresses,
+            idle,
+            next: Cell::new(0),
+        }
     }
 }
 
@@ -41,9 +45,12 @@
 
 /// Serves until it is ended. Prints where it listens.
 pub fn serve(endpoints: usize, ports: &[u16]) -> io::Result<()> {
-    let addresses = (0..endpoints).map(|n| SocketAddr::from(([127, 0, 0, 1], ports[n % ports.len()])));
+    let addresses =
+        (0..endpoints).map(|n| SocketAddr::from(([127, 0, 0, 1], ports[n % ports.len()])));
     let pool = Rc::new(Pool::new(addresses.collect()));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         eprintln!("listening on {}", listener.local_addr()?);
@@ -55,7 +62,9 @@
                 let pool = Rc::clone(&pool);
                 async move { Ok::<_, Infallible>(pass(&pool, request).await) }
             });
-            tokio::task::spawn_local(server::Builder::new().serve_connection(TokioIo::new(stream), service));
+            tokio::task::spawn_local(
+                server::Builder::new().serve_connection(TokioIo::new(stream), service),
+            );
         }
     })
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -28,11 +28,16 @@
 impl Control {
     /// Starts one.
     pub fn start() -> Result<Control, Fault> {
-        let folder = std::env::temp_dir().join(format!("badgerramp-bench-control-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("badgerramp-bench-control-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
         let secret = folder.join("secret");
-        let mut file = std::fs::File::options().write(true).create_new(true).mode(0o600).open(&secret)?;
+        let mut file = std::fs::File::options()
+            .write(true)
+            .create_new(true)
+            .mode(0o600)
+            .open(&secret)?;
         file.write_all(b"a secret of the benchmark")?;
         Store::create(&folder.join("store"), 1)?;
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
@@ -49,10 +54,15 @@
             regions: None,
         };
         std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let served = runtime
-                .map_err(|e| e.to_string())
-                .and_then(|r| r.block_on(badgerramp_control::serve::run(settings, std::future::pending())));
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
+            let served = runtime.map_err(|e| e.to_string()).and_then(|r| {
+                r.block_on(badgerramp_control::serve::run(
+                    settings,
+                    std::future::pending(),
+                ))
+            });
             if let Err(fault) = served {
                 eprintln!("control: {fault}");
             }
@@ -71,7 +81,11 @@
 
     /// Brings a policy into force.
     pub async fn publish(&self, text: String) -> Result<(), Fault> {
-        let at = At { control: vec![self.address], secret: self.folder.join("secret"), timeout: 30 };
+        let at = At {
+            control: vec![self.address],
+            secret: self.folder.join("secret"),
+            timeout: 30,
+        };
         let mut control = Asked::new(&at)?;
         let revision = control.standing().await?.revision;
         let files = HashMap::from([("bench".to_owned(), text)]);
@@ -86,16 +100,39 @@
 /// Prints the time of both looks at the lease that a call takes.
 pub fn gate() {
     const TIMES: u32 = 2_000_000;
-    let identity = Identity { name: "bench".to_owned(), incarnation: 1 };
-    let terms = HolderTerms { cut_off: CutOff::Refuse, answer_within: 1, pause: 1 };
+    let identity = Identity {
+        name: "bench".to_owned(),
+        incarnation: 1,
+    };
+    let terms = HolderTerms {
+        cut_off: CutOff::Refuse,
+        answer_within: 1,
+        pause: 1,
+    };
     let mut holder = Holder::new(identity, terms, [Generation(1)].into());
     let mode = Mode::settled(1, Generation(1));
     let asked = holder.ask(clock::now());
-    holder.answered(clock::now(), Grant { number: asked.number, mode, lease: 3_600_000_000 });
+    holder.answered(
+        clock::now(),
+        Grant {
+            number: asked.number,
+            mode,
+            lease: 3_600_000_000,
+        },
+    );
     let gate = AdmissionGate::new(holder);
-    let transport = Transport { max_open: 1, conn_idle: 1, connect_timeout: 1 };
+    let transport = Transport {
+        max_open: 1,
+        conn_idle: 1,
+        connect_timeout: 1,
+    };
     let (settings, classes, tenants) = (Decided::default(), Vec::new(), Vec::new());
-    let facts = Facts { settings, classes, tenants, transport };
+    let facts = Facts {
+        settings,
+        classes,
+        tenants,
+        transport,
+    };
     let rules = Rc::new(Rules::Platform(Platform::new(&facts, None)));
     gate.install(mode, Rc::clone(&rules), rules);
     let headers = HeaderMap::new();
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -27,7 +27,11 @@
     /// Starts a program on the first core and waits until it tells where it listens.
     pub fn start(program: &Path, arguments: &[String]) -> Result<Self, Fault> {
         let mut command = Command::new(std::env::current_exe()?);
-        command.args(["pinned", "0"]).arg(program).arg("--").args(arguments);
+        command
+            .args(["pinned", "0"])
+            .arg(program)
+            .arg("--")
+            .args(arguments);
         Process::listening(command)
     }
 
@@ -57,30 +61,53 @@
     }
 
     fn stat(&self, file: &str) -> Result<String, Fault> {
-        Ok(std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))?)
+        Ok(std::fs::read_to_string(format!(
+            "/proc/{}/{file}",
+            self.child.id()
+        ))?)
     }
 
     /// CPU used so far, in microseconds.
     pub fn cpu(&self) -> Result<f64, Fault> {
         let stat = self.stat("stat")?;
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |place: usize| fields.get(place).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks = |place: usize| {
+            fields
+                .get(place)
+                .and_then(|f| f.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         Ok((ticks(11) + ticks(12)) * TICK)
     }
 
     /// Resident memory in KiB.
     pub fn memory(&self) -> Result<u64, Fault> {
-        let pages = self.stat("statm")?.split(' ').nth(1).and_then(|p| p.parse::<u64>().ok());
+        let pages = self
+            .stat("statm")?
+            .split(' ')
+            .nth(1)
+            .and_then(|p| p.parse::<u64>().ok());
         Ok(pages.unwrap_or(0) * PAGE_KIB)
     }
 }
 
 /// The stand-in hosts, in a process of their own, and their ports.
 pub fn start_hosts() -> Result<(HostProcess, Vec<u16>), Fault> {
-    let mut child = Command::new(std::env::current_exe()?).arg("hosts").stdout(Stdio::piped()).spawn()?;
+    let mut child = Command::new(std::env::current_exe()?)
+        .arg("hosts")
+        .stdout(Stdio::piped())
+        .spawn()?;
     let mut line = String::new();
     BufReader::new(child.stdout.take().ok_or("piped")?).read_line(&mut line)?;
-    let ports = line.split_whitespace().map(str::parse).collect::<Result<_, _>>()?;
+    let ports = line
+        .split_whitespace()
+        .map(str::parse)
+        .collect::<Result<_, _>>()?;
     Ok((HostProcess(child), ports))
 }
 
--- a/crates/bench/src/quiet.rs
+++ b/crates/bench/src/quiet.rs
@@ -79,8 +79,13 @@
         if self.working.replace(true) {
             let mine = Rc::new(Notify::new());
             self.queue.borrow_mut().push_back(Rc::clone(&mine));
-            if tokio::time::timeout(PATIENCE, mine.notified()).await.is_err() {
-                self.queue.borrow_mut().retain(|other| !Rc::ptr_eq(other, &mine));
+            if tokio::time::timeout(PATIENCE, mine.notified())
+                .await
+                .is_err()
+            {
+                self.queue
+                    .borrow_mut()
+                    .retain(|other| !Rc::ptr_eq(other, &mine));
                 self.given_up.set(self.given_up.get() + 1);
                 return false;
             }
@@ -94,10 +99,17 @@
     }
 
     fn list(&self) -> String {
-        let mut text = format!(r#"{{"index":{},"snapshot":true,"endpoints":["#, self.index.get());
+        let mut text = format!(
+            r#"{{"index":{},"snapshot":true,"endpoints":["#,
+            self.index.get()
+        );
         let addresses = self.addresses.borrow();
         for (n, address) in addresses.iter().enumerate() {
-            let since = if n + 1 == addresses.len() { self.newest.get() } else { 0 };
+            let since = if n + 1 == addresses.len() {
+                self.newest.get()
+            } else {
+                0
+            };
             let comma = if n > 0 { "," } else { "" };
             // Writing to a String does not fail.
             let _ = write!(
@@ -138,7 +150,11 @@
                 let mut buffer = vec![0; 2048];
                 while let Ok(1..) = stream.read(&mut buffer).await {
                     world.open.borrow_mut()[number].2 += 1;
-                    if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.is_err() {
+                    if stream
+                        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                        .await
+                        .is_err()
+                    {
                         break;
                     }
                 }
@@ -178,12 +194,16 @@
     }
     let number = |name: &str| {
         let (_, rest) = question.split_once(name)?;
-        rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
+        rest.split(|c: char| !c.is_ascii_digit())
+            .next()?
+            .parse::<u64>()
+            .ok()
     };
     let body = match (number("index="), number("wait=")) {
         (Some(index), Some(wait)) => {
             if index == world.index.get() {
-                let _ = tokio::time::timeout(Duration::from_millis(wait), world.changed.notified()).await;
+                let _ = tokio::time::timeout(Duration::from_millis(wait), world.changed.notified())
+                    .await;
             }
             if index == world.index.get() {
                 format!(r#"{{"index":{index},"snapshot":false,"endpoints":[]}}"#)
@@ -196,7 +216,10 @@
             world.list()
         }
     };
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// All proxies; ended with this.
@@ -212,7 +235,10 @@
 
     fn write(folder: &Path, plan: &Plan, service: SocketAddr) -> Result<Self, Fault> {
         std::fs::create_dir_all(folder)?;
-        let proxies = Proxies { folder: folder.to_owned(), children: Vec::new() };
+        let proxies = Proxies {
+            folder: folder.to_owned(),
+            children: Vec::new(),
+        };
         for number in 0..plan.proxies {
             let text = format!(
                 "listen = \"127.0.0.1:0\"\n[limits]\nmemory = \"32MiB\"\ndescriptors = 256\n[upstream]\n\
@@ -280,14 +306,21 @@
 /// One process for each file of the folder; what has started is ended if one can't be.
 fn started(folder: &Path) -> std::io::Result<Vec<Child>> {
     let me = std::env::current_exe()?;
-    let mut children = Proxies { folder: PathBuf::new(), children: Vec::new() };
+    let mut children = Proxies {
+        folder: PathBuf::new(),
+        children: Vec::new(),
+    };
     for number in 0.. {
         let file = folder.join(format!("{number}.toml"));
         if !file.exists() {
             break;
         }
         let log = File::create(folder.join(format!("{number}.log")))?;
-        let child = Command::new(&me).arg("proxy").arg(file).stderr(Stdio::from(log)).spawn()?;
+        let child = Command::new(&me)
+            .arg("proxy")
+            .arg(file)
+            .stderr(Stdio::from(log))
+            .spawn()?;
         children.children.push(child);
     }
     Ok(std::mem::take(&mut children.children))
@@ -307,17 +340,27 @@
     let (served, began) = (Rc::new(Cell::new(0)), Instant::now());
     let count = (rate * seconds as f64) as u32;
     for n in 0..count {
-        tokio::time::sleep_until((began + Duration::from_secs_f64(f64::from(n) / rate)).into()).await;
+        tokio::time::sleep_until((began + Duration::from_secs_f64(f64::from(n) / rate)).into())
+            .await;
         // Neighbours by number in different turns.
-        let (to, served) = (proxies[(n as usize * 7) % proxies.len()], Rc::clone(&served));
+        let (to, served) = (
+            proxies[(n as usize * 7) % proxies.len()],
+            Rc::clone(&served),
+        );
         tokio::task::spawn_local(async move {
             let exchange = async {
                 let mut stream = TcpStream::connect(to).await?;
-                stream.write_all(b"GET /safe HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
+                stream
+                    .write_all(b"GET /safe HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                    .await?;
                 let mut answer = Vec::new();
                 stream.read_to_end(&mut answer).await?;
                 std::io::Result::Ok(
-                    String::from_utf8_lossy(&answer).lines().next().unwrap_or_default().to_owned(),
+                    String::from_utf8_lossy(&answer)
+                        .lines()
+                        .next()
+                        .unwrap_or_default()
+                        .to_owned(),
                 )
             };
             match tokio::time::timeout(Duration::from_secs(6), exchange).await {
@@ -365,11 +408,23 @@
     let service = service(&world).await?;
     let folder = std::env::temp_dir().join(format!("badgerramp-quiet-{}", std::process::id()));
     let mut proxies = Proxies::write(&folder, plan, service)?;
-    let bounds = Bounds { proxies: plan.proxies, endpoints: plan.endpoints, kept: 1 };
+    let bounds = Bounds {
+        proxies: plan.proxies,
+        endpoints: plan.endpoints,
+        kept: 1,
+    };
     let need = Need::of(SIZE);
     let wait = WAIT_S * 1_000_000;
-    let poll = PollTerms { proxies: plan.proxies, rate: RATE, wait, wait_idle: wait };
-    println!("{} proxies, {} endpoints, subsets of {SIZE}", plan.proxies, plan.endpoints);
+    let poll = PollTerms {
+        proxies: plan.proxies,
+        rate: RATE,
+        wait,
+        wait_idle: wait,
+    };
+    println!(
+        "{} proxies, {} endpoints, subsets of {SIZE}",
+        plan.proxies, plan.endpoints
+    );
 
     proxies.start().await?;
     let took = listed(&world, 0, plan.proxies).await?;
@@ -381,14 +436,23 @@
             f64::from(span.iter().sum::<u32>()) / span.len().max(1) as f64,
         )
     };
-    let line = |what: &str, seen: String, stated: String| println!("{what:<46} {seen:>24}   {stated}");
-    line("first start: all have their list after", format!("{:.1} s", took.as_secs_f64()), String::new());
+    let line =
+        |what: &str, seen: String, stated: String| println!("{what:<46} {seen:>24}   {stated}");
+    line(
+        "first start: all have their list after",
+        format!("{:.1} s", took.as_secs_f64()),
+        String::new(),
+    );
     line(
         "  questions a second, most / mean",
         format!("{} / {:.0}", asked(0).0, asked(0).1),
         "bears 125".to_owned(),
     );
-    line("  given up by the service", world.given_up.get().to_string(), String::new());
+    line(
+        "  given up by the service",
+        world.given_up.get().to_string(),
+        String::new(),
+    );
     let addresses = proxies.addresses(plan.proxies).await?;
 
     // Calm.
@@ -398,15 +462,26 @@
     let most = open.iter().map(|o| o.1).max().unwrap_or(0);
     let mean = open.iter().map(|o| f64::from(o.0)).sum::<f64>() / open.len() as f64;
     line("calm: served", format!("{served} of {sent}"), String::new());
-    let stated =
-        format!("at most {} at rest, {} ever", bounds.sharing(&need), bounds.connections_per_endpoint(&need));
-    line("  connections an endpoint, most / mean now", format!("{most} / {mean:.1}"), stated);
+    let stated = format!(
+        "at most {} at rest, {} ever",
+        bounds.sharing(&need),
+        bounds.connections_per_endpoint(&need)
+    );
+    line(
+        "  connections an endpoint, most / mean now",
+        format!("{most} / {mean:.1}"),
+        stated,
+    );
     let stated = format!(
         "{:.0} to {:.0}",
         bounds.questions_per_second(&poll),
         bounds.questions_per_second(&poll) * 8.0 / 7.0
     );
-    line("  questions a second, mean", format!("{:.0}", asked(calm + 1).1), stated);
+    line(
+        "  questions a second, mean",
+        format!("{:.0}", asked(calm + 1).1),
+        stated,
+    );
     line(
         "  memory of a proxy",
         format!("{:.1} MiB", proxies.memory() / f64::from(plan.proxies)),
@@ -416,7 +491,9 @@
     // A new endpoint, which all see at once.
     let before: u64 = open.iter().map(|o| o.2).sum();
     endpoint(&world).await?;
-    world.newest.set(SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64);
+    world
+        .newest
+        .set(SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64);
     world.index.set(2);
     world.changed.notify_waiters();
     let (rate, seconds) = (plan.rate * 4.0, COLD_TIME.as_secs() / 2);
@@ -427,7 +504,11 @@
     // Warm from COLD_SHARE to about half over this time; all others are warm.
     let grown = COLD_SHARE + (1.0 - COLD_SHARE) * seconds as f64 / COLD_TIME.as_secs_f64() / 2.0;
     let wanted = all as f64 * COLD_DUTY * grown / (plan.endpoints as f64 + grown);
-    line("new endpoint: served", format!("{served} of {sent}"), String::new());
+    line(
+        "new endpoint: served",
+        format!("{served} of {sent}"),
+        String::new(),
+    );
     let stated = format!(
         "about {wanted:.1} by its share of the capacity; even part {:.1}",
         all as f64 / plan.endpoints as f64
@@ -445,17 +526,32 @@
     proxies.start().await?;
     let took = listed(&world, since, plan.proxies).await?;
     let least = f64::from(plan.proxies) * WORK.as_secs_f64();
-    let stated = format!("{least:.0} s of work; a round is {:.0} s", poll.round() as f64 / 1e6);
-    line("common restart: all have their list after", format!("{:.1} s", took.as_secs_f64()), stated);
+    let stated = format!(
+        "{least:.0} s of work; a round is {:.0} s",
+        poll.round() as f64 / 1e6
+    );
+    line(
+        "common restart: all have their list after",
+        format!("{:.1} s", took.as_secs_f64()),
+        stated,
+    );
     line(
         "  questions a second, most / mean",
         format!("{} / {:.0}", asked(restart).0, asked(restart).1),
         String::new(),
     );
-    line("  given up by the service", (world.given_up.get() - given_up).to_string(), String::new());
+    line(
+        "  given up by the service",
+        (world.given_up.get() - given_up).to_string(),
+        String::new(),
+    );
     let addresses = proxies.addresses(plan.proxies).await?;
     let (served, sent) = load(&addresses, plan.rate, 5).await;
-    line("  served then", format!("{served} of {sent}"), String::new());
+    line(
+        "  served then",
+        format!("{served} of {sent}"),
+        String::new(),
+    );
 
     if let Some(svg) = &plan.svg {
         let marks = [(calm, "calm"), (restart, "restart")];
--- a/crates/channel/src/client.rs
+++ b/crates/channel/src/client.rs
@@ -50,7 +50,11 @@
     /// # Errors
     /// If the stream has ended or is not control's.
     pub async fn next(&mut self) -> Result<u64, Fault> {
-        let sealed = self.0.message().await.map_err(|s| Fault::Away(s.message().to_owned()))?;
+        let sealed = self
+            .0
+            .message()
+            .await
+            .map_err(|s| Fault::Away(s.message().to_owned()))?;
         let sealed = sealed.ok_or_else(|| Fault::Away("the stream of news ended".to_owned()))?;
         match self.1.open::<Reply>(Purpose::Reply, sealed)?.what {
             Some(reply::What::Word(word)) => Ok(word.revision),
@@ -81,12 +85,22 @@
 impl Client {
     /// Asks these replicas, each question within this time.
     pub fn new(replicas: Vec<SocketAddr>, secret: Secret, within: Duration) -> Self {
-        Client { replicas, secret, within, audience: Audience::Fleet, place: 0, open: HashMap::new() }
+        Client {
+            replicas,
+            secret,
+            within,
+            audience: Audience::Fleet,
+            place: 0,
+            open: HashMap::new(),
+        }
     }
 
     /// Asks these replicas of another region for the leader of this one.
     pub fn between_regions(replicas: Vec<SocketAddr>, secret: Secret, within: Duration) -> Self {
-        Client { audience: Audience::Regions, ..Client::new(replicas, secret, within) }
+        Client {
+            audience: Audience::Regions,
+            ..Client::new(replicas, secret, within)
+        }
     }
 
     fn to(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, Fault> {
@@ -106,10 +120,17 @@
         Ok(client)
     }
 
-    async fn once(&mut self, address: SocketAddr, what: &request::What) -> Result<reply::What, Fault> {
+    async fn once(
+        &mut self,
+        address: SocketAddr,
+        what: &request::What,
+    ) -> Result<reply::What, Fault> {
         let mut client = self.to(address)?;
         let nonce = rand::random();
-        let request = Request { nonce, what: Some(what.clone()) };
+        let request = Request {
+            nonce,
+            what: Some(what.clone()),
+        };
         let (asked, answered) = match self.audience {
             Audience::Fleet => (Purpose::Request, Purpose::Reply),
             Audience::Regions => (Purpose::RegionRequest, Purpose::RegionReply),
@@ -158,7 +179,8 @@
         match &answer {
             Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::NotLeader => {
                 let named = refusal.leader.parse().ok();
-                let known = named.and_then(|n: SocketAddr| self.replicas.iter().position(|&r| r == n));
+                let known =
+                    named.and_then(|n: SocketAddr| self.replicas.iter().position(|&r| r == n));
                 self.place = known.unwrap_or(self.place + 1);
             }
             Err(Fault::Away(_) | Fault::Odd(_)) => self.place += 1,
@@ -172,7 +194,11 @@
     ///
     /// # Errors
     /// See [`Fault`].
-    pub async fn ask_until(&mut self, what: &request::What, time: Duration) -> Result<reply::What, Fault> {
+    pub async fn ask_until(
+        &mut self,
+        what: &request::What,
+        time: Duration,
+    ) -> Result<reply::What, Fault> {
         let end = tokio::time::Instant::now() + time;
         loop {
             let answer = self.ask(what).await;
@@ -203,7 +229,13 @@
         };
         let mut client = self.to(address)?;
         let what = Some(request::What::Status(StatusAsked {}));
-        let sealed = self.secret.seal(Purpose::Request, &Request { nonce: rand::random(), what });
+        let sealed = self.secret.seal(
+            Purpose::Request,
+            &Request {
+                nonce: rand::random(),
+                what,
+            },
+        );
         let opened = tokio::time::timeout(self.within, client.news(sealed)).await;
         match opened {
             Ok(Ok(stream)) => Ok(News(stream.into_inner(), self.secret.clone())),
--- a/crates/channel/src/convert.rs
+++ b/crates/channel/src/convert.rs
@@ -6,25 +6,39 @@
 
 impl From<Identity> for wire::Identity {
     fn from(own: Identity) -> Self {
-        wire::Identity { name: own.name, incarnation: own.incarnation }
+        wire::Identity {
+            name: own.name,
+            incarnation: own.incarnation,
+        }
     }
 }
 
 impl From<wire::Identity> for Identity {
     fn from(wire: wire::Identity) -> Self {
-        Identity { name: wire.name, incarnation: wire.incarnation }
+        Identity {
+            name: wire.name,
+            incarnation: wire.incarnation,
+        }
     }
 }
 
 impl From<Mode> for wire::Mode {
     fn from(own: Mode) -> Self {
-        wire::Mode { revision: own.revision, old: own.old.0, new: own.new.0 }
+        wire::Mode {
+            revision: own.revision,
+            old: own.old.0,
+            new: own.new.0,
+        }
     }
 }
 
 impl From<wire::Mode> for Mode {
     fn from(wire: wire::Mode) -> Self {
-        Mode { revision: wire.revision, old: Generation(wire.old), new: Generation(wire.new) }
+        Mode {
+            revision: wire.revision,
+            old: Generation(wire.old),
+            new: Generation(wire.new),
+        }
     }
 }
 
@@ -46,7 +60,10 @@
             number: own.number,
             acting: own.acting,
             has: own.has.into_iter().map(|g| g.0).collect(),
-            unread: own.unread.map(|u| wire::Unread { generation: u.generation.0, reason: u.reason }),
+            unread: own.unread.map(|u| wire::Unread {
+                generation: u.generation.0,
+                reason: u.reason,
+            }),
             cut_off: wire::CutOff::from(own.cut_off).into(),
             application: application.to_owned(),
             region: String::new(),
@@ -56,7 +73,10 @@
     /// The same question, for the control of this region only.
     #[must_use]
     pub fn in_region(self, region: Option<&Region>) -> Self {
-        wire::Ask { region: region.map(Region::to_string).unwrap_or_default(), ..self }
+        wire::Ask {
+            region: region.map(Region::to_string).unwrap_or_default(),
+            ..self
+        }
     }
 
     /// What the decisions take; `None` if a part is missing or out of its range.
@@ -67,10 +87,10 @@
             wire::CutOff::Narrow => CutOff::Narrow,
             wire::CutOff::Keep => CutOff::Keep,
         };
-        let unread = self
-            .unread
-            .as_ref()
-            .map(|u| Unread { generation: Generation(u.generation), reason: u.reason.clone() });
+        let unread = self.unread.as_ref().map(|u| Unread {
+            generation: Generation(u.generation),
+            reason: u.reason.clone(),
+        });
         Some(Ask {
             identity: self.identity.clone().filter(|i| !i.name.is_empty())?.into(),
             number: self.number,
@@ -86,6 +106,10 @@
     /// What the decisions take; `None` if it names no mode.
     pub fn read(&self) -> Option<Grant> {
         let mode = Mode::from(self.mode?);
-        (mode.old <= mode.new).then_some(Grant { number: self.number, mode, lease: self.lease })
+        (mode.old <= mode.new).then_some(Grant {
+            number: self.number,
+            mode,
+            lease: self.lease,
+        })
     }
 }
--- a/crates/channel/src/regions.rs
+++ b/crates/channel/src/regions.rs
@@ -2,14 +2,18 @@
 
 use crate::wire::{self, outcome_reply, request, vote_reply};
 use badgerramp_policy::regions::{
-    ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request, Vote,
-    VoteReply,
+    ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request,
+    Vote, VoteReply,
 };
 use badgerramp_policy::Generation;
 
 impl From<ChangeRef> for wire::ChangeRef {
     fn from(own: ChangeRef) -> Self {
-        wire::ChangeRef { id: own.id.0, coordinator: own.coordinator.into(), number: own.number.0 }
+        wire::ChangeRef {
+            id: own.id.0,
+            coordinator: own.coordinator.into(),
+            number: own.number.0,
+        }
     }
 }
 
@@ -28,12 +32,15 @@
 pub fn to_participant(region: &Region, request: Request) -> request::What {
     let region = region.to_string();
     match request {
-        Request::Prepare(Prepare { change, text }) => {
-            request::What::Prepare(wire::Prepare { change: Some(change.into()), region, text })
-        }
-        Request::Commit(Commit { change }) => {
-            request::What::Commit(wire::Commit { change: Some(change.into()), region })
-        }
+        Request::Prepare(Prepare { change, text }) => request::What::Prepare(wire::Prepare {
+            change: Some(change.into()),
+            region,
+            text,
+        }),
+        Request::Commit(Commit { change }) => request::What::Commit(wire::Commit {
+            change: Some(change.into()),
+            region,
+        }),
     }
 }
 
@@ -49,21 +56,29 @@
 impl wire::Prepare {
     /// What the decisions take; `None` if it names no change.
     pub fn read(self) -> Option<Prepare> {
-        Some(Prepare { change: self.change?.read()?, text: self.text })
+        Some(Prepare {
+            change: self.change?.read()?,
+            text: self.text,
+        })
     }
 }
 
 impl wire::Commit {
     /// What the decisions take; `None` if it names no change.
     pub fn read(self) -> Option<Commit> {
-        Some(Commit { change: self.change?.read()? })
+        Some(Commit {
+            change: self.change?.read()?,
+        })
     }
 }
 
 impl wire::OutcomeAsked {
     /// What the decisions take; `None` if it names no region.
     pub fn read(self) -> Option<OutcomeAsked> {
-        Some(OutcomeAsked { id: ChangeId(self.id), region: self.region.parse().ok()? })
+        Some(OutcomeAsked {
+            id: ChangeId(self.id),
+            region: self.region.parse().ok()?,
+        })
     }
 }
 
@@ -77,7 +92,11 @@
             Vote::InForce => (On::InForce, String::new()),
             Vote::NotInForce => (On::NotInForce, String::new()),
         };
-        wire::VoteReply { id: own.id.0, vote: vote.into(), why }
+        wire::VoteReply {
+            id: own.id.0,
+            vote: vote.into(),
+            why,
+        }
     }
 }
 
@@ -93,7 +112,10 @@
             On::InForce => Vote::InForce,
             On::NotInForce => Vote::NotInForce,
         };
-        Some(VoteReply { id: ChangeId(self.id), vote })
+        Some(VoteReply {
+            id: ChangeId(self.id),
+            vote,
+        })
     }
 }
 
@@ -105,7 +127,10 @@
             Decision::InForce => On::InForce,
             Decision::NotInForce => On::NotInForce,
         };
-        wire::OutcomeReply { id: own.id.0, decision: decision.into() }
+        wire::OutcomeReply {
+            id: own.id.0,
+            decision: decision.into(),
+        }
     }
 }
 
@@ -119,6 +144,9 @@
             On::InForce => Decision::InForce,
             On::NotInForce => Decision::NotInForce,
         };
-        Some(OutcomeReply { id: ChangeId(self.id), decision })
+        Some(OutcomeReply {
+            id: ChangeId(self.id),
+            decision,
+        })
     }
 }
--- a/crates/channel/src/seal.rs
+++ b/crates/channel/src/seal.rs
@@ -82,7 +82,10 @@
                 )
             }
             SecretFault::Length(found) => {
-                write!(f, "found {found} bytes, allowed are {SECRET_LEAST} to {SECRET_MOST}")
+                write!(
+                    f,
+                    "found {found} bytes, allowed are {SECRET_LEAST} to {SECRET_MOST}"
+                )
             }
         }
     }
@@ -106,7 +109,9 @@
 impl fmt::Display for SealFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SealFault::Version(found) => write!(f, "message version: found {found}, allowed is {VERSION}"),
+            SealFault::Version(found) => {
+                write!(f, "message version: found {found}, allowed is {VERSION}")
+            }
             SealFault::Forged => f.write_str("the seal does not fit: this side has another secret"),
             SealFault::TooLarge(found) => write!(f, "found {found} bytes, allowed are {BODY_MOST}"),
             SealFault::Malformed(why) => write!(f, "malformed message: {why}"),
@@ -123,12 +128,19 @@
     /// If the file can't be read, if others than its owner may read it, or if it is too short or too long.
     pub fn read(path: &Path) -> Result<Self, SecretFault> {
         let mut file = std::fs::File::open(path).map_err(SecretFault::Unreadable)?;
-        let mode = file.metadata().map_err(SecretFault::Unreadable)?.permissions().mode();
+        let mode = file
+            .metadata()
+            .map_err(SecretFault::Unreadable)?
+            .permissions()
+            .mode();
         if mode & 0o077 != 0 {
             return Err(SecretFault::Open(mode));
         }
         let mut bytes = Vec::new();
-        file.by_ref().take(SECRET_MOST + 1).read_to_end(&mut bytes).map_err(SecretFault::Unreadable)?;
+        file.by_ref()
+            .take(SECRET_MOST + 1)
+            .read_to_end(&mut bytes)
+            .map_err(SecretFault::Unreadable)?;
         Secret::new(bytes.trim_ascii())
     }
 
@@ -187,8 +199,14 @@
 
     /// Seals bytes.
     pub fn seal_bytes(&self, purpose: Purpose, body: Vec<u8>) -> Sealed {
-        let mac = self.mac(purpose, VERSION, &body).map(|m| m.finalize().into_bytes().to_vec());
-        Sealed { version: VERSION, body, mac: mac.unwrap_or_default() }
+        let mac = self
+            .mac(purpose, VERSION, &body)
+            .map(|m| m.finalize().into_bytes().to_vec());
+        Sealed {
+            version: VERSION,
+            body,
+            mac: mac.unwrap_or_default(),
+        }
     }
 
     /// The bytes under a seal.
@@ -212,7 +230,11 @@
     ///
     /// # Errors
     /// As [`Secret::open_bytes`], and if the body is no such message.
-    pub fn open<M: Message + Default>(&self, purpose: Purpose, sealed: Sealed) -> Result<M, SealFault> {
+    pub fn open<M: Message + Default>(
+        &self,
+        purpose: Purpose,
+        sealed: Sealed,
+    ) -> Result<M, SealFault> {
         let body = self.open_bytes(purpose, sealed)?;
         M::decode(body.as_slice()).map_err(|fault| SealFault::Malformed(fault.to_string()))
     }
@@ -234,14 +256,32 @@
         let word = Word { revision: 7 };
         let sealed = own.seal(Purpose::Request, &word);
         assert_eq!(own.open(Purpose::Request, sealed.clone()), Ok(word));
-        assert_eq!(other.open::<Word>(Purpose::Request, sealed.clone()), Err(SealFault::Forged));
-        assert_eq!(own.open::<Word>(Purpose::Reply, sealed.clone()), Err(SealFault::Forged));
-        let newer = Sealed { version: 2, ..sealed.clone() };
-        assert_eq!(own.open::<Word>(Purpose::Request, newer), Err(SealFault::Version(2)));
+        assert_eq!(
+            other.open::<Word>(Purpose::Request, sealed.clone()),
+            Err(SealFault::Forged)
+        );
+        assert_eq!(
+            own.open::<Word>(Purpose::Reply, sealed.clone()),
+            Err(SealFault::Forged)
+        );
+        let newer = Sealed {
+            version: 2,
+            ..sealed.clone()
+        };
+        assert_eq!(
+            own.open::<Word>(Purpose::Request, newer),
+            Err(SealFault::Version(2))
+        );
         let large = own.seal_bytes(Purpose::Request, vec![0; BODY_MOST + 1]);
-        assert_eq!(own.open::<Word>(Purpose::Request, large), Err(SealFault::TooLarge(BODY_MOST + 1)));
+        assert_eq!(
+            own.open::<Word>(Purpose::Request, large),
+            Err(SealFault::TooLarge(BODY_MOST + 1))
+        );
         let odd = own.seal_bytes(Purpose::Request, vec![0xff; 9]);
-        assert!(matches!(own.open::<Request>(Purpose::Request, odd), Err(SealFault::Malformed(_))));
+        assert!(matches!(
+            own.open::<Request>(Purpose::Request, odd),
+            Err(SealFault::Malformed(_))
+        ));
     }
 
     proptest! {
@@ -266,7 +306,9 @@
         let tag = own.tag("a", &[b"bc", b"d"]);
         assert!(own.tagged("a", &[b"bc", b"d"], &tag));
         assert!(!own.tagged("a", &[b"b", b"cd"], &tag) && !own.tagged("b", &[b"bc", b"d"], &tag));
-        assert!(!own.tagged("a", &[b"bc", b"d"], &tag[..15]) && !own.tagged("a", &[b"bc", b"d"], &[]));
+        assert!(
+            !own.tagged("a", &[b"bc", b"d"], &tag[..15]) && !own.tagged("a", &[b"bc", b"d"], &[])
+        );
         assert!(!secret("0123456789abcdeF").tagged("a", &[b"bc", b"d"], &tag));
     }
 
@@ -274,14 +316,22 @@
     fn a_secret_that_others_may_read_is_refused() {
         let path = std::env::temp_dir().join(format!("badgerramp-secret-{}", std::process::id()));
         std::fs::write(&path, "0123456789abcdef\n").expect("a temporary file");
-        let set = |mode| std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set");
+        let set = |mode| {
+            std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set")
+        };
         set(0o640);
         assert!(matches!(Secret::read(&path), Err(SecretFault::Open(_))));
         set(0o600);
-        assert_eq!(Secret::read(&path).expect("a secret").0, b"0123456789abcdef");
+        assert_eq!(
+            Secret::read(&path).expect("a secret").0,
+            b"0123456789abcdef"
+        );
         std::fs::write(&path, "short").expect("a temporary file");
         assert!(matches!(Secret::read(&path), Err(SecretFault::Length(5))));
         std::fs::remove_file(&path).expect("a temporary file");
-        assert!(matches!(Secret::read(&path), Err(SecretFault::Unreadable(_))));
+        assert!(matches!(
+            Secret::read(&path),
+            Err(SecretFault::Unreadable(_))
+        ));
     }
 }
--- a/crates/channel/tests/wire_format.rs
+++ b/crates/channel/tests/wire_format.rs
@@ -21,11 +21,23 @@
     }
 
     fn request(&mut self, name: &str, what: request::What) {
-        self.add(name, wire::Request { nonce: 0x0102_0304_0506_0708, what: Some(what) });
+        self.add(
+            name,
+            wire::Request {
+                nonce: 0x0102_0304_0506_0708,
+                what: Some(what),
+            },
+        );
     }
 
     fn reply(&mut self, name: &str, what: reply::What) {
-        self.add(name, wire::Reply { nonce: 0x1112_1314_1516_1718, what: Some(what) });
+        self.add(
+            name,
+            wire::Reply {
+                nonce: 0x1112_1314_1516_1718,
+                what: Some(what),
+            },
+        );
     }
 }
 
@@ -34,7 +46,10 @@
 }
 
 fn identity() -> wire::Identity {
-    wire::Identity { name: "caja-1".to_owned(), incarnation: 0xa1b2_c3d4_e5f6_0718 }
+    wire::Identity {
+        name: "caja-1".to_owned(),
+        incarnation: 0xa1b2_c3d4_e5f6_0718,
+    }
 }
 
 fn files() -> HashMap<String, String> {
@@ -42,15 +57,26 @@
 }
 
 fn mode() -> wire::Mode {
-    wire::Mode { revision: 300, old: 4, new: 5 }
+    wire::Mode {
+        revision: 300,
+        old: 4,
+        new: 5,
+    }
 }
 
 fn text() -> wire::Text {
-    wire::Text { generation: 5, files: files() }
+    wire::Text {
+        generation: 5,
+        files: files(),
+    }
 }
 
 fn change_ref() -> wire::ChangeRef {
-    wire::ChangeRef { id: 0x2122_2324_2526_2728, coordinator: "norte".to_owned(), number: 9 }
+    wire::ChangeRef {
+        id: 0x2122_2324_2526_2728,
+        coordinator: "norte".to_owned(),
+        number: 9,
+    }
 }
 
 #[test]
@@ -67,7 +93,10 @@
             number: 7,
             acting: 299,
             has: vec![3, 4],
-            unread: Some(wire::Unread { generation: 6, reason: "line 3".to_owned() }),
+            unread: Some(wire::Unread {
+                generation: 6,
+                reason: "line 3".to_owned(),
+            }),
             cut_off: cut_off.into(),
             application: "tablet".to_owned(),
             region: "sur".to_owned(),
@@ -75,11 +104,20 @@
         pinned.request(name, request::What::Ask(ask));
     }
     pinned.request("leave", request::What::Leave(identity()));
-    let publish = || wire::Publish { files: files(), revision: 300 };
+    let publish = || wire::Publish {
+        files: files(),
+        revision: 300,
+    };
     pinned.request("publish", request::What::Publish(publish()));
     pinned.request("publish all", request::What::PublishAll(publish()));
     pinned.request("status", request::What::Status(wire::StatusAsked {}));
-    pinned.request("abort", request::What::Abort(wire::Abort { generation: 5, why: "too slow".to_owned() }));
+    pinned.request(
+        "abort",
+        request::What::Abort(wire::Abort {
+            generation: 5,
+            why: "too slow".to_owned(),
+        }),
+    );
     pinned.request("evict", request::What::Evict(identity()));
     pinned.request("text", request::What::Text(text()));
     let prepare = wire::Prepare {
@@ -88,9 +126,16 @@
         text: r#"{"tablet":"listen = 1"}"#.to_owned(),
     };
     pinned.request("prepare", request::What::Prepare(prepare));
-    let commit = wire::Commit { change: Some(change_ref()), region: "sur".to_owned() };
+    let commit = wire::Commit {
+        change: Some(change_ref()),
+        region: "sur".to_owned(),
+    };
     pinned.request("commit", request::What::Commit(commit));
-    let outcome = wire::OutcomeAsked { id: 77, region: "sur".to_owned(), coordinator: "norte".to_owned() };
+    let outcome = wire::OutcomeAsked {
+        id: 77,
+        region: "sur".to_owned(),
+        coordinator: "norte".to_owned(),
+    };
     pinned.request("outcome", request::What::Outcome(outcome));
     insta::assert_snapshot!(pinned.0);
 }
@@ -118,7 +163,11 @@
         ("vote in force", vote_reply::Vote::InForce),
         ("vote not in force", vote_reply::Vote::NotInForce),
     ] {
-        let vote = wire::VoteReply { id: 77, vote: vote.into(), why: "moved".to_owned() };
+        let vote = wire::VoteReply {
+            id: 77,
+            vote: vote.into(),
+            why: "moved".to_owned(),
+        };
         pinned.reply(name, reply::What::Vote(vote));
     }
     for (name, decision) in [
@@ -127,7 +176,10 @@
         ("decision in force", outcome_reply::Decision::InForce),
         ("decision not in force", outcome_reply::Decision::NotInForce),
     ] {
-        let outcome = wire::OutcomeReply { id: 77, decision: decision.into() };
+        let outcome = wire::OutcomeReply {
+            id: 77,
+            decision: decision.into(),
+        };
         pinned.reply(name, reply::What::Outcome(outcome));
     }
     for (name, code) in [
@@ -155,15 +207,22 @@
 
 #[test]
 fn the_status_keeps_its_bytes() {
-    let ended =
-        [change::Ended::Unspecified, change::Ended::Open, change::Ended::InForce, change::Ended::NotInForce];
-    let changes = ended.into_iter().zip(1..).map(|(ended, generation)| wire::Change {
-        generation,
-        from: generation - 1,
-        ended: ended.into(),
-        why: "unread".to_owned(),
-        all_regions: 0x3132_3334_3536_3738,
-    });
+    let ended = [
+        change::Ended::Unspecified,
+        change::Ended::Open,
+        change::Ended::InForce,
+        change::Ended::NotInForce,
+    ];
+    let changes = ended
+        .into_iter()
+        .zip(1..)
+        .map(|(ended, generation)| wire::Change {
+            generation,
+            from: generation - 1,
+            ended: ended.into(),
+            why: "unread".to_owned(),
+            all_regions: 0x3132_3334_3536_3738,
+        });
     let cross_region = wire::CrossRegion {
         id: 0x2122_2324_2526_2728,
         generation: 5,
@@ -184,7 +243,11 @@
             left: 1_500_000,
             region: "sur".to_owned(),
         }],
-        proxies: vec![wire::Proxy { identity: Some(identity()), acting: 299, cut_off: CutOff::Keep.into() }],
+        proxies: vec![wire::Proxy {
+            identity: Some(identity()),
+            acting: 299,
+            cut_off: CutOff::Keep.into(),
+        }],
         leader: "127.0.0.1:7400".to_owned(),
         revision: 300,
         region: Some(wire::RegionStatus {
@@ -212,7 +275,10 @@
         ("region reply", Purpose::RegionReply),
     ] {
         let sealed = secret.seal_bytes(purpose, b"body".to_vec());
-        assert_eq!(secret.open_bytes(purpose, sealed.clone()), Ok(b"body".to_vec()));
+        assert_eq!(
+            secret.open_bytes(purpose, sealed.clone()),
+            Ok(b"body".to_vec())
+        );
         pinned.add(name, sealed);
     }
     let tag = secret.tag("badgerramp peers", &[b"north", b"body"]);
@@ -223,7 +289,10 @@
 /// What gRPC puts into the path of a call. The methods' names are those of the schema, which the next test pins.
 #[test]
 fn the_service_keeps_its_name() {
-    assert_eq!(control_server::SERVICE_NAME, "badgerramp.control.v1.Control");
+    assert_eq!(
+        control_server::SERVICE_NAME,
+        "badgerramp.control.v1.Control"
+    );
 }
 
 /// Every field of the schema by number and type, every value of its enumerations, every method of its service. Names of
@@ -237,7 +306,11 @@
     for service in &file.service {
         writeln!(pinned, "service {}", service.name()).expect("written to memory");
         for method in &service.method {
-            let streams = if method.server_streaming() { " streams" } else { "" };
+            let streams = if method.server_streaming() {
+                " streams"
+            } else {
+                ""
+            };
             writeln!(pinned, "  rpc {}{streams}", method.name()).expect("written to memory");
         }
     }
@@ -246,7 +319,12 @@
             .field
             .iter()
             .map(|field| {
-                format!("{}:{}:{}", field.number(), field.r#type().as_str_name(), field.label().as_str_name())
+                format!(
+                    "{}:{}:{}",
+                    field.number(),
+                    field.r#type().as_str_name(),
+                    field.label().as_str_name()
+                )
             })
             .collect();
         fields.sort();
--- a/crates/config-tool/benches/chain.rs
+++ b/crates/config-tool/benches/chain.rs
@@ -33,7 +33,9 @@
             10_000 + n
         );
         if n % 2 == 0 {
-            text += &format!("[app.kiosk-{n}.class.registro-entrada]\nattempts = 2\nattempt = \"400ms\"\n");
+            text += &format!(
+                "[app.kiosk-{n}.class.registro-entrada]\nattempts = 2\nattempt = \"400ms\"\n"
+            );
         }
     }
     text
@@ -55,16 +57,24 @@
     std::fs::write(folder.join("classes.toml"), CLASSES).expect("a file");
     std::fs::write(folder.join("apps.toml"), description(count)).expect("a file");
     let (apps, out) = (folder.join("apps.toml"), folder.join("out"));
-    let composed = milliseconds(|| drop(compose(&apps).unwrap_or_else(|r| panic!("{}", r.human()))));
+    let composed =
+        milliseconds(|| drop(compose(&apps).unwrap_or_else(|r| panic!("{}", r.human()))));
     let written = compose(&apps).unwrap_or_else(|r| panic!("{}", r.human()));
     carry_out(&plan(&written, &out), &out).expect("a disk");
     drop(written);
     let checked = milliseconds(|| {
         let (report, set) = check(&[&out]);
-        assert!(report.good() && set.applications.len() == count, "{}", report.human());
+        assert!(
+            report.good() && set.applications.len() == count,
+            "{}",
+            report.human()
+        );
     });
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let most = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).map_or("not told here", str::trim);
+    let most = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .map_or("not told here", str::trim);
     println!("{count:>12} {composed:>14.1} {checked:>14.1} {most:>16}");
 }
 
@@ -75,10 +85,16 @@
         let _ = std::fs::remove_dir_all(folder);
         return;
     }
-    println!("{:>12} {:>14} {:>14} {:>16}", "applications", "compose, ms", "check, ms", "most memory");
+    println!(
+        "{:>12} {:>14} {:>14} {:>16}",
+        "applications", "compose, ms", "check, ms", "most memory"
+    );
     for size in SIZES {
         let own = std::env::current_exe().expect("this program's path");
-        let done = Command::new(own).env(SIZE, size.to_string()).status().expect("it starts");
+        let done = Command::new(own)
+            .env(SIZE, size.to_string())
+            .status()
+            .expect("it starts");
         assert!(done.success(), "{size} applications");
     }
 }
--- a/crates/config-tool/src/commands.rs
+++ b/crates/config-tool/src/commands.rs
@@ -36,12 +36,18 @@
     let mut rendered: Vec<Rendered> = Vec::new();
     let mut set = Set::default();
     for app in &description.apps {
-        let upstream = app
+        let upstream = app.facts.as_ref().and_then(|f| {
+            description
+                .upstreams
+                .iter()
+                .find(|u| u.name == f.upstream.value)
+        });
+        let sidecars = app
             .facts
             .as_ref()
-            .and_then(|f| description.upstreams.iter().find(|u| u.name == f.upstream.value));
-        let sidecars =
-            app.facts.as_ref().and_then(|f| proxies.get(f.upstream.value.as_str())).copied().unwrap_or(1);
+            .and_then(|f| proxies.get(f.upstream.value.as_str()))
+            .copied()
+            .unwrap_or(1);
         let file = render(&named, &description, app, upstream, sidecars);
         // Without its upstream each file would be told to want one; that is told once, below.
         if app.facts.is_none() || upstream.is_some() {
@@ -62,7 +68,12 @@
         rendered.push(file);
     }
     set.broken |= description.apps.iter().any(|a| a.facts.is_none());
-    upstreams(&mut report, &mut set, &description, sources + rendered.len());
+    upstreams(
+        &mut report,
+        &mut set,
+        &description,
+        sources + rendered.len(),
+    );
     set.check(&mut report);
     to_description(&mut report.findings, sources, &rendered);
     report.merge();
@@ -81,7 +92,11 @@
 
 fn unknown_upstream(report: &mut Report, description: &Description, app: &description::App) {
     let Some(facts) = &app.facts else { return };
-    let known: Vec<&str> = description.upstreams.iter().map(|u| u.name.as_str()).collect();
+    let known: Vec<&str> = description
+        .upstreams
+        .iter()
+        .map(|u| u.name.as_str())
+        .collect();
     report.findings.push(Finding {
         code: "upstream-unknown",
         key: format!("app.{}.upstream", app.name),
@@ -98,30 +113,50 @@
 fn upstreams(report: &mut Report, set: &mut Set, description: &Description, file: usize) {
     let mut text = String::new();
     for upstream in &description.upstreams {
-        text += &format!("[upstream.{:?}]\n{}", upstream.name, manifest::figures(upstream));
+        text += &format!(
+            "[upstream.{:?}]\n{}",
+            upstream.name,
+            manifest::figures(upstream)
+        );
     }
     let mut notes = Notes::default();
     let table = document(&mut notes, &text);
     let top = Section::new(&mut notes, &table, ("", 0..0), &["upstream"]);
-    let names: Vec<&str> = description.upstreams.iter().map(|u| u.name.as_str()).collect();
+    let names: Vec<&str> = description
+        .upstreams
+        .iter()
+        .map(|u| u.name.as_str())
+        .collect();
     let parent = top.section(&mut notes, "upstream", &names);
     for upstream in &description.upstreams {
         let before = notes.0.len();
-        let figures = parent.as_ref().and_then(|p| read_upstream(&mut notes, p, &upstream.name));
+        let figures = parent
+            .as_ref()
+            .and_then(|p| read_upstream(&mut notes, p, &upstream.name));
         // A mistake in it shows in each file too; one that nobody uses shows here alone.
         for mistake in &notes.0[before..] {
             let mut finding = Finding::of_mistake(file, mistake, None);
             let key = mistake.key.rsplit('.').next().unwrap_or_default();
             let raw = upstream.keys.iter().find(|k| key.starts_with(&k.key));
             finding.place = raw.map_or_else(|| upstream.place.clone(), |r| r.place.clone());
-            finding.key = mistake.key.replace(&format!("upstream.{}", upstream.name), "upstream");
+            finding.key = mistake
+                .key
+                .replace(&format!("upstream.{}", upstream.name), "upstream");
             finding.related.clear();
             report.findings.push(finding);
         }
         if let Some(figures) = figures.filter(|_| notes.0.len() == before) {
-            let (name, place, facts) =
-                (upstream.name.clone(), upstream.place.clone(), upstream.facts.clone());
-            set.upstreams.push(Described { name, place, facts, upstream: figures });
+            let (name, place, facts) = (
+                upstream.name.clone(),
+                upstream.place.clone(),
+                upstream.facts.clone(),
+            );
+            set.upstreams.push(Described {
+                name,
+                place,
+                facts,
+                upstream: figures,
+            });
         }
     }
 }
@@ -131,16 +166,24 @@
     let inherited = |name: &str| {
         description.classes.iter().any(|c| {
             c.name != name
-                && c.keys
-                    .iter()
-                    .any(|k| description.classes.iter().any(|o| o.name == name && o.keys.contains(k)))
+                && c.keys.iter().any(|k| {
+                    description
+                        .classes
+                        .iter()
+                        .any(|o| o.name == name && o.keys.contains(k))
+                })
         })
     };
     for class in &description.classes {
-        let sent =
-            description.apps.iter().flat_map(|a| &a.sends).any(|s| s.class.as_deref() == Some(&class.name));
+        let sent = description
+            .apps
+            .iter()
+            .flat_map(|a| &a.sends)
+            .any(|s| s.class.as_deref() == Some(&class.name));
         if !sent && !inherited(&class.name) {
-            report.notes.push(format!("class {:?} is sent by nobody", class.name));
+            report
+                .notes
+                .push(format!("class {:?} is sent by nobody", class.name));
         }
     }
     for upstream in &description.upstreams {
@@ -150,7 +193,9 @@
             .filter_map(|a| a.facts.as_ref())
             .any(|f| f.upstream.value == upstream.name);
         if !used {
-            report.notes.push(format!("upstream {:?} is used by nobody", upstream.name));
+            report
+                .notes
+                .push(format!("upstream {:?} is used by nobody", upstream.name));
         }
     }
 }
@@ -203,7 +248,10 @@
 
 fn difference(name: &str, old: &str, new: &str) -> String {
     let diff = similar::TextDiff::from_lines(old, new);
-    diff.unified_diff().context_radius(2).header(&format!("a/{name}"), &format!("b/{name}")).to_string()
+    diff.unified_diff()
+        .context_radius(2)
+        .header(&format!("a/{name}"), &format!("b/{name}"))
+        .to_string()
 }
 
 /// Carries a plan out: all texts are on disk before the first takes its place, the manifest takes its place last.
@@ -238,9 +286,10 @@
             set.applications.extend(own.applications);
             set.upstreams.extend(own.upstreams);
         } else {
-            let name = path
-                .file_stem()
-                .map_or_else(|| path.display().to_string(), |n| n.to_string_lossy().into_owned());
+            let name = path.file_stem().map_or_else(
+                || path.display().to_string(),
+                |n| n.to_string_lossy().into_owned(),
+            );
             match std::fs::read_to_string(path) {
                 Ok(text) => manifest::application(&mut report, &mut set, &name, path, &text, None),
                 Err(fault) => {
@@ -264,7 +313,10 @@
     if paths.len() > 1 || paths.iter().any(|p| !p.is_dir()) {
         let bare = |a: Application| Application { facts: None, ..a };
         let applications = set.applications.into_iter().map(bare).collect();
-        let together = Set { applications, ..Set::default() };
+        let together = Set {
+            applications,
+            ..Set::default()
+        };
         together.check(&mut report);
         set = together;
     }
@@ -279,7 +331,12 @@
     let mut before = Report::default();
     let mut known = read_folder(&mut before, old);
     // What was wrong with the old one is of no interest but where it can't be read at all.
-    report.notes.extend(before.findings.iter().map(|f| format!("before: {}: {}", f.key, f.reason)));
+    report.notes.extend(
+        before
+            .findings
+            .iter()
+            .map(|f| format!("before: {}: {}", f.key, f.reason)),
+    );
     report.files.extend(before.files);
     known.applications.iter_mut().for_each(|a| a.file += first);
     rollout::compare(&mut report, &known, &set);
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -117,7 +117,12 @@
     let own = path.canonicalize().unwrap_or_else(|_| path.to_owned());
     let root = own.parent().map(Path::to_owned).unwrap_or_default();
     report.file(shown, text);
-    let mut loader = Loader { root, report, known: vec![own.clone()], stack: vec![own] };
+    let mut loader = Loader {
+        root,
+        report,
+        known: vec![own.clone()],
+        stack: vec![own],
+    };
     loader.includes(0);
     match loader.report.good() {
         true => Ok(loader.report),
@@ -163,7 +168,9 @@
                 }
             }
         }
-        self.report.findings.extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+        self.report
+            .findings
+            .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
         for (name, span) in wanted {
             self.include(file, name, &span);
         }
@@ -184,17 +191,30 @@
                 apps: Default::default(),
             });
         };
-        let Some(name) = name else { return refuse("this names no file", "no text".to_owned()) };
-        let folder = self.stack.last().and_then(|p| p.parent()).map(Path::to_owned).unwrap_or_default();
+        let Some(name) = name else {
+            return refuse("this names no file", "no text".to_owned());
+        };
+        let folder = self
+            .stack
+            .last()
+            .and_then(|p| p.parent())
+            .map(Path::to_owned)
+            .unwrap_or_default();
         let path = match folder.join(name).canonicalize() {
             Ok(path) => path,
             Err(fault) => return refuse("this file is not there", format!("{name:?}: {fault}")),
         };
         if Path::new(name).is_absolute() || !path.starts_with(&self.root) {
-            return refuse("this file lies outside the description's folder", format!("{name:?}"));
+            return refuse(
+                "this file lies outside the description's folder",
+                format!("{name:?}"),
+            );
         }
         if self.stack.contains(&path) {
-            return refuse("this file includes itself, by way of others or at once", format!("{name:?}"));
+            return refuse(
+                "this file includes itself, by way of others or at once",
+                format!("{name:?}"),
+            );
         }
         // Included twice is included once.
         if self.known.contains(&path) {
@@ -202,7 +222,11 @@
         }
         match std::fs::read_to_string(&path) {
             Ok(text) => {
-                let shown = path.strip_prefix(&self.root).unwrap_or(&path).display().to_string();
+                let shown = path
+                    .strip_prefix(&self.root)
+                    .unwrap_or(&path)
+                    .display()
+                    .to_string();
                 let number = self.report.file(shown, text);
                 self.known.push(path.clone());
                 self.stack.push(path);
@@ -229,7 +253,11 @@
             reader.file(file, text);
         }
         let classes = reader.resolve();
-        let mut description = Description { classes, upstreams: reader.upstreams, apps: reader.apps };
+        let mut description = Description {
+            classes,
+            upstreams: reader.upstreams,
+            apps: reader.apps,
+        };
         description.apps.sort_by(|a, b| a.name.cmp(&b.name));
         report.findings.extend(reader.findings);
         description.check_names(report);
@@ -251,9 +279,21 @@
             });
         };
         let kinds = [
-            ("app", self.apps.iter().map(|a| (&a.name, &a.place)).collect::<Vec<_>>()),
-            ("class", self.classes.iter().map(|c| (&c.name, &c.place)).collect()),
-            ("upstream", self.upstreams.iter().map(|u| (&u.name, &u.place)).collect()),
+            (
+                "app",
+                self.apps
+                    .iter()
+                    .map(|a| (&a.name, &a.place))
+                    .collect::<Vec<_>>(),
+            ),
+            (
+                "class",
+                self.classes.iter().map(|c| (&c.name, &c.place)).collect(),
+            ),
+            (
+                "upstream",
+                self.upstreams.iter().map(|u| (&u.name, &u.place)).collect(),
+            ),
         ];
         for (kind, names) in kinds {
             let mut seen: HashMap<String, &str> = HashMap::new();
@@ -262,10 +302,21 @@
                 if let Some(other) = seen.insert(folded(name), name) {
                     let found = format!("{name:?} beside {other:?}");
                     let reason = "two names that are one, or differ only in case or form";
-                    add(place, key.clone(), reason, found, "names that nobody takes for one another");
+                    add(
+                        place,
+                        key.clone(),
+                        reason,
+                        found,
+                        "names that nobody takes for one another",
+                    );
                 }
-                let plain = name.chars().all(|c| c.is_alphanumeric() || "-_".contains(c));
-                if !plain || name.is_empty() || name.chars().count() > NAME_MOST || folded(name) == "manifest"
+                let plain = name
+                    .chars()
+                    .all(|c| c.is_alphanumeric() || "-_".contains(c));
+                if !plain
+                    || name.is_empty()
+                    || name.chars().count() > NAME_MOST
+                    || folded(name) == "manifest"
                 {
                     let allowed = "letters, digits, '-' and '_', 64 at the most; not \"manifest\"";
                     add(place, key, "this is no name", format!("{name:?}"), allowed);
@@ -287,7 +338,9 @@
 
 /// The keys of a table as they stand.
 fn raw(file: usize, text: &str, table: &DeTable<'_>, but: &[&str]) -> Vec<Raw> {
-    let wanted = table.iter().filter(|(name, _)| !but.contains(&&**name.get_ref()));
+    let wanted = table
+        .iter()
+        .filter(|(name, _)| !but.contains(&&**name.get_ref()));
     wanted
         .map(|(name, value)| Raw {
             key: name.get_ref().to_string(),
@@ -313,7 +366,8 @@
                 self.app(&mut notes, file, text, (key, part), &section);
             }
         }
-        self.findings.extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+        self.findings
+            .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
     }
 
     fn class(
@@ -324,9 +378,15 @@
         (name, table): (&str, &DeTable<'_>),
         section: &Section<'_>,
     ) {
-        let inherits = section.text(notes, "inherits").map(|s| (s.value, Place::new(file, &s.span)));
+        let inherits = section
+            .text(notes, "inherits")
+            .map(|s| (s.value, Place::new(file, &s.span)));
         let place = Place::new(file, &section.span);
-        let own = Own { place: place.clone(), inherits, keys: raw(file, text, table, &["inherits"]) };
+        let own = Own {
+            place: place.clone(),
+            inherits,
+            keys: raw(file, text, table, &["inherits"]),
+        };
         if self.classes.contains_key(name) {
             let key = format!("class.{name}");
             notes.add(
@@ -350,10 +410,16 @@
             let (mut at, mut path) = (name.as_str(), vec![name.as_str()]);
             loop {
                 let own = &self.classes[at];
-                let new: Vec<Raw> =
-                    own.keys.iter().filter(|k| keys.iter().all(|o| o.key != k.key)).cloned().collect();
+                let new: Vec<Raw> = own
+                    .keys
+                    .iter()
+                    .filter(|k| keys.iter().all(|o| o.key != k.key))
+                    .cloned()
+                    .collect();
                 keys.extend(new);
-                let Some((parent, place)) = &own.inherits else { break };
+                let Some((parent, place)) = &own.inherits else {
+                    break;
+                };
                 let mut refuse = |reason: &str, found: String, allowed: String| {
                     self.findings.push(Finding {
                         code: "inherits",
@@ -367,7 +433,11 @@
                     });
                 };
                 if !self.classes.contains_key(parent) {
-                    refuse("no class has this name", format!("{parent:?}"), known_names(parent, &known));
+                    refuse(
+                        "no class has this name",
+                        format!("{parent:?}"),
+                        known_names(parent, &known),
+                    );
                     break;
                 }
                 if path.contains(&parent.as_str()) {
@@ -381,7 +451,11 @@
                 at = parent;
                 path.push(at);
             }
-            resolved.push(Class { name: name.clone(), place: self.classes[name].place.clone(), keys });
+            resolved.push(Class {
+                name: name.clone(),
+                place: self.classes[name].place.clone(),
+                keys,
+            });
         }
         resolved
     }
@@ -399,11 +473,26 @@
             let span = section.get(own).map_or(0..0, |v| v.span());
             let reason = "this is not the upstream's to say";
             let allowed = "`proxies` is reckoned from the instances; `zone` is an application's";
-            notes.add((&section.of(own), &span), reason, format!("`{own}`"), allowed);
+            notes.add(
+                (&section.of(own), &span),
+                reason,
+                format!("`{own}`"),
+                allowed,
+            );
         }
-        let keys = raw(file, text, table, &[&facts::UPSTREAM[..], &["proxies", "zone"]].concat());
+        let keys = raw(
+            file,
+            text,
+            table,
+            &[&facts::UPSTREAM[..], &["proxies", "zone"]].concat(),
+        );
         let place = Place::new(file, &section.span);
-        self.upstreams.push(Upstream { name: name.to_owned(), place, keys, facts });
+        self.upstreams.push(Upstream {
+            name: name.to_owned(),
+            place,
+            keys,
+            facts,
+        });
     }
 
     fn app(
@@ -421,19 +510,37 @@
         let facts = facts::App::read(notes, &section);
         let all = raw(file, text, table, &[]);
         let pick = |names: &[&str]| {
-            all.iter().filter(|r| names.contains(&r.key.as_str())).cloned().collect::<Vec<_>>()
+            all.iter()
+                .filter(|r| names.contains(&r.key.as_str()))
+                .cloned()
+                .collect::<Vec<_>>()
         };
         let mut sends = Vec::new();
-        for (key, value) in section.list(notes, "send", "what it sends").unwrap_or_default() {
+        for (key, value) in section
+            .list(notes, "send", "what it sends")
+            .unwrap_or_default()
+        {
             let Some(part) = value.get_ref().as_table() else {
                 let found = badgerramp_reading::show(value.get_ref());
-                notes.add((&key, &value.span()), "this is no route", found, "a table: [[app.NAME.send]]");
+                notes.add(
+                    (&key, &value.span()),
+                    "this is no route",
+                    found,
+                    "a table: [[app.NAME.send]]",
+                );
                 continue;
             };
-            let class = part.get("class").and_then(|v| v.get_ref().as_str()).map(str::to_owned);
+            let class = part
+                .get("class")
+                .and_then(|v| v.get_ref().as_str())
+                .map(str::to_owned);
             // The span of a table in a list begins with its first line.
             let span = value.span().start..value.span().start;
-            sends.push(Send { place: Place::new(file, &span), class, keys: raw(file, text, part, &[]) });
+            sends.push(Send {
+                place: Place::new(file, &span),
+                class,
+                keys: raw(file, text, part, &[]),
+            });
         }
         let mut overrides = Vec::new();
         for (class, part, _) in tables(notes, &section, "class") {
@@ -458,7 +565,9 @@
     parent: &Section<'t>,
     name: &str,
 ) -> Vec<(&'t str, &'t DeTable<'t>, Section<'t>)> {
-    let Some(value) = parent.get(name) else { return Vec::new() };
+    let Some(value) = parent.get(name) else {
+        return Vec::new();
+    };
     let key = parent.of(name);
     let Some(table) = value.get_ref().as_table() else {
         let found = badgerramp_reading::show(value.get_ref());
@@ -475,11 +584,20 @@
         let path = format!("{key}.{}", name.get_ref());
         let Some(inner) = part.get_ref().as_table() else {
             let found = badgerramp_reading::show(part.get_ref());
-            notes.add((&path, &part.span()), "this is not a table", found, format!("a table: [{path}]"));
+            notes.add(
+                (&path, &part.span()),
+                "this is not a table",
+                found,
+                format!("a table: [{path}]"),
+            );
             continue;
         };
         let every: Vec<&str> = inner.keys().map(|k| &**k.get_ref()).collect();
-        parts.push((&**name.get_ref(), inner, Section::new(notes, inner, (&path, name.span()), &every)));
+        parts.push((
+            &**name.get_ref(),
+            inner,
+            Section::new(notes, inner, (&path, name.span()), &every),
+        ));
     }
     parts
 }
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -44,26 +44,45 @@
 ///
 /// # Errors
 /// What is odd about them.
-pub fn request_of(request: &str, headers: &[String]) -> Result<(Method, String, HeaderMap), String> {
-    let (method, target) =
-        request.trim().split_once(' ').ok_or("a request is a method and a path, like 'POST /x'")?;
-    let method = method.parse::<Method>().map_err(|_| format!("{method:?} is no method"))?;
-    let path = target.trim().split('#').next().unwrap_or_default().to_owned();
+pub fn request_of(
+    request: &str,
+    headers: &[String],
+) -> Result<(Method, String, HeaderMap), String> {
+    let (method, target) = request
+        .trim()
+        .split_once(' ')
+        .ok_or("a request is a method and a path, like 'POST /x'")?;
+    let method = method
+        .parse::<Method>()
+        .map_err(|_| format!("{method:?} is no method"))?;
+    let path = target
+        .trim()
+        .split('#')
+        .next()
+        .unwrap_or_default()
+        .to_owned();
     let mut map = HeaderMap::new();
     for header in headers {
-        let (name, value) =
-            header.split_once(':').ok_or_else(|| format!("{header:?} is no header: 'Name: value'"))?;
+        let (name, value) = header
+            .split_once(':')
+            .ok_or_else(|| format!("{header:?} is no header: 'Name: value'"))?;
         let name = HeaderName::from_bytes(name.trim().as_bytes())
             .map_err(|_| format!("{name:?} is no header name"))?;
-        let value =
-            HeaderValue::from_str(value.trim()).map_err(|_| format!("{value:?} is no header value"))?;
+        let value = HeaderValue::from_str(value.trim())
+            .map_err(|_| format!("{value:?} is no header value"))?;
         map.append(name, value);
     }
     Ok((method, path, map))
 }
 
 fn line(config: &Config, start: usize) -> usize {
-    config.text().get(..start).unwrap_or_default().matches('\n').count() + 1
+    config
+        .text()
+        .get(..start)
+        .unwrap_or_default()
+        .matches('\n')
+        .count()
+        + 1
 }
 
 fn told(config: &Config, figures: Vec<Figure>) -> Vec<Told> {
@@ -71,28 +90,45 @@
         Some((key, span)) => format!("{key}, line {}", line(config, span.start)),
         None => "not set".to_owned(),
     };
-    figures.iter().map(|f| Told { name: f.name.to_owned(), value: f.value.clone(), from: from(f) }).collect()
+    figures
+        .iter()
+        .map(|f| Told {
+            name: f.name.to_owned(),
+            value: f.value.clone(),
+            from: from(f),
+        })
+        .collect()
 }
 
 fn effect(repeat: Repeat) -> String {
     match repeat {
         Repeat::Free => "safe: it may run again".to_owned(),
-        Repeat::SingleShot => "unsafe: it goes again only if every attempt provably never ran".to_owned(),
+        Repeat::SingleShot => {
+            "unsafe: it goes again only if every attempt provably never ran".to_owned()
+        }
         Repeat::Guarded { window, .. } => {
-            format!("keyed: it may go again within its group, for {}", show_duration(window))
+            format!(
+                "keyed: it may go again within its group, for {}",
+                show_duration(window)
+            )
         }
     }
 }
 
 /// Why a route does not take a request; None: it does.
 fn misfit(config: &Config, route: &Route, head: &Head<'_>) -> Option<String> {
-    let Head { method, path, headers, .. } = *head;
+    let Head {
+        method,
+        path,
+        headers,
+        ..
+    } = *head;
     let fits = match &route.path {
         PathPattern::Exact(own) => own == path,
         PathPattern::Prefix(own) if own.ends_with('/') => path.starts_with(own.as_str()),
-        PathPattern::Prefix(own) => {
-            path.strip_prefix(own.as_str()).is_some_and(|r| r.is_empty() || r.starts_with('/'))
-        }
+        PathPattern::Prefix(own) => path
+            .strip_prefix(own.as_str())
+            .is_some_and(|r| r.is_empty() || r.starts_with('/')),
         PathPattern::Regex(own) => own.is_match(path),
     };
     if !fits {
@@ -101,28 +137,39 @@
     if !route.methods.is_empty() && !route.methods.contains(method) {
         return Some("its methods".to_owned());
     }
-    let wanted = route
-        .headers
-        .iter()
-        .find(|h| !headers.get_all(&h.name).iter().any(|v| h.value.as_ref().is_none_or(|w| w == v)));
+    let wanted = route.headers.iter().find(|h| {
+        !headers
+            .get_all(&h.name)
+            .iter()
+            .any(|v| h.value.as_ref().is_none_or(|w| w == v))
+    });
     if let Some(wanted) = wanted {
         return Some(format!("header {}", wanted.name));
     }
     let when = route.when.as_ref()?;
-    (!config.routes.program().holds(when.id, head)).then(|| format!("its condition, {}", when.text.trim()))
+    (!config.routes.program().holds(when.id, head))
+        .then(|| format!("its condition, {}", when.text.trim()))
 }
 
 /// The parts of an expression with their values, the outer ones first.
 fn parts(text: &str, head: &Head<'_>, told: &mut Vec<(String, String)>) {
-    let Ok(ast) = badgerramp_expr::parse(text) else { return };
+    let Ok(ast) = badgerramp_expr::parse(text) else {
+        return;
+    };
     let mut open = vec![&ast];
     while let Some(part) = open.pop() {
         open.extend(part.parts().into_iter().rev().filter(|p| !p.literal()));
         let mut builder = Builder::default();
-        let Ok(id) = builder.add_ast(part, Wanted::Any) else { continue };
+        let Ok(id) = builder.add_ast(part, Wanted::Any) else {
+            continue;
+        };
         let program = builder.build();
-        let words =
-            text.get(part.span.clone()).unwrap_or_default().split_whitespace().collect::<Vec<_>>().join(" ");
+        let words = text
+            .get(part.span.clone())
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join(" ");
         told.push((words, program.evaluate(id, head).show()));
     }
 }
@@ -140,8 +187,17 @@
 ) -> Result<Request, String> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let normal = normalize(path).map_err(|fault| format!("answered 400: {fault}"))?;
-    let head = Head { method, path: &normal, query, headers, client };
-    let found = config.routes.find_head(&head).map_err(|fault| format!("answered 400: {fault}"))?;
+    let head = Head {
+        method,
+        path: &normal,
+        query,
+        headers,
+        client,
+    };
+    let found = config
+        .routes
+        .find_head(&head)
+        .map_err(|fault| format!("answered 400: {fault}"))?;
     let upto = found.map_or(config.routes.routes().len(), |f| f.0);
     let passed = config.routes.routes()[..upto].iter().filter_map(|r| {
         // Routes of other paths are told only where nothing was found.
@@ -160,7 +216,10 @@
     if let Some((place, route)) = found {
         let class = &config.classes[route.class];
         let guarded = matches!(class.class.repeat, Repeat::Guarded { .. });
-        told_of.route = Some((route.name.clone(), line(config, config.route_span(place).start)));
+        told_of.route = Some((
+            route.name.clone(),
+            line(config, config.route_span(place).start),
+        ));
         told_of.class = Some((class.name.clone(), effect(class.class.repeat)));
         told_of.key = route.key.as_ref().filter(|_| guarded).map(|source| {
             let place = match source {
@@ -208,7 +267,11 @@
             let _ = writeln!(text, "key     {key}");
         }
         for told in &self.timing {
-            let _ = writeln!(text, "        {:<12} {:<14} {}", told.name, told.value, told.from);
+            let _ = writeln!(
+                text,
+                "        {:<12} {:<14} {}",
+                told.name, told.value, told.from
+            );
         }
         text
     }
@@ -239,13 +302,27 @@
 pub fn class(config: &Config, name: &str) -> Result<Vec<Course>, String> {
     let Some(place) = config.classes.iter().position(|c| c.name == name) else {
         let known: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
-        return Err(format!("no class {name:?}: {}", badgerramp_reading::known_names(name, &known)));
+        return Err(format!(
+            "no class {name:?}: {}",
+            badgerramp_reading::known_names(name, &known)
+        ));
     };
     let class = &config.classes[place];
     let course = |timing: &Timing| steps(timing, class.class.repeat, class.class.deadline);
-    let mut courses = vec![Course { route: None, steps: course(&class.timing) }];
-    for route in config.routes.routes().iter().filter(|r| r.class == place && r.timing != class.timing) {
-        courses.push(Course { route: Some(route.name.clone()), steps: course(&route.timing) });
+    let mut courses = vec![Course {
+        route: None,
+        steps: course(&class.timing),
+    }];
+    for route in config
+        .routes
+        .routes()
+        .iter()
+        .filter(|r| r.class == place && r.timing != class.timing)
+    {
+        courses.push(Course {
+            route: Some(route.name.clone()),
+            steps: course(&route.timing),
+        });
     }
     Ok(courses)
 }
@@ -267,7 +344,10 @@
         };
         if let Repeat::Guarded { window, .. } = repeat {
             if number > 1 && at >= window {
-                add(at, "the window is over: nothing goes out that may have run".to_owned());
+                add(
+                    at,
+                    "the window is over: nothing goes out that may have run".to_owned(),
+                );
                 break;
             }
         }
@@ -281,10 +361,14 @@
         if number == 1 {
             match timing.hedge {
                 Hedge::Never => {}
-                Hedge::Auto => add(at, "a second copy may follow, as late as can be in time".to_owned()),
-                Hedge::After(wait) => {
-                    add(at + wait, "a second copy goes out, if no answer has come".to_owned())
-                }
+                Hedge::Auto => add(
+                    at,
+                    "a second copy may follow, as late as can be in time".to_owned(),
+                ),
+                Hedge::After(wait) => add(
+                    at + wait,
+                    "a second copy goes out, if no answer has come".to_owned(),
+                ),
                 Hedge::Share(share) => {
                     add(
                         at,
@@ -300,10 +384,16 @@
         add(end, format!("attempt {number} has ended"));
         at = end.saturating_add(timing.backoff);
     }
-    add(timing.total, "the final answer has gone out at the latest".to_owned());
+    add(
+        timing.total,
+        "the final answer has gone out at the latest".to_owned(),
+    );
     add(
         deadline,
-        format!("the client gives up; {} were kept for the answer's way", show_duration(ANSWER_ROOM)),
+        format!(
+            "the client gives up; {} were kept for the answer's way",
+            show_duration(ANSWER_ROOM)
+        ),
     );
     steps
 }
--- a/crates/config-tool/src/facts.rs
+++ b/crates/config-tool/src/facts.rs
@@ -9,8 +9,16 @@
 use std::fmt::Write;
 
 /// Keys of an application that are facts.
-pub const APP: [&str; 8] =
-    ["machine", "upstream", "instances", "waits", "retries", "retry_on", "pause", "rate"];
+pub const APP: [&str; 8] = [
+    "machine",
+    "upstream",
+    "instances",
+    "waits",
+    "retries",
+    "retry_on",
+    "pause",
+    "rate",
+];
 /// Keys of an upstream that are facts.
 pub const UPSTREAM: [&str; 4] = ["connections", "rate", "unsafe", "keyed"];
 
@@ -82,12 +90,24 @@
         section.want(notes, "waits", "how long its client waits, like \"1200ms\"");
         section.want(notes, "rate", "requests a second of one instance");
         let words = [("refused", RetryOn::Refused), ("failed", RetryOn::Failed)];
-        let plain = || Set { value: 0, span: section.span.clone(), key: section.of("retries") };
+        let plain = || Set {
+            value: 0,
+            span: section.span.clone(),
+            key: section.of("retries"),
+        };
         let retries = section.integer(notes, "retries", 0..=100);
-        let machine = section.text(notes, "machine").map_or_else(|| "localhost".to_owned(), |m| m.value);
-        let instances = section.integer(notes, "instances", 1..=100_000).map_or(1, |n| n.value as u32);
-        let retry_on = section.word(notes, "retry_on", &words).map_or(RetryOn::Refused, |w| w.value);
-        let pause = section.duration(notes, "pause", 0..=600_000_000).map_or(0, |p| p.value);
+        let machine = section
+            .text(notes, "machine")
+            .map_or_else(|| "localhost".to_owned(), |m| m.value);
+        let instances = section
+            .integer(notes, "instances", 1..=100_000)
+            .map_or(1, |n| n.value as u32);
+        let retry_on = section
+            .word(notes, "retry_on", &words)
+            .map_or(RetryOn::Refused, |w| w.value);
+        let pause = section
+            .duration(notes, "pause", 0..=600_000_000)
+            .map_or(0, |p| p.value);
         let rate = section.number(notes, "rate", 0.0..=1e6);
         let waits = section.duration(notes, "waits", WAITS);
         let upstream = section.text(notes, "upstream");
@@ -131,11 +151,18 @@
 
 /// A path prefix in its normal form, without a slash at its end.
 fn prefix(notes: &mut Notes, (key, span): (&str, &Span), text: &str) -> Option<String> {
-    let normal = normalize(text).ok().filter(|n| n.len() == text.len() && n.as_ref() == text);
+    let normal = normalize(text)
+        .ok()
+        .filter(|n| n.len() == text.len() && n.as_ref() == text);
     let whole = normal.filter(|n| n == "/" || !n.ends_with('/'));
     if whole.is_none() {
         let allowed = "a path like \"/cobro-mensual\": it and all below it";
-        notes.add((key, span), "this is no path in normal form", format!("{text:?}"), allowed);
+        notes.add(
+            (key, span),
+            "this is no path in normal form",
+            format!("{text:?}"),
+            allowed,
+        );
     }
     whole.map(|n| n.into_owned())
 }
@@ -169,17 +196,36 @@
             let known = ["prefix", "group", "window", "header"];
             let part = Section::new(notes, table, (&key, value.span()), &known);
             known.iter().for_each(|name| part.want(notes, name, form));
-            let words = [("all", Scope::All), ("zone", Scope::Zone), ("group", Scope::Cell)];
-            let path = part.text(notes, "prefix").and_then(|p| prefix(notes, (&p.key, &p.span), &p.value));
+            let words = [
+                ("all", Scope::All),
+                ("zone", Scope::Zone),
+                ("group", Scope::Cell),
+            ];
+            let path = part
+                .text(notes, "prefix")
+                .and_then(|p| prefix(notes, (&p.key, &p.span), &p.value));
             let group = part.word(notes, "group", &words);
             let window = part.duration(notes, "window", 1_000..=3_600_000_000);
-            let header =
-                part.read(notes, "header", ("this is no header name", "letters, digits and '-'"), |v| {
-                    v.as_str().and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
-                });
-            if let (Some(prefix), Some(group), Some(window), Some(header)) = (path, group, window, header) {
+            let header = part.read(
+                notes,
+                "header",
+                ("this is no header name", "letters, digits and '-'"),
+                |v| {
+                    v.as_str()
+                        .and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
+                },
+            );
+            if let (Some(prefix), Some(group), Some(window), Some(header)) =
+                (path, group, window, header)
+            {
                 let (group, window, header) = (group.value, window.value, header.value);
-                upstream.keyed.push(Keyed { prefix, group, window, header, span: value.span() });
+                upstream.keyed.push(Keyed {
+                    prefix,
+                    group,
+                    window,
+                    header,
+                    span: value.span(),
+                });
             }
         }
         upstream
@@ -193,7 +239,11 @@
         if let Some(rate) = &self.rate {
             let _ = writeln!(text, "rate = {:?}", rate.value);
         }
-        let once: Vec<String> = self.once.iter().map(|(path, _)| format!("{path:?}")).collect();
+        let once: Vec<String> = self
+            .once
+            .iter()
+            .map(|(path, _)| format!("{path:?}"))
+            .collect();
         let _ = writeln!(text, "unsafe = [{}]", once.join(", "));
         let _ = writeln!(text, "keyed = [");
         for keyed in &self.keyed {
--- a/crates/config-tool/src/finding.rs
+++ b/crates/config-tool/src/finding.rs
@@ -22,7 +22,11 @@
 impl Place {
     /// A place in a file.
     pub fn new(file: usize, span: &Span) -> Self {
-        Place { file, start: span.start, end: span.end }
+        Place {
+            file,
+            start: span.start,
+            end: span.end,
+        }
     }
 }
 
@@ -127,7 +131,12 @@
         let mut merged: Vec<Finding> = Vec::new();
         let mut known: HashMap<(&'static str, String, String, String), usize> = HashMap::new();
         for finding in std::mem::take(&mut self.findings) {
-            let id = (finding.code, finding.key.clone(), finding.reason.clone(), finding.found.clone());
+            let id = (
+                finding.code,
+                finding.key.clone(),
+                finding.reason.clone(),
+                finding.found.clone(),
+            );
             match known.get(&id) {
                 Some(&first) => merged[first].apps.extend(finding.apps),
                 None => {
@@ -145,7 +154,10 @@
         let text = self.files.get(place.file).map_or("", |f| f.1.as_str());
         let before = text.get(..place.start).unwrap_or_default();
         let line = before.rfind('\n').map_or(0, |at| at + 1);
-        (before.matches('\n').count() + 1, before[line..].chars().count() + 1)
+        (
+            before.matches('\n').count() + 1,
+            before[line..].chars().count() + 1,
+        )
     }
 
     /// For people, with excerpts.
@@ -154,14 +166,20 @@
         for (name, text) in &self.files {
             files.add(name, text);
         }
-        let config = term::Config { chars: Chars::ascii(), ..term::Config::default() };
+        let config = term::Config {
+            chars: Chars::ascii(),
+            ..term::Config::default()
+        };
         let mut told = String::new();
         for finding in &self.findings {
             let range = |p: &Place| p.start..p.end;
             let mut labels = vec![Label::primary(finding.place.file, range(&finding.place))
                 .with_message(format!("found {}", finding.found))];
             labels.extend(
-                finding.related.iter().map(|(p, text)| Label::secondary(p.file, range(p)).with_message(text)),
+                finding
+                    .related
+                    .iter()
+                    .map(|(p, text)| Label::secondary(p.file, range(p)).with_message(text)),
             );
             let mut notes = vec![format!("allowed: {}", finding.allowed)];
             if !finding.apps.is_empty() {
@@ -190,7 +208,12 @@
     pub fn json(&self) -> String {
         let place = |p: &Place| {
             let (line, column) = self.line_of(p);
-            JsonPlace { file: self.files.get(p.file).map_or("", |f| f.0.as_str()), line, column, what: None }
+            JsonPlace {
+                file: self.files.get(p.file).map_or("", |f| f.0.as_str()),
+                line,
+                column,
+                what: None,
+            }
         };
         let findings = self.findings.iter().map(|f| JsonFinding {
             code: f.code,
@@ -200,9 +223,21 @@
             allowed: &f.allowed,
             applications: &f.apps,
             place: place(&f.place),
-            related: f.related.iter().map(|(p, what)| JsonPlace { what: Some(what), ..place(p) }).collect(),
+            related: f
+                .related
+                .iter()
+                .map(|(p, what)| JsonPlace {
+                    what: Some(what),
+                    ..place(p)
+                })
+                .collect(),
         });
-        let json = Json { version: 1, good: self.good(), findings: findings.collect(), notes: &self.notes };
+        let json = Json {
+            version: 1,
+            good: self.good(),
+            findings: findings.collect(),
+            notes: &self.notes,
+        };
         serde_json::to_string_pretty(&json)
             .unwrap_or_else(|e| format!("{{\"good\":false,\"fault\":\"{e}\"}}"))
     }
@@ -212,7 +247,11 @@
 pub fn names(apps: &BTreeSet<String>) -> String {
     let few: Vec<&str> = apps.iter().take(NAMED_MOST).map(String::as_str).collect();
     match apps.len() {
-        n if n > NAMED_MOST => format!("{} and {} more applications", few.join(", "), n - NAMED_MOST),
+        n if n > NAMED_MOST => format!(
+            "{} and {} more applications",
+            few.join(", "),
+            n - NAMED_MOST
+        ),
         _ => few.join(", "),
     }
 }
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -178,7 +178,11 @@
 impl From<&wire::RegionStatus> for RegionStanding {
     fn from(told: &wire::RegionStatus) -> Self {
         let (name, coordinator) = (told.name.clone(), told.coordinator.clone());
-        RegionStanding { name, coordinator, change: told.change.as_ref().map(AllRegionsChange::from) }
+        RegionStanding {
+            name,
+            coordinator,
+            change: told.change.as_ref().map(AllRegionsChange::from),
+        }
     }
 }
 
@@ -203,18 +207,34 @@
     /// As text.
     fn human(&self) -> String {
         let mut text = format!("region {}, coordinator {}\n", self.name, self.coordinator);
-        let Some(change) = &self.change else { return text };
-        let AllRegionsChange { id, generation, coordinator, .. } = change;
-        let _ = writeln!(text, "change of all regions {id}: generation {generation} here");
+        let Some(change) = &self.change else {
+            return text;
+        };
+        let AllRegionsChange {
+            id,
+            generation,
+            coordinator,
+            ..
+        } = change;
+        let _ = writeln!(
+            text,
+            "change of all regions {id}: generation {generation} here"
+        );
         match (coordinator == &self.name, change.voted) {
             (true, _) => change.participants.iter().for_each(|p| {
                 let _ = writeln!(text, "  region {}: {}", p.region, p.step());
             }),
             (false, true) => {
-                let _ = writeln!(text, "  this region has voted; region {coordinator} decides");
+                let _ = writeln!(
+                    text,
+                    "  this region has voted; region {coordinator} decides"
+                );
             }
             (false, false) => {
-                let _ = writeln!(text, "  this region is not prepared yet; region {coordinator} coordinates");
+                let _ = writeln!(
+                    text,
+                    "  this region is not prepared yet; region {coordinator} coordinates"
+                );
             }
         }
         text
@@ -234,7 +254,10 @@
 
 fn held(blockers: &[wire::Blocker]) -> Vec<Held> {
     let one = |b: &wire::Blocker| Held {
-        proxy: b.identity.as_ref().map(|i| format!("{} ({:016x})", i.name, i.incarnation)),
+        proxy: b
+            .identity
+            .as_ref()
+            .map(|i| format!("{} ({:016x})", i.name, i.incarnation)),
         region: Some(b.region.clone()).filter(|region| !region.is_empty()),
         why: b.why.clone(),
         left_ms: (b.left > 0).then_some(b.left / 1_000),
@@ -252,7 +275,12 @@
         let proxy = |p: &wire::Proxy| {
             let identity = p.identity.clone().unwrap_or_default();
             let incarnation = format!("{:016x}", identity.incarnation);
-            Proxy { name: identity.name, incarnation, acting: p.acting, cut_off: cut_off(p) }
+            Proxy {
+                name: identity.name,
+                incarnation,
+                acting: p.acting,
+                cut_off: cut_off(p),
+            }
         };
         let change = |c: &wire::Change| {
             let outcome = match c.ended() {
@@ -261,7 +289,13 @@
                 Ended::Open | Ended::Unspecified => UNDER_WAY,
             };
             let all_regions = (c.all_regions != 0).then(|| change_id(c.all_regions));
-            Change { generation: c.generation, from: c.from, outcome, why: c.why.clone(), all_regions }
+            Change {
+                generation: c.generation,
+                from: c.from,
+                outcome,
+                why: c.why.clone(),
+                all_regions,
+            }
         };
         let mode = status.mode;
         Standing {
@@ -290,7 +324,11 @@
         for held in &self.held_up {
             let _ = writeln!(text, "held up by {}", held.human());
         }
-        let behind = self.proxies.iter().filter(|p| p.acting < self.revision).count();
+        let behind = self
+            .proxies
+            .iter()
+            .filter(|p| p.acting < self.revision)
+            .count();
         let _ = writeln!(
             text,
             "{} proxies, {behind} that have not told of this revision yet",
@@ -298,8 +336,11 @@
         );
         for proxy in &self.proxies {
             let (name, incarnation) = (&proxy.name, &proxy.incarnation);
-            let _ =
-                writeln!(text, "  {name} ({incarnation}) at {}, cut off: {}", proxy.acting, proxy.cut_off);
+            let _ = writeln!(
+                text,
+                "  {name} ({incarnation}) at {}, cut off: {}",
+                proxy.acting, proxy.cut_off
+            );
         }
         text
     }
@@ -308,8 +349,11 @@
     pub fn history(&self) -> String {
         let mut text = String::new();
         for change in &self.changes {
-            let _ =
-                write!(text, "generation {}, after {}: {}", change.generation, change.from, change.outcome);
+            let _ = write!(
+                text,
+                "generation {}, after {}: {}",
+                change.generation, change.from, change.outcome
+            );
             if let Some(id) = &change.all_regions {
                 let _ = write!(text, " (all regions, {id})");
             }
@@ -325,8 +369,13 @@
 impl Held {
     /// As text.
     pub fn human(&self) -> String {
-        let region = self.region.as_ref().map(|region| format!("region {region}"));
-        let who = region.or_else(|| self.proxy.clone()).unwrap_or_else(|| "any proxy".to_owned());
+        let region = self
+            .region
+            .as_ref()
+            .map(|region| format!("region {region}"));
+        let who = region
+            .or_else(|| self.proxy.clone())
+            .unwrap_or_else(|| "any proxy".to_owned());
         match self.left_ms {
             Some(left) => format!("{who}: {} (at most {left} ms more)", self.why),
             None => format!("{who}: {}", self.why),
@@ -349,9 +398,14 @@
     /// # Errors
     /// If the secret is none.
     pub fn new(at: &At) -> Result<Self, String> {
-        let secret = Secret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
+        let secret =
+            Secret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
         let client = Client::new(at.control.clone(), secret.clone(), QUESTION);
-        Ok(Control { client, secret, time: Duration::from_secs(at.timeout) })
+        Ok(Control {
+            client,
+            secret,
+            time: Duration::from_secs(at.timeout),
+        })
     }
 
     async fn asked(&mut self, what: request::What) -> Result<reply::What, Fault> {
@@ -359,7 +413,10 @@
     }
 
     async fn raw_status(&mut self) -> Result<wire::Status, Fault> {
-        match self.asked(request::What::Status(wire::StatusAsked {})).await? {
+        match self
+            .asked(request::What::Status(wire::StatusAsked {}))
+            .await?
+        {
             reply::What::Status(status) => Ok(status),
             _ => Err(Fault::Odd("no status".to_owned())),
         }
@@ -379,7 +436,9 @@
     /// If control can't be asked, or has no regions.
     pub async fn go_to_coordinator(&mut self) -> Result<String, String> {
         let status = self.raw_status().await.map_err(|e| e.to_string())?;
-        let region = status.region.ok_or("control has no regions: the scope can only be \"region\"")?;
+        let region = status
+            .region
+            .ok_or("control has no regions: the scope can only be \"region\"")?;
         if !region.coordinator_replicas.is_empty() {
             self.go_to(&region.coordinator_replicas)?;
         }
@@ -388,9 +447,14 @@
 
     /// From now on asks these replicas.
     fn go_to(&mut self, replicas: &[String]) -> Result<(), String> {
-        let address =
-            |text: &String| text.parse().map_err(|_| format!("{text:?} is no address of a replica"));
-        let replicas: Vec<SocketAddr> = replicas.iter().map(address).collect::<Result<_, String>>()?;
+        let address = |text: &String| {
+            text.parse()
+                .map_err(|_| format!("{text:?} is no address of a replica"))
+        };
+        let replicas: Vec<SocketAddr> = replicas
+            .iter()
+            .map(address)
+            .collect::<Result<_, String>>()?;
         self.client = Client::new(replicas, self.secret.clone(), QUESTION);
         Ok(())
     }
@@ -400,7 +464,10 @@
     /// # Errors
     /// If control can't be asked, or has them no more.
     pub async fn files(&mut self, generation: u64) -> Result<Files, Fault> {
-        let text = wire::Text { generation, files: HashMap::new() };
+        let text = wire::Text {
+            generation,
+            files: HashMap::new(),
+        };
         match self.asked(request::What::Text(text)).await? {
             reply::What::Text(text) => Ok(text.files),
             _ => Err(Fault::Odd("no files".to_owned())),
@@ -415,20 +482,33 @@
         let standing = self.standing().await.map_err(|e| e.to_string())?;
         let word = incarnation.map(|i| format!("{i:016x}"));
         let known = standing.proxies.iter().filter(|p| p.name == name);
-        let known: Vec<&Proxy> =
-            known.filter(|p| word.as_ref().is_none_or(|w| *w == p.incarnation)).collect();
+        let known: Vec<&Proxy> = known
+            .filter(|p| word.as_ref().is_none_or(|w| *w == p.incarnation))
+            .collect();
         let [one] = known.as_slice() else {
             let found: Vec<&str> = known.iter().map(|p| p.incarnation.as_str()).collect();
-            let all: Vec<String> =
-                standing.proxies.iter().map(|p| format!("{} {}", p.name, p.incarnation)).collect();
+            let all: Vec<String> = standing
+                .proxies
+                .iter()
+                .map(|p| format!("{} {}", p.name, p.incarnation))
+                .collect();
             return Err(match found.is_empty() {
                 true => format!("no proxy {name:?}; control knows: {}", all.join(", ")),
-                false => format!("{name:?} runs more than once: name its start too: {}", found.join(", ")),
+                false => format!(
+                    "{name:?} runs more than once: name its start too: {}",
+                    found.join(", ")
+                ),
             });
         };
         let incarnation = u64::from_str_radix(&one.incarnation, 16).map_err(|e| e.to_string())?;
-        let identity = wire::Identity { name: name.to_owned(), incarnation };
-        self.asked(request::What::Evict(identity)).await.map(|_| ()).map_err(|e| e.to_string())
+        let identity = wire::Identity {
+            name: name.to_owned(),
+            incarnation,
+        };
+        self.asked(request::What::Evict(identity))
+            .await
+            .map(|_| ())
+            .map_err(|e| e.to_string())
     }
 
     /// Gives the change under way up.
@@ -438,16 +518,35 @@
     pub async fn abort(&mut self, why: &str) -> Result<u64, String> {
         let standing = self.standing().await.map_err(|e| e.to_string())?;
         // Before the first policy is in force, a change of all regions shows among the changes alone.
-        let open = || standing.changes.iter().find(|c| c.outcome == UNDER_WAY).map(|c| c.generation);
-        let generation = standing.to_come.or_else(open).ok_or("no change is under way")?;
-        let abort = wire::Abort { generation, why: why.to_owned() };
-        self.asked(request::What::Abort(abort)).await.map_err(|e| e.to_string())?;
+        let open = || {
+            standing
+                .changes
+                .iter()
+                .find(|c| c.outcome == UNDER_WAY)
+                .map(|c| c.generation)
+        };
+        let generation = standing
+            .to_come
+            .or_else(open)
+            .ok_or("no change is under way")?;
+        let abort = wire::Abort {
+            generation,
+            why: why.to_owned(),
+        };
+        self.asked(request::What::Abort(abort))
+            .await
+            .map_err(|e| e.to_string())?;
         Ok(generation)
     }
 
     /// Publishes files for the region that is asked, beside what stands at `revision`, and follows the change to its end.
     /// `told` hears of each who holds it up.
-    pub async fn publish(&mut self, files: &Files, revision: u64, told: impl FnMut(&[Held])) -> Done {
+    pub async fn publish(
+        &mut self,
+        files: &Files,
+        revision: u64,
+        told: impl FnMut(&[Held]),
+    ) -> Done {
         self.publish_for(Scope::Region, files, revision, told).await
     }
 
@@ -470,7 +569,10 @@
             held_up: Vec::new(),
             took_ms: 0,
         };
-        let policy = wire::Publish { files: files.clone(), revision };
+        let policy = wire::Publish {
+            files: files.clone(),
+            revision,
+        };
         let what = match scope {
             Scope::Region => request::What::Publish(policy),
             Scope::All => request::What::PublishAll(policy),
@@ -490,7 +592,9 @@
             match fault {
                 Fault::Refused(refusal) if refusal.code() == refusal::Code::NotLeader => {}
                 Fault::Refused(refusal)
-                    if lost && [refusal::Code::UnderWay, refusal::Code::Moved].contains(&refusal.code()) =>
+                    if lost
+                        && [refusal::Code::UnderWay, refusal::Code::Moved]
+                            .contains(&refusal.code()) =>
                 {
                     match self.own(files, revision).await {
                         Ok(Some(generation)) => {
@@ -521,15 +625,31 @@
         done.outcome = Outcome::NotKnown;
         let mut last = Vec::new();
         while Instant::now() < end {
-            if let Ok(status) = self.client.ask(&request::What::Status(wire::StatusAsked {})).await {
-                let reply::What::Status(status) = status else { continue };
-                let change = status.changes.iter().find(|c| Some(c.generation) == done.generation);
+            if let Ok(status) = self
+                .client
+                .ask(&request::What::Status(wire::StatusAsked {}))
+                .await
+            {
+                let reply::What::Status(status) = status else {
+                    continue;
+                };
+                let change = status
+                    .changes
+                    .iter()
+                    .find(|c| Some(c.generation) == done.generation);
                 let ended = change.map(|c| (c.ended(), c.why.clone()));
                 match ended {
-                    Some((Ended::InForce, _)) => (done.outcome, done.why) = (Outcome::InForce, String::new()),
-                    Some((Ended::NotInForce, why)) => (done.outcome, done.why) = (Outcome::NotInForce, why),
+                    Some((Ended::InForce, _)) => {
+                        (done.outcome, done.why) = (Outcome::InForce, String::new())
+                    }
+                    Some((Ended::NotInForce, why)) => {
+                        (done.outcome, done.why) = (Outcome::NotInForce, why)
+                    }
                     Some(_) => {}
-                    None => done.why = "control does not know this change: it has lost its store".to_owned(),
+                    None => {
+                        done.why =
+                            "control does not know this change: it has lost its store".to_owned()
+                    }
                 }
                 if done.outcome != Outcome::NotKnown {
                     break;
@@ -580,8 +700,10 @@
     if path.join(MANIFEST).exists() {
         return Ok(vec![path.to_owned()]);
     }
-    let mut files: Vec<PathBuf> =
-        folder(path)?.into_keys().map(|name| path.join(format!("{name}.toml"))).collect();
+    let mut files: Vec<PathBuf> = folder(path)?
+        .into_keys()
+        .map(|name| path.join(format!("{name}.toml")))
+        .collect();
     files.sort();
     Ok(files)
 }
@@ -600,7 +722,8 @@
         if !own && path.extension().is_some_and(|e| e == "toml") {
             let name = path.file_stem().and_then(|n| n.to_str());
             let name = name.ok_or_else(|| format!("{}: its name is no text", path.display()))?;
-            let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
             files.insert(name.to_owned(), text);
         }
     }
@@ -619,7 +742,10 @@
         let (a, b) = (of(old), of(new));
         if a != b {
             let diff = similar::TextDiff::from_lines(&a, &b);
-            let shown = diff.unified_diff().header(&format!("{name} (in force)"), name).to_string();
+            let shown = diff
+                .unified_diff()
+                .header(&format!("{name} (in force)"), name)
+                .to_string();
             text.push_str(&shown);
         }
     }
--- a/crates/config-tool/src/main.rs
+++ b/crates/config-tool/src/main.rs
@@ -136,23 +136,38 @@
     let format = if cli.json { Format::Json } else { cli.format };
     match cli.command {
         Command::Init { file } => init(&file),
-        Command::Write { description, out, dry_run, force } => {
-            write(&description, &out, (dry_run, force), format)
-        }
+        Command::Write {
+            description,
+            out,
+            dry_run,
+            force,
+        } => write(&description, &out, (dry_run, force), format),
         Command::Check { against, paths } => check(against.as_deref(), &paths, format),
-        Command::Explain { file, request, header, client, class } => {
-            explain(&file, request, (&header, client), class, format)
-        }
+        Command::Explain {
+            file,
+            request,
+            header,
+            client,
+            class,
+        } => explain(&file, request, (&header, client), class, format),
         Command::Publish { folder, scope, at } => publish(&folder, scope, &at, format),
         Command::Status { at } => standing(&at, format, fleet::Standing::human),
         Command::History { at } => standing(&at, format, fleet::Standing::history),
-        Command::Rollback { generation, scope, at } => rollback(generation, scope, &at, format),
+        Command::Rollback {
+            generation,
+            scope,
+            at,
+        } => rollback(generation, scope, &at, format),
         Command::Abort { why, at } => with_control(&at, async |control| {
             let generation = control.abort(&why).await?;
             println!("the change to generation {generation} comes to nothing");
             Ok(ExitCode::SUCCESS)
         }),
-        Command::Evict { name, incarnation, at } => with_control(&at, async |control| {
+        Command::Evict {
+            name,
+            incarnation,
+            at,
+        } => with_control(&at, async |control| {
             control.evict(&name, incarnation).await?;
             println!("{name} is evicted");
             Ok(ExitCode::SUCCESS)
@@ -161,11 +176,18 @@
 }
 
 /// Asks control.
-fn with_control(at: &At, ask: impl AsyncFnOnce(&mut Control) -> Result<ExitCode, String>) -> ExitCode {
+fn with_control(
+    at: &At,
+    ask: impl AsyncFnOnce(&mut Control) -> Result<ExitCode, String>,
+) -> ExitCode {
     let asked = || {
         let mut control = Control::new(at)?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        runtime.map_err(|e| e.to_string())?.block_on(ask(&mut control))
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
+        runtime
+            .map_err(|e| e.to_string())?
+            .block_on(ask(&mut control))
     };
     asked().unwrap_or_else(failed)
 }
@@ -234,10 +256,14 @@
     }
     let done = control
         .publish_for(scope, &files, standing.revision, |held| {
-            held.iter().filter(|_| human).for_each(|h| println!("held up by {}", h.human()));
+            held.iter()
+                .filter(|_| human)
+                .for_each(|h| println!("held up by {}", h.human()));
         })
         .await;
-    let number = done.generation.map_or("it".to_owned(), |g| format!("generation {g}"));
+    let number = done
+        .generation
+        .map_or("it".to_owned(), |g| format!("generation {g}"));
     if !human {
         print!("{}", json(&done));
     }
@@ -248,9 +274,15 @@
             }
             ExitCode::SUCCESS
         }
-        Outcome::NotInForce => failed(format!("{number} is not in force, and will not be: {}", done.why)),
+        Outcome::NotInForce => failed(format!(
+            "{number} is not in force, and will not be: {}",
+            done.why
+        )),
         Outcome::NotKnown => {
-            eprintln!("badgerramp-config: whether {number} is in force is not known yet: {}", done.why);
+            eprintln!(
+                "badgerramp-config: whether {number} is in force is not known yet: {}",
+                done.why
+            );
             ExitCode::from(3)
         }
     })
@@ -270,9 +302,15 @@
     if report.good() {
         return ExitCode::SUCCESS;
     }
-    let counts: Vec<String> =
-        commands::counts(report).iter().map(|(code, n)| format!("{n} {code}")).collect();
-    failed(format!("{} found: {}", report.findings.len(), counts.join(", ")))
+    let counts: Vec<String> = commands::counts(report)
+        .iter()
+        .map(|(code, n)| format!("{n} {code}"))
+        .collect();
+    failed(format!(
+        "{} found: {}",
+        report.findings.len(),
+        counts.join(", ")
+    ))
 }
 
 fn init(file: &Path) -> ExitCode {
@@ -295,13 +333,23 @@
     }
 }
 
-fn write(description: &Path, out: &Path, (dry_run, force): (bool, bool), format: Format) -> ExitCode {
+fn write(
+    description: &Path,
+    out: &Path,
+    (dry_run, force): (bool, bool),
+    format: Format,
+) -> ExitCode {
     let written = match commands::compose(description) {
         Ok(written) => written,
         Err(report) => return tell(&report, format),
     };
     let plan = commands::plan(&written, out);
-    let Plan { write, remove, by_hand, diff } = &plan;
+    let Plan {
+        write,
+        remove,
+        by_hand,
+        diff,
+    } = &plan;
     if dry_run {
         print!("{diff}");
     }
@@ -360,7 +408,8 @@
     let text = match (request, class) {
         (Some(request), _) => match explain::request_of(&request, headers) {
             Ok((method, path, headers)) => {
-                explain::request(&config, &method, &path, &headers, client).map(|told| match format {
+                explain::request(&config, &method, &path, &headers, client).map(|told| match format
+                {
                     Format::Human => told.human(&config),
                     Format::Json => json(&told),
                 })
--- a/crates/config-tool/src/manifest.rs
+++ b/crates/config-tool/src/manifest.rs
@@ -54,7 +54,9 @@
 
 /// The keys of an upstream that the operators' files hold too.
 pub fn figures(upstream: &Upstream) -> String {
-    let line = |raw: &crate::description::Raw| format!("{} = {}\n", raw.key, raw.text.replace("\r\n", "\n"));
+    let line = |raw: &crate::description::Raw| {
+        format!("{} = {}\n", raw.key, raw.text.replace("\r\n", "\n"))
+    };
     upstream.keys.iter().map(line).collect()
 }
 
@@ -65,15 +67,23 @@
 
 /// Files and digests that a manifest names; empty if there is none or it can't be read.
 pub fn digests(folder: &Path) -> BTreeMap<String, String> {
-    let Ok(text) = std::fs::read_to_string(folder.join(NAME)) else { return BTreeMap::new() };
+    let Ok(text) = std::fs::read_to_string(folder.join(NAME)) else {
+        return BTreeMap::new();
+    };
     let mut notes = Notes::default();
     let table = document(&mut notes, &text);
     let apps = table.get("app").and_then(|a| a.get_ref().as_table());
     let entry = |app: &badgerramp_reading::DeTable<'_>| {
-        let text = |name: &str| app.get(name).and_then(|v| v.get_ref().as_str()).map(str::to_owned);
+        let text = |name: &str| {
+            app.get(name)
+                .and_then(|v| v.get_ref().as_str())
+                .map(str::to_owned)
+        };
         Some((text("file")?, text("digest")?))
     };
-    let tables = apps.into_iter().flat_map(|apps| apps.values().filter_map(|a| a.get_ref().as_table()));
+    let tables = apps
+        .into_iter()
+        .flat_map(|apps| apps.values().filter_map(|a| a.get_ref().as_table()));
     tables.filter_map(entry).collect()
 }
 
@@ -85,7 +95,11 @@
         Ok(text) => text,
         Err(fault) => {
             let file = report.file(shown, "");
-            report.findings.push(missing(Place::new(file, &(0..0)), "manifest", &fault.to_string()));
+            report.findings.push(missing(
+                Place::new(file, &(0..0)),
+                "manifest",
+                &fault.to_string(),
+            ));
             return Set::default();
         }
     };
@@ -100,7 +114,9 @@
         top.integer(&mut notes, "version", VERSION..=VERSION);
         set = read(report, &mut notes, file, folder, &top);
     }
-    report.findings.extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+    report
+        .findings
+        .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
     set
 }
 
@@ -117,15 +133,27 @@
     }
 }
 
-fn read(report: &mut Report, notes: &mut Notes, file: usize, folder: &Path, top: &Section<'_>) -> Set {
+fn read(
+    report: &mut Report,
+    notes: &mut Notes,
+    file: usize,
+    folder: &Path,
+    top: &Section<'_>,
+) -> Set {
     let mut set = Set::default();
     let mut listed = std::collections::HashSet::new();
-    for (name, section) in parts(notes, top, "app", &[&["file", "digest"][..], &facts::APP[..]].concat()) {
+    for (name, section) in parts(
+        notes,
+        top,
+        "app",
+        &[&["file", "digest"][..], &facts::APP[..]].concat(),
+    ) {
         section.want(notes, "file", "the name of its file");
         section.want(notes, "digest", "the digest of its file");
         let facts = facts::App::read(notes, &section);
         set.broken |= facts.is_none();
-        let (Some(own), Some(sum)) = (section.text(notes, "file"), section.text(notes, "digest")) else {
+        let (Some(own), Some(sum)) = (section.text(notes, "file"), section.text(notes, "digest"))
+        else {
             continue;
         };
         if own.value.contains(['/', '\\']) {
@@ -143,9 +171,19 @@
         match std::fs::read_to_string(&path) {
             Ok(text) => {
                 if digest(&text) != sum.value {
-                    report.notes.push(format!("{} was changed by hand since it was written", path.display()));
+                    report.notes.push(format!(
+                        "{} was changed by hand since it was written",
+                        path.display()
+                    ));
                 }
-                application(report, &mut set, name, &path, &text, facts.map(|f| (file, f)));
+                application(
+                    report,
+                    &mut set,
+                    name,
+                    &path,
+                    &text,
+                    facts.map(|f| (file, f)),
+                );
             }
             Err(fault) => {
                 set.broken = true;
@@ -167,13 +205,25 @@
         if let Some(parent) = top.section(notes, "upstream", &names) {
             for (name, span, _) in parent.iter() {
                 let place = Place::new(file, &span);
-                let Some(upstream) = read_upstream(notes, &parent, name) else { continue };
+                let Some(upstream) = read_upstream(notes, &parent, name) else {
+                    continue;
+                };
                 let Some(facts) = contracts.remove(name) else {
                     let key = format!("contract.{name}");
-                    notes.add((&key, &span), "this upstream has no contract", "nothing", format!("[{key}]"));
+                    notes.add(
+                        (&key, &span),
+                        "this upstream has no contract",
+                        "nothing",
+                        format!("[{key}]"),
+                    );
                     continue;
                 };
-                set.upstreams.push(Described { name: name.to_owned(), place, facts, upstream });
+                set.upstreams.push(Described {
+                    name: name.to_owned(),
+                    place,
+                    facts,
+                    upstream,
+                });
             }
         }
     }
@@ -181,13 +231,15 @@
         .into_iter()
         .flatten()
         .filter_map(|e| e.ok()?.file_name().into_string().ok());
-    let mut strange: Vec<String> =
-        others.filter(|n| n.ends_with(".toml") && n != NAME && !listed.contains(n)).collect();
+    let mut strange: Vec<String> = others
+        .filter(|n| n.ends_with(".toml") && n != NAME && !listed.contains(n))
+        .collect();
     strange.sort();
     for name in strange {
-        report
-            .notes
-            .push(format!("{} is not in the manifest and was not checked", folder.join(name).display()));
+        report.notes.push(format!(
+            "{} is not in the manifest and was not checked",
+            folder.join(name).display()
+        ));
     }
     set.applications.sort_by(|a, b| a.name.cmp(&b.name));
     set
@@ -206,12 +258,23 @@
     let file = report.file(shown.clone(), text);
     match badgerramp_config::parse(&shown, text) {
         Ok(config) if config.usage == badgerramp_config::Use::Alone => {
-            set.applications.push(Application { name: name.to_owned(), file, config, facts });
+            set.applications.push(Application {
+                name: name.to_owned(),
+                file,
+                config,
+                facts,
+            });
         }
-        Ok(_) => report.notes.push(format!("{shown} is for the platform: it was checked by itself only")),
+        Ok(_) => report.notes.push(format!(
+            "{shown} is for the platform: it was checked by itself only"
+        )),
         Err(mistakes) => {
             set.broken = true;
-            report.findings.extend(mistakes.iter().map(|m| Finding::of_mistake(file, m, Some(name))));
+            report.findings.extend(
+                mistakes
+                    .iter()
+                    .map(|m| Finding::of_mistake(file, m, Some(name))),
+            );
         }
     }
 }
@@ -227,10 +290,16 @@
         Some(table) => table.keys().map(|k| &**k.get_ref()).collect(),
         None => Vec::new(),
     };
-    let Some(parent) = top.section(notes, name, &names) else { return Vec::new() };
+    let Some(parent) = top.section(notes, name, &names) else {
+        return Vec::new();
+    };
     let mut parts = Vec::new();
     for (name, ..) in parent.iter() {
-        parts.extend(parent.section(notes, name, known).map(|section| (name, section)));
+        parts.extend(
+            parent
+                .section(notes, name, known)
+                .map(|section| (name, section)),
+        );
     }
     parts
 }
--- a/crates/config-tool/src/overlap.rs
+++ b/crates/config-tool/src/overlap.rs
@@ -13,7 +13,10 @@
 
 /// Is `path` the prefix itself or below it?
 pub fn under(path: &str, prefix: &str) -> bool {
-    prefix == "/" || path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    prefix == "/"
+        || path
+            .strip_prefix(prefix)
+            .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
 /// Can the route take some path that is `prefix` or below it?
@@ -21,7 +24,11 @@
     match &route.path {
         PathPattern::Exact(path) => under(path, prefix),
         PathPattern::Prefix(path) => {
-            let bare = if path.len() > 1 { path.trim_end_matches('/') } else { path };
+            let bare = if path.len() > 1 {
+                path.trim_end_matches('/')
+            } else {
+                path
+            };
             under(path, prefix) || under(bare, prefix) || under(prefix, bare)
         }
         PathPattern::Regex(regex) => pattern_reaches(regex.as_str(), prefix),
@@ -56,8 +63,12 @@
         .start_kind(StartKind::Anchored)
         .dfa_size_limit(Some(DFA_BYTES))
         .determinize_size_limit(Some(BUILD_BYTES));
-    let Ok(dfa) = dense::Builder::new().configure(config).build(pattern) else { return true };
-    let Ok(mut state) = dfa.start_state(&start::Config::new().anchored(Anchored::Yes)) else { return true };
+    let Ok(dfa) = dense::Builder::new().configure(config).build(pattern) else {
+        return true;
+    };
+    let Ok(mut state) = dfa.start_state(&start::Config::new().anchored(Anchored::Yes)) else {
+        return true;
+    };
     let walk = if prefix == "/" { "" } else { prefix };
     for &byte in walk.as_bytes() {
         state = dfa.next_state(state, byte);
@@ -89,7 +100,8 @@
     let mut rest = path.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
         let decoded = (byte == b'%').then(|| after.get(..2)).flatten();
-        let decoded = decoded.and_then(|d| u8::from_str_radix(std::str::from_utf8(d).ok()?, 16).ok());
+        let decoded =
+            decoded.and_then(|d| u8::from_str_radix(std::str::from_utf8(d).ok()?, 16).ok());
         match decoded {
             Some(decoded) => {
                 bytes.push(decoded);
@@ -102,7 +114,10 @@
         }
     }
     let text = String::from_utf8_lossy(&bytes).to_lowercase();
-    let segments = text.split('/').map(|s| s.split(';').next().unwrap_or_default()).filter(|s| !s.is_empty());
+    let segments = text
+        .split('/')
+        .map(|s| s.split(';').next().unwrap_or_default())
+        .filter(|s| !s.is_empty());
     segments.fold(String::new(), |path, segment| path + "/" + segment)
 }
 
@@ -160,10 +175,26 @@
     /// The automaton's answer against what the pattern itself says of many paths.
     #[test]
     fn a_pattern_that_matches_under_a_path_is_always_told() {
-        for text in ["/fee/a+", "/(f|g)ee", "/f.e/x?", "/[^x]*", "/fee(/[ab]{1,2})*", "/.{3}", "/fee/.{0,2}z"]
-        {
+        for text in [
+            "/fee/a+",
+            "/(f|g)ee",
+            "/f.e/x?",
+            "/[^x]*",
+            "/fee(/[ab]{1,2})*",
+            "/.{3}",
+            "/fee/.{0,2}z",
+        ] {
             let regex = pattern(text).expect("a pattern");
-            let paths = ["/fee", "/fee/", "/fee/a", "/fee/aa", "/fee/ab/b", "/fee/x", "/fee/yyz", "/fee/z"];
+            let paths = [
+                "/fee",
+                "/fee/",
+                "/fee/a",
+                "/fee/aa",
+                "/fee/ab/b",
+                "/fee/x",
+                "/fee/yyz",
+                "/fee/z",
+            ];
             let matches = paths.iter().any(|p| regex.is_match(p));
             let told = takes_under(&route(PathPattern::Regex(regex)), "/fee");
             assert!(told || !matches, "{text}");
--- a/crates/config-tool/src/render.rs
+++ b/crates/config-tool/src/render.rs
@@ -30,7 +30,8 @@
             0 => name.rsplit('/').next().unwrap_or(name).to_owned(),
             _ => name.clone(),
         };
-        let lines = |(_, text): &(String, String)| text.match_indices('\n').map(|(at, _)| at).collect();
+        let lines =
+            |(_, text): &(String, String)| text.match_indices('\n').map(|(at, _)| at).collect();
         Sources {
             names: report.files.iter().enumerate().map(name).collect(),
             lines: report.files.iter().map(lines).collect(),
@@ -39,9 +40,15 @@
 
     /// Where a value came from, as a comment tells it.
     fn shown(&self, place: &Place) -> String {
-        let line =
-            self.lines.get(place.file).map_or(0, |ends| ends.partition_point(|&end| end < place.start)) + 1;
-        format!("{}:{line}", self.names.get(place.file).map_or("", String::as_str))
+        let line = self
+            .lines
+            .get(place.file)
+            .map_or(0, |ends| ends.partition_point(|&end| end < place.start))
+            + 1;
+        format!(
+            "{}:{line}",
+            self.names.get(place.file).map_or("", String::as_str)
+        )
     }
 }
 
@@ -52,7 +59,10 @@
 
 /// A key as TOML wants it.
 fn quoted(key: &str) -> String {
-    let bare = !key.is_empty() && key.chars().all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
+    let bare = !key.is_empty()
+        && key
+            .chars()
+            .all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
     if bare {
         key.to_owned()
     } else {
@@ -76,7 +86,10 @@
             self.line(&format!("# {from}"), Some(&raw.place));
             self.line(&format!("{} = {text}", quoted(&raw.key)), Some(&raw.place));
         } else {
-            self.line(&format!("{} = {text}  # {from}", quoted(&raw.key)), Some(&raw.place));
+            self.line(
+                &format!("{} = {text}  # {from}", quoted(&raw.key)),
+                Some(&raw.place),
+            );
         }
     }
 }
@@ -89,8 +102,15 @@
 
 /// A class with an application's own timing laid over it.
 fn laid_over(class: &Class, app: &App) -> Vec<Raw> {
-    let own = app.overrides.iter().find(|o| o.0 == class.name).map_or(&[][..], |o| &o.1);
-    let kept = class.keys.iter().filter(|k| own.iter().all(|o| o.key != k.key));
+    let own = app
+        .overrides
+        .iter()
+        .find(|o| o.0 == class.name)
+        .map_or(&[][..], |o| &o.1);
+    let kept = class
+        .keys
+        .iter()
+        .filter(|k| own.iter().all(|o| o.key != k.key));
     kept.chain(own).cloned().collect()
 }
 
@@ -102,12 +122,24 @@
     upstream: Option<&Upstream>,
     proxies: u64,
 ) -> Rendered {
-    let rendered = Rendered { text: String::new(), origins: Vec::new(), own: app.place.clone() };
+    let rendered = Rendered {
+        text: String::new(),
+        origins: Vec::new(),
+        own: app.place.clone(),
+    };
     let mut writer = Writer { sources, rendered };
     let from = writer.sources.shown(&app.place);
-    writer.line(&format!("# Written by badgerramp-config for application {:?} ({from}).", app.name), None);
-    writer
-        .line("# Change the description, not this file: what is changed here stops the next writing.", None);
+    writer.line(
+        &format!(
+            "# Written by badgerramp-config for application {:?} ({from}).",
+            app.name
+        ),
+        None,
+    );
+    writer.line(
+        "# Change the description, not this file: what is changed here stops the next writing.",
+        None,
+    );
     writer.line("", None);
     app.top.iter().for_each(|raw| writer.raw(raw));
     if !app.limits.is_empty() {
@@ -116,15 +148,24 @@
     }
     if let Some(upstream) = upstream {
         writer.line("\n[upstream]", Some(&upstream.place));
-        let reckoned =
-            format!("proxies = {proxies}  # all instances of all applications on {:?}", upstream.name);
+        let reckoned = format!(
+            "proxies = {proxies}  # all instances of all applications on {:?}",
+            upstream.name
+        );
         writer.line(&reckoned, Some(&upstream.place));
         app.zone.iter().for_each(|raw| writer.raw(raw));
         upstream.keys.iter().for_each(|raw| writer.raw(raw));
     }
-    let sent = |class: &&Class| app.sends.iter().any(|s| s.class.as_ref() == Some(&class.name));
+    let sent = |class: &&Class| {
+        app.sends
+            .iter()
+            .any(|s| s.class.as_ref() == Some(&class.name))
+    };
     for class in description.classes.iter().filter(sent) {
-        writer.line(&format!("\n[class.{}]", quoted(&class.name)), Some(&class.place));
+        writer.line(
+            &format!("\n[class.{}]", quoted(&class.name)),
+            Some(&class.place),
+        );
         let keys = laid_over(class, app);
         keys.iter().for_each(|raw| writer.raw(raw));
         // The sidecar's last word must come before its own client goes.
@@ -134,8 +175,10 @@
                 let place = Place::new(app.place.file, &waits.span);
                 let total = show_duration(waits.value.saturating_sub(ANSWER_ROOM));
                 let from = writer.sources.shown(&place);
-                let text =
-                    format!("total = {total:?}  # its client waits {} ({from})", show_duration(waits.value));
+                let text = format!(
+                    "total = {total:?}  # its client waits {} ({from})",
+                    show_duration(waits.value)
+                );
                 writer.line(&text, Some(&place));
             }
         }
@@ -144,7 +187,10 @@
         writer.line("\n[[route]]", Some(&send.place));
         if !send.keys.iter().any(|k| k.key == "name") {
             let class = send.class.as_deref().unwrap_or("none");
-            writer.line(&format!("name = {:?}", format!("{class}-{}", number + 1)), Some(&send.place));
+            writer.line(
+                &format!("name = {:?}", format!("{class}-{}", number + 1)),
+                Some(&send.place),
+            );
         }
         send.keys.iter().for_each(|raw| writer.raw(raw));
     }
@@ -156,7 +202,11 @@
     fn origin(&self, start: usize) -> Place {
         let before = self.text.get(..start).unwrap_or_default();
         let line = before.matches('\n').count();
-        self.origins.get(line).cloned().flatten().unwrap_or_else(|| self.own.clone())
+        self.origins
+            .get(line)
+            .cloned()
+            .flatten()
+            .unwrap_or_else(|| self.own.clone())
     }
 }
 
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -60,7 +60,8 @@
     let (before, after) = (&old.config, &new.config);
     let mut change = Change { report, old, new };
     if before.listen != after.listen {
-        let reason = "a listener that moves leaves its clients behind: a running program can't move it";
+        let reason =
+            "a listener that moves leaves its clients behind: a running program can't move it";
         let allowed = format!("{}, or a new application beside the old one", before.listen);
         change.refuse(
             "listener-moved",
@@ -72,21 +73,39 @@
     }
     for (key, same) in [
         ("limits.memory", before.limits.memory == after.limits.memory),
-        ("limits.descriptors", before.limits.descriptors == after.limits.descriptors),
+        (
+            "limits.descriptors",
+            before.limits.descriptors == after.limits.descriptors,
+        ),
         ("upstream.idle", before.upstream.idle == after.upstream.idle),
-        ("upstream.discovery", before.upstream.discovery.is_some() == after.upstream.discovery.is_some()),
+        (
+            "upstream.discovery",
+            before.upstream.discovery.is_some() == after.upstream.discovery.is_some(),
+        ),
         ("peers", before.peers == after.peers),
     ] {
         if !same {
-            change.note(format!("{key} changes: a reload refuses that, it wants a new start"));
+            change.note(format!(
+                "{key} changes: a reload refuses that, it wants a new start"
+            ));
         }
     }
     classes(&mut change, before, after);
     for endpoint in &after.upstream.endpoints {
-        let known = before.upstream.endpoints.iter().find(|e| e.address == endpoint.address);
-        if let Some(known) = known.filter(|k| (k.group, &k.zone) != (endpoint.group, &endpoint.zone)) {
-            let reason = "while both run, a keyed call could go again to a group that does not know it";
-            let found = format!("{} in group {}, zone {:?}", endpoint.address, endpoint.group, endpoint.zone);
+        let known = before
+            .upstream
+            .endpoints
+            .iter()
+            .find(|e| e.address == endpoint.address);
+        if let Some(known) =
+            known.filter(|k| (k.group, &k.zone) != (endpoint.group, &endpoint.zone))
+        {
+            let reason =
+                "while both run, a keyed call could go again to a group that does not know it";
+            let found = format!(
+                "{} in group {}, zone {:?}",
+                endpoint.address, endpoint.group, endpoint.zone
+            );
             let allowed = format!("group {}, zone {:?}, as before", known.group, known.zone);
             change.refuse(
                 "group-moved",
@@ -97,8 +116,13 @@
             );
         }
     }
-    let addresses =
-        |c: &Config| c.upstream.endpoints.iter().map(|e| e.address.to_string()).collect::<Vec<_>>();
+    let addresses = |c: &Config| {
+        c.upstream
+            .endpoints
+            .iter()
+            .map(|e| e.address.to_string())
+            .collect::<Vec<_>>()
+    };
     let (theirs, own) = (addresses(before), addresses(after));
     for gone in theirs.iter().filter(|a| !own.contains(a)) {
         change.note(format!("endpoint {gone} goes"));
@@ -142,14 +166,31 @@
                 let reason = "while both run, the old one would send again what the hosts may have forgotten";
                 let path = ["class", name, "window"];
                 let allowed = format!("{} or more", show_duration(a));
-                change.refuse("window-shrinks", (key("window"), &path), reason, show_duration(b), allowed);
+                change.refuse(
+                    "window-shrinks",
+                    (key("window"), &path),
+                    reason,
+                    show_duration(b),
+                    allowed,
+                );
             } else if b > a {
-                change.note(format!("class {name}: window {} -> {}", show_duration(a), show_duration(b)));
+                change.note(format!(
+                    "class {name}: window {} -> {}",
+                    show_duration(a),
+                    show_duration(b)
+                ));
             }
         }
-        for (what, a, b) in [("aim", theirs.aim, own.aim), ("deadline", theirs.deadline, own.deadline)] {
+        for (what, a, b) in [
+            ("aim", theirs.aim, own.aim),
+            ("deadline", theirs.deadline, own.deadline),
+        ] {
             if a != b {
-                change.note(format!("class {name}: {what} {} -> {}", show_duration(a), show_duration(b)));
+                change.note(format!(
+                    "class {name}: {what} {} -> {}",
+                    show_duration(a),
+                    show_duration(b)
+                ));
             }
         }
     }
@@ -164,19 +205,33 @@
 fn samples(route: &Route) -> Vec<(Method, String, HeaderMap)> {
     let paths = match &route.path {
         PathPattern::Exact(path) => vec![path.clone()],
-        PathPattern::Prefix(path) => vec![path.clone(), format!("{}/x", path.trim_end_matches('/'))],
+        PathPattern::Prefix(path) => {
+            vec![path.clone(), format!("{}/x", path.trim_end_matches('/'))]
+        }
         PathPattern::Regex(_) => Vec::new(),
     };
-    let methods =
-        if route.methods.is_empty() { vec![Method::POST, Method::GET] } else { route.methods.clone() };
+    let methods = if route.methods.is_empty() {
+        vec![Method::POST, Method::GET]
+    } else {
+        route.methods.clone()
+    };
     let any = HeaderValue::from_static("1");
     let headers: HeaderMap = route
         .headers
         .iter()
-        .map(|h| (h.name.clone(), h.value.clone().unwrap_or_else(|| any.clone())))
+        .map(|h| {
+            (
+                h.name.clone(),
+                h.value.clone().unwrap_or_else(|| any.clone()),
+            )
+        })
         .collect();
-    let pairs = paths.iter().flat_map(|p| methods.iter().map(move |m| (m.clone(), p.clone())));
-    pairs.map(|(method, path)| (method, path, headers.clone())).collect()
+    let pairs = paths
+        .iter()
+        .flat_map(|p| methods.iter().map(move |m| (m.clone(), p.clone())));
+    pairs
+        .map(|(method, path)| (method, path, headers.clone()))
+        .collect()
 }
 
 /// What the same request is to both.
@@ -187,7 +242,12 @@
             let find = |c: &Config| {
                 let (_, route) = c.routes.find(&method, &path, &headers).ok().flatten()?;
                 let class = &c.classes[route.class];
-                Some((class.name.clone(), class.class.repeat, route.key.clone(), route.name.clone()))
+                Some((
+                    class.name.clone(),
+                    class.class.repeat,
+                    route.key.clone(),
+                    route.name.clone(),
+                ))
             };
             let (theirs, own) = (find(before), find(after));
             let request = format!("{method} {path}");
@@ -202,9 +262,14 @@
                             true => format!("while both run, {request} would be two things"),
                             false => format!("while both run, {request} would have two keys"),
                         };
-                        let found = format!("class {} ({}), key {:?}", own.0, show_repeat(own.1), own.2);
-                        let allowed =
-                            format!("class {} ({}), key {:?}", theirs.0, show_repeat(theirs.1), theirs.2);
+                        let found =
+                            format!("class {} ({}), key {:?}", own.0, show_repeat(own.1), own.2);
+                        let allowed = format!(
+                            "class {} ({}), key {:?}",
+                            theirs.0,
+                            show_repeat(theirs.1),
+                            theirs.2
+                        );
                         let place = number(&own.3).unwrap_or(0).to_string();
                         change.refuse(
                             "path-changed",
@@ -230,10 +295,23 @@
 /// Timing of the routes that both have.
 fn routes(change: &mut Change<'_>, before: &Config, after: &Config) {
     for (place, route) in after.routes.routes().iter().enumerate() {
-        let Some(known) = before.routes.routes().iter().position(|r| r.name == route.name) else { continue };
-        let pairs = before.route_figures(known).into_iter().zip(after.route_figures(place));
+        let Some(known) = before
+            .routes
+            .routes()
+            .iter()
+            .position(|r| r.name == route.name)
+        else {
+            continue;
+        };
+        let pairs = before
+            .route_figures(known)
+            .into_iter()
+            .zip(after.route_figures(place));
         for (theirs, own) in pairs.filter(|(a, b)| a.value != b.value) {
-            change.note(format!("route {}: {} {} -> {}", route.name, own.name, theirs.value, own.value));
+            change.note(format!(
+                "route {}: {} {} -> {}",
+                route.name, own.name, theirs.value, own.value
+            ));
         }
     }
 }
