--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -53,7 +53,11 @@
         Repeat::Free => "safe".to_owned(),
         Repeat::SingleShot => "unsafe".to_owned(),
         Repeat::Guarded { scope, window } => {
-            format!("keyed, group {:?}, window {}", show_scope(scope), show_duration(window))
+            format!(
+                "keyed, group {:?}, window {}",
+                show_scope(scope),
+                show_duration(window)
+            )
         }
     }
 }
@@ -80,7 +84,10 @@
             let place = self.config.classes.iter().position(|c| c.name == **name)?;
             Some(self.config.class_span(place))
         };
-        Place::new(self.file, &self.config.place(path).or_else(class).unwrap_or(0..0))
+        Place::new(
+            self.file,
+            &self.config.place(path).or_else(class).unwrap_or(0..0),
+        )
     }
 
     fn finding(
@@ -114,9 +121,15 @@
         self.listeners(report);
         self.fleets(report);
         for app in &self.applications {
-            let Some((file, facts)) = &app.facts else { continue };
+            let Some((file, facts)) = &app.facts else {
+                continue;
+            };
             client(report, app, *file, facts);
-            let Some(upstream) = self.upstreams.iter().find(|u| u.name == facts.upstream.value) else {
+            let Some(upstream) = self
+                .upstreams
+                .iter()
+                .find(|u| u.name == facts.upstream.value)
+            else {
                 let known: Vec<&str> = self.upstreams.iter().map(|u| u.name.as_str()).collect();
                 let place = Place::new(*file, &facts.upstream.span);
                 let mut finding = app.finding(
@@ -154,16 +167,25 @@
         let mut classes: BTreeMap<String, (&str, &Application)> = BTreeMap::new();
         for app in &self.applications {
             for class in &app.config.classes {
-                let first = *classes.entry(folded(&class.name)).or_insert((&class.name, app));
+                let first = *classes
+                    .entry(folded(&class.name))
+                    .or_insert((&class.name, app));
                 if first.0 != class.name {
                     let mut finding = app.finding(
                         "name-alike",
-                        (format!("class.{}", class.name), app.place(&["class", &class.name])),
+                        (
+                            format!("class.{}", class.name),
+                            app.place(&["class", &class.name]),
+                        ),
                         "two classes whose names differ only in case or form",
                     );
-                    finding.found = format!("{:?} beside {:?} of {}", class.name, first.0, first.1.name);
+                    finding.found =
+                        format!("{:?} beside {:?} of {}", class.name, first.0, first.1.name);
                     finding.allowed = "one spelling for one class".to_owned();
-                    finding.related.push((first.1.place(&["class", first.0]), "the other one".to_owned()));
+                    finding.related.push((
+                        first.1.place(&["class", first.0]),
+                        "the other one".to_owned(),
+                    ));
                     report.findings.push(finding);
                 }
             }
@@ -180,10 +202,19 @@
                 let theirs = &other.config.classes[other_place].class;
                 let own = &class.class;
                 let pairs = [
-                    ("effect", show_repeat(own.repeat), show_repeat(theirs.repeat)),
-                    ("deadline", show_duration(own.deadline), show_duration(theirs.deadline)),
+                    (
+                        "effect",
+                        show_repeat(own.repeat),
+                        show_repeat(theirs.repeat),
+                    ),
+                    (
+                        "deadline",
+                        show_duration(own.deadline),
+                        show_duration(theirs.deadline),
+                    ),
                 ];
-                for (key, own, theirs) in pairs.into_iter().filter(|(_, own, theirs)| own != theirs) {
+                for (key, own, theirs) in pairs.into_iter().filter(|(_, own, theirs)| own != theirs)
+                {
                     let key_path = ["class", class.name.as_str(), key];
                     let mut finding = app.finding(
                         "class-differs",
@@ -192,7 +223,9 @@
                     );
                     finding.found = own;
                     finding.allowed = format!("what {} says: {theirs}", other.name);
-                    finding.related.push((other.place(&key_path), format!("{theirs} here")));
+                    finding
+                        .related
+                        .push((other.place(&key_path), format!("{theirs} here")));
                     report.findings.push(finding);
                 }
             }
@@ -207,12 +240,20 @@
                     let mut finding = app.finding(
                         "class-differs",
                         (format!("route[{place}].key"), app.route_place(place)),
-                        format!("two routes take the key of {:?} from different places", class.name),
+                        format!(
+                            "two routes take the key of {:?} from different places",
+                            class.name
+                        ),
                     );
                     finding.found = show_source(route.key.as_ref());
-                    finding.allowed =
-                        format!("what {} says: {}", other.name, show_source(theirs.key.as_ref()));
-                    finding.related.push((other.route_place(other_place), "the other one".to_owned()));
+                    finding.allowed = format!(
+                        "what {} says: {}",
+                        other.name,
+                        show_source(theirs.key.as_ref())
+                    );
+                    finding
+                        .related
+                        .push((other.route_place(other_place), "the other one".to_owned()));
                     report.findings.push(finding);
                 }
             }
@@ -222,11 +263,22 @@
     /// Two applications on one listener.
     fn listeners(&self, report: &mut Report) {
         let mut seen: HashMap<(String, u16), Vec<&Application>> = HashMap::new();
-        for app in self.applications.iter().filter(|a| a.config.listen.port() != 0) {
-            let machine = app.facts.as_ref().map_or("localhost", |f| f.1.machine.as_str()).to_owned();
+        for app in self
+            .applications
+            .iter()
+            .filter(|a| a.config.listen.port() != 0)
+        {
+            let machine = app
+                .facts
+                .as_ref()
+                .map_or("localhost", |f| f.1.machine.as_str())
+                .to_owned();
             let others = seen.entry((machine, app.config.listen.port())).or_default();
             // An address of all interfaces takes the port on each of them.
-            let (own, all) = (app.config.listen.ip(), app.config.listen.ip().is_unspecified());
+            let (own, all) = (
+                app.config.listen.ip(),
+                app.config.listen.ip().is_unspecified(),
+            );
             let clash = others.iter().find(|o| {
                 let other = o.config.listen.ip();
                 other == own || all || other.is_unspecified()
@@ -239,7 +291,9 @@
                 );
                 finding.found = app.config.listen.to_string();
                 finding.allowed = "a port of its own, or another `machine`".to_owned();
-                finding.related.push((other.place(&["listen"]), "the other one".to_owned()));
+                finding
+                    .related
+                    .push((other.place(&["listen"]), "the other one".to_owned()));
                 report.findings.push(finding);
             }
             others.push(app);
@@ -250,31 +304,53 @@
     fn fleets(&self, report: &mut Report) {
         let mut first: BTreeMap<&str, &Application> = BTreeMap::new();
         for app in &self.applications {
-            let Some(own) = &app.config.peers else { continue };
+            let Some(own) = &app.config.peers else {
+                continue;
+            };
             let Some(other) = first.get(own.fleet.as_str()) else {
                 first.insert(&own.fleet, app);
                 continue;
             };
-            let Some(theirs) = &other.config.peers else { continue };
-            let (a, b) = (app.config.upstream.discovery, other.config.upstream.discovery);
+            let Some(theirs) = &other.config.peers else {
+                continue;
+            };
+            let (a, b) = (
+                app.config.upstream.discovery,
+                other.config.upstream.discovery,
+            );
             if a != b {
-                let reason = format!("{} is of the same fleet and names another list service", other.name);
+                let reason = format!(
+                    "{} is of the same fleet and names another list service",
+                    other.name
+                );
                 let place = app.place(&["upstream", "discovery"]);
-                let mut finding =
-                    app.finding("fleet-differs", ("upstream.discovery".to_owned(), place), reason);
+                let mut finding = app.finding(
+                    "fleet-differs",
+                    ("upstream.discovery".to_owned(), place),
+                    reason,
+                );
                 finding.found = a.map_or("none".to_owned(), |a| a.to_string());
                 let wanted = b.map_or("none".to_owned(), |b| b.to_string());
                 finding.allowed = format!("{wanted}, or another peers.fleet");
-                finding.related.push((other.place(&["upstream", "discovery"]), "the other one".to_owned()));
+                finding.related.push((
+                    other.place(&["upstream", "discovery"]),
+                    "the other one".to_owned(),
+                ));
                 report.findings.push(finding);
             }
             if !own.seeds.iter().any(|seed| theirs.seeds.contains(seed)) {
-                let reason = format!("{} is of the same fleet and has none of these seeds", other.name);
+                let reason = format!(
+                    "{} is of the same fleet and has none of these seeds",
+                    other.name
+                );
                 let place = app.place(&["peers", "seeds"]);
-                let mut finding = app.finding("fleet-apart", ("peers.seeds".to_owned(), place), reason);
+                let mut finding =
+                    app.finding("fleet-apart", ("peers.seeds".to_owned(), place), reason);
                 finding.found = "no seed in common".to_owned();
                 finding.allowed = "a seed that both have, or another peers.fleet".to_owned();
-                finding.related.push((other.place(&["peers", "seeds"]), "the other one".to_owned()));
+                finding
+                    .related
+                    .push((other.place(&["peers", "seeds"]), "the other one".to_owned()));
                 report.findings.push(finding);
             }
         }
@@ -289,30 +365,38 @@
             .filter(|(_, f)| f.upstream.value == upstream.name)
             .collect();
         let sidecars: u64 = users.iter().map(|(_, f)| u64::from(f.instances)).sum();
-        let wanted: f64 = users.iter().map(|(_, f)| f64::from(f.instances) * f.rate).sum();
-        let apps: std::collections::BTreeSet<String> = users.iter().map(|(a, _)| a.name.clone()).collect();
-        let mut add = |code, key: &str, place: Place, reason: &str, found: String, allowed: String| {
-            report.findings.push(Finding {
-                code,
-                key: format!("upstream.{}.{key}", upstream.name),
-                reason: reason.to_owned(),
-                found,
-                allowed,
-                place,
-                related: Vec::new(),
-                apps: apps.clone(),
-            });
-        };
+        let wanted: f64 = users
+            .iter()
+            .map(|(_, f)| f64::from(f.instances) * f.rate)
+            .sum();
+        let apps: std::collections::BTreeSet<String> =
+            users.iter().map(|(a, _)| a.name.clone()).collect();
+        let mut add =
+            |code, key: &str, place: Place, reason: &str, found: String, allowed: String| {
+                report.findings.push(Finding {
+                    code,
+                    key: format!("upstream.{}.{key}", upstream.name),
+                    reason: reason.to_owned(),
+                    found,
+                    allowed,
+                    place,
+                    related: Vec::new(),
+                    apps: apps.clone(),
+                });
+            };
         let file = upstream.place.file;
         if let Some(connections) = &upstream.facts.connections {
             // A proxy that believes in fewer of its kind keeps more.
             let kept: u64 = users
                 .iter()
-                .map(|(a, f)| u64::from(f.instances) * connections_kept(a.config.upstream.proxies) as u64)
+                .map(|(a, f)| {
+                    u64::from(f.instances) * connections_kept(a.config.upstream.proxies) as u64
+                })
                 .sum();
             if kept > connections.value {
                 let place = Place::new(file, &connections.span);
-                let found = format!("{sidecars} sidecars that keep {kept} connections to an endpoint");
+                let found =
+                    format!("{sidecars} sidecars that keep {kept} connections to an endpoint");
                 let reason = "the sidecars together keep more connections than an endpoint holds";
                 add(
                     "connections",
@@ -324,18 +408,38 @@
                 );
             }
         }
-        if let Some(rate) = upstream.facts.rate.as_ref().filter(|_| upstream.upstream.discovery.is_none()) {
+        if let Some(rate) = upstream
+            .facts
+            .rate
+            .as_ref()
+            .filter(|_| upstream.upstream.discovery.is_none())
+        {
             let endpoints = upstream.upstream.endpoints.len().max(1) as f64;
             let (each, place) = (wanted / endpoints, Place::new(file, &rate.span));
-            let found = format!("{wanted} requests a second over {endpoints} endpoints: {each:.1} each");
+            let found =
+                format!("{wanted} requests a second over {endpoints} endpoints: {each:.1} each");
             let rules = &upstream.upstream.rules;
             let cold = rate.value * rules.cold_share * rules.fall_multiple;
             if each > rate.value {
                 let reason = "all applications together ask more than the endpoints bear";
-                add("rate", "rate", place, reason, found, format!("at most {} each", rate.value));
+                add(
+                    "rate",
+                    "rate",
+                    place,
+                    reason,
+                    found,
+                    format!("at most {} each", rate.value),
+                );
             } else if each > cold {
                 let reason = "an even part of all requests would push a cold endpoint over";
-                add("cold", "rate", place, reason, found, format!("at most {cold:.1} each"));
+                add(
+                    "cold",
+                    "rate",
+                    place,
+                    reason,
+                    found,
+                    format!("at most {cold:.1} each"),
+                );
             }
         }
         for (app, _) in &users {
@@ -343,12 +447,17 @@
             if u64::from(own.proxies) != sidecars {
                 let mut finding = app.finding(
                     "proxies",
-                    ("upstream.proxies".to_owned(), app.place(&["upstream", "proxies"])),
+                    (
+                        "upstream.proxies".to_owned(),
+                        app.place(&["upstream", "proxies"]),
+                    ),
                     "the sidecar would take a wrong share of the endpoints' room",
                 );
                 finding.found = own.proxies.to_string();
-                finding.allowed =
-                    format!("{sidecars}: all instances of all applications on {:?}", upstream.name);
+                finding.allowed = format!(
+                    "{sidecars}: all instances of all applications on {:?}",
+                    upstream.name
+                );
                 report.findings.push(finding);
             }
             let same = |what: &str, same: bool, report: &mut Report| {
@@ -360,7 +469,9 @@
                     );
                     finding.found = "another figure".to_owned();
                     finding.allowed = "one description for all sidecars of an upstream".to_owned();
-                    finding.related.push((upstream.place.clone(), "described here".to_owned()));
+                    finding
+                        .related
+                        .push((upstream.place.clone(), "described here".to_owned()));
                     report.findings.push(finding);
                 }
             };
@@ -368,11 +479,31 @@
             same("endpoints", own.endpoints == theirs.endpoints, report);
             same("discovery", own.discovery == theirs.discovery, report);
             same("idle", own.idle == theirs.idle, report);
-            same("drain_grace", own.rules.drain_grace == theirs.rules.drain_grace, report);
-            same("cold_share", own.rules.cold_share == theirs.rules.cold_share, report);
-            same("cold_time", own.rules.cold_time == theirs.rules.cold_time, report);
-            same("fall_multiple", own.rules.fall_multiple == theirs.rules.fall_multiple, report);
-            same("fall_time", own.rules.fall_time == theirs.rules.fall_time, report);
+            same(
+                "drain_grace",
+                own.rules.drain_grace == theirs.rules.drain_grace,
+                report,
+            );
+            same(
+                "cold_share",
+                own.rules.cold_share == theirs.rules.cold_share,
+                report,
+            );
+            same(
+                "cold_time",
+                own.rules.cold_time == theirs.rules.cold_time,
+                report,
+            );
+            same(
+                "fall_multiple",
+                own.rules.fall_multiple == theirs.rules.fall_multiple,
+                report,
+            );
+            same(
+                "fall_time",
+                own.rules.fall_time == theirs.rules.fall_time,
+                report,
+            );
         }
     }
 }
@@ -385,12 +516,16 @@
         let class = &app.config.classes[route.class];
         if route.timing.total.saturating_add(ANSWER_ROOM) > waits {
             let figures = app.config.route_figures(place);
-            let set = figures.iter().find(|f| f.name == "total").and_then(|f| f.set.clone());
+            let set = figures
+                .iter()
+                .find(|f| f.name == "total")
+                .and_then(|f| f.set.clone());
             let (key, at) = match set {
                 Some((key, span)) => (key, Place::new(app.file, &span)),
-                None => {
-                    (format!("class.{}.deadline", class.name), app.place(&["class", &class.name, "deadline"]))
-                }
+                None => (
+                    format!("class.{}.deadline", class.name),
+                    app.place(&["class", &class.name, "deadline"]),
+                ),
             };
             let mut finding = app.finding(
                 "client-gives-up",
@@ -398,8 +533,13 @@
                 "the client gives up before the sidecar's final answer",
             );
             finding.found = format!("up to {}", show_duration(route.timing.total));
-            finding.allowed = format!("at most {}", show_duration(waits.saturating_sub(ANSWER_ROOM)));
-            finding.related.push((client(), format!("it waits {}", show_duration(waits))));
+            finding.allowed = format!(
+                "at most {}",
+                show_duration(waits.saturating_sub(ANSWER_ROOM))
+            );
+            finding
+                .related
+                .push((client(), format!("it waits {}", show_duration(waits))));
             report.findings.push(finding);
         }
     }
@@ -417,7 +557,9 @@
                 finding.found = found;
                 finding.allowed = allowed.to_owned();
                 let class_place = app.place(&["class", &class.name]);
-                finding.related.push((class_place, format!("class {}", class.name)));
+                finding
+                    .related
+                    .push((class_place, format!("class {}", class.name)));
                 report.findings.push(finding);
             }
         };
@@ -432,20 +574,30 @@
             }
             Repeat::Guarded { scope, window } => {
                 if facts.retry_on == RetryOn::Failed && scope != Scope::All {
-                    let reason = "the client's own retry may land in a group that does not know its key";
+                    let reason =
+                        "the client's own retry may land in a group that does not know its key";
                     let found = format!(
                         "{} retries after failures, group {:?}",
                         facts.retries.value,
                         show_scope(scope)
                     );
-                    add(reason, found, "retry_on = \"refused\", or repeats that all endpoints drop");
+                    add(
+                        reason,
+                        found,
+                        "retry_on = \"refused\", or repeats that all endpoints drop",
+                    );
                 }
                 // A call whose repeats all drop may be refused though it has run.
                 let longest = last_try(facts, route.timing.total);
                 if scope == Scope::All && longest >= window {
-                    let reason = "the client's last retry comes after the hosts have forgotten its key";
+                    let reason =
+                        "the client's last retry comes after the hosts have forgotten its key";
                     let found = format!("{} after the first try", show_duration(longest));
-                    add(reason, found, &format!("less than the window, {}", show_duration(window)));
+                    add(
+                        reason,
+                        found,
+                        &format!("less than the window, {}", show_duration(window)),
+                    );
                 }
             }
         }
@@ -454,7 +606,11 @@
 
 /// How long after the client's first try its last one may still be sent on.
 fn last_try(facts: &facts::App, total: Micros) -> Micros {
-    facts.retries.value.saturating_mul(facts.waits.value.saturating_add(facts.pause)).saturating_add(total)
+    facts
+        .retries
+        .value
+        .saturating_mul(facts.waits.value.saturating_add(facts.pause))
+        .saturating_add(total)
 }
 
 /// An application's routes against what its upstream may not run twice.
@@ -491,7 +647,14 @@
                     show_duration(keyed.window),
                     keyed.header
                 );
-                lax(report, app, (place, route), (upstream, &keyed.prefix, &keyed.span), "keyed", &allowed);
+                lax(
+                    report,
+                    app,
+                    (place, route),
+                    (upstream, &keyed.prefix, &keyed.span),
+                    "keyed",
+                    &allowed,
+                );
             }
         }
     }
@@ -511,8 +674,11 @@
                 format!("upstream {:?} does not drop repeats there", upstream.name),
             );
             finding.found = format!("route {:?} of the keyed class {class}", route.name);
-            finding.allowed = "a path under one of the upstream's `keyed`, or another class".to_owned();
-            finding.related.push((upstream.place.clone(), "described here".to_owned()));
+            finding.allowed =
+                "a path under one of the upstream's `keyed`, or another class".to_owned();
+            finding
+                .related
+                .push((upstream.place.clone(), "described here".to_owned()));
             report.findings.push(finding);
         }
     }
@@ -535,21 +701,40 @@
         .any(|earlier| covers(earlier, prefix) && takes_writes_of(earlier, route));
     let told = |code, reason: String| {
         let class = &classes[route.class];
-        let mut finding =
-            app.finding(code, (format!("route[{place}].class"), app.route_place(place)), reason);
-        finding.found =
-            format!("route {:?} of class {} ({})", route.name, class.name, show_repeat(class.class.repeat));
+        let mut finding = app.finding(
+            code,
+            (format!("route[{place}].class"), app.route_place(place)),
+            reason,
+        );
+        finding.found = format!(
+            "route {:?} of class {} ({})",
+            route.name,
+            class.name,
+            show_repeat(class.class.repeat)
+        );
         finding.allowed = allowed.to_owned();
-        finding.related.push((Place::new(upstream.place.file, span), format!("{kind} here")));
+        finding.related.push((
+            Place::new(upstream.place.file, span),
+            format!("{kind} here"),
+        ));
         finding
     };
     if takes_under(route, prefix) && !taken {
         let reason = format!("a request under {prefix:?} could be sent again by this route");
-        report.findings.push(told(if kind == "unsafe" { "charge-lax" } else { "keyed-unhonoured" }, reason));
+        report.findings.push(told(
+            if kind == "unsafe" {
+                "charge-lax"
+            } else {
+                "keyed-unhonoured"
+            },
+            reason,
+        ));
         return;
     }
     // Not that path, but one that a host may take for it.
-    let (PathPattern::Exact(path) | PathPattern::Prefix(path)) = &route.path else { return };
+    let (PathPattern::Exact(path) | PathPattern::Prefix(path)) = &route.path else {
+        return;
+    };
     let (own, theirs) = (loose(path), loose(prefix));
     if !under(path, prefix) && !under(prefix, path) && under(&own, &theirs) {
         let reason = format!("a host that reads paths loosely may take this for {prefix:?}");
@@ -569,19 +754,41 @@
                  deadline = \"1s\"\neffect = \"safe\"\n[[route]]\nname = \"e\"\nprefix = \"/e\"\nclass = \"e\"\n\
                  [peers]\nlisten = \"10.0.0.9:7946\"\nseeds = [\"{seed}\"]\nsecret = \"s\"\nfleet = \"{fleet}\"\n"
             );
-            let config = badgerramp_config::parse("a.toml", &text).unwrap_or_else(|m| panic!("{m}"));
-            Application { name: name.to_owned(), file: 0, config, facts: None }
+            let config =
+                badgerramp_config::parse("a.toml", &text).unwrap_or_else(|m| panic!("{m}"));
+            Application {
+                name: name.to_owned(),
+                file: 0,
+                config,
+                facts: None,
+            }
         };
         let found = |applications: Vec<Application>| {
             let mut report = Report::default();
-            Set { applications, ..Set::default() }.fleets(&mut report);
+            Set {
+                applications,
+                ..Set::default()
+            }
+            .fleets(&mut report);
             report.findings.iter().map(|f| f.code).collect::<Vec<_>>()
         };
         let (one, two) = (("10.0.0.1:1", "north"), ("10.0.0.2:1", "north"));
         let same = vec![app("a", "10.0.0.7:1", one), app("b", "10.0.0.7:1", one)];
         assert!(found(same).is_empty());
-        assert_eq!(found(vec![app("a", "10.0.0.7:1", one), app("b", "10.0.0.8:1", one)]), ["fleet-differs"]);
-        assert_eq!(found(vec![app("a", "10.0.0.7:1", one), app("b", "10.0.0.7:1", two)]), ["fleet-apart"]);
+        assert_eq!(
+            found(vec![
+                app("a", "10.0.0.7:1", one),
+                app("b", "10.0.0.8:1", one)
+            ]),
+            ["fleet-differs"]
+        );
+        assert_eq!(
+            found(vec![
+                app("a", "10.0.0.7:1", one),
+                app("b", "10.0.0.7:1", two)
+            ]),
+            ["fleet-apart"]
+        );
         let other = app("b", "10.0.0.8:1", ("10.0.0.2:1", "south"));
         assert!(found(vec![app("a", "10.0.0.7:1", one), other]).is_empty());
     }
--- a/crates/config-tool/tests/common/mod.rs
+++ b/crates/config-tool/tests/common/mod.rs
@@ -11,8 +11,11 @@
 
 impl Folder {
     pub fn new() -> Folder {
-        let name =
-            format!("badgerramp-config-{}-{}", std::process::id(), FOLDERS.fetch_add(1, Ordering::SeqCst));
+        let name = format!(
+            "badgerramp-config-{}-{}",
+            std::process::id(),
+            FOLDERS.fetch_add(1, Ordering::SeqCst)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
--- a/crates/config-tool/tests/keys.rs
+++ b/crates/config-tool/tests/keys.rs
@@ -29,9 +29,20 @@
     let mut report = load(&path).unwrap_or_else(|_| panic!("it can be read"));
     let description = Description::read(&mut report);
     std::fs::remove_file(&path).expect("a file");
-    let known: Vec<&str> = description.upstreams[0].keys.iter().map(|raw| raw.key.as_str()).collect();
-    assert_eq!(known, ["zzzz"], "the facts of an upstream are read here, the rest goes into the files");
-    let lines: Vec<String> =
-        report.findings.iter().map(|finding| format!("{}: {}", finding.key, finding.allowed)).collect();
+    let known: Vec<&str> = description.upstreams[0]
+        .keys
+        .iter()
+        .map(|raw| raw.key.as_str())
+        .collect();
+    assert_eq!(
+        known,
+        ["zzzz"],
+        "the facts of an upstream are read here, the rest goes into the files"
+    );
+    let lines: Vec<String> = report
+        .findings
+        .iter()
+        .map(|finding| format!("{}: {}", finding.key, finding.allowed))
+        .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -37,12 +37,21 @@
 /// What each application's client sends, whatever any file says.
 fn sends(app: &str) -> &'static [(&'static str, &'static str)] {
     match app {
-        "kiosko" => &[("POST", "/registro-entrada"), ("POST", "/registro-entrada/7")],
-        "tableta" => &[("POST", "/registro-entrada"), ("POST", "/cobro-mensual"), ("GET", "/socios/7")],
+        "kiosko" => &[
+            ("POST", "/registro-entrada"),
+            ("POST", "/registro-entrada/7"),
+        ],
+        "tableta" => &[
+            ("POST", "/registro-entrada"),
+            ("POST", "/cobro-mensual"),
+            ("GET", "/socios/7"),
+        ],
         "torniquete" => &[("POST", "/registro-entrada/salida")],
-        "lote-cuotas" => {
-            &[("POST", "/cobro-mensual"), ("POST", "/cobro-mensual/2026/12"), ("GET", "/socios")]
-        }
+        "lote-cuotas" => &[
+            ("POST", "/cobro-mensual"),
+            ("POST", "/cobro-mensual/2026/12"),
+            ("GET", "/socios"),
+        ],
         "oficina" => &[
             ("POST", "/cobro-mensual/correccion"),
             ("GET", "/cobro-mensual/7"),
@@ -66,7 +75,15 @@
     let client = |a: &badgerramp_config_tool::set::Application| {
         let facts = &a.facts.as_ref()?.1;
         let (waits, retries) = (facts.waits.value, facts.retries.value);
-        Some((a.name.clone(), Client { waits, retries, retry_on: facts.retry_on, pause: facts.pause }))
+        Some((
+            a.name.clone(),
+            Client {
+                waits,
+                retries,
+                retry_on: facts.retry_on,
+                pause: facts.pause,
+            },
+        ))
     };
     set.applications.iter().filter_map(client).collect()
 }
@@ -80,17 +97,33 @@
 ) -> Result<(), String> {
     let method: Method = method.parse().expect("a method");
     let mut headers = HeaderMap::new();
-    headers.insert(HeaderName::from_static("idempotency-key"), HeaderValue::from_static("k"));
+    headers.insert(
+        HeaderName::from_static("idempotency-key"),
+        HeaderValue::from_static("k"),
+    );
     let mut executed: Vec<(Micros, u32)> = Vec::new();
     for _ in 0..=client.retries {
-        let Some((route, taken)) = config.routes.find(&method, path, &headers).expect("a normal form") else {
+        let Some((route, taken)) = config
+            .routes
+            .find(&method, path, &headers)
+            .expect("a normal form")
+        else {
             return Ok(());
         };
-        let once = taken.key.as_ref().is_none_or(|key| key.read(&headers).is_none());
-        let guarded =
-            matches!(config.classes[taken.class].class.repeat, badgerramp_decisions::Repeat::Guarded { .. });
+        let once = taken
+            .key
+            .as_ref()
+            .is_none_or(|key| key.read(&headers).is_none());
+        let guarded = matches!(
+            config.classes[taken.class].class.repeat,
+            badgerramp_decisions::Repeat::Guarded { .. }
+        );
         let asked = world.now();
-        let call = world.ask(Request { route, once: once && guarded, told: None });
+        let call = world.ask(Request {
+            route,
+            once: once && guarded,
+            told: None,
+        });
         world.run(asked + client.waits);
         let Some((answer, at)) = world.call(call).answered else {
             return Err(format!("{method} {path}: no answer while the client waits"));
@@ -100,22 +133,32 @@
         for tried in world.call(call).tried.iter().filter(|t| t.may_have_run()) {
             let address = config.upstream.endpoints[tried.server.0 as usize].address;
             // What listens elsewhere drops no repeats of anybody's.
-            let group = groups.get(&address).copied().unwrap_or(u32::from(address.port()));
+            let group = groups
+                .get(&address)
+                .copied()
+                .unwrap_or(u32::from(address.port()));
             executed.push((tried.sent, group));
         }
-        let again =
-            answer == Answer::Refused || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
+        let again = answer == Answer::Refused
+            || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
         if !again {
             break;
         }
-        let pause = if client.pause > 0 { world.random().gen_range(0..=client.pause) } else { 0 };
+        let pause = if client.pause > 0 {
+            world.random().gen_range(0..=client.pause)
+        } else {
+            0
+        };
         world.run(at.max(world.now()) + pause);
     }
     if method == Method::GET {
         return Ok(());
     }
     if under(path, CHARGES) && executed.len() > 1 {
-        return Err(format!("{method} {path}: a charge ran {} times", executed.len()));
+        return Err(format!(
+            "{method} {path}: a charge ran {} times",
+            executed.len()
+        ));
     }
     if under(path, ENTRIES) {
         // The hosts of a group drop what they have seen within the window.
@@ -205,12 +248,33 @@
         "\"/socios\"",
         "\"/socios/7\"",
     ],
-    &["[\"POST\"]", "[\"GET\"]", "[\"GET\", \"POST\"]", "[\"PUT\"]", "[]"],
-    &["\"registro-entrada\"", "\"cobro-mensual\"", "\"cobro-nocturno\"", "\"consulta\"", "\"interactive\""],
+    &[
+        "[\"POST\"]",
+        "[\"GET\"]",
+        "[\"GET\", \"POST\"]",
+        "[\"PUT\"]",
+        "[]",
+    ],
+    &[
+        "\"registro-entrada\"",
+        "\"cobro-mensual\"",
+        "\"cobro-nocturno\"",
+        "\"consulta\"",
+        "\"interactive\"",
+    ],
     &["\"liberia\"", "\"nicoya\"", "\"puntarenas\"", "\"access\""],
-    &["\"127.0.0.1:9001\"", "\"127.0.0.1:9003\"", "\"127.0.0.1:8081\"", "\"127.0.0.1:9999\""],
+    &[
+        "\"127.0.0.1:9001\"",
+        "\"127.0.0.1:9003\"",
+        "\"127.0.0.1:8081\"",
+        "\"127.0.0.1:9999\"",
+    ],
     &["0.31", "1.0", "0.05", "true", "false"],
-    &["{ header = \"Idempotency-Key\" }", "{ header = \"X-Other\" }", "{ cookie = \"k\" }"],
+    &[
+        "{ header = \"Idempotency-Key\" }",
+        "{ header = \"X-Other\" }",
+        "{ cookie = \"k\" }",
+    ],
 ];
 
 /// Lines that a hand might add to a table.
@@ -257,7 +321,8 @@
             b'\n' => comment = false,
             b'#' => comment = true,
             b'=' if !comment => {
-                let start = at + 1 + text[at + 1..].len() - text[at + 1..].trim_start_matches(' ').len();
+                let start =
+                    at + 1 + text[at + 1..].len() - text[at + 1..].trim_start_matches(' ').len();
                 let rest = &text[start..];
                 let length = match rest.as_bytes().first() {
                     Some(b'"') => rest[1..].find('"').map_or(0, |n| n + 2),
@@ -282,7 +347,11 @@
     match random.gen_range(0..10) {
         0 => {
             let drop = random.gen_range(0..lines.len());
-            let kept = lines.iter().enumerate().filter(|(n, _)| *n != drop).map(|l| *l.1);
+            let kept = lines
+                .iter()
+                .enumerate()
+                .filter(|(n, _)| *n != drop)
+                .map(|l| *l.1);
             kept.collect::<Vec<_>>().join("\n") + "\n"
         }
         1 | 2 => {
@@ -295,7 +364,11 @@
             let places = values(text);
             let place = places.choose(random).expect("a value").clone();
             let old = &text[place.clone()];
-            let same = VALUES.iter().filter(|v| v.contains(&old)).copied().collect::<Vec<_>>();
+            let same = VALUES
+                .iter()
+                .filter(|v| v.contains(&old))
+                .copied()
+                .collect::<Vec<_>>();
             let pool = match (same.choose(random), kind) {
                 (Some(pool), 3..=7) => pool,
                 _ => VALUES.choose(random).expect("some"),
@@ -310,7 +383,10 @@
 fn run_of(edits: usize, seed: u64) -> (usize, u64) {
     let variable = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     let times = variable("BADGERRAMP_MUTATION_TIMES").unwrap_or(1) as usize;
-    (edits * times, seed + variable("BADGERRAMP_MUTATION_SEED").unwrap_or(0))
+    (
+        edits * times,
+        seed + variable("BADGERRAMP_MUTATION_SEED").unwrap_or(0),
+    )
 }
 
 /// What was tried.
@@ -327,8 +403,14 @@
     assert!(report.good(), "{}", report.human());
     let (clients, groups) = (clients(&set), groups(&set));
     for app in &set.applications {
-        play(&app.name, &app.config, (clients[&app.name], &groups), 1, 100)
-            .unwrap_or_else(|broken| panic!("{}: {broken}", app.name));
+        play(
+            &app.name,
+            &app.config,
+            (clients[&app.name], &groups),
+            1,
+            100,
+        )
+        .unwrap_or_else(|broken| panic!("{}: {broken}", app.name));
     }
     // Without the checks the same world shows each rule broken: it can tell.
     let text = |name: &str| std::fs::read_to_string(folder.join(name)).expect("a file");
@@ -343,9 +425,20 @@
         let told = (0..20).find_map(|seed| play(app, &config, (clients[app], &groups), seed, 40).err());
         assert!(told.as_ref().is_some_and(|t| t.contains(broken)), "{app} {to}: {told:?}");
     }
-    let hasty = Client { waits: 700_000, ..clients["tableta"] };
-    let failing = Client { retry_on: RetryOn::Failed, ..clients["tableta"] };
-    let config = &set.applications.iter().find(|a| a.name == "tableta").expect("it is there").config;
+    let hasty = Client {
+        waits: 700_000,
+        ..clients["tableta"]
+    };
+    let failing = Client {
+        retry_on: RetryOn::Failed,
+        ..clients["tableta"]
+    };
+    let config = &set
+        .applications
+        .iter()
+        .find(|a| a.name == "tableta")
+        .expect("it is there")
+        .config;
     assert!(
         (0..20).any(|seed| play("tableta", config, (failing, &groups), seed, 40).is_err()),
         "a client that sends again"
@@ -372,9 +465,14 @@
         "manifest.toml",
     ];
     let folder = Folder::new();
-    let texts: Vec<String> =
-        names.iter().map(|n| std::fs::read_to_string(correct.join(n)).expect("a file")).collect();
-    names.iter().zip(&texts).for_each(|(name, text)| drop(folder.put(name, text)));
+    let texts: Vec<String> = names
+        .iter()
+        .map(|n| std::fs::read_to_string(correct.join(n)).expect("a file"))
+        .collect();
+    names
+        .iter()
+        .zip(&texts)
+        .for_each(|(name, text)| drop(folder.put(name, text)));
     let mut random = Pcg32::seed_from_u64(seed);
     let mut count = Count::default();
     while count.tried < edits {
@@ -396,16 +494,23 @@
             if names[file] != format!("{}.toml", app.name) {
                 continue;
             }
-            if let Err(broken) =
-                play(&app.name, &app.config, (clients[&app.name], &groups), count.tried as u64, 25)
-            {
+            if let Err(broken) = play(
+                &app.name,
+                &app.config,
+                (clients[&app.name], &groups),
+                count.tried as u64,
+                25,
+            ) {
                 let diff = similar::TextDiff::from_lines(&texts[file], &edited);
                 panic!("{broken}\n{}", diff.unified_diff().context_radius(1));
             }
         }
     }
     println!("{count:?}");
-    assert!(count.accepted > 200 && count.accepted < count.tried / 2, "{count:?}");
+    assert!(
+        count.accepted > 200 && count.accepted < count.tried / 2,
+        "{count:?}"
+    );
 }
 
 /// Edits of the description, from which all files are written anew.
@@ -417,33 +522,51 @@
     let mut count = Count::default();
     while count.tried < edits {
         let (mut apps, mut classes) = (APPS.to_owned(), CLASSES.to_owned());
-        let edited = if random.gen_bool(0.6) { &mut apps } else { &mut classes };
+        let edited = if random.gen_bool(0.6) {
+            &mut apps
+        } else {
+            &mut classes
+        };
         let before = edited.clone();
         *edited = edit(edited, &mut random);
         if *edited == before {
             continue;
         }
-        let diff =
-            similar::TextDiff::from_lines(&before, edited).unified_diff().context_radius(1).to_string();
+        let diff = similar::TextDiff::from_lines(&before, edited)
+            .unified_diff()
+            .context_radius(1)
+            .to_string();
         count.tried += 1;
         folder.put("shared/classes.toml", &classes);
         let description = folder.put("apps.toml", &apps);
-        let Ok(written) = commands::compose(&description) else { continue };
+        let Ok(written) = commands::compose(&description) else {
+            continue;
+        };
         count.accepted += 1;
         let out = Folder::new();
-        written.files.iter().for_each(|(name, text)| drop(out.put(name, text)));
+        written
+            .files
+            .iter()
+            .for_each(|(name, text)| drop(out.put(name, text)));
         // What was written is found good where it lies, too.
         let (report, set) = commands::check(&[&out.0]);
         assert!(report.good(), "{}\n{diff}", report.human());
         let (clients, groups) = (clients(&set), groups(&set));
         for app in &set.applications {
-            if let Err(broken) =
-                play(&app.name, &app.config, (clients[&app.name], &groups), count.tried as u64, 12)
-            {
+            if let Err(broken) = play(
+                &app.name,
+                &app.config,
+                (clients[&app.name], &groups),
+                count.tried as u64,
+                12,
+            ) {
                 panic!("{}: {broken}\n{diff}", app.name);
             }
         }
     }
     println!("{count:?}");
-    assert!(count.accepted > 150 && count.accepted < count.tried / 2, "{count:?}");
+    assert!(
+        count.accepted > 150 && count.accepted < count.tried / 2,
+        "{count:?}"
+    );
 }
--- a/crates/config-tool/tests/tool.rs
+++ b/crates/config-tool/tests/tool.rs
@@ -10,7 +10,10 @@
 const NONE: (&str, &str) = ("", "");
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_badgerramp-config")).args(arguments).output().expect("the tool starts")
+    Command::new(env!("CARGO_BIN_EXE_badgerramp-config"))
+        .args(arguments)
+        .output()
+        .expect("the tool starts")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -28,24 +31,36 @@
         assert!(golden == *text, "{name} differs: badgerramp-config write examples/cordillera/apps.toml --out examples/cordillera/sidecars");
     }
     let again = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
-    assert_eq!(written.files, again.files, "the same description, the same bytes");
+    assert_eq!(
+        written.files, again.files,
+        "the same description, the same bytes"
+    );
     let (report, set) = check(&[&folder.join("sidecars")]);
-    assert!(report.good() && report.notes.is_empty() && set.applications.len() == 5, "{}", report.human());
+    assert!(
+        report.good() && report.notes.is_empty() && set.applications.len() == 5,
+        "{}",
+        report.human()
+    );
 }
 
 /// A class that inherits over two levels has the nearest word for each key.
 #[test]
 fn a_class_inherits_over_two_levels() {
-    let night =
-        text(&std::fs::read(examples().join("cordillera/sidecars/lote-cuotas.toml")).expect("a file"));
+    let night = text(
+        &std::fs::read(examples().join("cordillera/sidecars/lote-cuotas.toml")).expect("a file"),
+    );
     let class = night
         .split("[class.cobro-nocturno]")
         .nth(1)
         .and_then(|rest| rest.split("\n[").next())
         .expect("the class");
-    for line in
-        ["deadline = \"20s\"", "worth = 10", "connect = \"200ms\"", "late_worth = 1", "effect = \"unsafe\""]
-    {
+    for line in [
+        "deadline = \"20s\"",
+        "worth = 10",
+        "connect = \"200ms\"",
+        "late_worth = 1",
+        "effect = \"unsafe\"",
+    ] {
         assert_eq!(class.matches(line).count(), 1, "{line}");
     }
     assert!(!class.contains("1500ms") && !class.contains("late_worth = 0"));
@@ -53,8 +68,13 @@
 
 /// One edit of the description, in apps.toml or in shared/classes.toml; the kind of what is found, and the line of the
 /// description that it is told at, by words on it.
-type Mistake =
-    (&'static str, (&'static str, &'static str), (&'static str, &'static str), &'static str, &'static str);
+type Mistake = (
+    &'static str,
+    (&'static str, &'static str),
+    (&'static str, &'static str),
+    &'static str,
+    &'static str,
+);
 
 const MISTAKES: &[Mistake] = &[
     // The ten that were known.
@@ -109,15 +129,31 @@
         let at = |f: &badgerramp_config_tool::finding::Finding| {
             let (line, _) = report.line_of(&f.place);
             let (name, text) = &report.files[f.place.file];
-            assert!(name.ends_with("apps.toml") || name.ends_with("classes.toml"), "{what}: told in {name}");
+            assert!(
+                name.ends_with("apps.toml") || name.ends_with("classes.toml"),
+                "{what}: told in {name}"
+            );
             text.lines().nth(line - 1).unwrap_or_default().to_owned()
         };
-        let found = report.findings.iter().any(|f| f.code == *code && at(f).contains(words));
+        let found = report
+            .findings
+            .iter()
+            .any(|f| f.code == *code && at(f).contains(words));
         assert!(found, "{what}: no {code} at {words:?}\n{}", report.human());
-        assert!(report.findings.iter().all(|f| !f.reason.is_empty() && !f.allowed.is_empty()), "{what}");
+        assert!(
+            report
+                .findings
+                .iter()
+                .all(|f| !f.reason.is_empty() && !f.allowed.is_empty()),
+            "{what}"
+        );
         let out = folder.0.join("out");
-        let output =
-            run(&["write", description.to_str().expect("a path"), "--out", out.to_str().expect("a path")]);
+        let output = run(&[
+            "write",
+            description.to_str().expect("a path"),
+            "--out",
+            out.to_str().expect("a path"),
+        ]);
         assert_eq!(output.status.code(), Some(1), "{what}");
         assert!(!out.exists(), "{what}: something was written");
     }
@@ -127,22 +163,80 @@
 #[test]
 fn a_hand_in_a_written_file_is_found() {
     for (file, from, to, code) in [
-        ("tableta.toml", "listen = \"127.0.0.1:8082\"", "listen = \"0.0.0.0:8081\"", "listener-shared"),
-        ("tableta.toml", "drain_grace = \"1s\"", "drain_grace = \"2s\"", "upstream-differs"),
-        ("tableta.toml", "cold_share = 0.31", "cold_share = 0.9", "upstream-differs"),
+        (
+            "tableta.toml",
+            "listen = \"127.0.0.1:8082\"",
+            "listen = \"0.0.0.0:8081\"",
+            "listener-shared",
+        ),
+        (
+            "tableta.toml",
+            "drain_grace = \"1s\"",
+            "drain_grace = \"2s\"",
+            "upstream-differs",
+        ),
+        (
+            "tableta.toml",
+            "cold_share = 0.31",
+            "cold_share = 0.9",
+            "upstream-differs",
+        ),
         ("tableta.toml", "proxies = 15", "proxies = 1", "proxies"),
-        ("tableta.toml", "group = 3 },\n]", "group = 1 },\n]", "upstream-differs"),
-        ("oficina.toml", "effect = \"unsafe\"", "effect = \"safe\"", "charge-lax"),
-        ("kiosko.toml", "window = \"1200ms\"", "window = \"1300ms\"", "keyed-unhonoured"),
-        ("kiosko.toml", "deadline = \"1200ms\"", "deadline = \"1100ms\"", "class-differs"),
-        ("tableta.toml", "total = \"1s 398ms\"", "total = \"1s 498ms\"", "client-gives-up"),
-        ("manifest.toml", "upstream = \"access\"", "upstream = \"other\"", "upstream-unknown"),
-        ("manifest.toml", "waits = \"1s 400ms\"", "waits = \"1s\"", "client-gives-up"),
-        ("manifest.toml", "file = \"kiosko.toml\"", "file = \"kiosk.toml\"", "file"),
+        (
+            "tableta.toml",
+            "group = 3 },\n]",
+            "group = 1 },\n]",
+            "upstream-differs",
+        ),
+        (
+            "oficina.toml",
+            "effect = \"unsafe\"",
+            "effect = \"safe\"",
+            "charge-lax",
+        ),
+        (
+            "kiosko.toml",
+            "window = \"1200ms\"",
+            "window = \"1300ms\"",
+            "keyed-unhonoured",
+        ),
+        (
+            "kiosko.toml",
+            "deadline = \"1200ms\"",
+            "deadline = \"1100ms\"",
+            "class-differs",
+        ),
+        (
+            "tableta.toml",
+            "total = \"1s 398ms\"",
+            "total = \"1s 498ms\"",
+            "client-gives-up",
+        ),
+        (
+            "manifest.toml",
+            "upstream = \"access\"",
+            "upstream = \"other\"",
+            "upstream-unknown",
+        ),
+        (
+            "manifest.toml",
+            "waits = \"1s 400ms\"",
+            "waits = \"1s\"",
+            "client-gives-up",
+        ),
+        (
+            "manifest.toml",
+            "file = \"kiosko.toml\"",
+            "file = \"kiosk.toml\"",
+            "file",
+        ),
         ("manifest.toml", "version = 1", "version = 2", "file"),
     ] {
         let folder = Folder::new();
-        for entry in std::fs::read_dir(examples().join("cordillera/sidecars")).expect("a folder").flatten() {
+        for entry in std::fs::read_dir(examples().join("cordillera/sidecars"))
+            .expect("a folder")
+            .flatten()
+        {
             let text = std::fs::read_to_string(entry.path()).expect("a file");
             folder.put(entry.file_name().to_str().expect("a name"), &text);
         }
@@ -153,7 +247,11 @@
         let found = report.findings.iter().find(|f| f.code == code);
         let found = found.unwrap_or_else(|| panic!("{file} {to}: no {code}\n{}", report.human()));
         let (line, _) = report.line_of(&found.place);
-        assert!(line > 1 || file == "manifest.toml", "{file} {to}\n{}", report.human());
+        assert!(
+            line > 1 || file == "manifest.toml",
+            "{file} {to}\n{}",
+            report.human()
+        );
         let output = run(&["check", folder.0.to_str().expect("a path")]);
         assert_eq!(output.status.code(), Some(1), "{}", text_of(&output));
     }
@@ -175,7 +273,11 @@
         .expect("a file")
         .replace("window = \"1200ms\"", "window = \"1250ms\"");
     let changed = own.put("tableta.toml", &changed);
-    let output = run(&["check", &file("kiosko.toml"), changed.to_str().expect("a path")]);
+    let output = run(&[
+        "check",
+        &file("kiosko.toml"),
+        changed.to_str().expect("a path"),
+    ]);
     assert!(
         output.status.code() == Some(1) && text(&output.stdout).contains("class-differs"),
         "{}",
@@ -187,7 +289,10 @@
 fn a_file_that_was_changed_by_hand_is_not_written_over() {
     let folder = Folder::new();
     let description = chain(&folder, NONE, NONE);
-    let (description, out) = (description.to_str().expect("a path").to_owned(), folder.0.join("out"));
+    let (description, out) = (
+        description.to_str().expect("a path").to_owned(),
+        folder.0.join("out"),
+    );
     let out = out.to_str().expect("a path");
     let write = |more: &[&str]| run(&[&["write", &description, "--out", out], more].concat());
     let output = write(&["--dry-run"]);
@@ -216,13 +321,20 @@
         text_of(&output)
     );
     let output = write(&["--dry-run", "--force"]);
-    assert!(text(&output.stdout).contains("-# by hand"), "{}", text_of(&output));
+    assert!(
+        text(&output.stdout).contains("-# by hand"),
+        "{}",
+        text_of(&output)
+    );
     assert!(write(&["--force"]).status.success());
     assert_eq!(folder.get("out/kiosko.toml"), before);
     // An application that goes takes its file along, but not one that was changed by hand, nor a stranger's.
     folder.put("out/notes.txt", "mine");
     let apps = folder.get("apps.toml");
-    let without = apps.split("# The office reads").next().expect("the beginning");
+    let without = apps
+        .split("# The office reads")
+        .next()
+        .expect("the beginning");
     folder.put("apps.toml", without);
     folder.put("out/oficina.toml", "# by hand\n");
     assert_eq!(write(&[]).status.code(), Some(1));
@@ -251,7 +363,10 @@
     let description = folder.put("apps.toml", &apps);
     let written = compose(&description).unwrap_or_else(|r| panic!("{}", r.human()));
     assert_eq!(written.files.len(), 201);
-    folder.put("shared/classes.toml", &CLASSES.replace("attempt = \"350ms\"", "attempt = \"700ms\""));
+    folder.put(
+        "shared/classes.toml",
+        &CLASSES.replace("attempt = \"350ms\"", "attempt = \"700ms\""),
+    );
     let report = compose(&description).expect_err("attempts that do not fit");
     // They do not fit the total, and the last would come after the window: two things wrong, each told once.
     assert!(report.findings.len() <= 2, "{}", report.human());
@@ -259,11 +374,21 @@
         .findings
         .iter()
         .all(|f| f.apps.len() == 200 && report.files[f.place.file].0.ends_with("classes.toml")));
-    assert!(report.human().contains("and 195 more applications"), "{}", report.human());
+    assert!(
+        report.human().contains("and 195 more applications"),
+        "{}",
+        report.human()
+    );
     // Also where only the files are there: the mistake is in each of them.
     let out = Folder::new();
     for (name, text) in &written.files {
-        out.put(name, &text.replace("second_copy = \"after 200ms\"", "second_copy = \"after 900ms\""));
+        out.put(
+            name,
+            &text.replace(
+                "second_copy = \"after 200ms\"",
+                "second_copy = \"after 900ms\"",
+            ),
+        );
     }
     let (report, _) = check(&[&out.0]);
     assert!(
@@ -278,7 +403,11 @@
 fn a_window_is_over_at_its_end() {
     for (window, good) in [("1050ms", true), ("701ms", true), ("700ms", false)] {
         let folder = Folder::new();
-        let description = chain(&folder, NONE, ("window = \"1200ms\"", &format!("window = \"{window}\"")));
+        let description = chain(
+            &folder,
+            NONE,
+            ("window = \"1200ms\"", &format!("window = \"{window}\"")),
+        );
         assert_eq!(compose(&description).is_ok(), good, "{window}");
     }
 }
@@ -290,8 +419,14 @@
     let folder = Folder::new();
     let description = chain(&folder, apps, classes);
     let written = compose(&description).unwrap_or_else(|r| panic!("{}", r.human()));
-    written.files.iter().for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
-    check_against(&examples().join("cordillera/sidecars"), &folder.0.join("new"))
+    written
+        .files
+        .iter()
+        .for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
+    check_against(
+        &examples().join("cordillera/sidecars"),
+        &folder.0.join("new"),
+    )
 }
 
 #[test]
@@ -312,15 +447,30 @@
     }
     // A class that turns from keyed to unsafe: no second copies, and nothing of its own beside it.
     let folder = Folder::new();
-    let apps =
-        APPS.replace("[app.torniquete.class.registro-entrada]\nsecond_copy = \"off\"\nattempts = 2\n", "");
+    let apps = APPS.replace(
+        "[app.torniquete.class.registro-entrada]\nsecond_copy = \"off\"\nattempts = 2\n",
+        "",
+    );
     folder.put("apps.toml", &apps);
     assert!(CLASSES.contains(keyed));
-    folder.put("shared/classes.toml", &CLASSES.replace(keyed, "effect = \"unsafe\""));
+    folder.put(
+        "shared/classes.toml",
+        &CLASSES.replace(keyed, "effect = \"unsafe\""),
+    );
     let written = compose(&folder.0.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
-    written.files.iter().for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
-    let report = check_against(&examples().join("cordillera/sidecars"), &folder.0.join("new"));
-    assert!(counts(&report).contains_key("effect-changed"), "{}", report.human());
+    written
+        .files
+        .iter()
+        .for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
+    let report = check_against(
+        &examples().join("cordillera/sidecars"),
+        &folder.0.join("new"),
+    );
+    assert!(
+        counts(&report).contains_key("effect-changed"),
+        "{}",
+        report.human()
+    );
     let old = examples().join("cordillera/sidecars");
     let output = run(&[
         "check",
@@ -333,20 +483,38 @@
 
 #[test]
 fn a_change_that_is_safe_is_told_application_by_application() {
-    let report =
-        rollout(("waits = \"1400ms\"", "waits = \"1450ms\""), ("attempt = \"350ms\"", "attempt = \"340ms\""));
+    let report = rollout(
+        ("waits = \"1400ms\"", "waits = \"1450ms\""),
+        ("attempt = \"350ms\"", "attempt = \"340ms\""),
+    );
     assert!(report.good(), "{}", report.human());
     for note in [
         "kiosko: route entries: attempt 350ms -> 340ms",
         "tableta: route charges: total 1s 398ms -> 1s 448ms",
     ] {
-        assert!(report.notes.iter().any(|n| n == note), "{note}\n{}", report.human());
+        assert!(
+            report.notes.iter().any(|n| n == note),
+            "{note}\n{}",
+            report.human()
+        );
     }
-    assert!(!report.notes.iter().any(|n| n.starts_with("lote-cuotas")), "{}", report.human());
+    assert!(
+        !report.notes.iter().any(|n| n.starts_with("lote-cuotas")),
+        "{}",
+        report.human()
+    );
     let report = rollout(NONE, NONE);
-    assert!(report.good() && report.notes.is_empty(), "{}", report.human());
+    assert!(
+        report.good() && report.notes.is_empty(),
+        "{}",
+        report.human()
+    );
     let report = rollout(("memory = \"32MiB\"", "memory = \"48MiB\""), NONE);
-    assert!(report.good() && report.human().contains("limits.memory changes"), "{}", report.human());
+    assert!(
+        report.good() && report.human().contains("limits.memory changes"),
+        "{}",
+        report.human()
+    );
 }
 
 // The command line.
@@ -354,9 +522,18 @@
 #[test]
 fn explain_tells_route_class_timing_and_why() {
     let folder = examples().join("cordillera/sidecars");
-    let file = folder.join("tableta.toml").to_str().expect("a path").to_owned();
+    let file = folder
+        .join("tableta.toml")
+        .to_str()
+        .expect("a path")
+        .to_owned();
     let told = |arguments: &[&str]| text_of(&run(&[&["explain", &file], arguments].concat()));
-    let entry = told(&["--request", "POST //registro-entrada/7?x", "--header", "Idempotency-Key: k1"]);
+    let entry = told(&[
+        "--request",
+        "POST //registro-entrada/7?x",
+        "--header",
+        "Idempotency-Key: k1",
+    ]);
     for words in [
         "/registro-entrada/7 (normal form)",
         "\"entries\"",
@@ -368,17 +545,33 @@
     }
     assert!(told(&["--request", "POST /registro-entrada"]).contains("never sent twice"));
     let other = told(&["--request", "PUT /socios"]);
-    assert!(other.contains("not \"members\": its methods") && other.contains("answered 404"), "{other}");
+    assert!(
+        other.contains("not \"members\": its methods") && other.contains("answered 404"),
+        "{other}"
+    );
     let course = told(&["--class", "registro-entrada"]);
-    for words in ["attempt 1 goes out", "200ms  a second copy", "attempt 3 has ended", "the client gives up"]
-    {
+    for words in [
+        "attempt 1 goes out",
+        "200ms  a second copy",
+        "attempt 3 has ended",
+        "the client gives up",
+    ] {
         assert!(course.contains(words), "{words}\n{course}");
     }
     assert!(told(&["--class", "registro"]).contains("did you mean \"registro-entrada\"?"));
-    let json: serde_json::Value =
-        serde_json::from_str(&told(&["--format", "json", "--request", "POST /cobro-mensual"])).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&told(&[
+        "--format",
+        "json",
+        "--request",
+        "POST /cobro-mensual",
+    ]))
+    .expect("JSON");
     assert_eq!(json["class"][0], "cobro-mensual");
-    let own = examples().join("../deploy/expressions.example.toml").to_str().expect("a path").to_owned();
+    let own = examples()
+        .join("../deploy/expressions.example.toml")
+        .to_str()
+        .expect("a path")
+        .to_owned();
     let arguments = [
         "explain",
         &own,
@@ -398,24 +591,55 @@
     ] {
         assert!(told.contains(words), "{words}\n{told}");
     }
-    let told = text_of(&run(&["explain", &own, "--request", "POST /fees", "--header", "X-Branch: CR-7"]));
-    assert!(told.contains("not \"charges\": its condition, method == \"POST\""), "{told}");
-    assert_eq!(run(&["explain", &file, "--request", "POST"]).status.code(), Some(2));
+    let told = text_of(&run(&[
+        "explain",
+        &own,
+        "--request",
+        "POST /fees",
+        "--header",
+        "X-Branch: CR-7",
+    ]));
+    assert!(
+        told.contains("not \"charges\": its condition, method == \"POST\""),
+        "{told}"
+    );
+    assert_eq!(
+        run(&["explain", &file, "--request", "POST"]).status.code(),
+        Some(2)
+    );
     assert_eq!(run(&["explain", &file]).status.code(), Some(2));
 }
 
 #[test]
 fn findings_are_told_to_machines_in_a_stable_form() {
     let folder = Folder::new();
-    let description = chain(&folder, ("listen = \"127.0.0.1:8082\"", "listen = \"127.0.0.1:8081\""), NONE);
-    let output =
-        run(&["--format", "json", "write", description.to_str().expect("a path"), "--out", "/nowhere"]);
+    let description = chain(
+        &folder,
+        ("listen = \"127.0.0.1:8082\"", "listen = \"127.0.0.1:8081\""),
+        NONE,
+    );
+    let output = run(&[
+        "--format",
+        "json",
+        "write",
+        description.to_str().expect("a path"),
+        "--out",
+        "/nowhere",
+    ]);
     assert_eq!(output.status.code(), Some(1));
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    assert_eq!((&json["version"], &json["good"]), (&1.into(), &false.into()));
+    assert_eq!(
+        (&json["version"], &json["good"]),
+        (&1.into(), &false.into())
+    );
     let finding = &json["findings"][0];
-    assert_eq!((&finding["code"], &finding["place"]["line"]), (&"listener-shared".into(), &42.into()));
-    assert!(finding["applications"].as_array().is_some_and(|a| a.len() == 1));
+    assert_eq!(
+        (&finding["code"], &finding["place"]["line"]),
+        (&"listener-shared".into(), &42.into())
+    );
+    assert!(finding["applications"]
+        .as_array()
+        .is_some_and(|a| a.len() == 1));
     for key in ["key", "reason", "found", "allowed", "related"] {
         assert!(!finding[key].is_null(), "{key}");
     }
@@ -425,14 +649,26 @@
 fn the_way_from_init_to_files_is_open() {
     let folder = Folder::new();
     let (description, out) = (folder.0.join("apps.toml"), folder.0.join("sidecars"));
-    let (description, out) = (description.to_str().expect("a path"), out.to_str().expect("a path"));
+    let (description, out) = (
+        description.to_str().expect("a path"),
+        out.to_str().expect("a path"),
+    );
     assert!(run(&["init", description]).status.success());
-    assert_eq!(run(&["init", description]).status.code(), Some(1), "nothing is written over");
+    assert_eq!(
+        run(&["init", description]).status.code(),
+        Some(1),
+        "nothing is written over"
+    );
     assert_eq!(text(&run(&["init", "-"]).stdout), folder.get("apps.toml"));
     let output = run(&["write", description, "--out", out]);
     assert!(output.status.success(), "{}", text_of(&output));
     assert!(run(&["check", out]).status.success());
-    for bad in [&["write", description][..], &["check"], &["chekc"], &["check", "--against", out, out, out]] {
+    for bad in [
+        &["write", description][..],
+        &["check"],
+        &["chekc"],
+        &["check", "--against", out, out, out],
+    ] {
         assert_eq!(run(bad).status.code(), Some(2), "{bad:?}");
     }
     assert_eq!(run(&["check", "/nowhere/at/all"]).status.code(), Some(1));
--- a/crates/config/benches/load.rs
+++ b/crates/config/benches/load.rs
@@ -7,17 +7,21 @@
 
 /// Of a hundred routes ninety are prefixes, nine exact paths and one is a pattern.
 fn file(count: usize) -> String {
-    let mut text = "listen = '127.0.0.1:0'\n[upstream]\nendpoints = [{ address = '127.0.0.1:9001' }]\n\
+    let mut text =
+        "listen = '127.0.0.1:0'\n[upstream]\nendpoints = [{ address = '127.0.0.1:9001' }]\n\
         [class.lookup]\naim = '500ms'\ndeadline = '1200ms'\neffect = 'safe'\n"
-        .to_owned();
+            .to_owned();
     for n in 0..count {
         let path = match n % 100 {
             0 => format!("regex = '/p{n}/[0-9]+/receipt'"),
             k if k >= 90 => format!("path = '/branch/{n}/status'"),
             _ => format!("prefix = '/branch/{n}/fees'"),
         };
-        write!(text, "[[route]]\nname = 'r{n}'\n{path}\nmethods = ['POST']\nclass = 'lookup'\n")
-            .expect("memory");
+        write!(
+            text,
+            "[[route]]\nname = 'r{n}'\n{path}\nmethods = ['POST']\nclass = 'lookup'\n"
+        )
+        .expect("memory");
     }
     text
 }
--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -20,11 +20,20 @@
 /// Where the text of a value begins in the file, if each of its bytes stands there as it is.
 fn inner(text: &str, value: &Value<'_>) -> Option<usize> {
     let raw = text.get(value.span())?;
-    let quotes = ["\'\'\'", "\"\"\"", "\'", "\""].into_iter().find(|q| raw.starts_with(q))?;
+    let quotes = ["\'\'\'", "\"\"\"", "\'", "\""]
+        .into_iter()
+        .find(|q| raw.starts_with(q))?;
     // A line break right behind three quotes is none of the text's.
     let body = &raw[quotes.len()..];
     let skipped = match quotes.len() {
-        3 => body.len() - body.strip_prefix("\r\n").or(body.strip_prefix('\n')).unwrap_or(body).len(),
+        3 => {
+            body.len()
+                - body
+                    .strip_prefix("\r\n")
+                    .or(body.strip_prefix('\n'))
+                    .unwrap_or(body)
+                    .len()
+        }
         _ => 0,
     };
     let plain = quotes.starts_with('\'') || !raw.contains('\\');
@@ -46,7 +55,10 @@
         match self.builder.add(&own.value, wanted) {
             Ok(id) => {
                 self.places.push((id, own.key, own.span));
-                Some(Expression { id, text: own.value.into() })
+                Some(Expression {
+                    id,
+                    text: own.value.into(),
+                })
             }
             Err(mistakes) => {
                 for mistake in mistakes {
@@ -54,8 +66,11 @@
                         Some(start) => start + mistake.span.start..start + mistake.span.end,
                         None => own.span.clone(),
                     };
-                    let found =
-                        own.value.get(mistake.span.clone()).filter(|t| !t.is_empty()).unwrap_or("nothing");
+                    let found = own
+                        .value
+                        .get(mistake.span.clone())
+                        .filter(|t| !t.is_empty())
+                        .unwrap_or("nothing");
                     notes.add((&own.key, &span), mistake.reason, found, mistake.allowed);
                 }
                 None
@@ -70,7 +85,10 @@
         if cost > BUDGET {
             let dearest = self.places.iter().max_by_key(|p| self.builder.cost(&[p.0]));
             if let Some((id, key, span)) = dearest {
-                let found = format!("up to {cost} steps, {} of them here", self.builder.cost(&[*id]));
+                let found = format!(
+                    "up to {cost} steps, {} of them here",
+                    self.builder.cost(&[*id])
+                );
                 let allowed = format!(
                     "{BUDGET} steps: fewer patterns, splits and searches, or the same ones in all routes"
                 );
@@ -110,17 +128,26 @@
 /// Holds the table against the requests that the file expects.
 pub(crate) fn expect(notes: &mut Notes, top: &Section<'_>, table: &Table, classes: &[&str]) {
     const KNOWN: [&str; 6] = ["request", "headers", "client", "route", "class", "key"];
-    for (key, value) in top.list(notes, "expect", "requests: [[expect]]").unwrap_or_default() {
+    for (key, value) in top
+        .list(notes, "expect", "requests: [[expect]]")
+        .unwrap_or_default()
+    {
         let DeValue::Table(own) = value.get_ref() else {
             let found = badgerramp_reading::show(value.get_ref());
-            notes.add((&key, &value.span()), "this is no request", found, "a table: [[expect]]");
+            notes.add(
+                (&key, &value.span()),
+                "this is no request",
+                found,
+                "a table: [[expect]]",
+            );
             continue;
         };
         let start = value.span().start;
         let section = Section::new(notes, own, (&key, start..start), &KNOWN);
         section.want(notes, "request", "a method and a path, like \"POST /x\"");
         section.want(notes, "class", "the name of a class, or \"none\"");
-        let (Some(request), Some(class)) = (words(notes, &section), section.text(notes, "class")) else {
+        let (Some(request), Some(class)) = (words(notes, &section), section.text(notes, "class"))
+        else {
             continue;
         };
         let head = request.head();
@@ -150,37 +177,60 @@
             }
         }
         // An empty text stands for no key.
-        let wanted =
-            section.read(notes, "key", ("this is not a text", "a text in quotes; empty: no key"), |v| {
-                v.as_str().map(str::to_owned)
-            });
+        let wanted = section.read(
+            notes,
+            "key",
+            ("this is not a text", "a text in quotes; empty: no key"),
+            |v| v.as_str().map(str::to_owned),
+        );
         if let Some(wanted) = wanted {
-            let own = found.and_then(|(_, r)| r.key.as_ref()).and_then(|k| table.text(k, &head));
+            let own = found
+                .and_then(|(_, r)| r.key.as_ref())
+                .and_then(|k| table.text(k, &head));
             if own.as_deref().unwrap_or_default() != wanted.value {
                 let found = own.map_or("no key".to_owned(), |k| format!("{k:?}"));
                 let allowed = format!("{:?} is expected", wanted.value);
-                notes.add((&wanted.key, &wanted.span), "the request has another key", found, allowed);
+                notes.add(
+                    (&wanted.key, &wanted.span),
+                    "the request has another key",
+                    found,
+                    allowed,
+                );
             }
         }
     }
 }
 
 fn words(notes: &mut Notes, section: &Section<'_>) -> Option<Words> {
-    let form = ("this is no request", "a method and a path, like \"POST /x?q=1\"");
+    let form = (
+        "this is no request",
+        "a method and a path, like \"POST /x?q=1\"",
+    );
     let request = section.read(notes, "request", form, |v| {
         let (method, target) = v.as_str()?.split_once(' ')?;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let good = path.starts_with('/');
-        good.then_some((method.parse::<Method>().ok()?, path.to_owned(), query.to_owned()))
+        good.then_some((
+            method.parse::<Method>().ok()?,
+            path.to_owned(),
+            query.to_owned(),
+        ))
     })?;
-    let client =
-        section.read(notes, "client", ("this is no address", "an IP address"), |v| v.as_str()?.parse().ok());
+    let client = section.read(
+        notes,
+        "client",
+        ("this is no address", "an IP address"),
+        |v| v.as_str()?.parse().ok(),
+    );
     let mut headers = HeaderMap::new();
     if let Some(value) = section.get("headers") {
         let pairs = value.get_ref().as_table();
         for (name, value) in pairs.into_iter().flatten() {
             let header = HeaderName::from_bytes(name.get_ref().as_bytes()).ok();
-            let text = value.get_ref().as_str().and_then(|t| HeaderValue::from_str(t).ok());
+            let text = value
+                .get_ref()
+                .as_str()
+                .and_then(|t| HeaderValue::from_str(t).ok());
             match header.zip(text) {
                 Some((header, text)) => drop(headers.append(header, text)),
                 None => {
@@ -197,17 +247,32 @@
         }
     }
     let (method, path, query) = request.value;
-    Some(Words { method, path, query, headers, client: client.map_or([127, 0, 0, 1].into(), |c| c.value) })
+    Some(Words {
+        method,
+        path,
+        query,
+        headers,
+        client: client.map_or([127, 0, 0, 1].into(), |c| c.value),
+    })
 }
 
 /// Routes of different classes whose conditions some request meets both, with that request.
 pub(crate) fn overlaps(table: &Table, classes: &[&str]) -> Vec<String> {
     let mut warnings = Vec::new();
-    let conditions: Vec<(usize, &Route, &Expression)> =
-        table.routes().iter().enumerate().filter_map(|(n, r)| Some((n, r, r.when.as_ref()?))).collect();
-    let pairs =
-        conditions.iter().enumerate().flat_map(|(n, a)| conditions[n + 1..].iter().map(move |b| (a, b)));
-    for ((_, a, own), (_, b, other)) in pairs.filter(|(a, b)| a.1.class != b.1.class).take(PAIRS_MOST) {
+    let conditions: Vec<(usize, &Route, &Expression)> = table
+        .routes()
+        .iter()
+        .enumerate()
+        .filter_map(|(n, r)| Some((n, r, r.when.as_ref()?)))
+        .collect();
+    let pairs = conditions
+        .iter()
+        .enumerate()
+        .flat_map(|(n, a)| conditions[n + 1..].iter().map(move |b| (a, b)));
+    for ((_, a, own), (_, b, other)) in pairs
+        .filter(|(a, b)| a.1.class != b.1.class)
+        .take(PAIRS_MOST)
+    {
         let paths: Vec<String> = [a, b]
             .into_iter()
             .filter_map(|r| match &r.path {
@@ -218,9 +283,15 @@
         let methods = match (a.methods.as_slice(), b.methods.as_slice()) {
             ([], []) => vec![Method::POST, Method::GET],
             ([], some) | (some, []) => some.to_vec(),
-            (some, others) => some.iter().filter(|m| others.contains(m)).cloned().collect(),
+            (some, others) => some
+                .iter()
+                .filter(|m| others.contains(m))
+                .cloned()
+                .collect(),
+        };
+        let Some(request) = both(table.program(), (own.id, other.id), &paths, &methods) else {
+            continue;
         };
-        let Some(request) = both(table.program(), (own.id, other.id), &paths, &methods) else { continue };
         // Paths and headers have their say too: alone, each must take it.
         let head = Head {
             method: &request.method,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -14,7 +14,8 @@
     document, known_names, show, DeTable, DeValue, Mistakes, Notes, Section, Set, Span, Value,
 };
 use badgerramp_route::{
-    normalize, pattern, Answers, HeaderPattern, PathPattern, Route, Source, Table, Timing, PATTERN_BYTES,
+    normalize, pattern, Answers, HeaderPattern, PathPattern, Route, Source, Table, Timing,
+    PATTERN_BYTES,
 };
 use http::{HeaderName, HeaderValue, Method};
 use std::collections::HashMap;
@@ -22,8 +23,8 @@
 use std::sync::Arc;
 
 const FILE: [&str; 14] = [
-    "platform", "listen", "limits", "log", "upstream", "subset", "list", "peers", "policy", "defaults",
-    "class", "route", "no_route", "expect",
+    "platform", "listen", "limits", "log", "upstream", "subset", "list", "peers", "policy",
+    "defaults", "class", "route", "no_route", "expect",
 ];
 const LIMITS: [&str; 5] = ["memory", "descriptors", "open_calls", "body", "retry_after"];
 const UPSTREAM: [&str; 10] = [
@@ -39,9 +40,18 @@
     "fall_time",
 ];
 const ENDPOINT: [&str; 6] = ["name", "address", "zone", "group", "kind", "weight"];
-const CLASS: [&str; 7] = ["aim", "deadline", "worth", "late_worth", "effect", "group", "window"];
-const ROUTE: [&str; 10] =
-    ["name", "path", "prefix", "regex", "methods", "headers", "when", "class", "tenant", "key"];
+const CLASS: [&str; 7] = [
+    "aim",
+    "deadline",
+    "worth",
+    "late_worth",
+    "effect",
+    "group",
+    "window",
+];
+const ROUTE: [&str; 10] = [
+    "name", "path", "prefix", "regex", "methods", "headers", "when", "class", "tenant", "key",
+];
 const NO_ROUTE: [&str; 2] = ["status", "text"];
 
 /// Longest time that a client may wait.
@@ -226,7 +236,10 @@
 
     /// Does this file's route make of a request what that one makes of it, with the same class by name?
     pub fn same_route(&self, place: usize, other: &Config, its: usize) -> bool {
-        let (Some(a), Some(b)) = (self.routes.routes().get(place), other.routes.routes().get(its)) else {
+        let (Some(a), Some(b)) = (
+            self.routes.routes().get(place),
+            other.routes.routes().get(its),
+        ) else {
             return false;
         };
         let path = match (&a.path, &b.path) {
@@ -235,9 +248,12 @@
             (PathPattern::Regex(a), PathPattern::Regex(b)) => a.as_str() == b.as_str(),
             _ => false,
         };
-        let class = |config: &Config, route: &Route| config.classes.get(route.class).map(|c| c.name.clone());
+        let class = |config: &Config, route: &Route| {
+            config.classes.get(route.class).map(|c| c.name.clone())
+        };
         path && (&a.methods, &a.headers, &a.when) == (&b.methods, &b.headers, &b.when)
-            && (&a.tenant, &a.key, &a.timing, &a.answers) == (&b.tenant, &b.key, &b.timing, &b.answers)
+            && (&a.tenant, &a.key, &a.timing, &a.answers)
+                == (&b.tenant, &b.key, &b.timing, &b.answers)
             && class(self, a) == class(other, b)
     }
 
@@ -263,7 +279,8 @@
 
     /// The timing of a class, figure by figure.
     pub fn class_figures(&self, place: usize) -> Vec<Figure> {
-        let Some(((_, draft), class)) = self.source.classes.get(place).zip(self.classes.get(place)) else {
+        let Some(((_, draft), class)) = self.source.classes.get(place).zip(self.classes.get(place))
+        else {
             return Vec::new();
         };
         draft.figures(&class.timing)
@@ -271,7 +288,11 @@
 
     /// The timing of a route, figure by figure.
     pub fn route_figures(&self, place: usize) -> Vec<Figure> {
-        let Some(((_, draft), route)) = self.source.routes.get(place).zip(self.routes.routes().get(place))
+        let Some(((_, draft), route)) = self
+            .source
+            .routes
+            .get(place)
+            .zip(self.routes.routes().get(place))
         else {
             return Vec::new();
         };
@@ -296,8 +317,15 @@
                 ..plain.limits
             },
             rules: upstream.rules,
-            reports: decisions::Reports { how: decisions::Reporting::Inline, in_hand: true },
-            weights: if weighted { decisions::WeightSource::Nominal } else { decisions::WeightSource::Off },
+            reports: decisions::Reports {
+                how: decisions::Reporting::Inline,
+                in_hand: true,
+            },
+            weights: if weighted {
+                decisions::WeightSource::Nominal
+            } else {
+                decisions::WeightSource::Off
+            },
             ..plain
         }
     }
@@ -318,7 +346,12 @@
 impl ClassDraft {
     fn facts(&self) -> Facts<'_> {
         let deadline = self.deadline.as_ref().map(|d| d.value);
-        Facts { name: &self.name, span: &self.span, deadline, repeat: self.repeat }
+        Facts {
+            name: &self.name,
+            span: &self.span,
+            deadline,
+            repeat: self.repeat,
+        }
     }
 }
 
@@ -342,13 +375,23 @@
 impl Reading<'_> {
     fn file(&mut self, name: &str, text: &str, table: &DeTable<'_>) -> Option<Config> {
         let top = Section::new(self.notes, table, ("", 0..0), &FILE);
-        let platform =
-            top.read(self.notes, "platform", ("this is not a flag", "true or false"), DeValue::as_bool);
-        let usage = if platform.is_some_and(|p| p.value) { Use::Platform } else { Use::Alone };
+        let platform = top.read(
+            self.notes,
+            "platform",
+            ("this is not a flag", "true or false"),
+            DeValue::as_bool,
+        );
+        let usage = if platform.is_some_and(|p| p.value) {
+            Use::Platform
+        } else {
+            Use::Alone
+        };
         if usage == Use::Platform {
-            for name in ["listen", "limits", "upstream", "subset", "list", "peers", "policy", "no_route"]
-                .into_iter()
-                .filter(|n| top.has(n))
+            for name in [
+                "listen", "limits", "upstream", "subset", "list", "peers", "policy", "no_route",
+            ]
+            .into_iter()
+            .filter(|n| top.has(n))
             {
                 if let Some((_, span, _)) = top.iter().find(|(n, ..)| *n == name) {
                     let reason = "the platform sets this: beside its settings a file only narrows";
@@ -361,17 +404,27 @@
                 }
             }
         } else {
-            top.want(self.notes, "listen", "an address and a port, like \"127.0.0.1:8080\"");
+            top.want(
+                self.notes,
+                "listen",
+                "an address and a port, like \"127.0.0.1:8080\"",
+            );
             top.want(self.notes, "upstream", "a table: [upstream]");
             top.want(self.notes, "class", "a table for each class: [class.NAME]");
             top.want(self.notes, "route", "a list of routes: [[route]]");
         }
         let listen = address(self.notes, &top, "listen");
         let limits = self.limits(&top);
-        let upstream = top.section(self.notes, "upstream", &UPSTREAM).map(|section| self.upstream(&section));
+        let upstream = top
+            .section(self.notes, "upstream", &UPSTREAM)
+            .map(|section| self.upstream(&section));
         let subset = subset::subset(self.notes, &top, upstream.as_ref(), limits.as_ref());
         let list = subset::list(self.notes, &top, upstream.as_ref());
-        let peers = peers::read(self.notes, &top, upstream.as_ref().map(|u| u.discovery.is_some()));
+        let peers = peers::read(
+            self.notes,
+            &top,
+            upstream.as_ref().map(|u| u.discovery.is_some()),
+        );
         let defaults = match top.section(self.notes, "defaults", &timing::KEYS) {
             Some(section) => Draft::read(self.notes, &section),
             None => Draft::default(),
@@ -397,7 +450,10 @@
         let source = Origin {
             name: name.to_owned(),
             text: text.to_owned(),
-            classes: classes.iter().map(|c| (c.span.clone(), c.draft.clone())).collect(),
+            classes: classes
+                .iter()
+                .map(|c| (c.span.clone(), c.draft.clone()))
+                .collect(),
             routes: route_drafts,
         };
         let class = |c: ClassDraft| {
@@ -406,12 +462,22 @@
                 Use::Platform => (0, 0),
             };
             let repeat = c.repeat.unwrap_or_default();
-            let class = decisions::Class { aim, deadline, worth: c.worth, late_value: c.late_worth, repeat };
+            let class = decisions::Class {
+                aim,
+                deadline,
+                worth: c.worth,
+                late_value: c.late_worth,
+                repeat,
+            };
             let timing = match usage {
                 Use::Alone => c.draft.timing(&c.facts()),
                 Use::Platform => Timing::UNLIMITED,
             };
-            Some(Class { name: c.name, class, timing })
+            Some(Class {
+                name: c.name,
+                class,
+                timing,
+            })
         };
         let classes = classes.into_iter().map(class).collect::<Option<Vec<_>>>()?;
         Some(Config {
@@ -466,7 +532,12 @@
                     show_size(body_most),
                     show_size(limits.memory as u64)
                 );
-                notes.add((&body.key, &body.span), reason, show_size(body.value), allowed);
+                notes.add(
+                    (&body.key, &body.span),
+                    reason,
+                    show_size(body.value),
+                    allowed,
+                );
             }
             limits.body = body.value as usize;
         }
@@ -479,7 +550,12 @@
             if open.value as usize > borne {
                 let reason = "the descriptors do not bear so many open calls";
                 let allowed = format!("at most {borne} with {} descriptors", limits.descriptors);
-                notes.add((&open.key, &open.span), reason, open.value.to_string(), allowed);
+                notes.add(
+                    (&open.key, &open.span),
+                    reason,
+                    open.value.to_string(),
+                    allowed,
+                );
             }
             limits.open_calls = open.value as usize;
         }
@@ -493,10 +569,17 @@
         match (section.has("endpoints"), section.has("discovery")) {
             (false, false) => {
                 let allowed = "`endpoints`, or the address of a list service in `discovery`";
-                notes.add((&section.key, &section.span), "no call could go anywhere", "neither", allowed);
+                notes.add(
+                    (&section.key, &section.span),
+                    "no call could go anywhere",
+                    "neither",
+                    allowed,
+                );
             }
             (true, true) => {
-                let span = section.get("discovery").map_or(section.span.clone(), |v| v.span());
+                let span = section
+                    .get("discovery")
+                    .map_or(section.span.clone(), |v| v.span());
                 let reason = "endpoints come from the file or from the list service, not from both";
                 notes.add(
                     (&section.of("discovery"), &span),
@@ -508,8 +591,12 @@
             _ => {}
         }
         let zone = section.text(notes, "zone").map_or(plain.zone, |z| z.value);
-        let proxies = section.integer(notes, "proxies", 1..=100_000).map_or(1, |p| p.value as u32);
-        let idle = section.duration(notes, "idle", 100_000..=3_600_000_000).map_or(plain.idle, |d| d.value);
+        let proxies = section
+            .integer(notes, "proxies", 1..=100_000)
+            .map_or(1, |p| p.value as u32);
+        let idle = section
+            .duration(notes, "idle", 100_000..=3_600_000_000)
+            .map_or(plain.idle, |d| d.value);
         let mut rules = plain.rules;
         if let Some(grace) = section.duration(notes, "drain_grace", 50_000..=60_000_000) {
             rules.drain_grace = grace.value;
@@ -527,24 +614,43 @@
             rules.fall_time = time.value;
         }
         let endpoints = self.endpoints(section);
-        Upstream { endpoints, discovery, zone, proxies, idle, rules }
+        Upstream {
+            endpoints,
+            discovery,
+            zone,
+            proxies,
+            idle,
+            rules,
+        }
     }
 
     fn endpoints(&mut self, section: &Section<'_>) -> Vec<Endpoint> {
-        let Some(list) = section.list(self.notes, "endpoints", "endpoints") else { return Vec::new() };
+        let Some(list) = section.list(self.notes, "endpoints", "endpoints") else {
+            return Vec::new();
+        };
         let notes = &mut *self.notes;
         let span = section.get("endpoints").map_or(0..0, |v| v.span());
         if list.is_empty() || list.len() > ENDPOINTS_MOST {
             let found = format!("{} endpoints", list.len());
             let allowed = format!("from 1 to {ENDPOINTS_MOST}");
-            notes.add((&section.of("endpoints"), &span), "no call could go anywhere", found, allowed);
+            notes.add(
+                (&section.of("endpoints"), &span),
+                "no call could go anywhere",
+                found,
+                allowed,
+            );
         }
         let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
         let mut endpoints = Vec::new();
         for (key, value) in list {
             let DeValue::Table(table) = value.get_ref() else {
                 let allowed = "{ name = \"s-1\", address = \"10.0.0.7:9000\" }";
-                notes.add((&key, &value.span()), "this is no endpoint", show(value.get_ref()), allowed);
+                notes.add(
+                    (&key, &value.span()),
+                    "this is no endpoint",
+                    show(value.get_ref()),
+                    allowed,
+                );
                 continue;
             };
             let part = Section::new(notes, table, (&key, value.span()), &ENDPOINT);
@@ -553,26 +659,55 @@
             let name = part.text(notes, "name");
             let place = part.get("address").map_or(part.span.clone(), |v| v.span());
             if let Some(at) = at {
-                twice(notes, &mut addresses, (&part.of("address"), &place), at.to_string(), "address");
+                twice(
+                    notes,
+                    &mut addresses,
+                    (&part.of("address"), &place),
+                    at.to_string(),
+                    "address",
+                );
             }
             if let Some(name) = &name {
-                twice(notes, &mut names, (&name.key, &name.span), name.value.clone(), "name");
+                twice(
+                    notes,
+                    &mut names,
+                    (&name.key, &name.span),
+                    name.value.clone(),
+                    "name",
+                );
             }
-            let zone = part.text(notes, "zone").map_or_else(String::new, |z| z.value);
-            let kind = part.text(notes, "kind").map_or_else(String::new, |z| z.value);
+            let zone = part
+                .text(notes, "zone")
+                .map_or_else(String::new, |z| z.value);
+            let kind = part
+                .text(notes, "kind")
+                .map_or_else(String::new, |z| z.value);
             // 0 stands for no group: none of a keyed class's repeats may go there.
-            let group = part.integer(notes, "group", 1..=u64::from(u32::MAX)).map_or(0, |g| g.value as u32);
-            let weight = part.number(notes, "weight", 0.01..=1_000.0).map_or(1.0, |w| w.value);
+            let group = part
+                .integer(notes, "group", 1..=u64::from(u32::MAX))
+                .map_or(0, |g| g.value as u32);
+            let weight = part
+                .number(notes, "weight", 0.01..=1_000.0)
+                .map_or(1.0, |w| w.value);
             if let Some(at) = at {
                 let name = name.map_or_else(|| at.to_string(), |n| n.value);
-                endpoints.push(Endpoint { name, address: at, zone, group, kind, weight });
+                endpoints.push(Endpoint {
+                    name,
+                    address: at,
+                    zone,
+                    group,
+                    kind,
+                    weight,
+                });
             }
         }
         endpoints
     }
 
     fn classes(&mut self, top: &Section<'_>, defaults: &Draft, usage: Use) -> Vec<ClassDraft> {
-        let Some(value) = top.get("class") else { return Vec::new() };
+        let Some(value) = top.get("class") else {
+            return Vec::new();
+        };
         let DeValue::Table(table) = value.get_ref() else {
             let found = show(value.get_ref());
             self.notes.add(
@@ -628,19 +763,37 @@
             draft,
         };
         if usage == Use::Alone {
-            section.want(notes, "aim", "the time within which an answer is wanted, like \"500ms\"");
-            section.want(notes, "deadline", "the time for which a client waits, like \"1200ms\"");
+            section.want(
+                notes,
+                "aim",
+                "the time within which an answer is wanted, like \"500ms\"",
+            );
+            section.want(
+                notes,
+                "deadline",
+                "the time for which a client waits, like \"1200ms\"",
+            );
             section.want(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
             class.aim = section.duration(notes, "aim", 1_000..=DEADLINE_MOST);
             class.deadline = section.duration(notes, "deadline", 10_000..=DEADLINE_MOST);
-            class.worth = section.number(notes, "worth", 0.001..=1e6).map_or(1.0, |w| w.value);
-            class.late_worth = section.number(notes, "late_worth", 0.0..=1.0).map_or(1.0, |w| w.value);
+            class.worth = section
+                .number(notes, "worth", 0.001..=1e6)
+                .map_or(1.0, |w| w.value);
+            class.late_worth = section
+                .number(notes, "late_worth", 0.0..=1.0)
+                .map_or(1.0, |w| w.value);
             class.repeat = repeat(notes, section);
             if let (Some(aim), Some(deadline)) = (&class.aim, &class.deadline) {
                 if aim.value > deadline.value {
-                    let allowed = format!("at most the deadline, {}", show_duration(deadline.value));
+                    let allowed =
+                        format!("at most the deadline, {}", show_duration(deadline.value));
                     let reason = "an answer is wanted later than the client waits";
-                    notes.add((&aim.key, &aim.span), reason, show_duration(aim.value), allowed);
+                    notes.add(
+                        (&aim.key, &aim.span),
+                        reason,
+                        show_duration(aim.value),
+                        allowed,
+                    );
                 }
             }
         }
@@ -662,19 +815,36 @@
         if list.len() > ROUTES_MOST {
             let span = top.get("route").map_or(0..0, |v| v.span());
             let found = format!("{} routes", list.len());
-            self.notes.add(("route", &span), "too many routes", found, format!("at most {ROUTES_MOST}"));
+            self.notes.add(
+                ("route", &span),
+                "too many routes",
+                found,
+                format!("at most {ROUTES_MOST}"),
+            );
             return Default::default();
         }
         let known: Vec<&str> = ROUTE.iter().chain(&timing::KEYS).copied().collect();
         let class_names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-        let places: HashMap<&str, usize> = class_names.iter().enumerate().map(|(n, &c)| (c, n)).collect();
-        let answers: Vec<Arc<Answers>> = classes.iter().map(|c| Arc::new(c.draft.answers())).collect();
+        let places: HashMap<&str, usize> = class_names
+            .iter()
+            .enumerate()
+            .map(|(n, &c)| (c, n))
+            .collect();
+        let answers: Vec<Arc<Answers>> = classes
+            .iter()
+            .map(|c| Arc::new(c.draft.answers()))
+            .collect();
         let mut names = HashMap::new();
         let (mut routes, mut drafts) = (Vec::new(), Vec::new());
         for (key, value) in list {
             let DeValue::Table(table) = value.get_ref() else {
                 let found = show(value.get_ref());
-                self.notes.add((&key, &value.span()), "this is no route", found, "a table: [[route]]");
+                self.notes.add(
+                    (&key, &value.span()),
+                    "this is no route",
+                    found,
+                    "a table: [[route]]",
+                );
                 continue;
             };
             let mut section = Section::new(self.notes, table, (&key, value.span()), &known);
@@ -684,7 +854,13 @@
             section.want(notes, "name", "a name of its own");
             let name = section.text(notes, "name");
             if let Some(name) = &name {
-                twice(notes, &mut names, (&name.key, &name.span), name.value.clone(), "name");
+                twice(
+                    notes,
+                    &mut names,
+                    (&name.key, &name.span),
+                    name.value.clone(),
+                    "name",
+                );
             }
             let path = path(notes, &section);
             let methods = methods(notes, &section);
@@ -692,11 +868,12 @@
             let when = expressions.read(notes, &section, "when", text, Wanted::Condition);
             let tenant = source(notes, &section, "tenant", text, expressions);
             let key = source(notes, &section, "key", text, expressions);
-            let class =
-                section.text(notes, "class").and_then(|class| match places.get(class.value.as_str()) {
+            let class = section.text(notes, "class").and_then(|class| {
+                match places.get(class.value.as_str()) {
                     Some(&place) => Some(place),
                     None => {
-                        let (reason, found) = ("no class has this name", format!("{:?}", class.value));
+                        let (reason, found) =
+                            ("no class has this name", format!("{:?}", class.value));
                         notes.add(
                             (&class.key, &class.span),
                             reason,
@@ -705,21 +882,32 @@
                         );
                         None
                     }
-                });
+                }
+            });
             let own = Draft::read(notes, &section);
-            let Some((place, class)) = class.map(|place| (place, &classes[place])) else { continue };
+            let Some((place, class)) = class.map(|place| (place, &classes[place])) else {
+                continue;
+            };
             let draft = own.over(&class.draft);
-            let span = name.as_ref().map_or(section.span.clone(), |n| n.span.clone());
-            let shown = name
+            let span = name
                 .as_ref()
-                .map_or(section.key.clone(), |n| format!("route {:?} of {}", n.value, class.name));
-            let facts = Facts { name: &shown, span: &span, ..class.facts() };
+                .map_or(section.span.clone(), |n| n.span.clone());
+            let shown = name.as_ref().map_or(section.key.clone(), |n| {
+                format!("route {:?} of {}", n.value, class.name)
+            });
+            let facts = Facts {
+                name: &shown,
+                span: &span,
+                ..class.facts()
+            };
             if own.says() {
                 draft.check(notes, &facts);
             }
             let guarded = matches!(class.repeat, Some(Repeat::Guarded { .. }));
             if section.has("key") && !guarded && usage == Use::Alone && class.repeat.is_some() {
-                let span = section.get("key").map_or(section.span.clone(), |v| v.span());
+                let span = section
+                    .get("key")
+                    .map_or(section.span.clone(), |v| v.span());
                 let found = format!("a key for {:?}", class.name);
                 let reason = "only a keyed class goes by a key";
                 notes.add(
@@ -733,8 +921,13 @@
                 Use::Alone => draft.timing(&facts),
                 Use::Platform => Timing::UNLIMITED,
             };
-            let by_default = guarded.then(|| Source::Header(HeaderName::from_static("idempotency-key")));
-            let answers = if own.says() { Arc::new(draft.answers()) } else { Arc::clone(&answers[place]) };
+            let by_default =
+                guarded.then(|| Source::Header(HeaderName::from_static("idempotency-key")));
+            let answers = if own.says() {
+                Arc::new(draft.answers())
+            } else {
+                Arc::clone(&answers[place])
+            };
             let Some(path) = path else { continue };
             routes.push(Route {
                 name: name.map_or_else(|| section.key.clone(), |n| n.value),
@@ -763,34 +956,60 @@
         let table = match Table::with(routes, program) {
             Ok(table) => table,
             Err(fault) => {
-                let span = top.get("route").map_or(0..0, |v| v.span().start..v.span().start);
-                let allowed = "fewer or smaller patterns; exact paths and prefixes have no such bound";
-                self.notes.add(("route", &span), fault.to_string(), "more", allowed);
+                let span = top
+                    .get("route")
+                    .map_or(0..0, |v| v.span().start..v.span().start);
+                let allowed =
+                    "fewer or smaller patterns; exact paths and prefixes have no such bound";
+                self.notes
+                    .add(("route", &span), fault.to_string(), "more", allowed);
                 return None;
             }
         };
         for shadow in table.shadows() {
-            let (later, earlier) = (&table.routes()[shadow.later], &table.routes()[shadow.earlier]);
-            let reason =
-                format!("this route can never match: {:?} before it takes all that it would", earlier.name);
+            let (later, earlier) = (
+                &table.routes()[shadow.later],
+                &table.routes()[shadow.earlier],
+            );
+            let reason = format!(
+                "this route can never match: {:?} before it takes all that it would",
+                earlier.name
+            );
             let allowed = "the narrower route first, or one of the two";
             let key = format!("route[{}]", shadow.later);
-            let mistake =
-                self.notes.add((&key, &drafts[shadow.later].0), reason, format!("{:?}", later.name), allowed);
-            mistake.related.push((drafts[shadow.earlier].0.clone(), "this one takes all".to_owned()));
+            let mistake = self.notes.add(
+                (&key, &drafts[shadow.later].0),
+                reason,
+                format!("{:?}", later.name),
+                allowed,
+            );
+            mistake.related.push((
+                drafts[shadow.earlier].0.clone(),
+                "this one takes all".to_owned(),
+            ));
         }
         Some(table)
     }
 
     fn no_route(&mut self, top: &Section<'_>) -> NoRoute {
-        let plain = NoRoute { status: 404, text: "no route takes this request".to_owned() };
+        let plain = NoRoute {
+            status: 404,
+            text: "no route takes this request".to_owned(),
+        };
         let notes = &mut *self.notes;
-        let Some(section) = top.section(notes, "no_route", &NO_ROUTE) else { return plain };
+        let Some(section) = top.section(notes, "no_route", &NO_ROUTE) else {
+            return plain;
+        };
         let status = section.integer(notes, "status", 400..=599);
         if let Some(status) = status.as_ref().filter(|s| [429, 503].contains(&s.value)) {
             let reason = "to a client this status says to try again, which would never help";
             let allowed = "a status from 400 to 599 but 429 and 503";
-            notes.add((&status.key, &status.span), reason, status.value.to_string(), allowed);
+            notes.add(
+                (&status.key, &status.span),
+                reason,
+                status.value.to_string(),
+                allowed,
+            );
         }
         NoRoute {
             status: status.map_or(plain.status, |s| s.value as u16),
@@ -800,19 +1019,32 @@
 
     /// A class whose repeats are dropped by a zone or a group goes by endpoints that tell theirs.
     fn check_groups(&mut self, classes: &[ClassDraft], upstream: Option<&Upstream>) {
-        let Some(upstream) = upstream.filter(|u| u.discovery.is_none()) else { return };
+        let Some(upstream) = upstream.filter(|u| u.discovery.is_none()) else {
+            return;
+        };
         for class in classes {
-            let Some(Repeat::Guarded { scope, .. }) = class.repeat else { continue };
+            let Some(Repeat::Guarded { scope, .. }) = class.repeat else {
+                continue;
+            };
             let (what, bare) = match scope {
                 Scope::All => continue,
-                Scope::Zone => ("zone", upstream.endpoints.iter().find(|e| e.zone.is_empty())),
+                Scope::Zone => (
+                    "zone",
+                    upstream.endpoints.iter().find(|e| e.zone.is_empty()),
+                ),
                 Scope::Cell => ("group", upstream.endpoints.iter().find(|e| e.group == 0)),
             };
             if let Some(bare) = bare {
-                let reason = format!("repeats are dropped within a {what}, but an endpoint tells none");
+                let reason =
+                    format!("repeats are dropped within a {what}, but an endpoint tells none");
                 let key = format!("class.{}.group", class.name);
                 let found = format!("endpoint {:?} without a {what}", bare.name);
-                self.notes.add((&key, &class.span), reason, found, format!("a `{what}` for each endpoint"));
+                self.notes.add(
+                    (&key, &class.span),
+                    reason,
+                    found,
+                    format!("a `{what}` for each endpoint"),
+                );
             }
         }
     }
@@ -860,7 +1092,9 @@
     if let Some(first) = seen.get(&value) {
         let reason = format!("this {what} stands for two");
         let mistake = notes.add((key, span), reason, found, format!("a {what} of its own"));
-        mistake.related.push((first.clone(), "first here".to_owned()));
+        mistake
+            .related
+            .push((first.clone(), "first here".to_owned()));
     } else {
         seen.insert(value, span.clone());
     }
@@ -869,8 +1103,9 @@
 fn address(notes: &mut Notes, section: &Section<'_>, name: &str) -> Option<SocketAddr> {
     let allowed =
         "an IP address and a port, like \"127.0.0.1:8080\" or \"[::1]:8080\"; names are not looked up";
-    let read = section
-        .read(notes, name, ("this is no address", allowed), |v| v.as_str()?.parse::<SocketAddr>().ok())?;
+    let read = section.read(notes, name, ("this is no address", allowed), |v| {
+        v.as_str()?.parse::<SocketAddr>().ok()
+    })?;
     if name != "listen" && read.value.port() == 0 {
         notes.add(
             (&read.key, &read.span),
@@ -890,17 +1125,33 @@
         Keyed,
         Unsafe,
     }
-    let words = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
+    let words = [
+        ("safe", Effect::Safe),
+        ("keyed", Effect::Keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
     let effect = section.word(notes, "effect", &words)?.value;
-    let scope =
-        section.word(notes, "group", &[("all", Scope::All), ("zone", Scope::Zone), ("group", Scope::Cell)]);
+    let scope = section.word(
+        notes,
+        "group",
+        &[
+            ("all", Scope::All),
+            ("zone", Scope::Zone),
+            ("group", Scope::Cell),
+        ],
+    );
     let window = section.duration(notes, "window", 1_000..=3_600_000_000);
     if effect != Effect::Keyed {
         for name in ["group", "window"] {
             if let Some(value) = section.get(name) {
                 let reason = "only a keyed class has this";
                 let allowed = "effect = \"keyed\", or none of `group` and `window`";
-                notes.add((&section.of(name), &value.span()), reason, show(value.get_ref()), allowed);
+                notes.add(
+                    (&section.of(name), &value.span()),
+                    reason,
+                    show(value.get_ref()),
+                    allowed,
+                );
             }
         }
     }
@@ -908,19 +1159,42 @@
         Effect::Safe => Some(Repeat::Free),
         Effect::Unsafe => Some(Repeat::SingleShot),
         Effect::Keyed => {
-            section.want(notes, "group", "who drops repeats: \"all\", \"zone\" or \"group\"");
-            section.want(notes, "window", "for how long repeats are dropped, like \"1200ms\"");
-            Some(Repeat::Guarded { scope: scope?.value, window: window?.value })
+            section.want(
+                notes,
+                "group",
+                "who drops repeats: \"all\", \"zone\" or \"group\"",
+            );
+            section.want(
+                notes,
+                "window",
+                "for how long repeats are dropped, like \"1200ms\"",
+            );
+            Some(Repeat::Guarded {
+                scope: scope?.value,
+                window: window?.value,
+            })
         }
     }
 }
 
 fn path(notes: &mut Notes, section: &Section<'_>) -> Option<PathPattern> {
-    let given: Vec<&str> = ["path", "prefix", "regex"].into_iter().filter(|k| section.has(k)).collect();
+    let given: Vec<&str> = ["path", "prefix", "regex"]
+        .into_iter()
+        .filter(|k| section.has(k))
+        .collect();
     let &[kind] = given.as_slice() else {
         let reason = "a route has one kind of path";
-        let found = if given.is_empty() { "none".to_owned() } else { given.join(" and ") };
-        notes.add((&section.key, &section.span), reason, found, "one of `path`, `prefix` and `regex`");
+        let found = if given.is_empty() {
+            "none".to_owned()
+        } else {
+            given.join(" and ")
+        };
+        notes.add(
+            (&section.key, &section.span),
+            reason,
+            found,
+            "one of `path`, `prefix` and `regex`",
+        );
         return None;
     };
     let text = section.text(notes, kind)?;
@@ -952,7 +1226,12 @@
                 Err(fault) => fault.to_string(),
             };
             let reason = "this path is not in its normal form and would never match";
-            notes.add((&text.key, &text.span), reason, format!("{:?}", text.value), allowed);
+            notes.add(
+                (&text.key, &text.span),
+                reason,
+                format!("{:?}", text.value),
+                allowed,
+            );
             None
         }
     }
@@ -965,17 +1244,29 @@
     let allowed = "methods in capital letters, like \"POST\"; not CONNECT";
     if list.is_empty() {
         let span = section.get("methods").map_or(0..0, |v| v.span());
-        notes.add((&section.of("methods"), &span), "no request would match", "an empty list", allowed);
+        notes.add(
+            (&section.of("methods"), &span),
+            "no request would match",
+            "an empty list",
+            allowed,
+        );
     }
     let mut methods = Vec::new();
     for (key, value) in list {
         let text = value.get_ref().as_str().unwrap_or_default();
         match text.parse::<Method>() {
-            Ok(method) if method != Method::CONNECT && text.bytes().all(|b| !b.is_ascii_lowercase()) => {
+            Ok(method)
+                if method != Method::CONNECT && text.bytes().all(|b| !b.is_ascii_lowercase()) =>
+            {
                 methods.push(method);
             }
             _ => {
-                notes.add((&key, &value.span()), "this is no method", show(value.get_ref()), allowed);
+                notes.add(
+                    (&key, &value.span()),
+                    "this is no method",
+                    show(value.get_ref()),
+                    allowed,
+                );
             }
         }
     }
@@ -983,7 +1274,9 @@
 }
 
 fn headers(notes: &mut Notes, section: &Section<'_>) -> Vec<HeaderPattern> {
-    let Some(value) = section.get("headers") else { return Vec::new() };
+    let Some(value) = section.get("headers") else {
+        return Vec::new();
+    };
     let allowed =
         "{ \"content-type\" = \"application/json\", \"x-branch\" = true }, where true means any value";
     let DeValue::Table(table) = value.get_ref() else {
@@ -1013,9 +1306,17 @@
             _ => None,
         };
         match wanted {
-            Some(value) => patterns.push(HeaderPattern { name: header, value }),
+            Some(value) => patterns.push(HeaderPattern {
+                name: header,
+                value,
+            }),
             None => {
-                notes.add((&key, &value.span()), "this is no header value", show(value.get_ref()), allowed);
+                notes.add(
+                    (&key, &value.span()),
+                    "this is no header value",
+                    show(value.get_ref()),
+                    allowed,
+                );
             }
         }
     }
@@ -1029,8 +1330,13 @@
     text: &str,
     expressions: &mut Expressions,
 ) -> Option<Source> {
-    if section.get(name).is_some_and(|v| v.get_ref().as_str().is_some()) {
-        return expressions.read(notes, section, name, text, Wanted::Text).map(Source::Expression);
+    if section
+        .get(name)
+        .is_some_and(|v| v.get_ref().as_str().is_some())
+    {
+        return expressions
+            .read(notes, section, name, text, Wanted::Text)
+            .map(Source::Expression);
     }
     let part = section.section(notes, name, &["header", "cookie"])?;
     let header = timing::header_name(notes, &part, "header");
@@ -1041,7 +1347,12 @@
         (both, _) => {
             let found = if both { "both" } else { "neither" };
             let allowed = "{ header = \"NAME\" } or { cookie = \"NAME\" }";
-            notes.add((&part.key, &part.span), "a value comes from one place", found, allowed);
+            notes.add(
+                (&part.key, &part.span),
+                "a value comes from one place",
+                found,
+                allowed,
+            );
             None
         }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -72,7 +72,10 @@
     match std::fs::read(path) {
         Ok(bytes) => match String::from_utf8(bytes) {
             Ok(text) => parse(&name, &text),
-            Err(fault) => Err(Mistakes::unreadable(&name, &format!("it is not UTF-8: {fault}"))),
+            Err(fault) => Err(Mistakes::unreadable(
+                &name,
+                &format!("it is not UTF-8: {fault}"),
+            )),
         },
         Err(fault) => Err(Mistakes::unreadable(&name, &fault.to_string())),
     }
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -54,27 +54,52 @@
 impl Default for Log {
     /// Text, of the program as a whole, 200 lines a second.
     fn default() -> Self {
-        Log { format: Format::Text, level: Level::Info, targets: Vec::new(), rate: 200 }
+        Log {
+            format: Format::Text,
+            level: Level::Info,
+            targets: Vec::new(),
+            rate: 200,
+        }
     }
 }
 
 /// Reads the table; what it does not set is as by default.
 pub(crate) fn read(notes: &mut Notes, top: &Section<'_>) -> Log {
     let plain = Log::default();
-    let Some(section) = top.section(notes, "log", &KEYS) else { return plain };
+    let Some(section) = top.section(notes, "log", &KEYS) else {
+        return plain;
+    };
     let formats = [("text", Format::Text), ("json", Format::Json)];
-    let format = section.word(notes, "format", &formats).map_or(plain.format, |w| w.value);
-    let level = section.word(notes, "level", &LEVELS).map_or(plain.level, |w| w.value);
-    let rate = section.integer(notes, "rate", RATE).map_or(plain.rate, |r| r.value);
-    Log { format, level, targets: targets(notes, &section), rate }
+    let format = section
+        .word(notes, "format", &formats)
+        .map_or(plain.format, |w| w.value);
+    let level = section
+        .word(notes, "level", &LEVELS)
+        .map_or(plain.level, |w| w.value);
+    let rate = section
+        .integer(notes, "rate", RATE)
+        .map_or(plain.rate, |r| r.value);
+    Log {
+        format,
+        level,
+        targets: targets(notes, &section),
+        rate,
+    }
 }
 
 fn targets(notes: &mut Notes, section: &Section<'_>) -> Vec<(String, Level)> {
-    let Some(value) = section.get("targets") else { return Vec::new() };
+    let Some(value) = section.get("targets") else {
+        return Vec::new();
+    };
     let Some(table) = value.get_ref().as_table() else {
         let found = show(value.get_ref());
         let allowed = "a table, like { \"badgerramp::calls\" = \"debug\" }";
-        notes.add((&section.of("targets"), &value.span()), "this is not a table", found, allowed);
+        notes.add(
+            (&section.of("targets"), &value.span()),
+            "this is not a table",
+            found,
+            allowed,
+        );
         return Vec::new();
     };
     let names: Vec<&str> = table.iter().map(|(name, _)| &**name.get_ref()).collect();
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -27,33 +27,75 @@
 /// Reads the table; `asks`: there is a list service, if there is an upstream at all.
 pub(crate) fn read(notes: &mut Notes, top: &Section<'_>, asks: Option<bool>) -> Option<PeersTerms> {
     let section = top.section(notes, "peers", &KEYS)?;
-    section.want(notes, "listen", "an address and a UDP port, like \"10.0.0.4:7946\"");
-    section.want(notes, "seeds", "addresses of some proxies of the fleet, like [\"10.0.0.4:7946\"]");
-    section.want(notes, "secret", "the path of a file that only its owner may read");
+    section.want(
+        notes,
+        "listen",
+        "an address and a UDP port, like \"10.0.0.4:7946\"",
+    );
+    section.want(
+        notes,
+        "seeds",
+        "addresses of some proxies of the fleet, like [\"10.0.0.4:7946\"]",
+    );
+    section.want(
+        notes,
+        "secret",
+        "the path of a file that only its owner may read",
+    );
     section.want(notes, "fleet", "the name of the fleet, like \"cordillera\"");
     if asks == Some(false) {
         let allowed = "upstream.discovery, or no [peers]";
-        notes.add((&section.key, &section.span), "there is no list to pass on", "`endpoints`", allowed);
+        notes.add(
+            (&section.key, &section.span),
+            "there is no list to pass on",
+            "`endpoints`",
+            allowed,
+        );
     }
     if let Some((_, span, _)) = top.iter().find(|(name, ..)| *name == "list") {
         let reason = "with [peers] a few proxies ask for all, and no turns are taken";
-        notes.add(("list", &span), reason, "both [list] and [peers]", "one of them");
+        notes.add(
+            ("list", &span),
+            reason,
+            "both [list] and [peers]",
+            "one of them",
+        );
     }
     let listen = address(notes, &section, "listen");
     let advertise = address(notes, &section, "advertise");
     let reached = |notes: &mut Notes, set: &Set<SocketAddr>, reason: &str, allowed: &str| {
-        notes.add((&set.key, &set.span), reason, format!("\"{}\"", set.value), allowed);
+        notes.add(
+            (&set.key, &set.span),
+            reason,
+            format!("\"{}\"", set.value),
+            allowed,
+        );
     };
     match (&listen, &advertise) {
         (_, Some(told)) if told.value.ip().is_unspecified() || told.value.port() == 0 => {
-            reached(notes, told, "nobody can be reached there", "the address and port that others reach");
+            reached(
+                notes,
+                told,
+                "nobody can be reached there",
+                "the address and port that others reach",
+            );
         }
         (Some(own), None) if own.value.ip().is_unspecified() => {
             let allowed = "one address of this machine, or peers.advertise with it";
-            reached(notes, own, "others can't be told where this proxy is", allowed);
+            reached(
+                notes,
+                own,
+                "others can't be told where this proxy is",
+                allowed,
+            );
         }
         (Some(own), Some(told)) if own.value.is_ipv4() != told.value.is_ipv4() => {
-            reached(notes, told, "not of the family of peers.listen", "both IPv4, or both IPv6");
+            reached(
+                notes,
+                told,
+                "not of the family of peers.listen",
+                "both IPv4, or both IPv6",
+            );
         }
         _ => {}
     }
@@ -61,9 +103,17 @@
     let seeds = seeds(notes, &section, family);
     let secret = section.text(notes, "secret");
     let fleet = section.text(notes, "fleet");
-    if let Some(name) = fleet.as_ref().filter(|f| f.value.is_empty() || f.value.len() > FLEET) {
+    if let Some(name) = fleet
+        .as_ref()
+        .filter(|f| f.value.is_empty() || f.value.len() > FLEET)
+    {
         let allowed = format!("1 to {FLEET} bytes");
-        notes.add((&name.key, &name.span), "no name", format!("{} bytes", name.value.len()), allowed);
+        notes.add(
+            (&name.key, &name.span),
+            "no name",
+            format!("{} bytes", name.value.len()),
+            allowed,
+        );
     }
     Some(PeersTerms {
         listen: listen?.value,
@@ -76,23 +126,36 @@
 
 fn address(notes: &mut Notes, section: &Section<'_>, key: &str) -> Option<Set<SocketAddr>> {
     let allowed = "an address and a port, like \"10.0.0.4:7946\"";
-    section.read(notes, key, ("this is no address", allowed), |v| v.as_str()?.parse().ok())
+    section.read(notes, key, ("this is no address", allowed), |v| {
+        v.as_str()?.parse().ok()
+    })
 }
 
-fn seeds(notes: &mut Notes, section: &Section<'_>, family: Option<bool>) -> Option<Vec<SocketAddr>> {
+fn seeds(
+    notes: &mut Notes,
+    section: &Section<'_>,
+    family: Option<bool>,
+) -> Option<Vec<SocketAddr>> {
     let list = section.list(notes, "seeds", "addresses, like \"10.0.0.4:7946\"")?;
     let mut all: Vec<SocketAddr> = Vec::new();
     for (key, value) in &list {
         let found: Option<SocketAddr> = value.get_ref().as_str().and_then(|text| text.parse().ok());
         let wrong = match found {
-            None => Some(("this is no address", "an address and a port, like \"10.0.0.4:7946\"")),
-            Some(a) if a.ip().is_unspecified() || a.port() == 0 => {
-                Some(("nobody can be reached there", "the address and port of a proxy"))
-            }
-            Some(a) if family.is_some_and(|four| four != a.is_ipv4()) => {
-                Some(("not of the family of peers.listen", "both IPv4, or both IPv6"))
+            None => Some((
+                "this is no address",
+                "an address and a port, like \"10.0.0.4:7946\"",
+            )),
+            Some(a) if a.ip().is_unspecified() || a.port() == 0 => Some((
+                "nobody can be reached there",
+                "the address and port of a proxy",
+            )),
+            Some(a) if family.is_some_and(|four| four != a.is_ipv4()) => Some((
+                "not of the family of peers.listen",
+                "both IPv4, or both IPv6",
+            )),
+            Some(a) if all.contains(&a) => {
+                Some(("this seed stands here twice", "each address once"))
             }
-            Some(a) if all.contains(&a) => Some(("this seed stands here twice", "each address once")),
             Some(_) => None,
         };
         match (wrong, found) {
@@ -103,9 +166,16 @@
         }
     }
     if list.is_empty() || list.len() > SEEDS {
-        let span = section.get("seeds").map_or(section.span.clone(), |v| v.span());
+        let span = section
+            .get("seeds")
+            .map_or(section.span.clone(), |v| v.span());
         let allowed = format!("1 to {SEEDS} addresses");
-        notes.add((&section.of("seeds"), &span), "so many seeds can't be", list.len().to_string(), allowed);
+        notes.add(
+            (&section.of("seeds"), &span),
+            "so many seeds can't be",
+            list.len().to_string(),
+            allowed,
+        );
     }
     (all.len() == list.len()).then_some(all)
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -24,24 +24,43 @@
             timings[place] = narrowed(&mut notes, facts, place, (&class.name, span), draft);
         } else {
             let key = format!("class.{}", class.name);
-            let (reason, found) = ("the platform has no such class", format!("{:?}", class.name));
-            notes.add((&key, span), reason, found, known_names(&class.name, &known));
+            let (reason, found) = (
+                "the platform has no such class",
+                format!("{:?}", class.name),
+            );
+            notes.add(
+                (&key, span),
+                reason,
+                found,
+                known_names(&class.name, &known),
+            );
         }
         places.push(place);
     }
     let mut routes = Vec::new();
     for (route, (span, draft)) in config.routes.routes().iter().zip(&config.source.routes) {
-        let Some(place) = places[route.class] else { continue };
+        let Some(place) = places[route.class] else {
+            continue;
+        };
         let mut route = route.clone();
         route.class = place;
         route.timing = narrowed(&mut notes, facts, place, (&route.name, span), draft);
         routes.push(route);
     }
     if !notes.0.is_empty() {
-        return Err(Mistakes::new(&config.source.name, &config.source.text, notes.0));
+        return Err(Mistakes::new(
+            &config.source.name,
+            &config.source.text,
+            notes.0,
+        ));
     }
     let table = Table::with(routes, config.routes.program().clone()).map_err(|fault| {
-        notes.add(("route", &(0..0)), fault.to_string(), "more", "fewer patterns");
+        notes.add(
+            ("route", &(0..0)),
+            fault.to_string(),
+            "more",
+            "fewer patterns",
+        );
         Mistakes::new(&config.source.name, &config.source.text, notes.0)
     })?;
     Ok((timings, table))
@@ -67,7 +86,12 @@
         timing.connect = connect.value;
         if connect.value > facts.transport.connect_timeout {
             let allowed = format!("at most {}", show_duration(facts.transport.connect_timeout));
-            wider(&connect.key, &connect.span, show_duration(connect.value), allowed);
+            wider(
+                &connect.key,
+                &connect.span,
+                show_duration(connect.value),
+                allowed,
+            );
         }
     }
     if let Some(total) = &draft.total {
@@ -81,7 +105,12 @@
         timing.attempts = attempts.value as u32;
         if timing.attempts > facts.settings.limits.max_attempts {
             let allowed = format!("at most {}", facts.settings.limits.max_attempts);
-            wider(&attempts.key, &attempts.span, attempts.value.to_string(), allowed);
+            wider(
+                &attempts.key,
+                &attempts.span,
+                attempts.value.to_string(),
+                allowed,
+            );
         }
     }
     if let Some(copy) = &draft.second_copy {
@@ -98,7 +127,12 @@
     .into_iter()
     .flatten()
     {
-        wider(key, span, "an own reading of answers".to_owned(), "the platform's".to_owned());
+        wider(
+            key,
+            span,
+            "an own reading of answers".to_owned(),
+            "the platform's".to_owned(),
+        );
     }
     timing.attempt = draft.attempt.as_ref().map_or(timing.attempt, |s| s.value);
     timing.backoff = draft.backoff.as_ref().map_or(timing.backoff, |s| s.value);
@@ -110,7 +144,12 @@
         if longest > total {
             let reason = format!("all attempts and pauses do not fit the total for {name:?}");
             let allowed = format!("at most {} together", show_duration(total));
-            notes.add((&attempt.key, &attempt.span), reason, show_duration(longest), allowed);
+            notes.add(
+                (&attempt.key, &attempt.span),
+                reason,
+                show_duration(longest),
+                allowed,
+            );
         }
     }
     timing
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -7,7 +7,16 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-const KEYS: [&str; 8] = ["control", "secret", "application", "name", "region", "cut_off", "floor", "state"];
+const KEYS: [&str; 8] = [
+    "control",
+    "secret",
+    "application",
+    "name",
+    "region",
+    "cut_off",
+    "floor",
+    "state",
+];
 /// What a region may be called, for people. [`Region`] decides.
 const REGION_NAMES: &str = "1 to 63 of a-z, 0-9, '-' and '_', the first one a letter";
 /// Replicas of control at the most.
@@ -37,31 +46,63 @@
 /// Reads the table. `classes` are the names of the file's classes.
 pub(crate) fn read(notes: &mut Notes, top: &Section<'_>, classes: &[&str]) -> Option<PolicyTerms> {
     let section = top.section(notes, "policy", &KEYS)?;
-    section.want(notes, "control", "a list of one, three or five addresses, like [\"127.0.0.1:7400\"]");
-    section.want(notes, "secret", "the path of a file that only its owner may read");
-    section.want(notes, "application", "the name of the application, as its file is called in the policy");
+    section.want(
+        notes,
+        "control",
+        "a list of one, three or five addresses, like [\"127.0.0.1:7400\"]",
+    );
+    section.want(
+        notes,
+        "secret",
+        "the path of a file that only its owner may read",
+    );
+    section.want(
+        notes,
+        "application",
+        "the name of the application, as its file is called in the policy",
+    );
     let control = addresses(notes, &section);
     let secret = section.text(notes, "secret");
     let application = section.text(notes, "application");
     let name = section.text(notes, "name").map(|n| n.value);
     let region = region(notes, &section);
-    let words = [("refuse", CutOff::Refuse), ("narrow", CutOff::Narrow), ("keep", CutOff::Keep)];
+    let words = [
+        ("refuse", CutOff::Refuse),
+        ("narrow", CutOff::Narrow),
+        ("keep", CutOff::Keep),
+    ];
     let cut_off = section.word(notes, "cut_off", &words);
     let state = section.text(notes, "state").map(|s| PathBuf::from(s.value));
     let mut floor = Vec::new();
-    for (key, value) in section.list(notes, "floor", "names of classes").unwrap_or_default() {
+    for (key, value) in section
+        .list(notes, "floor", "names of classes")
+        .unwrap_or_default()
+    {
         match value.get_ref().as_str().filter(|n| classes.contains(n)) {
             Some(name) => floor.push(name.to_owned()),
             None => {
                 let allowed = format!("one of {}", classes.join(", "));
-                notes.add((&key, &value.span()), "no class of this file", show(value.get_ref()), allowed);
+                notes.add(
+                    (&key, &value.span()),
+                    "no class of this file",
+                    show(value.get_ref()),
+                    allowed,
+                );
             }
         }
     }
-    if let Some(narrow) = cut_off.as_ref().filter(|c| c.value == CutOff::Narrow && floor.is_empty()) {
+    if let Some(narrow) = cut_off
+        .as_ref()
+        .filter(|c| c.value == CutOff::Narrow && floor.is_empty())
+    {
         let reason = "cut off, this proxy would begin nothing at all";
         let allowed = "classes in policy.floor, or \"refuse\"";
-        notes.add((&narrow.key, &narrow.span), reason, "\"narrow\" without a floor", allowed);
+        notes.add(
+            (&narrow.key, &narrow.span),
+            reason,
+            "\"narrow\" without a floor",
+            allowed,
+        );
     }
     Some(PolicyTerms {
         control: control?,
@@ -77,7 +118,9 @@
 
 fn region(notes: &mut Notes, section: &Section<'_>) -> Option<Region> {
     let wording = ("this is no name of a region", REGION_NAMES);
-    let name = section.read(notes, "region", wording, |value| value.as_str().and_then(|n| n.parse().ok()));
+    let name = section.read(notes, "region", wording, |value| {
+        value.as_str().and_then(|n| n.parse().ok())
+    });
     name.map(|set| set.value)
 }
 
@@ -85,22 +128,38 @@
     let list = section.list(notes, "control", "addresses, like \"127.0.0.1:7400\"")?;
     let mut all = Vec::new();
     for (key, value) in &list {
-        match value.get_ref().as_str().and_then(|text| text.parse::<SocketAddr>().ok()) {
+        match value
+            .get_ref()
+            .as_str()
+            .and_then(|text| text.parse::<SocketAddr>().ok())
+        {
             Some(address) if !all.contains(&address) => {
                 all.push(address);
             }
             Some(_) => {
                 let reason = "this replica stands here twice";
-                notes.add((key, &value.span()), reason, show(value.get_ref()), "each address once");
+                notes.add(
+                    (key, &value.span()),
+                    reason,
+                    show(value.get_ref()),
+                    "each address once",
+                );
             }
             None => {
                 let allowed = "an address and a port, like \"127.0.0.1:7400\"";
-                notes.add((key, &value.span()), "this is no address", show(value.get_ref()), allowed);
+                notes.add(
+                    (key, &value.span()),
+                    "this is no address",
+                    show(value.get_ref()),
+                    allowed,
+                );
             }
         }
     }
     if list.is_empty() || list.len() > REPLICAS {
-        let span = section.get("control").map_or(section.span.clone(), |v| v.span());
+        let span = section
+            .get("control")
+            .map_or(section.span.clone(), |v| v.span());
         let allowed = format!("1 to {REPLICAS} addresses");
         notes.add(
             (&section.of("control"), &span),
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -49,7 +49,11 @@
     pub fn bounds(&self, upstream: &Upstream) -> Option<Bounds> {
         let named = Some(upstream.endpoints.len()).filter(|&n| n > 0);
         let endpoints = self.endpoints.or(named)?;
-        Some(Bounds { proxies: self.instance.count, endpoints, kept: self.kept })
+        Some(Bounds {
+            proxies: self.instance.count,
+            endpoints,
+            kept: self.kept,
+        })
     }
 }
 
@@ -70,7 +74,11 @@
     limits: Option<&Limits>,
 ) -> Option<SubsetTerms> {
     let section = top.section(notes, "subset", &SUBSET)?;
-    section.want(notes, "instance", "the number of this proxy among all, from 0");
+    section.want(
+        notes,
+        "instance",
+        "the number of this proxy among all, from 0",
+    );
     section.want(notes, "size", "endpoints to keep to");
     let count = upstream.map_or(1, |u| u.proxies);
     let number = section.integer(notes, "instance", 0..=u64::from(count.saturating_sub(1)));
@@ -83,9 +91,17 @@
     if let Some(most) = section.integer(notes, "most", 2 * need.size as u64..=100_000) {
         need.most = most.value as usize;
     }
-    let own_zone = section.read(notes, "own_zone", ("this is not a flag", "true or false"), |v| v.as_bool());
+    let own_zone = section.read(
+        notes,
+        "own_zone",
+        ("this is not a flag", "true or false"),
+        |v| v.as_bool(),
+    );
     need.own_zone = own_zone.is_some_and(|o| o.value);
-    if let Some(zone) = upstream.filter(|u| need.own_zone && u.zone.is_empty()).map(|u| &u.zone) {
+    if let Some(zone) = upstream
+        .filter(|u| need.own_zone && u.zone.is_empty())
+        .map(|u| &u.zone)
+    {
         let allowed = "the proxy's zone in upstream.zone";
         notes.add(
             (&section.of("own_zone"), &section.span),
@@ -97,26 +113,52 @@
     if let Some(load) = section.number(notes, "load", 0.1..=1_000.0) {
         need.load = load.value;
     }
-    need.pause = section.duration(notes, "pause", SPAN).map_or(need.pause, |d| d.value);
-    need.calm = section.duration(notes, "calm", SPAN).map_or(need.calm, |d| d.value);
-    let kept = section.integer(notes, "kept", 0..=64).map_or(1, |k| k.value as usize);
-    let idle = section.duration(notes, "idle", 100_000..=3_600_000_000).map_or(30_000_000, |d| d.value);
-    let endpoints = section.integer(notes, "endpoints", 1..=1_000_000).map(|e| e.value as usize);
-    let instance = Instance { number: number?.value as u32, count };
-    let terms = SubsetTerms { need, instance, kept, idle, endpoints };
+    need.pause = section
+        .duration(notes, "pause", SPAN)
+        .map_or(need.pause, |d| d.value);
+    need.calm = section
+        .duration(notes, "calm", SPAN)
+        .map_or(need.calm, |d| d.value);
+    let kept = section
+        .integer(notes, "kept", 0..=64)
+        .map_or(1, |k| k.value as usize);
+    let idle = section
+        .duration(notes, "idle", 100_000..=3_600_000_000)
+        .map_or(30_000_000, |d| d.value);
+    let endpoints = section
+        .integer(notes, "endpoints", 1..=1_000_000)
+        .map(|e| e.value as usize);
+    let instance = Instance {
+        number: number?.value as u32,
+        count,
+    };
+    let terms = SubsetTerms {
+        need,
+        instance,
+        kept,
+        idle,
+        endpoints,
+    };
     size?;
     if let Some(limits) = limits {
         let fleet = endpoints.unwrap_or(usize::MAX);
         let held = need.most.min(fleet) * kept;
-        let room =
-            limits.descriptors.saturating_sub(DESCRIPTORS_RESERVED + clients_borne(limits.descriptors));
+        let room = limits
+            .descriptors
+            .saturating_sub(DESCRIPTORS_RESERVED + clients_borne(limits.descriptors));
         if held > room {
             let reason = format!(
                 "{} endpoints with {kept} idle connections each hold more than there is room for",
                 need.most
             );
-            let allowed = format!("at most {room} of limits.descriptors: a smaller `most` or `kept`");
-            notes.add((&section.of("most"), &section.span), reason, held.to_string(), allowed);
+            let allowed =
+                format!("at most {room} of limits.descriptors: a smaller `most` or `kept`");
+            notes.add(
+                (&section.of("most"), &section.span),
+                reason,
+                held.to_string(),
+                allowed,
+            );
         }
     }
     let most = section.integer(notes, "connections_per_endpoint", 1..=10_000_000);
@@ -147,19 +189,43 @@
 }
 
 /// Reads `[list]`.
-pub(crate) fn list(notes: &mut Notes, top: &Section<'_>, upstream: Option<&Upstream>) -> Option<ListTerms> {
+pub(crate) fn list(
+    notes: &mut Notes,
+    top: &Section<'_>,
+    upstream: Option<&Upstream>,
+) -> Option<ListTerms> {
     let section = top.section(notes, "list", &LIST)?;
-    section.want(notes, "rate", "questions a second that the list service bears");
+    section.want(
+        notes,
+        "rate",
+        "questions a second that the list service bears",
+    );
     if upstream.is_some_and(|u| u.discovery.is_none()) {
         let allowed = "upstream.discovery, or no [list]";
-        notes.add((&section.key, &section.span), "there is no list service to ask", "`endpoints`", allowed);
+        notes.add(
+            (&section.key, &section.span),
+            "there is no list service to ask",
+            "`endpoints`",
+            allowed,
+        );
     }
     let rate = section.number(notes, "rate", 0.1..=1e6)?;
-    let wait = section.duration(notes, "wait", WAIT).map_or(10_000_000, |w| w.value);
-    let wait_idle = section.duration(notes, "wait_idle", WAIT).map_or(60_000_000.max(wait), |w| w.value);
-    let idle_after = section.duration(notes, "idle_after", SPAN).map_or(30_000_000, |w| w.value);
+    let wait = section
+        .duration(notes, "wait", WAIT)
+        .map_or(10_000_000, |w| w.value);
+    let wait_idle = section
+        .duration(notes, "wait_idle", WAIT)
+        .map_or(60_000_000.max(wait), |w| w.value);
+    let idle_after = section
+        .duration(notes, "idle_after", SPAN)
+        .map_or(30_000_000, |w| w.value);
     let proxies = upstream.map_or(1, |u| u.proxies);
-    let poll = PollTerms { proxies, rate: rate.value, wait, wait_idle };
+    let poll = PollTerms {
+        proxies,
+        rate: rate.value,
+        wait,
+        wait_idle,
+    };
     let asked = f64::from(proxies) * 1e6 / wait as f64;
     if asked > rate.value {
         let reason = format!(
@@ -167,7 +233,12 @@
             show_duration(wait)
         );
         let allowed = "more, or a longer `wait`";
-        notes.add((&section.of("rate"), &rate.span), reason, rate.value.to_string(), allowed);
+        notes.add(
+            (&section.of("rate"), &rate.span),
+            reason,
+            rate.value.to_string(),
+            allowed,
+        );
     }
     Some(ListTerms { poll, idle_after })
 }
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -9,8 +9,17 @@
 use http::{HeaderName, HeaderValue};
 
 /// Keys that may stand in all three places.
-pub(crate) const KEYS: [&str; 9] =
-    ["connect", "attempt", "total", "attempts", "backoff", "second_copy", "retry", "served", "never_ran"];
+pub(crate) const KEYS: [&str; 9] = [
+    "connect",
+    "attempt",
+    "total",
+    "attempts",
+    "backoff",
+    "second_copy",
+    "retry",
+    "served",
+    "never_ran",
+];
 
 /// Longest time that can be set.
 const LONGEST: Micros = 600_000_000;
@@ -65,10 +74,17 @@
             total: section.duration(notes, "total", 1_000..=LONGEST),
             attempts: section.integer(notes, "attempts", 1..=ATTEMPTS_MOST),
             backoff: section.duration(notes, "backoff", 0..=60_000_000),
-            second_copy: section.read(notes, "second_copy", ("this is no second copy", SECOND_COPIES), |v| {
-                v.as_str().and_then(values::second_copy)
-            }),
-            retry: section.word(notes, "retry", &[("never-ran", Resend::NeverRan), ("failed", Resend::Any)]),
+            second_copy: section.read(
+                notes,
+                "second_copy",
+                ("this is no second copy", SECOND_COPIES),
+                |v| v.as_str().and_then(values::second_copy),
+            ),
+            retry: section.word(
+                notes,
+                "retry",
+                &[("never-ran", Resend::NeverRan), ("failed", Resend::Any)],
+            ),
             served: served(notes, section),
             never_ran: never_ran(notes, section),
         }
@@ -76,9 +92,20 @@
 
     /// Does it say anything?
     pub(crate) fn says(&self) -> bool {
-        let Draft { connect, attempt, total, attempts, backoff, second_copy, retry, served, never_ran } =
-            self;
-        let times = [connect, attempt, total, backoff].iter().any(|t| t.is_some());
+        let Draft {
+            connect,
+            attempt,
+            total,
+            attempts,
+            backoff,
+            second_copy,
+            retry,
+            served,
+            never_ran,
+        } = self;
+        let times = [connect, attempt, total, backoff]
+            .iter()
+            .any(|t| t.is_some());
         let others = [
             attempts.is_some(),
             second_copy.is_some(),
@@ -110,11 +137,19 @@
     /// The timing of a class or route of a file that stands alone, with all defaults.
     pub(crate) fn timing(&self, facts: &Facts<'_>) -> Timing {
         let value = |set: &Option<Set<Micros>>| set.as_ref().map(|s| s.value);
-        let most = facts.deadline.unwrap_or(LONGEST).saturating_sub(ANSWER_ROOM).max(1);
+        let most = facts
+            .deadline
+            .unwrap_or(LONGEST)
+            .saturating_sub(ANSWER_ROOM)
+            .max(1);
         let total = value(&self.total).unwrap_or(most).min(most);
         let attempt = value(&self.attempt).unwrap_or(total);
         let harmless = facts.repeat.is_some_and(|r| r != Repeat::SingleShot);
-        let resend = if harmless { Resend::Any } else { Resend::NeverRan };
+        let resend = if harmless {
+            Resend::Any
+        } else {
+            Resend::NeverRan
+        };
         Timing {
             connect: value(&self.connect).unwrap_or(CONNECT).min(attempt),
             attempt,
@@ -133,7 +168,11 @@
         }
         let time = |name, value, set: &Option<Set<Micros>>| Figure {
             name,
-            value: if value == Micros::MAX { "no limit".to_owned() } else { show_duration(value) },
+            value: if value == Micros::MAX {
+                "no limit".to_owned()
+            } else {
+                show_duration(value)
+            },
             set: at(set),
         };
         let resend = match timing.resend {
@@ -148,10 +187,22 @@
             time("connect", timing.connect, &self.connect),
             time("attempt", timing.attempt, &self.attempt),
             time("total", timing.total, &self.total),
-            Figure { name: "attempts", value: attempts, set: at(&self.attempts) },
+            Figure {
+                name: "attempts",
+                value: attempts,
+                set: at(&self.attempts),
+            },
             time("backoff", timing.backoff, &self.backoff),
-            Figure { name: "second_copy", value: show_hedge(timing.hedge), set: at(&self.second_copy) },
-            Figure { name: "retry", value: resend.to_owned(), set: at(&self.retry) },
+            Figure {
+                name: "second_copy",
+                value: show_hedge(timing.hedge),
+                set: at(&self.second_copy),
+            },
+            Figure {
+                name: "retry",
+                value: resend.to_owned(),
+                set: at(&self.retry),
+            },
         ]
     }
 
@@ -175,11 +226,24 @@
             _ => {}
         }
         if let (Some(served), Some(proofs)) = (&self.served, &self.never_ran) {
-            if let Some(proof) = proofs.value.iter().find(|p| served.value.contains(p.status)) {
+            if let Some(proof) = proofs
+                .value
+                .iter()
+                .find(|p| served.value.contains(p.status))
+            {
                 let found = format!("status {}", proof.status);
                 let reason = "an answer that is served can't prove that the attempt never ran";
-                let mistake = add(notes, facts, proofs, reason, found, "statuses that are not in `served`");
-                mistake.related.push((served.span.clone(), "served here".to_owned()));
+                let mistake = add(
+                    notes,
+                    facts,
+                    proofs,
+                    reason,
+                    found,
+                    "statuses that are not in `served`",
+                );
+                mistake
+                    .related
+                    .push((served.span.clone(), "served here".to_owned()));
             }
         }
     }
@@ -199,7 +263,14 @@
                     show_duration(most),
                     show_duration(ANSWER_ROOM)
                 );
-                add(notes, facts, total, reason, show_duration(total.value), &allowed);
+                add(
+                    notes,
+                    facts,
+                    total,
+                    reason,
+                    show_duration(total.value),
+                    &allowed,
+                );
                 return;
             }
         }
@@ -217,12 +288,25 @@
             return;
         }
         // One that comes from further out gives way to a shorter attempt.
-        let same = |a: &str, b: &str| a.rsplit_once('.').map(|k| k.0) == b.rsplit_once('.').map(|k| k.0);
+        let same =
+            |a: &str, b: &str| a.rsplit_once('.').map(|k| k.0) == b.rsplit_once('.').map(|k| k.0);
         let beside = |c: &&Set<Micros>| self.attempt.as_ref().is_some_and(|a| same(&a.key, &c.key));
-        if let Some(connect) = self.connect.as_ref().filter(|c| c.value > timing.attempt).filter(beside) {
+        if let Some(connect) = self
+            .connect
+            .as_ref()
+            .filter(|c| c.value > timing.attempt)
+            .filter(beside)
+        {
             let reason = "the connect may take longer than the attempt it is part of";
             let allowed = format!("at most {}", show_duration(timing.attempt));
-            add(notes, facts, connect, reason, show_duration(connect.value), &allowed);
+            add(
+                notes,
+                facts,
+                connect,
+                reason,
+                show_duration(connect.value),
+                &allowed,
+            );
         }
         // Without a time of its own an attempt has what is left of the total.
         let attempt = self.attempt.as_ref().map_or(0, |a| a.value);
@@ -232,7 +316,10 @@
                 .or(self.backoff.as_ref().map(|s| (&s.span, &s.key)))
                 .or(self.attempts.as_ref().map(|s| (&s.span, &s.key)));
             if let Some((span, key)) = set {
-                let each = self.attempt.as_ref().map(|a| format!(" of {}", show_duration(a.value)));
+                let each = self
+                    .attempt
+                    .as_ref()
+                    .map(|a| format!(" of {}", show_duration(a.value)));
                 let found = format!(
                     "{} attempts{} with pauses of {}: {}",
                     timing.attempts,
@@ -246,10 +333,16 @@
                     found,
                     format!("at most {total} together"),
                 );
-                mistake.related.push((facts.span.clone(), format!("for {}", facts.name)));
+                mistake
+                    .related
+                    .push((facts.span.clone(), format!("for {}", facts.name)));
             }
         }
-        if let Some(copy) = self.second_copy.as_ref().filter(|c| c.value != Hedge::Never) {
+        if let Some(copy) = self
+            .second_copy
+            .as_ref()
+            .filter(|c| c.value != Hedge::Never)
+        {
             if timing.attempts < 2 {
                 let reason = "a second copy is an attempt, and only one is allowed";
                 add(
@@ -271,13 +364,31 @@
     }
 
     fn check_unsafe(&self, notes: &mut Notes, facts: &Facts<'_>) {
-        if let Some(copy) = self.second_copy.as_ref().filter(|c| c.value != Hedge::Never) {
+        if let Some(copy) = self
+            .second_copy
+            .as_ref()
+            .filter(|c| c.value != Hedge::Never)
+        {
             let reason = "a second copy of an unsafe call would run it twice";
-            add(notes, facts, copy, reason, show_hedge(copy.value), "\"off\" for an unsafe class");
+            add(
+                notes,
+                facts,
+                copy,
+                reason,
+                show_hedge(copy.value),
+                "\"off\" for an unsafe class",
+            );
         }
         if let Some(retry) = self.retry.as_ref().filter(|r| r.value != Resend::NeverRan) {
             let reason = "an unsafe call that failed may have run, and would run twice";
-            add(notes, facts, retry, reason, "\"failed\"".to_owned(), "\"never-ran\" for an unsafe class");
+            add(
+                notes,
+                facts,
+                retry,
+                reason,
+                "\"failed\"".to_owned(),
+                "\"never-ran\" for an unsafe class",
+            );
         }
         self.check_proofs(notes, facts);
     }
@@ -285,11 +396,16 @@
     fn check_keyed(&self, notes: &mut Notes, facts: &Facts<'_>, window: Micros) {
         let timing = self.timing(facts);
         let allowed = format!("less than the window, {}", show_duration(window));
-        if let Some(attempt) = self.attempt.as_ref().filter(|_| timing.resend == Resend::Any) {
+        if let Some(attempt) = self
+            .attempt
+            .as_ref()
+            .filter(|_| timing.resend == Resend::Any)
+        {
             let last = timing.last_start();
             if last >= window {
                 let found = format!("a last attempt {} after the first", show_duration(last));
-                let reason = "a resend outside the window is not dropped by the hosts and would run again";
+                let reason =
+                    "a resend outside the window is not dropped by the hosts and would run again";
                 add(notes, facts, attempt, reason, found, &allowed);
             }
         }
@@ -306,7 +422,9 @@
 
     /// A status alone is no proof: any software on the way may word it, also after the call has run.
     fn check_proofs(&self, notes: &mut Notes, facts: &Facts<'_>) {
-        let Some(proofs) = &self.never_ran else { return };
+        let Some(proofs) = &self.never_ran else {
+            return;
+        };
         for proof in proofs.value.iter().filter(|p| p.header.is_none()) {
             let reason = "a status alone does not prove that an attempt never ran: the call could go again and run twice";
             let found = format!("status {} and no header", proof.status);
@@ -324,7 +442,9 @@
     allowed: &str,
 ) -> &'n mut Mistake {
     let mistake = notes.add((&set.key, &set.span), reason, found, allowed);
-    mistake.related.push((facts.span.clone(), format!("for {}", facts.name)));
+    mistake
+        .related
+        .push((facts.span.clone(), format!("for {}", facts.name)));
     mistake
 }
 
@@ -348,22 +468,41 @@
         };
         if values::statuses(&text, &mut set).is_none() {
             let found = show(value.get_ref());
-            notes.add((key, &value.span()), "these are no statuses", found, STATUSES);
+            notes.add(
+                (key, &value.span()),
+                "these are no statuses",
+                found,
+                STATUSES,
+            );
         }
     }
     let span = section.get("served")?.span();
     if list.is_empty() {
-        notes.add((&section.of("served"), &span), "nothing would ever be served", "an empty list", STATUSES);
+        notes.add(
+            (&section.of("served"), &span),
+            "nothing would ever be served",
+            "an empty list",
+            STATUSES,
+        );
     }
     // To the client these two mean that trying again is harmless, which a served call is not.
     for status in [429, 503] {
         if set.contains(status) {
             let found = format!("status {status}");
             let reason = "to a client this status is a refusal: it would try again what has run";
-            notes.add((&section.of("served"), &span), reason, found, "statuses but 429 and 503");
+            notes.add(
+                (&section.of("served"), &span),
+                reason,
+                found,
+                "statuses but 429 and 503",
+            );
         }
     }
-    Some(Set { value: set, span, key: section.of("served") })
+    Some(Set {
+        value: set,
+        span,
+        key: section.of("served"),
+    })
 }
 
 fn never_ran(notes: &mut Notes, section: &Section<'_>) -> Option<Set<Vec<Proof>>> {
@@ -376,7 +515,12 @@
             notes.add((key, &value.span()), "this is no proof", found, FORM);
             continue;
         };
-        let proof = Section::new(notes, table, (key, value.span()), &["status", "header", "value"]);
+        let proof = Section::new(
+            notes,
+            table,
+            (key, value.span()),
+            &["status", "header", "value"],
+        );
         proof.want(notes, "status", "a status from 400 to 599");
         let status = proof.integer(notes, "status", 400..=599);
         let name = header_name(notes, &proof, "header");
@@ -384,19 +528,41 @@
             v.as_str().and_then(|t| HeaderValue::from_str(t).ok())
         });
         if proof.has("value") && !proof.has("header") {
-            notes.add((&proof.of("value"), &proof.span), "a value without its header", "no `header`", FORM);
+            notes.add(
+                (&proof.of("value"), &proof.span),
+                "a value without its header",
+                "no `header`",
+                FORM,
+            );
         }
         if let Some(status) = status {
             let header = name.map(|n| (n.value, text.map(|t| t.value)));
-            proofs.push(Proof { status: status.value as u16, header });
+            proofs.push(Proof {
+                status: status.value as u16,
+                header,
+            });
         }
     }
     let span = section.get("never_ran")?.span();
-    Some(Set { value: proofs, span, key: section.of("never_ran") })
+    Some(Set {
+        value: proofs,
+        span,
+        key: section.of("never_ran"),
+    })
 }
 
-pub(crate) fn header_name(notes: &mut Notes, section: &Section<'_>, name: &str) -> Option<Set<HeaderName>> {
-    section.read(notes, name, ("this is no header name", "letters, digits and '-'"), |v| {
-        v.as_str().and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
-    })
+pub(crate) fn header_name(
+    notes: &mut Notes,
+    section: &Section<'_>,
+    name: &str,
+) -> Option<Set<HeaderName>> {
+    section.read(
+        notes,
+        name,
+        ("this is no header name", "letters, digits and '-'"),
+        |v| {
+            v.as_str()
+                .and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
+        },
+    )
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -14,9 +14,16 @@
         let mistakes = parse(name, &text).expect_err(name);
         for mistake in mistakes.iter() {
             let (line, column) = mistakes.place(mistake);
-            assert!(mistakes.to_string().contains(&format!("{name}:{line}:{column}")), "{name}: {mistake:?}");
             assert!(
-                line <= text.lines().count() && !mistake.reason.is_empty() && !mistake.allowed.is_empty()
+                mistakes
+                    .to_string()
+                    .contains(&format!("{name}:{line}:{column}")),
+                "{name}: {mistake:?}"
+            );
+            assert!(
+                line <= text.lines().count()
+                    && !mistake.reason.is_empty()
+                    && !mistake.allowed.is_empty()
             );
         }
         assert_eq!(mistakes.line().lines().count(), 1, "{name}");
@@ -38,40 +45,59 @@
     ] {
         let config = badgerramp_config::load(&deploy.join(name)).unwrap_or_else(|m| panic!("{m}"));
         assert_eq!(config.usage, usage);
-        assert!(config.routes.shadows().is_empty() && config.warnings.is_empty(), "{:?}", config.warnings);
+        assert!(
+            config.routes.shadows().is_empty() && config.warnings.is_empty(),
+            "{:?}",
+            config.warnings
+        );
     }
 }
 
 /// Two routes that one request meets both: a warning names it, where it can be found.
 #[test]
 fn conditions_that_overlap_are_told_with_a_request() {
-    let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
+    let text =
+        std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
     let text = text.expect("a file");
     let with = |one: &str, two: &str| {
         let text = text
-            .replace("prefix = \"/entries\"\n", &format!("prefix = \"/both\"\nwhen = '{one}'\n"))
-            .replace("path = \"/charges\"\n", &format!("prefix = \"/both\"\nwhen = '{two}'\n"));
-        parse("x.toml", &text).unwrap_or_else(|m| panic!("{m}")).warnings
+            .replace(
+                "prefix = \"/entries\"\n",
+                &format!("prefix = \"/both\"\nwhen = '{one}'\n"),
+            )
+            .replace(
+                "path = \"/charges\"\n",
+                &format!("prefix = \"/both\"\nwhen = '{two}'\n"),
+            );
+        parse("x.toml", &text)
+            .unwrap_or_else(|m| panic!("{m}"))
+            .warnings
     };
     let json = r#"(header["content-type"] ?? "") == "application/json""#;
     let warnings = with(json, r#"present(header["x-branch"])"#);
     assert_eq!(warnings.len(), 1);
-    let wanted = "both take POST /both, content-type: application/json, x-branch: 1: the first wins";
+    let wanted =
+        "both take POST /both, content-type: application/json, x-branch: 1: the first wins";
     assert!(warnings[0].contains(wanted), "{}", warnings[0]);
     assert!(with(json, r#"(header["content-type"] ?? "") == "text/plain""#).is_empty());
-    assert!(with(json, r#"method == "PUT""#).is_empty(), "the other route takes POST alone");
+    assert!(
+        with(json, r#"method == "PUT""#).is_empty(),
+        "the other route takes POST alone"
+    );
 }
 
 /// Without it each bad file could be refused for what they all share.
 #[test]
 fn the_file_that_the_bad_ones_are_made_of_is_good() {
-    let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
+    let text =
+        std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
     parse("base.toml", &text.expect("a file")).unwrap_or_else(|m| panic!("{m}"));
 }
 
 #[test]
 fn a_file_that_cannot_be_read_is_a_mistake_too() {
-    let mistakes = badgerramp_config::load(Path::new("/nowhere/at/all.toml")).expect_err("it is not there");
+    let mistakes =
+        badgerramp_config::load(Path::new("/nowhere/at/all.toml")).expect_err("it is not there");
     assert!(mistakes.line().contains("/nowhere/at/all.toml") && mistakes.count() == 1);
 }
 
@@ -97,7 +123,8 @@
 
     #[test]
     fn it_narrows() {
-        let text = "platform = true\n[class.charge]\nattempts = 2\ntotal = '800ms'\nsecond_copy = 'off'\n\
+        let text =
+            "platform = true\n[class.charge]\nattempts = 2\ntotal = '800ms'\nsecond_copy = 'off'\n\
             [[route]]\nname = 'late'\nprefix = '/charge/late'\nclass = 'charge'\nattempts = 1\n";
         let config = parse("p.toml", text).unwrap_or_else(|m| panic!("{m}"));
         let (timings, table) = narrow(&config, &facts()).unwrap_or_else(|m| panic!("{m}"));
@@ -105,9 +132,15 @@
             (timings[0].attempts, timings[0].total, timings[0].hedge),
             (u32::MAX, Micros::MAX, Hedge::Auto)
         );
-        assert_eq!((timings[1].attempts, timings[1].total, timings[1].hedge), (2, 800_000, Hedge::Never));
+        assert_eq!(
+            (timings[1].attempts, timings[1].total, timings[1].hedge),
+            (2, 800_000, Hedge::Never)
+        );
         let route = &table.routes()[0];
-        assert_eq!((route.class, route.timing.attempts, route.timing.total), (1, 1, 800_000));
+        assert_eq!(
+            (route.class, route.timing.attempts, route.timing.total),
+            (1, 1, 800_000)
+        );
     }
 
     /// What is written on standard error is no setting of the platform's: single calls must be followed there too.
@@ -115,7 +148,10 @@
     fn it_may_set_the_log() {
         let text = "platform = true\n[log]\nlevel = 'debug'\nrate = 100000\n";
         let config = parse("p.toml", text).unwrap_or_else(|m| panic!("{m}"));
-        assert_eq!((config.log.level, config.log.rate), (badgerramp_config::Level::Debug, 100_000));
+        assert_eq!(
+            (config.log.level, config.log.rate),
+            (badgerramp_config::Level::Debug, 100_000)
+        );
         assert!(narrow(&config, &facts()).is_ok());
     }
 
@@ -133,15 +169,23 @@
             let text = format!("platform = true\n[class.entry]\n{line}\n");
             let config = parse("p.toml", &text).unwrap_or_else(|m| panic!("{m}"));
             let mistakes = narrow(&config, &facts()).expect_err(line);
-            assert_eq!(mistakes.iter().map(|m| m.key.as_str()).collect::<Vec<_>>(), [key], "{mistakes}");
+            assert_eq!(
+                mistakes.iter().map(|m| m.key.as_str()).collect::<Vec<_>>(),
+                [key],
+                "{mistakes}"
+            );
             let route = format!(
                 "platform = true\n[class.entry]\n[[route]]\nname = 'r'\nprefix = '/entry'\nclass = 'entry'\n{line}\n"
             );
             let config = parse("p.toml", &route).unwrap_or_else(|m| panic!("{m}"));
             assert!(narrow(&config, &facts()).is_err(), "{line} by a route");
         }
-        let config = parse("p.toml", "platform = true\n[class.entri]\n").unwrap_or_else(|m| panic!("{m}"));
+        let config =
+            parse("p.toml", "platform = true\n[class.entri]\n").unwrap_or_else(|m| panic!("{m}"));
         let mistakes = narrow(&config, &facts()).expect_err("no such class");
-        assert!(mistakes.to_string().contains("did you mean \"entry\"?"), "{mistakes}");
+        assert!(
+            mistakes.to_string().contains("did you mean \"entry\"?"),
+            "{mistakes}"
+        );
     }
 }
--- a/crates/config/tests/keys.rs
+++ b/crates/config/tests/keys.rs
@@ -51,8 +51,12 @@
 /// The unknown keys of a file, each with the keys that are known there.
 fn known(text: &str) -> Vec<String> {
     let mistakes = parse("keys.toml", text).expect_err("there are unknown keys");
-    let unknown = mistakes.iter().filter(|mistake| mistake.key.ends_with("zzzz"));
-    let lines: Vec<String> = unknown.map(|mistake| format!("{}: {}", mistake.key, mistake.allowed)).collect();
+    let unknown = mistakes
+        .iter()
+        .filter(|mistake| mistake.key.ends_with("zzzz"));
+    let lines: Vec<String> = unknown
+        .map(|mistake| format!("{}: {}", mistake.key, mistake.allowed))
+        .collect();
     assert_eq!(lines.len(), text.matches("zzzz").count(), "{lines:#?}");
     lines
 }
--- a/crates/config/tests/policy.rs
+++ b/crates/config/tests/policy.rs
@@ -31,13 +31,24 @@
 #[test]
 fn a_bad_region_is_refused_with_file_line_key_what_was_found_and_what_is_allowed() {
     let too_long = format!("\"{}\"", "r".repeat(64));
-    for found in ["\"\"", "\"el norte\"", "7", "\"nörte\"", "\"Norte\"", "\"1sur\"", &too_long] {
+    for found in [
+        "\"\"",
+        "\"el norte\"",
+        "7",
+        "\"nörte\"",
+        "\"Norte\"",
+        "\"1sur\"",
+        &too_long,
+    ] {
         let mistakes = file(&format!("region = {found}\n")).expect_err(found);
         assert_eq!(mistakes.count(), 1, "{mistakes}");
         let told = mistakes.line();
         let allowed = "allowed: 1 to 63 of a-z, 0-9, '-' and '_', the first one a letter";
         let place = "proxy.toml:12:10: policy.region: this is no name of a region";
-        assert!(told.starts_with(place) && told.contains(found) && told.contains(allowed), "{told}");
+        assert!(
+            told.starts_with(place) && told.contains(found) && told.contains(allowed),
+            "{told}"
+        );
     }
 }
 
--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -20,7 +20,11 @@
         // A client may wait less than its class does.
         let brief = world.random().gen_bool(0.3);
         let deadline = config.classes[routes[route].class].class.deadline;
-        world.ask(Request { route, once, told: brief.then_some(deadline / 2) });
+        world.ask(Request {
+            route,
+            once,
+            told: brief.then_some(deadline / 2),
+        });
         let until = world.now() + world.random().gen_range(0..150_000);
         world.run(until);
     }
@@ -29,7 +33,14 @@
 }
 
 fn duration() -> impl Strategy<Value = u64> {
-    prop_oneof![Just(20), Just(80), Just(150), Just(300), Just(600), Just(1_100)]
+    prop_oneof![
+        Just(20),
+        Just(80),
+        Just(150),
+        Just(300),
+        Just(600),
+        Just(1_100)
+    ]
 }
 
 /// Lines of timing, some of them against the rules.
@@ -45,7 +56,10 @@
             Just("second_copy = 'at 90%'".to_owned()),
             duration().prop_map(|d| format!("second_copy = 'after {d}ms'")),
         ],
-        prop_oneof![Just("retry = 'failed'".to_owned()), Just("retry = 'never-ran'".to_owned())],
+        prop_oneof![
+            Just("retry = 'failed'".to_owned()),
+            Just("retry = 'never-ran'".to_owned())
+        ],
     ];
     prop::collection::vec(line, 0..4).prop_map(|lines| {
         let mut by_key: BTreeMap<String, String> = BTreeMap::new();
@@ -72,8 +86,9 @@
     let class = |name: &'static str| {
         (effect(), timing(), timing(), any::<bool>()).prop_map(move |(effect, own, route, late)| {
             let late = if late { "late_worth = 0" } else { "" };
-            let class =
-                format!("[class.{name}]\naim = '500ms'\ndeadline = '1200ms'\n{late}\n{effect}\n{own}\n");
+            let class = format!(
+                "[class.{name}]\naim = '500ms'\ndeadline = '1200ms'\n{late}\n{effect}\n{own}\n"
+            );
             let routes = format!(
                 "[[route]]\nname = '{name}-own'\npath = '/{name}/own'\nclass = '{name}'\n{route}\n\
                  [[route]]\nname = '{name}'\nprefix = '/{name}'\nclass = '{name}'\n"
@@ -119,7 +134,8 @@
             continue;
         };
         accepted += 1;
-        let any = |of: fn(Repeat) -> bool| u32::from(config.classes.iter().any(|c| of(c.class.repeat)));
+        let any =
+            |of: fn(Repeat) -> bool| u32::from(config.classes.iter().any(|c| of(c.class.repeat)));
         hedged += u32::from(config.settings().limits.second_copies);
         keyed += any(|r| matches!(r, Repeat::Guarded { .. }));
         single += any(|r| r == Repeat::SingleShot);
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -30,10 +30,15 @@
 /// # Errors
 /// If they are too many or too large, and all mistakes in them, as text that names file, line and key.
 pub fn read(files: &BTreeMap<String, String>) -> Result<Files, String> {
-    let bytes: usize = files.iter().map(|(name, text)| name.len() + text.len()).sum();
+    let bytes: usize = files
+        .iter()
+        .map(|(name, text)| name.len() + text.len())
+        .sum();
     if files.is_empty() || files.len() > FILES_MOST || bytes > POLICY_MOST {
         let found = format!("found {} files of {bytes} bytes", files.len());
-        return Err(format!("{found}, allowed are 1 to {FILES_MOST} of {POLICY_MOST} bytes together"));
+        return Err(format!(
+            "{found}, allowed are 1 to {FILES_MOST} of {POLICY_MOST} bytes together"
+        ));
     }
     floor::read(files)
 }
@@ -42,7 +47,11 @@
 ///
 /// # Errors
 /// All that it would change, and how to go about it.
-pub fn leaves_floors(record: &Record, floors: &BTreeSet<Generation>, new: &Files) -> Result<(), String> {
+pub fn leaves_floors(
+    record: &Record,
+    floors: &BTreeSet<Generation>,
+    new: &Files,
+) -> Result<(), String> {
     let mut changes = Vec::new();
     for &generation in floors {
         let old = record.text(generation).map(files_of).and_then(Result::ok);
@@ -66,6 +75,10 @@
 ///
 /// # Errors
 /// Why it can't come here.
-pub fn of_other_region(record: &Record, floors: &BTreeSet<Generation>, text: &str) -> Result<(), String> {
+pub fn of_other_region(
+    record: &Record,
+    floors: &BTreeSet<Generation>,
+    text: &str,
+) -> Result<(), String> {
     leaves_floors(record, floors, &read(&files_of(text)?)?)
 }
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -41,7 +41,9 @@
         }
     };
     let done = match cli.command {
-        Command::Check { file } => Settings::load(&file).map(|_| println!("{}: good", file.display())),
+        Command::Check { file } => {
+            Settings::load(&file).map(|_| println!("{}: good", file.display()))
+        }
         Command::Create { file } => create(&file),
         Command::Serve { file } => run(&file),
     };
@@ -68,11 +70,16 @@
     let own = |m: &tracing::Metadata<'_>| {
         m.target().starts_with("badgerramp") || *m.level() <= tracing::Level::ERROR
     };
-    let lines =
-        tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false).with_target(false);
+    let lines = tracing_subscriber::fmt::layer()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false);
     let lines = lines.with_filter(tracing_subscriber::filter::filter_fn(own));
     tracing_subscriber::registry().with(lines).init();
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         serve::run(settings, async move {
--- a/crates/control/src/floor.rs
+++ b/crates/control/src/floor.rs
@@ -50,8 +50,12 @@
                 all.push(say("its terms change"));
             }
             let (theirs, own) = (old.routes.routes(), new.routes.routes());
-            let down_to = theirs.iter().rposition(|r| r.class == a).map_or(0, |last| last + 1);
-            let same = own.len() >= down_to && (0..down_to).all(|place| old.same_route(place, new, place));
+            let down_to = theirs
+                .iter()
+                .rposition(|r| r.class == a)
+                .map_or(0, |last| last + 1);
+            let same =
+                own.len() >= down_to && (0..down_to).all(|place| old.same_route(place, new, place));
             if !same {
                 all.push(say("a route changes that it stands on, or one before it"));
             }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -7,8 +7,8 @@
 use badgerramp_channel::clock;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{
-    next_command, Ask, Blocker, Command, Generation, Identity, LeaseTerms, Leases, Lent, Limits, Micros,
-    Mode, Outcome, Record,
+    next_command, Ask, Blocker, Command, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
+    Micros, Mode, Outcome, Record,
 };
 use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
 use openraft::{BasicNode, Raft, ServerState};
@@ -70,18 +70,33 @@
         RaftError::APIError(fault) => named(fault).map(|node| node.addr.clone()),
         RaftError::Fatal(_) => None,
     };
-    NotLeader { leader, why: fault.to_string() }
+    NotLeader {
+        leader,
+        why: fault.to_string(),
+    }
 }
 
 impl Leader {
     /// The part of this replica. [`Leader::run`] must run beside it.
     pub fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
-        let terms = LeaseTerms { lease: micros(settings.lease), drift: micros(settings.drift) };
-        let others = settings.regions.as_ref().map(|regions| regions.regions.others().clone());
+        let terms = LeaseTerms {
+            lease: micros(settings.lease),
+            drift: micros(settings.drift),
+        };
+        let others = settings
+            .regions
+            .as_ref()
+            .map(|regions| regions.regions.others().clone());
         let others = others.unwrap_or_default();
-        let regions_wait = settings.regions.as_ref().map_or(settings.wait, |regions| regions.wait);
-        let limits = Limits { wait: micros(settings.wait), regions_wait: micros(regions_wait) };
+        let regions_wait = settings
+            .regions
+            .as_ref()
+            .map_or(settings.wait, |regions| regions.wait);
+        let limits = Limits {
+            wait: micros(settings.wait),
+            regions_wait: micros(regions_wait),
+        };
         let leader = Leader {
             raft,
             store,
@@ -111,7 +126,11 @@
             (Some(term), Some(own)) if own.term == term => {}
             (Some(term), _) => {
                 info!("replica leads in term {term}");
-                *held = Some(Held { term, leases: Leases::elected(self.terms, clock::now()), since: None });
+                *held = Some(Held {
+                    term,
+                    leases: Leases::elected(self.terms, clock::now()),
+                    since: None,
+                });
             }
         }
         held.is_some()
@@ -124,12 +143,16 @@
 
     /// Still the leader, with all that was agreed on before this was asked?
     pub async fn confirmed(&self) -> Result<(), NotLeader> {
-        self.raft.ensure_linearizable().await.map(|_| ()).map_err(|fault| {
-            forward(&fault, |e| match e {
-                CheckIsLeaderError::ForwardToLeader(forward) => forward.leader_node.as_ref(),
-                CheckIsLeaderError::QuorumNotEnough(_) => None,
+        self.raft
+            .ensure_linearizable()
+            .await
+            .map(|_| ())
+            .map_err(|fault| {
+                forward(&fault, |e| match e {
+                    CheckIsLeaderError::ForwardToLeader(forward) => forward.leader_node.as_ref(),
+                    CheckIsLeaderError::QuorumNotEnough(_) => None,
+                })
             })
-        })
     }
 
     /// Has the replicas agree on a command.
@@ -143,7 +166,10 @@
             })
         });
         if let Ok(outcome) = &outcome {
-            if let Some(line) = self.store.with(|after| progress::line(&before, &command, outcome, after)) {
+            if let Some(line) = self
+                .store
+                .with(|after| progress::line(&before, &command, outcome, after))
+            {
                 info!("{line}");
             }
         }
@@ -154,7 +180,10 @@
     /// Asks for a mode.
     pub async fn lend(&self, ask: Ask) -> Result<Lent, NotLeader> {
         let (sender, answer) = oneshot::channel();
-        let busy = || NotLeader { leader: None, why: "too many questions at once".to_owned() };
+        let busy = || NotLeader {
+            leader: None,
+            why: "too many questions at once".to_owned(),
+        };
         self.questions.try_send((ask, sender)).map_err(|_| busy())?;
         answer.await.map_err(|_| busy())?
     }
@@ -180,7 +209,10 @@
             let mut held = self.held();
             // The clock is read after the leases are this term's.
             if !self.lead(&mut held) {
-                return Err(NotLeader { leader: None, why: "this replica leads no more".to_owned() });
+                return Err(NotLeader {
+                    leader: None,
+                    why: "this replica leads no more".to_owned(),
+                });
             }
             let now = clock::now();
             let lent = |h: &mut Held| self.store.with(|record| h.leases.lend(now, record, &ask));
@@ -190,17 +222,31 @@
         if lent != Lent::RegisterFirst {
             return Ok(lent);
         }
-        let Ask { ref identity, cut_off, .. } = ask;
+        let Ask {
+            ref identity,
+            cut_off,
+            ..
+        } = ask;
         info!("{identity} may act without a lease: it is written down");
-        self.agree(Command::Register { identity: identity.clone(), cut_off }).await?;
+        self.agree(Command::Register {
+            identity: identity.clone(),
+            cut_off,
+        })
+        .await?;
         lend()
     }
 
     /// A proxy has ended by itself.
     pub async fn leaves(&self, identity: Identity) -> Result<(), NotLeader> {
         self.confirmed().await?;
-        if self.store.with(|record| record.standing().contains_key(&identity)) {
-            self.agree(Command::Retire { identity: identity.clone() }).await?;
+        if self
+            .store
+            .with(|record| record.standing().contains_key(&identity))
+        {
+            self.agree(Command::Retire {
+                identity: identity.clone(),
+            })
+            .await?;
         }
         if let Some(held) = self.held().as_mut() {
             held.leases.leaves(&identity);
@@ -213,12 +259,18 @@
     pub fn view(&self) -> (Vec<Blocker>, BTreeMap<Identity, u64>) {
         let mut held = self.held();
         self.lead(&mut held);
-        let Some(held) = held.as_ref() else { return Default::default() };
+        let Some(held) = held.as_ref() else {
+            return Default::default();
+        };
         let blockers = |record: &Record| match record.middle() {
             Some(_) => held.leases.blockers(clock::now(), record),
             None => Vec::new(),
         };
-        let sessions = held.leases.sessions().map(|(i, acting, _)| (i.clone(), acting)).collect();
+        let sessions = held
+            .leases
+            .sessions()
+            .map(|(i, acting, _)| (i.clone(), acting))
+            .collect();
         (self.store.with(blockers), sessions)
     }
 
@@ -262,11 +314,23 @@
     }
 
     /// Gives up the change to this generation; `None`: no such change is under way.
-    pub async fn abort(&self, generation: Generation, why: String) -> Result<Option<Outcome>, NotLeader> {
+    pub async fn abort(
+        &self,
+        generation: Generation,
+        why: String,
+    ) -> Result<Option<Outcome>, NotLeader> {
         self.confirmed().await?;
-        let middle = self.store.with(Record::middle).filter(|middle| middle.new == generation);
-        let Some(Mode { revision, .. }) = middle else { return Ok(None) };
-        if let Some(command) = self.store.with(|record| removed::abort(record, &self.others)) {
+        let middle = self
+            .store
+            .with(Record::middle)
+            .filter(|middle| middle.new == generation);
+        let Some(Mode { revision, .. }) = middle else {
+            return Ok(None);
+        };
+        if let Some(command) = self
+            .store
+            .with(|record| removed::abort(record, &self.others))
+        {
             return self.agree(command).await.map(Some);
         }
         self.agree(Command::Abort { revision, why }).await.map(Some)
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -3,7 +3,9 @@
 use crate::store::{Id, Types};
 use badgerramp_channel::wire::control_client::ControlClient;
 use badgerramp_channel::{Purpose, Secret};
-use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
+use openraft::error::{
+    InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
+};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -50,7 +52,11 @@
         let client = ControlClient::new(endpoint.connect_lazy())
             .max_decoding_message_size(MESSAGE_MOST)
             .max_encoding_message_size(MESSAGE_MOST);
-        Way { secret: self.secret.clone(), target, client }
+        Way {
+            secret: self.secret.clone(),
+            target,
+            client,
+        }
     }
 }
 
@@ -72,7 +78,10 @@
             }
             Err(_) => return Err(odd("no answer in time".to_owned())),
         };
-        let body = self.secret.open_bytes(Purpose::ReplicaReply, answer).map_err(|e| odd(e.to_string()))?;
+        let body = self
+            .secret
+            .open_bytes(Purpose::ReplicaReply, answer)
+            .map_err(|e| odd(e.to_string()))?;
         let answer: Result<T, RaftError<Id, E>> =
             serde_json::from_slice(&body).map_err(|e| odd(e.to_string()))?;
         answer.map_err(|fault| RPCError::RemoteError(RemoteError::new(self.target, fault)))
@@ -92,8 +101,10 @@
         &mut self,
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<Id>, RPCError<Id, BasicNode, RaftError<Id, InstallSnapshotError>>>
-    {
+    ) -> Result<
+        InstallSnapshotResponse<Id>,
+        RPCError<Id, BasicNode, RaftError<Id, InstallSnapshotError>>,
+    > {
         self.ask(Asked::Snapshot(rpc), option).await
     }
 
--- a/crates/control/src/network/tests.rs
+++ b/crates/control/src/network/tests.rs
@@ -10,8 +10,8 @@
     VoteRequest, VoteResponse,
 };
 use openraft::{
-    BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, SnapshotMeta, SnapshotSegmentId,
-    StoredMembership, Vote,
+    BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, SnapshotMeta,
+    SnapshotSegmentId, StoredMembership, Vote,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -23,30 +23,47 @@
 
 fn membership() -> Membership<Id, BasicNode> {
     let node = |id| (id, BasicNode::new(format!("127.0.0.1:740{id}")));
-    Membership::new(vec![BTreeSet::from([1, 2, 3])], (1..=3).map(node).collect::<BTreeMap<_, _>>())
+    Membership::new(
+        vec![BTreeSet::from([1, 2, 3])],
+        (1..=3).map(node).collect::<BTreeMap<_, _>>(),
+    )
 }
 
 /// The JSON of a value, after it was read back and written again.
 fn json<T: Serialize + DeserializeOwned>(value: &T) -> String {
     let text = serde_json::to_string(value).expect("it can be written");
     let again: T = serde_json::from_str(&text).expect("it can be read");
-    assert_eq!(serde_json::to_string(&again).expect("it can be written"), text);
+    assert_eq!(
+        serde_json::to_string(&again).expect("it can be written"),
+        text
+    );
     text
 }
 
 #[test]
 fn requests_between_replicas_keep_their_json() {
-    let identity = Identity { name: "caja".to_owned(), incarnation: 7 };
+    let identity = Identity {
+        name: "caja".to_owned(),
+        incarnation: 7,
+    };
     let payloads = [
         EntryPayload::Blank,
-        EntryPayload::Normal(Command::Register { identity, cut_off: CutOff::Keep }),
+        EntryPayload::Normal(Command::Register {
+            identity,
+            cut_off: CutOff::Keep,
+        }),
         EntryPayload::Membership(membership()),
     ];
     let entries = payloads.into_iter().zip(5..);
     let append = AppendEntriesRequest::<Types> {
         vote: Vote::new_committed(3, 1),
         prev_log_id: Some(log_id(4)),
-        entries: entries.map(|(payload, index)| Entry { log_id: log_id(index), payload }).collect(),
+        entries: entries
+            .map(|(payload, index)| Entry {
+                log_id: log_id(index),
+                payload,
+            })
+            .collect(),
         leader_commit: Some(log_id(3)),
     };
     let snapshot = InstallSnapshotRequest::<Types> {
@@ -74,8 +91,14 @@
     type Voted = Result<VoteResponse<Id>, RaftError<Id>>;
     type Installed = Result<InstallSnapshotResponse<Id>, RaftError<Id, InstallSnapshotError>>;
     let mismatch = SnapshotMismatch {
-        expect: SnapshotSegmentId { id: "3-1-9".to_owned(), offset: 0 },
-        got: SnapshotSegmentId { id: "3-1-9".to_owned(), offset: 12 },
+        expect: SnapshotSegmentId {
+            id: "3-1-9".to_owned(),
+            offset: 0,
+        },
+        got: SnapshotSegmentId {
+            id: "3-1-9".to_owned(),
+            offset: 12,
+        },
     };
     let replies = [
         json::<Appended>(&Ok(AppendEntriesResponse::Success)),
@@ -83,9 +106,17 @@
         json::<Appended>(&Ok(AppendEntriesResponse::Conflict)),
         json::<Appended>(&Ok(AppendEntriesResponse::HigherVote(Vote::new(4, 2)))),
         json::<Appended>(&Err(RaftError::Fatal(Fatal::Stopped))),
-        json::<Voted>(&Ok(VoteResponse::new(Vote::new(4, 2), Some(log_id(9)), true))),
-        json::<Installed>(&Ok(InstallSnapshotResponse { vote: Vote::new_committed(3, 1) })),
-        json::<Installed>(&Err(RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch)))),
+        json::<Voted>(&Ok(VoteResponse::new(
+            Vote::new(4, 2),
+            Some(log_id(9)),
+            true,
+        ))),
+        json::<Installed>(&Ok(InstallSnapshotResponse {
+            vote: Vote::new_committed(3, 1),
+        })),
+        json::<Installed>(&Err(RaftError::APIError(
+            InstallSnapshotError::SnapshotMismatch(mismatch),
+        ))),
     ];
     insta::assert_snapshot!(replies.join("\n"));
 }
--- a/crates/control/src/progress.rs
+++ b/crates/control/src/progress.rs
@@ -13,36 +13,52 @@
 impl Before {
     /// That of this record.
     pub fn of(record: &Record) -> Self {
-        Before { middle: record.middle(), cross_region: record.cross_region().cloned() }
+        Before {
+            middle: record.middle(),
+            cross_region: record.cross_region().cloned(),
+        }
     }
 }
 
 /// The line for a command that came to this outcome, if it is a step of a change.
-pub fn line(before: &Before, command: &Command, outcome: &Outcome, after: &Record) -> Option<String> {
+pub fn line(
+    before: &Before,
+    command: &Command,
+    outcome: &Outcome,
+    after: &Record,
+) -> Option<String> {
     match (command, outcome) {
         (_, Outcome::Refused(_)) => None,
         (_, Outcome::Begun(generation)) => Some(begun(*generation, after)),
         (Command::Vote { .. }, _) => {
             let cross = before.cross_region.as_ref()?;
             let coordinator = &cross.change.coordinator;
-            Some(of_all(cross, format!("voted that this region is prepared; region {coordinator} decides")))
-        }
-        (Command::Prepared { region, .. }, _) => {
-            Some(of_all(before.cross_region.as_ref()?, format!("region {region} is prepared")))
-        }
-        (Command::Acknowledged { id, region }, _) => {
-            Some(format!("change of all regions {id}: region {region} acknowledged the commit"))
+            Some(of_all(
+                cross,
+                format!("voted that this region is prepared; region {coordinator} decides"),
+            ))
         }
+        (Command::Prepared { region, .. }, _) => Some(of_all(
+            before.cross_region.as_ref()?,
+            format!("region {region} is prepared"),
+        )),
+        (Command::Acknowledged { id, region }, _) => Some(format!(
+            "change of all regions {id}: region {region} acknowledged the commit"
+        )),
         (Command::Advance { .. } | Command::Committed { .. }, _) => {
             Some(ended(before, format!("{} is in force", before.middle?.new)))
         }
         (Command::Abort { why, .. }, _) => Some(match &before.cross_region {
             None => format!("the change comes to nothing: {why}"),
-            Some(cross) => of_all(cross, format!("decided: {} is not in force: {why}", before.middle?.new)),
+            Some(cross) => of_all(
+                cross,
+                format!("decided: {} is not in force: {why}", before.middle?.new),
+            ),
         }),
-        (Command::Aborted { .. }, _) => {
-            Some(ended(before, format!("{} is not in force", before.middle?.new)))
-        }
+        (Command::Aborted { .. }, _) => Some(ended(
+            before,
+            format!("{} is not in force", before.middle?.new),
+        )),
         _ => None,
     }
 }
@@ -52,16 +68,25 @@
 }
 
 fn begun(generation: Generation, after: &Record) -> String {
-    let Some(cross) = after.cross_region() else { return format!("{generation} is to come into force") };
+    let Some(cross) = after.cross_region() else {
+        return format!("{generation} is to come into force");
+    };
     let coordinator = &cross.change.coordinator;
     match &cross.role {
         Role::Coordinator { participants, .. } => {
             let names: Vec<&str> = participants.iter().map(|region| region.as_str()).collect();
-            of_all(cross, format!("begun as {generation} here, with region {}", names.join(", ")))
-        }
-        Role::Participant { .. } => {
-            of_all(cross, format!("begun as {generation} here, for region {coordinator}"))
+            of_all(
+                cross,
+                format!(
+                    "begun as {generation} here, with region {}",
+                    names.join(", ")
+                ),
+            )
         }
+        Role::Participant { .. } => of_all(
+            cross,
+            format!("begun as {generation} here, for region {coordinator}"),
+        ),
     }
 }
 
--- a/crates/control/src/refusals.rs
+++ b/crates/control/src/refusals.rs
@@ -10,7 +10,11 @@
 
 /// A refusal with this code.
 pub fn refuse(code: refusal::Code, text: impl Into<String>) -> reply::What {
-    reply::What::Refusal(Refusal { code: code.into(), text: text.into(), ..Refusal::default() })
+    reply::What::Refusal(Refusal {
+        code: code.into(),
+        text: text.into(),
+        ..Refusal::default()
+    })
 }
 
 /// Another replica may lead, and this one does not.
