--- a/crates/control/src/regions.rs
+++ b/crates/control/src/regions.rs
@@ -10,7 +10,9 @@
 use badgerramp_channel::wire::{self, refusal, reply, request};
 use badgerramp_channel::{Client, Fault, Secret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
-use badgerramp_policy::regions::{coordinator, participant, Commit, Prepare, Region, Regions, VoteReply};
+use badgerramp_policy::regions::{
+    coordinator, participant, Commit, Prepare, Region, Regions, VoteReply,
+};
 use badgerramp_policy::Command;
 use std::future::Future;
 use std::sync::Arc;
@@ -52,7 +54,12 @@
 
     /// Carries messages to one region.
     async fn carry(&self, region: &Region) {
-        let replicas = self.settings.replicas.get(region).cloned().unwrap_or_default();
+        let replicas = self
+            .settings
+            .replicas
+            .get(region)
+            .cloned()
+            .unwrap_or_default();
         let mut client = Client::between_regions(replicas, self.secret.clone(), ANSWER);
         let mut pause = PAUSE_FIRST;
         let mut told = String::new();
@@ -109,11 +116,16 @@
 
     /// Logs what follows from an answer. False: nothing does.
     async fn answered(&self, region: &Region, answer: reply::What) -> bool {
-        let Some(command) = self.follows(region, answer) else { return false };
+        let Some(command) = self.follows(region, answer) else {
+            return false;
+        };
         match self.leader.agree(command).await {
             Ok(_) => true,
             Err(fault) => {
-                warn!("region {region} has answered, and it can't be logged: {}", fault.why);
+                warn!(
+                    "region {region} has answered, and it can't be logged: {}",
+                    fault.why
+                );
                 false
             }
         }
@@ -123,11 +135,13 @@
         match answer {
             reply::What::Vote(vote) => {
                 let vote = vote.read()?;
-                self.store.with(|record| coordinator::on_vote(record, region, &vote))
+                self.store
+                    .with(|record| coordinator::on_vote(record, region, &vote))
             }
             reply::What::Outcome(outcome) => {
                 let outcome = outcome.read()?;
-                self.store.with(|record| participant::on_outcome(record, &outcome))
+                self.store
+                    .with(|record| participant::on_outcome(record, &outcome))
             }
             _ => None,
         }
@@ -158,11 +172,13 @@
         match what {
             request::What::Prepare(prepare) => {
                 let to = prepare.region.clone();
-                self.vote(&to, prepare.read(), |prepare| self.prepare(prepare)).await
+                self.vote(&to, prepare.read(), |prepare| self.prepare(prepare))
+                    .await
             }
             request::What::Commit(commit) => {
                 let to = commit.region.clone();
-                self.vote(&to, commit.read(), |commit| self.commit(commit)).await
+                self.vote(&to, commit.read(), |commit| self.commit(commit))
+                    .await
             }
             request::What::Outcome(asked) => self.outcome(asked).await,
             _ => Ok(malformed()),
@@ -182,7 +198,9 @@
         if let Some(refused) = self.misdirected(to) {
             return Ok(refused);
         }
-        let Some(message) = message else { return Ok(malformed()) };
+        let Some(message) = message else {
+            return Ok(malformed());
+        };
         self.leader.confirmed().await?;
         Ok(reply::What::Vote(answer(message).await?.into()))
     }
@@ -202,11 +220,16 @@
     }
 
     async fn commit(&self, commit: Commit) -> Result<VoteReply, NotLeader> {
-        match self.store.with(|record| participant::on_commit(record, &commit)) {
+        match self
+            .store
+            .with(|record| participant::on_commit(record, &commit))
+        {
             OnCommit::Reply(reply) => Ok(reply),
             OnCommit::Log(command) => {
                 self.leader.agree(command).await?;
-                Ok(self.store.with(|record| participant::standing(record, &commit.change)))
+                Ok(self
+                    .store
+                    .with(|record| participant::standing(record, &commit.change)))
             }
         }
     }
@@ -215,10 +238,16 @@
         if let Some(refused) = self.misdirected(&asked.coordinator) {
             return Ok(refused);
         }
-        let Some(asked) = asked.read() else { return Ok(malformed()) };
+        let Some(asked) = asked.read() else {
+            return Ok(malformed());
+        };
         // A leader that was replaced may not know of a change that its successor has begun.
         self.leader.confirmed().await?;
-        Ok(reply::What::Outcome(self.store.with(|record| coordinator::outcome(record, &asked)).into()))
+        Ok(reply::What::Outcome(
+            self.store
+                .with(|record| coordinator::outcome(record, &asked))
+                .into(),
+        ))
     }
 
     /// A message for another region comes here if the sender's file gives it these addresses.
@@ -235,5 +264,8 @@
 }
 
 fn malformed() -> reply::What {
-    refuse(refusal::Code::Bad, "no message between regions that this version knows")
+    refuse(
+        refusal::Code::Bad,
+        "no message between regions that this version knows",
+    )
 }
--- a/crates/control/src/removed.rs
+++ b/crates/control/src/removed.rs
@@ -9,11 +9,20 @@
 pub fn acknowledgement(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
     let commit = record.unacknowledged()?;
     let removed = commit.regions.difference(others).next()?;
-    Some(Command::Acknowledged { id: commit.change.id, region: removed.clone() })
+    Some(Command::Acknowledged {
+        id: commit.change.id,
+        region: removed.clone(),
+    })
 }
 
 /// Ends a change that only a removed region could decide.
 pub fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
-    let CrossRegion { change, role: Role::Participant { .. } } = record.cross_region()? else { return None };
+    let CrossRegion {
+        change,
+        role: Role::Participant { .. },
+    } = record.cross_region()?
+    else {
+        return None;
+    };
     (!others.contains(&change.coordinator)).then_some(Command::Aborted { id: change.id })
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -12,7 +12,9 @@
 use badgerramp_channel::wire::{self, refusal, reply, request, Reply, Request, Sealed};
 use badgerramp_channel::{digest, Purpose, Secret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
-use badgerramp_policy::{Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale};
+use badgerramp_policy::{
+    Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
+};
 use openraft::{BasicNode, Config, Raft, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::future::Future;
@@ -73,13 +75,19 @@
 
     async fn text(&self, generation: Generation) -> Result<reply::What, NotLeader> {
         self.leader.confirmed().await?;
-        Ok(match self.store.with(|r| r.text(generation).map(check::files_of)) {
-            Some(Ok(files)) => {
-                reply::What::Text(wire::Text { generation: generation.0, files: files.into_iter().collect() })
-            }
-            Some(Err(fault)) => refuse(refusal::Code::Bad, fault),
-            None => refuse(refusal::Code::Bad, format!("{generation}: there is none, or it is kept no more")),
-        })
+        Ok(
+            match self.store.with(|r| r.text(generation).map(check::files_of)) {
+                Some(Ok(files)) => reply::What::Text(wire::Text {
+                    generation: generation.0,
+                    files: files.into_iter().collect(),
+                }),
+                Some(Err(fault)) => refuse(refusal::Code::Bad, fault),
+                None => refuse(
+                    refusal::Code::Bad,
+                    format!("{generation}: there is none, or it is kept no more"),
+                ),
+            },
+        )
     }
 
     /// Why a proxy of this region gets nothing here, if it doesn't.
@@ -88,8 +96,12 @@
         if named.is_empty() || own.is_some_and(|own| own.as_str() == named) {
             return None;
         }
-        let here = own.map_or("has no region".to_owned(), |own| format!("is of region \"{own}\""));
-        let text = format!("policy.region of this proxy is {named:?}, and the control that it asks {here}");
+        let here = own.map_or("has no region".to_owned(), |own| {
+            format!("is of region \"{own}\"")
+        });
+        let text = format!(
+            "policy.region of this proxy is {named:?}, and the control that it asks {here}"
+        );
         Some(refuse(refusal::Code::OtherRegion, text))
     }
 
@@ -107,11 +119,16 @@
         Ok(match self.leader.lend(ask).await? {
             Lent::Grant(grant) => self.grant(grant, &has, &asked.application),
             Lent::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
-            Lent::Stale(Stale::Older) => refuse(refusal::Code::Stale, "a later question has been answered"),
-            Lent::Stale(Stale::NoPolicy) => refuse(refusal::Code::NoPolicy, "there is no policy yet"),
-            Lent::Stale(Stale::Evicted) => {
-                refuse(refusal::Code::Evicted, "this start of the proxy was evicted: start it anew")
+            Lent::Stale(Stale::Older) => {
+                refuse(refusal::Code::Stale, "a later question has been answered")
             }
+            Lent::Stale(Stale::NoPolicy) => {
+                refuse(refusal::Code::NoPolicy, "there is no policy yet")
+            }
+            Lent::Stale(Stale::Evicted) => refuse(
+                refusal::Code::Evicted,
+                "this start of the proxy was evicted: start it anew",
+            ),
         })
     }
 
@@ -124,9 +141,16 @@
             let mut files = files.and_then(Result::ok).unwrap_or_default();
             // Without its file the proxy says that it can't read it.
             files.retain(|name, _| name == application);
-            digests.extend(files.get(application).map(|text| (generation.0, digest(text))));
+            digests.extend(
+                files
+                    .get(application)
+                    .map(|text| (generation.0, digest(text))),
+            );
             if !has.contains(&generation) {
-                texts.push(wire::Text { generation: generation.0, files: files.into_iter().collect() });
+                texts.push(wire::Text {
+                    generation: generation.0,
+                    files: files.into_iter().collect(),
+                });
             }
         }
         reply::What::Grant(wire::Grant {
@@ -172,16 +196,27 @@
             return Ok(refuse(refusal::Code::Moved, text));
         }
         let floors = record.floors();
-        let good = check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
+        let good =
+            check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
         let text = match good {
             Ok(text) => text,
             Err(why) => return Ok(refuse(refusal::Code::Bad, why)),
         };
-        let command = Command::Publish { revision: policy.revision, text, floors, all_regions };
+        let command = Command::Publish {
+            revision: policy.revision,
+            text,
+            floors,
+            all_regions,
+        };
         Ok(match self.leader.agree(command).await? {
-            Outcome::Begun(generation) => reply::What::Begun(wire::Begun { generation: generation.0 }),
+            Outcome::Begun(generation) => reply::What::Begun(wire::Begun {
+                generation: generation.0,
+            }),
             Outcome::Refused(refused) => not_logged(&refused),
-            Outcome::Done => refuse(refusal::Code::Moved, "something else came in between: look again"),
+            Outcome::Done => refuse(
+                refusal::Code::Moved,
+                "something else came in between: look again",
+            ),
         })
     }
 
@@ -189,8 +224,13 @@
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.why).await? {
             Some(Outcome::Done) => reply::What::Done(wire::Done {}),
-            Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => not_logged(&refused),
-            _ => refuse(refusal::Code::Moved, format!("no change to {generation} is under way")),
+            Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => {
+                not_logged(&refused)
+            }
+            _ => refuse(
+                refusal::Code::Moved,
+                format!("no change to {generation} is under way"),
+            ),
         })
     }
 
@@ -219,14 +259,26 @@
         })?;
         let what = match what {
             Some(what) => self.answer(what).await,
-            None => refuse(refusal::Code::Bad, "an empty question, or one that this version does not know"),
+            None => refuse(
+                refusal::Code::Bad,
+                "an empty question, or one that this version does not know",
+            ),
         };
-        Ok(Response::new(self.secret.seal(Purpose::Reply, &Reply { nonce, what: Some(what) })))
+        Ok(Response::new(self.secret.seal(
+            Purpose::Reply,
+            &Reply {
+                nonce,
+                what: Some(what),
+            },
+        )))
     }
 
     type NewsStream = Pin<Box<dyn Stream<Item = Result<Sealed, Status>> + Send>>;
 
-    async fn news(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Self::NewsStream>, Status> {
+    async fn news(
+        &self,
+        sealed: tonic::Request<Sealed>,
+    ) -> Result<Response<Self::NewsStream>, Status> {
         let opened: Result<Request, _> = self.secret.open(Purpose::Request, sealed.into_inner());
         let nonce = opened.map_err(|fault| denied(&fault))?.nonce;
         let secret = self.secret.clone();
@@ -238,26 +290,44 @@
     }
 
     async fn replica(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
-        let opened = self.secret.open_bytes(Purpose::ReplicaRequest, sealed.into_inner());
+        let opened = self
+            .secret
+            .open_bytes(Purpose::ReplicaRequest, sealed.into_inner());
         let body = opened.map_err(|fault| denied(&fault))?;
-        let answer = network::answer(&self.raft, &body).await.map_err(Status::invalid_argument)?;
-        Ok(Response::new(self.secret.seal_bytes(Purpose::ReplicaReply, answer)))
+        let answer = network::answer(&self.raft, &body)
+            .await
+            .map_err(Status::invalid_argument)?;
+        Ok(Response::new(
+            self.secret.seal_bytes(Purpose::ReplicaReply, answer),
+        ))
     }
 
     async fn region(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
-        let opened = self.secret.open(Purpose::RegionRequest, sealed.into_inner());
+        let opened = self
+            .secret
+            .open(Purpose::RegionRequest, sealed.into_inner());
         let Request { nonce, what } = opened.map_err(|fault| {
             warn!("a message of another region is refused: {fault}");
             denied(&fault)
         })?;
         let what = match (&self.responder, what) {
             (Some(responder), Some(what)) => responder.answer(what).await.unwrap_or_else(elsewhere),
-            (Some(_), None) => {
-                refuse(refusal::Code::Bad, "an empty message, or one that this version does not know")
-            }
-            (None, _) => refuse(refusal::Code::OtherRegion, "this control has no region: see its file"),
+            (Some(_), None) => refuse(
+                refusal::Code::Bad,
+                "an empty message, or one that this version does not know",
+            ),
+            (None, _) => refuse(
+                refusal::Code::OtherRegion,
+                "this control has no region: see its file",
+            ),
         };
-        Ok(Response::new(self.secret.seal(Purpose::RegionReply, &Reply { nonce, what: Some(what) })))
+        Ok(Response::new(self.secret.seal(
+            Purpose::RegionReply,
+            &Reply {
+                nonce,
+                what: Some(what),
+            },
+        )))
     }
 }
 
@@ -271,7 +341,8 @@
 /// If it can't begin, or can't go on: its disk, its listener.
 pub async fn run(settings: Settings, stop: impl Future<Output = ()>) -> Result<(), String> {
     let shown = settings.store.display().to_string();
-    let store = Store::open(&settings.store, settings.replica).map_err(|e| format!("store {shown}: {e}"))?;
+    let store = Store::open(&settings.store, settings.replica)
+        .map_err(|e| format!("store {shown}: {e}"))?;
     let (address, listen) = (settings.replicas[&settings.replica], settings.listen);
     let bind = |e| format!("listen on {listen}: {e}");
     let listener = TcpListener::bind(listen).await.map_err(bind)?;
@@ -290,11 +361,22 @@
         ..Config::default()
     };
     let config = Arc::new(config.validate().map_err(|e| e.to_string())?);
-    let network = Network { secret: settings.secret.clone() };
-    let raft = Raft::new(settings.replica, config, network, store.clone(), store.clone());
+    let network = Network {
+        secret: settings.secret.clone(),
+    };
+    let raft = Raft::new(
+        settings.replica,
+        config,
+        network,
+        store.clone(),
+        store.clone(),
+    );
     let raft = raft.await.map_err(|e| format!("store {shown}: {e}"))?;
-    let members: BTreeMap<u64, BasicNode> =
-        settings.replicas.iter().map(|(&id, a)| (id, BasicNode::new(a.to_string()))).collect();
+    let members: BTreeMap<u64, BasicNode> = settings
+        .replicas
+        .iter()
+        .map(|(&id, a)| (id, BasicNode::new(a.to_string())))
+        .collect();
     // A replica that has begun before says so; then what it has written down holds.
     if !raft.is_initialized().await.map_err(|e| e.to_string())? {
         if let Err(fault) = raft.initialize(members).await {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -86,12 +86,19 @@
 /// How many replicas may keep one record.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
 
-fn range(file: &str, key: &str, found: u64, allowed: std::ops::RangeInclusive<u64>) -> Result<u64, String> {
+fn range(
+    file: &str,
+    key: &str,
+    found: u64,
+    allowed: std::ops::RangeInclusive<u64>,
+) -> Result<u64, String> {
     match allowed.contains(&found) {
         true => Ok(found),
-        false => {
-            Err(format!("{file}: {key}: found {found}, allowed is {} to {}", allowed.start(), allowed.end()))
-        }
+        false => Err(format!(
+            "{file}: {key}: found {found}, allowed is {} to {}",
+            allowed.start(),
+            allowed.end()
+        )),
     }
 }
 
@@ -120,7 +127,10 @@
             replicas.insert(number(name)?, *address);
         }
         if !REPLICA_COUNTS.contains(&replicas.len()) {
-            return Err(format!("{file}: replicas: found {}, allowed are 1, 3 or 5", replicas.len()));
+            return Err(format!(
+                "{file}: replicas: found {}, allowed are 1, 3 or 5",
+                replicas.len()
+            ));
         }
         let Some(&reached) = replicas.get(&draft.replica) else {
             return Err(format!(
@@ -134,8 +144,8 @@
             _ => other,
         };
         let secret = beside(draft.secret);
-        let secret =
-            Secret::read(&secret).map_err(|e| format!("{file}: secret: {}: {e}", secret.display()))?;
+        let secret = Secret::read(&secret)
+            .map_err(|e| format!("{file}: secret: {}: {e}", secret.display()))?;
         let lease = range(&file, "lease_ms", draft.lease_ms, 200..=600_000)?;
         let drift = range(&file, "drift_ppm", draft.drift_ppm, 100..=100_000)?;
         let wait = range(&file, "wait_ms", draft.wait_ms, lease..=86_400_000)?;
@@ -163,7 +173,10 @@
 
     #[test]
     fn mistakes_name_file_key_what_was_found_and_what_is_allowed() {
-        let folder = std::env::temp_dir().join(format!("badgerramp-control-settings-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "badgerramp-control-settings-{}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&folder).expect("a folder");
         let secret = folder.join("secret");
         std::fs::write(&secret, "0123456789abcdef0123").expect("a file");
@@ -175,7 +188,10 @@
             Settings::load(&path)
         };
         let settings = load(good).expect("good");
-        assert_eq!((settings.lease, settings.store), (Duration::from_secs(10), folder.join("s")));
+        assert_eq!(
+            (settings.lease, settings.store),
+            (Duration::from_secs(10), folder.join("s"))
+        );
         for (from, to, words) in [
             ("replica = 1\n", "replica = 2\n", "replica: found 2"),
             ("{ 1 =", "{ 0 =", "replicas: found \"0\""),
@@ -184,16 +200,25 @@
                 "{ 1 = \"127.0.0.1:7401\", 2 = \"127.0.0.1:7402\" }",
                 "found 2, allowed are 1, 3 or 5",
             ),
-            ("store", "lease_ms = 5\nstore", "lease_ms: found 5, allowed is 200 to 600000"),
+            (
+                "store",
+                "lease_ms = 5\nstore",
+                "lease_ms: found 5, allowed is 200 to 600000",
+            ),
             ("store", "wait_ms = 5\nstore", "wait_ms: found 5"),
             ("store", "stored = 1\nstore", "stored"),
             ("\"secret\"", "\"none\"", "secret: "),
         ] {
             let fault = load(&good.replace(from, to)).expect_err(to);
-            assert!(fault.contains(words) && fault.contains("control.toml"), "{fault}");
+            assert!(
+                fault.contains(words) && fault.contains("control.toml"),
+                "{fault}"
+            );
         }
         std::fs::set_permissions(&secret, std::fs::Permissions::from_mode(0o644)).expect("set");
-        assert!(load(good).expect_err("open").contains("found permissions 644"));
+        assert!(load(good)
+            .expect_err("open")
+            .contains("found permissions 644"));
         std::fs::remove_dir_all(&folder).expect("a folder");
     }
 }
--- a/crates/control/src/settings/regions.rs
+++ b/crates/control/src/settings/regions.rs
@@ -27,15 +27,19 @@
         draft: &Draft,
         own: &BTreeMap<u64, SocketAddr>,
     ) -> Result<Option<Self>, String> {
-        let Some(name) = &draft.region else { return without_region(file, draft).map(|()| None) };
+        let Some(name) = &draft.region else {
+            return without_region(file, draft).map(|()| None);
+        };
         let region = region_name(file, "region", name)?;
         if draft.regions.is_empty() {
             return Err(format!(
                 "{file}: regions: found none, allowed is a table [regions.NAME] for each other region"
             ));
         }
-        let mut taken: BTreeMap<SocketAddr, String> =
-            own.iter().map(|(number, address)| (*address, format!("replicas.{number}"))).collect();
+        let mut taken: BTreeMap<SocketAddr, String> = own
+            .iter()
+            .map(|(number, address)| (*address, format!("replicas.{number}")))
+            .collect();
         let mut replicas = BTreeMap::new();
         for (name, other) in &draft.regions {
             let key = format!("regions.{name}");
@@ -59,7 +63,9 @@
 
     /// Where the region is that coordinates changes of all regions; `None`: it is this one.
     pub fn coordinator_replicas(&self) -> Option<&[SocketAddr]> {
-        self.replicas.get(self.regions.coordinator()).map(Vec::as_slice)
+        self.replicas
+            .get(self.regions.coordinator())
+            .map(Vec::as_slice)
     }
 }
 
@@ -76,7 +82,8 @@
 }
 
 fn region_name(file: &str, key: &str, name: &str) -> Result<Region, String> {
-    name.parse().map_err(|fault| format!("{file}: {key}: found {fault}"))
+    name.parse()
+        .map_err(|fault| format!("{file}: {key}: found {fault}"))
 }
 
 /// Checks where the replicas of another region are reached. `taken` are the addresses of all others, with their keys.
@@ -87,12 +94,17 @@
     taken: &mut BTreeMap<SocketAddr, String>,
 ) -> Result<(), String> {
     if !REPLICA_COUNTS.contains(&replicas.len()) {
-        return Err(format!("{file}: {key}.replicas: found {}, allowed are 1, 3 or 5", replicas.len()));
+        return Err(format!(
+            "{file}: {key}.replicas: found {}, allowed are 1, 3 or 5",
+            replicas.len()
+        ));
     }
     for (place, address) in replicas.iter().enumerate() {
         let key = format!("{key}.replicas[{place}]");
         if let Some(other) = taken.insert(*address, key.clone()) {
-            return Err(format!("{file}: {key}: found {address}, which is that of {other} already"));
+            return Err(format!(
+                "{file}: {key}: found {address}, which is that of {other} already"
+            ));
         }
     }
     Ok(())
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -3,7 +3,9 @@
 use crate::settings::RegionSettings;
 use badgerramp_channel::wire::{self, change};
 use badgerramp_policy::regions::{CrossRegion, Region, Role};
-use badgerramp_policy::{Blocker, Change, CutOff, Ended, Generation, Identity, Micros, Record, Why};
+use badgerramp_policy::{
+    Blocker, Change, CutOff, Ended, Generation, Identity, Micros, Record, Why,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -27,45 +29,73 @@
     /// As it travels.
     pub fn status(self) -> wire::Status {
         let proxies = proxies(self.record, self.sessions);
-        let held_by_proxies = self.blockers.into_iter().map(|b| proxy_blocker(b, self.now));
-        let held_by_regions = self.record.cross_region().map(region_blockers).unwrap_or_default();
+        let held_by_proxies = self
+            .blockers
+            .into_iter()
+            .map(|b| proxy_blocker(b, self.now));
+        let held_by_regions = self
+            .record
+            .cross_region()
+            .map(region_blockers)
+            .unwrap_or_default();
         wire::Status {
             mode: self.record.mode().map(Into::into),
-            changes: self.record.changes().iter().map(|(g, c)| change(*g, c)).collect(),
+            changes: self
+                .record
+                .changes()
+                .iter()
+                .map(|(g, c)| change(*g, c))
+                .collect(),
             blockers: held_by_proxies.chain(held_by_regions).collect(),
             proxies,
             leader: self.address.to_owned(),
             revision: self.record.revision(),
-            region: self.regions.map(|regions| region_status(self.record, regions)),
+            region: self
+                .regions
+                .map(|regions| region_status(self.record, regions)),
         }
     }
 }
 
 fn proxy_blocker(blocker: Blocker, now: Micros) -> wire::Blocker {
     let (why, left) = match blocker.why {
-        Why::Lease(until) if blocker.identity.is_none() => {
-            ("a leader before this one may have lent to any proxy".to_owned(), until.saturating_sub(now))
-        }
+        Why::Lease(until) if blocker.identity.is_none() => (
+            "a leader before this one may have lent to any proxy".to_owned(),
+            until.saturating_sub(now),
+        ),
         Why::Lease(until) => (
             "it has not told that it acts under it, and its lease runs".to_owned(),
             until.saturating_sub(now),
         ),
-        Why::Keeps => ("it goes on without a lease, and has not told that it acts under it".to_owned(), 0),
+        Why::Keeps => (
+            "it goes on without a lease, and has not told that it acts under it".to_owned(),
+            0,
+        ),
         Why::Unread(reason) => (format!("it can't read it: {reason}"), 0),
     };
     let region = String::new();
-    wire::Blocker { identity: blocker.identity.map(Into::into), why, left, region }
+    wire::Blocker {
+        identity: blocker.identity.map(Into::into),
+        why,
+        left,
+        region,
+    }
 }
 
 /// The regions whose word a change of all regions waits for.
 fn region_blockers(cross: &CrossRegion) -> Vec<wire::Blocker> {
     let why = match cross.role {
         Role::Coordinator { .. } => "it has not voted that it is prepared",
-        Role::Participant { voted: true } => "this region has voted, and that one has not told its decision",
+        Role::Participant { voted: true } => {
+            "this region has voted, and that one has not told its decision"
+        }
         Role::Participant { voted: false } => return Vec::new(),
     };
-    let held =
-        |region: Region| wire::Blocker { region: region.into(), why: why.to_owned(), ..Default::default() };
+    let held = |region: Region| wire::Blocker {
+        region: region.into(),
+        why: why.to_owned(),
+        ..Default::default()
+    };
     cross.waits_for().into_iter().map(held).collect()
 }
 
@@ -85,17 +115,22 @@
 }
 
 fn proxies(record: &Record, sessions: BTreeMap<Identity, u64>) -> Vec<wire::Proxy> {
-    let standing = record.standing().iter().map(|(i, s)| (i.clone(), (s.cut_off, s.revision)));
+    let standing = record
+        .standing()
+        .iter()
+        .map(|(i, s)| (i.clone(), (s.cut_off, s.revision)));
     let mut proxies: BTreeMap<Identity, (CutOff, u64)> = standing.collect();
     for (identity, acting) in sessions {
         let known = proxies.entry(identity).or_insert((CutOff::Refuse, acting));
         known.1 = known.1.max(acting);
     }
-    let told = proxies.into_iter().map(|(identity, (cut_off, acting))| wire::Proxy {
-        identity: Some(identity.into()),
-        acting,
-        cut_off: wire::CutOff::from(cut_off).into(),
-    });
+    let told = proxies
+        .into_iter()
+        .map(|(identity, (cut_off, acting))| wire::Proxy {
+            identity: Some(identity.into()),
+            acting,
+            cut_off: wire::CutOff::from(cut_off).into(),
+        });
     told.collect()
 }
 
@@ -114,9 +149,15 @@
     let CrossRegion { change, role } = record.cross_region()?;
     let (voted, participants) = match role {
         Role::Participant { voted } => (*voted, Vec::new()),
-        Role::Coordinator { participants, prepared } => (
+        Role::Coordinator {
+            participants,
+            prepared,
+        } => (
             false,
-            participants.iter().map(|region| participant(region, prepared, &BTreeSet::new())).collect(),
+            participants
+                .iter()
+                .map(|region| participant(region, prepared, &BTreeSet::new()))
+                .collect(),
         ),
     };
     Some(wire::CrossRegion {
@@ -131,14 +172,22 @@
 /// The change of all regions that is in force here, and that not all regions have acknowledged.
 fn unacknowledged(record: &Record, settings: &RegionSettings) -> Option<wire::CrossRegion> {
     let commit = record.unacknowledged()?;
-    let all: BTreeSet<Region> = settings.regions.others().union(&commit.regions).cloned().collect();
+    let all: BTreeSet<Region> = settings
+        .regions
+        .others()
+        .union(&commit.regions)
+        .cloned()
+        .collect();
     let acknowledged = all.difference(&commit.regions).cloned().collect();
     Some(wire::CrossRegion {
         id: commit.change.id.0,
         generation: commit.change.number.0,
         coordinator: commit.change.coordinator.to_string(),
         voted: false,
-        participants: all.iter().map(|region| participant(region, &all, &acknowledged)).collect(),
+        participants: all
+            .iter()
+            .map(|region| participant(region, &all, &acknowledged))
+            .collect(),
     })
 }
 
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -4,8 +4,9 @@
 use badgerramp_policy::{Command, Outcome, Record};
 use openraft::storage::{LogFlushed, RaftLogStorage, RaftStateMachine};
 use openraft::{
-    BasicNode, Entry, EntryPayload, ErrorSubject, ErrorVerb, LogId, LogState, OptionalSend, RaftLogReader,
-    RaftSnapshotBuilder, Snapshot, SnapshotMeta, StorageError, StoredMembership, Vote,
+    BasicNode, Entry, EntryPayload, ErrorSubject, ErrorVerb, LogId, LogState, OptionalSend,
+    RaftLogReader, RaftSnapshotBuilder, Snapshot, SnapshotMeta, StorageError, StoredMembership,
+    Vote,
 };
 use redb::backends::InMemoryBackend;
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
@@ -137,7 +138,9 @@
         let copy = InMemoryBackend::new();
         copy.set_len(bytes.len() as u64).map_err(damaged)?;
         copy.write(0, &bytes).map_err(damaged)?;
-        let mut copy = Database::builder().create_with_backend(copy).map_err(damaged)?;
+        let mut copy = Database::builder()
+            .create_with_backend(copy)
+            .map_err(damaged)?;
         copy.check_integrity().map_err(damaged)
     });
     match std::panic::catch_unwind(look) {
@@ -168,8 +171,10 @@
             change.open_table(LOG).map_err(text)?;
             change.open_table(SNAPSHOTS).map_err(text)?;
             let mut meta = change.open_table(META).map_err(text)?;
-            meta.insert("format", pack(&FORMAT)?.as_slice()).map_err(text)?;
-            meta.insert("replica", pack(&id)?.as_slice()).map_err(text)?;
+            meta.insert("format", pack(&FORMAT)?.as_slice())
+                .map_err(text)?;
+            meta.insert("replica", pack(&id)?.as_slice())
+                .map_err(text)?;
             drop(meta);
             change.commit().map_err(text)
         };
@@ -186,8 +191,11 @@
         }
         verified(path)?;
         let base = Database::open(path).map_err(damaged)?;
-        let store =
-            Store { base: Arc::new(base), machine: Arc::default(), moved: Arc::new(watch::channel(0).0) };
+        let store = Store {
+            base: Arc::new(base),
+            machine: Arc::default(),
+            moved: Arc::new(watch::channel(0).0),
+        };
         store.look(id)?;
         Ok(store)
     }
@@ -195,16 +203,22 @@
     fn look(&self, id: Id) -> Result<(), Fault> {
         let format: Option<String> = self.meta("format").map_err(Fault::Damaged)?;
         if format.as_deref() != Some(FORMAT) {
-            return Err(damaged(format!("format: found {format:?}, allowed is {FORMAT:?}")));
+            return Err(damaged(format!(
+                "format: found {format:?}, allowed is {FORMAT:?}"
+            )));
         }
         match self.meta("replica").map_err(Fault::Damaged)? {
             Some(own) if own == id => {}
             Some(other) => return Err(Fault::Foreign(other)),
             None => return Err(damaged("it names no replica")),
         }
-        self.meta::<Vote<Id>>("vote").map_err(|e| damaged(format!("vote: {e}")))?;
-        self.meta::<Option<LogId<Id>>>("committed").map_err(|e| damaged(format!("committed: {e}")))?;
-        let purged: Option<LogId<Id>> = self.meta("purged").map_err(|e| damaged(format!("purged: {e}")))?;
+        self.meta::<Vote<Id>>("vote")
+            .map_err(|e| damaged(format!("vote: {e}")))?;
+        self.meta::<Option<LogId<Id>>>("committed")
+            .map_err(|e| damaged(format!("committed: {e}")))?;
+        let purged: Option<LogId<Id>> = self
+            .meta("purged")
+            .map_err(|e| damaged(format!("purged: {e}")))?;
         let last = self.entries(..).map_err(|e| damaged(format!("log: {e}")))?;
         for (before, after) in last.iter().zip(last.iter().skip(1)) {
             if before.log_id.index + 1 != after.log_id.index {
@@ -217,7 +231,10 @@
         let first = last.first().map(|e| e.log_id.index);
         if let (Some(purged), Some(first)) = (purged, first) {
             if first != purged.index + 1 {
-                return Err(damaged(format!("log: it begins at {first}, after {} was let go", purged.index)));
+                return Err(damaged(format!(
+                    "log: it begins at {first}, after {} was let go",
+                    purged.index
+                )));
             }
         }
         let (snapshot, faults) = self.snapshot().map_err(Fault::Damaged)?;
@@ -227,8 +244,13 @@
         // What was let go of the log must be in a snapshot that can be read.
         let applied = self.lock().applied;
         if purged > applied {
-            let why = faults.first().cloned().unwrap_or_else(|| "there is none".to_owned());
-            return Err(damaged(format!("snapshot: none is left that reaches the log ({why})")));
+            let why = faults
+                .first()
+                .cloned()
+                .unwrap_or_else(|| "there is none".to_owned());
+            return Err(damaged(format!(
+                "snapshot: none is left that reaches the log ({why})"
+            )));
         }
         self.moved.send_replace(self.lock().record.revision());
         Ok(())
@@ -275,9 +297,13 @@
         for entry in log.range::<u64>(range).map_err(text)? {
             let (index, value) = entry.map_err(text)?;
             let index = index.value();
-            let entry: Entry<Types> = unpack(value.value()).map_err(|e| format!("entry {index}: {e}"))?;
+            let entry: Entry<Types> =
+                unpack(value.value()).map_err(|e| format!("entry {index}: {e}"))?;
             if entry.log_id.index != index {
-                return Err(format!("entry {index}: it says that it is {}", entry.log_id.index));
+                return Err(format!(
+                    "entry {index}: it says that it is {}",
+                    entry.log_id.index
+                ));
             }
             all.push(entry);
         }
@@ -325,8 +351,15 @@
 
 fn meta_of(machine: &Machine) -> SnapshotMeta<Id, BasicNode> {
     let applied = machine.applied;
-    let snapshot_id = applied.map_or_else(|| "none".to_owned(), |a| format!("{}-{}", a.leader_id, a.index));
-    SnapshotMeta { last_log_id: applied, last_membership: machine.membership.clone(), snapshot_id }
+    let snapshot_id = applied.map_or_else(
+        || "none".to_owned(),
+        |a| format!("{}-{}", a.leader_id, a.index),
+    );
+    SnapshotMeta {
+        last_log_id: applied,
+        last_membership: machine.membership.clone(),
+        snapshot_id,
+    }
 }
 
 impl RaftLogReader<Types> for Store {
@@ -334,7 +367,8 @@
         &mut self,
         range: RB,
     ) -> Result<Vec<Entry<Types>>, Failed> {
-        self.entries(range).map_err(subject(ErrorSubject::Logs, ErrorVerb::Read))
+        self.entries(range)
+            .map_err(subject(ErrorSubject::Logs, ErrorVerb::Read))
     }
 }
 
@@ -347,8 +381,13 @@
             let view = self.base.begin_read().map_err(text)?;
             let log = view.open_table(LOG).map_err(text)?;
             let last = log.last().map_err(text)?;
-            let last = last.map(|(_, v)| unpack::<Entry<Types>>(v.value())).transpose()?;
-            Ok(LogState { last_purged_log_id: purged, last_log_id: last.map(|e| e.log_id).or(purged) })
+            let last = last
+                .map(|(_, v)| unpack::<Entry<Types>>(v.value()))
+                .transpose()?;
+            Ok(LogState {
+                last_purged_log_id: purged,
+                last_log_id: last.map(|e| e.log_id).or(purged),
+            })
         };
         read().map_err(subject(ErrorSubject::Logs, ErrorVerb::Read))
     }
@@ -358,20 +397,24 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote<Id>) -> Result<(), Failed> {
-        self.set("vote", vote).map_err(subject(ErrorSubject::Vote, ErrorVerb::Write))
+        self.set("vote", vote)
+            .map_err(subject(ErrorSubject::Vote, ErrorVerb::Write))
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<Id>>, Failed> {
-        self.meta("vote").map_err(subject(ErrorSubject::Vote, ErrorVerb::Read))
+        self.meta("vote")
+            .map_err(subject(ErrorSubject::Vote, ErrorVerb::Read))
     }
 
     async fn save_committed(&mut self, committed: Option<LogId<Id>>) -> Result<(), Failed> {
-        self.set("committed", &committed).map_err(subject(ErrorSubject::Store, ErrorVerb::Write))
+        self.set("committed", &committed)
+            .map_err(subject(ErrorSubject::Store, ErrorVerb::Write))
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId<Id>>, Failed> {
         let read = self.meta::<Option<LogId<Id>>>("committed");
-        read.map(Option::flatten).map_err(subject(ErrorSubject::Store, ErrorVerb::Read))
+        read.map(Option::flatten)
+            .map_err(subject(ErrorSubject::Store, ErrorVerb::Read))
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), Failed>
@@ -383,7 +426,8 @@
             let change = self.base.begin_write().map_err(text)?;
             let mut log = change.open_table(LOG).map_err(text)?;
             for entry in entries {
-                log.insert(entry.log_id.index, pack(&entry)?.as_slice()).map_err(text)?;
+                log.insert(entry.log_id.index, pack(&entry)?.as_slice())
+                    .map_err(text)?;
             }
             drop(log);
             change.commit().map_err(text)
@@ -408,7 +452,8 @@
         let write = || -> Result<(), String> {
             let change = self.base.begin_write().map_err(text)?;
             let mut meta = change.open_table(META).map_err(text)?;
-            meta.insert("purged", pack(&Some(log_id))?.as_slice()).map_err(text)?;
+            meta.insert("purged", pack(&Some(log_id))?.as_slice())
+                .map_err(text)?;
             drop(meta);
             let mut log = change.open_table(LOG).map_err(text)?;
             log.retain_in(..=log_id.index, |_, _| false).map_err(text)?;
@@ -429,7 +474,10 @@
             Ok(bytes)
         };
         let bytes = build().map_err(subject(ErrorSubject::Snapshot(None), ErrorVerb::Write))?;
-        Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) })
+        Ok(Snapshot {
+            meta,
+            snapshot: Box::new(Cursor::new(bytes)),
+        })
     }
 }
 
@@ -463,7 +511,8 @@
         }
         let revision = machine.record.revision();
         drop(machine);
-        self.moved.send_if_modified(|old| std::mem::replace(old, revision) != revision);
+        self.moved
+            .send_if_modified(|old| std::mem::replace(old, revision) != revision);
         Ok(outcomes)
     }
 
@@ -490,14 +539,20 @@
             *self.lock() = machine;
             Ok(())
         };
-        install().map_err(subject(ErrorSubject::Snapshot(Some(meta.signature())), ErrorVerb::Write))?;
+        install().map_err(subject(
+            ErrorSubject::Snapshot(Some(meta.signature())),
+            ErrorVerb::Write,
+        ))?;
         let revision = self.lock().record.revision();
-        self.moved.send_if_modified(|old| std::mem::replace(old, revision) != revision);
+        self.moved
+            .send_if_modified(|old| std::mem::replace(old, revision) != revision);
         Ok(())
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, Failed> {
-        let (found, _) = self.snapshot().map_err(subject(ErrorSubject::Snapshot(None), ErrorVerb::Read))?;
+        let (found, _) = self
+            .snapshot()
+            .map_err(subject(ErrorSubject::Snapshot(None), ErrorVerb::Read))?;
         Ok(found.map(|(bytes, machine)| Snapshot {
             meta: meta_of(&machine),
             snapshot: Box::new(Cursor::new(bytes)),
--- a/crates/control/tests/regions.rs
+++ b/crates/control/tests/regions.rs
@@ -63,7 +63,11 @@
     wait_ms: u64,
 ) -> String {
     let (name, other_name) = (NAMES[place], NAMES[1 - place]);
-    let own: Vec<String> = own.iter().enumerate().map(|(n, a)| format!("{} = \"{a}\"", n + 1)).collect();
+    let own: Vec<String> = own
+        .iter()
+        .enumerate()
+        .map(|(n, a)| format!("{} = \"{a}\"", n + 1))
+        .collect();
     let other: Vec<String> = other.iter().map(|a| format!("\"{a}\"")).collect();
     format!(
         "replica = {number}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{name}-{number}\"\n\
@@ -80,20 +84,32 @@
 
 /// Writes a replica's file, and its store if it has none. What starts it.
 fn plan(folder: &Folder, name: &str, text: &str) -> Plan {
-    let file = folder.write(&format!("{name}.toml"), text, false).expect("a file");
+    let file = folder
+        .write(&format!("{name}.toml"), text, false)
+        .expect("a file");
     if !folder.path().join(format!("store-{name}")).exists() {
-        let made = std::process::Command::new(CONTROL).arg("create").arg(&file).output();
+        let made = std::process::Command::new(CONTROL)
+            .arg("create")
+            .arg(&file)
+            .output();
         assert!(made.expect("it runs").status.success());
     }
     let arguments = vec!["serve".to_owned(), file.display().to_string()];
-    Plan { program: CONTROL.into(), arguments, keep: Vec::new(), variables: Vec::new() }
+    Plan {
+        program: CONTROL.into(),
+        arguments,
+        keep: Vec::new(),
+        variables: Vec::new(),
+    }
 }
 
 impl World {
     /// Starts both regions, with so many replicas each and the stores that are in this folder. A change of all regions
     /// that lacks a vote comes to nothing after `wait_ms`.
     async fn start(folder: Folder, count: usize, wait_ms: u64) -> World {
-        folder.write("secret", "a secret of the tests", true).expect("a file");
+        folder
+            .write("secret", "a secret of the tests", true)
+            .expect("a file");
         let mut ways = Vec::new();
         for _ in NAMES {
             let mut region = Vec::new();
@@ -103,18 +119,29 @@
             ways.push(region);
         }
         let front = |region: &Vec<Ways>| region.iter().map(|w| w.front.address).collect::<Vec<_>>();
-        let between = |region: &Vec<Ways>| region.iter().map(|w| w.between.address).collect::<Vec<_>>();
+        let between =
+            |region: &Vec<Ways>| region.iter().map(|w| w.between.address).collect::<Vec<_>>();
         let fronts: Vec<_> = ways.iter().map(front).collect();
         let betweens: Vec<_> = ways.iter().map(between).collect();
         let mut regions = Vec::new();
         for (place, region) in ways.into_iter().enumerate() {
             let mut replicas = Vec::new();
             for (number, Ways { at, front, between }) in (1..).zip(region) {
-                let text = settings(place, number, (&fronts[place], &betweens[1 - place]), wait_ms);
+                let text = settings(
+                    place,
+                    number,
+                    (&fronts[place], &betweens[1 - place]),
+                    wait_ms,
+                );
                 let plan = plan(&folder, &file_name(place, number), &text);
                 let mut process = Process::start(plan).await.expect("it starts");
                 at.send_replace(Some(process.listens().await.expect("it listens")));
-                replicas.push(Replica { process, at, front, between });
+                replicas.push(Replica {
+                    process,
+                    at,
+                    front,
+                    between,
+                });
             }
             regions.push(replicas);
         }
@@ -133,25 +160,45 @@
         let done = world.publish(NORTE, Scope::All, 1).await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
         for place in [NORTE, SUR] {
-            world.until(place, "the first policy", |s| s.in_force == Some(1) && s.to_come.is_none()).await;
+            world
+                .until(place, "the first policy", |s| {
+                    s.in_force == Some(1) && s.to_come.is_none()
+                })
+                .await;
         }
-        world.until(NORTE, "no commit that is not acknowledged", |s| change(s).is_none()).await;
+        world
+            .until(NORTE, "no commit that is not acknowledged", |s| {
+                change(s).is_none()
+            })
+            .await;
         world
     }
 
     fn addresses(&self, place: usize) -> Vec<SocketAddr> {
-        self.regions[place].iter().map(|replica| replica.front.address).collect()
+        self.regions[place]
+            .iter()
+            .map(|replica| replica.front.address)
+            .collect()
     }
 
     /// What the logs of a region say.
     fn log(&self, place: usize) -> Vec<String> {
-        self.regions[place].iter().flat_map(|r| r.process.log()).map(|(_, line)| line).collect()
+        self.regions[place]
+            .iter()
+            .flat_map(|r| r.process.log())
+            .map(|(_, line)| line)
+            .collect()
     }
 
     fn control(&self, place: usize) -> Control {
         let secret = self.folder.path().join("secret");
         let control = self.addresses(place);
-        Control::new(&At { control, secret, timeout: LONG.as_secs() }).expect("a secret")
+        Control::new(&At {
+            control,
+            secret,
+            timeout: LONG.as_secs(),
+        })
+        .expect("a secret")
     }
 
     fn client(&self, place: usize) -> Client {
@@ -171,7 +218,11 @@
             if is_so(&standing) {
                 return standing;
             }
-            assert!(Instant::now() < end, "no {what}: {standing:?} {:?}", self.log(place));
+            assert!(
+                Instant::now() < end,
+                "no {what}: {standing:?} {:?}",
+                self.log(place)
+            );
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -188,24 +239,34 @@
     /// Cuts or mends the way to this region from the other one, in both directions.
     fn pass_to(&self, place: usize, forth: Pass, back: Pass) {
         for replica in &self.regions[place] {
-            replica.between.set(|state| (state.forth, state.back) = (forth, back));
+            replica
+                .between
+                .set(|state| (state.forth, state.back) = (forth, back));
         }
     }
 
     fn cut(&self) {
-        [NORTE, SUR].into_iter().for_each(|place| self.pass_to(place, Pass::Cut, Pass::Cut));
+        [NORTE, SUR]
+            .into_iter()
+            .for_each(|place| self.pass_to(place, Pass::Cut, Pass::Cut));
     }
 
     fn mend(&self) {
-        [NORTE, SUR].into_iter().for_each(|place| self.pass_to(place, Pass::Free, Pass::Free));
+        [NORTE, SUR]
+            .into_iter()
+            .for_each(|place| self.pass_to(place, Pass::Free, Pass::Free));
     }
 
     /// Takes the other region out of the file of this one's only replica. It holds from the next restart on.
     fn remove_other(&self, place: usize) {
         let own = self.addresses(place);
         let text = settings(place, 1, (&own, &own), 1_000);
-        let (own, _) = text.split_once("region = ").expect("the keys of regions come last");
-        self.folder.write(&format!("{}.toml", file_name(place, 1)), own, false).expect("a file");
+        let (own, _) = text
+            .split_once("region = ")
+            .expect("the keys of regions come last");
+        self.folder
+            .write(&format!("{}.toml", file_name(place, 1)), own, false)
+            .expect("a file");
     }
 
     /// Kills the only replica of a region.
@@ -227,7 +288,13 @@
         let leader = self.standing(place).await.leader;
         let replicas = &mut self.regions[place];
         let leads = |replica: &&mut Replica| replica.front.address.to_string() == leader;
-        replicas.iter_mut().find(leads).expect("one of them").process.kill().await;
+        replicas
+            .iter_mut()
+            .find(leads)
+            .expect("one of them")
+            .process
+            .kill()
+            .await;
     }
 
     /// Asks for a lease, for a proxy that goes on without one.
@@ -250,10 +317,15 @@
 
 async fn publish(mut control: Control, scope: Scope, number: u64) -> Done {
     if scope == Scope::All {
-        assert_eq!(control.go_to_coordinator().await.expect("a coordinator"), "norte");
+        assert_eq!(
+            control.go_to_coordinator().await.expect("a coordinator"),
+            "norte"
+        );
     }
     let revision = control.standing().await.expect("a status").revision;
-    control.publish_for(scope, &files(number), revision, |_| {}).await
+    control
+        .publish_for(scope, &files(number), revision, |_| {})
+        .await
 }
 
 fn files(number: u64) -> HashMap<String, String> {
@@ -261,8 +333,18 @@
 }
 
 fn ask(number: u64, acting: u64, cut_off: CutOff) -> wire::Ask {
-    let identity = Identity { name: "proxy".to_owned(), incarnation: 7 };
-    let ask = Ask { identity, number, acting, has: BTreeSet::new(), unread: None, cut_off };
+    let identity = Identity {
+        name: "proxy".to_owned(),
+        incarnation: 7,
+    };
+    let ask = Ask {
+        identity,
+        number,
+        acting,
+        has: BTreeSet::new(),
+        unread: None,
+        cut_off,
+    };
     wire::Ask::of(ask, "caja")
 }
 
@@ -280,26 +362,57 @@
     let world = World::with_policy("both", 10_000).await;
     // By way of the region that does not coordinate.
     let done = world.publish(SUR, Scope::All, 2).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(2)), "{}", done.why);
-    world.until(SUR, "second policy", |s| s.in_force == Some(2)).await;
-    world.until(NORTE, "acknowledgement", |s| change(s).is_none()).await;
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(2)),
+        "{}",
+        done.why
+    );
+    world
+        .until(SUR, "second policy", |s| s.in_force == Some(2))
+        .await;
+    world
+        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .await;
     for place in [NORTE, SUR] {
         assert_eq!(world.control(place).files(2).await.expect("kept"), files(2));
     }
     let done = world.publish(SUR, Scope::Region, 3).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)), "{}", done.why);
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(3)),
+        "{}",
+        done.why
+    );
     assert_eq!(world.standing(SUR).await.in_force, Some(3));
     assert_eq!(world.standing(NORTE).await.in_force, Some(2));
     let done = world.publish(NORTE, Scope::Region, 4).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)), "{}", done.why);
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(3)),
+        "{}",
+        done.why
+    );
     // Each has numbers of its own; a change of all is told apart by its identifier.
     let (norte, sur) = (world.standing(NORTE).await, world.standing(SUR).await);
-    let ids = |s: &Standing| s.changes.iter().map(|c| c.all_regions.clone()).collect::<Vec<_>>();
+    let ids = |s: &Standing| {
+        s.changes
+            .iter()
+            .map(|c| c.all_regions.clone())
+            .collect::<Vec<_>>()
+    };
     assert_eq!(ids(&norte), ids(&sur));
     assert!(matches!(&ids(&norte)[..], [Some(first), Some(second), None] if first != second));
     let done = world.publish(NORTE, Scope::All, 5).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(4)), "{}", done.why);
-    world.until(SUR, "fourth policy", |s| s.in_force == Some(4)).await;
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(4)),
+        "{}",
+        done.why
+    );
+    world
+        .until(SUR, "fourth policy", |s| s.in_force == Some(4))
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -311,12 +424,22 @@
     assert_eq!(done.why, "not in force in time; no vote of region sur");
     for place in [NORTE, SUR] {
         let standing = world.standing(place).await;
-        assert_eq!((standing.in_force, standing.to_come), (Some(1), None), "{}", NAMES[place]);
+        assert_eq!(
+            (standing.in_force, standing.to_come),
+            (Some(1), None),
+            "{}",
+            NAMES[place]
+        );
         assert!(change(&standing).is_none());
     }
     for (place, generation) in [(NORTE, 3), (SUR, 2)] {
         let done = world.publish(place, Scope::Region, 3).await;
-        assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(generation)), "{}", done.why);
+        assert_eq!(
+            (done.outcome, done.generation),
+            (Outcome::InForce, Some(generation)),
+            "{}",
+            done.why
+        );
     }
     world.mend();
     // A connection may have to be found dead first.
@@ -326,11 +449,17 @@
     }
     world
         .until(SUR, "the policy of all", |s| {
-            s.changes.iter().any(|c| c.outcome == "in force" && c.all_regions.is_some() && c.generation > 2)
+            s.changes
+                .iter()
+                .any(|c| c.outcome == "in force" && c.all_regions.is_some() && c.generation > 2)
         })
         .await;
     assert_eq!(
-        world.control(SUR).files(world.standing(SUR).await.in_force.expect("one")).await.expect("kept"),
+        world
+            .control(SUR)
+            .files(world.standing(SUR).await.in_force.expect("one"))
+            .await
+            .expect("kept"),
         files(4)
     );
 }
@@ -349,22 +478,51 @@
     let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
     assert!(stays(&world.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
-    let refusal = world.refused(SUR, publish_request(files(3), world.standing(SUR).await.revision)).await;
+    let refusal = world
+        .refused(
+            SUR,
+            publish_request(files(3), world.standing(SUR).await.revision),
+        )
+        .await;
     assert_eq!(refusal.code(), refusal::Code::UnderWay);
-    assert!(refusal.text.contains("waits for region norte"), "{}", refusal.text);
-    let fault = world.control(SUR).abort("by hand").await.expect_err("not its to end");
-    assert!(fault.contains("region norte decides how it ends"), "{fault}");
+    assert!(
+        refusal.text.contains("waits for region norte"),
+        "{}",
+        refusal.text
+    );
+    let fault = world
+        .control(SUR)
+        .abort("by hand")
+        .await
+        .expect_err("not its to end");
+    assert!(
+        fault.contains("region norte decides how it ends"),
+        "{fault}"
+    );
     // The other region goes on.
     let done = world.publish(NORTE, Scope::Region, 4).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)), "{}", done.why);
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(3)),
+        "{}",
+        done.why
+    );
     world.restart(SUR).await;
     assert!(stays(&world.standing(SUR).await), "it is on disk");
     world.mend();
     let standing = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
     assert_eq!(standing.in_force, Some(1));
-    assert_eq!(standing.changes.last().map(|c| c.outcome), Some("not in force"));
+    assert_eq!(
+        standing.changes.last().map(|c| c.outcome),
+        Some("not in force")
+    );
     let done = world.publish(SUR, Scope::Region, 5).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)), "{}", done.why);
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(3)),
+        "{}",
+        done.why
+    );
 }
 
 fn publish_request(files: HashMap<String, String>, revision: u64) -> request::What {
@@ -380,15 +538,24 @@
     assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
     assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
     // Until the other region has it, no further change of all begins.
-    let all = request::What::PublishAll(wire::Publish { files: files(3), revision: norte.revision });
+    let all = request::What::PublishAll(wire::Publish {
+        files: files(3),
+        revision: norte.revision,
+    });
     let refusal = world.refused(NORTE, all).await;
     assert_eq!(refusal.code(), refusal::Code::UnderWay);
-    assert!(refusal.text.contains("waits for region sur"), "{}", refusal.text);
+    assert!(
+        refusal.text.contains("waits for region sur"),
+        "{}",
+        refusal.text
+    );
     world.mend();
     let sur = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
     assert_eq!(sur.in_force, Some(2));
     assert_eq!(world.control(SUR).files(2).await.expect("kept"), files(2));
-    world.until(NORTE, "acknowledgement", |s| change(s).is_none()).await;
+    world
+        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -397,10 +564,15 @@
     // A proxy that has not told holds a change of this region up.
     world.lease(SUR, 1, 0).await;
     let publishing = world.publishing(SUR, Scope::Region, 2);
-    world.until(SUR, "change of its own", |s| s.to_come == Some(2)).await;
+    world
+        .until(SUR, "change of its own", |s| s.to_come == Some(2))
+        .await;
     let done = world.publish(NORTE, Scope::All, 3).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "region sur refuses it: the change to generation 2 is under way there");
+    assert_eq!(
+        done.why,
+        "region sur refuses it: the change to generation 2 is under way there"
+    );
     let revision = world.standing(SUR).await.revision;
     world.lease(SUR, 2, revision).await;
     assert_eq!(publishing.await.expect("it ends").outcome, Outcome::InForce);
@@ -411,39 +583,80 @@
 async fn messages_for_another_region_are_refused_and_change_nothing() {
     let world = World::with_policy("messages", 10_000).await;
     let revision = world.standing(SUR).await.revision;
-    let all = request::What::PublishAll(wire::Publish { files: files(2), revision });
+    let all = request::What::PublishAll(wire::Publish {
+        files: files(2),
+        revision,
+    });
     let refusal = world.refused(SUR, all).await;
     assert_eq!(refusal.code(), refusal::Code::NotCoordinator);
-    assert_eq!(refusal.replicas, [world.regions[NORTE][0].between.address.to_string()]);
+    assert_eq!(
+        refusal.replicas,
+        [world.regions[NORTE][0].between.address.to_string()]
+    );
     // A proxy that means the control of another region gets no lease.
     let sur: Region = "sur".parse().expect("a name");
     let strayed = ask(1, 0, CutOff::Refuse).in_region(Some(&sur));
-    let refusal = world.refused(NORTE, request::What::Ask(strayed.clone())).await;
+    let refusal = world
+        .refused(NORTE, request::What::Ask(strayed.clone()))
+        .await;
     assert_eq!(refusal.code(), refusal::Code::OtherRegion);
-    assert!(refusal.text.contains("\"sur\"") && refusal.text.contains("\"norte\""), "{}", refusal.text);
-    let lent = world.client(SUR).ask_until(&request::What::Ask(strayed), LONG).await;
+    assert!(
+        refusal.text.contains("\"sur\"") && refusal.text.contains("\"norte\""),
+        "{}",
+        refusal.text
+    );
+    let lent = world
+        .client(SUR)
+        .ask_until(&request::What::Ask(strayed), LONG)
+        .await;
     assert!(matches!(lent, Ok(reply::What::Grant(_))), "{lent:?}");
     // A message between regions under the seal of a proxy.
-    let named = wire::ChangeRef { id: 9, coordinator: "norte".to_owned(), number: 9 };
+    let named = wire::ChangeRef {
+        id: 9,
+        coordinator: "norte".to_owned(),
+        number: 9,
+    };
     let text = serde_json::to_string(&files(9)).expect("JSON");
-    let prepare = wire::Prepare { change: Some(named), region: "sur".to_owned(), text };
-    let refusal = world.refused(SUR, request::What::Prepare(prepare.clone())).await;
+    let prepare = wire::Prepare {
+        change: Some(named),
+        region: "sur".to_owned(),
+        text,
+    };
+    let refusal = world
+        .refused(SUR, request::What::Prepare(prepare.clone()))
+        .await;
     assert_eq!(refusal.code(), refusal::Code::Bad);
     // One for another region than the one that it has come to, under the right seal.
     let secret = Secret::read(&world.folder.path().join("secret")).expect("a secret");
     let norte = world.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
-    let fault = leader.ask(&request::What::Prepare(prepare.clone())).await.expect_err("misdirected");
-    assert!(fault.to_string().contains("\"sur\"") && fault.to_string().contains("\"norte\""), "{fault}");
+    let fault = leader
+        .ask(&request::What::Prepare(prepare.clone()))
+        .await
+        .expect_err("misdirected");
+    assert!(
+        fault.to_string().contains("\"sur\"") && fault.to_string().contains("\"norte\""),
+        "{fault}"
+    );
     // And a question of a proxy under the seal of a region.
-    let asked = leader.ask(&request::What::Status(wire::StatusAsked {})).await;
+    let asked = leader
+        .ask(&request::What::Status(wire::StatusAsked {}))
+        .await;
     assert!(matches!(asked, Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Bad));
     // A change that the coordinator does not know begins, and ends by the coordinator's word.
     let sur = world.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
-    assert!(matches!(leader.ask(&request::What::Prepare(prepare)).await, Ok(reply::What::Vote(_))));
-    let standing = world.until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none()).await;
-    assert_eq!((standing.in_force, standing.changes[1].outcome), (Some(1), "not in force"));
+    assert!(matches!(
+        leader.ask(&request::What::Prepare(prepare)).await,
+        Ok(reply::What::Vote(_))
+    ));
+    let standing = world
+        .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
+        .await;
+    assert_eq!(
+        (standing.in_force, standing.changes[1].outcome),
+        (Some(1), "not in force")
+    );
 }
 
 /// Publishes a change of all that the other region has voted for, and that waits for a proxy of the coordinator's region
@@ -451,8 +664,11 @@
 async fn waits_for_a_proxy(world: &World) -> (JoinHandle<Done>, u64) {
     world.lease(NORTE, 1, 0).await;
     let publishing = world.publishing(NORTE, Scope::All, 2);
-    let prepared = |s: &Standing| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
-    let middle = world.until(NORTE, "vote of the other region", prepared).await;
+    let prepared =
+        |s: &Standing| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
+    let middle = world
+        .until(NORTE, "vote of the other region", prepared)
+        .await;
     (publishing, middle.revision)
 }
 
@@ -474,12 +690,24 @@
     let (publishing, middle) = waits_for_a_proxy(&world).await;
     world.kill_leader(NORTE).await;
     world.kill_leader(SUR).await;
-    assert!(has_voted(&world.standing(SUR).await), "the next leader knows of the vote");
+    assert!(
+        has_voted(&world.standing(SUR).await),
+        "the next leader knows of the vote"
+    );
     world.lease(NORTE, 2, middle).await;
     let done = publishing.await.expect("it ends");
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(2)), "{}", done.why);
-    world.until(SUR, "decision", |s| s.in_force == Some(2)).await;
-    world.until(NORTE, "acknowledgement", |s| change(s).is_none()).await;
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(2)),
+        "{}",
+        done.why
+    );
+    world
+        .until(SUR, "decision", |s| s.in_force == Some(2))
+        .await;
+    world
+        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -495,22 +723,38 @@
         tokio::time::sleep(LOOK).await;
     }
     let standing = world.standing(NORTE).await;
-    assert_eq!((standing.in_force, standing.region.is_none()), (Some(2), true));
+    assert_eq!(
+        (standing.in_force, standing.region.is_none()),
+        (Some(2), true)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_whose_coordinator_is_lost_for_good_is_given_up_by_hand() {
     let mut world = cut_after_the_decision("lost-norte").await;
-    world.control(SUR).abort("it is down").await.expect_err("it may come back");
+    world
+        .control(SUR)
+        .abort("it is down")
+        .await
+        .expect_err("it may come back");
     world.kill(NORTE).await;
     world.remove_other(SUR);
     world.restart(SUR).await;
-    assert_eq!(world.standing(SUR).await.to_come, Some(2), "nothing ends by itself");
+    assert_eq!(
+        world.standing(SUR).await.to_come,
+        Some(2),
+        "nothing ends by itself"
+    );
     assert_eq!(world.control(SUR).abort("it is lost").await, Ok(2));
     let standing = world.standing(SUR).await;
     assert_eq!((standing.in_force, standing.to_come), (Some(1), None));
     let done = world.publish(SUR, Scope::Region, 3).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)), "{}", done.why);
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(3)),
+        "{}",
+        done.why
+    );
 }
 
 /// A store that the last version without regions has written: three policies, the third in force.
@@ -525,9 +769,19 @@
     let world = World::start(folder, 1, 10_000).await;
     let standing = world.standing(NORTE).await;
     assert_eq!((standing.in_force, standing.changes.len()), (Some(3), 3));
-    assert!(standing.changes.iter().all(|change| change.all_regions.is_none()));
+    assert!(standing
+        .changes
+        .iter()
+        .all(|change| change.all_regions.is_none()));
     let done = world.publish(SUR, Scope::All, 1).await;
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(4)), "{}", done.why);
-    world.until(SUR, "the first policy", |s| s.in_force == Some(1)).await;
+    assert_eq!(
+        (done.outcome, done.generation),
+        (Outcome::InForce, Some(4)),
+        "{}",
+        done.why
+    );
+    world
+        .until(SUR, "the first policy", |s| s.in_force == Some(1))
+        .await;
     assert_eq!(world.control(SUR).files(1).await.expect("kept"), files(1));
 }
--- a/crates/control/tests/replica.rs
+++ b/crates/control/tests/replica.rs
@@ -27,8 +27,15 @@
 impl Replicas {
     async fn start(name: &str, count: usize) -> Replicas {
         let folder = Folder::new(&format!("control-{name}")).expect("a folder");
-        folder.write("secret", "a secret of the tests", true).expect("a file");
-        let mut replicas = Replicas { folder, all: Vec::new(), at: Vec::new(), links: Vec::new() };
+        folder
+            .write("secret", "a secret of the tests", true)
+            .expect("a file");
+        let mut replicas = Replicas {
+            folder,
+            all: Vec::new(),
+            at: Vec::new(),
+            links: Vec::new(),
+        };
         for _ in 0..count {
             let (at, known) = watch::channel(None);
             replicas.links.push(Link::to(known).await.expect("a link"));
@@ -42,13 +49,25 @@
                  secret = \"secret\"\nlease_ms = 300\nwait_ms = 5000\nelection_ms = 300\n",
                 named.join(", ")
             );
-            let file = replicas.folder.write(&format!("{number}.toml"), &text, false).expect("a file");
-            let made = std::process::Command::new(CONTROL).arg("create").arg(&file).output();
+            let file = replicas
+                .folder
+                .write(&format!("{number}.toml"), &text, false)
+                .expect("a file");
+            let made = std::process::Command::new(CONTROL)
+                .arg("create")
+                .arg(&file)
+                .output();
             assert!(made.expect("it runs").status.success());
             let arguments = vec!["serve".to_owned(), file.display().to_string()];
-            let plan = Plan { program: CONTROL.into(), arguments, keep: Vec::new(), variables: Vec::new() };
+            let plan = Plan {
+                program: CONTROL.into(),
+                arguments,
+                keep: Vec::new(),
+                variables: Vec::new(),
+            };
             let mut process = Process::start(plan).await.expect("it starts");
-            replicas.at[number - 1].send_replace(Some(process.listens().await.expect("it listens")));
+            replicas.at[number - 1]
+                .send_replace(Some(process.listens().await.expect("it listens")));
             replicas.all.push(process);
         }
         replicas
@@ -66,7 +85,12 @@
 
     fn control(&self) -> Control {
         let secret = self.folder.path().join("secret");
-        Control::new(&At { control: self.addresses(), secret, timeout: LONG.as_secs() }).expect("a secret")
+        Control::new(&At {
+            control: self.addresses(),
+            secret,
+            timeout: LONG.as_secs(),
+        })
+        .expect("a secret")
     }
 
     fn client(&self) -> Client {
@@ -83,16 +107,40 @@
 async fn a_leader_that_dies_takes_nothing_with_it() {
     let mut replicas = Replicas::start("leader", 3).await;
     for number in 1..=3 {
-        let revision = replicas.control().standing().await.expect("a status").revision;
-        let done = replicas.control().publish(&files(number), revision, |_| {}).await;
+        let revision = replicas
+            .control()
+            .standing()
+            .await
+            .expect("a status")
+            .revision;
+        let done = replicas
+            .control()
+            .publish(&files(number), revision, |_| {})
+            .await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-        let leader = replicas.control().standing().await.expect("a status").leader;
-        let place = replicas.links.iter().position(|l| l.address.to_string() == leader).expect("one of them");
+        let leader = replicas
+            .control()
+            .standing()
+            .await
+            .expect("a status")
+            .leader;
+        let place = replicas
+            .links
+            .iter()
+            .position(|l| l.address.to_string() == leader)
+            .expect("one of them");
         replicas.all[place].kill().await;
         replicas.at[place].send_replace(None);
-        let standing = replicas.control().standing().await.expect("the others go on");
+        let standing = replicas
+            .control()
+            .standing()
+            .await
+            .expect("the others go on");
         assert_eq!(standing.in_force, Some(number));
-        assert_eq!(replicas.control().files(number).await.expect("kept"), files(number));
+        assert_eq!(
+            replicas.control().files(number).await.expect("kept"),
+            files(number)
+        );
         replicas.again(place).await;
     }
 }
@@ -102,7 +150,12 @@
     let mut replicas = Replicas::start("kills", 1).await;
     let mut answered = 0;
     for round in 0..12_u64 {
-        let revision = replicas.control().standing().await.expect("a status").revision;
+        let revision = replicas
+            .control()
+            .standing()
+            .await
+            .expect("a status")
+            .revision;
         let mut control = replicas.control();
         let publish = tokio::spawn(async move {
             let standing = control.standing().await.map(|s| s.revision == revision);
@@ -116,9 +169,18 @@
         let done = publish.await.expect("it ends");
         if let Some(generation) = done.generation {
             let standing = replicas.control().standing().await.expect("a status");
-            let change = standing.changes.iter().find(|c| c.generation == generation).expect("remembered");
+            let change = standing
+                .changes
+                .iter()
+                .find(|c| c.generation == generation)
+                .expect("remembered");
             assert!(generation > answered, "a number is given once");
-            assert_eq!(change.outcome == "in force", done.outcome == Outcome::InForce, "{}", done.why);
+            assert_eq!(
+                change.outcome == "in force",
+                done.outcome == Outcome::InForce,
+                "{}",
+                done.why
+            );
             answered = generation;
         }
     }
@@ -135,7 +197,12 @@
     let file = replicas.folder.path().join("1.toml").display().to_string();
     let script = format!("trap '' XFSZ; ulimit -f {room}; exec \"$0\" serve \"$1\"");
     let arguments = vec!["-c".to_owned(), script, CONTROL.to_owned(), file];
-    let plan = Plan { program: "/bin/sh".into(), arguments, keep: Vec::new(), variables: Vec::new() };
+    let plan = Plan {
+        program: "/bin/sh".into(),
+        arguments,
+        keep: Vec::new(),
+        variables: Vec::new(),
+    };
     let mut full = Process::start(plan).await.expect("it starts");
     replicas.at[0].send_replace(Some(full.listens().await.expect("it listens")));
     let mut answered = 0;
@@ -145,7 +212,10 @@
         }
         let large = format!("{POLICY}\n# {answered}\n{}", "# room\n".repeat(20_000));
         let files = HashMap::from([("caja".to_owned(), large)]);
-        let publish = request::What::Publish(Publish { files, revision: answered });
+        let publish = request::What::Publish(Publish {
+            files,
+            revision: answered,
+        });
         let mut client = replicas.client();
         match tokio::time::timeout(Duration::from_secs(10), client.ask(&publish)).await {
             Ok(Ok(reply::What::Begun(_))) => {
@@ -159,16 +229,29 @@
             _ => tokio::time::sleep(Duration::from_millis(100)).await,
         }
     };
-    assert!(ended.contains("can't go on") || ended.contains("can't be used"), "{ended}");
+    assert!(
+        ended.contains("can't go on") || ended.contains("can't be used"),
+        "{ended}"
+    );
     replicas.again(0).await;
     let standing = replicas.control().standing().await.expect("a status");
-    assert!(standing.revision >= answered, "{} {answered}", standing.revision);
+    assert!(
+        standing.revision >= answered,
+        "{} {answered}",
+        standing.revision
+    );
 }
 
 async fn state(path: &Path) -> Result<String, store::Fault> {
     let mut store = Store::open(path, 1)?;
-    let log = store.get_log_state().await.map_err(|e| store::Fault::Damaged(e.to_string()))?;
-    let vote = store.read_vote().await.map_err(|e| store::Fault::Damaged(e.to_string()))?;
+    let log = store
+        .get_log_state()
+        .await
+        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
+    let vote = store
+        .read_vote()
+        .await
+        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
     Ok(format!("{log:?} {vote:?} {:?}", store.record()))
 }
 
@@ -176,16 +259,30 @@
 async fn a_store_that_was_cut_or_flipped_is_the_same_or_none() {
     let mut replicas = Replicas::start("store", 1).await;
     for number in 1..=3 {
-        let revision = replicas.control().standing().await.expect("a status").revision;
-        let done = replicas.control().publish(&files(number), revision, |_| {}).await;
+        let revision = replicas
+            .control()
+            .standing()
+            .await
+            .expect("a status")
+            .revision;
+        let done = replicas
+            .control()
+            .publish(&files(number), revision, |_| {})
+            .await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
     }
     replicas.all[0].kill().await;
     let path = replicas.folder.path().join("store-1");
     let whole = state(&path).await.expect("a kill leaves it good");
     let bytes = std::fs::read(&path).expect("a file");
-    assert!(matches!(Store::open(&path, 2), Err(store::Fault::Foreign(1))));
-    assert!(matches!(Store::create(&path, 1), Err(store::Fault::Present)));
+    assert!(matches!(
+        Store::open(&path, 2),
+        Err(store::Fault::Foreign(1))
+    ));
+    assert!(matches!(
+        Store::create(&path, 1),
+        Err(store::Fault::Present)
+    ));
     let copy = replicas.folder.path().join("copy");
     let (mut refused, mut same) = (0, 0);
     let mut looked = async |bytes: &[u8], what: String| {
@@ -225,18 +322,30 @@
     let none = POLICY.replace("attempts = 3", "attempts = 0");
     let (code, text) = refused(HashMap::from([("caja".to_owned(), none)]), 0).await;
     assert_eq!(code, refusal::Code::Bad);
-    assert!(text.contains("caja.toml") && text.contains("attempts") && text.contains("found 0"), "{text}");
+    assert!(
+        text.contains("caja.toml") && text.contains("attempts") && text.contains("found 0"),
+        "{text}"
+    );
     let (code, text) = refused(HashMap::from([("a".to_owned(), "#".repeat(1 << 21))]), 0).await;
     assert_eq!(code, refusal::Code::Bad);
-    assert!(text.contains("allowed are 1 to 4096 of 1048576 bytes"), "{text}");
+    assert!(
+        text.contains("allowed are 1 to 4096 of 1048576 bytes"),
+        "{text}"
+    );
     assert_eq!(refused(HashMap::new(), 0).await.0, refusal::Code::Bad);
     // Looked at beside what is no more.
     assert_eq!(refused(files(2), 7).await.0, refusal::Code::Moved);
 
-    replicas.folder.write("other", "another secret, as long", true).expect("a file");
+    replicas
+        .folder
+        .write("other", "another secret, as long", true)
+        .expect("a file");
     let other = Secret::read(&replicas.folder.path().join("other")).expect("a secret");
     let mut stranger = Client::new(replicas.addresses(), other, Duration::from_secs(5));
-    let publish = request::What::Publish(Publish { files: files(2), revision: 0 });
+    let publish = request::What::Publish(Publish {
+        files: files(2),
+        revision: 0,
+    });
     let fault = stranger.ask(&publish).await.expect_err("no admittance");
     assert!(fault.to_string().contains("another secret"), "{fault}");
 
@@ -244,5 +353,8 @@
     let Ok(reply::What::Status(status)) = replicas.client().ask_until(&status, LONG).await else {
         panic!("no status")
     };
-    assert_eq!((status.mode, status.revision, status.changes.len()), (None, 0, 0));
+    assert_eq!(
+        (status.mode, status.revision, status.changes.len()),
+        (None, 0, 0)
+    );
 }
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -4,7 +4,8 @@
 use badgerramp_trial::process::Folder;
 use std::time::Duration;
 
-const GOOD: &str = "replica = 1\nreplicas = { 1 = \"127.0.0.1:7401\" }\nstore = \"s\"\nsecret = \"secret\"\n";
+const GOOD: &str =
+    "replica = 1\nreplicas = { 1 = \"127.0.0.1:7401\" }\nstore = \"s\"\nsecret = \"secret\"\n";
 const SUR: &str = "region = \"norte\"\n[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\n";
 
 struct File(Folder);
@@ -12,12 +13,17 @@
 impl File {
     fn new(name: &str) -> File {
         let folder = Folder::new(&format!("settings-{name}")).expect("a folder");
-        folder.write("secret", "a secret of the tests", true).expect("a file");
+        folder
+            .write("secret", "a secret of the tests", true)
+            .expect("a file");
         File(folder)
     }
 
     fn load(&self, more: &str) -> Result<Settings, String> {
-        let path = self.0.write("control.toml", &format!("{GOOD}{more}"), false).expect("a file");
+        let path = self
+            .0
+            .write("control.toml", &format!("{GOOD}{more}"), false)
+            .expect("a file");
         Settings::load(&path)
     }
 
@@ -41,7 +47,10 @@
     let sur = file.regions(sur).expect("regions");
     assert_eq!(sur.wait, Duration::from_secs(3));
     assert_eq!(sur.regions.coordinator().as_str(), "norte");
-    assert_eq!(sur.coordinator_replicas(), Some(&["127.0.0.1:7601".parse().expect("an address")][..]));
+    assert_eq!(
+        sur.coordinator_replicas(),
+        Some(&["127.0.0.1:7601".parse().expect("an address")][..])
+    );
 }
 
 #[test]
@@ -49,29 +58,56 @@
     let file = File::new("bad");
     let table = "[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\n";
     for (more, words) in [
-        ("region = \"norte\"\n".to_owned(), vec!["regions: found none", "[regions.NAME]"]),
-        (table.to_owned(), vec!["regions.sur: found a region", "allowed only beside `region`"]),
-        ("regions_wait_ms = 5000\n".to_owned(), vec!["regions_wait_ms: found 5000", "beside `region`"]),
+        (
+            "region = \"norte\"\n".to_owned(),
+            vec!["regions: found none", "[regions.NAME]"],
+        ),
+        (
+            table.to_owned(),
+            vec![
+                "regions.sur: found a region",
+                "allowed only beside `region`",
+            ],
+        ),
+        (
+            "regions_wait_ms = 5000\n".to_owned(),
+            vec!["regions_wait_ms: found 5000", "beside `region`"],
+        ),
         (
             SUR.replace("\"norte\"", "\"El Norte\""),
             vec!["region: found", "\"El Norte\"", "allowed are 1 to 63"],
         ),
-        (SUR.replace("\"norte\"", "7"), vec!["invalid type", "region = 7", "expected a string"]),
+        (
+            SUR.replace("\"norte\"", "7"),
+            vec!["invalid type", "region = 7", "expected a string"],
+        ),
         (
             SUR.replace("regions.sur", "regions.norte"),
             vec!["regions.norte: found \"norte\"", "other than `region`"],
         ),
-        (SUR.replace("regions.sur", "regions.SUR"), vec!["regions.SUR: found", "allowed are 1 to 63"]),
+        (
+            SUR.replace("regions.sur", "regions.SUR"),
+            vec!["regions.SUR: found", "allowed are 1 to 63"],
+        ),
         (
             SUR.replace("[\"127.0.0.1:7501\"]", "[]"),
             vec!["regions.sur.replicas: found 0", "allowed are 1, 3 or 5"],
         ),
         (
             SUR.replace("7501", "7401"),
-            vec!["regions.sur.replicas[0]: found 127.0.0.1:7401", "that of replicas.1 already"],
+            vec![
+                "regions.sur.replicas[0]: found 127.0.0.1:7401",
+                "that of replicas.1 already",
+            ],
+        ),
+        (
+            SUR.replace("127.0.0.1:7501", "nowhere"),
+            vec!["nowhere", "invalid socket address"],
+        ),
+        (
+            SUR.replace("replicas = [", "replcas = ["),
+            vec!["unknown field `replcas`", "expected `replicas`"],
         ),
-        (SUR.replace("127.0.0.1:7501", "nowhere"), vec!["nowhere", "invalid socket address"]),
-        (SUR.replace("replicas = [", "replcas = ["), vec!["unknown field `replcas`", "expected `replicas`"]),
         (
             format!("{SUR}[regions.oeste]\nreplicas = [\"127.0.0.1:7501\"]\n"),
             vec![
@@ -86,7 +122,9 @@
     ] {
         let fault = file.load(&more).expect_err(&more);
         assert!(fault.contains("control.toml"), "{fault}");
-        words.iter().for_each(|word| assert!(fault.contains(word), "{word:?} is not in: {fault}"));
+        words
+            .iter()
+            .for_each(|word| assert!(fault.contains(word), "{word:?} is not in: {fault}"));
     }
 }
 
@@ -96,7 +134,10 @@
     let file = File::new("keys");
     let known = |more: &str| {
         let message = file.load(more).expect_err("there is an unknown key");
-        let line = message.lines().find(|line| line.starts_with("unknown field")).expect("it says which");
+        let line = message
+            .lines()
+            .find(|line| line.starts_with("unknown field"))
+            .expect("it says which");
         line.to_owned()
     };
     let region = "region = \"norte\"\n[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\nzzzz = 1\n";
--- a/crates/control/tests/stored_state.rs
+++ b/crates/control/tests/stored_state.rs
@@ -6,8 +6,8 @@
 use badgerramp_policy::{Command, CutOff, Generation, Identity};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
 use openraft::{
-    BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, RaftLogReader, RaftSnapshotBuilder,
-    Vote,
+    BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, RaftLogReader,
+    RaftSnapshotBuilder, Vote,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -39,7 +39,10 @@
 }
 
 fn entries(from: u64, payloads: Vec<EntryPayload<Types>>) -> Vec<Entry<Types>> {
-    let entry = |(index, payload)| Entry { log_id: log_id(index), payload };
+    let entry = |(index, payload)| Entry {
+        log_id: log_id(index),
+        payload,
+    };
     (from..).zip(payloads).map(entry).collect()
 }
 
@@ -48,31 +51,57 @@
 }
 
 fn identity(name: &str) -> Identity {
-    Identity { name: name.to_owned(), incarnation: 0xfedc_ba98_7654_3210 }
+    Identity {
+        name: name.to_owned(),
+        incarnation: 0xfedc_ba98_7654_3210,
+    }
 }
 
 fn publish(revision: u64, text: &str, floors: &[u64], all_regions: Option<AllRegions>) -> Command {
     let floors = floors.iter().copied().map(Generation).collect();
-    Command::Publish { revision, text: text.to_owned(), floors, all_regions }
+    Command::Publish {
+        revision,
+        text: text.to_owned(),
+        floors,
+        all_regions,
+    }
 }
 
 /// What the snapshot holds.
 fn before_the_snapshot() -> Vec<EntryPayload<Types>> {
-    let nodes: BTreeMap<Id, BasicNode> =
-        (1..=3).map(|id| (id, BasicNode::new(format!("127.0.0.1:740{id}")))).collect();
+    let nodes: BTreeMap<Id, BasicNode> = (1..=3)
+        .map(|id| (id, BasicNode::new(format!("127.0.0.1:740{id}"))))
+        .collect();
     let voters: BTreeSet<Id> = nodes.keys().copied().collect();
     let membership = Membership::new(vec![voters], nodes);
     let commands = [
         publish(0, r#"{"caja":"one"}"#, &[], None),
-        Command::Register { identity: identity("caja"), cut_off: CutOff::Narrow },
-        Command::Register { identity: identity("puerta"), cut_off: CutOff::Keep },
-        Command::Register { identity: identity("gone"), cut_off: CutOff::Keep },
-        Command::Evict { identity: identity("gone") },
+        Command::Register {
+            identity: identity("caja"),
+            cut_off: CutOff::Narrow,
+        },
+        Command::Register {
+            identity: identity("puerta"),
+            cut_off: CutOff::Keep,
+        },
+        Command::Register {
+            identity: identity("gone"),
+            cut_off: CutOff::Keep,
+        },
+        Command::Evict {
+            identity: identity("gone"),
+        },
         publish(1, r#"{"caja":"two"}"#, &[1], None),
-        Command::Abort { revision: 2, why: "unread".to_owned() },
+        Command::Abort {
+            revision: 2,
+            why: "unread".to_owned(),
+        },
         publish(3, r#"{"caja":"three"}"#, &[1], None),
         Command::Advance { revision: 4 },
-        Command::Acting { revision: 5, proxies: BTreeSet::from([identity("caja")]) },
+        Command::Acting {
+            revision: 5,
+            proxies: BTreeSet::from([identity("caja")]),
+        },
     ];
     let mut payloads = vec![EntryPayload::Membership(membership), EntryPayload::Blank];
     payloads.extend(commands.map(EntryPayload::Normal));
@@ -88,8 +117,13 @@
     };
     let commands = [
         publish(5, r#"{"caja":"four"}"#, &[3], Some(all_regions)),
-        Command::Prepared { revision: 6, region: region("sur") },
-        Command::Retire { identity: identity("puerta") },
+        Command::Prepared {
+            revision: 6,
+            region: region("sur"),
+        },
+        Command::Retire {
+            identity: identity("puerta"),
+        },
     ];
     commands.map(EntryPayload::Normal).into()
 }
@@ -98,7 +132,10 @@
 async fn write_store(path: &Path) {
     Store::create(path, REPLICA).expect("a store");
     let mut store = Store::open(path, REPLICA).expect("the store");
-    store.save_vote(&Vote::new_committed(3, 1)).await.expect("the vote");
+    store
+        .save_vote(&Vote::new_committed(3, 1))
+        .await
+        .expect("the vote");
     let first = entries(0, before_the_snapshot());
     let snapshot_at = first.len() as u64 - 1;
     store.blocking_append(first.clone()).await.expect("the log");
@@ -107,7 +144,10 @@
     let second = entries(snapshot_at + 1, after_the_snapshot());
     store.blocking_append(second).await.expect("the log");
     store.purge(log_id(snapshot_at - 3)).await.expect("purged");
-    store.save_committed(Some(log_id(snapshot_at + 2))).await.expect("committed");
+    store
+        .save_committed(Some(log_id(snapshot_at + 2)))
+        .await
+        .expect("committed");
 }
 
 fn json(value: &impl serde::Serialize) -> String {
@@ -118,9 +158,13 @@
 async fn contents(path: &Path) -> String {
     let mut store = Store::open(path, REPLICA).expect("the store");
     let mut text = String::new();
-    let mut line = |name: &str, value: String| writeln!(text, "{name}: {value}").expect("written to memory");
+    let mut line =
+        |name: &str, value: String| writeln!(text, "{name}: {value}").expect("written to memory");
     line("vote", json(&store.read_vote().await.expect("the vote")));
-    line("committed", json(&store.read_committed().await.expect("committed")));
+    line(
+        "committed",
+        json(&store.read_committed().await.expect("committed")),
+    );
     let state = store.get_log_state().await.expect("the state");
     line("purged", json(&state.last_purged_log_id));
     line("last", json(&state.last_log_id));
@@ -133,11 +177,18 @@
         line("entry", json(entry));
     }
     let after = applied.map_or(0, |applied| applied.index + 1);
-    let rest: Vec<_> = entries.into_iter().filter(|entry| entry.log_id.index >= after).collect();
+    let rest: Vec<_> = entries
+        .into_iter()
+        .filter(|entry| entry.log_id.index >= after)
+        .collect();
     let outcomes = store.apply(rest).await.expect("applied");
     line("outcomes", json(&outcomes));
     line("record of the log", json(&store.record()));
-    let snapshot = store.get_current_snapshot().await.expect("readable").expect("one");
+    let snapshot = store
+        .get_current_snapshot()
+        .await
+        .expect("readable")
+        .expect("one");
     line("snapshot", json(&snapshot.meta));
     text
 }
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -278,7 +278,13 @@
             zone: ZoneId::default(),
             tick: 1_000,
             ask: false,
-            classes: vec![Class { aim: 500_000, deadline: 1_000_000, worth: 1.0, late_value: 0.0, repeat }],
+            classes: vec![Class {
+                aim: 500_000,
+                deadline: 1_000_000,
+                worth: 1.0,
+                late_value: 0.0,
+                repeat,
+            }],
             tenants: Vec::new(),
             limits: Limits {
                 cancel: true,
@@ -296,7 +302,12 @@
                 drain_grace: 1_000_000,
                 ask_every: 10_000_000,
             },
-            goal: Goal { whole: 1.0, worst_class: 0.0, worst_tenant: 0.0, worst_window: 0.0 },
+            goal: Goal {
+                whole: 1.0,
+                worst_class: 0.0,
+                worst_tenant: 0.0,
+                worst_window: 0.0,
+            },
             charges: Charges::default(),
             reports: Reports::default(),
             weights: WeightSource::default(),
@@ -376,7 +387,10 @@
 impl Outcome {
     /// Whether this proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent
+        )
     }
 }
 
--- a/crates/decisions/src/balance.rs
+++ b/crates/decisions/src/balance.rs
@@ -81,7 +81,12 @@
         // Never under one call: among many balancers most are silent, and an even part starves the others.
         let of_all = |concurrency: f64| (concurrency / f64::from(balancers.max(1))).max(1.0);
         let (concurrency, floor) = (of_all(START_CONCURRENCY), of_all(FLOOR_CONCURRENCY));
-        Budget { steps: 1, concurrency, floor, ..Budget::default() }
+        Budget {
+            steps: 1,
+            concurrency,
+            floor,
+            ..Budget::default()
+        }
     }
 
     fn trial_served(&mut self) {
@@ -107,7 +112,8 @@
 
 impl Server {
     fn full(&self, now: Micros, rules: &Rules) -> bool {
-        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, rules);
+        let budget =
+            f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, rules);
         self.in_flight >= (budget + 0.5).max(1.0) as u32
     }
 
@@ -121,7 +127,11 @@
     /// Where it stands at `now`, where answers usually take no longer than `usual`.
     fn standing(&self, now: Micros, rules: &Rules, usual: f64) -> Standing {
         let (aside, paused) = (self.listed && self.budget.steps == 0, now < self.not_before);
-        let warm_at = if self.started == 0 { 0 } else { self.started.saturating_add(rules.cold_time) };
+        let warm_at = if self.started == 0 {
+            0
+        } else {
+            self.started.saturating_add(rules.cold_time)
+        };
         let (warm, backing_off) = (now >= warm_at, now < self.budget.backoff_end);
         let up = self.usable(now) && warm;
         let full = up && self.full(now, rules);
@@ -132,13 +142,20 @@
         let times = [
             (paused, self.not_before),
             (!warm, warm_at),
-            ((may_be_tried || aside) && backing_off, self.budget.backoff_end),
+            (
+                (may_be_tried || aside) && backing_off,
+                self.budget.backoff_end,
+            ),
             (
                 may_be_tried && !settled && self.answers_since >= self.in_flight.max(1),
                 settles_at.max(now + 1),
             ),
         ];
-        let due = times.iter().filter(|t| self.listed && t.0).map(|t| t.1).min();
+        let due = times
+            .iter()
+            .filter(|t| self.listed && t.0)
+            .map(|t| t.1)
+            .min();
         Standing {
             listed: self.listed,
             up,
@@ -162,7 +179,14 @@
     }
 
     fn may_be_refused(&self) -> bool {
-        let harmless = matches!(self.class.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
+        let harmless = matches!(
+            self.class.repeat,
+            Repeat::Free
+                | Repeat::Guarded {
+                    scope: Scope::All,
+                    ..
+                }
+        );
         harmless || self.binding().is_none()
     }
 }
@@ -247,15 +271,32 @@
         }
         match event {
             Event::Start => actions.extend(self.settings.ask.then_some(Action::Subscribe)),
-            Event::Probed { server, outcome, load, .. } => self.probed(now, server, outcome, load, actions),
+            Event::Probed {
+                server,
+                outcome,
+                load,
+                ..
+            } => self.probed(now, server, outcome, load, actions),
             Event::Members { kind, entries } => self.members(now, kind, &entries),
-            Event::Request { call, class, time_left, resent, terms, .. }
-                if !self.calls.contains_key(&call) =>
-            {
+            Event::Request {
+                call,
+                class,
+                time_left,
+                resent,
+                terms,
+                ..
+            } if !self.calls.contains_key(&call) => {
                 self.request(now, call, (class, time_left, !resent), terms, actions);
             }
             Event::Request { .. } => {}
-            Event::Outcome { call, attempt, outcome, elapsed, closed, load } => {
+            Event::Outcome {
+                call,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                load,
+            } => {
                 self.report(now, call, attempt, load);
                 if let Some((mut tried, class_id)) = self.outcome(call, attempt, outcome) {
                     tried.sent = tried.sent.min(now.saturating_sub(elapsed));
@@ -293,10 +334,24 @@
     /// What is known of a server; None: nothing.
     pub fn view(&self, now: Micros, server: ServerId) -> Option<View> {
         let server = &self.fleet[self.fleet.place(server)?];
-        let Server { in_flight, strain, failing, ref budget, .. } = *server;
+        let Server {
+            in_flight,
+            strain,
+            failing,
+            ref budget,
+            ..
+        } = *server;
         let concurrency = f64::from(budget.steps) * budget.concurrency;
         let (warmth, set_aside) = (server.warmth(now, &self.settings.rules), budget.steps == 0);
-        Some(View { listed: server.listed, in_flight, concurrency, strain, failing, warmth, set_aside })
+        Some(View {
+            listed: server.listed,
+            in_flight,
+            concurrency,
+            strain,
+            failing,
+            warmth,
+            set_aside,
+        })
     }
 
     /// Servers that the list names ready, and how many of these are set aside or fail. Never more than half
@@ -334,7 +389,8 @@
                 let budget = Budget::new(self.settings.balancers);
                 let mut server = Server::new(entry, self.settings.weights, budget);
                 if let Some(old) = found.map(|place| &self.fleet[place]) {
-                    (server.in_flight, server.budget.trial_out) = (old.in_flight, old.budget.trial_out);
+                    (server.in_flight, server.budget.trial_out) =
+                        (old.in_flight, old.budget.trial_out);
                 }
                 server.rank = self.random.gen();
                 self.fleet.insert(server)
@@ -369,9 +425,12 @@
     /// Classes that stay keep what was learned of them. Open calls carry their own class and terms with them.
     fn reconfigure(&mut self, now: Micros, settings: Settings, fresh: &[ClassId]) {
         let known = self.paces.len();
-        self.paces.extend(settings.classes.iter().skip(known).map(Pace::of));
+        self.paces
+            .extend(settings.classes.iter().skip(known).map(Pace::of));
         for &ClassId(place) in fresh {
-            if let (Some(pace), Some(class)) = (self.paces.get_mut(place), settings.classes.get(place)) {
+            if let (Some(pace), Some(class)) =
+                (self.paces.get_mut(place), settings.classes.get(place))
+            {
                 *pace = Pace::of(class);
             }
         }
@@ -392,15 +451,32 @@
         actions: &mut Actions,
     ) {
         // A class that the settings do not name is unsafe.
-        let unknown = Class { aim: left, deadline: left, ..Class::default() };
-        let mut spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
+        let unknown = Class {
+            aim: left,
+            deadline: left,
+            ..Class::default()
+        };
+        let mut spec = self
+            .settings
+            .classes
+            .get(class.0)
+            .copied()
+            .unwrap_or(unknown);
         if terms.once {
             spec.repeat = Repeat::SingleShot;
         }
         // Settings may change while it is open: what they allow now is its own from here on.
         let limits = &self.settings.limits;
-        let hedge = if limits.second_copies { terms.hedge } else { Hedge::Never };
-        let terms = Terms { attempts: terms.attempts.min(limits.max_attempts), hedge, ..terms };
+        let hedge = if limits.second_copies {
+            terms.hedge
+        } else {
+            Hedge::Never
+        };
+        let terms = Terms {
+            attempts: terms.attempts.min(limits.max_attempts),
+            hedge,
+            ..terms
+        };
         let call = Call {
             class: spec,
             class_id: class.0,
@@ -414,8 +490,15 @@
         };
         self.calls.insert(id, call);
         self.retries = (self.retries + RETRY_EARNED).min(RETRY_SAVED);
-        self.paces.iter_mut().skip(class.0).take(1).for_each(|p| p.asked += 1.0);
-        let waited = self.hold.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived));
+        self.paces
+            .iter_mut()
+            .skip(class.0)
+            .take(1)
+            .for_each(|p| p.asked += 1.0);
+        let waited = self
+            .hold
+            .front()
+            .map_or(0, |head| now.saturating_sub(self.calls[head].arrived));
         if waited > self.wait_limit(id) {
             self.give_up(id, waited, actions);
         } else {
@@ -426,7 +509,9 @@
     /// How long ago did the client first ask? One that waits less for this try than others do has used up the
     /// rest. Only as many are taken to have tried before as were turned back: patience may be unequal.
     fn spent(&mut self, class_id: usize, class: &Class, left: Micros) -> Micros {
-        let Some(pace) = self.paces.get_mut(class_id) else { return 0 };
+        let Some(pace) = self.paces.get_mut(class_id) else {
+            return 0;
+        };
         pace.patience = pace.patience.max(left);
         if left as f64 >= pace.patience as f64 * PATIENCE_SAME || pace.turned_back == 0 {
             return 0;
@@ -441,16 +526,27 @@
         let call = &self.calls[&id];
         let usual = self.usual(call.class_id, call.class.aim);
         let aim = call.aim_at().saturating_sub(call.arrived) as f64;
-        let shortest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
+        let shortest = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or(0) as f64;
         let limit = aim.min(WAIT_LONGEST * shortest) * WAIT_AIM;
-        let protected = if self.protected(call) { aim - SPARE_TIMES * usual } else { 0.0 };
+        let protected = if self.protected(call) {
+            aim - SPARE_TIMES * usual
+        } else {
+            0.0
+        };
         limit.max(protected).min(aim - usual).max(0.0) as Micros
     }
 
     fn protected(&self, call: &Call) -> bool {
         let all = self.paces.iter().zip(&self.settings.classes);
-        let (worth, work) =
-            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.worth, t + p.asked * p.base));
+        let (worth, work) = all.fold((0.0, 0.0), |(w, t), (p, c)| {
+            (w + p.asked * c.worth, t + p.asked * p.base)
+        });
         let base = self.paces.get(call.class_id).map_or(f64::MAX, |p| p.base);
         let density = call.class.worth / base * work / worth.max(f64::MIN_POSITIVE);
         let goal = &self.settings.goal;
@@ -458,20 +554,33 @@
     }
 
     fn usual(&self, class_id: usize, aim: Micros) -> f64 {
-        self.paces.get(class_id).map_or(aim as f64 / 4.0, |p| p.mean)
+        self.paces
+            .get(class_id)
+            .map_or(aim as f64 / 4.0, |p| p.mean)
     }
 
     /// Puts a call into the hold; one that goes again is older than those waiting and goes to the front.
     fn enqueue(&mut self, now: Micros, id: CallId, again: bool) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         call.held = true;
         call.asks.clear();
         let (class_id, aim, end) = (call.class_id, call.class.aim, call.aim_at());
         // Its way out: when a usual answer could not come in time, and always before the client gives up.
-        let wake = end.saturating_sub(self.usual(class_id, aim) as Micros).max(now + 1);
+        let wake = end
+            .saturating_sub(self.usual(class_id, aim) as Micros)
+            .max(now + 1);
         let shed = self.sparse() && self.calls[&id].found_full == 0;
-        let wake = if shed { wake.min(now + self.wait_limit(id)) } else { wake };
-        let last = self.calls[&id].deadline.saturating_sub(self.settings.tick).max(now);
+        let wake = if shed {
+            wake.min(now + self.wait_limit(id))
+        } else {
+            wake
+        };
+        let last = self.calls[&id]
+            .deadline
+            .saturating_sub(self.settings.tick)
+            .max(now);
         self.wakes.set(id, Some(wake.min(last)));
         if again {
             self.hold.push_front(id);
@@ -483,18 +592,36 @@
     /// Notes an attempt's end; late, double and unknown ones change nothing.
     fn outcome(&mut self, id: CallId, attempt: u32, outcome: Outcome) -> Option<(Attempt, usize)> {
         let call = self.calls.get_mut(&id)?;
-        let tried = call.attempts.get_mut(attempt as usize).filter(|a| a.effect == Effect::Out)?;
-        tried.effect = if outcome.never_ran() { Effect::NeverRan } else { Effect::MayHaveRan };
+        let tried = call
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|a| a.effect == Effect::Out)?;
+        tried.effect = if outcome.never_ran() {
+            Effect::NeverRan
+        } else {
+            Effect::MayHaveRan
+        };
         Some((*tried, call.class_id))
     }
 
     /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
-    fn proceed(&mut self, now: Micros, id: CallId, outcome: Outcome, closed: bool, actions: &mut Actions) {
+    fn proceed(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        outcome: Outcome,
+        closed: bool,
+        actions: &mut Actions,
+    ) {
         if closed || outcome == Outcome::Served {
             self.goodput += (1.0 - self.goodput) * SMOOTHING;
             self.end(id);
             self.cancel_others(id, None, actions);
-        } else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.held && !c.rests && c.out() == 0) {
+        } else if self
+            .calls
+            .get(&id)
+            .is_some_and(|c| !c.ended && !c.held && !c.rests && c.out() == 0)
+        {
             self.again(now, id, outcome, actions);
         }
         self.forget(id);
@@ -502,14 +629,32 @@
 
     /// As many waiting as in work, or nearly all cores busy, is as much as an answer at its limit.
     fn report(&mut self, now: Micros, id: CallId, attempt: u32, load: Load) {
-        let Some(tried) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else { return };
-        let Some(place) = self.fleet.place(tried.server) else { return };
+        let Some(tried) = self
+            .calls
+            .get(&id)
+            .and_then(|c| c.attempts.get(attempt as usize))
+        else {
+            return;
+        };
+        let Some(place) = self.fleet.place(tried.server) else {
+            return;
+        };
         let crowding = match load {
-            Load { in_hand: Some(all), waiting: Some(waiting), .. } => waiting / (all - waiting).max(1.0),
-            Load { busy: Some(busy), .. } => busy / BUSY_FULL,
+            Load {
+                in_hand: Some(all),
+                waiting: Some(waiting),
+                ..
+            } => waiting / (all - waiting).max(1.0),
+            Load {
+                busy: Some(busy), ..
+            } => busy / BUSY_FULL,
             _ => return,
         };
-        let crowding = if crowding.is_finite() { crowding.clamp(0.0, crowd::MOST) } else { 0.0 };
+        let crowding = if crowding.is_finite() {
+            crowding.clamp(0.0, crowd::MOST)
+        } else {
+            0.0
+        };
         self.fleet[place].crowding = crowding;
         // How busy cores are tells of no crowd: they are all busy long before one waits.
         if load.waiting.is_some() && self.sparse() {
@@ -526,18 +671,38 @@
         outcome: Outcome,
         actions: &mut Actions,
     ) {
-        let Attempt { server: id, sent, trial, .. } = tried;
+        let Attempt {
+            server: id,
+            sent,
+            trial,
+            ..
+        } = tried;
         let elapsed = now.saturating_sub(sent);
-        let (first, longest, longest_aim) = (self.first_backoff(), self.longest_usual(), self.longest_aim());
+        let (first, longest, longest_aim) = (
+            self.first_backoff(),
+            self.longest_usual(),
+            self.longest_aim(),
+        );
         let (may_set_aside, sparse) = (self.may_set_aside(), self.sparse());
-        let Some(place) = self.fleet.place(id) else { return };
+        let Some(place) = self.fleet.place(id) else {
+            return;
+        };
         let pace = self.paces.get_mut(class_id);
-        let aim = self.settings.classes.get(class_id).map_or(f64::MAX, |c| c.aim as f64);
-        let limit =
-            pace.as_ref().map_or(f64::MAX, |p| (p.base * STRAIN_TIMES).min(aim * STRAIN_AIM).max(p.base));
+        let aim = self
+            .settings
+            .classes
+            .get(class_id)
+            .map_or(f64::MAX, |c| c.aim as f64);
+        let limit = pace.as_ref().map_or(f64::MAX, |p| {
+            (p.base * STRAIN_TIMES).min(aim * STRAIN_AIM).max(p.base)
+        });
         let server = &mut self.fleet[place];
         server.in_flight = server.in_flight.saturating_sub(1);
-        let late = if outcome == Outcome::TimedOut && server.answered > sent { 2.0 } else { 0.0 };
+        let late = if outcome == Outcome::TimedOut && server.answered > sent {
+            2.0
+        } else {
+            0.0
+        };
         let mut strain = (elapsed as f64 / limit).clamp(late, 4.0);
         let failed = match outcome {
             Outcome::Served => false,
@@ -554,9 +719,16 @@
         // A time-out proves less than an error: a crowded server may owe a lone call for that long. So does a
         // reset, which tells of one connection: those of a server that is gone come in numbers.
         let unclear = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-        let weight = if unclear { FAIL_WEIGHT / 2.0 } else { FAIL_WEIGHT };
+        let weight = if unclear {
+            FAIL_WEIGHT / 2.0
+        } else {
+            FAIL_WEIGHT
+        };
         server.failing += (f64::from(u8::from(failed)) - server.failing) * weight;
-        let group = self.groups.entry((server.zone, server.kind)).or_insert(Group { strain, share: 1.0 });
+        let group = self
+            .groups
+            .entry((server.zone, server.kind))
+            .or_insert(Group { strain, share: 1.0 });
         let seen = if failed { STRAIN_DEEP * 2.0 } else { strain };
         group.strain += (seen - group.strain) * SMOOTHING;
         let change = (STRAIN_DEEP - seen).max(-STRAIN_DEEP) * SMOOTHING;
@@ -576,7 +748,10 @@
         }
         if tried.crowd > 0.0 && matches!(outcome, Outcome::Served | Outcome::TimedOut) {
             let faded = 1.0 - SMOOTHING / 2.0;
-            self.told = (self.told.0 * faded + elapsed as f64, self.told.1 * faded + tried.crowd);
+            self.told = (
+                self.told.0 * faded + elapsed as f64,
+                self.told.1 * faded + tried.crowd,
+            );
         }
         if outcome == Outcome::Served {
             server.answered = now;
@@ -591,7 +766,12 @@
             // Fast refusals leave it looking idle: without a pause it would draw in call after call.
             server.not_before = server.not_before.max(now + longest as Micros);
         } else if server.strain > 1.0 && server.settled(now, longest) {
-            let floor = server.budget.floor * if server.strain > STRAIN_DEEP { CUT_MOST / 2.0 } else { 1.0 };
+            let floor = server.budget.floor
+                * if server.strain > STRAIN_DEEP {
+                    CUT_MOST / 2.0
+                } else {
+                    1.0
+                };
             server.budget.cut(1.0 / server.strain, floor);
             // The cut answers for part of it: else one jam would be cut for again and again.
             server.strain = server.strain.sqrt();
@@ -617,7 +797,9 @@
                 server.budget.trial_served();
                 (server.answers_since, server.changed) = (0, now);
                 if !was_up {
-                    actions.push(Action::Log { text: format!("server {} taken back", server.id.0) });
+                    actions.push(Action::Log {
+                        text: format!("server {} taken back", server.id.0),
+                    });
                 }
             } else {
                 // One good answer of a server that fails most does not bring it back: several in a row do.
@@ -631,7 +813,9 @@
         if was_up && server.budget.steps == 0 {
             server.budget.back_off(now, first);
             server.strain = 1.0;
-            actions.push(Action::Log { text: format!("server {} set aside", server.id.0) });
+            actions.push(Action::Log {
+                text: format!("server {} set aside", server.id.0),
+            });
         }
     }
 
@@ -649,7 +833,8 @@
             None => false,
         };
         let call = &self.calls[&id];
-        let in_time = next as f64 + self.usual(call.class_id, call.class.aim) < call.aim_at() as f64;
+        let in_time =
+            next as f64 + self.usual(call.class_id, call.class.aim) < call.aim_at() as f64;
         let allowed = call.terms.resend == Resend::Any || call.binding().is_none();
         let paid = self.retries >= 1.0 || outcome == Outcome::NoConnection;
         if !(in_time && some && allowed && call.more() && paid && !call.streaming) {
@@ -668,11 +853,18 @@
 
     fn give_up(&mut self, id: CallId, retry_after: Micros, actions: &mut Actions) {
         let class_id = self.calls[&id].class_id;
-        self.paces.iter_mut().skip(class_id).take(1).for_each(|p| p.turned_back += 1);
+        self.paces
+            .iter_mut()
+            .skip(class_id)
+            .take(1)
+            .for_each(|p| p.turned_back += 1);
         self.goodput -= self.goodput * SMOOTHING;
         if self.calls[&id].may_be_refused() {
             let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-            actions.push(Action::Refuse { call: id, retry_after });
+            actions.push(Action::Refuse {
+                call: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { call: id });
         }
@@ -683,7 +875,9 @@
 
     fn end(&mut self, id: CallId) {
         self.wakes.set(id, None);
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         call.ended = true;
         call.asks.clear();
         if std::mem::take(&mut call.held) {
@@ -694,8 +888,12 @@
     }
 
     fn cancel_others(&mut self, id: CallId, but: Option<u32>, actions: &mut Actions) {
-        let Some(call) = self.calls.get(&id).filter(|_| self.settings.limits.cancel) else { return };
-        let out = (0..).zip(&call.attempts).filter(|(n, a)| a.effect == Effect::Out && Some(*n) != but);
+        let Some(call) = self.calls.get(&id).filter(|_| self.settings.limits.cancel) else {
+            return;
+        };
+        let out = (0..)
+            .zip(&call.attempts)
+            .filter(|(n, a)| a.effect == Effect::Out && Some(*n) != but);
         actions.extend(out.map(|(attempt, _)| Action::Cancel { call: id, attempt }));
     }
 
@@ -729,7 +927,9 @@
             return true;
         }
         match domain {
-            Domain::Only(places) => places.iter().any(|&p| in_set(p) && call.untried(&self.fleet[p])),
+            Domain::Only(places) => places
+                .iter()
+                .any(|&p| in_set(p) && call.untried(&self.fleet[p])),
             Domain::All => {
                 let tried = call.attempts.iter().enumerate().filter(|(n, a)| {
                     let first = call.attempts[..*n].iter().all(|b| b.server != a.server);
@@ -745,17 +945,25 @@
         let listed = self.fleet.listed();
         if listed > 0 && self.fleet.aside() == listed {
             let wait = self.fleet.first_back().saturating_sub(now);
-            return Route::Refuse { retry_after: wait.max(self.first_backoff()) };
+            return Route::Refuse {
+                retry_after: wait.max(self.first_backoff()),
+            };
         }
-        let open =
-            self.fleet.count(Among::Room) + self.fleet.count(Among::Trial) + self.fleet.count(Among::Cold);
+        let open = self.fleet.count(Among::Room)
+            + self.fleet.count(Among::Trial)
+            + self.fleet.count(Among::Cold);
         if open == 0 {
             return Route::Hold;
         }
         if let Some(server) = self.cold_draw(now, id) {
-            return Route::Send { server, trial: false };
+            return Route::Send {
+                server,
+                trial: false,
+            };
         }
-        let Some(domain) = self.domain(now, id) else { return Route::Hold };
+        let Some(domain) = self.domain(now, id) else {
+            return Route::Hold;
+        };
         // Cold ones only if no other is listed. That the others fail or are full for now is no reason: all
         // proxies find so together, and what the whole fleet bears would go to the few that bear least.
         let (up, room) = match self.fleet.count(Among::Cold) {
@@ -764,10 +972,20 @@
         };
         let fresh = self.any_untried(&self.calls[&id], up, &domain);
         let sparse = self.sparse();
-        let Balancer { fleet, calls, groups, random, .. } = self;
+        let Balancer {
+            fleet,
+            calls,
+            groups,
+            random,
+            ..
+        } = self;
         let call = &calls[&id];
         let fits = |s: &Server| {
-            let group = || groups.get(&(s.zone, s.kind)).is_none_or(|g| g.share >= call.chance);
+            let group = || {
+                groups
+                    .get(&(s.zone, s.kind))
+                    .is_none_or(|g| g.share >= call.chance)
+            };
             s.usable(now) && (!fresh || call.untried(s)) && (!sparse || group())
         };
         let with_room = |s: &Server| fits(s) && !s.full(now, &rules);
@@ -775,20 +993,40 @@
         let few = SUBSET << call.found_full.min(BACKOFF_DOUBLINGS);
         // Not the own zone first: what a zone's proxies ask for is no measure of what its servers bear, no
         // proxy sees the others', and full servers cost more than crossing does.
-        let stable = if sparse { fleet.preferred((room, &domain), few, with_room) } else { Vec::new() };
+        let stable = if sparse {
+            fleet.preferred((room, &domain), few, with_room)
+        } else {
+            Vec::new()
+        };
         let first = if sparse {
-            if let Some(servers) = (!stable.is_empty()).then(|| self.ask(now, id, &stable)).flatten() {
-                return if servers.is_empty() { Route::Hold } else { Route::Ask { servers } };
+            if let Some(servers) = (!stable.is_empty())
+                .then(|| self.ask(now, id, &stable))
+                .flatten()
+            {
+                return if servers.is_empty() {
+                    Route::Hold
+                } else {
+                    Route::Ask { servers }
+                };
             }
             self.two_choices(now, &stable)
         } else {
             // Two of all that are up; one that is full is redrawn among those with room.
             let pair = fleet.draw(random, (up, &domain), 2, fits);
-            let first = self.best(now, &pair).filter(|&server| !self.fleet[server].full(now, &rules));
+            let first = self
+                .best(now, &pair)
+                .filter(|&server| !self.fleet[server].full(now, &rules));
             first.or_else(|| {
-                let Balancer { fleet, calls, random, .. } = self;
+                let Balancer {
+                    fleet,
+                    calls,
+                    random,
+                    ..
+                } = self;
                 let call = &calls[&id];
-                let fits = |s: &Server| s.usable(now) && (!fresh || call.untried(s)) && !s.full(now, &rules);
+                let fits = |s: &Server| {
+                    s.usable(now) && (!fresh || call.untried(s)) && !s.full(now, &rules)
+                };
                 let pair = fleet.draw(random, (room, &domain), 2, fits);
                 self.best(now, &pair)
             })
@@ -797,18 +1035,37 @@
             let (place, call) = (&self.fleet[server], &self.calls[&id]);
             let crowding = self.crowd.expected(now, place.word);
             if sparse && call.attempts.is_empty() && call.chance < turned_back(crowding) {
-                return Route::TurnBack { retry_after: self.first_backoff() };
+                return Route::TurnBack {
+                    retry_after: self.first_backoff(),
+                };
             }
-            return Route::Send { server, trial: false };
+            return Route::Send {
+                server,
+                trial: false,
+            };
         }
-        let Balancer { fleet, calls, groups, random, .. } = self;
+        let Balancer {
+            fleet,
+            calls,
+            groups,
+            random,
+            ..
+        } = self;
         let call = &calls[&id];
         let fits = |s: &Server| {
-            let group = || groups.get(&(s.zone, s.kind)).is_none_or(|g| g.share >= call.chance);
+            let group = || {
+                groups
+                    .get(&(s.zone, s.kind))
+                    .is_none_or(|g| g.share >= call.chance)
+            };
             (!fresh || call.untried(s)) && (!sparse || group())
         };
         let pair = fleet.draw(random, (Among::Trial, &domain), 2, fits);
-        self.best(now, &pair).map_or(Route::Hold, |server| Route::Send { server, trial: true })
+        self.best(now, &pair)
+            .map_or(Route::Hold, |server| Route::Send {
+                server,
+                trial: true,
+            })
     }
 
     /// Servers to ask before this call goes: a balancer of little traffic knows nothing fresh of nearly all.
@@ -827,7 +1084,14 @@
         if call.found_full == 0 && call.chance > (self.pressure * 2.0).powi(2).max(SMOOTHING) {
             return None;
         }
-        Some(self.draw(room, if call.ask_next > now { 0 } else { most.min(ASK_MOST) }))
+        Some(self.draw(
+            room,
+            if call.ask_next > now {
+                0
+            } else {
+                most.min(ASK_MOST)
+            },
+        ))
     }
 
     /// Is an even part of a server's calls under one? Then own calls in flight tell little.
@@ -842,7 +1106,9 @@
 
     fn start_asking(&mut self, now: Micros, id: CallId, servers: &[usize], actions: &mut Actions) {
         let wake = now + self.ask_wait(&self.calls[&id]);
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         (call.asks, call.asks_at) = (servers.iter().map(|&i| self.fleet[i].id).collect(), now);
         actions.extend(call.asks.iter().map(|&server| Action::Probe { server }));
         self.asking.push(id);
@@ -850,15 +1116,31 @@
     }
 
     /// A server told its load, or did not answer: then it is taken for the most loaded.
-    fn probed(&mut self, now: Micros, id: ServerId, outcome: Outcome, load: Load, actions: &mut Actions) {
-        let Some(place) = self.fleet.place(id) else { return };
-        let told = load.in_hand.filter(|l| outcome == Outcome::Served && l.is_finite());
+    fn probed(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        outcome: Outcome,
+        load: Load,
+        actions: &mut Actions,
+    ) {
+        let Some(place) = self.fleet.place(id) else {
+            return;
+        };
+        let told = load
+            .in_hand
+            .filter(|l| outcome == Outcome::Served && l.is_finite());
         let server = &mut self.fleet[place];
         (server.in_hand, server.asked) = (told.map_or(f64::MAX, |l| l.max(0.0)), now);
         for call in std::mem::take(&mut self.asking) {
-            let Some(c) = self.calls.get(&call).filter(|c| !c.asks.is_empty()) else { continue };
-            let waits =
-                |&id: &ServerId| self.fleet.place(id).is_some_and(|p| self.fleet[p].asked < c.asks_at);
+            let Some(c) = self.calls.get(&call).filter(|c| !c.asks.is_empty()) else {
+                continue;
+            };
+            let waits = |&id: &ServerId| {
+                self.fleet
+                    .place(id)
+                    .is_some_and(|p| self.fleet[p].asked < c.asks_at)
+            };
             if c.asks.iter().any(waits) {
                 self.asking.push(call);
             } else {
@@ -869,14 +1151,22 @@
 
     /// The servers asked have told their load, or time is up: the call goes to the less loaded.
     fn decide(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         let (asked, since) = (std::mem::take(&mut call.asks), call.asks_at);
-        let (rules, most, domain) = (self.settings.rules, self.crowd_limit(id), self.domain(now, id));
+        let (rules, most, domain) = (
+            self.settings.rules,
+            self.crowd_limit(id),
+            self.domain(now, id),
+        );
         // One that has started anew meanwhile is cold: it gets lots, and no more.
         let cold_only = self.fleet.count(Among::Cold) == self.fleet.listed();
         let mut places = Vec::new();
         for server in asked {
-            let Some(place) = self.fleet.place(server) else { continue };
+            let Some(place) = self.fleet.place(server) else {
+                continue;
+            };
             let server = &mut self.fleet[place];
             if server.asked < since {
                 (server.in_hand, server.asked) = (f64::MAX, now);
@@ -887,7 +1177,8 @@
             // What all balancers hold there counts against the budget of all: else each adds its one call.
             let room = !server.full(now, &rules) && (load <= most || server.in_hand < 1.0);
             let warm = cold_only || server.warmth(now, &rules) >= 1.0;
-            if warm && room && server.usable(now) && domain.as_ref().is_some_and(|d| d.holds(place)) {
+            if warm && room && server.usable(now) && domain.as_ref().is_some_and(|d| d.holds(place))
+            {
                 places.push(place);
             }
         }
@@ -908,9 +1199,13 @@
     /// Calls in hand for a server's size at which this call would take too long, learned from all servers'
     /// answers as one. It starts as if some had shown the start figure: all come before it is learned.
     fn crowd_limit(&self, id: CallId) -> f64 {
-        let start = START_CONCURRENCY * self.fleet.listed() as f64 / self.fleet.size().max(f64::MIN_POSITIVE);
+        let start = START_CONCURRENCY * self.fleet.listed() as f64
+            / self.fleet.size().max(f64::MIN_POSITIVE);
         let aim = self.calls[&id].class.aim as f64 * CROWD_AIM;
-        let (time, crowd) = (self.told.0 + aim / SMOOTHING, self.told.1 + start / SMOOTHING);
+        let (time, crowd) = (
+            self.told.0 + aim / SMOOTHING,
+            self.told.1 + start / SMOOTHING,
+        );
         aim * crowd / time.max(1.0)
     }
 
@@ -920,7 +1215,10 @@
     /// serve no more than all servers can do, so that the lots of all balancers stay within a cold server's
     /// part of that, however often clients ask (`tests/cold.rs`).
     fn cold_draw(&mut self, now: Micros, id: CallId) -> Option<usize> {
-        let call = self.calls.get_mut(&id).filter(|c| c.lot && c.attempts.is_empty())?;
+        let call = self
+            .calls
+            .get_mut(&id)
+            .filter(|c| c.lot && c.attempts.is_empty())?;
         call.lot = false;
         if self.fleet.count(Among::Cold) == 0 {
             return None;
@@ -930,7 +1228,11 @@
         let all = self.fleet.size() - self.fleet.cold_full_size() + cold;
         // First tries alone draw lots where repeats are marked: a few balancers' stay within bounds by that.
         let first_alone = self.settings.marks_retry && !self.sparse();
-        let goodput = if first_alone { 1.0 } else { self.goodput.max(COLD_GOODPUT) };
+        let goodput = if first_alone {
+            1.0
+        } else {
+            self.goodput.max(COLD_GOODPUT)
+        };
         if lot * all >= cold * COLD_DUTY * goodput {
             return None;
         }
@@ -949,7 +1251,9 @@
     fn draw(&mut self, among: &[usize], count: usize) -> Vec<usize> {
         let Balancer { fleet, random, .. } = self;
         let drawn = among.choose_multiple_weighted(random, count, |&i| fleet[i].size);
-        drawn.map(|places| places.copied().collect()).unwrap_or_default()
+        drawn
+            .map(|places| places.copied().collect())
+            .unwrap_or_default()
     }
 
     /// The less loaded by own calls in flight; what servers told, then the strain expected break ties.
@@ -957,43 +1261,84 @@
         let rules = &self.settings.rules;
         let load = |i: usize| {
             let server = &self.fleet[i];
-            (server.in_flight, server.load(now, rules), self.expected(now, server))
+            (
+                server.in_flight,
+                server.load(now, rules),
+                self.expected(now, server),
+            )
         };
-        among.iter().copied().reduce(|a, b| if load(b) < load(a) { b } else { a })
+        among
+            .iter()
+            .copied()
+            .reduce(|a, b| if load(b) < load(a) { b } else { a })
     }
 
     /// The strain to expect: a server's own of late, its group's the longer ago that was.
     fn expected(&self, now: Micros, server: &Server) -> f64 {
-        let known = (-(now.saturating_sub(server.heard) as f64) / (GROUP_AFTER * self.longest_aim())).exp();
-        let group = self.groups.get(&(server.zone, server.kind)).map_or(0.0, |g| g.strain);
+        let known =
+            (-(now.saturating_sub(server.heard) as f64) / (GROUP_AFTER * self.longest_aim())).exp();
+        let group = self
+            .groups
+            .get(&(server.zone, server.kind))
+            .map_or(0.0, |g| g.strain);
         server.strain * known + group * (1.0 - known)
     }
 
     fn send(&mut self, now: Micros, id: CallId, place: usize, trial: bool, actions: &mut Actions) {
         let fresh_for = self.ask_wait(&self.calls[&id]);
         let server = &mut self.fleet[place];
-        let fresh = server.asked != 0 && server.in_hand < f64::MAX && server.asked + fresh_for > now;
-        let crowd = if fresh { server.load(now, &self.settings.rules) } else { 0.0 };
+        let fresh =
+            server.asked != 0 && server.in_hand < f64::MAX && server.asked + fresh_for > now;
+        let crowd = if fresh {
+            server.load(now, &self.settings.rules)
+        } else {
+            0.0
+        };
         server.in_flight += 1;
         server.in_hand += 1.0;
         server.budget.trial_out |= trial;
         self.refile(now, place);
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let &Server { id: server, zone, cell, .. } = &self.fleet[place];
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
+        let &Server {
+            id: server,
+            zone,
+            cell,
+            ..
+        } = &self.fleet[place];
         let effect = Effect::Out;
         let start_by = match (call.binding(), call.class.repeat) {
-            (Some(first), Repeat::Guarded { window, .. }) => Some(first.sent.saturating_add(window)),
+            (Some(first), Repeat::Guarded { window, .. }) => {
+                Some(first.sent.saturating_add(window))
+            }
             _ => None,
         };
-        call.attempts.push(Attempt { server, zone, cell, sent: now, trial, crowd, effect });
+        call.attempts.push(Attempt {
+            server,
+            zone,
+            cell,
+            sent: now,
+            trial,
+            crowd,
+            effect,
+        });
         let (copies, class_id, terms) = (call.attempts.len(), call.class_id, call.terms);
         // An answer after the aim is worth little: its server is better used by others.
         let (aim, arrived) = (call.aim_at(), call.arrived);
-        let (deadline, usual) = (call.deadline, self.usual(class_id, self.calls[&id].class.aim));
+        let (deadline, usual) = (
+            call.deadline,
+            self.usual(class_id, self.calls[&id].class.aim),
+        );
         let until = (aim < deadline && aim as f64 > now as f64 + usual).then_some(aim);
         let most = Some(now.saturating_add(terms.attempt_time)).filter(|&at| at < deadline);
         let until = until.into_iter().chain(most).min();
-        actions.push(Action::Send { call: id, server, until, start_by });
+        actions.push(Action::Send {
+            call: id,
+            server,
+            until,
+            start_by,
+        });
         // A second copy as late as can be in time, but not before the first is slow.
         let copy_at = (aim as f64 - SPARE_TIMES * usual).max(arrived as f64 + 1.5 * usual);
         let auto = (!self.sparse() && copy_at + usual <= aim as f64).then_some(copy_at as Micros);
@@ -1002,7 +1347,9 @@
             Hedge::Never => None,
             Hedge::Auto => auto,
             Hedge::After(wait) => Some(now.saturating_add(wait)),
-            Hedge::Share(part) => share(part).map_or(auto, |wait| Some(now.saturating_add(wait as Micros))),
+            Hedge::Share(part) => {
+                share(part).map_or(auto, |wait| Some(now.saturating_add(wait as Micros)))
+            }
         };
         let copy = copy_at.filter(|&at| copies == 1 && at < deadline);
         self.wakes.set(id, copy.map(|at| at.max(now + 1)));
@@ -1011,7 +1358,9 @@
     fn drain_hold(&mut self, now: Micros, actions: &mut Actions) {
         while let Some(place) = self.fleet.returning(now).filter(|_| !self.hold.is_empty()) {
             let mut held = self.hold.iter().take(LOOK_PAST);
-            let Some(index) = held.position(|id| self.may_test(&self.calls[id])) else { break };
+            let Some(index) = held.position(|id| self.may_test(&self.calls[id])) else {
+                break;
+            };
             let id = self.hold[index];
             self.take(index);
             self.send(now, id, place, true, actions);
@@ -1031,12 +1380,16 @@
                 Route::TurnBack { retry_after } => self.give_up(id, retry_after, actions),
                 Route::Refuse { retry_after } => {
                     if !std::mem::replace(&mut self.refusing, true) {
-                        actions.push(Action::Log { text: "no server is up: refusing".to_owned() });
+                        actions.push(Action::Log {
+                            text: "no server is up: refusing".to_owned(),
+                        });
                     }
                     self.give_up(id, retry_after, actions);
                 }
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
-                Route::Hold if self.calls[&id].binding().is_some() && index < LOOK_PAST => index += 1,
+                Route::Hold if self.calls[&id].binding().is_some() && index < LOOK_PAST => {
+                    index += 1
+                }
                 Route::Hold => break,
             }
         }
@@ -1052,7 +1405,11 @@
     }
 
     fn take(&mut self, index: usize) {
-        if let Some(call) = self.hold.remove(index).and_then(|id| self.calls.get_mut(&id)) {
+        if let Some(call) = self
+            .hold
+            .remove(index)
+            .and_then(|id| self.calls.get_mut(&id))
+        {
             call.held = false;
         }
     }
@@ -1063,7 +1420,11 @@
                 self.give_up(id, 0, actions);
             } else if !self.calls[&id].asks.is_empty() {
                 self.decide(now, id, actions);
-            } else if self.calls.get_mut(&id).is_some_and(|c| std::mem::take(&mut c.rests)) {
+            } else if self
+                .calls
+                .get_mut(&id)
+                .is_some_and(|c| std::mem::take(&mut c.rests))
+            {
                 self.enqueue(now, id, true);
             } else {
                 self.second_copy(now, id, actions);
@@ -1080,7 +1441,10 @@
             return;
         }
         match self.route(now, id) {
-            Route::Send { server, trial: false } => self.send(now, id, server, false, actions),
+            Route::Send {
+                server,
+                trial: false,
+            } => self.send(now, id, server, false, actions),
             _ => return,
         }
         self.retries -= 1.0;
@@ -1090,12 +1454,18 @@
         let mut next = self.ask_at.min(self.wakes.next().unwrap_or(Micros::MAX));
         if !self.hold.is_empty() {
             let due = self.fleet.next_due().into_iter();
-            let asks = self.hold.front().map(|id| self.calls[id].ask_next).filter(|&at| at > now);
+            let asks = self
+                .hold
+                .front()
+                .map(|id| self.calls[id].ask_next)
+                .filter(|&at| at > now);
             next = due.chain(asks).fold(next, Micros::min);
         }
         if next < self.timer_at {
             self.timer_at = next;
-            actions.push(Action::Wake { after: next.saturating_sub(now).max(1) });
+            actions.push(Action::Wake {
+                after: next.saturating_sub(now).max(1),
+            });
         }
     }
 
@@ -1104,7 +1474,13 @@
     }
 
     fn longest_aim(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(1) as f64
+        self.settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .max()
+            .unwrap_or(0)
+            .max(1) as f64
     }
 
     fn longest_usual(&self) -> f64 {
--- a/crates/decisions/src/crowd.rs
+++ b/crates/decisions/src/crowd.rs
@@ -71,10 +71,20 @@
         (0..200).for_each(|n| crowd.told(9 * S + n, &mut other, 3.0));
         let at = |now, word: &Word| crowd.expected(now, *word);
         assert!(at(9 * S + 200, &own) < 0.1 && at(9 * S + 200, &other) > 2.9);
-        assert!((0.5..1.0).contains(&at(10 * S, &own)), "{}", at(10 * S, &own));
-        assert!(at(20 * S, &own) < 0.01 && at(20 * S, &other) < 0.01, "what is long ago says nothing");
+        assert!(
+            (0.5..1.0).contains(&at(10 * S, &own)),
+            "{}",
+            at(10 * S, &own)
+        );
+        assert!(
+            at(20 * S, &own) < 0.01 && at(20 * S, &other) < 0.01,
+            "what is long ago says nothing"
+        );
         let met_by_none = Word::default();
-        assert!(at(9 * S + 200, &met_by_none) > 2.5, "it is like those that are known");
+        assert!(
+            at(9 * S + 200, &met_by_none) > 2.5,
+            "it is like those that are known"
+        );
     }
 
     #[test]
@@ -82,13 +92,23 @@
         let (mut quiet, mut busy, mut word) = (Crowd::default(), Crowd::default(), Word::default());
         quiet.told(10 * S, &mut word, 2.0);
         (1..=100).for_each(|n| busy.told(9 * S + n * 10_000, &mut word, 2.0));
-        assert!(quiet.level > 1.9 && busy.level > 1.2, "{} {}", quiet.level, busy.level);
+        assert!(
+            quiet.level > 1.9 && busy.level > 1.2,
+            "{} {}",
+            quiet.level,
+            busy.level
+        );
     }
 
     #[test]
     fn the_share_turned_back_rises_evenly_from_none_to_all() {
         let shares: Vec<f64> = (0..50).map(|n| turned_back(f64::from(n) * 0.05)).collect();
-        assert!(shares.windows(2).all(|w| w[0] <= w[1] && w[1] - w[0] < 0.06), "{shares:?}");
+        assert!(
+            shares
+                .windows(2)
+                .all(|w| w[0] <= w[1] && w[1] - w[0] < 0.06),
+            "{shares:?}"
+        );
         assert_eq!((shares[0], shares[49]), (0.0, 1.0));
     }
 }
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -91,7 +91,9 @@
     }
 
     fn remove(&mut self, key: u32, slot: usize) {
-        let Some(list) = self.of.get_mut(&key) else { return };
+        let Some(list) = self.of.get_mut(&key) else {
+            return;
+        };
         let place = self.places[slot] as usize;
         list.swap_remove(place);
         if let Some(&moved) = list.get(place) {
@@ -236,7 +238,13 @@
     /// Takes in a server, or another process under the number of one that is known.
     pub(crate) fn insert(&mut self, server: Server) -> usize {
         if let Some(slot) = self.place(server.id) {
-            self.file(slot, Standing { due: Micros::MAX, ..Standing::default() });
+            self.file(
+                slot,
+                Standing {
+                    due: Micros::MAX,
+                    ..Standing::default()
+                },
+            );
             self.slots[slot] = server;
             return slot;
         }
@@ -244,7 +252,10 @@
         self.places.insert(server.id, slot as u32);
         if slot == self.slots.len() {
             self.slots.push(server);
-            self.standings.push(Standing { due: Micros::MAX, ..Standing::default() });
+            self.standings.push(Standing {
+                due: Micros::MAX,
+                ..Standing::default()
+            });
             self.rounds.push(self.round);
         } else {
             self.slots[slot] = server;
@@ -282,7 +293,13 @@
             return;
         }
         let standing = self.standings[slot];
-        self.file(slot, Standing { due: Micros::MAX, ..Standing::default() });
+        self.file(
+            slot,
+            Standing {
+                due: Micros::MAX,
+                ..Standing::default()
+            },
+        );
         (self.slots[slot].zone, self.slots[slot].cell) = (zone, cell);
         self.file(slot, standing);
     }
@@ -295,7 +312,13 @@
         if old == new {
             return;
         }
-        let Server { zone, cell, size, rank, .. } = self.slots[slot];
+        let Server {
+            zone,
+            cell,
+            size,
+            rank,
+            ..
+        } = self.slots[slot];
         let (weight, key) = (weighted::weight(size), slot as u32);
         let part = |is: bool| if is { weight } else { 0 };
         if old.up != new.up {
@@ -316,7 +339,8 @@
             }
         }
         if old.cold_since != new.cold_since {
-            let moment = |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
+            let moment =
+                |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
             self.cold_moment = self.cold_moment - moment(old.cold_since) + moment(new.cold_since);
             self.cold.set(slot, part(new.cold_since.is_some()));
         }
@@ -355,12 +379,18 @@
 
     /// A server whose standing time has changed by now.
     pub(crate) fn overdue(&self, now: Micros) -> Option<usize> {
-        self.due.first().filter(|d| d.0 <= now).map(|&(_, slot)| slot as usize)
+        self.due
+            .first()
+            .filter(|d| d.0 <= now)
+            .map(|&(_, slot)| slot as usize)
     }
 
     /// One that is set aside and due for the call that tries it.
     pub(crate) fn returning(&self, now: Micros) -> Option<usize> {
-        self.back.first().filter(|b| b.0 <= now).map(|&(_, slot)| slot as usize)
+        self.back
+            .first()
+            .filter(|b| b.0 <= now)
+            .map(|&(_, slot)| slot as usize)
     }
 
     /// When the first that is set aside may be tried; 0 while one is being tried.
@@ -385,7 +415,11 @@
             Scope::Cell => self.cells.get(cell.0),
         };
         let start = random.gen_range(0..list.len().max(1));
-        let slots = list.iter().cycle().skip(start).take(list.len().min(4 * LOOKS));
+        let slots = list
+            .iter()
+            .cycle()
+            .skip(start)
+            .take(list.len().min(4 * LOOKS));
         Domain::Only(slots.map(|&slot| slot as usize).collect())
     }
 
@@ -403,14 +437,17 @@
         if let Domain::Only(slots) = domain {
             let fits = |&&slot: &&usize| set.contains(slot) && pass(&self.slots[slot]);
             let fitting: Vec<usize> = slots.iter().filter(fits).copied().collect();
-            let chosen = fitting.choose_multiple_weighted(random, count, |&slot| self.slots[slot].size);
+            let chosen =
+                fitting.choose_multiple_weighted(random, count, |&slot| self.slots[slot].size);
             drawn.extend(chosen.into_iter().flatten().copied());
             return drawn;
         }
         while drawn.len() < count.min(set.len()) {
             let passes = |slot: &usize| !drawn.contains(slot) && pass(&self.slots[*slot]);
             let blind = (0..DRAWS).find_map(|_| set.draw(random).filter(passes));
-            let Some(slot) = blind.or_else(|| self.look(random, set, passes)) else { break };
+            let Some(slot) = blind.or_else(|| self.look(random, set, passes)) else {
+                break;
+            };
             drawn.push(slot);
         }
         drawn
@@ -436,7 +473,11 @@
     }
 
     /// A cold server, with a chance in proportion to what it can do now.
-    pub(crate) fn draw_cold(&self, random: &mut impl Rng, warmth: impl Fn(&Server) -> f64) -> Option<usize> {
+    pub(crate) fn draw_cold(
+        &self,
+        random: &mut impl Rng,
+        warmth: impl Fn(&Server) -> f64,
+    ) -> Option<usize> {
         let mut last = None;
         for _ in 0..4 * DRAWS {
             last = self.cold.draw(random);
@@ -462,7 +503,11 @@
             slots.truncate(count);
             return slots;
         }
-        let slots = self.ranked.iter().take(LOOKS.max(count)).map(|&(_, slot)| slot as usize);
+        let slots = self
+            .ranked
+            .iter()
+            .take(LOOKS.max(count))
+            .map(|&(_, slot)| slot as usize);
         slots.filter(fits).take(count).collect()
     }
 }
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -140,7 +140,12 @@
 
 impl Default for GoalFacts {
     fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0, worst_tenant: 0.0, worst_window: 0.0 }
+        GoalFacts {
+            whole: 1.0,
+            worst_class: 0.0,
+            worst_tenant: 0.0,
+            worst_window: 0.0,
+        }
     }
 }
 
@@ -170,7 +175,9 @@
 
 /// A number for a name (FNV-1a), the same wherever it is met.
 fn number(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 /// The number of a zone by its name.
@@ -197,15 +204,27 @@
         // A kind or a scope that is not known is taken to allow no repeat.
         let repeat = match (class.idempotency.as_str(), scope) {
             ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
+            ("guarded", Some(scope)) => Repeat::Guarded {
+                scope,
+                window: class.repeat_window_us,
+            },
             _ => Repeat::SingleShot,
         };
         let (aim, deadline) = (class.objective_us, class.deadline_us);
-        classes.push(Class { aim, deadline, worth: class.worth, late_value: class.late_value, repeat });
+        classes.push(Class {
+            aim,
+            deadline,
+            worth: class.worth,
+            late_value: class.late_value,
+            repeat,
+        });
     }
     // Taken for the wrong one, the list would be asked for too often by all, or too late.
     if !["", "ask", "push"].contains(&facts.discovery.as_str()) {
-        return Err(format!("discovery: found {:?}, allowed are \"ask\" and \"push\"", facts.discovery));
+        return Err(format!(
+            "discovery: found {:?}, allowed are \"ask\" and \"push\"",
+            facts.discovery
+        ));
     }
     let limits = &facts.limits;
     let rules = &facts.invariants;
@@ -227,14 +246,25 @@
         tick: facts.tick_us,
         ask: facts.discovery == "ask",
         classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion, quota: t.quota_per_s }).collect(),
+        tenants: facts
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                share: t.portion,
+                quota: t.quota_per_s,
+            })
+            .collect(),
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
             second_copies: limits.second_copies,
             max_attempts: limits.max_attempts,
             max_streams: limits.max_streams,
-            max_retry_after: if limits.retry_after { limits.max_retry_after_us } else { 0 },
+            max_retry_after: if limits.retry_after {
+                limits.max_retry_after_us
+            } else {
+                0
+            },
         },
         rules: Rules {
             cold_share: rules.cold_from,
@@ -257,7 +287,10 @@
             waste: charges.waste,
             late_fail: charges.late_fail,
         },
-        reports: Reports { how, in_hand: facts.report.columns.iter().any(|c| c == "active") },
+        reports: Reports {
+            how,
+            in_hand: facts.report.columns.iter().any(|c| c == "active"),
+        },
         weights,
         over_share_worth: facts.over_share_worth.unwrap_or(harmless.over_share_worth),
         marks_retry: facts.client_habits.marks_retry,
@@ -269,5 +302,10 @@
         connect_timeout: limits.connect_timeout_us,
     };
     let tenants = facts.tenants.into_iter().map(|t| t.name).collect();
-    Ok(Facts { settings, classes, tenants, transport })
+    Ok(Facts {
+        settings,
+        classes,
+        tenants,
+        transport,
+    })
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -138,7 +138,10 @@
 
 impl Default for Spread {
     fn default() -> Self {
-        Spread { counts: [0; SPREAD_STEPS], total: 0 }
+        Spread {
+            counts: [0; SPREAD_STEPS],
+            total: 0,
+        }
     }
 }
 
@@ -161,7 +164,8 @@
             seen += f64::from(c);
             c > 0 && seen >= wanted
         });
-        step.filter(|_| self.total >= SPREAD_KNOWN).map(|s| SPREAD_LEAST * ((s + 1) as f64 / 4.0).exp2())
+        step.filter(|_| self.total >= SPREAD_KNOWN)
+            .map(|s| SPREAD_LEAST * ((s + 1) as f64 / 4.0).exp2())
     }
 }
 
@@ -176,7 +180,10 @@
 impl Call {
     /// Attempts in flight.
     pub(crate) fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.effect == Effect::Out).count()
+        self.attempts
+            .iter()
+            .filter(|a| a.effect == Effect::Out)
+            .count()
     }
 
     /// The first attempt that may have run: the one that binds a guarded call.
@@ -186,7 +193,11 @@
 
     /// Until when an answer earns something.
     pub(crate) fn aim_at(&self) -> Micros {
-        let aim = if self.class.late_value > 0.0 { self.class.deadline } else { self.class.aim };
+        let aim = if self.class.late_value > 0.0 {
+            self.class.deadline
+        } else {
+            self.class.aim
+        };
         self.deadline.min(self.asked.saturating_add(aim))
     }
 
@@ -204,10 +215,31 @@
 
     /// A server as the list names it.
     pub(crate) fn new(entry: &Entry, weights: WeightSource, budget: Budget) -> Self {
-        let &Entry { server: id, zone, cell, kind, started, weight, .. } = entry;
+        let &Entry {
+            server: id,
+            zone,
+            cell,
+            kind,
+            started,
+            weight,
+            ..
+        } = entry;
         let told = matches!(weights, WeightSource::Nominal | WeightSource::Rough);
-        let size = if told && weight.is_normal() && weight > 0.0 { weight } else { 1.0 };
-        Server { id, zone, cell, kind, size, started, budget, ..Server::default() }
+        let size = if told && weight.is_normal() && weight > 0.0 {
+            weight
+        } else {
+            1.0
+        };
+        Server {
+            id,
+            zone,
+            cell,
+            kind,
+            size,
+            started,
+            budget,
+            ..Server::default()
+        }
     }
 
     /// Share of its capacity that a server has at the least, by the rules' cold share and time.
@@ -231,7 +263,11 @@
 impl Pace {
     /// The pace of a class of which nothing is known yet.
     pub(crate) fn of(class: &Class) -> Self {
-        Pace { mean: class.aim as f64 / 4.0, base: class.aim as f64 / 4.0, ..Pace::default() }
+        Pace {
+            mean: class.aim as f64 / 4.0,
+            base: class.aim as f64 / 4.0,
+            ..Pace::default()
+        }
     }
 
     /// The time within which this share of the answers comes; None while there were too few.
@@ -243,11 +279,19 @@
     pub(crate) fn answered(&mut self, now: Micros, elapsed: f64) {
         self.seen = self.seen.saturating_add(1);
         self.spread.add(elapsed);
-        let sample = if self.seen > 8 { elapsed.min(8.0 * self.base) } else { elapsed };
+        let sample = if self.seen > 8 {
+            elapsed.min(8.0 * self.base)
+        } else {
+            elapsed
+        };
         self.mean += (sample - self.mean) * (1.0 / f64::from(self.seen)).max(PACE_WEIGHT);
         let drift = (now.saturating_sub(self.at) as f64 / BASE_DRIFT).min(1.0);
         self.at = now;
-        let drifted = if self.seen <= 8 { self.mean } else { self.base + (self.mean - self.base) * drift };
+        let drifted = if self.seen <= 8 {
+            self.mean
+        } else {
+            self.base + (self.mean - self.base) * drift
+        };
         self.base = self.mean.min(drifted).max(1.0);
     }
 }
--- a/crates/decisions/src/weighted.rs
+++ b/crates/decisions/src/weighted.rs
@@ -86,7 +86,11 @@
         }
         let (mut slot, mut left, mut step) = (0, mark, self.tree.len());
         while step > 0 {
-            if let Some(&below) = self.tree.get(slot + step - 1).filter(|&&below| below <= left) {
+            if let Some(&below) = self
+                .tree
+                .get(slot + step - 1)
+                .filter(|&&below| below <= left)
+            {
                 left -= below;
                 slot += step;
             }
@@ -110,7 +114,10 @@
         std::iter::from_fn(move || {
             let (slot, end) = next.filter(|_| left > 0)?;
             left -= 1;
-            next = self.at(end).or_else(|| self.at(0)).filter(|&(slot, _)| slot != first);
+            next = self
+                .at(end)
+                .or_else(|| self.at(0))
+                .filter(|&(slot, _)| slot != first);
             Some(slot)
         })
     }
@@ -128,11 +135,18 @@
         let (mut set, mut plain) = (WeightedSet::default(), vec![0_u64; 300]);
         for _ in 0..20_000 {
             let slot = random.gen_range(0..plain.len());
-            let weight = if random.gen() { 0 } else { random.gen_range(0..5) };
+            let weight = if random.gen() {
+                0
+            } else {
+                random.gen_range(0..5)
+            };
             set.set(slot, weight);
             plain[slot] = weight;
             let total: u64 = plain.iter().sum();
-            assert_eq!((set.total(), set.len()), (total, plain.iter().filter(|&&w| w > 0).count()));
+            assert_eq!(
+                (set.total(), set.len()),
+                (total, plain.iter().filter(|&&w| w > 0).count())
+            );
             if total > 0 {
                 let mark = random.gen_range(0..total);
                 let mut end = 0;
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -31,7 +31,11 @@
 impl Deployment {
     fn draw(seed: u64, proxies: usize) -> Self {
         let mut random = Pcg32::seed_from_u64(seed);
-        let servers = if proxies > 100 { random.gen_range(60..90) } else { random.gen_range(8..30) };
+        let servers = if proxies > 100 {
+            random.gen_range(60..90)
+        } else {
+            random.gen_range(8..30)
+        };
         let cold = (servers as f64 * random.gen_range(0.1..0.9)) as usize;
         let rules = Rules {
             cold_share: random.gen_range(0.12..0.58),
@@ -91,10 +95,25 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Next {
-    Ask { proxy: usize, tries: u32 },
-    Done { server: usize, proxy: usize, call: CallId, attempt: u32, sent: Micros },
-    Late { proxy: usize, call: CallId, attempt: u32 },
-    Wake { proxy: usize },
+    Ask {
+        proxy: usize,
+        tries: u32,
+    },
+    Done {
+        server: usize,
+        proxy: usize,
+        call: CallId,
+        attempt: u32,
+        sent: Micros,
+    },
+    Late {
+        proxy: usize,
+        call: CallId,
+        attempt: u32,
+    },
+    Wake {
+        proxy: usize,
+    },
     Start,
 }
 
@@ -116,13 +135,21 @@
 impl Play {
     fn new(deployment: Deployment) -> Self {
         let mut random = Pcg32::seed_from_u64(deployment.seed ^ 0x5eed);
-        let class =
-            Class { aim: 700 * MS, deadline: DEADLINE, worth: 1.0, late_value: 0.0, repeat: Repeat::Free };
+        let class = Class {
+            aim: 700 * MS,
+            deadline: DEADLINE,
+            worth: 1.0,
+            late_value: 0.0,
+            repeat: Repeat::Free,
+        };
         let settings = Settings {
             balancers: deployment.proxies as u32,
             classes: vec![class],
             rules: deployment.rules,
-            reports: Reports { how: Reporting::Inline, in_hand: true },
+            reports: Reports {
+                how: Reporting::Inline,
+                in_hand: true,
+            },
             weights: WeightSource::Off,
             marks_retry: deployment.marked,
             ..Settings::default()
@@ -158,10 +185,15 @@
             play.list(proxy, false);
         }
         // A few see several times the mean.
-        let shares: Vec<f64> =
-            (0..deployment.proxies).map(|_| play.random.gen_range(0.2f64..1.0).powi(2)).collect();
-        let all: f64 =
-            play.machines.iter().map(|m| m.speed * CORES as f64 / WORK).sum::<f64>() * deployment.load;
+        let shares: Vec<f64> = (0..deployment.proxies)
+            .map(|_| play.random.gen_range(0.2f64..1.0).powi(2))
+            .collect();
+        let all: f64 = play
+            .machines
+            .iter()
+            .map(|m| m.speed * CORES as f64 / WORK)
+            .sum::<f64>()
+            * deployment.load;
         let whole: f64 = shares.iter().sum();
         for (proxy, share) in shares.iter().enumerate() {
             let mut at = 0.0;
@@ -183,7 +215,11 @@
     }
 
     fn list(&mut self, proxy: usize, cold: bool) {
-        let named = self.machines.iter().enumerate().filter(|(_, m)| cold || m.started == 0);
+        let named = self
+            .machines
+            .iter()
+            .enumerate()
+            .filter(|(_, m)| cold || m.started == 0);
         let entries = named
             .map(|(n, m)| Entry {
                 server: ServerId(n as u32),
@@ -193,7 +229,13 @@
                 ..Entry::default()
             })
             .collect();
-        self.tell(proxy, Event::Members { kind: ListKind::Full, entries });
+        self.tell(
+            proxy,
+            Event::Members {
+                kind: ListKind::Full,
+                entries,
+            },
+        );
     }
 
     fn tell(&mut self, proxy: usize, event: Event) {
@@ -201,13 +243,20 @@
         self.proxies[proxy].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { call, server, until, .. } => {
+                Action::Send {
+                    call,
+                    server,
+                    until,
+                    ..
+                } => {
                     let entry = self.calls[proxy].get_mut(&call).expect("a known call");
                     let attempt = entry.1;
                     (entry.1, entry.2) = (entry.1 + 1, entry.2 + 1);
                     self.send(proxy, (call, attempt), server.0 as usize, until);
                 }
-                Action::Refuse { call, .. } | Action::Fail { call } => self.ended(proxy, call, false),
+                Action::Refuse { call, .. } | Action::Fail { call } => {
+                    self.ended(proxy, call, false)
+                }
                 Action::Wake { after } => self.at(self.now + after, Next::Wake { proxy }),
                 Action::Cancel { call, attempt } => {
                     self.outcome(proxy, call, attempt, Outcome::CalledOff, 0, None)
@@ -217,32 +266,64 @@
         }
     }
 
-    fn send(&mut self, proxy: usize, (call, attempt): (CallId, u32), server: usize, until: Option<Micros>) {
+    fn send(
+        &mut self,
+        proxy: usize,
+        (call, attempt): (CallId, u32),
+        server: usize,
+        until: Option<Micros>,
+    ) {
         let now = self.now;
         let machine = &mut self.machines[server];
         machine.sent.push(now);
         let deadline = until.unwrap_or(now + DEADLINE).min(now + DEADLINE);
         if machine.fails || machine.waiting.len() >= machine.queue {
             let at = now + MS;
-            self.at(at, Next::Done { server: usize::MAX, proxy, call, attempt, sent: now });
+            self.at(
+                at,
+                Next::Done {
+                    server: usize::MAX,
+                    proxy,
+                    call,
+                    attempt,
+                    sent: now,
+                },
+            );
             return;
         }
         machine.waiting.push_back((proxy, call, attempt, now));
-        self.at(deadline, Next::Late { proxy, call, attempt });
+        self.at(
+            deadline,
+            Next::Late {
+                proxy,
+                call,
+                attempt,
+            },
+        );
         self.work(server);
     }
 
     /// Begins what waits at a server, as far as it has cores.
     fn work(&mut self, server: usize) {
         while self.machines[server].running < CORES {
-            let Some((proxy, call, attempt, sent)) = self.machines[server].waiting.pop_front() else {
+            let Some((proxy, call, attempt, sent)) = self.machines[server].waiting.pop_front()
+            else {
                 return;
             };
             let machine = &mut self.machines[server];
             machine.running += 1;
             let pace = machine.speed * machine.warmth(self.now, &self.deployment.rules);
             let work = WORK * self.random.gen_range(0.5..1.5) / pace;
-            self.at(self.now + work as Micros, Next::Done { server, proxy, call, attempt, sent });
+            self.at(
+                self.now + work as Micros,
+                Next::Done {
+                    server,
+                    proxy,
+                    call,
+                    attempt,
+                    sent,
+                },
+            );
         }
     }
 
@@ -255,7 +336,9 @@
         elapsed: Micros,
         load: Option<Load>,
     ) {
-        let Some(entry) = self.calls[proxy].get_mut(&call) else { return };
+        let Some(entry) = self.calls[proxy].get_mut(&call) else {
+            return;
+        };
         entry.2 = entry.2.saturating_sub(1);
         let load = load.unwrap_or_default();
         if outcome == Outcome::Served {
@@ -263,15 +346,30 @@
         }
         self.tell(
             proxy,
-            Event::Outcome { call, attempt, outcome, elapsed, closed: outcome == Outcome::Served, load },
+            Event::Outcome {
+                call,
+                attempt,
+                outcome,
+                elapsed,
+                closed: outcome == Outcome::Served,
+                load,
+            },
         );
     }
 
     fn ended(&mut self, proxy: usize, call: CallId, served: bool) {
-        let Some((tries, ..)) = self.calls[proxy].remove(&call) else { return };
+        let Some((tries, ..)) = self.calls[proxy].remove(&call) else {
+            return;
+        };
         self.served += u64::from(served);
         if !served && tries < self.deployment.retries {
-            self.at(self.now + 100 * MS, Next::Ask { proxy, tries: tries + 1 });
+            self.at(
+                self.now + 100 * MS,
+                Next::Ask {
+                    proxy,
+                    tries: tries + 1,
+                },
+            );
         }
     }
 
@@ -293,13 +391,30 @@
                     let (class, terms) = (ClassId(0), Terms::default());
                     self.tell(
                         proxy,
-                        Event::Request { call, class, tenant: None, time_left: DEADLINE, resent, terms },
+                        Event::Request {
+                            call,
+                            class,
+                            tenant: None,
+                            time_left: DEADLINE,
+                            resent,
+                            terms,
+                        },
                     );
                 }
-                Next::Done { server, proxy, call, attempt, sent } => {
+                Next::Done {
+                    server,
+                    proxy,
+                    call,
+                    attempt,
+                    sent,
+                } => {
                     if server == usize::MAX {
                         let fails = self.deployment.trouble && self.now > STARTS;
-                        let outcome = if fails { Outcome::Error } else { Outcome::TurnedAway };
+                        let outcome = if fails {
+                            Outcome::Error
+                        } else {
+                            Outcome::TurnedAway
+                        };
                         self.outcome(proxy, call, attempt, outcome, MS, None);
                         continue;
                     }
@@ -307,18 +422,29 @@
                     let machine = &self.machines[server];
                     let in_hand = (machine.running + machine.waiting.len()) as f64;
                     let waiting = Some(machine.waiting.len() as f64);
-                    let load = Load { in_hand: Some(in_hand), waiting, ..Load::default() };
+                    let load = Load {
+                        in_hand: Some(in_hand),
+                        waiting,
+                        ..Load::default()
+                    };
                     let elapsed = self.now - sent;
                     self.outcome(proxy, call, attempt, Outcome::Served, elapsed, Some(load));
                     self.work(server);
                 }
-                Next::Late { proxy, call, attempt } => {
+                Next::Late {
+                    proxy,
+                    call,
+                    attempt,
+                } => {
                     self.outcome(proxy, call, attempt, Outcome::TimedOut, DEADLINE, None);
                 }
                 Next::Wake { proxy } => self.tell(proxy, Event::Timer),
                 Next::Start => {
                     if self.deployment.trouble {
-                        self.machines.iter_mut().filter(|m| m.started == 0).for_each(|m| m.fails = true);
+                        self.machines
+                            .iter_mut()
+                            .filter(|m| m.started == 0)
+                            .for_each(|m| m.fails = true);
                     }
                     (0..self.proxies.len()).for_each(|proxy| self.list(proxy, true));
                 }
@@ -334,7 +460,8 @@
                 }
                 // The capacity in the middle of the span; at the start the span has not passed, and the whole of it counts.
                 let middle = at.saturating_sub(rules.fall_time / 2).max(STARTS);
-                let budget = rules.fall_multiple * machine.capacity(middle, &rules) * rules.fall_time as f64;
+                let budget =
+                    rules.fall_multiple * machine.capacity(middle, &rules) * rules.fall_time as f64;
                 let most = budget + 2.0 * budget.sqrt() + 2.0;
                 worst = worst.max((n + 1 - first) as f64 / most);
             }
@@ -346,8 +473,10 @@
 /// Plays so many drawn deployments. Tells the worst of them, with its figure, and the mean share served.
 fn worst_of(proxies: usize, trouble: bool, seeds: std::ops::Range<u64>) -> (f64, Deployment, f64) {
     let plays = (seeds.end - seeds.start) as f64;
-    let deployments =
-        seeds.map(|seed| Deployment { trouble, ..Deployment::draw(seed * 31 + proxies as u64, proxies) });
+    let deployments = seeds.map(|seed| Deployment {
+        trouble,
+        ..Deployment::draw(seed * 31 + proxies as u64, proxies)
+    });
     let played = deployments.map(|deployment| (Play::new(deployment).worst(), deployment));
     let mut worst = (0.0, Deployment::draw(0, proxies), 0.0);
     for ((most, served), deployment) in played {
@@ -363,7 +492,10 @@
     for trouble in [false, true] {
         let (most, deployment, served) = worst_of(proxies, trouble, seeds.clone());
         println!("{proxies} proxies, trouble {trouble}: at most {most:.2} of budget and chance, served {served:.2}");
-        assert!(most <= 1.0, "{most:.2} of what a cold server may be sent: {deployment:?}");
+        assert!(
+            most <= 1.0,
+            "{most:.2} of what a cold server may be sent: {deployment:?}"
+        );
     }
 }
 
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -15,24 +15,41 @@
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
 pub fn settings(repeat: Repeat) -> Settings {
-    let class = Class { aim: 500 * MS, deadline: 1_200 * MS, worth: 1.0, late_value: 0.0, repeat };
+    let class = Class {
+        aim: 500 * MS,
+        deadline: 1_200 * MS,
+        worth: 1.0,
+        late_value: 0.0,
+        repeat,
+    };
     Settings {
         classes: vec![class],
         balancers: 7,
-        limits: Limits { max_attempts: 5, ..Settings::default().limits },
+        limits: Limits {
+            max_attempts: 5,
+            ..Settings::default().limits
+        },
         ..Settings::default()
     }
 }
 
 pub fn ready(server: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ..Entry::default() }
+    Entry {
+        server: ServerId(server),
+        state: State::Ready,
+        ..Entry::default()
+    }
 }
 
 impl Proxy {
     /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
     pub fn new(settings: Settings, servers: u32) -> Proxy {
-        let mut proxy =
-            Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
+        let mut proxy = Proxy {
+            balancer: Balancer::new(7, settings),
+            now: 1_000_000,
+            actions: Vec::new(),
+            next: 0,
+        };
         proxy.event(Event::Start);
         proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
         proxy
@@ -68,9 +85,22 @@
         self.call_of(0)
     }
 
-    pub fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        call: CallId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Vec<Action> {
         let closed = outcome == Outcome::Served;
-        self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
+        self.event(Event::Outcome {
+            call,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            load: Load::default(),
+        })
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
@@ -99,9 +129,13 @@
 }
 
 pub fn refused(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
 }
 
 pub fn failed(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { call } if *call == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Fail { call } if *call == id))
 }
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -28,7 +28,9 @@
             *chances.entry(id).or_insert(0.0) += chance;
         }
     });
-    two(&room, redrawn, |id, _, chance| *chances.entry(id).or_insert(0.0) += chance);
+    two(&room, redrawn, |id, _, chance| {
+        *chances.entry(id).or_insert(0.0) += chance
+    });
     chances
 }
 
@@ -53,7 +55,12 @@
 
 /// Servers of sizes that differ.
 fn sized(count: u32) -> Vec<Entry> {
-    (1..=count).map(|n| Entry { weight: f64::from(1 + n % 4), ..ready(n) }).collect()
+    (1..=count)
+        .map(|n| Entry {
+            weight: f64::from(1 + n % 4),
+            ..ready(n)
+        })
+        .collect()
 }
 
 fn proxy(seed: u64, settings: &Settings, entries: &[Entry]) -> Proxy {
@@ -69,19 +76,31 @@
     let total: u32 = counted.values().sum();
     let ids: std::collections::BTreeSet<_> = counted.keys().chain(chances.keys()).collect();
     let share = |id| f64::from(counted.get(id).copied().unwrap_or(0)) / f64::from(total);
-    ids.into_iter().map(|id| (share(id) - chances.get(id).copied().unwrap_or(0.0)).abs()).sum::<f64>() / 2.0
+    ids.into_iter()
+        .map(|id| (share(id) - chances.get(id).copied().unwrap_or(0.0)).abs())
+        .sum::<f64>()
+        / 2.0
 }
 
 /// What a walk would see of the fleet now.
 fn seen(proxy: &Proxy, entries: &[Entry]) -> BTreeMap<ServerId, Seen> {
     let mut servers = BTreeMap::new();
     for entry in entries {
-        let Some(view) = proxy.balancer.view(proxy.now, entry.server) else { continue };
+        let Some(view) = proxy.balancer.view(proxy.now, entry.server) else {
+            continue;
+        };
         if !view.listed || view.set_aside || view.warmth < 1.0 {
             continue;
         }
         let full = view.in_flight >= (view.concurrency + 0.5).max(1.0) as u32;
-        servers.insert(entry.server, Seen { size: entry.weight, in_flight: view.in_flight, full });
+        servers.insert(
+            entry.server,
+            Seen {
+                size: entry.weight,
+                in_flight: view.in_flight,
+                full,
+            },
+        );
     }
     servers
 }
@@ -101,7 +120,9 @@
         for _ in 0..calls {
             // The call leaves no trace: it is withdrawn at once, so that the next finds the same state.
             let (call, actions) = proxy.call();
-            let &[(_, server)] = &sent(&actions)[..] else { panic!("not sent: {actions:?}") };
+            let &[(_, server)] = &sent(&actions)[..] else {
+                panic!("not sent: {actions:?}")
+            };
             *counted.entry(server).or_default() += 1;
             proxy.event(Event::Gone { call });
             proxy.end(call, 0, Outcome::CalledOff, 0);
@@ -111,7 +132,11 @@
 }
 
 fn weighted(balancers: u32) -> Settings {
-    Settings { balancers, weights: WeightSource::Nominal, ..settings(Repeat::Free) }
+    Settings {
+        balancers,
+        weights: WeightSource::Nominal,
+        ..settings(Repeat::Free)
+    }
 }
 
 /// With 16,000 draws over a hundred servers chance alone makes a distance of about 0.03.
@@ -147,9 +172,15 @@
 #[test]
 fn a_fleet_of_which_half_drains_or_is_new_is_drawn_as_by_a_walk() {
     let mut entries = sized(100);
-    entries.iter_mut().step_by(3).for_each(|e| e.state = State::Draining);
+    entries
+        .iter_mut()
+        .step_by(3)
+        .for_each(|e| e.state = State::Draining);
     let distance = next_call(&weighted(1), &entries, |proxy| {
-        let gone = sized(100).into_iter().skip(1).step_by(5).map(|e| Entry { state: State::Gone, ..e });
+        let gone = sized(100).into_iter().skip(1).step_by(5).map(|e| Entry {
+            state: State::Gone,
+            ..e
+        });
         proxy.list(ListKind::Delta, gone.collect());
         for _ in 0..200 {
             proxy.call();
@@ -165,7 +196,10 @@
     let (age, rules) = (5_000_000, settings.rules);
     let mut entries = sized(100);
     let started = 1_000_000_000 - age;
-    entries.iter_mut().step_by(4).for_each(|e| e.started = started);
+    entries
+        .iter_mut()
+        .step_by(4)
+        .for_each(|e| e.started = started);
     let warmth = rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64;
     let (mut cold, mut all) = (0.0, 0.0);
     entries.iter().for_each(|e| {
@@ -183,10 +217,16 @@
         proxy.end(call, 0, Outcome::CalledOff, 0);
     }
     let chance = cold / all * 1.2;
-    let of_cold: BTreeMap<ServerId, f64> =
-        entries.iter().filter(|e| e.started > 0).map(|e| (e.server, e.weight * warmth / cold)).collect();
-    let to_cold: BTreeMap<ServerId, u32> =
-        counted.iter().filter(|(id, _)| of_cold.contains_key(id)).map(|(&id, &n)| (id, n)).collect();
+    let of_cold: BTreeMap<ServerId, f64> = entries
+        .iter()
+        .filter(|e| e.started > 0)
+        .map(|e| (e.server, e.weight * warmth / cold))
+        .collect();
+    let to_cold: BTreeMap<ServerId, u32> = counted
+        .iter()
+        .filter(|(id, _)| of_cold.contains_key(id))
+        .map(|(&id, &n)| (id, n))
+        .collect();
     let share = f64::from(to_cold.values().sum::<u32>()) / f64::from(calls);
     assert!((share / chance - 1.0).abs() < 0.1, "{share} of {chance}");
     assert!(distance(&to_cold, &of_cold) < NOISE, "each by its size");
@@ -198,7 +238,11 @@
     let mut proxy = Proxy::new(settings(Repeat::Free), 2_000);
     let out: Vec<(CallId, ServerId)> = (0..2_000).map(|_| sent(&proxy.call().1)[0]).collect();
     let distinct: std::collections::BTreeSet<ServerId> = out.iter().map(|o| o.1).collect();
-    assert_eq!(distinct.len(), 2_000, "every budget is used before any is passed");
+    assert_eq!(
+        distinct.len(),
+        2_000,
+        "every budget is used before any is passed"
+    );
     let (call, server) = out[1_234];
     proxy.end(call, 0, Outcome::Served, 50 * MS);
     assert_eq!(sent(&proxy.call().1)[0].1, server);
@@ -215,16 +259,32 @@
         let mut out = sent(&actions);
         let mut attempt = 0;
         while let Some((call, server)) = out.pop() {
-            let outcome = if broken(server) { Outcome::NoConnection } else { Outcome::Served };
-            out.extend(sent(&proxy.end(call, attempt, outcome, MS)).into_iter().filter(|s| s.0 == call));
+            let outcome = if broken(server) {
+                Outcome::NoConnection
+            } else {
+                Outcome::Served
+            };
+            out.extend(
+                sent(&proxy.end(call, attempt, outcome, MS))
+                    .into_iter()
+                    .filter(|s| s.0 == call),
+            );
             attempt += 1;
         }
         proxy.event(Event::Gone { call });
     }
-    let aside =
-        (1..=400).filter(|&n| proxy.balancer.view(proxy.now, ServerId(n)).is_some_and(|v| v.set_aside));
+    let aside = (1..=400).filter(|&n| {
+        proxy
+            .balancer
+            .view(proxy.now, ServerId(n))
+            .is_some_and(|v| v.set_aside)
+    });
     let aside: Vec<u32> = aside.collect();
-    assert!(aside.iter().all(|n| broken(ServerId(*n))) && aside.len() > 150, "{}", aside.len());
+    assert!(
+        aside.iter().all(|n| broken(ServerId(*n))) && aside.len() > 150,
+        "{}",
+        aside.len()
+    );
     // Those that are tried again take a part of the calls, however many there are.
     proxy.now += 10_000 * MS;
     let mut tried = 0;
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -29,7 +29,10 @@
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
     let actions = proxy.end(trial, 1, Outcome::Served, 50 * MS);
-    assert!(sent(&actions).is_empty(), "an attempt that was never made has no outcome");
+    assert!(
+        sent(&actions).is_empty(),
+        "an attempt that was never made has no outcome"
+    );
     let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
     // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
     // what it does.
@@ -41,7 +44,10 @@
     proxy.wait(300 * MS);
     let (c, d, e) = (proxy.call().0, proxy.call().0, proxy.call().0);
     let went: Vec<CallId> = sent(&proxy.actions).into_iter().map(|s| s.0).collect();
-    assert!(went.ends_with(&[b, c, d]) && !went.contains(&e), "then one is the next trial: {went:?}");
+    assert!(
+        went.ends_with(&[b, c, d]) && !went.contains(&e),
+        "then one is the next trial: {went:?}"
+    );
 }
 
 /// Lets calls come until one is sent; tells after how long, and which.
@@ -84,7 +90,10 @@
     while let Some(&(call, _)) = sent(&proxy.call().1).first() {
         next = call;
     }
-    assert_ne!(next, trial, "the last that went, at a full budget, is the next trial");
+    assert_ne!(
+        next, trial,
+        "the last that went, at a full budget, is the next trial"
+    );
     proxy.end(next, 0, Outcome::Error, MS);
     assert!(until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
@@ -97,7 +106,11 @@
     let mut order = Vec::new();
     for call in [first, trial] {
         proxy.now += 20 * MS;
-        order.extend(sent(&proxy.end(call, 0, Outcome::Served, 20 * MS)).into_iter().map(|s| s.0));
+        order.extend(
+            sent(&proxy.end(call, 0, Outcome::Served, 20 * MS))
+                .into_iter()
+                .map(|s| s.0),
+        );
     }
     assert!(order.len() >= 2);
     assert_eq!(order[..], waiting[..order.len()]);
@@ -105,7 +118,13 @@
 
 #[test]
 fn the_less_loaded_of_two_is_chosen() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy = Proxy::new(
+        Settings {
+            balancers: 1,
+            ..settings(Repeat::SingleShot)
+        },
+        2,
+    );
     let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
     for _ in 0..10 {
         let server = sent(&proxy.call().1)[0].1;
@@ -120,11 +139,17 @@
     let mut proxy = Proxy::new(settings(Repeat::SingleShot), 2);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
-        let elapsed = if sent(&actions)[0].1 == ServerId(1) { 200 * MS } else { 40 * MS };
+        let elapsed = if sent(&actions)[0].1 == ServerId(1) {
+            200 * MS
+        } else {
+            40 * MS
+        };
         proxy.now += elapsed;
         proxy.end(call, 0, Outcome::Served, elapsed);
     }
-    let chosen = (0..20).filter(|_| proxy.serve(40 * MS) == Some(ServerId(2))).count();
+    let chosen = (0..20)
+        .filter(|_| proxy.serve(40 * MS) == Some(ServerId(2)))
+        .count();
     assert_eq!(chosen, 20);
 }
 
@@ -132,30 +157,55 @@
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
     let mut proxy = Proxy::new(settings(Repeat::SingleShot), 20);
-    let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
-    assert_eq!(servers.len(), 20, "every budget is used before any is passed");
+    let servers: std::collections::BTreeSet<ServerId> =
+        (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
+    assert_eq!(
+        servers.len(),
+        20,
+        "every budget is used before any is passed"
+    );
 }
 
 /// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it served but for
 /// one that ended so.
 fn room_after(outcome: Outcome) -> usize {
-    let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Repeat::SingleShot) }, 1);
+    let limits = Limits {
+        max_attempts: 1,
+        ..Settings::default().limits
+    };
+    let mut proxy = Proxy::new(
+        Settings {
+            balancers: 1,
+            limits,
+            ..settings(Repeat::SingleShot)
+        },
+        1,
+    );
     let calls: Vec<CallId> = (0..7).map(|_| proxy.call().0).collect();
-    assert_eq!(sent(&proxy.actions).len(), 7, "what one balancer starts with");
+    assert_eq!(
+        sent(&proxy.actions).len(),
+        7,
+        "what one balancer starts with"
+    );
     proxy.now += 5 * MS;
     proxy.end(calls[0], 0, outcome, 5 * MS);
     for call in &calls[1..] {
         proxy.end(*call, 0, Outcome::Served, 5 * MS);
     }
     proxy.wait(1_000 * MS);
-    (0..20).filter(|_| !sent(&proxy.call().1).is_empty()).count()
+    (0..20)
+        .filter(|_| !sent(&proxy.call().1).is_empty())
+        .count()
 }
 
 #[test]
 fn a_refusal_as_full_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
-    assert_eq!(room_after(Outcome::TurnedAway), 7, "four fifths of seven, and a trial");
+    assert_eq!(
+        room_after(Outcome::TurnedAway),
+        7,
+        "four fifths of seven, and a trial"
+    );
 }
 
 /// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
@@ -176,10 +226,22 @@
 
 #[test]
 fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
-    let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::SingleShot) }, 1);
+    let limits = Limits {
+        max_attempts: 1,
+        ..Settings::default().limits
+    };
+    let mut proxy = Proxy::new(
+        Settings {
+            limits,
+            ..settings(Repeat::SingleShot)
+        },
+        1,
+    );
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
-    assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
+    assert!(
+        grown[29] > 13,
+        "at the clamp the concurrency grows instead: {grown:?}"
+    );
     for _ in 0..9 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1);
@@ -189,11 +251,15 @@
         }
     }
     let left = fill(&mut proxy);
-    assert!(left <= 3, "one step of ten is left, and a trial: {left} after {grown:?}");
+    assert!(
+        left <= 3,
+        "one step of ten is left, and a trial: {left} after {grown:?}"
+    );
 }
 
 #[test]
-fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call() {
+fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call(
+) {
     let mut proxy = Proxy::new(settings(Repeat::Free), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -224,7 +290,9 @@
 #[test]
 fn a_server_that_has_answered_is_not_set_aside_for_one_reset() {
     let set_aside = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::Log { text } if text.ends_with("set aside")))
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Log { text } if text.ends_with("set aside")))
     };
     let mut proxy = Proxy::new(settings(Repeat::SingleShot), 2);
     let mut resets = 0;
@@ -235,7 +303,16 @@
         // One in eleven breaks.
         let breaks = call % 11 == 0;
         resets += usize::from(breaks);
-        let actions = proxy.end(id, 0, if breaks { Outcome::Reset } else { Outcome::Served }, MS);
+        let actions = proxy.end(
+            id,
+            0,
+            if breaks {
+                Outcome::Reset
+            } else {
+                Outcome::Served
+            },
+            MS,
+        );
         assert!(!set_aside(&actions), "after {resets} resets");
     }
     assert!(resets > 10);
@@ -244,7 +321,16 @@
         let (id, actions) = proxy.call();
         let breaks = sent(&actions)[0].1 == ServerId(1);
         proxy.now += MS;
-        ended |= set_aside(&proxy.end(id, 0, if breaks { Outcome::Reset } else { Outcome::Served }, MS));
+        ended |= set_aside(&proxy.end(
+            id,
+            0,
+            if breaks {
+                Outcome::Reset
+            } else {
+                Outcome::Served
+            },
+            MS,
+        ));
     }
     assert!(ended, "where all connections break");
 }
@@ -260,7 +346,10 @@
     proxy.list(ListKind::Full, vec![ready(broken.0)]);
     let (call, actions) = proxy.call();
     let advice = actions.iter().find_map(|a| match a {
-        Action::Refuse { call: id, retry_after } if *id == call => Some(*retry_after),
+        Action::Refuse {
+            call: id,
+            retry_after,
+        } if *id == call => Some(*retry_after),
         _ => None,
     });
     assert!(advice.is_some_and(|a| a > 0), "{actions:?}");
