--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -28,11 +28,23 @@
     let kinds = [
         Repeat::Free,
         Repeat::SingleShot,
-        Repeat::Guarded { scope: Scope::Cell, window: 300 * MS },
-        Repeat::Guarded { scope: Scope::All, window: 300 * MS },
+        Repeat::Guarded {
+            scope: Scope::Cell,
+            window: 300 * MS,
+        },
+        Repeat::Guarded {
+            scope: Scope::All,
+            window: 300 * MS,
+        },
     ];
     let mut settings = settings(Repeat::Free);
-    settings.classes = kinds.iter().map(|&repeat| Class { repeat, ..settings.classes[0] }).collect();
+    settings.classes = kinds
+        .iter()
+        .map(|&repeat| Class {
+            repeat,
+            ..settings.classes[0]
+        })
+        .collect();
     settings.limits.second_copies = seed.is_multiple_of(2);
     settings.limits.max_attempts = 4;
     settings.balancers = 1 + below(5) as u32;
@@ -47,7 +59,9 @@
         let open: Vec<(CallId, usize)> = calls
             .iter()
             .flat_map(|(&id, c)| {
-                (0..c.attempts.len()).filter(|&a| c.attempts[a].1.is_none()).map(move |a| (id, a))
+                (0..c.attempts.len())
+                    .filter(|&a| c.attempts[a].1.is_none())
+                    .map(move |a| (id, a))
             })
             .collect();
         let actions = match below(10) {
@@ -55,7 +69,14 @@
                 let class = below(4) as usize;
                 let (id, actions) = proxy.call_of(class);
                 let deadline = proxy.now + 1_200 * MS;
-                calls.insert(id, Seen { deadline, class, ..Seen::default() });
+                calls.insert(
+                    id,
+                    Seen {
+                        deadline,
+                        class,
+                        ..Seen::default()
+                    },
+                );
                 actions
             }
             4..=7 if !open.is_empty() => {
@@ -76,19 +97,32 @@
             }
             8 if step % 7 == 0 => {
                 let server = ServerId(below(8) as u32);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
+                let state =
+                    [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
                 let started = if below(4) > 0 { 0 } else { proxy.now };
                 known.insert(server);
                 list.insert(server, state);
                 let cell = CellId(server.0 % 2);
-                proxy.list(ListKind::Delta, vec![Entry { server, state, started, cell, ..Entry::default() }])
+                proxy.list(
+                    ListKind::Delta,
+                    vec![Entry {
+                        server,
+                        state,
+                        started,
+                        cell,
+                        ..Entry::default()
+                    }],
+                )
             }
             8 if step % 31 == 0 => proxy.list(ListKind::Failed, vec![]),
             _ => {
                 // Deadlines first, as the proxy's clock would bring them.
                 let mut all = Vec::new();
-                let due: Vec<CallId> =
-                    calls.iter().filter(|(_, c)| !c.ended && c.deadline <= proxy.now).map(|c| *c.0).collect();
+                let due: Vec<CallId> = calls
+                    .iter()
+                    .filter(|(_, c)| !c.ended && c.deadline <= proxy.now)
+                    .map(|c| *c.0)
+                    .collect();
                 for id in due {
                     let outs: Vec<usize> = (0..calls[&id].attempts.len())
                         .filter(|&a| calls[&id].attempts[a].1.is_none())
@@ -98,27 +132,60 @@
                         seen.attempts[attempt].1 = Some(Outcome::TimedOut);
                         let elapsed = proxy.now - seen.attempts[attempt].2;
                         let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, elapsed);
-                        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                        check(
+                            &actions,
+                            &mut calls,
+                            &list,
+                            &known,
+                            &classes,
+                            second_copies,
+                            proxy.now,
+                        );
                     }
                 }
                 all.extend(proxy.event(Event::Timer));
                 all
             }
         };
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(
+            &actions,
+            &mut calls,
+            &list,
+            &known,
+            &classes,
+            second_copies,
+            proxy.now,
+        );
     }
     // All is answered in the end.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.event(Event::Timer);
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(
+            &actions,
+            &mut calls,
+            &list,
+            &known,
+            &classes,
+            second_copies,
+            proxy.now,
+        );
         let open: Vec<CallId> = calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
         for id in open {
             for attempt in 0..calls[&id].attempts.len() {
                 if calls[&id].attempts[attempt].1.is_none() {
-                    calls.get_mut(&id).expect("known").attempts[attempt].1 = Some(Outcome::TimedOut);
+                    calls.get_mut(&id).expect("known").attempts[attempt].1 =
+                        Some(Outcome::TimedOut);
                     let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, 700 * MS);
-                    check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                    check(
+                        &actions,
+                        &mut calls,
+                        &list,
+                        &known,
+                        &classes,
+                        second_copies,
+                        proxy.now,
+                    );
                 }
             }
         }
@@ -126,7 +193,10 @@
     let lost: Vec<_> = calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
     assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
     let sent = calls.values().filter(|c| !c.attempts.is_empty()).count();
-    assert!(sent > 100, "seed {seed}: a day with too little work to tell anything, {sent} calls sent");
+    assert!(
+        sent > 100,
+        "seed {seed}: a day with too little work to tell anything, {sent} calls sent"
+    );
 }
 
 fn check(
@@ -143,15 +213,24 @@
             Action::Send { call, server, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!seen.ended, "sent after its end");
-                assert!(known.contains(&server) && list[&server] == State::Ready, "sent to one not ready");
+                assert!(
+                    known.contains(&server) && list[&server] == State::Ready,
+                    "sent to one not ready"
+                );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
                 assert!(out == 0 || second_copies && out == 1);
-                let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
+                let first = seen
+                    .attempts
+                    .iter()
+                    .find(|a| a.1.is_none_or(|o| !o.never_ran()));
                 match (classes[seen.class].repeat, first) {
                     (Repeat::SingleShot, Some(_)) => panic!("an unsafe call went again"),
                     (Repeat::Guarded { scope, window }, Some(first)) => {
-                        assert!(scope == Scope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
+                        assert!(
+                            scope == Scope::All || first.0 .0 % 2 == server.0 % 2,
+                            "left its cell"
+                        );
                         assert!(now <= first.2 + window, "left its window");
                     }
                     _ => {}
@@ -161,10 +240,17 @@
             Action::Refuse { call, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
-                let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
+                let proven = seen
+                    .attempts
+                    .iter()
+                    .all(|a| a.1.is_some_and(Outcome::never_ran));
                 let harmless = matches!(
                     classes[seen.class].repeat,
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. }
+                    Repeat::Free
+                        | Repeat::Guarded {
+                            scope: Scope::All,
+                            ..
+                        }
                 );
                 assert!(proven || harmless, "refused though it may have run");
             }
@@ -173,7 +259,10 @@
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
             }
             Action::Cancel { call, attempt } => {
-                assert!((attempt as usize) < calls[&call].attempts.len(), "no such attempt")
+                assert!(
+                    (attempt as usize) < calls[&call].attempts.len(),
+                    "no such attempt"
+                )
             }
             _ => {}
         }
@@ -197,7 +286,10 @@
     let mut odd = settings(Repeat::Free);
     odd.balancers = 0;
     odd.limits.max_attempts = 0;
-    odd.tenants = vec![Tenant { share: 0.0, quota: 0.0 }];
+    odd.tenants = vec![Tenant {
+        share: 0.0,
+        quota: 0.0,
+    }];
     odd.rules = Rules {
         cold_share: 0.0,
         cold_time: 0,
@@ -206,7 +298,10 @@
         drain_grace: 0,
         ask_every: 0,
     };
-    let empty = Settings { classes: vec![], ..odd.clone() };
+    let empty = Settings {
+        classes: vec![],
+        ..odd.clone()
+    };
     for settings in [odd, empty] {
         let mut proxy = Proxy::new(settings, 2);
         let times = [0, 1, u64::MAX / 2];
@@ -214,8 +309,14 @@
             let class = ClassId(if i % 2 == 0 { 0 } else { usize::MAX });
             let call = CallId(1_000 + i as u64);
             let tenant = Some(TenantId(i));
-            let event =
-                Event::Request { call, class, tenant, time_left, resent: true, terms: Terms::default() };
+            let event = Event::Request {
+                call,
+                class,
+                tenant,
+                time_left,
+                resent: true,
+                terms: Terms::default(),
+            };
             proxy.event(event.clone());
             proxy.event(event);
             for attempt in [0, 0, 7] {
@@ -224,12 +325,30 @@
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
         proxy.event(Event::Gone { call: CallId(99) });
-        proxy.event(Event::Streaming { call: CallId(99), attempt: 3 });
-        let load = Load { in_hand: Some(f64::NAN), waiting: Some(-1.0), ..Load::default() };
-        proxy.event(Event::Probed { server: ServerId(9), outcome: Outcome::Served, elapsed: 0, load });
+        proxy.event(Event::Streaming {
+            call: CallId(99),
+            attempt: 3,
+        });
+        let load = Load {
+            in_hand: Some(f64::NAN),
+            waiting: Some(-1.0),
+            ..Load::default()
+        };
+        proxy.event(Event::Probed {
+            server: ServerId(9),
+            outcome: Outcome::Served,
+            elapsed: 0,
+            load,
+        });
         proxy.list(ListKind::Full, vec![]);
         proxy.now = u64::MAX - 10;
-        proxy.list(ListKind::Delta, vec![Entry { started: u64::MAX, ..ready(1) }]);
+        proxy.list(
+            ListKind::Delta,
+            vec![Entry {
+                started: u64::MAX,
+                ..ready(1)
+            }],
+        );
         let (call, _) = proxy.call();
         proxy.wait(5);
         proxy.event(Event::Gone { call });
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -4,10 +4,19 @@
 use badgerramp_decisions::*;
 use common::*;
 
-const CELL: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 400 * MS };
+const CELL: Repeat = Repeat::Guarded {
+    scope: Scope::Cell,
+    window: 400 * MS,
+};
 
 fn two_cells() -> Vec<Entry> {
-    (1..=4).map(|i| Entry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
+    (1..=4)
+        .map(|i| Entry {
+            cell: CellId(i % 2),
+            zone: ZoneId(i % 2),
+            ..ready(i)
+        })
+        .collect()
 }
 
 // No lost request.
@@ -18,8 +27,13 @@
         let mut proxy = Proxy::new(settings(repeat), 0);
         let (call, actions) = proxy.call();
         assert!(sent(&actions).is_empty());
-        let after =
-            actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+        let after = actions.iter().find_map(|a| {
+            if let Action::Wake { after } = a {
+                Some(*after)
+            } else {
+                None
+            }
+        });
         let actions = proxy.wait(after.expect("a timer for the held call"));
         assert!(refused(&actions, call), "never sent, so refused");
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
@@ -28,7 +42,11 @@
 
 #[test]
 fn the_deadlines_own_no_answer_ends_the_call() {
-    for (repeat, may_refuse) in [(Repeat::Free, true), (Repeat::SingleShot, false), (CELL, false)] {
+    for (repeat, may_refuse) in [
+        (Repeat::Free, true),
+        (Repeat::SingleShot, false),
+        (CELL, false),
+    ] {
         let mut proxy = Proxy::new(settings(repeat), 1);
         let (call, _) = proxy.call();
         proxy.now += 1_200 * MS;
@@ -54,9 +72,17 @@
 
 #[test]
 fn each_outcome_against_each_kind_of_call() {
-    let guarded = |scope| Repeat::Guarded { scope, window: 400 * MS };
-    let kinds =
-        [Repeat::Free, Repeat::SingleShot, guarded(Scope::All), guarded(Scope::Zone), guarded(Scope::Cell)];
+    let guarded = |scope| Repeat::Guarded {
+        scope,
+        window: 400 * MS,
+    };
+    let kinds = [
+        Repeat::Free,
+        Repeat::SingleShot,
+        guarded(Scope::All),
+        guarded(Scope::Zone),
+        guarded(Scope::Cell),
+    ];
     for repeat in kinds {
         for first in CODES {
             for second in CODES {
@@ -73,7 +99,13 @@
                     continue;
                 }
                 assert_eq!(again.len(), 1, "{repeat:?} after {first:?}");
-                let bound = matches!(repeat, Repeat::Guarded { scope: Scope::Zone | Scope::Cell, .. });
+                let bound = matches!(
+                    repeat,
+                    Repeat::Guarded {
+                        scope: Scope::Zone | Scope::Cell,
+                        ..
+                    }
+                );
                 if bound && !proven {
                     assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
                 }
@@ -81,11 +113,18 @@
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
                 let harmless = match repeat {
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. } => true,
+                    Repeat::Free
+                    | Repeat::Guarded {
+                        scope: Scope::All, ..
+                    } => true,
                     _ => proven && second.never_ran(),
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
-                assert_eq!(refused(&actions, call), harmless, "{repeat:?} {first:?} {second:?}");
+                assert_eq!(
+                    refused(&actions, call),
+                    harmless,
+                    "{repeat:?} {first:?} {second:?}"
+                );
                 assert_eq!(failed(&actions, call), !harmless);
             }
         }
@@ -94,7 +133,13 @@
 
 #[test]
 fn a_guarded_call_does_not_go_again_after_its_window() {
-    let mut proxy = Proxy::new(settings(Repeat::Guarded { scope: Scope::Cell, window: 100 * MS }), 4);
+    let mut proxy = Proxy::new(
+        settings(Repeat::Guarded {
+            scope: Scope::Cell,
+            window: 100 * MS,
+        }),
+        4,
+    );
     let (call, _) = proxy.call();
     proxy.now += 100 * MS;
     let actions = proxy.end(call, 0, Outcome::Error, 100 * MS);
@@ -103,9 +148,11 @@
 
 #[test]
 fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
-    for (repeat, allowed, copies) in
-        [(Repeat::Free, true, 1), (Repeat::Free, false, 0), (Repeat::SingleShot, true, 0)]
-    {
+    for (repeat, allowed, copies) in [
+        (Repeat::Free, true, 1),
+        (Repeat::Free, false, 0),
+        (Repeat::SingleShot, true, 0),
+    ] {
         let mut settings = settings(repeat);
         settings.limits.second_copies = allowed;
         let mut proxy = Proxy::new(settings, 3);
@@ -154,7 +201,11 @@
     let mut proxy = Proxy::new(settings(Repeat::Free), 2);
     proxy.list(ListKind::Full, vec![ready(2)]);
     for _ in 0..50 {
-        assert_eq!(proxy.serve(MS), Some(ServerId(2)), "what a full list leaves out is gone");
+        assert_eq!(
+            proxy.serve(MS),
+            Some(ServerId(2)),
+            "what a full list leaves out is gone"
+        );
     }
 }
 
@@ -167,7 +218,13 @@
         proxy.serve(10 * MS);
     }
     let id = if restart { 1 } else { 4 };
-    proxy.list(ListKind::Delta, vec![Entry { started: proxy.now, ..ready(id) }]);
+    proxy.list(
+        ListKind::Delta,
+        vec![Entry {
+            started: proxy.now,
+            ..ready(id)
+        }],
+    );
     let mut count = 0;
     for _ in 0..600 {
         let (call, actions) = proxy.call();
@@ -188,7 +245,12 @@
 
 #[test]
 fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
-    for outcome in [Outcome::Served, Outcome::TurnedAway, Outcome::Error, Outcome::NoConnection] {
+    for outcome in [
+        Outcome::Served,
+        Outcome::TurnedAway,
+        Outcome::Error,
+        Outcome::NoConnection,
+    ] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
             // A warm server's part of 600 calls is 150 to 300; this one has a tenth to a third of its capacity.
@@ -208,7 +270,12 @@
         let bad = sent(&actions)[0].1 == ServerId(1);
         errors += usize::from(bad);
         proxy.now += 2 * MS;
-        proxy.end(call, 0, if bad { Outcome::Error } else { Outcome::Served }, 2 * MS);
+        proxy.end(
+            call,
+            0,
+            if bad { Outcome::Error } else { Outcome::Served },
+            2 * MS,
+        );
     }
     assert!(errors <= 4, "{errors}");
 }
@@ -225,13 +292,23 @@
         while let Some(server) = at {
             let bad = server == ServerId(1);
             to_bad += usize::from(bad);
-            let end = if bad && to_bad % 3 != 0 { Outcome::Error } else { Outcome::Served };
-            at = sent(&proxy.end(call, attempt, end, 5 * MS)).iter().find(|s| s.0 == call).map(|s| s.1);
+            let end = if bad && to_bad % 3 != 0 {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            };
+            at = sent(&proxy.end(call, attempt, end, 5 * MS))
+                .iter()
+                .find(|s| s.0 == call)
+                .map(|s| s.1);
             attempt += 1;
         }
         assert!(round < 400);
     }
-    assert!(to_bad <= 40, "a healthy one would get 100 or more: {to_bad}");
+    assert!(
+        to_bad <= 40,
+        "a healthy one would get 100 or more: {to_bad}"
+    );
 }
 
 #[test]
@@ -239,7 +316,11 @@
     let mut proxy = Proxy::new(settings(Repeat::SingleShot), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
-        assert_eq!(sent(&actions).len(), 1, "half of the fleet still takes calls");
+        assert_eq!(
+            sent(&actions).len(),
+            1,
+            "half of the fleet still takes calls"
+        );
         proxy.now += 2 * MS;
         proxy.end(call, 0, Outcome::Error, 2 * MS);
     }
@@ -254,38 +335,80 @@
         let (call, actions) = proxy.call();
         early += usize::from(refused(&actions, call));
     }
-    assert!(early > 20, "calls that would wait too long are refused as they come: {early}");
+    assert!(
+        early > 20,
+        "calls that would wait too long are refused as they come: {early}"
+    );
 }
 
 #[test]
 fn calls_of_a_long_aim_do_not_fill_the_hold_before_those_of_a_short_one() {
     let refused_behind = |shorter: Micros| {
         let plain = settings(Repeat::SingleShot);
-        let long = Class { aim: 800 * MS, ..plain.classes[0] };
-        let short = Class { aim: shorter, ..long };
-        let mut proxy = Proxy::new(Settings { classes: vec![long, short], ..plain }, 1);
+        let long = Class {
+            aim: 800 * MS,
+            ..plain.classes[0]
+        };
+        let short = Class {
+            aim: shorter,
+            ..long
+        };
+        let mut proxy = Proxy::new(
+            Settings {
+                classes: vec![long, short],
+                ..plain
+            },
+            1,
+        );
         (0..3).for_each(|_| drop(proxy.call()));
         proxy.now += 30 * MS;
         let (call, actions) = proxy.call();
         refused(&actions, call)
     };
-    assert!(!refused_behind(700 * MS), "30 ms are less than a tenth of the aim");
-    assert!(refused_behind(100 * MS), "the brief ones can wait 10 ms, so the others wait 20 at most");
+    assert!(
+        !refused_behind(700 * MS),
+        "30 ms are less than a tenth of the aim"
+    );
+    assert!(
+        refused_behind(100 * MS),
+        "the brief ones can wait 10 ms, so the others wait 20 at most"
+    );
 }
 
 #[test]
 fn a_lost_subscription_is_asked_for_again_with_a_pause() {
-    let mut proxy = Proxy::new(Settings { ask: true, ..settings(Repeat::Free) }, 2);
+    let mut proxy = Proxy::new(
+        Settings {
+            ask: true,
+            ..settings(Repeat::Free)
+        },
+        2,
+    );
     assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
     let actions = proxy.list(ListKind::Failed, vec![]);
     assert!(!actions.contains(&Action::Subscribe), "not at once");
-    let after = actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
-    assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
-    assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
+    let after = actions.iter().find_map(|a| {
+        if let Action::Wake { after } = a {
+            Some(*after)
+        } else {
+            None
+        }
+    });
+    assert!(proxy
+        .wait(after.expect("a timer"))
+        .contains(&Action::Subscribe));
+    assert_eq!(
+        proxy.serve(MS).map(|s| s.0 <= 2),
+        Some(true),
+        "the old list stands"
+    );
     let mut push = Proxy::new(settings(Repeat::Free), 1);
     push.list(ListKind::Failed, vec![]);
     push.wait(60_000 * MS);
-    assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
+    assert!(
+        !push.actions.contains(&Action::Subscribe),
+        "only where the list must be asked for"
+    );
 }
 
 #[test]
@@ -304,8 +427,15 @@
         while let Some(server) = at {
             let full = server == ServerId(1);
             to_full += usize::from(full);
-            let end = if full { Outcome::TurnedAway } else { Outcome::Served };
-            at = sent(&proxy.end(call, attempt, end, 2 * MS)).iter().find(|s| s.0 == call).map(|s| s.1);
+            let end = if full {
+                Outcome::TurnedAway
+            } else {
+                Outcome::Served
+            };
+            at = sent(&proxy.end(call, attempt, end, 2 * MS))
+                .iter()
+                .find(|s| s.0 == call)
+                .map(|s| s.1);
             attempt += 1;
         }
     }
@@ -323,12 +453,21 @@
         proxy.wait(600 * MS);
     }
     assert_eq!(sent(&proxy.call().1).len(), 1);
-    assert!((0..5).all(|_| sent(&proxy.call().1).is_empty()), "a second call at once would be a trial");
+    assert!(
+        (0..5).all(|_| sent(&proxy.call().1).is_empty()),
+        "a second call at once would be a trial"
+    );
 }
 
 #[test]
 fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 3);
+    let mut proxy = Proxy::new(
+        Settings {
+            balancers: 1,
+            ..settings(Repeat::SingleShot)
+        },
+        3,
+    );
     let mut log = Vec::new();
     for _ in 0..30 {
         // Of the calls at each server the first is answered and the others time out.
@@ -345,21 +484,39 @@
         }
         proxy.wait(600 * MS);
     }
-    let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
+    let failures = log
+        .iter()
+        .filter(|a| matches!(a, Action::Fail { .. }))
+        .count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let aside =
-        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("set aside"))).count();
+    let aside = log
+        .iter()
+        .filter(|a| matches!(a, Action::Log { text } if text.contains("set aside")))
+        .count();
     assert_eq!(aside, 0, "slow, not gone");
 }
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
 fn trial_after(load: Load) -> bool {
-    let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(
+        Settings {
+            balancers: 12,
+            ..settings(Repeat::SingleShot)
+        },
+        1,
+    );
     for _ in 0..40 {
         let (call, _) = proxy.call();
         proxy.now += 40 * MS;
         let (outcome, elapsed) = (Outcome::Served, 40 * MS);
-        proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
+        proxy.event(Event::Outcome {
+            call,
+            attempt: 0,
+            outcome,
+            elapsed,
+            closed: true,
+            load,
+        });
         proxy.wait(100 * MS);
     }
     // What servers told is stale by then: no call is turned back for it.
@@ -370,8 +527,15 @@
 
 #[test]
 fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
-    let busy = |b| Load { busy: Some(b), ..Load::default() };
-    let queue = |w| Load { in_hand: Some(10.0), waiting: Some(w), ..Load::default() };
+    let busy = |b| Load {
+        busy: Some(b),
+        ..Load::default()
+    };
+    let queue = |w| Load {
+        in_hand: Some(10.0),
+        waiting: Some(w),
+        ..Load::default()
+    };
     assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
     assert!(!trial_after(queue(5.5)), "more waiting than in work");
@@ -405,15 +569,27 @@
 fn a_later_try_past_its_aim_does_not_wait_where_others_do() {
     let mut proxy = crowded();
     let (call, actions) = patient(&mut proxy, 1_010, 300 * MS);
-    assert!(!refused(&actions, call), "none has been turned back: this client just waits less");
+    assert!(
+        !refused(&actions, call),
+        "none has been turned back: this client just waits less"
+    );
     proxy.wait(400 * MS);
-    assert!(refused(&proxy.actions, CallId(1_003)), "held until it could no longer be in time");
+    assert!(
+        refused(&proxy.actions, CallId(1_003)),
+        "held until it could no longer be in time"
+    );
     let (waiting, _) = patient(&mut proxy, 1_020, 1_200 * MS);
     proxy.now += 10 * MS;
     let (call, actions) = patient(&mut proxy, 1_021, 1_190 * MS);
-    assert!(!refused(&actions, call) && !refused(&actions, waiting), "as patient as the others");
+    assert!(
+        !refused(&actions, call) && !refused(&actions, waiting),
+        "as patient as the others"
+    );
     let (call, actions) = patient(&mut proxy, 1_022, 300 * MS);
-    assert!(refused(&actions, call), "the 900 ms that are gone are more than its aim");
+    assert!(
+        refused(&actions, call),
+        "the 900 ms that are gone are more than its aim"
+    );
 }
 
 #[test]
@@ -422,7 +598,13 @@
     patient(&mut proxy, 1_001, 1_200 * MS);
     proxy.end(CallId(1_001), 0, Outcome::Error, MS);
     let until = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Send { until, .. } = a { Some(*until) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Send { until, .. } = a {
+                Some(*until)
+            } else {
+                None
+            }
+        })
     };
     // 400 ms are gone: 100 are left to the aim, less than a usual answer time.
     let (_, actions) = patient(&mut proxy, 1_010, 800 * MS);
--- a/crates/decisions/tests/settings_keys.rs
+++ b/crates/decisions/tests/settings_keys.rs
@@ -55,11 +55,13 @@
 
 fn paths(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
-        Value::Object(table) => {
-            table.iter().for_each(|(key, inner)| paths(inner, &format!("{at}/{key}"), found))
-        }
+        Value::Object(table) => table
+            .iter()
+            .for_each(|(key, inner)| paths(inner, &format!("{at}/{key}"), found)),
         Value::Array(list) if list.iter().any(Value::is_object) => {
-            list.iter().enumerate().for_each(|(place, inner)| paths(inner, &format!("{at}/{place}"), found));
+            list.iter()
+                .enumerate()
+                .for_each(|(place, inner)| paths(inner, &format!("{at}/{place}"), found));
         }
         _ => found.push(at.to_owned()),
     }
@@ -76,14 +78,21 @@
         let mut changed = full.clone();
         let value = changed.pointer_mut(path).expect("it is there");
         *value = other(value);
-        assert_ne!(settings::read(&changed).expect("good settings"), read, "{path}");
+        assert_ne!(
+            settings::read(&changed).expect("good settings"),
+            read,
+            "{path}"
+        );
     }
 }
 
 #[test]
 fn every_word_of_the_settings_means_something_of_its_own() {
     for (path, words) in [
-        ("/classes/0/idempotency", &["free", "guarded", "single_shot"][..]),
+        (
+            "/classes/0/idempotency",
+            &["free", "guarded", "single_shot"][..],
+        ),
         ("/classes/0/dedup_scope", &["all", "zone", "cell"][..]),
         ("/report/how", &["inline", "on_probe", "off"][..]),
         ("/weight_source", &["nominal", "rough", "live", "off"][..]),
@@ -96,7 +105,11 @@
         });
         let read: Vec<_> = read.collect();
         for (place, one) in read.iter().enumerate() {
-            assert!(read[place + 1..].iter().all(|another| another != one), "{path}: {}", words[place]);
+            assert!(
+                read[place + 1..].iter().all(|another| another != one),
+                "{path}: {}",
+                words[place]
+            );
         }
     }
 }
--- a/crates/decisions/tests/sparse.rs
+++ b/crates/decisions/tests/sparse.rs
@@ -8,14 +8,27 @@
 
 /// A thousand balancers; probes tell what a server holds and cost little.
 fn many(probed: bool) -> Settings {
-    let how = if probed { Reporting::OnProbe } else { Reporting::Off };
-    let limits = Limits { probes: true, ..settings(Repeat::Free).limits };
+    let how = if probed {
+        Reporting::OnProbe
+    } else {
+        Reporting::Off
+    };
+    let limits = Limits {
+        probes: true,
+        ..settings(Repeat::Free).limits
+    };
     Settings {
         balancers: 1_000,
         zone: HERE,
         limits,
-        reports: Reports { how, in_hand: probed },
-        charges: Charges { probe: 0.01, ..Charges::default() },
+        reports: Reports {
+            how,
+            in_hand: probed,
+        },
+        charges: Charges {
+            probe: 0.01,
+            ..Charges::default()
+        },
         ..settings(Repeat::Free)
     }
 }
@@ -23,14 +36,32 @@
 fn probes(actions: &[Action]) -> Vec<ServerId> {
     actions
         .iter()
-        .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
+        .filter_map(|a| {
+            if let Action::Probe { server } = a {
+                Some(*server)
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
 fn tell(proxy: &mut Proxy, server: ServerId, in_hand: Option<f64>) -> Vec<Action> {
-    let load = Load { in_hand, ..Load::default() };
-    let outcome = if in_hand.is_some() { Outcome::Served } else { Outcome::TimedOut };
-    proxy.event(Event::Probed { server, outcome, elapsed: MS, load })
+    let load = Load {
+        in_hand,
+        ..Load::default()
+    };
+    let outcome = if in_hand.is_some() {
+        Outcome::Served
+    } else {
+        Outcome::TimedOut
+    };
+    proxy.event(Event::Probed {
+        server,
+        outcome,
+        elapsed: MS,
+        load,
+    })
 }
 
 #[test]
@@ -45,8 +76,14 @@
         );
         proxy.now += MS;
         let heavier = 1 - lighter;
-        assert!(sent(&tell(&mut proxy, asked[heavier], Some(3.0))).is_empty(), "it waits for the other");
-        assert_eq!(sent(&tell(&mut proxy, asked[lighter], Some(1.0))), [(call, asked[lighter])]);
+        assert!(
+            sent(&tell(&mut proxy, asked[heavier], Some(3.0))).is_empty(),
+            "it waits for the other"
+        );
+        assert_eq!(
+            sent(&tell(&mut proxy, asked[lighter], Some(1.0))),
+            [(call, asked[lighter])]
+        );
     }
 }
 
@@ -54,24 +91,45 @@
 /// answers that it has nothing in hand.
 #[test]
 fn a_server_that_starts_anew_while_it_is_asked_gets_no_call_for_it() {
-    let rules = Rules { cold_share: 0.5, ..many(true).rules };
-    let mut proxy = Proxy::new(Settings { rules, ..many(true) }, 6);
+    let rules = Rules {
+        cold_share: 0.5,
+        ..many(true).rules
+    };
+    let mut proxy = Proxy::new(
+        Settings {
+            rules,
+            ..many(true)
+        },
+        6,
+    );
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
-    let anew = Entry { started: proxy.now, ..ready(asked[0].0) };
+    let anew = Entry {
+        started: proxy.now,
+        ..ready(asked[0].0)
+    };
     proxy.list(ListKind::Delta, vec![anew]);
     proxy.now += MS;
     tell(&mut proxy, asked[0], Some(0.0));
-    assert_eq!(sent(&tell(&mut proxy, asked[1], Some(3.0))), [(call, asked[1])]);
+    assert_eq!(
+        sent(&tell(&mut proxy, asked[1], Some(3.0))),
+        [(call, asked[1])]
+    );
 }
 
 #[test]
 fn nothing_is_asked_where_servers_outnumber_balancers_or_tell_nothing() {
-    let few = Settings { balancers: 3, ..many(true) };
+    let few = Settings {
+        balancers: 3,
+        ..many(true)
+    };
     for settings in [few, many(false)] {
         let mut proxy = Proxy::new(settings, 6);
         let (_, actions) = proxy.call();
-        assert!(probes(&actions).is_empty() && sent(&actions).len() == 1, "{actions:?}");
+        assert!(
+            probes(&actions).is_empty() && sent(&actions).len() == 1,
+            "{actions:?}"
+        );
     }
 }
 
@@ -82,12 +140,19 @@
     let asked = probes(&actions);
     proxy.now += MS;
     tell(&mut proxy, asked[1], Some(4.0));
-    assert_eq!(sent(&proxy.wait(50 * MS)), [(call, asked[1])], "not later than a small share of the aim");
+    assert_eq!(
+        sent(&proxy.wait(50 * MS)),
+        [(call, asked[1])],
+        "not later than a small share of the aim"
+    );
     let mut proxy = Proxy::new(many(true), 6);
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
     tell(&mut proxy, asked[0], None);
-    assert_eq!(sent(&tell(&mut proxy, asked[1], Some(4.0))), [(call, asked[1])]);
+    assert_eq!(
+        sent(&tell(&mut proxy, asked[1], Some(4.0))),
+        [(call, asked[1])]
+    );
 }
 
 #[test]
@@ -97,15 +162,26 @@
     let end = proxy.now + 1_200 * MS;
     let mut rounds = 0;
     while !refused(&proxy.actions, call) && proxy.now < end {
-        assert!(sent(&proxy.actions).is_empty(), "{} {:?}", proxy.now, proxy.actions);
+        assert!(
+            sent(&proxy.actions).is_empty(),
+            "{} {:?}",
+            proxy.now,
+            proxy.actions
+        );
         for server in probes(&actions) {
             rounds += 1;
             tell(&mut proxy, server, Some(1_000.0));
         }
         actions = proxy.wait(5 * MS);
     }
-    assert!(refused(&proxy.actions, call), "refused before its client gives up");
-    assert!((4..=40).contains(&rounds), "waits double between: {rounds} probes");
+    assert!(
+        refused(&proxy.actions, call),
+        "refused before its client gives up"
+    );
+    assert!(
+        (4..=40).contains(&rounds),
+        "waits double between: {rounds} probes"
+    );
 }
 
 #[test]
@@ -117,7 +193,10 @@
         tell(&mut proxy, server, Some(told));
     }
     proxy.wait(50 * MS);
-    assert_eq!(sent(&proxy.actions).iter().filter(|s| s.0 == call).count(), 1);
+    assert_eq!(
+        sent(&proxy.actions).iter().filter(|s| s.0 == call).count(),
+        1
+    );
 }
 
 #[test]
@@ -144,7 +223,10 @@
     assert_eq!(round(&mut proxy, Outcome::Served, 40 * MS), 150);
     round(&mut proxy, Outcome::TimedOut, 500 * MS);
     let jammed = round(&mut proxy, Outcome::TimedOut, 500 * MS);
-    assert!((1..=50).contains(&jammed), "some must tell when it is over: {jammed}");
+    assert!(
+        (1..=50).contains(&jammed),
+        "some must tell when it is over: {jammed}"
+    );
     round(&mut proxy, Outcome::Served, 40 * MS);
     assert!(round(&mut proxy, Outcome::Served, 40 * MS) > 140);
 }
@@ -153,7 +235,15 @@
 fn ties_between_servers_never_met_go_to_the_kind_that_answers_sooner() {
     let mut proxy = Proxy::new(many(false), 0);
     let kind = |i: u32| KindId(i % 2);
-    proxy.list(ListKind::Full, (1..=200).map(|i| Entry { kind: kind(i), ..ready(i) }).collect());
+    proxy.list(
+        ListKind::Full,
+        (1..=200)
+            .map(|i| Entry {
+                kind: kind(i),
+                ..ready(i)
+            })
+            .collect(),
+    );
     let mut quick = 0;
     for n in 0..120 {
         let (call, actions) = proxy.call();
@@ -164,7 +254,10 @@
         proxy.now += elapsed;
         proxy.end(call, 0, Outcome::Served, elapsed);
     }
-    assert!((53..80).contains(&quick), "two random ones are of one kind half the time: {quick} of 80");
+    assert!(
+        (53..80).contains(&quick),
+        "two random ones are of one kind half the time: {quick} of 80"
+    );
 }
 
 /// What each does is harmless: it keeps to its own zone while that has room. Together the proxies of a zone that
@@ -174,10 +267,27 @@
     let zone = |i: u32| ZoneId(i % 3 + 1);
     let mut went = [0; 3];
     for seed in 0..300 {
-        let charges = Charges { cross_zone: 0.1, ..Charges::default() };
+        let charges = Charges {
+            cross_zone: 0.1,
+            ..Charges::default()
+        };
         let mut proxy = Proxy::new(many(false), 0);
-        proxy.balancer = Balancer::new(seed, Settings { charges, ..many(false) });
-        proxy.list(ListKind::Full, (0..90).map(|i| Entry { zone: zone(i), ..ready(i) }).collect());
+        proxy.balancer = Balancer::new(
+            seed,
+            Settings {
+                charges,
+                ..many(false)
+            },
+        );
+        proxy.list(
+            ListKind::Full,
+            (0..90)
+                .map(|i| Entry {
+                    zone: zone(i),
+                    ..ready(i)
+                })
+                .collect(),
+        );
         let served = (0..20).filter_map(|_| proxy.serve(40 * MS));
         served.for_each(|server| went[(zone(server.0).0 - 1) as usize] += 1);
     }
@@ -192,9 +302,19 @@
         let mut balancer = Balancer::new(seed, many(false));
         let mut actions = Vec::new();
         let mut entries: Vec<Entry> = (1..=9).map(ready).collect();
-        entries.push(Entry { started: 1_000_000, ..ready(10) });
+        entries.push(Entry {
+            started: 1_000_000,
+            ..ready(10)
+        });
         balancer.handle(1_000_001, Event::Start, &mut actions);
-        balancer.handle(1_000_001, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+        balancer.handle(
+            1_000_001,
+            Event::Members {
+                kind: ListKind::Full,
+                entries,
+            },
+            &mut actions,
+        );
         let (call, class) = (CallId(1), ClassId(0));
         let event = Event::Request {
             call,
@@ -205,7 +325,10 @@
             terms: Terms::default(),
         };
         balancer.handle(1_000_002, event, &mut actions);
-        cold += sent(&actions).iter().filter(|s| s.1 == ServerId(10)).count();
+        cold += sent(&actions)
+            .iter()
+            .filter(|s| s.1 == ServerId(10))
+            .count();
     }
     // A tenth of a tenth of the capacity is there: 11 of 1,000 calls, where an even share were 100.
     assert!((3..=30).contains(&cold), "{cold}");
@@ -249,12 +372,17 @@
         std::collections::BTreeSet::from_iter(used)
     };
     let (one, other) = (few(1), few(2));
-    assert!(one.len() <= 12 && other.len() <= 12, "connections are kept, not opened for each call: {one:?}");
+    assert!(
+        one.len() <= 12 && other.len() <= 12,
+        "connections are kept, not opened for each call: {one:?}"
+    );
     assert_ne!(one, other);
     // Many calls at once find those few at their budgets, and go beyond.
     let mut proxy = Proxy::new(many(false), 60);
-    let went: std::collections::BTreeSet<ServerId> =
-        (0..40).flat_map(|_| sent(&proxy.call().1)).map(|s| s.1).collect();
+    let went: std::collections::BTreeSet<ServerId> = (0..40)
+        .flat_map(|_| sent(&proxy.call().1))
+        .map(|s| s.1)
+        .collect();
     assert_eq!(went.len(), 40, "a hot balancer starves at no subset");
 }
 
@@ -265,7 +393,9 @@
     let went = |settings: Settings, crowding: f64, pause: Micros| {
         let mut proxy = Proxy::new(settings, 30);
         let answer = |proxy: &mut Proxy, actions: &[Action], call| {
-            let Some(&(_, _)) = sent(actions).first() else { return false };
+            let Some(&(_, _)) = sent(actions).first() else {
+                return false;
+            };
             proxy.now += 40 * MS;
             let load = Load {
                 in_hand: Some(4.0 * (1.0 + crowding)),
@@ -273,7 +403,14 @@
                 ..Load::default()
             };
             let (attempt, outcome, elapsed) = (0, Outcome::Served, 40 * MS);
-            proxy.event(Event::Outcome { call, attempt, outcome, elapsed, closed: true, load });
+            proxy.event(Event::Outcome {
+                call,
+                attempt,
+                outcome,
+                elapsed,
+                closed: true,
+                load,
+            });
             true
         };
         // The last of them has just been answered.
@@ -294,10 +431,28 @@
         went
     };
     assert_eq!(went(many(false), 0.0, 0), 20);
-    assert!((2..=18).contains(&went(many(false), 1.0, 0)), "{}", went(many(false), 1.0, 0));
+    assert!(
+        (2..=18).contains(&went(many(false), 1.0, 0)),
+        "{}",
+        went(many(false), 1.0, 0)
+    );
     assert!(went(many(false), 3.0, 0) <= 1);
-    assert_eq!(went(many(false), 3.0, 5_000 * MS), 20, "it is found out when the crowd has gone");
-    assert_eq!(went(Settings { balancers: 3, ..many(false) }, 3.0, 0), 20);
+    assert_eq!(
+        went(many(false), 3.0, 5_000 * MS),
+        20,
+        "it is found out when the crowd has gone"
+    );
+    assert_eq!(
+        went(
+            Settings {
+                balancers: 3,
+                ..many(false)
+            },
+            3.0,
+            0
+        ),
+        20
+    );
 }
 
 #[test]
@@ -307,10 +462,20 @@
         let (call, actions) = proxy.call();
         if !sent(&actions).is_empty() {
             proxy.now += 40 * MS;
-            let load = Load { in_hand: Some(16.0), waiting: Some(12.0), ..Load::default() };
+            let load = Load {
+                in_hand: Some(16.0),
+                waiting: Some(12.0),
+                ..Load::default()
+            };
             let (attempt, outcome, elapsed) = (0, Outcome::Error, 40 * MS);
-            let actions =
-                proxy.event(Event::Outcome { call, attempt, outcome, elapsed, closed: false, load });
+            let actions = proxy.event(Event::Outcome {
+                call,
+                attempt,
+                outcome,
+                elapsed,
+                closed: false,
+                load,
+            });
             assert_eq!(sent(&actions).len(), 1, "it goes again: {actions:?}");
         }
         proxy.now += 300 * MS;
--- a/crates/decisions/tests/terms.rs
+++ b/crates/decisions/tests/terms.rs
@@ -5,22 +5,51 @@
 use common::*;
 
 fn with_copies(repeat: Repeat) -> Settings {
-    let limits = Limits { second_copies: true, max_attempts: 5, ..Settings::default().limits };
-    Settings { limits, ..settings(repeat) }
+    let limits = Limits {
+        second_copies: true,
+        max_attempts: 5,
+        ..Settings::default().limits
+    };
+    Settings {
+        limits,
+        ..settings(repeat)
+    }
 }
 
 fn call_with(proxy: &mut Proxy, number: u64, terms: Terms) -> (CallId, Vec<Action>) {
     let call = CallId(1_000 + number);
     let (class, time_left) = (ClassId(0), 1_200 * MS);
-    (call, proxy.event(Event::Request { call, class, tenant: None, time_left, resent: false, terms }))
+    (
+        call,
+        proxy.event(Event::Request {
+            call,
+            class,
+            tenant: None,
+            time_left,
+            resent: false,
+            terms,
+        }),
+    )
 }
 
 fn until(actions: &[Action]) -> Option<Micros> {
-    actions.iter().find_map(|a| if let Action::Send { until, .. } = a { *until } else { None })
+    actions.iter().find_map(|a| {
+        if let Action::Send { until, .. } = a {
+            *until
+        } else {
+            None
+        }
+    })
 }
 
 fn wake(actions: &[Action]) -> Micros {
-    let after = actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+    let after = actions.iter().find_map(|a| {
+        if let Action::Wake { after } = a {
+            Some(*after)
+        } else {
+            None
+        }
+    });
     after.expect("a timer")
 }
 
@@ -28,7 +57,14 @@
 fn attempts_are_as_many_as_the_call_is_given() {
     for most in 1..=4 {
         let mut proxy = Proxy::new(settings(Repeat::Free), 6);
-        let (call, actions) = call_with(&mut proxy, 0, Terms { attempts: most, ..Terms::default() });
+        let (call, actions) = call_with(
+            &mut proxy,
+            0,
+            Terms {
+                attempts: most,
+                ..Terms::default()
+            },
+        );
         assert_eq!(sent(&actions).len(), 1);
         let mut count = 1;
         while count <= 5 {
@@ -45,41 +81,97 @@
 /// The site's own limit holds whatever a call is given.
 #[test]
 fn a_call_widens_nothing() {
-    let limits = Limits { max_attempts: 1, second_copies: false, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::Free) }, 4);
-    let terms = Terms { attempts: 9, hedge: Hedge::After(10 * MS), ..Terms::default() };
+    let limits = Limits {
+        max_attempts: 1,
+        second_copies: false,
+        ..Settings::default().limits
+    };
+    let mut proxy = Proxy::new(
+        Settings {
+            limits,
+            ..settings(Repeat::Free)
+        },
+        4,
+    );
+    let terms = Terms {
+        attempts: 9,
+        hedge: Hedge::After(10 * MS),
+        ..Terms::default()
+    };
     let (call, actions) = call_with(&mut proxy, 0, terms);
     assert_eq!(sent(&actions).len(), 1);
     assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no second copy");
-    assert!(refused(&proxy.end(call, 0, Outcome::Error, 1), call), "no second attempt");
+    assert!(
+        refused(&proxy.end(call, 0, Outcome::Error, 1), call),
+        "no second attempt"
+    );
 }
 
 #[test]
 fn an_attempt_ends_in_its_own_time_or_the_aims() {
     let mut proxy = Proxy::new(settings(Repeat::Free), 4);
-    let (_, actions) = call_with(&mut proxy, 0, Terms { attempt_time: 70 * MS, ..Terms::default() });
+    let (_, actions) = call_with(
+        &mut proxy,
+        0,
+        Terms {
+            attempt_time: 70 * MS,
+            ..Terms::default()
+        },
+    );
     assert_eq!(until(&actions), Some(proxy.now + 70 * MS));
-    let (_, actions) = call_with(&mut proxy, 1, Terms { attempt_time: 900 * MS, ..Terms::default() });
-    assert_eq!(until(&actions), Some(proxy.now + 500 * MS), "its aim comes first");
+    let (_, actions) = call_with(
+        &mut proxy,
+        1,
+        Terms {
+            attempt_time: 900 * MS,
+            ..Terms::default()
+        },
+    );
+    assert_eq!(
+        until(&actions),
+        Some(proxy.now + 500 * MS),
+        "its aim comes first"
+    );
 }
 
 #[test]
 fn a_backoff_is_kept_and_the_call_goes_on_after_it() {
     let mut proxy = Proxy::new(settings(Repeat::Free), 4);
-    let (call, _) = call_with(&mut proxy, 0, Terms { backoff: 40 * MS, ..Terms::default() });
+    let (call, _) = call_with(
+        &mut proxy,
+        0,
+        Terms {
+            backoff: 40 * MS,
+            ..Terms::default()
+        },
+    );
     let actions = proxy.end(call, 0, Outcome::Error, 1);
     assert!(sent(&actions).is_empty(), "it pauses");
     assert!(sent(&proxy.wait(39 * MS)).is_empty(), "still");
     assert_eq!(sent(&proxy.wait(MS)).len(), 1);
     // One that could not be served in time after its pause is given up before it.
-    let (late, _) = call_with(&mut proxy, 1, Terms { backoff: 490 * MS, ..Terms::default() });
+    let (late, _) = call_with(
+        &mut proxy,
+        1,
+        Terms {
+            backoff: 490 * MS,
+            ..Terms::default()
+        },
+    );
     assert!(refused(&proxy.end(late, 0, Outcome::Error, 1), late));
 }
 
 #[test]
 fn a_client_that_leaves_ends_a_pause() {
     let mut proxy = Proxy::new(settings(Repeat::Free), 4);
-    let (call, _) = call_with(&mut proxy, 0, Terms { backoff: 40 * MS, ..Terms::default() });
+    let (call, _) = call_with(
+        &mut proxy,
+        0,
+        Terms {
+            backoff: 40 * MS,
+            ..Terms::default()
+        },
+    );
     proxy.end(call, 0, Outcome::Error, 1);
     proxy.event(Event::Gone { call });
     assert!(sent(&proxy.wait(100 * MS)).is_empty());
@@ -89,12 +181,22 @@
 fn a_second_copy_goes_when_it_is_set_to_and_never_for_what_may_not_repeat() {
     for (repeat, copies) in [(Repeat::Free, 1), (Repeat::SingleShot, 0)] {
         let mut proxy = Proxy::new(with_copies(repeat), 4);
-        let terms = Terms { hedge: Hedge::After(60 * MS), ..Terms::default() };
+        let terms = Terms {
+            hedge: Hedge::After(60 * MS),
+            ..Terms::default()
+        };
         let (_, actions) = call_with(&mut proxy, 0, terms);
         assert_eq!(wake(&actions), 60 * MS);
         assert!(sent(&proxy.wait(59 * MS)).is_empty());
         assert_eq!(sent(&proxy.wait(MS)).len(), copies, "{repeat:?}");
-        let (_, _) = call_with(&mut proxy, 1, Terms { hedge: Hedge::Never, ..Terms::default() });
+        let (_, _) = call_with(
+            &mut proxy,
+            1,
+            Terms {
+                hedge: Hedge::Never,
+                ..Terms::default()
+            },
+        );
         assert!(sent(&proxy.wait(499 * MS)).is_empty(), "none is wanted");
     }
 }
@@ -104,11 +206,19 @@
     let mut proxy = Proxy::new(with_copies(Repeat::Free), 4);
     for n in 0..100 {
         // Nine of ten answers come in 20 ms, the others in 100.
-        proxy.serve(if n % 10 == 9 { 100 * MS } else { 20 * MS }).expect("it is sent");
+        proxy
+            .serve(if n % 10 == 9 { 100 * MS } else { 20 * MS })
+            .expect("it is sent");
     }
     let mut after = |number, share| {
-        let (call, _) =
-            call_with(&mut proxy, number, Terms { hedge: Hedge::Share(share), ..Terms::default() });
+        let (call, _) = call_with(
+            &mut proxy,
+            number,
+            Terms {
+                hedge: Hedge::Share(share),
+                ..Terms::default()
+            },
+        );
         let asked = proxy.now;
         while sent(&proxy.wait(MS)).is_empty() {
             assert!(proxy.now < asked + 500 * MS, "no second copy");
@@ -124,7 +234,10 @@
 
 #[test]
 fn what_may_have_run_is_kept_back_where_only_the_rest_may_go_again() {
-    let terms = Terms { resend: Resend::NeverRan, ..Terms::default() };
+    let terms = Terms {
+        resend: Resend::NeverRan,
+        ..Terms::default()
+    };
     let mut proxy = Proxy::new(settings(Repeat::Free), 6);
     let (call, _) = call_with(&mut proxy, 0, terms);
     assert_eq!(sent(&proxy.end(call, 0, Outcome::NoConnection, 1)).len(), 1);
@@ -134,9 +247,16 @@
 /// The key that a guarded class goes by is missing: no host could tell its repeat.
 #[test]
 fn a_call_without_its_key_is_unsafe_whatever_its_class() {
-    let guarded = Repeat::Guarded { scope: Scope::All, window: 400 * MS };
+    let guarded = Repeat::Guarded {
+        scope: Scope::All,
+        window: 400 * MS,
+    };
     let mut proxy = Proxy::new(with_copies(guarded), 6);
-    let terms = Terms { once: true, hedge: Hedge::After(10 * MS), ..Terms::default() };
+    let terms = Terms {
+        once: true,
+        hedge: Hedge::After(10 * MS),
+        ..Terms::default()
+    };
     let (call, _) = call_with(&mut proxy, 0, terms);
     assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no second copy");
     let actions = proxy.end(call, 0, Outcome::Reset, 1);
@@ -148,11 +268,25 @@
     let mut proxy = Proxy::new(settings(Repeat::Free), 4);
     let (call, _) = proxy.call();
     let mut changed = settings(Repeat::SingleShot);
-    changed.classes.push(Class { aim: 100 * MS, deadline: 200 * MS, ..changed.classes[0] });
-    proxy.event(Event::Reconfigure { settings: Box::new(changed), fresh: vec![ClassId(0)] });
-    assert_eq!(sent(&proxy.end(call, 0, Outcome::Error, 1)).len(), 1, "it was harmless when it came");
+    changed.classes.push(Class {
+        aim: 100 * MS,
+        deadline: 200 * MS,
+        ..changed.classes[0]
+    });
+    proxy.event(Event::Reconfigure {
+        settings: Box::new(changed),
+        fresh: vec![ClassId(0)],
+    });
+    assert_eq!(
+        sent(&proxy.end(call, 0, Outcome::Error, 1)).len(),
+        1,
+        "it was harmless when it came"
+    );
     let (call, _) = proxy.call();
-    assert!(failed(&proxy.end(call, 0, Outcome::Error, 1), call), "this one is not");
+    assert!(
+        failed(&proxy.end(call, 0, Outcome::Error, 1), call),
+        "this one is not"
+    );
     let (call, actions) = proxy.call_of(1);
     assert_eq!(sent(&actions).len(), 1, "a class that is new");
     assert!(failed(&proxy.end(call, 0, Outcome::Error, 1), call));
@@ -162,16 +296,50 @@
 #[test]
 fn open_calls_keep_the_attempts_and_copies_they_came_with() {
     let mut proxy = Proxy::new(with_copies(Repeat::Free), 4);
-    let (tried, _) = call_with(&mut proxy, 0, Terms { attempts: 3, ..Terms::default() });
-    let (hedged, _) = call_with(&mut proxy, 1, Terms { hedge: Hedge::After(60 * MS), ..Terms::default() });
-    let limits = Limits { max_attempts: 1, second_copies: false, ..Settings::default().limits };
-    let changed = Settings { limits, ..settings(Repeat::Free) };
-    proxy.event(Event::Reconfigure { settings: Box::new(changed), fresh: Vec::new() });
+    let (tried, _) = call_with(
+        &mut proxy,
+        0,
+        Terms {
+            attempts: 3,
+            ..Terms::default()
+        },
+    );
+    let (hedged, _) = call_with(
+        &mut proxy,
+        1,
+        Terms {
+            hedge: Hedge::After(60 * MS),
+            ..Terms::default()
+        },
+    );
+    let limits = Limits {
+        max_attempts: 1,
+        second_copies: false,
+        ..Settings::default().limits
+    };
+    let changed = Settings {
+        limits,
+        ..settings(Repeat::Free)
+    };
+    proxy.event(Event::Reconfigure {
+        settings: Box::new(changed),
+        fresh: Vec::new(),
+    });
     assert_eq!(sent(&proxy.end(tried, 0, Outcome::Error, 1)).len(), 1);
     let copies = proxy.wait(60 * MS);
     assert_eq!(sent(&copies).iter().filter(|s| s.0 == hedged).count(), 1);
-    let (call, _) = call_with(&mut proxy, 2, Terms { attempts: 3, ..Terms::default() });
-    assert!(refused(&proxy.end(call, 0, Outcome::Error, 1), call), "a new one is the site's");
+    let (call, _) = call_with(
+        &mut proxy,
+        2,
+        Terms {
+            attempts: 3,
+            ..Terms::default()
+        },
+    );
+    assert!(
+        refused(&proxy.end(call, 0, Outcome::Error, 1), call),
+        "a new one is the site's"
+    );
 }
 
 /// Calls that wait in the hold when their class goes are answered all the same.
@@ -181,7 +349,10 @@
     let (call, _) = proxy.call();
     let mut changed = settings(Repeat::SingleShot);
     changed.classes[0].aim = 50 * MS;
-    proxy.event(Event::Reconfigure { settings: Box::new(changed), fresh: vec![ClassId(0)] });
+    proxy.event(Event::Reconfigure {
+        settings: Box::new(changed),
+        fresh: vec![ClassId(0)],
+    });
     let actions = proxy.list(ListKind::Full, vec![ready(1)]);
     assert_eq!(sent(&actions).iter().filter(|s| s.0 == call).count(), 1);
     let actions = proxy.end(call, 0, Outcome::Error, 1);
@@ -193,12 +364,22 @@
 #[test]
 fn a_keyed_call_that_goes_again_must_start_within_its_window() {
     let start_by = |actions: &[Action]| {
-        actions
-            .iter()
-            .find_map(|a| if let Action::Send { start_by, .. } = a { Some(*start_by) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Send { start_by, .. } = a {
+                Some(*start_by)
+            } else {
+                None
+            }
+        })
     };
     let window = 800 * MS;
-    let mut proxy = Proxy::new(settings(Repeat::Guarded { scope: Scope::All, window }), 4);
+    let mut proxy = Proxy::new(
+        settings(Repeat::Guarded {
+            scope: Scope::All,
+            window,
+        }),
+        4,
+    );
     let (call, actions) = call_with(&mut proxy, 0, Terms::default());
     assert_eq!(start_by(&actions), Some(None), "nothing binds the first");
     let first = proxy.now;
--- a/crates/decisions/tests/tree.rs
+++ b/crates/decisions/tests/tree.rs
@@ -10,5 +10,10 @@
     assert!(lines <= 1_200, "{lines} lines that are not blank");
     let wide: Vec<&str> = text.lines().filter(|l| l.chars().count() > 110).collect();
     assert!(wide.is_empty(), "{wide:#?}");
-    assert!(text.lines().next().is_some_and(|l| l.contains("src/api.rs")), "the top names the interface");
+    assert!(
+        text.lines()
+            .next()
+            .is_some_and(|l| l.contains("src/api.rs")),
+        "the top names the interface"
+    );
 }
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -65,15 +65,40 @@
     let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
     let program = program.to_str().ok_or("this program's path is no text")?;
     let ledger = Arc::new(Ledger::default());
-    let model = |seed| Model { work: Duration::from_millis(20), seed, ..Model::default() };
-    let fails = Fault::FailsFast { share: 0.6, from: time.mul_f64(0.2), until: time.mul_f64(0.6) };
-    let stalls = Fault::Stalls { every: Duration::from_secs(3), pause: Duration::from_millis(300) };
+    let model = |seed| Model {
+        work: Duration::from_millis(20),
+        seed,
+        ..Model::default()
+    };
+    let fails = Fault::FailsFast {
+        share: 0.6,
+        from: time.mul_f64(0.2),
+        until: time.mul_f64(0.6),
+    };
+    let stalls = Fault::Stalls {
+        every: Duration::from_secs(3),
+        pause: Duration::from_millis(300),
+    };
     let member = |name, group, model| Member::start(name, group, model, &ledger);
     let mut members = vec![
         member("steady-1", 1, model(1)),
         member("steady-2", 1, model(2)),
-        member("fails-fast", 2, Model { faults: vec![fails], ..model(3) }),
-        member("stalls", 2, Model { faults: vec![stalls], ..model(4) }),
+        member(
+            "fails-fast",
+            2,
+            Model {
+                faults: vec![fails],
+                ..model(3)
+            },
+        ),
+        member(
+            "stalls",
+            2,
+            Model {
+                faults: vec![stalls],
+                ..model(4)
+            },
+        ),
         member("drains", 1, model(5)),
     ];
     let catalog = Catalog::start(members.iter().map(|m| listed(m, "up")).collect());
@@ -88,7 +113,10 @@
     };
     let course = Course {
         to: proxy.address,
-        kinds: vec![kind("registro-entrada", 1_200, true, 24), kind("cobro-mensual", 1_500, false, 16)],
+        kinds: vec![
+            kind("registro-entrada", 1_200, true, 24),
+            kind("cobro-mensual", 1_500, false, 16),
+        ],
         time,
         most: REQUESTS_MOST,
     };
@@ -119,7 +147,10 @@
             (true, _) => "a cold host has come",
             _ => "five hosts",
         };
-        println!("{:>4.0} s  {answered:>6} answered  {what}", gone.as_secs_f64());
+        println!(
+            "{:>4.0} s  {answered:>6} answered  {what}",
+            gone.as_secs_f64()
+        );
         let _ = std::io::stdout().flush();
     });
     let tally = ledger.tally();
@@ -133,7 +164,11 @@
         "class", "sent", "served", "refused", "failed", "owed", "attempts", "p50 ms", "p99 ms"
     );
     for (kind, totals) in result {
-        let attempts = tally.attempts.iter().find(|a| a.0 == kind.class).map_or(0, |a| a.1);
+        let attempts = tally
+            .attempts
+            .iter()
+            .find(|a| a.0 == kind.class)
+            .map_or(0, |a| a.1);
         let ms = |share| totals.within(share).as_secs_f64() * 1e3;
         println!(
             "{:<18}{:>8}{:>8}{:>8}{:>8}{:>8}{attempts:>10}{:>9.1}{:>9.1}",
@@ -162,12 +197,30 @@
         }
     };
     rule(tally.charged_twice as u64, "charges were executed twice");
-    rule(tally.keys_twice as u64, "keyed requests were executed twice");
-    rule(result.iter().map(|r| r.1.owed).sum(), "requests have no final answer in their client's time");
-    let charges = result.iter().filter(|r| !r.0.keyed).flat_map(|r| &r.1.refused_names);
-    rule(charges.filter(|name| ledger.charged(name)).count() as u64, "charges were refused though they ran");
-    rule(members.iter().map(Member::late_for_drain).sum(), "requests went to a host that drains");
-    rule(members.iter().filter(|m| m.pushed_over()).count() as u64, "cold hosts were pushed over");
+    rule(
+        tally.keys_twice as u64,
+        "keyed requests were executed twice",
+    );
+    rule(
+        result.iter().map(|r| r.1.owed).sum(),
+        "requests have no final answer in their client's time",
+    );
+    let charges = result
+        .iter()
+        .filter(|r| !r.0.keyed)
+        .flat_map(|r| &r.1.refused_names);
+    rule(
+        charges.filter(|name| ledger.charged(name)).count() as u64,
+        "charges were refused though they ran",
+    );
+    rule(
+        members.iter().map(Member::late_for_drain).sum(),
+        "requests went to a host that drains",
+    );
+    rule(
+        members.iter().filter(|m| m.pushed_over()).count() as u64,
+        "cold hosts were pushed over",
+    );
     let served: u64 = result.iter().map(|r| r.1.served).sum();
     rule(u64::from(served == 0), "run in which nothing was served");
     broken
@@ -189,13 +242,38 @@
             clients: 1,
             rate: 1.0,
         };
-        let totals = |served, owed| Totals { served, owed, ..Totals::default() };
+        let totals = |served, owed| Totals {
+            served,
+            owed,
+            ..Totals::default()
+        };
         let good: LoadResult = vec![(kind.clone(), totals(1, 0))];
         let told = |result: &LoadResult, tally| broken(result, &tally, &[], &ledger).len();
         assert_eq!(told(&good, Tally::default()), 0);
-        assert_eq!(told(&good, Tally { charged_twice: 1, ..Tally::default() }), 1);
-        assert_eq!(told(&good, Tally { keys_twice: 1, ..Tally::default() }), 1);
-        assert_eq!(told(&vec![(kind.clone(), totals(1, 1))], Tally::default()), 1);
+        assert_eq!(
+            told(
+                &good,
+                Tally {
+                    charged_twice: 1,
+                    ..Tally::default()
+                }
+            ),
+            1
+        );
+        assert_eq!(
+            told(
+                &good,
+                Tally {
+                    keys_twice: 1,
+                    ..Tally::default()
+                }
+            ),
+            1
+        );
+        assert_eq!(
+            told(&vec![(kind.clone(), totals(1, 1))], Tally::default()),
+            1
+        );
         assert_eq!(told(&vec![(kind, totals(0, 0))], Tally::default()), 1);
     }
 }
--- a/crates/expr/benches/evaluate.rs
+++ b/crates/expr/benches/evaluate.rs
@@ -22,8 +22,13 @@
             r#"method == "POST" and path starts_with "/fees/" and (header["x-branch"] ?? "") starts_with "CR-{n}-" and (header["content-type"] ?? "") == "application/json""#
         )
     };
-    let ids =
-        (0..count).map(|n| builder.add(&condition(n), Wanted::Condition).expect("well typed")).collect();
+    let ids = (0..count)
+        .map(|n| {
+            builder
+                .add(&condition(n), Wanted::Condition)
+                .expect("well typed")
+        })
+        .collect();
     (builder.build(), ids)
 }
 
@@ -32,7 +37,8 @@
     let text = |name: &str| {
         let mut all = head.headers.get_all(name).iter();
         let only = all.next().filter(|_| all.next().is_none());
-        only.and_then(|v| std::str::from_utf8(v.as_bytes()).ok()).unwrap_or("")
+        only.and_then(|v| std::str::from_utf8(v.as_bytes()).ok())
+            .unwrap_or("")
     };
     head.method == Method::POST
         && head.path.starts_with("/fees/")
@@ -75,42 +81,77 @@
     let big = |byte: &str| byte.repeat(64 * 1024 / byte.len());
     let one = |value: &str| {
         let mut headers = HeaderMap::new();
-        headers.insert("x", HeaderValue::from_bytes(value.as_bytes()).expect("a value"));
+        headers.insert(
+            "x",
+            HeaderValue::from_bytes(value.as_bytes()).expect("a value"),
+        );
         headers
     };
     let mut thousand = HeaderMap::new();
     for _ in 0..1_000 {
         thousand.append(
             "x",
-            HeaderValue::from_static("64 bytes of a header that is given a thousand times, nearly so."),
+            HeaderValue::from_static(
+                "64 bytes of a header that is given a thousand times, nearly so.",
+            ),
         );
     }
-    let patterns: Vec<String> =
-        (0..11).map(|n| format!(r#"(header["x"] ?? "") matches "(a+)+{n}b|(.*)*[c-d]{n}$""#)).collect();
+    let patterns: Vec<String> = (0..11)
+        .map(|n| format!(r#"(header["x"] ?? "") matches "(a+)+{n}b|(.*)*[c-d]{n}$""#))
+        .collect();
     let corpus = [
         (
             "lower and contains",
             r#"lower(header["x"] ?? "") contains "aaaaaaaaaaaaaaab""#.to_owned(),
             one(&big("A")),
         ),
-        ("two bytes a letter", r#"(header["x"] ?? "") ends_with "b""#.to_owned(), one(&big("\u{f1}"))),
-        ("eleven patterns", patterns.join(" or "), one(&"a".repeat(1_024))),
-        ("split", r#""b" in split(header["x"] ?? "", ",")"#.to_owned(), one(&",".repeat(2_048))),
-        ("hash", r#"hash(header["x"] ?? "", 100) == 100"#.to_owned(), one(&big("h"))),
+        (
+            "two bytes a letter",
+            r#"(header["x"] ?? "") ends_with "b""#.to_owned(),
+            one(&big("\u{f1}")),
+        ),
+        (
+            "eleven patterns",
+            patterns.join(" or "),
+            one(&"a".repeat(1_024)),
+        ),
+        (
+            "split",
+            r#""b" in split(header["x"] ?? "", ",")"#.to_owned(),
+            one(&",".repeat(2_048)),
+        ),
+        (
+            "hash",
+            r#"hash(header["x"] ?? "", 100) == 100"#.to_owned(),
+            one(&big("h")),
+        ),
         ("cookie", r#"(cookie["b"] ?? "") == "x""#.to_owned(), {
             let mut headers = HeaderMap::new();
-            headers.insert("cookie", HeaderValue::from_str(&"a=1;".repeat(256)).expect("a value"));
+            headers.insert(
+                "cookie",
+                HeaderValue::from_str(&"a=1;".repeat(256)).expect("a value"),
+            );
             headers
         }),
-        ("a thousand headers", r#""none" in headers["x"]"#.to_owned(), thousand),
+        (
+            "a thousand headers",
+            r#""none" in headers["x"]"#.to_owned(),
+            thousand,
+        ),
     ];
     let mut group = c.benchmark_group("worst");
     for (name, text, headers) in &corpus {
         let mut builder = Builder::default();
         let id = builder.add(text, Wanted::Condition).expect("well typed");
-        assert!(builder.cost(&[id]) <= BUDGET, "{name}: {}", builder.cost(&[id]));
+        assert!(
+            builder.cost(&[id]) <= BUDGET,
+            "{name}: {}",
+            builder.cost(&[id])
+        );
         let program = builder.build();
-        group.bench_function(*name, |b| b.iter(|| black_box(program.holds(id, &head(headers)))));
+        group.bench_function(*name, |b| {
+            b.iter(|| black_box(program.holds(id, &head(headers))))
+        });
     }
     group.finish();
 }
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -18,7 +18,11 @@
 
 impl Mistake {
     pub(crate) fn new(span: &Span, reason: impl Into<String>, allowed: impl Into<String>) -> Self {
-        Mistake { span: span.clone(), reason: reason.into(), allowed: allowed.into() }
+        Mistake {
+            span: span.clone(),
+            reason: reason.into(),
+            allowed: allowed.into(),
+        }
     }
 }
 
@@ -74,7 +78,9 @@
         match &self.kind {
             Kind::List(all) | Kind::Call(_, all) => all.iter().collect(),
             Kind::Index(_, one) | Kind::Not(one) => vec![one],
-            Kind::And(a, b) | Kind::Or(a, b) | Kind::Infix(_, a, b) | Kind::Default(a, b) => vec![a, b],
+            Kind::And(a, b) | Kind::Or(a, b) | Kind::Infix(_, a, b) | Kind::Default(a, b) => {
+                vec![a, b]
+            }
             _ => Vec::new(),
         }
     }
@@ -83,7 +89,12 @@
     pub fn literal(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Bool(_) | Kind::Int(_) | Kind::Duration(_) | Kind::Str(_) | Kind::Bytes(_) | Kind::List(_)
+            Kind::Bool(_)
+                | Kind::Int(_)
+                | Kind::Duration(_)
+                | Kind::Str(_)
+                | Kind::Bytes(_)
+                | Kind::List(_)
         )
     }
 }
--- a/crates/expr/src/build.rs
+++ b/crates/expr/src/build.rs
@@ -81,7 +81,11 @@
                 Wanted::Condition => "a bool, like method == \"POST\"",
                 _ => "a string, like header[\"x-invoice\"] or concat(...)",
             };
-            mistakes.push(Mistake::new(&ast.span, format!("this is a {}", kind.show()), allowed));
+            mistakes.push(Mistake::new(
+                &ast.span,
+                format!("this is a {}", kind.show()),
+                allowed,
+            ));
         }
         if mistakes.is_empty()
             && wanted == Wanted::Condition
@@ -114,11 +118,17 @@
             uses[root.0 as usize] += 1;
         }
         for node in &self.program.nodes {
-            node.parts().iter().for_each(|part| uses[part.0 as usize] += 1);
+            node.parts()
+                .iter()
+                .for_each(|part| uses[part.0 as usize] += 1);
         }
         // What the bound counts once is evaluated once.
         let literal = |n: usize| self.program.literal(Id(n as u32));
-        self.program.shared = uses.iter().enumerate().map(|(n, &uses)| uses > 1 && !literal(n)).collect();
+        self.program.shared = uses
+            .iter()
+            .enumerate()
+            .map(|(n, &uses)| uses > 1 && !literal(n))
+            .collect();
         self.program
     }
 
@@ -129,7 +139,11 @@
         let program = &mut self.program;
         let id = Id(program.nodes.len() as u32);
         let (own, size) = program.measure(&node);
-        let below: u64 = node.parts().iter().map(|p| program.costs[p.0 as usize]).sum();
+        let below: u64 = node
+            .parts()
+            .iter()
+            .map(|p| program.costs[p.0 as usize])
+            .sum();
         program.costs.push(own.most().saturating_add(below));
         program.own.push(own);
         program.sizes.push(size);
@@ -144,13 +158,19 @@
         let literal = |id: &Id| self.program.literal(*id);
         let parts = node.parts();
         let simpler = match &node {
-            Node::And(a, b) => match (&self.program.nodes[a.0 as usize], &self.program.nodes[b.0 as usize]) {
+            Node::And(a, b) => match (
+                &self.program.nodes[a.0 as usize],
+                &self.program.nodes[b.0 as usize],
+            ) {
                 (Node::Bool(false), _) | (_, Node::Bool(false)) => Some(Err(false)),
                 (Node::Bool(true), _) => Some(Ok(*b)),
                 (_, Node::Bool(true)) => Some(Ok(*a)),
                 _ => None,
             },
-            Node::Or(a, b) => match (&self.program.nodes[a.0 as usize], &self.program.nodes[b.0 as usize]) {
+            Node::Or(a, b) => match (
+                &self.program.nodes[a.0 as usize],
+                &self.program.nodes[b.0 as usize],
+            ) {
                 (Node::Bool(true), _) | (_, Node::Bool(true)) => Some(Err(true)),
                 (Node::Bool(false), _) => Some(Ok(*b)),
                 (_, Node::Bool(false)) => Some(Ok(*a)),
@@ -169,9 +189,17 @@
         }
         let (id, _) = self.intern(node, kind);
         let (method, headers) = (http::Method::GET, http::HeaderMap::new());
-        let head =
-            Head { method: &method, path: "/", query: "", headers: &headers, client: [127, 0, 0, 1].into() };
-        let folded = match self.program.value(id, &head, &mut Memo::default(), &mut Unmetered) {
+        let head = Head {
+            method: &method,
+            path: "/",
+            query: "",
+            headers: &headers,
+            client: [127, 0, 0, 1].into(),
+        };
+        let folded = match self
+            .program
+            .value(id, &head, &mut Memo::default(), &mut Unmetered)
+        {
             Value::Bool(truth) => Some(Node::Bool(truth)),
             Value::Int(number) => Some(Node::Int(number)),
             Value::Str(text) => Some(Node::Str(text.into())),
@@ -188,11 +216,20 @@
         match &ast.kind {
             Kind::Bool(truth) => self.intern(Node::Bool(*truth), Type::plain(Base::Bool)),
             Kind::Int(number) => self.intern(Node::Int(*number), Type::plain(Base::Int)),
-            Kind::Duration(micros) => self.intern(Node::Duration(*micros), Type::plain(Base::Duration)),
+            Kind::Duration(micros) => {
+                self.intern(Node::Duration(*micros), Type::plain(Base::Duration))
+            }
             Kind::Str(text) => self.intern(Node::Str(text.as_str().into()), Type::plain(Base::Str)),
-            Kind::Bytes(bytes) => self.intern(Node::Bytes(bytes.as_slice().into()), Type::plain(Base::Bytes)),
+            Kind::Bytes(bytes) => self.intern(
+                Node::Bytes(bytes.as_slice().into()),
+                Type::plain(Base::Bytes),
+            ),
             Kind::List(_) => {
-                mistakes.push(Mistake::new(span, "a list stands only behind 'in'", "x in [\"a\", \"b\"]"));
+                mistakes.push(Mistake::new(
+                    span,
+                    "a list stands only behind 'in'",
+                    "x in [\"a\", \"b\"]",
+                ));
                 self.unknown()
             }
             Kind::Name(name) => self.input(mistakes, ast, name),
@@ -208,7 +245,8 @@
             Kind::And(a, b) => {
                 let (a, b) = (self.truth(mistakes, a), self.truth(mistakes, b));
                 // Neither can fail: the cheaper goes first.
-                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize] {
+                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize]
+                {
                     (b, a)
                 } else {
                     (a, b)
@@ -217,7 +255,8 @@
             }
             Kind::Or(a, b) => {
                 let (a, b) = (self.truth(mistakes, a), self.truth(mistakes, b));
-                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize] {
+                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize]
+                {
                     (b, a)
                 } else {
                     (a, b)
@@ -232,7 +271,10 @@
                     return self.unknown();
                 }
                 if !kind.optional {
-                    let reason = format!("this is a {} and never absent: '??' says nothing", kind.show());
+                    let reason = format!(
+                        "this is a {} and never absent: '??' says nothing",
+                        kind.show()
+                    );
                     mistakes.push(Mistake::new(
                         &a.span,
                         reason,
@@ -241,8 +283,11 @@
                     return self.unknown();
                 }
                 if kind.base != other.base {
-                    let reason =
-                        format!("the default is a {}, not a {}", other.show(), Type::plain(kind.base).show());
+                    let reason = format!(
+                        "the default is a {}, not a {}",
+                        other.show(),
+                        Type::plain(kind.base).show()
+                    );
                     mistakes.push(Mistake::new(&b.span, reason, Type::plain(kind.base).show()));
                     return self.unknown();
                 }
@@ -253,7 +298,9 @@
     }
 
     fn unknown(&mut self) -> (Id, Type) {
-        self.intern(Node::Bool(false), Type::plain(Base::Bool)).0.with(Type::plain(Base::Unknown))
+        self.intern(Node::Bool(false), Type::plain(Base::Bool))
+            .0
+            .with(Type::plain(Base::Unknown))
     }
 
     fn truth(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast) -> Id {
@@ -281,7 +328,10 @@
             return None;
         }
         if kind.base != base {
-            let (reason, allowed) = (format!("this is a {}", kind.show()), Type::plain(base).show());
+            let (reason, allowed) = (
+                format!("this is a {}", kind.show()),
+                Type::plain(base).show(),
+            );
             mistakes.push(Mistake::new(&ast.span, reason, allowed));
             return None;
         }
@@ -306,14 +356,24 @@
                 return self.unknown();
             }
             other => {
-                mistakes.push(Mistake::new(&ast.span, format!("'{other}' is not known"), INPUTS.join(", ")));
+                mistakes.push(Mistake::new(
+                    &ast.span,
+                    format!("'{other}' is not known"),
+                    INPUTS.join(", "),
+                ));
                 return self.unknown();
             }
         };
         self.intern(node, kind)
     }
 
-    fn index(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast, name: &str, index: &Ast) -> (Id, Type) {
+    fn index(
+        &mut self,
+        mistakes: &mut Vec<Mistake>,
+        ast: &Ast,
+        name: &str,
+        index: &Ast,
+    ) -> (Id, Type) {
         let Kind::Str(of) = &index.kind else {
             mistakes.push(Mistake::new(
                 &index.span,
@@ -325,7 +385,11 @@
         let mut header = || match HeaderName::from_bytes(of.as_bytes()) {
             Ok(name) => Some(name),
             Err(_) => {
-                mistakes.push(Mistake::new(&index.span, "this is no header name", "letters, digits and '-'"));
+                mistakes.push(Mistake::new(
+                    &index.span,
+                    "this is no header name",
+                    "letters, digits and '-'",
+                ));
                 None
             }
         };
@@ -339,7 +403,8 @@
             "query_all" => Some((Node::QueryAll(text), Type::plain(Base::List))),
             other => {
                 let reason = format!("'{other}' has no parts by name");
-                let allowed = "header, headers, header_bytes, cookie, query, query_all; nth(segments, 0)";
+                let allowed =
+                    "header, headers, header_bytes, cookie, query, query_all; nth(segments, 0)";
                 mistakes.push(Mistake::new(&ast.span, reason, allowed));
                 None
             }
@@ -350,7 +415,13 @@
         }
     }
 
-    fn call(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast, name: &str, parts: &[Ast]) -> (Id, Type) {
+    fn call(
+        &mut self,
+        mistakes: &mut Vec<Mistake>,
+        ast: &Ast,
+        name: &str,
+        parts: &[Ast],
+    ) -> (Id, Type) {
         let counts = match name {
             "present" | "lower" | "trim" | "int" | "len" => 1..=1,
             "split" | "nth" | "hash" => 2..=2,
@@ -379,15 +450,29 @@
                 }
                 (Some(Node::Present(id)), Type::plain(Base::Bool))
             }
-            "lower" => (self.plain(mistakes, &parts[0], Base::Str).map(Node::Lower), Type::plain(Base::Str)),
-            "trim" => (self.plain(mistakes, &parts[0], Base::Str).map(Node::Trim), Type::plain(Base::Str)),
-            "int" => (self.plain(mistakes, &parts[0], Base::Str).map(Node::IntOf), Type::optional(Base::Int)),
+            "lower" => (
+                self.plain(mistakes, &parts[0], Base::Str).map(Node::Lower),
+                Type::plain(Base::Str),
+            ),
+            "trim" => (
+                self.plain(mistakes, &parts[0], Base::Str).map(Node::Trim),
+                Type::plain(Base::Str),
+            ),
+            "int" => (
+                self.plain(mistakes, &parts[0], Base::Str).map(Node::IntOf),
+                Type::optional(Base::Int),
+            ),
             "len" => {
                 let (id, kind) = self.node(mistakes, &parts[0]);
-                let known = [Base::Str, Base::Bytes, Base::List, Base::Unknown].contains(&kind.base);
+                let known =
+                    [Base::Str, Base::Bytes, Base::List, Base::Unknown].contains(&kind.base);
                 if !known {
                     let reason = format!("this is a {}", kind.show());
-                    mistakes.push(Mistake::new(&parts[0].span, reason, "a string, bytes or a list"));
+                    mistakes.push(Mistake::new(
+                        &parts[0].span,
+                        reason,
+                        "a string, bytes or a list",
+                    ));
                 } else if kind.optional {
                     mistakes.push(absent(&parts[0], kind));
                 }
@@ -395,15 +480,28 @@
             }
             "split" => {
                 let text = self.plain(mistakes, &parts[0], Base::Str);
-                let separator =
-                    self.written(mistakes, &parts[1], "a separator that is written out, like \",\"");
-                (text.zip(separator).map(|(t, s)| Node::Split(t, s)), Type::plain(Base::List))
+                let separator = self.written(
+                    mistakes,
+                    &parts[1],
+                    "a separator that is written out, like \",\"",
+                );
+                (
+                    text.zip(separator).map(|(t, s)| Node::Split(t, s)),
+                    Type::plain(Base::List),
+                )
             }
             "nth" => {
                 let list = self.plain(mistakes, &parts[0], Base::List);
-                let place =
-                    self.number(mistakes, &parts[1], 0..=1_000, "a place from 0 to 1000 that is written out");
-                (list.zip(place).map(|(l, n)| Node::Nth(l, n)), Type::optional(Base::Str))
+                let place = self.number(
+                    mistakes,
+                    &parts[1],
+                    0..=1_000,
+                    "a place from 0 to 1000 that is written out",
+                );
+                (
+                    list.zip(place).map(|(l, n)| Node::Nth(l, n)),
+                    Type::optional(Base::Str),
+                )
             }
             "hash" => {
                 let text = self.plain(mistakes, &parts[0], Base::Str);
@@ -413,7 +511,10 @@
                     1..=1_000_000,
                     "a number from 1 to 1000000 that is written out",
                 );
-                (text.zip(most).map(|(t, n)| Node::Hash(t, n)), Type::plain(Base::Int))
+                (
+                    text.zip(most).map(|(t, n)| Node::Hash(t, n)),
+                    Type::plain(Base::Int),
+                )
             }
             _ => {
                 let mut ids = Vec::new();
@@ -427,7 +528,13 @@
                     optional |= kind.optional;
                     ids.push(id);
                 }
-                (Some(Node::Concat(ids.into())), Type { base: Base::Str, optional })
+                (
+                    Some(Node::Concat(ids.into())),
+                    Type {
+                        base: Base::Str,
+                        optional,
+                    },
+                )
             }
         };
         match node {
@@ -436,7 +543,12 @@
         }
     }
 
-    fn written(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast, allowed: &str) -> Option<Box<str>> {
+    fn written(
+        &mut self,
+        mistakes: &mut Vec<Mistake>,
+        ast: &Ast,
+        allowed: &str,
+    ) -> Option<Box<str>> {
         match &ast.kind {
             Kind::Str(text) if !text.is_empty() => Some(text.as_str().into()),
             _ => {
@@ -484,8 +596,10 @@
                     let inner = self.plain(mistakes, b, Base::Str);
                     inner.map(|inner| Node::InList(inner, left))
                 } else {
-                    let (text, inner) =
-                        (self.plain(mistakes, a, Base::Str), self.plain(mistakes, b, Base::Str));
+                    let (text, inner) = (
+                        self.plain(mistakes, a, Base::Str),
+                        self.plain(mistakes, b, Base::Str),
+                    );
                     text.zip(inner).map(|(t, i)| match infix {
                         Infix::StartsWith => Node::StartsWith(t, i),
                         Infix::EndsWith => Node::EndsWith(t, i),
@@ -525,10 +639,18 @@
         let sorted = [Base::Int, Base::Duration];
         if kind.base != other.base {
             let reason = format!("a {} is compared with a {}", kind.show(), other.show());
-            mistakes.push(Mistake::new(&ast.span, reason, "two values of one type; int(...) reads a number"));
+            mistakes.push(Mistake::new(
+                &ast.span,
+                reason,
+                "two values of one type; int(...) reads a number",
+            ));
         } else if ordered && !sorted.contains(&kind.base) {
             let reason = format!("{} has no order", kind.show());
-            mistakes.push(Mistake::new(&ast.span, reason, "ints or durations; == and != for others"));
+            mistakes.push(Mistake::new(
+                &ast.span,
+                reason,
+                "ints or durations; == and != for others",
+            ));
         } else if kind.base == Base::List {
             mistakes.push(Mistake::new(
                 &ast.span,
@@ -542,11 +664,19 @@
         match infix {
             Infix::Equal => {
                 // One order for both ways to write it.
-                let (left, right) = if left <= right { (left, right) } else { (right, left) };
+                let (left, right) = if left <= right {
+                    (left, right)
+                } else {
+                    (right, left)
+                };
                 self.fold(Node::Equal(left, right), truth)
             }
             Infix::Unequal => {
-                let (left, right) = if left <= right { (left, right) } else { (right, left) };
+                let (left, right) = if left <= right {
+                    (left, right)
+                } else {
+                    (right, left)
+                };
                 let (equal, _) = self.fold(Node::Equal(left, right), truth);
                 self.fold(Node::Not(equal), truth)
             }
@@ -574,7 +704,9 @@
             Kind::List(parts) => parts.as_slice(),
             Kind::Str(_) if kind.base == Base::Ip => one,
             _ => {
-                let Some(list) = self.plain(mistakes, b, Base::List) else { return self.unknown() };
+                let Some(list) = self.plain(mistakes, b, Base::List) else {
+                    return self.unknown();
+                };
                 if kind.base != Base::Str {
                     let reason = format!("a {} is no text of a list", kind.show());
                     mistakes.push(Mistake::new(&a.span, reason, "string"));
@@ -584,10 +716,18 @@
             }
         };
         if list.is_empty() {
-            mistakes.push(Mistake::new(&b.span, "nothing is in an empty list", "one value or more"));
+            mistakes.push(Mistake::new(
+                &b.span,
+                "nothing is in an empty list",
+                "one value or more",
+            ));
         }
         let mut wrong = |part: &Ast, allowed: &str| {
-            mistakes.push(Mistake::new(&part.span, "this does not belong in the list", allowed));
+            mistakes.push(Mistake::new(
+                &part.span,
+                "this does not belong in the list",
+                allowed,
+            ));
         };
         let node = match kind.base {
             Base::Str => {
@@ -626,14 +766,21 @@
                     };
                     match net {
                         Some(net) => nets.push(net),
-                        None => wrong(part, "an address or a range, like \"10.0.0.0/8\" or \"::1\""),
+                        None => wrong(
+                            part,
+                            "an address or a range, like \"10.0.0.0/8\" or \"::1\"",
+                        ),
                     }
                 }
                 Node::InNets(left, nets.into())
             }
             _ => {
                 let reason = format!("a {} is in no list", kind.show());
-                mistakes.push(Mistake::new(&a.span, reason, "a string, an int or an address"));
+                mistakes.push(Mistake::new(
+                    &a.span,
+                    reason,
+                    "a string, an int or an address",
+                ));
                 return self.unknown();
             }
         };
@@ -645,22 +792,33 @@
 
     fn pattern(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast) -> Option<u32> {
         let Kind::Str(text) = &ast.kind else {
-            mistakes.push(Mistake::new(&ast.span, "a pattern must be written out", "like \"^CR-[0-9]+$\""));
+            mistakes.push(Mistake::new(
+                &ast.span,
+                "a pattern must be written out",
+                "like \"^CR-[0-9]+$\"",
+            ));
             return None;
         };
         if let Some(&known) = self.patterns.get(text) {
             return Some(known);
         }
         // Bytes, not letters of all scripts: classes stay small. A pattern is found anywhere, unless it says ^ and $.
-        let regex =
-            RegexBuilder::new(text).size_limit(PATTERN_BYTES).dfa_size_limit(PATTERN_BYTES * 4).build();
+        let regex = RegexBuilder::new(text)
+            .size_limit(PATTERN_BYTES)
+            .dfa_size_limit(PATTERN_BYTES * 4)
+            .build();
         let regex = match regex {
             Ok(regex) => regex,
             Err(fault) => {
                 let told = fault.to_string();
                 let reason = match fault {
-                    regex::Error::CompiledTooBig(_) => "this pattern takes too much room compiled".to_owned(),
-                    _ => format!("this is no pattern: {}", told.lines().last().unwrap_or_default().trim()),
+                    regex::Error::CompiledTooBig(_) => {
+                        "this pattern takes too much room compiled".to_owned()
+                    }
+                    _ => format!(
+                        "this is no pattern: {}",
+                        told.lines().last().unwrap_or_default().trim()
+                    ),
                 };
                 mistakes.push(Mistake::new(
                     &ast.span,
@@ -699,5 +857,9 @@
         _ => "?? \"\"",
     };
     let allowed = format!("a default ({default}), or present(...)");
-    Mistake::new(&ast.span, "this value may be absent, and nothing says what that means", allowed)
+    Mistake::new(
+        &ast.span,
+        "this value may be absent, and nothing says what that means",
+        allowed,
+    )
 }
--- a/crates/expr/src/eval.rs
+++ b/crates/expr/src/eval.rs
@@ -127,7 +127,8 @@
         memo: &mut Memo<'r>,
         meter: &mut impl Meter,
     ) -> Value<'r> {
-        let text = |text: Option<&'r str>| text.map_or(Value::Absent, |t| Value::Str(Cow::Borrowed(t)));
+        let text =
+            |text: Option<&'r str>| text.map_or(Value::Absent, |t| Value::Str(Cow::Borrowed(t)));
         match &self.nodes[id.0 as usize] {
             Node::Bool(truth) => Value::Bool(*truth),
             Node::Int(number) => Value::Int(*number),
@@ -144,7 +145,8 @@
             }
             Node::Timeout => {
                 meter.step(4);
-                let own = header(head.headers, &http::HeaderName::from_static("x-timeout")).and_then(timeout);
+                let own = header(head.headers, &http::HeaderName::from_static("x-timeout"))
+                    .and_then(timeout);
                 own.map_or(Value::Absent, Value::Duration)
             }
             Node::Client => Value::Ip(head.client),
@@ -155,7 +157,8 @@
             }
             Node::HeaderBytes(name) => {
                 meter.step(2);
-                header_bytes(head.headers, name).map_or(Value::Absent, |b| Value::Bytes(Cow::Borrowed(b)))
+                header_bytes(head.headers, name)
+                    .map_or(Value::Absent, |b| Value::Bytes(Cow::Borrowed(b)))
             }
             Node::Headers(name) => Value::List(List::Headers(head.headers, name)),
             Node::Cookie(name) => {
@@ -174,14 +177,20 @@
                 meter.step((head.query.len() as u64 + 1) * PAIR_STEPS);
                 query(head.query, name).map_or(Value::Absent, Value::Str)
             }
-            Node::QueryAll(name) if head.query.len() > PAIRS_BYTES => Value::List(List::Query("", name)),
+            Node::QueryAll(name) if head.query.len() > PAIRS_BYTES => {
+                Value::List(List::Query("", name))
+            }
             Node::QueryAll(name) => Value::List(List::Query(head.query, name)),
             Node::Lower(a) => match self.value(*a, head, memo, meter) {
                 Value::Str(own) => {
                     meter.step(each(length(&own)));
                     // Most are in small letters already.
                     let small = own.bytes().all(|b| !b.is_ascii_uppercase());
-                    Value::Str(if small { own } else { Cow::Owned(own.to_ascii_lowercase()) })
+                    Value::Str(if small {
+                        own
+                    } else {
+                        Cow::Owned(own.to_ascii_lowercase())
+                    })
                 }
                 other => other,
             },
@@ -196,7 +205,9 @@
                 other => other,
             },
             Node::Split(a, separator) => match self.value(*a, head, memo, meter) {
-                Value::Str(own) if own.len() > PARTS_BYTES => Value::List(List::Split(Cow::Borrowed(""), "")),
+                Value::Str(own) if own.len() > PARTS_BYTES => {
+                    Value::List(List::Split(Cow::Borrowed(""), ""))
+                }
                 Value::Str(own) => Value::List(List::Split(own, separator)),
                 other => other,
             },
@@ -279,20 +290,29 @@
                 Value::Bool(one)
             }
             Node::Equal(a, b) => {
-                let (a, b) = (self.value(*a, head, memo, meter), self.value(*b, head, memo, meter));
+                let (a, b) = (
+                    self.value(*a, head, memo, meter),
+                    self.value(*b, head, memo, meter),
+                );
                 if let Some((a, b)) = texts(&a, &b) {
                     meter.step(words(length(a).min(length(b))));
                 }
                 Value::Bool(a == b)
             }
-            Node::Less(a, b) => Value::Bool(self.order(*a, *b, head, memo, meter).is_some_and(|o| o.is_lt())),
-            Node::LessEqual(a, b) => {
-                Value::Bool(self.order(*a, *b, head, memo, meter).is_some_and(|o| o.is_le()))
-            }
+            Node::Less(a, b) => Value::Bool(
+                self.order(*a, *b, head, memo, meter)
+                    .is_some_and(|o| o.is_lt()),
+            ),
+            Node::LessEqual(a, b) => Value::Bool(
+                self.order(*a, *b, head, memo, meter)
+                    .is_some_and(|o| o.is_le()),
+            ),
             Node::InTexts(a, all) => match self.value(*a, head, memo, meter) {
                 Value::Str(own) => {
                     let longest = all.iter().map(|t| length(t)).max().unwrap_or(0);
-                    meter.step(u64::from(all.len().max(1).ilog2() + 1) * words(longest.min(length(&own))));
+                    meter.step(
+                        u64::from(all.len().max(1).ilog2() + 1) * words(longest.min(length(&own))),
+                    );
                     Value::Bool(all.binary_search_by(|t| (**t).cmp(&*own)).is_ok())
                 }
                 _ => Value::Bool(false),
@@ -305,7 +325,10 @@
                 _ => Value::Bool(false),
             },
             Node::InList(a, b) => {
-                let (wanted, list) = (self.value(*a, head, memo, meter), self.value(*b, head, memo, meter));
+                let (wanted, list) = (
+                    self.value(*a, head, memo, meter),
+                    self.value(*b, head, memo, meter),
+                );
                 let (Value::Str(wanted), Value::List(list)) = (wanted, list) else {
                     return Value::Bool(false);
                 };
@@ -326,20 +349,35 @@
                 _ => Value::Bool(false),
             },
             Node::StartsWith(a, b) => {
-                let (a, b) = (self.value(*a, head, memo, meter), self.value(*b, head, memo, meter));
-                let Some((a, b)) = texts(&a, &b) else { return Value::Bool(false) };
+                let (a, b) = (
+                    self.value(*a, head, memo, meter),
+                    self.value(*b, head, memo, meter),
+                );
+                let Some((a, b)) = texts(&a, &b) else {
+                    return Value::Bool(false);
+                };
                 meter.step(words(length(a).min(length(b))));
                 Value::Bool(a.starts_with(b))
             }
             Node::EndsWith(a, b) => {
-                let (a, b) = (self.value(*a, head, memo, meter), self.value(*b, head, memo, meter));
-                let Some((a, b)) = texts(&a, &b) else { return Value::Bool(false) };
+                let (a, b) = (
+                    self.value(*a, head, memo, meter),
+                    self.value(*b, head, memo, meter),
+                );
+                let Some((a, b)) = texts(&a, &b) else {
+                    return Value::Bool(false);
+                };
                 meter.step(words(length(a).min(length(b))));
                 Value::Bool(a.ends_with(b))
             }
             Node::Contains(a, b) => {
-                let (a, b) = (self.value(*a, head, memo, meter), self.value(*b, head, memo, meter));
-                let Some((a, b)) = texts(&a, &b) else { return Value::Bool(false) };
+                let (a, b) = (
+                    self.value(*a, head, memo, meter),
+                    self.value(*b, head, memo, meter),
+                );
+                let Some((a, b)) = texts(&a, &b) else {
+                    return Value::Bool(false);
+                };
                 meter.step(each(length(a)) + words(length(b)));
                 Value::Bool(memchr::memmem::find(a.as_bytes(), b.as_bytes()).is_some())
             }
@@ -349,7 +387,11 @@
                         return Value::Bool(false);
                     }
                     meter.step((u64::from(length(&own)) + 1) * MATCH_STEPS);
-                    Value::Bool(self.patterns.get(*pattern as usize).is_some_and(|p| p.is_match(&own)))
+                    Value::Bool(
+                        self.patterns
+                            .get(*pattern as usize)
+                            .is_some_and(|p| p.is_match(&own)),
+                    )
                 }
                 _ => Value::Bool(false),
             },
@@ -365,8 +407,13 @@
         meter: &mut impl Meter,
     ) -> Option<std::cmp::Ordering> {
         meter.step(1);
-        match (self.value(a, head, memo, meter), self.value(b, head, memo, meter)) {
-            (Value::Int(a), Value::Int(b)) | (Value::Duration(a), Value::Duration(b)) => Some(a.cmp(&b)),
+        match (
+            self.value(a, head, memo, meter),
+            self.value(b, head, memo, meter),
+        ) {
+            (Value::Int(a), Value::Int(b)) | (Value::Duration(a), Value::Duration(b)) => {
+                Some(a.cmp(&b))
+            }
             _ => None,
         }
     }
--- a/crates/expr/src/parse.rs
+++ b/crates/expr/src/parse.rs
@@ -66,9 +66,20 @@
 /// # Errors
 /// All mistakes of form, eight at the most.
 pub fn parse(text: &str) -> Result<Ast, Vec<Mistake>> {
-    let mut parser = Parser { text, tokens: Vec::new(), at: 0, depth: 0, values: 0, mistakes: Vec::new() };
+    let mut parser = Parser {
+        text,
+        tokens: Vec::new(),
+        at: 0,
+        depth: 0,
+        values: 0,
+        mistakes: Vec::new(),
+    };
     if text.len() > TEXT_MOST {
-        parser.fault(&(0..text.len()), "the expression is too long", "8 KiB at the most");
+        parser.fault(
+            &(0..text.len()),
+            "the expression is too long",
+            "8 KiB at the most",
+        );
         return Err(parser.mistakes);
     }
     for (token, span) in Token::lexer(text).spanned() {
@@ -90,7 +101,11 @@
     }
     let ast = parser.either();
     if let Some((_, span)) = parser.tokens.get(parser.at).cloned() {
-        parser.fault(&span, "the expression has ended before this", "and, or, or nothing");
+        parser.fault(
+            &span,
+            "the expression has ended before this",
+            "and, or, or nothing",
+        );
     }
     match parser.mistakes.is_empty() {
         true => Ok(ast),
@@ -112,7 +127,9 @@
     }
 
     fn here(&self) -> Span {
-        self.tokens.get(self.at).map_or(self.text.len()..self.text.len(), |t| t.1.clone())
+        self.tokens
+            .get(self.at)
+            .map_or(self.text.len()..self.text.len(), |t| t.1.clone())
     }
 
     fn word(&self) -> Option<&str> {
@@ -141,7 +158,10 @@
             self.at += 1;
             let right = self.all();
             let span = left.span.start..right.span.end;
-            left = Ast { kind: Kind::Or(Box::new(left), Box::new(right)), span };
+            left = Ast {
+                kind: Kind::Or(Box::new(left), Box::new(right)),
+                span,
+            };
         }
         left
     }
@@ -152,7 +172,10 @@
             self.at += 1;
             let right = self.negated();
             let span = left.span.start..right.span.end;
-            left = Ast { kind: Kind::And(Box::new(left), Box::new(right)), span };
+            left = Ast {
+                kind: Kind::And(Box::new(left), Box::new(right)),
+                span,
+            };
         }
         left
     }
@@ -168,7 +191,10 @@
         // Two of them are none.
         if count % 2 == 1 {
             let span = start..inner.span.end;
-            inner = Ast { kind: Kind::Not(Box::new(inner)), span };
+            inner = Ast {
+                kind: Kind::Not(Box::new(inner)),
+                span,
+            };
         }
         inner
     }
@@ -195,17 +221,26 @@
 
     fn compared(&mut self) -> Ast {
         let left = self.defaulted();
-        let Some(infix) = self.infix() else { return left };
+        let Some(infix) = self.infix() else {
+            return left;
+        };
         self.at += 1;
         let right = self.defaulted();
         let span = left.span.start..right.span.end;
         if self.infix().is_some() {
             let here = self.here();
-            self.fault(&here, "a comparison of a comparison", "parentheses, or two comparisons with 'and'");
+            self.fault(
+                &here,
+                "a comparison of a comparison",
+                "parentheses, or two comparisons with 'and'",
+            );
             self.at += 1;
             self.defaulted();
         }
-        Ast { kind: Kind::Infix(infix, Box::new(left), Box::new(right)), span }
+        Ast {
+            kind: Kind::Infix(infix, Box::new(left), Box::new(right)),
+            span,
+        }
     }
 
     fn defaulted(&mut self) -> Ast {
@@ -213,22 +248,36 @@
         while self.take(Token::Default) {
             let right = self.primary();
             let span = left.span.start..right.span.end;
-            left = Ast { kind: Kind::Default(Box::new(left), Box::new(right)), span };
+            left = Ast {
+                kind: Kind::Default(Box::new(left), Box::new(right)),
+                span,
+            };
         }
         left
     }
 
     fn primary(&mut self) -> Ast {
         let span = self.here();
-        let unknown = Ast { kind: Kind::Unknown, span: span.clone() };
+        let unknown = Ast {
+            kind: Kind::Unknown,
+            span: span.clone(),
+        };
         if self.depth >= DEPTH_MOST {
-            self.fault(&span, "the expression is nested too deeply", "48 levels at the most");
+            self.fault(
+                &span,
+                "the expression is nested too deeply",
+                "48 levels at the most",
+            );
             self.at = self.tokens.len();
             return unknown;
         }
         self.values += 1;
         if self.values > VALUES_MOST {
-            self.fault(&span, "the expression has too many parts", "512 values at the most");
+            self.fault(
+                &span,
+                "the expression has too many parts",
+                "512 values at the most",
+            );
             self.at = self.tokens.len();
             return unknown;
         }
@@ -241,7 +290,10 @@
             return unknown;
         };
         let text = &self.text[span.clone()];
-        let literal = |kind| Ast { kind, span: span.clone() };
+        let literal = |kind| Ast {
+            kind,
+            span: span.clone(),
+        };
         match token {
             Token::Str | Token::Bytes => {
                 self.at += 1;
@@ -252,7 +304,11 @@
                 match text.parse::<i64>() {
                     Ok(number) => literal(Kind::Int(number)),
                     Err(_) => {
-                        self.fault(&span, "this number is too large", "up to 9223372036854775807");
+                        self.fault(
+                            &span,
+                            "this number is too large",
+                            "up to 9223372036854775807",
+                        );
                         unknown
                     }
                 }
@@ -262,7 +318,11 @@
                 match duration(text) {
                     Some(micros) => literal(Kind::Duration(micros)),
                     None => {
-                        self.fault(&span, "this time is too long", "up to 9223372036854775807us");
+                        self.fault(
+                            &span,
+                            "this time is too long",
+                            "up to 9223372036854775807us",
+                        );
                         unknown
                     }
                 }
@@ -282,12 +342,23 @@
                 let parts = self.parts(Token::CloseList);
                 self.depth -= 1;
                 self.want(Token::CloseList, "']'");
-                Ast { kind: Kind::List(parts), span: span.start..self.end() }
+                Ast {
+                    kind: Kind::List(parts),
+                    span: span.start..self.end(),
+                }
             }
             Token::Word => {
                 let name = text.to_owned();
-                if ["and", "or", "in", "starts_with", "ends_with", "contains", "matches"]
-                    .contains(&name.as_str())
+                if [
+                    "and",
+                    "or",
+                    "in",
+                    "starts_with",
+                    "ends_with",
+                    "contains",
+                    "matches",
+                ]
+                .contains(&name.as_str())
                 {
                     self.fault(
                         &span,
@@ -307,14 +378,20 @@
                     let parts = self.parts(Token::Close);
                     self.depth -= 1;
                     self.want(Token::Close, "')'");
-                    return Ast { kind: Kind::Call(name, parts), span: span.start..self.end() };
+                    return Ast {
+                        kind: Kind::Call(name, parts),
+                        span: span.start..self.end(),
+                    };
                 }
                 if self.take(Token::OpenList) {
                     self.depth += 1;
                     let index = self.either();
                     self.depth -= 1;
                     self.want(Token::CloseList, "']'");
-                    return Ast { kind: Kind::Index(name, Box::new(index)), span: span.start..self.end() };
+                    return Ast {
+                        kind: Kind::Index(name, Box::new(index)),
+                        span: span.start..self.end(),
+                    };
                 }
                 literal(Kind::Name(name))
             }
@@ -348,7 +425,10 @@
 
     /// The end of what was taken last.
     fn end(&self) -> usize {
-        self.at.checked_sub(1).and_then(|n| self.tokens.get(n)).map_or(0, |t| t.1.end)
+        self.at
+            .checked_sub(1)
+            .and_then(|n| self.tokens.get(n))
+            .map_or(0, |t| t.1.end)
     }
 
     fn quoted(&mut self, token: Token, span: Span) -> Ast {
@@ -366,7 +446,11 @@
                         let digits: String = rest.by_ref().take(2).collect();
                         match u8::from_str_radix(&digits, 16) {
                             Ok(byte) if digits.len() == 2 => bytes.push(byte),
-                            _ => self.fault(&span, "'\\x' wants two hexadecimal digits", "like \\x7f"),
+                            _ => self.fault(
+                                &span,
+                                "'\\x' wants two hexadecimal digits",
+                                "like \\x7f",
+                            ),
                         }
                         continue;
                     }
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -30,11 +30,17 @@
 
 impl Type {
     pub(crate) const fn plain(base: Base) -> Self {
-        Type { base, optional: false }
+        Type {
+            base,
+            optional: false,
+        }
     }
 
     pub(crate) const fn optional(base: Base) -> Self {
-        Type { base, optional: true }
+        Type {
+            base,
+            optional: true,
+        }
     }
 
     pub(crate) fn show(self) -> String {
@@ -121,7 +127,10 @@
     fn of(fixed: u64, size: &Size, bytes_a_step: u32) -> Self {
         let all = u64::from(HEAD_BYTES / bytes_a_step);
         let headers = size.headers.iter().map(|h| (h.clone(), all)).collect();
-        Cost { fixed: fixed + u64::from(size.fixed / bytes_a_step) + 1, headers }
+        Cost {
+            fixed: fixed + u64::from(size.fixed / bytes_a_step) + 1,
+            headers,
+        }
     }
 
     pub(crate) fn most(&self) -> u64 {
@@ -155,7 +164,9 @@
             | Node::Len(a)
             | Node::Present(a)
             | Node::Not(a) => vec![*a],
-            Node::Split(a, _) | Node::Nth(a, _) | Node::Hash(a, _) | Node::Matches(a, _) => vec![*a],
+            Node::Split(a, _) | Node::Nth(a, _) | Node::Hash(a, _) | Node::Matches(a, _) => {
+                vec![*a]
+            }
             Node::InTexts(a, _) => vec![*a],
             Node::InInts(a, _) => vec![*a],
             Node::InNets(a, _) => vec![*a],
@@ -186,22 +197,37 @@
     /// Most steps of a node by itself, and the size of its value.
     pub(crate) fn measure(&self, node: &Node) -> (Cost, Size) {
         let size = |id: &Id| &self.sizes[id.0 as usize];
-        let fixed = |steps: u64| Cost { fixed: steps, headers: Vec::new() };
-        let plain = |bytes: u32| Size { fixed: bytes, headers: Vec::new() };
+        let fixed = |steps: u64| Cost {
+            fixed: steps,
+            headers: Vec::new(),
+        };
+        let plain = |bytes: u32| Size {
+            fixed: bytes,
+            headers: Vec::new(),
+        };
         let small = || plain(8);
         // Of two that are compared the shorter counts.
-        let shorter = |a: &Id, b: &Id| match (size(a).headers.is_empty(), size(b).headers.is_empty()) {
-            (true, true) => Cost::of(0, &plain(size(a).fixed.min(size(b).fixed)), 16),
-            (true, false) => Cost::of(0, size(a), 16),
-            _ => Cost::of(0, size(b), 16),
-        };
+        let shorter =
+            |a: &Id, b: &Id| match (size(a).headers.is_empty(), size(b).headers.is_empty()) {
+                (true, true) => Cost::of(0, &plain(size(a).fixed.min(size(b).fixed)), 16),
+                (true, false) => Cost::of(0, size(a), 16),
+                _ => Cost::of(0, size(b), 16),
+            };
         let pairs = (PAIRS_BYTES as u64 + 1) * PAIR_STEPS;
         // What looking at so many parts of a list costs, and reading it out of a query before.
         let list = |id: &Id, most: usize| {
             let node = &self.nodes[id.0 as usize];
-            let most = if *node == Node::Segments { most.min(SEGMENTS_MOST) } else { most };
+            let most = if *node == Node::Segments {
+                most.min(SEGMENTS_MOST)
+            } else {
+                most
+            };
             let mut cost = Cost::of(most as u64 * PART_STEPS + 1, size(id), 16);
-            cost.fixed += if matches!(node, Node::QueryAll(_)) { pairs } else { 0 };
+            cost.fixed += if matches!(node, Node::QueryAll(_)) {
+                pairs
+            } else {
+                0
+            };
             cost
         };
         match node {
@@ -214,10 +240,19 @@
             Node::Length | Node::Timeout => (fixed(4), small()),
             // Whether its bytes are a text is looked at, too.
             Node::Header(name) | Node::HeaderBytes(name) => {
-                let own = Size { fixed: 0, headers: vec![name.clone()] };
+                let own = Size {
+                    fixed: 0,
+                    headers: vec![name.clone()],
+                };
                 (Cost::of(2, &own, 16), own)
             }
-            Node::Headers(name) => (fixed(1), Size { fixed: 0, headers: vec![name.clone()] }),
+            Node::Headers(name) => (
+                fixed(1),
+                Size {
+                    fixed: 0,
+                    headers: vec![name.clone()],
+                },
+            ),
             Node::Cookie(_) | Node::Query(_) => (fixed(pairs), plain(PAIRS_BYTES as u32)),
             Node::QueryAll(_) => (fixed(1), plain(PAIRS_BYTES as u32)),
             Node::Lower(a) => (Cost::of(0, size(a), 8), size(a).clone()),
@@ -245,7 +280,9 @@
                 }
                 // The same header may stand in it several times.
                 let mut cost = Cost::of(all.len() as u64, &sum, 16);
-                cost.headers.iter_mut().for_each(|h| h.1 *= all.len() as u64);
+                cost.headers
+                    .iter_mut()
+                    .for_each(|h| h.1 *= all.len() as u64);
                 (cost, sum)
             }
             Node::Present(_) | Node::Not(_) | Node::And(..) | Node::Or(..) => (fixed(1), plain(1)),
@@ -255,11 +292,16 @@
                 either.headers.extend(size(b).headers.iter().cloned());
                 (fixed(1), either)
             }
-            Node::Equal(a, b) | Node::StartsWith(a, b) | Node::EndsWith(a, b) => (shorter(a, b), plain(1)),
+            Node::Equal(a, b) | Node::StartsWith(a, b) | Node::EndsWith(a, b) => {
+                (shorter(a, b), plain(1))
+            }
             Node::Less(..) | Node::LessEqual(..) => (fixed(1), plain(1)),
             Node::InTexts(_, all) => {
                 let longest = all.iter().map(|t| t.len() as u32).max().unwrap_or(0);
-                (fixed(u64::from(all.len().max(1).ilog2() + 1) * words(longest)), plain(1))
+                (
+                    fixed(u64::from(all.len().max(1).ilog2() + 1) * words(longest)),
+                    plain(1),
+                )
             }
             Node::InInts(_, all) => (fixed(u64::from(all.len().max(1).ilog2() + 1)), plain(1)),
             Node::InList(_, b) => (list(b, PARTS_MOST), plain(1)),
--- a/crates/expr/src/tests.rs
+++ b/crates/expr/src/tests.rs
@@ -22,10 +22,19 @@
 
 fn plain(ast: &Ast, head: &Head<'_>) -> Plain {
     let text = |v: Option<String>| v.map_or(Plain::Absent, Plain::Str);
-    let values =
-        |name: &str| head.headers.get_all(name).iter().map(|v| v.as_bytes().to_vec()).collect::<Vec<_>>();
-    let texts =
-        |name: &str| values(name).into_iter().filter_map(|v| String::from_utf8(v).ok()).collect::<Vec<_>>();
+    let values = |name: &str| {
+        head.headers
+            .get_all(name)
+            .iter()
+            .map(|v| v.as_bytes().to_vec())
+            .collect::<Vec<_>>()
+    };
+    let texts = |name: &str| {
+        values(name)
+            .into_iter()
+            .filter_map(|v| String::from_utf8(v).ok())
+            .collect::<Vec<_>>()
+    };
     let only = |name: &str| match values(name).as_slice() {
         [one] => Some(one.clone()),
         _ => None,
@@ -36,7 +45,9 @@
             let raw = t.as_bytes();
             let mut n = 0;
             while n < raw.len() {
-                let hex = raw.get(n + 1..n + 3).and_then(|h| std::str::from_utf8(h).ok());
+                let hex = raw
+                    .get(n + 1..n + 3)
+                    .and_then(|h| std::str::from_utf8(h).ok());
                 let hex = hex.filter(|h| h.bytes().all(|b| b.is_ascii_hexdigit()));
                 match (raw[n], hex) {
                     (b'%', Some(hex)) => {
@@ -50,10 +61,14 @@
             }
             String::from_utf8(bytes).unwrap_or_else(|_| t.to_owned())
         };
-        let all = head.query.split('&').filter(|p| !p.is_empty()).map(move |p| {
-            let (name, value) = p.split_once('=').unwrap_or((p, ""));
-            (decode(name), decode(value))
-        });
+        let all = head
+            .query
+            .split('&')
+            .filter(|p| !p.is_empty())
+            .map(move |p| {
+                let (name, value) = p.split_once('=').unwrap_or((p, ""));
+                (decode(name), decode(value))
+            });
         if head.query.len() > crate::PAIRS_BYTES {
             Vec::new()
         } else {
@@ -72,7 +87,12 @@
             "method" => Plain::Str(head.method.to_string()),
             "path" => Plain::Str(head.path.to_owned()),
             "segments" => Plain::List(
-                head.path.split('/').skip(1).filter(|s| !s.is_empty()).map(str::to_owned).collect(),
+                head.path
+                    .split('/')
+                    .skip(1)
+                    .filter(|s| !s.is_empty())
+                    .map(str::to_owned)
+                    .collect(),
             ),
             "length" => only("content-length")
                 .and_then(|v| String::from_utf8(v).ok()?.parse().ok())
@@ -87,14 +107,19 @@
                     } else {
                         return None;
                     };
-                    text[..text.len() - 1].parse::<u32>().ok().map(|n| i64::from(n) * scale)
+                    text[..text.len() - 1]
+                        .parse::<u32>()
+                        .ok()
+                        .map(|n| i64::from(n) * scale)
                 })
                 .map_or(Plain::Absent, Plain::Duration),
             "client" => Plain::Ip(head.client),
             other => unreachable!("{other}"),
         },
         Kind::Index(of, name) => {
-            let Kind::Str(name) = &name.kind else { unreachable!("a written name") };
+            let Kind::Str(name) = &name.kind else {
+                unreachable!("a written name")
+            };
             match of.as_str() {
                 "header" => text(only(name).and_then(|v| String::from_utf8(v).ok())),
                 "header_bytes" => only(name).map_or(Plain::Absent, Plain::Bytes),
@@ -111,14 +136,31 @@
                         .filter(|(n, _)| n == name)
                         .map(|(_, v)| v.to_owned())
                         .collect();
-                    text(if found.len() == 1 { found.first().cloned() } else { None })
+                    text(if found.len() == 1 {
+                        found.first().cloned()
+                    } else {
+                        None
+                    })
                 }
                 "query" => {
-                    let found: Vec<String> =
-                        pairs().into_iter().filter(|(n, _)| n == name).map(|p| p.1).collect();
-                    text(if found.len() == 1 { found.first().cloned() } else { None })
+                    let found: Vec<String> = pairs()
+                        .into_iter()
+                        .filter(|(n, _)| n == name)
+                        .map(|p| p.1)
+                        .collect();
+                    text(if found.len() == 1 {
+                        found.first().cloned()
+                    } else {
+                        None
+                    })
                 }
-                _ => Plain::List(pairs().into_iter().filter(|(n, _)| n == name).map(|p| p.1).collect()),
+                _ => Plain::List(
+                    pairs()
+                        .into_iter()
+                        .filter(|(n, _)| n == name)
+                        .map(|p| p.1)
+                        .collect(),
+                ),
             }
         }
         Kind::Not(a) => Plain::Bool(plain(a, head) != Plain::Bool(true)),
@@ -142,25 +184,37 @@
     match (name, first) {
         ("present", v) => Plain::Bool(v != Plain::Absent),
         ("lower", Plain::Str(t)) => Plain::Str(t.to_ascii_lowercase()),
-        ("trim", Plain::Str(t)) => Plain::Str(t.trim_matches(|c: char| c.is_ascii_whitespace()).to_owned()),
+        ("trim", Plain::Str(t)) => {
+            Plain::Str(t.trim_matches(|c: char| c.is_ascii_whitespace()).to_owned())
+        }
         ("int", Plain::Str(t)) => {
             let digits = t.strip_prefix('-').unwrap_or(&t);
-            let good = !digits.is_empty() && t.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
-            good.then(|| t.parse().ok()).flatten().map_or(Plain::Absent, Plain::Int)
+            let good =
+                !digits.is_empty() && t.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
+            good.then(|| t.parse().ok())
+                .flatten()
+                .map_or(Plain::Absent, Plain::Int)
         }
         ("len", Plain::Str(t)) => Plain::Int(t.len() as i64),
         ("len", Plain::Bytes(b)) => Plain::Int(b.len() as i64),
         ("len", Plain::List(l)) => Plain::Int(l.len() as i64),
         ("split", Plain::Str(t)) => {
-            let Kind::Str(separator) = &parts[1].kind else { unreachable!("written") };
+            let Kind::Str(separator) = &parts[1].kind else {
+                unreachable!("written")
+            };
             Plain::List(t.split(separator.as_str()).map(str::to_owned).collect())
         }
         ("nth", Plain::List(l)) => {
-            let Kind::Int(place) = &parts[1].kind else { unreachable!("written") };
-            l.get(*place as usize).map_or(Plain::Absent, |t| Plain::Str(t.clone()))
+            let Kind::Int(place) = &parts[1].kind else {
+                unreachable!("written")
+            };
+            l.get(*place as usize)
+                .map_or(Plain::Absent, |t| Plain::Str(t.clone()))
         }
         ("hash", Plain::Str(t)) => {
-            let Kind::Int(most) = &parts[1].kind else { unreachable!("written") };
+            let Kind::Int(most) = &parts[1].kind else {
+                unreachable!("written")
+            };
             Plain::Int((hash(t.as_bytes()) % *most as u64) as i64)
         }
         ("concat", _) => {
@@ -193,9 +247,13 @@
         }
     }
     if infix == Infix::Matches {
-        let (Plain::Str(text), Kind::Str(pattern)) = (&left, &b.kind) else { unreachable!("typed") };
+        let (Plain::Str(text), Kind::Str(pattern)) = (&left, &b.kind) else {
+            unreachable!("typed")
+        };
         return text.len() <= crate::MATCH_BYTES
-            && regex::Regex::new(pattern).expect("a pattern").is_match(text);
+            && regex::Regex::new(pattern)
+                .expect("a pattern")
+                .is_match(text);
     }
     let right = plain(b, head);
     match (infix, &left, &right) {
@@ -219,7 +277,9 @@
 }
 
 fn net(ast: &Ast, ip: std::net::IpAddr) -> bool {
-    let Kind::Str(text) = &ast.kind else { unreachable!("written") };
+    let Kind::Str(text) = &ast.kind else {
+        unreachable!("written")
+    };
     match text.parse::<ipnet::IpNet>() {
         Ok(net) => net.contains(&ip),
         Err(_) => text.parse::<std::net::IpAddr>().expect("an address") == ip,
@@ -309,7 +369,9 @@
 /// Heads of all kinds.
 fn some_head(random: &mut Pcg32) -> (Method, String, String, HeaderMap) {
     let pick = |random: &mut Pcg32, all: &[&'static str]| *all.choose(random).expect("some");
-    let method: Method = pick(random, &["GET", "POST", "PUT", "HEAD"]).parse().expect("a method");
+    let method: Method = pick(random, &["GET", "POST", "PUT", "HEAD"])
+        .parse()
+        .expect("a method");
     let path = pick(
         random,
         &[
@@ -323,17 +385,44 @@
             "/b",
         ],
     );
-    let query =
-        pick(random, &["", "a=1", "a=1&a=2", "a+b=%C3%B1", "a", "a=%31", "a=%zz&b", "%61=2&&", "a=%ff"]);
+    let query = pick(
+        random,
+        &[
+            "",
+            "a=1",
+            "a=1&a=2",
+            "a+b=%C3%B1",
+            "a",
+            "a=%31",
+            "a=%zz&b",
+            "%61=2&&",
+            "a=%ff",
+        ],
+    );
     let mut headers = HeaderMap::new();
     let mut put = |random: &mut Pcg32, name: &'static str, values: &[&'static [u8]]| {
         for _ in 0..random.gen_range(0..3) {
             let value = *values.choose(random).expect("some");
-            headers.append(HeaderName::from_static(name), HeaderValue::from_bytes(value).expect("a value"));
+            headers.append(
+                HeaderName::from_static(name),
+                HeaderValue::from_bytes(value).expect("a value"),
+            );
         }
     };
     put(random, "x-branch", &[b"CR-7", b"cr-7", b"", b"PA-1"]);
-    put(random, "x-pad", &[b" x ", b"X", b"7", b"-7", b"+7", b"9223372036854775808", b"\t"]);
+    put(
+        random,
+        "x-pad",
+        &[
+            b" x ",
+            b"X",
+            b"7",
+            b"-7",
+            b"+7",
+            b"9223372036854775808",
+            b"\t",
+        ],
+    );
     put(random, "x-many", &[b"a", b"b", b"\xff", b"c"]);
     put(random, "x-raw", &[b"\xff", b"\xc3\xb1", b"a"]);
     put(random, "x-list", &[b"one,two", b"one, two", b",", b"two"]);
@@ -349,9 +438,17 @@
             b" user=7f3a ;b",
         ],
     );
-    put(random, "content-type", &[b"application/json", b"text/plain"]);
+    put(
+        random,
+        "content-type",
+        &[b"application/json", b"text/plain"],
+    );
     put(random, "content-length", &[b"4", b"4096", b"x"]);
-    put(random, "x-timeout", &[b"250m", b"100u", b"soon", b"m", b"9m"]);
+    put(
+        random,
+        "x-timeout",
+        &[b"250m", b"100u", b"soon", b"m", b"9m"],
+    );
     (method, path.to_owned(), query.to_owned(), headers)
 }
 
@@ -372,8 +469,10 @@
     let mut random = Pcg32::seed_from_u64(7);
     let mut texts: Vec<String> = CONDITIONS.iter().map(|t| (*t).to_owned()).collect();
     while texts.len() < 250 {
-        let (a, b) =
-            (CONDITIONS.choose(&mut random).expect("some"), CONDITIONS.choose(&mut random).expect("some"));
+        let (a, b) = (
+            CONDITIONS.choose(&mut random).expect("some"),
+            CONDITIONS.choose(&mut random).expect("some"),
+        );
         let joined = match random.gen_range(0..3) {
             0 => format!("({a}) and ({b})"),
             1 => format!("({a}) or not ({b})"),
@@ -393,19 +492,31 @@
             Err(mistakes) => panic!("{text}: {mistakes:?}"),
         }
     }
-    let bounds: Vec<u64> = all.iter().map(|(_, _, id, _)| builder.cost(&[*id])).collect();
+    let bounds: Vec<u64> = all
+        .iter()
+        .map(|(_, _, id, _)| builder.cost(&[*id]))
+        .collect();
     let program = builder.build();
     let mut cases = 0;
     while cases < 100_000 {
         let (method, path, query, headers) = some_head(&mut random);
         let client = std::net::IpAddr::from([10, 0, 0, random.gen()]);
-        let head = Head { method: &method, path: &path, query: &query, headers: &headers, client };
+        let head = Head {
+            method: &method,
+            path: &path,
+            query: &query,
+            headers: &headers,
+            client,
+        };
         let mut scratch = Scratch::default();
         for ((text, ast, id, _), bound) in all.iter().zip(&bounds) {
             let mut steps = Steps::default();
             let value = program.evaluate_with(*id, &head, &mut scratch, &mut steps);
             let wanted = plain(ast, &head);
-            assert!(same(&value, &wanted), "{text}: {value:?}, plainly {wanted:?}, for {head:?}");
+            assert!(
+                same(&value, &wanted),
+                "{text}: {value:?}, plainly {wanted:?}, for {head:?}"
+            );
             assert!(steps.0 <= *bound, "{text}: {} steps of {bound}", steps.0);
             cases += 1;
         }
@@ -490,7 +601,10 @@
     ("and true", "and"),
     ("header[\"x\" == 5", ""),
     ("len(path) == 9999999999999999999", "9999999999999999999"),
-    ("(timeout ?? 99999999999999999min) == 1s", "99999999999999999min"),
+    (
+        "(timeout ?? 99999999999999999min) == 1s",
+        "99999999999999999min",
+    ),
     ("5 parsecs", "parsecs"),
     ("method == 'GET'", "'"),
     ("", ""),
@@ -500,7 +614,9 @@
     let mut told = format!("  {text}\n");
     for mistake in mistakes {
         let before = text[..mistake.span.start].chars().count();
-        let marks = text.get(mistake.span.clone()).map_or(1, |t| t.chars().count().max(1));
+        let marks = text
+            .get(mistake.span.clone())
+            .map_or(1, |t| t.chars().count().max(1));
         told += &format!(
             "  {}{}\n    {}\n    allowed: {}\n",
             " ".repeat(before),
@@ -517,7 +633,9 @@
     assert!(REFUSED.len() >= 60);
     let mut told = String::new();
     for (text, place) in REFUSED {
-        let mistakes = Builder::default().add(text, Wanted::Condition).expect_err(text);
+        let mistakes = Builder::default()
+            .add(text, Wanted::Condition)
+            .expect_err(text);
         let first = &mistakes[0];
         assert!(
             text.get(first.span.clone()).is_some_and(|t| t == *place) || place.is_empty(),
@@ -532,7 +650,9 @@
 #[test]
 fn several_mistakes_are_told_at_once() {
     let text = "metod == \"POST\" and header[\"x\"] == 5 and lower(7) contains \"a\"";
-    let mistakes = Builder::default().add(text, Wanted::Condition).expect_err("three mistakes");
+    let mistakes = Builder::default()
+        .add(text, Wanted::Condition)
+        .expect_err("three mistakes");
     assert!(mistakes.len() >= 3, "{}", underlined(text, &mistakes));
     let text = "method == and (path == ) or len( == 5";
     let mistakes = parse(text).expect_err("three mistakes");
@@ -543,7 +663,9 @@
 #[test]
 fn nesting_is_bounded() {
     let nested = |depth: usize| format!("{}true{}", "(".repeat(depth), ")".repeat(depth));
-    assert!(Builder::default().add(&nested(crate::DEPTH_MOST - 1), Wanted::Condition).is_ok());
+    assert!(Builder::default()
+        .add(&nested(crate::DEPTH_MOST - 1), Wanted::Condition)
+        .is_ok());
     for text in [
         nested(crate::DEPTH_MOST + 1),
         nested(4_000),
@@ -553,11 +675,22 @@
     ] {
         assert!(Builder::default().add(&text, Wanted::Condition).is_err());
     }
-    assert!(Builder::default().add(&format!("{}true", "not ".repeat(2_000)), Wanted::Condition).is_ok());
+    assert!(Builder::default()
+        .add(&format!("{}true", "not ".repeat(2_000)), Wanted::Condition)
+        .is_ok());
     let chain = |count: usize| vec!["client in \"::1\""; count].join(" or ");
-    assert!(Builder::default().add(&chain(200), Wanted::Condition).is_ok());
-    assert!(Builder::default().add(&chain(500), Wanted::Condition).is_err(), "too many values");
-    assert!(Builder::default().add(&" ".repeat(crate::TEXT_MOST + 1), Wanted::Condition).is_err());
+    assert!(Builder::default()
+        .add(&chain(200), Wanted::Condition)
+        .is_ok());
+    assert!(
+        Builder::default()
+            .add(&chain(500), Wanted::Condition)
+            .is_err(),
+        "too many values"
+    );
+    assert!(Builder::default()
+        .add(&" ".repeat(crate::TEXT_MOST + 1), Wanted::Condition)
+        .is_err());
 }
 
 #[test]
@@ -577,7 +710,11 @@
     };
     assert_ne!(key("concat(\"a\", \"bc\")"), key("concat(\"ab\", \"c\")"));
     assert_ne!(key("concat(\"a\", \"1:b\")"), key("concat(\"a1:b\")"));
-    assert_eq!(key("concat(\"a\", header[\"x\"])"), "absent", "no key out of half of one");
+    assert_eq!(
+        key("concat(\"a\", header[\"x\"])"),
+        "absent",
+        "no key out of half of one"
+    );
     assert_eq!(key("concat(\"a\", 7)"), "\"1:a1:7\"");
 }
 
@@ -590,7 +727,10 @@
         counts[of(n) as usize] += 1;
         counts
     });
-    assert!(counts.iter().all(|c| (850..1_150).contains(c)), "an even sample: {counts:?}");
+    assert!(
+        counts.iter().all(|c| (850..1_150).contains(c)),
+        "an even sample: {counts:?}"
+    );
 }
 
 /// Heads at their largest, made against each kind of input: the bound holds, counted in steps.
@@ -614,13 +754,18 @@
     }
     let mut many = HeaderMap::new();
     (0..1_000).for_each(|n| {
-        many.append("x-many", HeaderValue::from_str(&"m".repeat(n % 60)).expect("a value"));
+        many.append(
+            "x-many",
+            HeaderValue::from_str(&"m".repeat(n % 60)).expect("a value"),
+        );
     });
     worst.push(many);
     let (path, query) = (format!("/{}", "a/".repeat(4_000)), "a=1&".repeat(255));
     for text in CONDITIONS {
         let mut builder = Builder::default();
-        let Ok(id) = builder.add(text, Wanted::Any) else { panic!("{text}") };
+        let Ok(id) = builder.add(text, Wanted::Any) else {
+            panic!("{text}")
+        };
         let bound = builder.cost(&[id]);
         let program = builder.build();
         assert!(bound <= BUDGET, "{text}: {bound}");
@@ -647,7 +792,11 @@
     for n in 0..30_000 {
         let mut data: Vec<u8> = match n % 3 {
             0 => (0..random.gen_range(0..80)).map(|_| random.gen()).collect(),
-            _ => CONDITIONS.choose(&mut random).expect("some").as_bytes().to_vec(),
+            _ => CONDITIONS
+                .choose(&mut random)
+                .expect("some")
+                .as_bytes()
+                .to_vec(),
         };
         for _ in 0..random.gen_range(0..4) {
             if data.is_empty() {
@@ -665,7 +814,9 @@
             }
         }
         parsed += u32::from(harness::parse_any(&data));
-        data.extend_from_slice(b"\0/fees/7?a=1&a=%ff\0x-branch:CR-7\0x-pad: \xff\0cookie:user=7f3a; user");
+        data.extend_from_slice(
+            b"\0/fees/7?a=1&a=%ff\0x-branch:CR-7\0x-pad: \xff\0cookie:user=7f3a; user",
+        );
         evaluated += u32::from(harness::evaluate_any(&data));
     }
     assert!(parsed > 1_000 && evaluated > 1_000, "{parsed} {evaluated}");
@@ -675,12 +826,19 @@
 fn a_request_that_both_take_is_found() {
     let mut builder = Builder::default();
     let mut add = |text: &str| builder.add(text, Wanted::Condition).expect(text);
-    let json = add("method == \"POST\" and (header[\"content-type\"] ?? \"\") == \"application/json\"");
-    let branch = add("(header[\"x-branch\"] ?? \"\") starts_with \"CR-\" or present(query[\"branch\"])");
+    let json =
+        add("method == \"POST\" and (header[\"content-type\"] ?? \"\") == \"application/json\"");
+    let branch =
+        add("(header[\"x-branch\"] ?? \"\") starts_with \"CR-\" or present(query[\"branch\"])");
     let other = add("method == \"GET\"");
     let program = builder.build();
     let (paths, methods) = (["/fees".to_owned()], [Method::POST, Method::GET]);
-    let found = crate::both(&program, (json, branch), &paths, &methods).expect("one that both take");
-    assert!(found.show().contains("content-type: application/json"), "{}", found.show());
+    let found =
+        crate::both(&program, (json, branch), &paths, &methods).expect("one that both take");
+    assert!(
+        found.show().contains("content-type: application/json"),
+        "{}",
+        found.show()
+    );
     assert_eq!(crate::both(&program, (json, other), &paths, &methods), None);
 }
--- a/crates/expr/src/value.rs
+++ b/crates/expr/src/value.rs
@@ -60,7 +60,11 @@
     pub(crate) fn each(&self, mut look: impl FnMut(Cow<'_, str>) -> bool) {
         match self {
             List::Segments(path) => {
-                let mut parts = path.split('/').skip(1).take(SEGMENTS_MOST).filter(|s| !s.is_empty());
+                let mut parts = path
+                    .split('/')
+                    .skip(1)
+                    .take(SEGMENTS_MOST)
+                    .filter(|s| !s.is_empty());
                 parts.all(|s| look(Cow::Borrowed(s)));
             }
             List::Headers(headers, name) => {
@@ -71,7 +75,10 @@
                 texts.take(PARTS_MOST).map(Cow::Borrowed).all(look);
             }
             List::Query(query, name) => {
-                pairs(query).filter(|(n, _)| n == name).take(PARTS_MOST).all(|(_, value)| look(value));
+                pairs(query)
+                    .filter(|(n, _)| n == name)
+                    .take(PARTS_MOST)
+                    .all(|(_, value)| look(value));
             }
             List::Split(text, separator) => {
                 let mut letters = separator.chars();
@@ -79,9 +86,13 @@
                     look(Cow::Borrowed(text));
                 } else if let (Some(one), None) = (letters.next(), letters.next()) {
                     // By far the most, and much faster to find.
-                    text.split(one).take(PARTS_MOST).all(|s| look(Cow::Borrowed(s)));
+                    text.split(one)
+                        .take(PARTS_MOST)
+                        .all(|s| look(Cow::Borrowed(s)));
                 } else {
-                    text.split(separator).take(PARTS_MOST).all(|s| look(Cow::Borrowed(s)));
+                    text.split(separator)
+                        .take(PARTS_MOST)
+                        .all(|s| look(Cow::Borrowed(s)));
                 }
             }
         }
@@ -120,14 +131,21 @@
 
 pub(crate) fn header_bytes<'r>(headers: &'r HeaderMap, name: &HeaderName) -> Option<&'r [u8]> {
     let mut all = headers.get_all(name).iter();
-    all.next().filter(|_| all.next().is_none()).map(|v| v.as_bytes())
+    all.next()
+        .filter(|_| all.next().is_none())
+        .map(|v| v.as_bytes())
 }
 
 pub(crate) fn cookie<'r>(headers: &'r HeaderMap, name: &str) -> Option<&'r str> {
-    let lines =
-        headers.get_all(COOKIE).iter().filter_map(|line| simdutf8::basic::from_utf8(line.as_bytes()).ok());
+    let lines = headers
+        .get_all(COOKIE)
+        .iter()
+        .filter_map(|line| simdutf8::basic::from_utf8(line.as_bytes()).ok());
     let mut all = lines.flat_map(|line| line.split(';')).filter_map(|pair| {
-        pair.trim_ascii_start().strip_prefix(name)?.strip_prefix('=').map(str::trim_ascii_end)
+        pair.trim_ascii_start()
+            .strip_prefix(name)?
+            .strip_prefix('=')
+            .map(str::trim_ascii_end)
     });
     all.next().filter(|_| all.next().is_none())
 }
@@ -135,14 +153,19 @@
 /// The only value of a query parameter.
 pub(crate) fn query<'r>(query: &'r str, name: &str) -> Option<Cow<'r, str>> {
     let mut all = pairs(query).filter(|(own, _)| own == name);
-    all.next().filter(|_| all.next().is_none()).map(|(_, value)| value)
+    all.next()
+        .filter(|_| all.next().is_none())
+        .map(|(_, value)| value)
 }
 
 fn pairs(query: &str) -> impl Iterator<Item = (Cow<'_, str>, Cow<'_, str>)> {
-    query.split('&').filter(|pair| !pair.is_empty()).map(|pair| {
-        let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        (decoded(name), decoded(value))
-    })
+    query
+        .split('&')
+        .filter(|pair| !pair.is_empty())
+        .map(|pair| {
+            let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
+            (decoded(name), decoded(value))
+        })
 }
 
 /// Escapes and `+` as forms write them; what is no escape stays as it is, and so does what would be no text.
@@ -153,8 +176,10 @@
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
-        let escape =
-            (byte == b'%').then(|| after.get(..2)).flatten().filter(|d| d.iter().all(u8::is_ascii_hexdigit));
+        let escape = (byte == b'%')
+            .then(|| after.get(..2))
+            .flatten()
+            .filter(|d| d.iter().all(u8::is_ascii_hexdigit));
         let value = escape.and_then(|d| u8::from_str_radix(std::str::from_utf8(d).ok()?, 16).ok());
         match value {
             Some(value) => {
--- a/crates/expr/src/witness.rs
+++ b/crates/expr/src/witness.rs
@@ -22,8 +22,17 @@
     /// As it is shown to people.
     pub fn show(&self) -> String {
         let mark = if self.query.is_empty() { "" } else { "?" };
-        let headers = self.headers.iter().map(|(n, v)| format!(", {n}: {}", v.to_str().unwrap_or_default()));
-        format!("{} {}{mark}{}{}", self.method, self.path, self.query, headers.collect::<String>())
+        let headers = self
+            .headers
+            .iter()
+            .map(|(n, v)| format!(", {n}: {}", v.to_str().unwrap_or_default()));
+        format!(
+            "{} {}{mark}{}{}",
+            self.method,
+            self.path,
+            self.query,
+            headers.collect::<String>()
+        )
     }
 }
 
@@ -31,12 +40,22 @@
 const TRIES: usize = 64;
 
 /// Looks for a request that both take, on one of these paths and by one of these methods.
-pub fn both(program: &Program, (a, b): (Id, Id), paths: &[String], methods: &[Method]) -> Option<Request> {
+pub fn both(
+    program: &Program,
+    (a, b): (Id, Id),
+    paths: &[String],
+    methods: &[Method],
+) -> Option<Request> {
     let mut tries = Vec::new();
     for path in paths {
         for method in methods {
             let (method, path) = (method.clone(), path.clone());
-            tries.push(Request { method, path, query: String::new(), headers: HeaderMap::new() });
+            tries.push(Request {
+                method,
+                path,
+                query: String::new(),
+                headers: HeaderMap::new(),
+            });
         }
     }
     // Each condition moves each try towards itself, in turn.
@@ -51,8 +70,19 @@
         tries = moved;
     }
     tries.into_iter().find(|request| {
-        let Request { method, path, query, headers } = request;
-        let head = Head { method, path, query, headers, client: [127, 0, 0, 1].into() };
+        let Request {
+            method,
+            path,
+            query,
+            headers,
+        } = request;
+        let head = Head {
+            method,
+            path,
+            query,
+            headers,
+            client: [127, 0, 0, 1].into(),
+        };
         program.holds(a, &head) && program.holds(b, &head)
     })
 }
@@ -102,23 +132,32 @@
             Node::Default(a, _) | Node::Lower(a) | Node::Trim(a) => self.set(*a, text, requests),
             Node::Header(name) => {
                 if let Ok(value) = HeaderValue::from_str(text) {
-                    requests.iter_mut().for_each(|r| drop(r.headers.insert(name.clone(), value.clone())));
+                    requests
+                        .iter_mut()
+                        .for_each(|r| drop(r.headers.insert(name.clone(), value.clone())));
                 }
             }
             Node::Cookie(name) => {
                 if let Ok(value) = HeaderValue::from_str(&format!("{name}={text}")) {
                     requests.iter_mut().for_each(|r| {
-                        drop(r.headers.insert(HeaderName::from_static("cookie"), value.clone()))
+                        drop(
+                            r.headers
+                                .insert(HeaderName::from_static("cookie"), value.clone()),
+                        )
                     });
                 }
             }
-            Node::Query(name) => requests.iter_mut().for_each(|r| r.query = format!("{name}={text}")),
+            Node::Query(name) => requests
+                .iter_mut()
+                .for_each(|r| r.query = format!("{name}={text}")),
             Node::Method => {
                 if let Ok(method) = text.parse::<Method>() {
                     requests.iter_mut().for_each(|r| r.method = method.clone());
                 }
             }
-            Node::Path if text.starts_with('/') => requests.iter_mut().for_each(|r| r.path = text.to_owned()),
+            Node::Path if text.starts_with('/') => {
+                requests.iter_mut().for_each(|r| r.path = text.to_owned())
+            }
             _ => {}
         }
     }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -26,8 +26,12 @@
         joins: 0,
     };
     scenario.name = format!("{proxies} proxies, {hosts} hosts");
-    scenario.hosts =
-        (0..hosts).map(|n| badgerramp_world::HostSpec { name: format!("h{n}"), ..spec.clone() }).collect();
+    scenario.hosts = (0..hosts)
+        .map(|n| badgerramp_world::HostSpec {
+            name: format!("h{n}"),
+            ..spec.clone()
+        })
+        .collect();
     scenario.proxies = proxies;
     scenario.duration = seconds * 1_000_000;
     scenario.faults.clear();
@@ -49,7 +53,11 @@
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let of = |name: &str| -> Option<f64> {
         let line = text.lines().find(|l| l.starts_with(name))?;
-        line.split_whitespace().nth(1)?.parse::<f64>().ok().map(|kib| kib / 1024.0)
+        line.split_whitespace()
+            .nth(1)?
+            .parse::<f64>()
+            .ok()
+            .map(|kib| kib / 1024.0)
     };
     Some((of("VmRSS:")?, of("VmHWM:")?))
 }
@@ -63,7 +71,11 @@
         "{:<28}{:>10}{:>12}{:>16}{:>18}",
         "world", "requests", "seconds", "requests a s", "memory MiB, most"
     );
-    let mut worlds = vec![plain(12, 1, 60, 1_000.0), plain(12, 4, 60, 1_000.0), plain(100, 4, 60, 5_000.0)];
+    let mut worlds = vec![
+        plain(12, 1, 60, 1_000.0),
+        plain(12, 4, 60, 1_000.0),
+        plain(100, 4, 60, 5_000.0),
+    ];
     worlds.push(plain(1_000, 4, 30, 5_000.0));
     if large {
         worlds.push(plain(1_000, 2_000, 60, 10_000.0));
@@ -71,7 +83,13 @@
     for world in worlds {
         let world = Arc::new(world);
         let began = Instant::now();
-        let course = virtually(&world, Options { seed: 1, ..Options::default() })?;
+        let course = virtually(
+            &world,
+            Options {
+                seed: 1,
+                ..Options::default()
+            },
+        )?;
         let (took, total) = (began.elapsed().as_secs_f64(), course.total());
         let memory = memory().map_or_else(|| "not told".to_owned(), |m| format!("{:.0}", m.1));
         println!(
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -3,8 +3,8 @@
 //! observable and by all that the decisions remember.
 
 use badgerramp_decisions::{
-    Action, Balancer, CallId, Class, ClassId, Entry, Event, Hedge, ListKind, Load, Micros, Outcome, Repeat,
-    Scope, ServerId, Settings, State, Terms,
+    Action, Balancer, CallId, Class, ClassId, Entry, Event, Hedge, ListKind, Load, Micros, Outcome,
+    Repeat, Scope, ServerId, Settings, State, Terms,
 };
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::VecDeque;
@@ -109,7 +109,10 @@
         late_value: 1.0,
         repeat: *repeat,
     };
-    let mut settings = Settings { classes: world.calls.iter().map(class).collect(), ..Settings::default() };
+    let mut settings = Settings {
+        classes: world.calls.iter().map(class).collect(),
+        ..Settings::default()
+    };
     settings.limits.max_attempts = world.attempts;
     settings.limits.second_copies = world.copies;
     settings
@@ -131,8 +134,16 @@
             steps: Vec::new(),
         };
         node.tell(world, Event::Start)?;
-        let entries = (0..world.servers).map(|n| entry(n, State::Ready, 0)).collect();
-        node.tell(world, Event::Members { kind: ListKind::Full, entries })?;
+        let entries = (0..world.servers)
+            .map(|n| entry(n, State::Ready, 0))
+            .collect();
+        node.tell(
+            world,
+            Event::Members {
+                kind: ListKind::Full,
+                entries,
+            },
+        )?;
         Ok(node)
     }
 
@@ -143,7 +154,12 @@
             self.balancer.handle(self.now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { call, server, until, .. } => {
+                    Action::Send {
+                        call,
+                        server,
+                        until,
+                        ..
+                    } => {
                         queue.extend(self.send(world, call.0 as usize, server.0, until)?);
                     }
                     Action::Refuse { call, .. } => self.answer(world, call.0 as usize, true)?,
@@ -171,7 +187,9 @@
     ) -> Result<Option<Event>, String> {
         let (now, repeat) = (self.now, world.calls[place]);
         let call = &mut self.calls[place];
-        let asked = call.asked.ok_or("an attempt for a call that has not come")?;
+        let asked = call
+            .asked
+            .ok_or("an attempt for a call that has not come")?;
         if call.answered {
             return Err(format!("call {place}: an attempt after its end"));
         }
@@ -185,7 +203,11 @@
         if out > 0 && (!world.copies || repeat == Repeat::SingleShot) {
             return Err(format!("call {place}: a second copy that is not allowed"));
         }
-        if let Some(first) = call.tried.iter().find(|t| t.over.is_none_or(|o| !o.never_ran())) {
+        if let Some(first) = call
+            .tried
+            .iter()
+            .find(|t| t.over.is_none_or(|o| !o.never_ran()))
+        {
             match repeat {
                 Repeat::Free => {}
                 Repeat::SingleShot => return Err(format!("call {place}: it may run twice")),
@@ -201,12 +223,26 @@
         }
         let (ready, _, drains) = self.servers[server as usize];
         if !ready && drains.is_some_and(|at| now > at) {
-            return Err(format!("call {place}: sent to a server that is known to drain"));
+            return Err(format!(
+                "call {place}: sent to a server that is known to drain"
+            ));
         }
-        let until = until.filter(|&u| u > 0).unwrap_or(Micros::MAX).min(asked + DEADLINE);
-        call.tried.push(Tried { server, sent: now, until, over: None });
+        let until = until
+            .filter(|&u| u > 0)
+            .unwrap_or(Micros::MAX)
+            .min(asked + DEADLINE);
+        call.tried.push(Tried {
+            server,
+            sent: now,
+            until,
+            over: None,
+        });
         let number = call.tried.len() as u32 - 1;
-        Ok(if until <= now { self.ends(place, number, Outcome::NotSent) } else { None })
+        Ok(if until <= now {
+            self.ends(place, number, Outcome::NotSent)
+        } else {
+            None
+        })
     }
 
     fn answer(&mut self, world: &World, place: usize, refused: bool) -> Result<(), String> {
@@ -214,8 +250,18 @@
         if std::mem::replace(&mut call.answered, true) {
             return Err(format!("call {place}: a second final answer"));
         }
-        let harmless = matches!(world.calls[place], Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
-        let ran = call.tried.iter().any(|t| t.over.is_none_or(|o| !o.never_ran()));
+        let harmless = matches!(
+            world.calls[place],
+            Repeat::Free
+                | Repeat::Guarded {
+                    scope: Scope::All,
+                    ..
+                }
+        );
+        let ran = call
+            .tried
+            .iter()
+            .any(|t| t.over.is_none_or(|o| !o.never_ran()));
         if refused && ran && !harmless {
             return Err(format!("call {place}: refused though it may have run"));
         }
@@ -226,7 +272,10 @@
     fn ends(&mut self, place: usize, number: u32, outcome: Outcome) -> Option<Event> {
         let now = self.now;
         let call = &mut self.calls[place];
-        let tried = call.tried.get_mut(number as usize).filter(|t| t.over.is_none())?;
+        let tried = call
+            .tried
+            .get_mut(number as usize)
+            .filter(|t| t.over.is_none())?;
         tried.over = Some(outcome);
         let elapsed = now - tried.sent;
         if outcome == Outcome::Served {
@@ -234,7 +283,14 @@
         }
         let closed = call.answered;
         let load = Load::default();
-        Some(Event::Outcome { call: CallId(place as u64), attempt: number, outcome, elapsed, closed, load })
+        Some(Event::Outcome {
+            call: CallId(place as u64),
+            attempt: number,
+            outcome,
+            elapsed,
+            closed,
+            load,
+        })
     }
 
     /// What may happen next.
@@ -254,15 +310,28 @@
                 // Calls that have not come are alike only if their classes are: each may come first.
                 continue;
             }
-            for (number, _) in call.tried.iter().enumerate().filter(|(_, t)| t.over.is_none()) {
-                steps.extend(OUTCOMES.iter().map(|o| Step::Ends(place, number as u32, *o)));
+            for (number, _) in call
+                .tried
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.over.is_none())
+            {
+                steps.extend(
+                    OUTCOMES
+                        .iter()
+                        .map(|o| Step::Ends(place, number as u32, *o)),
+                );
             }
             if !call.answered {
                 steps.push(Step::Leaves(place));
             }
         }
         for (server, (ready, ..)) in (0..).zip(&self.servers) {
-            steps.push(if *ready { Step::Drains(server) } else { Step::Restarts(server) });
+            steps.push(if *ready {
+                Step::Drains(server)
+            } else {
+                Step::Restarts(server)
+            });
         }
         debug_assert!(steps.len() < 64, "{world:?}");
         steps
@@ -273,8 +342,16 @@
         match step {
             Step::Asks(place) => {
                 self.calls[place].asked = Some(self.now);
-                let hedge = if world.copies { Hedge::Auto } else { Hedge::Never };
-                let terms = Terms { attempts: world.attempts, hedge, ..Terms::default() };
+                let hedge = if world.copies {
+                    Hedge::Auto
+                } else {
+                    Hedge::Never
+                };
+                let terms = Terms {
+                    attempts: world.attempts,
+                    hedge,
+                    ..Terms::default()
+                };
                 self.tell(
                     world,
                     Event::Request {
@@ -293,7 +370,12 @@
             },
             Step::Leaves(place) => {
                 self.calls[place].answered = true;
-                self.tell(world, Event::Gone { call: CallId(place as u64) })?;
+                self.tell(
+                    world,
+                    Event::Gone {
+                        call: CallId(place as u64),
+                    },
+                )?;
                 for number in 0..self.calls[place].tried.len() as u32 {
                     if let Some(event) = self.ends(place, number, Outcome::CalledOff) {
                         self.tell(world, event)?;
@@ -306,12 +388,24 @@
                 let started = self.servers[server as usize].1;
                 self.servers[server as usize] = (false, started, Some(self.now));
                 let entries = vec![entry(server, State::Draining, started)];
-                self.tell(world, Event::Members { kind: ListKind::Delta, entries })
+                self.tell(
+                    world,
+                    Event::Members {
+                        kind: ListKind::Delta,
+                        entries,
+                    },
+                )
             }
             Step::Restarts(server) => {
                 self.servers[server as usize] = (true, self.now, None);
                 let entries = vec![entry(server, State::Ready, self.now)];
-                self.tell(world, Event::Members { kind: ListKind::Delta, entries })
+                self.tell(
+                    world,
+                    Event::Members {
+                        kind: ListKind::Delta,
+                        entries,
+                    },
+                )
             }
         }
     }
@@ -321,7 +415,11 @@
         let end = self.now + world.step;
         loop {
             let attempts = self.calls.iter().enumerate().flat_map(|(place, call)| {
-                let out = call.tried.iter().enumerate().filter(|(_, t)| t.over.is_none());
+                let out = call
+                    .tried
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, t)| t.over.is_none());
                 out.map(move |(number, t)| (t.until, place, number as u32))
             });
             let first = attempts.min().filter(|a| a.0 <= end);
@@ -349,7 +447,9 @@
     fn overdue(&self) -> Result<(), String> {
         for (place, call) in self.calls.iter().enumerate() {
             if !call.answered && call.asked.is_some_and(|at| self.now > at + DEADLINE) {
-                return Err(format!("call {place}: no final answer in its client's time"));
+                return Err(format!(
+                    "call {place}: no final answer in its client's time"
+                ));
             }
         }
         Ok(())
@@ -359,14 +459,24 @@
     fn audit(&self) -> Result<(), String> {
         for server in 0..self.servers.len() as u32 {
             let tried = self.calls.iter().flat_map(|c| &c.tried);
-            let out = tried.filter(|t| t.server == server && t.over.is_none()).count() as u32;
-            if let Some(view) = self.balancer.view(self.now, ServerId(server)).filter(|v| v.in_flight != out)
+            let out = tried
+                .filter(|t| t.server == server && t.over.is_none())
+                .count() as u32;
+            if let Some(view) = self
+                .balancer
+                .view(self.now, ServerId(server))
+                .filter(|v| v.in_flight != out)
             {
-                return Err(format!("server {server}: {} counted in flight, {out} are", view.in_flight));
+                return Err(format!(
+                    "server {server}: {} counted in flight, {out} are",
+                    view.in_flight
+                ));
             }
         }
         let open = self.calls.iter().filter(|c| c.asked.is_some());
-        let open = open.filter(|c| !c.answered || c.tried.iter().any(|t| t.over.is_none())).count();
+        let open = open
+            .filter(|c| !c.answered || c.tried.iter().any(|t| t.over.is_none()))
+            .count();
         match self.balancer.totals().0 {
             known if known > open => Err(format!("{known} calls known, {open} there")),
             _ => Ok(()),
@@ -382,7 +492,9 @@
         (self.now, self.wake).hash(&mut hasher);
         for call in &self.calls {
             (call.asked, call.answered).hash(&mut hasher);
-            call.tried.iter().for_each(|t| (t.server, t.sent, t.until, t.over).hash(&mut hasher));
+            call.tried
+                .iter()
+                .for_each(|t| (t.server, t.sent, t.until, t.over).hash(&mut hasher));
         }
         self.servers.hash(&mut hasher);
         hasher.finish()
@@ -391,7 +503,13 @@
 
 fn entry(server: u32, state: State, started: Micros) -> Entry {
     let cell = badgerramp_decisions::CellId(group(server));
-    Entry { server: ServerId(server), state, cell, started, ..Entry::default() }
+    Entry {
+        server: ServerId(server),
+        state,
+        cell,
+        started,
+        ..Entry::default()
+    }
 }
 
 /// Goes through all orders, breadth first: the first counterexample is one of the shortest.
@@ -400,7 +518,10 @@
     let mut level = match Node::first(world) {
         Ok(node) => vec![node],
         Err(what) => {
-            checked.broken = Some(Counterexample { what, steps: Vec::new() });
+            checked.broken = Some(Counterexample {
+                what,
+                steps: Vec::new(),
+            });
             return checked;
         }
     };
@@ -412,7 +533,10 @@
                 checked.steps += 1;
                 let mut after = node.clone();
                 if let Err(what) = after.take(world, step).and_then(|()| after.audit()) {
-                    checked.broken = Some(Counterexample { what, steps: after.steps });
+                    checked.broken = Some(Counterexample {
+                        what,
+                        steps: after.steps,
+                    });
                     checked.states = seen.len();
                     return checked;
                 }
@@ -459,8 +583,14 @@
 
 /// The worlds that are checked by default.
 pub fn worlds(depth: usize, most: usize) -> Vec<World> {
-    let keyed = Repeat::Guarded { scope: Scope::Cell, window: WINDOW };
-    let all = Repeat::Guarded { scope: Scope::All, window: WINDOW };
+    let keyed = Repeat::Guarded {
+        scope: Scope::Cell,
+        window: WINDOW,
+    };
+    let all = Repeat::Guarded {
+        scope: Scope::All,
+        window: WINDOW,
+    };
     let world = |servers, calls: &[Repeat], copies| World {
         servers,
         calls: calls.to_vec(),
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -241,8 +241,11 @@
     };
     let stop = Arc::new(AtomicBool::new(false));
     // The second Ctrl-C ends it as ever.
-    let _ =
-        signal_hook::flag::register_conditional_shutdown(signal_hook::consts::SIGINT, 130, Arc::clone(&stop));
+    let _ = signal_hook::flag::register_conditional_shutdown(
+        signal_hook::consts::SIGINT,
+        130,
+        Arc::clone(&stop),
+    );
     let _ = signal_hook::flag::register(signal_hook::consts::SIGINT, Arc::clone(&stop));
     match command(cli.command, &stop) {
         Ok(true) => ExitCode::SUCCESS,
@@ -257,11 +260,22 @@
 /// True if no rule broke.
 fn command(command: Command, stop: &AtomicBool) -> Result<bool, Fault> {
     match command {
-        Command::Run { scenario, seed, set, played, told } => {
+        Command::Run {
+            scenario,
+            seed,
+            set,
+            played,
+            told,
+        } => {
             let scenario = changed(&Template::load(&scenario)?, &set)?;
             run(&scenario, seed, &played, &told)
         }
-        Command::Replay { number, write, played, told } => {
+        Command::Replay {
+            number,
+            write,
+            played,
+            told,
+        } => {
             let scenario = generate::scenario(number);
             if let Some(path) = write {
                 save(&path, &scenario_file::write(&scenario))?;
@@ -269,33 +283,88 @@
             let shuffle = hunt::options(number).shuffle || played.shuffle;
             run(&scenario, number, &Played { shuffle, ..played }, &told)
         }
-        Command::Sweep { scenario, over, many, played, told } => {
-            sweep(&Template::load(&scenario)?, &over, &many, &played, &told, stop)
-        }
-        Command::Compare { first, second, set, binary, many, played, told } => {
+        Command::Sweep {
+            scenario,
+            over,
+            many,
+            played,
+            told,
+        } => sweep(
+            &Template::load(&scenario)?,
+            &over,
+            &many,
+            &played,
+            &told,
+            stop,
+        ),
+        Command::Compare {
+            first,
+            second,
+            set,
+            binary,
+            many,
+            played,
+            told,
+        } => {
             let files = (first.as_path(), second.as_deref().unwrap_or(&first));
             compare(files, &set, binary.as_deref(), &many, &played, &told, stop)
         }
         Command::Trial { trial } => crate::trial::run(trial),
-        Command::Hunt { first, count, seconds, threads, stop: first_only, out, play } => {
-            let wanted =
-                hunt::Hunt { first, count, time: Duration::from_secs(seconds), threads, stop: first_only };
+        Command::Hunt {
+            first,
+            count,
+            seconds,
+            threads,
+            stop: first_only,
+            out,
+            play,
+        } => {
+            let wanted = hunt::Hunt {
+                first,
+                count,
+                time: Duration::from_secs(seconds),
+                threads,
+                stop: first_only,
+            };
             hunting(wanted, play, out.as_deref(), stop)
         }
-        Command::Shrink { scenario, rule, seed, plays, write, played } => {
-            shrink(&scenario, rule.as_deref(), seed, plays, write.as_deref(), &played)
-        }
-        Command::Trace { scenario, call, seed, played } => trace(&scenario, call, seed, &played),
+        Command::Shrink {
+            scenario,
+            rule,
+            seed,
+            plays,
+            write,
+            played,
+        } => shrink(
+            &scenario,
+            rule.as_deref(),
+            seed,
+            plays,
+            write.as_deref(),
+            &played,
+        ),
+        Command::Trace {
+            scenario,
+            call,
+            seed,
+            played,
+        } => trace(&scenario, call, seed, &played),
         Command::Report { results, html } => page_of(&results, &html),
         Command::Determinism { count, play } => determinism(count, play, stop),
-        Command::Defects { root, only, seconds } => defects::table(&root, only.as_deref(), seconds),
+        Command::Defects {
+            root,
+            only,
+            seconds,
+        } => defects::table(&root, only.as_deref(), seconds),
         Command::Check { depth, states } => Ok(checked(depth, states)),
         Command::Speed { large } => bench::speed(large).map(|()| true),
     }
 }
 
 fn changed(template: &Template, changes: &[String]) -> Result<Scenario, Fault> {
-    let changed = changes.iter().try_fold(template.clone(), |t, change| t.with(change))?;
+    let changed = changes
+        .iter()
+        .try_fold(template.clone(), |t, change| t.with(change))?;
     changed.scenario()
 }
 
@@ -305,7 +374,8 @@
 
 fn bar(length: u64) -> ProgressBar {
     let bar = ProgressBar::new(length);
-    let style = ProgressStyle::with_template("{bar:30} {pos}/{len} {msg} {elapsed} gone, {eta} left");
+    let style =
+        ProgressStyle::with_template("{bar:30} {pos}/{len} {msg} {elapsed} gone, {eta} left");
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
 
@@ -315,7 +385,14 @@
         Ok(number) => Ok((generate::scenario(number), hunt::options(number))),
         Err(_) => {
             let scenario = scenario_file::load(Path::new(name))?;
-            Ok((scenario, Options { seed, shuffle, ..Options::default() }))
+            Ok((
+                scenario,
+                Options {
+                    seed,
+                    shuffle,
+                    ..Options::default()
+                },
+            ))
         }
     }
 }
@@ -323,23 +400,45 @@
 fn run(scenario: &Scenario, seed: u64, played: &Played, told: &Told) -> Result<bool, Fault> {
     let scenario = Arc::new(scenario.clone());
     let began = Instant::now();
-    let course =
-        played.play.play(&scenario, Options { seed, shuffle: played.shuffle, ..Options::default() })?;
+    let course = played.play.play(
+        &scenario,
+        Options {
+            seed,
+            shuffle: played.shuffle,
+            ..Options::default()
+        },
+    )?;
     let took = began.elapsed().as_secs_f64();
     let summary = course.summary(played.play.name(), seed);
     show(&course, &summary);
-    println!("{:.2} s, {:.0} requests a second", took, course.total().tries as f64 / took.max(1e-9));
+    println!(
+        "{:.2} s, {:.0} requests a second",
+        took,
+        course.total().tries as f64 / took.max(1e-9)
+    );
     lines(told.json.as_deref(), std::slice::from_ref(&summary))?;
     if let Some(path) = &told.html {
-        save(path, &report::page(&scenario.name, &[report::course(&course, &summary)]))?;
+        save(
+            path,
+            &report::page(&scenario.name, &[report::course(&course, &summary)]),
+        )?;
     }
     Ok(summary.broken == 0)
 }
 
 fn show(course: &Course, summary: &Summary) {
-    let head =
-        ["class", "wanted", "in time", "late", "refused", "failed", "lost", "p50 ms", "p99 ms", "p99.9 ms"];
-    println!("{:<20}{}", head[0], head[1..].iter().map(|h| format!("{h:>10}")).collect::<String>());
+    let head = [
+        "class", "wanted", "in time", "late", "refused", "failed", "lost", "p50 ms", "p99 ms",
+        "p99.9 ms",
+    ];
+    println!(
+        "{:<20}{}",
+        head[0],
+        head[1..]
+            .iter()
+            .map(|h| format!("{h:>10}"))
+            .collect::<String>()
+    );
     for (class, t) in course.scenario().classes.iter().zip(&course.classes) {
         let ms = |share| t.times.within(share) as f64 / 1e3;
         println!(
@@ -378,8 +477,15 @@
         println!("digest {}", summary.digest);
     }
     for broken in &course.broken {
-        let op = broken.op.map_or(String::new(), |op| format!(", call {}", op.0));
-        println!("BROKEN {} at {:.3} s{op}: {}", broken.rule, broken.at as f64 / 1e6, broken.text);
+        let op = broken
+            .op
+            .map_or(String::new(), |op| format!(", call {}", op.0));
+        println!(
+            "BROKEN {} at {:.3} s{op}: {}",
+            broken.rule,
+            broken.at as f64 / 1e6,
+            broken.text
+        );
     }
     if course.broken_count > course.broken.len() as u64 {
         println!("... {} times in all", course.broken_count);
@@ -410,8 +516,14 @@
     let threads = if played.play.alone() { 1 } else { many.threads };
     let play = |n: usize| {
         let seed = n as u64 + 1;
-        let course =
-            played.play.play(&scenario, Options { seed, shuffle: played.shuffle, ..Options::default() })?;
+        let course = played.play.play(
+            &scenario,
+            Options {
+                seed,
+                shuffle: played.shuffle,
+                ..Options::default()
+            },
+        )?;
         Ok(course.summary(played.play.name(), seed))
     };
     let all = experiment::all(many.seeds as usize, threads, stop, play, || bar.inc(1))?;
@@ -434,10 +546,17 @@
     };
     let mut settings: Vec<Vec<String>> = Vec::new();
     for b in &second {
-        settings.extend(first.iter().map(|a| std::iter::once(a.clone()).chain(b.clone()).collect()));
+        settings.extend(
+            first
+                .iter()
+                .map(|a| std::iter::once(a.clone()).chain(b.clone()).collect()),
+        );
     }
     // All of them are good before any is played.
-    let scenarios = settings.iter().map(|s| changed(template, s)).collect::<Result<Vec<_>, _>>()?;
+    let scenarios = settings
+        .iter()
+        .map(|s| changed(template, s))
+        .collect::<Result<Vec<_>, _>>()?;
     let bar = bar(settings.len() as u64 * many.seeds);
     let (mut points, mut all) = (Vec::new(), Vec::new());
     for (changes, scenario) in settings.into_iter().zip(scenarios) {
@@ -466,7 +585,13 @@
     }
     lines(told.json.as_deref(), &all)?;
     if let Some(path) = &told.html {
-        save(path, &report::page(&format!("Sweep over {}", over.join(" and ")), &[report::sweep(&points)]))?;
+        save(
+            path,
+            &report::page(
+                &format!("Sweep over {}", over.join(" and ")),
+                &[report::sweep(&points)],
+            ),
+        )?;
     }
     Ok(points.iter().all(|p| p.broken == 0))
 }
@@ -484,26 +609,56 @@
     let a = over_seeds(Template::load(first)?.scenario()?, many, played, stop, &bar)?;
     let b = match binary {
         Some(binary) => other_build(binary, second, set, many, played, stop, &bar)?,
-        None => over_seeds(changed(&Template::load(second)?, set)?, many, played, stop, &bar)?,
+        None => over_seeds(
+            changed(&Template::load(second)?, set)?,
+            many,
+            played,
+            stop,
+            &bar,
+        )?,
     };
     bar.finish_and_clear();
     let (one, two) = (Point::of(Vec::new(), &a), Point::of(set.to_vec(), &b));
     let difference = Compared::of(&a, &b);
-    println!("{:<16}{:>22}{:>22}{:>22}", "", "first", "second", "second over first");
+    println!(
+        "{:<16}{:>22}{:>22}{:>22}",
+        "", "first", "second", "second over first"
+    );
     let rows = [
         ("goodput", one.goodput, two.goodput, difference.goodput),
-        ("worst class", one.worst_class, two.worst_class, difference.worst_class),
-        ("attempts", one.amplification, two.amplification, difference.amplification),
+        (
+            "worst class",
+            one.worst_class,
+            two.worst_class,
+            difference.worst_class,
+        ),
+        (
+            "attempts",
+            one.amplification,
+            two.amplification,
+            difference.amplification,
+        ),
         ("p99 ms", one.p99_ms, two.p99_ms, difference.p99_ms),
     ];
     for (name, a, b, d) in rows {
-        println!("{name:<16}{:>22}{:>22}{:>22}", a.to_string(), b.to_string(), d.to_string());
+        println!(
+            "{name:<16}{:>22}{:>22}{:>22}",
+            a.to_string(),
+            b.to_string(),
+            d.to_string()
+        );
     }
-    println!("rules broken: {} and {}; {} pairs", one.broken, two.broken, difference.goodput.count);
+    println!(
+        "rules broken: {} and {}; {} pairs",
+        one.broken, two.broken, difference.goodput.count
+    );
     let all: Vec<&Summary> = a.iter().chain(&b).collect();
     lines(told.json.as_deref(), &all)?;
     if let Some(path) = &told.html {
-        save(path, &report::page("Compared", &[report::sweep(&[one.clone(), two.clone()])]))?;
+        save(
+            path,
+            &report::page("Compared", &[report::sweep(&[one.clone(), two.clone()])]),
+        )?;
     }
     Ok(one.broken + two.broken == 0)
 }
@@ -525,14 +680,28 @@
             break;
         }
         let mut command = std::process::Command::new(binary);
-        command.arg("run").arg(scenario).args(["--seed", &seed.to_string(), "--play", played.play.name()]);
-        command.args(set.iter().flat_map(|s| ["--set", s])).arg("--json").arg(&out);
+        command.arg("run").arg(scenario).args([
+            "--seed",
+            &seed.to_string(),
+            "--play",
+            played.play.name(),
+        ]);
+        command
+            .args(set.iter().flat_map(|s| ["--set", s]))
+            .arg("--json")
+            .arg(&out);
         let shown = binary.display();
-        let told = command.output().map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
+        let told = command
+            .output()
+            .map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
         let text = std::fs::read_to_string(&out).map_err(|e| {
-            Fault::Other(format!("{shown} wrote no results ({e}): {}", String::from_utf8_lossy(&told.stderr)))
+            Fault::Other(format!(
+                "{shown} wrote no results ({e}): {}",
+                String::from_utf8_lossy(&told.stderr)
+            ))
         })?;
-        let summary = serde_json::from_str(text.trim()).map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
+        let summary =
+            serde_json::from_str(text.trim()).map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
         all.push(summary);
         bar.inc(1);
     }
@@ -540,7 +709,12 @@
     Ok(all)
 }
 
-fn hunting(wanted: hunt::Hunt, play: Way, out: Option<&Path>, stop: &AtomicBool) -> Result<bool, Fault> {
+fn hunting(
+    wanted: hunt::Hunt,
+    play: Way,
+    out: Option<&Path>,
+    stop: &AtomicBool,
+) -> Result<bool, Fault> {
     let bar = bar(wanted.count);
     let began = Instant::now();
     let found = hunt::hunt(play.function(), wanted, stop, |played, kinds| {
@@ -556,10 +730,14 @@
         found.finds.len()
     );
     if let Some(dir) = out {
-        std::fs::create_dir_all(dir).map_err(|e| Fault::Other(format!("{}: {e}", dir.display())))?;
+        std::fs::create_dir_all(dir)
+            .map_err(|e| Fault::Other(format!("{}: {e}", dir.display())))?;
     }
     for (signature, find) in &found.finds {
-        println!("\n{signature}\n  in {} scenarios, first {}: {}", find.count, find.number, find.broken.text);
+        println!(
+            "\n{signature}\n  in {} scenarios, first {}: {}",
+            find.count, find.number, find.broken.text
+        );
         if let Some(dir) = out {
             let scenario = generate::scenario(find.number);
             let options = hunt::options(find.number);
@@ -590,7 +768,10 @@
     let Options { seed, shuffle, .. } = shrunk.options;
     let how = if shuffle { " --shuffle" } else { "" };
     let Broken { rule, text, .. } = &shrunk.broken;
-    format!("# {rule}: {text}\n# run with --seed {seed}{how}\n{}", scenario_file::write(&shrunk.scenario))
+    format!(
+        "# {rule}: {text}\n# run with --seed {seed}{how}\n{}",
+        scenario_file::write(&shrunk.scenario)
+    )
 }
 
 use badgerramp_world::Broken;
@@ -627,7 +808,12 @@
         Some(path) => save(path, &text)?,
         None => println!("{text}"),
     }
-    println!("{} events in {} plays; {rule}: {}", shrunk.scenario.events(), shrunk.plays, shrunk.broken.text);
+    println!(
+        "{} events in {} plays; {rule}: {}",
+        shrunk.scenario.events(),
+        shrunk.plays,
+        shrunk.broken.text
+    );
     Ok(false)
 }
 
@@ -648,14 +834,27 @@
             }
         }
     };
-    let course = played.play.play(&scenario, Options { trace: Some(op), ..options })?;
+    let course = played.play.play(
+        &scenario,
+        Options {
+            trace: Some(op),
+            ..options
+        },
+    )?;
     if course.trace.is_empty() {
         println!("no call {} in this course", op.0);
     }
     println!("call {}", op.0);
     course.trace.iter().for_each(|line| println!("{line}"));
     let broken: Vec<&Broken> = course.broken.iter().filter(|b| b.op == Some(op)).collect();
-    broken.iter().for_each(|b| println!("{:>12.3} ms  BROKEN {}: {}", b.at as f64 / 1e3, b.rule, b.text));
+    broken.iter().for_each(|b| {
+        println!(
+            "{:>12.3} ms  BROKEN {}: {}",
+            b.at as f64 / 1e3,
+            b.rule,
+            b.text
+        )
+    });
     Ok(broken.is_empty())
 }
 
@@ -663,7 +862,11 @@
     let name = |e: &dyn std::fmt::Display| Fault::Other(format!("{}: {e}", results.display()));
     let text = std::fs::read_to_string(results).map_err(|e| name(&e))?;
     let mut groups: Vec<(String, Vec<Summary>)> = Vec::new();
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+    for (n, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.trim().is_empty())
+    {
         let summary: Summary = serde_json::from_str(line)
             .map_err(|e| Fault::Other(format!("{}:{}: {e}", results.display(), n + 1)))?;
         let key = format!("{}, {}", summary.scenario, summary.play);
@@ -672,7 +875,10 @@
             None => groups.push((key, vec![summary])),
         }
     }
-    let points: Vec<Point> = groups.iter().map(|(key, all)| Point::of(vec![key.clone()], all)).collect();
+    let points: Vec<Point> = groups
+        .iter()
+        .map(|(key, all)| Point::of(vec![key.clone()], all))
+        .collect();
     save(html, &report::page("Results", &[report::sweep(&points)]))?;
     Ok(points.iter().all(|p| p.broken == 0))
 }
@@ -705,7 +911,10 @@
     let digests = |threads: usize| -> Result<Vec<String>, Fault> {
         let bar = bar(count);
         let one = |n: usize| {
-            let course = play.play(&Arc::new(generate::scenario(n as u64)), hunt::options(n as u64))?;
+            let course = play.play(
+                &Arc::new(generate::scenario(n as u64)),
+                hunt::options(n as u64),
+            )?;
             Ok(course.digest())
         };
         let all = experiment::all(count as usize, threads, stop, one, || bar.inc(1))?;
@@ -714,7 +923,9 @@
     };
     let courses = [digests(1)?, digests(1)?, digests(4)?];
     let short = courses.iter().map(Vec::len).min().unwrap_or(0);
-    let differ = (0..short).filter(|&n| courses.iter().any(|c| c[n] != courses[0][n])).count();
+    let differ = (0..short)
+        .filter(|&n| courses.iter().any(|c| c[n] != courses[0][n]))
+        .count();
     println!("{short} scenarios, twice on one thread and once on four: {differ} differ");
     Ok(differ == 0)
 }
--- a/crates/lab/src/course.rs
+++ b/crates/lab/src/course.rs
@@ -12,7 +12,8 @@
 pub const BIN: Micros = 1_000_000;
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 2).unwrap_or_else(|_| unreachable!("the bounds are good"))
+    Histogram::new_with_bounds(1, LONGEST, 2)
+        .unwrap_or_else(|_| unreachable!("the bounds are good"))
 }
 
 /// Times of a class or a bin, in microseconds from when the first try was due.
@@ -272,7 +273,12 @@
     pub fn digest(&self) -> String {
         let mut digest = self.digest.clone();
         digest.update(&self.buffer);
-        digest.finalize().iter().take(16).map(|b| format!("{b:02x}")).collect()
+        digest
+            .finalize()
+            .iter()
+            .take(16)
+            .map(|b| format!("{b:02x}"))
+            .collect()
     }
 
     /// All classes as one.
@@ -295,20 +301,33 @@
 
     /// Worth earned over worth wanted of what was first due in this stretch of time, and how much was wanted.
     pub fn goodput_between(&self, from: Micros, until: Micros) -> (f64, u64) {
-        let bins = self.bins.iter().zip(0..).filter(|(_, n)| n * BIN >= from && (n + 1) * BIN <= until);
+        let bins = self
+            .bins
+            .iter()
+            .zip(0..)
+            .filter(|(_, n)| n * BIN >= from && (n + 1) * BIN <= until);
         let (mut worth, mut wanted) = ((0.0, 0.0), 0);
         for (bin, _) in bins {
             worth = (worth.0 + bin.worth.0, worth.1 + bin.worth.1);
             wanted += bin.wanted;
         }
-        (if worth.0 > 0.0 { worth.1 / worth.0 } else { 1.0 }, wanted)
+        (
+            if worth.0 > 0.0 {
+                worth.1 / worth.0
+            } else {
+                1.0
+            },
+            wanted,
+        )
     }
 
     /// The goodput of the worst ten seconds, or of all where it was shorter.
     pub fn worst_window(&self) -> f64 {
         let window = 10.min(self.bins.len());
         let all = self.bins.windows(window).map(|bins| {
-            let worth = bins.iter().fold((0.0, 0.0), |w, b| (w.0 + b.worth.0, w.1 + b.worth.1));
+            let worth = bins
+                .iter()
+                .fold((0.0, 0.0), |w, b| (w.0 + b.worth.0, w.1 + b.worth.1));
             if worth.0 > 0.0 {
                 worth.1 / worth.0
             } else {
@@ -344,8 +363,15 @@
             memory_most: self.memory_most,
             descriptors_most: self.descriptors_most,
             broken: self.broken_count,
-            first_broken: self.broken.first().map(|b| format!("{}: {}", b.rule, b.text)),
-            digest: if play == "real" { String::new() } else { self.digest() },
+            first_broken: self
+                .broken
+                .first()
+                .map(|b| format!("{}: {}", b.rule, b.text)),
+            digest: if play == "real" {
+                String::new()
+            } else {
+                self.digest()
+            },
         }
     }
 
@@ -355,9 +381,16 @@
     }
 
     /// Notes a line of the traced call.
-    pub fn note(&mut self, traced: Option<OpId>, op: OpId, at: Micros, line: impl FnOnce() -> String) {
+    pub fn note(
+        &mut self,
+        traced: Option<OpId>,
+        op: OpId,
+        at: Micros,
+        line: impl FnOnce() -> String,
+    ) {
         if traced == Some(op) {
-            self.trace.push(format!("{:>12.3} ms  {}", at as f64 / 1e3, line()));
+            self.trace
+                .push(format!("{:>12.3} ms  {}", at as f64 / 1e3, line()));
         }
     }
 }
--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -327,8 +327,15 @@
 pub fn table(root: &Path, only: Option<&str>, seconds: u64) -> Result<bool, Fault> {
     let copy = std::env::temp_dir().join(format!("badgerramp-defects-{}", std::process::id()));
     copy_tree(root, &copy)?;
-    println!("{:<26}{:<10}{:<22}{:>10}{:>9}  what it does", "defect", "play", "rule", "found in", "events");
-    let chosen = || DEFECTS.iter().filter(|d| only.is_none_or(|o| d.name.contains(o)));
+    println!(
+        "{:<26}{:<10}{:<22}{:>10}{:>9}  what it does",
+        "defect", "play", "rule", "found in", "events"
+    );
+    let chosen = || {
+        DEFECTS
+            .iter()
+            .filter(|d| only.is_none_or(|o| d.name.contains(o)))
+    };
     let (mut found, mut short) = (0, 0);
     for defect in chosen() {
         let hunted = hunted(&copy, defect, seconds)?;
@@ -337,7 +344,10 @@
             None => ("not found", String::new()),
         };
         let events = hunted.events.map_or_else(String::new, |e| e.to_string());
-        println!("{:<26}{:<10}{rule:<22}{time:>10}{events:>9}  {}", defect.name, defect.play, defect.what);
+        println!(
+            "{:<26}{:<10}{rule:<22}{time:>10}{events:>9}  {}",
+            defect.name, defect.play, defect.what
+        );
         found += usize::from(hunted.found.is_some());
         short += usize::from(hunted.events.is_some_and(|e| e < SHORT));
     }
@@ -354,7 +364,10 @@
         let io = |e: std::io::Error| Fault::Other(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(&path).map_err(io)?;
         if text.matches(from).count() != 1 {
-            return Err(Fault::Other(format!("{}: its place is not in {file} once", defect.name)));
+            return Err(Fault::Other(format!(
+                "{}: its place is not in {file} once",
+                defect.name
+            )));
         }
         std::fs::write(&path, text.replacen(from, to, 1)).map_err(io)?;
         sound.push((path, text));
@@ -362,7 +375,8 @@
     let hunted = build(copy).and_then(|program| hunt(&program, defect, seconds));
     // In reverse: a file may have been changed twice.
     for (path, text) in sound.into_iter().rev() {
-        std::fs::write(&path, text).map_err(|e| Fault::Other(format!("{}: {e}", path.display())))?;
+        std::fs::write(&path, text)
+            .map_err(|e| Fault::Other(format!("{}: {e}", path.display())))?;
     }
     hunted
 }
@@ -370,15 +384,29 @@
 fn build(copy: &Path) -> Result<PathBuf, Fault> {
     let mut command = Command::new("cargo");
     command
-        .args(["build", "--release", "--quiet", "--locked", "--package", "badgerramp-lab"])
+        .args([
+            "build",
+            "--release",
+            "--quiet",
+            "--locked",
+            "--package",
+            "badgerramp-lab",
+        ])
         .current_dir(copy);
     // One place for all builds, and quick ones: only what a defect touches is built anew, and it need not run fast.
-    command.env("CARGO_INCREMENTAL", "1").env("CARGO_PROFILE_RELEASE_OPT_LEVEL", "1");
+    command
+        .env("CARGO_INCREMENTAL", "1")
+        .env("CARGO_PROFILE_RELEASE_OPT_LEVEL", "1");
     command.env("CARGO_PROFILE_RELEASE_CODEGEN_UNITS", "64");
     command.env("CARGO_TARGET_DIR", copy.join("target"));
-    let done = command.output().map_err(|e| Fault::Other(format!("cargo: {e}")))?;
+    let done = command
+        .output()
+        .map_err(|e| Fault::Other(format!("cargo: {e}")))?;
     if !done.status.success() {
-        return Err(Fault::Other(format!("it does not build: {}", String::from_utf8_lossy(&done.stderr))));
+        return Err(Fault::Other(format!(
+            "it does not build: {}",
+            String::from_utf8_lossy(&done.stderr)
+        )));
     }
     Ok(copy.join("target/release/badgerramp-lab"))
 }
@@ -388,9 +416,18 @@
     let _ = std::fs::remove_dir_all(&out);
     let began = Instant::now();
     let mut command = Command::new(program);
-    command.args(["hunt", "--stop", "--play", defect.play, "--seconds", &seconds.to_string()]);
+    command.args([
+        "hunt",
+        "--stop",
+        "--play",
+        defect.play,
+        "--seconds",
+        &seconds.to_string(),
+    ]);
     command.args(["--count", "1000000", "--out"]).arg(&out);
-    let done = command.output().map_err(|e| Fault::Other(format!("{}: {e}", program.display())))?;
+    let done = command
+        .output()
+        .map_err(|e| Fault::Other(format!("{}: {e}", program.display())))?;
     let text = String::from_utf8_lossy(&done.stdout);
     let number = |line: &str, after: &str| -> Option<f64> {
         line.split_once(after)?
@@ -401,17 +438,33 @@
             .parse()
             .ok()
     };
-    let hunted =
-        text.lines().find_map(|l| number(l, " requests in ")).unwrap_or(began.elapsed().as_secs_f64());
+    let hunted = text
+        .lines()
+        .find_map(|l| number(l, " requests in "))
+        .unwrap_or(began.elapsed().as_secs_f64());
     // A hunt that did not come to its end has found that the program fails.
     if !matches!(done.status.code(), Some(0 | 1)) {
-        return Ok(Hunted { found: Some(("crashed".to_owned(), hunted)), events: None });
+        return Ok(Hunted {
+            found: Some(("crashed".to_owned(), hunted)),
+            events: None,
+        });
     }
-    let kinds = text.lines().filter_map(|l| l.split_once(": ").filter(|(rule, _)| !rule.contains(' ')));
-    let rules: Vec<String> =
-        kinds.filter_map(|(r, _)| badgerramp_world::Rule::named(r)).map(|r| r.to_string()).collect();
-    let events = text.lines().filter_map(|l| number(l, "cut down to ")).map(|e| e as u64).min();
-    Ok(Hunted { found: rules.first().map(|r| (r.clone(), hunted)), events })
+    let kinds = text
+        .lines()
+        .filter_map(|l| l.split_once(": ").filter(|(rule, _)| !rule.contains(' ')));
+    let rules: Vec<String> = kinds
+        .filter_map(|(r, _)| badgerramp_world::Rule::named(r))
+        .map(|r| r.to_string())
+        .collect();
+    let events = text
+        .lines()
+        .filter_map(|l| number(l, "cut down to "))
+        .map(|e| e as u64)
+        .min();
+    Ok(Hunted {
+        found: rules.first().map(|r| (r.clone(), hunted)),
+        events,
+    })
 }
 
 /// Copies what a build needs.
@@ -424,11 +477,14 @@
         for entry in std::fs::read_dir(&from).map_err(|e| io(&from, e))? {
             let entry = entry.map_err(|e| io(&from, e))?;
             let (name, place) = (entry.file_name(), folder.join(entry.file_name()));
-            let left_out = ["target", ".git", "journal", "fuzz", "docs"].iter().any(|n| name == *n);
+            let left_out = ["target", ".git", "journal", "fuzz", "docs"]
+                .iter()
+                .any(|n| name == *n);
             match entry.file_type() {
                 Ok(kind) if kind.is_dir() && !left_out => folders.push(place),
                 Ok(kind) if kind.is_file() => {
-                    std::fs::copy(root.join(&place), to.join(&place)).map_err(|e| io(&to.join(&place), e))?;
+                    std::fs::copy(root.join(&place), to.join(&place))
+                        .map_err(|e| io(&to.join(&place), e))?;
                 }
                 _ => {}
             }
