--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -25,8 +25,11 @@
     pub fn load(path: &Path) -> Result<Self, Fault> {
         scenario_file::load(path)?;
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Fault::Other(format!("{name}: {e}")))?;
-        let table = text.parse().map_err(|e| Fault::Other(format!("{name}: {e}")))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| Fault::Other(format!("{name}: {e}")))?;
+        let table = text
+            .parse()
+            .map_err(|e| Fault::Other(format!("{name}: {e}")))?;
         Ok(Template { name, table })
     }
 
@@ -37,12 +40,19 @@
     /// If the text has no value or the key names no place; what the value may be is told by [`Template::scenario`].
     pub fn with(&self, change: &str) -> Result<Self, Fault> {
         let (key, value) = change.split_once('=').ok_or_else(|| {
-            Fault::Other(format!("{change:?}: allowed is KEY=VALUE, like clients.rate=400"))
+            Fault::Other(format!(
+                "{change:?}: allowed is KEY=VALUE, like clients.rate=400"
+            ))
         })?;
         // A time or a word may come without its quotes, as a shell takes them away.
-        let read =
-            |text: &str| format!("v = {text}").parse::<toml::Table>().ok().and_then(|mut t| t.remove("v"));
-        let value = read(value.trim()).unwrap_or_else(|| toml::Value::String(value.trim().to_owned()));
+        let read = |text: &str| {
+            format!("v = {text}")
+                .parse::<toml::Table>()
+                .ok()
+                .and_then(|mut t| t.remove("v"))
+        };
+        let value =
+            read(value.trim()).unwrap_or_else(|| toml::Value::String(value.trim().to_owned()));
         let parts: Vec<&str> = key.trim().split('.').collect();
         let mut file = toml::Value::Table(self.table.clone());
         put(&mut file, &parts, &value)
@@ -51,7 +61,10 @@
             toml::Value::Table(table) => table,
             _ => self.table.clone(),
         };
-        Ok(Template { name: format!("{} with {change}", self.name), table })
+        Ok(Template {
+            name: format!("{} with {change}", self.name),
+            table,
+        })
     }
 
     /// The scenario.
@@ -71,11 +84,15 @@
             Ok(())
         }
         (toml::Value::Table(table), [first, rest @ ..]) => {
-            let inner = table.entry(*first).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+            let inner = table
+                .entry(*first)
+                .or_insert_with(|| toml::Value::Table(toml::Table::new()));
             put(inner, rest, to)
         }
         // All tables of a list alike.
-        (toml::Value::Array(list), parts) => list.iter_mut().try_for_each(|part| put(part, parts, to)),
+        (toml::Value::Array(list), parts) => {
+            list.iter_mut().try_for_each(|part| put(part, parts, to))
+        }
         (_, parts) => Err(parts.first().copied().unwrap_or_default().to_owned()),
     }
 }
@@ -100,12 +117,20 @@
         }
         let mean = values.iter().sum::<f64>() / count as f64;
         if count == 1 {
-            return Mean { mean, half: 0.0, count };
+            return Mean {
+                mean,
+                half: 0.0,
+                count,
+            };
         }
         let degrees = (count - 1) as f64;
         let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / degrees;
         let t = StudentsT::new(0.0, 1.0, degrees).map_or(1.96, |t| t.inverse_cdf(0.975));
-        Mean { mean, half: t * (variance / count as f64).sqrt(), count }
+        Mean {
+            mean,
+            half: t * (variance / count as f64).sqrt(),
+            count,
+        }
     }
 }
 
@@ -136,14 +161,18 @@
                     return;
                 }
                 let played = play(number);
-                done.lock().unwrap_or_else(PoisonError::into_inner).push((number, played));
+                done.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push((number, played));
                 progress();
             });
         }
     });
     let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
     done.sort_by_key(|d| d.0);
-    done.into_iter().map(|(n, played)| played.map(|p| (n, p))).collect()
+    done.into_iter()
+        .map(|(n, played)| played.map(|p| (n, p)))
+        .collect()
 }
 
 /// What is told of the courses of one point of a sweep.
@@ -166,7 +195,8 @@
 impl Point {
     /// Of these courses.
     pub fn of(changes: Vec<String>, all: &[Summary]) -> Self {
-        let mean = |figure: fn(&Summary) -> f64| Mean::of(&all.iter().map(figure).collect::<Vec<_>>());
+        let mean =
+            |figure: fn(&Summary) -> f64| Mean::of(&all.iter().map(figure).collect::<Vec<_>>());
         Point {
             changes,
             goodput: mean(|s| s.goodput),
@@ -198,7 +228,11 @@
     pub fn of(first: &[Summary], second: &[Summary]) -> Self {
         let mean = |figure: fn(&Summary) -> f64| {
             let pairs = first.iter().zip(second);
-            Mean::of(&pairs.map(|(a, b)| figure(b) - figure(a)).collect::<Vec<_>>())
+            Mean::of(
+                &pairs
+                    .map(|(a, b)| figure(b) - figure(a))
+                    .collect::<Vec<_>>(),
+            )
         };
         let broken = |all: &[Summary]| all.iter().map(|s| s.broken).sum();
         Compared {
@@ -216,23 +250,47 @@
 /// # Errors
 /// What is odd in the text.
 pub fn values(text: &str) -> Result<Vec<String>, Fault> {
-    let odd = |why: &str| Fault::Other(format!("{text:?}: {why}; allowed: KEY=FROM..TO:STEPS or KEY=A,B,C"));
-    let (key, values) = text.split_once('=').ok_or_else(|| odd("there is no value"))?;
+    let odd = |why: &str| {
+        Fault::Other(format!(
+            "{text:?}: {why}; allowed: KEY=FROM..TO:STEPS or KEY=A,B,C"
+        ))
+    };
+    let (key, values) = text
+        .split_once('=')
+        .ok_or_else(|| odd("there is no value"))?;
     if let Some((from, rest)) = values.split_once("..") {
-        let (to, steps) = rest.split_once(':').ok_or_else(|| odd("the steps are not told"))?;
-        let number = |t: &str| t.trim().parse::<f64>().map_err(|_| odd("this is no number"));
+        let (to, steps) = rest
+            .split_once(':')
+            .ok_or_else(|| odd("the steps are not told"))?;
+        let number = |t: &str| {
+            t.trim()
+                .parse::<f64>()
+                .map_err(|_| odd("this is no number"))
+        };
         let (from, to) = (number(from)?, number(to)?);
-        let steps: usize = steps.trim().parse().map_err(|_| odd("the steps are no whole number"))?;
+        let steps: usize = steps
+            .trim()
+            .parse()
+            .map_err(|_| odd("the steps are no whole number"))?;
         if !(2..=1_000).contains(&steps) {
             return Err(odd("from 2 to 1000 steps"));
         }
         let whole = from.fract() == 0.0 && to.fract() == 0.0;
         let at = |n: usize| from + (to - from) * n as f64 / (steps - 1) as f64;
         // Keys that want whole numbers get them where both ends are whole.
-        let shown = |v: f64| if whole { format!("{key}={}", v.round()) } else { format!("{key}={v}") };
+        let shown = |v: f64| {
+            if whole {
+                format!("{key}={}", v.round())
+            } else {
+                format!("{key}={v}")
+            }
+        };
         return Ok((0..steps).map(|n| shown(at(n))).collect());
     }
-    Ok(values.split(',').map(|v| format!("{key}={}", v.trim())).collect())
+    Ok(values
+        .split(',')
+        .map(|v| format!("{key}={}", v.trim()))
+        .collect())
 }
 
 #[cfg(test)]
@@ -247,7 +305,14 @@
             (mean.mean - 2.0).abs() < 1e-9 && (mean.half - 4.302_65 / 3f64.sqrt()).abs() < 1e-3,
             "{mean}"
         );
-        assert_eq!(Mean::of(&[5.0]), Mean { mean: 5.0, half: 0.0, count: 1 });
+        assert_eq!(
+            Mean::of(&[5.0]),
+            Mean {
+                mean: 5.0,
+                half: 0.0,
+                count: 1
+            }
+        );
     }
 
     #[test]
--- a/crates/lab/src/generate.rs
+++ b/crates/lab/src/generate.rs
@@ -2,8 +2,8 @@
 
 use crate::operator;
 use badgerramp_world::{
-    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec, Micros,
-    NetworkSpec, Scenario, SecondCopy, Trouble,
+    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
+    Micros, NetworkSpec, Scenario, SecondCopy, Trouble,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -25,11 +25,19 @@
 
 fn draw(random: &mut Pcg64Mcg, number: u64) -> Scenario {
     let duration = random.gen_range(3..=10) * SECOND;
-    let proxies = if random.gen_bool(0.4) { 1 } else { random.gen_range(2..=5) };
+    let proxies = if random.gen_bool(0.4) {
+        1
+    } else {
+        random.gen_range(2..=5)
+    };
     let classes = classes(random);
     let mut hosts = hosts(random, duration);
     let calm = random.gen_bool(0.2);
-    let faults = if calm { Vec::new() } else { faults(random, duration, &hosts, classes.len(), proxies) };
+    let faults = if calm {
+        Vec::new()
+    } else {
+        faults(random, duration, &hosts, classes.len(), proxies)
+    };
     // One that drains or crashes is not also to join.
     for fault in &faults {
         if let (Some(host), Trouble::Drain { .. } | Trouble::Crash { .. }) =
@@ -45,10 +53,18 @@
         rate: 100.0,
         retries: random.gen_range(0..=3),
         pause: random.gen_range(0..=200) * MILLI,
-        patience: if random.gen_bool(0.5) { 1.0 } else { random.gen_range(0.4..1.0) },
+        patience: if random.gen_bool(0.5) {
+            1.0
+        } else {
+            random.gen_range(0.4..1.0)
+        },
         tide: (if random.gen_bool(0.2) { 0.5 } else { 0.0 }, duration / 2),
         busy: 1.0,
-        leaves: if random.gen_bool(0.3) { random.gen_range(0.0..0.2) } else { 0.0 },
+        leaves: if random.gen_bool(0.3) {
+            random.gen_range(0.0..0.2)
+        } else {
+            0.0
+        },
         tenants: 0,
     };
     let near = random.gen_range(50..=500);
@@ -65,7 +81,11 @@
         capacity: if random.gen_bool(0.2) { 5.0 } else { 1_000.0 },
         patience: 3_500 * MILLI,
     };
-    let judged = Judged { drain_grace: SECOND, recovers: Some(4 * SECOND), share: 0.6 };
+    let judged = Judged {
+        drain_grace: SECOND,
+        recovers: Some(4 * SECOND),
+        share: 0.6,
+    };
     let name = format!("drawn-{number}");
     let mut scenario = Scenario {
         name,
@@ -73,7 +93,11 @@
         proxies,
         // Apart from the sequence of draws: what a number stands for must not change with it.
         peers: 0,
-        subset: if number % 4 == 3 { 2 + (number / 4 % 5) as u32 } else { 0 },
+        subset: if number % 4 == 3 {
+            2 + (number / 4 % 5) as u32
+        } else {
+            0
+        },
         classes,
         hosts,
         clients,
@@ -83,7 +107,11 @@
         faults,
         judged,
     };
-    let wanted = if random.gen_bool(0.8) { random.gen_range(0.05..0.8) } else { random.gen_range(0.8..1.6) };
+    let wanted = if random.gen_bool(0.8) {
+        random.gen_range(0.05..0.8)
+    } else {
+        random.gen_range(0.8..1.6)
+    };
     let per_request = scenario.utilisation() / scenario.clients.rate;
     scenario.clients.rate = (wanted / per_request).min(400.0);
     // Hosts that are asked for more than they can do owe no recovery, and neither do few that are left.
@@ -95,9 +123,15 @@
 
 /// Can those hosts that are left at the end bear the load easily?
 fn bears(scenario: &Scenario) -> bool {
-    let gone =
-        |n: usize| scenario.faults.iter().any(|f| matches!(f.trouble, Trouble::Drain { host } if host == n));
-    let left = (0..scenario.hosts.len()).filter(|&n| !gone(n) && scenario.hosts[n].jam.is_none()).count();
+    let gone = |n: usize| {
+        scenario
+            .faults
+            .iter()
+            .any(|f| matches!(f.trouble, Trouble::Drain { host } if host == n))
+    };
+    let left = (0..scenario.hosts.len())
+        .filter(|&n| !gone(n) && scenario.hosts[n].jam.is_none())
+        .count();
     left >= 2 && scenario.utilisation() * scenario.hosts.len() as f64 / (left as f64) < 0.5
 }
 
@@ -117,9 +151,17 @@
         _ => Effect::Unsafe,
     };
     let attempts = random.gen_range(1..=4u32);
-    let backoff = if random.gen_bool(0.2) { random.gen_range(1..=30) * MILLI } else { 0 };
+    let backoff = if random.gen_bool(0.2) {
+        random.gen_range(1..=30) * MILLI
+    } else {
+        0
+    };
     let keyed = matches!(effect, Effect::Keyed { .. });
-    let room = if keyed { window.min(deadline - 2 * MILLI) } else { deadline - 2 * MILLI };
+    let room = if keyed {
+        window.min(deadline - 2 * MILLI)
+    } else {
+        deadline - 2 * MILLI
+    };
     let share = room / u64::from(attempts);
     let free = matches!(effect, Effect::Unsafe) && random.gen_bool(0.5);
     let attempt = (!free && backoff < share).then(|| (share - backoff) / MILLI * MILLI);
@@ -128,7 +170,11 @@
         (_, 2) => SecondCopy::Auto,
         _ => SecondCopy::After(window / random.gen_range(4..12) / MILLI * MILLI),
     };
-    let second_copy = if attempts < 2 { SecondCopy::Off } else { second_copy };
+    let second_copy = if attempts < 2 {
+        SecondCopy::Off
+    } else {
+        second_copy
+    };
     let least = random.gen_range(2..=40) * MILLI;
     Class {
         name: format!("class-{number}"),
@@ -150,21 +196,32 @@
     let count = random.gen_range(2..=8);
     let groups = random.gen_range(1..=3u32);
     let zones = random.gen_range(1..=3);
-    let waiting = if random.gen_bool(0.3) { random.gen_range(0..=8) } else { random.gen_range(20..=200) };
+    let waiting = if random.gen_bool(0.3) {
+        random.gen_range(0..=8)
+    } else {
+        random.gen_range(20..=200)
+    };
     let cold = random.gen_bool(0.7).then(|| Cold {
         share: random.gen_range(0.1..0.6),
         time: random.gen_range(1..=8) * SECOND,
         fall_multiple: 3.0,
         fall_time: 2 * SECOND,
     });
-    let crowding = random.gen_bool(0.3).then(|| Crowding { knee: 2.0, slope: random.gen_range(0.01..0.2) });
+    let crowding = random.gen_bool(0.3).then(|| Crowding {
+        knee: 2.0,
+        slope: random.gen_range(0.01..0.2),
+    });
     let jam = random.gen_bool(0.15).then(|| Jam {
         waiting: 4.0,
         after: 2 * SECOND,
         slower: random.gen_range(1.5..3.0),
         rest: 2 * SECOND,
     });
-    let idle = if random.gen_bool(0.3) { random.gen_range(1..=20) * 100 * MILLI } else { 15 * SECOND };
+    let idle = if random.gen_bool(0.3) {
+        random.gen_range(1..=20) * 100 * MILLI
+    } else {
+        15 * SECOND
+    };
     (0..count)
         .map(|n| HostSpec {
             name: format!("h{n}"),
@@ -174,13 +231,25 @@
             cores: random.gen_range(1..=4),
             waiting,
             speed: random.gen_range(0.7..1.5),
-            connections: if random.gen_bool(0.1) { random.gen_range(1..=6) } else { 10_000 },
-            connection_cost: if random.gen_bool(0.3) { random.gen_range(0..=15) * MILLI } else { 0 },
+            connections: if random.gen_bool(0.1) {
+                random.gen_range(1..=6)
+            } else {
+                10_000
+            },
+            connection_cost: if random.gen_bool(0.3) {
+                random.gen_range(0..=15) * MILLI
+            } else {
+                0
+            },
             idle,
             cold,
             crowding,
             jam,
-            joins: if random.gen_bool(0.15) { random.gen_range(0..duration) } else { 0 },
+            joins: if random.gen_bool(0.15) {
+                random.gen_range(0..duration)
+            } else {
+                0
+            },
         })
         .collect()
 }
@@ -203,7 +272,10 @@
         let trouble = match random.gen_range(0..18) {
             0 => Trouble::Fails { host, share, ran },
             1 => Trouble::Stalls { host },
-            2 => Trouble::Slow { host, factor: random.gen_range(2.0..10.0) },
+            2 => Trouble::Slow {
+                host,
+                factor: random.gen_range(2.0..10.0),
+            },
             3 | 4 => Trouble::Resets { host, share, ran },
             5 => Trouble::Spoils { host, share },
             6 => Trouble::Crash { host },
@@ -211,23 +283,41 @@
             9 => Trouble::Partition { host },
             10 => Trouble::HalfOpen { host },
             11 => Trouble::Loss { share: share * 0.2 },
-            12 => Trouble::Lag { extra: random.gen_range(1..=50) * MILLI },
-            13 => [Trouble::ListSilent, Trouble::ListFails, Trouble::ListOld { by: 3 * SECOND }]
-                [random.gen_range(0..3)],
-            14 => Trouble::Spike { factor: random.gen_range(2.0..6.0) },
-            15 => Trouble::Costly { class: random.gen_range(0..classes), share: share * 0.1, factor: 10.0 },
-            16 => Trouble::ProxyCrash { proxy: random.gen_range(0..proxies) },
+            12 => Trouble::Lag {
+                extra: random.gen_range(1..=50) * MILLI,
+            },
+            13 => [
+                Trouble::ListSilent,
+                Trouble::ListFails,
+                Trouble::ListOld { by: 3 * SECOND },
+            ][random.gen_range(0..3)],
+            14 => Trouble::Spike {
+                factor: random.gen_range(2.0..6.0),
+            },
+            15 => Trouble::Costly {
+                class: random.gen_range(0..classes),
+                share: share * 0.1,
+                factor: 10.0,
+            },
+            16 => Trouble::ProxyCrash {
+                proxy: random.gen_range(0..proxies),
+            },
             _ => Trouble::Stalls { host },
         };
         // A host has one end, and a proxy one crash at a time.
         let clashes = |f: &Fault| {
             let whole = |t: &Trouble| matches!(t, Trouble::Crash { .. } | Trouble::Drain { .. });
-            let same_host = whole(&f.trouble) && whole(&trouble) && f.trouble.host() == trouble.host();
+            let same_host =
+                whole(&f.trouble) && whole(&trouble) && f.trouble.host() == trouble.host();
             let proxy = |t: &Trouble| matches!(t, Trouble::ProxyCrash { .. });
             same_host || proxy(&f.trouble) && proxy(&trouble)
         };
         if !faults.iter().any(clashes) {
-            faults.push(Fault { from, until, trouble });
+            faults.push(Fault {
+                from,
+                until,
+                trouble,
+            });
         }
     }
     faults
--- a/crates/lab/src/hollow_proxies.rs
+++ b/crates/lab/src/hollow_proxies.rs
@@ -62,7 +62,9 @@
 }
 
 fn run(folder: PathBuf) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, serve(folder))
 }
@@ -91,7 +93,11 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     let mut orders = orders();
     let (sender, mut ended) = mpsc::unbounded_channel();
-    let mut proxies = Proxies { folder, running: BTreeMap::new(), ended: sender };
+    let mut proxies = Proxies {
+        folder,
+        running: BTreeMap::new(),
+        ended: sender,
+    };
     let mut looks = tokio::time::interval(LOOK_EVERY);
     loop {
         tokio::select! {
@@ -120,7 +126,11 @@
         match order {
             Order::Start(name) => self.start(name)?,
             Order::End(name) => {
-                if let Some(stop) = self.running.get_mut(&name).and_then(|proxy| proxy.stop.take()) {
+                if let Some(stop) = self
+                    .running
+                    .get_mut(&name)
+                    .and_then(|proxy| proxy.stop.take())
+                {
                     let _ = stop.send(());
                 }
             }
@@ -154,20 +164,37 @@
             let _ = ended.send((own, result));
         };
         let task = tokio::task::spawn_local(task.instrument(span)).abort_handle();
-        self.running.insert(name, Running { stop: Some(stop), task, gate, seen: None });
+        self.running.insert(
+            name,
+            Running {
+                stop: Some(stop),
+                task,
+                gate,
+                seen: None,
+            },
+        );
         Ok(())
     }
 
     fn has_ended(&mut self, name: &str, result: Result<(), String>) {
-        let Some(proxy) = self.running.remove(name) else { return };
+        let Some(proxy) = self.running.remove(name) else {
+            return;
+        };
         proxy.tell_seen(name);
         let why = match result {
             // It was told to.
-            Ok(()) if proxy.stop.is_none() => return tell(&Event::Stopped { proxy: name.to_owned() }),
+            Ok(()) if proxy.stop.is_none() => {
+                return tell(&Event::Stopped {
+                    proxy: name.to_owned(),
+                })
+            }
             Ok(()) => "it ended without being told to".to_owned(),
             Err(fault) => fault,
         };
-        tell(&Event::Ended { proxy: name.to_owned(), why });
+        tell(&Event::Ended {
+            proxy: name.to_owned(),
+            why,
+        });
     }
 
     fn look(&mut self) {
@@ -181,23 +208,46 @@
     /// Looks at what it admits; tells of what it admitted before, if that was something else.
     fn look(&mut self, name: &str) {
         let now = now();
-        let admission = self.gate.borrow().as_ref().map(|gate| gate.holder().borrow().admission(now));
+        let admission = self
+            .gate
+            .borrow()
+            .as_ref()
+            .map(|gate| gate.holder().borrow().admission(now));
         let admits = match admission {
-            Some(Admission::Under(mode)) => Admits::Under { old: mode.old.0, new: mode.new.0 },
+            Some(Admission::Under(mode)) => Admits::Under {
+                old: mode.old.0,
+                new: mode.new.0,
+            },
             Some(Admission::Floor(_) | Admission::Closed(_)) | None => Admits::Nothing,
         };
         match &mut self.seen {
             Some(seen) if seen.admits == admits => seen.until = now,
             _ => {
                 self.tell_seen(name);
-                self.seen = Some(Seen { admits, from: now, until: now });
+                self.seen = Some(Seen {
+                    admits,
+                    from: now,
+                    until: now,
+                });
             }
         }
     }
 
     fn tell_seen(&self, name: &str) {
-        let Some(Seen { admits, from, until }) = &self.seen else { return };
-        tell(&Event::Admitted { proxy: name.to_owned(), admits: *admits, from: *from, until: *until });
+        let Some(Seen {
+            admits,
+            from,
+            until,
+        }) = &self.seen
+        else {
+            return;
+        };
+        tell(&Event::Admitted {
+            proxy: name.to_owned(),
+            admits: *admits,
+            from: *from,
+            until: *until,
+        });
     }
 }
 
@@ -214,7 +264,10 @@
     };
     let tasks = LocalSet::new();
     let served = sidecar::serve(&path, stop, move |own| *gate.borrow_mut() = Some(own));
-    tasks.run_until(served).await.map_err(|fault| format!("{fault:?}"))
+    tasks
+        .run_until(served)
+        .await
+        .map_err(|fault| format!("{fault:?}"))
 }
 
 /// Only the first proxy's counts: all files say the same of it.
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -18,10 +18,17 @@
     let played = catch_unwind(AssertUnwindSafe(|| play(scenario, options)));
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
-        let text = text.or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned())).unwrap_or_default();
+        let text = text
+            .or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()))
+            .unwrap_or_default();
         let mut course = Course::new(Arc::clone(scenario));
         // When it was is not known: nothing that comes later may be left out because of it.
-        course.broken = vec![Broken { rule: Rule::Crashed, at: Micros::MAX, op: None, text }];
+        course.broken = vec![Broken {
+            rule: Rule::Crashed,
+            at: Micros::MAX,
+            op: None,
+            text,
+        }];
         course.broken_count = 1;
         Ok(course)
     })
@@ -84,7 +91,11 @@
 
 /// How a drawn scenario is played: half of them with a drawn order of what falls on one instant.
 pub fn options(number: u64) -> Options {
-    Options { seed: number, shuffle: number % 2 == 1, ..Options::default() }
+    Options {
+        seed: number,
+        shuffle: number % 2 == 1,
+        ..Options::default()
+    }
 }
 
 /// Hunts. `progress` is called with scenarios played and kinds found; `stop` ends it early.
@@ -114,7 +125,9 @@
                 let scenario = Arc::new(generate::scenario(number));
                 match guarded(play, &scenario, options(number)) {
                     Ok(course) => {
-                        let mut found = found.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                        let mut found = found
+                            .lock()
+                            .unwrap_or_else(std::sync::PoisonError::into_inner);
                         take(&mut found, number, &course);
                         if hunt.stop && !found.finds.is_empty() {
                             done.store(true, Ordering::Relaxed);
@@ -122,16 +135,23 @@
                         progress(found.played, found.finds.len());
                     }
                     Err(told) => {
-                        *fault.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(told);
+                        *fault
+                            .lock()
+                            .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(told);
                         done.store(true, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    match fault.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
+    match fault
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
+    {
         Some(fault) => Err(fault),
-        None => Ok(found.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner)),
+        None => Ok(found
+            .into_inner()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)),
     }
 }
 
@@ -145,11 +165,14 @@
         if seen.contains(&signature) {
             continue;
         }
-        let find = found.finds.entry(signature.clone()).or_insert_with(|| Find {
-            number,
-            broken: broken.clone(),
-            count: 0,
-        });
+        let find = found
+            .finds
+            .entry(signature.clone())
+            .or_insert_with(|| Find {
+                number,
+                broken: broken.clone(),
+                count: 0,
+            });
         find.count += 1;
         // The lowest number, whatever the order in which threads come by.
         if number < find.number {
@@ -159,7 +182,9 @@
     }
     if course.scenario().utilisation() < 0.8 {
         found.losses.push((total.goodput(), number));
-        found.losses.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        found
+            .losses
+            .sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         found.losses.truncate(LOSSES);
     }
 }
@@ -181,8 +206,23 @@
 /// as single requests first, so that each of them can go.
 ///
 /// Returns None if the scenario does not break the rule.
-pub fn shrink(play: Play, scenario: &Scenario, options: Options, rule: Rule, most: u64) -> Option<Shrunk> {
-    let mut search = Search { play, rule, options: Options { stop: false, ..options }, plays: 0, most };
+pub fn shrink(
+    play: Play,
+    scenario: &Scenario,
+    options: Options,
+    rule: Rule,
+    most: u64,
+) -> Option<Shrunk> {
+    let mut search = Search {
+        play,
+        rule,
+        options: Options {
+            stop: false,
+            ..options
+        },
+        plays: 0,
+        most,
+    };
     let mut best = search.fails(scripted(scenario, options.seed))?;
     loop {
         let before = size(&best.scenario);
@@ -210,9 +250,17 @@
     let mut requests = Vec::new();
     while let Some(ask) = clients.next_first() {
         let (at, proxy, class, id) = (ask.at, ask.proxy, ask.class, ask.op.0);
-        requests.push(badgerramp_world::Request { at, proxy, class, id });
+        requests.push(badgerramp_world::Request {
+            at,
+            proxy,
+            class,
+            id,
+        });
+    }
+    Scenario {
+        requests: Some(requests),
+        ..scenario.clone()
     }
-    Scenario { requests: Some(requests), ..scenario.clone() }
 }
 
 struct Search {
@@ -233,12 +281,20 @@
                 return None;
             }
             self.plays += 1;
-            let options = Options { seed, ..self.options };
+            let options = Options {
+                seed,
+                ..self.options
+            };
             let course = guarded(self.play, &scenario, options).ok()?;
             if let Some(broken) = course.broken.iter().find(|b| b.rule == self.rule) {
                 self.options = options;
                 let scenario = Scenario::clone(&scenario);
-                return Some(Shrunk { scenario, options, broken: broken.clone(), plays: self.plays });
+                return Some(Shrunk {
+                    scenario,
+                    options,
+                    broken: broken.clone(),
+                    plays: self.plays,
+                });
             }
         }
         None
@@ -248,9 +304,15 @@
     fn requests(&mut self, mut best: Shrunk) -> Shrunk {
         let all = |s: &Shrunk| s.scenario.requests.clone().unwrap_or_default();
         // What comes after the failure has no part in it, where that is a moment.
-        let kept: Vec<_> = all(&best).into_iter().filter(|r| r.at <= best.broken.at).collect();
+        let kept: Vec<_> = all(&best)
+            .into_iter()
+            .filter(|r| r.at <= best.broken.at)
+            .collect();
         if kept.len() < all(&best).len() {
-            let shorter = Scenario { requests: Some(kept), ..best.scenario.clone() };
+            let shorter = Scenario {
+                requests: Some(kept),
+                ..best.scenario.clone()
+            };
             best = self.fails(shorter).unwrap_or(best);
         }
         let mut run = all(&best).len().div_ceil(2).max(1);
@@ -260,7 +322,10 @@
                 let mut fewer = all(&best);
                 let end = (at + run).min(fewer.len());
                 fewer.drain(at..end);
-                match self.fails(Scenario { requests: Some(fewer), ..best.scenario.clone() }) {
+                match self.fails(Scenario {
+                    requests: Some(fewer),
+                    ..best.scenario.clone()
+                }) {
                     Some(smaller) => best = smaller,
                     None => at += run,
                 }
@@ -299,7 +364,15 @@
             fewer.faults.iter_mut().for_each(|f| move_host(f, host));
             best = self.fails(fewer).unwrap_or(best);
         }
-        let proxies = best.scenario.requests.iter().flatten().map(|r| r.proxy).max().unwrap_or(0) + 1;
+        let proxies = best
+            .scenario
+            .requests
+            .iter()
+            .flatten()
+            .map(|r| r.proxy)
+            .max()
+            .unwrap_or(0)
+            + 1;
         let crashed = best.scenario.faults.iter().filter_map(|f| match f.trouble {
             badgerramp_world::Trouble::ProxyCrash { proxy } => Some(proxy + 1),
             _ => None,
@@ -309,7 +382,11 @@
             &|s| s.proxies = proxies,
             &|s| s.clients.retries = 0,
             &|s| s.clients.leaves = 0.0,
-            &|s| s.hosts.iter_mut().for_each(|h| (h.crowding, h.jam) = (None, None)),
+            &|s| {
+                s.hosts
+                    .iter_mut()
+                    .for_each(|h| (h.crowding, h.jam) = (None, None))
+            },
             &|s| s.list.lag = 0,
             &|s| {
                 let last: Micros = s.requests.iter().flatten().map(|r| r.at).max().unwrap_or(0);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,12 +6,18 @@
     let own = arguments.next();
     // A real play starts this very program as its proxies, and a trial as control too.
     match std::env::args().nth(1).as_deref() {
-        Some(badgerramp_lab::AS_PROXY) => badgerramp::cli::main(own.into_iter().chain(arguments.skip(1))),
+        Some(badgerramp_lab::AS_PROXY) => {
+            badgerramp::cli::main(own.into_iter().chain(arguments.skip(1)))
+        }
         Some(badgerramp_lab::AS_CONTROL) => {
             badgerramp_control::cli::main(own.into_iter().chain(arguments.skip(1)))
         }
-        Some(badgerramp_lab::AS_HOLLOW_PROXIES) => badgerramp_lab::hollow_proxies::main(arguments.skip(1)),
-        Some(badgerramp_lab::AS_LIST_SERVICE) => badgerramp_lab::list_service::main(arguments.skip(1)),
+        Some(badgerramp_lab::AS_HOLLOW_PROXIES) => {
+            badgerramp_lab::hollow_proxies::main(arguments.skip(1))
+        }
+        Some(badgerramp_lab::AS_LIST_SERVICE) => {
+            badgerramp_lab::list_service::main(arguments.skip(1))
+        }
         _ => badgerramp_lab::cli::main(std::env::args_os()),
     }
 }
--- a/crates/lab/src/only.rs
+++ b/crates/lab/src/only.rs
@@ -17,7 +17,10 @@
         match (name, found) {
             ("none", _) => Ok(Only::Nothing),
             (_, Some(kind)) => Ok(Only::Kind(kind)),
-            _ => Err(format!("allowed are none, {}", all.collect::<Vec<_>>().join(", "))),
+            _ => Err(format!(
+                "allowed are none, {}",
+                all.collect::<Vec<_>>().join(", ")
+            )),
         }
     }
 
--- a/crates/lab/src/operator.rs
+++ b/crates/lab/src/operator.rs
@@ -43,7 +43,11 @@
         );
     }
     if scenario.subset > 0 {
-        let _ = write!(out, "\n[subset]\ninstance = {proxy}\nsize = {}\n", scenario.subset);
+        let _ = write!(
+            out,
+            "\n[subset]\ninstance = {proxy}\nsize = {}\n",
+            scenario.subset
+        );
     }
     for class in &scenario.classes {
         let _ = write!(
@@ -66,7 +70,11 @@
                     Group::Zone => "zone",
                     Group::Group => "group",
                 };
-                let _ = write!(out, "effect = \"keyed\"\ngroup = \"{group}\"\nwindow = {}\n", time(window));
+                let _ = write!(
+                    out,
+                    "effect = \"keyed\"\ngroup = \"{group}\"\nwindow = {}\n",
+                    time(window)
+                );
             }
         }
         if let Some(attempt) = class.attempt {
@@ -105,5 +113,13 @@
 pub fn read(scenario: &Scenario) -> Result<Config, Mistakes> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let name = format!("the operator's file of {:?}", scenario.name);
-    badgerramp_config::parse(&name, &text(scenario, (0, "z"), SocketAddr::from(([127, 0, 0, 1], 0)), nowhere))
+    badgerramp_config::parse(
+        &name,
+        &text(
+            scenario,
+            (0, "z"),
+            SocketAddr::from(([127, 0, 0, 1], 0)),
+            nowhere,
+        ),
+    )
 }
--- a/crates/lab/src/play/among.rs
+++ b/crates/lab/src/play/among.rs
@@ -22,27 +22,57 @@
 
 /// One that starts now; the first `seeds` are seeds.
 pub(super) fn start(now: Micros, (place, seeds): (u32, u32), id: u64) -> Peer {
-    let own = Member { address: address(place), id: Id(id), started: now };
-    Peer::new(now, Terms { own, seeds: (0..seeds).map(address).collect(), without: None })
+    let own = Member {
+        address: address(place),
+        id: Id(id),
+        started: now,
+    };
+    Peer::new(
+        now,
+        Terms {
+            own,
+            seeds: (0..seeds).map(address).collect(),
+            without: None,
+        },
+    )
 }
 
 const STATUS: [&str; 3] = ["up", "draining", "removed"];
 
 fn change(entry: Entry) -> Change {
-    let Entry { host, state, started } = entry;
+    let Entry {
+        host,
+        state,
+        started,
+    } = entry;
     let status = STATUS[usize::from(state.min(2))].to_owned();
     let there = state < 2;
     // The play's times are no Unix times; it is enough that they come back.
-    let entry = PeerEntry { status, since_ms: started, ..PeerEntry::default() };
-    Change { name: host.to_string(), entry: there.then_some(entry) }
+    let entry = PeerEntry {
+        status,
+        since_ms: started,
+        ..PeerEntry::default()
+    };
+    Change {
+        name: host.to_string(),
+        entry: there.then_some(entry),
+    }
 }
 
 /// What the list says, in the play's words.
 pub(super) fn entry(change: &Change) -> Option<Entry> {
     let host = change.name.parse().ok()?;
     Some(match &change.entry {
-        Some(told) => Entry { host, state: u8::from(!told.up()), started: told.since_ms },
-        None => Entry { host, state: 2, started: 0 },
+        Some(told) => Entry {
+            host,
+            state: u8::from(!told.up()),
+            started: told.since_ms,
+        },
+        None => Entry {
+            host,
+            state: 2,
+            started: 0,
+        },
     })
 }
 
@@ -53,7 +83,13 @@
         Told::Changes(index, entries) => (false, index, entries),
         Told::Nothing | Told::Failed | Told::Silence => return None,
     };
-    Some(Answer { whole, index, changes: entries.into_iter().map(change).collect(), took, at_once })
+    Some(Answer {
+        whole,
+        index,
+        changes: entries.into_iter().map(change).collect(),
+        took,
+        at_once,
+    })
 }
 
 /// Tells a peer; what it wants done.
--- a/crates/lab/src/play/events.rs
+++ b/crates/lab/src/play/events.rs
@@ -51,17 +51,28 @@
 
 impl<E> Events<E> {
     pub(crate) fn new(shuffle: Option<Draws>) -> Self {
-        Events { queue: BinaryHeap::new(), count: 0, shuffle }
+        Events {
+            queue: BinaryHeap::new(),
+            count: 0,
+            shuffle,
+        }
     }
 
     pub(crate) fn push(&mut self, at: Micros, rank: Rank, event: E) {
         self.count += 1;
         let order = match self.shuffle {
             // Only what comes from outside: the program's own timers have their order.
-            Some(draws) if rank == Rank::World => draws.between((0x71e, self.count, 0), (0, u64::MAX >> 1)),
+            Some(draws) if rank == Rank::World => {
+                draws.between((0x71e, self.count, 0), (0, u64::MAX >> 1))
+            }
             _ => self.count,
         };
-        self.queue.push(Reverse(Due { at, rank, order, event }));
+        self.queue.push(Reverse(Due {
+            at,
+            rank,
+            order,
+            event,
+        }));
     }
 
     pub(crate) fn pop(&mut self) -> Option<(Micros, E)> {
--- a/crates/lab/src/play/mod.rs
+++ b/crates/lab/src/play/mod.rs
@@ -105,7 +105,9 @@
 
 /// The liveness judge: after the last fault goodput is back within the stated time.
 pub fn judge_recovery(scenario: &Scenario, course: &Course, judge: &mut Judge) {
-    let Some(within) = scenario.judged.recovers else { return };
+    let Some(within) = scenario.judged.recovers else {
+        return;
+    };
     let from = scenario.last_fault() + within;
     let (goodput, wanted) = course.goodput_between(from, scenario.duration);
     if wanted >= RECOVERY_TOLD && goodput < scenario.judged.share {
--- a/crates/lab/src/play/shell.rs
+++ b/crates/lab/src/play/shell.rs
@@ -32,10 +32,18 @@
         };
         let found = config.routes.find_head(&head).map_err(|e| e.to_string())?;
         let (_, route) = found.ok_or_else(|| format!("no route takes {path}"))?;
-        let keyed = route.key.as_ref().is_none_or(|key| config.routes.text(key, &head).is_some());
+        let keyed = route
+            .key
+            .as_ref()
+            .is_none_or(|key| config.routes.text(key, &head).is_some());
         let terms = route.timing.terms(!keyed);
         let (total, connect) = (route.timing.total, route.timing.connect);
-        Ok(Routed { class: ClassId(route.class), terms, total, connect })
+        Ok(Routed {
+            class: ClassId(route.class),
+            terms,
+            total,
+            connect,
+        })
     };
     scenario.classes.iter().map(one).collect()
 }
@@ -138,5 +146,8 @@
             zones.push(&host.zone);
         }
     }
-    zones.get(proxy as usize % zones.len().max(1)).copied().unwrap_or_default()
+    zones
+        .get(proxy as usize % zones.len().max(1))
+        .copied()
+        .unwrap_or_default()
 }
--- a/crates/lab/src/play/virtually.rs
+++ b/crates/lab/src/play/virtually.rs
@@ -8,13 +8,13 @@
 use crate::operator;
 use badgerramp_config::{connections_kept, Config, ANSWER_ROOM};
 use badgerramp_decisions::{
-    self as decisions, settings, Action, Balancer, CallId, CellId, Event, ListKind, Load, Outcome, ServerId,
-    Settings, State,
+    self as decisions, settings, Action, Balancer, CallId, CellId, Event, ListKind, Load, Outcome,
+    ServerId, Settings, State,
 };
 use badgerramp_peers::peer::{Input, Output};
 use badgerramp_world::{
-    Answered, Arrival, Ask, Clients, Done, Draws, Entry, Host, Job, Judge, ListService, Memory, Micros,
-    Network, Next, Report, Rule, Scenario, Told, Trouble, Verdict, Way,
+    Answered, Arrival, Ask, Clients, Done, Draws, Entry, Host, Job, Judge, ListService, Memory,
+    Micros, Network, Next, Report, Rule, Scenario, Told, Trouble, Verdict, Way,
 };
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -155,11 +155,24 @@
 }
 
 impl Play {
-    fn new(scenario: Arc<Scenario>, options: Options, config: &Config, routed: Vec<Routed>) -> Self {
+    fn new(
+        scenario: Arc<Scenario>,
+        options: Options,
+        config: &Config,
+        routed: Vec<Routed>,
+    ) -> Self {
         let draws = Draws::new(options.seed);
-        let hosts: Vec<Host> = (0..scenario.hosts.len()).map(|n| Host::new(&scenario, n, draws)).collect();
+        let hosts: Vec<Host> = (0..scenario.hosts.len())
+            .map(|n| Host::new(&scenario, n, draws))
+            .collect();
         let there = (0..hosts.len()).filter(|&n| scenario.hosts[n].joins == 0);
-        let first = there.map(|host| Entry { host, state: 0, started: 0 }).collect();
+        let first = there
+            .map(|host| Entry {
+                host,
+                state: 0,
+                started: 0,
+            })
+            .collect();
         let zone = |name: &str| settings::zone(name).0;
         let mut settings = config.settings();
         // The program's step is its clock's; the file does not set it.
@@ -178,7 +191,9 @@
             clients: Clients::new(Arc::clone(&scenario), draws),
             judge: Judge::new(Arc::clone(&scenario), 0),
             course: Course::new(Arc::clone(&scenario)),
-            proxy_zones: (0..scenario.proxies).map(|n| zone(shell::zone(&scenario, n))).collect(),
+            proxy_zones: (0..scenario.proxies)
+                .map(|n| zone(shell::zone(&scenario, n)))
+                .collect(),
             proxies: Vec::new(),
             routed,
             max_open: config.limits.open_calls,
@@ -203,7 +218,14 @@
             self.at(fault.from, Ev::FaultBegins(n));
             self.at(fault.until, Ev::FaultEnds(n));
         }
-        for (n, host) in self.scenario.hosts.clone().iter().enumerate().filter(|(_, h)| h.joins > 0) {
+        for (n, host) in self
+            .scenario
+            .hosts
+            .clone()
+            .iter()
+            .enumerate()
+            .filter(|(_, h)| h.joins > 0)
+        {
             self.at(host.joins, Ev::Joins(n));
         }
         for proxy in 0..self.scenario.proxies {
@@ -228,7 +250,8 @@
         self.judge.pass(Micros::MAX / 2);
         if !(self.options.stop && self.judge.count() > 0) {
             self.look_for_leaks(true);
-            let mut course = std::mem::replace(&mut self.course, Course::new(Arc::clone(&self.scenario)));
+            let mut course =
+                std::mem::replace(&mut self.course, Course::new(Arc::clone(&self.scenario)));
             judge_recovery(&self.scenario, &course, &mut self.judge);
             course.list_asked = self.list.asked;
             self.course = course;
@@ -246,14 +269,21 @@
             if last && !proxy.calls.is_empty() {
                 found.push((
                     Rule::Leaked,
-                    format!("proxy {} still has {} calls", proxy.place, proxy.calls.len()),
+                    format!(
+                        "proxy {} still has {} calls",
+                        proxy.place,
+                        proxy.calls.len()
+                    ),
                 ));
             }
             let (known, held, _) = proxy.balancer.totals();
             if last && known > 0 {
                 found.push((
                     Rule::Leaked,
-                    format!("proxy {}: the decisions still know {known} calls", proxy.place),
+                    format!(
+                        "proxy {}: the decisions still know {known} calls",
+                        proxy.place
+                    ),
                 ));
             }
             if held > known || known > proxy.calls.len() {
@@ -265,12 +295,20 @@
                 found.push((Rule::Miscounted, text));
             }
             if proxy.links.values().any(|l| l.len() > self.spares) {
-                found.push((Rule::Leaked, format!("proxy {} keeps too many connections", proxy.place)));
+                found.push((
+                    Rule::Leaked,
+                    format!("proxy {} keeps too many connections", proxy.place),
+                ));
             }
             // All hosts of all proxies at the end only, and before that where there are few.
             if last || self.hosts.len() * self.scenario.proxies as usize <= 256 {
                 let mut out = vec![0u32; self.hosts.len()];
-                for attempt in proxy.calls.values().flat_map(|c| &c.attempts).filter(|a| a.out) {
+                for attempt in proxy
+                    .calls
+                    .values()
+                    .flat_map(|c| &c.attempts)
+                    .filter(|a| a.out)
+                {
                     out[attempt.host] += 1;
                 }
                 for (host, &out) in out.iter().enumerate() {
@@ -285,7 +323,9 @@
                 }
             }
         }
-        found.into_iter().for_each(|(rule, text)| self.judge.note(rule, self.now, None, text));
+        found
+            .into_iter()
+            .for_each(|(rule, text)| self.judge.note(rule, self.now, None, text));
     }
 
     fn happens(&mut self, event: Ev) {
@@ -302,7 +342,11 @@
             Ev::Up(wire, link) => self.connected(wire, link),
             Ev::Arrives(wire, link) => self.arrives(wire, link),
             Ev::Back(wire, verdict, report) => self.back(wire, verdict, report),
-            Ev::Dropped { token, host, process } => {
+            Ev::Dropped {
+                token,
+                host,
+                process,
+            } => {
                 self.settle(host);
                 let there = self.hosts[host].is_up() && self.hosts[host].started() == process;
                 if there {
@@ -368,17 +412,32 @@
     fn start_proxy(&mut self, place: u32, epoch: u32) {
         let mut settings = self.settings.clone();
         settings.zone = decisions::ZoneId(self.proxy_zones[place as usize]);
-        let seed = self.draws.between((0x5eed, u64::from(place), u64::from(epoch)), (0, u64::MAX));
-        let proxy = Proxy::new(place, epoch, Balancer::new(seed, settings), self.hosts.len());
+        let seed = self
+            .draws
+            .between((0x5eed, u64::from(place), u64::from(epoch)), (0, u64::MAX));
+        let proxy = Proxy::new(
+            place,
+            epoch,
+            Balancer::new(seed, settings),
+            self.hosts.len(),
+        );
         if (place as usize) < self.proxies.len() {
             self.proxies[place as usize] = proxy;
         } else {
             self.proxies.push(proxy);
         }
         self.tell(place, Event::Start);
-        self.tell(place, Event::Members { kind: ListKind::Cached, entries: Vec::new() });
+        self.tell(
+            place,
+            Event::Members {
+                kind: ListKind::Cached,
+                entries: Vec::new(),
+            },
+        );
         if self.scenario.peers > 0 {
-            let id = self.draws.between((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
+            let id = self
+                .draws
+                .between((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
             let peer = among::start(self.now, (place, self.scenario.peers), id);
             self.proxies[place as usize].peer = Some(peer);
             self.among(place, Input::Timer);
@@ -389,22 +448,36 @@
 
     fn among(&mut self, place: u32, input: Input<'_>) {
         let shell = &mut self.proxies[place as usize];
-        let Some(peer) = shell.peer.as_mut().filter(|_| shell.up) else { return };
+        let Some(peer) = shell.peer.as_mut().filter(|_| shell.up) else {
+            return;
+        };
         let out = among::tell(peer, self.now, input);
         let (due, epoch) = (peer.due().max(self.now + 1), shell.epoch);
         if due != shell.peer_due {
             shell.peer_due = due;
-            self.at(due, Ev::PeerDue { proxy: place, epoch, at: due });
+            self.at(
+                due,
+                Ev::PeerDue {
+                    proxy: place,
+                    epoch,
+                    at: due,
+                },
+            );
         }
         for output in out {
             match output {
                 Output::Send(to, bytes) => {
                     let (shell, to) = (&mut self.proxies[place as usize], among::place(to));
                     shell.letters += 1;
-                    let name = (0xda7a, u64::from(place), (u64::from(epoch) << 32) | shell.letters);
-                    if let (Way::Arrives(at), true) =
-                        (self.network.way(self.now, None, false, name), (to as usize) < self.proxies.len())
-                    {
+                    let name = (
+                        0xda7a,
+                        u64::from(place),
+                        (u64::from(epoch) << 32) | shell.letters,
+                    );
+                    if let (Way::Arrives(at), true) = (
+                        self.network.way(self.now, None, false, name),
+                        (to as usize) < self.proxies.len(),
+                    ) {
                         self.at(at, Ev::Peer(to, bytes));
                     }
                 }
@@ -414,7 +487,15 @@
                 }
                 Output::List { whole, changes } => {
                     let entries = changes.iter().filter_map(among::entry).collect();
-                    self.learn(place, if whole { ListKind::Full } else { ListKind::Delta }, entries);
+                    self.learn(
+                        place,
+                        if whole {
+                            ListKind::Full
+                        } else {
+                            ListKind::Delta
+                        },
+                        entries,
+                    );
                 }
                 Output::Alive(_) | Output::Note(_) => {}
             }
@@ -429,7 +510,9 @@
                 Event::Outcome { call, .. } => Some(*call),
                 _ => None,
             };
-            self.proxies[proxy as usize].balancer.handle(self.now, event, &mut actions);
+            self.proxies[proxy as usize]
+                .balancer
+                .handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 self.act(proxy, action, &mut queue);
             }
@@ -442,19 +525,34 @@
 
     fn act(&mut self, proxy: u32, action: Action, queue: &mut std::collections::VecDeque<Event>) {
         match action {
-            Action::Send { call, server, until, start_by } => {
+            Action::Send {
+                call,
+                server,
+                until,
+                start_by,
+            } => {
                 let sent = self.send(proxy, call, server.0 as usize, (until, start_by));
                 queue.extend(sent);
             }
             Action::Refuse { call, retry_after } => {
                 // As the program's front has it: its own advice where there is none, in whole seconds.
-                let wait = if retry_after == 0 { self.advice } else { retry_after };
+                let wait = if retry_after == 0 {
+                    self.advice
+                } else {
+                    retry_after
+                };
                 let told = (wait > 0).then(|| wait.div_ceil(1_000_000) * 1_000_000);
                 self.answer(proxy, call, Answered::Refused, told);
             }
             Action::Fail { call } => self.answer(proxy, call, Answered::Failed, None),
             Action::Cancel { call, attempt } => {
-                queue.extend(self.outcome(proxy, call, attempt, Outcome::CalledOff, Load::default()));
+                queue.extend(self.outcome(
+                    proxy,
+                    call,
+                    attempt,
+                    Outcome::CalledOff,
+                    Load::default(),
+                ));
             }
             Action::Wake { after } => {
                 let at = self.now.saturating_add(after);
@@ -462,7 +560,8 @@
                 if shell.module_due.is_none_or(|due| at < due) {
                     shell.module_due = Some(at);
                     let epoch = shell.epoch;
-                    self.events.push(at, Rank::Timer, Ev::Timer { proxy, epoch, at });
+                    self.events
+                        .push(at, Rank::Timer, Ev::Timer { proxy, epoch, at });
                 }
             }
             // Whoever asks for all does.
@@ -489,10 +588,14 @@
 
     fn asks(&mut self, ask: Ask) {
         self.course.asked(&ask);
-        self.course.step(self.now, 1, ask.op.0, u64::from(ask.number));
+        self.course
+            .step(self.now, 1, ask.op.0, u64::from(ask.number));
         let class = &self.scenario.classes[ask.class].name;
         self.course.note(self.options.trace, ask.op, self.now, || {
-            format!("try {} of {class} at proxy {}, waits {} us", ask.number, ask.proxy, ask.patience)
+            format!(
+                "try {} of {class} at proxy {}, waits {} us",
+                ask.number, ask.proxy, ask.patience
+            )
         });
         let shell = &self.proxies[ask.proxy as usize];
         if !shell.up {
@@ -501,26 +604,50 @@
             return;
         }
         let until = self.now + ask.patience;
-        self.judge.taken(self.now, ask.op, ask.number, (ask.class, ask.proxy), until);
+        self.judge
+            .taken(self.now, ask.op, ask.number, (ask.class, ask.proxy), until);
         if shell.open >= self.max_open {
-            self.judge.answered(self.now, ask.op, ask.number, Answered::Refused);
-            self.client_hears(ask, Some(Answered::Refused), Some(self.advice).filter(|&a| a > 0));
+            self.judge
+                .answered(self.now, ask.op, ask.number, Answered::Refused);
+            self.client_hears(
+                ask,
+                Some(Answered::Refused),
+                Some(self.advice).filter(|&a| a > 0),
+            );
             return;
         }
         let routed = self.routed[ask.class];
-        let time = ask.patience.saturating_sub(ANSWER_ROOM).max(1).min(routed.total);
+        let time = ask
+            .patience
+            .saturating_sub(ANSWER_ROOM)
+            .max(1)
+            .min(routed.total);
         let shell = &mut self.proxies[ask.proxy as usize];
         let (call, epoch) = (CallId(shell.next_call), shell.epoch);
         shell.next_call += 1;
         shell.open += 1;
         let deadline = self.now + time;
-        shell.calls.insert(call, Call { ask, deadline, attempts: Vec::new(), answered: false });
+        shell.calls.insert(
+            call,
+            Call {
+                ask,
+                deadline,
+                attempts: Vec::new(),
+                answered: false,
+            },
+        );
         let proxy = ask.proxy;
-        self.events.push(deadline, Rank::Backstop, Ev::Backstop { proxy, epoch, call });
+        self.events.push(
+            deadline,
+            Rank::Backstop,
+            Ev::Backstop { proxy, epoch, call },
+        );
         let leaves = self.scenario.clients.leaves;
         let name = (0x1ea5e, ask.op.0, u64::from(ask.number));
         if self.draws.happens(name, leaves) {
-            let after = self.draws.between((0x1ea5f, name.1, name.2), (1, time.max(2) - 1));
+            let after = self
+                .draws
+                .between((0x1ea5f, name.1, name.2), (1, time.max(2) - 1));
             self.at(self.now + after, Ev::Leaves { proxy, epoch, call });
         }
         let event = Event::Request {
@@ -535,11 +662,13 @@
     }
 
     fn client_hears(&mut self, ask: Ask, answered: Option<Answered>, told: Option<Micros>) {
-        self.course.step(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
-        self.course.note(self.options.trace, ask.op, self.now, || match answered {
-            Some(answer) => format!("try {}: {answer:?}", ask.number),
-            None => format!("try {}: no answer", ask.number),
-        });
+        self.course
+            .step(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
+        self.course
+            .note(self.options.trace, ask.op, self.now, || match answered {
+                Some(answer) => format!("try {}: {answer:?}", ask.number),
+                None => format!("try {}: no answer", ask.number),
+            });
         match self.clients.after(&ask, answered, self.now, told) {
             Next::Asks(next) => self.at(next.at, Ev::Again(next)),
             Next::Rests => self.course.ended(&ask, self.now, answered),
@@ -551,18 +680,28 @@
         if !shell.up || shell.epoch != epoch {
             return;
         }
-        let Some(open) = shell.calls.get_mut(&call).filter(|c| !c.answered) else { return };
+        let Some(open) = shell.calls.get_mut(&call).filter(|c| !c.answered) else {
+            return;
+        };
         open.answered = true;
         let ask = open.ask;
         shell.open -= 1;
         self.judge.left(self.now, ask.op, ask.number);
-        self.course.step(self.now, 3, ask.op.0, u64::from(ask.number));
+        self.course
+            .step(self.now, 3, ask.op.0, u64::from(ask.number));
         self.course.ended(&ask, self.now, Some(Answered::Failed));
-        self.course.note(self.options.trace, ask.op, self.now, || "its client leaves".to_owned());
+        self.course.note(self.options.trace, ask.op, self.now, || {
+            "its client leaves".to_owned()
+        });
         self.tell(proxy, Event::Gone { call });
-        let count = self.proxies[proxy as usize].calls.get(&call).map_or(0, |c| c.attempts.len());
+        let count = self.proxies[proxy as usize]
+            .calls
+            .get(&call)
+            .map_or(0, |c| c.attempts.len());
         for attempt in 0..count as u32 {
-            if let Some(event) = self.outcome(proxy, call, attempt, Outcome::CalledOff, Load::default()) {
+            if let Some(event) =
+                self.outcome(proxy, call, attempt, Outcome::CalledOff, Load::default())
+            {
                 self.tell(proxy, event);
             }
         }
@@ -572,7 +711,9 @@
     /// The one final answer.
     fn answer(&mut self, proxy: u32, id: CallId, answer: Answered, told: Option<Micros>) {
         let shell = &mut self.proxies[proxy as usize];
-        let Some(call) = shell.calls.get_mut(&id) else { return };
+        let Some(call) = shell.calls.get_mut(&id) else {
+            return;
+        };
         let ask = call.ask;
         // The program's own guard lets a second one go nowhere; the judge is told all the same.
         if std::mem::replace(&mut call.answered, true) {
@@ -602,11 +743,19 @@
         let shell = &mut self.proxies[proxy as usize];
         let epoch = shell.epoch;
         let Some(call) = shell.calls.get_mut(&id) else {
-            self.judge.note(Rule::AfterEnd, self.now, None, "the decisions send for a call that has ended");
+            self.judge.note(
+                Rule::AfterEnd,
+                self.now,
+                None,
+                "the decisions send for a call that has ended",
+            );
             return None;
         };
         let (attempt, ask) = (call.attempts.len() as u32, call.ask);
-        let until = until.filter(|&u| u > 0).unwrap_or(Micros::MAX).min(call.deadline);
+        let until = until
+            .filter(|&u| u > 0)
+            .unwrap_or(Micros::MAX)
+            .min(call.deadline);
         let (sent, answered) = (self.now, call.answered);
         let start_by = start_by.unwrap_or(Micros::MAX);
         call.attempts.push(Attempt {
@@ -621,10 +770,17 @@
         });
         let known = shell.hosts.get(host).copied().unwrap_or_default();
         self.course.sent(&ask);
-        self.course.step(self.now, 4, ask.op.0, (u64::from(attempt) << 32) | host as u64);
+        self.course.step(
+            self.now,
+            4,
+            ask.op.0,
+            (u64::from(attempt) << 32) | host as u64,
+        );
         if self.options.trace == Some(ask.op) {
             let name = self.scenario.hosts.get(host).map_or("?", |h| &h.name);
-            let view = self.proxies[proxy as usize].balancer.view(self.now, ServerId(host as u32));
+            let view = self.proxies[proxy as usize]
+                .balancer
+                .view(self.now, ServerId(host as u32));
             let knew = view.map_or_else(String::new, |v| {
                 format!(
                     "; known: {} in flight of {:.1}, strain {:.2}, failing {:.2}, warmth {:.2}{}",
@@ -637,19 +793,29 @@
                 )
             });
             let line = format!("attempt {attempt} to {name} until {until}{knew}");
-            self.course.note(self.options.trace, ask.op, self.now, || line);
+            self.course
+                .note(self.options.trace, ask.op, self.now, || line);
         }
         self.judge.sent(self.now, ask.op, ask.number, host);
         if !known.ready || until <= self.now || answered {
             return self.outcome(proxy, id, attempt, Outcome::NotSent, Load::default());
         }
-        let wire = Wire { proxy, epoch, call: id, attempt, host };
+        let wire = Wire {
+            proxy,
+            epoch,
+            call: id,
+            attempt,
+            host,
+        };
         self.events.push(until, Rank::Attempt, Ev::Attempt(wire));
         match self.checkout(proxy, host) {
             Some(link) => self.start(wire, link),
             None => match self.way(&wire, 0) {
                 Way::Arrives(at) => self.at(at, Ev::Syn(wire, self.now)),
-                Way::Vanishes => self.at(self.now + self.routed[ask.class].connect, Ev::Up(wire, None)),
+                Way::Vanishes => self.at(
+                    self.now + self.routed[ask.class].connect,
+                    Ev::Up(wire, None),
+                ),
             },
         }
         None
@@ -661,15 +827,25 @@
 
     /// A packet of an attempt. It is named by that: what becomes of it does not hang on what else is played.
     fn way(&self, wire: &Wire, leg: u64) -> Way {
-        let (op, number) = self.ask_of(wire).map_or((0, 0), |a| (a.op.0, u64::from(a.number)));
+        let (op, number) = self
+            .ask_of(wire)
+            .map_or((0, 0), |a| (a.op.0, u64::from(a.number)));
         let near = self.near(wire.proxy, wire.host);
-        let name = (0x9ac, op, (number << 16) | (u64::from(wire.attempt) << 8) | leg);
+        let name = (
+            0x9ac,
+            op,
+            (number << 16) | (u64::from(wire.attempt) << 8) | leg,
+        );
         self.network.way(self.now, Some(wire.host), near, name)
     }
 
     /// A packet between a proxy and the list service.
     fn list_way(&self, question: &Question, leg: u64) -> Way {
-        let name = (0x1157, u64::from(question.proxy), (question.number << 8) | leg);
+        let name = (
+            0x1157,
+            u64::from(question.proxy),
+            (question.number << 8) | leg,
+        );
         self.network.way(self.now, None, false, name)
     }
 
@@ -691,8 +867,16 @@
 
     /// Closes a connection; the host hears of it.
     fn close(&mut self, link: Link, token: u64) {
-        let event = Ev::Dropped { token, host: link.host, process: link.process };
-        let name = (0xc105e, link.host as u64, link.opened ^ (link.idle_since << 1));
+        let event = Ev::Dropped {
+            token,
+            host: link.host,
+            process: link.process,
+        };
+        let name = (
+            0xc105e,
+            link.host as u64,
+            link.opened ^ (link.idle_since << 1),
+        );
         if let Way::Arrives(at) = self.network.way(self.now, Some(link.host), true, name) {
             self.at(at, event);
         }
@@ -703,9 +887,17 @@
         self.settle(host);
         let taken = self.hosts[host].connect(self.now);
         self.watch_host(host);
-        self.course.connections_most = self.course.connections_most.max(self.hosts[host].connections());
+        self.course.connections_most = self
+            .course
+            .connections_most
+            .max(self.hosts[host].connections());
         let process = self.hosts[host].started();
-        let link = taken.then_some(Link { host, process, opened: self.now, idle_since: 0 });
+        let link = taken.then_some(Link {
+            host,
+            process,
+            opened: self.now,
+            idle_since: 0,
+        });
         let class = self.ask_of(&wire).map_or(0, |a| a.class);
         let give_up = began + self.routed[class].connect;
         match self.way(&wire, 1) {
@@ -721,7 +913,9 @@
 
     fn ask_of(&self, wire: &Wire) -> Option<Ask> {
         let shell = &self.proxies[wire.proxy as usize];
-        (shell.up && shell.epoch == wire.epoch).then(|| shell.calls.get(&wire.call).map(|c| c.ask)).flatten()
+        (shell.up && shell.epoch == wire.epoch)
+            .then(|| shell.calls.get(&wire.call).map(|c| c.ask))
+            .flatten()
     }
 
     fn attempt(&mut self, wire: &Wire) -> Option<&mut Attempt> {
@@ -729,7 +923,12 @@
         if !shell.up || shell.epoch != wire.epoch {
             return None;
         }
-        shell.calls.get_mut(&wire.call)?.attempts.get_mut(wire.attempt as usize).filter(|a| a.out)
+        shell
+            .calls
+            .get_mut(&wire.call)?
+            .attempts
+            .get_mut(wire.attempt as usize)
+            .filter(|a| a.out)
     }
 
     fn connected(&mut self, wire: Wire, link: Option<Link>) {
@@ -751,7 +950,9 @@
         let shell = &mut self.proxies[wire.proxy as usize];
         let known = shell.hosts[wire.host];
         let open = shell.calls.get(&wire.call).is_some_and(|c| !c.answered);
-        let Some(attempt) = self.attempt(&wire) else { return };
+        let Some(attempt) = self.attempt(&wire) else {
+            return;
+        };
         attempt.started = open && now < attempt.until && now < attempt.start_by && known.ready;
         if !attempt.started {
             attempt.link = Some(link);
@@ -776,10 +977,13 @@
             // Nobody is told.
             return;
         }
-        let Some(ask) = self.ask_of(&wire) else { return };
+        let Some(ask) = self.ask_of(&wire) else {
+            return;
+        };
         let stale = self.hosts[host].started() != link.process || !self.hosts[host].is_up();
         // The host closed it while the request was on its way.
-        let idle = link.idle_since > 0 && self.now >= link.idle_since + self.scenario.hosts[host].idle;
+        let idle =
+            link.idle_since > 0 && self.now >= link.idle_since + self.scenario.hosts[host].idle;
         if stale || idle {
             self.goes_back(wire, Verdict::Reset, Report::default());
             return;
@@ -800,7 +1004,10 @@
         let fell = self.hosts[host].fell().is_some();
         let arrival = self.hosts[host].arrive(self.now, job, &mut self.memory);
         self.course.note(self.options.trace, ask.op, self.now, || {
-            format!("attempt {} reaches {}: {arrival:?}", wire.attempt, self.scenario.hosts[host].name)
+            format!(
+                "attempt {} reaches {}: {arrival:?}",
+                wire.attempt, self.scenario.hosts[host].name
+            )
         });
         if let (false, Some(pushed)) = (fell, self.hosts[host].fell()) {
             if pushed {
@@ -836,13 +1043,19 @@
         let mut done = std::mem::take(&mut self.done);
         self.hosts[host].advance(self.now, &mut self.memory, &mut done);
         for ended in done.drain(..) {
-            let Some((wire, _, ask)) = self.jobs.remove(&ended.job.token) else { continue };
+            let Some((wire, _, ask)) = self.jobs.remove(&ended.job.token) else {
+                continue;
+            };
             self.course.step(ended.at, 6, ended.job.op.0, host as u64);
             if ended.effected {
                 self.judge.effected(ended.at, ended.job.op, host);
             }
             self.course.note(self.options.trace, ask.op, ended.at, || {
-                let ran = if ended.effected { ", its effect came about" } else { "" };
+                let ran = if ended.effected {
+                    ", its effect came about"
+                } else {
+                    ""
+                };
                 format!(
                     "attempt {} ends at {}: {:?}{ran}",
                     wire.attempt, self.scenario.hosts[host].name, ended.verdict
@@ -890,7 +1103,9 @@
     /// Keeps the connection of an attempt for the next.
     fn keep(&mut self, wire: Wire) {
         let now = self.now;
-        let Some(link) = self.attempt(&wire).and_then(|a| a.link.take()) else { return };
+        let Some(link) = self.attempt(&wire).and_then(|a| a.link.take()) else {
+            return;
+        };
         let spares = self.spares;
         let shell = &mut self.proxies[wire.proxy as usize];
         let known = shell.hosts[wire.host];
@@ -899,14 +1114,23 @@
             return;
         }
         let links = shell.links.entry(wire.host).or_default();
-        links.push(Link { idle_since: now, ..link });
+        links.push(Link {
+            idle_since: now,
+            ..link
+        });
         let surplus = (links.len() > spares).then(|| links.remove(0));
         let (epoch, sweeps) = (shell.epoch, !std::mem::replace(&mut shell.sweeping, true));
         if let Some(link) = surplus {
             self.close(link, u64::MAX);
         }
         if sweeps {
-            self.at(now + SWEEP, Ev::Sweep { proxy: wire.proxy, epoch });
+            self.at(
+                now + SWEEP,
+                Ev::Sweep {
+                    proxy: wire.proxy,
+                    epoch,
+                },
+            );
         }
     }
 
@@ -922,7 +1146,9 @@
         let mut places: Vec<usize> = shell.links.keys().copied().collect();
         places.sort_unstable();
         for host in places {
-            let Some(links) = shell.links.get_mut(&host) else { continue };
+            let Some(links) = shell.links.get_mut(&host) else {
+                continue;
+            };
             let ready = shell.hosts[host].ready;
             links.retain(|link| {
                 let idle = now.saturating_sub(link.idle_since);
@@ -940,13 +1166,21 @@
         if shell.sweeping {
             self.at(now + SWEEP, Ev::Sweep { proxy, epoch });
         }
-        closed.into_iter().for_each(|link| self.close(link, u64::MAX));
+        closed
+            .into_iter()
+            .for_each(|link| self.close(link, u64::MAX));
     }
 
     fn attempt_due(&mut self, wire: Wire) {
-        let Some(attempt) = self.attempt(&wire) else { return };
+        let Some(attempt) = self.attempt(&wire) else {
+            return;
+        };
         // As in the program: what still waits for its connection never ran.
-        let outcome = if attempt.started { Outcome::TimedOut } else { Outcome::NoConnection };
+        let outcome = if attempt.started {
+            Outcome::TimedOut
+        } else {
+            Outcome::NoConnection
+        };
         self.ends(wire, outcome, Load::default());
     }
 
@@ -971,8 +1205,14 @@
         let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
         attempt.out = false;
         let (elapsed, link, token) = (self.now - attempt.sent, attempt.link.take(), attempt.token);
-        self.judge.over(ask.op, ask.number, number as usize, outcome.never_ran());
-        self.course.step(self.now, 7, ask.op.0, (u64::from(number) << 8) | outcome as u64);
+        self.judge
+            .over(ask.op, ask.number, number as usize, outcome.never_ran());
+        self.course.step(
+            self.now,
+            7,
+            ask.op.0,
+            (u64::from(number) << 8) | outcome as u64,
+        );
         self.course.note(self.options.trace, ask.op, self.now, || {
             format!("attempt {number} is over: {outcome:?} after {elapsed} us")
         });
@@ -981,19 +1221,31 @@
             call.answered = true;
             shell.open -= 1;
             closed = true;
-            self.judge.answered(self.now, ask.op, ask.number, Answered::Served);
+            self.judge
+                .answered(self.now, ask.op, ask.number, Answered::Served);
             self.client_hears(ask, Some(Answered::Served), None);
         }
         if let Some(link) = link {
             // Its connection goes with it: the host learns that nobody waits.
             self.close(link, token.unwrap_or(u64::MAX));
         }
-        Some(Event::Outcome { call: id, attempt: number, outcome, elapsed, closed, load })
+        Some(Event::Outcome {
+            call: id,
+            attempt: number,
+            outcome,
+            elapsed,
+            closed,
+            load,
+        })
     }
 
     fn tidy(&mut self, proxy: u32, id: CallId) {
         let shell = &mut self.proxies[proxy as usize];
-        if shell.calls.get(&id).is_some_and(|c| c.answered && c.attempts.iter().all(|a| !a.out)) {
+        if shell
+            .calls
+            .get(&id)
+            .is_some_and(|c| c.answered && c.attempts.iter().all(|a| !a.out))
+        {
             shell.calls.remove(&id);
         }
     }
@@ -1014,8 +1266,19 @@
         shell.questions += 1;
         shell.asking = Some(shell.questions);
         let (number, known, epoch) = (shell.questions, shell.version, shell.epoch);
-        let question = Question { proxy, epoch, number, known, asked: self.now, wait };
-        let patience = if known.is_some() { wait + WATCH_SILENCE } else { FETCH };
+        let question = Question {
+            proxy,
+            epoch,
+            number,
+            known,
+            asked: self.now,
+            wait,
+        };
+        let patience = if known.is_some() {
+            wait + WATCH_SILENCE
+        } else {
+            FETCH
+        };
         self.at(self.now + patience, Ev::ListLate(question));
         if let Way::Arrives(at) = self.list_way(&question, 0) {
             self.at(at, Ev::ListAsked(question));
@@ -1080,7 +1343,12 @@
             }
         }
         let mut entries = Vec::with_capacity(list.len());
-        for Entry { host, state, started } in list {
+        for Entry {
+            host,
+            state,
+            started,
+        } in list
+        {
             let ready = state == 0;
             shell.hosts[host] = Known { ready, started };
             self.judge.told(self.now, proxy, host, ready);
@@ -1096,9 +1364,18 @@
             });
         }
         // What leads to one that takes no more is closed.
-        let mut gone: Vec<usize> = shell.links.keys().copied().filter(|h| !shell.hosts[*h].ready).collect();
+        let mut gone: Vec<usize> = shell
+            .links
+            .keys()
+            .copied()
+            .filter(|h| !shell.hosts[*h].ready)
+            .collect();
         gone.sort_unstable();
-        let gone: Vec<Link> = gone.into_iter().filter_map(|h| shell.links.remove(&h)).flatten().collect();
+        let gone: Vec<Link> = gone
+            .into_iter()
+            .filter_map(|h| shell.links.remove(&h))
+            .flatten()
+            .collect();
         gone.into_iter().for_each(|link| self.close(link, u64::MAX));
         self.tell(proxy, Event::Members { kind, entries });
     }
@@ -1112,7 +1389,13 @@
         if std::mem::take(&mut shell.wanted) {
             self.ask_list(proxy);
         }
-        self.tell(proxy, Event::Members { kind: ListKind::Failed, entries: Vec::new() });
+        self.tell(
+            proxy,
+            Event::Members {
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            },
+        );
     }
 
     fn list_changes(&mut self, entry: Entry) {
@@ -1127,7 +1410,11 @@
         self.hosts[host].start(self.now);
         self.course.step(self.now, 9, host as u64, 0);
         let started = self.hosts[host].started();
-        self.list_changes(Entry { host, state: 0, started });
+        self.list_changes(Entry {
+            host,
+            state: 0,
+            started,
+        });
     }
 
     /// What it had in hand is gone; those that wait for it hear of the end of their connections.
@@ -1149,11 +1436,19 @@
         match fault.trouble {
             Trouble::Crash { host } => {
                 self.host_dies(host);
-                self.list_changes(Entry { host, state: 2, started: self.hosts[host].started() });
+                self.list_changes(Entry {
+                    host,
+                    state: 2,
+                    started: self.hosts[host].started(),
+                });
             }
             Trouble::Drain { host } => {
                 self.hosts[host].drain();
-                self.list_changes(Entry { host, state: 1, started: self.hosts[host].started() });
+                self.list_changes(Entry {
+                    host,
+                    state: 1,
+                    started: self.hosts[host].started(),
+                });
             }
             Trouble::ProxyCrash { proxy } => {
                 let shell = &mut self.proxies[proxy as usize];
@@ -1167,7 +1462,9 @@
                     all.into_iter().flat_map(|l| l.1).collect()
                 };
                 self.judge.died(proxy);
-                links.into_iter().for_each(|link| self.close(link, u64::MAX));
+                links
+                    .into_iter()
+                    .for_each(|link| self.close(link, u64::MAX));
                 for (_, call) in calls {
                     for attempt in call.attempts.iter().filter(|a| a.out) {
                         if let Some(link) = attempt.link {
@@ -1200,7 +1497,11 @@
             Trouble::Crash { host } => self.host_starts(host),
             Trouble::Drain { host } => {
                 self.host_dies(host);
-                self.list_changes(Entry { host, state: 2, started: self.hosts[host].started() });
+                self.list_changes(Entry {
+                    host,
+                    state: 2,
+                    started: self.hosts[host].started(),
+                });
             }
             Trouble::ProxyCrash { proxy } => {
                 let epoch = self.proxies[proxy as usize].epoch + 1;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -26,7 +26,11 @@
     // Writing to memory fails only where the library can't draw at all; the page says so in its place.
     match drawn {
         Ok(()) => svg,
-        Err(fault) => format!("<p>{}: not drawn: {}</p>", escape(title), escape(&fault.to_string())),
+        Err(fault) => format!(
+            "<p>{}: not drawn: {}</p>",
+            escape(title),
+            escape(&fault.to_string())
+        ),
     }
 }
 
@@ -37,7 +41,10 @@
     if points().next().is_none() {
         return Ok(());
     }
-    let (right, top) = (most(|p| p.0).max(least + 1e-9), (most(|p| p.1) * 1.05).max(1e-9));
+    let (right, top) = (
+        most(|p| p.0).max(least + 1e-9),
+        (most(|p| p.1) * 1.05).max(1e-9),
+    );
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -46,24 +53,37 @@
         .x_label_area_size(32)
         .y_label_area_size(56)
         .build_cartesian_2d(least..right, 0.0..top)?;
-    chart.configure_mesh().light_line_style(WHITE).x_desc(x).y_desc(y).draw()?;
+    chart
+        .configure_mesh()
+        .light_line_style(WHITE)
+        .x_desc(x)
+        .y_desc(y)
+        .draw()?;
     for (n, line) in lines.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
         let series = LineSeries::new(line.points.iter().copied(), color.stroke_width(2));
         let drawn = chart.draw_series(series)?;
         if lines.len() <= 8 {
-            drawn.label(&line.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+            drawn
+                .label(&line.name)
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
     }
     if (2..=8).contains(&lines.len()) {
-        chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+        chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK)
+            .draw()?;
     }
     area.present()?;
     Ok(())
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:900px;margin:2em auto;color:#222}\
@@ -81,8 +101,12 @@
 
 /// The part of a course.
 pub fn course(course: &Course, summary: &Summary) -> String {
-    let mut out =
-        format!("<h2>{}, {} play, seed {}</h2>\n", escape(&summary.scenario), summary.play, summary.seed);
+    let mut out = format!(
+        "<h2>{}, {} play, seed {}</h2>\n",
+        escape(&summary.scenario),
+        summary.play,
+        summary.seed
+    );
     out += &format!(
         "<p>Goodput {:.4}; worst class {:.4}; worst ten seconds {:.4}; {:.3} attempts for each request; {} questions to the \
          list service; at most {} connections at a host.</p>\n",
@@ -94,7 +118,11 @@
         summary.connections_most
     );
     if summary.broken > 0 {
-        let _ = write!(out, "<p class=\"bad\">Rules broken: {}</p><ul>", summary.broken);
+        let _ = write!(
+            out,
+            "<p class=\"bad\">Rules broken: {}</p><ul>",
+            summary.broken
+        );
         for broken in &course.broken {
             let _ = write!(
                 out,
@@ -127,12 +155,22 @@
         );
     }
     out += "</table>\n";
-    let bins = || course.bins.iter().enumerate().map(|(n, b)| (n as f64 + 0.5, b));
+    let bins = || {
+        course
+            .bins
+            .iter()
+            .enumerate()
+            .map(|(n, b)| (n as f64 + 0.5, b))
+    };
     let line = |name: &str, figure: &dyn Fn(&crate::course::Tally) -> f64| Line {
         name: name.to_owned(),
         points: bins().map(|(at, b)| (at, figure(b))).collect(),
     };
-    out += &plot("Goodput", ("s", "share"), &[line("goodput", &|b| b.goodput())]);
+    out += &plot(
+        "Goodput",
+        ("s", "share"),
+        &[line("goodput", &|b| b.goodput())],
+    );
     let counts = [
         line("wanted", &|b| b.wanted as f64),
         line("in time", &|b| b.good as f64),
@@ -141,16 +179,41 @@
         line("failed", &|b| b.failed as f64),
         line("attempts", &|b| b.attempts as f64),
     ];
-    out += &plot("Answers by when they were first due", ("s", "a second"), &counts);
+    out += &plot(
+        "Answers by when they were first due",
+        ("s", "a second"),
+        &counts,
+    );
     let times = |share: f64| move |b: &crate::course::Tally| b.times.within(share) as f64 / 1e3;
-    let waits = [line("p50", &times(0.5)), line("p99", &times(0.99)), line("p99.9", &times(0.999))];
-    out += &plot("Time to the answer, from when it was due", ("s", "ms"), &waits);
-    out += &plot("Calls in hand for each core", ("s", "calls"), &hosts(course, |s| s.load.clone()));
-    let connections = |s: &crate::course::Sample| s.connections.iter().map(|c| f64::from(*c)).collect();
-    out += &plot("Connections", ("s", "at a host"), &hosts(course, connections));
+    let waits = [
+        line("p50", &times(0.5)),
+        line("p99", &times(0.99)),
+        line("p99.9", &times(0.999)),
+    ];
+    out += &plot(
+        "Time to the answer, from when it was due",
+        ("s", "ms"),
+        &waits,
+    );
+    out += &plot(
+        "Calls in hand for each core",
+        ("s", "calls"),
+        &hosts(course, |s| s.load.clone()),
+    );
+    let connections =
+        |s: &crate::course::Sample| s.connections.iter().map(|c| f64::from(*c)).collect();
+    out += &plot(
+        "Connections",
+        ("s", "at a host"),
+        &hosts(course, connections),
+    );
     let calls = |name: &str, pick: fn(&crate::course::Sample) -> u64| Line {
         name: name.to_owned(),
-        points: course.samples.iter().map(|s| (s.at, pick(s) as f64)).collect(),
+        points: course
+            .samples
+            .iter()
+            .map(|s| (s.at, pick(s) as f64))
+            .collect(),
     };
     out += &plot(
         "Calls at the proxies",
@@ -167,7 +230,10 @@
     if count <= LINES_MOST {
         let one = |n: usize| Line {
             name: course.scenario().hosts[n].name.clone(),
-            points: samples.iter().filter_map(|(at, all)| Some((*at, *all.get(n)?))).collect(),
+            points: samples
+                .iter()
+                .filter_map(|(at, all)| Some((*at, *all.get(n)?)))
+                .collect(),
         };
         return (0..count).map(one).collect();
     }
@@ -188,13 +254,18 @@
             })
             .collect(),
     };
-    vec![share("least", 0.0), share("middle", 0.5), share("most", 1.0)]
+    vec![
+        share("least", 0.0),
+        share("middle", 0.5),
+        share("most", 1.0),
+    ]
 }
 
 /// The part of a sweep over one key, or over two, of which the second makes lines.
 pub fn sweep(points: &[Point]) -> String {
     let mut out =
-        "<table><tr><th>changes<th>goodput<th>worst class<th>attempts<th>p99 ms<th>broken</tr>\n".to_owned();
+        "<table><tr><th>changes<th>goodput<th>worst class<th>attempts<th>p99 ms<th>broken</tr>\n"
+            .to_owned();
     for p in points {
         let _ = writeln!(
             out,
@@ -211,14 +282,26 @@
     let value = |change: &str| change.split_once('=').and_then(|c| c.1.parse::<f64>().ok());
     let mut lines: Vec<Line> = Vec::new();
     for point in points {
-        let Some(x) = point.changes.first().and_then(|c| value(c)) else { continue };
-        let name = point.changes.get(1).cloned().unwrap_or_else(|| "goodput".to_owned());
+        let Some(x) = point.changes.first().and_then(|c| value(c)) else {
+            continue;
+        };
+        let name = point
+            .changes
+            .get(1)
+            .cloned()
+            .unwrap_or_else(|| "goodput".to_owned());
         match lines.iter_mut().find(|l| l.name == name) {
             Some(line) => line.points.push((x, point.goodput.mean)),
-            None => lines.push(Line { name, points: vec![(x, point.goodput.mean)] }),
+            None => lines.push(Line {
+                name,
+                points: vec![(x, point.goodput.mean)],
+            }),
         }
     }
-    let key =
-        points.first().and_then(|p| p.changes.first()).and_then(|c| c.split_once('=')).map_or("", |c| c.0);
+    let key = points
+        .first()
+        .and_then(|p| p.changes.first())
+        .and_then(|c| c.split_once('='))
+        .map_or("", |c| c.0);
     out + &plot("Goodput", (key, "share"), &lines)
 }
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -3,18 +3,27 @@
 use badgerramp_reading::values::show_duration;
 use badgerramp_reading::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
 use badgerramp_world::{
-    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec, Micros,
-    NetworkSpec, Request, Scenario, SecondCopy, Trouble,
+    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
+    Micros, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
 };
 use std::fmt::Write;
 use std::path::Path;
 
 const FILE: [&str; 13] = [
-    "name", "duration", "proxies", "subset", "peers", "clients", "class", "host", "network", "list", "fault",
-    "request", "judged",
+    "name", "duration", "proxies", "subset", "peers", "clients", "class", "host", "network",
+    "list", "fault", "request", "judged",
+];
+const CLIENTS: [&str; 9] = [
+    "rate",
+    "retries",
+    "pause",
+    "patience",
+    "tide",
+    "tide_time",
+    "busy",
+    "leaves",
+    "tenants",
 ];
-const CLIENTS: [&str; 9] =
-    ["rate", "retries", "pause", "patience", "tide", "tide_time", "busy", "leaves", "tenants"];
 const CLASS: [&str; 14] = [
     "share",
     "aim",
@@ -55,10 +64,19 @@
     "jam_rest",
     "joins",
 ];
-const NETWORK: [&str; 7] = ["near_least", "near_most", "far_least", "far_most", "resend", "idle", "connect"];
+const NETWORK: [&str; 7] = [
+    "near_least",
+    "near_most",
+    "far_least",
+    "far_most",
+    "resend",
+    "idle",
+    "connect",
+];
 const LIST: [&str; 3] = ["lag", "capacity", "patience"];
-const FAULT: [&str; 11] =
-    ["from", "until", "trouble", "host", "proxy", "class", "share", "ran", "factor", "extra", "by"];
+const FAULT: [&str; 11] = [
+    "from", "until", "trouble", "host", "proxy", "class", "share", "ran", "factor", "extra", "by",
+];
 const REQUEST: [&str; 4] = ["at", "proxy", "class", "id"];
 const JUDGED: [&str; 3] = ["drain_grace", "recovers", "goodput"];
 const TROUBLES: [&str; 17] = [
@@ -95,7 +113,8 @@
 /// All mistakes, with their places.
 pub fn load(path: &Path) -> Result<Scenario, Mistakes> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| Mistakes::unreadable(&name, &e.to_string()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| Mistakes::unreadable(&name, &e.to_string()))?;
     parse(&name, &text)
 }
 
@@ -124,11 +143,13 @@
 
 impl Keys<'_, '_> {
     fn time(&mut self, name: &str, plain: Micros) -> Micros {
-        self.set(|s, n| s.duration(n, name, 0..=DAY)).unwrap_or(plain)
+        self.set(|s, n| s.duration(n, name, 0..=DAY))
+            .unwrap_or(plain)
     }
 
     fn wanted_time(&mut self, name: &str) -> Micros {
-        self.section.want(self.notes, name, "a time with its unit, like \"250ms\"");
+        self.section
+            .want(self.notes, name, "a time with its unit, like \"250ms\"");
         self.time(name, 1)
     }
 
@@ -141,10 +162,14 @@
     }
 
     fn text(&mut self, name: &str, plain: &str) -> String {
-        self.set(|s, n| s.text(n, name)).unwrap_or_else(|| plain.to_owned())
+        self.set(|s, n| s.text(n, name))
+            .unwrap_or_else(|| plain.to_owned())
     }
 
-    fn set<T>(&mut self, read: impl FnOnce(&Section<'_>, &mut Notes) -> Option<Set<T>>) -> Option<T> {
+    fn set<T>(
+        &mut self,
+        read: impl FnOnce(&Section<'_>, &mut Notes) -> Option<Set<T>>,
+    ) -> Option<T> {
         read(self.section, self.notes).map(|s| s.value)
     }
 
@@ -158,7 +183,10 @@
     file.want(notes, "duration", "a time with its unit, like \"30s\"");
     file.want(notes, "class", "[class.NAME]: a kind of calls");
     file.want(notes, "host", "[[host]]: hosts");
-    let mut keys = Keys { section: &file, notes };
+    let mut keys = Keys {
+        section: &file,
+        notes,
+    };
     let name = keys.text("name", "a scenario");
     let duration = keys.time("duration", 1);
     let proxies = keys.integer("proxies", 1..=PROXIES_MOST, 1) as u32;
@@ -175,13 +203,18 @@
         found.unwrap_or_else(|| Section::new(notes, &empty, (name, 0..0), known))
     };
     let notes = keys.notes;
-    let (section, of) = (part(notes, "clients", &CLIENTS), part(notes, "network", &NETWORK));
+    let (section, of) = (
+        part(notes, "clients", &CLIENTS),
+        part(notes, "network", &NETWORK),
+    );
     let (clients, network) = (clients(notes, &section), network(notes, &of));
     let (section, of) = (part(notes, "list", &LIST), part(notes, "judged", &JUDGED));
     let (list, judged) = (list(notes, &section), judged(notes, &of));
     let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
     let faults = faults(notes, &file, &hosts, &names, proxies);
-    let requests = file.has("request").then(|| requests(notes, &file, &names, proxies));
+    let requests = file
+        .has("request")
+        .then(|| requests(notes, &file, &names, proxies));
     Some(Scenario {
         name,
         duration,
@@ -206,7 +239,10 @@
         retries: keys.integer("retries", 0..=20, 0) as u32,
         pause: keys.time("pause", 50_000),
         patience: keys.number("patience", 0.01..=1.0, 1.0),
-        tide: (keys.number("tide", 0.0..=1.0, 0.0), keys.time("tide_time", MINUTE)),
+        tide: (
+            keys.number("tide", 0.0..=1.0, 0.0),
+            keys.time("tide_time", MINUTE),
+        ),
         busy: keys.number("busy", 0.0001..=1.0, 1.0),
         leaves: keys.number("leaves", 0.0..=1.0, 0.0),
         tenants: keys.integer("tenants", 0..=100_000, 0) as u32,
@@ -266,7 +302,10 @@
             continue;
         };
         let section = Section::new(notes, of, (&key, name.span()), &CLASS);
-        let mut keys = Keys { section: &section, notes };
+        let mut keys = Keys {
+            section: &section,
+            notes,
+        };
         let (aim, deadline) = (keys.wanted_time("aim"), keys.wanted_time("deadline"));
         let effect = effect(keys.notes, &section);
         let least = keys.time("work_least", 10_000);
@@ -298,9 +337,17 @@
         1 => {
             section.want(notes, "group", "\"all\", \"zone\" or \"group\"");
             section.want(notes, "window", "a time with its unit");
-            let words = [("all", Group::All), ("zone", Group::Zone), ("group", Group::Group)];
-            let group = section.word(notes, "group", &words).map_or(Group::Group, |w| w.value);
-            let window = section.duration(notes, "window", 1..=DAY).map_or(1, |w| w.value);
+            let words = [
+                ("all", Group::All),
+                ("zone", Group::Zone),
+                ("group", Group::Group),
+            ];
+            let group = section
+                .word(notes, "group", &words)
+                .map_or(Group::Group, |w| w.value);
+            let window = section
+                .duration(notes, "window", 1..=DAY)
+                .map_or(1, |w| w.value);
             Effect::Keyed { group, window }
         }
         _ => Effect::Unsafe,
@@ -308,22 +355,38 @@
 }
 
 fn second_copy(notes: &mut Notes, section: &Section<'_>) -> SecondCopy {
-    let allowed = ("this is no second copy", "\"off\", \"auto\" or \"after 120ms\"");
+    let allowed = (
+        "this is no second copy",
+        "\"off\", \"auto\" or \"after 120ms\"",
+    );
     let read = section.read(notes, "second_copy", allowed, |v| match v.as_str()? {
         "off" => Some(SecondCopy::Off),
         "auto" => Some(SecondCopy::Auto),
-        text => badgerramp_reading::values::duration(text.strip_prefix("after ")?).map(SecondCopy::After),
+        text => badgerramp_reading::values::duration(text.strip_prefix("after ")?)
+            .map(SecondCopy::After),
     });
     read.map_or(SecondCopy::Off, |r| r.value)
 }
 
 /// The tables of a list of tables.
-fn tables<'t>(notes: &mut Notes, file: &Section<'t>, name: &str, known: &[&str]) -> Vec<Section<'t>> {
-    let Some(list) = file.list(notes, name, "tables") else { return Vec::new() };
+fn tables<'t>(
+    notes: &mut Notes,
+    file: &Section<'t>,
+    name: &str,
+    known: &[&str],
+) -> Vec<Section<'t>> {
+    let Some(list) = file.list(notes, name, "tables") else {
+        return Vec::new();
+    };
     let mut sections = Vec::new();
     if list.len() > LIST_MOST {
         let found = format!("{} of them", list.len());
-        notes.add((name, &file.span), "these are too many", found, format!("at most {LIST_MOST}"));
+        notes.add(
+            (name, &file.span),
+            "these are too many",
+            found,
+            format!("at most {LIST_MOST}"),
+        );
         return sections;
     }
     for (key, value) in list {
@@ -346,11 +409,18 @@
 fn hosts(notes: &mut Notes, file: &Section<'_>) -> Vec<HostSpec> {
     let mut hosts: Vec<HostSpec> = Vec::new();
     for section in tables(notes, file, "host", &HOST) {
-        let mut keys = Keys { section: &section, notes };
+        let mut keys = Keys {
+            section: &section,
+            notes,
+        };
         let count = keys.integer("count", 1..=HOSTS_MOST as u64, 1);
         let name = keys.text("name", &format!("h{}", hosts.len() + 1));
         let any = |keys: &Keys<'_, '_>, of: &[&str]| of.iter().any(|k| keys.has(k));
-        let cold = any(&keys, &["cold_share", "cold_time", "fall_multiple", "fall_time"]).then(|| Cold {
+        let cold = any(
+            &keys,
+            &["cold_share", "cold_time", "fall_multiple", "fall_time"],
+        )
+        .then(|| Cold {
             share: keys.number("cold_share", 0.01..=1.0, 0.3),
             time: keys.time("cold_time", 7_500_000).max(1),
             fall_multiple: keys.number("fall_multiple", 1.0..=100.0, 3.0),
@@ -360,7 +430,11 @@
             knee: keys.number("crowding_knee", 0.0..=1e6, 2.0),
             slope: keys.number("crowding_slope", 0.0..=100.0, 0.05),
         });
-        let jam = any(&keys, &["jam_waiting", "jam_after", "jam_slower", "jam_rest"]).then(|| Jam {
+        let jam = any(
+            &keys,
+            &["jam_waiting", "jam_after", "jam_slower", "jam_rest"],
+        )
+        .then(|| Jam {
             waiting: keys.number("jam_waiting", 0.1..=1e6, 4.0),
             after: keys.time("jam_after", 2_000_000),
             slower: keys.number("jam_slower", 1.0..=1e3, 2.5),
@@ -392,7 +466,11 @@
             return hosts;
         }
         for n in 0..count {
-            let name = if count == 1 { name.clone() } else { format!("{name}-{}", n + 1) };
+            let name = if count == 1 {
+                name.clone()
+            } else {
+                format!("{name}-{}", n + 1)
+            };
             if hosts.iter().rev().take(4_096).any(|h| h.name == name) {
                 let key = section.of("name");
                 keys.notes.add(
@@ -402,7 +480,10 @@
                     "a name of its own",
                 );
             }
-            hosts.push(HostSpec { name, ..spec.clone() });
+            hosts.push(HostSpec {
+                name,
+                ..spec.clone()
+            });
         }
     }
     hosts
@@ -410,17 +491,22 @@
 
 fn place(notes: &mut Notes, section: &Section<'_>, key: &str, names: &[&str]) -> usize {
     section.want(notes, key, &format!("the name of a {key}"));
-    let Some(set) = section.text(notes, key) else { return 0 };
-    names.iter().position(|n| *n == set.value).unwrap_or_else(|| {
-        let allowed = known_names(&set.value, names);
-        notes.add(
-            (&set.key, &set.span),
-            format!("there is no such {key}"),
-            format!("{:?}", set.value),
-            allowed,
-        );
-        0
-    })
+    let Some(set) = section.text(notes, key) else {
+        return 0;
+    };
+    names
+        .iter()
+        .position(|n| *n == set.value)
+        .unwrap_or_else(|| {
+            let allowed = known_names(&set.value, names);
+            notes.add(
+                (&set.key, &set.span),
+                format!("there is no such {key}"),
+                format!("{:?}", set.value),
+                allowed,
+            );
+            0
+        })
 }
 
 fn faults(
@@ -436,13 +522,21 @@
         section.want(notes, "trouble", &TROUBLES.join(", "));
         let words: Vec<(&str, &str)> = TROUBLES.iter().map(|t| (*t, *t)).collect();
         let word = section.word(notes, "trouble", &words).map(|w| w.value);
-        let mut keys = Keys { section: &section, notes };
+        let mut keys = Keys {
+            section: &section,
+            notes,
+        };
         let from = keys.time("from", 0);
         let until = keys.time("until", DAY);
         if until < from {
             let (key, found) = (section.of("until"), show_duration(until));
             let allowed = format!("not before from, {}", show_duration(from));
-            keys.notes.add((&key, &section.span), "it ends before it begins", found, allowed);
+            keys.notes.add(
+                (&key, &section.span),
+                "it ends before it begins",
+                found,
+                allowed,
+            );
         }
         let share = |keys: &mut Keys<'_, '_>| keys.number("share", 0.0..=1.0, 0.5);
         let host = |keys: &mut Keys<'_, '_>| place(keys.notes, &section, "host", &names);
@@ -458,19 +552,43 @@
                 share: share(&mut keys),
                 ran: keys.number("ran", 0.0..=1.0, 0.5),
             },
-            "spoils" => Trouble::Spoils { host: host(&mut keys), share: share(&mut keys) },
-            "stalls" => Trouble::Stalls { host: host(&mut keys) },
-            "slow" => Trouble::Slow { host: host(&mut keys), factor: keys.number("factor", 0.01..=1e4, 3.0) },
-            "crash" => Trouble::Crash { host: host(&mut keys) },
-            "drain" => Trouble::Drain { host: host(&mut keys) },
-            "partition" => Trouble::Partition { host: host(&mut keys) },
-            "half-open" => Trouble::HalfOpen { host: host(&mut keys) },
-            "loss" => Trouble::Loss { share: share(&mut keys) },
-            "lag" => Trouble::Lag { extra: keys.time("extra", 10_000) },
+            "spoils" => Trouble::Spoils {
+                host: host(&mut keys),
+                share: share(&mut keys),
+            },
+            "stalls" => Trouble::Stalls {
+                host: host(&mut keys),
+            },
+            "slow" => Trouble::Slow {
+                host: host(&mut keys),
+                factor: keys.number("factor", 0.01..=1e4, 3.0),
+            },
+            "crash" => Trouble::Crash {
+                host: host(&mut keys),
+            },
+            "drain" => Trouble::Drain {
+                host: host(&mut keys),
+            },
+            "partition" => Trouble::Partition {
+                host: host(&mut keys),
+            },
+            "half-open" => Trouble::HalfOpen {
+                host: host(&mut keys),
+            },
+            "loss" => Trouble::Loss {
+                share: share(&mut keys),
+            },
+            "lag" => Trouble::Lag {
+                extra: keys.time("extra", 10_000),
+            },
             "list-silent" => Trouble::ListSilent,
             "list-fails" => Trouble::ListFails,
-            "list-old" => Trouble::ListOld { by: keys.time("by", 10_000_000) },
-            "spike" => Trouble::Spike { factor: keys.number("factor", 0.0..=1e3, 3.0) },
+            "list-old" => Trouble::ListOld {
+                by: keys.time("by", 10_000_000),
+            },
+            "spike" => Trouble::Spike {
+                factor: keys.number("factor", 0.0..=1e3, 3.0),
+            },
             "costly" => Trouble::Costly {
                 class: place(keys.notes, &section, "class", classes),
                 share: share(&mut keys),
@@ -480,19 +598,34 @@
                 proxy: keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32,
             },
         };
-        faults.push(Fault { from, until, trouble });
+        faults.push(Fault {
+            from,
+            until,
+            trouble,
+        });
     }
     faults
 }
 
 fn requests(notes: &mut Notes, file: &Section<'_>, classes: &[&str], proxies: u32) -> Vec<Request> {
     let mut requests = Vec::new();
-    for (n, section) in tables(notes, file, "request", &REQUEST).into_iter().enumerate() {
+    for (n, section) in tables(notes, file, "request", &REQUEST)
+        .into_iter()
+        .enumerate()
+    {
         let class = place(notes, &section, "class", classes);
-        let mut keys = Keys { section: &section, notes };
+        let mut keys = Keys {
+            section: &section,
+            notes,
+        };
         let at = keys.time("at", 0);
         let proxy = keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32;
-        requests.push(Request { at, proxy, class, id: keys.integer("id", 0..=u64::MAX >> 1, n as u64) });
+        requests.push(Request {
+            at,
+            proxy,
+            class,
+            id: keys.integer("id", 0..=u64::MAX >> 1, n as u64),
+        });
     }
     requests.sort_by_key(|r| (r.at, r.id));
     requests
@@ -536,9 +669,15 @@
         out.time("recovers", recovers);
     }
     out.number("goodput", scenario.judged.share);
-    scenario.classes.iter().for_each(|c| write_class(&mut out, c));
+    scenario
+        .classes
+        .iter()
+        .for_each(|c| write_class(&mut out, c));
     scenario.hosts.iter().for_each(|h| write_host(&mut out, h));
-    scenario.faults.iter().for_each(|f| write_fault(&mut out, scenario, f));
+    scenario
+        .faults
+        .iter()
+        .for_each(|f| write_fault(&mut out, scenario, f));
     for request in scenario.requests.iter().flatten() {
         out.table("[[request]]");
         out.time("at", request.at);
@@ -603,7 +742,9 @@
     match class.second_copy {
         SecondCopy::Off => out.text("second_copy", "off"),
         SecondCopy::Auto => out.text("second_copy", "auto"),
-        SecondCopy::After(after) => out.text("second_copy", &format!("after {}", show_duration(after))),
+        SecondCopy::After(after) => {
+            out.text("second_copy", &format!("after {}", show_duration(after)))
+        }
     }
     out.time("work_least", class.work.0);
     out.time("work_most", class.work.1);
@@ -657,7 +798,11 @@
         Trouble::Slow { factor, .. } | Trouble::Spike { factor } => out.number("factor", factor),
         Trouble::Lag { extra } => out.time("extra", extra),
         Trouble::ListOld { by } => out.time("by", by),
-        Trouble::Costly { class, share, factor } => {
+        Trouble::Costly {
+            class,
+            share,
+            factor,
+        } => {
             out.text("class", &scenario.classes[class].name);
             out.number("share", share);
             out.number("factor", factor);
--- a/crates/lab/src/sockets/around.rs
+++ b/crates/lab/src/sockets/around.rs
@@ -31,13 +31,21 @@
 impl Io {
     fn memory(end: Rc<End>) -> Self {
         let peer = end.peer;
-        Io { stream: Rc::<End>::clone(&end), kind: Kind::Memory(end), peer }
+        Io {
+            stream: Rc::<End>::clone(&end),
+            kind: Kind::Memory(end),
+            peer,
+        }
     }
 
     fn real(stream: TcpStream, peer: Who, now: Micros) -> Self {
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
-        Io { stream: Rc::<TcpStream>::clone(&stream), kind: Kind::Real(stream, now), peer }
+        Io {
+            stream: Rc::<TcpStream>::clone(&stream),
+            kind: Kind::Real(stream, now),
+            peer,
+        }
     }
 
     /// Breaks the connection.
@@ -46,7 +54,8 @@
             Kind::Memory(end) => end.abort(),
             // Closed at once, with a break in place of an end.
             Kind::Real(stream, _) => {
-                let _ = socket2::SockRef::from(&**stream).set_linger(Some(std::time::Duration::ZERO));
+                let _ =
+                    socket2::SockRef::from(&**stream).set_linger(Some(std::time::Duration::ZERO));
             }
         }
     }
@@ -66,13 +75,21 @@
 }
 
 impl AsyncRead for Io {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         self.stream.poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Io {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.stream.poll_write(cx, buf)
     }
 
@@ -124,9 +141,21 @@
 }
 
 impl Loopback {
-    pub(crate) fn new(time: Time, ways: Ways, faults: Vec<Fault>, zones: (Vec<u32>, Vec<u32>)) -> Rc<Self> {
+    pub(crate) fn new(
+        time: Time,
+        ways: Ways,
+        faults: Vec<Fault>,
+        zones: (Vec<u32>, Vec<u32>),
+    ) -> Rc<Self> {
         let (hosts, proxies) = (RefCell::default(), RefCell::default());
-        Rc::new(Loopback { time, ways, faults, zones, hosts, proxies })
+        Rc::new(Loopback {
+            time,
+            ways,
+            faults,
+            zones,
+            hosts,
+            proxies,
+        })
     }
 
     /// A listener on a port of the system's choice; a host that comes back has the one it had.
@@ -167,7 +196,10 @@
         match self {
             Around::Memory(world) => {
                 let address = super::peers::proxy_address(proxy);
-                Rc::clone(world).connect(Who::Client, address).await.map(Io::memory)
+                Rc::clone(world)
+                    .connect(Who::Client, address)
+                    .await
+                    .map(Io::memory)
             }
             Around::Real(loopback) => {
                 let address = loopback.proxies.borrow().get(&proxy).copied();
@@ -180,7 +212,9 @@
 
     /// What the way between a proxy and a host costs, on loopback, where the network has none of its own.
     pub(crate) async fn way(&self, (proxy, host): (u32, usize), io: &Io, name: (u64, u64, u64)) {
-        let (Around::Real(loopback), Kind::Real(_, opened)) = (self, &io.kind) else { return };
+        let (Around::Real(loopback), Kind::Real(_, opened)) = (self, &io.kind) else {
+            return;
+        };
         let now = loopback.time.now();
         let half_open = |f: &Fault| {
             let here = matches!(f.trouble, Trouble::HalfOpen { host: at } if at == host);
--- a/crates/lab/src/sockets/memory.rs
+++ b/crates/lab/src/sockets/memory.rs
@@ -64,7 +64,11 @@
 impl Pipe {
     fn next(&self) -> Option<Micros> {
         let chunk = self.chunks.front().map(|c| c.0);
-        let end = if self.chunks.is_empty() { self.closed } else { None };
+        let end = if self.chunks.is_empty() {
+            self.closed
+        } else {
+            None
+        };
         [chunk, end, self.broken].into_iter().flatten().min()
     }
 
@@ -124,7 +128,12 @@
 }
 
 impl World {
-    pub(crate) fn new(time: Time, ways: Ways, faults: Vec<Fault>, zones: (Vec<u32>, Vec<u32>)) -> Rc<Self> {
+    pub(crate) fn new(
+        time: Time,
+        ways: Ways,
+        faults: Vec<Fault>,
+        zones: (Vec<u32>, Vec<u32>),
+    ) -> Rc<Self> {
         Rc::new(World {
             time,
             ways,
@@ -140,7 +149,9 @@
     /// Connections to this address are taken in from now on.
     pub(crate) fn listen(&self, address: SocketAddr, who: Who) -> Rc<Accepting> {
         let door = Rc::new(RefCell::new(Door::default()));
-        self.doors.borrow_mut().insert(address, (who, Rc::clone(&door)));
+        self.doors
+            .borrow_mut()
+            .insert(address, (who, Rc::clone(&door)));
         Rc::new(Accepting(door))
     }
 
@@ -179,8 +190,16 @@
     }
 
     /// Opens a connection, from one place to another.
-    pub(crate) async fn connect(self: Rc<Self>, from: Who, address: SocketAddr) -> io::Result<Rc<End>> {
-        let found = self.doors.borrow().get(&address).map(|d| (d.0, Rc::clone(&d.1)));
+    pub(crate) async fn connect(
+        self: Rc<Self>,
+        from: Who,
+        address: SocketAddr,
+    ) -> io::Result<Rc<End>> {
+        let found = self
+            .doors
+            .borrow()
+            .get(&address)
+            .map(|d| (d.0, Rc::clone(&d.1)));
         let to = found.as_ref().map_or(Who::List, |f| f.0);
         let (host, local) = match (from, to) {
             (Who::Proxy(_), Who::Host(host)) => (Some(host), false),
@@ -196,24 +215,42 @@
             if local {
                 break;
             }
-            match self.ways.way(self.time.now(), host, near, (0x5711, number, leg)) {
+            match self
+                .ways
+                .way(self.time.now(), host, near, (0x5711, number, leg))
+            {
                 Way::Arrives(at) => tokio::time::sleep_until(self.time.instant(at)).await,
                 Way::Vanishes => std::future::pending().await,
             }
             if leg == 0 {
-                let taken = host.is_none_or(|h| self.gates.borrow().get(&h).is_none_or(|gate| gate()));
+                let taken =
+                    host.is_none_or(|h| self.gates.borrow().get(&h).is_none_or(|gate| gate()));
                 if found.is_none() || !taken {
                     return Err(io::ErrorKind::ConnectionRefused.into());
                 }
             }
         }
         // It may have gone while the answer was on its way.
-        let Some((_, door)) = self.doors.borrow().get(&address).map(|d| (d.0, Rc::clone(&d.1))) else {
+        let Some((_, door)) = self
+            .doors
+            .borrow()
+            .get(&address)
+            .map(|d| (d.0, Rc::clone(&d.1)))
+        else {
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
-        let link =
-            Rc::new(Link { world: Rc::clone(&self), number, near, host, local, opened: self.time.now() });
-        let pipes = [Rc::new(RefCell::new(Pipe::default())), Rc::new(RefCell::new(Pipe::default()))];
+        let link = Rc::new(Link {
+            world: Rc::clone(&self),
+            number,
+            near,
+            host,
+            local,
+            opened: self.time.now(),
+        });
+        let pipes = [
+            Rc::new(RefCell::new(Pipe::default())),
+            Rc::new(RefCell::new(Pipe::default())),
+        ];
         let end = |own, peer, read: usize| {
             if let Who::Proxy(proxy) = own {
                 *self.open.borrow_mut().entry(proxy).or_default() += 1;
@@ -252,7 +289,11 @@
         if self.world.faults.iter().any(half_open) {
             return None;
         }
-        match self.world.ways.way(now, self.host, self.near, (0xb17e, self.number, leg)) {
+        match self
+            .world
+            .ways
+            .way(now, self.host, self.near, (0xb17e, self.number, leg))
+        {
             Way::Arrives(at) => Some(at),
             Way::Vanishes => None,
         }
@@ -280,7 +321,12 @@
     /// Names a packet: its direction and its number.
     fn leg(&self, pipe: &mut Pipe) -> u64 {
         pipe.sent += 1;
-        pipe.sent * 4 + if matches!(self.own, Who::Proxy(_)) { 2 } else { 3 }
+        pipe.sent * 4
+            + if matches!(self.own, Who::Proxy(_)) {
+                2
+            } else {
+                3
+            }
     }
 }
 
@@ -345,7 +391,8 @@
             Some(at) => {
                 let at = at.max(pipe.last);
                 pipe.last = at;
-                pipe.chunks.push_back((at, now, Bytes::copy_from_slice(buf)));
+                pipe.chunks
+                    .push_back((at, now, Bytes::copy_from_slice(buf)));
                 pipe.wake();
             }
         }
@@ -442,6 +489,11 @@
 impl Network for From {
     fn connect(&self, address: SocketAddr) -> Connecting {
         let (world, who) = (Rc::clone(&self.0), self.1);
-        Box::pin(async move { world.connect(who, address).await.map(|end| end as Rc<dyn Stream>) })
+        Box::pin(async move {
+            world
+                .connect(who, address)
+                .await
+                .map(|end| end as Rc<dyn Stream>)
+        })
     }
 }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -19,8 +19,8 @@
 use badgerramp::sidecar;
 use badgerramp_testkit::Proxy;
 use badgerramp_world::{
-    Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId, Rule,
-    Scenario, Trouble,
+    Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId,
+    Rule, Scenario, Trouble,
 };
 use memory::{Time, Who, World};
 use peers::{host_address, list_address, proxy_address, HostCell};
@@ -49,7 +49,10 @@
 /// A proxy that runs.
 enum Running {
     /// In this process.
-    Inside { task: JoinHandle<Result<(), String>>, seen: Seen },
+    Inside {
+        task: JoinHandle<Result<(), String>>,
+        seen: Seen,
+    },
     /// As a process of its own.
     Process(Proxy),
 }
@@ -117,7 +120,10 @@
     operator::read(scenario)?;
     note_panics();
     PANICS.with(|p| p.borrow_mut().clear());
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
     set.block_on(&runtime, course(Arc::clone(scenario), options, None))
@@ -139,18 +145,28 @@
         )));
     }
     let named = std::env::var_os("BADGERRAMP_PROGRAM").map(PathBuf::from);
-    let own = || std::env::current_exe().map_err(|e| Fault::Other(format!("this program's own path: {e}")));
+    let own = || {
+        std::env::current_exe().map_err(|e| Fault::Other(format!("this program's own path: {e}")))
+    };
     let program = match named {
         Some(path) if path.is_file() => (path, Vec::new()),
         Some(path) => {
-            return Err(Fault::Other(format!("BADGERRAMP_PROGRAM: {} is no file", path.display())));
+            return Err(Fault::Other(format!(
+                "BADGERRAMP_PROGRAM: {} is no file",
+                path.display()
+            )));
         }
         None => (own()?, vec![crate::AS_PROXY]),
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
-    set.block_on(&runtime, course(Arc::clone(scenario), options, Some(program)))
+    set.block_on(
+        &runtime,
+        course(Arc::clone(scenario), options, Some(program)),
+    )
 }
 
 async fn course(
@@ -159,28 +175,51 @@
     program: Option<Program>,
 ) -> Result<Course, Fault> {
     let (draws, time) = (Draws::new(options.seed), Time::start());
-    let zone = |name: &str| scenario.hosts.iter().position(|h| h.zone == name).unwrap_or(0) as u32;
-    let proxy_zones = (0..scenario.proxies).map(|p| zone(proxy_zone(&scenario, p))).collect();
+    let zone = |name: &str| {
+        scenario
+            .hosts
+            .iter()
+            .position(|h| h.zone == name)
+            .unwrap_or(0) as u32
+    };
+    let proxy_zones = (0..scenario.proxies)
+        .map(|p| zone(proxy_zone(&scenario, p)))
+        .collect();
     let host_zones = scenario.hosts.iter().map(|h| zone(&h.zone)).collect();
     let zones = (proxy_zones, host_zones);
     let ways = Ways::new(scenario.network, &scenario.faults, draws);
     let real = program.is_some();
     let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.longest();
-    let (faults, unix) =
-        (scenario.faults.clone(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
+    let (faults, unix) = (
+        scenario.faults.clone(),
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default(),
+    );
     let around = if real {
         Around::Real(Loopback::new(time, ways, faults, zones))
     } else {
         Around::Memory(World::new(time, ways, faults, zones))
     };
-    let models = (0..scenario.hosts.len()).map(|n| HostCell::new(n, Host::new(&scenario, n, draws)));
+    let models =
+        (0..scenario.hosts.len()).map(|n| HostCell::new(n, Host::new(&scenario, n, draws)));
     let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins == 0);
-    let first = there.map(|host| Entry { host, state: 0, started: 0 }).collect();
+    let first = there
+        .map(|host| Entry {
+            host,
+            state: 0,
+            started: 0,
+        })
+        .collect();
     let shared = Rc::new(Shared {
         draws,
         options,
         around,
-        unix: if real { unix.as_micros() as Micros } else { UNIX },
+        unix: if real {
+            unix.as_micros() as Micros
+        } else {
+            UNIX
+        },
         slack,
         program: program.unwrap_or_default(),
         lists: RefCell::default(),
@@ -209,7 +248,10 @@
         Around::Real(loopback) => {
             for proxy in 0..shared.scenario.proxies {
                 let listener = loopback.listen(None).map_err(io)?;
-                shared.lists.borrow_mut().insert(proxy, listener.local_addr().map_err(io)?);
+                shared
+                    .lists
+                    .borrow_mut()
+                    .insert(proxy, listener.local_addr().map_err(io)?);
                 let door = Door::Real(listener, Who::Proxy(proxy), loopback.time);
                 tokio::task::spawn_local(peers::list(Rc::clone(&shared), door));
             }
@@ -265,14 +307,20 @@
     }
 
     fn note(&self, op: OpId, line: impl FnOnce() -> String) {
-        self.course.borrow_mut().note(self.options.trace, op, self.now(), line);
+        self.course
+            .borrow_mut()
+            .note(self.options.trace, op, self.now(), line);
     }
 
     /// Are answers being spoilt now?
     fn spoils(&self) -> bool {
         let now = self.now();
         let on = |f: &&badgerramp_world::Fault| f.from <= now && now < f.until;
-        self.scenario.faults.iter().filter(on).any(|f| matches!(f.trouble, Trouble::Spoils { .. }))
+        self.scenario
+            .faults
+            .iter()
+            .filter(on)
+            .any(|f| matches!(f.trouble, Trouble::Spoils { .. }))
     }
 
     /// Which process of a proxy runs.
@@ -299,7 +347,9 @@
                 Ok(listener) => Door::Real(listener, Who::Client, loopback.time),
                 Err(fault) => {
                     let text = format!("the stand-in {host} can't listen: {fault}");
-                    self.judge.borrow_mut().note(Rule::Crashed, self.now(), None, text);
+                    self.judge
+                        .borrow_mut()
+                        .note(Rule::Crashed, self.now(), None, text);
                     return;
                 }
             },
@@ -312,7 +362,11 @@
         self.hosts[host].host.borrow_mut().start(self.now());
         let started = self.hosts[host].host.borrow().started();
         self.opens(host);
-        self.list_changes(Entry { host, state: 0, started });
+        self.list_changes(Entry {
+            host,
+            state: 0,
+            started,
+        });
     }
 
     fn host_ends(&self, host: usize, listed: bool) {
@@ -322,7 +376,11 @@
         self.hosts[host].die(self);
         if listed {
             let started = self.hosts[host].host.borrow().started();
-            self.list_changes(Entry { host, state: 2, started });
+            self.list_changes(Entry {
+                host,
+                state: 2,
+                started,
+            });
         }
     }
 
@@ -330,20 +388,31 @@
         let zone = proxy_zone(&self.scenario, proxy);
         let running = match &self.around {
             Around::Memory(world) => {
-                let text =
-                    operator::text(&self.scenario, (proxy, zone), proxy_address(proxy), list_address());
+                let text = operator::text(
+                    &self.scenario,
+                    (proxy, zone),
+                    proxy_address(proxy),
+                    list_address(),
+                );
                 self.start_inside(world, proxy, &text)
             }
             Around::Real(loopback) => {
                 let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-                let list = self.lists.borrow().get(&proxy).copied().unwrap_or_else(list_address);
+                let list = self
+                    .lists
+                    .borrow()
+                    .get(&proxy)
+                    .copied()
+                    .unwrap_or_else(list_address);
                 let mut text = operator::text(&self.scenario, (proxy, zone), listen, list);
                 if self.options.trace.is_some() {
                     text.push_str(operator::FOLLOWED);
                 }
-                let (program, before) = (self.program.0.display().to_string(), self.program.1.clone());
+                let (program, before) =
+                    (self.program.0.display().to_string(), self.program.1.clone());
                 // Its start is waited for elsewhere: the stand-ins go on meanwhile.
-                let start = tokio::task::spawn_blocking(move || Proxy::sidecar(&program, &before, &text));
+                let start =
+                    tokio::task::spawn_blocking(move || Proxy::sidecar(&program, &before, &text));
                 match start.await {
                     Ok(process) => {
                         loopback.proxies.borrow_mut().insert(proxy, process.address);
@@ -351,7 +420,9 @@
                     }
                     Err(fault) => {
                         let text = format!("proxy {proxy} does not start: {fault}");
-                        self.judge.borrow_mut().note(Rule::Crashed, self.now(), None, text);
+                        self.judge
+                            .borrow_mut()
+                            .note(Rule::Crashed, self.now(), None, text);
                         return;
                     }
                 }
@@ -366,7 +437,9 @@
             // It was read and found good before the course began.
             unreachable!("the operator's file of a scenario that plays")
         };
-        let seed = self.draws.between((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
+        let seed = self
+            .draws
+            .between((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
         let setup = sidecar::setup_once(config, seed);
         let listener = world.listen(proxy_address(proxy), Who::Proxy(proxy));
         let network = Rc::new(memory::From(Rc::clone(world), Who::Proxy(proxy)));
@@ -374,7 +447,11 @@
         let seen = Seen::default();
         let shown = Rc::clone(&seen);
         let task = tokio::task::spawn_local(async move {
-            let around = Surroundings { network, listener, clock };
+            let around = Surroundings {
+                network,
+                listener,
+                clock,
+            };
             // All of its tasks go with it: that is what a process's death is.
             let own = LocalSet::new();
             let serve = serve_in(
@@ -384,7 +461,10 @@
                 std::future::pending(),
                 |_| Ok(()),
                 |running| {
-                    let parts = (running.driver.clone(), Rc::clone(&running.front.descriptors));
+                    let parts = (
+                        running.driver.clone(),
+                        Rc::clone(&running.front.descriptors),
+                    );
                     *shown.borrow_mut() = Some(parts);
                 },
             );
@@ -414,23 +494,35 @@
         let now = self.now();
         self.judge.borrow_mut().pass(now);
         let hosts = || self.hosts.iter().map(|h| h.host.borrow());
-        let load =
-            hosts().map(|h| f64::from(h.report().in_hand) / f64::from(h.spec().cores.max(1))).collect();
+        let load = hosts()
+            .map(|h| f64::from(h.report().in_hand) / f64::from(h.spec().cores.max(1)))
+            .collect();
         let connections = hosts().map(|h| h.connections()).collect();
         let mut open = 0;
         for running in self.proxies.borrow().values() {
             match running {
                 Running::Inside { seen, .. } => {
-                    open += seen.borrow().as_ref().map_or(0, |s| s.0.open_calls() as u64);
+                    open += seen
+                        .borrow()
+                        .as_ref()
+                        .map_or(0, |s| s.0.open_calls() as u64);
                 }
                 Running::Process(process) => self.measure(process),
             }
         }
         let at = now as f64 / 1e6;
-        self.course.borrow_mut().samples.push(Sample { at, load, connections, open, held: 0 });
+        self.course.borrow_mut().samples.push(Sample {
+            at,
+            load,
+            connections,
+            open,
+            held: 0,
+        });
         self.audit();
         // What ended long ago is asked for no more.
-        self.asks.borrow_mut().retain(|_, ask| ask.first + 60_000_000 > now);
+        self.asks
+            .borrow_mut()
+            .retain(|_, ask| ask.first + 60_000_000 > now);
     }
 
     /// Holds a process to the memory and the descriptors that its file promises.
@@ -438,14 +530,18 @@
         let id = process.child.id();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        let kib = line.and_then(|l| l.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0);
+        let kib = line
+            .and_then(|l| l.split_whitespace().next()?.parse::<u64>().ok())
+            .unwrap_or(0);
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
         let mut course = self.course.borrow_mut();
         course.memory_most = course.memory_most.max(kib);
         course.descriptors_most = course.descriptors_most.max(descriptors);
         if kib > operator::MEMORY_MIB << 10 || descriptors > operator::DESCRIPTORS {
             let text = format!("a proxy has {kib} KiB and {descriptors} descriptors");
-            self.judge.borrow_mut().note(Rule::Leaked, self.now(), None, text);
+            self.judge
+                .borrow_mut()
+                .note(Rule::Leaked, self.now(), None, text);
         }
     }
 
@@ -453,9 +549,16 @@
     fn audit(&self) {
         let now = self.now();
         for (proxy, running) in &*self.proxies.borrow() {
-            let Running::Inside { seen, .. } = running else { continue };
+            let Running::Inside { seen, .. } = running else {
+                continue;
+            };
             for text in seen.borrow().iter().flat_map(|s| s.0.audit()) {
-                self.judge.borrow_mut().note(Rule::Miscounted, now, None, format!("proxy {proxy}: {text}"));
+                self.judge.borrow_mut().note(
+                    Rule::Miscounted,
+                    now,
+                    None,
+                    format!("proxy {proxy}: {text}"),
+                );
             }
         }
     }
@@ -470,30 +573,49 @@
                 Running::Inside { task, seen } => (task, seen),
                 Running::Process(process) => {
                     if let Some(op) = self.options.trace {
-                        self.course.borrow_mut().trace.extend(followed(&process.log(), op));
+                        self.course
+                            .borrow_mut()
+                            .trace
+                            .extend(followed(&process.log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
-                        judge.note(Rule::Crashed, now, None, format!("proxy {proxy} has ended by itself"));
+                        judge.note(
+                            Rule::Crashed,
+                            now,
+                            None,
+                            format!("proxy {proxy} has ended by itself"),
+                        );
                     }
                     continue;
                 }
             };
             if task.is_finished() {
-                judge.note(Rule::Crashed, now, None, format!("proxy {proxy} has ended by itself"));
+                judge.note(
+                    Rule::Crashed,
+                    now,
+                    None,
+                    format!("proxy {proxy} has ended by itself"),
+                );
             }
             let seen = seen.borrow();
-            let (Some((driver, descriptors)), Around::Memory(world)) = (&*seen, &self.around) else {
+            let (Some((driver, descriptors)), Around::Memory(world)) = (&*seen, &self.around)
+            else {
                 continue;
             };
             if driver.open_calls() + driver.calls() > 0 {
-                let text =
-                    format!("proxy {proxy}: {} calls open, {} known", driver.open_calls(), driver.calls());
+                let text = format!(
+                    "proxy {proxy}: {} calls open, {} known",
+                    driver.open_calls(),
+                    driver.calls()
+                );
                 judge.note(Rule::Leaked, now, None, text);
             }
             // Two more may lead to the list service: a watch, and the question beside it.
             let (counted, there) = (descriptors.open(), world.open_at(*proxy));
             if counted > there || counted + 2 < there {
-                let text = format!("proxy {proxy}: {counted} descriptors counted, {there} connections open");
+                let text = format!(
+                    "proxy {proxy}: {counted} descriptors counted, {there} connections open"
+                );
                 judge.note(Rule::Leaked, now, None, text);
             }
         }
@@ -518,9 +640,16 @@
 fn followed(log: &[String], op: OpId) -> Vec<String> {
     let (mut calls, mut lines) = (Vec::new(), Vec::new());
     for line in log {
-        let Ok(event) = serde_json::from_str::<serde_json::Value>(line) else { continue };
-        let Some(call) = event["call"].as_u64() else { continue };
-        let request = event["request"].as_str().and_then(|r| r.split_once('-')).map(|r| r.0);
+        let Ok(event) = serde_json::from_str::<serde_json::Value>(line) else {
+            continue;
+        };
+        let Some(call) = event["call"].as_u64() else {
+            continue;
+        };
+        let request = event["request"]
+            .as_str()
+            .and_then(|r| r.split_once('-'))
+            .map(|r| r.0);
         if request == Some(&op.0.to_string()) {
             calls.push(call);
         }
--- a/crates/lab/src/sockets/peers.rs
+++ b/crates/lab/src/sockets/peers.rs
@@ -6,7 +6,8 @@
 use super::wire::{self, Message};
 use super::Shared;
 use badgerramp_world::{
-    Answered, Arrival, Ask, Done, Entry, Host, Job, Micros, Next, OpId, Report, Rule, Told, Trouble, Verdict,
+    Answered, Arrival, Ask, Done, Entry, Host, Job, Micros, Next, OpId, Report, Rule, Told,
+    Trouble, Verdict,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -46,12 +47,20 @@
     pub(crate) fn settle(&self, shared: &Shared) {
         let mut done = Vec::new();
         let now = shared.now();
-        self.host.borrow_mut().advance(now, &mut shared.memory.borrow_mut(), &mut done);
+        self.host
+            .borrow_mut()
+            .advance(now, &mut shared.memory.borrow_mut(), &mut done);
         for ended in done {
             if ended.effected {
-                shared.judge.borrow_mut().effected(ended.at, ended.job.op, self.place);
+                shared
+                    .judge
+                    .borrow_mut()
+                    .effected(ended.at, ended.job.op, self.place);
             }
-            shared.course.borrow_mut().step(ended.at, 6, ended.job.op.0, self.place as u64);
+            shared
+                .course
+                .borrow_mut()
+                .step(ended.at, 6, ended.job.op.0, self.place as u64);
             if let Some(waiter) = self.waiters.borrow_mut().remove(&ended.job.token) {
                 let _ = waiter.send(ended);
             }
@@ -163,17 +172,32 @@
     ) -> Option<(String, bool)> {
         let Some((op, number)) = named(message) else {
             let text = format!("a host got what no client had sent: {:?}", message.start);
-            shared.judge.borrow_mut().note(Rule::MixedUp, shared.now(), None, text);
+            shared
+                .judge
+                .borrow_mut()
+                .note(Rule::MixedUp, shared.now(), None, text);
             return None;
         };
         let ask = shared.asks.borrow().get(&(op, number)).copied()?;
         let (proxy, way) = (ask.proxy, (0xb17e, op.0, u64::from(number) << 8));
         shared.around.way((proxy, self.place), stream, way).await;
         self.settle(shared);
-        let attempt = shared.judge.borrow_mut().sent(stream.read_sent(shared.now()), op, number, self.place);
+        let attempt =
+            shared
+                .judge
+                .borrow_mut()
+                .sent(stream.read_sent(shared.now()), op, number, self.place);
         shared.course.borrow_mut().sent(&ask);
-        shared.course.borrow_mut().step(shared.now(), 5, op.0, self.place as u64);
-        shared.note(op, || format!("attempt {attempt} reaches {}", self.host.borrow().spec().name));
+        shared
+            .course
+            .borrow_mut()
+            .step(shared.now(), 5, op.0, self.place as u64);
+        shared.note(op, || {
+            format!(
+                "attempt {attempt} reaches {}",
+                self.host.borrow().spec().name
+            )
+        });
         let token = shared.token();
         let started = self.host.borrow().started();
         let informed = shared.told.borrow().get(&(proxy, self.place)) == Some(&started);
@@ -187,12 +211,18 @@
             informed,
         };
         let fell = self.host.borrow().fell().is_some();
-        let arrival = self.host.borrow_mut().arrive(shared.now(), job, &mut shared.memory.borrow_mut());
+        let arrival =
+            self.host
+                .borrow_mut()
+                .arrive(shared.now(), job, &mut shared.memory.borrow_mut());
         let now_fell = self.host.borrow().fell();
         if let (false, Some(pushed)) = (fell, now_fell) {
             if pushed {
                 let text = format!("{} was pushed over", self.host.borrow().spec().name);
-                shared.judge.borrow_mut().note(Rule::ColdPushed, shared.now(), None, text);
+                shared
+                    .judge
+                    .borrow_mut()
+                    .note(Rule::ColdPushed, shared.now(), None, text);
             }
             self.die(shared);
         }
@@ -204,8 +234,9 @@
                 self.waiters.borrow_mut().insert(token, sender);
                 self.stirred();
                 // One that hangs up meanwhile is seen: what only waits is dropped.
-                let gone =
-                    async { while !matches!(wire::read(stream, rest, false).await, Ok(None) | Err(_)) {} };
+                let gone = async {
+                    while !matches!(wire::read(stream, rest, false).await, Ok(None) | Err(_)) {}
+                };
                 tokio::select! {
                     biased;
                     done = receiver => {
@@ -221,12 +252,31 @@
                 }
             }
         };
-        shared.judge.borrow_mut().over(op, number, attempt, verdict == Verdict::TurnedAway);
+        shared
+            .judge
+            .borrow_mut()
+            .over(op, number, attempt, verdict == Verdict::TurnedAway);
         shared.note(op, || {
-            format!("attempt {attempt} ends at {}: {verdict:?}", self.host.borrow().spec().name)
+            format!(
+                "attempt {attempt} ends at {}: {verdict:?}",
+                self.host.borrow().spec().name
+            )
         });
-        shared.around.way((proxy, self.place), stream, (way.0, way.1, way.2 + 1 + attempt as u64)).await;
-        reply(shared, verdict, report, op, u64::from(number) << 8 | attempt as u64)
+        shared
+            .around
+            .way(
+                (proxy, self.place),
+                stream,
+                (way.0, way.1, way.2 + 1 + attempt as u64),
+            )
+            .await;
+        reply(
+            shared,
+            verdict,
+            report,
+            op,
+            u64::from(number) << 8 | attempt as u64,
+        )
     }
 }
 
@@ -247,10 +297,22 @@
 }
 
 /// What a host writes; None: its connection breaks.
-fn reply(shared: &Shared, verdict: Verdict, report: Report, op: OpId, name: u64) -> Option<(String, bool)> {
-    let load = format!("X-Server-Load: TEXT inflight={}, queue={}\r\n", report.in_hand, report.waiting);
+fn reply(
+    shared: &Shared,
+    verdict: Verdict,
+    report: Report,
+    op: OpId,
+    name: u64,
+) -> Option<(String, bool)> {
+    let load = format!(
+        "X-Server-Load: TEXT inflight={}, queue={}\r\n",
+        report.in_hand, report.waiting
+    );
     let text = |status: &str, more: &str, body: &str| {
-        format!("HTTP/1.1 {status}\r\n{more}{load}Content-Length: {}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 {status}\r\n{more}{load}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     };
     let draw = |what: u64, most: u64| shared.draws.between((what, op.0, name), (0, most));
     Some(match verdict {
@@ -258,20 +320,33 @@
             let good = text("200 OK", "", &body(op));
             // Where answers are spoilt, good ones may come with more than belongs to them.
             match draw(0x5b01, 7) {
-                0 if shared.spoils() => {
-                    (format!("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n{good}"), false)
-                }
+                0 if shared.spoils() => (
+                    format!("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n{good}"),
+                    false,
+                ),
                 1 if shared.spoils() => (format!("{good}{good}"), false),
                 2 if shared.spoils() => (text("200 OK", "Connection: close\r\n", &body(op)), true),
                 _ => (good, false),
             }
         }
         Verdict::Failed => (text("500 Internal Server Error", "", "it fails"), false),
-        Verdict::TurnedAway => (text("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""), false),
+        Verdict::TurnedAway => (
+            text("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""),
+            false,
+        ),
         Verdict::Reset => return None,
         Verdict::Spoilt => match draw(0x5b02, 5) {
-            0 => ("\u{1}\u{2}noise that is no answer\r\n\r\n".to_owned(), false),
-            1 => (format!("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{}", body(op)), true),
+            0 => (
+                "\u{1}\u{2}noise that is no answer\r\n\r\n".to_owned(),
+                false,
+            ),
+            1 => (
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{}",
+                    body(op)
+                ),
+                true,
+            ),
             2 => (
                 format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}",
@@ -279,8 +354,14 @@
                 ),
                 true,
             ),
-            3 => ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more".to_owned(), false),
-            4 => (format!("HTTP/1.1 200 OK\r\nX-Long: {}\r\n", "x".repeat(40_000)), false),
+            3 => (
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more".to_owned(),
+                false,
+            ),
+            4 => (
+                format!("HTTP/1.1 200 OK\r\nX-Long: {}\r\n", "x".repeat(40_000)),
+                false,
+            ),
             _ => (format!("HTTP/1.1 200 OK\r\n\r\n{}", cut(op)), true),
         },
     })
@@ -294,8 +375,12 @@
         tokio::task::spawn_local(async move {
             let mut rest = Vec::new();
             while let Ok(Some(message)) = wire::read(&mut stream, &mut rest, false).await {
-                let Who::Proxy(proxy) = stream.peer else { return };
-                let Some(text) = members(&shared, proxy, &message).await else { return };
+                let Who::Proxy(proxy) = stream.peer else {
+                    return;
+                };
+                let Some(text) = members(&shared, proxy, &message).await else {
+                    return;
+                };
                 if stream.write_all(text.as_bytes()).await.is_err() {
                     return;
                 }
@@ -308,7 +393,9 @@
 async fn members(shared: &Rc<Shared>, proxy: u32, message: &Message) -> Option<String> {
     let query = message.start.1.split_once('?').map_or("", |q| q.1);
     let number = |name: &str| -> Option<u64> {
-        query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+        query
+            .split('&')
+            .find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let (known, wait) = (number("index"), number("wait").unwrap_or(0) * 1_000);
     let leaves = shared.list.borrow_mut().ask(shared.now());
@@ -320,7 +407,9 @@
             Told::Full(version, list) => break (true, version, list),
             Told::Changes(version, list) => break (false, version, list),
             Told::Failed => {
-                return Some("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".to_owned());
+                return Some(
+                    "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                );
             }
             Told::Silence => std::future::pending().await,
             Told::Nothing if shared.now() >= end => break (false, known.unwrap_or(0), Vec::new()),
@@ -338,13 +427,24 @@
         let there: Vec<usize> = entries.iter().map(|e| e.host).collect();
         for host in (0..shared.scenario.hosts.len()).filter(|h| !there.contains(h)) {
             if shared.told.borrow_mut().remove(&(proxy, host)).is_some() {
-                shared.judge.borrow_mut().told(shared.now(), proxy, host, false);
+                shared
+                    .judge
+                    .borrow_mut()
+                    .told(shared.now(), proxy, host, false);
             }
         }
     }
-    for Entry { host, state, started } in entries {
+    for Entry {
+        host,
+        state,
+        started,
+    } in entries
+    {
         let ready = state == 0;
-        shared.judge.borrow_mut().told(shared.now(), proxy, host, ready);
+        shared
+            .judge
+            .borrow_mut()
+            .told(shared.now(), proxy, host, ready);
         if ready {
             shared.told.borrow_mut().insert((proxy, host), started);
         }
@@ -356,7 +456,8 @@
             "since_ms": if started == 0 { 0 } else { (shared.unix + started) / 1_000 },
         }));
     }
-    let body = serde_json::json!({ "index": version, "snapshot": snapshot, "endpoints": told }).to_string();
+    let body = serde_json::json!({ "index": version, "snapshot": snapshot, "endpoints": told })
+        .to_string();
     Some(format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -394,18 +495,39 @@
     loop {
         tokio::time::sleep_until(shared.time().instant(ask.at)).await;
         shared.course.borrow_mut().asked(&ask);
-        shared.course.borrow_mut().step(shared.now(), 1, ask.op.0, u64::from(ask.number));
         shared
-            .note(ask.op, || format!("try {} at proxy {}, waits {} us", ask.number, ask.proxy, ask.patience));
+            .course
+            .borrow_mut()
+            .step(shared.now(), 1, ask.op.0, u64::from(ask.number));
+        shared.note(ask.op, || {
+            format!(
+                "try {} at proxy {}, waits {} us",
+                ask.number, ask.proxy, ask.patience
+            )
+        });
         let heard = ask_once(&shared, &ask).await;
-        let Heard { answered, told, left } = heard;
+        let Heard {
+            answered,
+            told,
+            left,
+        } = heard;
         let now = shared.now();
-        shared.course.borrow_mut().step(now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
+        shared
+            .course
+            .borrow_mut()
+            .step(now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
         shared.note(ask.op, || {
-            format!("try {}: {answered:?}{}", ask.number, if left { ", its client left" } else { "" })
+            format!(
+                "try {}: {answered:?}{}",
+                ask.number,
+                if left { ", its client left" } else { "" }
+            )
         });
         if left {
-            shared.course.borrow_mut().ended(&ask, now, Some(Answered::Failed));
+            shared
+                .course
+                .borrow_mut()
+                .ended(&ask, now, Some(Answered::Failed));
             return;
         }
         let next = shared.clients.borrow().after(&ask, answered, now, told);
@@ -427,7 +549,11 @@
 }
 
 async fn ask_once(shared: &Rc<Shared>, ask: &Ask) -> Heard {
-    let nothing = |answered| Heard { answered, told: None, left: false };
+    let nothing = |answered| Heard {
+        answered,
+        told: None,
+        left: false,
+    };
     let kept = shared.kept.borrow_mut().entry(ask.proxy).or_default().pop();
     // What the proxy has closed meanwhile is not used.
     let kept = kept.filter(|io: &Io| io.quiet());
@@ -441,19 +567,35 @@
     };
     shared.asks.borrow_mut().insert((ask.op, ask.number), *ask);
     let until = shared.now() + ask.patience;
-    shared.judge.borrow_mut().taken(shared.now(), ask.op, ask.number, (ask.class, ask.proxy), until);
+    shared.judge.borrow_mut().taken(
+        shared.now(),
+        ask.op,
+        ask.number,
+        (ask.class, ask.proxy),
+        until,
+    );
     let epoch = shared.epoch(ask.proxy);
     let name = (0x1ea5e, ask.op.0, u64::from(ask.number));
     let leaves = shared.draws.happens(name, shared.scenario.clients.leaves);
-    let after = shared.draws.between((0x1ea5f, name.1, name.2), (1, ask.patience.max(2) - 1));
-    let end = if leaves { shared.now() + after } else { until + shared.slack };
+    let after = shared
+        .draws
+        .between((0x1ea5f, name.1, name.2), (1, ask.patience.max(2) - 1));
+    let end = if leaves {
+        shared.now() + after
+    } else {
+        until + shared.slack
+    };
     let exchange = exchange(shared, ask, stream);
     let heard = tokio::time::timeout_at(shared.time().instant(end), exchange).await;
     let now = shared.now();
     match heard {
         Err(_) if leaves => {
             shared.judge.borrow_mut().left(now, ask.op, ask.number);
-            Heard { answered: None, told: None, left: true }
+            Heard {
+                answered: None,
+                told: None,
+                left: true,
+            }
         }
         // The judge knows by itself that no answer came.
         Err(_) => nothing(None),
@@ -468,7 +610,12 @@
         }
         Ok(Some((message, open))) => {
             if let Some(open) = open {
-                shared.kept.borrow_mut().entry(ask.proxy).or_default().push(open);
+                shared
+                    .kept
+                    .borrow_mut()
+                    .entry(ask.proxy)
+                    .or_default()
+                    .push(open);
             }
             let answered = match message.status() {
                 200 => Answered::Served,
@@ -486,8 +633,10 @@
                 let text = format!("a good request is answered {}", message.status());
                 judge.note(Rule::Crashed, now, Some(ask.op), text);
             }
-            let told =
-                message.field("retry-after").and_then(|v| v.parse::<f64>().ok()).map(|s| (s * 1e6) as Micros);
+            let told = message
+                .field("retry-after")
+                .and_then(|v| v.parse::<f64>().ok())
+                .map(|s| (s * 1e6) as Micros);
             Heard {
                 answered: Some(answered),
                 told: told.filter(|_| answered == Answered::Refused),
@@ -518,9 +667,14 @@
     let message = wire::read(&mut stream, &mut rest, true).await.ok()??;
     if !rest.is_empty() {
         let text = format!("{} bytes behind an answer", rest.len());
-        shared.judge.borrow_mut().note(Rule::AnsweredTwice, shared.now(), Some(ask.op), text);
+        shared
+            .judge
+            .borrow_mut()
+            .note(Rule::AnsweredTwice, shared.now(), Some(ask.op), text);
     }
-    let closes = message.field("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+    let closes = message
+        .field("connection")
+        .is_some_and(|v| v.eq_ignore_ascii_case("close"));
     Some((message, Some(stream).filter(|_| !closes)))
 }
 
@@ -531,7 +685,12 @@
         moments.push((fault.from, true, n));
         moments.push((fault.until, false, n));
     }
-    let joins = shared.scenario.hosts.iter().enumerate().filter(|(_, h)| h.joins > 0);
+    let joins = shared
+        .scenario
+        .hosts
+        .iter()
+        .enumerate()
+        .filter(|(_, h)| h.joins > 0);
     moments.extend(joins.map(|(host, h)| (h.joins, true, usize::MAX - host)));
     moments.sort_by_key(|m| m.0);
     for (at, begins, n) in moments {
@@ -540,7 +699,10 @@
             shared.host_starts(usize::MAX - n);
             continue;
         }
-        shared.course.borrow_mut().step(shared.now(), if begins { 10 } else { 11 }, n as u64, 0);
+        shared
+            .course
+            .borrow_mut()
+            .step(shared.now(), if begins { 10 } else { 11 }, n as u64, 0);
         let fault = shared.scenario.faults[n];
         if let Some(host) = fault.trouble.host() {
             shared.hosts[host].settle(&shared);
@@ -551,7 +713,11 @@
             (Trouble::Drain { host }, true) => {
                 shared.hosts[host].host.borrow_mut().drain();
                 let started = shared.hosts[host].host.borrow().started();
-                shared.list_changes(Entry { host, state: 1, started });
+                shared.list_changes(Entry {
+                    host,
+                    state: 1,
+                    started,
+                });
             }
             (Trouble::Drain { host }, false) => shared.host_ends(host, true),
             (Trouble::ProxyCrash { proxy }, true) => shared.proxy_dies(proxy),
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -14,7 +14,10 @@
 
 impl Message {
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.fields
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     pub(crate) fn status(&self) -> u16 {
@@ -52,7 +55,11 @@
             return Err(odd("too long"));
         }
         if stream.read_buf(rest).await? == 0 {
-            return if rest.is_empty() { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            return if rest.is_empty() {
+                Ok(None)
+            } else {
+                Err(io::ErrorKind::UnexpectedEof.into())
+            };
         }
     }
 }
@@ -62,18 +69,37 @@
     let (head, start, fields) = if answer {
         let mut parsed = httparse::Response::new(&mut fields);
         let status = parsed.parse(bytes).map_err(|e| odd(&e.to_string()))?;
-        let httparse::Status::Complete(head) = status else { return Ok(None) };
-        (head, (String::new(), parsed.code.unwrap_or(0).to_string()), parsed.headers)
+        let httparse::Status::Complete(head) = status else {
+            return Ok(None);
+        };
+        (
+            head,
+            (String::new(), parsed.code.unwrap_or(0).to_string()),
+            parsed.headers,
+        )
     } else {
         let mut parsed = httparse::Request::new(&mut fields);
         let status = parsed.parse(bytes).map_err(|e| odd(&e.to_string()))?;
-        let httparse::Status::Complete(head) = status else { return Ok(None) };
+        let httparse::Status::Complete(head) = status else {
+            return Ok(None);
+        };
         let text = |t: Option<&str>| t.unwrap_or_default().to_owned();
-        (head, (text(parsed.method), text(parsed.path)), parsed.headers)
+        (
+            head,
+            (text(parsed.method), text(parsed.path)),
+            parsed.headers,
+        )
     };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
-    let fields: Vec<_> = fields.iter().map(|f| (f.name.to_owned(), text(f.value))).collect();
-    let mut message = Message { start, fields, body: Vec::new() };
+    let fields: Vec<_> = fields
+        .iter()
+        .map(|f| (f.name.to_owned(), text(f.value)))
+        .collect();
+    let mut message = Message {
+        start,
+        fields,
+        body: Vec::new(),
+    };
     let length = match message.field("content-length") {
         Some(length) => length.parse::<usize>().map_err(|_| odd("an odd length"))?,
         None if message.field("transfer-encoding").is_some() => {
@@ -84,7 +110,9 @@
     if length > MOST {
         return Err(odd("too long"));
     }
-    let Some(body) = bytes.get(head..head + length) else { return Ok(None) };
+    let Some(body) = bytes.get(head..head + length) else {
+        return Ok(None);
+    };
     message.body = body.to_vec();
     Ok(Some((message, head + length)))
 }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -86,14 +86,23 @@
         Trial::Drains(terms) => return crate::trial_drains::run(&terms),
         Trial::Scale(terms) => return crate::trial_scale::run(&terms),
     };
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
     runtime.block_on(policy(&terms)).map_err(play::Fault::Other)
 }
 
 /// The command that plays one course again.
 fn again(terms: &Policy, seed: u64) -> String {
-    let Policy { proxies, replicas, publishes, rate, way, .. } = terms;
+    let Policy {
+        proxies,
+        replicas,
+        publishes,
+        rate,
+        way,
+        ..
+    } = terms;
     let one = if terms.one { " --one" } else { "" };
     let only = Only::option(terms.only, Kind::name);
     format!(
@@ -105,12 +114,19 @@
 async fn policy(terms: &Policy) -> Result<bool, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let as_one = |word: &str| (own.clone(), vec![word.to_owned()]);
-    let programs = Programs { proxy: as_one(crate::AS_PROXY), control: as_one(crate::AS_CONTROL) };
+    let programs = Programs {
+        proxy: as_one(crate::AS_PROXY),
+        control: as_one(crate::AS_CONTROL),
+    };
     let programs = Arc::new(programs);
     let count = |n: u64| usize::try_from(n).unwrap_or(usize::MAX);
     let size = Size {
         proxies: count(terms.proxies),
-        replicas: if terms.way == "control" { terms.replicas.parse().unwrap_or(3) } else { 0 },
+        replicas: if terms.way == "control" {
+            terms.replicas.parse().unwrap_or(3)
+        } else {
+            0
+        },
         rate: terms.rate.clamp(1.0, 5_000.0),
         publishes: count(terms.publishes),
         mixed_terms: !matches!(terms.only, Some(Only::Nothing)) && !terms.one,
@@ -120,7 +136,9 @@
     let each = size.proxies * (size.replicas + 6) + 32 * size.replicas + 200;
     want_descriptors(each as u64 * terms.at_once)?;
     let mut json = match &terms.json {
-        Some(path) => Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?),
+        Some(path) => {
+            Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
+        }
         None => None,
     };
     let mut seeds = terms.seed..terms.seed.saturating_add(terms.courses);
@@ -140,14 +158,21 @@
                 Some(Only::Nothing) => course.faults.clear(),
                 Some(Only::Kind(kind)) if terms.one => {
                     let until = Duration::from_secs(6 * terms.publishes);
-                    course.faults = vec![Fault { kind, whom: 0, from: Duration::ZERO, until }];
+                    course.faults = vec![Fault {
+                        kind,
+                        whom: 0,
+                        from: Duration::ZERO,
+                        until,
+                    }];
                 }
                 _ => {}
             }
             let (programs, keep) = (Arc::clone(&programs), terms.keep);
             running.spawn(async move { (seed, play(&programs, size, &course, keep).await) });
         }
-        let Some(done) = running.join_next().await else { break };
+        let Some(done) = running.join_next().await else {
+            break;
+        };
         let (seed, played) = done.map_err(|e| e.to_string())?;
         match played {
             Ok(played) => {
@@ -165,7 +190,10 @@
                     played.in_force_ms
                 );
                 if !played.held() {
-                    println!("  {}", verdict.first.as_deref().unwrap_or("a change did not end"));
+                    println!(
+                        "  {}",
+                        verdict.first.as_deref().unwrap_or("a change did not end")
+                    );
                     println!("  {}", played.why.join("; "));
                     println!("  again: {}", again(terms, seed));
                 }
--- a/crates/lab/src/trial_drains.rs
+++ b/crates/lab/src/trial_drains.rs
@@ -50,7 +50,9 @@
 /// # Errors
 /// If it could not be played.
 pub fn run(terms: &Drains) -> Result<bool, play::Fault> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
     runtime.block_on(trial(terms)).map_err(play::Fault::Other)
 }
@@ -71,7 +73,9 @@
     let each = size.proxies * 16 + size.hosts * (1 + size.proxies.min(64)) + 200;
     want_descriptors(each as u64 * terms.at_once)?;
     let mut json = match &terms.json {
-        Some(path) => Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?),
+        Some(path) => {
+            Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
+        }
         None => None,
     };
     let mut seeds = terms.seed..terms.seed.saturating_add(terms.courses);
@@ -86,9 +90,12 @@
             let program = Arc::clone(&program);
             running.spawn(async move { (seed, play_drains(&program, size, &course).await) });
         }
-        let Some(done) = running.join_next().await else { break };
+        let Some(done) = running.join_next().await else {
+            break;
+        };
         let (seed, played) = done.map_err(|e| e.to_string())?;
-        let played = played.map_err(|fault| format!("course {seed} could not be played: {fault}"))?;
+        let played =
+            played.map_err(|fault| format!("course {seed} could not be played: {fault}"))?;
         if let Some(file) = &mut json {
             let line = serde_json::to_string(&played).map_err(|e| e.to_string())?;
             writeln!(file, "{line}").map_err(|e| e.to_string())?;
@@ -137,7 +144,12 @@
             .chain(&played.lost_calls)
             .chain(&played.crashed)
             .for_each(|line| println!("  {line}"));
-        let Drains { proxies, hosts, rate, .. } = terms;
+        let Drains {
+            proxies,
+            hosts,
+            rate,
+            ..
+        } = terms;
         let only = Only::option(terms.only, Kind::name);
         println!(
             "  again: badgerramp-lab trial drains --courses 1 --seed {} --proxies {proxies} --hosts {hosts} --rate {rate}{only}",
--- a/crates/lab/src/trial_scale.rs
+++ b/crates/lab/src/trial_scale.rs
@@ -17,8 +17,12 @@
 /// Most processes of a trial that are proxies.
 const REAL_MOST: u64 = 250;
 /// Where a region is cut off for longer than every time of control's, those are shorter than the product's.
-const CUT_TIMES: ControlTimes =
-    ControlTimes { lease_ms: 3_000, wait_ms: 6_000, election_ms: 1_000, regions_wait_ms: 6_000 };
+const CUT_TIMES: ControlTimes = ControlTimes {
+    lease_ms: 3_000,
+    wait_ms: 6_000,
+    election_ms: 1_000,
+    regions_wait_ms: 6_000,
+};
 
 /// The fleet, and how many courses.
 #[derive(Args)]
@@ -74,9 +78,13 @@
 /// # Errors
 /// If it could not be played.
 pub fn run(terms: &Scale) -> Result<bool, play::Fault> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
-    runtime.block_on(until_told_to_end(terms)).map_err(play::Fault::Other)
+    runtime
+        .block_on(until_told_to_end(terms))
+        .map_err(play::Fault::Other)
 }
 
 /// Plays until all is played, or SIGTERM or SIGINT comes: its processes end with it in either case.
@@ -101,7 +109,10 @@
             real: count(self.real.min(proxies)),
             regions: count(self.regions),
             zones: count(self.zones),
-            replicas: self.replicas.parse().map_err(|e| format!("--replicas: {e}"))?,
+            replicas: self
+                .replicas
+                .parse()
+                .map_err(|e| format!("--replicas: {e}"))?,
         };
         Ok(size)
     }
@@ -121,13 +132,24 @@
             Some(Kind::CutRegion) => CUT_TIMES,
             _ => ControlTimes::default(),
         };
-        ControlTimes { lease_ms: self.lease_ms.unwrap_or(times.lease_ms), ..times }
+        ControlTimes {
+            lease_ms: self.lease_ms.unwrap_or(times.lease_ms),
+            ..times
+        }
     }
 
     /// The command that plays one course again.
     fn again(&self, played: &Played) -> String {
-        let Scale { regions, zones, replicas, seconds, .. } = self;
-        let lease = self.lease_ms.map_or_else(String::new, |ms| format!(" --lease-ms {ms}"));
+        let Scale {
+            regions,
+            zones,
+            replicas,
+            seconds,
+            ..
+        } = self;
+        let lease = self
+            .lease_ms
+            .map_or_else(String::new, |ms| format!(" --lease-ms {ms}"));
         format!(
             "badgerramp-lab trial scale --proxies {} --real {} --regions {regions} --zones {zones} --replicas {replicas} \
              --seed {} --seconds {seconds} --only {}{lease}",
@@ -153,7 +175,9 @@
     }
     let programs = programs()?;
     let mut json = match &terms.json {
-        Some(path) => Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?),
+        Some(path) => {
+            Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
+        }
         None => None,
     };
     let mut all = Vec::new();
@@ -166,9 +190,13 @@
             let fault = terms.fault(number);
             let times = terms.times(fault);
             let settle = Duration::from_secs(terms.settle);
-            let course = Course { settle, ..Course::draw(seed, fault, &size, times, terms.seconds) };
+            let course = Course {
+                settle,
+                ..Course::draw(seed, fault, &size, times, terms.seconds)
+            };
             let played = play_course(&programs, size, times, &course).await;
-            let played = played.map_err(|fault| format!("course {seed} could not be played: {fault}"))?;
+            let played =
+                played.map_err(|fault| format!("course {seed} could not be played: {fault}"))?;
             if let Some(file) = &mut json {
                 let line = serde_json::to_string(&played).map_err(|e| e.to_string())?;
                 writeln!(file, "{line}").map_err(|e| e.to_string())?;
@@ -200,7 +228,12 @@
         played.ready_ms,
     );
     if !played.held {
-        played.broke.iter().chain(&played.crossed).chain(&played.first).for_each(|line| println!("  {line}"));
+        played
+            .broke
+            .iter()
+            .chain(&played.crossed)
+            .chain(&played.first)
+            .for_each(|line| println!("  {line}"));
         println!("  again: {}", terms.again(played));
     }
 }
--- a/crates/lab/src/trial_start.rs
+++ b/crates/lab/src/trial_start.rs
@@ -133,7 +133,9 @@
     if terms.in_virtual_time {
         return Ok(virtually(terms));
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
     runtime.block_on(trial(terms)).map_err(play::Fault::Other)
 }
@@ -152,20 +154,38 @@
     };
     // One change, so that its way to all can be told.
     let until = terms.seconds * 1_000_000;
-    let calm = World { until, changes: vec![until / 4 * 3], ..calm };
+    let calm = World {
+        until,
+        changes: vec![until / 4 * 3],
+        ..calm
+    };
     let mut held = true;
     for seed in terms.seed..terms.seed.saturating_add(terms.courses) {
-        let mut world = if drawn { peers::draw(proxies, seed) } else { calm.clone() };
+        let mut world = if drawn {
+            peers::draw(proxies, seed)
+        } else {
+            calm.clone()
+        };
         world.without = terms.without.as_deref().and_then(Mechanism::named);
         let played = peers::play(&world, seed);
-        let broken = played.broken(&world).filter(|_| drawn || played.given_up > 0);
+        let broken = played
+            .broken(&world)
+            .filter(|_| drawn || played.given_up > 0);
         let waits = played.waits();
         let at = |share: f64| {
             let place = ((waits.len() as f64 - 1.0) * share).ceil() as usize;
-            waits.get(place).copied().flatten().map_or("-".to_owned(), |wait| (wait / 1_000).to_string())
+            waits
+                .get(place)
+                .copied()
+                .flatten()
+                .map_or("-".to_owned(), |wait| (wait / 1_000).to_string())
         };
         held &= broken.is_none();
-        let spread = world.changes.iter().zip(&played.spread).filter_map(|(at, all)| Some((*all)? - at));
+        let spread = world
+            .changes
+            .iter()
+            .zip(&played.spread)
+            .filter_map(|(at, all)| Some((*all)? - at));
         let spread = spread.max().map(|micros| micros / 1_000);
         println!(
             "world {seed}: {}; listed {} {} {} ms, the last {} ms after the first start; a change at all in {} ms; {} questions, {} in a second at the most, {} given up; {} ask; {:.1} messages a second and proxy in the end, {} at the most",
@@ -194,26 +214,40 @@
     let programs = Arc::new((own, vec![crate::AS_PROXY.to_owned()]));
     // For each proxy: a log, two sockets for datagrams, a listener and two connections to the list service, and what it
     // holds at hosts.
-    let held = if terms.subset > 0 { 3 * terms.subset } else { terms.hosts };
+    let held = if terms.subset > 0 {
+        3 * terms.subset
+    } else {
+        terms.hosts
+    };
     let each = terms.proxies * (8 + held.min(24)) + 4 * terms.hosts + 1_000;
     want_descriptors(each * terms.at_once)?;
     let mut json = match &terms.json {
-        Some(path) => Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?),
+        Some(path) => {
+            Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
+        }
         None => None,
     };
-    let ways: Vec<Way> = terms.way.iter().filter_map(|name| Way::named(name)).collect();
+    let ways: Vec<Way> = terms
+        .way
+        .iter()
+        .filter_map(|name| Way::named(name))
+        .collect();
     let seeds = terms.seed..terms.seed.saturating_add(terms.courses);
     let mut plays = seeds.flat_map(|seed| ways.iter().map(move |way| (seed, *way)));
     let mut running = tokio::task::JoinSet::new();
     let (mut all, mut failed): (Vec<Played>, Option<String>) = (Vec::new(), None);
     loop {
         while running.len() < terms.at_once as usize && failed.is_none() {
-            let Some((seed, way)) = plays.next() else { break };
+            let Some((seed, way)) = plays.next() else {
+                break;
+            };
             let (course, size) = (terms.course(seed), terms.size(way));
             let (programs, keep) = (Arc::clone(&programs), terms.keep);
             running.spawn(async move { (seed, play_start(&programs, size, &course, keep).await) });
         }
-        let Some(done) = running.join_next().await else { break };
+        let Some(done) = running.join_next().await else {
+            break;
+        };
         let (seed, played) = done.map_err(|e| e.to_string())?;
         match played {
             Ok(played) => {
--- a/crates/lab/tests/keys.rs
+++ b/crates/lab/tests/keys.rs
@@ -35,9 +35,12 @@
 #[test]
 fn every_table_of_a_scenario_takes_the_keys_it_took() {
     let mistakes = parse("keys.toml", FILE).expect_err("there are unknown keys");
-    let unknown =
-        mistakes.iter().filter(|mistake| mistake.key.ends_with("zzzz") || mistake.found.contains("zzzz"));
-    let lines: Vec<String> = unknown.map(|mistake| format!("{}: {}", mistake.key, mistake.allowed)).collect();
+    let unknown = mistakes
+        .iter()
+        .filter(|mistake| mistake.key.ends_with("zzzz") || mistake.found.contains("zzzz"));
+    let lines: Vec<String> = unknown
+        .map(|mistake| format!("{}: {}", mistake.key, mistake.allowed))
+        .collect();
     assert_eq!(lines.len(), FILE.matches("zzzz").count());
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -21,11 +21,19 @@
 }
 
 fn scenarios(folder: &Path) -> Vec<(String, Scenario)> {
-    let files = std::fs::read_dir(folder).expect("the scenarios").flatten().map(|f| f.path());
-    let mut files: Vec<_> = files.filter(|f| f.extension().is_some_and(|e| e == "toml")).collect();
+    let files = std::fs::read_dir(folder)
+        .expect("the scenarios")
+        .flatten()
+        .map(|f| f.path());
+    let mut files: Vec<_> = files
+        .filter(|f| f.extension().is_some_and(|e| e == "toml"))
+        .collect();
     files.sort();
     let read = |path: &PathBuf| scenario_file::load(path).unwrap_or_else(|m| panic!("{m}"));
-    files.iter().map(|f| (f.display().to_string(), read(f))).collect()
+    files
+        .iter()
+        .map(|f| (f.display().to_string(), read(f)))
+        .collect()
 }
 
 fn keeps_the_rules(way: Way, numbers: std::ops::Range<u64>) {
@@ -36,7 +44,8 @@
         threads: 2,
         stop: false,
     };
-    let found = hunt::hunt(way.function(), wanted, &AtomicBool::new(false), |_, _| {}).expect("a play");
+    let found =
+        hunt::hunt(way.function(), wanted, &AtomicBool::new(false), |_, _| {}).expect("a play");
     assert_eq!(found.played, wanted.count);
     assert!(found.finds.is_empty(), "{:#?}", found.finds);
 }
@@ -56,7 +65,15 @@
     for (name, scenario) in scenarios(&folder().join("kept")) {
         let scenario = Arc::new(scenario);
         for way in [Way::Virtual, Way::Sockets] {
-            let course = way.play(&scenario, Options { seed: 1, ..Options::default() }).expect("a play");
+            let course = way
+                .play(
+                    &scenario,
+                    Options {
+                        seed: 1,
+                        ..Options::default()
+                    },
+                )
+                .expect("a play");
             assert_eq!(course.broken, [], "{name}, {}", way.name());
         }
     }
@@ -81,12 +98,27 @@
         // Cut short here; their full length is for the command.
         scenario.clients.rate = 150.0;
         let scenario = Arc::new(scenario);
-        let options = Options { seed: 3, ..Options::default() };
-        let [a, b] = [Way::Virtual, Way::Sockets].map(|way| way.play(&scenario, options).expect("a play"));
-        assert_eq!((a.broken.len(), b.broken.len()), (0, 0), "{name}: {:?} {:?}", a.broken, b.broken);
+        let options = Options {
+            seed: 3,
+            ..Options::default()
+        };
+        let [a, b] =
+            [Way::Virtual, Way::Sockets].map(|way| way.play(&scenario, options).expect("a play"));
+        assert_eq!(
+            (a.broken.len(), b.broken.len()),
+            (0, 0),
+            "{name}: {:?} {:?}",
+            a.broken,
+            b.broken
+        );
         let (a, b) = (a.total(), b.total());
         assert_eq!(a.wanted, b.wanted, "{name}: the load is the same");
-        assert!((a.goodput() - b.goodput()).abs() < 0.05, "{name}: {} and {}", a.goodput(), b.goodput());
+        assert!(
+            (a.goodput() - b.goodput()).abs() < 0.05,
+            "{name}: {} and {}",
+            a.goodput(),
+            b.goodput()
+        );
     }
 }
 
@@ -101,12 +133,27 @@
         // The socket code is slow in a test's build: two of them are enough to see that it does the same.
         let both = name.contains("lost-answers") || name.contains("cold-burst");
         let sockets = both.then_some((Way::Sockets, 1));
-        for (way, seed) in [(Way::Virtual, 1), (Way::Virtual, 2)].into_iter().chain(sockets) {
-            let course = way.play(&scenario, Options { seed, ..Options::default() }).expect("a play");
+        for (way, seed) in [(Way::Virtual, 1), (Way::Virtual, 2)]
+            .into_iter()
+            .chain(sockets)
+        {
+            let course = way
+                .play(
+                    &scenario,
+                    Options {
+                        seed,
+                        ..Options::default()
+                    },
+                )
+                .expect("a play");
             assert_eq!(course.broken, [], "{name}, {}, {seed}", way.name());
             // Proxies without a list serve nothing: what a crowded list service leaves is not judged here.
             let listed = !name.contains("list") && !name.contains("restart");
-            assert!(!listed || course.total().goodput() > 0.85, "{name}: {}", course.total().goodput());
+            assert!(
+                !listed || course.total().goodput() > 0.85,
+                "{name}: {}",
+                course.total().goodput()
+            );
         }
     }
 }
@@ -117,13 +164,25 @@
         for number in 0..8 {
             let scenario = Arc::new(generate::scenario(number));
             let digest = |seed| {
-                way.play(&scenario, Options { seed, shuffle: true, ..Options::default() })
-                    .expect("a play")
-                    .digest()
+                way.play(
+                    &scenario,
+                    Options {
+                        seed,
+                        shuffle: true,
+                        ..Options::default()
+                    },
+                )
+                .expect("a play")
+                .digest()
             };
             let other = std::thread::scope(|s| s.spawn(|| digest(number)).join().expect("a play"));
             assert_eq!(digest(number), other, "{}, {number}", way.name());
-            assert_ne!(digest(number), digest(number + 1), "{}, {number}", way.name());
+            assert_ne!(
+                digest(number),
+                digest(number + 1),
+                "{}, {number}",
+                way.name()
+            );
         }
     }
 }
@@ -131,12 +190,27 @@
 /// A play that breaks a rule whenever one request is there while one fault is.
 fn faulty(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
     let mut course = Course::new(Arc::clone(scenario));
-    let resets = scenario.faults.iter().any(|f| matches!(f.trouble, Trouble::Resets { .. }));
-    let third =
-        hunt::scripted(scenario, options.seed).requests.into_iter().flatten().any(|r| r.id % 100 == 3);
+    let resets = scenario
+        .faults
+        .iter()
+        .any(|f| matches!(f.trouble, Trouble::Resets { .. }));
+    let third = hunt::scripted(scenario, options.seed)
+        .requests
+        .into_iter()
+        .flatten()
+        .any(|r| r.id % 100 == 3);
     if resets && third {
-        let text = format!("host h{} did it at {}", scenario.hosts.len(), scenario.duration);
-        course.broken = vec![Broken { rule: Rule::RanTwice, at: scenario.duration, op: None, text }];
+        let text = format!(
+            "host h{} did it at {}",
+            scenario.hosts.len(),
+            scenario.duration
+        );
+        course.broken = vec![Broken {
+            rule: Rule::RanTwice,
+            at: scenario.duration,
+            op: None,
+            text,
+        }];
         course.broken_count = 1;
     }
     Ok(course)
@@ -144,27 +218,55 @@
 
 #[test]
 fn the_same_failure_is_told_once_and_cut_down_to_what_it_takes() {
-    let wanted = Hunt { first: 0, count: 60, time: Duration::from_secs(60), threads: 3, stop: false };
+    let wanted = Hunt {
+        first: 0,
+        count: 60,
+        time: Duration::from_secs(60),
+        threads: 3,
+        stop: false,
+    };
     let found = hunt::hunt(faulty, wanted, &AtomicBool::new(false), |_, _| {}).expect("a play");
     assert_eq!(found.finds.len(), 1, "{:#?}", found.finds);
     let find = found.finds.values().next().expect("one");
     assert!(find.count > 3);
     let scenario = generate::scenario(find.number);
-    let shrunk =
-        hunt::shrink(faulty, &scenario, hunt::options(find.number), Rule::RanTwice, 5_000).expect("it fails");
+    let shrunk = hunt::shrink(
+        faulty,
+        &scenario,
+        hunt::options(find.number),
+        Rule::RanTwice,
+        5_000,
+    )
+    .expect("it fails");
     assert_eq!(shrunk.scenario.events(), 2, "one request and one fault");
     // What is left can be written, and fails when it is read back.
     let text = scenario_file::write(&shrunk.scenario);
     let read = scenario_file::parse("shrunk.toml", &text).unwrap_or_else(|m| panic!("{m}"));
-    assert_eq!(faulty(&Arc::new(read), shrunk.options).expect("a play").broken_count, 1);
-    assert!(hunt::shrink(faulty, &scenario, hunt::options(find.number), Rule::Lost, 100).is_none());
+    assert_eq!(
+        faulty(&Arc::new(read), shrunk.options)
+            .expect("a play")
+            .broken_count,
+        1
+    );
+    assert!(hunt::shrink(
+        faulty,
+        &scenario,
+        hunt::options(find.number),
+        Rule::Lost,
+        100
+    )
+    .is_none());
 }
 
 #[test]
 fn small_worlds_keep_the_rules_in_every_order() {
     for world in check::worlds(4, 100_000) {
         let told = check::check(&world);
-        assert!(told.broken.is_none(), "{}", check::as_test(&world, &told.broken.expect("one")));
+        assert!(
+            told.broken.is_none(),
+            "{}",
+            check::as_test(&world, &told.broken.expect("one"))
+        );
         assert!(told.depth == 4 && told.states > 1_000, "{told:?}");
     }
 }
@@ -177,7 +279,10 @@
         steps: vec![check::Step::Asks(0), check::Step::Passes],
     };
     let text = check::as_test(&world, &found);
-    assert!(text.contains("[Asks(0), Passes]") && text.contains("check::replay"), "{text}");
+    assert!(
+        text.contains("[Asks(0), Passes]") && text.contains("check::replay"),
+        "{text}"
+    );
     assert_eq!(check::replay(&world, &found.steps), Ok(()));
 }
 
@@ -186,8 +291,10 @@
     let text = "duration = 5\nproxies = 0\n[clients]\nrat = 3\n[class.c]\naim = \"1s\"\ndeadline = \"2s\"\neffect = \"keyed\"\n\
                 [[host]]\ncores = 0\n[[fault]]\nfrom = \"2s\"\nuntil = \"1s\"\ntrouble = \"stals\"\n[[fault]]\ntrouble = \"crash\"\nhost = \"h7\"\n";
     let mistakes = scenario_file::parse("bad.toml", text).expect_err("it is not good");
-    let places: Vec<(String, usize)> =
-        mistakes.iter().map(|m| (m.key.clone(), mistakes.place(m).0)).collect();
+    let places: Vec<(String, usize)> = mistakes
+        .iter()
+        .map(|m| (m.key.clone(), mistakes.place(m).0))
+        .collect();
     for wanted in [
         ("duration", 1),
         ("proxies", 2),
@@ -198,50 +305,90 @@
         ("fault[0].trouble", 14),
         ("fault[1].host", 17),
     ] {
-        assert!(places.contains(&(wanted.0.to_owned(), wanted.1)), "{wanted:?} in {places:?}\n{mistakes}");
+        assert!(
+            places.contains(&(wanted.0.to_owned(), wanted.1)),
+            "{wanted:?} in {places:?}\n{mistakes}"
+        );
     }
-    assert!(mistakes.to_string().contains("did you mean \"stalls\""), "{mistakes}");
+    assert!(
+        mistakes.to_string().contains("did you mean \"stalls\""),
+        "{mistakes}"
+    );
 }
 
 #[test]
 fn a_scenario_that_no_operators_file_may_ask_for_is_refused() {
     let mut scenario = scenarios(&folder()).remove(0).1;
     scenario.classes[1].second_copy = badgerramp_world::SecondCopy::Auto;
-    let refused = operator::read(&scenario).expect_err("an unsafe class has no second copy").to_string();
+    let refused = operator::read(&scenario)
+        .expect_err("an unsafe class has no second copy")
+        .to_string();
     assert!(refused.contains("second_copy"), "{refused}");
     for way in [Way::Virtual, Way::Sockets, Way::Real] {
-        assert!(way.play(&Arc::new(scenario.clone()), Options::default()).is_err());
+        assert!(way
+            .play(&Arc::new(scenario.clone()), Options::default())
+            .is_err());
     }
 }
 
 #[test]
 fn values_are_changed_by_their_keys_and_checked_like_the_file() {
     let template = Template::load(&folder().join("calm.toml")).expect("a scenario");
-    let changed = template.with("clients.rate=77").and_then(|t| t.with("host.cores=2")).expect("good values");
+    let changed = template
+        .with("clients.rate=77")
+        .and_then(|t| t.with("host.cores=2"))
+        .expect("good values");
     let scenario = changed.scenario().expect("a scenario");
     assert_eq!(scenario.clients.rate, 77.0);
     assert!(scenario.hosts.iter().all(|h| h.cores == 2));
-    let timed =
-        template.with("class.cobro-mensual.attempt=300ms").expect("a value").scenario().expect("a scenario");
+    let timed = template
+        .with("class.cobro-mensual.attempt=300ms")
+        .expect("a value")
+        .scenario()
+        .expect("a scenario");
     assert!(timed.classes.iter().any(|c| c.attempt == Some(300_000)));
-    let bad =
-        template.with("clients.rate=much").expect("a value").scenario().expect_err("no number").to_string();
-    assert!(bad.contains("clients.rate") && bad.contains("a number from"), "{bad}");
+    let bad = template
+        .with("clients.rate=much")
+        .expect("a value")
+        .scenario()
+        .expect_err("no number")
+        .to_string();
+    assert!(
+        bad.contains("clients.rate") && bad.contains("a number from"),
+        "{bad}"
+    );
     assert!(template.with("duration.x=1").is_err() && template.with("rate").is_err());
 }
 
 #[test]
 fn the_page_needs_nothing_else() {
     let scenario = Arc::new(generate::scenario(5));
-    let course = Way::Virtual.play(&scenario, Options { seed: 5, ..Options::default() }).expect("a play");
-    let page = report::page("A <page>", &[report::course(&course, &course.summary("virtual", 5))]);
+    let course = Way::Virtual
+        .play(
+            &scenario,
+            Options {
+                seed: 5,
+                ..Options::default()
+            },
+        )
+        .expect("a play");
+    let page = report::page(
+        "A <page>",
+        &[report::course(&course, &course.summary("virtual", 5))],
+    );
     assert!(page.matches("<svg").count() >= 5 && page.contains("A &lt;page&gt;"));
     let outside = ["src=", "href=", "@import", "url("];
-    assert!(outside.iter().all(|w| !page.contains(w)), "it asks for something else");
+    assert!(
+        outside.iter().all(|w| !page.contains(w)),
+        "it asks for something else"
+    );
 }
 
 fn lab(arguments: &[&str]) -> (Option<i32>, String, String) {
-    let done = Command::new(LAB).args(arguments).output().expect("the lab starts");
+    let done = Command::new(LAB)
+        .args(arguments)
+        .output()
+        .expect("the lab starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (done.status.code(), text(done.stdout), text(done.stderr))
 }
@@ -250,21 +397,46 @@
 fn the_command_plays_built_programs_and_follows_a_call_in_their_log() {
     let file = folder().join("calm.toml");
     let file = file.to_str().expect("a path");
-    let few = ["--set", "duration=2s", "--set", "clients.rate=40", "--set", "proxies=2"];
+    let few = [
+        "--set",
+        "duration=2s",
+        "--set",
+        "clients.rate=40",
+        "--set",
+        "proxies=2",
+    ];
     let (code, told, fault) = lab(&[&["run", file, "--play", "real"][..], &few[..]].concat());
     // How fast it was is the machine's own.
     assert!(matches!(code, Some(0 | 1)), "{told}{fault}");
-    assert!(told.contains("a proxy had at most") && !told.contains("BROKEN crashed"), "{told}");
+    assert!(
+        told.contains("a proxy had at most") && !told.contains("BROKEN crashed"),
+        "{told}"
+    );
     let mut short = scenario_file::load(Path::new(file)).expect("a scenario");
     (short.duration, short.clients.rate, short.proxies) = (1_000_000, 40.0, 1);
-    let path = std::env::temp_dir().join(format!("badgerramp-lab-followed-{}.toml", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "badgerramp-lab-followed-{}.toml",
+        std::process::id()
+    ));
     std::fs::write(&path, scenario_file::write(&short)).expect("a file");
-    let (code, told, fault) =
-        lab(&["trace", path.to_str().expect("a path"), "--call", "1", "--play", "real"]);
+    let (code, told, fault) = lab(&[
+        "trace",
+        path.to_str().expect("a path"),
+        "--call",
+        "1",
+        "--play",
+        "real",
+    ]);
     std::fs::remove_file(&path).expect("its file");
     assert!(matches!(code, Some(0 | 1)), "{told}{fault}");
     // What the stand-ins saw, and what the program says of it.
-    for words in ["try 0 at proxy 0", "in the log: {", "\"taken\"", "\"in_flight\":", "\"outcome\":"] {
+    for words in [
+        "try 0 at proxy 0",
+        "in the log: {",
+        "\"taken\"",
+        "\"in_flight\":",
+        "\"outcome\":",
+    ] {
         assert!(told.contains(words), "{words}: {told}");
     }
 }
@@ -273,23 +445,54 @@
 fn the_command_tells_bad_usage_bad_files_and_what_it_found() {
     assert_eq!(lab(&["run"]).0, Some(2));
     let (code, _, fault) = lab(&["run", "no-such-file.toml"]);
-    assert!(code == Some(2) && fault.contains("no-such-file.toml"), "{fault}");
+    assert!(
+        code == Some(2) && fault.contains("no-such-file.toml"),
+        "{fault}"
+    );
     let out = std::env::temp_dir().join(format!("badgerramp-lab-test-{}", std::process::id()));
     std::fs::create_dir_all(&out).expect("a folder");
     let path = |name: &str| out.join(name).display().to_string();
     let (json, html, kept) = (path("a.jsonl"), path("a.html"), path("a.toml"));
-    let (code, told, _) = lab(&["replay", "3", "--write", &kept, "--json", &json, "--html", &html]);
+    let (code, told, _) = lab(&[
+        "replay", "3", "--write", &kept, "--json", &json, "--html", &html,
+    ]);
     assert_eq!(code, Some(0), "{told}");
-    assert_eq!(scenario_file::load(Path::new(&kept)).expect("a scenario"), generate::scenario(3));
+    assert_eq!(
+        scenario_file::load(Path::new(&kept)).expect("a scenario"),
+        generate::scenario(3)
+    );
     assert_eq!(lab(&["report", &json, "--html", &html]).0, Some(0));
-    let (code, told, _) =
-        lab(&["sweep", &kept, "--over", "clients.rate=20,40", "--seeds", "3", "--json", &json]);
-    assert!(code == Some(0) && told.contains("clients.rate=40") && told.contains('±'), "{told}");
-    assert_eq!(std::fs::read_to_string(&json).expect("results").lines().count(), 6);
+    let (code, told, _) = lab(&[
+        "sweep",
+        &kept,
+        "--over",
+        "clients.rate=20,40",
+        "--seeds",
+        "3",
+        "--json",
+        &json,
+    ]);
+    assert!(
+        code == Some(0) && told.contains("clients.rate=40") && told.contains('±'),
+        "{told}"
+    );
+    assert_eq!(
+        std::fs::read_to_string(&json)
+            .expect("results")
+            .lines()
+            .count(),
+        6
+    );
     let (code, told, _) = lab(&["compare", &kept, "--set", "clients.rate=20", "--seeds", "3"]);
-    assert!(code == Some(0) && told.contains("second over first"), "{told}");
+    assert!(
+        code == Some(0) && told.contains("second over first"),
+        "{told}"
+    );
     let (code, told, _) = lab(&["compare", &kept, "--binary", LAB, "--seeds", "2"]);
-    assert!(code == Some(0) && told.contains("0.0000 ± 0.0000"), "the same build plays the same: {told}");
+    assert!(
+        code == Some(0) && told.contains("0.0000 ± 0.0000"),
+        "the same build plays the same: {told}"
+    );
     let (code, told, _) = lab(&["trace", &kept, "--call", "1"]);
     assert!(code == Some(0) && told.contains("call 1"), "{told}");
     std::fs::remove_dir_all(&out).expect("its folder");
