--- a/crates/lab/tests/trial.rs
+++ b/crates/lab/tests/trial.rs
@@ -5,7 +5,10 @@
 const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-lab");
 
 fn trial(arguments: &str) -> Output {
-    let done = Command::new(LAB).args(["trial", "policy"]).args(arguments.split(' ')).output();
+    let done = Command::new(LAB)
+        .args(["trial", "policy"])
+        .args(arguments.split(' '))
+        .output();
     done.expect("it runs")
 }
 
@@ -17,7 +20,10 @@
 #[test]
 fn a_policy_by_control_is_everywhere_or_nowhere_under_drawn_faults() {
     let json = std::env::temp_dir().join(format!("badgerramp-trial-{}.json", std::process::id()));
-    let arguments = format!("--proxies 10 --courses 4 --seed 7 --at-once 2 --json {}", json.display());
+    let arguments = format!(
+        "--proxies 10 --courses 4 --seed 7 --at-once 2 --json {}",
+        json.display()
+    );
     let output = trial(&arguments);
     assert!(output.status.success(), "{}", told(&output));
     let lines = std::fs::read_to_string(&json).expect("written");
@@ -27,7 +33,10 @@
         for key in ["begun_mixed", "begun_wrong", "executed_twice", "lost"] {
             assert_eq!(played[key], 0, "{line}");
         }
-        assert!(played["begun"].as_u64() > Some(0) && played["outcome"].is_array(), "{line}");
+        assert!(
+            played["begun"].as_u64() > Some(0) && played["outcome"].is_array(),
+            "{line}"
+        );
     }
     std::fs::remove_file(json).expect("a file");
 }
@@ -47,7 +56,10 @@
 }
 
 fn start(arguments: &str) -> Output {
-    let done = Command::new(LAB).args(["trial", "cold-start"]).args(arguments.split(' ')).output();
+    let done = Command::new(LAB)
+        .args(["trial", "cold-start"])
+        .args(arguments.split(' '))
+        .output();
     done.expect("it runs")
 }
 
@@ -55,14 +67,19 @@
 fn played(json: &std::path::Path) -> Vec<serde_json::Value> {
     let lines = std::fs::read_to_string(json).expect("written");
     std::fs::remove_file(json).expect("a file");
-    lines.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect()
+    lines
+        .lines()
+        .map(|l| serde_json::from_str(l).expect("JSON"))
+        .collect()
 }
 
 #[test]
 fn proxies_that_start_together_hear_the_list_from_few_under_drawn_faults() {
     let json = std::env::temp_dir().join(format!("badgerramp-start-{}.json", std::process::id()));
-    let arguments =
-        format!("--proxies 12 --hosts 8 --courses 4 --seed 31 --at-once 2 --json {}", json.display());
+    let arguments = format!(
+        "--proxies 12 --hosts 8 --courses 4 --seed 31 --at-once 2 --json {}",
+        json.display()
+    );
     let output = start(&arguments);
     assert!(output.status.success(), "{}", told(&output));
     let played = played(&json);
@@ -71,15 +88,20 @@
         for key in ["lost", "executed_twice", "unlisted", "behind", "given_up"] {
             assert_eq!(one[key], 0, "{one}");
         }
-        assert!(one["served"].as_u64() > Some(0) && one["listed_ms"].is_array(), "{one}");
+        assert!(
+            one["served"].as_u64() > Some(0) && one["listed_ms"].is_array(),
+            "{one}"
+        );
     }
 }
 
 #[test]
 fn with_peers_the_service_is_asked_by_few_and_without_by_each() {
     let json = std::env::temp_dir().join(format!("badgerramp-ways-{}.json", std::process::id()));
-    let arguments =
-        format!("--proxies 40 --hosts 8 --seconds 3 --only none --way none,peers --json {}", json.display());
+    let arguments = format!(
+        "--proxies 40 --hosts 8 --seconds 3 --only none --way none,peers --json {}",
+        json.display()
+    );
     let output = start(&arguments);
     assert!(output.status.success(), "{}", told(&output));
     let questions = |one: &serde_json::Value| one["questions_start"].as_u64().unwrap_or(0);
@@ -93,11 +115,19 @@
 fn the_same_start_in_virtual_time() {
     let output = start("--in-virtual-time --proxies 30 --courses 3 --seed 5");
     assert!(output.status.success(), "{}", told(&output));
-    assert_eq!(told(&output).matches("held").count(), 3, "{}", told(&output));
+    assert_eq!(
+        told(&output).matches("held").count(),
+        3,
+        "{}",
+        told(&output)
+    );
 }
 
 fn drains(arguments: &str) -> Output {
-    let done = Command::new(LAB).args(["trial", "drains"]).args(arguments.split(' ')).output();
+    let done = Command::new(LAB)
+        .args(["trial", "drains"])
+        .args(arguments.split(' '))
+        .output();
     done.expect("it runs")
 }
 
@@ -105,28 +135,49 @@
 #[test]
 fn nothing_goes_to_a_host_after_its_drain_is_told_though_watches_are_silent() {
     let json = std::env::temp_dir().join(format!("badgerramp-drains-{}.json", std::process::id()));
-    let output = drains(&format!("--proxies 4 --courses 6 --seed 1 --at-once 6 --json {}", json.display()));
+    let output = drains(&format!(
+        "--proxies 4 --courses 6 --seed 1 --at-once 6 --json {}",
+        json.display()
+    ));
     assert!(output.status.success(), "{}", told(&output));
     let played = played(&json);
     assert_eq!(played.len(), 6);
     for course in &played {
-        assert!(course["verdict"]["arrivals"].as_u64() > Some(100), "{course}");
-        assert!(course["verdict"]["questions"].as_u64() > Some(4), "{course}");
+        assert!(
+            course["verdict"]["arrivals"].as_u64() > Some(100),
+            "{course}"
+        );
+        assert!(
+            course["verdict"]["questions"].as_u64() > Some(4),
+            "{course}"
+        );
     }
-    assert!(played.iter().any(|p| p["course"]["pushed"] == true), "some lists are pushed");
-    assert!(played.iter().any(|p| p["course"]["pushed"] == false), "and some are asked for");
+    assert!(
+        played.iter().any(|p| p["course"]["pushed"] == true),
+        "some lists are pushed"
+    );
+    assert!(
+        played.iter().any(|p| p["course"]["pushed"] == false),
+        "and some are asked for"
+    );
 }
 
 /// A proxy that is told to end answers all that it has taken, and what a client has asked that left is sent to nobody.
 #[test]
 fn a_proxy_that_ends_loses_nothing_and_clients_that_left_have_gone() {
     for fault in ["restart", "leave"] {
-        let json = std::env::temp_dir().join(format!("badgerramp-{fault}-{}.json", std::process::id()));
-        let output =
-            drains(&format!("--proxies 4 --courses 3 --at-once 3 --only {fault} --json {}", json.display()));
+        let json =
+            std::env::temp_dir().join(format!("badgerramp-{fault}-{}.json", std::process::id()));
+        let output = drains(&format!(
+            "--proxies 4 --courses 3 --at-once 3 --only {fault} --json {}",
+            json.display()
+        ));
         assert!(output.status.success(), "{}", told(&output));
         for course in played(&json) {
-            assert!(course["verdict"]["arrivals"].as_u64() > Some(100), "{course}");
+            assert!(
+                course["verdict"]["arrivals"].as_u64() > Some(100),
+                "{course}"
+            );
         }
     }
 }
--- a/crates/peers/src/belief.rs
+++ b/crates/peers/src/belief.rs
@@ -73,7 +73,11 @@
     fn take(&mut self, now: Micros, stamp: Stamp, hosts: HostList) -> Verdict {
         let nothing = HostList::default();
         let changes = hosts.since(self.held.as_ref().map_or(&nothing, |h| &h.hosts));
-        self.held = Some(Held { stamp, hosts, since: now });
+        self.held = Some(Held {
+            stamp,
+            hosts,
+            since: now,
+        });
         self.doubt = None;
         Verdict::News(changes)
     }
@@ -82,7 +86,15 @@
     pub fn whole(&mut self, now: Micros, index: u64, hosts: HostList) -> Verdict {
         let digest = hosts.digest();
         let Some(held) = &self.held else {
-            return self.take(now, Stamp { life: 1, index, digest }, hosts);
+            return self.take(
+                now,
+                Stamp {
+                    life: 1,
+                    index,
+                    digest,
+                },
+                hosts,
+            );
         };
         let stamp = held.stamp;
         if (stamp.index, stamp.digest) == (index, digest) {
@@ -108,16 +120,30 @@
                 return Verdict::Doubted;
             }
         }
-        let life = if older { stamp.life.saturating_add(1) } else { stamp.life };
+        let life = if older {
+            stamp.life.saturating_add(1)
+        } else {
+            stamp.life
+        };
         if older {
             self.life_at = Some(now);
         }
-        self.take(now, Stamp { life, index, digest }, hosts)
+        self.take(
+            now,
+            Stamp {
+                life,
+                index,
+                digest,
+            },
+            hosts,
+        )
     }
 
     /// The service has told what changed up to this version.
     pub fn changes(&mut self, now: Micros, index: u64, changes: &[Change]) -> Verdict {
-        let Some(held) = &self.held else { return Verdict::Unfit };
+        let Some(held) = &self.held else {
+            return Verdict::Unfit;
+        };
         if index < held.stamp.index {
             // It does not know of what is believed.
             return Verdict::Doubted;
@@ -127,7 +153,11 @@
             return Verdict::Known;
         }
         let hosts = held.hosts.after(changes);
-        let stamp = Stamp { index, digest: hosts.digest(), ..held.stamp };
+        let stamp = Stamp {
+            index,
+            digest: hosts.digest(),
+            ..held.stamp
+        };
         self.take(now, stamp, hosts)
     }
 
@@ -141,7 +171,9 @@
 
     /// A peer has told what leads from one list to the next.
     pub fn news(&mut self, now: Micros, (from, to): (Stamp, Stamp), changes: &[Change]) -> Verdict {
-        let Some(held) = &self.held else { return Verdict::Unfit };
+        let Some(held) = &self.held else {
+            return Verdict::Unfit;
+        };
         if to <= held.stamp {
             return Verdict::Known;
         }
@@ -176,14 +208,25 @@
         assert_eq!(belief.whole(10, 7, hosts(&ALL[..4])), Verdict::Doubted);
         assert_eq!(belief.whole(1_000_000, 41, hosts(&ALL)), Verdict::Known);
         // Restored for good.
-        assert_eq!(belief.whole(5_000_000, 7, hosts(&ALL[..4])), Verdict::Doubted);
-        assert_eq!(belief.whole(14_999_999, 8, hosts(&ALL[..3])), Verdict::Doubted);
-        assert!(matches!(belief.whole(15_000_000, 8, hosts(&ALL[..3])), Verdict::News(c) if c.len() == 2));
+        assert_eq!(
+            belief.whole(5_000_000, 7, hosts(&ALL[..4])),
+            Verdict::Doubted
+        );
+        assert_eq!(
+            belief.whole(14_999_999, 8, hosts(&ALL[..3])),
+            Verdict::Doubted
+        );
+        assert!(
+            matches!(belief.whole(15_000_000, 8, hosts(&ALL[..3])), Verdict::News(c) if c.len() == 2)
+        );
         assert_eq!(belief.stamp().map(|s| (s.life, s.index)), Some((2, 8)));
         // Another service that tells something else does not make it swing.
         assert_eq!(belief.whole(20_000_000, 5, hosts(&ALL)), Verdict::Doubted);
         assert_eq!(belief.whole(40_000_000, 5, hosts(&ALL)), Verdict::Doubted);
-        assert!(matches!(belief.whole(80_000_000, 5, hosts(&ALL)), Verdict::News(_)));
+        assert!(matches!(
+            belief.whole(80_000_000, 5, hosts(&ALL)),
+            Verdict::News(_)
+        ));
     }
 
     #[test]
@@ -193,12 +236,18 @@
         assert_eq!(belief.whole(10, 42, hosts(&ALL[..2])), Verdict::Doubted);
         assert_eq!(belief.whole(20, 43, hosts(&[])), Verdict::Doubted);
         assert_eq!(belief.doubted, 2);
-        assert!(matches!(belief.changes(30, 44, &[gone("a"), gone("b"), gone("c")]), Verdict::News(_)));
+        assert!(matches!(
+            belief.changes(30, 44, &[gone("a"), gone("b"), gone("c")]),
+            Verdict::News(_)
+        ));
         assert_eq!(belief.held().map(|h| h.hosts.up()), Some(2));
         // Three of five, and few are no half.
         let mut belief = Belief::default();
         belief.whole(0, 41, hosts(&ALL));
-        assert!(matches!(belief.whole(10, 42, hosts(&ALL[..3])), Verdict::News(_)));
+        assert!(matches!(
+            belief.whole(10, 42, hosts(&ALL[..3])),
+            Verdict::News(_)
+        ));
         assert!(matches!(belief.whole(20, 43, hosts(&[])), Verdict::News(_)));
     }
 
@@ -208,12 +257,27 @@
         belief.whole(0, 41, hosts(&ALL));
         let own = belief.stamp().expect("a list");
         let next = hosts(&ALL[1..]);
-        let to = Stamp { index: 42, digest: next.digest(), ..own };
+        let to = Stamp {
+            index: 42,
+            digest: next.digest(),
+            ..own
+        };
         let old = Stamp { index: 40, ..to };
         assert_eq!(belief.peer(1, old, next.clone()), Verdict::Known);
-        assert_eq!(belief.news(1, (old, to), &[gone("a")]), Verdict::Unfit, "from another list");
-        assert_eq!(belief.news(1, (own, to), &[gone("b")]), Verdict::Unfit, "to another list");
-        assert_eq!(belief.news(1, (own, to), &[gone("a")]), Verdict::News(vec![gone("a")]));
+        assert_eq!(
+            belief.news(1, (old, to), &[gone("a")]),
+            Verdict::Unfit,
+            "from another list"
+        );
+        assert_eq!(
+            belief.news(1, (own, to), &[gone("b")]),
+            Verdict::Unfit,
+            "to another list"
+        );
+        assert_eq!(
+            belief.news(1, (own, to), &[gone("a")]),
+            Verdict::News(vec![gone("a")])
+        );
         assert_eq!(belief.peer(2, to, next), Verdict::Known);
     }
 
--- a/crates/peers/src/list.rs
+++ b/crates/peers/src/list.rs
@@ -6,7 +6,9 @@
 
 /// Which list this is. The order is that of age: of the service's lives, then of its versions; lists that differ
 /// under one version are ordered by their content, so that all proxies choose the same one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Stamp {
     /// A service that was restored counts from an older index: then a new life begins.
     pub life: u32,
@@ -60,7 +62,12 @@
 impl HostList {
     /// Of these entries. One that is removed is not in it.
     pub fn new(changes: impl IntoIterator<Item = Change>) -> Self {
-        HostList { entries: changes.into_iter().filter_map(|c| Some((c.name, c.entry?))).collect() }
+        HostList {
+            entries: changes
+                .into_iter()
+                .filter_map(|c| Some((c.name, c.entry?)))
+                .collect(),
+        }
     }
 
     /// The list after these changes.
@@ -77,10 +84,22 @@
 
     /// What makes this list out of an older one.
     pub fn since(&self, old: &HostList) -> Vec<Change> {
-        let gone = old.entries.keys().filter(|name| !self.entries.contains_key(*name));
-        let gone = gone.map(|name| Change { name: name.clone(), entry: None });
-        let new = self.entries.iter().filter(|(name, entry)| old.entries.get(*name) != Some(entry));
-        let new = new.map(|(name, entry)| Change { name: name.clone(), entry: Some(entry.clone()) });
+        let gone = old
+            .entries
+            .keys()
+            .filter(|name| !self.entries.contains_key(*name));
+        let gone = gone.map(|name| Change {
+            name: name.clone(),
+            entry: None,
+        });
+        let new = self
+            .entries
+            .iter()
+            .filter(|(name, entry)| old.entries.get(*name) != Some(entry));
+        let new = new.map(|(name, entry)| Change {
+            name: name.clone(),
+            entry: Some(entry.clone()),
+        });
         gone.chain(new).collect()
     }
 
@@ -101,7 +120,10 @@
 
     /// Hosts that take calls here and are not even named there.
     pub fn missing_from(&self, other: &HostList) -> usize {
-        self.entries.iter().filter(|(name, e)| e.up() && !other.entries.contains_key(*name)).count()
+        self.entries
+            .iter()
+            .filter(|(name, e)| e.up() && !other.entries.contains_key(*name))
+            .count()
     }
 
     /// As bytes.
@@ -112,7 +134,9 @@
 
     /// Out of bytes.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        postcard::from_bytes(bytes).ok().map(|entries| HostList { entries })
+        postcard::from_bytes(bytes)
+            .ok()
+            .map(|entries| HostList { entries })
     }
 
     /// Of its content.
@@ -127,23 +151,37 @@
 
     pub(crate) fn up(name: &str) -> Change {
         let status = "up".to_owned();
-        let entry =
-            Entry { address: format!("127.0.0.1:{}", 9_000 + name.len()), status, ..Entry::default() };
-        Change { name: name.to_owned(), entry: Some(entry) }
+        let entry = Entry {
+            address: format!("127.0.0.1:{}", 9_000 + name.len()),
+            status,
+            ..Entry::default()
+        };
+        Change {
+            name: name.to_owned(),
+            entry: Some(entry),
+        }
     }
 
     pub(crate) fn gone(name: &str) -> Change {
-        Change { name: name.to_owned(), entry: None }
+        Change {
+            name: name.to_owned(),
+            entry: None,
+        }
     }
 
     #[test]
     fn changes_lead_from_one_list_to_the_other() {
-        let (old, new) =
-            (HostList::new([up("a"), up("bb")]), HostList::new([up("bb"), up("ccc"), gone("d")]));
+        let (old, new) = (
+            HostList::new([up("a"), up("bb")]),
+            HostList::new([up("bb"), up("ccc"), gone("d")]),
+        );
         let changes = new.since(&old);
         assert_eq!(changes, vec![gone("a"), up("ccc")]);
         assert_eq!(old.after(&changes), new);
-        assert_eq!((new.since(&new).len(), new.missing_from(&old), new.up()), (0, 1, 2));
+        assert_eq!(
+            (new.since(&new).len(), new.missing_from(&old), new.up()),
+            (0, 1, 2)
+        );
         assert_eq!(HostList::read(&new.bytes()), Some(new.clone()));
         assert_ne!(new.digest(), old.digest());
         assert_eq!(HostList::read(&new.bytes()[..9]), None);
@@ -151,7 +189,11 @@
 
     #[test]
     fn a_new_life_is_newer_than_any_version_of_the_old_one() {
-        let stamp = |life, index, digest| Stamp { life, index, digest };
+        let stamp = |life, index, digest| Stamp {
+            life,
+            index,
+            digest,
+        };
         assert!(stamp(2, 1, 0) > stamp(1, 900, 9) && stamp(1, 8, 0) > stamp(1, 7, 9));
     }
 }
--- a/crates/peers/src/packed_list.rs
+++ b/crates/peers/src/packed_list.rs
@@ -22,12 +22,17 @@
     /// one.
     pub fn pack(stamp: Stamp, book: &HostList) -> Option<Self> {
         let bytes = zstd::bulk::compress(&book.bytes(), 1).ok()?;
-        (bytes.len() <= PART * PARTS_MOST).then(|| PackedList { stamp, bytes: bytes.into() })
+        (bytes.len() <= PART * PARTS_MOST).then(|| PackedList {
+            stamp,
+            bytes: bytes.into(),
+        })
     }
 
     /// How many parts it has.
     pub fn parts(&self) -> u16 {
-        u16::try_from(self.bytes.len().div_ceil(PART)).unwrap_or(u16::MAX).max(1)
+        u16::try_from(self.bytes.len().div_ceil(PART))
+            .unwrap_or(u16::MAX)
+            .max(1)
     }
 
     /// A part.
@@ -60,7 +65,11 @@
     /// Adds a part. True: it was missing.
     pub fn add(&mut self, number: u16, parts: u16, bytes: &[u8]) -> bool {
         let fits = usize::from(parts) == self.parts.len() && bytes.len() <= PART;
-        match self.parts.get_mut(usize::from(number)).filter(|p| fits && p.is_none()) {
+        match self
+            .parts
+            .get_mut(usize::from(number))
+            .filter(|p| fits && p.is_none())
+        {
             Some(part) => {
                 *part = Some(bytes.to_vec());
                 self.left -= 1;
@@ -85,7 +94,9 @@
             return None;
         }
         let bytes: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
-        let book = zstd::bulk::decompress(&bytes, BYTES_MOST).ok().and_then(|b| HostList::read(&b));
+        let book = zstd::bulk::decompress(&bytes, BYTES_MOST)
+            .ok()
+            .and_then(|b| HostList::read(&b));
         Some(book.filter(|b| b.digest() == self.stamp.digest).ok_or(()))
     }
 }
@@ -105,7 +116,11 @@
             change
         });
         let book = HostList::new(many);
-        let stamp = Stamp { life: 1, index: 7, digest: book.digest() };
+        let stamp = Stamp {
+            life: 1,
+            index: 7,
+            digest: book.digest(),
+        };
         let parcel = PackedList::pack(stamp, &book).expect("it can be passed on");
         let parts = parcel.parts();
         assert!(parts > 10, "{parts}");
@@ -119,7 +134,8 @@
         assert_eq!(assembly.whole(), Some(Ok(book.clone())));
         assert!(parcel.part(parts).is_none() && assembly.missing(9).is_empty());
         // Of another list.
-        let mut other = PartialList::new(Stamp { digest: 1, ..stamp }, parts).expect("so many may be");
+        let mut other =
+            PartialList::new(Stamp { digest: 1, ..stamp }, parts).expect("so many may be");
         (0..parts).for_each(|n| assert!(other.add(n, parts, parcel.part(n).expect("a part"))));
         assert_eq!(other.whole(), Some(Err(())));
         assert!(PartialList::new(stamp, 0).is_none() && PartialList::new(stamp, 5_000).is_none());
--- a/crates/peers/src/peer/api.rs
+++ b/crates/peers/src/peer/api.rs
@@ -22,7 +22,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { started: self.started + 1, ..*self })
+        Some(Member {
+            started: self.started + 1,
+            ..*self
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/peers/src/peer/members.rs
+++ b/crates/peers/src/peer/members.rs
@@ -23,7 +23,10 @@
 pub(super) fn swim_terms() -> foca::Config {
     let every = |ms, members| {
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
-        Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members })
+        Some(PeriodicParams {
+            frequency: Duration::from_millis(ms),
+            num_members,
+        })
     };
     let mut terms = foca::Config::simple();
     terms.probe_period = Duration::from_millis(1_000);
@@ -49,7 +52,8 @@
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.timers_set += 1;
-            self.timers.insert((now + after.as_micros() as Micros, self.timers_set), timer);
+            self.timers
+                .insert((now + after.as_micros() as Micros, self.timers_set), timer);
         }
         while let Some(told) = self.runtime.to_notify() {
             match told {
@@ -80,7 +84,10 @@
         let alive = self.alive();
         self.steady = self.steady.saturating_add(1);
         match &mut self.settled {
-            None if self.steady >= STEADY_TICKS && self.belief.held().is_some() && self.polling.heard() => {
+            None if self.steady >= STEADY_TICKS
+                && self.belief.held().is_some()
+                && self.polling.heard() =>
+            {
                 self.settled = Some(alive);
                 out.push(Output::Note(Note::Settled(alive)));
             }
--- a/crates/peers/src/peer/message.rs
+++ b/crates/peers/src/peer/message.rs
@@ -11,13 +11,29 @@
     /// A message of SWIM's.
     Swim(Vec<u8>),
     /// The version of the sender's list, and the pollers that it knows.
-    Status { stamp: Option<Stamp>, statuses: Vec<PollerStatus> },
+    Status {
+        stamp: Option<Stamp>,
+        statuses: Vec<PollerStatus>,
+    },
     /// The sender requests a list newer than `stamp`; of the list `of`, which it has in part, only these parts.
-    Want { stamp: Option<Stamp>, of: Option<Stamp>, parts: Vec<u16> },
+    Want {
+        stamp: Option<Stamp>,
+        of: Option<Stamp>,
+        parts: Vec<u16>,
+    },
     /// A part of a list.
-    Part { stamp: Stamp, number: u16, parts: u16, bytes: Vec<u8> },
+    Part {
+        stamp: Stamp,
+        number: u16,
+        parts: u16,
+        bytes: Vec<u8>,
+    },
     /// The changes from one list to the next.
-    News { from: Stamp, to: Stamp, changes: Vec<Change> },
+    News {
+        from: Stamp,
+        to: Stamp,
+        changes: Vec<Change>,
+    },
 }
 
 /// A message with its sender.
--- a/crates/peers/src/peer/message/tests.rs
+++ b/crates/peers/src/peer/message/tests.rs
@@ -19,7 +19,10 @@
     let bytes = postcard::to_stdvec(value).expect("it can be written");
     let again: T = postcard::from_bytes(&bytes).expect("it can be read");
     assert_eq!(format!("{again:?}"), format!("{value:?}"));
-    assert_eq!(postcard::to_stdvec(&again).expect("it can be written"), bytes);
+    assert_eq!(
+        postcard::to_stdvec(&again).expect("it can be written"),
+        bytes
+    );
     hex(&bytes)
 }
 
@@ -32,7 +35,11 @@
 }
 
 fn stamp(index: u64) -> Stamp {
-    Stamp { life: 2, index, digest: 0x8877_6655_4433_2211 }
+    Stamp {
+        life: 2,
+        index,
+        digest: 0x8877_6655_4433_2211,
+    }
 }
 
 fn entry() -> Entry {
@@ -49,27 +56,67 @@
 
 fn changes() -> Vec<Change> {
     vec![
-        Change { name: "s-1".to_owned(), entry: Some(entry()) },
-        Change { name: "s-2".to_owned(), entry: None },
+        Change {
+            name: "s-1".to_owned(),
+            entry: Some(entry()),
+        },
+        Change {
+            name: "s-2".to_owned(),
+            entry: None,
+        },
     ]
 }
 
 fn status() -> PollerStatus {
-    PollerStatus { id: Id(9), count: 300, asks: true, failures: u32::MAX, answer_ms: 40 }
+    PollerStatus {
+        id: Id(9),
+        count: 300,
+        asks: true,
+        failures: u32::MAX,
+        answer_ms: 40,
+    }
 }
 
 #[test]
 fn messages_keep_their_bytes() {
     let messages = [
         Message::Swim(vec![1, 2, 3]),
-        Message::Status { stamp: Some(stamp(41)), statuses: vec![status()] },
-        Message::Status { stamp: None, statuses: Vec::new() },
-        Message::Want { stamp: Some(stamp(40)), of: Some(stamp(41)), parts: vec![0, 300] },
-        Message::Want { stamp: None, of: None, parts: Vec::new() },
-        Message::Part { stamp: stamp(41), number: 1, parts: 2, bytes: vec![9; 5] },
-        Message::News { from: stamp(40), to: stamp(41), changes: changes() },
+        Message::Status {
+            stamp: Some(stamp(41)),
+            statuses: vec![status()],
+        },
+        Message::Status {
+            stamp: None,
+            statuses: Vec::new(),
+        },
+        Message::Want {
+            stamp: Some(stamp(40)),
+            of: Some(stamp(41)),
+            parts: vec![0, 300],
+        },
+        Message::Want {
+            stamp: None,
+            of: None,
+            parts: Vec::new(),
+        },
+        Message::Part {
+            stamp: stamp(41),
+            number: 1,
+            parts: 2,
+            bytes: vec![9; 5],
+        },
+        Message::News {
+            from: stamp(40),
+            to: stamp(41),
+            changes: changes(),
+        },
     ];
-    let envelopes = messages.map(|message| bytes(&Envelope { from: member(), message }));
+    let envelopes = messages.map(|message| {
+        bytes(&Envelope {
+            from: member(),
+            message,
+        })
+    });
     insta::assert_snapshot!(envelopes.join("\n"));
 }
 
@@ -78,7 +125,10 @@
     let header = foca::Header {
         src: member(),
         src_incarnation: 4,
-        dst: Member { address: "[::1]:7946".parse().expect("an address"), ..member() },
+        dst: Member {
+            address: "[::1]:7946".parse().expect("an address"),
+            ..member()
+        },
         message: foca::Message::Ping(7),
     };
     insta::assert_snapshot!(bytes(&header));
@@ -99,7 +149,11 @@
     };
     let standing = Standing {
         own: member(),
-        list: Some((stamp(41), 5_000_000, Some("127.0.0.1:7947".parse().expect("an address")))),
+        list: Some((
+            stamp(41),
+            5_000_000,
+            Some("127.0.0.1:7947".parse().expect("an address")),
+        )),
         hosts: 12,
         alive: 50,
         settled: true,
@@ -121,7 +175,10 @@
 #[test]
 fn a_list_that_an_older_build_packed_is_read() {
     let list = HostList::new(changes());
-    let stamp = Stamp { digest: list.digest(), ..stamp(41) };
+    let stamp = Stamp {
+        digest: list.digest(),
+        ..stamp(41)
+    };
     let octet = |at: usize| u8::from_str_radix(&PACKED[at..at + 2], 16).expect("hexadecimal");
     let part: Vec<u8> = (0..PACKED.len()).step_by(2).map(octet).collect();
     let mut partial = PartialList::new(stamp, 1).expect("one part");
--- a/crates/peers/src/peer/mod.rs
+++ b/crates/peers/src/peer/mod.rs
@@ -89,7 +89,11 @@
         let rng = rand_members::SeedableRng::seed_from_u64(random.gen());
         Peer {
             own,
-            seeds: terms.seeds.into_iter().filter(|s| *s != own.address).collect(),
+            seeds: terms
+                .seeds
+                .into_iter()
+                .filter(|s| *s != own.address)
+                .collect(),
             began: now,
             belief: Belief::default(),
             source: None,
@@ -121,7 +125,10 @@
     pub fn due(&self) -> Micros {
         let swim = self.timers.first_key_value().map(|(key, _)| key.0);
         let stalled = self.partial.as_ref().map(|(_, _, at)| at + PART_TIMEOUT);
-        [swim, stalled, self.polling.due()].into_iter().flatten().fold(self.tick_at, Micros::min)
+        [swim, stalled, self.polling.due()]
+            .into_iter()
+            .flatten()
+            .fold(self.tick_at, Micros::min)
     }
 
     /// What this proxy knows.
@@ -134,7 +141,10 @@
             alive: self.alive(),
             settled: self.settled.is_some(),
             askers: self.polling.known(now),
-            counts: Counts { doubted: self.belief.doubted, ..self.counts },
+            counts: Counts {
+                doubted: self.belief.doubted,
+                ..self.counts
+            },
         }
     }
 
--- a/crates/peers/src/peer/receive.rs
+++ b/crates/peers/src/peer/receive.rs
@@ -35,17 +35,30 @@
                 }
                 self.carry_out_swim(now, out);
             }
-            Message::Status { stamp, statuses } => self.handle_status(now, from, (stamp, &statuses), out),
+            Message::Status { stamp, statuses } => {
+                self.handle_status(now, from, (stamp, &statuses), out)
+            }
             Message::Want { stamp, of, parts } => {
                 self.handle_list_request(now, from, (stamp, of, &parts), out)
             }
-            Message::Part { stamp, number, parts, bytes } => {
+            Message::Part {
+                stamp,
+                number,
+                parts,
+                bytes,
+            } => {
                 self.handle_part(now, from, (stamp, number, parts), &bytes, out);
             }
-            Message::News { from: old, to, changes } => {
+            Message::News {
+                from: old,
+                to,
+                changes,
+            } => {
                 let own = self.belief.stamp();
                 match self.belief.news(now, (old, to), &changes) {
-                    Verdict::News(changes) => self.adopt_list(now, own, (Some(from.address), changes), out),
+                    Verdict::News(changes) => {
+                        self.adopt_list(now, own, (Some(from.address), changes), out)
+                    }
                     Verdict::Unfit => self.request_list(now, from.address, out),
                     Verdict::Known | Verdict::Doubted => {}
                 }
--- a/crates/peers/src/peer/send.rs
+++ b/crates/peers/src/peer/send.rs
@@ -22,7 +22,11 @@
 impl Peer {
     /// A message with its sender, encoded.
     pub(super) fn encode(&self, message: Message) -> Option<Vec<u8>> {
-        postcard::to_stdvec(&Envelope { from: *self.swim.identity(), message }).ok()
+        postcard::to_stdvec(&Envelope {
+            from: *self.swim.identity(),
+            message,
+        })
+        .ok()
     }
 
     /// Sends an encoded message, unless the rate limit is reached.
@@ -34,7 +38,8 @@
         out: &mut Vec<Output>,
     ) {
         let Some(bytes) = bytes else { return };
-        self.tokens = (self.tokens + now.saturating_sub(self.tokens_at) as f64 / 1e6 * RATE).min(BURST);
+        self.tokens =
+            (self.tokens + now.saturating_sub(self.tokens_at) as f64 / 1e6 * RATE).min(BURST);
         self.tokens_at = now;
         if self.tokens < 1.0 {
             self.counts.held_back += 1;
@@ -46,13 +51,23 @@
         out.push(Output::Send(to, bytes));
     }
 
-    pub(super) fn send(&mut self, now: Micros, to: SocketAddr, message: Message, out: &mut Vec<Output>) {
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         let bytes = self.encode(message);
         self.send_encoded(now, to, bytes, out);
     }
 
     /// Some peers at random, without `but`. While few members are known, seeds and the last senders count too.
-    pub(super) fn random_peers(&mut self, count: usize, but: Option<SocketAddr>) -> Vec<SocketAddr> {
+    pub(super) fn random_peers(
+        &mut self,
+        count: usize,
+        but: Option<SocketAddr>,
+    ) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
         if all.len() < 2 * FANOUT {
             all.extend(self.seeds.iter().chain(&self.heard));
--- a/crates/peers/src/peer/service.rs
+++ b/crates/peers/src/peer/service.rs
@@ -24,10 +24,13 @@
     /// The list service has answered.
     pub(super) fn handle_answer(&mut self, now: Micros, answer: Answer, out: &mut Vec<Output>) {
         let first = !self.polling.hears();
-        self.polling.answered(now, answer.at_once.then_some(answer.took));
+        self.polling
+            .answered(now, answer.at_once.then_some(answer.took));
         let from = self.belief.stamp();
         let verdict = match answer.whole {
-            true => self.belief.whole(now, answer.index, HostList::new(answer.changes)),
+            true => self
+                .belief
+                .whole(now, answer.index, HostList::new(answer.changes)),
             false => self.belief.changes(now, answer.index, &answer.changes),
         };
         self.whole = matches!(verdict, Verdict::Doubted | Verdict::Unfit);
@@ -60,8 +63,16 @@
         }
         if asks {
             self.counts.questions += 1;
-            let index = self.belief.stamp().map(|s| s.index).filter(|_| !self.whole || !listed);
-            let wait = if self.polling.hears() { POLL_WAIT } else { FIRST_POLL_WAIT };
+            let index = self
+                .belief
+                .stamp()
+                .map(|s| s.index)
+                .filter(|_| !self.whole || !listed);
+            let wait = if self.polling.hears() {
+                POLL_WAIT
+            } else {
+                FIRST_POLL_WAIT
+            };
             // Jitter: requests that began together are not to end together for ever.
             let wait = wait - self.random.gen_range(0..=wait / 8);
             out.push(Output::Ask { index, wait });
@@ -76,33 +87,62 @@
         (source, changes): (Option<SocketAddr>, Vec<Change>),
         out: &mut Vec<Output>,
     ) {
-        let Some(held) = self.belief.held() else { return };
+        let Some(held) = self.belief.held() else {
+            return;
+        };
         let stamp = held.stamp;
         self.source = source;
         self.packed = PackedList::pack(stamp, &held.hosts);
         if from.is_none() {
             let (hosts, after) = (held.hosts.up(), now - self.began);
-            out.push(Output::Note(Note::Listed { from: source, stamp, hosts, after }));
+            out.push(Output::Note(Note::Listed {
+                from: source,
+                stamp,
+                hosts,
+                after,
+            }));
         }
         if from.is_some_and(|f| f.life < stamp.life) {
             out.push(Output::Note(Note::Life(stamp.life)));
         }
-        if self.partial.as_ref().is_some_and(|(a, ..)| a.stamp <= stamp) {
+        if self
+            .partial
+            .as_ref()
+            .is_some_and(|(a, ..)| a.stamp <= stamp)
+        {
             self.partial = None;
         }
         self.advance_tick(now);
-        let news = from.map(|from| Message::News { from, to: stamp, changes: changes.clone() });
-        let news = news.and_then(|news| self.encode(news)).filter(|bytes| bytes.len() <= MESSAGE_MOST);
-        out.push(Output::List { whole: from.is_none(), changes });
+        let news = from.map(|from| Message::News {
+            from,
+            to: stamp,
+            changes: changes.clone(),
+        });
+        let news = news
+            .and_then(|news| self.encode(news))
+            .filter(|bytes| bytes.len() <= MESSAGE_MOST);
+        out.push(Output::List {
+            whole: from.is_none(),
+            changes,
+        });
         let bytes = match (news, &self.packed) {
             (Some(bytes), _) => Some(bytes),
-            (None, Some(packed)) if packed.parts() == 1 => self.part_message(0).and_then(|m| self.encode(m)),
+            (None, Some(packed)) if packed.parts() == 1 => {
+                self.part_message(0).and_then(|m| self.encode(m))
+            }
             _ => {
                 let statuses = self.polling.statuses(now, false);
-                self.encode(Message::Status { stamp: Some(stamp), statuses })
+                self.encode(Message::Status {
+                    stamp: Some(stamp),
+                    statuses,
+                })
             }
         };
-        let fanout = if self.disabled == Some(Mechanism::Push) { 0 } else { FANOUT };
+        let fanout = if self.disabled == Some(Mechanism::Push) {
+            0
+        } else {
+            FANOUT
+        };
         for to in self.random_peers(fanout, source) {
             self.send_encoded(now, to, bytes.clone(), out);
         }
--- a/crates/peers/src/peer/tick.rs
+++ b/crates/peers/src/peer/tick.rs
@@ -41,16 +41,26 @@
 
     /// Requests the missing parts of a list again, if none has come for a while.
     fn retry_transfer(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some((partial, sender, at)) = &mut self.partial else { return };
+        let Some((partial, sender, at)) = &mut self.partial else {
+            return;
+        };
         if now < *at + PART_TIMEOUT {
             return;
         }
         *at = now;
-        let (of, parts, sender) = (Some(partial.stamp), partial.missing(MAX_PARTS_SENT), *sender);
+        let (of, parts, sender) = (
+            Some(partial.stamp),
+            partial.missing(MAX_PARTS_SENT),
+            *sender,
+        );
         // From the last sender, or from another peer that may have the list.
         let to = match self.random.gen_bool(0.5) {
             true => sender,
-            false => self.random_peers(1, Some(sender)).first().copied().unwrap_or(sender),
+            false => self
+                .random_peers(1, Some(sender))
+                .first()
+                .copied()
+                .unwrap_or(sender),
         };
         let stamp = self.belief.stamp();
         self.send(now, to, Message::Want { stamp, of, parts }, out);
@@ -61,7 +71,11 @@
         // Jitter: proxies that start together do not send together for ever.
         let tick = self.tick * self.random.gen_range(75..=125) / 100;
         self.tick_at = now + tick;
-        let most = if self.belief.held().is_some() { MAX_TICK } else { MAX_TICK_WITHOUT_LIST };
+        let most = if self.belief.held().is_some() {
+            MAX_TICK
+        } else {
+            MAX_TICK_WITHOUT_LIST
+        };
         self.tick = (self.tick * 3 / 2).min(most);
         let alone = self.swim.num_members() == 0;
         if alone || self.seeds_at <= now {
@@ -73,7 +87,11 @@
         let message = match listed {
             true => Message::Status { stamp, statuses },
             // The statuses of pollers come back with the answer.
-            false => Message::Want { stamp: None, of: None, parts: Vec::new() },
+            false => Message::Want {
+                stamp: None,
+                of: None,
+                parts: Vec::new(),
+            },
         };
         if listed || self.partial.is_none() {
             let bytes = self.encode(message);
@@ -88,9 +106,21 @@
     fn contact_missing_seed(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.seeds_at = now + SEED_INTERVAL;
         let known: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
-        let missing: Vec<SocketAddr> = self.seeds.iter().filter(|s| !known.contains(s)).copied().collect();
+        let missing: Vec<SocketAddr> = self
+            .seeds
+            .iter()
+            .filter(|s| !known.contains(s))
+            .copied()
+            .collect();
         if let Some(&address) = missing.choose(&mut self.random) {
-            let _ = self.swim.announce(Member { address, id: Id(0), started: 0 }, &mut self.runtime);
+            let _ = self.swim.announce(
+                Member {
+                    address,
+                    id: Id(0),
+                    started: 0,
+                },
+                &mut self.runtime,
+            );
             self.carry_out_swim(now, out);
         }
     }
--- a/crates/peers/src/peer/transfer.rs
+++ b/crates/peers/src/peer/transfer.rs
@@ -20,7 +20,12 @@
     pub(super) fn part_message(&self, number: u16) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         let bytes = packed.part(number)?.to_vec();
-        Some(Message::Part { stamp: packed.stamp, number, parts: packed.parts(), bytes })
+        Some(Message::Part {
+            stamp: packed.stamp,
+            number,
+            parts: packed.parts(),
+            bytes,
+        })
     }
 
     /// Requests a newer list.
@@ -29,7 +34,16 @@
             Some((partial, ..)) => (Some(partial.stamp), partial.missing(MAX_PARTS_SENT)),
             None => (None, Vec::new()),
         };
-        self.send(now, from, Message::Want { stamp: self.belief.stamp(), of, parts }, out);
+        self.send(
+            now,
+            from,
+            Message::Want {
+                stamp: self.belief.stamp(),
+                of,
+                parts,
+            },
+            out,
+        );
     }
 
     /// Sends the list if it has one part, else its version.
@@ -37,9 +51,10 @@
         let single = self.packed.as_ref().is_some_and(|p| p.parts() == 1);
         let message = match self.part_message(0).filter(|_| single) {
             Some(part) => part,
-            None => {
-                Message::Status { stamp: self.belief.stamp(), statuses: self.polling.statuses(now, false) }
-            }
+            None => Message::Status {
+                stamp: self.belief.stamp(),
+                statuses: self.polling.statuses(now, false),
+            },
         };
         self.send(now, to, message, out);
     }
@@ -57,17 +72,33 @@
             // Nothing newer; but perhaps it does not know the pollers.
             let statuses = self.polling.statuses(now, false);
             if !statuses.is_empty() || own < stamp {
-                self.send(now, from.address, Message::Status { stamp: own, statuses }, out);
+                self.send(
+                    now,
+                    from.address,
+                    Message::Status {
+                        stamp: own,
+                        statuses,
+                    },
+                    out,
+                );
             }
             return;
         }
         let all = self.packed.as_ref().map_or(0, PackedList::parts);
         let some: Vec<u16> = match of == own && !parts.is_empty() {
-            true => parts.iter().copied().filter(|n| *n < all).take(MAX_PARTS_SENT).collect(),
+            true => parts
+                .iter()
+                .copied()
+                .filter(|n| *n < all)
+                .take(MAX_PARTS_SENT)
+                .collect(),
             // Starting at a random part: peers that received different parts can exchange them.
             false => {
                 let first = self.random.gen_range(0..all.max(1));
-                (0..all).map(|n| (n + first) % all).take(MAX_PARTS_SENT).collect()
+                (0..all)
+                    .map(|n| (n + first) % all)
+                    .take(MAX_PARTS_SENT)
+                    .collect()
             }
         };
         for number in some {
@@ -97,7 +128,8 @@
             };
             self.partial = Some((fresh, from.address, now));
         }
-        let Some((partial, last, at)) = self.partial.as_mut().filter(|(a, ..)| a.stamp == stamp) else {
+        let Some((partial, last, at)) = self.partial.as_mut().filter(|(a, ..)| a.stamp == stamp)
+        else {
             return;
         };
         if !partial.add(number, parts, bytes) {
--- a/crates/peers/src/play.rs
+++ b/crates/peers/src/play.rs
@@ -136,12 +136,23 @@
         let newest = Some(1 + world.changes.len() as u64);
         let behind = self.index.iter().filter(|index| **index != newest).count();
         // A watch of each that asks ends within ten seconds, and a dead one is missed within a few more.
-        let gaps = self.questions.split(|q| *q > 0).map(<[u32]>::len).max().unwrap_or(0);
+        let gaps = self
+            .questions
+            .split(|q| *q > 0)
+            .map(<[u32]>::len)
+            .max()
+            .unwrap_or(0);
         let quiet = gaps.max((world.until / 1_000_000) as usize - self.questions.len());
         let odd = [
             (behind > 0, format!("{behind} do not have the newest list")),
-            (self.given_up > 0, format!("{} questions were given up", self.given_up)),
-            (!(1..=4 * crate::polling::WANTED).contains(&self.asking), format!("{} ask", self.asking)),
+            (
+                self.given_up > 0,
+                format!("{} questions were given up", self.given_up),
+            ),
+            (
+                !(1..=4 * crate::polling::WANTED).contains(&self.asking),
+                format!("{} ask", self.asking),
+            ),
             (quiet > QUIET, format!("nobody asked for {quiet} s")),
         ];
         odd.into_iter().find(|(odd, _)| *odd).map(|(_, word)| word)
@@ -153,7 +164,8 @@
         let waited = |(listed, started): (&Option<Micros>, &Micros)| {
             listed.map(|at| at.saturating_sub(first.max(*started)))
         };
-        let mut waits: Vec<Option<Micros>> = self.listed.iter().zip(&self.started).map(waited).collect();
+        let mut waits: Vec<Option<Micros>> =
+            self.listed.iter().zip(&self.started).map(waited).collect();
         waits.sort_by_key(|w| w.unwrap_or(Micros::MAX));
         waits
     }
@@ -226,10 +238,20 @@
 fn list(hosts: usize, version: u64) -> Vec<Change> {
     let draining = (version > 1).then_some(version % hosts as u64);
     let one = |host: u64| {
-        let status = if draining == Some(host) { "draining" } else { "up" };
-        let entry =
-            Entry { address: format!("10.1.0.{host}:80"), status: status.to_owned(), ..Entry::default() };
-        Change { name: format!("s-{host}"), entry: Some(entry) }
+        let status = if draining == Some(host) {
+            "draining"
+        } else {
+            "up"
+        };
+        let entry = Entry {
+            address: format!("10.1.0.{host}:80"),
+            status: status.to_owned(),
+            ..Entry::default()
+        };
+        Change {
+            name: format!("s-{host}"),
+            entry: Some(entry),
+        }
     };
     (0..hosts as u64).map(one).collect()
 }
@@ -241,18 +263,35 @@
     }
 
     fn holds(&self, now: Micros, is: impl Fn(&Trouble) -> bool) -> bool {
-        self.world.faults.iter().any(|f| f.from <= now && now < f.until && is(&f.trouble))
+        self.world
+            .faults
+            .iter()
+            .any(|f| f.from <= now && now < f.until && is(&f.trouble))
     }
 
     fn told_version(&self, now: Micros) -> u64 {
-        let old = self.world.faults.iter().filter(|f| f.from <= now && now < f.until);
-        let back = old.filter_map(|f| if let Trouble::Old(by) = f.trouble { Some(by) } else { None }).max();
+        let old = self
+            .world
+            .faults
+            .iter()
+            .filter(|f| f.from <= now && now < f.until);
+        let back = old
+            .filter_map(|f| {
+                if let Trouble::Old(by) = f.trouble {
+                    Some(by)
+                } else {
+                    None
+                }
+            })
+            .max();
         self.version.saturating_sub(back.unwrap_or(0)).max(1)
     }
 
     fn handle(&mut self, now: Micros, who: usize, input: Input<'_>) {
         let mut out = Vec::new();
-        let Some(peer) = self.proxies[who].peer.as_mut() else { return };
+        let Some(peer) = self.proxies[who].peer.as_mut() else {
+            return;
+        };
         peer.handle(now, input, &mut out);
         let due = peer.due().max(now + 1);
         if due < self.proxies[who].timer || self.proxies[who].timer <= now {
@@ -274,7 +313,10 @@
 
     fn look_at_spread(&mut self, now: Micros) {
         let living = self.proxies.iter().filter_map(|p| p.peer.as_ref());
-        let least = living.map(|p| p.host_list().map_or(0, |b| b.0.index)).min().unwrap_or(0);
+        let least = living
+            .map(|p| p.host_list().map_or(0, |b| b.0.index))
+            .min()
+            .unwrap_or(0);
         for (n, spread) in self.played.spread.iter_mut().enumerate() {
             if n as u64 + 2 <= least {
                 spread.get_or_insert(now);
@@ -297,7 +339,8 @@
         if now + 1_000_000 >= self.world.until {
             self.last_second += 1;
         }
-        let apart = |t: &Trouble| matches!(t, Trouble::Halves(first) if (from < *first) != (to < *first));
+        let apart =
+            |t: &Trouble| matches!(t, Trouble::Halves(first) if (from < *first) != (to < *first));
         let cut = self.holds(now, apart);
         let (least, most) = self.world.way;
         for copy in 0..2 {
@@ -322,7 +365,10 @@
         let proxy = &mut self.proxies[who];
         proxy.question += 1;
         let (life, number) = (proxy.life, proxy.question);
-        if self.holds(now, |t| matches!(t, Trouble::NoService(these) if these.contains(&who))) {
+        if self.holds(
+            now,
+            |t| matches!(t, Trouble::NoService(these) if these.contains(&who)),
+        ) {
             // Silence.
             self.at(now + 3_500_000, Event::Fail(who, life, number));
             return;
@@ -349,11 +395,22 @@
             Event::Start(who) => {
                 let seeds = (0..self.world.seeds).map(address).collect();
                 let id = Id(self.random.gen());
-                let own = Member { address: address(who), id, started: 1_700_000_000_000 + now / 1_000 };
+                let own = Member {
+                    address: address(who),
+                    id,
+                    started: 1_700_000_000_000 + now / 1_000,
+                };
                 let proxy = &mut self.proxies[who];
                 proxy.life += 1;
                 proxy.timer = now;
-                proxy.peer = Some(Peer::new(now, Terms { own, seeds, without: self.world.without }));
+                proxy.peer = Some(Peer::new(
+                    now,
+                    Terms {
+                        own,
+                        seeds,
+                        without: self.world.without,
+                    },
+                ));
                 (self.played.started[who], self.played.listed[who]) = (now, None);
                 self.handle(now, who, Input::Timer);
             }
@@ -381,10 +438,16 @@
                 if self.holds(now, |t| *t == Trouble::Down) {
                     self.at(now, Event::Fail(who, life, number));
                 } else if self.told_version(now) != index || now >= until {
-                    self.at(now, Event::Answer(who, life, number, Some(index), asked, false));
+                    self.at(
+                        now,
+                        Event::Answer(who, life, number, Some(index), asked, false),
+                    );
                 } else {
                     // As often as a watch could hear of anything.
-                    self.at((now + 5_000).min(until), Event::Watch(who, life, index, asked, until));
+                    self.at(
+                        (now + 5_000).min(until),
+                        Event::Watch(who, life, index, asked, until),
+                    );
                 }
             }
             Event::GiveUp(who, life, number) => {
@@ -404,10 +467,18 @@
                 let version = self.told_version(now);
                 let (whole, changes) = match known {
                     Some(known) if known == version => (false, Vec::new()),
-                    Some(known) if known + 1 == version => (false, change(self.world.hosts, version)),
+                    Some(known) if known + 1 == version => {
+                        (false, change(self.world.hosts, version))
+                    }
                     _ => (true, list(self.world.hosts, version)),
                 };
-                let answer = Answer { whole, index: version, changes, took: now - asked, at_once };
+                let answer = Answer {
+                    whole,
+                    index: version,
+                    changes,
+                    took: now - asked,
+                    at_once,
+                };
                 self.handle(now, who, Input::Answered(answer));
             }
             Event::Change => self.version += 1,
@@ -418,8 +489,17 @@
 /// Plays a world.
 pub fn play(world: &World, seed: u64) -> Played {
     let mut random = Pcg32::seed_from_u64(seed);
-    let proxy = || Proxy { peer: None, life: 0, question: 0, timer: 0, sent: 0, second: 0 };
-    let starts: Vec<Micros> = (0..world.proxies).map(|_| random.gen_range(0..=world.start)).collect();
+    let proxy = || Proxy {
+        peer: None,
+        life: 0,
+        question: 0,
+        timer: 0,
+        sent: 0,
+        second: 0,
+    };
+    let starts: Vec<Micros> = (0..world.proxies)
+        .map(|_| random.gen_range(0..=world.start))
+        .collect();
     let mut play = Play {
         world,
         random,
@@ -439,7 +519,10 @@
     for (who, at) in starts.into_iter().enumerate() {
         play.at(at, Event::Start(who));
     }
-    world.changes.iter().for_each(|at| play.at(*at, Event::Change));
+    world
+        .changes
+        .iter()
+        .for_each(|at| play.at(*at, Event::Change));
     for fault in &world.faults {
         if let Trouble::Dead(these) = &fault.trouble {
             for &who in these {
@@ -456,11 +539,26 @@
     }
     let mut played = play.played;
     played.sent_calm = play.last_second as f64 / world.proxies.max(1) as f64;
-    played.index =
-        play.proxies.iter().map(|p| p.peer.as_ref().and_then(|p| p.host_list()).map(|b| b.0.index)).collect();
-    let standing: Vec<_> =
-        play.proxies.iter().filter_map(|p| p.peer.as_ref()).map(|p| p.standing(world.until)).collect();
-    played.asking = standing.iter().filter(|s| s.askers.iter().any(|(w, _)| w.id == s.own.id)).count();
+    played.index = play
+        .proxies
+        .iter()
+        .map(|p| {
+            p.peer
+                .as_ref()
+                .and_then(|p| p.host_list())
+                .map(|b| b.0.index)
+        })
+        .collect();
+    let standing: Vec<_> = play
+        .proxies
+        .iter()
+        .filter_map(|p| p.peer.as_ref())
+        .map(|p| p.standing(world.until))
+        .collect();
+    played.asking = standing
+        .iter()
+        .filter(|s| s.askers.iter().any(|(w, _)| w.id == s.own.id))
+        .count();
     let alive = || standing.iter().map(|s| s.alive);
     played.alive = (alive().min().unwrap_or(0), alive().max().unwrap_or(0));
     played.settled = standing.iter().filter(|s| s.settled).count();
@@ -470,7 +568,11 @@
 /// Draws a world of so many proxies with faults, for property tests and hunts.
 pub fn draw(proxies: usize, seed: u64) -> World {
     let mut random = Pcg32::seed_from_u64(seed ^ 0x5eed);
-    let mut world = World { proxies, until: 40_000_000, ..World::default() };
+    let mut world = World {
+        proxies,
+        until: 40_000_000,
+        ..World::default()
+    };
     let lot = |random: &mut Pcg32, chance: f64, most: f64| {
         if random.gen_bool(chance) {
             random.gen_range(0.0..most)
@@ -482,7 +584,9 @@
     world.lost = lot(&mut random, 0.5, 0.33);
     world.doubled = lot(&mut random, 0.3, 0.33);
     world.late = lot(&mut random, 0.3, 0.33);
-    world.changes = (0..random.gen_range(0..4)).map(|_| random.gen_range(2_000_000..14_000_000)).collect();
+    world.changes = (0..random.gen_range(0..4))
+        .map(|_| random.gen_range(2_000_000..14_000_000))
+        .collect();
     world.changes.sort_unstable();
     world.work = *[8_000, 80_000].choose(&mut random).unwrap_or(&8_000);
     let some = |random: &mut Pcg32, share: f64| -> Vec<usize> {
@@ -499,7 +603,11 @@
             4 => Trouble::Down,
             _ => Trouble::Old(random.gen_range(1..3)),
         };
-        world.faults.push(Fault { trouble, from, until });
+        world.faults.push(Fault {
+            trouble,
+            from,
+            until,
+        });
     }
     // Deaths of one proxy do not overlap: it would start while it lives.
     let mut dead = Vec::new();
@@ -540,12 +648,29 @@
     /// Nobody meets anybody: each asks for itself, and the service bears it though nobody knows how many there are.
     #[test]
     fn seeds_that_are_all_down_keep_nobody_from_the_list() {
-        let dead = Fault { trouble: Trouble::Dead(vec![0, 1, 2]), from: 0, until: 19_000_000 };
-        let world = World { faults: vec![dead], start: 0, until: 18_000_000, ..World::default() };
+        let dead = Fault {
+            trouble: Trouble::Dead(vec![0, 1, 2]),
+            from: 0,
+            until: 19_000_000,
+        };
+        let world = World {
+            faults: vec![dead],
+            start: 0,
+            until: 18_000_000,
+            ..World::default()
+        };
         let played = play(&world, 1);
-        assert!(played.listed[3..].iter().all(Option::is_some), "{:?}", played.listed);
+        assert!(
+            played.listed[3..].iter().all(Option::is_some),
+            "{:?}",
+            played.listed
+        );
         assert_eq!(played.given_up, 0);
-        assert!(played.questions.iter().all(|q| *q <= 250), "{:?}", played.questions);
+        assert!(
+            played.questions.iter().all(|q| *q <= 250),
+            "{:?}",
+            played.questions
+        );
     }
 
     /// While the service is down the sum of questions does not grow with the proxies; when it is back all have the list
@@ -553,11 +678,28 @@
     #[test]
     fn a_service_that_comes_last_is_not_met_by_a_crowd() {
         for proxies in [20, 200] {
-            let down = Fault { trouble: Trouble::Down, from: 0, until: 10_000_000 };
-            let world = World { proxies, faults: vec![down], until: 16_000_000, ..World::default() };
+            let down = Fault {
+                trouble: Trouble::Down,
+                from: 0,
+                until: 10_000_000,
+            };
+            let world = World {
+                proxies,
+                faults: vec![down],
+                until: 16_000_000,
+                ..World::default()
+            };
             let played = play(&world, 2);
-            assert!(played.questions.iter().all(|q| *q <= 20), "{proxies}: {:?}", played.questions);
-            let last = played.listed.iter().map(|at| at.unwrap_or(Micros::MAX)).max();
+            assert!(
+                played.questions.iter().all(|q| *q <= 20),
+                "{proxies}: {:?}",
+                played.questions
+            );
+            let last = played
+                .listed
+                .iter()
+                .map(|at| at.unwrap_or(Micros::MAX))
+                .max();
             assert!(last <= Some(13_500_000), "{proxies}: {last:?}");
             assert_eq!(played.given_up, 0);
         }
@@ -569,12 +711,32 @@
         let mut random = Pcg32::seed_from_u64(1);
         for seed in 0..12 {
             let dead = (0..50).filter(|_| random.gen_bool(0.7)).collect();
-            let down = Fault { trouble: Trouble::Down, from: 0, until: 1_364_000 };
-            let dead = Fault { trouble: Trouble::Dead(dead), from: 1_000_000, until: 1_351_000 };
-            let world = World { proxies: 50, faults: vec![down, dead], ..World::default() };
+            let down = Fault {
+                trouble: Trouble::Down,
+                from: 0,
+                until: 1_364_000,
+            };
+            let dead = Fault {
+                trouble: Trouble::Dead(dead),
+                from: 1_000_000,
+                until: 1_351_000,
+            };
+            let world = World {
+                proxies: 50,
+                faults: vec![down, dead],
+                ..World::default()
+            };
             let played = play(&world, seed);
-            let last = played.listed.iter().map(|at| at.unwrap_or(Micros::MAX)).max();
-            assert!(last <= Some(7_500_000), "{seed}: {last:?} {:?}", played.questions);
+            let last = played
+                .listed
+                .iter()
+                .map(|at| at.unwrap_or(Micros::MAX))
+                .max();
+            assert!(
+                last <= Some(7_500_000),
+                "{seed}: {last:?} {:?}",
+                played.questions
+            );
         }
     }
 
@@ -585,7 +747,12 @@
         for seed in (0..24).chain([2_913]) {
             let world = draw(30, seed);
             let played = play(&world, seed);
-            assert_eq!(played.broken(&world), None, "{seed}: {:?} {world:?}", played.questions);
+            assert_eq!(
+                played.broken(&world),
+                None,
+                "{seed}: {:?} {world:?}",
+                played.questions
+            );
         }
     }
 }
--- a/crates/peers/src/play/traffic.rs
+++ b/crates/peers/src/play/traffic.rs
@@ -22,8 +22,14 @@
 
 impl MessageKind {
     /// All kinds.
-    pub const ALL: [MessageKind; 6] =
-        [Self::Probe, Self::Gossip, Self::Announce, Self::Status, Self::List, Self::Other];
+    pub const ALL: [MessageKind; 6] = [
+        Self::Probe,
+        Self::Gossip,
+        Self::Announce,
+        Self::Status,
+        Self::List,
+        Self::Other,
+    ];
 
     /// Its name, for tables.
     pub fn name(self) -> &'static str {
@@ -39,7 +45,9 @@
 
     /// The kind of an encoded message. Its first field is the sender; the number of its variant follows.
     fn of(message: &[u8]) -> Self {
-        let Ok((_, rest)) = postcard::take_from_bytes::<Member>(message) else { return Self::Other };
+        let Ok((_, rest)) = postcard::take_from_bytes::<Member>(message) else {
+            return Self::Other;
+        };
         match rest.split_first() {
             Some((0, swim)) => Self::of_swim(swim),
             Some((1, _)) => Self::Status,
@@ -51,9 +59,13 @@
     /// The kind of a message of SWIM, which is preceded by its length.
     fn of_swim(field: &[u8]) -> Self {
         type Decoded<'a> = Result<(foca::Header<Member>, &'a [u8]), postcard::Error>;
-        let Ok((bytes, _)) = postcard::take_from_bytes::<&[u8]>(field) else { return Self::Other };
+        let Ok((bytes, _)) = postcard::take_from_bytes::<&[u8]>(field) else {
+            return Self::Other;
+        };
         let decoded: Decoded<'_> = postcard::take_from_bytes(bytes);
-        let Ok((header, _)) = decoded else { return Self::Other };
+        let Ok((header, _)) = decoded else {
+            return Self::Other;
+        };
         match header.message {
             foca::Message::Ping(_)
             | foca::Message::Ack(_)
@@ -92,7 +104,10 @@
     /// Counts an encoded message.
     pub(super) fn count(&mut self, message: &[u8]) {
         let kind = MessageKind::of(message);
-        self.0[kind as usize] += Count { messages: 1, bytes: message.len() as u64 };
+        self.0[kind as usize] += Count {
+            messages: 1,
+            bytes: message.len() as u64,
+        };
     }
 
     /// What was sent of a kind.
--- a/crates/peers/src/polling.rs
+++ b/crates/peers/src/polling.rs
@@ -64,7 +64,9 @@
 const KNOWN_MOST: usize = 4_096;
 
 /// The number that a proxy has drawn at its start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Id(pub u64);
 
 /// What can be left out, to measure what it is worth.
@@ -87,7 +89,10 @@
     /// The one of this name.
     pub fn named(name: &str) -> Option<Self> {
         let all = [Self::Law, Self::Seeds, Self::Push, Self::Words];
-        all.into_iter().zip(Self::NAMES).find(|(_, n)| *n == name).map(|(one, _)| one)
+        all.into_iter()
+            .zip(Self::NAMES)
+            .find(|(_, n)| *n == name)
+            .map(|(one, _)| one)
     }
 }
 
@@ -115,7 +120,12 @@
 
 impl KnownPoller {
     fn fresh(&self, now: Micros) -> bool {
-        now < self.heard + if self.status.failures == 0 { FRESH } else { FRESH_TRYING }
+        now < self.heard
+            + if self.status.failures == 0 {
+                FRESH
+            } else {
+                FRESH_TRYING
+            }
     }
 }
 
@@ -155,7 +165,13 @@
 impl PollScheduler {
     /// The scheduler of a proxy; `seed`: other proxies contact it when they start.
     pub fn new(id: Id, seed: bool) -> Self {
-        let own = PollerStatus { id, count: 0, asks: false, failures: u32::MAX, answer_ms: 0 };
+        let own = PollerStatus {
+            id,
+            count: 0,
+            asks: false,
+            failures: u32::MAX,
+            answer_ms: 0,
+        };
         PollScheduler {
             id,
             seed,
@@ -192,7 +208,11 @@
 
     /// Is anybody known who hears the service, this proxy included?
     pub fn heard(&self) -> bool {
-        self.hears() || self.others.values().any(|o| o.status.asks && o.status.failures == 0)
+        self.hears()
+            || self
+                .others
+                .values()
+                .any(|o| o.status.asks && o.status.failures == 0)
     }
 
     /// The statuses of pollers that a message carries, this proxy's own first; `tick`: as a new version.
@@ -206,34 +226,48 @@
         // he has heard nothing new for long: the dead would be told of for ever.
         let mut others: Vec<&KnownPoller> = self.others.values().filter(|o| o.fresh(now)).collect();
         others.sort_by_key(|o| std::cmp::Reverse((o.status.asks, o.heard)));
-        own.into_iter().chain(others.into_iter().map(|o| o.status)).take(MAX_STATUSES).collect()
+        own.into_iter()
+            .chain(others.into_iter().map(|o| o.status))
+            .take(MAX_STATUSES)
+            .collect()
     }
 
     /// Those known to ask, this proxy included, and since when nothing was heard of them.
     pub fn known(&self, now: Micros) -> Vec<(PollerStatus, Micros)> {
         let own = self.own.asks.then_some((self.own, 0));
         let others = self.others.values().filter(|o| o.status.asks);
-        own.into_iter().chain(others.map(|o| (o.status, now.saturating_sub(o.heard)))).collect()
+        own.into_iter()
+            .chain(others.map(|o| (o.status, now.saturating_sub(o.heard))))
+            .collect()
     }
 
     /// A peer tells of those that ask. True: somebody has begun to ask, hears the service now or does so no more.
     pub fn told(&mut self, now: Micros, statuses: &[PollerStatus]) -> bool {
         let mut news = false;
         self.last_heard = Some(now);
-        for &status in statuses.iter().take(MAX_STATUSES).filter(|w| w.id != self.id) {
+        for &status in statuses
+            .iter()
+            .take(MAX_STATUSES)
+            .filter(|w| w.id != self.id)
+        {
             let old = self.others.get(&status.id).map(|o| o.status);
             if old.is_some_and(|o| o.count >= status.count) {
                 continue;
             }
             let state = |w: PollerStatus| (w.asks, w.failures == 0, w.failures >= CUT_OFF);
             news |= old.map(state) != Some(state(status)) && (status.asks || old.is_some());
-            self.others.insert(status.id, KnownPoller { status, heard: now });
+            self.others
+                .insert(status.id, KnownPoller { status, heard: now });
             if self.own.answer_ms == 0 {
                 self.own.answer_ms = status.answer_ms;
             }
         }
         while self.others.len() > KNOWN_MOST {
-            let oldest = self.others.values().min_by_key(|o| (o.status.asks, o.heard)).map(|o| o.status.id);
+            let oldest = self
+                .others
+                .values()
+                .min_by_key(|o| (o.status.asks, o.heard))
+                .map(|o| o.status.id);
             oldest.map(|id| self.others.remove(&id));
         }
         self.look(now);
@@ -268,7 +302,11 @@
         if self.alone(now) {
             return counts;
         }
-        for other in self.others.values().filter(|o| o.status.asks && o.fresh(now)) {
+        for other in self
+            .others
+            .values()
+            .filter(|o| o.status.asks && o.fresh(now))
+        {
             match other.status.failures {
                 0 => counts.0 += 1,
                 failures if failures < CUT_OFF || failures == u32::MAX => counts.1 += 1,
@@ -300,9 +338,15 @@
     fn draw(&mut self, delay: Delay) -> Micros {
         let share: f64 = self.random.gen_range(f64::MIN_POSITIVE..=1.0);
         match delay {
-            Delay::Within(span) if self.disabled == Some(Mechanism::Law) => (span as f64 * share) as Micros,
-            Delay::Within(span) => (span as f64 * (1.0 + share.ln() / PROXIES_MOST.ln()).max(0.0)) as Micros,
-            Delay::Alone => (ALONE.0 as f64 * (ALONE.1 as f64 / ALONE.0 as f64).powf(share)) as Micros,
+            Delay::Within(span) if self.disabled == Some(Mechanism::Law) => {
+                (span as f64 * share) as Micros
+            }
+            Delay::Within(span) => {
+                (span as f64 * (1.0 + share.ln() / PROXIES_MOST.ln()).max(0.0)) as Micros
+            }
+            Delay::Alone => {
+                (ALONE.0 as f64 * (ALONE.1 as f64 / ALONE.0 as f64).powf(share)) as Micros
+            }
         }
     }
 
@@ -334,7 +378,12 @@
             return false;
         }
         if !self.own.asks {
-            self.own = PollerStatus { asks: true, failures: u32::MAX, count: self.own.count + 1, ..self.own };
+            self.own = PollerStatus {
+                asks: true,
+                failures: u32::MAX,
+                count: self.own.count + 1,
+                ..self.own
+            };
         }
         (self.due, self.pending) = (None, true);
         true
@@ -374,7 +423,11 @@
             }
         };
         if stops && !self.pending {
-            self.own = PollerStatus { asks: false, count: self.own.count + 1, ..self.own };
+            self.own = PollerStatus {
+                asks: false,
+                count: self.own.count + 1,
+                ..self.own
+            };
             self.due = None;
         }
     }
@@ -386,7 +439,11 @@
         self.own.count += 1;
         if let Some(took) = took {
             let ms = (took / 1_000).clamp(1, 60_000) as u32;
-            self.own.answer_ms = if self.own.answer_ms == 0 { ms } else { (3 * self.own.answer_ms + ms) / 4 };
+            self.own.answer_ms = if self.own.answer_ms == 0 {
+                ms
+            } else {
+                (3 * self.own.answer_ms + ms) / 4
+            };
         }
         self.due = Some(now);
     }
@@ -401,7 +458,9 @@
         };
         let answer = Micros::from(self.own.answer_ms) * 1_000;
         let most = PAUSE_MOST.max(ANSWERS * answer);
-        let pause = (PAUSE_LEAST << (self.own.failures - 1).min(8)).min(most).max(2 * answer);
+        let pause = (PAUSE_LEAST << (self.own.failures - 1).min(8))
+            .min(most)
+            .max(2 * answer);
         let pause = pause / 2 + self.random.gen_range(0..=pause / 2);
         self.not_before = now + told.unwrap_or(0);
         self.due = Some((now + pause).max(self.not_before));
@@ -425,7 +484,13 @@
     use super::*;
 
     fn status(id: u64, count: u32, failures: u32) -> PollerStatus {
-        PollerStatus { id: Id(id), count, asks: true, failures, answer_ms: 8 }
+        PollerStatus {
+            id: Id(id),
+            count,
+            asks: true,
+            failures,
+            answer_ms: 8,
+        }
     }
 
     #[test]
@@ -441,7 +506,10 @@
                 .collect();
             firsts.sort_unstable();
             // Within a tenth of the span after the first one there are never many, however many there are.
-            let early = firsts.iter().filter(|t| **t <= firsts[0] + SPAN / 10).count();
+            let early = firsts
+                .iter()
+                .filter(|t| **t <= firsts[0] + SPAN / 10)
+                .count();
             assert!(early <= 12, "{early} of {proxies}");
             assert!(firsts[0] <= SPAN * 9 / 10);
         }
@@ -457,17 +525,29 @@
         assert_eq!(scheduler.others.len(), 1_024);
         let room = KNOWN_MOST as u64;
         for n in 1_025..=2 * room {
-            scheduler.told(n, &[PollerStatus { asks: false, ..status(n, 1, 0) }]);
+            scheduler.told(
+                n,
+                &[PollerStatus {
+                    asks: false,
+                    ..status(n, 1, 0)
+                }],
+            );
         }
         assert_eq!(scheduler.others.len(), KNOWN_MOST);
-        assert!((1..=1_024).all(|n| scheduler.others.contains_key(&Id(n))), "who asks is kept");
+        assert!(
+            (1..=1_024).all(|n| scheduler.others.contains_key(&Id(n))),
+            "who asks is kept"
+        );
     }
 
     #[test]
     fn one_that_hears_of_enough_does_not_ask_and_one_that_hears_of_fewer_does() {
         let mut scheduler = PollScheduler::new(Id(9), false);
         assert!(!scheduler.ask(0, false));
-        assert!(scheduler.told(10, &[status(1, 1, 0), status(2, 1, 0), status(3, 1, u32::MAX)]));
+        assert!(scheduler.told(
+            10,
+            &[status(1, 1, 0), status(2, 1, 0), status(3, 1, u32::MAX)]
+        ));
         assert!(!scheduler.told(11, &[status(1, 1, 0)]), "nothing new");
         scheduler.met(5_000_000);
         assert!(scheduler.due().is_none() && !scheduler.ask(5_000_000, false) && scheduler.heard());
@@ -494,8 +574,14 @@
         // In vain here as well: with enough others that try it rests.
         let mut now = due;
         for _ in 0..CUT_OFF {
-            scheduler
-                .told(now, &[status(1, now as u32, 9), status(2, now as u32, 9), status(3, now as u32, 9)]);
+            scheduler.told(
+                now,
+                &[
+                    status(1, now as u32, 9),
+                    status(2, now as u32, 9),
+                    status(3, now as u32, 9),
+                ],
+            );
             scheduler.failed(now, Some(700_000));
             let due = scheduler.due().expect("again");
             assert!(due >= now + 700_000);
@@ -533,7 +619,13 @@
         scheduler.ask(0, true);
         let due = scheduler.due().expect("nobody asks");
         for at in 1..100 {
-            scheduler.told(at, &[PollerStatus { asks: false, ..status(1, at as u32, 0) }]);
+            scheduler.told(
+                at,
+                &[PollerStatus {
+                    asks: false,
+                    ..status(1, at as u32, 0)
+                }],
+            );
             scheduler.ask(at, true);
             assert_eq!(scheduler.due(), Some(due));
         }
@@ -546,7 +638,10 @@
         scheduler.ask(0, false);
         assert!(scheduler.asks() || scheduler.ask(SPAN_SEED, false));
         scheduler.answered(SPAN_SEED, None);
-        scheduler.told(SPAN_SEED, &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)]);
+        scheduler.told(
+            SPAN_SEED,
+            &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)],
+        );
         scheduler.failed(SPAN_SEED, None);
         scheduler.ask(SPAN_SEED, true);
         assert!(scheduler.asks());
@@ -564,8 +659,11 @@
             let due = scheduler.due().unwrap_or(0);
             assert!(scheduler.asks() || scheduler.ask(due, false));
             scheduler.answered(due, Some(8_000));
-            let others: Vec<PollerStatus> =
-                ids.iter().filter(|n| **n != own).map(|n| status(*n, 1, 0)).collect();
+            let others: Vec<PollerStatus> = ids
+                .iter()
+                .filter(|n| **n != own)
+                .map(|n| status(*n, 1, 0))
+                .collect();
             scheduler.told(due, &others);
             scheduler.ask(due, true);
             scheduler.asks()
@@ -590,6 +688,10 @@
         for _ in 0..20 {
             scheduler.failed(0, None);
         }
-        assert!(scheduler.due().is_some_and(|d| d >= 10_000_000), "{:?}", scheduler.due());
+        assert!(
+            scheduler.due().is_some_and(|d| d >= 10_000_000),
+            "{:?}",
+            scheduler.due()
+        );
     }
 }
--- a/crates/peers/src/replay.rs
+++ b/crates/peers/src/replay.rs
@@ -32,10 +32,18 @@
     pub fn take(&mut self, sender: u64, count: u64) -> bool {
         self.taken += 1;
         if self.senders.len() >= SENDERS && !self.senders.contains_key(&sender) {
-            let oldest = self.senders.iter().min_by_key(|(_, s)| s.heard).map(|(id, _)| *id);
+            let oldest = self
+                .senders
+                .iter()
+                .min_by_key(|(_, s)| s.heard)
+                .map(|(id, _)| *id);
             oldest.map(|id| self.senders.remove(&id));
         }
-        let fresh = || Sender { highest: 0, seen: [0; WORDS], heard: 0 };
+        let fresh = || Sender {
+            highest: 0,
+            seen: [0; WORDS],
+            heard: 0,
+        };
         let known = self.senders.entry(sender).or_insert_with(fresh);
         known.heard = self.taken;
         if count + WINDOW <= known.highest {
@@ -71,7 +79,10 @@
             assert!(replays.take(sender, 1));
         }
         assert!(!replays.take(1, 5_000));
-        assert!(replays.take(9_999, 1) && replays.take(2, 1), "the one not heard for longest");
+        assert!(
+            replays.take(9_999, 1) && replays.take(2, 1),
+            "the one not heard for longest"
+        );
         assert_eq!(replays.senders.len(), SENDERS);
     }
 
--- a/crates/policy/src/holder.rs
+++ b/crates/policy/src/holder.rs
@@ -8,7 +8,9 @@
 use std::collections::BTreeSet;
 
 /// What a proxy does when its lease has run out and control can't be had.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub enum CutOff {
     /// Turns every call away.
     #[default]
@@ -163,7 +165,8 @@
 
     /// When the question that is out is given up.
     pub fn gives_up(&self) -> Option<Micros> {
-        self.out.map(|(_, asked)| asked.saturating_add(self.terms.answer_within))
+        self.out
+            .map(|(_, asked)| asked.saturating_add(self.terms.answer_within))
     }
 
     /// The question to send now. One that is out is given up by this.
@@ -188,7 +191,11 @@
     /// A text was read and found good.
     pub fn read(&mut self, generation: Generation) {
         self.has.insert(generation);
-        if self.unread.as_ref().is_some_and(|u| u.generation == generation) {
+        if self
+            .unread
+            .as_ref()
+            .is_some_and(|u| u.generation == generation)
+        {
             self.unread = None;
         }
     }
@@ -248,13 +255,28 @@
     use super::*;
 
     fn holder(cut_off: CutOff) -> Holder {
-        let identity = Identity { name: "p".to_owned(), incarnation: 1 };
-        let terms = Terms { cut_off, answer_within: 100, pause: 50 };
-        Holder::new(identity, terms, BTreeSet::from([Generation(1), Generation(2)]))
+        let identity = Identity {
+            name: "p".to_owned(),
+            incarnation: 1,
+        };
+        let terms = Terms {
+            cut_off,
+            answer_within: 100,
+            pause: 50,
+        };
+        Holder::new(
+            identity,
+            terms,
+            BTreeSet::from([Generation(1), Generation(2)]),
+        )
     }
 
     fn grant(number: u64, mode: Mode) -> Grant {
-        Grant { number, mode, lease: 300 }
+        Grant {
+            number,
+            mode,
+            lease: 300,
+        }
     }
 
     #[test]
@@ -263,7 +285,10 @@
         assert_eq!(holder.admission(0), Admission::Closed(Closed::NoLease));
         let ask = holder.ask(1_000);
         let mode = Mode::settled(1, Generation(1));
-        assert_eq!(holder.answered(1_090, grant(ask.number, mode)), Answered::Taken { again: false });
+        assert_eq!(
+            holder.answered(1_090, grant(ask.number, mode)),
+            Answered::Taken { again: false }
+        );
         assert_eq!(holder.admission(1_299), Admission::Under(mode));
         assert_eq!(holder.admission(1_300), Admission::Closed(Closed::RunOut));
         assert_eq!(holder.due(), Some(1_100));
@@ -274,21 +299,44 @@
         let mut holder = holder(CutOff::Refuse);
         let first = holder.ask(0);
         let second = holder.ask(100);
-        let middle = Mode { revision: 5, old: Generation(1), new: Generation(2) };
-        assert_eq!(holder.answered(110, grant(first.number, middle)), Answered::Late);
+        let middle = Mode {
+            revision: 5,
+            old: Generation(1),
+            new: Generation(2),
+        };
+        assert_eq!(
+            holder.answered(110, grant(first.number, middle)),
+            Answered::Late
+        );
         assert_eq!(holder.admission(110), Admission::Closed(Closed::NoLease));
-        assert_eq!(holder.answered(120, grant(second.number, middle)), Answered::Taken { again: true });
+        assert_eq!(
+            holder.answered(120, grant(second.number, middle)),
+            Answered::Taken { again: true }
+        );
         let third = holder.ask(130);
         assert_eq!(third.acting, 5);
         let older = Mode::settled(4, Generation(1));
-        assert_eq!(holder.answered(140, grant(third.number, older)), Answered::Late);
+        assert_eq!(
+            holder.answered(140, grant(third.number, older)),
+            Answered::Late
+        );
         assert_eq!(holder.admission(140), Admission::Under(middle));
         let fourth = holder.ask(150);
-        let unread = Mode { revision: 7, old: Generation(2), new: Generation(3) };
-        assert_eq!(holder.answered(160, grant(fourth.number, unread)), Answered::Wants);
+        let unread = Mode {
+            revision: 7,
+            old: Generation(2),
+            new: Generation(3),
+        };
+        assert_eq!(
+            holder.answered(160, grant(fourth.number, unread)),
+            Answered::Wants
+        );
         assert_eq!(holder.admission(160), Admission::Under(middle));
         holder.cannot_read(Generation(3), "a key that it does not know".to_owned());
-        assert_eq!(holder.ask(170).unread.map(|u| u.generation), Some(Generation(3)));
+        assert_eq!(
+            holder.ask(170).unread.map(|u| u.generation),
+            Some(Generation(3))
+        );
     }
 
     #[test]
@@ -296,11 +344,22 @@
         for (cut_off, then) in [
             (CutOff::Refuse, Admission::Closed(Closed::RunOut)),
             (CutOff::Narrow, Admission::Floor(Generation(1))),
-            (CutOff::Keep, Admission::Under(Mode { revision: 5, old: Generation(1), new: Generation(2) })),
+            (
+                CutOff::Keep,
+                Admission::Under(Mode {
+                    revision: 5,
+                    old: Generation(1),
+                    new: Generation(2),
+                }),
+            ),
         ] {
             let mut holder = holder(cut_off);
             let ask = holder.ask(0);
-            let middle = Mode { revision: 5, old: Generation(1), new: Generation(2) };
+            let middle = Mode {
+                revision: 5,
+                old: Generation(1),
+                new: Generation(2),
+            };
             holder.answered(1, grant(ask.number, middle));
             assert_eq!(holder.admission(299), Admission::Under(middle));
             assert_eq!(holder.admission(300), then);
--- a/crates/policy/src/identity.rs
+++ b/crates/policy/src/identity.rs
@@ -30,7 +30,10 @@
         map: &BTreeMap<Identity, V>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        serializer.collect_map(map.iter().map(|(identity, value)| (written(identity), value)))
+        serializer.collect_map(
+            map.iter()
+                .map(|(identity, value)| (written(identity), value)),
+        )
     }
 
     /// Reads a map.
@@ -40,7 +43,9 @@
         let entries = BTreeMap::<String, V>::deserialize(deserializer)?;
         let read_entry = |(key, value): (String, V)| match read(&key) {
             Some(identity) => Ok((identity, value)),
-            None => Err(D::Error::custom(format!("found {key:?}, allowed is name#incarnation"))),
+            None => Err(D::Error::custom(format!(
+                "found {key:?}, allowed is name#incarnation"
+            ))),
         };
         entries.into_iter().map(read_entry).collect()
     }
@@ -53,6 +58,9 @@
         // A name may have the sign in it, a number may not.
         let (name, incarnation) = key.rsplit_once('#')?;
         let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
-        Some(Identity { name: name.to_owned(), incarnation })
+        Some(Identity {
+            name: name.to_owned(),
+            incarnation,
+        })
     }
 }
--- a/crates/policy/src/judge.rs
+++ b/crates/policy/src/judge.rs
@@ -57,10 +57,16 @@
             return Some(Fault::NotInForce(begun.clone()));
         }
         if new < self.force {
-            return Some(Fault::BehindForce { begun: begun.clone(), force: self.force });
+            return Some(Fault::BehindForce {
+                begun: begun.clone(),
+                force: self.force,
+            });
         }
         if new < self.past {
-            return Some(Fault::Mixed { begun: begun.clone(), after: self.past });
+            return Some(Fault::Mixed {
+                begun: begun.clone(),
+                after: self.past,
+            });
         }
         self.past = self.past.max(old);
         None
@@ -84,19 +90,44 @@
     use super::*;
 
     fn begun(old: u64, new: u64) -> Begun {
-        let mode = Mode { revision: 0, old: Generation(old), new: Generation(new) };
-        Begun { identity: Identity { name: "p".to_owned(), incarnation: 1 }, mode }
+        let mode = Mode {
+            revision: 0,
+            old: Generation(old),
+            new: Generation(new),
+        };
+        Begun {
+            identity: Identity {
+                name: "p".to_owned(),
+                incarnation: 1,
+            },
+            mode,
+        }
     }
 
     #[test]
     fn old_beside_middle_and_middle_beside_new_are_not_mixed() {
         let mut judge = Judge::default();
-        for (old, new) in [(1, 1), (1, 2), (1, 1), (1, 2), (2, 2), (1, 2), (2, 3), (2, 2)] {
+        for (old, new) in [
+            (1, 1),
+            (1, 2),
+            (1, 1),
+            (1, 2),
+            (2, 2),
+            (1, 2),
+            (2, 3),
+            (2, 2),
+        ] {
             assert_eq!(judge.begun(&begun(old, new)), None, "{old} {new}");
         }
-        assert!(matches!(judge.begun(&begun(1, 1)), Some(Fault::Mixed { .. })));
+        assert!(matches!(
+            judge.begun(&begun(1, 1)),
+            Some(Fault::Mixed { .. })
+        ));
         assert_eq!(judge.begun(&begun(3, 3)), None);
-        assert!(matches!(judge.begun(&begun(1, 2)), Some(Fault::Mixed { .. })));
+        assert!(matches!(
+            judge.begun(&begun(1, 2)),
+            Some(Fault::Mixed { .. })
+        ));
     }
 
     #[test]
@@ -104,10 +135,16 @@
         let mut judge = Judge::default();
         judge.begun(&begun(1, 2));
         assert!(judge.not_in_force(Generation(2)));
-        assert!(matches!(judge.begun(&begun(2, 2)), Some(Fault::NotInForce(_))));
+        assert!(matches!(
+            judge.begun(&begun(2, 2)),
+            Some(Fault::NotInForce(_))
+        ));
         assert!(!judge.not_in_force(Generation(2)));
         judge.in_force(Generation(3));
-        assert!(matches!(judge.begun(&begun(1, 1)), Some(Fault::BehindForce { .. })));
+        assert!(matches!(
+            judge.begun(&begun(1, 1)),
+            Some(Fault::BehindForce { .. })
+        ));
         assert_eq!(judge.begun(&begun(1, 3)), None);
     }
 }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -81,7 +81,11 @@
     /// A leader that begins at `now`.
     pub fn elected(terms: Terms, now: Micros) -> Self {
         let unknown = now.saturating_add(terms.lease).saturating_add(terms.drift);
-        Leases { terms, unknown, sessions: BTreeMap::new() }
+        Leases {
+            terms,
+            unknown,
+            sessions: BTreeMap::new(),
+        }
     }
 
     /// A question has come. It must be known, after it came in, that this leader is still the one, and `record` must
@@ -91,7 +95,9 @@
             self.sessions.remove(&ask.identity);
             return Lent::Stale(Stale::Evicted);
         }
-        let Some(mode) = record.mode() else { return Lent::Stale(Stale::NoPolicy) };
+        let Some(mode) = record.mode() else {
+            return Lent::Stale(Stale::NoPolicy);
+        };
         if ask.cut_off != CutOff::Refuse && !record.standing().contains_key(&ask.identity) {
             return Lent::RegisterFirst;
         }
@@ -105,10 +111,18 @@
         session.acting = session.acting.max(ask.acting);
         session.unread = ask.unread.clone().filter(|u| u.generation == mode.new);
         let acting = session.acting;
-        session.lent.retain(|&revision, &mut until| revision >= acting && now < until);
-        let until = now.saturating_add(self.terms.lease).saturating_add(self.terms.drift);
+        session
+            .lent
+            .retain(|&revision, &mut until| revision >= acting && now < until);
+        let until = now
+            .saturating_add(self.terms.lease)
+            .saturating_add(self.terms.drift);
         session.lent.insert(mode.revision, until);
-        Lent::Grant(Grant { number: ask.number, mode, lease: self.terms.lease })
+        Lent::Grant(Grant {
+            number: ask.number,
+            mode,
+            lease: self.terms.lease,
+        })
     }
 
     /// A proxy has ended by itself and begins nothing more.
@@ -118,7 +132,9 @@
 
     /// Lets go of those whose leases have run out.
     pub fn sweep(&mut self, now: Micros) {
-        self.sessions.retain(|_, s| s.cut_off != CutOff::Refuse || s.lent.values().any(|&until| now < until));
+        self.sessions.retain(|_, s| {
+            s.cut_off != CutOff::Refuse || s.lent.values().any(|&until| now < until)
+        });
     }
 
     /// Who can still act under a mode older than the present one. With none, the middle may be left
@@ -127,21 +143,35 @@
         let revision = record.revision();
         let mut all = Vec::new();
         if now < self.unknown {
-            all.push(Blocker { identity: None, why: Why::Lease(self.unknown) });
+            all.push(Blocker {
+                identity: None,
+                why: Why::Lease(self.unknown),
+            });
         }
         for (identity, session) in &self.sessions {
-            let until = session.lent.range(..revision).map(|(_, &until)| until).filter(|&u| now < u).max();
+            let until = session
+                .lent
+                .range(..revision)
+                .map(|(_, &until)| until)
+                .filter(|&u| now < u)
+                .max();
             let why = match (&session.unread, until) {
                 (_, None) => continue,
                 (Some(unread), _) => Why::Unread(unread.reason.clone()),
                 (None, Some(until)) => Why::Lease(until),
             };
-            all.push(Blocker { identity: Some(identity.clone()), why });
+            all.push(Blocker {
+                identity: Some(identity.clone()),
+                why,
+            });
         }
         for (identity, standing) in record.standing() {
             let acting = self.sessions.get(identity).map_or(0, |s| s.acting);
             if standing.cut_off == CutOff::Keep && standing.revision.max(acting) < revision {
-                all.push(Blocker { identity: Some(identity.clone()), why: Why::Keeps });
+                all.push(Blocker {
+                    identity: Some(identity.clone()),
+                    why: Why::Keeps,
+                });
             }
         }
         all
@@ -149,8 +179,11 @@
 
     /// Proxies that can't read the generation that is to come, and why: the change has to be given up.
     pub fn unread(&self, mode: Mode) -> Option<(&Identity, &str)> {
-        let of =
-            |s: &Session| s.unread.as_ref().is_some_and(|u| mode.is_middle() && u.generation == mode.new);
+        let of = |s: &Session| {
+            s.unread
+                .as_ref()
+                .is_some_and(|u| mode.is_middle() && u.generation == mode.new)
+        };
         self.sessions
             .iter()
             .find(|(_, s)| of(s))
@@ -161,22 +194,30 @@
     pub fn acting(&self, record: &Record) -> BTreeSet<Identity> {
         let revision = record.revision();
         let newer = |i: &Identity| self.sessions.get(i).is_some_and(|s| s.acting == revision);
-        let behind = record.standing().iter().filter(|(i, s)| s.revision < revision && newer(i));
+        let behind = record
+            .standing()
+            .iter()
+            .filter(|(i, s)| s.revision < revision && newer(i));
         behind.map(|(identity, _)| identity.clone()).collect()
     }
 
     /// When the next lease that holds the change up runs out.
     pub fn next(&self, now: Micros, record: &Record) -> Option<Micros> {
-        let leases = self.blockers(now, record).into_iter().filter_map(|b| match b.why {
-            Why::Lease(until) => Some(until),
-            Why::Keeps | Why::Unread(_) => None,
-        });
+        let leases = self
+            .blockers(now, record)
+            .into_iter()
+            .filter_map(|b| match b.why {
+                Why::Lease(until) => Some(until),
+                Why::Keeps | Why::Unread(_) => None,
+            });
         leases.min()
     }
 
     /// Who has been lent something: the proxy, the revision that it acts under, and until when at the latest.
     pub fn sessions(&self) -> impl Iterator<Item = (&Identity, u64, Option<Micros>)> {
-        self.sessions.iter().map(|(i, s)| (i, s.acting, s.lent.values().max().copied()))
+        self.sessions
+            .iter()
+            .map(|(i, s)| (i, s.acting, s.lent.values().max().copied()))
     }
 }
 
@@ -185,20 +226,31 @@
     use super::*;
     use crate::{Command, Generation};
 
-    const TERMS: Terms = Terms { lease: 100, drift: 10 };
+    const TERMS: Terms = Terms {
+        lease: 100,
+        drift: 10,
+    };
 
     fn record(publishes: u64) -> Record {
         let mut record = Record::default();
         for _ in 0..publishes {
             let (revision, floors) = (record.revision(), record.floors());
-            record.apply(&Command::Publish { revision, text: String::new(), floors, all_regions: None });
+            record.apply(&Command::Publish {
+                revision,
+                text: String::new(),
+                floors,
+                all_regions: None,
+            });
         }
         record
     }
 
     fn ask(number: u64, acting: u64) -> Ask {
         Ask {
-            identity: Identity { name: "p".to_owned(), incarnation: 1 },
+            identity: Identity {
+                name: "p".to_owned(),
+                incarnation: 1,
+            },
             number,
             acting,
             has: BTreeSet::new(),
@@ -220,15 +272,24 @@
     fn an_older_mode_is_out_until_it_is_told_or_has_run_out() {
         let mut leases = Leases::elected(TERMS, 0);
         let (stable, middle) = (record(1), record(2));
-        assert!(matches!(leases.lend(200, &stable, &ask(1, 0)), Lent::Grant(_)));
-        assert!(matches!(leases.lend(220, &middle, &ask(2, 1)), Lent::Grant(_)));
+        assert!(matches!(
+            leases.lend(200, &stable, &ask(1, 0)),
+            Lent::Grant(_)
+        ));
+        assert!(matches!(
+            leases.lend(220, &middle, &ask(2, 1)),
+            Lent::Grant(_)
+        ));
         assert_eq!(
             leases.blockers(230, &middle).len(),
             1,
             "the middle has gone out, and may not have come in"
         );
         let mut told = leases.clone();
-        assert!(matches!(told.lend(240, &middle, &ask(3, 2)), Lent::Grant(_)));
+        assert!(matches!(
+            told.lend(240, &middle, &ask(3, 2)),
+            Lent::Grant(_)
+        ));
         assert_eq!(told.blockers(241, &middle), []);
         assert_eq!(leases.blockers(309, &middle).len(), 1);
         assert_eq!(leases.blockers(310, &middle), []);
@@ -239,39 +300,85 @@
         let mut leases = Leases::elected(TERMS, 0);
         let middle = record(2);
         leases.lend(200, &middle, &ask(5, 2));
-        assert_eq!(leases.lend(201, &middle, &ask(5, 2)), Lent::Stale(Stale::Older));
-        assert_eq!(leases.lend(201, &middle, &ask(4, 1)), Lent::Stale(Stale::Older));
-        assert_eq!(leases.lend(201, &Record::default(), &ask(6, 2)), Lent::Stale(Stale::NoPolicy));
+        assert_eq!(
+            leases.lend(201, &middle, &ask(5, 2)),
+            Lent::Stale(Stale::Older)
+        );
+        assert_eq!(
+            leases.lend(201, &middle, &ask(4, 1)),
+            Lent::Stale(Stale::Older)
+        );
+        assert_eq!(
+            leases.lend(201, &Record::default(), &ask(6, 2)),
+            Lent::Stale(Stale::NoPolicy)
+        );
     }
 
     #[test]
     fn who_keeps_is_registered_first_and_waited_for() {
         let mut leases = Leases::elected(TERMS, 0);
         let mut record = record(1);
-        let keeps = Ask { cut_off: CutOff::Keep, ..ask(1, 0) };
+        let keeps = Ask {
+            cut_off: CutOff::Keep,
+            ..ask(1, 0)
+        };
         assert_eq!(leases.lend(200, &record, &keeps), Lent::RegisterFirst);
-        record.apply(&Command::Register { identity: keeps.identity.clone(), cut_off: CutOff::Keep });
+        record.apply(&Command::Register {
+            identity: keeps.identity.clone(),
+            cut_off: CutOff::Keep,
+        });
         assert!(matches!(leases.lend(200, &record, &keeps), Lent::Grant(_)));
         let (revision, floors) = (record.revision(), record.floors());
-        record.apply(&Command::Publish { revision, text: String::new(), floors, all_regions: None });
-        let why = |l: &Leases| l.blockers(10_000, &record).into_iter().map(|b| b.why).collect::<Vec<_>>();
+        record.apply(&Command::Publish {
+            revision,
+            text: String::new(),
+            floors,
+            all_regions: None,
+        });
+        let why = |l: &Leases| {
+            l.blockers(10_000, &record)
+                .into_iter()
+                .map(|b| b.why)
+                .collect::<Vec<_>>()
+        };
         assert_eq!(why(&leases), [Why::Keeps]);
-        let told = Ask { cut_off: CutOff::Keep, ..ask(2, 2) };
+        let told = Ask {
+            cut_off: CutOff::Keep,
+            ..ask(2, 2)
+        };
         leases.lend(10_000, &record, &told);
         assert_eq!(why(&leases), []);
         assert_eq!(leases.acting(&record).len(), 1);
-        record.apply(&Command::Evict { identity: told.identity.clone() });
+        record.apply(&Command::Evict {
+            identity: told.identity.clone(),
+        });
         let again = Ask { number: 3, ..told };
-        assert_eq!(leases.lend(10_001, &record, &again), Lent::Stale(Stale::Evicted));
+        assert_eq!(
+            leases.lend(10_001, &record, &again),
+            Lent::Stale(Stale::Evicted)
+        );
     }
 
     #[test]
     fn who_cannot_read_it_is_named() {
         let mut leases = Leases::elected(TERMS, 0);
         let middle = record(2);
-        let unread = Unread { generation: Generation(2), reason: "odd".to_owned() };
-        leases.lend(0, &middle, &Ask { unread: Some(unread), ..ask(1, 1) });
+        let unread = Unread {
+            generation: Generation(2),
+            reason: "odd".to_owned(),
+        };
+        leases.lend(
+            0,
+            &middle,
+            &Ask {
+                unread: Some(unread),
+                ..ask(1, 1)
+            },
+        );
         let mode = middle.mode().expect("a policy");
-        assert_eq!(leases.unread(mode).map(|(i, why)| (i.name.as_str(), why)), Some(("p", "odd")));
+        assert_eq!(
+            leases.unread(mode).map(|(i, why)| (i.name.as_str(), why)),
+            Some(("p", "odd"))
+        );
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -23,7 +23,9 @@
 mod steps;
 
 pub use command::{Command, Outcome, Refused};
-pub use holder::{Admission, Answered, Ask, Closed, CutOff, Grant, Holder, Terms as HolderTerms, Unread};
+pub use holder::{
+    Admission, Answered, Ask, Closed, CutOff, Grant, Holder, Terms as HolderTerms, Unread,
+};
 pub use identity::Identity;
 pub use judge::{Begun, Fault, Judge};
 pub use leases::{Blocker, Leases, Lent, Stale, Terms as LeaseTerms, Why};
--- a/crates/policy/src/meet.rs
+++ b/crates/policy/src/meet.rs
@@ -79,9 +79,16 @@
     match (inner, outer) {
         (Repeat::SingleShot, _) | (_, Repeat::Free) => true,
         (Repeat::Free, _) | (_, Repeat::SingleShot) => false,
-        (Repeat::Guarded { scope: a, window: b }, Repeat::Guarded { scope: c, window: d }) => {
-            (a == c || c == Scope::All) && b <= d
-        }
+        (
+            Repeat::Guarded {
+                scope: a,
+                window: b,
+            },
+            Repeat::Guarded {
+                scope: c,
+                window: d,
+            },
+        ) => (a == c || c == Scope::All) && b <= d,
     }
 }
 
@@ -105,7 +112,11 @@
         (None, Some(_)) => return Err(Unlike::OnlyNew),
         (Some(old), Some(new)) => (old, new),
     };
-    let class = if within(old.repeat, new.repeat) { Side::Old } else { Side::New };
+    let class = if within(old.repeat, new.repeat) {
+        Side::Old
+    } else {
+        Side::New
+    };
     let chosen = if class == Side::Old { old } else { new };
     // A host that knows it by another key would not know the repeat.
     let keyed = |call: &Call| matches!(call.repeat, Repeat::Guarded { .. });
@@ -118,8 +129,16 @@
         attempt_time: a.attempt_time.min(b.attempt_time),
         backoff: a.backoff.max(b.backoff),
         hedge: hedge(a.hedge, b.hedge),
-        resend: if never_ran { Resend::NeverRan } else { Resend::Any },
-        once: a.once || b.once || other_key || neither || (keyed(chosen) && chosen.key == Key::None),
+        resend: if never_ran {
+            Resend::NeverRan
+        } else {
+            Resend::Any
+        },
+        once: a.once
+            || b.once
+            || other_key
+            || neither
+            || (keyed(chosen) && chosen.key == Key::None),
     };
     Ok(Some(Met {
         class,
@@ -143,7 +162,9 @@
     }
     // What one of them serves proves nothing to it, whatever its list says.
     let proves = |p: &&badgerramp_route::Proof| {
-        new.never_ran.contains(p) && !old.served.contains(p.status) && !new.served.contains(p.status)
+        new.never_ran.contains(p)
+            && !old.served.contains(p.status)
+            && !new.served.contains(p.status)
     };
     let never_ran = old.never_ran.iter().filter(proves).cloned().collect();
     Answers { served, never_ran }
--- a/crates/policy/src/mode.rs
+++ b/crates/policy/src/mode.rs
@@ -4,7 +4,9 @@
 use std::fmt;
 
 /// The number of a policy. Numbers grow, and one that was given to a change that came to nothing is never given again.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Generation(pub u64);
 
 impl fmt::Display for Generation {
@@ -27,7 +29,11 @@
 impl Mode {
     /// One generation, in force.
     pub fn settled(revision: u64, generation: Generation) -> Self {
-        Mode { revision, old: generation, new: generation }
+        Mode {
+            revision,
+            old: generation,
+            new: generation,
+        }
     }
 
     /// Is a change under way?
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -154,25 +154,43 @@
 
     /// The generations under whose floors proxies may act: a policy that leaves one of them may not come.
     pub fn floors(&self) -> BTreeSet<Generation> {
-        let narrow = self.standing.values().filter(|s| s.cut_off == CutOff::Narrow).map(|s| s.floor);
-        narrow.chain(self.mode().map(|mode| mode.old)).filter(|&g| g > Generation(0)).collect()
+        let narrow = self
+            .standing
+            .values()
+            .filter(|s| s.cut_off == CutOff::Narrow)
+            .map(|s| s.floor);
+        narrow
+            .chain(self.mode().map(|mode| mode.old))
+            .filter(|&g| g > Generation(0))
+            .collect()
     }
 
     /// Applies a command.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let applied = match command {
-            Command::Publish { revision, text, floors, all_regions } => {
-                self.publish(*revision, text, floors, all_regions.as_ref())
-            }
-            Command::Prepare { revision, change, text, floors } => {
-                self.prepare(*revision, change, text, floors)
-            }
+            Command::Publish {
+                revision,
+                text,
+                floors,
+                all_regions,
+            } => self.publish(*revision, text, floors, all_regions.as_ref()),
+            Command::Prepare {
+                revision,
+                change,
+                text,
+                floors,
+            } => self.prepare(*revision, change, text, floors),
             Command::Vote { revision } => self.vote(*revision),
             Command::Prepared { revision, region } => self.prepared(*revision, region),
             Command::Advance { revision } => self.advance(*revision),
             Command::Abort { revision, why } => self.abort(*revision, why),
             Command::Committed { id } => self.decided(*id, Ended::InForce),
-            Command::Aborted { id } => self.decided(*id, Ended::NotInForce { why: GIVEN_UP.to_owned() }),
+            Command::Aborted { id } => self.decided(
+                *id,
+                Ended::NotInForce {
+                    why: GIVEN_UP.to_owned(),
+                },
+            ),
             Command::Acknowledged { id, region } => self.acknowledged(*id, region),
             Command::Register { identity, cut_off } => self.register(identity, *cut_off),
             Command::Acting { revision, proxies } => self.acting(*revision, proxies),
@@ -190,16 +208,22 @@
         let generation = self.middle()?.new;
         Some(match &self.cross_region {
             None => Refused::UnderWay(generation),
-            Some(cross) => {
-                Refused::AcrossRegions { generation, id: cross.change.id, waits_for: cross.waits_for() }
-            }
+            Some(cross) => Refused::AcrossRegions {
+                generation,
+                id: cross.change.id,
+                waits_for: cross.waits_for(),
+            },
         })
     }
 
     /// Why no change of all regions can begin beside [`Record::under_way`], if it can't.
     fn remembered(&self) -> Option<Refused> {
         let Unacknowledged { change, regions } = self.unacknowledged.as_ref()?;
-        Some(Refused::AcrossRegions { generation: change.number, id: change.id, waits_for: regions.clone() })
+        Some(Refused::AcrossRegions {
+            generation: change.number,
+            id: change.id,
+            waits_for: regions.clone(),
+        })
     }
 
     fn publish(
@@ -209,7 +233,9 @@
         floors: &BTreeSet<Generation>,
         all_regions: Option<&AllRegions>,
     ) -> Result<Outcome, Refused> {
-        let in_the_way = self.under_way().or_else(|| all_regions.and_then(|_| self.remembered()));
+        let in_the_way = self
+            .under_way()
+            .or_else(|| all_regions.and_then(|_| self.remembered()));
         if let Some(refused) = in_the_way {
             return Err(refused);
         }
@@ -223,8 +249,15 @@
             return Ok(Outcome::Begun(number));
         };
         let number = self.begin(revision, text, floors, Some(all.id))?;
-        let change = ChangeRef { id: all.id, coordinator: all.coordinator.clone(), number };
-        let role = Role::Coordinator { participants: all.participants.clone(), prepared: BTreeSet::new() };
+        let change = ChangeRef {
+            id: all.id,
+            coordinator: all.coordinator.clone(),
+            number,
+        };
+        let role = Role::Coordinator {
+            participants: all.participants.clone(),
+            prepared: BTreeSet::new(),
+        };
         self.cross_region = Some(CrossRegion { change, role });
         Ok(Outcome::Begun(number))
     }
@@ -240,15 +273,25 @@
             return Err(refused);
         }
         // A coordinator begins its next change when the one before has ended: a late message must not begin it again.
-        let last = self.participations.get(&change.coordinator).map_or(Generation(0), |p| p.change.number);
+        let last = self
+            .participations
+            .get(&change.coordinator)
+            .map_or(Generation(0), |p| p.change.number);
         if change.number <= last {
             return Err(Refused::Moved);
         }
         let number = self.begin(revision, text, floors, Some(change.id))?;
         let role = Role::Participant { voted: false };
-        self.cross_region = Some(CrossRegion { change: change.clone(), role });
-        let participation = Participation { change: change.clone(), decision: Decision::Open };
-        self.participations.insert(change.coordinator.clone(), participation);
+        self.cross_region = Some(CrossRegion {
+            change: change.clone(),
+            role,
+        });
+        let participation = Participation {
+            change: change.clone(),
+            decision: Decision::Open,
+        };
+        self.participations
+            .insert(change.coordinator.clone(), participation);
         Ok(Outcome::Begun(number))
     }
 
@@ -265,8 +308,19 @@
         }
         self.last = Generation(self.last.0 + 1);
         self.texts.insert(self.last, text.to_owned());
-        self.changes.insert(self.last, Change { from: self.mode.old, ended: Ended::Open, id });
-        self.mode = Mode { revision: revision + 1, old: self.mode.old, new: self.last };
+        self.changes.insert(
+            self.last,
+            Change {
+                from: self.mode.old,
+                ended: Ended::Open,
+                id,
+            },
+        );
+        self.mode = Mode {
+            revision: revision + 1,
+            old: self.mode.old,
+            new: self.last,
+        };
         self.clear();
         Ok(self.last)
     }
@@ -283,9 +337,10 @@
     fn prepared(&mut self, revision: u64, region: &Region) -> Result<Outcome, Refused> {
         let now = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
-            Some(Role::Coordinator { participants, prepared })
-                if revision == now && participants.contains(region) =>
-            {
+            Some(Role::Coordinator {
+                participants,
+                prepared,
+            }) if revision == now && participants.contains(region) => {
                 prepared.insert(region.clone());
             }
             _ => return Err(Refused::Moved),
@@ -305,9 +360,14 @@
         if let Some(CrossRegion { change, role }) = &self.cross_region {
             match role {
                 Role::Participant { .. } => {
-                    return Err(Refused::AwaitsDecision { coordinator: change.coordinator.clone() })
+                    return Err(Refused::AwaitsDecision {
+                        coordinator: change.coordinator.clone(),
+                    })
                 }
-                Role::Coordinator { participants, prepared } if participants != prepared => {
+                Role::Coordinator {
+                    participants,
+                    prepared,
+                } if participants != prepared => {
                     return Err(Refused::NotPrepared {
                         regions: participants.difference(prepared).cloned().collect(),
                     })
@@ -325,18 +385,28 @@
 
     fn abort(&mut self, revision: u64, why: &str) -> Result<Outcome, Refused> {
         self.is_middle_of(revision)?;
-        if let Some(CrossRegion { change, role: Role::Participant { voted: true } }) = &self.cross_region {
-            return Err(Refused::AwaitsDecision { coordinator: change.coordinator.clone() });
+        if let Some(CrossRegion {
+            change,
+            role: Role::Participant { voted: true },
+        }) = &self.cross_region
+        {
+            return Err(Refused::AwaitsDecision {
+                coordinator: change.coordinator.clone(),
+            });
         }
-        self.settle(Ended::NotInForce { why: why.to_owned() });
+        self.settle(Ended::NotInForce {
+            why: why.to_owned(),
+        });
         Ok(Outcome::Done)
     }
 
     /// Takes in what the coordinator has decided. Only a participant that has voted can find itself committed.
     fn decided(&mut self, id: ChangeId, ended: Ended) -> Result<Outcome, Refused> {
         match &self.cross_region {
-            Some(CrossRegion { change, role: Role::Participant { voted } })
-                if change.id == id && (*voted || ended != Ended::InForce) => {}
+            Some(CrossRegion {
+                change,
+                role: Role::Participant { voted },
+            }) if change.id == id && (*voted || ended != Ended::InForce) => {}
             _ => return Err(Refused::Moved),
         }
         self.settle(ended);
@@ -344,7 +414,11 @@
     }
 
     fn acknowledged(&mut self, id: ChangeId, region: &Region) -> Result<Outcome, Refused> {
-        let Some(commit) = self.unacknowledged.as_mut().filter(|commit| commit.change.id == id) else {
+        let Some(commit) = self
+            .unacknowledged
+            .as_mut()
+            .filter(|commit| commit.change.id == id)
+        else {
             return Err(Refused::Moved);
         };
         commit.regions.remove(region);
@@ -360,12 +434,21 @@
         let in_force = ended == Ended::InForce;
         self.mode = Mode::settled(revision + 1, if in_force { new } else { old });
         self.note(new, ended);
-        let Some(CrossRegion { change, role: Role::Participant { .. } }) = self.cross_region.take() else {
+        let Some(CrossRegion {
+            change,
+            role: Role::Participant { .. },
+        }) = self.cross_region.take()
+        else {
             return;
         };
-        let decision = if in_force { Decision::InForce } else { Decision::NotInForce };
+        let decision = if in_force {
+            Decision::InForce
+        } else {
+            Decision::NotInForce
+        };
         let coordinator = change.coordinator.clone();
-        self.participations.insert(coordinator, Participation { change, decision });
+        self.participations
+            .insert(coordinator, Participation { change, decision });
     }
 
     /// Notes how a change has ended.
@@ -380,7 +463,11 @@
             return Err(Refused::Evicted);
         }
         let Mode { revision, old, .. } = self.mode;
-        self.standing.entry(identity.clone()).or_insert(Standing { cut_off, revision, floor: old });
+        self.standing.entry(identity.clone()).or_insert(Standing {
+            cut_off,
+            revision,
+            floor: old,
+        });
         Ok(Outcome::Done)
     }
 
@@ -388,7 +475,11 @@
         if revision != self.mode.revision {
             return Err(Refused::Moved);
         }
-        for (_, standing) in self.standing.iter_mut().filter(|(i, _)| proxies.contains(i)) {
+        for (_, standing) in self
+            .standing
+            .iter_mut()
+            .filter(|(i, _)| proxies.contains(i))
+        {
             (standing.revision, standing.floor) = (revision, self.mode.old);
         }
         self.clear();
@@ -407,7 +498,9 @@
         let Mode { old, new, .. } = self.mode;
         while self.texts.len() > KEPT {
             let gone = |g: &&Generation| !floors.contains(g) && **g != old && **g != new;
-            let Some(&gone) = self.texts.keys().find(gone) else { break };
+            let Some(&gone) = self.texts.keys().find(gone) else {
+                break;
+            };
             self.texts.remove(&gone);
         }
         while self.changes.len() > CHANGES_KEPT {
@@ -431,7 +524,10 @@
     }
 
     fn identity(name: &str) -> Identity {
-        Identity { name: name.to_owned(), incarnation: 1 }
+        Identity {
+            name: name.to_owned(),
+            incarnation: 1,
+        }
     }
 
     #[test]
@@ -441,12 +537,31 @@
         assert_eq!(publish(&mut record), Outcome::Begun(Generation(1)));
         assert_eq!(record.mode(), Some(Mode::settled(1, Generation(1))));
         assert_eq!(publish(&mut record), Outcome::Begun(Generation(2)));
-        assert_eq!(record.mode(), Some(Mode { revision: 2, old: Generation(1), new: Generation(2) }));
-        assert_eq!(publish(&mut record), Outcome::Refused(Refused::UnderWay(Generation(2))));
-        assert_eq!(record.apply(&Command::Advance { revision: 1 }), Outcome::Refused(Refused::Moved));
-        assert_eq!(record.apply(&Command::Advance { revision: 2 }), Outcome::Done);
+        assert_eq!(
+            record.mode(),
+            Some(Mode {
+                revision: 2,
+                old: Generation(1),
+                new: Generation(2)
+            })
+        );
+        assert_eq!(
+            publish(&mut record),
+            Outcome::Refused(Refused::UnderWay(Generation(2)))
+        );
+        assert_eq!(
+            record.apply(&Command::Advance { revision: 1 }),
+            Outcome::Refused(Refused::Moved)
+        );
+        assert_eq!(
+            record.apply(&Command::Advance { revision: 2 }),
+            Outcome::Done
+        );
         assert_eq!(record.mode(), Some(Mode::settled(3, Generation(2))));
-        let late = Command::Abort { revision: 2, why: String::new() };
+        let late = Command::Abort {
+            revision: 2,
+            why: String::new(),
+        };
         assert_eq!(record.apply(&late), Outcome::Refused(Refused::Moved));
     }
 
@@ -455,20 +570,34 @@
         let mut record = Record::default();
         publish(&mut record);
         publish(&mut record);
-        record.apply(&Command::Abort { revision: 2, why: "unread".to_owned() });
+        record.apply(&Command::Abort {
+            revision: 2,
+            why: "unread".to_owned(),
+        });
         assert_eq!(record.mode(), Some(Mode::settled(3, Generation(1))));
         assert_eq!(publish(&mut record), Outcome::Begun(Generation(3)));
-        assert_eq!(record.changes()[&Generation(2)].ended, Ended::NotInForce { why: "unread".to_owned() });
+        assert_eq!(
+            record.changes()[&Generation(2)].ended,
+            Ended::NotInForce {
+                why: "unread".to_owned()
+            }
+        );
     }
 
     #[test]
     fn a_floor_is_held_until_its_proxy_acts_under_a_later_one() {
         let mut record = Record::default();
         publish(&mut record);
-        record.apply(&Command::Register { identity: identity("n"), cut_off: CutOff::Narrow });
+        record.apply(&Command::Register {
+            identity: identity("n"),
+            cut_off: CutOff::Narrow,
+        });
         publish(&mut record);
         record.apply(&Command::Advance { revision: 2 });
-        assert_eq!(record.floors(), BTreeSet::from([Generation(1), Generation(2)]));
+        assert_eq!(
+            record.floors(),
+            BTreeSet::from([Generation(1), Generation(2)])
+        );
         let one_floor = Command::Publish {
             revision: 3,
             text: String::new(),
@@ -476,7 +605,10 @@
             all_regions: None,
         };
         assert_eq!(record.apply(&one_floor), Outcome::Refused(Refused::Moved));
-        record.apply(&Command::Acting { revision: 3, proxies: BTreeSet::from([identity("n")]) });
+        record.apply(&Command::Acting {
+            revision: 3,
+            proxies: BTreeSet::from([identity("n")]),
+        });
         assert_eq!(record.floors(), BTreeSet::from([Generation(2)]));
         assert_eq!(record.apply(&one_floor), Outcome::Begun(Generation(3)));
     }
@@ -484,9 +616,14 @@
     #[test]
     fn who_was_evicted_does_not_register_again() {
         let mut record = Record::default();
-        let register = Command::Register { identity: identity("n"), cut_off: CutOff::Keep };
+        let register = Command::Register {
+            identity: identity("n"),
+            cut_off: CutOff::Keep,
+        };
         assert_eq!(record.apply(&register), Outcome::Done);
-        record.apply(&Command::Evict { identity: identity("n") });
+        record.apply(&Command::Evict {
+            identity: identity("n"),
+        });
         assert!(record.standing().is_empty());
         assert_eq!(record.apply(&register), Outcome::Refused(Refused::Evicted));
     }
@@ -495,10 +632,15 @@
     fn texts_are_bounded_and_those_of_floors_stay() {
         let mut record = Record::default();
         publish(&mut record);
-        record.apply(&Command::Register { identity: identity("n"), cut_off: CutOff::Narrow });
+        record.apply(&Command::Register {
+            identity: identity("n"),
+            cut_off: CutOff::Narrow,
+        });
         for _ in 0..3 * KEPT {
             publish(&mut record);
-            record.apply(&Command::Advance { revision: record.revision() });
+            record.apply(&Command::Advance {
+                revision: record.revision(),
+            });
         }
         assert!(record.text(Generation(1)).is_some());
         assert!(record.text(Generation(2)).is_none());
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -58,11 +58,14 @@
     type Err = InvalidRegion;
 
     fn from_str(name: &str) -> Result<Self, InvalidRegion> {
-        let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
+        let allowed =
+            |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
         let begins = name.starts_with(|c: char| c.is_ascii_lowercase());
         match begins && name.len() <= REGION_NAME_MOST && name.chars().all(allowed) {
             true => Ok(Region(name.to_owned())),
-            false => Err(InvalidRegion { found: name.to_owned() }),
+            false => Err(InvalidRegion {
+                found: name.to_owned(),
+            }),
         }
     }
 }
@@ -97,7 +100,11 @@
 /// Regions for people.
 pub(crate) fn listed(regions: &BTreeSet<Region>) -> String {
     let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
-    let noun = if names.len() == 1 { "region" } else { "regions" };
+    let noun = if names.len() == 1 {
+        "region"
+    } else {
+        "regions"
+    };
     format!("{noun} {}", names.join(", "))
 }
 
@@ -127,7 +134,9 @@
 
     /// The region that coordinates every change of all regions: the first by name.
     pub fn coordinator(&self) -> &Region {
-        self.others.first().map_or(&self.own, |first| first.min(&self.own))
+        self.others
+            .first()
+            .map_or(&self.own, |first| first.min(&self.own))
     }
 
     /// Does this region coordinate the changes of all regions?
@@ -217,9 +226,10 @@
     /// The regions whose word this region waits for.
     pub fn waits_for(&self) -> BTreeSet<Region> {
         match &self.role {
-            Role::Coordinator { participants, prepared } => {
-                participants.difference(prepared).cloned().collect()
-            }
+            Role::Coordinator {
+                participants,
+                prepared,
+            } => participants.difference(prepared).cloned().collect(),
             Role::Participant { .. } => BTreeSet::from([self.change.coordinator.clone()]),
         }
     }
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -9,22 +9,47 @@
 /// What has to go out, again and again at a pace that the caller sets, to each region until its answer makes it
 /// unnecessary. Empty in a region that coordinates nothing.
 pub fn requests(record: &Record) -> Vec<(Region, Request)> {
-    prepares(record).into_iter().chain(commits(record)).collect()
+    prepares(record)
+        .into_iter()
+        .chain(commits(record))
+        .collect()
 }
 
 fn prepares(record: &Record) -> Vec<(Region, Request)> {
-    let Some(cross @ CrossRegion { change, role: Role::Coordinator { .. } }) = record.cross_region() else {
+    let Some(
+        cross @ CrossRegion {
+            change,
+            role: Role::Coordinator { .. },
+        },
+    ) = record.cross_region()
+    else {
         return Vec::new();
     };
-    let Some(text) = record.text(change.number) else { return Vec::new() };
-    let prepare = || Prepare { change: change.clone(), text: text.to_owned() };
-    cross.waits_for().into_iter().map(|region| (region, Request::Prepare(prepare()))).collect()
+    let Some(text) = record.text(change.number) else {
+        return Vec::new();
+    };
+    let prepare = || Prepare {
+        change: change.clone(),
+        text: text.to_owned(),
+    };
+    cross
+        .waits_for()
+        .into_iter()
+        .map(|region| (region, Request::Prepare(prepare())))
+        .collect()
 }
 
 fn commits(record: &Record) -> Vec<(Region, Request)> {
-    let Some(Unacknowledged { change, regions }) = record.unacknowledged() else { return Vec::new() };
-    let commit = || Commit { change: change.clone() };
-    regions.iter().map(|region| (region.clone(), Request::Commit(commit()))).collect()
+    let Some(Unacknowledged { change, regions }) = record.unacknowledged() else {
+        return Vec::new();
+    };
+    let commit = || Commit {
+        change: change.clone(),
+    };
+    regions
+        .iter()
+        .map(|region| (region.clone(), Request::Commit(commit())))
+        .collect()
 }
 
 /// What to log when `region` has answered. `None`: nothing, as for an answer that is late, doubled or not final.
@@ -32,22 +57,38 @@
     match &reply.vote {
         Vote::Preparing => None,
         Vote::Prepared => prepared(record, region, reply),
-        Vote::Refused { why } => give_up(record, region, reply, format!("region {region} refuses it: {why}")),
-        Vote::NotInForce => give_up(record, region, reply, format!("region {region} has given it up")),
+        Vote::Refused { why } => give_up(
+            record,
+            region,
+            reply,
+            format!("region {region} refuses it: {why}"),
+        ),
+        Vote::NotInForce => give_up(
+            record,
+            region,
+            reply,
+            format!("region {region} has given it up"),
+        ),
         Vote::InForce => acknowledged(record, region, reply),
     }
 }
 
 /// The revision of the middle that still waits for the vote of `region`.
 fn waiting(record: &Record, region: &Region, reply: &VoteReply) -> Option<u64> {
-    let cross = record.cross_region().filter(|cross| cross.change.id == reply.id)?;
-    let waits = matches!(cross.role, Role::Coordinator { .. }) && cross.waits_for().contains(region);
+    let cross = record
+        .cross_region()
+        .filter(|cross| cross.change.id == reply.id)?;
+    let waits =
+        matches!(cross.role, Role::Coordinator { .. }) && cross.waits_for().contains(region);
     waits.then(|| record.revision())
 }
 
 fn prepared(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     let revision = waiting(record, region, reply)?;
-    Some(Command::Prepared { revision, region: region.clone() })
+    Some(Command::Prepared {
+        revision,
+        region: region.clone(),
+    })
 }
 
 fn give_up(record: &Record, region: &Region, reply: &VoteReply, why: String) -> Option<Command> {
@@ -56,9 +97,14 @@
 }
 
 fn acknowledged(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
-    let commit = record.unacknowledged().filter(|commit| commit.change.id == reply.id)?;
+    let commit = record
+        .unacknowledged()
+        .filter(|commit| commit.change.id == reply.id)?;
     let waits = commit.regions.contains(region);
-    waits.then(|| Command::Acknowledged { id: reply.id, region: region.clone() })
+    waits.then(|| Command::Acknowledged {
+        id: reply.id,
+        region: region.clone(),
+    })
 }
 
 /// What a participant is told that asks for the outcome. The caller has to confirm, after the question came in, that it
@@ -67,15 +113,22 @@
 /// Only a region that waits for a commit is told of it. One that has acknowledged it holds it in its log, and a middle
 /// that it might be in has begun by a late message.
 pub fn outcome(record: &Record, asked: &OutcomeAsked) -> OutcomeReply {
-    OutcomeReply { id: asked.id, decision: decision(record, asked) }
+    OutcomeReply {
+        id: asked.id,
+        decision: decision(record, asked),
+    }
 }
 
 fn decision(record: &Record, asked: &OutcomeAsked) -> Decision {
-    if record.cross_region().is_some_and(|cross| cross.change.id == asked.id) {
+    if record
+        .cross_region()
+        .is_some_and(|cross| cross.change.id == asked.id)
+    {
         return Decision::Open;
     }
-    let waits =
-        |commit: &Unacknowledged| commit.change.id == asked.id && commit.regions.contains(&asked.region);
+    let waits = |commit: &Unacknowledged| {
+        commit.change.id == asked.id && commit.regions.contains(&asked.region)
+    };
     match record.unacknowledged().is_some_and(waits) {
         true => Decision::InForce,
         false => Decision::NotInForce,
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -1,8 +1,8 @@
 //! A participant of a change of all regions: what it answers, logs and asks, as its record stands.
 
 use super::{
-    ChangeRef, Commit, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare, Regions, Role, Vote,
-    VoteReply,
+    ChangeRef, Commit, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare, Regions, Role,
+    Vote, VoteReply,
 };
 use crate::{Command, Generation, Outcome, Record, Refused};
 use std::collections::BTreeSet;
@@ -66,7 +66,9 @@
     let (own, coordinator) = (regions.own(), regions.coordinator());
     if &change.coordinator != coordinator || coordinator == own {
         let found = &change.coordinator;
-        return Some(format!("it comes from region {found}; for region {own} {coordinator} coordinates"));
+        return Some(format!(
+            "it comes from region {found}; for region {own} {coordinator} coordinates"
+        ));
     }
     let middle = record.middle()?;
     Some(format!("the change to {} is under way there", middle.new))
@@ -76,9 +78,10 @@
 pub fn begun(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
     match outcome {
         Outcome::Begun(_) | Outcome::Done => reply(change, Vote::Preparing),
-        Outcome::Refused(Refused::UnderWay(generation)) => {
-            refused(change, format!("the change to {generation} is under way there"))
-        }
+        Outcome::Refused(Refused::UnderWay(generation)) => refused(
+            change,
+            format!("the change to {generation} is under way there"),
+        ),
         // Another message may have been faster; the next one finds out.
         Outcome::Refused(_) => reply(change, Vote::Preparing),
     }
@@ -92,28 +95,45 @@
 /// A [`Commit`] has come in.
 pub fn on_commit(record: &Record, commit: &Commit) -> OnCommit {
     match known(record, &commit.change) {
-        Some(Vote::Prepared) => OnCommit::Log(Command::Committed { id: commit.change.id }),
+        Some(Vote::Prepared) => OnCommit::Log(Command::Committed {
+            id: commit.change.id,
+        }),
         _ => OnCommit::Reply(standing(record, &commit.change)),
     }
 }
 
 /// How a change stands here.
 pub fn standing(record: &Record, change: &ChangeRef) -> VoteReply {
-    let unknown = || Vote::Refused { why: "it is not known there".to_owned() };
+    let unknown = || Vote::Refused {
+        why: "it is not known there".to_owned(),
+    };
     reply(change, known(record, change).unwrap_or_else(unknown))
 }
 
 /// The question for the outcome, to be sent again and again to the coordinator while a change of all regions is under
 /// way here.
 pub fn inquiry(record: &Record, regions: &Regions) -> Option<(super::Region, OutcomeAsked)> {
-    let CrossRegion { change, role: Role::Participant { .. } } = record.cross_region()? else { return None };
-    let asked = OutcomeAsked { id: change.id, region: regions.own().clone() };
+    let CrossRegion {
+        change,
+        role: Role::Participant { .. },
+    } = record.cross_region()?
+    else {
+        return None;
+    };
+    let asked = OutcomeAsked {
+        id: change.id,
+        region: regions.own().clone(),
+    };
     Some((change.coordinator.clone(), asked))
 }
 
 /// What to log when the coordinator has answered. `None`: nothing.
 pub fn on_outcome(record: &Record, reply: &OutcomeReply) -> Option<Command> {
-    let CrossRegion { change, role: Role::Participant { voted } } = record.cross_region()? else {
+    let CrossRegion {
+        change,
+        role: Role::Participant { voted },
+    } = record.cross_region()?
+    else {
         return None;
     };
     let id = change.id;
@@ -127,7 +147,10 @@
 }
 
 fn reply(change: &ChangeRef, vote: Vote) -> VoteReply {
-    VoteReply { id: change.id, vote }
+    VoteReply {
+        id: change.id,
+        vote,
+    }
 }
 
 /// How a change stands here, if it was ever taken in or a later one of its coordinator was.
@@ -146,5 +169,11 @@
 }
 
 fn voted(record: &Record) -> bool {
-    matches!(record.cross_region(), Some(CrossRegion { role: Role::Participant { voted: true }, .. }))
+    matches!(
+        record.cross_region(),
+        Some(CrossRegion {
+            role: Role::Participant { voted: true },
+            ..
+        })
+    )
 }
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/steps.rs
@@ -26,7 +26,10 @@
     let Some(middle) = record.middle() else {
         // Whose floors are held is brought up to date together, when most have moved.
         let most = behind.len() * 2 > record.standing().len();
-        return most.then(|| Command::Acting { revision: record.revision(), proxies: behind });
+        return most.then(|| Command::Acting {
+            revision: record.revision(),
+            proxies: behind,
+        });
     };
     let revision = middle.revision;
     if may_abort(record) {
@@ -38,7 +41,10 @@
         return None;
     }
     if !behind.is_empty() {
-        return Some(Command::Acting { revision, proxies: behind });
+        return Some(Command::Acting {
+            revision,
+            proxies: behind,
+        });
     }
     prepared_step(record, middle)
 }
@@ -48,9 +54,10 @@
     let revision = middle.revision;
     match record.cross_region().map(|cross| &cross.role) {
         None => Some(Command::Advance { revision }),
-        Some(Role::Coordinator { participants, prepared }) => {
-            (participants == prepared).then_some(Command::Advance { revision })
-        }
+        Some(Role::Coordinator {
+            participants,
+            prepared,
+        }) => (participants == prepared).then_some(Command::Advance { revision }),
         Some(Role::Participant { voted: false }) => Some(Command::Vote { revision }),
         Some(Role::Participant { voted: true }) => None,
     }
@@ -58,7 +65,13 @@
 
 /// A participant that has voted has given that right away.
 fn may_abort(record: &Record) -> bool {
-    !matches!(record.cross_region(), Some(CrossRegion { role: Role::Participant { voted: true }, .. }))
+    !matches!(
+        record.cross_region(),
+        Some(CrossRegion {
+            role: Role::Participant { voted: true },
+            ..
+        })
+    )
 }
 
 /// Why the change has to be given up, if it has.
@@ -74,13 +87,23 @@
     }
     let missing = missing_votes(record);
     if elapsed > limits.regions_wait && !missing.is_empty() {
-        return Some(format!("not in force in time; no vote of {}", listed(&missing)));
+        return Some(format!(
+            "not in force in time; no vote of {}",
+            listed(&missing)
+        ));
     }
     let blockers = leases.blockers(now, record);
     if elapsed > limits.wait && !blockers.is_empty() {
-        let named = |b: &Blocker| b.identity.as_ref().map_or("any".to_owned(), ToString::to_string);
+        let named = |b: &Blocker| {
+            b.identity
+                .as_ref()
+                .map_or("any".to_owned(), ToString::to_string)
+        };
         let names: Vec<String> = blockers.iter().map(named).collect();
-        return Some(format!("not in force in time; held up by {}", names.join(", ")));
+        return Some(format!(
+            "not in force in time; held up by {}",
+            names.join(", ")
+        ));
     }
     None
 }
@@ -88,7 +111,12 @@
 /// The regions whose votes a coordinator waits for.
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
-        Some(cross @ CrossRegion { role: Role::Coordinator { .. }, .. }) => cross.waits_for(),
+        Some(
+            cross @ CrossRegion {
+                role: Role::Coordinator { .. },
+                ..
+            },
+        ) => cross.waits_for(),
         _ => BTreeSet::new(),
     }
 }
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/exhaustive.rs
@@ -4,8 +4,8 @@
 //! used in a wrong way: each must be found.
 
 use badgerramp_policy::{
-    Admission, Ask, Begun, Command, CutOff, Ended, Generation, Grant, Holder, HolderTerms, Identity, Judge,
-    LeaseTerms, Leases, Lent, Mode, Outcome, Record,
+    Admission, Ask, Begun, Command, CutOff, Ended, Generation, Grant, Holder, HolderTerms,
+    Identity, Judge, LeaseTerms, Leases, Lent, Mode, Outcome, Record,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -115,29 +115,51 @@
 }
 
 fn identity(place: usize, incarnation: u64) -> Identity {
-    Identity { name: format!("p{place}"), incarnation }
+    Identity {
+        name: format!("p{place}"),
+        incarnation,
+    }
 }
 
 impl World {
     fn holder(&self, place: usize, incarnation: u64) -> Holder {
         // Texts are no matter here: all of them are there.
         let has = (0..4).map(Generation).collect();
-        let terms = HolderTerms { cut_off: self.proxies[place], answer_within: ANSWER, pause: 1 };
+        let terms = HolderTerms {
+            cut_off: self.proxies[place],
+            answer_within: ANSWER,
+            pause: 1,
+        };
         Holder::new(identity(place, incarnation), terms, has)
     }
 
     fn terms(&self) -> LeaseTerms {
-        let drift = if self.mutant == Some(Mutant::NoDrift) { 0 } else { DRIFT };
-        LeaseTerms { lease: self.lease, drift }
+        let drift = if self.mutant == Some(Mutant::NoDrift) {
+            0
+        } else {
+            DRIFT
+        };
+        LeaseTerms {
+            lease: self.lease,
+            drift,
+        }
     }
 
     fn first(&self) -> State {
         let mut record = Record::default();
         let floors = BTreeSet::new();
-        record.apply(&Command::Publish { revision: 0, text: String::new(), floors, all_regions: None });
+        record.apply(&Command::Publish {
+            revision: 0,
+            text: String::new(),
+            floors,
+            all_regions: None,
+        });
         for (place, &cut_off) in self.proxies.iter().enumerate() {
             if cut_off != CutOff::Refuse {
-                record.apply(&Command::Register { identity: identity(place, 1), cut_off });
+                record.apply(&Command::Register {
+                    identity: identity(place, 1),
+                    cut_off,
+                });
             }
         }
         let now = self.lease + DRIFT;
@@ -147,7 +169,9 @@
             // It has led for long.
             leases: Leases::elected(self.terms(), 0),
             deposed: None,
-            holders: (0..self.proxies.len()).map(|place| self.holder(place, 1)).collect(),
+            holders: (0..self.proxies.len())
+                .map(|place| self.holder(place, 1))
+                .collect(),
             behind: vec![(0, 0); self.proxies.len()],
             asked: vec![0; self.proxies.len()],
             questions: Vec::new(),
@@ -173,7 +197,9 @@
         let asked = &state.asked;
         if !self.is(Mutant::AnyAnswer) {
             let out = |p: usize| state.holders[p].gives_up().is_some();
-            state.answers.retain(|(p, grant)| grant.number == asked[*p] && out(*p));
+            state
+                .answers
+                .retain(|(p, grant)| grant.number == asked[*p] && out(*p));
         }
         state.leases.sweep(state.now);
         state.holders.iter_mut().for_each(|h| h.news(0));
@@ -184,12 +210,18 @@
     }
 
     fn may_advance(&self, state: &State) -> bool {
-        let Some(mode) = state.record.mode().filter(|m| m.is_middle()) else { return false };
+        let Some(mode) = state.record.mode().filter(|m| m.is_middle()) else {
+            return false;
+        };
         let forgotten = |b: &badgerramp_policy::Blocker| {
             self.is(Mutant::KeeperForgotten) && b.why == badgerramp_policy::Why::Keeps
         };
         self.is(Mutant::AdvanceEarly)
-            || (state.leases.blockers(state.now, &state.record).iter().all(forgotten)
+            || (state
+                .leases
+                .blockers(state.now, &state.record)
+                .iter()
+                .all(forgotten)
                 && state.leases.unread(mode).is_none())
     }
 
@@ -203,11 +235,18 @@
                 .filter(|&p| p != place)
                 .for_each(|p| state.leases.leaves(&identity(p, 1)));
         }
-        let deposed = state.deposed.iter_mut().filter(|_| self.is(Mutant::DeposedAnswers));
-        let leaders = deposed.map(|(l, r)| (l, &*r)).chain([(&mut state.leases, &state.record)]);
+        let deposed = state
+            .deposed
+            .iter_mut()
+            .filter(|_| self.is(Mutant::DeposedAnswers));
+        let leaders = deposed
+            .map(|(l, r)| (l, &*r))
+            .chain([(&mut state.leases, &state.record)]);
         for (leases, record) in leaders {
             let before = leases.clone();
-            let Lent::Grant(grant) = leases.lend(state.now, record, &ask) else { continue };
+            let Lent::Grant(grant) = leases.lend(state.now, record, &ask) else {
+                continue;
+            };
             if self.is(Mutant::NotedLate) && ask.acting != grant.mode.revision {
                 *leases = before;
             }
@@ -216,7 +255,9 @@
                 state.answers.push(answer);
             }
         }
-        state.answers.sort_by_key(|(place, grant)| (*place, grant.number, grant.mode.revision));
+        state
+            .answers
+            .sort_by_key(|(place, grant)| (*place, grant.number, grant.mode.revision));
     }
 
     fn answer(&self, state: &mut State, place: usize, mut grant: Grant) {
@@ -225,7 +266,10 @@
         if self.is(Mutant::AnyAnswer) {
             grant.number = state.asked[place];
         }
-        if let Some(gives_up) = holder.gives_up().filter(|_| self.is(Mutant::LeaseFromReceipt)) {
+        if let Some(gives_up) = holder
+            .gives_up()
+            .filter(|_| self.is(Mutant::LeaseFromReceipt))
+        {
             grant.lease += clock - (gives_up - ANSWER);
         }
         holder.answered(clock, grant);
@@ -243,11 +287,21 @@
             let clock = state.now - state.behind[place].0;
             let ask = anew.ask(clock);
             state.asked[place] = ask.number;
-            anew.answered(clock, Grant { number: ask.number, mode, lease: self.lease });
+            anew.answered(
+                clock,
+                Grant {
+                    number: ask.number,
+                    mode,
+                    lease: self.lease,
+                },
+            );
         }
         if self.proxies[place] != CutOff::Refuse {
             let identity = identity(place, incarnation);
-            state.record.apply(&Command::Register { identity, cut_off: self.proxies[place] });
+            state.record.apply(&Command::Register {
+                identity,
+                cut_off: self.proxies[place],
+            });
         }
         state.holders[place] = anew;
     }
@@ -272,8 +326,13 @@
         if self.is(Mutant::AbortLate) {
             state.before = Some(state.record.clone());
         }
-        let Some(mode) = state.record.mode() else { return };
-        if state.record.apply(&Command::Advance { revision: mode.revision }) == Outcome::Done {
+        let Some(mode) = state.record.mode() else {
+            return;
+        };
+        if state.record.apply(&Command::Advance {
+            revision: mode.revision,
+        }) == Outcome::Done
+        {
             state.judge.in_force(mode.new);
         }
     }
@@ -282,12 +341,21 @@
         if let Some(before) = state.before.clone().filter(|_| self.is(Mutant::AbortLate)) {
             state.record = before;
         }
-        let Some(mode) = state.record.mode() else { return };
-        let command = Command::Abort { revision: mode.revision, why: String::new() };
+        let Some(mode) = state.record.mode() else {
+            return;
+        };
+        let command = Command::Abort {
+            revision: mode.revision,
+            why: String::new(),
+        };
         if state.record.apply(&command) == Outcome::Done && !state.judge.not_in_force(mode.new) {
             state.fault = Some("a generation came to nothing under which calls had begun");
         }
-        if let Some(before) = state.before.clone().filter(|_| self.is(Mutant::NumberAgain)) {
+        if let Some(before) = state
+            .before
+            .clone()
+            .filter(|_| self.is(Mutant::NumberAgain))
+        {
             state.record = before;
         }
     }
@@ -297,7 +365,10 @@
         for place in 0..state.holders.len() {
             let clock = state.now - state.behind[place].0;
             if let Admission::Under(mode) = state.holders[place].admission(clock) {
-                let begun = Begun { identity: identity(place, 0), mode };
+                let begun = Begun {
+                    identity: identity(place, 0),
+                    mode,
+                };
                 if state.judge.begun(&begun).is_some() && state.fault.is_none() {
                     state.fault = Some("a call began that must not");
                 }
@@ -308,9 +379,18 @@
     /// With no faults any more, and an operator who evicts what is dead, a change ends within a lease and two rounds.
     fn ends(&self, state: &State) -> bool {
         let mut state = state.clone();
-        let alive: Vec<Identity> = state.holders.iter_mut().map(|h| h.ask(0).identity).collect();
-        let dead: Vec<Identity> =
-            state.record.standing().keys().filter(|i| !alive.contains(i)).cloned().collect();
+        let alive: Vec<Identity> = state
+            .holders
+            .iter_mut()
+            .map(|h| h.ask(0).identity)
+            .collect();
+        let dead: Vec<Identity> = state
+            .record
+            .standing()
+            .keys()
+            .filter(|i| !alive.contains(i))
+            .cloned()
+            .collect();
         for identity in dead {
             state.record.apply(&Command::Evict { identity });
         }
@@ -351,10 +431,23 @@
             steps.push(Step::Tick(None));
             // A clock falls behind by no more than is allowed for over one lease.
             let may = |&p: &usize| state.now >= state.behind[p].1 + self.lease + DRIFT;
-            steps.extend((0..self.proxies.len()).filter(may).map(|p| Step::Tick(Some(p))));
+            steps.extend(
+                (0..self.proxies.len())
+                    .filter(may)
+                    .map(|p| Step::Tick(Some(p))),
+            );
         }
-        steps.extend((0..self.proxies.len()).filter(|&p| state.asked[p] < self.questions).map(Step::Asks));
-        steps.extend(state.questions.iter().map(|(p, ask)| Step::Question(*p, ask.number)));
+        steps.extend(
+            (0..self.proxies.len())
+                .filter(|&p| state.asked[p] < self.questions)
+                .map(Step::Asks),
+        );
+        steps.extend(
+            state
+                .questions
+                .iter()
+                .map(|(p, ask)| Step::Question(*p, ask.number)),
+        );
         steps.extend((0..state.answers.len()).map(Step::Answer));
         if state.left.0 > 0 && !middle {
             steps.push(Step::Publishes);
@@ -388,7 +481,10 @@
                 state.questions.push((place, ask));
             }
             Step::Question(place, number) => {
-                let found = state.questions.iter().find(|(p, ask)| (*p, ask.number) == (place, number));
+                let found = state
+                    .questions
+                    .iter()
+                    .find(|(p, ask)| (*p, ask.number) == (place, number));
                 let ask = found?.1.clone();
                 self.question(&mut state, place, &ask);
             }
@@ -412,8 +508,13 @@
             }
             Step::Elects => {
                 state.left.2 -= 1;
-                let since = if self.is(Mutant::NoWaitAfterElection) { 0 } else { state.now };
-                let leases = std::mem::replace(&mut state.leases, Leases::elected(self.terms(), since));
+                let since = if self.is(Mutant::NoWaitAfterElection) {
+                    0
+                } else {
+                    state.now
+                };
+                let leases =
+                    std::mem::replace(&mut state.leases, Leases::elected(self.terms(), since));
                 state.deposed = Some((leases, state.record.clone()));
             }
         }
@@ -424,12 +525,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never mixed, everywhere or nowhere", |_, s: &State| s.fault.is_none()),
+            Property::always("never mixed, everywhere or nowhere", |_, s: &State| {
+                s.fault.is_none()
+            }),
             Property::always("a change ends once faults end", |w: &World, s: &State| {
                 w.mutant.is_some() || s.fault.is_some() || w.ends(s)
             }),
             Property::sometimes("a change comes into force", |_, s: &State| {
-                s.record.changes().values().filter(|c| c.ended == Ended::InForce).count() > 1
+                s.record
+                    .changes()
+                    .values()
+                    .filter(|c| c.ended == Ended::InForce)
+                    .count()
+                    > 1
             }),
         ]
     }
@@ -454,20 +562,82 @@
     use CutOff::{Keep, Refuse};
     let two = world(&[Refuse, Refuse]);
     vec![
-        ("one proxy", World { questions: 4, ..world(&[Refuse]) }, 40),
-        ("one proxy, an election", World { elections: 1, ..world(&[Refuse]) }, 40),
-        ("one proxy, a crash", World { crashes: 1, ..world(&[Refuse]) }, 40),
-        ("one that keeps, a crash", World { crashes: 1, ..world(&[Keep]) }, 40),
+        (
+            "one proxy",
+            World {
+                questions: 4,
+                ..world(&[Refuse])
+            },
+            40,
+        ),
+        (
+            "one proxy, an election",
+            World {
+                elections: 1,
+                ..world(&[Refuse])
+            },
+            40,
+        ),
+        (
+            "one proxy, a crash",
+            World {
+                crashes: 1,
+                ..world(&[Refuse])
+            },
+            40,
+        ),
+        (
+            "one that keeps, a crash",
+            World {
+                crashes: 1,
+                ..world(&[Keep])
+            },
+            40,
+        ),
         (
             "one proxy, changes given up",
-            World { publishes: 2, aborts: 1, questions: 4, ..world(&[Refuse]) },
+            World {
+                publishes: 2,
+                aborts: 1,
+                questions: 4,
+                ..world(&[Refuse])
+            },
             40,
         ),
         ("two proxies", World { ..two.clone() }, 9),
-        ("an election", World { elections: 1, ..two.clone() }, 8),
-        ("a crash", World { crashes: 1, ..two.clone() }, 8),
-        ("two changes, one given up", World { publishes: 2, aborts: 1, ..two.clone() }, 8),
-        ("one that keeps", World { crashes: 1, ..world(&[Keep, Refuse]) }, 8),
+        (
+            "an election",
+            World {
+                elections: 1,
+                ..two.clone()
+            },
+            8,
+        ),
+        (
+            "a crash",
+            World {
+                crashes: 1,
+                ..two.clone()
+            },
+            8,
+        ),
+        (
+            "two changes, one given up",
+            World {
+                publishes: 2,
+                aborts: 1,
+                ..two.clone()
+            },
+            8,
+        ),
+        (
+            "one that keeps",
+            World {
+                crashes: 1,
+                ..world(&[Keep, Refuse])
+            },
+            8,
+        ),
         ("three proxies", world(&[Refuse, Refuse, Refuse]), 7),
     ]
 }
@@ -479,11 +649,22 @@
 #[test]
 fn in_small_worlds_every_order_keeps_the_properties() {
     // For a longer look: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test exhaustive
-    let deeper = std::env::var("POLICY_DEEPER").ok().and_then(|d| d.parse().ok()).unwrap_or(0);
+    let deeper = std::env::var("POLICY_DEEPER")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(0);
     for (name, world, depth) in worlds() {
         let depth = depth + deeper;
-        let checker = world.checker().threads(threads()).target_max_depth(depth).spawn_bfs().join();
-        println!("{name}: {} states to depth {depth}", checker.unique_state_count());
+        let checker = world
+            .checker()
+            .threads(threads())
+            .target_max_depth(depth)
+            .spawn_bfs()
+            .join();
+        println!(
+            "{name}: {} states to depth {depth}",
+            checker.unique_state_count()
+        );
         checker.assert_no_discovery("never mixed, everywhere or nowhere");
         checker.assert_no_discovery("a change ends once faults end");
         if depth >= 40 {
@@ -496,20 +677,47 @@
 fn each_wrong_way_is_found() {
     for mutant in ALL {
         use CutOff::{Keep, Refuse};
-        let one = World { mutant: Some(mutant), ..world(&[Refuse]) };
+        let one = World {
+            mutant: Some(mutant),
+            ..world(&[Refuse])
+        };
         let world = match mutant {
-            Mutant::NoWaitAfterElection | Mutant::DeposedAnswers => World { elections: 1, ..one },
+            Mutant::NoWaitAfterElection | Mutant::DeposedAnswers => World {
+                elections: 1,
+                ..one
+            },
             Mutant::DiskIsLicence => World { crashes: 1, ..one },
             Mutant::AbortLate => World { aborts: 1, ..one },
-            Mutant::NumberAgain => World { aborts: 1, publishes: 2, ..one },
-            Mutant::KeeperForgotten => World { proxies: vec![Keep], ..one },
-            Mutant::TwinClears => World { proxies: vec![Refuse, Refuse], questions: 2, until: 6, ..one },
+            Mutant::NumberAgain => World {
+                aborts: 1,
+                publishes: 2,
+                ..one
+            },
+            Mutant::KeeperForgotten => World {
+                proxies: vec![Keep],
+                ..one
+            },
+            Mutant::TwinClears => World {
+                proxies: vec![Refuse, Refuse],
+                questions: 2,
+                until: 6,
+                ..one
+            },
             _ => one,
         };
-        let checker = world.checker().threads(threads()).target_max_depth(14).spawn_bfs().join();
+        let checker = world
+            .checker()
+            .threads(threads())
+            .target_max_depth(14)
+            .spawn_bfs()
+            .join();
         let found = checker.discovery("never mixed, everywhere or nowhere");
         let steps = found.map(|path| path.into_actions());
-        println!("{mutant:?}: {} states, {:?}", checker.unique_state_count(), steps);
+        println!(
+            "{mutant:?}: {} states, {:?}",
+            checker.unique_state_count(),
+            steps
+        );
         assert!(steps.is_some(), "{mutant:?} is not found");
     }
 }
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -13,7 +13,11 @@
 }
 
 fn hedge() -> impl Strategy<Value = Hedge> {
-    prop_oneof![Just(Hedge::Auto), Just(Hedge::Never), (1..3u64).prop_map(Hedge::After)]
+    prop_oneof![
+        Just(Hedge::Auto),
+        Just(Hedge::Never),
+        (1..3u64).prop_map(Hedge::After)
+    ]
 }
 
 prop_compose! {
@@ -100,10 +104,16 @@
 }
 
 fn answers() -> impl Strategy<Value = Answers> {
-    let statuses = prop::collection::vec(prop_oneof![Just(200), Just(201), Just(503), Just(504)], 0..4);
-    let header = prop_oneof![Just(None), Just(Some((HeaderName::from_static("x-n"), None)))];
-    let proof =
-        (prop_oneof![Just(503), Just(504)], header).prop_map(|(status, header)| Proof { status, header });
+    let statuses = prop::collection::vec(
+        prop_oneof![Just(200), Just(201), Just(503), Just(504)],
+        0..4,
+    );
+    let header = prop_oneof![
+        Just(None),
+        Just(Some((HeaderName::from_static("x-n"), None)))
+    ];
+    let proof = (prop_oneof![Just(503), Just(504)], header)
+        .prop_map(|(status, header)| Proof { status, header });
     (statuses, prop::collection::vec(proof, 0..3)).prop_map(|(statuses, never_ran)| {
         let mut served = StatusSet::default();
         statuses.into_iter().for_each(|s| served.insert(s, s));
@@ -114,7 +124,14 @@
 #[test]
 fn what_only_one_takes_is_turned_away_with_the_reason() {
     let terms = Terms::default();
-    let call = Call { repeat: Repeat::Free, key: Key::None, time: 1, terms, connect: 1, body: 1 };
+    let call = Call {
+        repeat: Repeat::Free,
+        key: Key::None,
+        time: 1,
+        terms,
+        connect: 1,
+        body: 1,
+    };
     assert_eq!(meet(Some(&call), None), Err(Unlike::OnlyOld));
     assert_eq!(meet(None, Some(&call)), Err(Unlike::OnlyNew));
     assert_eq!(meet(None, None), Ok(None));
@@ -122,11 +139,24 @@
 
 #[test]
 fn keyed_and_unsafe_meet_in_unsafe() {
-    let guarded = Repeat::Guarded { scope: Scope::All, window: 3 };
+    let guarded = Repeat::Guarded {
+        scope: Scope::All,
+        window: 3,
+    };
     let terms = Terms::default();
-    let keyed =
-        Call { repeat: guarded, key: Key::Value("k".to_owned()), time: 1, terms, connect: 1, body: 1 };
-    let unsafe_ = Call { repeat: Repeat::SingleShot, key: Key::None, ..keyed.clone() };
+    let keyed = Call {
+        repeat: guarded,
+        key: Key::Value("k".to_owned()),
+        time: 1,
+        terms,
+        connect: 1,
+        body: 1,
+    };
+    let unsafe_ = Call {
+        repeat: Repeat::SingleShot,
+        key: Key::None,
+        ..keyed.clone()
+    };
     let side = |old, new| meet(Some(old), Some(new)).expect("both").map(|m| m.class);
     assert_eq!(side(&keyed, &unsafe_), Some(Side::New));
     assert_eq!(side(&unsafe_, &keyed), Some(Side::Old));
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -3,18 +3,24 @@
 
 use badgerramp_policy::regions::participant::{self, OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    coordinator, AllRegions, ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare,
-    Region, Regions, Request, Role, Scope, Vote, VoteReply,
+    coordinator, AllRegions, ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply,
+    Prepare, Region, Regions, Request, Role, Scope, Vote, VoteReply,
 };
 use badgerramp_policy::{
-    next_command, Ask, Command, CutOff, Ended, Generation, Identity, LeaseTerms, Leases, Limits, Mode,
-    Outcome, Record, Refused, Unread,
+    next_command, Ask, Command, CutOff, Ended, Generation, Identity, LeaseTerms, Leases, Limits,
+    Mode, Outcome, Record, Refused, Unread,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-const LIMITS: Limits = Limits { wait: 1_000, regions_wait: 500 };
-const TERMS: LeaseTerms = LeaseTerms { lease: 100, drift: 10 };
+const LIMITS: Limits = Limits {
+    wait: 1_000,
+    regions_wait: 500,
+};
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: 100,
+    drift: 10,
+};
 /// A moment at which no lease of another leader runs.
 const NOW: u64 = 10_000;
 
@@ -35,8 +41,11 @@
 }
 
 fn publish(record: &Record, text: &str, id: Option<u64>) -> Command {
-    let all =
-        |id| AllRegions { id: ChangeId(id), coordinator: norte(), participants: BTreeSet::from([sur()]) };
+    let all = |id| AllRegions {
+        id: ChangeId(id),
+        coordinator: norte(),
+        participants: BTreeSet::from([sur()]),
+    };
     Command::Publish {
         revision: record.revision(),
         text: text.to_owned(),
@@ -78,14 +87,18 @@
 
 fn prepare(coordinating: &Record) -> Prepare {
     let requests = coordinator::requests(coordinating);
-    let [(to, Request::Prepare(prepare))] = &requests[..] else { panic!("one prepare: {requests:?}") };
+    let [(to, Request::Prepare(prepare))] = &requests[..] else {
+        panic!("one prepare: {requests:?}")
+    };
     assert_eq!(to, &sur());
     prepare.clone()
 }
 
 fn commit(coordinating: &Record) -> Commit {
     let requests = coordinator::requests(coordinating);
-    let [(to, Request::Commit(commit))] = &requests[..] else { panic!("one commit: {requests:?}") };
+    let [(to, Request::Commit(commit))] = &requests[..] else {
+        panic!("one commit: {requests:?}")
+    };
     assert_eq!(to, &sur());
     commit.clone()
 }
@@ -136,9 +149,15 @@
 /// The participant has voted.
 fn voted() -> (Record, Record) {
     let (norte, mut sur) = begun();
-    assert_eq!(take_prepare(&mut sur, &prepare(&norte)).vote, Vote::Preparing);
+    assert_eq!(
+        take_prepare(&mut sur, &prepare(&norte)).vote,
+        Vote::Preparing
+    );
     assert_eq!(lead(&mut sur), Some(Outcome::Done));
-    assert_eq!(take_prepare(&mut sur, &prepare(&norte)).vote, Vote::Prepared);
+    assert_eq!(
+        take_prepare(&mut sur, &prepare(&norte)).vote,
+        Vote::Prepared
+    );
     (norte, sur)
 }
 
@@ -153,7 +172,12 @@
 
 fn ended(record: &Record, id: u64) -> Vec<Ended> {
     let of = |change: &&badgerramp_policy::Change| change.id == Some(ChangeId(id));
-    record.changes().values().filter(of).map(|change| change.ended.clone()).collect()
+    record
+        .changes()
+        .values()
+        .filter(of)
+        .map(|change| change.ended.clone())
+        .collect()
 }
 
 #[test]
@@ -167,7 +191,10 @@
     assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
     assert_eq!(norte.unacknowledged(), None);
     assert_eq!(coordinator::requests(&norte), []);
-    assert_eq!((ended(&norte, 1), ended(&sur, 1)), (vec![Ended::InForce], vec![Ended::InForce]));
+    assert_eq!(
+        (ended(&norte, 1), ended(&sur, 1)),
+        (vec![Ended::InForce], vec![Ended::InForce])
+    );
     assert_eq!(sur.changes()[&Generation(2)].scope(), Scope::All);
     assert_eq!(sur.changes()[&Generation(1)].scope(), Scope::Region);
 }
@@ -176,7 +203,10 @@
 fn the_first_policy_of_all_regions_is_in_force_in_none_before_the_decision() {
     let (mut norte, mut sur) = (Record::default(), Record::default());
     assert_eq!(publish_all(&mut norte, 1), Outcome::Begun(Generation(1)));
-    assert_eq!((norte.mode(), norte.middle().map(|m| m.new)), (None, Some(Generation(1))));
+    assert_eq!(
+        (norte.mode(), norte.middle().map(|m| m.new)),
+        (None, Some(Generation(1)))
+    );
     take_prepare(&mut sur, &prepare(&norte));
     lead(&mut sur);
     let vote = take_prepare(&mut sur, &prepare(&norte));
@@ -192,14 +222,30 @@
 fn the_coordinator_does_not_advance_without_all_votes() {
     let (mut norte, _) = begun();
     assert_eq!(lead(&mut norte), None);
-    let advance = Command::Advance { revision: norte.revision() };
-    let refused = Refused::NotPrepared { regions: BTreeSet::from([sur()]) };
+    let advance = Command::Advance {
+        revision: norte.revision(),
+    };
+    let refused = Refused::NotPrepared {
+        regions: BTreeSet::from([sur()]),
+    };
     assert_eq!(norte.apply(&advance), Outcome::Refused(refused));
-    let stranger = Command::Prepared { revision: norte.revision(), region: region("este") };
+    let stranger = Command::Prepared {
+        revision: norte.revision(),
+        region: region("este"),
+    };
     assert_eq!(norte.apply(&stranger), Outcome::Refused(Refused::Moved));
-    let stale = Command::Prepared { revision: norte.revision() - 1, region: sur() };
+    let stale = Command::Prepared {
+        revision: norte.revision() - 1,
+        region: sur(),
+    };
     assert_eq!(norte.apply(&stale), Outcome::Refused(Refused::Moved));
-    assert_eq!(norte.apply(&Command::Prepared { revision: norte.revision(), region: sur() }), Outcome::Done);
+    assert_eq!(
+        norte.apply(&Command::Prepared {
+            revision: norte.revision(),
+            region: sur()
+        }),
+        Outcome::Done
+    );
     assert_eq!(norte.apply(&advance), Outcome::Done);
 }
 
@@ -207,25 +253,50 @@
 fn a_participant_that_has_voted_ends_the_change_by_the_decision_alone() {
     let (norte, mut sur) = voted();
     let revision = sur.revision();
-    let awaits = || Outcome::Refused(Refused::AwaitsDecision { coordinator: self::norte() });
-    assert_eq!(sur.apply(&Command::Abort { revision, why: String::new() }), awaits());
+    let awaits = || {
+        Outcome::Refused(Refused::AwaitsDecision {
+            coordinator: self::norte(),
+        })
+    };
+    assert_eq!(
+        sur.apply(&Command::Abort {
+            revision,
+            why: String::new()
+        }),
+        awaits()
+    );
     assert_eq!(sur.apply(&Command::Advance { revision }), awaits());
     // Neither a time-out nor a proxy that can't read the policy changes that.
     let mut leases = leases();
-    let unread = Unread { generation: Generation(2), reason: "odd".to_owned() };
+    let unread = Unread {
+        generation: Generation(2),
+        reason: "odd".to_owned(),
+    };
     leases.lend(NOW, &sur, &ask(Some(unread)));
     assert_eq!(next_command(&sur, &leases, NOW, 0, LIMITS), None);
     assert_eq!(ask_outcome(&norte, &mut sur), None);
     for id in [0, 2] {
-        assert_eq!(sur.apply(&Command::Committed { id: ChangeId(id) }), Outcome::Refused(Refused::Moved));
-        assert_eq!(sur.apply(&Command::Aborted { id: ChangeId(id) }), Outcome::Refused(Refused::Moved));
+        assert_eq!(
+            sur.apply(&Command::Committed { id: ChangeId(id) }),
+            Outcome::Refused(Refused::Moved)
+        );
+        assert_eq!(
+            sur.apply(&Command::Aborted { id: ChangeId(id) }),
+            Outcome::Refused(Refused::Moved)
+        );
     }
-    assert_eq!(sur.apply(&Command::Committed { id: ChangeId(1) }), Outcome::Done);
+    assert_eq!(
+        sur.apply(&Command::Committed { id: ChangeId(1) }),
+        Outcome::Done
+    );
 }
 
 fn ask(unread: Option<Unread>) -> Ask {
     Ask {
-        identity: Identity { name: "p".to_owned(), incarnation: 1 },
+        identity: Identity {
+            name: "p".to_owned(),
+            incarnation: 1,
+        },
         number: 1,
         acting: 0,
         has: BTreeSet::new(),
@@ -242,9 +313,19 @@
     take_prepare(&mut sur, &prepare(&norte));
     let until = NOW + TERMS.lease + TERMS.drift;
     assert_eq!(next_command(&sur, &leases, until - 1, NOW, LIMITS), None);
-    let vote = Command::Vote { revision: sur.revision() };
-    assert_eq!(next_command(&sur, &leases, until, NOW, LIMITS), Some(vote.clone()));
-    assert_eq!(sur.apply(&Command::Vote { revision: sur.revision() - 1 }), Outcome::Refused(Refused::Moved));
+    let vote = Command::Vote {
+        revision: sur.revision(),
+    };
+    assert_eq!(
+        next_command(&sur, &leases, until, NOW, LIMITS),
+        Some(vote.clone())
+    );
+    assert_eq!(
+        sur.apply(&Command::Vote {
+            revision: sur.revision() - 1
+        }),
+        Outcome::Refused(Refused::Moved)
+    );
     assert_eq!(sur.apply(&vote), Outcome::Done);
 }
 
@@ -252,10 +333,19 @@
 fn a_participant_that_has_not_voted_aborts_by_itself_and_is_not_committed() {
     let (mut norte, mut sur) = begun();
     take_prepare(&mut sur, &prepare(&norte));
-    assert_eq!(sur.apply(&Command::Committed { id: ChangeId(1) }), Outcome::Refused(Refused::Moved));
-    let early = OutcomeReply { id: ChangeId(1), decision: Decision::InForce };
+    assert_eq!(
+        sur.apply(&Command::Committed { id: ChangeId(1) }),
+        Outcome::Refused(Refused::Moved)
+    );
+    let early = OutcomeReply {
+        id: ChangeId(1),
+        decision: Decision::InForce,
+    };
     assert_eq!(participant::on_outcome(&sur, &early), None);
-    let abort = Command::Abort { revision: sur.revision(), why: "an operator".to_owned() };
+    let abort = Command::Abort {
+        revision: sur.revision(),
+        why: "an operator".to_owned(),
+    };
     assert_eq!(sur.apply(&abort), Outcome::Done);
     let reply = take_prepare(&mut sur, &prepare(&norte));
     assert_eq!(reply.vote, Vote::NotInForce);
@@ -278,10 +368,20 @@
 
 #[test]
 fn a_prepare_of_a_region_that_does_not_coordinate_is_refused() {
-    let change = ChangeRef { id: ChangeId(9), coordinator: region("oeste"), number: Generation(1) };
+    let change = ChangeRef {
+        id: ChangeId(9),
+        coordinator: region("oeste"),
+        number: Generation(1),
+    };
     let mut sur = with_policy();
     let before = sur.clone();
-    let reply = take_prepare(&mut sur, &Prepare { change, text: String::new() });
+    let reply = take_prepare(
+        &mut sur,
+        &Prepare {
+            change,
+            text: String::new(),
+        },
+    );
     let why = "it comes from region oeste; for region sur norte coordinates".to_owned();
     assert_eq!(reply.vote, Vote::Refused { why });
     assert_eq!(sur, before);
@@ -292,7 +392,11 @@
     let (mut norte, mut sur) = voted();
     let refused = |waits_for| {
         let waits_for = BTreeSet::from([waits_for]);
-        Outcome::Refused(Refused::AcrossRegions { generation: Generation(2), id: ChangeId(1), waits_for })
+        Outcome::Refused(Refused::AcrossRegions {
+            generation: Generation(2),
+            id: ChangeId(1),
+            waits_for,
+        })
     };
     assert_eq!(publish_here(&mut norte, "local"), refused(self::sur()));
     assert_eq!(publish_all(&mut norte, 2), refused(self::sur()));
@@ -302,12 +406,18 @@
     lead(&mut norte);
     // Until the commit is acknowledged only the next change of all regions has to wait.
     assert_eq!(publish_all(&mut norte, 2), refused(self::sur()));
-    assert_eq!(publish_here(&mut norte, "local"), Outcome::Begun(Generation(3)));
+    assert_eq!(
+        publish_here(&mut norte, "local"),
+        Outcome::Begun(Generation(3))
+    );
     assert_eq!(lead(&mut norte), Some(Outcome::Done));
     assert_eq!(publish_here(&mut sur, "local"), refused(self::norte()));
     let acknowledged = take_commit(&mut sur, &commit(&norte));
     assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Done));
-    assert_eq!(publish_here(&mut sur, "local"), Outcome::Begun(Generation(3)));
+    assert_eq!(
+        publish_here(&mut sur, "local"),
+        Outcome::Begun(Generation(3))
+    );
     assert_eq!(publish_all(&mut norte, 2), Outcome::Begun(Generation(4)));
 }
 
@@ -317,26 +427,50 @@
     let begun = NOW - LIMITS.regions_wait;
     assert_eq!(next_command(&norte, &leases(), NOW, begun, LIMITS), None);
     let why = "not in force in time; no vote of region sur".to_owned();
-    let abort = Command::Abort { revision: norte.revision(), why };
-    assert_eq!(next_command(&norte, &leases(), NOW, begun - 1, LIMITS), Some(abort.clone()));
+    let abort = Command::Abort {
+        revision: norte.revision(),
+        why,
+    };
+    assert_eq!(
+        next_command(&norte, &leases(), NOW, begun - 1, LIMITS),
+        Some(abort.clone())
+    );
     // The vote that comes first wins, and the abort that was decided on before still counts.
-    norte.apply(&Command::Prepared { revision: norte.revision(), region: sur() });
-    assert_eq!(next_command(&norte, &leases(), NOW, 0, LIMITS), Some(Command::Advance { revision: 2 }));
+    norte.apply(&Command::Prepared {
+        revision: norte.revision(),
+        region: sur(),
+    });
+    assert_eq!(
+        next_command(&norte, &leases(), NOW, 0, LIMITS),
+        Some(Command::Advance { revision: 2 })
+    );
     assert_eq!(norte.apply(&abort), Outcome::Done);
-    assert_eq!(norte.apply(&Command::Advance { revision: 2 }), Outcome::Refused(Refused::Moved));
+    assert_eq!(
+        norte.apply(&Command::Advance { revision: 2 }),
+        Outcome::Refused(Refused::Moved)
+    );
 }
 
 #[test]
 fn an_abort_need_not_be_remembered() {
     let (mut norte, mut sur) = voted();
-    norte.apply(&Command::Abort { revision: norte.revision(), why: "an operator".to_owned() });
+    norte.apply(&Command::Abort {
+        revision: norte.revision(),
+        why: "an operator".to_owned(),
+    });
     assert_eq!((norte.cross_region(), norte.unacknowledged()), (None, None));
     assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
     let why = "the coordinating region has given it up".to_owned();
     assert_eq!(ended(&sur, 1), [Ended::NotInForce { why }]);
     assert_eq!(sur.mode(), Some(Mode::settled(3, Generation(1))));
-    let unknown = OutcomeAsked { id: ChangeId(77), region: self::sur() };
-    assert_eq!(coordinator::outcome(&Record::default(), &unknown).decision, Decision::NotInForce);
+    let unknown = OutcomeAsked {
+        id: ChangeId(77),
+        region: self::sur(),
+    };
+    assert_eq!(
+        coordinator::outcome(&Record::default(), &unknown).decision,
+        Decision::NotInForce
+    );
 }
 
 #[test]
@@ -346,9 +480,15 @@
         publish_here(&mut norte, &text.to_string());
         lead(&mut norte);
     }
-    let stranger = Command::Acknowledged { id: ChangeId(2), region: self::sur() };
+    let stranger = Command::Acknowledged {
+        id: ChangeId(2),
+        region: self::sur(),
+    };
     assert_eq!(norte.apply(&stranger), Outcome::Refused(Refused::Moved));
-    let late = VoteReply { id: ChangeId(1), vote: Vote::Prepared };
+    let late = VoteReply {
+        id: ChangeId(1),
+        vote: Vote::Prepared,
+    };
     assert_eq!(take_vote(&mut norte, &late), None);
     assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
     assert_eq!(ended(&sur, 1), [Ended::InForce]);
@@ -385,14 +525,26 @@
 #[test]
 fn a_new_change_waits_for_the_end_of_an_older_one_that_a_participant_is_in() {
     let (mut norte, mut sur) = voted();
-    norte.apply(&Command::Abort { revision: norte.revision(), why: String::new() });
+    norte.apply(&Command::Abort {
+        revision: norte.revision(),
+        why: String::new(),
+    });
     assert_eq!(publish_all(&mut norte, 2), Outcome::Begun(Generation(3)));
     // Not a refusal: that would give the new change up for an old one that is over.
-    assert_eq!(take_prepare(&mut sur, &prepare(&norte)).vote, Vote::Preparing);
+    assert_eq!(
+        take_prepare(&mut sur, &prepare(&norte)).vote,
+        Vote::Preparing
+    );
     assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
-    assert_eq!(take_prepare(&mut sur, &prepare(&norte)).vote, Vote::Preparing);
+    assert_eq!(
+        take_prepare(&mut sur, &prepare(&norte)).vote,
+        Vote::Preparing
+    );
     assert_eq!(lead(&mut sur), Some(Outcome::Done));
-    let late = VoteReply { id: ChangeId(1), vote: Vote::Prepared };
+    let late = VoteReply {
+        id: ChangeId(1),
+        vote: Vote::Prepared,
+    };
     assert_eq!(take_vote(&mut norte, &late), None);
     let vote = take_prepare(&mut sur, &prepare(&norte));
     assert_eq!(take_vote(&mut norte, &vote), Some(Outcome::Done));
@@ -404,7 +556,11 @@
     let (first, second) = (publish(&norte, "a", Some(1)), publish(&norte, "b", Some(2)));
     assert_eq!(norte.apply(&first), Outcome::Begun(Generation(2)));
     let waits_for = BTreeSet::from([sur()]);
-    let refused = Refused::AcrossRegions { generation: Generation(2), id: ChangeId(1), waits_for };
+    let refused = Refused::AcrossRegions {
+        generation: Generation(2),
+        id: ChangeId(1),
+        waits_for,
+    };
     assert_eq!(norte.apply(&second), Outcome::Refused(refused));
     assert_eq!(ended(&norte, 2), []);
 }
@@ -412,8 +568,14 @@
 #[test]
 fn floors_hold_for_a_prepare_as_for_a_publish() {
     let (norte, mut sur) = begun();
-    let identity = Identity { name: "n".to_owned(), incarnation: 1 };
-    sur.apply(&Command::Register { identity, cut_off: CutOff::Narrow });
+    let identity = Identity {
+        name: "n".to_owned(),
+        incarnation: 1,
+    };
+    sur.apply(&Command::Register {
+        identity,
+        cut_off: CutOff::Narrow,
+    });
     let prepare = prepare(&norte);
     let unchecked = Command::Prepare {
         revision: sur.revision(),
@@ -423,13 +585,19 @@
     };
     assert_eq!(sur.apply(&unchecked), Outcome::Refused(Refused::Moved));
     assert_eq!(take_prepare(&mut sur, &prepare).vote, Vote::Preparing);
-    assert!(matches!(sur.cross_region().map(|c| &c.role), Some(Role::Participant { voted: false })));
+    assert!(matches!(
+        sur.cross_region().map(|c| &c.role),
+        Some(Role::Participant { voted: false })
+    ));
 }
 
 #[test]
 fn the_coordinator_is_the_first_region_by_name() {
     let regions = Regions::new(sur(), [norte(), sur()]);
-    assert_eq!((regions.coordinator(), regions.is_coordinator()), (&norte(), false));
+    assert_eq!(
+        (regions.coordinator(), regions.is_coordinator()),
+        (&norte(), false)
+    );
     assert_eq!(regions.others(), &BTreeSet::from([norte()]));
     assert!(Regions::new(norte(), [sur()]).is_coordinator());
     assert!(Regions::new(sur(), []).is_coordinator());
@@ -438,7 +606,10 @@
 #[test]
 fn a_name_of_a_region_is_checked_where_it_comes_from() {
     for name in ["norte", "eu-west_1", &"a".repeat(63)] {
-        assert_eq!(name.parse::<Region>().map(String::from), Ok(name.to_owned()));
+        assert_eq!(
+            name.parse::<Region>().map(String::from),
+            Ok(name.to_owned())
+        );
     }
     for name in ["", "1a", "-a", "Norte", "a b", "ñ", &"a".repeat(64)] {
         let fault = name.parse::<Region>().expect_err(name).to_string();
@@ -455,11 +626,26 @@
         waits_for: waits_for.iter().cloned().collect(),
     };
     let head = "the change of all regions 00000000000000ff, here generation 7, is not at its end: ";
-    assert_eq!(across(&[sur()]).to_string(), format!("{head}it waits for region sur"));
-    assert_eq!(across(&[sur(), norte()]).to_string(), format!("{head}it waits for regions norte, sur"));
-    assert_eq!(across(&[]).to_string(), format!("{head}it waits for proxies of this region"));
-    let awaits = Refused::AwaitsDecision { coordinator: norte() }.to_string();
-    assert_eq!(awaits, "this region has voted for a change of all regions: region norte decides how it ends");
+    assert_eq!(
+        across(&[sur()]).to_string(),
+        format!("{head}it waits for region sur")
+    );
+    assert_eq!(
+        across(&[sur(), norte()]).to_string(),
+        format!("{head}it waits for regions norte, sur")
+    );
+    assert_eq!(
+        across(&[]).to_string(),
+        format!("{head}it waits for proxies of this region")
+    );
+    let awaits = Refused::AwaitsDecision {
+        coordinator: norte(),
+    }
+    .to_string();
+    assert_eq!(
+        awaits,
+        "this region has voted for a change of all regions: region norte decides how it ends"
+    );
 }
 
 #[test]
@@ -481,8 +667,14 @@
         lead(&mut sur);
         lead(&mut norte);
     }
-    assert_eq!((ended(&norte, 1), ended(&sur, 1)), (vec![Ended::InForce], vec![Ended::InForce]));
-    assert_eq!((norte.unacknowledged(), norte.middle(), sur.middle()), (None, None, None));
+    assert_eq!(
+        (ended(&norte, 1), ended(&sur, 1)),
+        (vec![Ended::InForce], vec![Ended::InForce])
+    );
+    assert_eq!(
+        (norte.unacknowledged(), norte.middle(), sur.middle()),
+        (None, None, None)
+    );
 }
 
 /// What a course of events does next.
@@ -561,11 +753,16 @@
             }
             Event::Send => {
                 let sent = coordinator::requests(&self.norte);
-                self.requests.extend(sent.into_iter().map(|(_, request)| request));
+                self.requests
+                    .extend(sent.into_iter().map(|(_, request)| request));
             }
             Event::Request(number) => match one_of(&self.requests, number) {
-                Some(Request::Prepare(prepare)) => self.answers.push(take_prepare(&mut self.sur, &prepare)),
-                Some(Request::Commit(commit)) => self.answers.push(take_commit(&mut self.sur, &commit)),
+                Some(Request::Prepare(prepare)) => {
+                    self.answers.push(take_prepare(&mut self.sur, &prepare))
+                }
+                Some(Request::Commit(commit)) => {
+                    self.answers.push(take_commit(&mut self.sur, &commit))
+                }
                 None => {}
             },
             Event::Answer(number) => {
@@ -575,7 +772,8 @@
             }
             Event::Inquire => {
                 let inquiry = participant::inquiry(&self.sur, &regions_of_sur());
-                self.outcomes.extend(inquiry.map(|(_, asked)| coordinator::outcome(&self.norte, &asked)));
+                self.outcomes
+                    .extend(inquiry.map(|(_, asked)| coordinator::outcome(&self.norte, &asked)));
             }
             Event::Outcome(number) => {
                 let command = one_of(&self.outcomes, number)
--- a/crates/policy/tests/regions_model/judge.rs
+++ b/crates/policy/tests/regions_model/judge.rs
@@ -21,19 +21,28 @@
     /// The generations that a change of all regions has had here, and how each ended.
     fn generations(&self, id: ChangeId) -> impl Iterator<Item = (Generation, &Ended)> {
         let of = move |change: &badgerramp_policy::Change| change.id == Some(id);
-        self.record.changes().iter().filter(move |(_, c)| of(c)).map(|(&g, c)| (g, &c.ended))
+        self.record
+            .changes()
+            .iter()
+            .filter(move |(_, c)| of(c))
+            .map(|(&g, c)| (g, &c.ended))
     }
 
     fn in_force(&self, id: ChangeId) -> usize {
-        self.generations(id).filter(|(_, ended)| **ended == Ended::InForce).count()
+        self.generations(id)
+            .filter(|(_, ended)| **ended == Ended::InForce)
+            .count()
     }
 
     fn not_in_force(&self, id: ChangeId) -> bool {
-        self.generations(id).any(|(_, ended)| matches!(ended, Ended::NotInForce { .. }))
+        self.generations(id)
+            .any(|(_, ended)| matches!(ended, Ended::NotInForce { .. }))
     }
 
     fn is_under_way(&self, id: ChangeId) -> bool {
-        self.record.cross_region().is_some_and(|cross| cross.change.id == id)
+        self.record
+            .cross_region()
+            .is_some_and(|cross| cross.change.id == id)
     }
 
     fn may_begin(&self, now: u64) -> Option<Mode> {
@@ -53,11 +62,17 @@
     let ids: Vec<ChangeId> = ids(state).collect();
     for id in ids {
         let sites = &state.sites;
-        let new = |s: &Site| s.may_begin(state.now).is_some_and(|mode| begins_new(s, id, mode));
+        let new = |s: &Site| {
+            s.may_begin(state.now)
+                .is_some_and(|mode| begins_new(s, id, mode))
+        };
         if sites.iter().any(new) {
             state.passed.insert(id);
         }
-        let old = |s: &Site| s.may_begin(state.now).is_some_and(|mode| begins_old(s, id, mode));
+        let old = |s: &Site| {
+            s.may_begin(state.now)
+                .is_some_and(|mode| begins_old(s, id, mode))
+        };
         let mixed = state.passed.contains(&id) && sites.iter().any(old);
         let twice = sites.iter().any(|s| s.in_force(id) > 1);
         let found = [
@@ -66,7 +81,12 @@
             (ends_unlike(sites, id), Fault::EndsUnlike),
             (twice, Fault::TwiceInForce),
         ];
-        state.faults.extend(found.into_iter().filter(|(is_found, _)| *is_found).map(|(_, fault)| fault));
+        state.faults.extend(
+            found
+                .into_iter()
+                .filter(|(is_found, _)| *is_found)
+                .map(|(_, fault)| fault),
+        );
     }
 }
 
@@ -79,7 +99,8 @@
 
 /// Does a call under `mode` go by a policy before that of a change alone?
 fn begins_old(site: &Site, id: ChangeId, mode: Mode) -> bool {
-    site.generations(id).all(|(generation, _)| mode.new < generation)
+    site.generations(id)
+        .all(|(generation, _)| mode.new < generation)
 }
 
 /// In force in one region, while another one neither has it in force nor has logged its vote.
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -40,10 +40,16 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(MIXED, |_, s: &State| !s.faults.contains(&Fault::Mixed)),
-            Property::always(UNLIKE, |_, s: &State| !s.faults.contains(&Fault::EndsUnlike)),
+            Property::always(UNLIKE, |_, s: &State| {
+                !s.faults.contains(&Fault::EndsUnlike)
+            }),
             Property::always(UNVOTED, |_, s: &State| !s.faults.contains(&Fault::Unvoted)),
-            Property::always(TWICE, |_, s: &State| !s.faults.contains(&Fault::TwiceInForce)),
-            Property::always(STUCK, |w: &World, s: &State| !s.faults.is_empty() || w.ends(s)),
+            Property::always(TWICE, |_, s: &State| {
+                !s.faults.contains(&Fault::TwiceInForce)
+            }),
+            Property::always(STUCK, |w: &World, s: &State| {
+                !s.faults.is_empty() || w.ends(s)
+            }),
             Property::sometimes(COMMITTED, |_, s: &State| judge::all_ended(s, true)),
             Property::sometimes(ABORTED, |_, s: &State| judge::all_ended(s, false)),
             Property::sometimes(BLOCKED, |_, s: &State| judge::waits_in_vain(s)),
@@ -55,7 +61,9 @@
 const THREADS_MOST: usize = 4;
 
 fn threads() -> usize {
-    std::thread::available_parallelism().map_or(1, |n| n.get()).min(THREADS_MOST)
+    std::thread::available_parallelism()
+        .map_or(1, |n| n.get())
+        .min(THREADS_MOST)
 }
 
 /// Deeper than any state of the worlds that are gone through to their end.
@@ -72,22 +80,93 @@
 
 fn courses() -> Vec<Course> {
     let two = World::default();
-    let course = |name, world, depth, states| Course { name, world, depth, states };
+    let course = |name, world, depth, states| Course {
+        name,
+        world,
+        depth,
+        states,
+    };
     vec![
         course("two regions", two.clone(), WHOLE, 6_700),
-        course("a late grant in each", World { late: 1, talks: 1, ticks: 1, ..two.clone() }, WHOLE, 42_000),
-        course("an election in each", World { elections: 1, ..two.clone() }, WHOLE, 129_000),
-        course("aborts of operators", World { aborts: 1, ..two.clone() }, WHOLE, 17_700),
-        course("two changes", World { publishes: 2, ..two.clone() }, WHOLE, 139_000),
+        course(
+            "a late grant in each",
+            World {
+                late: 1,
+                talks: 1,
+                ticks: 1,
+                ..two.clone()
+            },
+            WHOLE,
+            42_000,
+        ),
+        course(
+            "an election in each",
+            World {
+                elections: 1,
+                ..two.clone()
+            },
+            WHOLE,
+            129_000,
+        ),
+        course(
+            "aborts of operators",
+            World {
+                aborts: 1,
+                ..two.clone()
+            },
+            WHOLE,
+            17_700,
+        ),
+        course(
+            "two changes",
+            World {
+                publishes: 2,
+                ..two.clone()
+            },
+            WHOLE,
+            139_000,
+        ),
         course(
             "local changes",
-            World { local_publishes: 1, talks: 1, ticks: 1, ..two.clone() },
+            World {
+                local_publishes: 1,
+                talks: 1,
+                ticks: 1,
+                ..two.clone()
+            },
             WHOLE,
             31_000,
         ),
-        course("slow logs", World { slow_log: true, ..two.clone() }, WHOLE, 49_500),
-        course("no policy yet", World { has_policy: false, publishes: 2, ..two.clone() }, WHOLE, 20_300),
-        course("three regions", World { regions: 3, talks: 1, ticks: 1, ..two.clone() }, WHOLE, 14_700),
+        course(
+            "slow logs",
+            World {
+                slow_log: true,
+                ..two.clone()
+            },
+            WHOLE,
+            49_500,
+        ),
+        course(
+            "no policy yet",
+            World {
+                has_policy: false,
+                publishes: 2,
+                ..two.clone()
+            },
+            WHOLE,
+            20_300,
+        ),
+        course(
+            "three regions",
+            World {
+                regions: 3,
+                talks: 1,
+                ticks: 1,
+                ..two.clone()
+            },
+            WHOLE,
+            14_700,
+        ),
         course(
             "all at once",
             World {
@@ -108,17 +187,38 @@
 #[test]
 fn in_small_worlds_every_order_keeps_the_properties() {
     // For a longer look: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
-    let deeper: usize = std::env::var("REGIONS_DEEPER").ok().and_then(|d| d.parse().ok()).unwrap_or(0);
-    for Course { name, world, depth, states: least } in courses() {
+    let deeper: usize = std::env::var("REGIONS_DEEPER")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(0);
+    for Course {
+        name,
+        world,
+        depth,
+        states: least,
+    } in courses()
+    {
         let depth = depth + deeper;
         let begun = std::time::Instant::now();
-        let checker = world.checker().threads(threads()).target_max_depth(depth).spawn_bfs().join();
+        let checker = world
+            .checker()
+            .threads(threads())
+            .target_max_depth(depth)
+            .spawn_bfs()
+            .join();
         let states = checker.unique_state_count();
-        println!("{name}: {states} states to depth {} in {:?}", checker.max_depth(), begun.elapsed());
+        println!(
+            "{name}: {states} states to depth {} in {:?}",
+            checker.max_depth(),
+            begun.elapsed()
+        );
         for property in [MIXED, UNLIKE, UNVOTED, TWICE, STUCK] {
             checker.assert_no_discovery(property);
         }
-        assert!(states > least, "{name}: {states} states, expected are more than {least}");
+        assert!(
+            states > least,
+            "{name}: {states} states, expected are more than {least}"
+        );
         if depth >= WHOLE {
             for property in [COMMITTED, ABORTED, BLOCKED] {
                 checker.assert_any_discovery(property);
@@ -138,7 +238,10 @@
             .spawn_bfs();
         let checker = checker.join();
         let found = checker.discovery(property).map(|path| path.into_actions());
-        println!("{mutant:?}: {} states: {property:?} is broken by {found:?}", checker.unique_state_count());
+        println!(
+            "{mutant:?}: {} states: {property:?} is broken by {found:?}",
+            checker.unique_state_count()
+        );
         assert!(found.is_some(), "{mutant:?} is not found");
     }
 }
--- a/crates/policy/tests/regions_model/mutant.rs
+++ b/crates/policy/tests/regions_model/mutant.rs
@@ -57,7 +57,10 @@
 impl Mutant {
     /// A world in which it does harm, and the property that it breaks there.
     pub fn world(self) -> (World, &'static str) {
-        let world = World { mutant: Some(self), ..World::default() };
+        let world = World {
+            mutant: Some(self),
+            ..World::default()
+        };
         match self {
             Mutant::AdvanceWithoutVotes
             | Mutant::VoteBeforePrepared
@@ -67,10 +70,29 @@
             | Mutant::CommitForgotten
             | Mutant::AcknowledgedEarly
             | Mutant::UndecidedIsNotInForce => (world, UNLIKE),
-            Mutant::VoteInMemory | Mutant::DeposedAnswers => (World { elections: 1, ..world }, UNLIKE),
+            Mutant::VoteInMemory | Mutant::DeposedAnswers => (
+                World {
+                    elections: 1,
+                    ..world
+                },
+                UNLIKE,
+            ),
             Mutant::LatePrepareBeginsAgain => (world, TWICE),
-            Mutant::LocalPublishAfterVote => (World { local_publishes: 1, ..world }, UNLIKE),
-            Mutant::VoteForOlderCounts => (World { publishes: 2, aborts: 1, ..world }, MIXED),
+            Mutant::LocalPublishAfterVote => (
+                World {
+                    local_publishes: 1,
+                    ..world
+                },
+                UNLIKE,
+            ),
+            Mutant::VoteForOlderCounts => (
+                World {
+                    publishes: 2,
+                    aborts: 1,
+                    ..world
+                },
+                MIXED,
+            ),
             Mutant::NeverAsks => (world, STUCK),
         }
     }
