--- a/crates/policy/tests/regions_model/world.rs
+++ b/crates/policy/tests/regions_model/world.rs
@@ -5,12 +5,12 @@
 use badgerramp_policy::regions::coordinator;
 use badgerramp_policy::regions::participant::{self, OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    AllRegions, ChangeId, ChangeRef, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare, Region,
-    Regions, Request, Role, Vote, VoteReply,
+    AllRegions, ChangeId, ChangeRef, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare,
+    Region, Regions, Request, Role, Vote, VoteReply,
 };
 use badgerramp_policy::{
-    next_command, Answered, Command, CutOff, Generation, Grant, Holder, HolderTerms, Identity, LeaseTerms,
-    Leases, Lent, Limits, Outcome, Record,
+    next_command, Answered, Command, CutOff, Generation, Grant, Holder, HolderTerms, Identity,
+    LeaseTerms, Leases, Lent, Limits, Outcome, Record,
 };
 use std::collections::BTreeSet;
 
@@ -19,9 +19,15 @@
 /// The place of the coordinator.
 const COORDINATOR: usize = 0;
 const LEASE: u64 = 1;
-const TERMS: LeaseTerms = LeaseTerms { lease: LEASE, drift: 0 };
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: LEASE,
+    drift: 0,
+};
 /// A change that a leader has seen for one moment is over its time.
-const LIMITS: Limits = Limits { wait: 0, regions_wait: 0 };
+const LIMITS: Limits = Limits {
+    wait: 0,
+    regions_wait: 0,
+};
 /// Rounds without faults in which everything has to come to its end.
 const ROUNDS: usize = 8;
 
@@ -165,19 +171,29 @@
 }
 
 fn place(region: &Region) -> usize {
-    NAMES.iter().position(|name| *name == region.as_str()).expect("a region of this world")
+    NAMES
+        .iter()
+        .position(|name| *name == region.as_str())
+        .expect("a region of this world")
 }
 
 fn publish(record: &Record, all_regions: Option<AllRegions>) -> Command {
     let (revision, floors) = (record.revision(), record.floors());
-    Command::Publish { revision, text: String::new(), floors, all_regions }
+    Command::Publish {
+        revision,
+        text: String::new(),
+        floors,
+        all_regions,
+    }
 }
 
 impl Site {
     fn talk(&mut self, now: u64) {
         loop {
             let ask = self.holder.ask(now);
-            let Lent::Grant(grant) = self.leases.lend(now, &self.record, &ask) else { return };
+            let Lent::Grant(grant) = self.leases.lend(now, &self.record, &ask) else {
+                return;
+            };
             if self.holder.answered(now, grant) != (Answered::Taken { again: true }) {
                 return;
             }
@@ -195,14 +211,20 @@
     pub fn has_voted(&self) -> bool {
         matches!(
             self.record.cross_region(),
-            Some(CrossRegion { role: Role::Participant { voted: true }, .. })
+            Some(CrossRegion {
+                role: Role::Participant { voted: true },
+                ..
+            })
         )
     }
 
     fn is_unvoted(&self) -> bool {
         matches!(
             self.record.cross_region(),
-            Some(CrossRegion { role: Role::Participant { voted: false }, .. })
+            Some(CrossRegion {
+                role: Role::Participant { voted: false },
+                ..
+            })
         )
     }
 
@@ -242,8 +264,15 @@
             record.apply(&publish(&record, None));
         }
         let has = (0..8).map(Generation).collect();
-        let identity = Identity { name: format!("p{number}"), incarnation: 1 };
-        let terms = HolderTerms { cut_off: CutOff::Refuse, answer_within: 1, pause: 1 };
+        let identity = Identity {
+            name: format!("p{number}"),
+            incarnation: 1,
+        };
+        let terms = HolderTerms {
+            cut_off: CutOff::Refuse,
+            answer_within: 1,
+            pause: 1,
+        };
         let mut site = Site {
             record,
             holder: Holder::new(identity, terms, has),
@@ -292,7 +321,14 @@
             self.steps_of(state, place, site, steps);
         }
         let takes = |message: &&Message| self.taken(&state.sites[message.to], message).is_some();
-        steps.extend(state.messages.iter().filter(takes).cloned().map(Step::Delivers));
+        steps.extend(
+            state
+                .messages
+                .iter()
+                .filter(takes)
+                .cloned()
+                .map(Step::Delivers),
+        );
     }
 
     fn steps_of(&self, state: &State, place: usize, site: &Site, steps: &mut Vec<Step>) {
@@ -306,17 +342,30 @@
             (left.aborts > 0 && middle, Step::Aborts(place)),
             (left.elections > 0, Step::Elects(place)),
             (middle, Step::Leads(place)),
-            (middle && self.time_out(state, site).is_some(), Step::TimesOut(place)),
+            (
+                middle && self.time_out(state, site).is_some(),
+                Step::TimesOut(place),
+            ),
         ];
-        steps.extend(may.into_iter().filter(|(may, _)| *may).map(|(_, step)| step));
-        steps.extend(site.slow.iter().cloned().map(|command| Step::Logs(place, command)));
+        steps.extend(
+            may.into_iter()
+                .filter(|(may, _)| *may)
+                .map(|(_, step)| step),
+        );
+        steps.extend(
+            site.slow
+                .iter()
+                .cloned()
+                .map(|command| Step::Logs(place, command)),
+        );
     }
 
     fn time_out(&self, state: &State, site: &Site) -> Option<Command> {
         if self.is(Mutant::AbortAfterVote) && site.has_voted() {
             return site.under_way().map(|id| Command::Aborted { id });
         }
-        site.next(state.now, state.now - 1).filter(|command| matches!(command, Command::Abort { .. }))
+        site.next(state.now, state.now - 1)
+            .filter(|command| matches!(command, Command::Abort { .. }))
     }
 
     /// The state after a step.
@@ -344,7 +393,13 @@
                 let site = &mut state.sites[place];
                 site.left.aborts -= 1;
                 let revision = site.record.revision();
-                self.log(site, Command::Abort { revision, why: String::new() });
+                self.log(
+                    site,
+                    Command::Abort {
+                        revision,
+                        why: String::new(),
+                    },
+                );
             }
             Step::Leads(place) => self.lead(&mut state, place),
             Step::TimesOut(place) => {
@@ -383,11 +438,18 @@
 
     fn sent(&self, site: &Site, from: usize) -> Vec<Message> {
         let requests = coordinator::requests(&site.record).into_iter();
-        let requests =
-            requests.map(|(to, request)| Message { from, to: place(&to), body: Body::Request(request) });
+        let requests = requests.map(|(to, request)| Message {
+            from,
+            to: place(&to),
+            body: Body::Request(request),
+        });
         let inquiry = participant::inquiry(&site.record, &self.regions(from));
         let inquiry = inquiry.filter(|_| !self.is(Mutant::NeverAsks));
-        let inquiry = inquiry.map(|(to, asked)| Message { from, to: place(&to), body: Body::Asked(asked) });
+        let inquiry = inquiry.map(|(to, asked)| Message {
+            from,
+            to: place(&to),
+            body: Body::Asked(asked),
+        });
         requests.chain(inquiry).collect()
     }
 
@@ -427,7 +489,9 @@
         let site = &mut state.sites[place];
         let mut command = site.next(now, now);
         if self.is(Mutant::VoteBeforePrepared) && site.is_unvoted() {
-            command = Some(Command::Vote { revision: site.record.revision() });
+            command = Some(Command::Vote {
+                revision: site.record.revision(),
+            });
         }
         if self.is(Mutant::AdvanceAfterVote) && site.has_voted() {
             command = site.under_way().map(|id| Command::Committed { id });
@@ -442,7 +506,10 @@
         let forgets = self.is(Mutant::CommitForgotten);
         if let Some(commit) = site.record.unacknowledged().filter(|_| forgets).cloned() {
             for region in commit.regions {
-                site.record.apply(&Command::Acknowledged { id: commit.change.id, region });
+                site.record.apply(&Command::Acknowledged {
+                    id: commit.change.id,
+                    region,
+                });
             }
         }
     }
@@ -450,7 +517,10 @@
     fn forge_votes(&self, record: &mut Record) {
         let revision = record.revision();
         for region in self.regions(COORDINATOR).others() {
-            record.apply(&Command::Prepared { revision, region: region.clone() });
+            record.apply(&Command::Prepared {
+                revision,
+                region: region.clone(),
+            });
         }
     }
 
@@ -466,14 +536,18 @@
     /// What a region logs on a message.
     fn taken(&self, site: &Site, message: &Message) -> Option<Command> {
         match &message.body {
-            Body::Request(Request::Prepare(prepare)) => match self.on_prepare(site, message.to, prepare) {
-                OnPrepare::Begin { command, .. } => Some(command),
-                OnPrepare::Reply(_) => None,
-            },
-            Body::Request(Request::Commit(commit)) => match participant::on_commit(&site.record, commit) {
-                OnCommit::Log(command) => Some(command),
-                OnCommit::Reply(_) => None,
-            },
+            Body::Request(Request::Prepare(prepare)) => {
+                match self.on_prepare(site, message.to, prepare) {
+                    OnPrepare::Begin { command, .. } => Some(command),
+                    OnPrepare::Reply(_) => None,
+                }
+            }
+            Body::Request(Request::Commit(commit)) => {
+                match participant::on_commit(&site.record, commit) {
+                    OnCommit::Log(command) => Some(command),
+                    OnCommit::Reply(_) => None,
+                }
+            }
             Body::Vote(reply) => {
                 coordinator::on_vote(&site.record, &region(message.from), &self.vote(site, reply))
             }
@@ -485,30 +559,45 @@
     /// What a region answers to a message, as its record stands.
     fn answer(&self, site: &Site, message: &Message) -> Option<Message> {
         let body = match &message.body {
-            Body::Request(Request::Prepare(prepare)) => match self.on_prepare(site, message.to, prepare) {
-                OnPrepare::Begin { .. } => return None,
-                OnPrepare::Reply(reply) => Body::Vote(reply),
-            },
-            Body::Request(Request::Commit(commit)) => match participant::on_commit(&site.record, commit) {
-                OnCommit::Log(_) if self.is(Mutant::AcknowledgedEarly) => {
-                    Body::Vote(VoteReply { id: commit.change.id, vote: Vote::InForce })
+            Body::Request(Request::Prepare(prepare)) => {
+                match self.on_prepare(site, message.to, prepare) {
+                    OnPrepare::Begin { .. } => return None,
+                    OnPrepare::Reply(reply) => Body::Vote(reply),
                 }
-                OnCommit::Log(_) => return None,
-                OnCommit::Reply(reply) => Body::Vote(reply),
-            },
+            }
+            Body::Request(Request::Commit(commit)) => {
+                match participant::on_commit(&site.record, commit) {
+                    OnCommit::Log(_) if self.is(Mutant::AcknowledgedEarly) => {
+                        Body::Vote(VoteReply {
+                            id: commit.change.id,
+                            vote: Vote::InForce,
+                        })
+                    }
+                    OnCommit::Log(_) => return None,
+                    OnCommit::Reply(reply) => Body::Vote(reply),
+                }
+            }
             Body::Asked(asked) => Body::Outcome(self.outcome(site, asked)),
             Body::Vote(_) | Body::Outcome(_) => return None,
         };
-        let answer = Message { from: message.to, to: message.from, body };
+        let answer = Message {
+            from: message.to,
+            to: message.from,
+            body,
+        };
         Some(answer).filter(|answer| has_effect(&answer.body))
     }
 
     fn deliver(&self, state: &mut State, message: &Message) {
         let site = &mut state.sites[message.to];
-        let Some(command) = self.taken(site, message) else { return };
+        let Some(command) = self.taken(site, message) else {
+            return;
+        };
         let unlogged = site.unlogged_vote.is_some() && site.unlogged_vote == site.under_way();
         if matches!(command, Command::Committed { .. }) && unlogged {
-            site.record.apply(&Command::Vote { revision: site.record.revision() });
+            site.record.apply(&Command::Vote {
+                revision: site.record.revision(),
+            });
         }
         self.log(site, command);
     }
@@ -516,11 +605,17 @@
     fn on_prepare(&self, site: &Site, own: usize, prepare: &Prepare) -> OnPrepare {
         if self.is(Mutant::LatePrepareBeginsAgain) {
             if let Some(command) = begin_again(&site.record, prepare) {
-                return OnPrepare::Begin { floors: site.record.floors(), command };
+                return OnPrepare::Begin {
+                    floors: site.record.floors(),
+                    command,
+                };
             }
         }
         if site.unlogged_vote == Some(prepare.change.id) {
-            return OnPrepare::Reply(VoteReply { id: prepare.change.id, vote: Vote::Prepared });
+            return OnPrepare::Reply(VoteReply {
+                id: prepare.change.id,
+                vote: Vote::Prepared,
+            });
         }
         participant::on_prepare(&site.record, &self.regions(own), prepare)
     }
@@ -577,7 +672,8 @@
             self.lead(state, place);
             self.write_all(&mut state.sites[place]);
             let sent = self.sent(&state.sites[place], place);
-            sent.iter().for_each(|message| self.exchange(state, message));
+            sent.iter()
+                .for_each(|message| self.exchange(state, message));
         }
     }
 
@@ -614,7 +710,10 @@
     let has_ended = last.change.id == prepare.change.id && last.decision != Decision::Open;
     has_ended.then(|| Command::Prepare {
         revision: record.revision(),
-        change: ChangeRef { number: Generation(last.change.number.0 + 1), ..prepare.change.clone() },
+        change: ChangeRef {
+            number: Generation(last.change.number.0 + 1),
+            ..prepare.change.clone()
+        },
         text: prepare.text.clone(),
         floors: record.floors(),
     })
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/steps.rs
@@ -1,27 +1,48 @@
 //! The next step of a change of one region, as its leader sees it.
 
 use badgerramp_policy::{
-    next_command, Ask, Command, CutOff, Generation, Identity, LeaseTerms, Leases, Lent, Limits, Record,
-    Unread,
+    next_command, Ask, Command, CutOff, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
+    Record, Unread,
 };
 use std::collections::BTreeSet;
 
-const LIMITS: Limits = Limits { wait: 1_000, regions_wait: 10 };
-const TERMS: LeaseTerms = LeaseTerms { lease: 100, drift: 10 };
+const LIMITS: Limits = Limits {
+    wait: 1_000,
+    regions_wait: 10,
+};
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: 100,
+    drift: 10,
+};
 /// A moment at which no lease of another leader runs.
 const NOW: u64 = 10_000;
 
 fn publish(record: &mut Record) {
     let (revision, floors) = (record.revision(), record.floors());
-    record.apply(&Command::Publish { revision, text: String::new(), floors, all_regions: None });
+    record.apply(&Command::Publish {
+        revision,
+        text: String::new(),
+        floors,
+        all_regions: None,
+    });
 }
 
 fn identity(name: &str) -> Identity {
-    Identity { name: name.to_owned(), incarnation: 1 }
+    Identity {
+        name: name.to_owned(),
+        incarnation: 1,
+    }
 }
 
 fn ask(name: &str, number: u64, acting: u64, cut_off: CutOff) -> Ask {
-    Ask { identity: identity(name), number, acting, has: BTreeSet::new(), unread: None, cut_off }
+    Ask {
+        identity: identity(name),
+        number,
+        acting,
+        has: BTreeSet::new(),
+        unread: None,
+        cut_off,
+    }
 }
 
 fn lend(leases: &mut Leases, record: &Record, ask: &Ask) {
@@ -43,8 +64,14 @@
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     let advance = Some(Command::Advance { revision: 2 });
     let lease_over = NOW + TERMS.lease + TERMS.drift;
-    assert_eq!(next_command(&record, &leases, lease_over - 1, NOW, LIMITS), None);
-    assert_eq!(next_command(&record, &leases, lease_over, NOW, LIMITS), advance);
+    assert_eq!(
+        next_command(&record, &leases, lease_over - 1, NOW, LIMITS),
+        None
+    );
+    assert_eq!(
+        next_command(&record, &leases, lease_over, NOW, LIMITS),
+        advance
+    );
     lend(&mut leases, &record, &ask("p", 2, 2, CutOff::Refuse));
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), advance);
 }
@@ -53,17 +80,33 @@
 fn a_change_that_is_held_up_for_too_long_is_given_up() {
     let (record, leases) = middle();
     // It waits for no other region, so the limit for regions is no matter.
-    assert_eq!(next_command(&record, &leases, NOW, NOW - LIMITS.wait, LIMITS), None);
+    assert_eq!(
+        next_command(&record, &leases, NOW, NOW - LIMITS.wait, LIMITS),
+        None
+    );
     let why = "not in force in time; held up by p (0000000000000001)".to_owned();
     let abort = Some(Command::Abort { revision: 2, why });
-    assert_eq!(next_command(&record, &leases, NOW, NOW - LIMITS.wait - 1, LIMITS), abort);
+    assert_eq!(
+        next_command(&record, &leases, NOW, NOW - LIMITS.wait - 1, LIMITS),
+        abort
+    );
 }
 
 #[test]
 fn a_change_that_a_proxy_cannot_read_is_given_up_at_once() {
     let (record, mut leases) = middle();
-    let unread = Some(Unread { generation: Generation(2), reason: "odd".to_owned() });
-    lend(&mut leases, &record, &Ask { unread, ..ask("p", 2, 1, CutOff::Refuse) });
+    let unread = Some(Unread {
+        generation: Generation(2),
+        reason: "odd".to_owned(),
+    });
+    lend(
+        &mut leases,
+        &record,
+        &Ask {
+            unread,
+            ..ask("p", 2, 1, CutOff::Refuse)
+        },
+    );
     let why = "p (0000000000000001) can't read it: odd".to_owned();
     let abort = Some(Command::Abort { revision: 2, why });
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), abort);
@@ -73,24 +116,51 @@
 fn what_proxies_without_leases_act_under_is_logged_before_the_change_goes_on() {
     let (mut record, mut leases) = (Record::default(), Leases::elected(TERMS, 0));
     publish(&mut record);
-    record.apply(&Command::Register { identity: identity("k"), cut_off: CutOff::Keep });
+    record.apply(&Command::Register {
+        identity: identity("k"),
+        cut_off: CutOff::Keep,
+    });
     publish(&mut record);
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     lend(&mut leases, &record, &ask("k", 1, 2, CutOff::Keep));
-    let acting = Command::Acting { revision: 2, proxies: BTreeSet::from([identity("k")]) };
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), Some(acting.clone()));
+    let acting = Command::Acting {
+        revision: 2,
+        proxies: BTreeSet::from([identity("k")]),
+    };
+    assert_eq!(
+        next_command(&record, &leases, NOW, NOW, LIMITS),
+        Some(acting.clone())
+    );
     record.apply(&acting);
     let advance = Command::Advance { revision: 2 };
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), Some(advance.clone()));
+    assert_eq!(
+        next_command(&record, &leases, NOW, NOW, LIMITS),
+        Some(advance.clone())
+    );
     record.apply(&advance);
     // Without a change it is logged when most of them have moved.
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     lend(&mut leases, &record, &ask("k", 2, 3, CutOff::Keep));
-    let acting = Command::Acting { revision: 3, proxies: BTreeSet::from([identity("k")]) };
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), Some(acting));
+    let acting = Command::Acting {
+        revision: 3,
+        proxies: BTreeSet::from([identity("k")]),
+    };
+    assert_eq!(
+        next_command(&record, &leases, NOW, NOW, LIMITS),
+        Some(acting)
+    );
 }
 
 #[test]
 fn without_a_policy_there_is_nothing_to_do() {
-    assert_eq!(next_command(&Record::default(), &Leases::elected(TERMS, 0), NOW, 0, LIMITS), None);
+    assert_eq!(
+        next_command(
+            &Record::default(),
+            &Leases::elected(TERMS, 0),
+            NOW,
+            0,
+            LIMITS
+        ),
+        None
+    );
 }
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -6,19 +6,39 @@
 
 /// The commands of a log, in order, and what became of each.
 const LOG: [(&str, &str); 9] = [
-    (r#"{"Publish":{"revision":0,"text":"one","floors":[]}}"#, r#"{"Begun":1}"#),
-    (r#"{"Register":{"identity":{"name":"p","incarnation":7},"cut_off":"Narrow"}}"#, r#""Done""#),
-    (r#"{"Acting":{"revision":1,"proxies":[{"name":"p","incarnation":7}]}}"#, r#""Done""#),
-    (r#"{"Retire":{"identity":{"name":"p","incarnation":7}}}"#, r#""Done""#),
-    (r#"{"Publish":{"revision":1,"text":"two","floors":[1]}}"#, r#"{"Begun":2}"#),
+    (
+        r#"{"Publish":{"revision":0,"text":"one","floors":[]}}"#,
+        r#"{"Begun":1}"#,
+    ),
+    (
+        r#"{"Register":{"identity":{"name":"p","incarnation":7},"cut_off":"Narrow"}}"#,
+        r#""Done""#,
+    ),
+    (
+        r#"{"Acting":{"revision":1,"proxies":[{"name":"p","incarnation":7}]}}"#,
+        r#""Done""#,
+    ),
+    (
+        r#"{"Retire":{"identity":{"name":"p","incarnation":7}}}"#,
+        r#""Done""#,
+    ),
+    (
+        r#"{"Publish":{"revision":1,"text":"two","floors":[1]}}"#,
+        r#"{"Begun":2}"#,
+    ),
     (r#"{"Abort":{"revision":2,"why":"unread"}}"#, r#""Done""#),
-    (r#"{"Publish":{"revision":3,"text":"three","floors":[1]}}"#, r#"{"Begun":3}"#),
+    (
+        r#"{"Publish":{"revision":3,"text":"three","floors":[1]}}"#,
+        r#"{"Begun":3}"#,
+    ),
     (r#"{"Advance":{"revision":4}}"#, r#""Done""#),
-    (r#"{"Publish":{"revision":5,"text":"four","floors":[3]}}"#, r#"{"Begun":4}"#),
+    (
+        r#"{"Publish":{"revision":5,"text":"four","floors":[3]}}"#,
+        r#"{"Begun":4}"#,
+    ),
 ];
 const EVICT: &str = r#"{"Evict":{"identity":{"name":"p","incarnation":7}}}"#;
-const EMPTY: &str =
-    r#"{"mode":{"revision":0,"old":0,"new":0},"last":0,"texts":{},"changes":{},"standing":{},"evicted":[]}"#;
+const EMPTY: &str = r#"{"mode":{"revision":0,"old":0,"new":0},"last":0,"texts":{},"changes":{},"standing":{},"evicted":[]}"#;
 /// The record after [`LOG`].
 const RECORD: &str = concat!(
     r#"{"mode":{"revision":6,"old":3,"new":4},"last":4,"#,
@@ -34,7 +54,11 @@
 fn replayed() -> Record {
     let mut record: Record = read(EMPTY);
     for (command, outcome) in LOG {
-        assert_eq!(record.apply(&read(command)), read::<Outcome>(outcome), "{command}");
+        assert_eq!(
+            record.apply(&read(command)),
+            read::<Outcome>(outcome),
+            "{command}"
+        );
     }
     record
 }
@@ -43,19 +67,40 @@
 fn an_older_snapshot_and_the_log_that_led_to_it_come_to_the_same() {
     let record: Record = read(RECORD);
     assert_eq!(replayed(), record);
-    assert_eq!(record.mode(), Some(Mode { revision: 6, old: Generation(3), new: Generation(4) }));
-    assert_eq!(record.changes()[&Generation(2)].ended, Ended::NotInForce { why: "unread".to_owned() });
+    assert_eq!(
+        record.mode(),
+        Some(Mode {
+            revision: 6,
+            old: Generation(3),
+            new: Generation(4)
+        })
+    );
+    assert_eq!(
+        record.changes()[&Generation(2)].ended,
+        Ended::NotInForce {
+            why: "unread".to_owned()
+        }
+    );
     assert_eq!(record.text(Generation(4)), Some("four"));
-    assert_eq!((record.cross_region(), record.unacknowledged()), (None, None));
+    assert_eq!(
+        (record.cross_region(), record.unacknowledged()),
+        (None, None)
+    );
 }
 
 #[test]
 fn an_older_record_takes_its_change_to_an_end() {
     let mut record: Record = read(RECORD);
-    assert_eq!(record.apply(&Command::Advance { revision: 6 }), Outcome::Done);
+    assert_eq!(
+        record.apply(&Command::Advance { revision: 6 }),
+        Outcome::Done
+    );
     assert_eq!(record.mode(), Some(Mode::settled(7, Generation(4))));
     assert_eq!(record.apply(&read(EVICT)), Outcome::Done);
-    let identity = Identity { name: "p".to_owned(), incarnation: 7 };
+    let identity = Identity {
+        name: "p".to_owned(),
+        incarnation: 7,
+    };
     assert!(record.is_evicted(&identity));
 }
 
@@ -63,8 +108,14 @@
 fn a_record_with_proxies_that_act_without_a_lease_can_be_written_and_read() {
     let mut record = replayed();
     for (name, incarnation) in [("p", 1), ("p", u64::MAX), ("a#b", 2), ("", 0)] {
-        let identity = Identity { name: name.to_owned(), incarnation };
-        record.apply(&Command::Register { identity, cut_off: CutOff::Keep });
+        let identity = Identity {
+            name: name.to_owned(),
+            incarnation,
+        };
+        record.apply(&Command::Register {
+            identity,
+            cut_off: CutOff::Keep,
+        });
     }
     assert_eq!(record.standing().len(), 4);
     let text = serde_json::to_string(&record).expect("it can be written");
@@ -78,13 +129,28 @@
             r#""standing":{}"#,
             &format!(r#""standing":{{"{key}":{{"cut_off":"Keep","revision":0,"floor":0}}}}"#),
         );
-        let fault = serde_json::from_str::<Record>(&damaged).expect_err(key).to_string();
-        assert!(fault.contains(&format!("found {key:?}, allowed is name#incarnation")), "{fault}");
+        let fault = serde_json::from_str::<Record>(&damaged)
+            .expect_err(key)
+            .to_string();
+        assert!(
+            fault.contains(&format!("found {key:?}, allowed is name#incarnation")),
+            "{fault}"
+        );
     }
 }
 
 #[test]
 fn floors_of_a_command_are_kept() {
-    let Command::Publish { floors, all_regions, .. } = read(LOG[8].0) else { panic!("a publish") };
-    assert_eq!((floors, all_regions), (BTreeSet::from([Generation(3)]), None));
+    let Command::Publish {
+        floors,
+        all_regions,
+        ..
+    } = read(LOG[8].0)
+    else {
+        panic!("a publish")
+    };
+    assert_eq!(
+        (floors, all_regions),
+        (BTreeSet::from([Generation(3)]), None)
+    );
 }
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -12,7 +12,10 @@
 fn lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(values: &[T]) -> String {
     let line = |value: &T| {
         let text = serde_json::to_string(value).expect("it can be written");
-        assert_eq!(&serde_json::from_str::<T>(&text).expect("it can be read"), value);
+        assert_eq!(
+            &serde_json::from_str::<T>(&text).expect("it can be read"),
+            value
+        );
         text
     };
     values.iter().map(line).collect::<Vec<_>>().join("\n")
@@ -23,11 +26,18 @@
 }
 
 fn change() -> ChangeRef {
-    ChangeRef { id: ChangeId(0x1122_3344_5566_7788), coordinator: region("norte"), number: Generation(9) }
+    ChangeRef {
+        id: ChangeId(0x1122_3344_5566_7788),
+        coordinator: region("norte"),
+        number: Generation(9),
+    }
 }
 
 fn identity(name: &str) -> Identity {
-    Identity { name: name.to_owned(), incarnation: 0xfedc_ba98_7654_3210 }
+    Identity {
+        name: name.to_owned(),
+        incarnation: 0xfedc_ba98_7654_3210,
+    }
 }
 
 fn floors() -> BTreeSet<Generation> {
@@ -52,20 +62,50 @@
     vec![
         publish(None),
         publish(Some(all_regions(77))),
-        Command::Prepare { revision: 4, change: change(), text: "{}".to_owned(), floors: floors() },
+        Command::Prepare {
+            revision: 4,
+            change: change(),
+            text: "{}".to_owned(),
+            floors: floors(),
+        },
         Command::Vote { revision: 5 },
-        Command::Prepared { revision: 5, region: region("sur") },
+        Command::Prepared {
+            revision: 5,
+            region: region("sur"),
+        },
         Command::Advance { revision: 5 },
-        Command::Abort { revision: 5, why: "unread".to_owned() },
+        Command::Abort {
+            revision: 5,
+            why: "unread".to_owned(),
+        },
         Command::Committed { id: ChangeId(77) },
         Command::Aborted { id: ChangeId(77) },
-        Command::Acknowledged { id: ChangeId(77), region: region("sur") },
-        Command::Register { identity: identity("caja"), cut_off: CutOff::Refuse },
-        Command::Register { identity: identity("caja"), cut_off: CutOff::Narrow },
-        Command::Register { identity: identity("caja"), cut_off: CutOff::Keep },
-        Command::Acting { revision: 5, proxies: BTreeSet::from([identity("caja"), identity("a#b")]) },
-        Command::Retire { identity: identity("caja") },
-        Command::Evict { identity: identity("caja") },
+        Command::Acknowledged {
+            id: ChangeId(77),
+            region: region("sur"),
+        },
+        Command::Register {
+            identity: identity("caja"),
+            cut_off: CutOff::Refuse,
+        },
+        Command::Register {
+            identity: identity("caja"),
+            cut_off: CutOff::Narrow,
+        },
+        Command::Register {
+            identity: identity("caja"),
+            cut_off: CutOff::Keep,
+        },
+        Command::Acting {
+            revision: 5,
+            proxies: BTreeSet::from([identity("caja"), identity("a#b")]),
+        },
+        Command::Retire {
+            identity: identity("caja"),
+        },
+        Command::Evict {
+            identity: identity("caja"),
+        },
     ]
 }
 
@@ -83,13 +123,20 @@
             id: ChangeId(77),
             waits_for: BTreeSet::from([region("sur")]),
         },
-        Refused::NotPrepared { regions: BTreeSet::from([region("sur")]) },
-        Refused::AwaitsDecision { coordinator: region("norte") },
+        Refused::NotPrepared {
+            regions: BTreeSet::from([region("sur")]),
+        },
+        Refused::AwaitsDecision {
+            coordinator: region("norte"),
+        },
         Refused::Moved,
         Refused::Evicted,
     ];
     let outcomes = [Outcome::Begun(Generation(3)), Outcome::Done];
-    let outcomes: Vec<_> = outcomes.into_iter().chain(refused.map(Outcome::Refused)).collect();
+    let outcomes: Vec<_> = outcomes
+        .into_iter()
+        .chain(refused.map(Outcome::Refused))
+        .collect();
     insta::assert_snapshot!(lines(&outcomes));
 }
 
@@ -106,16 +153,33 @@
         record.apply(&command)
     };
     publish(&mut record, "one", None);
-    for (name, cut_off) in [("caja", CutOff::Narrow), ("a#b", CutOff::Keep), ("gone", CutOff::Keep)] {
-        record.apply(&Command::Register { identity: identity(name), cut_off });
+    for (name, cut_off) in [
+        ("caja", CutOff::Narrow),
+        ("a#b", CutOff::Keep),
+        ("gone", CutOff::Keep),
+    ] {
+        record.apply(&Command::Register {
+            identity: identity(name),
+            cut_off,
+        });
     }
-    record.apply(&Command::Evict { identity: identity("gone") });
+    record.apply(&Command::Evict {
+        identity: identity("gone"),
+    });
     publish(&mut record, "two", None);
-    record.apply(&Command::Abort { revision: record.revision(), why: "unread".to_owned() });
+    record.apply(&Command::Abort {
+        revision: record.revision(),
+        why: "unread".to_owned(),
+    });
     publish(&mut record, "three", None);
-    record.apply(&Command::Advance { revision: record.revision() });
+    record.apply(&Command::Advance {
+        revision: record.revision(),
+    });
     let acting = BTreeSet::from([identity("a#b")]);
-    record.apply(&Command::Acting { revision: record.revision(), proxies: acting });
+    record.apply(&Command::Acting {
+        revision: record.revision(),
+        proxies: acting,
+    });
     record
 }
 
@@ -133,10 +197,18 @@
     };
     assert_eq!(coordinator.apply(&publish), Outcome::Begun(Generation(4)));
     let mut with_vote = coordinator.clone();
-    let prepared = Command::Prepared { revision: revision + 1, region: region("sur") };
+    let prepared = Command::Prepared {
+        revision: revision + 1,
+        region: region("sur"),
+    };
     assert_eq!(with_vote.apply(&prepared), Outcome::Done);
     let mut unacknowledged = with_vote.clone();
-    assert_eq!(unacknowledged.apply(&Command::Advance { revision: revision + 1 }), Outcome::Done);
+    assert_eq!(
+        unacknowledged.apply(&Command::Advance {
+            revision: revision + 1
+        }),
+        Outcome::Done
+    );
     let mut participant = settled.clone();
     let prepare = Command::Prepare {
         revision,
@@ -146,11 +218,22 @@
     };
     assert_eq!(participant.apply(&prepare), Outcome::Begun(Generation(4)));
     let mut voted = participant.clone();
-    assert_eq!(voted.apply(&Command::Vote { revision: revision + 1 }), Outcome::Done);
+    assert_eq!(
+        voted.apply(&Command::Vote {
+            revision: revision + 1
+        }),
+        Outcome::Done
+    );
     let mut committed = voted.clone();
-    assert_eq!(committed.apply(&Command::Committed { id: change().id }), Outcome::Done);
+    assert_eq!(
+        committed.apply(&Command::Committed { id: change().id }),
+        Outcome::Done
+    );
     let mut aborted = participant.clone();
-    assert_eq!(aborted.apply(&Command::Aborted { id: change().id }), Outcome::Done);
+    assert_eq!(
+        aborted.apply(&Command::Aborted { id: change().id }),
+        Outcome::Done
+    );
     insta::assert_snapshot!(lines(&[
         empty,
         settled,
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -66,7 +66,10 @@
         None => platform::run(cli.operator),
         Some(Command::Run { file }) => sidecar::run(file),
         Some(Command::Peers { file, at, json }) => crate::look::run(&file, at, json),
-        Some(Command::Check { relay_config, files }) => return check(relay_config.as_deref(), &files),
+        Some(Command::Check {
+            relay_config,
+            files,
+        }) => return check(relay_config.as_deref(), &files),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -100,9 +103,14 @@
     let mut all_good = true;
     for file in files {
         let held = |config: Config| {
-            config.warnings.iter().for_each(|w| eprintln!("warning: {}: {w}", file.display()));
+            config
+                .warnings
+                .iter()
+                .for_each(|w| eprintln!("warning: {}: {w}", file.display()));
             match (&facts, config.usage) {
-                (Some(facts), Use::Platform) => badgerramp_config::narrow(&config, facts).map(|_| ()),
+                (Some(facts), Use::Platform) => {
+                    badgerramp_config::narrow(&config, facts).map(|_| ())
+                }
                 _ => Ok(()),
             }
         };
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -37,8 +37,17 @@
 
 impl<W> Bounded<W> {
     fn new(rate: u64, json: bool, out: W) -> Self {
-        let passed = Passed { since: Instant::now(), lines: 0, left_out: 0 };
-        Bounded { rate, json, passed: Mutex::new(passed), out }
+        let passed = Passed {
+            since: Instant::now(),
+            lines: 0,
+            left_out: 0,
+        };
+        Bounded {
+            rate,
+            json,
+            passed: Mutex::new(passed),
+            out,
+        }
     }
 
     /// May a line pass at `now`? Also tells how many were kept back in the second that has ended.
@@ -47,7 +56,11 @@
         let mut told = 0;
         if now.duration_since(passed.since) >= Duration::from_secs(1) {
             told = passed.left_out;
-            *passed = Passed { since: now, lines: 0, left_out: 0 };
+            *passed = Passed {
+                since: now,
+                lines: 0,
+                left_out: 0,
+            };
         }
         let passes = passed.lines < self.rate;
         if passes {
@@ -68,7 +81,9 @@
         let mut out = &self.0.out;
         if left_out > 0 {
             let text = if self.0.json {
-                format!("{{\"level\":\"WARN\",\"target\":\"badgerramp\",\"left_out\":{left_out}}}\n")
+                format!(
+                    "{{\"level\":\"WARN\",\"target\":\"badgerramp\",\"left_out\":{left_out}}}\n"
+                )
             } else {
                 format!("WARN badgerramp: {left_out} lines of this log were left out\n")
             };
@@ -108,12 +123,19 @@
 
 /// Events are written like this from now on. Only the first call of a process counts.
 pub fn start(log: &Log) {
-    let targets = log.targets.iter().map(|(name, level)| (name.clone(), filter(*level)));
+    let targets = log
+        .targets
+        .iter()
+        .map(|(name, level)| (name.clone(), filter(*level)));
     // Libraries' own events are theirs: only this program's are wanted unless a target names others.
-    let targets = Targets::new().with_target("badgerramp", filter(log.level)).with_targets(targets);
+    let targets = Targets::new()
+        .with_target("badgerramp", filter(log.level))
+        .with_targets(targets);
     let json = log.format == Format::Json;
     let writer = Writer(Arc::new(Bounded::new(log.rate, json, io::stderr())));
-    let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(writer);
+    let lines = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        .with_writer(writer);
     let registry = tracing_subscriber::registry().with(targets);
     // An embedding program may have its own.
     let _ = if json {
@@ -133,7 +155,13 @@
         let start = Instant::now();
         let passed: Vec<bool> = (0..5).map(|_| bounded.pass(start).0).collect();
         assert_eq!(passed, [true, true, true, false, false]);
-        assert_eq!(bounded.pass(start + Duration::from_millis(1_001)), (true, 2));
-        assert_eq!(bounded.pass(start + Duration::from_millis(1_002)), (true, 0));
+        assert_eq!(
+            bounded.pass(start + Duration::from_millis(1_001)),
+            (true, 2)
+        );
+        assert_eq!(
+            bounded.pass(start + Duration::from_millis(1_002)),
+            (true, 0)
+        );
     }
 }
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -15,7 +15,10 @@
 pub fn run(file: &Path, at: Option<SocketAddr>, json: bool) -> Result<(), Fault> {
     let config = badgerramp_config::load(file)?;
     let Some(terms) = &config.peers else {
-        return Err(Fault::Other(format!("{}: no [peers]: this proxy asks for itself", file.display())));
+        return Err(Fault::Other(format!(
+            "{}: no [peers]: this proxy asks for itself",
+            file.display()
+        )));
     };
     let address = at.unwrap_or(terms.listen);
     if address.port() == 0 {
@@ -43,19 +46,29 @@
 }
 
 fn text(told: &Told) -> String {
-    let Told { standing, strangers } = told;
+    let Told {
+        standing,
+        strangers,
+    } = told;
     let mut text = String::new();
     // Writing to a String does not fail.
     let mut line = |name: &str, value: String| {
         let _ = writeln!(text, "{name:<10}{value}");
     };
     line("proxy", standing.own.address.to_string());
-    line("alive", format!("{} proxies, this one included", standing.alive));
+    line(
+        "alive",
+        format!("{} proxies, this one included", standing.alive),
+    );
     let list = match &standing.list {
         None => "none yet".to_owned(),
         Some((stamp, since, from)) => {
             let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let life = if stamp.life > 1 { format!(" (life {})", stamp.life) } else { String::new() };
+            let life = if stamp.life > 1 {
+                format!(" (life {})", stamp.life)
+            } else {
+                String::new()
+            };
             format!(
                 "{}{life} of {from}, {} ago; {} hosts take calls",
                 stamp.index,
@@ -65,15 +78,34 @@
         }
     };
     line("list", list);
-    line("start", if standing.settled { "over" } else { "under way" }.to_owned());
+    line(
+        "start",
+        if standing.settled {
+            "over"
+        } else {
+            "under way"
+        }
+        .to_owned(),
+    );
     for (word, age) in &standing.askers {
-        let who = if word.id == standing.own.id { " (this one)" } else { "" };
+        let who = if word.id == standing.own.id {
+            " (this one)"
+        } else {
+            ""
+        };
         let hears = match word.failures {
             0 => "hears the service".to_owned(),
             u32::MAX => "has not heard the service yet".to_owned(),
             failures => format!("{failures} questions failed"),
         };
-        line("asks", format!("{:016x}{who}, {hears}, heard of {} ago", word.id.0, span(*age)));
+        line(
+            "asks",
+            format!(
+                "{:016x}{who}, {hears}, heard of {} ago",
+                word.id.0,
+                span(*age)
+            ),
+        );
     }
     let counts = &standing.counts;
     line(
@@ -96,7 +128,10 @@
         (strangers.again, "taken before"),
         (strangers.unsent, "not sent"),
     ];
-    let strange: Vec<String> = strange.iter().map(|(count, what)| format!("{count} {what}")).collect();
+    let strange: Vec<String> = strange
+        .iter()
+        .map(|(count, what)| format!("{count} {what}"))
+        .collect();
     line("strange", strange.join(", "));
     text
 }
--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -39,7 +39,10 @@
 impl AdmissionGate {
     /// The gate of a proxy that has just started.
     pub fn new(holder: Holder) -> Rc<Self> {
-        Rc::new(AdmissionGate { holder: RefCell::new(holder), installed: RefCell::default() })
+        Rc::new(AdmissionGate {
+            holder: RefCell::new(holder),
+            installed: RefCell::default(),
+        })
     }
 
     /// The holder of the lease. It must not stay borrowed over an await.
@@ -65,11 +68,21 @@
         let installed = self.installed.borrow();
         let rules = match admission {
             Admission::Closed(closed) => return Err(closed),
-            Admission::Under(mode) => installed.mode.as_ref().filter(|(m, _)| *m == mode).map(|(_, r)| r),
+            Admission::Under(mode) => installed
+                .mode
+                .as_ref()
+                .filter(|(m, _)| *m == mode)
+                .map(|(_, r)| r),
             Admission::Floor(generation) => installed.fallbacks.get(&generation),
         };
         let rules = rules.ok_or(Closed::NoLease)?;
-        Ok((Rc::clone(rules), Ticket { admission, version: installed.version }))
+        Ok((
+            Rc::clone(rules),
+            Ticket {
+                admission,
+                version: installed.version,
+            },
+        ))
     }
 
     /// Starts a call now, if what its request was admitted under still holds. False: it must be admitted again.
@@ -84,7 +97,12 @@
             Admission::Floor(generation) => (true, generation, generation),
             Admission::Closed(_) => return false,
         };
-        let id = || headers.get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let id = || {
+            headers
+                .get("x-request-id")
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or_default()
+        };
         debug!(target: STARTED_CALLS, at = now, old = old.0, new = new.0, floor, request = id(), "begun");
         true
     }
@@ -93,10 +111,14 @@
     pub fn health(&self) -> Result<String, String> {
         match self.holder.borrow().admission(clock::now()) {
             Admission::Under(mode) => Ok(format!("ok, {mode}")),
-            Admission::Floor(generation) => Ok(format!("cut off from control, the floor of {generation}")),
+            Admission::Floor(generation) => {
+                Ok(format!("cut off from control, the floor of {generation}"))
+            }
             Admission::Closed(Closed::NoLease) => Err("no policy from control yet".to_owned()),
             Admission::Closed(Closed::RunOut) => Err("cut off from control".to_owned()),
-            Admission::Closed(Closed::Evicted) => Err("evicted by control: start it anew".to_owned()),
+            Admission::Closed(Closed::Evicted) => {
+                Err("evicted by control: start it anew".to_owned())
+            }
         }
     }
 }
--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -141,7 +141,11 @@
     fn written(&self) {
         if self.phase.get() == Phase::Answering {
             // What has come meanwhile belongs to the next request.
-            self.phase.set(if self.scan.get() == Scan::Before { Phase::Idle } else { Phase::Head });
+            self.phase.set(if self.scan.get() == Scan::Before {
+                Phase::Idle
+            } else {
+                Phase::Head
+            });
             self.since.set(self.clock.now());
         }
     }
@@ -247,7 +251,11 @@
         // What comes behind a request whose length is known is worthless, as its answer closes the connection.
         let worthless = self.length.get() < u64::MAX;
         while taken
-            < if worthless { WORTHLESS_MOST } else { AHEAD_MOST.saturating_sub(self.ahead.borrow().len()) }
+            < if worthless {
+                WORTHLESS_MOST
+            } else {
+                AHEAD_MOST.saturating_sub(self.ahead.borrow().len())
+            }
         {
             match self.stream.take(&mut bytes) {
                 Ok(0) => return false,
@@ -305,7 +313,12 @@
     }
 
     /// Takes a connection in.
-    pub fn enter(&self, stream: Rc<dyn Stream>, descriptor: Option<Descriptor>, clock: Clock) -> Rc<Seat> {
+    pub fn enter(
+        &self,
+        stream: Rc<dyn Stream>,
+        descriptor: Option<Descriptor>,
+        clock: Clock,
+    ) -> Rc<Seat> {
         let number = self.next.replace(self.next.get() + 1);
         let seat = Rc::new(Seat {
             number,
@@ -332,7 +345,8 @@
     /// A connection has ended.
     pub fn leave(&self, seat: &Seat) {
         self.seats.borrow_mut().remove(&seat.number);
-        self.evicted.set(self.evicted.get() - usize::from(seat.is_evicted()));
+        self.evicted
+            .set(self.evicted.get() - usize::from(seat.is_evicted()));
         seat.descriptor.take();
         self.left.notify_one();
     }
@@ -340,7 +354,10 @@
     /// Has the connection go that has been idle longest, to make room. False if none may go.
     pub fn evict(&self, now: Micros) -> bool {
         let seats = self.seats.borrow();
-        let longest = seats.values().filter(|s| s.spare(now)).min_by_key(|s| s.since.get());
+        let longest = seats
+            .values()
+            .filter(|s| s.spare(now))
+            .min_by_key(|s| s.since.get());
         longest.inspect(|seat| {
             seat.evicted.set(true);
             self.evicted.set(self.evicted.get() + 1);
@@ -351,12 +368,17 @@
 
     /// One that was to make room has had something come in: another has to go.
     pub fn stays(&self, seat: &Seat) {
-        self.evicted.set(self.evicted.get() - usize::from(seat.evicted.replace(false)));
+        self.evicted
+            .set(self.evicted.get() - usize::from(seat.evicted.replace(false)));
     }
 
     /// Closes those that are overdue.
     pub fn sweep(&self, now: Micros) {
-        self.seats.borrow().values().filter(|s| s.overdue(now)).for_each(|s| s.close());
+        self.seats
+            .borrow()
+            .values()
+            .filter(|s| s.overdue(now))
+            .for_each(|s| s.close());
     }
 }
 
@@ -368,7 +390,10 @@
 
 impl Noted {
     pub fn new(seat: &Rc<Seat>) -> Self {
-        Noted { socket: Socket::new(&seat.stream), seat: Rc::clone(seat) }
+        Noted {
+            socket: Socket::new(&seat.stream),
+            seat: Rc::clone(seat),
+        }
     }
 }
 
@@ -394,7 +419,11 @@
 }
 
 impl AsyncWrite for Noted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.socket).poll_write(cx, buf)
     }
 
--- a/crates/proxy/src/net/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -14,14 +14,19 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         Clock::starting_at(unix.as_micros() as Micros)
     }
 
     /// A clock that shows this Unix time now, in microseconds, and goes on as the runtime's time does: a simulation
     /// has its own.
     pub fn starting_at(unix: Micros) -> Self {
-        Clock { unix, start: Instant::now() }
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -5,7 +5,8 @@
 use super::socket::{Network, Socket};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_watch::{
-    Budget, Input, Odd, Output, QuestionId, Source, Watch, CONNECT, SERVICE_ANSWERS, TOLD_AFTER_SILENCE,
+    Budget, Input, Odd, Output, QuestionId, Source, Watch, CONNECT, SERVICE_ANSWERS,
+    TOLD_AFTER_SILENCE,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -68,13 +69,25 @@
     let (answers, mut answered) = mpsc::unbounded_channel();
     let at = *address.borrow_and_update();
     let open = BTreeMap::new();
-    let mut asking = Asking { driver, network, address: at, watch, link: None, open, answers, idle_after };
+    let mut asking = Asking {
+        driver,
+        network,
+        address: at,
+        watch,
+        link: None,
+        open,
+        answers,
+        idle_after,
+    };
     if budget.source == Source::Agent {
         // Nobody else says so: the decisions ask where it costs the service something.
         asking.tell(Input::Begin, None);
     }
     loop {
-        let due = asking.watch.due().map(|due| asking.driver.clock().instant(due));
+        let due = asking
+            .watch
+            .due()
+            .map(|due| asking.driver.clock().instant(due));
         let late = async {
             match due {
                 Some(due) => tokio::time::sleep_until(due).await,
@@ -110,7 +123,14 @@
 }
 
 impl Asking {
-    fn answered(&mut self, Answer { question, list, link }: Answer) {
+    fn answered(
+        &mut self,
+        Answer {
+            question,
+            list,
+            link,
+        }: Answer,
+    ) {
         // One that was dropped meanwhile means nothing any more.
         if self.open.remove(&question).is_none() {
             return;
@@ -118,7 +138,11 @@
         match list {
             Ok(list) => {
                 self.link = link;
-                let input = Input::Answered { question, index: list.index, whole: list.snapshot };
+                let input = Input::Answered {
+                    question,
+                    index: list.index,
+                    whole: list.snapshot,
+                };
                 self.tell(input, Some(list));
             }
             Err(fault) => {
@@ -136,19 +160,33 @@
         let before = self.watch.index();
         let idle = self.driver.quiet_for() >= self.idle_after;
         let mut out = Vec::new();
-        self.watch.handle(self.driver.clock().now(), input, idle, &mut out);
+        self.watch
+            .handle(self.driver.clock().now(), input, idle, &mut out);
         for output in out {
             match output {
-                Output::Ask { question, index, wait, fresh } => self.ask(question, (index, wait), fresh),
+                Output::Ask {
+                    question,
+                    index,
+                    wait,
+                    fresh,
+                } => self.ask(question, (index, wait), fresh),
                 Output::Drop(question) => {
                     self.open.remove(&question);
                 }
                 Output::Take => {
                     let Some(list) = &list else { continue };
                     if before.is_none() {
-                        tracing::info!("discovery: list {} with {} hosts", list.index, list.endpoints.len());
+                        tracing::info!(
+                            "discovery: list {} with {} hosts",
+                            list.index,
+                            list.endpoints.len()
+                        );
                     }
-                    let kind = if list.snapshot { ListKind::Full } else { ListKind::Delta };
+                    let kind = if list.snapshot {
+                        ListKind::Full
+                    } else {
+                        ListKind::Delta
+                    };
                     self.driver.members(kind, &list.endpoints);
                 }
                 Output::Odd(odd) => self.odd(odd),
@@ -166,24 +204,41 @@
 
     fn odd(&self, odd: Odd) {
         match odd {
-            Odd::NoList => tracing::warn!("discovery: odd list: changes, where the whole was asked for"),
+            Odd::NoList => {
+                tracing::warn!("discovery: odd list: changes, where the whole was asked for")
+            }
             Odd::Back { from, to } => {
-                tracing::warn!("discovery: odd list: changes up to {to}, asked for those after {from}");
+                tracing::warn!(
+                    "discovery: odd list: changes up to {to}, asked for those after {from}"
+                );
             }
             Odd::AnotherLife { from, to } => {
-                tracing::warn!("discovery: the index went back from {from} to {to}: another service's list");
+                tracing::warn!(
+                    "discovery: the index went back from {from} to {to}: another service's list"
+                );
             }
         }
     }
 
     fn ask(&mut self, question: QuestionId, (index, wait): (Option<u64>, Micros), fresh: bool) {
         let mut link = self.link.take().filter(|_| !fresh);
-        let (network, address, answers) = (Rc::clone(&self.network), self.address, self.answers.clone());
+        let (network, address, answers) =
+            (Rc::clone(&self.network), self.address, self.answers.clone());
         tracing::debug!(number = question.0, index, wait, fresh, "discovery: asked");
         let task = tokio::task::spawn_local(async move {
-            let list = ask(&mut link, &*network, address, (index, Duration::from_micros(wait))).await;
+            let list = ask(
+                &mut link,
+                &*network,
+                address,
+                (index, Duration::from_micros(wait)),
+            )
+            .await;
             // Nobody listens at the end of the program.
-            let _ = answers.send(Answer { question, list, link });
+            let _ = answers.send(Answer {
+                question,
+                list,
+                link,
+            });
         });
         self.open.insert(question, Out(task.abort_handle()));
     }
@@ -208,7 +263,11 @@
 
 impl From<String> for Unanswered {
     fn from(why: String) -> Self {
-        Unanswered { why, refused: false, retry_after: None }
+        Unanswered {
+            why,
+            refused: false,
+            retry_after: None,
+        }
     }
 }
 
@@ -228,21 +287,38 @@
         Some(index) => format!("/catalog/members?index={index}&wait={}", wait.as_millis()),
         None => "/catalog/members".to_owned(),
     };
-    let request = hyper::Request::get(path).header(HOST, address.to_string()).body(Empty::new());
+    let request = hyper::Request::get(path)
+        .header(HOST, address.to_string())
+        .body(Empty::new());
     let request = request.map_err(|e| e.to_string())?;
-    let answer = open.sender.send_request(request).await.map_err(|e| e.to_string())?;
+    let answer = open
+        .sender
+        .send_request(request)
+        .await
+        .map_err(|e| e.to_string())?;
     if answer.status() != StatusCode::OK {
-        let said = answer.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+        let said = answer
+            .headers()
+            .get(RETRY_AFTER)
+            .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
         let retry_after = said.and_then(|s| Duration::try_from_secs_f64(s.min(RETRY_MOST)).ok());
         let refused = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
-        return Err(Unanswered { why: format!("answered {}", answer.status()), refused, retry_after });
+        return Err(Unanswered {
+            why: format!("answered {}", answer.status()),
+            refused,
+            retry_after,
+        });
     }
-    let body = Limited::new(answer.into_body(), LIST_MOST).collect().await.map_err(|e| e.to_string())?;
+    let body = Limited::new(answer.into_body(), LIST_MOST)
+        .collect()
+        .await
+        .map_err(|e| e.to_string())?;
     serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("odd list: {e}").into())
 }
 
 async fn connect(network: &dyn Network, address: SocketAddr) -> Result<Link, String> {
-    let stream = tokio::time::timeout(Duration::from_micros(CONNECT), network.connect(address)).await;
+    let stream =
+        tokio::time::timeout(Duration::from_micros(CONNECT), network.connect(address)).await;
     let stream = stream.map_err(|_| "no connection in time".to_owned())?;
     let stream = stream.map_err(|e| format!("no connection: {e}"))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(&stream)))
@@ -252,6 +328,9 @@
         // A broken connection shows in the call that uses it.
         let _ = connection.await;
     });
-    sender.ready().await.map_err(|e| format!("no connection: {e}"))?;
+    sender
+        .ready()
+        .await
+        .map_err(|e| format!("no connection: {e}"))?;
     Ok(Link { sender, task })
 }
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -33,7 +33,12 @@
     /// ended, its time may be up, its client may have gone, and its host may drain or be another process; if this
     /// process was stalled, what is known of the host may be out of date.
     pub fn may_start(&self, call: CallId, attempt: u32, generation: u64) -> bool {
-        let client = self.core.borrow().calls.get(&call).map(|c| Rc::clone(&c.client));
+        let client = self
+            .core
+            .borrow()
+            .calls
+            .get(&call)
+            .map(|c| Rc::clone(&c.client));
         if client.is_some_and(|client| !client.connected()) {
             // The HTTP library may not have noticed: it stops looking once it has buffered bytes behind the request.
             self.gone(call);
@@ -44,8 +49,14 @@
             return false;
         }
         let Core { calls, hosts, .. } = &mut *core;
-        let Some(call) = calls.get_mut(&call).filter(|c| c.is_open()) else { return false };
-        let Some(attempt) = call.attempts.get_mut(attempt as usize).filter(|a| a.in_flight) else {
+        let Some(call) = calls.get_mut(&call).filter(|c| c.is_open()) else {
+            return false;
+        };
+        let Some(attempt) = call
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|a| a.in_flight)
+        else {
             return false;
         };
         let host = hosts.get(&attempt.server);
@@ -58,7 +69,9 @@
     pub fn ended(&self, call: CallId, attempt: u32, ended: Ended) {
         // Also called when a task is dropped. Should that ever happen while the core is borrowed, a second panic would
         // abort the program; the attempt's own deadline ends it then.
-        let Ok(mut core) = self.core.try_borrow_mut() else { return };
+        let Ok(mut core) = self.core.try_borrow_mut() else {
+            return;
+        };
         if core.finish_attempt(self.clock.now(), call, attempt, ended) {
             self.run_with(&mut core);
         }
@@ -72,17 +85,34 @@
         (id, server): (CallId, ServerId),
         (until, start_by): (Option<Micros>, Option<Micros>),
     ) {
-        let Some(call) = core.calls.get_mut(&id) else { return };
+        let Some(call) = core.calls.get_mut(&id) else {
+            return;
+        };
         let number = call.attempts.len() as u32;
-        let until = until.filter(|&u| u > 0).unwrap_or(Micros::MAX).min(call.deadline);
+        let until = until
+            .filter(|&u| u > 0)
+            .unwrap_or(Micros::MAX)
+            .min(call.deadline);
         let start_by = start_by.unwrap_or(Micros::MAX);
-        let attempt =
-            Attempt { server, sent: now, until, start_by, started: false, task: None, in_flight: true };
+        let attempt = Attempt {
+            server,
+            sent: now,
+            until,
+            start_by,
+            started: false,
+            task: None,
+            in_flight: true,
+        };
         call.attempts.push(attempt);
         let host = core.hosts.get(&server);
         if tracing::enabled!(target: CALLS, tracing::Level::DEBUG) {
             let name = host.map_or("", |host| &*host.name);
-            log_sent((id, number), name, core.balancer.view(now, server), until.saturating_sub(now));
+            log_sent(
+                (id, number),
+                name,
+                core.balancer.view(now, server),
+                until.saturating_sub(now),
+            );
         }
         let target = host.and_then(|host| host.target(server));
         let Some(target) = target.filter(|_| call.is_open() && until > now) else {
@@ -105,7 +135,12 @@
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
             // An attempt whose task dies may have run; without this its call would wait for its deadline.
-            let mut guard = OutcomeGuard { driver, call, attempt, ended: Some(Outcome::Unknown.into()) };
+            let mut guard = OutcomeGuard {
+                driver,
+                call,
+                attempt,
+                ended: Some(Outcome::Unknown.into()),
+            };
             let driver = &guard.driver;
             driver.caught_up().await;
             let left = || until.saturating_sub(driver.clock.now());
@@ -138,20 +173,37 @@
 
 impl Core {
     /// Records the outcome of an attempt, stops its task and queues the event. Returns false if it had ended before.
-    pub(super) fn finish_attempt(&mut self, now: Micros, id: CallId, number: u32, ended: Ended) -> bool {
-        let Some(call) = self.calls.get_mut(&id) else { return false };
-        let Some(attempt) = call.attempts.get_mut(number as usize).filter(|a| a.in_flight) else {
+    pub(super) fn finish_attempt(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        number: u32,
+        ended: Ended,
+    ) -> bool {
+        let Some(call) = self.calls.get_mut(&id) else {
+            return false;
+        };
+        let Some(attempt) = call
+            .attempts
+            .get_mut(number as usize)
+            .filter(|a| a.in_flight)
+        else {
             return false;
         };
         attempt.in_flight = false;
-        self.timers.remove(&(attempt.until, Due::Attempt(id, number)));
+        self.timers
+            .remove(&(attempt.until, Due::Attempt(id, number)));
         if let Some(task) = attempt.task.take() {
             // This closes its connection, by which the host learns that nobody waits.
             task.abort();
         }
         let elapsed = now.saturating_sub(attempt.sent);
         debug!(target: CALLS, call = id.0, attempt = number, outcome = ?ended.outcome, elapsed, "over");
-        let Ended { outcome, load, reply } = ended;
+        let Ended {
+            outcome,
+            load,
+            reply,
+        } = ended;
         match reply {
             Some(reply) if outcome == Outcome::Served => {
                 if let Some(sender) = call.answer.take() {
@@ -160,11 +212,20 @@
                     let _ = sender.send(Answer::Served(reply));
                 }
             }
-            Some(reply) if outcome == Outcome::Error && self.keep_errors => call.last_error = Some(reply),
+            Some(reply) if outcome == Outcome::Error && self.keep_errors => {
+                call.last_error = Some(reply)
+            }
             _ => {}
         }
         let closed = !call.is_open();
-        self.events.push_back(Event::Outcome { call: id, attempt: number, outcome, elapsed, closed, load });
+        self.events.push_back(Event::Outcome {
+            call: id,
+            attempt: number,
+            outcome,
+            elapsed,
+            closed,
+            load,
+        });
         true
     }
 }
@@ -172,7 +233,15 @@
 /// Logs the start of an attempt, with the balancer's view of its host.
 fn log_sent((call, attempt): (CallId, u32), host: &str, view: Option<View>, left: Micros) {
     let Some(view) = view else { return };
-    let View { in_flight, concurrency, strain, failing, warmth, set_aside, .. } = view;
+    let View {
+        in_flight,
+        concurrency,
+        strain,
+        failing,
+        warmth,
+        set_aside,
+        ..
+    } = view;
     debug!(target: CALLS, call = call.0, attempt, host, left, in_flight, concurrency, strain,
         failing, warmth, set_aside, "sent");
 }
--- a/crates/proxy/src/net/driver/audit.rs
+++ b/crates/proxy/src/net/driver/audit.rs
@@ -10,19 +10,32 @@
         let core = self.core.borrow();
         let mut in_flight: BTreeMap<ServerId, u32> = BTreeMap::new();
         let attempts = core.calls.values().flat_map(|c| &c.attempts);
-        attempts.filter(|a| a.in_flight).for_each(|a| *in_flight.entry(a.server).or_default() += 1);
+        attempts
+            .filter(|a| a.in_flight)
+            .for_each(|a| *in_flight.entry(a.server).or_default() += 1);
         let mut differences = Vec::new();
         for (&server, host) in &core.hosts {
-            let (there, now) = (in_flight.get(&server).copied().unwrap_or(0), self.clock.now());
-            let counted = core.balancer.view(now, server).map_or(there, |v| v.in_flight);
+            let (there, now) = (
+                in_flight.get(&server).copied().unwrap_or(0),
+                self.clock.now(),
+            );
+            let counted = core
+                .balancer
+                .view(now, server)
+                .map_or(there, |v| v.in_flight);
             if counted != there {
-                differences
-                    .push(format!("{}: {counted} in flight by the decisions, {there} there", host.name));
+                differences.push(format!(
+                    "{}: {counted} in flight by the decisions, {there} there",
+                    host.name
+                ));
             }
         }
         let known = core.balancer.totals().0;
         if known > core.calls.len() {
-            differences.push(format!("{known} calls known to the decisions, {} there", core.calls.len()));
+            differences.push(format!(
+                "{known} calls known to the decisions, {} there",
+                core.calls.len()
+            ));
         }
         if core.open_calls != core.calls.values().filter(|c| c.is_open()).count() {
             differences.push(format!("{} calls counted as open", core.open_calls));
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -86,7 +86,11 @@
     }
 
     /// Takes on a request. `None`: as many calls are open as the settings allow.
-    pub fn request(&self, intake: Intake, request: Request) -> Option<(CallId, oneshot::Receiver<Answer>)> {
+    pub fn request(
+        &self,
+        intake: Intake,
+        request: Request,
+    ) -> Option<(CallId, oneshot::Receiver<Answer>)> {
         let (sender, receiver) = oneshot::channel();
         let mut core = self.core.borrow_mut();
         if core.open_calls >= core.max_open {
@@ -97,7 +101,11 @@
         let call = CallId(core.next_call);
         core.next_call += 1;
         core.open_calls += 1;
-        let id = request.headers.get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let id = request
+            .headers
+            .get("x-request-id")
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default();
         debug!(target: CALLS, call = call.0, request = id, class = intake.class.0, "taken");
         let deadline = intake.deadline;
         let entry = Call {
@@ -111,7 +119,9 @@
         };
         core.calls.insert(call, entry);
         core.timers.insert((deadline, Due::Deadline(call)));
-        let tenant = intake.tenant.and_then(|name| core.tenants.iter().position(|t| *t == name));
+        let tenant = intake
+            .tenant
+            .and_then(|name| core.tenants.iter().position(|t| *t == name));
         let event = Event::Request {
             call,
             class: intake.class,
@@ -127,7 +137,12 @@
 
     /// The client of this call has gone. Its attempts are cancelled whatever the balancer decides.
     pub fn gone(&self, call: CallId) {
-        let open = self.core.borrow().calls.get(&call).is_some_and(|c| c.is_open());
+        let open = self
+            .core
+            .borrow()
+            .calls
+            .get(&call)
+            .is_some_and(|c| c.is_open());
         if !open {
             return;
         }
@@ -138,14 +153,18 @@
 
     /// How long ago the last call was taken on.
     pub fn quiet_for(&self) -> Micros {
-        self.clock.now().saturating_sub(self.core.borrow().last_call_at)
+        self.clock
+            .now()
+            .saturating_sub(self.core.borrow().last_call_at)
     }
 }
 
 impl Core {
     /// Gives the final answer, if it has not been given yet.
     pub(super) fn finish_call(&mut self, id: CallId, answer: Option<Answer>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         if let Some(sender) = call.answer.take() {
             self.open_calls -= 1;
             self.timers.remove(&(call.deadline, Due::Deadline(id)));
@@ -160,7 +179,11 @@
 
     /// Forgets a call once it has ended and none of its attempts is in flight.
     pub(super) fn forget_if_done(&mut self, id: CallId) {
-        if self.calls.get(&id).is_some_and(|call| !call.is_open() && !call.has_attempt_in_flight()) {
+        if self
+            .calls
+            .get(&id)
+            .is_some_and(|call| !call.is_open() && !call.has_attempt_in_flight())
+        {
             self.calls.remove(&id);
         }
     }
--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -102,7 +102,11 @@
         if self.state != State::Ready {
             return None;
         }
-        Some(Target { server, address: self.address?, generation: self.generation })
+        Some(Target {
+            server,
+            address: self.address?,
+            generation: self.generation,
+        })
     }
 }
 
@@ -117,7 +121,9 @@
         }
         let mut entries = Vec::new();
         for endpoint in list {
-            let Some(entry) = core.update_host(endpoint, &self.sockets) else { continue };
+            let Some(entry) = core.update_host(endpoint, &self.sockets) else {
+                continue;
+            };
             if core.subset.is_some() {
                 touched.push(entry.server.0);
                 core.update_subset_candidate(&endpoint.name, &entry);
@@ -137,7 +143,10 @@
 
     /// Asking for the list failed, or the watch broke.
     pub fn members_failed(&self) {
-        self.event(Event::Members { kind: ListKind::Failed, entries: Vec::new() });
+        self.event(Event::Members {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
     }
 }
 
@@ -154,8 +163,14 @@
         self.next_server += 1;
         self.server_ids.insert(Rc::clone(&name), server);
         // Draining until it is known better: whatever its first entry says is a change.
-        let host =
-            Host { name, address: None, started: 0, state: State::Draining, generation: 0, entry: None };
+        let host = Host {
+            name,
+            address: None,
+            started: 0,
+            state: State::Draining,
+            generation: 0,
+            entry: None,
+        };
         self.hosts.insert(server, host);
         Some(server)
     }
@@ -174,7 +189,11 @@
         let address = endpoint.address.parse().ok().or(last_address);
         // Nothing can go to a host whose address is unknown.
         let without_address = listed_state == State::Ready && address.is_none();
-        let state = if without_address { State::Draining } else { listed_state };
+        let state = if without_address {
+            State::Draining
+        } else {
+            listed_state
+        };
         // The same name with a new start is a new process, and a new address is another way to it: open connections
         // lead to the old one.
         if state != State::Ready {
@@ -201,8 +220,13 @@
     /// Forgets the hosts that a whole list does not name; returns their ids.
     fn forget_unlisted(&mut self, list: &[Endpoint], sockets: &Hosts) -> Vec<u32> {
         let listed: HashSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
-        let unlisted = self.server_ids.iter().filter(|(name, _)| !listed.contains(&***name));
-        let unlisted: Vec<_> = unlisted.map(|(name, server)| (Rc::clone(name), server.0)).collect();
+        let unlisted = self
+            .server_ids
+            .iter()
+            .filter(|(name, _)| !listed.contains(&***name));
+        let unlisted: Vec<_> = unlisted
+            .map(|(name, server)| (Rc::clone(name), server.0))
+            .collect();
         for (name, _) in &unlisted {
             self.forget(name, sockets);
         }
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -25,7 +25,9 @@
 use super::clock::Clock;
 use super::hosts::Hosts;
 use badgerramp_decisions::settings::Facts;
-use badgerramp_decisions::{Action, Balancer, CallId, Event, Load, Micros, Outcome, ServerId, Settings};
+use badgerramp_decisions::{
+    Action, Balancer, CallId, Event, Load, Micros, Outcome, ServerId, Settings,
+};
 use badgerramp_subset::Subset;
 use badgerramp_watch::Stall;
 use calls::Call;
@@ -90,7 +92,10 @@
         clock: Clock,
         sockets: Rc<Hosts>,
     ) -> Self {
-        let subset = subset.map(|subset| SubsetView { subset, settings: facts.settings.clone() });
+        let subset = subset.map(|subset| SubsetView {
+            subset,
+            settings: facts.settings.clone(),
+        });
         let core = Core {
             subset,
             sharing_proxies: facts.settings.balancers,
@@ -115,7 +120,13 @@
             actions: Vec::new(),
         };
         let (timer_moved, subscribe) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-        Driver { core: Rc::new(RefCell::new(core)), clock, sockets, timer_moved, subscribe }
+        Driver {
+            core: Rc::new(RefCell::new(core)),
+            clock,
+            sockets,
+            timer_moved,
+            subscribe,
+        }
     }
 
     pub fn clock(&self) -> Clock {
@@ -168,7 +179,12 @@
     /// Executes one action of the balancer.
     fn execute(&self, core: &mut Core, now: Micros, action: Action) {
         match action {
-            Action::Send { call, server, until, start_by } => {
+            Action::Send {
+                call,
+                server,
+                until,
+                start_by,
+            } => {
                 self.start_attempt(core, now, (call, server), (until, start_by));
             }
             Action::Refuse { call, retry_after } => {
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -17,7 +17,10 @@
             settings.balancers = view.subset.sharing();
         }
         drop(core);
-        self.event(Event::Reconfigure { settings: Box::new(settings), fresh });
+        self.event(Event::Reconfigure {
+            settings: Box::new(settings),
+            fresh,
+        });
     }
 
     /// The number of live proxies of the fleet, which share the hosts if there are more than the settings say.
@@ -30,8 +33,14 @@
             return;
         }
         core.sharing_proxies = sharing;
-        let settings = Box::new(Settings { balancers: sharing, ..core.settings.clone() });
+        let settings = Box::new(Settings {
+            balancers: sharing,
+            ..core.settings.clone()
+        });
         drop(core);
-        self.event(Event::Reconfigure { settings, fresh: Vec::new() });
+        self.event(Event::Reconfigure {
+            settings,
+            fresh: Vec::new(),
+        });
     }
 }
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -24,8 +24,17 @@
     /// How many listed hosts the balancer is told of, and how many there are.
     pub fn chosen(&self) -> (usize, usize) {
         let core = self.core.borrow();
-        let all = core.hosts.values().filter(|h| h.state == State::Ready).count();
-        (core.subset.as_ref().map_or(all, |view| view.subset.standing().members), all)
+        let all = core
+            .hosts
+            .values()
+            .filter(|h| h.state == State::Ready)
+            .count();
+        (
+            core.subset
+                .as_ref()
+                .map_or(all, |view| view.subset.standing().members),
+            all,
+        )
     }
 }
 
@@ -34,7 +43,9 @@
     pub(super) fn update_subset_candidate(&mut self, name: &str, entry: &Entry) {
         let Some(view) = &mut self.subset else { return };
         match entry.state {
-            State::Ready => view.subset.add(entry.server.0, name, entry.zone == view.settings.zone),
+            State::Ready => view
+                .subset
+                .add(entry.server.0, name, entry.zone == view.settings.zone),
             _ => view.subset.remove(entry.server.0),
         }
     }
@@ -47,18 +58,35 @@
             // A member may have changed and stayed one.
             let stay = touched.iter().copied().filter(|&id| view.subset.holds(id));
             let joined = changes.joined.iter().copied().chain(stay).collect();
-            self.announce(kind, &Changes { joined, left: changes.left });
+            self.announce(
+                kind,
+                &Changes {
+                    joined,
+                    left: changes.left,
+                },
+            );
         } else {
             let joined = view.subset.members().collect();
-            self.announce(kind, &Changes { joined, left: Vec::new() });
+            self.announce(
+                kind,
+                &Changes {
+                    joined,
+                    left: Vec::new(),
+                },
+            );
         }
     }
 
     /// Grows or shrinks the subset by the health of its members.
     pub(super) fn resize_subset(&mut self, now: Micros) {
         let Some(view) = &mut self.subset else { return };
-        let ((listed, troubled), (calls, waiting, _)) = (self.balancer.listed(), self.balancer.totals());
-        let health = Health { usable: listed - troubled, in_flight: calls - waiting, waiting };
+        let ((listed, troubled), (calls, waiting, _)) =
+            (self.balancer.listed(), self.balancer.totals());
+        let health = Health {
+            usable: listed - troubled,
+            in_flight: calls - waiting,
+            waiting,
+        };
         let changes = view.subset.pulse(now, health);
         if !changes.is_empty() {
             self.announce(ListKind::Delta, &changes);
@@ -69,18 +97,31 @@
     /// notably.
     fn announce(&mut self, kind: ListKind, changes: &Changes) {
         let gone = |&id: &u32| {
-            let entry =
-                self.hosts.get(&ServerId(id)).and_then(|h| h.entry).filter(|e| e.state != State::Ready);
-            entry.unwrap_or(Entry { server: ServerId(id), state: State::Gone, ..Entry::default() })
+            let entry = self
+                .hosts
+                .get(&ServerId(id))
+                .and_then(|h| h.entry)
+                .filter(|e| e.state != State::Ready);
+            entry.unwrap_or(Entry {
+                server: ServerId(id),
+                state: State::Gone,
+                ..Entry::default()
+            })
         };
-        let joined = changes.joined.iter().filter_map(|id| self.hosts.get(&ServerId(*id))?.entry);
+        let joined = changes
+            .joined
+            .iter()
+            .filter_map(|id| self.hosts.get(&ServerId(*id))?.entry);
         let entries = changes.left.iter().map(gone).chain(joined).collect();
         if let Some(view) = &mut self.subset {
             let (sharing, told) = (view.subset.sharing(), view.settings.balancers);
             if differs_notably(sharing, told) {
                 view.settings.balancers = sharing;
                 let settings = Box::new(view.settings.clone());
-                self.events.push_back(Event::Reconfigure { settings, fresh: Vec::new() });
+                self.events.push_back(Event::Reconfigure {
+                    settings,
+                    fresh: Vec::new(),
+                });
             }
         }
         self.events.push_back(Event::Members { kind, entries });
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -25,7 +25,11 @@
 
 fn driver_with(subset: Option<Subset>) -> Driver {
     let clock = Clock::start();
-    let transport = Transport { max_open: 9, conn_idle: 60_000_000, connect_timeout: 9_000_000 };
+    let transport = Transport {
+        max_open: 9,
+        conn_idle: 60_000_000,
+        connect_timeout: 9_000_000,
+    };
     let sockets = Hosts::new(
         transport,
         (16, Micros::MAX),
@@ -33,15 +37,30 @@
         Rc::new(Tcp),
         clock,
     );
-    let facts = Facts { settings: Settings::default(), classes: vec![], tenants: vec![], transport };
+    let facts = Facts {
+        settings: Settings::default(),
+        classes: vec![],
+        tenants: vec![],
+        transport,
+    };
     Driver::new(7, facts, false, subset, clock, sockets)
 }
 
 fn request() -> Request {
     let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
     let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
-    let manner = Rc::new(Manner { connect: 1, answers, body_most: 1 });
-    Request { method: Method::GET, uri, headers, body: bytes::Bytes::new(), manner }
+    let manner = Rc::new(Manner {
+        connect: 1,
+        answers,
+        body_most: 1,
+    });
+    Request {
+        method: Method::GET,
+        uri,
+        headers,
+        body: bytes::Bytes::new(),
+        manner,
+    }
 }
 
 /// The module ends each call by itself; should it ever forget one, the client still gets its answer.
@@ -53,16 +72,31 @@
     let call = CallId(99);
     let (request, class, client) = (Rc::new(request()), ClassId(0), Rc::new(Waits));
     let (answer, attempts) = (Some(sender), Vec::new());
-    let forgotten = Call { client, request, class, deadline, answer, attempts, last_error: None };
+    let forgotten = Call {
+        client,
+        request,
+        class,
+        deadline,
+        answer,
+        attempts,
+        last_error: None,
+    };
     driver.core.borrow_mut().calls.insert(call, forgotten);
     driver.core.borrow_mut().open_calls += 1;
-    driver.core.borrow_mut().timers.insert((deadline, Due::Deadline(call)));
+    driver
+        .core
+        .borrow_mut()
+        .timers
+        .insert((deadline, Due::Deadline(call)));
     tokio::select! {
         () = driver.timers() => {}
         answer = receiver => assert!(matches!(answer, Ok(Answer::Overdue))),
     }
     assert!(driver.clock.now() >= deadline);
-    assert_eq!((driver.open_calls(), driver.core.borrow().calls.len()), (0, 0));
+    assert_eq!(
+        (driver.open_calls(), driver.core.borrow().calls.len()),
+        (0, 0)
+    );
     driver.gone(call);
     assert_eq!(driver.open_calls(), 0, "a second end changes nothing");
 }
@@ -70,15 +104,23 @@
 /// Start times are Unix time: on a clock of another origin a cold host would look warm, or never warm up.
 #[test]
 fn the_clock_runs_on_unix_time_so_that_starts_compare() {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a date").as_micros() as Micros;
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a date")
+        .as_micros() as Micros;
     let now = driver().clock.now();
     assert!(now.abs_diff(unix) < 5_000_000, "{now} {unix}");
     let driver = driver();
-    let list =
-        format!(r#"[{{"name":"s","address":"127.0.0.1:9","status":"up","since_ms":{}}}]"#, unix / 1_000);
+    let list = format!(
+        r#"[{{"name":"s","address":"127.0.0.1:9","status":"up","since_ms":{}}}]"#,
+        unix / 1_000
+    );
     let list: Vec<Endpoint> = serde_json::from_str(&list).expect("a list");
     driver.members(ListKind::Full, &list);
-    assert_eq!(driver.core.borrow().hosts[&ServerId(0)].started, unix / 1_000 * 1_000);
+    assert_eq!(
+        driver.core.borrow().hosts[&ServerId(0)].started,
+        unix / 1_000 * 1_000
+    );
 }
 
 /// On a day on which hosts are ever new, every one met was remembered for good; and what is still out at one that
@@ -95,7 +137,13 @@
     }
     let number = driver.core.borrow().server_ids["s49"];
     driver.members(ListKind::Delta, &list("s49", "removed"));
-    assert_eq!((driver.core.borrow().hosts.len(), driver.core.borrow().server_ids.len()), (0, 0));
+    assert_eq!(
+        (
+            driver.core.borrow().hosts.len(),
+            driver.core.borrow().server_ids.len()
+        ),
+        (0, 0)
+    );
     driver.members(ListKind::Delta, &list("s49", "up"));
     assert_ne!(driver.core.borrow().server_ids["s49"], number);
 }
@@ -103,27 +151,48 @@
 /// Of a large fleet the module hears of the subset alone; what drains, joins or fails shows at once.
 #[tokio::test(flavor = "current_thread")]
 async fn the_module_is_told_of_the_subset_alone_and_of_every_change_to_it() {
-    let instance = badgerramp_subset::Instance { number: 3, count: 500 };
+    let instance = badgerramp_subset::Instance {
+        number: 3,
+        count: 500,
+    };
     let driver = driver_with(Some(Subset::new(badgerramp_subset::Need::of(10), instance)));
     let list = |names: &[u32], status: &str| -> Vec<Endpoint> {
-        let one = |n: &u32| format!(r#"{{"name":"s{n}","address":"127.0.0.1:9","status":"{status}"}}"#);
+        let one =
+            |n: &u32| format!(r#"{{"name":"s{n}","address":"127.0.0.1:9","status":"{status}"}}"#);
         let text = format!("[{}]", names.iter().map(one).collect::<Vec<_>>().join(","));
         serde_json::from_str(&text).expect("a list")
     };
     let told = || driver.core.borrow().balancer.listed().0;
-    let members =
-        || driver.core.borrow().subset.as_ref().map_or(vec![], |view| view.subset.members().collect());
+    let members = || {
+        driver
+            .core
+            .borrow()
+            .subset
+            .as_ref()
+            .map_or(vec![], |view| view.subset.members().collect())
+    };
     driver.members(ListKind::Full, &list(&(0..1_000).collect::<Vec<_>>(), "up"));
     let first: Vec<u32> = members();
-    assert_eq!((told(), driver.chosen()), (first.len(), (first.len(), 1_000)));
+    assert_eq!(
+        (told(), driver.chosen()),
+        (first.len(), (first.len(), 1_000))
+    );
     assert!((5..=40).contains(&first.len()), "{first:?}");
     assert!(
-        driver.core.borrow().subset.as_ref().is_some_and(|c| c.settings.balancers < 20),
+        driver
+            .core
+            .borrow()
+            .subset
+            .as_ref()
+            .is_some_and(|c| c.settings.balancers < 20),
         "500 share 1,000"
     );
     // Numbers are given in the list's order.
     driver.members(ListKind::Delta, &list(&first[..2], "draining"));
-    assert_eq!((told(), members().len()), (first.len() - 2, first.len() - 2));
+    assert_eq!(
+        (told(), members().len()),
+        (first.len() - 2, first.len() - 2)
+    );
     assert!(first[..2].iter().all(|n| !members().contains(n)));
     driver.members(ListKind::Delta, &list(&first[..1], "up"));
     assert!(members().contains(&first[0]) && told() == members().len());
@@ -149,7 +218,9 @@
         resent: false,
         terms: Terms::default(),
     };
-    let held: Vec<_> = (0..9).map(|_| driver.request(intake(), request()).expect("room")).collect();
+    let held: Vec<_> = (0..9)
+        .map(|_| driver.request(intake(), request()).expect("room"))
+        .collect();
     assert!(driver.request(intake(), request()).is_none());
     driver.gone(held[3].0);
     assert!(driver.request(intake(), request()).is_some());
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -64,7 +64,10 @@
     }
 
     fn time_out_attempt(&mut self, now: Micros, call: CallId, number: u32) {
-        let attempt = self.calls.get(&call).and_then(|c| c.attempts.get(number as usize));
+        let attempt = self
+            .calls
+            .get(&call)
+            .and_then(|c| c.attempts.get(number as usize));
         // An attempt whose time is up while it still waits for its connection never ran: to call it timed out would
         // fail an unsafe call that may safely be repeated or refused.
         let outcome = match attempt {
--- a/crates/proxy/src/net/exchange.rs
+++ b/crates/proxy/src/net/exchange.rs
@@ -64,6 +64,10 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, load: Load::default(), reply: None }
+        Ended {
+            outcome,
+            load: Load::default(),
+            reply: None,
+        }
     }
 }
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -129,11 +129,17 @@
 
     /// Takes what waits in the listener's queue: the system would reset it as the listener goes. The runtime knows of it
     /// only after its next look at all sockets.
-    async fn accept_queued(self: &Rc<Self>, listener: &dyn Listener, closed: &watch::Receiver<Closing>) {
+    async fn accept_queued(
+        self: &Rc<Self>,
+        listener: &dyn Listener,
+        closed: &watch::Receiver<Closing>,
+    ) {
         tokio::task::yield_now().await;
         while self.clients.count() < self.most + self.beyond {
             let accepted = poll_fn(|cx| Poll::Ready(listener.poll_accept(cx))).await;
-            let Poll::Ready(Ok(stream)) = accepted else { return };
+            let Poll::Ready(Ok(stream)) = accepted else {
+                return;
+            };
             self.accepted(stream, closed.clone());
         }
     }
@@ -141,7 +147,10 @@
     /// Running out of descriptors must not end the program: idle connections go first.
     async fn short_of_sockets(&self, fault: &io::Error) {
         tracing::warn!("a client's connection could not be taken: {fault}");
-        let aborted = [io::ErrorKind::ConnectionAborted, io::ErrorKind::ConnectionReset];
+        let aborted = [
+            io::ErrorKind::ConnectionAborted,
+            io::ErrorKind::ConnectionReset,
+        ];
         if aborted.contains(&fault.kind()) || self.hosts.evict() {
             return;
         }
@@ -166,16 +175,27 @@
         tokio::task::spawn_local(Rc::clone(self).connection(seat, closing, crowded));
     }
 
-    async fn connection(self: Rc<Self>, seat: Rc<Seat>, closing: watch::Receiver<Closing>, crowded: bool) {
+    async fn connection(
+        self: Rc<Self>,
+        seat: Rc<Seat>,
+        closing: watch::Receiver<Closing>,
+        crowded: bool,
+    ) {
         let service = service_fn(|request| {
             let (front, seat) = (Rc::clone(&self), Rc::clone(&seat));
             async move {
                 let since = seat.opened();
-                let id =
-                    request.headers().get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or_default();
+                let id = request
+                    .headers()
+                    .get("x-request-id")
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or_default();
                 debug!(target: CLIENTS, seat = seat.number(), request = id, crowded, since, "asked");
-                let mut response =
-                    if crowded { front.refused(0) } else { front.request(request, &seat, since).await };
+                let mut response = if crowded {
+                    front.refused(0)
+                } else {
+                    front.request(request, &seat, since).await
+                };
                 debug!(target: CLIENTS, seat = seat.number(), status = response.status().as_u16(), "answered");
                 // What came before the answer belongs to no request that a client of ours would send.
                 if crowded || seat.is_last() || seat.surplus() {
@@ -193,7 +213,11 @@
             .serve_connection(TokioIo::new(Noted::new(&seat)), service);
         self.until_closed(connection, &seat, closing).await;
         // One that must go at once only drops what has come.
-        let most = if seat.is_evicted() { Duration::ZERO } else { LINGER };
+        let most = if seat.is_evicted() {
+            Duration::ZERO
+        } else {
+            LINGER
+        };
         tokio::select! {
             _ = tokio::time::timeout(most, seat.linger()) => {}
             () = seat.leaves() => {}
@@ -280,22 +304,39 @@
                 Err(_) => return self.refused(0),
             },
         };
-        let Admitted { mut class, mut tenant, id, mut time, length, body_most, mut terms, mut manner } =
-            match rules.admit(&mut parts, seat.client()) {
-                Ok(admitted) => admitted,
-                Err(turned) => return self.turned(turned),
-            };
+        let Admitted {
+            mut class,
+            mut tenant,
+            id,
+            mut time,
+            length,
+            body_most,
+            mut terms,
+            mut manner,
+        } = match rules.admit(&mut parts, seat.client()) {
+            Ok(admitted) => admitted,
+            Err(turned) => return self.turned(turned),
+        };
         let _open = match id.map(|id| Open::enter(&self.open, id)) {
-            Some(None) => return bad(StatusCode::CONFLICT, "a request with this X-Request-ID is open"),
+            Some(None) => {
+                return bad(
+                    StatusCode::CONFLICT,
+                    "a request with this X-Request-ID is open",
+                )
+            }
             entered => entered,
         };
-        let Some(_held) = self.room.take(length.unwrap_or(body_most)) else { return self.refused(0) };
+        let Some(_held) = self.room.take(length.unwrap_or(body_most)) else {
+            return self.refused(0);
+        };
         let late = clock.instant(since.saturating_add(UNASKED));
         let body = match body.is_end_stream() {
             true => Ok(Ok(Bytes::new())),
             false => {
                 let body = Box::pin(Limited::new(body, body_most).collect());
-                tokio::time::timeout_at(late, body).await.map(|read| read.map(Collected::to_bytes))
+                tokio::time::timeout_at(late, body)
+                    .await
+                    .map(|read| read.map(Collected::to_bytes))
             }
         };
         let body = match body {
@@ -313,7 +354,10 @@
                 return bad(StatusCode::BAD_REQUEST, "more bytes than the request has");
             }
         }
-        let resent = parts.headers.get("x-retried").is_some_and(|v| v.as_bytes() == b"1");
+        let resent = parts
+            .headers
+            .get("x-retried")
+            .is_some_and(|v| v.as_bytes() == b"1");
         // Read before the lease is looked at: a process that is stopped in between finds its call's time over.
         let mut now = clock.now();
         if let Some((gate, mut stamp, plain)) = stamp {
@@ -336,17 +380,33 @@
             }
         }
         let client: Rc<dyn Client> = Rc::<Seat>::clone(seat);
-        let intake = Intake { client, class, tenant, deadline: now + time, resent, terms };
+        let intake = Intake {
+            client,
+            class,
+            tenant,
+            deadline: now + time,
+            resent,
+            terms,
+        };
         let (method, uri, mut headers) = (parts.method, parts.uri, parts.headers);
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
             hosts::strip(&mut headers);
         }
-        let request = Request { method, uri, headers, body, manner };
+        let request = Request {
+            method,
+            uri,
+            headers,
+            body,
+            manner,
+        };
         let Some((call, answer)) = self.driver.request(intake, request) else {
             return self.refused(0);
         };
-        let _gone = Gone { driver: &self.driver, call };
+        let _gone = Gone {
+            driver: &self.driver,
+            call,
+        };
         match answer.await {
             Ok(Answer::Served(reply)) => self.reply(reply),
             Ok(Answer::Refused { retry_after }) => self.refused(retry_after),
@@ -361,11 +421,17 @@
 
     /// What a host answered, in the client's framing.
     fn reply(&self, reply: Reply) -> Response<Full<Bytes>> {
-        let Reply { status, mut headers, body } = reply;
+        let Reply {
+            status,
+            mut headers,
+            body,
+        } = reply;
         let mut response = Response::new(Full::new(body));
         if !self.plain_http {
             if let Some(content_type) = headers.remove(header::CONTENT_TYPE) {
-                response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+                response
+                    .headers_mut()
+                    .insert(header::CONTENT_TYPE, content_type);
             }
             return response;
         }
@@ -411,7 +477,11 @@
     /// A refusal tells the client when to come back, in seconds.
     fn refused(&self, retry_after: Micros) -> Response<Full<Bytes>> {
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-        let wait = if retry_after == 0 { self.advice.get() } else { retry_after };
+        let wait = if retry_after == 0 {
+            self.advice.get()
+        } else {
+            retry_after
+        };
         if wait == 0 {
             // The operator wants none.
             return response;
@@ -475,5 +545,7 @@
 }
 
 fn close(response: &mut Response<Full<Bytes>>) {
-    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/proxy/src/net/hosts.rs
+++ b/crates/proxy/src/net/hosts.rs
@@ -67,7 +67,11 @@
 
 impl AsyncWrite for Watched {
     // Not vectored: head and body are laid together and go out in one write.
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = written {
             self.handed_over.set(count == buf.len());
@@ -102,7 +106,9 @@
         match self.settled().await {
             LinkState::Ready if self.stream.quiet() => LinkState::Ready,
             // It is of no further use, whatever has come.
-            LinkState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => LinkState::Noisy,
+            LinkState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
+                LinkState::Noisy
+            }
             LinkState::Ready => LinkState::Ended,
             other => other,
         }
@@ -115,7 +121,8 @@
             // The library ends a connection on which something comes that nobody asked for; an error of the system has
             // its source.
             Poll::Ready(Err(fault))
-                if std::error::Error::source(&fault).is_none() && !fault.is_incomplete_message() =>
+                if std::error::Error::source(&fault).is_none()
+                    && !fault.is_incomplete_message() =>
             {
                 LinkState::Noisy
             }
@@ -133,7 +140,11 @@
         self.handed_over.set(false);
         let bodiless = request.method() == Method::HEAD;
         let mut exchange = pin!(async {
-            let answer = self.sender.send_request(request).await.map_err(|e| Fault::of(&e))?;
+            let answer = self
+                .sender
+                .send_request(request)
+                .await
+                .map_err(|e| Fault::of(&e))?;
             let (parts, body) = answer.into_parts();
             // RFC 9110, 6.4.1: whatever the headers say, nothing follows them.
             let none = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
@@ -200,10 +211,15 @@
         return Ok(Bytes::new());
     }
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
-    let length = body.size_hint().exact().and_then(|length| usize::try_from(length).ok());
+    let length = body
+        .size_hint()
+        .exact()
+        .and_then(|length| usize::try_from(length).ok());
     let most = match length {
         Some(length) if headers.contains_key(header::CONTENT_LENGTH) && !chunked => length,
-        None if chunked && !headers.contains_key(header::CONTENT_LENGTH) && body_ends(headers) => body_most,
+        None if chunked && !headers.contains_key(header::CONTENT_LENGTH) && body_ends(headers) => {
+            body_most
+        }
         _ => return Err(Fault::Spoilt),
     };
     if most > body_most {
@@ -212,13 +228,15 @@
     let _held = room.take(most).ok_or(Fault::Spoilt)?;
     match Limited::new(body, body_most).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(fault) => Err(fault.downcast_ref().map_or(Fault::Spoilt, |e: &hyper::Error| {
-            if e.is_incomplete_message() || std::error::Error::source(e).is_some_and(broke) {
-                Fault::Broken
-            } else {
-                Fault::Spoilt
-            }
-        })),
+        Err(fault) => Err(fault
+            .downcast_ref()
+            .map_or(Fault::Spoilt, |e: &hyper::Error| {
+                if e.is_incomplete_message() || std::error::Error::source(e).is_some_and(broke) {
+                    Fault::Broken
+                } else {
+                    Fault::Spoilt
+                }
+            })),
     }
 }
 
@@ -231,8 +249,14 @@
 
 /// Did the connection break, rather than bring what can't be read?
 fn broke(source: &(dyn std::error::Error + 'static)) -> bool {
-    let kinds = [io::ErrorKind::InvalidInput, io::ErrorKind::InvalidData, io::ErrorKind::Other];
-    source.downcast_ref::<io::Error>().is_some_and(|e| !kinds.contains(&e.kind()))
+    let kinds = [
+        io::ErrorKind::InvalidInput,
+        io::ErrorKind::InvalidData,
+        io::ErrorKind::Other,
+    ];
+    source
+        .downcast_ref::<io::Error>()
+        .is_some_and(|e| !kinds.contains(&e.kind()))
 }
 
 /// How often connections broke under a request, by how long they had been idle. Hosts tell how long they keep idle
@@ -246,13 +270,18 @@
 
 impl Staleness {
     fn age(idle: Micros) -> usize {
-        (idle / AGE_LEAST).checked_ilog2().map_or(0, |doublings| doublings as usize + 1).min(AGES - 1)
+        (idle / AGE_LEAST)
+            .checked_ilog2()
+            .map_or(0, |doublings| doublings as usize + 1)
+            .min(AGES - 1)
     }
 
     fn used(&mut self, now: Micros, idle: Micros, broke: bool) {
         let passed = now.saturating_sub(std::mem::replace(&mut self.faded, now));
         let left = (-(passed as f64) / MEMORY).exp();
-        self.ages.iter_mut().for_each(|(used, broken)| (*used, *broken) = (*used * left, *broken * left));
+        self.ages
+            .iter_mut()
+            .for_each(|(used, broken)| (*used, *broken) = (*used * left, *broken * left));
         let (used, broken) = &mut self.ages[Self::age(idle)];
         (*used, *broken) = (*used + 1.0, *broken + f64::from(u8::from(broke)));
     }
@@ -331,15 +360,17 @@
         let now = self.clock.now();
         let most = self.idle_most();
         let mut idle = self.idle.borrow_mut();
-        idle.values_mut().for_each(|links| links.retain(|l| l.idle_since + most > now));
+        idle.values_mut()
+            .for_each(|links| links.retain(|l| l.idle_since + most > now));
         idle.retain(|_, links| !links.is_empty());
     }
 
     /// Closes the connection that has been idle longest, to make room. False if none is idle.
     pub fn evict(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest =
-            idle.values_mut().min_by_key(|links| links.first().map_or(Micros::MAX, |l| l.idle_since));
+        let oldest = idle
+            .values_mut()
+            .min_by_key(|links| links.first().map_or(Micros::MAX, |l| l.idle_since));
         match oldest {
             Some(links) if !links.is_empty() => {
                 links.remove(0);
@@ -358,11 +389,17 @@
         let most = self.idle_most();
         loop {
             let now = self.clock.now();
-            let rest = if now < self.noisy_until.get() { REST } else { 0 };
+            let rest = if now < self.noisy_until.get() {
+                REST
+            } else {
+                0
+            };
             let mut link = {
                 let mut idle = self.idle.borrow_mut();
                 let links = idle.get_mut(&target.server)?;
-                let place = links.iter().rposition(|link| link.idle_since + rest <= now)?;
+                let place = links
+                    .iter()
+                    .rposition(|link| link.idle_since + rest <= now)?;
                 links.remove(place)
             };
             let fresh = link.idle_since + most > now;
@@ -392,7 +429,10 @@
             None if self.evict() => self.descriptors.take().ok_or(Outcome::NotSent)?,
             None => return Err(Outcome::NotSent),
         };
-        let connect = tokio::time::timeout(Duration::from_micros(most), self.network.connect(target.address));
+        let connect = tokio::time::timeout(
+            Duration::from_micros(most),
+            self.network.connect(target.address),
+        );
         let stream = match connect.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(fault)) if matches!(fault.raw_os_error(), Some(ENFILE | EMFILE)) => {
@@ -402,12 +442,25 @@
             _ => return Err(Outcome::NoConnection),
         };
         let handed_over = Rc::new(Cell::new(false));
-        let watched = Watched { socket: Socket::new(&stream), handed_over: Rc::clone(&handed_over) };
-        let handshake = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(TokioIo::new(watched)).await;
+        let watched = Watched {
+            socket: Socket::new(&stream),
+            handed_over: Rc::clone(&handed_over),
+        };
+        let handshake = http1::Builder::new()
+            .max_buf_size(HEAD_MOST)
+            .handshake(TokioIo::new(watched))
+            .await;
         let (sender, connection) = handshake.map_err(|_| Outcome::NoConnection)?;
         let (idle_since, generation) = (0, target.generation);
-        let mut link =
-            Link { sender, connection, stream, handed_over, idle_since, generation, _descriptor: descriptor };
+        let mut link = Link {
+            sender,
+            connection,
+            stream,
+            handed_over,
+            idle_since,
+            generation,
+            _descriptor: descriptor,
+        };
         if self.ready(&mut link).await {
             Ok(link)
         } else {
@@ -454,12 +507,19 @@
         hosts.keep(target.server, link).await;
         return Outcome::NotSent.into();
     }
-    let Some(message) = message(request, left()) else { return Outcome::NotSent.into() };
+    let Some(message) = message(request, left()) else {
+        return Outcome::NotSent.into();
+    };
     let idle = (link.idle_since > 0).then(|| hosts.clock.now().saturating_sub(link.idle_since));
-    let exchanged = link.exchange(message, &hosts.room, request.manner.body_most).await;
+    let exchanged = link
+        .exchange(message, &hosts.room, request.manner.body_most)
+        .await;
     if let Some(idle) = idle {
         let broke = matches!(exchanged, Err(Fault::Broken));
-        hosts.staleness.borrow_mut().used(hosts.clock.now(), idle, broke);
+        hosts
+            .staleness
+            .borrow_mut()
+            .used(hosts.clock.now(), idle, broke);
     }
     let (answer, body) = match exchanged {
         Ok(answer) => answer,
@@ -473,13 +533,25 @@
         hosts.keep(target.server, link).await;
     }
     let load = loads(answer.headers());
-    let outcome = match request.manner.answers.verdict(answer.status(), answer.headers()) {
+    let outcome = match request
+        .manner
+        .answers
+        .verdict(answer.status(), answer.headers())
+    {
         Verdict::Served => Outcome::Served,
         Verdict::NeverRan => Outcome::TurnedAway,
         Verdict::Error => Outcome::Error,
     };
     let (parts, ()) = answer.into_parts();
-    Ended { outcome, load, reply: Some(Reply { status: parts.status, headers: parts.headers, body }) }
+    Ended {
+        outcome,
+        load,
+        reply: Some(Reply {
+            status: parts.status,
+            headers: parts.headers,
+            body,
+        }),
+    }
 }
 
 const X_TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
@@ -504,7 +576,11 @@
 
 /// Takes out all that does not pass.
 pub fn strip(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> = headers.keys().filter(|name| !passes(name)).cloned().collect();
+    let own: Vec<HeaderName> = headers
+        .keys()
+        .filter(|name| !passes(name))
+        .cloned()
+        .collect();
     own.iter().for_each(|name| {
         headers.remove(name);
     });
@@ -519,14 +595,19 @@
     let _ = write!(time, "{left}u");
     let headers = message.headers_mut();
     *headers = request.headers.clone();
-    headers.insert(X_TIMEOUT, HeaderValue::from_maybe_shared(time.freeze()).ok()?);
+    headers.insert(
+        X_TIMEOUT,
+        HeaderValue::from_maybe_shared(time.freeze()).ok()?,
+    );
     Some(message)
 }
 
 /// The load report of an answer: the first that tells anything.
 fn loads(headers: &HeaderMap) -> Load {
     let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(load);
-    reports.find(|load| *load != Load::default()).unwrap_or_default()
+    reports
+        .find(|load| *load != Load::default())
+        .unwrap_or_default()
 }
 
 /// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
@@ -535,8 +616,16 @@
 pub fn load(value: &HeaderValue) -> Load {
     let mut load = Load::default();
     let text = value.to_str().unwrap_or_default();
-    for (name, value) in text.trim_start_matches("TEXT").split(',').filter_map(|part| part.split_once('=')) {
-        let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
+    for (name, value) in text
+        .trim_start_matches("TEXT")
+        .split(',')
+        .filter_map(|part| part.split_once('='))
+    {
+        let value = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name.trim() {
             "active" | "inflight" => load.in_hand = value,
             "waiting" | "queue" => load.waiting = value,
@@ -563,13 +652,19 @@
     }
 
     /// The same, with so many connections kept for so long; tells also how many are left after a sweep.
-    fn attempt_keeping(text: &'static str, may_start: bool, kept: (usize, Micros)) -> (Ended, usize) {
+    fn attempt_keeping(
+        text: &'static str,
+        may_start: bool,
+        kept: (usize, Micros),
+    ) -> (Ended, usize) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             if stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {
-                stream.write_all(text.as_bytes()).expect("an open connection");
+                stream
+                    .write_all(text.as_bytes())
+                    .expect("an open connection");
             }
             // Open until the other side closes.
             let _ = stream.read(&mut [0]);
@@ -587,12 +682,29 @@
             Clock::start(),
         );
         hosts.open(ServerId(0), 0);
-        let target = Target { server: ServerId(0), address, generation: 0 };
+        let target = Target {
+            server: ServerId(0),
+            address,
+            generation: 0,
+        };
         let (method, uri, headers) = (Method::GET, Uri::from_static("/a"), HeaderMap::new());
         let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
-        let manner = Rc::new(Manner { connect: 9_000_000, answers, body_most: 1 << 16 });
-        let request = Request { method, uri, headers, body: Bytes::new(), manner };
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let manner = Rc::new(Manner {
+            connect: 9_000_000,
+            answers,
+            body_most: 1 << 16,
+        });
+        let request = Request {
+            method,
+            uri,
+            headers,
+            body: Bytes::new(),
+            manner,
+        };
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let ended = runtime.block_on(attempt(&hosts, target, &request, || 1_000, || may_start));
         hosts.sweep();
         let left = hosts.idle.borrow().values().map(Vec::len).sum();
@@ -601,7 +713,12 @@
 
     #[test]
     fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_example() {
-        let wanted = Load { in_hand: Some(7.0), waiting: Some(2.5), busy: Some(0.5), error_rate: Some(0.0) };
+        let wanted = Load {
+            in_hand: Some(7.0),
+            waiting: Some(2.5),
+            busy: Some(0.5),
+            error_rate: Some(0.0),
+        };
         for text in [
             "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -29,7 +29,10 @@
 impl Descriptors {
     /// Room for `limit` sockets.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Descriptors { limit, open: Cell::new(0) })
+        Rc::new(Descriptors {
+            limit,
+            open: Cell::new(0),
+        })
     }
 
     /// How many are open.
@@ -65,7 +68,9 @@
 impl Room {
     /// Room for `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Room { free: Cell::new(limit) })
+        Rc::new(Room {
+            free: Cell::new(limit),
+        })
     }
 
     /// Counts so many in, if there is room.
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -7,7 +7,9 @@
 use badgerramp_channel::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_peers::list::{Change, Entry};
-use badgerramp_peers::peer::{Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST};
+use badgerramp_peers::peer::{
+    Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST,
+};
 use badgerramp_peers::polling::Id;
 use badgerramp_peers::replay::Replays;
 use badgerramp_watch::FETCH;
@@ -71,7 +73,10 @@
     fn seal(&self, kind: Kind, (sender, count): (u64, u64), body: &[u8]) -> Vec<u8> {
         let head = [VERSION, kind as u8];
         let numbers = [sender.to_le_bytes(), count.to_le_bytes()].concat();
-        let tag = self.secret.tag("badgerramp peers", &[self.fleet.as_bytes(), &head, &numbers, body]);
+        let tag = self.secret.tag(
+            "badgerramp peers",
+            &[self.fleet.as_bytes(), &head, &numbers, body],
+        );
         [&head[..], &tag, &numbers, body].concat()
     }
 
@@ -82,7 +87,11 @@
         if head != [VERSION, kind as u8] {
             return Err(Strange::Form);
         }
-        if !self.secret.tagged("badgerramp peers", &[self.fleet.as_bytes(), head, numbers, body], tag) {
+        if !self.secret.tagged(
+            "badgerramp peers",
+            &[self.fleet.as_bytes(), head, numbers, body],
+            tag,
+        ) {
             return Err(Strange::Seal);
         }
         let number = |from: usize| {
@@ -173,7 +182,11 @@
     leave: &Notify,
 ) -> io::Result<()> {
     let now = driver.clock().now();
-    let own = Member { address: setup.advertise, id: Id(setup.id), started: now / 1_000 };
+    let own = Member {
+        address: setup.advertise,
+        id: Id(setup.id),
+        started: now / 1_000,
+    };
     setup.socket.set_nonblocking(true)?;
     let at = *address.borrow_and_update();
     let mut here = Here {
@@ -181,7 +194,14 @@
         socket: UdpSocket::from_std(setup.socket)?,
         seals: Rc::new(setup.seals),
         id: setup.id,
-        peer: Peer::new(now, Terms { own, seeds: setup.seeds, without: None }),
+        peer: Peer::new(
+            now,
+            Terms {
+                own,
+                seeds: setup.seeds,
+                without: None,
+            },
+        ),
         replays: Replays::default(),
         strangers: Strangers::default(),
         count: 0,
@@ -248,18 +268,28 @@
             self.strangers.form += 1;
             return;
         }
-        let kind = if datagram.get(1) == Some(&(Kind::Look as u8)) { Kind::Look } else { Kind::Letter };
+        let kind = if datagram.get(1) == Some(&(Kind::Look as u8)) {
+            Kind::Look
+        } else {
+            Kind::Letter
+        };
         let seals = Rc::clone(&self.seals);
         match seals.open(kind, datagram) {
             Err(Strange::Form) => self.strangers.form += 1,
             Err(Strange::Seal) => self.strangers.seal += 1,
-            Ok((sender, count, _)) if !self.replays.take(sender, count) => self.strangers.again += 1,
+            Ok((sender, count, _)) if !self.replays.take(sender, count) => {
+                self.strangers.again += 1
+            }
             Ok((_, _, body)) if kind == Kind::Letter => self.tell(Input::Message(body)),
             Ok((sender, count, _)) => {
-                let told = Told { standing: self.peer.standing(self.now()), strangers: self.strangers };
+                let told = Told {
+                    standing: self.peer.standing(self.now()),
+                    strangers: self.strangers,
+                };
                 if let Ok(body) = postcard::to_stdvec(&told) {
                     let bytes = self.seals.seal(Kind::Told, (sender, count), &body);
-                    self.strangers.unsent += u64::from(self.socket.try_send_to(&bytes, from).is_err());
+                    self.strangers.unsent +=
+                        u64::from(self.socket.try_send_to(&bytes, from).is_err());
                 }
             }
         }
@@ -270,7 +300,8 @@
         match asked.answer {
             Ok(answer) => self.tell(Input::Answered(answer)),
             Err(after) => {
-                let retry_after = after.map(|a| Micros::try_from(a.as_micros()).unwrap_or(Micros::MAX));
+                let retry_after =
+                    after.map(|a| Micros::try_from(a.as_micros()).unwrap_or(Micros::MAX));
                 self.tell(Input::Failed { retry_after });
             }
         }
@@ -285,27 +316,39 @@
                     self.count += 1;
                     let bytes = self.seals.seal(Kind::Letter, (self.id, self.count), &body);
                     // What is not sent is as good as lost on the way.
-                    self.strangers.unsent += u64::from(self.socket.try_send_to(&bytes, to).is_err());
+                    self.strangers.unsent +=
+                        u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
                 Output::Ask { index, wait } => {
                     self.question = Some(self.ask(index, Duration::from_micros(wait)))
                 }
                 Output::List { whole, changes } => {
-                    let kind = if whole { ListKind::Full } else { ListKind::Delta };
+                    let kind = if whole {
+                        ListKind::Full
+                    } else {
+                        ListKind::Delta
+                    };
                     let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
                     self.driver.members(kind, &list);
                 }
-                Output::Alive(proxies) => self.driver.alive(u32::try_from(proxies).unwrap_or(u32::MAX)),
+                Output::Alive(proxies) => self
+                    .driver
+                    .alive(u32::try_from(proxies).unwrap_or(u32::MAX)),
                 Output::Note(note) => log(&note),
             }
         }
     }
 
     fn ask(&mut self, index: Option<u64>, wait: Duration) -> Question {
-        let (network, address, mut link) = (Rc::clone(&self.network), self.address, self.link.take());
+        let (network, address, mut link) =
+            (Rc::clone(&self.network), self.address, self.link.take());
         Box::pin(async move {
             let asked = Instant::now();
-            let patience = if index.is_some() { wait + SILENCE } else { Duration::from_micros(FETCH) };
+            let patience = if index.is_some() {
+                wait + SILENCE
+            } else {
+                Duration::from_micros(FETCH)
+            };
             let asking = discovery::ask(&mut link, &*network, address, (index, wait));
             let answer = match tokio::time::timeout(patience, asking).await {
                 Ok(Ok(list)) => Ok(answer(list, index, asked.elapsed())),
@@ -336,24 +379,69 @@
 
 impl From<Endpoint> for Change {
     fn from(e: Endpoint) -> Self {
-        let Endpoint { name, address, zone, kind, group, status, weight, since_ms } = e;
+        let Endpoint {
+            name,
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        } = e;
         let gone = status == "removed";
-        let entry = Entry { address, zone, kind, group, status, weight, since_ms };
-        Change { name, entry: (!gone).then_some(entry) }
+        let entry = Entry {
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        };
+        Change {
+            name,
+            entry: (!gone).then_some(entry),
+        }
     }
 }
 
 impl From<Change> for Endpoint {
     fn from(Change { name, entry }: Change) -> Self {
-        let gone = || Entry { status: "removed".to_owned(), ..Entry::default() };
-        let Entry { address, zone, kind, group, status, weight, since_ms } = entry.unwrap_or_else(gone);
-        Endpoint { name, address, zone, kind, group, status, weight, since_ms }
+        let gone = || Entry {
+            status: "removed".to_owned(),
+            ..Entry::default()
+        };
+        let Entry {
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        } = entry.unwrap_or_else(gone);
+        Endpoint {
+            name,
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        }
     }
 }
 
 fn log(note: &Note) {
     match note {
-        Note::Listed { from, stamp, hosts, after } => {
+        Note::Listed {
+            from,
+            stamp,
+            hosts,
+            after,
+        } => {
             let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
             let ms = after / 1_000;
             tracing::info!(
@@ -368,7 +456,9 @@
                 "peers: list {index} of the service is doubted: older than the one held, or half of it"
             );
         }
-        Note::Life(life) => tracing::warn!("peers: the list service was restored or changed: life {life}"),
+        Note::Life(life) => {
+            tracing::warn!("peers: the list service was restored or changed: life {life}")
+        }
         Note::Settled(alive) => tracing::info!("peers: the start is over, {alive} proxies"),
         Note::Unsettled(alive) => tracing::warn!("peers: most proxies have gone, {alive} are left"),
     }
@@ -379,17 +469,26 @@
 /// # Errors
 /// In words, if it does not answer.
 pub fn look(address: SocketAddr, seals: &Seals, wait: Duration) -> Result<Told, String> {
-    let any: SocketAddr = if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+    let any: SocketAddr = if address.is_ipv4() {
+        ([0, 0, 0, 0], 0).into()
+    } else {
+        ([0u16; 8], 0).into()
+    };
     let fault = |e: io::Error| format!("{address}: {e}");
     let socket = StdSocket::bind(any).map_err(fault)?;
     socket.connect(address).map_err(fault)?;
     socket.set_read_timeout(Some(wait)).map_err(fault)?;
     let sender = rand::random();
-    socket.send(&seals.seal(Kind::Look, (sender, 1), &[])).map_err(fault)?;
+    socket
+        .send(&seals.seal(Kind::Look, (sender, 1), &[]))
+        .map_err(fault)?;
     let mut buffer = vec![0; LOOK_MOST];
     let count = socket.recv(&mut buffer).map_err(|e| match e.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => {
-            format!("{address}: no answer within {} s: another secret or fleet, or no proxy", wait.as_secs())
+            format!(
+                "{address}: no answer within {} s: another secret or fleet, or no proxy",
+                wait.as_secs()
+            )
         }
         _ => fault(e),
     })?;
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn seals(secret: &str, fleet: &str) -> Seals {
-    Seals::new(Secret::new(secret.as_bytes()).expect("a secret"), fleet.to_owned())
+    Seals::new(
+        Secret::new(secret.as_bytes()).expect("a secret"),
+        fleet.to_owned(),
+    )
 }
 
 #[test]
@@ -11,7 +14,10 @@
     let own = seals("0123456789abcdef", "north");
     let sealed = own.seal(Kind::Letter, (7, 9), b"body");
     assert_eq!(own.open(Kind::Letter, &sealed), Ok((7, 9, &b"body"[..])));
-    for other in [seals("0123456789abcdeF", "north"), seals("0123456789abcdef", "south")] {
+    for other in [
+        seals("0123456789abcdeF", "north"),
+        seals("0123456789abcdef", "south"),
+    ] {
         assert_eq!(other.open(Kind::Letter, &sealed), Err(Strange::Seal));
     }
     for place in 2..sealed.len() {
@@ -20,7 +26,10 @@
         assert_eq!(own.open(Kind::Letter, &torn), Err(Strange::Seal));
     }
     assert_eq!(own.open(Kind::Look, &sealed), Err(Strange::Form));
-    assert_eq!(own.open(Kind::Letter, &[&[2], &sealed[1..]].concat()), Err(Strange::Form));
+    assert_eq!(
+        own.open(Kind::Letter, &[&[2], &sealed[1..]].concat()),
+        Err(Strange::Form)
+    );
     (0..HEAD).for_each(|n| assert_eq!(own.open(Kind::Letter, &sealed[..n]), Err(Strange::Form)));
 }
 
@@ -30,14 +39,21 @@
     let one: Endpoint = serde_json::from_str(text).expect("an entry");
     let change = Change::from(one);
     assert_eq!(Change::from(Endpoint::from(change.clone())), change);
-    let gone = Change { name: "s".to_owned(), entry: None };
+    let gone = Change {
+        name: "s".to_owned(),
+        entry: None,
+    };
     assert_eq!(Change::from(Endpoint::from(gone.clone())), gone);
 }
 
 #[test]
 fn datagrams_keep_their_bytes() {
     let own = seals("0123456789abcdef", "north");
-    let kinds = [("message", Kind::Letter), ("status request", Kind::Look), ("status", Kind::Told)];
+    let kinds = [
+        ("message", Kind::Letter),
+        ("status request", Kind::Look),
+        ("status", Kind::Told),
+    ];
     let lines = kinds.map(|(name, kind)| {
         let datagram = own.seal(kind, (0x1122_3344_5566_7788, 9), b"body");
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -48,6 +64,11 @@
 
 #[test]
 fn the_counts_of_rejected_datagrams_keep_their_bytes() {
-    let counts = Strangers { form: 1, seal: 2, again: 3, unsent: 4 };
+    let counts = Strangers {
+        form: 1,
+        seal: 2,
+        again: 3,
+        unsent: 4,
+    };
     assert_eq!(postcard::to_stdvec(&counts), Ok(vec![1, 2, 3, 4]));
 }
--- a/crates/proxy/src/net/rules/head.rs
+++ b/crates/proxy/src/net/rules/head.rs
@@ -15,7 +15,13 @@
 /// The view of a request that routes and expressions are evaluated on.
 pub(super) fn head(parts: &Parts, client: IpAddr) -> Head<'_> {
     let (path, query) = (parts.uri.path(), parts.uri.query().unwrap_or_default());
-    Head { method: &parts.method, path, query, headers: &parts.headers, client }
+    Head {
+        method: &parts.method,
+        path,
+        query,
+        headers: &parts.headers,
+        client,
+    }
 }
 
 /// Puts a request into the form that routes are looked up by.
@@ -29,7 +35,9 @@
 /// A target that names a host (RFC 9112, 3.2.2) goes on as one that does not; the host it names takes the place of the
 /// header.
 fn origin_form(parts: &mut Parts) -> Result<(), Rejection> {
-    let Some(authority) = parts.uri.authority() else { return Ok(()) };
+    let Some(authority) = parts.uri.authority() else {
+        return Ok(());
+    };
     let bad = || reject(StatusCode::BAD_REQUEST, "odd target");
     let host = HeaderValue::from_str(authority.as_str()).map_err(|_| bad())?;
     let path = parts.uri.path_and_query().map_or("/", |p| p.as_str());
@@ -48,7 +56,9 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         // These identify a request: a client must not have them removed by naming them.
-        .filter(|name| !["host", "idempotency-key", "x-request-id", "content-type"].contains(&name.as_str()))
+        .filter(|name| {
+            !["host", "idempotency-key", "x-request-id", "content-type"].contains(&name.as_str())
+        })
         .collect();
     named.iter().for_each(|name| {
         headers.remove(name);
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -50,12 +50,22 @@
 
 /// A final rejection, which closes the connection.
 fn reject(status: StatusCode, text: impl Into<Cow<'static, str>>) -> Rejection {
-    Rejection { status, text: text.into(), close: true, retryable: false }
+    Rejection {
+        status,
+        text: text.into(),
+        close: true,
+        retryable: false,
+    }
 }
 
 /// A rejection for now.
 fn reject_for_now(text: impl Into<Cow<'static, str>>) -> Rejection {
-    Rejection { status: StatusCode::SERVICE_UNAVAILABLE, text: text.into(), close: false, retryable: true }
+    Rejection {
+        status: StatusCode::SERVICE_UNAVAILABLE,
+        text: text.into(),
+        close: false,
+        retryable: true,
+    }
 }
 
 /// The rules by which requests are read.
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -45,22 +45,40 @@
         let plain = facts.transport.connect_timeout;
         let make = |timing: Option<Timing>| {
             let connect = timing.map_or(plain, |t| t.connect.min(plain));
-            let manner = Manner { connect, answers: Arc::clone(&answers), body_most: MAX_BODY };
+            let manner = Manner {
+                connect,
+                answers: Arc::clone(&answers),
+                body_most: MAX_BODY,
+            };
             let timing = timing.unwrap_or(Timing::UNLIMITED);
-            Limits { timing, manner: Rc::new(manner) }
+            Limits {
+                timing,
+                manner: Rc::new(manner),
+            }
         };
         let timings = narrowed.as_ref().map(|n| &n.0);
-        let class = |(place, (name, class)): (usize, (&String, &badgerramp_decisions::Class))| Class {
-            name: name.clone(),
-            method: match class.repeat {
-                Repeat::Free => Method::GET,
-                Repeat::Guarded { .. } | Repeat::SingleShot => Method::POST,
-            },
-            limits: make(timings.and_then(|t| t.get(place)).copied()),
-        };
-        let classes = facts.classes.iter().zip(&facts.settings.classes).enumerate().map(class).collect();
+        let class =
+            |(place, (name, class)): (usize, (&String, &badgerramp_decisions::Class))| Class {
+                name: name.clone(),
+                method: match class.repeat {
+                    Repeat::Free => Method::GET,
+                    Repeat::Guarded { .. } | Repeat::SingleShot => Method::POST,
+                },
+                limits: make(timings.and_then(|t| t.get(place)).copied()),
+            };
+        let classes = facts
+            .classes
+            .iter()
+            .zip(&facts.settings.classes)
+            .enumerate()
+            .map(class)
+            .collect();
         let routes = narrowed.map(|(_, table)| {
-            let all = table.routes().iter().map(|r| make(Some(r.timing))).collect();
+            let all = table
+                .routes()
+                .iter()
+                .map(|r| make(Some(r.timing)))
+                .collect();
             (table, all)
         });
         Platform { classes, routes }
@@ -68,7 +86,11 @@
 
     /// Admits a request whose head has the platform's form; any other never reaches a host.
     pub(super) fn admit(&self, parts: &Parts, client: IpAddr) -> Result<Admitted, Rejection> {
-        let Some(path) = parts.uri.path().strip_prefix('/').filter(|_| parts.uri.authority().is_none())
+        let Some(path) = parts
+            .uri
+            .path()
+            .strip_prefix('/')
+            .filter(|_| parts.uri.authority().is_none())
         else {
             return Err(reject(StatusCode::BAD_REQUEST, "odd path"));
         };
@@ -78,7 +100,10 @@
         };
         let class = &self.classes[number];
         if class.method != parts.method {
-            return Err(reject(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
+            return Err(reject(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "not the method of this class",
+            ));
         }
         let headers = &parts.headers;
         let time = match single(headers, "x-timeout").map(|v| v.to_str().ok().and_then(timeout)) {
@@ -87,7 +112,12 @@
         };
         let id = match single(headers, "x-request-id") {
             Some(id) if !id.is_empty() => id.clone(),
-            _ => return Err(reject(StatusCode::BAD_REQUEST, "X-Request-ID missing or odd")),
+            _ => {
+                return Err(reject(
+                    StatusCode::BAD_REQUEST,
+                    "X-Request-ID missing or odd",
+                ))
+            }
         };
         // The library drops the length of a request that bears a transfer coding too, so that the two can't be
         // compared here: a request tells its length, and nothing else of its framing.
@@ -108,9 +138,15 @@
         let limits = self.limits(number, parts, client);
         Ok(Admitted {
             class: ClassId(number),
-            tenant: headers.get("x-tenant-id").and_then(|v| v.to_str().ok()).map(str::to_owned),
+            tenant: headers
+                .get("x-tenant-id")
+                .and_then(|v| v.to_str().ok())
+                .map(str::to_owned),
             id: Some(id),
-            time: time.saturating_sub(ANSWER_ROOM).max(1).min(limits.timing.total),
+            time: time
+                .saturating_sub(ANSWER_ROOM)
+                .max(1)
+                .min(limits.timing.total),
             length: Some(length),
             body_most: MAX_BODY,
             terms: limits.timing.terms(false),
@@ -121,7 +157,9 @@
     /// The limits of a request. Its class is given by its path: a route of another class does not apply.
     fn limits(&self, class: usize, parts: &Parts, client: IpAddr) -> &Limits {
         let plain = &self.classes[class].limits;
-        let Some((table, all)) = &self.routes else { return plain };
+        let Some((table, all)) = &self.routes else {
+            return plain;
+        };
         let found = table.find_head(&head(parts, client)).ok().flatten();
         let found = found.filter(|(_, route)| route.class == class);
         found.map_or(plain, |(place, _)| &all[place])
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -34,17 +34,36 @@
     /// The rules of a file; `classes` are the ids of its classes, in their order.
     pub fn new(config: Config, classes: Vec<ClassId>, seed: u64) -> Self {
         let body_most = config.limits.body;
-        let manner =
-            |r: &Route| Manner { connect: r.timing.connect, answers: Arc::clone(&r.answers), body_most };
-        let manners = config.routes.routes().iter().map(|r| Rc::new(manner(r))).collect();
-        let no_route = StatusCode::from_u16(config.no_route.status).unwrap_or(StatusCode::NOT_FOUND);
-        Sidecar { config, classes, manners, ids: RefCell::new(Pcg32::seed_from_u64(seed)), no_route }
+        let manner = |r: &Route| Manner {
+            connect: r.timing.connect,
+            answers: Arc::clone(&r.answers),
+            body_most,
+        };
+        let manners = config
+            .routes
+            .routes()
+            .iter()
+            .map(|r| Rc::new(manner(r)))
+            .collect();
+        let no_route =
+            StatusCode::from_u16(config.no_route.status).unwrap_or(StatusCode::NOT_FOUND);
+        Sidecar {
+            config,
+            classes,
+            manners,
+            ids: RefCell::new(Pcg32::seed_from_u64(seed)),
+            no_route,
+        }
     }
 
     /// The ids of the classes with these names.
     pub fn class_ids(&self, names: &[String]) -> Vec<ClassId> {
-        let named =
-            self.config.classes.iter().zip(&self.classes).filter(|(class, _)| names.contains(&class.name));
+        let named = self
+            .config
+            .classes
+            .iter()
+            .zip(&self.classes)
+            .filter(|(class, _)| names.contains(&class.name));
         named.map(|(_, &id)| id).collect()
     }
 
@@ -70,7 +89,12 @@
             // After a body that is not read no further request can be read from the connection.
             let body = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
             let close = body.iter().any(|name| parts.headers.contains_key(name));
-            return Err(Rejection { status: self.no_route, text, close, retryable: false });
+            return Err(Rejection {
+                status: self.no_route,
+                text,
+                close,
+                retryable: false,
+            });
         };
         let class = &self.config.classes[route.class].class;
         let headers = &parts.headers;
@@ -84,13 +108,25 @@
             _ => return Err(reject(StatusCode::BAD_REQUEST, "more than one X-Timeout")),
         };
         let chunked = headers.contains_key(header::TRANSFER_ENCODING);
-        let length = if chunked { None } else { Some(length(headers).unwrap_or(0)) };
+        let length = if chunked {
+            None
+        } else {
+            Some(length(headers).unwrap_or(0))
+        };
         if length.is_some_and(|l| l > self.config.limits.body) {
-            return Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+            return Err(reject(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is too large",
+            ));
         }
         // Without its key no host could recognise the repeat of a keyed call.
         let guarded = matches!(class.repeat, Repeat::Guarded { .. });
-        let key = || self.config.routes.text(route.key.as_ref()?, &head(parts, client)).map(Cow::into_owned);
+        let key = || {
+            self.config
+                .routes
+                .text(route.key.as_ref()?, &head(parts, client))
+                .map(Cow::into_owned)
+        };
         let key = if guarded { key() } else { None };
         let once = guarded && key.is_none();
         let admitted = Admitted {
@@ -101,25 +137,38 @@
                 .and_then(|t| self.config.routes.text(t, &head(parts, client)))
                 .map(Cow::into_owned),
             id: None,
-            time: asked.saturating_sub(ANSWER_ROOM).max(1).min(route.timing.total),
+            time: asked
+                .saturating_sub(ANSWER_ROOM)
+                .max(1)
+                .min(route.timing.total),
             length,
             body_most: self.config.limits.body,
             terms: route.timing.terms(once),
             manner: Rc::clone(&self.manners[place]),
         };
-        Ok(Evaluation { admitted, repeat: class.repeat, key: key.map_or(Key::None, Key::Value) })
+        Ok(Evaluation {
+            admitted,
+            repeat: class.repeat,
+            key: key.map_or(Key::None, Key::Value),
+        })
     }
 
     /// Removes the headers that concern this connection only, and adds those that each forwarded request has.
     pub(super) fn set_forwarding_headers(&self, parts: &mut Parts) {
         hop_by_hop(&mut parts.headers);
-        parts.headers.append(header::VIA, HeaderValue::from_static("1.1 badgerramp"));
+        parts
+            .headers
+            .append(header::VIA, HeaderValue::from_static("1.1 badgerramp"));
         if !parts.headers.contains_key(header::HOST) {
-            parts.headers.insert(header::HOST, HeaderValue::from_static("localhost"));
+            parts
+                .headers
+                .insert(header::HOST, HeaderValue::from_static("localhost"));
         }
         if !parts.headers.contains_key(X_REQUEST_ID) {
             let id = format!("{:016x}", self.ids.borrow_mut().next_u64());
-            parts.headers.extend(HeaderValue::from_str(&id).ok().map(|id| (X_REQUEST_ID, id)));
+            parts
+                .headers
+                .extend(HeaderValue::from_str(&id).ok().map(|id| (X_REQUEST_ID, id)));
         }
     }
 }
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -39,21 +39,41 @@
         };
         plain_form(parts)?;
         let (by_old, by_new) = (old.evaluate(parts, client), new.evaluate(parts, client));
-        let calls = (by_old.as_ref().ok().map(Evaluation::call), by_new.as_ref().ok().map(Evaluation::call));
+        let calls = (
+            by_old.as_ref().ok().map(Evaluation::call),
+            by_new.as_ref().ok().map(Evaluation::call),
+        );
         let met = meet(calls.0.as_ref(), calls.1.as_ref());
-        let met =
-            met.map_err(|unlike| reject_for_now(format!("a change of policy is under way: {unlike}")))?;
+        let met = met.map_err(|unlike| {
+            reject_for_now(format!("a change of policy is under way: {unlike}"))
+        })?;
         let (by_old, by_new) = match (by_old, by_new) {
             (Ok(by_old), Ok(by_new)) => (by_old.admitted, by_new.admitted),
             // Rejected by both.
             (Err(rejection), _) | (_, Err(rejection)) => return Err(rejection),
         };
-        let Some(met) = met else { return Err(reject_for_now("no policy")) };
+        let Some(met) = met else {
+            return Err(reject_for_now("no policy"));
+        };
         let answers = self.answers(&by_old.manner, &by_new.manner);
-        let manner = Rc::new(Manner { connect: met.connect, answers, body_most: met.body });
-        let chosen = if met.class == Side::Old { by_old } else { by_new };
+        let manner = Rc::new(Manner {
+            connect: met.connect,
+            answers,
+            body_most: met.body,
+        });
+        let chosen = if met.class == Side::Old {
+            by_old
+        } else {
+            by_new
+        };
         old.set_forwarding_headers(parts);
-        Ok(Admitted { time: met.time, terms: met.terms, body_most: met.body, manner, ..chosen })
+        Ok(Admitted {
+            time: met.time,
+            terms: met.terms,
+            body_most: met.body,
+            manner,
+            ..chosen
+        })
     }
 
     /// Computed once for each pair of routes that meet.
@@ -61,8 +81,9 @@
         // The two policies keep their manners alive as long as this lives, so that addresses are unique.
         let addresses = (Rc::as_ptr(old) as usize, Rc::as_ptr(new) as usize);
         let mut known = self.answers.borrow_mut();
-        let met =
-            known.entry(addresses).or_insert_with(|| Arc::new(meet_answers(&old.answers, &new.answers)));
+        let met = known
+            .entry(addresses)
+            .or_insert_with(|| Arc::new(meet_answers(&old.answers, &new.answers)));
         Arc::clone(met)
     }
 }
@@ -83,7 +104,9 @@
         let admitted = self.rules.admit(parts, client)?;
         match self.classes.contains(&admitted.class) {
             true => Ok(admitted),
-            false => Err(reject_for_now("cut off from control, and no call of the floor")),
+            false => Err(reject_for_now(
+                "cut off from control, and no call of the floor",
+            )),
         }
     }
 }
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -60,7 +60,9 @@
 
 impl Drained for TcpStream {
     fn drained(&self) {
-        let _ = self.try_io(Interest::READABLE, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
+        let _ = self.try_io(Interest::READABLE, || {
+            Err::<(), _>(io::ErrorKind::WouldBlock.into())
+        });
     }
 }
 
@@ -146,13 +148,21 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         self.0.poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.0.poll_write(cx, buf)
     }
 
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -37,7 +37,8 @@
 fn read(path: &Path) -> Result<(Config, Facts), String> {
     let shown = path.display();
     let text = std::fs::read(path).map_err(|e| format!("configuration {shown}: {e}"))?;
-    let config: Config = serde_json::from_slice(&text).map_err(|e| format!("configuration {shown}: {e}"))?;
+    let config: Config =
+        serde_json::from_slice(&text).map_err(|e| format!("configuration {shown}: {e}"))?;
     let facts = settings::read(&config.settings).map_err(|e| format!("settings: {e}"))?;
     Ok((config, facts))
 }
@@ -67,15 +68,28 @@
 /// Runs the program.
 pub fn run(operator: Option<PathBuf>) -> Result<(), Fault> {
     // What is wrong with the file is told after this, by `rules`; its log is the default one then.
-    let log = operator.as_deref().and_then(|file| badgerramp_config::load(file).ok()).map(|c| c.log);
+    let log = operator
+        .as_deref()
+        .and_then(|file| badgerramp_config::load(file).ok())
+        .map(|c| c.log);
     crate::log::start(&log.unwrap_or_default());
-    let path = std::env::var_os("RELAY_CONFIG").ok_or_else(|| "RELAY_CONFIG is not set".to_owned())?;
+    let path =
+        std::env::var_os("RELAY_CONFIG").ok_or_else(|| "RELAY_CONFIG is not set".to_owned())?;
     let path = PathBuf::from(path);
     let (config, facts) = read(&path)?;
-    let seed = u64::from_str_radix(&config.seed, 16).map_err(|e| format!("seed {}: {e}", config.seed))?;
-    let longest_aim = facts.settings.classes.iter().map(|c| c.aim).max().unwrap_or_default();
+    let seed =
+        u64::from_str_radix(&config.seed, 16).map_err(|e| format!("seed {}: {e}", config.seed))?;
+    let longest_aim = facts
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.aim)
+        .max()
+        .unwrap_or_default();
     let rules_of = rules(&facts, operator.as_deref())?;
-    let (index, known) = config.known.map_or((None, Vec::new()), |k| (Some(k.index), k.endpoints));
+    let (index, known) = config
+        .known
+        .map_or((None, Vec::new()), |k| (Some(k.index), k.endpoints));
     // What settings say is for good; the file narrows it anew at each reload.
     let settled = facts.clone();
     let setup = Setup {
@@ -84,7 +98,11 @@
         facts,
         descriptors: config.limits.sockets,
         memory: config.limits.memory_mb << 20,
-        members: Members::Discovery { address: config.discovery, known, index },
+        members: Members::Discovery {
+            address: config.discovery,
+            known,
+            index,
+        },
         subset: None,
         watch_wait: None,
         list: None,
--- a/crates/proxy/src/platform/tests.rs
+++ b/crates/proxy/src/platform/tests.rs
@@ -34,7 +34,10 @@
 }
 
 fn load(name: &str, config: &Value) -> Result<(Config, Facts), String> {
-    let path = std::env::temp_dir().join(format!("badgerramp-platform-{name}-{}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "badgerramp-platform-{name}-{}.json",
+        std::process::id()
+    ));
     std::fs::write(&path, config.to_string()).expect("a file");
     let read = read(&path);
     std::fs::remove_file(&path).expect("a file");
@@ -47,8 +50,14 @@
     assert_eq!(config.listen.to_string(), "127.0.0.1:5000");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
     assert_eq!(config.seed, "8c1f30d27a5be964");
-    assert_eq!((config.limits.sockets, config.limits.memory_mb), (1_024, 192));
-    assert_eq!((facts.settings.balancers, facts.classes), (7, vec!["a".to_owned()]));
+    assert_eq!(
+        (config.limits.sockets, config.limits.memory_mb),
+        (1_024, 192)
+    );
+    assert_eq!(
+        (facts.settings.balancers, facts.classes),
+        (7, vec!["a".to_owned()])
+    );
     let known = config.known.expect("a known list");
     assert_eq!(known.index, 41);
     assert!(known.snapshot);
@@ -62,7 +71,13 @@
         weight: 1.5,
         since_ms: 7,
     };
-    assert_eq!(change, Change { name: "s-1".to_owned(), entry: Some(expected) });
+    assert_eq!(
+        change,
+        Change {
+            name: "s-1".to_owned(),
+            entry: Some(expected)
+        }
+    );
 }
 
 #[test]
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -59,10 +59,21 @@
         let terms = local.policy.clone().ok_or("no [policy]")?;
         let secret = Secret::read(&terms.secret)
             .map_err(|e| format!("policy.secret: {}: {e}", terms.secret.display()))?;
-        let host = || rustix::system::uname().nodename().to_string_lossy().into_owned();
+        let host = || {
+            rustix::system::uname()
+                .nodename()
+                .to_string_lossy()
+                .into_owned()
+        };
         let name = terms.name.clone().unwrap_or_else(host);
-        let identity = Identity { name, incarnation: seed() };
-        let kept = terms.state.as_deref().map(|folder| policy_copy::load(folder, &terms.application));
+        let identity = Identity {
+            name,
+            incarnation: seed(),
+        };
+        let kept = terms
+            .state
+            .as_deref()
+            .map(|folder| policy_copy::load(folder, &terms.application));
         let mut read = BTreeMap::new();
         match kept {
             Some(Ok(Some(kept))) => {
@@ -75,8 +86,11 @@
             Some(Err(fault)) => warn!("the policy on disk is not used: {fault}"),
             Some(Ok(None)) | None => {}
         }
-        let holder =
-            HolderTerms { cut_off: terms.cut_off, answer_within: micros(ANSWER), pause: micros(PAUSE) };
+        let holder = HolderTerms {
+            cut_off: terms.cut_off,
+            answer_within: micros(ANSWER),
+            pause: micros(PAUSE),
+        };
         let has = read.keys().copied().collect();
         let gate = AdmissionGate::new(Holder::new(identity.clone(), holder, has));
         info!("policy from control, as {identity}");
@@ -116,7 +130,10 @@
 
     /// Tells control that this program has ended.
     pub async fn leave(&self) {
-        self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.tasks
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
         if self.set.get().is_some() {
             let leave = request::What::Leave(self.identity.clone().into());
             let _ = tokio::time::timeout(LEAVE, self.client().ask_until(&leave, LEAVE)).await;
@@ -143,7 +160,9 @@
         let mut told = String::new();
         loop {
             let (due, now) = (self.gate.holder().borrow().due(), clock::now());
-            let Some(due) = due else { return std::future::pending().await };
+            let Some(due) = due else {
+                return std::future::pending().await;
+            };
             if now < due {
                 let nap = Duration::from_micros(due - now).min(NAP);
                 tokio::select! {
@@ -153,7 +172,8 @@
                 continue;
             }
             let ask = self.gate.holder().borrow_mut().ask(clock::now());
-            let ask = wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
+            let ask =
+                wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
             let ask = request::What::Ask(ask);
             let fault = match client.ask(&ask).await {
                 Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &front).err(),
@@ -168,7 +188,10 @@
             match fault {
                 // One line for as long as it stays so.
                 Some(fault) => {
-                    self.gate.holder().borrow_mut().came_to_nothing(clock::now());
+                    self.gate
+                        .holder()
+                        .borrow_mut()
+                        .came_to_nothing(clock::now());
                     if told != fault {
                         warn!("no lease: {fault}");
                         told = fault;
@@ -185,7 +208,9 @@
 
     /// Takes what control lends. What fails leaves all as it is.
     fn granted(&self, wire: &wire::Grant, driver: &Driver, front: &Front) -> Result<(), String> {
-        let grant = wire.read().ok_or("control answers oddly: a grant without a mode")?;
+        let grant = wire
+            .read()
+            .ok_or("control answers oddly: a grant without a mode")?;
         let mut holder = self.gate.holder().borrow_mut();
         let mut fresh = false;
         for text in &wire.texts {
@@ -230,7 +255,9 @@
         let text = text.files.get(application);
         let text = text.ok_or_else(|| format!("it has no file for application {application:?}"))?;
         let config = parse(text, &self.local.borrow())?;
-        self.read.borrow_mut().insert(generation, Read::new(text.clone(), config));
+        self.read
+            .borrow_mut()
+            .insert(generation, Read::new(text.clone(), config));
         Ok(())
     }
 
@@ -238,14 +265,25 @@
     fn set(&self, mode: Mode, driver: &Driver, front: &Front) {
         let mut read = self.read.borrow_mut();
         read.retain(|&g, _| g == mode.old || g == mode.new);
-        let Some(combined) = self.combine(&mut read, driver) else { return };
+        let Some(combined) = self.combine(&mut read, driver) else {
+            return;
+        };
         let rules_of = |generation: Generation| read.get(&generation).and_then(Read::rules);
-        let (Some(old), Some(new)) = (rules_of(mode.old), rules_of(mode.new)) else { return };
-        let Combined { settings, fresh, open_calls, retry_after } = combined;
+        let (Some(old), Some(new)) = (rules_of(mode.old), rules_of(mode.new)) else {
+            return;
+        };
+        let Combined {
+            settings,
+            fresh,
+            open_calls,
+            retry_after,
+        } = combined;
         driver.reconfigure(settings, fresh, open_calls);
         front.advice.set(retry_after);
         let floor = floor_rules(&old);
-        let Some(rules) = mode_rules(mode, old, new) else { return };
+        let Some(rules) = mode_rules(mode, old, new) else {
+            return;
+        };
         self.gate.install(mode, rules, floor);
         self.set.set(Some(mode));
         self.keep_copy(&read);
@@ -258,29 +296,53 @@
         let distinct: Vec<&str> = distinct.into_iter().collect();
         let mut places = self.places.borrow_mut();
         let (numbers, fresh) = places.assign(&distinct, |class| driver.in_use(class));
-        let number =
-            |key: &String| distinct.iter().position(|k| k == key).and_then(|n| numbers.get(n)).copied();
+        let number = |key: &String| {
+            distinct
+                .iter()
+                .position(|k| k == key)
+                .and_then(|n| numbers.get(n))
+                .copied()
+        };
         let mut merged: Option<MergedSettings> = None;
         for (read, keys) in read.values_mut().zip(&keys) {
             let numbers: Vec<ClassId> = keys.iter().filter_map(number).collect();
             read.make_rules(&numbers);
-            let Some(config) = read.own_config() else { continue };
-            merged.get_or_insert_with(|| MergedSettings::of(config)).add(config, numbers);
+            let Some(config) = read.own_config() else {
+                continue;
+            };
+            merged
+                .get_or_insert_with(|| MergedSettings::of(config))
+                .add(config, numbers);
         }
-        let MergedSettings { settings, open_calls, retry_after, classes } = merged?;
+        let MergedSettings {
+            settings,
+            open_calls,
+            retry_after,
+            classes,
+        } = merged?;
         let settings = places.settings_with(settings, &classes);
-        Some(Combined { settings, fresh, open_calls, retry_after })
+        Some(Combined {
+            settings,
+            fresh,
+            open_calls,
+            retry_after,
+        })
     }
 
     /// Keeps what was read on disk, if the proxy has a folder for it.
     fn keep_copy(&self, read: &BTreeMap<Generation, Read>) {
-        let Some(folder) = self.terms.state.clone() else { return };
+        let Some(folder) = self.terms.state.clone() else {
+            return;
+        };
         let texts = read.iter().map(|(g, r)| (g.0, r.text.clone())).collect();
         let copy = PolicyCopy::new(self.terms.application.clone(), texts);
         // A slow disk must not hold calls up.
         tokio::task::spawn_blocking(move || {
             if let Err(fault) = policy_copy::save(&folder, &copy) {
-                warn!("{}: the policy could not be kept: {fault}", folder.display());
+                warn!(
+                    "{}: the policy could not be kept: {fault}",
+                    folder.display()
+                );
             }
         });
     }
@@ -318,9 +380,14 @@
     if config.usage != Use::Alone {
         return Err("`platform = true` is for no sidecar".to_owned());
     }
-    let narrow = local.policy.as_ref().is_some_and(|p| p.cut_off == CutOff::Narrow);
+    let narrow = local
+        .policy
+        .as_ref()
+        .is_some_and(|p| p.cut_off == CutOff::Narrow);
     if narrow && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
-        return Err("this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned());
+        return Err(
+            "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
+        );
     }
     Ok(config.beside(local))
 }
--- a/crates/proxy/src/policy_copy.rs
+++ b/crates/proxy/src/policy_copy.rs
@@ -22,7 +22,11 @@
 impl PolicyCopy {
     /// A copy of these texts.
     pub(crate) fn new(application: String, texts: BTreeMap<u64, String>) -> Self {
-        PolicyCopy { version: VERSION, application, texts }
+        PolicyCopy {
+            version: VERSION,
+            application,
+            texts,
+        }
     }
 
     /// The texts, by generation.
@@ -45,13 +49,20 @@
         Err(fault) => return Err(format!("{shown}: {fault}")),
     };
     let text = std::str::from_utf8(&bytes).map_err(|_| format!("{shown}: damaged"))?;
-    let (sum, body) = text.split_once('\n').ok_or_else(|| format!("{shown}: torn"))?;
+    let (sum, body) = text
+        .split_once('\n')
+        .ok_or_else(|| format!("{shown}: torn"))?;
     if hex(&digest(body)) != sum {
-        return Err(format!("{shown}: damaged or torn: its checksum does not fit"));
+        return Err(format!(
+            "{shown}: damaged or torn: its checksum does not fit"
+        ));
     }
     let kept: PolicyCopy = serde_json::from_str(body).map_err(|e| format!("{shown}: {e}"))?;
     if kept.version != VERSION || kept.application != application {
-        return Err(format!("{shown}: of version {}, for {:?}", kept.version, kept.application));
+        return Err(format!(
+            "{shown}: of version {}, for {:?}",
+            kept.version, kept.application
+        ));
     }
     Ok(Some(kept))
 }
@@ -66,7 +77,12 @@
     let body = serde_json::to_string(kept)?;
     let path = place(folder, &kept.application);
     let torn = path.with_extension("new");
-    let mut file = File::options().write(true).create(true).truncate(true).mode(0o600).open(&torn)?;
+    let mut file = File::options()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(0o600)
+        .open(&torn)?;
     write!(file, "{}\n{body}", hex(&digest(&body)))?;
     file.sync_all()?;
     fs::rename(&torn, &path)?;
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -18,7 +18,11 @@
 impl Read {
     /// A text and what it says.
     pub(crate) fn new(text: String, config: Config) -> Self {
-        Read { text, config: Some(config), rules: None }
+        Read {
+            text,
+            config: Some(config),
+            rules: None,
+        }
     }
 
     /// Its rules, once they are made.
@@ -36,8 +40,14 @@
 
     /// Names its classes. A class keeps its number while it stays as it is: in the middle each generation has its own.
     pub(crate) fn class_keys(&self) -> Vec<String> {
-        let Some(config) = self.config.as_ref().or_else(|| self.own_config()) else { return Vec::new() };
-        config.classes.iter().map(|class| format!("{} {:?}", class.name, class.class)).collect()
+        let Some(config) = self.config.as_ref().or_else(|| self.own_config()) else {
+            return Vec::new();
+        };
+        config
+            .classes
+            .iter()
+            .map(|class| format!("{} {:?}", class.name, class.class))
+            .collect()
     }
 
     /// Makes its rules, if they are not made yet; its classes have these numbers.
@@ -71,7 +81,12 @@
     pub(crate) fn of(config: &Config) -> Self {
         let limits = &config.limits;
         let (open_calls, retry_after) = (limits.open_calls, limits.retry_after);
-        MergedSettings { settings: config.settings(), open_calls, retry_after, classes: Vec::new() }
+        MergedSettings {
+            settings: config.settings(),
+            open_calls,
+            retry_after,
+            classes: Vec::new(),
+        }
     }
 
     /// Adds a generation whose classes have these numbers.
@@ -97,13 +112,17 @@
         }
         _ => Vec::new(),
     };
-    Rc::new(Rules::Fallback(Box::new(FallbackRules::new(Rc::clone(policy), floor))))
+    Rc::new(Rules::Fallback(Box::new(FallbackRules::new(
+        Rc::clone(policy),
+        floor,
+    ))))
 }
 
 /// The rules of a mode; `None` if its policies are no sidecar's.
 pub(crate) fn mode_rules(mode: Mode, old: Rc<Rules>, new: Rc<Rules>) -> Option<Rc<Rules>> {
     match mode.is_middle() {
         false => Some(old),
-        true => TransitionRules::between(old, new).map(|middle| Rc::new(Rules::Transition(Box::new(middle)))),
+        true => TransitionRules::between(old, new)
+            .map(|middle| Rc::new(Rules::Transition(Box::new(middle)))),
     }
 }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -59,7 +59,11 @@
 /// Where the list of hosts comes from.
 pub enum Members {
     /// The list service, and the list as it was last had.
-    Discovery { address: SocketAddr, known: Vec<Endpoint>, index: Option<u64> },
+    Discovery {
+        address: SocketAddr,
+        known: Vec<Endpoint>,
+        index: Option<u64>,
+    },
     /// The operator's file.
     Fixed(Vec<Endpoint>),
 }
@@ -100,7 +104,8 @@
 impl Running {
     /// Moves to this list service, if it is another one.
     pub fn follow(&self, address: SocketAddr) {
-        self.discovery.send_if_modified(|old| std::mem::replace(old, address) != address);
+        self.discovery
+            .send_if_modified(|old| std::mem::replace(old, address) != address);
     }
 }
 
@@ -112,7 +117,9 @@
     started: impl FnOnce(&Running),
     last: impl Future<Output = ()>,
 ) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let served = async {
         let served = serve(setup, reload, started).await;
@@ -152,7 +159,11 @@
     /// The system, with a listener at this address.
     pub(crate) fn of_system(listen: SocketAddr) -> Result<Self, String> {
         let bind = |e| format!("listen on {listen}: {e}");
-        let socket = if listen.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+        let socket = if listen.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        };
         let socket = socket.map_err(|e| format!("socket: {e}"))?;
         socket.set_reuseaddr(true).map_err(bind)?;
         socket.bind(listen).map_err(bind)?;
@@ -160,7 +171,11 @@
         if let Ok(address) = listener.local_addr() {
             tracing::info!("listening on {address}");
         }
-        Ok(Surroundings { network: Rc::new(Tcp), listener: Rc::new(listener), clock: Clock::start() })
+        Ok(Surroundings {
+            network: Rc::new(Tcp),
+            listener: Rc::new(listener),
+            clock: Clock::start(),
+        })
     }
 }
 
@@ -177,27 +192,64 @@
     mut reload: impl FnMut(&Running) -> Result<(), String>,
     started: impl FnOnce(&Running),
 ) -> Result<(), String> {
-    let Surroundings { network, listener, clock } = around;
-    let room = setup.descriptors.saturating_sub(DESCRIPTORS_RESERVED).max(8);
+    let Surroundings {
+        network,
+        listener,
+        clock,
+    } = around;
+    let room = setup
+        .descriptors
+        .saturating_sub(DESCRIPTORS_RESERVED)
+        .max(8);
     let descriptors = Descriptors::new(room);
     // The rest is for buffers, which are bounded by the number of connections.
     let bytes = Room::new(setup.memory / 4);
     let counted = (Rc::clone(&descriptors), Rc::clone(&bytes));
     let kept = match setup.subset {
         Some(terms) => (terms.kept, terms.idle),
-        None => (connections_kept(setup.facts.settings.balancers), Micros::MAX),
+        None => (
+            connections_kept(setup.facts.settings.balancers),
+            Micros::MAX,
+        ),
+    };
+    let hosts = Hosts::new(
+        setup.facts.transport,
+        kept,
+        counted,
+        Rc::clone(&network),
+        clock,
+    );
+    let source = if setup.facts.settings.ask {
+        Source::Service
+    } else {
+        Source::Agent
     };
-    let hosts = Hosts::new(setup.facts.transport, kept, counted, Rc::clone(&network), clock);
-    let source = if setup.facts.settings.ask { Source::Service } else { Source::Agent };
     let grace = setup.facts.settings.rules.drain_grace;
-    let subset = setup.subset.map(|terms| Subset::new(terms.need, terms.instance));
-    let driver = Driver::new(setup.seed, setup.facts, setup.plain_http, subset, clock, Rc::clone(&hosts));
-    let budget = Budget::of(Terms { source, grace, wait: setup.watch_wait });
+    let subset = setup
+        .subset
+        .map(|terms| Subset::new(terms.need, terms.instance));
+    let driver = Driver::new(
+        setup.seed,
+        setup.facts,
+        setup.plain_http,
+        subset,
+        clock,
+        Rc::clone(&hosts),
+    );
+    let budget = Budget::of(Terms {
+        source,
+        grace,
+        wait: setup.watch_wait,
+    });
     let poll = setup.list.map(|terms| Poll::new(terms.poll, setup.seed));
     let idle_after = setup.list.map_or(Micros::MAX, |terms| terms.idle_after);
     driver.start();
     let (address, index) = match setup.members {
-        Members::Discovery { address, known, index } => {
+        Members::Discovery {
+            address,
+            known,
+            index,
+        } => {
             driver.members(ListKind::Cached, &known);
             (Some(address), index)
         }
@@ -217,7 +269,9 @@
     let (among, left) = (setup.peers, Rc::clone(&leave));
     let mut watch = Task(tokio::task::spawn_local(async move {
         match (address, among) {
-            (Some(_), Some(among)) => peers::run(driver_of_watch, network, moves, among, left).await,
+            (Some(_), Some(among)) => {
+                peers::run(driver_of_watch, network, moves, among, left).await
+            }
             (Some(_), None) => {
                 let asking = (budget, Watch::new(budget, index, poll, setup.seed));
                 discovery::run(driver_of_watch, network, moves, asking, idle_after).await;
@@ -239,7 +293,12 @@
         most: clients_borne(setup.descriptors),
         beyond: (setup.descriptors / 40).max(2),
     });
-    let running = Running { driver, front: Rc::clone(&front), clock, discovery: moved };
+    let running = Running {
+        driver,
+        front: Rc::clone(&front),
+        clock,
+        discovery: moved,
+    };
     started(&running);
     let reloads = async {
         while hangup().await {
@@ -253,7 +312,9 @@
             // Thousands of quiet proxies on one machine must not keep it awake.
             let quiet = hosts.none_idle() && front.clients.count() == 0;
             let next = if quiet { SWEEP_QUIET } else { SWEEP };
-            running.driver.pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
+            running
+                .driver
+                .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
             tokio::time::sleep(next).await;
             hosts.sweep();
             front.clients.sweep(clock.now());
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -56,19 +56,32 @@
         ("listen", old.listen == new.listen),
         ("log", old.log == new.log),
         ("limits.memory", old.limits.memory == new.limits.memory),
-        ("limits.descriptors", old.limits.descriptors == new.limits.descriptors),
+        (
+            "limits.descriptors",
+            old.limits.descriptors == new.limits.descriptors,
+        ),
         ("upstream.idle", old.upstream.idle == new.upstream.idle),
         ("subset", old.subset == new.subset),
         ("list", old.list == new.list),
         ("peers", old.peers == new.peers),
         ("policy", old.policy == new.policy),
-        ("upstream.discovery", old.upstream.discovery.is_some() == new.upstream.discovery.is_some()),
+        (
+            "upstream.discovery",
+            old.upstream.discovery.is_some() == new.upstream.discovery.is_some(),
+        ),
     ];
-    let changed: Vec<&str> = same.into_iter().filter(|(_, same)| !same).map(|(key, _)| key).collect();
+    let changed: Vec<&str> = same
+        .into_iter()
+        .filter(|(_, same)| !same)
+        .map(|(key, _)| key)
+        .collect();
     if changed.is_empty() {
         Ok(())
     } else {
-        Err(format!("a running program can't change {}: start it anew", changed.join(", ")))
+        Err(format!(
+            "a running program can't change {}: start it anew",
+            changed.join(", ")
+        ))
     }
 }
 
@@ -95,9 +108,18 @@
     };
     let settings = places.settings(&config, &numbers);
     let classes = config.classes.iter().map(|c| c.name.clone()).collect();
-    let facts = Facts { settings, classes, tenants: Vec::new(), transport };
+    let facts = Facts {
+        settings,
+        classes,
+        tenants: Vec::new(),
+        transport,
+    };
     let members = match config.upstream.discovery {
-        Some(address) => Members::Discovery { address, known: Vec::new(), index: None },
+        Some(address) => Members::Discovery {
+            address,
+            known: Vec::new(),
+            index: None,
+        },
         None => Members::Fixed(known.list(&config, 0)),
     };
     Setup {
@@ -120,8 +142,8 @@
 
 /// The seals of a fleet.
 pub(crate) fn seals(terms: &PeersTerms) -> Result<peers::Seals, String> {
-    let secret =
-        Secret::read(&terms.secret).map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
+    let secret = Secret::read(&terms.secret)
+        .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::Seals::new(secret, terms.fleet.clone()))
 }
 
@@ -133,12 +155,23 @@
     let here = socket.local_addr().map_err(fault)?;
     tracing::info!("peers: hearing on {here}");
     let advertise = terms.advertise.unwrap_or(here);
-    Ok(peers::Setup { socket, advertise, seeds: terms.seeds.clone(), seals, id: seed() })
+    Ok(peers::Setup {
+        socket,
+        advertise,
+        seeds: terms.seeds.clone(),
+        seals,
+        id: seed(),
+    })
 }
 
 /// All that a start by a file needs, where it is not read again later.
 pub fn setup_once(config: Config, seed: u64) -> Setup {
-    setup(config, &mut ClassIds::default(), &mut Known::default(), seed)
+    setup(
+        config,
+        &mut ClassIds::default(),
+        &mut Known::default(),
+        seed,
+    )
 }
 
 /// Runs the program.
@@ -156,17 +189,24 @@
     let reload = move |running: &Running| {
         let config = reread(&path)?;
         let old = Rc::clone(&running.front.rules.borrow());
-        let Rules::Sidecar(old) = &*old else { return Err("this is no sidecar".to_owned()) };
+        let Rules::Sidecar(old) = &*old else {
+            return Err("this is no sidecar".to_owned());
+        };
         check_same(old.config(), &config)?;
         // From here on nothing fails.
         let names: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
         let (numbers, fresh) = places.assign(&names, |class| running.driver.in_use(class));
         let settings = places.settings(&config, &numbers);
-        running.driver.reconfigure(settings, fresh, config.limits.open_calls);
+        running
+            .driver
+            .reconfigure(settings, fresh, config.limits.open_calls);
         follow(&config, &mut known, running);
         running.front.advice.set(config.limits.retry_after);
-        *running.front.rules.borrow_mut() =
-            Rc::new(Rules::Sidecar(Box::new(Sidecar::new(config, numbers, seed()))));
+        *running.front.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
+            config,
+            numbers,
+            seed(),
+        ))));
         tracing::info!("the new configuration holds");
         Ok(())
     };
@@ -202,7 +242,12 @@
         tracing::info!("the new configuration of this proxy's own holds");
         Ok(())
     };
-    Ok(program::run(setup, reload, |running| policy_client.start(running), policy_client.leave())?)
+    Ok(program::run(
+        setup,
+        reload,
+        |running| policy_client.start(running),
+        policy_client.leave(),
+    )?)
 }
 
 /// Serves a file with `[policy]` in the [`LocalSet`](tokio::task::LocalSet) that polls this, until `stop` resolves: as
--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -13,25 +13,41 @@
     // The hosts of this test, and ports that the system picks.
     let mut apps = APPS.to_owned();
     for (n, host) in hosts.iter().enumerate() {
-        apps = apps.replace(&format!("127.0.0.1:900{}", n + 1), &host.address.to_string());
+        apps = apps.replace(
+            &format!("127.0.0.1:900{}", n + 1),
+            &host.address.to_string(),
+        );
     }
     for n in 1..=5 {
         apps = apps.replace(&format!("127.0.0.1:808{n}"), "127.0.0.1:0");
     }
-    let folder = std::env::temp_dir().join(format!("badgerramp-applications-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("badgerramp-applications-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("shared")).expect("a folder");
     std::fs::write(folder.join("apps.toml"), apps).expect("a file");
     std::fs::write(folder.join("shared/classes.toml"), CLASSES).expect("a file");
     let written = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
     let _ = std::fs::remove_dir_all(&folder);
     let own = [
-        ("kiosko.toml", &[("POST", "/registro-entrada/7")][..], ("POST", "/cobro-mensual")),
+        (
+            "kiosko.toml",
+            &[("POST", "/registro-entrada/7")][..],
+            ("POST", "/cobro-mensual"),
+        ),
         (
             "tableta.toml",
-            &[("POST", "/registro-entrada"), ("POST", "/cobro-mensual"), ("GET", "/socios/7")],
+            &[
+                ("POST", "/registro-entrada"),
+                ("POST", "/cobro-mensual"),
+                ("GET", "/socios/7"),
+            ],
             ("POST", "/socios"),
         ),
-        ("torniquete.toml", &[("POST", "/registro-entrada/salida")], ("POST", "/registro-entrada")),
+        (
+            "torniquete.toml",
+            &[("POST", "/registro-entrada/salida")],
+            ("POST", "/registro-entrada"),
+        ),
         (
             "lote-cuotas.toml",
             &[("POST", "/cobro-mensual/12"), ("GET", "/socios")],
@@ -39,14 +55,23 @@
         ),
         (
             "oficina.toml",
-            &[("POST", "/cobro-mensual/correccion"), ("GET", "/cobro-mensual"), ("PUT", "/socios")],
+            &[
+                ("POST", "/cobro-mensual/correccion"),
+                ("GET", "/cobro-mensual"),
+                ("PUT", "/socios"),
+            ],
             ("POST", "/cobro-mensual"),
         ),
     ];
     let proxies: Vec<Proxy> = own
         .iter()
         .map(|(name, ..)| {
-            let text = &written.files.iter().find(|f| f.0 == *name).expect("its file").1;
+            let text = &written
+                .files
+                .iter()
+                .find(|f| f.0 == *name)
+                .expect("its file")
+                .1;
             Proxy::sidecar(PROGRAM, &[], text)
         })
         .collect();
@@ -60,6 +85,10 @@
         for &request in *sent {
             assert_eq!(ask(request).body, b"served", "{name}: {request:?}");
         }
-        assert_eq!(ask(*not_sent).status(), 404, "{name}: {not_sent:?} is not its own");
+        assert_eq!(
+            ask(*not_sent).status(),
+            404,
+            "{name}: {not_sent:?} is not its own"
+        );
     }
 }
