--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -82,13 +82,18 @@
         let here = |c: &mut Crossing| (c.0, c.1) == (step, stream.number);
         let crossing = self.crossing.borrow_mut().take_if(here);
         if let Some((.., what)) = crossing {
-            let std = SockRef::from(&*stream.stream).try_clone().expect("a descriptor");
+            let std = SockRef::from(&*stream.stream)
+                .try_clone()
+                .expect("a descriptor");
             what(&std.into());
         }
     }
 
     fn found_no_connection(&self) {
-        let due = self.none_queued.borrow_mut().take_if(|(from, _)| *from <= Instant::now());
+        let due = self
+            .none_queued
+            .borrow_mut()
+            .take_if(|(from, _)| *from <= Instant::now());
         if let Some((_, what)) = due {
             what();
         }
@@ -96,7 +101,12 @@
 
     /// Waits until the program has read all that has come on a connection.
     async fn read(&self, connection: usize) {
-        let unread = || match self.accepted.borrow().get(connection).and_then(Weak::upgrade) {
+        let unread = || match self
+            .accepted
+            .borrow()
+            .get(connection)
+            .and_then(Weak::upgrade)
+        {
             Some(stream) => !Stream::quiet(&*stream),
             None => true,
         };
@@ -128,12 +138,18 @@
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let Some(left) = self.hooks.takes.get() else { return Stream::poll_write(&*self.stream, cx, buf) };
+        let Some(left) = self.hooks.takes.get() else {
+            return Stream::poll_write(&*self.stream, cx, buf);
+        };
         if left == 0 {
             self.hooks.wakers.borrow_mut().push(cx.waker().clone());
             return Poll::Pending;
         }
-        let written = ready!(Stream::poll_write(&*self.stream, cx, &buf[..left.min(buf.len())]))?;
+        let written = ready!(Stream::poll_write(
+            &*self.stream,
+            cx,
+            &buf[..left.min(buf.len())]
+        ))?;
         self.hooks.takes.set(Some(left - written));
         Poll::Ready(Ok(written))
     }
@@ -184,7 +200,11 @@
         let number = accepted.len();
         let stream = Rc::new(stream);
         accepted.push(Rc::downgrade(&stream));
-        Poll::Ready(Ok(Rc::new(Hooked { stream, number, hooks: Rc::clone(&self.1) })))
+        Poll::Ready(Ok(Rc::new(Hooked {
+            stream,
+            number,
+            hooks: Rc::clone(&self.1),
+        })))
     }
 }
 
@@ -200,8 +220,14 @@
             }
             let stream = tokio::net::TcpStream::connect(address).await?;
             let number = TO_HOSTS
-                + hooks.opened.replace(hooks.opened.get() + usize::from(hooks.host.get() == Some(address)));
-            Ok(Rc::new(Hooked { stream: Rc::new(stream), number, hooks }) as Rc<dyn Stream>)
+                + hooks
+                    .opened
+                    .replace(hooks.opened.get() + usize::from(hooks.host.get() == Some(address)));
+            Ok(Rc::new(Hooked {
+                stream: Rc::new(stream),
+                number,
+                hooks,
+            }) as Rc<dyn Stream>)
         })
     }
 }
@@ -262,7 +288,13 @@
             let stop = async move { stopped.await.unwrap_or_default() };
             let _ = end.send(serve_in(setup, around, hangup, stop, |_| Ok(()), |_| {}).await);
         });
-        Inside { hooks, address, stop: Some(stop), ended, _discovery: discovery }
+        Inside {
+            hooks,
+            address,
+            stop: Some(stop),
+            ended,
+            _discovery: discovery,
+        }
     }
 
     fn stop(&mut self) {
@@ -273,13 +305,18 @@
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Client { stream: BufReader::new(stream) }
+        Client {
+            stream: BufReader::new(stream),
+        }
     }
 }
 
 /// Runs this beside the program.
 fn beside(test: impl AsyncFnOnce()) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test());
 }
 
@@ -319,12 +356,19 @@
         let mut program = Inside::start(1_024, &host).await;
         let (client, first) = waiting(program.client(), |c| c.call("unsafe", "2000m")).await;
         assert_eq!(first.status(), 200);
-        program.hooks.at(Step::ReadNothing, 0, arrives(&client, request("unsafe", "2000m", "cross")));
+        program.hooks.at(
+            Step::ReadNothing,
+            0,
+            arrives(&client, request("unsafe", "2000m", "cross")),
+        );
         program.stop();
         let (_, answer) = waiting(client, next).await;
         assert!(program.hooks.crossed());
         let answer = answer.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
     });
 }
@@ -352,7 +396,10 @@
         })
         .await;
         let answer = answer.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
     });
 }
@@ -371,15 +418,21 @@
         let connects = move || {
             let stream = TcpStream::connect(address).expect("it listens");
             stream.set_read_timeout(Some(LONG)).expect("a time-out");
-            let mut queued = Client { stream: BufReader::new(stream) };
+            let mut queued = Client {
+                stream: BufReader::new(stream),
+            };
             queued.send("unsafe", "2000m");
             assert!(client.send(queued).is_ok(), "it is waited for");
         };
-        *program.hooks.none_queued.borrow_mut() = Some((Instant::now() + ACCEPTED, Box::new(connects)));
+        *program.hooks.none_queued.borrow_mut() =
+            Some((Instant::now() + ACCEPTED, Box::new(connects)));
         program.stop();
         let (_, answer) = waiting(connected.await.expect("a client"), next).await;
         let answer = answer.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
     });
 }
@@ -394,7 +447,9 @@
         let (client, _) = waiting(program.client(), |c| c.call("unsafe", "2000m")).await;
         let text = request("unsafe", "2000m", "half");
         let (half, rest) = text.split_at(40);
-        program.hooks.at(Step::ReadNothing, 0, arrives(&client, half.to_owned()));
+        program
+            .hooks
+            .at(Step::ReadNothing, 0, arrives(&client, half.to_owned()));
         program.stop();
         while !program.hooks.crossed() {
             tokio::task::yield_now().await;
@@ -432,7 +487,11 @@
             clients.push_back(client);
         }
         let first = clients.pop_front().expect("eight");
-        program.hooks.at(Step::Quiet, 0, arrives(&first, request("unsafe", "3000m", "cross")));
+        program.hooks.at(
+            Step::Quiet,
+            0,
+            arrives(&first, request("unsafe", "3000m", "cross")),
+        );
         let ninth = waiting(program.client(), |c| c.call("safe", "2000m"));
         let (_, told) = tokio::join!(ninth, async {
             // It reaches its host, and its answer comes long after those who leave are cut off.
@@ -499,7 +558,11 @@
         let asked = tokio::time::Instant::now();
         program.stop();
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
-        assert!((50..70).contains(&asked.elapsed().as_secs()), "{:?}", asked.elapsed());
+        assert!(
+            (50..70).contains(&asked.elapsed().as_secs()),
+            "{:?}",
+            asked.elapsed()
+        );
     });
 }
 
@@ -512,7 +575,9 @@
             let host = Host::serving("ok");
             let mut program = Inside::start(1_024, &host).await;
             let mut client = program.client();
-            program.hooks.at(Step::Shutdown, 0, arrives(&client, "GET /sa".to_owned()));
+            program
+                .hooks
+                .at(Step::Shutdown, 0, arrives(&client, "GET /sa".to_owned()));
             if at_stop {
                 let (used, answer) = waiting(client, |c| c.call("safe", "2000m")).await;
                 assert_eq!(answer.status(), 200);
@@ -524,9 +589,16 @@
             }
             let (mut client, answer) =
                 waiting(client, move |c| if at_stop { None } else { c.answer() }).await;
-            assert_eq!(answer.map(|a| a.status()), if at_stop { None } else { Some(400) });
+            assert_eq!(
+                answer.map(|a| a.status()),
+                if at_stop { None } else { Some(400) }
+            );
             let end = waiting(
-                Client { stream: BufReader::new(client.stream.get_ref().try_clone().expect("a descriptor")) },
+                Client {
+                    stream: BufReader::new(
+                        client.stream.get_ref().try_clone().expect("a descriptor"),
+                    ),
+                },
                 |c| c.stream.read(&mut [0; 16]).map_err(|e| e.kind()),
             );
             assert_eq!(end.await.1, Ok(0), "an end, no reset");
@@ -535,7 +607,11 @@
                 tokio::time::sleep(SHORT / 30).await;
             }
             assert_eq!(program.hooks.unread.get(), 0, "closed with bytes unread");
-            client.stream.get_mut().shutdown(Shutdown::Both).unwrap_or_default();
+            client
+                .stream
+                .get_mut()
+                .shutdown(Shutdown::Both)
+                .unwrap_or_default();
         });
     }
 }
@@ -550,7 +626,8 @@
             beside(async || {
                 let host = Interrupts::start(says);
                 let program = Inside::start_at(1_024, host.address).await;
-                let (client, first) = waiting(program.client(), |c| c.call("unsafe", "3000m")).await;
+                let (client, first) =
+                    waiting(program.client(), |c| c.call("unsafe", "3000m")).await;
                 assert_eq!(first.status(), 200);
                 let now = host.now;
                 program.hooks.at(Step::Quiet, TO_HOSTS, move |stream| {
@@ -568,7 +645,10 @@
                 );
                 // It is on its way to nobody, or ran at most once more.
                 let most = if class == "safe" { 3 } else { 2 };
-                assert!(host.asked.load(Ordering::SeqCst) <= most, "{class} after {says:?}");
+                assert!(
+                    host.asked.load(Ordering::SeqCst) <= most,
+                    "{class} after {says:?}"
+                );
             });
         }
     }
@@ -596,7 +676,10 @@
                     let mut stream = BufReader::new(stream);
                     while read(&mut stream).is_some() {
                         count.fetch_add(1, Ordering::SeqCst);
-                        let _ = io::Write::write_all(stream.get_mut(), answer("200 OK", "", "ok").as_bytes());
+                        let _ = io::Write::write_all(
+                            stream.get_mut(),
+                            answer("200 OK", "", "ok").as_bytes(),
+                        );
                         if told.as_ref().is_some_and(|told| told.recv().is_ok()) {
                             if says.is_empty() {
                                 return;
@@ -611,7 +694,11 @@
                 });
             }
         });
-        Interrupts { address, now, asked }
+        Interrupts {
+            address,
+            now,
+            asked,
+        }
     }
 }
 
@@ -630,7 +717,10 @@
             let (used, told) = waiting(client, |c| c.call("unsafe", "3000m")).await;
             client = used;
             let body = format!("answer {n}");
-            assert_eq!((told.status(), String::from_utf8_lossy(&told.body).as_ref()), (200, body.as_str()));
+            assert_eq!(
+                (told.status(), String::from_utf8_lossy(&told.body).as_ref()),
+                (200, body.as_str())
+            );
         }
         // Rested connections are used again.
         assert_eq!(host.connections(), 6, "one for each, as none has rested");
@@ -694,7 +784,9 @@
         let stream = client.stream.get_ref();
         match self {
             Leaves::Closes => {}
-            Leaves::Resets => SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("a socket"),
+            Leaves::Resets => SockRef::from(stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("a socket"),
             Leaves::Half => {
                 stream.shutdown(Shutdown::Write).expect("a socket");
                 return Some(client);
@@ -735,7 +827,12 @@
                     .seen
                     .try_iter()
                     .filter(|s| matches!(s, Seen::Request(_, m) if m.head.starts_with("POST")));
-                assert_eq!(sent.count(), 0, "{leaves:?} with {} bytes behind", behind.len());
+                assert_eq!(
+                    sent.count(),
+                    0,
+                    "{leaves:?} with {} bytes behind",
+                    behind.len()
+                );
                 drop(left);
             });
         }
@@ -762,15 +859,27 @@
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(message) = read(&mut stream) {
-                        let _ = tell.send(message.header("x-request-id").unwrap_or_default().to_owned());
+                        let _ = tell.send(
+                            message
+                                .header("x-request-id")
+                                .unwrap_or_default()
+                                .to_owned(),
+                        );
                         let open = gate.0.lock().expect("no panic");
                         drop(gate.1.wait_while(open, |open| !*open).expect("no panic"));
-                        let _ = io::Write::write_all(stream.get_mut(), answer("200 OK", "", "ok").as_bytes());
+                        let _ = io::Write::write_all(
+                            stream.get_mut(),
+                            answer("200 OK", "", "ok").as_bytes(),
+                        );
                     }
                 });
             }
         });
-        Gated { address, came, open }
+        Gated {
+            address,
+            came,
+            open,
+        }
     }
 
     fn open(&self) {
@@ -792,7 +901,11 @@
 /// beside its client's end.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_while_it_waited_in_order() {
-    for (stopped, leaves) in [(false, Leaves::Closes), (true, Leaves::Closes), (true, Leaves::Resets)] {
+    for (stopped, leaves) in [
+        (false, Leaves::Closes),
+        (true, Leaves::Closes),
+        (true, Leaves::Resets),
+    ] {
         let (discovery, host) = (Discovery::start(), Gated::start());
         let proxy = Proxy::start(PROGRAM, &discovery, &[entry("s-1", host.address, "up", 0)]);
         let mut clients: Vec<(String, Client)> = Vec::new();
@@ -802,8 +915,13 @@
             clients.push((id, client));
         }
         let sent = host.all();
-        let (served, held): (Vec<_>, Vec<_>) = clients.into_iter().partition(|(id, _)| sent.contains(id));
-        assert!(served.len() > 3 && held.len() > 3, "{} of 14 are held", held.len());
+        let (served, held): (Vec<_>, Vec<_>) =
+            clients.into_iter().partition(|(id, _)| sent.contains(id));
+        assert!(
+            served.len() > 3 && held.len() > 3,
+            "{} of 14 are held",
+            held.len()
+        );
         if stopped {
             proxy.signal("-STOP");
             host.open();
@@ -816,7 +934,9 @@
             proxy.signal("-CONT");
         } else {
             // What has come before is read before this is answered.
-            proxy.client().ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+            proxy
+                .client()
+                .ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
             host.open();
         }
         for (id, mut client) in served {
@@ -850,7 +970,11 @@
         host.open();
         proxy.signal("-CONT");
         for client in [&mut taken, &mut comes] {
-            assert_eq!(client.answer().map(|a| a.status()), Some(200), "{signals:?}");
+            assert_eq!(
+                client.answer().map(|a| a.status()),
+                Some(200),
+                "{signals:?}"
+            );
             assert!(client.answer().is_none(), "and its connection is closed");
         }
         assert!(proxy.ended(), "it exits 0: {signals:?}");
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -42,13 +42,22 @@
         };
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+            let runtime = tokio::runtime::Builder::new_multi_thread()
+                .enable_all()
+                .build();
             let served = badgerramp_control::serve::run(settings, async move {
                 let _ = stopped.await;
             });
-            runtime.expect("a runtime").block_on(served).expect("it serves");
+            runtime
+                .expect("a runtime")
+                .block_on(served)
+                .expect("it serves");
         });
-        Replica { address, stop: Some(stop), thread: Some(thread) }
+        Replica {
+            address,
+            stop: Some(stop),
+            thread: Some(thread),
+        }
     }
 
     fn end(&mut self) {
@@ -70,16 +79,29 @@
 impl World {
     fn start(name: &str, floor: bool) -> World {
         let folder = Folder::new(&format!("fleet-{name}")).expect("a folder");
-        folder.write("secret", "a secret of the tests", true).expect("a file");
-        let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        folder
+            .write("secret", "a secret of the tests", true)
+            .expect("a file");
+        let free = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a port");
         let replica = Replica::start(&folder, free);
-        World { folder, host: Host::serving("ok"), replica, floor }
+        World {
+            folder,
+            host: Host::serving("ok"),
+            replica,
+            floor,
+        }
     }
 
     /// The file of a proxy with this name; the policy is such a file too.
     fn file(&self, name: &str, path: &str, cut_off: &str) -> String {
         let folder = self.folder.path().display();
-        let floor = if self.floor { "floor = [\"entry\"]\n" } else { "" };
+        let floor = if self.floor {
+            "floor = [\"entry\"]\n"
+        } else {
+            ""
+        };
         format!(
             "listen = \"127.0.0.1:0\"\n\
              [upstream]\nendpoints = [{{ address = \"{}\" }}]\n\
@@ -97,7 +119,11 @@
 
     fn at(&self) -> At {
         let secret = self.folder.path().join("secret");
-        At { control: vec![self.replica.address], secret, timeout: 20 }
+        At {
+            control: vec![self.replica.address],
+            secret,
+            timeout: 20,
+        }
     }
 
     fn publish(&self, application: &str, path: &str) -> Done {
@@ -110,13 +136,17 @@
 }
 
 fn ask<T>(at: &At, ask: impl AsyncFnOnce(&mut Control) -> T) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let mut control = Control::new(at).expect("a secret");
     runtime.expect("a runtime").block_on(ask(&mut control))
 }
 
 fn get(proxy: &Proxy, path: &str) -> Message {
-    proxy.client().ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+    proxy
+        .client()
+        .ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
 /// Asks until the answer has this status: what comes is an event of another process.
@@ -136,7 +166,10 @@
 fn nothing_begins_without_a_lease_whatever_lies_on_the_disk() {
     let mut world = World::start("lease", false);
     let proxy = world.proxy("p", "refuse");
-    assert!(get(&proxy, "/own").head.contains("503"), "its own file is no policy");
+    assert!(
+        get(&proxy, "/own").head.contains("503"),
+        "its own file is no policy"
+    );
     assert!(get(&proxy, "/_health").head.contains("503"));
     assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
     becomes(&proxy, "/one", "200");
@@ -165,7 +198,11 @@
     becomes(&proxy, "/one", "200");
     let done = world.publish("otra", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert!(done.why.contains("p-7") && done.why.contains("\"caja\""), "{}", done.why);
+    assert!(
+        done.why.contains("p-7") && done.why.contains("\"caja\""),
+        "{}",
+        done.why
+    );
     becomes(&proxy, "/one", "200");
     // The next takes another number, and comes into force.
     let done = world.publish("caja", "/three");
@@ -187,11 +224,16 @@
     // The floor's route may not change while a proxy may act under it.
     let done = world.publish("caja", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert!(done.why.contains("\"entry\" of the floor") && done.why.contains("two steps"), "{}", done.why);
+    assert!(
+        done.why.contains("\"entry\" of the floor") && done.why.contains("two steps"),
+        "{}",
+        done.why
+    );
     world.replica.end();
     let began = Instant::now();
-    let cut_off =
-        |proxy: &Proxy| String::from_utf8_lossy(&get(proxy, "/_health").body).contains("the floor of");
+    let cut_off = |proxy: &Proxy| {
+        String::from_utf8_lossy(&get(proxy, "/_health").body).contains("the floor of")
+    };
     while !cut_off(&narrow) {
         assert!(began.elapsed() < LONG);
         thread::sleep(Duration::from_millis(20));
@@ -207,14 +249,23 @@
     assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
     becomes(&first, "/one", "200");
     becomes(&second, "/one", "200");
-    let standing = ask(&world.at(), async |control| control.standing().await.expect("a status"));
+    let standing = ask(&world.at(), async |control| {
+        control.standing().await.expect("a status")
+    });
     assert_eq!(standing.proxies.iter().filter(|p| p.name == "p").count(), 2);
     // One word does not do for both.
     let why = ask(&world.at(), async |control| control.evict("p", None).await).expect_err("two");
     assert!(why.contains("more than once"), "{why}");
-    let keeps = standing.proxies.iter().find(|p| p.cut_off == "keep").expect("it is written down");
+    let keeps = standing
+        .proxies
+        .iter()
+        .find(|p| p.cut_off == "keep")
+        .expect("it is written down");
     let start = u64::from_str_radix(&keeps.incarnation, 16).expect("a number");
-    ask(&world.at(), async |control| control.evict("p", Some(start)).await).expect("evicted");
+    ask(&world.at(), async |control| {
+        control.evict("p", Some(start)).await
+    })
+    .expect("evicted");
     assert!(String::from_utf8_lossy(&becomes(&second, "/_health", "503").body).contains("evicted"));
     becomes(&first, "/one", "200");
     assert_eq!(world.publish("caja", "/two").outcome, Outcome::InForce);
@@ -232,7 +283,9 @@
         let (sender, at) = (sender.clone(), world.at());
         let files = HashMap::from([("caja".to_owned(), world.file("any", path, "refuse"))]);
         thread::spawn(move || {
-            let published = ask(&at, async |control| control.publish(&files, 1, |_| {}).await);
+            let published = ask(&at, async |control| {
+                control.publish(&files, 1, |_| {}).await
+            });
             sender.send(published).expect("heard");
         });
     }
@@ -240,6 +293,8 @@
     let ended: Vec<Done> = done.iter().collect();
     let begun: Vec<_> = ended.iter().filter_map(|d| d.generation).collect();
     assert_eq!(begun, [2]);
-    assert!(ended.iter().any(|d| d.outcome == Outcome::NotInForce && !d.why.is_empty()));
+    assert!(ended
+        .iter()
+        .any(|d| d.outcome == Outcome::NotInForce && !d.why.is_empty()));
     world.replica.end();
 }
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -21,7 +21,9 @@
 }
 
 fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a port")
 }
 
 impl Region {
@@ -37,7 +39,9 @@
         let settings = Settings::load(&file).expect("good");
         Store::create(&settings.store, 1).expect("a store");
         thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+            let runtime = tokio::runtime::Builder::new_multi_thread()
+                .enable_all()
+                .build();
             let served = badgerramp_control::serve::run(settings, std::future::pending());
             runtime.expect("a runtime").block_on(served)
         });
@@ -45,15 +49,26 @@
     }
 
     fn publish(&self, secret: &Path, text: String) {
-        let at = At { control: vec![self.address], secret: secret.to_owned(), timeout: LONG.as_secs() };
+        let at = At {
+            control: vec![self.address],
+            secret: secret.to_owned(),
+            timeout: LONG.as_secs(),
+        };
         let mut control = Control::new(&at).expect("a secret");
         let files = HashMap::from([("caja".to_owned(), text)]);
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let done = runtime.expect("a runtime").block_on(async {
             let revision = control.standing().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         });
-        assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(1)), "{}", done.why);
+        assert_eq!(
+            (done.outcome, done.generation),
+            (Outcome::InForce, Some(1)),
+            "{}",
+            done.why
+        );
     }
 }
 
@@ -73,7 +88,9 @@
 fn becomes(proxy: &Proxy, path: &str, status: &str) -> Message {
     let began = Instant::now();
     loop {
-        let answer = proxy.client().ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
+        let answer = proxy
+            .client()
+            .ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
         if answer.head.contains(status) {
             return answer;
         }
@@ -85,17 +102,25 @@
 #[test]
 fn a_proxy_that_moves_takes_the_policy_of_its_new_region_and_not_its_copy() {
     let folder = Folder::new("proxy-regions").expect("a folder");
-    let secret = folder.write("secret", "a secret of the tests", true).expect("a file");
+    let secret = folder
+        .write("secret", "a secret of the tests", true)
+        .expect("a file");
     Secret::read(&secret).expect("a secret");
     let (path, host) = (folder.path(), Host::serving("ok"));
-    let (norte, sur) = (Region::start(path, "norte", "sur"), Region::start(path, "sur", "norte"));
+    let (norte, sur) = (
+        Region::start(path, "norte", "sur"),
+        Region::start(path, "sur", "norte"),
+    );
     // The same generation of each, and another policy.
     norte.publish(&secret, file(path, &host, (&norte, "norte"), "/norte"));
     sur.publish(&secret, file(path, &host, (&sur, "sur"), "/sur"));
     let proxy = Proxy::sidecar(PROXY, &[], &file(path, &host, (&norte, norte.name), "/own"));
     becomes(&proxy, "/norte", "200");
     drop(proxy);
-    assert!(path.join("state/caja.policy").exists(), "it takes its copy along");
+    assert!(
+        path.join("state/caja.policy").exists(),
+        "it takes its copy along"
+    );
     // With the address of the one region and the name of the other it gets no lease.
     let strayed = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
     strayed.logged(
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -11,11 +11,22 @@
 /// Three classes and a route for each, over these hosts; the first two are one group. `more` goes into the class of
 /// its name, and lines without a name before all tables.
 fn file(hosts: &[std::net::SocketAddr], more: &[(&str, &str)]) -> String {
-    let extra = |name: &str| more.iter().filter(|m| m.0 == name).map(|m| m.1).collect::<Vec<_>>().join("\n");
+    let extra = |name: &str| {
+        more.iter()
+            .filter(|m| m.0 == name)
+            .map(|m| m.1)
+            .collect::<Vec<_>>()
+            .join("\n")
+    };
     let endpoints: Vec<String> = hosts
         .iter()
         .enumerate()
-        .map(|(n, a)| format!("{{ name = \"s-{n}\", address = \"{a}\", group = {} }}", n / 2 + 1))
+        .map(|(n, a)| {
+            format!(
+                "{{ name = \"s-{n}\", address = \"{a}\", group = {} }}",
+                n / 2 + 1
+            )
+        })
         .collect();
     format!(
         "listen = \"127.0.0.1:0\"\n{}\n[upstream]\nendpoints = [{}]\n{}\n\
@@ -54,7 +65,13 @@
 }
 
 fn error() -> Host {
-    Host::start(|_| Reply::Write(answer("500 Internal Server Error", "X-Why: it broke\r\n", "broken")))
+    Host::start(|_| {
+        Reply::Write(answer(
+            "500 Internal Server Error",
+            "X-Why: it broke\r\n",
+            "broken",
+        ))
+    })
 }
 
 // What passes through.
@@ -75,14 +92,31 @@
         let answer = client.ask(&format!(
             "{method} /safe/7?q=%20x&r HTTP/1.1\r\nHost: gym.example\r\nConnection: keep-alive, X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\nX-Branch: CR-1\r\nX-Request-ID: given\r\nContent-Length: 4\r\n\r\nbody"
         ));
-        assert!(answer.head.starts_with(&format!("HTTP/1.1 {}", &status[..3])), "{}", answer.head);
+        assert!(
+            answer
+                .head
+                .starts_with(&format!("HTTP/1.1 {}", &status[..3])),
+            "{}",
+            answer.head
+        );
         assert_eq!(answer.body, b"the body");
         assert_eq!(answer.header("etag"), Some("\"7\""));
-        assert_eq!(answer.head.matches("et-cookie: ").count(), 2, "{}", answer.head);
-        assert!(answer.header("x-hop").is_none() && answer.header("keep-alive").is_none(), "{}", answer.head);
+        assert_eq!(
+            answer.head.matches("et-cookie: ").count(),
+            2,
+            "{}",
+            answer.head
+        );
+        assert!(
+            answer.header("x-hop").is_none() && answer.header("keep-alive").is_none(),
+            "{}",
+            answer.head
+        );
         let (_, request) = host.request();
         assert!(
-            request.head.starts_with(&format!("{method} /safe/7?q=%20x&r HTTP/1.1\r\n")),
+            request
+                .head
+                .starts_with(&format!("{method} /safe/7?q=%20x&r HTTP/1.1\r\n")),
             "{}",
             request.head
         );
@@ -91,7 +125,11 @@
         assert_eq!(request.header("x-branch"), Some("CR-1"));
         assert_eq!(request.header("x-request-id"), Some("given"));
         assert_eq!(request.header("via"), Some("1.1 badgerramp"));
-        assert!(request.header("x-mine").is_none() && request.header("te").is_none(), "{}", request.head);
+        assert!(
+            request.header("x-mine").is_none() && request.header("te").is_none(),
+            "{}",
+            request.head
+        );
     }
 }
 
@@ -121,20 +159,34 @@
     ] {
         client.write(&text);
         let answer = client.bodiless_answer().expect("an answer");
-        assert_eq!((answer.status(), answer.header("content-length")), (status, length), "{}", answer.head);
+        assert_eq!(
+            (answer.status(), answer.header("content-length")),
+            (status, length),
+            "{}",
+            answer.head
+        );
     }
     let answer = client.ask(&get("/safe"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"after".as_slice()));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, b"after".as_slice())
+    );
 }
 
 #[test]
 fn chunked_bodies_pass_within_the_bound() {
-    let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
+    let chunked =
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let host = Host::start(move |_| Reply::Write(chunked.to_owned()));
     let proxy = sidecar(&[&host], &[("", "[limits]\nbody = \"2KiB\"")]);
     let head = "POST /unsafe HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let answer = proxy.client().ask(&format!("{head}4\r\nbody\r\n3\r\n&q=\r\n0\r\n\r\n"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"abcde".as_slice()));
+    let answer = proxy
+        .client()
+        .ask(&format!("{head}4\r\nbody\r\n3\r\n&q=\r\n0\r\n\r\n"));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, b"abcde".as_slice())
+    );
     let (_, request) = host.request();
     assert_eq!(
         (request.body.as_slice(), request.header("content-length")),
@@ -142,7 +194,9 @@
     );
     assert!(request.header("transfer-encoding").is_none());
     let long = "x".repeat(2_049);
-    let answer = proxy.client().ask(&format!("{head}801\r\n{long}\r\n0\r\n\r\n"));
+    let answer = proxy
+        .client()
+        .ask(&format!("{head}801\r\n{long}\r\n0\r\n\r\n"));
     assert_eq!(answer.status(), 413);
     let text = format!("POST /unsafe HTTP/1.1\r\nHost: x\r\nContent-Length: 2049\r\n\r\n{long}");
     assert_eq!(proxy.client().ask(&text).status(), 413);
@@ -154,12 +208,17 @@
     let host = Host::serving("ok");
     let proxy = sidecar(&[&host], &[]);
     let mut seen = Vec::new();
-    for (headers, most) in
-        [("", 2_998_000), ("X-Timeout: 900m\r\n", 898_000), ("X-Timeout: 60000m\r\n", 2_998_000)]
-    {
+    for (headers, most) in [
+        ("", 2_998_000),
+        ("X-Timeout: 900m\r\n", 898_000),
+        ("X-Timeout: 60000m\r\n", 2_998_000),
+    ] {
         assert_eq!(proxy.client().ask(&post("/unsafe", headers)).status(), 200);
         let (_, request) = host.request();
-        let left = request.header("x-timeout").and_then(|t| t.strip_suffix('u')).expect("a time");
+        let left = request
+            .header("x-timeout")
+            .and_then(|t| t.strip_suffix('u'))
+            .expect("a time");
         let left: u64 = left.parse().expect("microseconds");
         assert!(left > 0 && left <= most, "{headers:?}: {left}");
         seen.push(request.header("x-request-id").expect("an id").to_owned());
@@ -167,8 +226,16 @@
     seen.sort();
     seen.dedup();
     assert_eq!(seen.len(), 3, "ids of their own");
-    for odd in ["X-Timeout: soon\r\n", "X-Timeout: 0m\r\n", "X-Timeout: 9m\r\nX-Timeout: 8m\r\n"] {
-        assert_eq!(proxy.client().ask(&post("/unsafe", odd)).status(), 400, "{odd}");
+    for odd in [
+        "X-Timeout: soon\r\n",
+        "X-Timeout: 0m\r\n",
+        "X-Timeout: 9m\r\nX-Timeout: 8m\r\n",
+    ] {
+        assert_eq!(
+            proxy.client().ask(&post("/unsafe", odd)).status(),
+            400,
+            "{odd}"
+        );
     }
     assert_eq!(host.further_requests(), 0);
 }
@@ -176,14 +243,31 @@
 #[test]
 fn paths_match_in_their_normal_form_and_pass_as_they_came() {
     let host = Host::serving("ok");
-    let proxy =
-        sidecar(&[&host], &[("route", "[[route]]\nname = \"num\"\nregex = '/n/[0-9]+'\nclass = \"safe\"\n")]);
-    for target in
-        ["//safe", "/%73afe/x", "/x/../safe", "/safe/..%2f?a=/../b", "/safe;v=1/../safe", "/n//7", "/n/%37?x"]
-    {
+    let proxy = sidecar(
+        &[&host],
+        &[(
+            "route",
+            "[[route]]\nname = \"num\"\nregex = '/n/[0-9]+'\nclass = \"safe\"\n",
+        )],
+    );
+    for target in [
+        "//safe",
+        "/%73afe/x",
+        "/x/../safe",
+        "/safe/..%2f?a=/../b",
+        "/safe;v=1/../safe",
+        "/n//7",
+        "/n/%37?x",
+    ] {
         assert_eq!(proxy.client().ask(&get(target)).status(), 200, "{target}");
         let (_, request) = host.request();
-        assert!(request.head.starts_with(&format!("GET {target} HTTP/1.1\r\n")), "{}", request.head);
+        assert!(
+            request
+                .head
+                .starts_with(&format!("GET {target} HTTP/1.1\r\n")),
+            "{}",
+            request.head
+        );
     }
     for (target, status) in [
         ("/Safe", 404),
@@ -206,21 +290,37 @@
 fn a_target_that_names_a_host_passes_as_one_that_does_not() {
     let host = Host::serving("ok");
     let proxy = sidecar(&[&host], &[]);
-    let answer = proxy.client().ask("GET http://gym.example/safe?q HTTP/1.1\r\nHost: other\r\n\r\n");
+    let answer = proxy
+        .client()
+        .ask("GET http://gym.example/safe?q HTTP/1.1\r\nHost: other\r\n\r\n");
     assert_eq!(answer.status(), 200);
     let (_, request) = host.request();
-    assert!(request.head.starts_with("GET /safe?q HTTP/1.1\r\n"), "{}", request.head);
+    assert!(
+        request.head.starts_with("GET /safe?q HTTP/1.1\r\n"),
+        "{}",
+        request.head
+    );
     assert_eq!(request.header("host"), Some("gym.example"));
 }
 
 #[test]
 fn a_request_that_no_route_takes_gets_the_named_answer() {
     let host = Host::serving("ok");
-    let mut proxy = sidecar(&[&host], &[("", "[no_route]\nstatus = 421\ntext = \"not here\"")]);
+    let mut proxy = sidecar(
+        &[&host],
+        &[("", "[no_route]\nstatus = 421\ntext = \"not here\"")],
+    );
     let mut client = proxy.client();
     let answer = client.ask(&get("/nowhere"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (421, b"not here".as_slice()));
-    assert_eq!(client.ask(&get("/safe")).status(), 200, "the connection goes on");
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (421, b"not here".as_slice())
+    );
+    assert_eq!(
+        client.ask(&get("/safe")).status(),
+        200,
+        "the connection goes on"
+    );
     assert!(proxy.child.try_wait().expect("a child").is_none());
 }
 
@@ -229,13 +329,20 @@
     let host = error();
     let proxy = sidecar(&[&host], &[]);
     let answer = proxy.client().ask(&post("/unsafe", ""));
-    assert_eq!((answer.status(), answer.body.as_slice()), (500, b"broken".as_slice()));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (500, b"broken".as_slice())
+    );
     assert_eq!(answer.header("x-why"), Some("it broke"));
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
         // It may have run: to pass this on would tell the client that trying again is harmless.
         let host = Host::start(move |_| Reply::Write(answer_of(status)));
         let proxy = sidecar(&[&host], &[]);
-        assert_eq!(proxy.client().ask(&post("/unsafe", "")).status(), 502, "{status}");
+        assert_eq!(
+            proxy.client().ask(&post("/unsafe", "")).status(),
+            502,
+            "{status}"
+        );
     }
 }
 
@@ -248,7 +355,11 @@
     for (limits, advice) in [("", Some("1")), ("[limits]\nretry_after = \"0s\"", None)] {
         let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[nobody(), nobody()], &[("", limits)]));
         let answer = proxy.client().ask(&post("/unsafe", ""));
-        assert_eq!((answer.status(), answer.header("retry-after")), (503, advice), "{limits}");
+        assert_eq!(
+            (answer.status(), answer.header("retry-after")),
+            (503, advice),
+            "{limits}"
+        );
     }
 }
 
@@ -262,21 +373,37 @@
     assert_eq!(proxy.client().ask(&get("/safe/loose")).status(), 409);
     assert_eq!(host.further_requests(), 1, "served");
     let answer = proxy.client().ask(&get("/safe/strict"));
-    assert_eq!(answer.status(), 503, "a safe call that failed may come again: refused");
+    assert_eq!(
+        answer.status(),
+        503,
+        "a safe call that failed may come again: refused"
+    );
     assert!(host.further_requests() > 1, "an error is tried again");
 }
 
 #[test]
 fn what_proves_that_nothing_ran_is_the_files() {
-    let away = || Host::start(|_| Reply::Write(answer("425 Too Early", "X-Untouched: yes\r\n", "")));
+    let away =
+        || Host::start(|_| Reply::Write(answer("425 Too Early", "X-Untouched: yes\r\n", "")));
     let proof = "never_ran = [{ status = 425, header = \"X-Untouched\" }]";
     let (one, two) = (away(), away());
-    let proxy = sidecar(&[&one, &two], &[("unsafe", proof), ("unsafe", "attempts = 2")]);
-    assert_eq!(proxy.client().ask(&post("/unsafe", "")).status(), 503, "refused, as nothing has run");
+    let proxy = sidecar(
+        &[&one, &two],
+        &[("unsafe", proof), ("unsafe", "attempts = 2")],
+    );
+    assert_eq!(
+        proxy.client().ask(&post("/unsafe", "")).status(),
+        503,
+        "refused, as nothing has run"
+    );
     assert_eq!(one.further_requests() + two.further_requests(), 2);
     let (one, two) = (away(), away());
     let proxy = sidecar(&[&one, &two], &[]);
-    assert_eq!(proxy.client().ask(&post("/unsafe", "")).status(), 425, "without proof it may have run");
+    assert_eq!(
+        proxy.client().ask(&post("/unsafe", "")).status(),
+        425,
+        "without proof it may have run"
+    );
     assert_eq!(one.further_requests() + two.further_requests(), 1);
 }
 
@@ -286,23 +413,34 @@
 fn attempts_are_as_many_as_the_route_says() {
     for most in [1, 2, 3] {
         let hosts = [error(), error(), error(), error()];
-        let route =
-            format!("[[route]]\nname = \"r\"\nprefix = \"/safe/r\"\nclass = \"safe\"\nattempts = {most}\n");
+        let route = format!(
+            "[[route]]\nname = \"r\"\nprefix = \"/safe/r\"\nclass = \"safe\"\nattempts = {most}\n"
+        );
         let proxy = sidecar(
             &[&hosts[0], &hosts[1], &hosts[2], &hosts[3]],
             &[("safe", "attempts = 4"), ("route", &route)],
         );
         proxy.client().ask(&get("/safe/r"));
-        assert_eq!(hosts.iter().map(Host::further_requests).sum::<usize>(), most);
+        assert_eq!(
+            hosts.iter().map(Host::further_requests).sum::<usize>(),
+            most
+        );
         proxy.client().ask(&get("/safe/other"));
-        assert_eq!(hosts.iter().map(Host::further_requests).sum::<usize>(), 4, "its class's");
+        assert_eq!(
+            hosts.iter().map(Host::further_requests).sum::<usize>(),
+            4,
+            "its class's"
+        );
     }
 }
 
 #[test]
 fn an_attempt_that_takes_too_long_gives_way_to_another() {
     let (one, two) = (silent(), silent());
-    let proxy = sidecar(&[&one, &two], &[("safe", "attempt = \"300ms\"\nattempts = 3")]);
+    let proxy = sidecar(
+        &[&one, &two],
+        &[("safe", "attempt = \"300ms\"\nattempts = 3")],
+    );
     let asked = Instant::now();
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 503);
     let took = asked.elapsed();
@@ -311,7 +449,10 @@
     assert!((2..=3).contains(&all), "{all} attempts");
     // An unsafe one may be running: its end is the call's.
     let (one, two) = (silent(), silent());
-    let proxy = sidecar(&[&one, &two], &[("unsafe", "attempt = \"300ms\"\nattempts = 3")]);
+    let proxy = sidecar(
+        &[&one, &two],
+        &[("unsafe", "attempt = \"300ms\"\nattempts = 3")],
+    );
     let status = proxy.client().ask(&post("/unsafe", "")).status();
     assert!(![200, 429, 503].contains(&status), "{status}");
     assert_eq!(one.further_requests() + two.further_requests(), 1);
@@ -321,25 +462,45 @@
 fn the_total_is_the_calls_end() {
     let host = silent();
     let text = file(&[host.address], &[("unsafe", "total = \"400ms\"")]);
-    let proxy = Proxy::sidecar(PROGRAM, &[], &text.replace("deadline = \"3s\"", "deadline = \"60s\""));
+    let proxy = Proxy::sidecar(
+        PROGRAM,
+        &[],
+        &text.replace("deadline = \"3s\"", "deadline = \"60s\""),
+    );
     let asked = Instant::now();
-    let status = proxy.client().ask(&post("/unsafe", "X-Timeout: 60000m\r\n")).status();
+    let status = proxy
+        .client()
+        .ask(&post("/unsafe", "X-Timeout: 60000m\r\n"))
+        .status();
     assert!(![200, 429, 503].contains(&status), "{status}");
     let took = asked.elapsed();
-    assert!(took >= Duration::from_millis(390) && took < LONG, "{took:?}");
+    assert!(
+        took >= Duration::from_millis(390) && took < LONG,
+        "{took:?}"
+    );
     assert_eq!(host.closed(), 0, "the attempt goes with its call");
 }
 
 #[test]
 fn a_connect_takes_no_longer_than_it_may() {
     let deaf = Deaf::start();
-    let text = file(&[deaf.address], &[("unsafe", "connect = \"200ms\"\nattempts = 1")]);
+    let text = file(
+        &[deaf.address],
+        &[("unsafe", "connect = \"200ms\"\nattempts = 1")],
+    );
     let text = text.replace("deadline = \"3s\"", "deadline = \"60s\"");
     let proxy = Proxy::sidecar(PROGRAM, &[], &text);
     let asked = Instant::now();
-    assert_eq!(proxy.client().ask(&post("/unsafe", "")).status(), 503, "never ran, so refused");
+    assert_eq!(
+        proxy.client().ask(&post("/unsafe", "")).status(),
+        503,
+        "never ran, so refused"
+    );
     let took = asked.elapsed();
-    assert!(took >= Duration::from_millis(190) && took < LONG, "{took:?}");
+    assert!(
+        took >= Duration::from_millis(190) && took < LONG,
+        "{took:?}"
+    );
 }
 
 #[test]
@@ -357,13 +518,23 @@
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
     let times: Vec<Instant> = came.try_iter().collect();
     assert_eq!(times.len(), 2);
-    assert!(times[1] - times[0] >= Duration::from_millis(395), "{:?}", times[1] - times[0]);
+    assert!(
+        times[1] - times[0] >= Duration::from_millis(395),
+        "{:?}",
+        times[1] - times[0]
+    );
 }
 
 #[test]
 fn a_second_copy_goes_as_set_and_its_answer_counts() {
     // The first request of all is never answered.
-    let script = |n: usize| if n == 0 { Reply::Silence } else { Reply::Write(answer("200 OK", "", "ok")) };
+    let script = |n: usize| {
+        if n == 0 {
+            Reply::Silence
+        } else {
+            Reply::Write(answer("200 OK", "", "ok"))
+        }
+    };
     let count = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let host = || {
         let count = std::sync::Arc::clone(&count);
@@ -382,18 +553,34 @@
 #[test]
 fn a_total_that_ends_while_a_second_copy_is_out_ends_both() {
     let (one, two) = (silent(), silent());
-    let proxy =
-        sidecar(&[&one, &two], &[("safe", "second_copy = \"after 100ms\"\ntotal = \"500ms\"\nattempts = 2")]);
+    let proxy = sidecar(
+        &[&one, &two],
+        &[(
+            "safe",
+            "second_copy = \"after 100ms\"\ntotal = \"500ms\"\nattempts = 2",
+        )],
+    );
     let mut client = proxy.client();
     client.write(&get("/safe"));
     let (first, second) = (one.request(), two.request());
-    assert_eq!(first.1.header("x-request-id"), second.1.header("x-request-id"), "one call");
+    assert_eq!(
+        first.1.header("x-request-id"),
+        second.1.header("x-request-id"),
+        "one call"
+    );
     assert_eq!(client.answer().expect("an answer").status(), 503);
     one.closed();
     two.closed();
     assert_eq!(one.further_requests() + two.further_requests(), 0);
-    client.stream.get_ref().set_read_timeout(Some(SHORT)).expect("a socket");
-    assert!(client.stream.read(&mut [0]).is_err(), "nothing more, and the connection stays");
+    client
+        .stream
+        .get_ref()
+        .set_read_timeout(Some(SHORT))
+        .expect("a socket");
+    assert!(
+        client.stream.read(&mut [0]).is_err(),
+        "nothing more, and the connection stays"
+    );
 }
 
 /// An answer and the attempt's own time-out come at the same moment, in either order: one final answer, and an unsafe
@@ -408,15 +595,26 @@
     let ask = |_| {
         let mut client = proxy.client();
         let status = client.ask(&post("/unsafe", "")).status();
-        client.stream.get_ref().set_nonblocking(true).expect("a socket");
-        assert!(!matches!(client.stream.read(&mut [0]), Ok(n) if n > 0), "a second answer");
+        client
+            .stream
+            .get_ref()
+            .set_nonblocking(true)
+            .expect("a socket");
+        assert!(
+            !matches!(client.stream.read(&mut [0]), Ok(n) if n > 0),
+            "a second answer"
+        );
         status
     };
     let statuses: Vec<u16> = (0..40).map(ask).collect();
     let served = statuses.iter().filter(|&&s| s == 200).count();
     // A host that is set aside in between is refused for, without an attempt.
     let refused = statuses.iter().filter(|&&s| s == 503).count();
-    assert_eq!(host.further_requests() + refused, 40, "each went out once: {served} served");
+    assert_eq!(
+        host.further_requests() + refused,
+        40,
+        "each went out once: {served} served"
+    );
 }
 
 // Keys.
@@ -431,11 +629,18 @@
     ] {
         // Hosts 0 and 1 are a group, 2 and 3 another.
         let hosts = [error(), error(), error(), error()];
-        let proxy = sidecar(&[&hosts[0], &hosts[1], &hosts[2], &hosts[3]], &[("keyed", "attempts = 4")]);
+        let proxy = sidecar(
+            &[&hosts[0], &hosts[1], &hosts[2], &hosts[3]],
+            &[("keyed", "attempts = 4")],
+        );
         proxy.client().ask(&post("/keyed", headers));
         let counts: Vec<usize> = hosts.iter().map(Host::further_requests).collect();
         let groups = [counts[0] + counts[1], counts[2] + counts[3]];
-        assert_eq!(groups.iter().filter(|&&n| n > 0).count(), 1, "one group: {counts:?}");
+        assert_eq!(
+            groups.iter().filter(|&&n| n > 0).count(),
+            1,
+            "one group: {counts:?}"
+        );
         assert_eq!(groups[0] + groups[1] > 1, again, "{headers:?}: {counts:?}");
     }
 }
@@ -443,11 +648,18 @@
 #[test]
 fn a_key_may_lie_in_a_cookie() {
     let route = "[[route]]\nname = \"c\"\nprefix = \"/keyed/c\"\nclass = \"keyed\"\nkey = { cookie = \"visit\" }\nattempts = 2\n";
-    for (headers, sent) in [("Cookie: a=1; visit=7\r\n", 2), ("Idempotency-Key: 7\r\n", 1)] {
+    for (headers, sent) in [
+        ("Cookie: a=1; visit=7\r\n", 2),
+        ("Idempotency-Key: 7\r\n", 1),
+    ] {
         let (one, two) = (error(), error());
         let proxy = sidecar(&[&one, &two], &[("route", route)]);
         proxy.client().ask(&post("/keyed/c", headers));
-        assert_eq!(one.further_requests() + two.further_requests(), sent, "{headers}");
+        assert_eq!(
+            one.further_requests() + two.further_requests(),
+            sent,
+            "{headers}"
+        );
     }
 }
 
@@ -461,7 +673,10 @@
         let hosts = [error(), error(), error(), error()];
         let mut text = FILE.replace("127.0.0.1:8080", "127.0.0.1:0");
         for (n, host) in hosts.iter().enumerate() {
-            text = text.replace(&format!("127.0.0.1:900{}", n + 1), &host.address.to_string());
+            text = text.replace(
+                &format!("127.0.0.1:900{}", n + 1),
+                &host.address.to_string(),
+            );
         }
         (Proxy::sidecar(PROGRAM, &[], &text), hosts)
     };
@@ -471,21 +686,40 @@
         ("/fees/12", format!("{json}X-Branch: CR-7\r\n"), 1..=1),
         // Neither is one: no route takes it.
         ("/fees/12", json.to_owned(), 0..=0),
-        ("/fees/12", format!("{json}X-Branch: CR-7\r\nX-Branch: CR-8\r\n"), 0..=0),
+        (
+            "/fees/12",
+            format!("{json}X-Branch: CR-7\r\nX-Branch: CR-8\r\n"),
+            0..=0,
+        ),
         ("/fees/12", "X-Branch: CR-7\r\n".to_owned(), 0..=0),
         // An entry with its key goes again, within one group.
-        ("/visits", "X-Branch: CR-7\r\nX-Visit: 81\r\n".to_owned(), 2..=3),
+        (
+            "/visits",
+            "X-Branch: CR-7\r\nX-Visit: 81\r\n".to_owned(),
+            2..=3,
+        ),
         // Half a key is none: it counts as unsafe.
         ("/visits", "X-Visit: 81\r\n".to_owned(), 1..=1),
-        ("/visits", "X-Branch: CR-7\r\nX-Visit: 81\r\nX-Visit: 82\r\n".to_owned(), 0..=0),
-        ("/visits", "X-Branch: CR-7\r\nX-Branch: CR-8\r\nX-Visit: 81\r\n".to_owned(), 1..=1),
+        (
+            "/visits",
+            "X-Branch: CR-7\r\nX-Visit: 81\r\nX-Visit: 82\r\n".to_owned(),
+            0..=0,
+        ),
+        (
+            "/visits",
+            "X-Branch: CR-7\r\nX-Branch: CR-8\r\nX-Visit: 81\r\n".to_owned(),
+            1..=1,
+        ),
     ] {
         let (proxy, hosts) = start();
         let answer = proxy.client().ask(&post(path, &headers));
         let counts: Vec<usize> = hosts.iter().map(Host::further_requests).collect();
         let sum: usize = counts.iter().sum();
         assert!(attempts.contains(&sum), "{path} {headers:?}: {counts:?}");
-        assert!(counts[0] + counts[1] == 0 || counts[2] + counts[3] == 0, "one group: {counts:?}");
+        assert!(
+            counts[0] + counts[1] == 0 || counts[2] + counts[3] == 0,
+            "one group: {counts:?}"
+        );
         assert_eq!(answer.status() == 404, sum == 0, "{}", answer.head);
     }
 }
@@ -505,7 +739,11 @@
         ("/q", 404),
         ("/far", 404),
     ] {
-        assert_eq!(proxy.client().ask(&get(target)).status(), status, "{target}");
+        assert_eq!(
+            proxy.client().ask(&get(target)).status(),
+            status,
+            "{target}"
+        );
     }
 }
 
@@ -518,11 +756,20 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
     for (bad, reason) in [
         (
-            good.replace("effect = \"unsafe\"\n", "effect = \"unsafe\"\nsecond_copy = \"auto\"\n"),
+            good.replace(
+                "effect = \"unsafe\"\n",
+                "effect = \"unsafe\"\nsecond_copy = \"auto\"\n",
+            ),
             "would run it twice",
         ),
-        (good.replace("aim = \"1500ms\"", "aim = 7"), "class.safe.aim"),
-        (good.replace("listen = \"127.0.0.1:0\"", "listen = \"127.0.0.1:1\""), "can't change listen"),
+        (
+            good.replace("aim = \"1500ms\"", "aim = 7"),
+            "class.safe.aim",
+        ),
+        (
+            good.replace("listen = \"127.0.0.1:0\"", "listen = \"127.0.0.1:1\""),
+            "can't change listen",
+        ),
         (String::new(), "this key is wanted"),
     ] {
         proxy.reload(&bad);
@@ -555,8 +802,14 @@
     slow.write(&get("/safe"));
     came.recv_timeout(LONG).expect("the call at the host");
     let without = good
-        .replace("[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n", "")
-        .replace("[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n", "");
+        .replace(
+            "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
+            "",
+        )
+        .replace(
+            "[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
+            "",
+        );
     assert!(!without.contains("class = \"safe\""));
     proxy.reload(&without);
     proxy.logged("the new configuration holds");
@@ -575,18 +828,29 @@
 fn a_call_that_waits_outlives_its_class() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let endpoints = file(&[host.address], &[]);
-    let listed = format!("endpoints = [{{ name = \"s-0\", address = \"{}\", group = 1 }}]", host.address);
+    let listed = format!(
+        "endpoints = [{{ name = \"s-0\", address = \"{}\", group = 1 }}]",
+        host.address
+    );
     let good = endpoints.replace(&listed, &format!("discovery = \"{}\"", discovery.address));
     assert!(good.contains("discovery = "));
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
-    assert!(discovery.asked().starts_with("GET /catalog/members HTTP/1.1"));
+    assert!(discovery
+        .asked()
+        .starts_with("GET /catalog/members HTTP/1.1"));
     let mut waits = proxy.client();
     waits.write(&get("/safe"));
     // A health call behind it tells that it has been read.
     assert_eq!(proxy.client().ask(&get("/_health")).status(), 200);
     let without = good
-        .replace("[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n", "")
-        .replace("[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n", "");
+        .replace(
+            "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
+            "",
+        )
+        .replace(
+            "[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
+            "",
+        );
     proxy.reload(&without);
     proxy.logged("the new configuration holds");
     discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
@@ -608,12 +872,19 @@
 
 #[test]
 fn no_request_is_lost_while_files_change_under_load() {
-    let hosts = [Host::serving("ok"), Host::serving("ok"), Host::serving("ok")];
+    let hosts = [
+        Host::serving("ok"),
+        Host::serving("ok"),
+        Host::serving("ok"),
+    ];
     let addresses: Vec<_> = hosts.iter().map(|h| h.address).collect();
     let one = file(&addresses, &[]);
     let two = file(
         &addresses[1..],
-        &[("safe", "attempts = 2\nsecond_copy = \"at 95%\""), ("unsafe", "total = \"2s\"")],
+        &[
+            ("safe", "attempts = 2\nsecond_copy = \"at 95%\""),
+            ("unsafe", "total = \"2s\""),
+        ],
     )
     .replace("[class.keyed]", "[class.renamed]")
     .replace("class = \"keyed\"", "class = \"renamed\"");
@@ -638,7 +909,11 @@
             1 => "listen = ",
             _ => &one,
         });
-        proxy.logged(if n % 3 == 1 { "the old configuration stays" } else { "the new configuration holds" });
+        proxy.logged(if n % 3 == 1 {
+            "the old configuration stays"
+        } else {
+            "the new configuration holds"
+        });
         std::thread::sleep(SHORT / 2);
     }
     for (kind, totals) in running.join().expect("the load ends") {
@@ -654,7 +929,11 @@
     command.args(arguments).env_remove("RELAY_CONFIG");
     let output = command.output().expect("the program starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (output.status.code(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 /// None of the seeded bad files starts, and `check` says the same of each.
@@ -662,12 +941,18 @@
 fn no_bad_file_starts() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/bad");
     let mut count = 0;
-    for path in std::fs::read_dir(folder).expect("the bad files").map(|e| e.expect("a file").path()) {
+    for path in std::fs::read_dir(folder)
+        .expect("the bad files")
+        .map(|e| e.expect("a file").path())
+    {
         let name = path.to_str().expect("a name");
         for command in ["run", "check"] {
             let (code, _, told) = run(&[command, name]);
             assert_eq!(code, Some(1), "{command} {name}: {told}");
-            assert!(told.contains("allowed: ") && !told.contains("listening"), "{command} {name}: {told}");
+            assert!(
+                told.contains("allowed: ") && !told.contains("listening"),
+                "{command} {name}: {told}"
+            );
         }
         count += 1;
     }
@@ -689,17 +974,29 @@
             && told.contains("/nowhere.toml: 1 mistake")
             && mistakes.contains("can't be read")
     );
-    for bad in [&["check"][..], &["chekc", "x"], &["run"], &["--operator"], &["run", "a", "b"]] {
+    for bad in [
+        &["check"][..],
+        &["chekc", "x"],
+        &["run"],
+        &["--operator"],
+        &["run", "a", "b"],
+    ] {
         assert_eq!(run(bad).0, Some(2), "{bad:?}");
     }
     let (code, help, _) = run(&["--help"]);
     assert!(
-        code == Some(0) && ["run", "check", "--operator", "RELAY_CONFIG"].iter().all(|w| help.contains(w))
+        code == Some(0)
+            && ["run", "check", "--operator", "RELAY_CONFIG"]
+                .iter()
+                .all(|w| help.contains(w))
     );
     let (code, _, told) = run(&["run", &operator]);
     assert!(code == Some(1) && told.contains("--operator"), "{told}");
     let (code, _, told) = run(&[]);
-    assert!(code == Some(1) && told.contains("RELAY_CONFIG is not set"), "{told}");
+    assert!(
+        code == Some(1) && told.contains("RELAY_CONFIG is not set"),
+        "{told}"
+    );
 }
 
 // Beside the platform.
@@ -708,14 +1005,20 @@
 fn an_operators_file_narrows_the_platform_and_a_wider_one_does_not_start() {
     let hosts = [error(), error(), error()];
     let discovery = Discovery::start();
-    let known: Vec<String> =
-        hosts.iter().zip(1..).map(|(h, n)| entry(&format!("s-{n}"), h.address, "up", 0)).collect();
+    let known: Vec<String> = hosts
+        .iter()
+        .zip(1..)
+        .map(|(h, n)| entry(&format!("s-{n}"), h.address, "up", 0))
+        .collect();
     let listen = "127.0.0.1:0".parse().expect("an address");
     let relay = badgerramp_testkit::file("json", &config(listen, discovery.address, 1_024, &known));
     let with = |text: &str| {
         let operator = badgerramp_testkit::file("toml", text);
         let arguments = ["--operator".as_ref(), operator.as_os_str()];
-        (start(PROGRAM, &arguments, &[("RELAY_CONFIG", &relay)], None), operator)
+        (
+            start(PROGRAM, &arguments, &[("RELAY_CONFIG", &relay)], None),
+            operator,
+        )
     };
     let count = || hosts.iter().map(Host::further_requests).sum::<usize>();
     let text = "platform = true\n[class.safe]\nattempts = 2\n[[route]]\nname = \"q\"\nprefix = \"/safe/once\"\nclass = \"safe\"\nattempts = 1\n";
@@ -733,9 +1036,17 @@
     ] {
         let (mut child, operator) = with(text);
         let mut told = String::new();
-        child.stderr.take().expect("piped").read_to_string(&mut told).expect("text");
+        child
+            .stderr
+            .take()
+            .expect("piped")
+            .read_to_string(&mut told)
+            .expect("text");
         assert_eq!(child.wait().expect("an end").code(), Some(1));
-        assert!(told.contains(reason) && !told.contains("listening"), "{told}");
+        assert!(
+            told.contains(reason) && !told.contains("listening"),
+            "{told}"
+        );
         let _ = std::fs::remove_file(operator);
     }
     let _ = std::fs::remove_file(relay);
--- a/crates/proxy/tests/subset.rs
+++ b/crates/proxy/tests/subset.rs
@@ -21,13 +21,22 @@
     let mut client = proxy.client();
     (0..requests).for_each(|_| assert_eq!(client.ask(GET).status(), 200));
     // All that was seen is taken out, so that the next look finds only what is new.
-    let asked = |h: &Host| h.seen.try_iter().filter(|s| matches!(s, Seen::Request(..))).count() > 0;
+    let asked = |h: &Host| {
+        h.seen
+            .try_iter()
+            .filter(|s| matches!(s, Seen::Request(..)))
+            .count()
+            > 0
+    };
     // A host tells of a request before its answer is read by the client that waits for it.
     (0..hosts.len()).filter(|&n| asked(&hosts[n])).collect()
 }
 
 fn entries(hosts: &[Host], which: impl IntoIterator<Item = usize>, status: &str) -> Vec<String> {
-    which.into_iter().map(|n| entry(&format!("s-{n}"), hosts[n].address, status, 0)).collect()
+    which
+        .into_iter()
+        .map(|n| entry(&format!("s-{n}"), hosts[n].address, status, 0))
+        .collect()
 }
 
 #[test]
@@ -35,18 +44,34 @@
     let hosts: Vec<Host> = (0..HOSTS).map(|_| Host::serving("ok")).collect();
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, ""));
-    assert!(discovery.asked().starts_with("GET /catalog/members HTTP/1.1"));
+    assert!(discovery
+        .asked()
+        .starts_with("GET /catalog/members HTTP/1.1"));
     discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
-    assert!(discovery.asked().contains("index=1"), "the list is in once it asks for news");
+    assert!(
+        discovery.asked().contains("index=1"),
+        "the list is in once it asks for news"
+    );
     let first = met(&proxy, &hosts, 80);
     assert!((2..=12).contains(&first.len()), "of {HOSTS}: {first:?}");
     // All of them drain at the same moment.
-    discovery.tell(&list(2, false, &entries(&hosts, first.iter().copied(), "draining")));
+    discovery.tell(&list(
+        2,
+        false,
+        &entries(&hosts, first.iter().copied(), "draining"),
+    ));
     assert!(discovery.asked().contains("index=2"));
     let then = met(&proxy, &hosts, 80);
-    assert!(then.is_disjoint(&first) && then.len() >= 2, "{then:?} after {first:?}");
+    assert!(
+        then.is_disjoint(&first) && then.len() >= 2,
+        "{then:?} after {first:?}"
+    );
     // They come back, and so does the part that is its own.
-    discovery.tell(&list(3, false, &entries(&hosts, first.iter().copied(), "up")));
+    discovery.tell(&list(
+        3,
+        false,
+        &entries(&hosts, first.iter().copied(), "up"),
+    ));
     assert!(discovery.asked().contains("index=3"));
     assert!(!met(&proxy, &hosts, 80).is_disjoint(&first));
 }
@@ -62,12 +87,18 @@
     discovery.asked();
     let first = met(&proxy, &hosts, 80);
     // Under the same names, at addresses where nothing listens: as if their machines had gone.
-    let dead: Vec<String> = first.iter().map(|n| entry(&format!("s-{n}"), nobody(), "up", 0)).collect();
+    let dead: Vec<String> = first
+        .iter()
+        .map(|n| entry(&format!("s-{n}"), nobody(), "up", 0))
+        .collect();
     discovery.tell(&list(2, false, &dead));
     discovery.asked();
     let mut client = proxy.client();
     let answers: Vec<u16> = (0..60).map(|_| client.ask(GET).status()).collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
-    assert!(answers[20..].iter().all(|&s| s == 200), "{served} of 60 served: {answers:?}");
+    assert!(
+        answers[20..].iter().all(|&s| s == 200),
+        "{served} of 60 served: {answers:?}"
+    );
     assert!(proxy.client().ask(GET).status() == 200);
 }
--- a/crates/reading/src/lib.rs
+++ b/crates/reading/src/lib.rs
@@ -17,13 +17,21 @@
     let (file, faults) = DeTable::parse_recoverable(text);
     for fault in &faults {
         let span = fault.span().unwrap_or(0..0);
-        let line = text.get(span.clone()).filter(|t| !t.trim().is_empty()).unwrap_or("this place");
+        let line = text
+            .get(span.clone())
+            .filter(|t| !t.trim().is_empty())
+            .unwrap_or("this place");
         let found = line.lines().next().unwrap_or_default().trim().to_owned();
         let allowed = match fault.message() {
             "duplicate key" => "each key once in its table, and each table once",
             _ => "TOML",
         };
-        notes.add(("the file", &span), fault.message().replace('\n', ", "), found, allowed);
+        notes.add(
+            ("the file", &span),
+            fault.message().replace('\n', ", "),
+            found,
+            allowed,
+        );
     }
     file.into_inner()
 }
--- a/crates/reading/src/mistake.rs
+++ b/crates/reading/src/mistake.rs
@@ -34,9 +34,15 @@
 impl Mistakes {
     /// Those of this text, sorted; the same of the same key at the same place is told once.
     pub fn new(name: &str, text: &str, mut list: Vec<Mistake>) -> Self {
-        list.sort_by(|a, b| (a.span.start, &a.key, &a.reason).cmp(&(b.span.start, &b.key, &b.reason)));
+        list.sort_by(|a, b| {
+            (a.span.start, &a.key, &a.reason).cmp(&(b.span.start, &b.key, &b.reason))
+        });
         list.dedup_by(|a, b| (&a.span, &a.reason, &a.key) == (&b.span, &b.reason, &b.key));
-        Mistakes { name: name.to_owned(), text: text.to_owned(), list }
+        Mistakes {
+            name: name.to_owned(),
+            text: text.to_owned(),
+            list,
+        }
     }
 
     /// A file that could not be read at all.
@@ -49,7 +55,11 @@
             allowed: "a readable TOML file in UTF-8".to_owned(),
             related: Vec::new(),
         };
-        Mistakes { name: name.to_owned(), text: String::new(), list: vec![mistake] }
+        Mistakes {
+            name: name.to_owned(),
+            text: String::new(),
+            list: vec![mistake],
+        }
     }
 
     /// The file's name.
@@ -76,7 +86,10 @@
     pub fn place(&self, mistake: &Mistake) -> (usize, usize) {
         let before = self.text.get(..mistake.span.start).unwrap_or_default();
         let line = before.rfind('\n').map_or(0, |at| at + 1);
-        (before.matches('\n').count() + 1, before[line..].chars().count() + 1)
+        (
+            before.matches('\n').count() + 1,
+            before[line..].chars().count() + 1,
+        )
     }
 
     /// All in one line, for a log.
@@ -95,11 +108,13 @@
 impl fmt::Display for Mistakes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let file = SimpleFile::new(&self.name, &self.text);
-        let config = term::Config { chars: Chars::ascii(), ..term::Config::default() };
+        let config = term::Config {
+            chars: Chars::ascii(),
+            ..term::Config::default()
+        };
         for mistake in &self.list {
-            let mut labels = vec![
-                Label::primary((), mistake.span.clone()).with_message(format!("found {}", mistake.found))
-            ];
+            let mut labels = vec![Label::primary((), mistake.span.clone())
+                .with_message(format!("found {}", mistake.found))];
             labels.extend(
                 mistake
                     .related
@@ -110,7 +125,9 @@
                 .with_message(format!("{}: {}", mistake.key, mistake.reason))
                 .with_labels(labels)
                 .with_note(format!("allowed: {}", mistake.allowed));
-            f.write_str(&term::emit_into_string(&config, &file, &diagnostic).map_err(|_| fmt::Error)?)?;
+            f.write_str(
+                &term::emit_into_string(&config, &file, &diagnostic).map_err(|_| fmt::Error)?,
+            )?;
         }
         Ok(())
     }
--- a/crates/reading/src/section.rs
+++ b/crates/reading/src/section.rs
@@ -77,13 +77,22 @@
 
 /// The known name that is nearest to one that is not known.
 pub fn nearest<'n>(name: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
-    let scored = known.into_iter().map(|k| (strsim::jaro_winkler(name, k), k));
-    scored.filter(|(score, _)| *score > 0.8).max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| k)
+    let scored = known
+        .into_iter()
+        .map(|k| (strsim::jaro_winkler(name, k), k));
+    scored
+        .filter(|(score, _)| *score > 0.8)
+        .max_by(|a, b| a.0.total_cmp(&b.0))
+        .map(|(_, k)| k)
 }
 
 /// `did you mean "x"? known: a, b, x`.
 pub fn known_names(name: &str, known: &[&str]) -> String {
-    let list = if known.len() > 24 { format!("one of {} names", known.len()) } else { known.join(", ") };
+    let list = if known.len() > 24 {
+        format!("one of {} names", known.len())
+    } else {
+        known.join(", ")
+    };
     match nearest(name, known.iter().copied()) {
         Some(near) => format!("did you mean {near:?}? known: {list}"),
         None if known.is_empty() => "none is defined".to_owned(),
@@ -93,9 +102,21 @@
 
 impl<'t> Section<'t> {
     /// A table that was read; keys that are not known are noted.
-    pub fn new(notes: &mut Notes, table: &'t DeTable<'t>, (key, span): (&str, Span), known: &[&str]) -> Self {
-        let section = Section { table, key: key.to_owned(), span };
-        for (name, _) in table.iter().filter(|(name, _)| !known.contains(&&**name.get_ref())) {
+    pub fn new(
+        notes: &mut Notes,
+        table: &'t DeTable<'t>,
+        (key, span): (&str, Span),
+        known: &[&str],
+    ) -> Self {
+        let section = Section {
+            table,
+            key: key.to_owned(),
+            span,
+        };
+        for (name, _) in table
+            .iter()
+            .filter(|(name, _)| !known.contains(&&**name.get_ref()))
+        {
             let place = (section.of(name.get_ref()), name.span());
             notes.add(
                 (&place.0, &place.1),
@@ -109,8 +130,15 @@
 
     /// The whole key of one in this table.
     pub fn of(&self, name: &str) -> String {
-        let plain = !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
-        let name = if plain { name.to_owned() } else { format!("{name:?}") };
+        let plain = !name.is_empty()
+            && name
+                .chars()
+                .all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
+        let name = if plain {
+            name.to_owned()
+        } else {
+            format!("{name:?}")
+        };
         if self.key.is_empty() {
             name
         } else {
@@ -130,13 +158,20 @@
 
     /// All keys, their places and values, in their order.
     pub fn iter(&self) -> impl Iterator<Item = (&'t str, Span, &'t Value<'t>)> {
-        self.table.iter().map(|(name, value)| (&**name.get_ref(), name.span(), value))
+        self.table
+            .iter()
+            .map(|(name, value)| (&**name.get_ref(), name.span(), value))
     }
 
     /// Notes that a key is wanted and not there.
     pub fn want(&self, notes: &mut Notes, name: &str, allowed: &str) {
         if !self.has(name) {
-            notes.add((&self.of(name), &self.span), "this key is wanted", "nothing", allowed);
+            notes.add(
+                (&self.of(name), &self.span),
+                "this key is wanted",
+                "nothing",
+                allowed,
+            );
         }
     }
 
@@ -151,60 +186,102 @@
         let value = self.get(name)?;
         let key = self.of(name);
         let Some(taken) = take(value.get_ref()) else {
-            notes.add((&key, &value.span()), reason, show(value.get_ref()), allowed);
+            notes.add(
+                (&key, &value.span()),
+                reason,
+                show(value.get_ref()),
+                allowed,
+            );
             return None;
         };
-        Some(Set { value: taken, span: value.span(), key })
+        Some(Set {
+            value: taken,
+            span: value.span(),
+            key,
+        })
     }
 
     /// A text that is not empty.
     pub fn text(&self, notes: &mut Notes, name: &str) -> Option<Set<String>> {
-        self.read(notes, name, ("this is not a text", "a text in quotes"), |v| {
-            v.as_str().filter(|t| !t.is_empty()).map(str::to_owned)
-        })
+        self.read(
+            notes,
+            name,
+            ("this is not a text", "a text in quotes"),
+            |v| v.as_str().filter(|t| !t.is_empty()).map(str::to_owned),
+        )
     }
 
     /// A span of time within a range, in microseconds.
-    pub fn duration(&self, notes: &mut Notes, name: &str, range: RangeInclusive<u64>) -> Option<Set<u64>> {
+    pub fn duration(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        range: RangeInclusive<u64>,
+    ) -> Option<Set<u64>> {
         let allowed = format!(
             "a time with its unit, like \"250ms\" or \"1s 500ms\", from {} to {}",
             values::show_duration(*range.start()),
             values::show_duration(*range.end())
         );
-        let read = self
-            .read(notes, name, ("this is not a time", &allowed), |v| v.as_str().and_then(values::duration))?;
+        let read = self.read(notes, name, ("this is not a time", &allowed), |v| {
+            v.as_str().and_then(values::duration)
+        })?;
         self.within(notes, read, &range, &allowed)
     }
 
     /// A number of bytes within a range.
-    pub fn size(&self, notes: &mut Notes, name: &str, range: RangeInclusive<u64>) -> Option<Set<u64>> {
+    pub fn size(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        range: RangeInclusive<u64>,
+    ) -> Option<Set<u64>> {
         let allowed = format!(
             "a size with its unit, like \"64KiB\", from {} to {}",
             values::show_size(*range.start()),
             values::show_size(*range.end())
         );
-        let read =
-            self.read(notes, name, ("this is not a size", &allowed), |v| v.as_str().and_then(values::size))?;
+        let read = self.read(notes, name, ("this is not a size", &allowed), |v| {
+            v.as_str().and_then(values::size)
+        })?;
         self.within(notes, read, &range, &allowed)
     }
 
     /// A whole number within a range.
-    pub fn integer(&self, notes: &mut Notes, name: &str, range: RangeInclusive<u64>) -> Option<Set<u64>> {
+    pub fn integer(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        range: RangeInclusive<u64>,
+    ) -> Option<Set<u64>> {
         let allowed = format!("a whole number from {} to {}", range.start(), range.end());
         let read = self.read(notes, name, ("this is not a whole number", &allowed), |v| {
-            v.as_integer().and_then(|n| u64::from_str_radix(n.as_str(), n.radix()).ok())
+            v.as_integer()
+                .and_then(|n| u64::from_str_radix(n.as_str(), n.radix()).ok())
         })?;
         self.within(notes, read, &range, &allowed)
     }
 
     /// A number within a range.
-    pub fn number(&self, notes: &mut Notes, name: &str, range: RangeInclusive<f64>) -> Option<Set<f64>> {
+    pub fn number(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        range: RangeInclusive<f64>,
+    ) -> Option<Set<f64>> {
         let allowed = format!("a number from {} to {}", range.start(), range.end());
-        let read = self.read(notes, name, ("this is not a number", &allowed), |v| match v {
-            DeValue::Float(number) => number.as_str().parse().ok().filter(|n: &f64| n.is_finite()),
-            DeValue::Integer(number) => number.to_string().parse().ok(),
-            _ => None,
-        })?;
+        let read = self.read(
+            notes,
+            name,
+            ("this is not a number", &allowed),
+            |v| match v {
+                DeValue::Float(number) => {
+                    number.as_str().parse().ok().filter(|n: &f64| n.is_finite())
+                }
+                DeValue::Integer(number) => number.to_string().parse().ok(),
+                _ => None,
+            },
+        )?;
         self.within(notes, read, &range, &allowed)
     }
 
@@ -218,13 +295,25 @@
         if range.contains(&read.value) {
             return Some(read);
         }
-        let found = self.get(read.key.rsplit('.').next()?).map_or_else(String::new, |v| show(v.get_ref()));
-        notes.add((&read.key, &read.span), "this is out of range", found, allowed);
+        let found = self
+            .get(read.key.rsplit('.').next()?)
+            .map_or_else(String::new, |v| show(v.get_ref()));
+        notes.add(
+            (&read.key, &read.span),
+            "this is out of range",
+            found,
+            allowed,
+        );
         None
     }
 
     /// One of a few words.
-    pub fn word<T: Copy>(&self, notes: &mut Notes, name: &str, words: &[(&str, T)]) -> Option<Set<T>> {
+    pub fn word<T: Copy>(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        words: &[(&str, T)],
+    ) -> Option<Set<T>> {
         let known: Vec<&str> = words.iter().map(|w| w.0).collect();
         let value = self.get(name)?;
         let allowed = match value.get_ref().as_str() {
@@ -256,13 +345,21 @@
     }
 
     /// A list in this one; its parts with their keys.
-    pub fn list(&self, notes: &mut Notes, name: &str, of: &str) -> Option<Vec<(String, &'t Value<'t>)>> {
+    pub fn list(
+        &self,
+        notes: &mut Notes,
+        name: &str,
+        of: &str,
+    ) -> Option<Vec<(String, &'t Value<'t>)>> {
         let value = self.get(name)?;
         let path = self.of(name);
         match value.get_ref() {
-            DeValue::Array(list) => {
-                Some(list.iter().enumerate().map(|(n, part)| (format!("{path}[{n}]"), part)).collect())
-            }
+            DeValue::Array(list) => Some(
+                list.iter()
+                    .enumerate()
+                    .map(|(n, part)| (format!("{path}[{n}]"), part))
+                    .collect(),
+            ),
             other => {
                 notes.add(
                     (&path, &value.span()),
--- a/crates/route/benches/table.rs
+++ b/crates/route/benches/table.rs
@@ -49,7 +49,10 @@
         for count in [1, 100, 10_000] {
             let table = Table::new(routes(count, patterns)).expect("a table");
             // The last prefix of the file, or the only route.
-            let hit = format!("/branch/{}/fees/2026/12", if count == 1 { 0 } else { count - 11 });
+            let hit = format!(
+                "/branch/{}/fees/2026/12",
+                if count == 1 { 0 } else { count - 11 }
+            );
             for (name, path) in [("hit", hit.as_str()), ("miss", "/branch/none/fees/2026/12")] {
                 group.bench_with_input(BenchmarkId::new(name, count), path, |b, path| {
                     b.iter(|| black_box(table.find(&Method::POST, black_box(path), &headers)))
--- a/crates/route/src/answers.rs
+++ b/crates/route/src/answers.rs
@@ -24,7 +24,9 @@
 
     /// Is it in?
     pub fn contains(&self, status: u16) -> bool {
-        self.0.get(usize::from(status) / 64).is_some_and(|word| word & (1 << (status % 64)) != 0)
+        self.0
+            .get(usize::from(status) / 64)
+            .is_some_and(|word| word & (1 << (status % 64)) != 0)
     }
 }
 
@@ -72,25 +74,44 @@
     pub fn standard() -> Self {
         let mut served = StatusSet::default();
         served.insert(200, 499);
-        [408, 421, 425, 429].into_iter().for_each(|status| served.remove(status));
-        Answers { served, ..Answers::platform() }
+        [408, 421, 425, 429]
+            .into_iter()
+            .for_each(|status| served.remove(status));
+        Answers {
+            served,
+            ..Answers::platform()
+        }
     }
 
     /// As on the platform: only 200 is served.
     pub fn platform() -> Self {
         let mut served = StatusSet::default();
         served.insert(200, 200);
-        let header =
-            || Some((HeaderName::from_static("x-not-processed"), Some(HeaderValue::from_static("1"))));
-        let proof = |status| Proof { status, header: header() };
-        Answers { served, never_ran: vec![proof(503), proof(504)] }
+        let header = || {
+            Some((
+                HeaderName::from_static("x-not-processed"),
+                Some(HeaderValue::from_static("1")),
+            ))
+        };
+        let proof = |status| Proof {
+            status,
+            header: header(),
+        };
+        Answers {
+            served,
+            never_ran: vec![proof(503), proof(504)],
+        }
     }
 
     /// What an answer means.
     pub fn verdict(&self, status: StatusCode, headers: &HeaderMap) -> Verdict {
         if self.served.contains(status.as_u16()) {
             Verdict::Served
-        } else if self.never_ran.iter().any(|proof| proof.given_by(status, headers)) {
+        } else if self
+            .never_ran
+            .iter()
+            .any(|proof| proof.given_by(status, headers))
+        {
             Verdict::NeverRan
         } else {
             Verdict::Error
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,7 +16,7 @@
 pub use path::{normalize, PathFault, PATH_MOST};
 pub use source::{Expression, Source};
 pub use table::{
-    pattern, HeaderPattern, PathPattern, PatternFault, Route, Shadow, Table, TableFault, PATTERN_BYTES,
-    SET_BYTES,
+    pattern, HeaderPattern, PathPattern, PatternFault, Route, Shadow, Table, TableFault,
+    PATTERN_BYTES, SET_BYTES,
 };
 pub use timing::Timing;
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -138,7 +138,10 @@
         ] {
             assert_eq!(normalize(path), Err(fault), "{path}");
         }
-        assert_eq!(normalize(&format!("/{}", "a".repeat(PATH_MOST))), Err(PathFault::TooLong));
+        assert_eq!(
+            normalize(&format!("/{}", "a".repeat(PATH_MOST))),
+            Err(PathFault::TooLong)
+        );
     }
 
     proptest! {
--- a/crates/route/src/source.rs
+++ b/crates/route/src/source.rs
@@ -45,7 +45,10 @@
                 only.to_str().ok()?
             }
             Source::Cookie(wanted) => {
-                let lines = headers.get_all(COOKIE).iter().filter_map(|line| line.to_str().ok());
+                let lines = headers
+                    .get_all(COOKIE)
+                    .iter()
+                    .filter_map(|line| line.to_str().ok());
                 let mut all = lines.flat_map(|line| line.split(';')).filter_map(|pair| {
                     let (name, value) = pair.trim().split_once('=')?;
                     (name == wanted).then_some(value)
@@ -63,21 +66,44 @@
     use http::HeaderValue;
 
     fn headers(all: &[(&'static str, &'static str)]) -> HeaderMap {
-        let pair = |&(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value));
+        let pair = |&(name, value)| {
+            (
+                HeaderName::from_static(name),
+                HeaderValue::from_static(value),
+            )
+        };
         all.iter().map(pair).collect()
     }
 
     #[test]
     fn one_value_is_a_value_and_two_are_none() {
         let key = Source::Header(HeaderName::from_static("idempotency-key"));
-        assert_eq!(key.read(&headers(&[("idempotency-key", " 5c0f ")])), Some("5c0f"));
+        assert_eq!(
+            key.read(&headers(&[("idempotency-key", " 5c0f ")])),
+            Some("5c0f")
+        );
         assert_eq!(key.read(&headers(&[("idempotency-key", " ")])), None);
         assert_eq!(key.read(&headers(&[])), None);
-        assert_eq!(key.read(&headers(&[("idempotency-key", "a"), ("idempotency-key", "b")])), None);
+        assert_eq!(
+            key.read(&headers(&[
+                ("idempotency-key", "a"),
+                ("idempotency-key", "b")
+            ])),
+            None
+        );
         let user = Source::Cookie("user".to_owned());
-        assert_eq!(user.read(&headers(&[("cookie", "a=1; user=7f3a; b=2")])), Some("7f3a"));
-        assert_eq!(user.read(&headers(&[("cookie", "a=1"), ("cookie", "user=7f3a")])), Some("7f3a"));
-        assert_eq!(user.read(&headers(&[("cookie", "user=7f3a; user=8")])), None);
+        assert_eq!(
+            user.read(&headers(&[("cookie", "a=1; user=7f3a; b=2")])),
+            Some("7f3a")
+        );
+        assert_eq!(
+            user.read(&headers(&[("cookie", "a=1"), ("cookie", "user=7f3a")])),
+            Some("7f3a")
+        );
+        assert_eq!(
+            user.read(&headers(&[("cookie", "user=7f3a; user=8")])),
+            None
+        );
         assert_eq!(user.read(&headers(&[("cookie", "users=1; user")])), None);
     }
 }
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -82,9 +82,13 @@
     /// Does it take, of the paths it takes, all that `later` takes?
     fn covers(&self, later: &Route) -> bool {
         let methods = self.methods.is_empty()
-            || (!later.methods.is_empty() && later.methods.iter().all(|m| self.methods.contains(m)));
+            || (!later.methods.is_empty()
+                && later.methods.iter().all(|m| self.methods.contains(m)));
         let wanted = |own: &HeaderPattern| {
-            later.headers.iter().any(|h| h.name == own.name && (own.value.is_none() || own.value == h.value))
+            later
+                .headers
+                .iter()
+                .any(|h| h.name == own.name && (own.value.is_none() || own.value == h.value))
         };
         let condition = self.when.is_none() || self.when == later.when;
         methods && condition && self.headers.iter().all(wanted)
@@ -111,11 +115,18 @@
     // On its own first: what closes a group here must not be mended by the one put round it.
     regex_syntax_check(text)?;
     let whole = format!("^(?:{text})$");
-    RegexBuilder::new(&whole).size_limit(PATTERN_BYTES).build().map_err(|fault| PatternFault(reason(&fault)))
+    RegexBuilder::new(&whole)
+        .size_limit(PATTERN_BYTES)
+        .build()
+        .map_err(|fault| PatternFault(reason(&fault)))
 }
 
 fn regex_syntax_check(text: &str) -> Result<(), PatternFault> {
-    RegexBuilder::new(text).size_limit(PATTERN_BYTES).build().map(drop).map_err(|f| PatternFault(reason(&f)))
+    RegexBuilder::new(text)
+        .size_limit(PATTERN_BYTES)
+        .build()
+        .map(drop)
+        .map_err(|f| PatternFault(reason(&f)))
 }
 
 /// The last line of the library's word tells the reason; those above it draw the place.
@@ -148,7 +159,10 @@
 
 impl std::fmt::Display for TableFault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the patterns of all routes together take more than {SET_BYTES} bytes compiled")
+        write!(
+            f,
+            "the patterns of all routes together take more than {SET_BYTES} bytes compiled"
+        )
     }
 }
 
@@ -192,10 +206,13 @@
     /// # Errors
     /// See [`TableFault`].
     pub fn with(routes: Vec<Route>, program: Arc<Program>) -> Result<Self, TableFault> {
-        let regexes = routes.iter().enumerate().filter_map(|(place, route)| match &route.path {
-            PathPattern::Regex(regex) => Some((place, regex.as_str())),
-            _ => None,
-        });
+        let regexes = routes
+            .iter()
+            .enumerate()
+            .filter_map(|(place, route)| match &route.path {
+                PathPattern::Regex(regex) => Some((place, regex.as_str())),
+                _ => None,
+            });
         let (pattern_routes, texts): (Vec<usize>, Vec<&str>) = regexes.unzip();
         let patterns = RegexSetBuilder::new(&texts)
             .size_limit(SET_BYTES)
@@ -212,7 +229,9 @@
         };
         for later in 0..table.routes.len() {
             let earlier = table.covering(later);
-            table.shadows.extend(earlier.map(|earlier| Shadow { later, earlier }));
+            table
+                .shadows
+                .extend(earlier.map(|earlier| Shadow { later, earlier }));
             table.enter(later);
         }
         Ok(table)
@@ -243,7 +262,13 @@
         path: &str,
         headers: &HeaderMap,
     ) -> Result<Option<(usize, &Route)>, PathFault> {
-        self.find_head(&Head { method, path, query: "", headers, client: [127, 0, 0, 1].into() })
+        self.find_head(&Head {
+            method,
+            path,
+            query: "",
+            headers,
+            client: [127, 0, 0, 1].into(),
+        })
     }
 
     /// The first route that takes such a request, and its place. The path may be in any form.
@@ -252,7 +277,10 @@
     /// If the path has no normal form.
     pub fn find_head(&self, head: &Head<'_>) -> Result<Option<(usize, &Route)>, PathFault> {
         let path = normalize(head.path)?;
-        let head = Head { path: &path, ..*head };
+        let head = Head {
+            path: &path,
+            ..*head
+        };
         let mut scratch = Scratch::default();
         let mut best = usize::MAX;
         // The lists are in order: the first that takes the request is the list's best.
@@ -265,17 +293,27 @@
         let first_pattern = self.pattern_routes.first().copied().unwrap_or(usize::MAX);
         if first_pattern < best {
             let matched = self.patterns.matches(&path);
-            let mut found = matched.iter().map(|p| self.pattern_routes[p]).take_while(|&r| r < best);
-            best = found.find(|&r| self.routes[r].takes(&head, &self.program, &mut scratch)).unwrap_or(best);
+            let mut found = matched
+                .iter()
+                .map(|p| self.pattern_routes[p])
+                .take_while(|&r| r < best);
+            best = found
+                .find(|&r| self.routes[r].takes(&head, &self.program, &mut scratch))
+                .unwrap_or(best);
         }
         Ok(self.routes.get(best).map(|route| (best, route)))
     }
 
     /// What a source says of a request; nothing, if it says nothing or cannot be told apart.
     pub fn text<'r>(&self, source: &Source, head: &Head<'r>) -> Option<Cow<'r, str>> {
-        let Source::Expression(own) = source else { return source.read(head.headers).map(Cow::Borrowed) };
+        let Source::Expression(own) = source else {
+            return source.read(head.headers).map(Cow::Borrowed);
+        };
         let path = normalize(head.path).ok()?;
-        let head = Head { path: &path, ..*head };
+        let head = Head {
+            path: &path,
+            ..*head
+        };
         match self.program.evaluate(own.id, &head) {
             Value::Str(text) if !text.is_empty() => Some(Cow::Owned(text.into_owned())),
             _ => None,
@@ -292,7 +330,9 @@
                 Some((segment, further)) => (segment, Some(further)),
                 None => (text, None),
             };
-            let Some(&next) = node.below.get(segment) else { return };
+            let Some(&next) = node.below.get(segment) else {
+                return;
+            };
             node = &self.nodes[next];
             visit(&node.at, false);
             rest = further;
@@ -306,12 +346,22 @@
         let covers = |&&r: &&usize| self.routes[r].covers(route);
         let mut found: Option<usize> = None;
         let mut look = |list: &[usize]| {
-            found = list.iter().find(covers).copied().into_iter().chain(found).min();
+            found = list
+                .iter()
+                .find(covers)
+                .copied()
+                .into_iter()
+                .chain(found)
+                .min();
         };
         match &route.path {
             PathPattern::Exact(path) => {
                 self.along(path, |list, _| look(list));
-                let matched = self.patterns.matches(path).into_iter().map(|p| self.pattern_routes[p]);
+                let matched = self
+                    .patterns
+                    .matches(path)
+                    .into_iter()
+                    .map(|p| self.pattern_routes[p]);
                 look(&matched.filter(|&r| r < later).collect::<Vec<_>>());
             }
             PathPattern::Prefix(path) => self.along(path, |list, exact| {
@@ -336,9 +386,15 @@
             PathPattern::Prefix(path) => (path, false),
             PathPattern::Regex(_) => return,
         };
-        let Some(path) = path.strip_prefix('/') else { return };
+        let Some(path) = path.strip_prefix('/') else {
+            return;
+        };
         let under = !exact && (path.is_empty() || path.ends_with('/'));
-        let segments = if under { path.strip_suffix('/').unwrap_or(path) } else { path };
+        let segments = if under {
+            path.strip_suffix('/').unwrap_or(path)
+        } else {
+            path
+        };
         let mut node = 0;
         if !(under && segments.is_empty()) {
             for segment in segments.split('/') {
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -10,7 +10,15 @@
 
 fn timing() -> Timing {
     let (hedge, resend) = (Hedge::Never, Resend::NeverRan);
-    Timing { connect: 1, attempt: 1, total: 1, attempts: 1, backoff: 0, hedge, resend }
+    Timing {
+        connect: 1,
+        attempt: 1,
+        total: 1,
+        attempts: 1,
+        backoff: 0,
+        hedge,
+        resend,
+    }
 }
 
 fn route(path: PathPattern, methods: &[&str], headers: &[(&str, Option<&str>)]) -> Route {
@@ -21,7 +29,10 @@
     Route {
         name: String::new(),
         path,
-        methods: methods.iter().map(|m| m.parse().expect("a method")).collect(),
+        methods: methods
+            .iter()
+            .map(|m| m.parse().expect("a method"))
+            .collect(),
         headers: headers.iter().map(header).collect(),
         class: 0,
         when: None,
@@ -46,7 +57,10 @@
 
 /// The place of the route that takes a request.
 fn found(table: &Table, method: &Method, path: &str, headers: &HeaderMap) -> Option<usize> {
-    table.find(method, path, headers).expect("a normal form").map(|(place, _)| place)
+    table
+        .find(method, path, headers)
+        .expect("a normal form")
+        .map(|(place, _)| place)
 }
 
 fn get(table: &Table, path: &str) -> Option<usize> {
@@ -81,13 +95,29 @@
 
 #[test]
 fn the_first_in_the_file_wins_whatever_its_kind() {
-    let t = table(vec![regex("/a/[0-9]+"), exact("/a/b"), prefix("/a"), exact("/a/c"), regex("/a.*")]);
-    for (path, taken) in
-        [("/a/7", Some(0)), ("/a/b", Some(1)), ("/a/c", Some(2)), ("/ab", Some(4)), ("/b", None)]
-    {
+    let t = table(vec![
+        regex("/a/[0-9]+"),
+        exact("/a/b"),
+        prefix("/a"),
+        exact("/a/c"),
+        regex("/a.*"),
+    ]);
+    for (path, taken) in [
+        ("/a/7", Some(0)),
+        ("/a/b", Some(1)),
+        ("/a/c", Some(2)),
+        ("/ab", Some(4)),
+        ("/b", None),
+    ] {
         assert_eq!(get(&t, path), taken, "{path}");
     }
-    assert_eq!(t.shadows(), [Shadow { later: 3, earlier: 2 }]);
+    assert_eq!(
+        t.shadows(),
+        [Shadow {
+            later: 3,
+            earlier: 2
+        }]
+    );
 }
 
 /// A pattern is held against the whole path: one that closes the group it is put in must not get round that.
@@ -95,11 +125,19 @@
 fn a_pattern_matches_from_beginning_to_end() {
     let t = table(vec![regex("/a|/b")]);
     assert_eq!(
-        (get(&t, "/a"), get(&t, "/b"), get(&t, "/ab"), get(&t, "/c/b")),
+        (
+            get(&t, "/a"),
+            get(&t, "/b"),
+            get(&t, "/ab"),
+            get(&t, "/c/b")
+        ),
         (Some(0), Some(0), None, None)
     );
     assert!(pattern("/a)|(.*").is_err());
-    assert!(pattern("(a{500}){500}").is_err_and(|f| f.0.contains("bytes")), "bounded in size");
+    assert!(
+        pattern("(a{500}){500}").is_err_and(|f| f.0.contains("bytes")),
+        "bounded in size"
+    );
 }
 
 /// A pattern that costs other engines years runs in time linear in the path.
@@ -112,7 +150,9 @@
 
 #[test]
 fn patterns_are_bounded_together() {
-    let many = (0..400).map(|n| regex(&format!("/{n}/[a-z]{{2000}}"))).collect::<Vec<_>>();
+    let many = (0..400)
+        .map(|n| regex(&format!("/{n}/[a-z]{{2000}}")))
+        .collect::<Vec<_>>();
     let routes = many.into_iter().map(|p| route(p, &[], &[])).collect();
     assert_eq!(Table::new(routes).err(), Some(TableFault::PatternsTooBig));
 }
@@ -127,11 +167,16 @@
     ])
     .expect("a table");
     let headers = |all: &[(&'static str, &'static str)]| -> HeaderMap {
-        all.iter().map(|&(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v))).collect()
+        all.iter()
+            .map(|&(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v)))
+            .collect()
     };
     let post = |all| found(&t, &Method::POST, "/a", &headers(all));
     assert_eq!(post(&[("content-type", "application/json")]), Some(0));
-    assert_eq!(post(&[("content-type", "text/plain"), ("x-branch", "CR-1")]), Some(1));
+    assert_eq!(
+        post(&[("content-type", "text/plain"), ("x-branch", "CR-1")]),
+        Some(1)
+    );
     assert_eq!(post(&[("content-type", "text/plain")]), Some(2));
     assert_eq!(get(&t, "/a"), None);
     assert!(t.shadows().is_empty());
@@ -154,8 +199,16 @@
         (any(regex("/[a-c]")), any(exact("/d")), false),
         (any(regex("/[a-c]")), get(regex("/[a-c]")), true),
         (any(regex("/[a-c]")), any(prefix("/b")), false),
-        (route(prefix("/a"), &[], &[("x-a", None)]), any(exact("/a")), false),
-        (route(prefix("/a"), &[], &[("x-a", None)]), route(exact("/a"), &[], &[("x-a", Some("1"))]), true),
+        (
+            route(prefix("/a"), &[], &[("x-a", None)]),
+            any(exact("/a")),
+            false,
+        ),
+        (
+            route(prefix("/a"), &[], &[("x-a", None)]),
+            route(exact("/a"), &[], &[("x-a", Some("1"))]),
+            true,
+        ),
         (
             route(prefix("/a"), &[], &[("x-a", Some("2"))]),
             route(exact("/a"), &[], &[("x-a", Some("1"))]),
@@ -164,7 +217,14 @@
     ] {
         let shown = format!("{:?} then {:?}", earlier.path, later.path);
         let t = Table::new(vec![earlier, later]).expect("a table");
-        let wanted: &[Shadow] = if shadowed { &[Shadow { later: 1, earlier: 0 }] } else { &[] };
+        let wanted: &[Shadow] = if shadowed {
+            &[Shadow {
+                later: 1,
+                earlier: 0,
+            }]
+        } else {
+            &[]
+        };
         assert_eq!(t.shadows(), wanted, "{shown}");
     }
 }
@@ -175,16 +235,18 @@
         let takes_path = match &r.path {
             PathPattern::Exact(p) => p == path,
             PathPattern::Prefix(p) if p.ends_with('/') => path.starts_with(p.as_str()),
-            PathPattern::Prefix(p) => {
-                path.strip_prefix(p.as_str()).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
-            }
+            PathPattern::Prefix(p) => path
+                .strip_prefix(p.as_str())
+                .is_some_and(|rest| rest.is_empty() || rest.starts_with('/')),
             PathPattern::Regex(p) => p.is_match(path),
         };
         takes_path
             && (r.methods.is_empty() || r.methods.contains(method))
-            && r.headers
-                .iter()
-                .all(|h| headers.get(&h.name).is_some_and(|v| h.value.as_ref().is_none_or(|w| w == v)))
+            && r.headers.iter().all(|h| {
+                headers
+                    .get(&h.name)
+                    .is_some_and(|v| h.value.as_ref().is_none_or(|w| w == v))
+            })
     })
 }
 
@@ -198,9 +260,13 @@
         any_path().prop_map(PathPattern::Prefix),
         prop_oneof![Just("/.*"), Just("/a/[ab]"), Just("(/a)*/?"), Just("/b+.*")].prop_map(regex),
     ];
-    let methods = prop_oneof![Just(vec![]), Just(vec!["GET"]), Just(vec!["POST"]), Just(vec!["GET", "POST"])];
-    let headers =
-        prop_oneof![3 => Just(vec![]), 1 => Just(vec![("x-a", None)]), 1 => Just(vec![("x-a", Some("1"))])];
+    let methods = prop_oneof![
+        Just(vec![]),
+        Just(vec!["GET"]),
+        Just(vec!["POST"]),
+        Just(vec!["GET", "POST"])
+    ];
+    let headers = prop_oneof![3 => Just(vec![]), 1 => Just(vec![("x-a", None)]), 1 => Just(vec![("x-a", Some("1"))])];
     (path, methods, headers).prop_map(|(path, methods, headers)| route(path, &methods, &headers))
 }
 
--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -12,10 +12,22 @@
 
 /// Each proxy takes the endpoints with the greatest hash of both names (D. Thaler and C. Ravishankar, 1998).
 fn rendezvous(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
-    let mut ranked: Vec<(u64, u32)> =
-        fleet.iter().map(|&e| (xxh3_64_with_seed(format!("e{e}").as_bytes(), u64::from(proxy)), e)).collect();
+    let mut ranked: Vec<(u64, u32)> = fleet
+        .iter()
+        .map(|&e| {
+            (
+                xxh3_64_with_seed(format!("e{e}").as_bytes(), u64::from(proxy)),
+                e,
+            )
+        })
+        .collect();
     ranked.sort_unstable();
-    ranked.into_iter().rev().take(size).map(|(_, e)| e).collect()
+    ranked
+        .into_iter()
+        .rev()
+        .take(size)
+        .map(|(_, e)| e)
+        .collect()
 }
 
 /// Deterministic subsetting: rounds of proxies share a shuffle of the whole list (Site Reliability Engineering, 2016,
@@ -37,8 +49,16 @@
 }
 
 fn ours(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
-    let mut subset = Subset::new(Need::of(size), Instance { number: proxy, count: proxies });
-    fleet.iter().for_each(|&e| subset.add(e, &format!("e{e}"), false));
+    let mut subset = Subset::new(
+        Need::of(size),
+        Instance {
+            number: proxy,
+            count: proxies,
+        },
+    );
+    fleet
+        .iter()
+        .for_each(|&e| subset.add(e, &format!("e{e}"), false));
     subset.listed(0, fleet);
     subset.members().collect()
 }
@@ -55,8 +75,12 @@
         let fleet: Vec<u32> = (0..endpoints).collect();
         let more: Vec<u32> = (0..=endpoints).collect();
         let fewer: Vec<u32> = (0..endpoints).filter(|&e| e != endpoints / 2).collect();
-        let ways: [(&str, Choice); 4] =
-            [("ours", ours), ("rendezvous", rendezvous), ("shuffled", shuffled), ("aperture", aperture)];
+        let ways: [(&str, Choice); 4] = [
+            ("ours", ours),
+            ("rendezvous", rendezvous),
+            ("shuffled", shuffled),
+            ("aperture", aperture),
+        ];
         for (name, way) in ways {
             let mut held = vec![0_u32; endpoints as usize];
             let (mut least, mut most, mut came, mut went) = (usize::MAX, 0, 0, 0);
@@ -67,7 +91,10 @@
                 before.iter().for_each(|&e| held[e as usize] += 1);
                 if proxy % 10 == 3 {
                     came += way(&more, proxy, proxies, size).difference(&before).count() * 10;
-                    went += way(&fewer, proxy, proxies, size).difference(&before).count() * 10;
+                    went += way(&fewer, proxy, proxies, size)
+                        .difference(&before)
+                        .count()
+                        * 10;
                 }
             }
             let mean = f64::from(held.iter().sum::<u32>()) / f64::from(endpoints);
--- a/crates/subset/src/bounds.rs
+++ b/crates/subset/src/bounds.rs
@@ -36,7 +36,15 @@
     /// A subset of this size, with what else is usual.
     pub fn of(size: usize) -> Self {
         let (pause, calm) = (200_000, 30_000_000);
-        Need { size, least: (size / 2).max(2), most: size * 4, own_zone: false, load: 2.0, pause, calm }
+        Need {
+            size,
+            least: (size / 2).max(2),
+            most: size * 4,
+            own_zone: false,
+            load: 2.0,
+            pause,
+            calm,
+        }
     }
 }
 
@@ -54,7 +62,9 @@
 impl Bounds {
     /// Proxies that keep to one endpoint, at rest: one of each team, the last of which may be incomplete.
     pub fn sharing(&self, need: &Need) -> u32 {
-        let members = Deal::default().for_fleet(self.endpoints, need.size).members();
+        let members = Deal::default()
+            .for_fleet(self.endpoints, need.size)
+            .members();
         self.proxies.div_ceil(members)
     }
 
@@ -89,14 +99,24 @@
 
     #[test]
     fn the_figures_of_the_page_follow_from_the_formulas() {
-        let bounds = Bounds { proxies: 2_000, endpoints: 1_000, kept: 1 };
+        let bounds = Bounds {
+            proxies: 2_000,
+            endpoints: 1_000,
+            kept: 1,
+        };
         let need = Need::of(20);
         // 64 parts of 15.6 endpoints: 31.25 teams.
         assert_eq!(bounds.sharing(&need), 32);
         // Three doublings from 15.6 reach beyond 80.
         assert_eq!(bounds.sharing_most(&need), 250);
         assert_eq!(bounds.connections_per_proxy(&need), 80);
-        let small = Bounds { endpoints: 5, ..bounds };
-        assert_eq!((small.sharing(&need), small.connections_per_proxy(&need)), (2_000, 5));
+        let small = Bounds {
+            endpoints: 5,
+            ..bounds
+        };
+        assert_eq!(
+            (small.sharing(&need), small.connections_per_proxy(&need)),
+            (2_000, 5)
+        );
     }
 }
--- a/crates/subset/src/deal.rs
+++ b/crates/subset/src/deal.rs
@@ -32,7 +32,9 @@
         if parts <= now * SLACK && parts >= now / SLACK {
             return self;
         }
-        Deal { splits: (parts.max(1.0).log2().round() as u32).min(SPLITS_MOST) }
+        Deal {
+            splits: (parts.max(1.0).log2().round() as u32).min(SPLITS_MOST),
+        }
     }
 
     /// Proxies of a team, each with one part.
@@ -49,8 +51,15 @@
     pub fn team(self, proxy: u32) -> Team {
         let place = u64::from(proxy & (self.members() - 1));
         // Neighbours by number lie far apart, so that those that started together widen into different parts.
-        let first = if self.splits == 0 { 0 } else { place.reverse_bits() };
-        Team { number: proxy >> self.splits, first }
+        let first = if self.splits == 0 {
+            0
+        } else {
+            place.reverse_bits()
+        };
+        Team {
+            number: proxy >> self.splits,
+            first,
+        }
     }
 
     /// The places, from the first to the last, that belong to a proxy that has doubled its part so often.
@@ -78,8 +87,9 @@
     fn a_team_deals_every_place_to_exactly_one_member() {
         for splits in 0..8 {
             let deal = Deal { splits };
-            let mut parts: Vec<(u64, u64)> =
-                (0..deal.members()).map(|p| deal.part(deal.team(p), 0)).collect();
+            let mut parts: Vec<(u64, u64)> = (0..deal.members())
+                .map(|p| deal.part(deal.team(p), 0))
+                .collect();
             parts.sort_unstable();
             assert_eq!((parts[0].0, parts[parts.len() - 1].1), (0, u64::MAX));
             assert!(parts.windows(2).all(|w| w[0].1 + 1 == w[1].0), "{parts:?}");
@@ -105,12 +115,20 @@
         assert_eq!(deal.members(), 64);
         assert!((801..2_048).all(|n| deal.for_fleet(n, 20) == deal));
         assert_eq!(deal.for_fleet(5_000, 20).members(), 256);
-        assert_eq!(deal.for_fleet(10, 20).members(), 1, "fewer than are asked for: all");
+        assert_eq!(
+            deal.for_fleet(10, 20).members(),
+            1,
+            "fewer than are asked for: all"
+        );
     }
 
     /// Proxies of another version must deal alike.
     #[test]
     fn places_are_the_same_in_every_version() {
-        assert_eq!(place("", 0), 0x2d06_8005_38d3_94c2, "the published value of XXH3-64 of nothing");
+        assert_eq!(
+            place("", 0),
+            0x2d06_8005_38d3_94c2,
+            "the published value of XXH3-64 of nothing"
+        );
     }
 }
--- a/crates/subset/src/poll.rs
+++ b/crates/subset/src/poll.rs
@@ -45,7 +45,11 @@
 impl Poll {
     /// One that draws from `seed`, which differs from proxy to proxy.
     pub fn new(terms: PollTerms, seed: u64) -> Self {
-        Poll { terms, random: Pcg32::seed_from_u64(seed), failures: 0 }
+        Poll {
+            terms,
+            random: Pcg32::seed_from_u64(seed),
+            failures: 0,
+        }
     }
 
     /// The pause before the first question: a turn anywhere in a round. To hurry would gain nothing, also for a
@@ -78,7 +82,11 @@
     /// How long the next question may wait for news. A little less at random: watches that began together must not
     /// end together for ever.
     pub fn wait(&mut self, idle: bool) -> Micros {
-        let wait = if idle { self.terms.wait_idle } else { self.terms.wait };
+        let wait = if idle {
+            self.terms.wait_idle
+        } else {
+            self.terms.wait
+        };
         wait - self.within(wait / 8)
     }
 
@@ -105,9 +113,14 @@
             wait: 10_000_000,
             wait_idle: 60_000_000,
         };
-        let mut polls: Vec<Poll> = (0..proxies).map(|n| Poll::new(terms, u64::from(n))).collect();
-        let mut due: BTreeSet<(Micros, usize)> =
-            polls.iter_mut().enumerate().map(|(n, p)| (p.first(), n)).collect();
+        let mut polls: Vec<Poll> = (0..proxies)
+            .map(|n| Poll::new(terms, u64::from(n)))
+            .collect();
+        let mut due: BTreeSet<(Micros, usize)> = polls
+            .iter_mut()
+            .enumerate()
+            .map(|(n, p)| (p.first(), n))
+            .collect();
         let (mut free_at, mut last, mut seconds) = (0, 0, std::collections::BTreeMap::new());
         while let Some((now, n)) = due.pop_first() {
             *seconds.entry(now / 1_000_000).or_insert(0) += 1;
@@ -133,18 +146,31 @@
         assert!(last < 60_000_000, "{last}");
         assert!(worst < 600, "{worst}");
         let (_, crowd) = common_start(2_000, false);
-        assert!(crowd > 2 * worst, "{crowd} without a spread, {worst} with it");
+        assert!(
+            crowd > 2 * worst,
+            "{crowd} without a spread, {worst} with it"
+        );
     }
 
     #[test]
     fn pauses_grow_and_end_and_an_answer_ends_them() {
-        let terms = PollTerms { proxies: 10, rate: 100.0, wait: 10_000_000, wait_idle: 60_000_000 };
+        let terms = PollTerms {
+            proxies: 10,
+            rate: 100.0,
+            wait: 10_000_000,
+            wait_idle: 60_000_000,
+        };
         let mut poll = Poll::new(terms, 1);
         let pauses: Vec<Micros> = (0..20).map(|_| poll.failed()).collect();
         assert!(pauses[0] <= PAUSE_LEAST && pauses.iter().all(|&p| p <= PAUSE_LEAST << DOUBLINGS));
         poll.answered();
         assert!(poll.failed() <= PAUSE_LEAST);
         let waits: BTreeSet<Micros> = (0..10).map(|_| poll.wait(true)).collect();
-        assert!(waits.len() > 5 && waits.iter().all(|&w| (52_500_000..=60_000_000).contains(&w)));
+        assert!(
+            waits.len() > 5
+                && waits
+                    .iter()
+                    .all(|&w| (52_500_000..=60_000_000).contains(&w))
+        );
     }
 }
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -60,7 +60,9 @@
 
     fn within(&self, number: u32, doublings: u32) -> impl Iterator<Item = u32> + '_ {
         let (_, (from, to)) = self.part(number, doublings);
-        self.places.range((from, 0)..=(to, u32::MAX)).map(|&(_, id)| id)
+        self.places
+            .range((from, 0)..=(to, u32::MAX))
+            .map(|&(_, id)| id)
     }
 
     fn wants(&self, number: u32, place: u64) -> bool {
@@ -99,9 +101,23 @@
     /// An empty one.
     pub fn new(need: Need, instance: Instance) -> Self {
         let (mut near, mut all) = (Circle::default(), Circle::default());
-        (near.doublings, all.doublings) = if need.own_zone { (Some(0), None) } else { (None, Some(0)) };
+        (near.doublings, all.doublings) = if need.own_zone {
+            (Some(0), None)
+        } else {
+            (None, Some(0))
+        };
         let (known, members) = (BTreeMap::new(), BTreeSet::new());
-        Subset { need, instance, known, near, all, members, cut: false, grown: 0, wanted: 0 }
+        Subset {
+            need,
+            instance,
+            known,
+            near,
+            all,
+            members,
+            cut: false,
+            grown: 0,
+            wanted: 0,
+        }
     }
 
     /// The members, in no order of preference.
@@ -117,7 +133,11 @@
     /// Its size.
     pub fn standing(&self) -> Standing {
         let doublings = self.all.doublings.or(self.near.doublings).unwrap_or(0);
-        Standing { members: self.members.len(), fleet: self.known.len(), doublings }
+        Standing {
+            members: self.members.len(),
+            fleet: self.known.len(),
+            doublings,
+        }
     }
 
     /// Proxies that keep to each of its members, this one included, as far as can be told.
@@ -128,7 +148,11 @@
 
     /// An endpoint takes calls: it is new, or has changed its name or zone, or is back.
     pub fn add(&mut self, endpoint: u32, name: &str, near: bool) {
-        if self.known.get(&endpoint).is_some_and(|k| &*k.name == name && k.near == near) {
+        if self
+            .known
+            .get(&endpoint)
+            .is_some_and(|k| &*k.name == name && k.near == near)
+        {
             return;
         }
         self.remove(endpoint);
@@ -139,7 +163,14 @@
             self.near.places.insert((places[0], endpoint));
         }
         self.all.places.insert((places[1], endpoint));
-        self.known.insert(endpoint, Known { name: name.into(), near, places });
+        self.known.insert(
+            endpoint,
+            Known {
+                name: name.into(),
+                near,
+                places,
+            },
+        );
     }
 
     /// An endpoint drains or is gone.
@@ -215,7 +246,8 @@
 
     fn wants(&self, known: &Known) -> bool {
         let number = self.instance.number;
-        known.near && self.near.wants(number, known.places[0]) || self.all.wants(number, known.places[1])
+        known.near && self.near.wants(number, known.places[0])
+            || self.all.wants(number, known.places[1])
     }
 
     /// Members if the circles are as they are now, and whether some were cut off: those of the widest parts.
@@ -240,8 +272,16 @@
         if self.members.len() >= self.need.most {
             return false;
         }
-        let next = |circle: &Circle| circle.doublings.filter(|&d| d < circle.deal.doublings()).map(|d| d + 1);
-        if let (true, Some(wider)) = (self.need.own_zone && self.all.doublings.is_none(), next(&self.near)) {
+        let next = |circle: &Circle| {
+            circle
+                .doublings
+                .filter(|&d| d < circle.deal.doublings())
+                .map(|d| d + 1)
+        };
+        if let (true, Some(wider)) = (
+            self.need.own_zone && self.all.doublings.is_none(),
+            next(&self.near),
+        ) {
             self.near.doublings = Some(wider);
         } else if self.all.doublings.is_none() {
             self.all.doublings = Some(0);
@@ -285,7 +325,9 @@
             let ids: Vec<u32> = circle.places.iter().map(|&(_, id)| id).collect();
             circle.places.clear();
             for id in ids {
-                let Some(known) = self.known.get_mut(&id) else { continue };
+                let Some(known) = self.known.get_mut(&id) else {
+                    continue;
+                };
                 known.places[which] = place(&known.name, new);
                 circle.places.insert((known.places[which], id));
             }
@@ -312,8 +354,16 @@
 
 /// One after the other, as one.
 fn join(first: Changes, then: Changes) -> Changes {
-    let joined: BTreeSet<u32> = first.joined.into_iter().chain(then.joined.iter().copied()).collect();
-    let left: BTreeSet<u32> = first.left.into_iter().chain(then.left.iter().copied()).collect();
+    let joined: BTreeSet<u32> = first
+        .joined
+        .into_iter()
+        .chain(then.joined.iter().copied())
+        .collect();
+    let left: BTreeSet<u32> = first
+        .left
+        .into_iter()
+        .chain(then.left.iter().copied())
+        .collect();
     let gone: BTreeSet<u32> = then.left.into_iter().collect();
     let back: BTreeSet<u32> = then.joined.into_iter().collect();
     Changes {
--- a/crates/testkit/src/catalog.rs
+++ b/crates/testkit/src/catalog.rs
@@ -48,7 +48,10 @@
     pub fn start(entries: Vec<Listed>) -> Catalog {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let state = State { entries: entries.into_iter().map(|e| (1, e)).collect(), index: 1 };
+        let state = State {
+            entries: entries.into_iter().map(|e| (1, e)).collect(),
+            index: 1,
+        };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
         let of_thread = Arc::clone(&shared);
         thread::spawn(move || {
@@ -74,15 +77,24 @@
 fn serve(stream: TcpStream, shared: &(Mutex<State>, Condvar)) {
     let mut stream = BufReader::new(stream);
     while let Some(message) = read(&mut stream) {
-        let target = message.head.split(' ').nth(1).unwrap_or_default().to_owned();
+        let target = message
+            .head
+            .split(' ')
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned();
         let query = target.split_once('?').map_or("", |q| q.1);
         let number = |name: &str| {
-            query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
+            query
+                .split('&')
+                .find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
         };
         let text = match number("index") {
-            Some(index) => {
-                changes(shared, index, Duration::from_millis(number("wait").unwrap_or(0).min(60_000)))
-            }
+            Some(index) => changes(
+                shared,
+                index,
+                Duration::from_millis(number("wait").unwrap_or(0).min(60_000)),
+            ),
             None => {
                 let state = shared.0.lock().expect("no panics here");
                 let all: Vec<String> = state
@@ -94,7 +106,11 @@
                 list(state.index, true, &all)
             }
         };
-        if stream.get_mut().write_all(answer("200 OK", "", &text).as_bytes()).is_err() {
+        if stream
+            .get_mut()
+            .write_all(answer("200 OK", "", &text).as_bytes())
+            .is_err()
+        {
             return;
         }
     }
@@ -104,10 +120,20 @@
     let end = Instant::now() + wait;
     let mut state = state.lock().expect("no panics here");
     while state.index <= index {
-        let Some(left) = end.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) else { break };
+        let Some(left) = end
+            .checked_duration_since(Instant::now())
+            .filter(|l| !l.is_zero())
+        else {
+            break;
+        };
         state = changed.wait_timeout(state, left).expect("no panics here").0;
     }
-    let news: Vec<String> = state.entries.iter().filter(|(v, _)| *v > index).map(|(_, e)| e.json()).collect();
+    let news: Vec<String> = state
+        .entries
+        .iter()
+        .filter(|(v, _)| *v > index)
+        .map(|(_, e)| e.json())
+        .collect();
     list(state.index, false, &news)
 }
 
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -11,7 +11,10 @@
 pub fn request(class: &str, time: &str, id: &str) -> String {
     let (method, rest) = match class {
         "safe" => ("GET", "\r\n"),
-        "keyed" => ("POST", "Idempotency-Key: 5c0f\r\nContent-Length: 4\r\n\r\nbody"),
+        "keyed" => (
+            "POST",
+            "Idempotency-Key: 5c0f\r\nContent-Length: 4\r\n\r\nbody",
+        ),
         _ => ("POST", "Content-Length: 4\r\n\r\nbody"),
     };
     format!(
@@ -31,7 +34,10 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream.get_mut().write_all(text.as_bytes()).expect("an open connection");
+        self.stream
+            .get_mut()
+            .write_all(text.as_bytes())
+            .expect("an open connection");
     }
 
     pub fn answer(&mut self) -> Option<Message> {
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -28,24 +28,34 @@
                 while let Some(message) = read(&mut stream) {
                     let line = message.head.lines().next().unwrap_or_default().to_owned();
                     let Ok(()) = question.send(line) else { return };
-                    let Ok(text) = given.lock().expect("one thread").recv() else { return };
+                    let Ok(text) = given.lock().expect("one thread").recv() else {
+                        return;
+                    };
                     if stream.get_mut().write_all(text.as_bytes()).is_err() || text.is_empty() {
                         break;
                     }
                 }
             }
         });
-        Discovery { address, asked, answers }
+        Discovery {
+            address,
+            asked,
+            answers,
+        }
     }
 
     /// The request line of the next question.
     pub fn asked(&self) -> String {
-        self.asked.recv_timeout(LONG).expect("a question to discovery")
+        self.asked
+            .recv_timeout(LONG)
+            .expect("a question to discovery")
     }
 
     /// Answers the question that is open.
     pub fn tell(&self, list: &str) {
-        self.answers.send(answer("200 OK", "", list)).expect("discovery runs");
+        self.answers
+            .send(answer("200 OK", "", list))
+            .expect("discovery runs");
     }
 
     pub fn say(&self, text: String) {
@@ -61,5 +71,8 @@
 }
 
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::host::answer;
 use crate::message::{read, Message};
 use badgerramp_world::{
-    self as world, Arrival, Cold, Done, Draws, Effect, Group, Host, HostSpec, Job, Memory, Micros, OpId,
-    Trouble, Verdict,
+    self as world, Arrival, Cold, Done, Draws, Effect, Group, Host, HostSpec, Job, Memory, Micros,
+    OpId, Trouble, Verdict,
 };
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -19,7 +19,11 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// It fails this share of its requests at once: half of them before the work is done, half after.
-    FailsFast { share: f64, from: Duration, until: Duration },
+    FailsFast {
+        share: f64,
+        from: Duration,
+        until: Duration,
+    },
     /// It stands still for a while, again and again.
     Stalls { every: Duration, pause: Duration },
 }
@@ -93,7 +97,10 @@
         for ((_, key), count) in keys.iter() {
             *per_key.entry(key).or_default() += count;
         }
-        let mut attempts: Vec<_> = locked(&self.attempts).iter().map(|(c, n)| (c.clone(), *n)).collect();
+        let mut attempts: Vec<_> = locked(&self.attempts)
+            .iter()
+            .map(|(c, n)| (c.clone(), *n))
+            .collect();
         attempts.sort();
         Tally {
             charges: charges.len(),
@@ -105,7 +112,11 @@
 
     fn came(&self, message: &Message) {
         let path = message.head.split(' ').nth(1).unwrap_or_default();
-        let class = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
+        let class = path
+            .trim_start_matches('/')
+            .split(['/', '?'])
+            .next()
+            .unwrap_or_default();
         *locked(&self.attempts).entry(class.to_owned()).or_default() += 1;
     }
 
@@ -115,7 +126,9 @@
             Request::Keyed(key) => {
                 *locked(&self.keys).entry((group, key.clone())).or_default() += 1;
             }
-            Request::Charge(charge) => *locked(&self.charges).entry(charge.clone()).or_default() += 1,
+            Request::Charge(charge) => {
+                *locked(&self.charges).entry(charge.clone()).or_default() += 1
+            }
             Request::Plain => {}
         }
     }
@@ -143,7 +156,10 @@
 
 impl Request {
     fn of(message: &Message) -> Self {
-        match (message.header("idempotency-key"), message.header("x-charge")) {
+        match (
+            message.header("idempotency-key"),
+            message.header("x-charge"),
+        ) {
             (Some(key), _) => Request::Keyed(key.to_owned()),
             (None, Some(charge)) => Request::Charge(charge.to_owned()),
             (None, None) => Request::Plain,
@@ -234,7 +250,10 @@
     pub fn start(name: &str, group: u32, model: Model, ledger: &Arc<Ledger>) -> Member {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
         let since_ms = if model.cold.is_some() { unix } else { 0 };
         let draws = Draws::new(model.seed);
         let mut host = Host::alone(model.spec(name, group), draws);
@@ -266,7 +285,13 @@
                 thread::spawn(move || shared.serve(stream));
             }
         });
-        Member { name: name.to_owned(), address, group, since_ms, shared }
+        Member {
+            name: name.to_owned(),
+            address,
+            group,
+            since_ms,
+            shared,
+        }
     }
 
     /// How long ago it started.
@@ -313,22 +338,42 @@
         let request = Request::of(message);
         let window = self.model.window.as_micros() as Micros;
         let effect = match request {
-            Request::Keyed(_) => Effect::Keyed { group: Group::Group, window },
+            Request::Keyed(_) => Effect::Keyed {
+                group: Group::Group,
+                window,
+            },
             Request::Charge(_) => Effect::Unsafe,
             Request::Plain => Effect::Safe,
         };
         let mut state = locked(&self.state);
         let token = state.tokens;
         state.tokens += 1;
-        let work = self.model.work.mul_f64(0.5 + self.draws.unit((0x0c57, token, 0))).as_micros() as Micros;
-        let job = Job { token, op: request.op(), name: token, effect, work, usual: work, informed: true };
+        let work = self
+            .model
+            .work
+            .mul_f64(0.5 + self.draws.unit((0x0c57, token, 0)))
+            .as_micros() as Micros;
+        let job = Job {
+            token,
+            op: request.op(),
+            name: token,
+            effect,
+            work,
+            usual: work,
+            informed: true,
+        };
         let now = self.now();
         self.troubles(&mut state, now);
         self.settle(&mut state, now);
-        if state.drains.is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
+        if state
+            .drains
+            .is_some_and(|since| since.elapsed() > DRAIN_GRACE)
+        {
             state.late_for_drain += 1;
         }
-        let arrival = state.host.arrive(now, job, &mut locked(&self.ledger.memory));
+        let arrival = state
+            .host
+            .arrive(now, job, &mut locked(&self.ledger.memory));
         let (verdict, report) = match arrival {
             Arrival::Ended(verdict) => (verdict, state.host.report()),
             Arrival::Nobody => (Verdict::TurnedAway, state.host.report()),
@@ -342,13 +387,19 @@
                     }
                     break (done.verdict, done.report);
                 }
-                let left = state.host.due().map_or(1_000, |due| due.saturating_sub(now).max(1));
+                let left = state
+                    .host
+                    .due()
+                    .map_or(1_000, |due| due.saturating_sub(now).max(1));
                 let waited = self.moved.wait_timeout(state, Duration::from_micros(left));
                 state = waited.unwrap_or_else(PoisonError::into_inner).0;
             },
         };
         drop(state);
-        let load = format!("X-Server-Load: TEXT inflight={}, queue={}\r\n", report.in_hand, report.waiting);
+        let load = format!(
+            "X-Server-Load: TEXT inflight={}, queue={}\r\n",
+            report.in_hand, report.waiting
+        );
         match verdict {
             Verdict::Served => answer("200 OK", &load, "done"),
             Verdict::TurnedAway => answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""),
@@ -360,9 +411,13 @@
 
     fn settle(&self, state: &mut State, now: Micros) {
         let mut done = Vec::new();
-        state.host.advance(now, &mut locked(&self.ledger.memory), &mut done);
+        state
+            .host
+            .advance(now, &mut locked(&self.ledger.memory), &mut done);
         if !done.is_empty() {
-            state.ended.extend(done.into_iter().map(|d| (d.job.token, d)));
+            state
+                .ended
+                .extend(done.into_iter().map(|d| (d.job.token, d)));
             self.moved.notify_all();
         }
     }
@@ -375,8 +430,16 @@
                 Fault::FailsFast { share, from, until } => {
                     let holds = (from..until).contains(&age);
                     if holds != std::mem::replace(&mut state.holds[place], holds) {
-                        let trouble = Trouble::Fails { host: 0, share, ran: 0.5 };
-                        let fault = world::Fault { from: now, until: Micros::MAX, trouble };
+                        let trouble = Trouble::Fails {
+                            host: 0,
+                            share,
+                            ran: 0.5,
+                        };
+                        let fault = world::Fault {
+                            from: now,
+                            until: Micros::MAX,
+                            trouble,
+                        };
                         if holds {
                             state.host.begin(now, &fault);
                         } else {
@@ -388,10 +451,18 @@
                     let nanos = every.as_nanos().max(1);
                     let number = (age.as_nanos() / nanos) as u64;
                     let into = Duration::from_nanos((age.as_nanos() % nanos) as u64);
-                    if number > std::mem::replace(&mut state.stalls[place], number) && into < pause {
+                    if number > std::mem::replace(&mut state.stalls[place], number) && into < pause
+                    {
                         let until = now + (pause - into).as_micros() as Micros;
                         let trouble = Trouble::Stalls { host: 0 };
-                        state.host.begin(now, &world::Fault { from: now, until, trouble });
+                        state.host.begin(
+                            now,
+                            &world::Fault {
+                                from: now,
+                                until,
+                                trouble,
+                            },
+                        );
                     }
                 }
             }
--- a/crates/testkit/src/host.rs
+++ b/crates/testkit/src/host.rs
@@ -21,7 +21,10 @@
 }
 
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// What a stub host saw.
@@ -47,7 +50,8 @@
         let (script, count) = (Arc::new(script), Arc::new(AtomicUsize::new(0)));
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                let (script, count, sender) = (Arc::clone(&script), Arc::clone(&count), sender.clone());
+                let (script, count, sender) =
+                    (Arc::clone(&script), Arc::clone(&count), sender.clone());
                 thread::spawn(move || serve(number, stream, &*script, &count, &sender));
             }
         });
@@ -61,7 +65,8 @@
     /// The next request and the number of its connection; what else happens is passed over.
     pub fn request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request(number, message) = self.seen.recv_timeout(LONG).expect("a request") {
+            if let Seen::Request(number, message) = self.seen.recv_timeout(LONG).expect("a request")
+            {
                 return (number, message);
             }
         }
@@ -70,7 +75,11 @@
     /// Waits until a connection has closed.
     pub fn closed(&self) -> usize {
         loop {
-            if let Seen::Closed(number) = self.seen.recv_timeout(LONG).expect("a connection that closes") {
+            if let Seen::Closed(number) = self
+                .seen
+                .recv_timeout(LONG)
+                .expect("a connection that closes")
+            {
                 return number;
             }
         }
@@ -79,7 +88,10 @@
     /// How many requests have come and were not looked at, after a while in which more could come.
     pub fn further_requests(&self) -> usize {
         thread::sleep(SHORT);
-        self.seen.try_iter().filter(|s| matches!(s, Seen::Request(..))).count()
+        self.seen
+            .try_iter()
+            .filter(|s| matches!(s, Seen::Request(..)))
+            .count()
     }
 }
 
@@ -112,7 +124,9 @@
 
 /// An address at which nothing listens.
 pub fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port")
 }
 
 /// A host at which connections hang: its queue is full and it takes nobody.
@@ -125,24 +139,40 @@
 impl Deaf {
     pub fn start() -> Deaf {
         // The standard library's listener has a long queue; this one's is one.
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_io()
+            .build()
+            .expect("a runtime");
         let _entered = runtime.enter();
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(1).and_then(tokio::net::TcpListener::into_std).expect("a listener");
+        socket
+            .bind("127.0.0.1:0".parse().expect("an address"))
+            .expect("a port");
+        let listener = socket
+            .listen(1)
+            .and_then(tokio::net::TcpListener::into_std)
+            .expect("a listener");
         let address = listener.local_addr().expect("its address");
         let mut waiting = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, SHORT) {
             waiting.push(stream);
             assert!(waiting.len() < 64, "the queue never fills");
         }
-        Deaf { address, listener, waiting }
+        Deaf {
+            address,
+            listener,
+            waiting,
+        }
     }
 
     /// Takes those that wait, and tells whether another comes in the time in which its next try would.
     pub fn another_comes(self) -> bool {
         self.listener.set_nonblocking(true).expect("a listener");
-        let known: Vec<_> = self.waiting.iter().map(|w| w.local_addr().expect("an address")).collect();
+        let known: Vec<_> = self
+            .waiting
+            .iter()
+            .map(|w| w.local_addr().expect("an address"))
+            .collect();
         let asked = std::time::Instant::now();
         while asked.elapsed() < SHORT * 10 {
             match self.listener.accept() {
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -52,7 +52,10 @@
     /// The time within which this share was served.
     pub fn within(&self, share: f64) -> Duration {
         let place = (self.times.len() as f64 * share).ceil() as usize;
-        self.times.get(place.saturating_sub(1)).copied().unwrap_or_default()
+        self.times
+            .get(place.saturating_sub(1))
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -84,7 +87,8 @@
             };
             let stop = Arc::clone(&stop);
             // Clients of a kind begin spread over one pause.
-            let offset = Duration::from_secs_f64((client as f64 + 0.5) / (kind.clients as f64 * kind.rate));
+            let offset =
+                Duration::from_secs_f64((client as f64 + 0.5) / (kind.clients as f64 * kind.rate));
             threads.push(thread::spawn(move || pacer.run(started + offset, &stop)));
         }
     }
@@ -101,7 +105,10 @@
         totals.times.sort();
         totals
     };
-    results.into_iter().map(|(kind, totals)| (kind, taken(totals))).collect()
+    results
+        .into_iter()
+        .map(|(kind, totals)| (kind, taken(totals)))
+        .collect()
 }
 
 struct Pacer {
@@ -121,7 +128,8 @@
         loop {
             thread::sleep(next.saturating_duration_since(Instant::now()));
             next += Duration::from_secs_f64(1.0 / self.kind.rate);
-            if stop.load(Ordering::SeqCst) || self.begun.fetch_add(1, Ordering::SeqCst) >= self.most {
+            if stop.load(Ordering::SeqCst) || self.begun.fetch_add(1, Ordering::SeqCst) >= self.most
+            {
                 return;
             }
             let name = format!("{}-{number}", self.name);
@@ -132,8 +140,17 @@
     }
 
     fn ask(&self, stream: &mut Option<BufReader<TcpStream>>, name: String) {
-        let Kind { class, waits, keyed, .. } = &self.kind;
-        let tag = if *keyed { "Idempotency-Key" } else { "X-Charge" };
+        let Kind {
+            class,
+            waits,
+            keyed,
+            ..
+        } = &self.kind;
+        let tag = if *keyed {
+            "Idempotency-Key"
+        } else {
+            "X-Charge"
+        };
         let text = format!(
             "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Timeout: {}m\r\n{tag}: {name}\r\nContent-Length: 4\r\n\r\nbody",
             waits.as_millis()
@@ -150,7 +167,9 @@
             open.get_ref().set_nodelay(true).ok()?;
             open.get_mut().write_all(text.as_bytes()).ok()?;
             let answer = read(&mut open)?;
-            let closes = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+            let closes = answer
+                .header("connection")
+                .is_some_and(|v| v.eq_ignore_ascii_case("close"));
             *stream = Some(open).filter(|_| !closes);
             Some(answer)
         });
@@ -158,7 +177,10 @@
         let mut totals = self.totals.lock().expect("no panics here");
         totals.sent += 1;
         // The last milliseconds are this client's own way.
-        match answer.filter(|_| time <= *waits + Duration::from_millis(50)).map(|a| a.status()) {
+        match answer
+            .filter(|_| time <= *waits + Duration::from_millis(50))
+            .map(|a| a.status())
+        {
             Some(200) => {
                 totals.served += 1;
                 totals.times.push(time);
--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -13,11 +13,17 @@
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|l| l.split_once(':'));
-        fields.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
+        fields
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.trim())
     }
 
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status")
     }
 }
 
@@ -28,7 +34,9 @@
         message.body = chunks(stream)?;
         return Some(message);
     }
-    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length = message
+        .header("content-length")
+        .map_or(0, |l| l.parse().expect("a length"));
     message.body.resize(length, 0);
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -43,7 +51,10 @@
             return None;
         }
         if line == "\r\n" {
-            return Some(Message { head, body: Vec::new() });
+            return Some(Message {
+                head,
+                body: Vec::new(),
+            });
         }
         head += &line;
     }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -25,24 +25,47 @@
 
 /// A temporary file of its own with this text.
 pub fn file(ending: &str, text: &str) -> PathBuf {
-    let name = format!("badgerramp-{}-{}.{ending}", std::process::id(), RUNS.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "badgerramp-{}-{}.{ending}",
+        std::process::id(),
+        RUNS.fetch_add(1, Ordering::SeqCst)
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("a temporary file");
     path
 }
 
 /// Starts a program. Nothing of this process's RELAY_ variables reaches it.
-pub fn start(program: &str, arguments: &[&OsStr], variables: &[(&str, &Path)], most: Option<u32>) -> Child {
-    let limit = most.map(|most| format!("ulimit -n {most}; ")).unwrap_or_default();
+pub fn start(
+    program: &str,
+    arguments: &[&OsStr],
+    variables: &[(&str, &Path)],
+    most: Option<u32>,
+) -> Child {
+    let limit = most
+        .map(|most| format!("ulimit -n {most}; "))
+        .unwrap_or_default();
     let mut command = Command::new("sh");
-    command.arg("-c").arg(format!("{limit}exec \"$0\" \"$@\"")).arg(program).args(arguments);
-    for name in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"] {
+    command
+        .arg("-c")
+        .arg(format!("{limit}exec \"$0\" \"$@\""))
+        .arg(program)
+        .args(arguments);
+    for name in [
+        "RELAY_NAME",
+        "RELAY_LISTEN",
+        "RELAY_DISCOVERY",
+        "RELAY_CONFIG",
+    ] {
         command.env_remove(name);
     }
     for (name, value) in variables {
         command.env(name, value);
     }
-    command.stderr(Stdio::piped()).spawn().expect("the program starts")
+    command
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program starts")
 }
 
 /// Starts the program with this text as its configuration, with so many descriptors at the most.
@@ -62,7 +85,12 @@
 "invariants":{"cold_from":0.3,"cold_us":7000000,"tip_after_us":2000000,"ask_every_us":1600000},
 "report":{"how":"inline","columns":["active","waiting"]}}"#;
 
-pub fn config(listen: SocketAddr, discovery: SocketAddr, sockets: usize, known: &[String]) -> String {
+pub fn config(
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    sockets: usize,
+    known: &[String],
+) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{},"settings":{SETTINGS}}}"#,
@@ -107,10 +135,19 @@
         loop {
             let line = log.recv_timeout(LONG);
             // In a structured log more may follow the address.
-            let address = line.iter().find_map(|l| Some(l.split_once("listening on ")?.1));
+            let address = line
+                .iter()
+                .find_map(|l| Some(l.split_once("listening on ")?.1));
             let address = address.map(|a| a.trim_end_matches(|c: char| !c.is_ascii_digit()));
             match (address.map(str::parse), line) {
-                (Some(Ok(address)), _) => return Proxy { address, child, log, config },
+                (Some(Ok(address)), _) => {
+                    return Proxy {
+                        address,
+                        child,
+                        log,
+                        config,
+                    }
+                }
                 (None, Ok(line)) => seen += &line,
                 (odd, _) => {
                     // Nobody else would end it.
@@ -127,7 +164,10 @@
 
     /// Sends it this signal, as `kill` names it.
     pub fn signal(&self, signal: &str) {
-        let done = Command::new("kill").arg(signal).arg(self.child.id().to_string()).status();
+        let done = Command::new("kill")
+            .arg(signal)
+            .arg(self.child.id().to_string())
+            .status();
         assert!(done.expect("kill").success());
     }
 
@@ -140,7 +180,10 @@
     /// The next line of its log that has these words; those before it are passed over.
     pub fn logged(&self, words: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap_or_else(|_| panic!("it never says {words:?}"));
+            let line = self
+                .log
+                .recv_timeout(LONG)
+                .unwrap_or_else(|_| panic!("it never says {words:?}"));
             if line.contains(words) {
                 return line;
             }
@@ -167,7 +210,9 @@
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Client { stream: BufReader::new(stream) }
+        Client {
+            stream: BufReader::new(stream),
+        }
     }
 
     /// One call on a connection of its own.
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -77,8 +77,17 @@
                 let from = now();
                 let address = proxies.read().unwrap_or_else(PoisonError::into_inner)[proxy];
                 let (ended, _) = once(address, path, &key).await;
-                let done = Try { key: key.clone(), proxy, from, until: now(), ended };
-                tries.lock().unwrap_or_else(PoisonError::into_inner).push(done);
+                let done = Try {
+                    key: key.clone(),
+                    proxy,
+                    from,
+                    until: now(),
+                    ended,
+                };
+                tries
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(done);
                 // Elsewhere only what provably never ran.
                 if !matches!(ended, Ended::Status(503) | Ended::Nobody) {
                     return;
@@ -104,7 +113,9 @@
 
 /// Calls and leaves without waiting for the answer, some with more bytes behind the request.
 pub(crate) async fn ask_and_leave(address: SocketAddr, path: &str, key: &str, more: bool) {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return };
+    let Ok(mut stream) = TcpStream::connect(address).await else {
+        return;
+    };
     // Whether the proxy takes it is all the same.
     let _ = send(&mut stream, request(path, key).as_bytes()).await;
     if more {
@@ -116,8 +127,13 @@
 /// Calls once; with what the proxy says of coming back.
 pub(crate) async fn once(address: SocketAddr, path: &str, key: &str) -> (Ended, Option<Duration>) {
     let call = async {
-        let Ok(mut stream) = TcpStream::connect(address).await else { return (Ended::Nobody, None) };
-        if send(&mut stream, request(path, key).as_bytes()).await.is_err() {
+        let Ok(mut stream) = TcpStream::connect(address).await else {
+            return (Ended::Nobody, None);
+        };
+        if send(&mut stream, request(path, key).as_bytes())
+            .await
+            .is_err()
+        {
             return (Ended::Cut, None);
         }
         match message(&mut stream, &mut Vec::new()).await {
@@ -130,5 +146,7 @@
             None => (Ended::Cut, None),
         }
     };
-    tokio::time::timeout(PATIENCE, call).await.unwrap_or((Ended::Silence, None))
+    tokio::time::timeout(PATIENCE, call)
+        .await
+        .unwrap_or((Ended::Silence, None))
 }
--- a/crates/trial/src/contender.rs
+++ b/crates/trial/src/contender.rs
@@ -27,7 +27,10 @@
     /// The way of this name.
     pub fn named(name: &str) -> Option<Self> {
         let all = [Way::Control, Way::Files, Way::TwoPhase, Way::Spread];
-        Self::NAMES.iter().position(|n| *n == name).map(|place| all[place])
+        Self::NAMES
+            .iter()
+            .position(|n| *n == name)
+            .map(|place| all[place])
     }
 }
 
@@ -45,17 +48,33 @@
             line.1.contains("listening on") || line.1.contains("the new configuration holds")
         };
         let had = |at: Micros| {
-            let before = written.iter().filter(|w| w.1 == proxy && w.0 <= at).map(|w| w.2);
+            let before = written
+                .iter()
+                .filter(|w| w.1 == proxy && w.0 <= at)
+                .map(|w| w.2);
             before.fold(1, |_, generation| generation)
         };
-        logs[proxy].iter().filter(reads).map(|(at, _)| (*at, had(*at))).collect()
+        logs[proxy]
+            .iter()
+            .filter(reads)
+            .map(|(at, _)| (*at, had(*at)))
+            .collect()
     };
     let read: Vec<_> = (0..logs.len()).map(read).collect();
     let answered = |t: &&Try| matches!(t.ended, Ended::Status(status) if status != 503);
     let line = |t: &Try| {
-        let held = read[t.proxy].iter().take_while(|(at, _)| *at <= t.from).last()?;
+        let held = read[t.proxy]
+            .iter()
+            .take_while(|(at, _)| *at <= t.from)
+            .last()?;
         let mode = Mode::settled(0, Generation(held.1));
-        Some(Line { at: t.from, proxy: t.proxy, mode, floor: false, request: t.key.clone() })
+        Some(Line {
+            at: t.from,
+            proxy: t.proxy,
+            mode,
+            floor: false,
+            request: t.key.clone(),
+        })
     };
     tries.iter().filter(answered).filter_map(line).collect()
 }
@@ -67,7 +86,10 @@
     #[test]
     fn a_call_is_of_the_file_that_was_read_last() {
         let line = |at, text: &str| (at, text.to_owned());
-        let logs = vec![vec![line(1, "listening on x"), line(30, "the new configuration holds")]];
+        let logs = vec![vec![
+            line(1, "listening on x"),
+            line(30, "the new configuration holds"),
+        ]];
         let written = [(20, 0, 2), (40, 0, 3)];
         let call = |from, status| Try {
             key: String::new(),
@@ -76,8 +98,17 @@
             until: from + 1,
             ended: Ended::Status(status),
         };
-        let tries = [call(10, 200), call(25, 200), call(35, 200), call(50, 200), call(60, 503)];
-        let held: Vec<u64> = begun(&tries, &logs, &written).iter().map(|l| l.mode.new.0).collect();
+        let tries = [
+            call(10, 200),
+            call(25, 200),
+            call(35, 200),
+            call(50, 200),
+            call(60, 503),
+        ];
+        let held: Vec<u64> = begun(&tries, &logs, &written)
+            .iter()
+            .map(|l| l.mode.new.0)
+            .collect();
         assert_eq!(held, [1, 1, 2, 2]);
     }
 }
--- a/crates/trial/src/course.rs
+++ b/crates/trial/src/course.rs
@@ -61,7 +61,10 @@
 impl Kind {
     /// Its name, as it stands in a course that was written down.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 
     /// The kind of this name.
@@ -71,7 +74,10 @@
 
     /// Does it concern a replica of control?
     pub fn of_replica(self) -> bool {
-        matches!(self, Kind::KillReplica | Kind::StopReplica | Kind::CutReplica | Kind::ResetReplica)
+        matches!(
+            self,
+            Kind::KillReplica | Kind::StopReplica | Kind::CutReplica | Kind::ResetReplica
+        )
     }
 }
 
@@ -135,7 +141,12 @@
                     continue;
                 }
             }
-            let fault = Fault { kind, whom, from, until };
+            let fault = Fault {
+                kind,
+                whom,
+                from,
+                until,
+            };
             let beside = |f: &Fault| {
                 let all = f.kind == Kind::KillAll || kind == Kind::KillAll;
                 let same = f.kind.of_replica() == kind.of_replica() && (f.whom == whom || all);
@@ -146,8 +157,14 @@
             }
         }
         faults.sort_by_key(|f| f.from);
-        let pauses = (0..publishes).map(|_| Duration::from_millis(draws.gen_range(0..2_500))).collect();
-        Course { seed, faults, pauses }
+        let pauses = (0..publishes)
+            .map(|_| Duration::from_millis(draws.gen_range(0..2_500)))
+            .collect();
+        Course {
+            seed,
+            faults,
+            pauses,
+        }
     }
 }
 
@@ -168,7 +185,8 @@
                 assert!(a.whom < if a.kind.of_replica() { 3 } else { 50 });
                 for b in &course.faults[place + 1..] {
                     let all = a.kind == Kind::KillAll || b.kind == Kind::KillAll;
-                    let same = a.kind.of_replica() == b.kind.of_replica() && (a.whom == b.whom || all);
+                    let same =
+                        a.kind.of_replica() == b.kind.of_replica() && (a.whom == b.whom || all);
                     assert!(!same || a.until <= b.from, "{a:?} {b:?}");
                 }
             }
@@ -177,7 +195,9 @@
 
     #[test]
     fn names_lead_back() {
-        assert!(KINDS.into_iter().all(|kind| Kind::named(&kind.name()) == Some(kind)));
+        assert!(KINDS
+            .into_iter()
+            .all(|kind| Kind::named(&kind.name()) == Some(kind)));
         assert_eq!(Kind::named("meteor"), None);
     }
 }
--- a/crates/trial/src/datagrams.rs
+++ b/crates/trial/src/datagrams.rs
@@ -69,7 +69,10 @@
     ///
     /// # Errors
     /// If no port can be had.
-    pub async fn to(target: watch::Receiver<Option<SocketAddr>>, seed: u64) -> io::Result<Datagrams> {
+    pub async fn to(
+        target: watch::Receiver<Option<SocketAddr>>,
+        seed: u64,
+    ) -> io::Result<Datagrams> {
         let near = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let far = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = near.local_addr()?;
@@ -83,7 +86,9 @@
                 let (mut buffer, mut draws) = (vec![0; MOST], Pcg32::seed_from_u64(seed));
                 loop {
                     // An error tells of an earlier datagram that found nobody.
-                    let Ok((count, from)) = near.recv_from(&mut buffer).await else { continue };
+                    let Ok((count, from)) = near.recv_from(&mut buffer).await else {
+                        continue;
+                    };
                     heard.send_replace(Some(from));
                     counts.bytes.fetch_add(count as u64, Ordering::Relaxed);
                     counts.datagrams.fetch_add(1, Ordering::Relaxed);
@@ -111,7 +116,9 @@
             tokio::spawn(async move {
                 let (mut buffer, mut draws) = (vec![0; MOST], Pcg32::seed_from_u64(!seed));
                 loop {
-                    let Ok(count) = far.recv(&mut buffer).await else { continue };
+                    let Ok(count) = far.recv(&mut buffer).await else {
+                        continue;
+                    };
                     let (pass, to) = (state.borrow().back, *hears.borrow());
                     let Some(to) = to else { continue };
                     for late in copies(pass, &mut draws) {
@@ -124,7 +131,12 @@
                 }
             })
         };
-        Ok(Datagrams { address, state, counters, tasks: [forth.abort_handle(), back.abort_handle()] })
+        Ok(Datagrams {
+            address,
+            state,
+            counters,
+            tasks: [forth.abort_handle(), back.abort_handle()],
+        })
     }
 
     /// Changes how it passes datagrams on.
@@ -135,7 +147,10 @@
     /// What came to it so far on its way forth.
     pub fn sent(&self) -> Sent {
         let Counters { bytes, datagrams } = &*self.counters;
-        Sent { bytes: bytes.load(Ordering::Relaxed), datagrams: datagrams.load(Ordering::Relaxed) }
+        Sent {
+            bytes: bytes.load(Ordering::Relaxed),
+            datagrams: datagrams.load(Ordering::Relaxed),
+        }
     }
 }
 
@@ -148,10 +163,17 @@
 /// When each copy of one datagram goes on; none: it is lost.
 fn copies(pass: Pass, draws: &mut Pcg32) -> Vec<Duration> {
     // As many draws whatever comes of them: one datagram's lot does not move the next one's.
-    let (lost, doubled) =
-        (draws.gen_bool(pass.lost.clamp(0.0, 1.0)), draws.gen_bool(pass.doubled.clamp(0.0, 1.0)));
-    let late = [draws.gen_range(0.0..=1.0), draws.gen_range(0.0..=1.0)].map(|share| pass.late.mul_f64(share));
-    let count = if pass.cut || lost { 0 } else { 1 + usize::from(doubled) };
+    let (lost, doubled) = (
+        draws.gen_bool(pass.lost.clamp(0.0, 1.0)),
+        draws.gen_bool(pass.doubled.clamp(0.0, 1.0)),
+    );
+    let late = [draws.gen_range(0.0..=1.0), draws.gen_range(0.0..=1.0)]
+        .map(|share| pass.late.mul_f64(share));
+    let count = if pass.cut || lost {
+        0
+    } else {
+        1 + usize::from(doubled)
+    };
     late[..count].to_vec()
 }
 
@@ -173,7 +195,9 @@
 
     #[tokio::test]
     async fn each_direction_has_its_own_lot() {
-        let link = Datagrams::to(watch::channel(Some(echo().await)).1, 1).await.expect("a link");
+        let link = Datagrams::to(watch::channel(Some(echo().await)).1, 1)
+            .await
+            .expect("a link");
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         socket.connect(link.address).await.expect("it hears");
         let mut buffer = [0; 64];
@@ -187,7 +211,12 @@
             assert_eq!(buffer[0], b'b');
         }
         // It hears and is not heard; what was lost does not come later.
-        link.set(|s| s.forth = Pass { cut: true, ..Pass::default() });
+        link.set(|s| {
+            s.forth = Pass {
+                cut: true,
+                ..Pass::default()
+            }
+        });
         socket.send(b"c").await.expect("sent");
         link.set(|s| *s = State::default());
         loop {
@@ -202,15 +231,27 @@
 
     #[test]
     fn lots_are_drawn_by_seed() {
-        let pass = Pass { cut: false, lost: 0.3, doubled: 0.2, late: Duration::from_millis(10) };
+        let pass = Pass {
+            cut: false,
+            lost: 0.3,
+            doubled: 0.2,
+            late: Duration::from_millis(10),
+        };
         let all = |seed| {
             let mut draws = Pcg32::seed_from_u64(seed);
-            (0..1_000).map(|_| copies(pass, &mut draws)).collect::<Vec<_>>()
+            (0..1_000)
+                .map(|_| copies(pass, &mut draws))
+                .collect::<Vec<_>>()
         };
         assert_eq!(all(7), all(7));
         assert_ne!(all(7), all(8));
         let of = |count: usize| all(7).iter().filter(|c| c.len() == count).count();
-        assert!((250..350).contains(&of(0)) && (90..190).contains(&of(2)), "{} {}", of(0), of(2));
+        assert!(
+            (250..350).contains(&of(0)) && (90..190).contains(&of(2)),
+            "{} {}",
+            of(0),
+            of(2)
+        );
         assert!(all(7).iter().flatten().all(|late| *late <= pass.late));
     }
 }
--- a/crates/trial/src/drains/course.rs
+++ b/crates/trial/src/drains/course.rs
@@ -52,7 +52,10 @@
 impl Kind {
     /// Its name, as it stands in a course that was written down.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 
     /// The kind of this name.
@@ -91,14 +94,30 @@
         order.shuffle(&mut draws);
         let drains = order[..(hosts / 4).max(1)]
             .iter()
-            .map(|&host| (silent + drains_after + Duration::from_millis(draws.gen_range(0..600)), host))
+            .map(|&host| {
+                (
+                    silent + drains_after + Duration::from_millis(draws.gen_range(0..600)),
+                    host,
+                )
+            })
             .collect();
         let kinds: Vec<Kind> = match only {
             Some(kind) => vec![kind],
             None => KINDS.choose_multiple(&mut draws, count).copied().collect(),
         };
-        let faults = kinds.into_iter().map(|kind| (kind, draws.gen_range(0..proxies))).collect();
-        Course { seed, pushed, grace, silent, drains, faults, length: silent + Duration::from_secs(11) }
+        let faults = kinds
+            .into_iter()
+            .map(|kind| (kind, draws.gen_range(0..proxies)))
+            .collect();
+        Course {
+            seed,
+            pushed,
+            grace,
+            silent,
+            drains,
+            faults,
+            length: silent + Duration::from_secs(11),
+        }
     }
 
     /// Does this go wrong in it?
--- a/crates/trial/src/drains/judge.rs
+++ b/crates/trial/src/drains/judge.rs
@@ -54,8 +54,9 @@
     fn told(&self, proxy: usize, version: u64) -> Micros {
         let made = self.log[version as usize - 1].0;
         let own = || self.notes.iter().filter(|n| n.proxy == proxy);
-        let wrote = own()
-            .filter(|n| n.at >= made && matches!(n.what, What::Wrote { version: v, .. } if v >= version));
+        let wrote = own().filter(|n| {
+            n.at >= made && matches!(n.what, What::Wrote { version: v, .. } if v >= version)
+        });
         let wrote = wrote.map(|n| n.at).next().unwrap_or(Micros::MAX);
         // The watch that was silent when this version was made, if there is one.
         let silent = own().filter_map(|n| match n.what {
@@ -64,7 +65,10 @@
         });
         let silent = silent.max().map(|(since, connection)| {
             let asked = own().filter_map(|n| match n.what {
-                What::Asked { connection: c, wait } if c == connection && n.at <= since => Some(n.at + wait),
+                What::Asked {
+                    connection: c,
+                    wait,
+                } if c == connection && n.at <= since => Some(n.at + wait),
                 _ => None,
             });
             let over = asked.max().unwrap_or(since);
@@ -88,12 +92,19 @@
 
     /// The verdict; `slack` is for the ways of a busy machine.
     pub fn judge(&self, slack: Micros) -> Verdict {
-        let mut verdict = Verdict { arrivals: self.arrivals.len(), ..Verdict::default() };
+        let mut verdict = Verdict {
+            arrivals: self.arrivals.len(),
+            ..Verdict::default()
+        };
         let asked = |n: &&Note| matches!(n.what, What::Asked { .. });
         verdict.questions = self.notes.iter().filter(asked).count();
         let mut known: HashMap<(usize, u64), Micros> = HashMap::new();
         for arrival in self.arrivals {
-            let left = self.left.get(&arrival.request).copied().unwrap_or(Micros::MAX);
+            let left = self
+                .left
+                .get(&arrival.request)
+                .copied()
+                .unwrap_or(Micros::MAX);
             if arrival.at > left.saturating_add(AFTER_GONE + slack) {
                 verdict.gone += 1;
                 let Arrival { request, host, at } = arrival;
@@ -102,7 +113,10 @@
                     "request {request} came to host {host} {after} ms after its client left"
                 ));
             }
-            let proxy = arrival.request.strip_prefix('p').and_then(|r| r.split('-').next()?.parse().ok());
+            let proxy = arrival
+                .request
+                .strip_prefix('p')
+                .and_then(|r| r.split('-').next()?.parse().ok());
             let Some(proxy) = proxy else { continue };
             // When the drain that holds was told, and made.
             let mut draining: Option<(Micros, Micros)> = None;
@@ -114,13 +128,16 @@
                 match status {
                     Status::Up(_) => draining = None,
                     Status::Draining => {
-                        let told =
-                            *known.entry((proxy, version)).or_insert_with(|| self.told(proxy, version));
+                        let told = *known
+                            .entry((proxy, version))
+                            .or_insert_with(|| self.told(proxy, version));
                         draining = Some((told, *made));
                     }
                 }
             }
-            let Some((told, made)) = draining else { continue };
+            let Some((told, made)) = draining else {
+                continue;
+            };
             verdict.last_ms = verdict.last_ms.max((arrival.at - made) / 1_000);
             if arrival.at > told.saturating_add(self.grace + slack) {
                 verdict.late += 1;
@@ -147,10 +164,21 @@
 
     fn judged(notes: &[Note], pushed: bool, down: &[(Micros, Micros)], at: Micros) -> usize {
         let log = [(0, 0, Status::Up(0)), (2 * S, 0, Status::Draining)];
-        let arrivals = [Arrival { at, host: 0, request: "p0-1".to_owned() }];
+        let arrivals = [Arrival {
+            at,
+            host: 0,
+            request: "p0-1".to_owned(),
+        }];
         let left = HashMap::new();
-        let histories =
-            Histories { notes, log: &log, arrivals: &arrivals, grace: S, pushed, down, left: &left };
+        let histories = Histories {
+            notes,
+            log: &log,
+            arrivals: &arrivals,
+            grace: S,
+            pushed,
+            down,
+            left: &left,
+        };
         histories.judge(0).late
     }
 
@@ -158,31 +186,82 @@
     fn a_client_that_left_is_gone_a_tenth_of_a_second_later() {
         let left = HashMap::from([("p0-1".to_owned(), S)]);
         let judged = |request: &str, at| {
-            let arrivals = [Arrival { at, host: 0, request: request.to_owned() }];
+            let arrivals = [Arrival {
+                at,
+                host: 0,
+                request: request.to_owned(),
+            }];
             let (notes, log, down) = (&[], &[], &[]);
-            Histories { notes, log, arrivals: &arrivals, grace: S, pushed: false, down, left: &left }
-                .judge(0)
-                .gone
+            Histories {
+                notes,
+                log,
+                arrivals: &arrivals,
+                grace: S,
+                pushed: false,
+                down,
+                left: &left,
+            }
+            .judge(0)
+            .gone
         };
         assert_eq!(
-            [judged("p0-1", S + 100_000), judged("p0-1", S + 100_001), judged("p0-2", 9 * S)],
+            [
+                judged("p0-1", S + 100_000),
+                judged("p0-1", S + 100_001),
+                judged("p0-2", 9 * S)
+            ],
             [0, 1, 0]
         );
     }
 
     #[test]
     fn what_counts_as_told_goes_by_what_was_written_by_silence_and_by_the_agent() {
-        let wrote = [note(3 * S, What::Wrote { connection: 1, version: 2 })];
-        assert_eq!([4 * S, 4 * S + 1].map(|at| judged(&wrote, false, &[], at)), [0, 1]);
+        let wrote = [note(
+            3 * S,
+            What::Wrote {
+                connection: 1,
+                version: 2,
+            },
+        )];
+        assert_eq!(
+            [4 * S, 4 * S + 1].map(|at| judged(&wrote, false, &[], at)),
+            [0, 1]
+        );
         let silent = |wait| {
-            [note(S, What::Asked { connection: 1, wait }), note(S + 5, What::Silent { connection: 1 })]
+            [
+                note(
+                    S,
+                    What::Asked {
+                        connection: 1,
+                        wait,
+                    },
+                ),
+                note(S + 5, What::Silent { connection: 1 }),
+            ]
         };
-        assert_eq!([8 * S + 5, 8 * S + 6].map(|at| judged(&silent(2 * S), false, &[], at)), [0, 1]);
-        assert_eq!([14 * S, 14 * S + 1].map(|at| judged(&silent(10 * S), false, &[], at)), [0, 1]);
+        assert_eq!(
+            [8 * S + 5, 8 * S + 6].map(|at| judged(&silent(2 * S), false, &[], at)),
+            [0, 1]
+        );
+        assert_eq!(
+            [14 * S, 14 * S + 1].map(|at| judged(&silent(10 * S), false, &[], at)),
+            [0, 1]
+        );
         let down = [(S, 5 * S)];
-        assert_eq!(judged(&silent(2 * S), false, &down, 99 * S), 0, "its watches have ended");
+        assert_eq!(
+            judged(&silent(2 * S), false, &down, 99 * S),
+            0,
+            "its watches have ended"
+        );
         // The agent is silent while the service is down, and has what it missed when that is over.
-        assert_eq!([6 * S, 6 * S + 1].map(|at| judged(&[], true, &down, at)), [0, 1]);
-        assert_eq!(judged(&[], false, &[], 99 * S), 0, "told nothing, held to nothing");
+        assert_eq!(
+            [6 * S, 6 * S + 1].map(|at| judged(&[], true, &down, at)),
+            [0, 1]
+        );
+        assert_eq!(
+            judged(&[], false, &[], 99 * S),
+            0,
+            "told nothing, held to nothing"
+        );
     }
 }
--- a/crates/trial/src/drains/mod.rs
+++ b/crates/trial/src/drains/mod.rs
@@ -77,8 +77,17 @@
     }
 }
 
-fn configuration(course: &Course, door: SocketAddr, known: &str, proxies: usize, seed: u64) -> String {
-    let (grace, discovery) = (course.grace.as_micros(), if course.pushed { "push" } else { "ask" });
+fn configuration(
+    course: &Course,
+    door: SocketAddr,
+    known: &str,
+    proxies: usize,
+    seed: u64,
+) -> String {
+    let (grace, discovery) = (
+        course.grace.as_micros(),
+        if course.pushed { "push" } else { "ask" },
+    );
     format!(
         r#"{{"name":"p","listen":"127.0.0.1:0","discovery":"{door}","seed":"{seed:016x}",
 "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{known},
@@ -96,12 +105,16 @@
 ///
 /// # Errors
 /// If it could not be played.
-pub async fn play(program: &(PathBuf, Vec<String>), size: Size, course: &Course) -> Result<Played, String> {
+pub async fn play(
+    program: &(PathBuf, Vec<String>),
+    size: Size,
+    course: &Course,
+) -> Result<Played, String> {
     let folder = Folder::new(&format!("drains-{}", course.seed))?;
     let hosts = Hosts::start(size.hosts, 0.0, &["/do"], course.seed).await?;
-    let work = course
-        .has(Kind::Slow)
-        .map_or(QUICK, |_| SLOW_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX));
+    let work = course.has(Kind::Slow).map_or(QUICK, |_| {
+        SLOW_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX)
+    });
     let work = (!course.pushed).then_some(work);
     let mut service = Service::new(hosts.addresses.clone(), work);
     let known = service.known();
@@ -112,8 +125,12 @@
         let text = configuration(course, door, &known, size.proxies, seed);
         let path = folder.write(&format!("p{proxy}.json"), &text, false)?;
         let variables = vec![("RELAY_CONFIG", path)];
-        let plan =
-            Plan { program: program.0.clone(), arguments: program.1.clone(), keep: Vec::new(), variables };
+        let plan = Plan {
+            program: program.0.clone(),
+            arguments: program.1.clone(),
+            keep: Vec::new(),
+            variables,
+        };
         proxies.push(Process::start(plan).await?);
         doors.push((door, text));
     }
@@ -123,9 +140,20 @@
     }
     let addresses = Arc::new(RwLock::new(at));
     let left = Arc::new(Mutex::new(HashMap::new()));
-    let clients = tokio::spawn(call(Arc::clone(&addresses), size.rate, course.clone(), Arc::clone(&left)));
-    let Done { down, signalled } =
-        faults(course, &folder, &mut service, &mut proxies, (&doors, &addresses)).await?;
+    let clients = tokio::spawn(call(
+        Arc::clone(&addresses),
+        size.rate,
+        course.clone(),
+        Arc::clone(&left),
+    ));
+    let Done { down, signalled } = faults(
+        course,
+        &folder,
+        &mut service,
+        &mut proxies,
+        (&doors, &addresses),
+    )
+    .await?;
     let tries = clients.await.map_err(|e| e.to_string())?;
     let (notes, log) = service.history();
     let arrivals = hosts.arrivals();
@@ -162,10 +190,22 @@
 
 /// A lost call in words.
 fn describe(tried: &Try, signalled: &[(Micros, usize, Signal)]) -> String {
-    let Try { key, proxy, from, until, ended } = tried;
-    let last = signalled.iter().rev().find(|(at, whom, _)| whom == proxy && at <= until);
+    let Try {
+        key,
+        proxy,
+        from,
+        until,
+        ended,
+    } = tried;
+    let last = signalled
+        .iter()
+        .rev()
+        .find(|(at, whom, _)| whom == proxy && at <= until);
     let Some((at, _, signal)) = last else {
-        return format!("call {key} to proxy {proxy}: {ended:?} after {} us", until - from);
+        return format!(
+            "call {key} to proxy {proxy}: {ended:?} after {} us",
+            until - from
+        );
     };
     let [began, over] = [from, until].map(|moment| moment.cast_signed() - at.cast_signed());
     format!("call {key} to proxy {proxy}: {ended:?}, began {began} us and ended {over} us after {signal:?}")
@@ -192,14 +232,27 @@
     let mut draws = Pcg32::seed_from_u64(course.seed ^ 1);
     // What is to be done when, in order.
     let mut due: Vec<(Duration, Step)> = vec![(course.silent, Step::Silence)];
-    due.extend(course.drains.iter().map(|&(at, host)| (at, Step::Drain(host))));
-    let first = course.drains.iter().map(|d| d.0).min().unwrap_or(course.silent);
+    due.extend(
+        course
+            .drains
+            .iter()
+            .map(|&(at, host)| (at, Step::Drain(host))),
+    );
+    let first = course
+        .drains
+        .iter()
+        .map(|d| d.0)
+        .min()
+        .unwrap_or(course.silent);
     let ms = Duration::from_millis;
     for &(kind, whom) in &course.faults {
         match kind {
             Kind::Reset => due.push((first.saturating_sub(ms(100)), Step::Reset)),
             Kind::Late => due.push((Duration::ZERO, Step::Late(ms(draws.gen_range(50..900))))),
-            Kind::SilentAgain => due.push((course.silent + ms(draws.gen_range(7_000..9_000)), Step::Silence)),
+            Kind::SilentAgain => due.push((
+                course.silent + ms(draws.gen_range(7_000..9_000)),
+                Step::Silence,
+            )),
             Kind::Down => {
                 let from = first.saturating_sub(ms(draws.gen_range(0..300)));
                 due.push((from, Step::Down));
@@ -209,7 +262,10 @@
             Kind::Stop => {
                 let from = first.saturating_sub(ms(draws.gen_range(0..300)));
                 due.push((from, Step::Signal(whom, Signal::STOP)));
-                due.push((from + ms(draws.gen_range(500..5_000)), Step::Signal(whom, Signal::CONT)));
+                due.push((
+                    from + ms(draws.gen_range(500..5_000)),
+                    Step::Signal(whom, Signal::CONT),
+                ));
             }
             Kind::Kill => due.push((first + ms(draws.gen_range(0..1_500)), Step::Kill(whom))),
             Kind::Again => {
@@ -226,7 +282,10 @@
         }
     }
     due.sort_by_key(|d| d.0);
-    let Done { mut down, mut signalled } = Done::default();
+    let Done {
+        mut down,
+        mut signalled,
+    } = Done::default();
     for (at, step) in due {
         tokio::time::sleep_until(start + at).await;
         match step {
@@ -235,8 +294,13 @@
             Step::Late(late) => service.late(late),
             Step::Drain(host) => service.change(host, Status::Draining),
             Step::Up(host) => {
-                let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                service.change(host, Status::Up(u64::try_from(unix.as_millis()).unwrap_or(0)));
+                let unix = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default();
+                service.change(
+                    host,
+                    Status::Up(u64::try_from(unix.as_millis()).unwrap_or(0)),
+                );
             }
             Step::Down => {
                 down.push((now(), Micros::MAX));
@@ -334,14 +398,22 @@
             let (left, key) = (Arc::clone(&left), format!("p{proxy}-{number}"));
             tokio::spawn(async move {
                 ask_and_leave(address, "/do", &key, number % 2 == 0).await;
-                left.lock().unwrap_or_else(PoisonError::into_inner).insert(key, now());
+                left.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .insert(key, now());
             });
             continue;
         }
         open.spawn(async move {
             let (key, from) = (format!("p{proxy}-{number}"), now());
             let (ended, _) = once(address, "/do", &key).await;
-            Try { key, proxy, from, until: now(), ended }
+            Try {
+                key,
+                proxy,
+                from,
+                until: now(),
+                ended,
+            }
         });
         while let Some(done) = open.try_join_next() {
             tries.extend(done.ok());
--- a/crates/trial/src/drains/service.rs
+++ b/crates/trial/src/drains/service.rs
@@ -97,13 +97,31 @@
     /// One that lists these hosts as up for long. A question that begins a watch takes `work` of it, one after the other;
     /// `None`: it is an agent of pushed lists, which answers at once.
     pub fn new(addresses: Vec<SocketAddr>, work: Option<Duration>) -> Service {
-        let log = (0..addresses.len()).map(|host| (now(), host, Status::Up(0))).collect();
+        let log = (0..addresses.len())
+            .map(|host| (now(), host, Status::Up(0)))
+            .collect();
         let (agent, work, late) = (work.is_none(), work.unwrap_or_default(), Duration::ZERO);
-        let shared = Shared { log, addresses, notes: Vec::new(), connections: 0, work, late, agent };
-        let first = Now { version: shared.log.len() as u64, ..Now::default() };
+        let shared = Shared {
+            log,
+            addresses,
+            notes: Vec::new(),
+            connections: 0,
+            work,
+            late,
+            agent,
+        };
+        let first = Now {
+            version: shared.log.len() as u64,
+            ..Now::default()
+        };
         let doors = Vec::new();
         let turn = Arc::default();
-        Service { shared: Arc::new(Mutex::new(shared)), now: watch::channel(first).0, turn, doors }
+        Service {
+            shared: Arc::new(Mutex::new(shared)),
+            now: watch::channel(first).0,
+            turn,
+            doors,
+        }
     }
 
     /// Another door for this proxy.
@@ -111,12 +129,19 @@
     /// # Errors
     /// If no port can be had.
     pub async fn door(&mut self, proxy: usize) -> Result<SocketAddr, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
-        let (shared, states, turn) = (Arc::clone(&self.shared), self.now.subscribe(), Arc::clone(&self.turn));
+        let (shared, states, turn) = (
+            Arc::clone(&self.shared),
+            self.now.subscribe(),
+            Arc::clone(&self.turn),
+        );
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (shared, states, turn) = (Arc::clone(&shared), states.clone(), Arc::clone(&turn));
+                let (shared, states, turn) =
+                    (Arc::clone(&shared), states.clone(), Arc::clone(&turn));
                 tokio::spawn(async move {
                     let number = {
                         let mut shared = locked(&shared);
@@ -125,7 +150,9 @@
                     };
                     let (mut gone, agent) = (states.clone(), locked(&shared).agent);
                     let ended = async {
-                        let _ = gone.wait_for(|n| n.reset >= number || n.down && !agent).await;
+                        let _ = gone
+                            .wait_for(|n| n.reset >= number || n.down && !agent)
+                            .await;
                     };
                     tokio::select! {
                         () = serve(stream, (proxy, number), &shared, states, &turn) => {}
@@ -199,18 +226,33 @@
     turn: &Turn<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let note = |what| locked(shared).notes.push(Note { at: now(), proxy, what });
+    let note = |what| {
+        locked(shared).notes.push(Note {
+            at: now(),
+            proxy,
+            what,
+        })
+    };
     let late = locked(shared).late;
     tokio::time::sleep(late).await;
     let (mut held, mut first) = (Vec::new(), true);
     while let Some((head, _)) = message(&mut stream, &mut held).await {
         let number = |name: &str| {
             let (_, rest) = head.lines().next()?.split_once(name)?;
-            rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
+            rest.split(|c: char| !c.is_ascii_digit())
+                .next()?
+                .parse::<u64>()
+                .ok()
         };
-        let (index, wait) = (number("index="), Duration::from_millis(number("wait=").unwrap_or(0)));
+        let (index, wait) = (
+            number("index="),
+            Duration::from_millis(number("wait=").unwrap_or(0)),
+        );
         let asked = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX);
-        note(What::Asked { connection, wait: asked });
+        note(What::Asked {
+            connection,
+            wait: asked,
+        });
         let mut silences = states.clone();
         let answer = async {
             let _ = states.wait_for(|n| !n.down).await;
@@ -243,8 +285,14 @@
             let version = shared.log.len() as u64;
             (list(&shared, index, version), version)
         };
-        note(What::Wrote { connection, version });
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        note(What::Wrote {
+            connection,
+            version,
+        });
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if send(&mut stream, text.as_bytes()).await.is_err() {
             return;
         }
@@ -252,7 +300,9 @@
 }
 
 fn list(shared: &Shared, index: Option<u64>, version: u64) -> String {
-    let from = usize::try_from(index.unwrap_or(0)).unwrap_or(usize::MAX).min(shared.log.len());
+    let from = usize::try_from(index.unwrap_or(0))
+        .unwrap_or(usize::MAX)
+        .min(shared.log.len());
     let changed: BTreeMap<usize, Status> = shared.log[from..].iter().map(|l| (l.1, l.2)).collect();
     let entries: Vec<String> = changed
         .into_iter()
@@ -268,5 +318,8 @@
         })
         .collect();
     let whole = index.is_none();
-    format!(r#"{{"index":{version},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{version},"snapshot":{whole},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
--- a/crates/trial/src/hosts.rs
+++ b/crates/trial/src/hosts.rs
@@ -56,7 +56,12 @@
     ///
     /// # Errors
     /// If no port can be had.
-    pub async fn start(count: usize, spoilt: f64, drops: &[&str], seed: u64) -> Result<Hosts, String> {
+    pub async fn start(
+        count: usize,
+        spoilt: f64,
+        drops: &[&str],
+        seed: u64,
+    ) -> Result<Hosts, String> {
         let shared = Arc::new(Mutex::new(Shared {
             drops: drops.iter().map(|d| (*d).to_owned()).collect(),
             seen: HashMap::new(),
@@ -67,7 +72,9 @@
         }));
         let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
         for place in 0..count {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+            let listener = TcpListener::bind("127.0.0.1:0")
+                .await
+                .map_err(|e| e.to_string())?;
             addresses.push(listener.local_addr().map_err(|e| e.to_string())?);
             let shared = Arc::clone(&shared);
             let task = tokio::spawn(async move {
@@ -77,7 +84,11 @@
             });
             listeners.push(task.abort_handle());
         }
-        Ok(Hosts { addresses, shared, listeners })
+        Ok(Hosts {
+            addresses,
+            shared,
+            listeners,
+        })
     }
 
     /// From now on they drop repeats of this path, or no more.
@@ -112,9 +123,15 @@
     let mut held = Vec::new();
     while let Some((head, _)) = message(&mut stream, &mut held).await {
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        let key = header(&head, "idempotency-key").unwrap_or_default().to_owned();
+        let key = header(&head, "idempotency-key")
+            .unwrap_or_default()
+            .to_owned();
         let request = header(&head, "x-request-id").unwrap_or_default().to_owned();
-        locked(&shared).arrivals.push(Arrival { at: now(), host, request });
+        locked(&shared).arrivals.push(Arrival {
+            at: now(),
+            host,
+            request,
+        });
         let post = head.starts_with("POST");
         tokio::time::sleep(WORK).await;
         let spoilt = {
@@ -132,7 +149,13 @@
         if spoilt {
             return;
         }
-        if send(&mut stream, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").await.is_err() {
+        if send(
+            &mut stream,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
+        )
+        .await
+        .is_err()
+        {
             return;
         }
     }
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -43,7 +43,11 @@
         }
         let value: serde_json::Value = serde_json::from_str(line).ok()?;
         let number = |name: &str| value.get(name)?.as_u64();
-        let mode = Mode { revision: 0, old: Generation(number("old")?), new: Generation(number("new")?) };
+        let mode = Mode {
+            revision: 0,
+            old: Generation(number("old")?),
+            new: Generation(number("new")?),
+        };
         Some(Line {
             at: number("at")?,
             proxy,
@@ -109,7 +113,11 @@
     well: impl Fn(usize, Micros, Micros) -> bool,
     calm: impl Fn(usize, Micros, Micros) -> bool,
 ) -> Verdict {
-    let mut verdict = Verdict { calls: tries.len(), begun: begun.len(), ..Verdict::default() };
+    let mut verdict = Verdict {
+        calls: tries.len(),
+        begun: begun.len(),
+        ..Verdict::default()
+    };
     let mut first = None;
     // What falls on one microsecond has no order: the older first.
     begun.sort_by_key(|line| (line.at, line.mode.old, line.mode.new));
@@ -125,11 +133,19 @@
         while let Some(heard) = told.next_if(|h| h.at < line.at) {
             judge.in_force(Generation(heard.generation));
         }
-        let identity = Identity { name: line.proxy.to_string(), incarnation: 0 };
+        let identity = Identity {
+            name: line.proxy.to_string(),
+            incarnation: 0,
+        };
         if line.mode.new < newest {
             verdict.mixed_ms = verdict.mixed_ms.max((line.at - since) / 1_000);
         }
-        let Some(fault) = judge.begun(&Begun { identity, mode: line.mode }) else { continue };
+        let Some(fault) = judge.begun(&Begun {
+            identity,
+            mode: line.mode,
+        }) else {
+            continue;
+        };
         match fault {
             Fault::Mixed { .. } => verdict.begun_mixed += 1,
             Fault::NotInForce(_) | Fault::BehindForce { .. } => verdict.begun_wrong += 1,
@@ -137,11 +153,17 @@
         first.get_or_insert_with(|| format!("{} at {}: {fault:?}", line.request, line.at));
     }
     for heard in heard.iter().filter(|h| !h.in_force) {
-        let under = begun.iter().filter(|l| l.mode.old == Generation(heard.generation)).count();
+        let under = begun
+            .iter()
+            .filter(|l| l.mode.old == Generation(heard.generation))
+            .count();
         verdict.begun_wrong += under;
         if under > 0 {
             first.get_or_insert_with(|| {
-                format!("{under} began under {}, which never was in force", heard.generation)
+                format!(
+                    "{under} began under {}, which never was in force",
+                    heard.generation
+                )
             });
         }
     }
@@ -177,7 +199,14 @@
     }
 
     fn verdict(begun: Vec<Line>, heard: &[Heard]) -> Verdict {
-        judge(begun, heard, &[], &HashMap::new(), |_, _, _| true, |_, _, _| true)
+        judge(
+            begun,
+            heard,
+            &[],
+            &HashMap::new(),
+            |_, _, _| true,
+            |_, _, _| true,
+        )
     }
 
     #[test]
@@ -188,13 +217,31 @@
         mixed.push(line(4_009, 1, 1));
         let judged = verdict(mixed, &[]);
         assert_eq!((judged.begun_mixed, judged.mixed_ms), (1, 4));
-        let heard =
-            |generation, at, in_force| Heard { generation, at, in_force, took_ms: 0, why: String::new() };
+        let heard = |generation, at, in_force| Heard {
+            generation,
+            at,
+            in_force,
+            took_ms: 0,
+            why: String::new(),
+        };
         assert_eq!(verdict(good.clone(), &[heard(2, 6, true)]).begun_wrong, 1);
         assert_eq!(verdict(good, &[heard(2, 20, false)]).begun_wrong, 1);
         let executed = HashMap::from([("k".to_owned(), 2)]);
-        let silent = Try { key: "k".to_owned(), proxy: 0, from: 1, until: 2, ended: Ended::Silence };
-        let judged = judge(Vec::new(), &[], &[silent], &executed, |_, _, _| true, |_, _, _| true);
+        let silent = Try {
+            key: "k".to_owned(),
+            proxy: 0,
+            from: 1,
+            until: 2,
+            ended: Ended::Silence,
+        };
+        let judged = judge(
+            Vec::new(),
+            &[],
+            &[silent],
+            &executed,
+            |_, _, _| true,
+            |_, _, _| true,
+        );
         assert_eq!((judged.executed_twice, judged.lost), (1, 1));
         assert!(!judged.held());
     }
