--- a/crates/trial/src/link.rs
+++ b/crates/trial/src/link.rs
@@ -92,7 +92,12 @@
                 });
             }
         });
-        Ok(Link { address, state, counters, listener: task.abort_handle() })
+        Ok(Link {
+            address,
+            state,
+            counters,
+            listener: task.abort_handle(),
+        })
     }
 
     /// Changes how it passes bytes on.
@@ -103,7 +108,10 @@
     /// What has passed it so far.
     pub fn passed(&self) -> Passed {
         let Counters { bytes, pieces } = &*self.counters;
-        Passed { bytes: bytes.load(Ordering::Relaxed), pieces: pieces.load(Ordering::Relaxed) }
+        Passed {
+            bytes: bytes.load(Ordering::Relaxed),
+            pieces: pieces.load(Ordering::Relaxed),
+        }
     }
 }
 
@@ -114,13 +122,26 @@
     }
 }
 
-async fn carry(near: TcpStream, far: TcpStream, mut state: watch::Receiver<State>, counters: &Counters) {
+async fn carry(
+    near: TcpStream,
+    far: TcpStream,
+    mut state: watch::Receiver<State>,
+    counters: &Counters,
+) {
     let resets = state.borrow().resets;
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (sockets, ways) = ((Arc::new(near), Arc::new(far)), (state.clone(), state.clone()));
+    let (sockets, ways) = (
+        (Arc::new(near), Arc::new(far)),
+        (state.clone(), state.clone()),
+    );
     let (a, b) = (Arc::clone(&sockets.0), Arc::clone(&sockets.1));
     let forth = pass((a, b), ways.0, |s| s.forth, counters);
-    let back = pass((Arc::clone(&sockets.1), Arc::clone(&sockets.0)), ways.1, |s| s.back, counters);
+    let back = pass(
+        (Arc::clone(&sockets.1), Arc::clone(&sockets.0)),
+        ways.1,
+        |s| s.back,
+        counters,
+    );
     let reset = async {
         let _ = state.wait_for(|s| s.resets != resets).await;
     };
@@ -150,7 +171,13 @@
             let _ = SockRef::from(&*to).shutdown(std::net::Shutdown::Write);
             return;
         };
-        let Ok(now) = state.wait_for(|s| way(s) != Pass::Cut).await.map(|s| way(&s)) else { return };
+        let Ok(now) = state
+            .wait_for(|s| way(s) != Pass::Cut)
+            .await
+            .map(|s| way(&s))
+        else {
+            return;
+        };
         counters.bytes.fetch_add(count as u64, Ordering::Relaxed);
         counters.pieces.fetch_add(1, Ordering::Relaxed);
         let done = match now {
@@ -197,12 +224,17 @@
 }
 
 /// Reads one HTTP message, head and body, from a stream; `None` at its end.
-pub(crate) async fn message(stream: &mut TcpStream, held: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+pub(crate) async fn message(
+    stream: &mut TcpStream,
+    held: &mut Vec<u8>,
+) -> Option<(String, Vec<u8>)> {
     let mut buffer = [0; 4096];
     loop {
         if let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&held[..end]).into_owned();
-            let length = header(&head, "content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+            let length = header(&head, "content-length")
+                .and_then(|v| v.parse().ok())
+                .unwrap_or(0);
             if held.len() >= end + 4 + length {
                 let body = held[end + 4..end + 4 + length].to_vec();
                 held.drain(..end + 4 + length);
@@ -219,7 +251,9 @@
 /// The value of a header.
 pub(crate) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().skip(1).filter_map(|l| l.split_once(':'));
-    lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+    lines
+        .find(|(n, _)| n.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value.trim())
 }
 
 /// Writes all.
@@ -256,11 +290,16 @@
         link.set(|s| s.back = Pass::Cut);
         stream.write_all(b"b").await.expect("up");
         assert!(
-            tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte)).await.is_err(),
+            tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte))
+                .await
+                .is_err(),
             "nothing comes back"
         );
         link.set(|s| s.back = Pass::Free);
-        stream.read_exact(&mut byte).await.expect("it comes when the cut is mended");
+        stream
+            .read_exact(&mut byte)
+            .await
+            .expect("it comes when the cut is mended");
         assert_eq!(&byte, b"b");
         link.set(|s| s.resets += 1);
         assert!(stream.read_exact(&mut byte).await.is_err());
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -111,7 +111,11 @@
         true => "effect = \"keyed\"\ngroup = \"group\"\nwindow = \"1200ms\"",
         false => "effect = \"unsafe\"",
     };
-    let key = if keyed { "key = { header = \"Idempotency-Key\" }\n" } else { "" };
+    let key = if keyed {
+        "key = { header = \"Idempotency-Key\" }\n"
+    } else {
+        ""
+    };
     format!(
         r#"listen = "127.0.0.1:0"
 [limits]
@@ -171,7 +175,12 @@
     folder: &Path,
     (name, cut_off): (&str, &str),
 ) -> String {
-    let quoted = |all: &[SocketAddr]| all.iter().map(|a| format!("\"{a}\"")).collect::<Vec<_>>().join(", ");
+    let quoted = |all: &[SocketAddr]| {
+        all.iter()
+            .map(|a| format!("\"{a}\""))
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let endpoint = |(n, a): (usize, &SocketAddr)| {
         format!("{{ name = \"s-{n}\", address = \"{a}\", zone = \"liberia\", group = 1 }}")
     };
@@ -191,7 +200,12 @@
         .replace("[upstream]", &format!("{log}[upstream]"));
     let from = text.find("endpoints = [").unwrap_or(0);
     let until = text[from..].find('\n').map_or(text.len(), |n| from + n);
-    format!("{}endpoints = [{}]{}", &text[..from], endpoints.join(", "), &text[until..])
+    format!(
+        "{}endpoints = [{}]{}",
+        &text[..from],
+        endpoints.join(", "),
+        &text[until..]
+    )
 }
 
 /// A proxy's file without control: the policy is its own.
@@ -272,10 +286,19 @@
 }
 
 impl World {
-    async fn start(programs: &Programs, size: Size, seed: u64, keep: bool) -> Result<World, String> {
+    async fn start(
+        programs: &Programs,
+        size: Size,
+        seed: u64,
+        keep: bool,
+    ) -> Result<World, String> {
         let mut folder = Folder::new(&format!("{seed:x}"))?;
         folder.keep = keep;
-        folder.write("secret", &format!("a secret of the trial {seed:016x}"), true)?;
+        folder.write(
+            "secret",
+            &format!("a secret of the trial {seed:016x}"),
+            true,
+        )?;
         let hosts = Hosts::start(3, SPOILT, &[CHARGE, ENTRY], seed).await?;
         let replicas = Replicas::start(programs, size, &folder).await?;
         let mut links = Vec::new();
@@ -288,13 +311,27 @@
             let control: Vec<SocketAddr> = own.iter().map(|l| l.address).collect();
             links.push(own);
             let named = format!("p{place}");
-            let text = own_file(&hosts.addresses, &control, folder.path(), (&named, cut_off(place, size)));
-            let text = if size.way == Way::Control { text } else { alone(&text, true) };
+            let text = own_file(
+                &hosts.addresses,
+                &control,
+                folder.path(),
+                (&named, cut_off(place, size)),
+            );
+            let text = if size.way == Way::Control {
+                text
+            } else {
+                alone(&text, true)
+            };
             let file = folder.write(&format!("{named}.toml"), &text, false)?;
             let mut arguments = programs.proxy.1.clone();
             arguments.extend(["run".to_owned(), file.display().to_string()]);
             let keep = vec!["badgerramp::begun"];
-            let plan = Plan { program: programs.proxy.0.clone(), arguments, keep, variables: Vec::new() };
+            let plan = Plan {
+                program: programs.proxy.0.clone(),
+                arguments,
+                keep,
+                variables: Vec::new(),
+            };
             starts.spawn(async move { (place, Process::start(plan).await) });
         }
         let mut proxies: Vec<Option<Process>> = (0..size.proxies).map(|_| None).collect();
@@ -362,7 +399,9 @@
         let process = self.proxies[proxy].lock().await;
         let path = self.folder.path().join(format!("p{proxy}.toml"));
         let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
-        let fresh = self.folder.write(&format!("p{proxy}.new"), &alone(&text, keyed), false)?;
+        let fresh = self
+            .folder
+            .write(&format!("p{proxy}.new"), &alone(&text, keyed), false)?;
         locked(&self.written).push((now(), proxy, generation));
         std::fs::rename(&fresh, &path).map_err(|e| e.to_string())?;
         process.signal(Signal::HUP);
@@ -375,14 +414,30 @@
         let generation = locked(&self.written).iter().map(|w| w.2).max().unwrap_or(1) + 1;
         let done = |in_force: bool, why: &str| {
             let took_ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-            let heard = Heard { generation, at: now(), in_force, took_ms, why: why.to_owned() };
-            (heard, if in_force { Outcome::InForce } else { Outcome::NotInForce })
+            let heard = Heard {
+                generation,
+                at: now(),
+                in_force,
+                took_ms,
+                why: why.to_owned(),
+            };
+            (
+                heard,
+                if in_force {
+                    Outcome::InForce
+                } else {
+                    Outcome::NotInForce
+                },
+            )
         };
         let pause = Duration::from_millis(100);
         if way == Way::TwoPhase {
             let missing = || {
                 let passes = locked(&self.passes);
-                let cut = passes.proxies.values().any(|(a, b)| [a, b].contains(&&Pass::Cut));
+                let cut = passes
+                    .proxies
+                    .values()
+                    .any(|(a, b)| [a, b].contains(&&Pass::Cut));
                 cut || !passes.down.is_empty() || !passes.still.is_empty()
             };
             while missing() {
@@ -429,12 +484,19 @@
         let mut control = self.control()?;
         loop {
             let standing = control.standing().await.map_err(|e| e.to_string())?;
-            let there = standing.proxies.iter().filter(|p| p.acting == standing.revision).count();
+            let there = standing
+                .proxies
+                .iter()
+                .filter(|p| p.acting == standing.revision)
+                .count();
             if there >= self.proxies.len() && standing.to_come.is_none() {
                 return Ok(());
             }
             if Instant::now() >= end {
-                return Err(format!("{there} of {} proxies have a lease", self.proxies.len()));
+                return Err(format!(
+                    "{there} of {} proxies have a lease",
+                    self.proxies.len()
+                ));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -495,7 +557,8 @@
                 let mut killed = tokio::task::JoinSet::new();
                 for &whom in &all {
                     let world = Arc::clone(&self);
-                    killed.spawn(async move { world.kill_proxy(Fault { whom, ..fault }, end).await });
+                    killed
+                        .spawn(async move { world.kill_proxy(Fault { whom, ..fault }, end).await });
                 }
                 while let Some(done) = killed.join_next().await {
                     done.map_err(|e| e.to_string())??;
@@ -519,7 +582,9 @@
             Kind::DeafProxy => ways((Pass::Free, Pass::Cut)),
             Kind::DelayProxy => ways((slow, slow)),
             Kind::TrickleProxy => ways((Pass::Trickle, Pass::Trickle)),
-            Kind::ResetProxy => self.links[fault.whom].iter().for_each(|l| l.set(|s| s.resets += 1)),
+            Kind::ResetProxy => self.links[fault.whom]
+                .iter()
+                .for_each(|l| l.set(|s| s.resets += 1)),
             Kind::KillReplica => {
                 let mut replica = self.replicas.all[fault.whom].lock().await;
                 replica.kill().await;
@@ -530,9 +595,15 @@
                 self.replicas.at[fault.whom].send_replace(Some(address));
             }
             Kind::StopReplica => {
-                self.replicas.all[fault.whom].lock().await.signal(Signal::STOP);
+                self.replicas.all[fault.whom]
+                    .lock()
+                    .await
+                    .signal(Signal::STOP);
                 tokio::time::sleep_until(end).await;
-                self.replicas.all[fault.whom].lock().await.signal(Signal::CONT);
+                self.replicas.all[fault.whom]
+                    .lock()
+                    .await
+                    .signal(Signal::CONT);
             }
             Kind::CutReplica => {
                 locked(&self.passes).cut.insert(fault.whom);
@@ -544,22 +615,31 @@
             Kind::ResetReplica => {
                 let reset = |link: &Link| link.set(|s| s.resets += 1);
                 reset(&self.replicas.links[fault.whom]);
-                self.links.iter().for_each(|links| reset(&links[fault.whom]));
+                self.links
+                    .iter()
+                    .for_each(|links| reset(&links[fault.whom]));
             }
         }
         tokio::time::sleep_until(end).await;
         if !fault.kind.of_replica() {
             ways((Pass::Free, Pass::Free));
         }
-        let process =
-            matches!(fault.kind, Kind::KillProxy | Kind::KillAll | Kind::TearProxy | Kind::StopProxy);
+        let process = matches!(
+            fault.kind,
+            Kind::KillProxy | Kind::KillAll | Kind::TearProxy | Kind::StopProxy
+        );
         let whom = match fault.kind {
             Kind::KillAll => (0..self.proxies.len()).map(Some).collect(),
             kind if kind.of_replica() => vec![None],
             _ => vec![Some(fault.whom)],
         };
         let until = now();
-        let unwell = whom.into_iter().map(|proxy| Unwell { proxy, process, from, until });
+        let unwell = whom.into_iter().map(|proxy| Unwell {
+            proxy,
+            process,
+            from,
+            until,
+        });
         locked(&self.unwell).extend(unwell);
         Ok(())
     }
@@ -568,13 +648,16 @@
         let mut proxy = self.proxies[fault.whom].lock().await;
         // Its port may be another process's at once, and of another course's fleet: until it listens nobody is there.
         let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-        self.addresses.write().unwrap_or_else(PoisonError::into_inner)[fault.whom] = nobody;
+        self.addresses
+            .write()
+            .unwrap_or_else(PoisonError::into_inner)[fault.whom] = nobody;
         proxy.kill().await;
         let name = format!("p{}", fault.whom);
         // One that goes on without a lease holds changes up until the operator answers for its end.
         let log = proxy.log();
         let tells = |l: &str| {
-            l.contains("policy from control, as").then(|| l.split(['(', ')']).nth(1).map(str::to_owned))
+            l.contains("policy from control, as")
+                .then(|| l.split(['(', ')']).nth(1).map(str::to_owned))
         };
         let start = log.iter().rev().find_map(|(_, l)| tells(l)).flatten();
         let start = start.and_then(|s| u64::from_str_radix(&s, 16).ok());
@@ -585,7 +668,11 @@
             });
         }
         if fault.kind == Kind::TearProxy {
-            let path = self.folder.path().join(format!("state-p{}", fault.whom)).join("caja.policy");
+            let path = self
+                .folder
+                .path()
+                .join(format!("state-p{}", fault.whom))
+                .join("caja.policy");
             if let Ok(bytes) = std::fs::read(&path) {
                 let _ = std::fs::write(&path, &bytes[..bytes.len() / 2]);
             }
@@ -593,7 +680,9 @@
         tokio::time::sleep_until(end).await;
         proxy.again()?;
         let address = proxy.listens().await?;
-        self.addresses.write().unwrap_or_else(PoisonError::into_inner)[fault.whom] = address;
+        self.addresses
+            .write()
+            .unwrap_or_else(PoisonError::into_inner)[fault.whom] = address;
         Ok(())
     }
 }
@@ -616,7 +705,10 @@
                  secret = \"secret\"\nlease_ms = {LEASE_MS}\nwait_ms = {WAIT_MS}\nelection_ms = {ELECTION_MS}\n",
                 named.join(", ")
             );
-            let file = folder.write(&format!("control-{number}.toml"), &text, false)?.display().to_string();
+            let file = folder
+                .write(&format!("control-{number}.toml"), &text, false)?
+                .display()
+                .to_string();
             let (program, before) = &programs.control;
             let made = tokio::process::Command::new(program)
                 .args(before)
@@ -629,7 +721,12 @@
             }
             let mut arguments = before.clone();
             arguments.extend(["serve".to_owned(), file]);
-            let plan = Plan { program: program.clone(), arguments, keep: Vec::new(), variables: Vec::new() };
+            let plan = Plan {
+                program: program.clone(),
+                arguments,
+                keep: Vec::new(),
+                variables: Vec::new(),
+            };
             let mut process = Process::start(plan).await?;
             known.send_replace(Some(process.listens().await?));
             all.push(tokio::sync::Mutex::new(process));
@@ -642,7 +739,12 @@
 ///
 /// # Errors
 /// If the fleet could not be started or asked: the trial itself failed, and says nothing of the program.
-pub async fn play(programs: &Programs, size: Size, course: &Course, keep: bool) -> Result<Played, String> {
+pub async fn play(
+    programs: &Programs,
+    size: Size,
+    course: &Course,
+    keep: bool,
+) -> Result<Played, String> {
     let world = Arc::new(World::start(programs, size, course.seed, keep).await?);
     let mut all_heard = Vec::new();
     if size.way == Way::Control {
@@ -654,7 +756,11 @@
         world.settled().await?;
     }
 
-    let calm = if course.faults.is_empty() { Some(world.calm().await) } else { None };
+    let calm = if course.faults.is_empty() {
+        Some(world.calm().await)
+    } else {
+        None
+    };
     let (stop, stopped) = watch::channel(false);
     let load = tokio::spawn(clients::run(
         Arc::clone(&world.addresses),
@@ -664,7 +770,11 @@
     ));
     let began = Instant::now();
     let mut faults = tokio::task::JoinSet::new();
-    for &fault in course.faults.iter().filter(|f| size.way == Way::Control || !f.kind.of_replica()) {
+    for &fault in course
+        .faults
+        .iter()
+        .filter(|f| size.way == Way::Control || !f.kind.of_replica())
+    {
         faults.spawn(Arc::clone(&world).inflict(fault, began));
     }
     let (mut keyed, mut outcome, mut why, mut unended) = (true, Vec::new(), Vec::new(), 0);
@@ -708,7 +818,11 @@
     }
     let (heard, end) = world.publish(size.way, !keyed).await?;
     unended += usize::from(end != Outcome::InForce);
-    outcome.push(if end == Outcome::InForce { "in-force" } else { "not-in-force-though-well" });
+    outcome.push(if end == Outcome::InForce {
+        "in-force"
+    } else {
+        "not-in-force-though-well"
+    });
     if end != Outcome::InForce {
         why.push(heard.why.clone());
     }
@@ -731,23 +845,44 @@
         begun = contender::begun(&tries, &logs, &locked(&world.written));
     }
     // What was served had begun, and is in the logs: else nothing would be judged.
-    let served = tries.iter().filter(|t| t.ended == Ended::Status(200)).count();
+    let served = tries
+        .iter()
+        .filter(|t| t.ended == Ended::Status(200))
+        .count();
     if begun.len() < served {
-        return Err(format!("{served} calls were served, and the logs have {} that began", begun.len()));
+        return Err(format!(
+            "{served} calls were served, and the logs have {} that began",
+            begun.len()
+        ));
     }
     let unwell = locked(&world.unwell).clone();
     let well = |proxy: usize, from: Micros, until: Micros| {
-        !unwell.iter().any(|u| u.process && u.proxy == Some(proxy) && u.touches(from, until, 0))
+        !unwell
+            .iter()
+            .any(|u| u.process && u.proxy == Some(proxy) && u.touches(from, until, 0))
     };
     // A lease and an election after a fault of control, or of the way to it, all is well again.
     let after = (LEASE_MS + 4 * ELECTION_MS) * 1_000;
     let quiet = |proxy: usize, from: Micros, until: Micros| {
         let concerns = |u: &&Unwell| u.proxy.is_none_or(|p| p == proxy);
-        !unwell.iter().filter(concerns).any(|u| u.touches(from, until, after))
+        !unwell
+            .iter()
+            .filter(concerns)
+            .any(|u| u.touches(from, until, after))
     };
-    let verdict = judge(begun, &all_heard, &tries, &world.hosts.executed(), well, quiet);
-    let in_force_ms =
-        all_heard.iter().filter(|h| h.in_force && h.generation > 1).map(|h| h.took_ms).collect();
+    let verdict = judge(
+        begun,
+        &all_heard,
+        &tries,
+        &world.hosts.executed(),
+        well,
+        quiet,
+    );
+    let in_force_ms = all_heard
+        .iter()
+        .filter(|h| h.in_force && h.generation > 1)
+        .map(|h| h.took_ms)
+        .collect();
     Ok(Played {
         seed: course.seed,
         faults: course.faults.clone(),
--- a/crates/trial/src/process.rs
+++ b/crates/trial/src/process.rs
@@ -58,7 +58,14 @@
     pub fn waiting(plan: Plan, hearing: watch::Sender<Option<SocketAddr>>) -> Process {
         let (_, listening) = watch::channel(None);
         let (log, readers) = (Arc::new(Mutex::new(Vec::new())), Vec::new());
-        Process { plan, child: None, listening, hearing, log, readers }
+        Process {
+            plan,
+            child: None,
+            listening,
+            hearing,
+            log,
+            readers,
+        }
     }
 
     /// Waits until it listens, and tells where.
@@ -67,7 +74,10 @@
     /// If it does not.
     pub async fn listens(&mut self) -> Result<SocketAddr, String> {
         let listens = tokio::time::timeout(LONG, self.listening.wait_for(Option::is_some)).await;
-        let address = listens.ok().and_then(Result::ok).and_then(|address| *address);
+        let address = listens
+            .ok()
+            .and_then(Result::ok)
+            .and_then(|address| *address);
         address.ok_or_else(|| format!("{:?} does not listen: {}", self.plan.arguments, self.end()))
     }
 
@@ -126,7 +136,10 @@
 
     /// The lines kept so far.
     pub fn log(&self) -> Vec<Line> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Has it ended by itself? With the end of its log.
@@ -144,7 +157,8 @@
 
 /// CPU time that a process has used so far, in microseconds, and memory that it holds, in KiB.
 pub(crate) fn usage_of(pid: Pid) -> Option<(u64, u64)> {
-    let own = |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero())).ok();
+    let own =
+        |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero())).ok();
     let stat = own("stat")?;
     // The name, in brackets, may have blanks of its own.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -156,7 +170,12 @@
     Some((ticks * 1_000_000 / hertz.max(1), held))
 }
 
-type Spawned = (Child, Pid, watch::Receiver<Option<SocketAddr>>, tokio::task::JoinHandle<()>);
+type Spawned = (
+    Child,
+    Pid,
+    watch::Receiver<Option<SocketAddr>>,
+    tokio::task::JoinHandle<()>,
+);
 
 fn spawn(
     plan: &Plan,
@@ -164,14 +183,28 @@
     hearing: &watch::Sender<Option<SocketAddr>>,
 ) -> Result<Spawned, String> {
     let mut command = Command::new(&plan.program);
-    command.args(&plan.arguments).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    for name in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"] {
+    command
+        .args(&plan.arguments)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    for name in [
+        "RELAY_NAME",
+        "RELAY_LISTEN",
+        "RELAY_DISCOVERY",
+        "RELAY_CONFIG",
+    ] {
         command.env_remove(name);
     }
     command.envs(plan.variables.iter().map(|(name, value)| (name, value)));
-    let mut child =
-        command.kill_on_drop(true).spawn().map_err(|e| format!("{}: {e}", plan.program.display()))?;
-    let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("a process without a number")?;
+    let mut child = command
+        .kill_on_drop(true)
+        .spawn()
+        .map_err(|e| format!("{}: {e}", plan.program.display()))?;
+    let pid = child
+        .id()
+        .and_then(|id| Pid::from_raw(id as i32))
+        .ok_or("a process without a number")?;
     let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
     let (says, listening) = watch::channel(None);
     let (log, keep, hearing) = (Arc::clone(log), plan.keep.clone(), hearing.clone());
@@ -185,7 +218,9 @@
             }
             let loud = !line.contains("\"DEBUG\"");
             if loud || keep.iter().any(|word| line.contains(word)) {
-                log.lock().unwrap_or_else(PoisonError::into_inner).push((now(), line));
+                log.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push((now(), line));
             }
         }
     });
@@ -195,7 +230,10 @@
 /// The address that follows on these words.
 pub(crate) fn address(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, after) = line.split_once(words)?;
-    let text: String = after.chars().take_while(|c| c.is_ascii_hexdigit() || ".:[]".contains(*c)).collect();
+    let text: String = after
+        .chars()
+        .take_while(|c| c.is_ascii_hexdigit() || ".:[]".contains(*c))
+        .collect();
     text.parse().ok()
 }
 
@@ -203,7 +241,13 @@
 pub fn all_descriptors() -> u64 {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
-    let _ = setrlimit(Resource::Nofile, Rlimit { current: maximum, maximum });
+    let _ = setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: maximum,
+            maximum,
+        },
+    );
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
@@ -234,7 +278,8 @@
     /// # Errors
     /// If it can't be made.
     pub fn new(name: &str) -> Result<Folder, String> {
-        let path = std::env::temp_dir().join(format!("badgerramp-trial-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("badgerramp-trial-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(Folder { path, keep: false })
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -13,7 +13,10 @@
 
 /// All times from publish to in force, sorted.
 pub fn times(all: &[Played]) -> Vec<u64> {
-    let mut times: Vec<u64> = all.iter().flat_map(|p| p.in_force_ms.iter().copied()).collect();
+    let mut times: Vec<u64> = all
+        .iter()
+        .flat_map(|p| p.in_force_ms.iter().copied())
+        .collect();
     times.sort_unstable();
     times
 }
@@ -21,7 +24,12 @@
 /// The sums of all courses.
 pub fn table(all: &[Played]) -> String {
     let sum = |of: fn(&Played) -> usize| all.iter().map(of).sum::<usize>();
-    let ended = |word: &str| all.iter().flat_map(|p| &p.outcome).filter(|o| **o == word).count();
+    let ended = |word: &str| {
+        all.iter()
+            .flat_map(|p| &p.outcome)
+            .filter(|o| **o == word)
+            .count()
+    };
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:<34}{value:>12}");
@@ -30,26 +38,44 @@
     row("faults", sum(|p| p.faults.len()).to_string());
     row("tries of clients", sum(|p| p.verdict.calls).to_string());
     row("calls begun", sum(|p| p.verdict.begun).to_string());
-    row("begun mixed (P1)", sum(|p| p.verdict.begun_mixed).to_string());
+    row(
+        "begun mixed (P1)",
+        sum(|p| p.verdict.begun_mixed).to_string(),
+    );
     let mixed = all.iter().map(|p| p.verdict.mixed_ms).max();
     row("mixed for, the longest, ms", mixed.unwrap_or(0).to_string());
-    row("begun wrong (P2)", sum(|p| p.verdict.begun_wrong).to_string());
-    row("executed twice", sum(|p| p.verdict.executed_twice).to_string());
+    row(
+        "begun wrong (P2)",
+        sum(|p| p.verdict.begun_wrong).to_string(),
+    );
+    row(
+        "executed twice",
+        sum(|p| p.verdict.executed_twice).to_string(),
+    );
     row("lost", sum(|p| p.verdict.lost).to_string());
     row("refused", sum(|p| p.verdict.refused).to_string());
-    row("refused with all well", sum(|p| p.verdict.refused_well).to_string());
+    row(
+        "refused with all well",
+        sum(|p| p.verdict.refused_well).to_string(),
+    );
     row("changes in force", ended("in-force").to_string());
     row("changes not in force", ended("not-in-force").to_string());
     row("changes that did not end", sum(|p| p.unended).to_string());
     if let Some(calm) = all.iter().find_map(|p| p.calm) {
-        row("calm: control, us a proxy and s", format!("{:.0}", calm.control_us));
+        row(
+            "calm: control, us a proxy and s",
+            format!("{:.0}", calm.control_us),
+        );
         row("calm: a proxy, us a s", format!("{:.0}", calm.proxy_us));
         row("memory of a proxy, KiB", calm.proxy_kib.to_string());
         row("memory of a replica, KiB", calm.control_kib.to_string());
     }
     let times = times(all);
     for (name, share) in [("half", 0.5), ("nine tenths", 0.9), ("longest", 1.0)] {
-        row(&format!("publish to in force, {name}, ms"), quantile(&times, share).to_string());
+        row(
+            &format!("publish to in force, {name}, ms"),
+            quantile(&times, share).to_string(),
+        );
     }
     text
 }
@@ -69,9 +95,16 @@
             .x_label_area_size(34)
             .y_label_area_size(44)
             .build_cartesian_2d(0..most, 0.0..1.0)?;
-        chart.configure_mesh().x_desc("publish to in force, ms").y_desc("share of changes").draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("publish to in force, ms")
+            .y_desc("share of changes")
+            .draw()?;
         let count = times.len() as f64;
-        let points = times.iter().enumerate().map(|(n, &t)| (t, (n + 1) as f64 / count));
+        let points = times
+            .iter()
+            .enumerate()
+            .map(|(n, &t)| (t, (n + 1) as f64 / count));
         chart.draw_series(LineSeries::new(points, &BLUE))?;
         root.present()?;
         Ok(())
@@ -86,6 +119,9 @@
     #[test]
     fn quantiles_of_few() {
         assert_eq!(quantile(&[], 0.5), 0);
-        assert_eq!((quantile(&[1, 2, 9], 0.5), quantile(&[1, 2, 9], 1.0)), (2, 9));
+        assert_eq!(
+            (quantile(&[1, 2, 9], 0.5), quantile(&[1, 2, 9], 1.0)),
+            (2, 9)
+        );
     }
 }
--- a/crates/trial/src/scale/across.rs
+++ b/crates/trial/src/scale/across.rs
@@ -48,7 +48,11 @@
 pub async fn histories(fleet: &Fleet) -> Result<Vec<Vec<Change>>, String> {
     let mut all = Vec::new();
     for region in 0..fleet.size.regions {
-        let standing = fleet.publisher(region)?.standing().await.map_err(|e| e.to_string())?;
+        let standing = fleet
+            .publisher(region)?
+            .standing()
+            .await
+            .map_err(|e| e.to_string())?;
         all.push(standing.changes);
     }
     Ok(all)
@@ -61,7 +65,9 @@
         let mut by_id: HashMap<&str, Vec<Seen>> = HashMap::new();
         for (region, history) in histories.iter().enumerate() {
             for change in history {
-                let Some(id) = &change.all_regions else { continue };
+                let Some(id) = &change.all_regions else {
+                    continue;
+                };
                 by_id.entry(id).or_default().push(Seen { region, change });
             }
         }
@@ -82,19 +88,28 @@
 /// Did a call begin under the old policy alone in one region after one had begun under the new one alone in another?
 fn mixed(size: &Size, seen: &[Seen], lines: &[Line]) -> bool {
     let in_region = |region: usize| {
-        lines.iter().filter(move |line| !line.floor && size.proxy(line.proxy).region == region)
+        lines
+            .iter()
+            .filter(move |line| !line.floor && size.proxy(line.proxy).region == region)
     };
     let first_new = |seen: &Seen| -> Option<Micros> {
-        in_region(seen.region).filter(|line| line.mode.old >= seen.generation()).map(|line| line.at).min()
+        in_region(seen.region)
+            .filter(|line| line.mode.old >= seen.generation())
+            .map(|line| line.at)
+            .min()
     };
     let last_old = |seen: &Seen| -> Option<Micros> {
-        in_region(seen.region).filter(|line| line.mode.new < seen.generation()).map(|line| line.at).max()
+        in_region(seen.region)
+            .filter(|line| line.mode.new < seen.generation())
+            .map(|line| line.at)
+            .max()
     };
     let apart = |new: &Seen, old: &Seen| match (first_new(new), last_old(old)) {
         (Some(first), Some(last)) => new.region != old.region && first < last,
         _ => false,
     };
-    seen.iter().any(|new| new.change.outcome == IN_FORCE && seen.iter().any(|old| apart(new, old)))
+    seen.iter()
+        .any(|new| new.change.outcome == IN_FORCE && seen.iter().any(|old| apart(new, old)))
 }
 
 /// What was heard of a region's changes: what its own publisher was told, and what its control says of changes of all
@@ -104,7 +119,9 @@
     if region == COORDINATOR {
         return heard;
     }
-    let never = history.iter().filter(|c| c.all_regions.is_some() && c.outcome == NOT_IN_FORCE);
+    let never = history
+        .iter()
+        .filter(|c| c.all_regions.is_some() && c.outcome == NOT_IN_FORCE);
     heard.extend(never.map(|change| Heard {
         generation: change.generation,
         at: 0,
@@ -126,10 +143,22 @@
     let mut sum = Verdict::default();
     for (region, history) in histories.iter().enumerate() {
         let here = |proxy: usize| size.proxy(proxy).region == region;
-        let lines = lines.iter().filter(|line| here(line.proxy)).cloned().collect();
-        let tries: Vec<Try> = tries.iter().filter(|tried| here(tried.proxy)).cloned().collect();
+        let lines = lines
+            .iter()
+            .filter(|line| here(line.proxy))
+            .cloned()
+            .collect();
+        let tries: Vec<Try> = tries
+            .iter()
+            .filter(|tried| here(tried.proxy))
+            .cloned()
+            .collect();
         // What was executed is known for all regions together.
-        let executed = if region == COORDINATOR { executed.clone() } else { HashMap::new() };
+        let executed = if region == COORDINATOR {
+            executed.clone()
+        } else {
+            HashMap::new()
+        };
         let heard = heard(publisher, region, history);
         sum.add(judge(lines, &heard, &tries, &executed, &well, &well));
     }
--- a/crates/trial/src/scale/course.rs
+++ b/crates/trial/src/scale/course.rs
@@ -24,7 +24,13 @@
 }
 
 /// All kinds.
-pub const KINDS: [Kind; 5] = [Kind::Restart, Kind::Machines, Kind::Rack, Kind::Zone, Kind::CutRegion];
+pub const KINDS: [Kind; 5] = [
+    Kind::Restart,
+    Kind::Machines,
+    Kind::Rack,
+    Kind::Zone,
+    Kind::CutRegion,
+];
 
 /// A fault begins so long after the calls do.
 const BEGINS: Duration = Duration::from_secs(1);
@@ -36,7 +42,10 @@
 impl Kind {
     /// Its name, as a command line has it.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 
     /// The kind of this name.
@@ -70,7 +79,13 @@
 
 impl Course {
     /// Draws whom the fault hits.
-    pub fn draw(seed: u64, fault: Option<Kind>, size: &Size, times: ControlTimes, seconds: u64) -> Self {
+    pub fn draw(
+        seed: u64,
+        fault: Option<Kind>,
+        size: &Size,
+        times: ControlTimes,
+        seconds: u64,
+    ) -> Self {
         let mut draws = Pcg32::seed_from_u64(seed);
         let zone = draws.gen_range(0..size.zones);
         let (proxies, replicas) = match fault {
@@ -81,9 +96,15 @@
                     draws.gen_range(0..size.real.max(1)),
                     draws.gen_range(size.real..size.proxies.max(size.real + 1)),
                 ];
-                (machines.into_iter().filter(|&m| m < size.proxies).collect(), Vec::new())
+                (
+                    machines.into_iter().filter(|&m| m < size.proxies).collect(),
+                    Vec::new(),
+                )
             }
-            Some(Kind::Rack) => (size.rack(zone), size.replicas_in(zone).into_iter().take(1).collect()),
+            Some(Kind::Rack) => (
+                size.rack(zone),
+                size.replicas_in(zone).into_iter().take(1).collect(),
+            ),
             Some(Kind::Zone) => (size.proxies_in(zone), size.replicas_in(zone)),
         };
         let whole = Duration::from_secs(seconds);
@@ -98,7 +119,17 @@
         // After a fault there is time to see all come back.
         called = called.max(until + whole / 4);
         let settle = Duration::ZERO;
-        Course { seed, fault, proxies, replicas, settle, measured, called, from, until }
+        Course {
+            seed,
+            fault,
+            proxies,
+            replicas,
+            settle,
+            measured,
+            called,
+            from,
+            until,
+        }
     }
 }
 
--- a/crates/trial/src/scale/faults.rs
+++ b/crates/trial/src/scale/faults.rs
@@ -14,7 +14,9 @@
 /// # Errors
 /// If a process can't be ended or started.
 pub async fn inflict(fleet: Arc<Fleet>, course: Course, began: Instant) -> Result<(), String> {
-    let Some(kind) = course.fault else { return Ok(()) };
+    let Some(kind) = course.fault else {
+        return Ok(());
+    };
     tokio::time::sleep_until(began + course.from).await;
     match kind {
         Kind::Restart => restart_each(&fleet, &course.proxies).await,
--- a/crates/trial/src/scale/files.rs
+++ b/crates/trial/src/scale/files.rs
@@ -27,7 +27,12 @@
 impl Default for ControlTimes {
     /// The product's own.
     fn default() -> Self {
-        ControlTimes { lease_ms: 10_000, wait_ms: 60_000, election_ms: 1_000, regions_wait_ms: 10_000 }
+        ControlTimes {
+            lease_ms: 10_000,
+            wait_ms: 60_000,
+            election_ms: 1_000,
+            regions_wait_ms: 10_000,
+        }
     }
 }
 
@@ -62,7 +67,8 @@
     text
 }
 
-const LIMITS: &str = "[limits]\nmemory = \"64MiB\"\ndescriptors = 512\nopen_calls = 150\nbody = \"64KiB\"\n\
+const LIMITS: &str =
+    "[limits]\nmemory = \"64MiB\"\ndescriptors = 512\nopen_calls = 150\nbody = \"64KiB\"\n\
                       retry_after = \"1s\"\n";
 const DEFAULTS: &str = "[defaults]\nconnect = \"250ms\"\nsecond_copy = \"off\"\n";
 
@@ -102,8 +108,9 @@
     /// The file's text.
     pub fn text(&self) -> String {
         let secret = self.secret.display();
-        let region =
-            self.region.map_or_else(String::new, |number| format!("region = \"{}\"\n", region(number)));
+        let region = self.region.map_or_else(String::new, |number| {
+            format!("region = \"{}\"\n", region(number))
+        });
         format!(
             "listen = \"127.0.0.1:0\"\n{LIMITS}[log]\nformat = \"json\"\nlevel = \"info\"\nrate = 100000\n\
              targets = {{ \"badgerramp::begun\" = \"debug\" }}\n\
@@ -150,7 +157,12 @@
     pub fn text(&self) -> String {
         let named = |(n, address): (usize, &SocketAddr)| format!("{} = \"{address}\"", n + 1);
         let named: Vec<String> = self.replicas.iter().enumerate().map(named).collect();
-        let ControlTimes { lease_ms, wait_ms, election_ms, regions_wait_ms } = self.times;
+        let ControlTimes {
+            lease_ms,
+            wait_ms,
+            election_ms,
+            regions_wait_ms,
+        } = self.times;
         let mut text = format!(
             "replica = {}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{}\"\n\
              secret = \"secret\"\nlease_ms = {lease_ms}\nwait_ms = {wait_ms}\nelection_ms = {election_ms}\n",
@@ -159,10 +171,19 @@
             self.place
         );
         if let Some(own) = self.region {
-            let _ = writeln!(text, "region = \"{}\"\nregions_wait_ms = {regions_wait_ms}", region(own));
+            let _ = writeln!(
+                text,
+                "region = \"{}\"\nregions_wait_ms = {regions_wait_ms}",
+                region(own)
+            );
         }
         for (other, replicas) in self.others {
-            let _ = writeln!(text, "[regions.{}]\nreplicas = [{}]", region(*other), quoted(replicas));
+            let _ = writeln!(
+                text,
+                "[regions.{}]\nreplicas = [{}]",
+                region(*other),
+                quoted(replicas)
+            );
         }
         text
     }
--- a/crates/trial/src/scale/fleet.rs
+++ b/crates/trial/src/scale/fleet.rs
@@ -82,7 +82,12 @@
 
 fn plan((program, before): &(PathBuf, Vec<String>), arguments: &[String]) -> Plan {
     let arguments = before.iter().chain(arguments).cloned().collect();
-    Plan { program: program.clone(), arguments, keep: vec!["badgerramp::begun"], variables: Vec::new() }
+    Plan {
+        program: program.clone(),
+        arguments,
+        keep: vec!["badgerramp::begun"],
+        variables: Vec::new(),
+    }
 }
 
 impl Fleet {
@@ -97,21 +102,30 @@
         seed: u64,
     ) -> Result<Fleet, String> {
         let folder = Folder::new(&format!("scale-{}-{seed:x}", size.proxies))?;
-        let secret = folder.write("secret", &format!("a secret of the trial {seed:016x}"), true)?;
+        let secret = folder.write(
+            "secret",
+            &format!("a secret of the trial {seed:016x}"),
+            true,
+        )?;
         let hosts = Hosts::start(size.proxies, SPOILT, &[], seed).await?;
         let list = start_list(programs, &folder, &hosts.addresses).await?;
         let (_, list_at) = watch::channel(Some(list.1));
         let count = size.replica_places().len();
         let (replica_at, replica_targets): (Vec<_>, Vec<_>) =
             (0..count).map(|_| watch::channel(None)).unzip();
-        let (hearing, hears): (Vec<_>, Vec<_>) = (0..size.proxies).map(|_| watch::channel(None)).unzip();
+        let (hearing, hears): (Vec<_>, Vec<_>) =
+            (0..size.proxies).map(|_| watch::channel(None)).unzip();
         let wiring = Wiring::new(&size, &replica_targets, list_at, hears, seed).await?;
         write_proxy_files(&folder, &size, &wiring, &secret)?;
         let mut hearing: HashMap<usize, watch::Sender<Option<SocketAddr>>> =
             hearing.into_iter().enumerate().collect();
         let mut real = Vec::new();
         for proxy in 0..size.real {
-            let file = folder.path().join(format!("{}.toml", name(proxy))).display().to_string();
+            let file = folder
+                .path()
+                .join(format!("{}.toml", name(proxy)))
+                .display()
+                .to_string();
             let tells = hearing.remove(&proxy).ok_or("a proxy without a way in")?;
             let plan = plan(&programs.proxy, &["run".to_owned(), file]);
             real.push(AsyncMutex::new(Process::waiting(plan, tells)));
@@ -119,9 +133,15 @@
         let mut hollow = Vec::new();
         let places: Vec<usize> = (size.real..size.proxies).collect();
         for some in places.chunks(HOLLOW_EACH) {
-            let tells =
-                some.iter().filter_map(|proxy| Some((name(*proxy), hearing.remove(proxy)?))).collect();
-            hollow.push(AsyncMutex::new(HollowProcess::start(&programs.hollow, folder.path(), tells)?));
+            let tells = some
+                .iter()
+                .filter_map(|proxy| Some((name(*proxy), hearing.remove(proxy)?)))
+                .collect();
+            hollow.push(AsyncMutex::new(HollowProcess::start(
+                &programs.hollow,
+                folder.path(),
+                tells,
+            )?));
         }
         let empty = HollowProcess::start(&programs.hollow, folder.path(), HashMap::new())?;
         let replicas = prepare_replicas(programs, &folder, (&size, &wiring), times).await?;
@@ -178,7 +198,9 @@
             _ => NOBODY,
         };
         // Its port may be another process's at once.
-        self.addresses.write().unwrap_or_else(PoisonError::into_inner)[proxy] = address;
+        self.addresses
+            .write()
+            .unwrap_or_else(PoisonError::into_inner)[proxy] = address;
         match order {
             Order::End(_) => process.terminate().await,
             Order::Kill(_) => {
@@ -203,7 +225,11 @@
     /// # Errors
     /// If it can't be told.
     pub async fn end(&self, proxy: usize) -> Result<(), String> {
-        self.downs().push(Down { proxy, from: now(), until: None });
+        self.downs().push(Down {
+            proxy,
+            from: now(),
+            until: None,
+        });
         self.order(proxy, Order::End).await
     }
 
@@ -212,7 +238,11 @@
     /// # Errors
     /// If it can't be told.
     pub async fn kill(&self, proxy: usize) -> Result<(), String> {
-        self.downs().push(Down { proxy, from: now(), until: None });
+        self.downs().push(Down {
+            proxy,
+            from: now(),
+            until: None,
+        });
         self.order(proxy, Order::Kill).await
     }
 
@@ -277,13 +307,26 @@
     }
 
     async fn region_settled(&self, region: usize, end: Instant) -> Result<Option<usize>, String> {
-        let away: HashSet<usize> =
-            self.down().iter().filter(|down| down.until.is_none()).map(|down| down.proxy).collect();
-        let proxies = self.size.proxies_of(region).into_iter().filter(|proxy| !away.contains(proxy)).count();
+        let away: HashSet<usize> = self
+            .down()
+            .iter()
+            .filter(|down| down.until.is_none())
+            .map(|down| down.proxy)
+            .collect();
+        let proxies = self
+            .size
+            .proxies_of(region)
+            .into_iter()
+            .filter(|proxy| !away.contains(proxy))
+            .count();
         let mut control = self.publisher(region)?;
         loop {
             let standing = control.standing().await.map_err(|e| e.to_string())?;
-            let there = standing.proxies.iter().filter(|p| p.acting == standing.revision).count();
+            let there = standing
+                .proxies
+                .iter()
+                .filter(|p| p.acting == standing.revision)
+                .count();
             if there >= proxies && standing.to_come.is_none() {
                 let replicas = 0..self.replicas.len();
                 return Ok(replicas
@@ -291,7 +334,9 @@
                     .find(|&replica| self.wiring.replica(replica).to_string() == standing.leader));
             }
             if Instant::now() >= end {
-                return Err(format!("{there} of {proxies} proxies act under what is in force"));
+                return Err(format!(
+                    "{there} of {proxies} proxies act under what is in force"
+                ));
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
@@ -302,7 +347,10 @@
         if self.size.is_real(proxy) {
             return self.real[proxy].lock().await.log();
         }
-        self.hollow[(proxy - self.size.real) / HOLLOW_EACH].lock().await.log(&name(proxy))
+        self.hollow[(proxy - self.size.real) / HOLLOW_EACH]
+            .lock()
+            .await
+            .log(&name(proxy))
     }
 
     /// Ends all processes in order, those that are still there.
@@ -331,7 +379,10 @@
     hosts: &[SocketAddr],
 ) -> Result<(Process, SocketAddr), String> {
     let text: Vec<String> = hosts.iter().map(SocketAddr::to_string).collect();
-    let file = folder.write("hosts", &text.join("\n"), false)?.display().to_string();
+    let file = folder
+        .write("hosts", &text.join("\n"), false)?
+        .display()
+        .to_string();
     let mut process = Process::start(plan(&programs.list, &[file])).await?;
     let address = process.listens().await?;
     Ok((process, address))
@@ -343,10 +394,15 @@
     wiring: &Wiring,
     secret: &std::path::Path,
 ) -> Result<(), String> {
-    let seeds: Vec<SocketAddr> = (0..SEEDS.min(size.proxies)).map(|p| wiring.advertised(p)).collect();
+    let seeds: Vec<SocketAddr> = (0..SEEDS.min(size.proxies))
+        .map(|p| wiring.advertised(p))
+        .collect();
     for proxy in 0..size.proxies {
         let place = size.proxy(proxy);
-        let group = Group { real: size.is_real(proxy), region: place.region };
+        let group = Group {
+            real: size.is_real(proxy),
+            region: place.region,
+        };
         let file = ProxyFile {
             name: &name(proxy),
             zone: place.zone,
@@ -374,8 +430,9 @@
     for (place, stands) in size.replica_places().into_iter().enumerate() {
         let several = size.regions > 1;
         let others = (0..size.regions).filter(|&region| region != stands.region);
-        let others: Vec<(usize, Vec<SocketAddr>)> =
-            others.map(|region| (region, wiring.between(stands.region, region))).collect();
+        let others: Vec<(usize, Vec<SocketAddr>)> = others
+            .map(|region| (region, wiring.between(stands.region, region)))
+            .collect();
         let file = ReplicaFile {
             place,
             number: place % size.replicas + 1,
@@ -384,7 +441,10 @@
             others: &others,
             times,
         };
-        let file = folder.write(&format!("control-{place}.toml"), &file.text(), false)?.display().to_string();
+        let file = folder
+            .write(&format!("control-{place}.toml"), &file.text(), false)?
+            .display()
+            .to_string();
         let (program, before) = &programs.control;
         let made = tokio::process::Command::new(program)
             .args(before)
@@ -396,7 +456,10 @@
             return Err(format!("{file}: its store could not be made"));
         }
         let plan = plan(&programs.control, &["serve".to_owned(), file]);
-        all.push(AsyncMutex::new(Process::waiting(plan, watch::channel(None).0)));
+        all.push(AsyncMutex::new(Process::waiting(
+            plan,
+            watch::channel(None).0,
+        )));
     }
     Ok(all)
 }
--- a/crates/trial/src/scale/hollow.rs
+++ b/crates/trial/src/scale/hollow.rs
@@ -129,17 +129,31 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| format!("{}: {e}", program.display()))?;
-        let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("a process without a number")?;
+        let pid = child
+            .id()
+            .and_then(|id| Pid::from_raw(id as i32))
+            .ok_or("a process without a number")?;
         let orders = child.stdin.take().ok_or("no standard input")?;
         let events = child.stdout.take().ok_or("no standard output")?;
         let log = child.stderr.take().ok_or("no log")?;
         let heard = Arc::new(Mutex::new(Heard::default()));
         let (tells, told) = watch::channel(0);
         let readers = vec![
-            tokio::spawn(read_events(BufReader::new(events), Arc::clone(&heard), tells)),
+            tokio::spawn(read_events(
+                BufReader::new(events),
+                Arc::clone(&heard),
+                tells,
+            )),
             tokio::spawn(read_log(BufReader::new(log), Arc::clone(&heard), hearing)),
         ];
-        Ok(HollowProcess { child, pid, orders, heard, told, readers })
+        Ok(HollowProcess {
+            child,
+            pid,
+            orders,
+            heard,
+            told,
+            readers,
+        })
     }
 
     /// Tells it something.
@@ -148,7 +162,10 @@
     /// If it has ended.
     pub async fn order(&mut self, order: &Order) -> Result<(), String> {
         let line = serde_json::to_string(order).map_err(|e| e.to_string())? + "\n";
-        self.orders.write_all(line.as_bytes()).await.map_err(|e| format!("hollow proxies: {e}"))
+        self.orders
+            .write_all(line.as_bytes())
+            .await
+            .map_err(|e| format!("hollow proxies: {e}"))
     }
 
     /// Tells a proxy to end, and waits until it has.
@@ -156,8 +173,16 @@
     /// # Errors
     /// If it does not.
     pub async fn end(&mut self, proxy: String) -> Result<(), String> {
-        let stopped = Event::Stopped { proxy: proxy.clone() };
-        let count = |heard: &Mutex<Heard>| locked(heard).events.iter().filter(|e| **e == stopped).count();
+        let stopped = Event::Stopped {
+            proxy: proxy.clone(),
+        };
+        let count = |heard: &Mutex<Heard>| {
+            locked(heard)
+                .events
+                .iter()
+                .filter(|e| **e == stopped)
+                .count()
+        };
         let before = count(&self.heard);
         self.order(&Order::End(proxy)).await?;
         let end = tokio::time::Instant::now() + LONG;
@@ -178,7 +203,9 @@
         let before = *self.told.borrow();
         self.order(&Order::Tell).await?;
         let told = tokio::time::timeout(LONG, self.told.wait_for(|told| *told > before)).await;
-        told.map_err(|_| "hollow proxies do not tell")?.map(|_| ()).map_err(|e| e.to_string())
+        told.map_err(|_| "hollow proxies do not tell")?
+            .map(|_| ())
+            .map_err(|e| e.to_string())
     }
 
     /// Processor time so far in microseconds, and memory in KiB.
@@ -193,7 +220,11 @@
 
     /// The log of a proxy.
     pub fn log(&self, proxy: &str) -> Vec<Line> {
-        locked(&self.heard).logs.get(proxy).cloned().unwrap_or_default()
+        locked(&self.heard)
+            .logs
+            .get(proxy)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Asks it to end, and waits until it has.
@@ -203,7 +234,9 @@
     pub async fn terminate(&mut self) -> Result<(), String> {
         let _ = kill_process(self.pid, Signal::TERM);
         let ended = tokio::time::timeout(LONG, self.child.wait()).await;
-        ended.map_err(|_| "hollow proxies do not end")?.map_err(|e| e.to_string())?;
+        ended
+            .map_err(|_| "hollow proxies do not end")?
+            .map_err(|e| e.to_string())?;
         for reader in self.readers.drain(..) {
             let _ = reader.await;
         }
@@ -218,7 +251,9 @@
 ) {
     let mut lines = events.lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let Ok(event) = serde_json::from_str::<Event>(&line) else { continue };
+        let Ok(event) = serde_json::from_str::<Event>(&line) else {
+            continue;
+        };
         let told = event == Event::Told;
         locked(&heard).events.push(event);
         if told {
@@ -234,12 +269,19 @@
 ) {
     let mut lines = log.lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let Some(proxy) = proxy_of(&line) else { continue };
-        if let (Some(address), Some(tells)) =
-            (crate::process::address(&line, "hearing on "), hearing.get(&proxy))
-        {
+        let Some(proxy) = proxy_of(&line) else {
+            continue;
+        };
+        if let (Some(address), Some(tells)) = (
+            crate::process::address(&line, "hearing on "),
+            hearing.get(&proxy),
+        ) {
             tells.send_replace(Some(address));
         }
-        locked(&heard).logs.entry(proxy).or_default().push((now(), line));
+        locked(&heard)
+            .logs
+            .entry(proxy)
+            .or_default()
+            .push((now(), line));
     }
 }
--- a/crates/trial/src/scale/layout.rs
+++ b/crates/trial/src/scale/layout.rs
@@ -43,7 +43,10 @@
     /// Where a proxy stands: one after the other in each zone, so that every zone has some of either kind.
     pub fn proxy(&self, proxy: usize) -> Place {
         let zone = proxy % self.zones;
-        Place { region: self.region_of(zone), zone }
+        Place {
+            region: self.region_of(zone),
+            zone,
+        }
     }
 
     fn region_of(&self, zone: usize) -> usize {
@@ -51,7 +54,9 @@
     }
 
     fn zones_of(&self, region: usize) -> Vec<usize> {
-        (0..self.zones).filter(|&zone| self.region_of(zone) == region).collect()
+        (0..self.zones)
+            .filter(|&zone| self.region_of(zone) == region)
+            .collect()
     }
 
     /// Where the replicas stand: each region has a group of its own.
@@ -59,14 +64,19 @@
         let mut places = Vec::new();
         for region in 0..self.regions {
             let zones = self.zones_of(region);
-            places.extend((0..self.replicas).map(|n| Place { region, zone: zones[n % zones.len()] }));
+            places.extend((0..self.replicas).map(|n| Place {
+                region,
+                zone: zones[n % zones.len()],
+            }));
         }
         places
     }
 
     /// The proxies of a region.
     pub fn proxies_of(&self, region: usize) -> Vec<usize> {
-        (0..self.proxies).filter(|&proxy| self.proxy(proxy).region == region).collect()
+        (0..self.proxies)
+            .filter(|&proxy| self.proxy(proxy).region == region)
+            .collect()
     }
 
     /// The proxies of a rack in this zone.
@@ -85,12 +95,16 @@
 
     /// The proxies of a zone.
     pub fn proxies_in(&self, zone: usize) -> Vec<usize> {
-        (0..self.proxies).filter(|&proxy| self.proxy(proxy).zone == zone).collect()
+        (0..self.proxies)
+            .filter(|&proxy| self.proxy(proxy).zone == zone)
+            .collect()
     }
 
     /// The replicas of a zone.
     pub fn replicas_in(&self, zone: usize) -> Vec<usize> {
         let places = self.replica_places();
-        (0..places.len()).filter(|&replica| places[replica].zone == zone).collect()
+        (0..places.len())
+            .filter(|&replica| places[replica].zone == zone)
+            .collect()
     }
 }
--- a/crates/trial/src/scale/meters.rs
+++ b/crates/trial/src/scale/meters.rs
@@ -67,7 +67,10 @@
 impl Cost {
     /// The average over all replicas but the leader of what is given by replica.
     pub fn other_replica(&self, by_replica: &[f64], leader: Option<usize>) -> Option<f64> {
-        let others = by_replica.iter().enumerate().filter(|(replica, _)| Some(*replica) != leader);
+        let others = by_replica
+            .iter()
+            .enumerate()
+            .filter(|(replica, _)| Some(*replica) != leader);
         let others: Vec<f64> = others.map(|(_, value)| *value).collect();
         (!others.is_empty()).then(|| others.iter().sum::<f64>() / others.len() as f64)
     }
@@ -118,20 +121,34 @@
             (count > 0).then(|| each(count, (cpu, memory), &traffic_rates(now, then, seconds)))
         };
         let real_cpu = time(&self.real, &earlier.real);
-        let real_proxy = cost(real, real_cpu, real_memory, &self.real_traffic, &earlier.real_traffic);
+        let real_proxy = cost(
+            real,
+            real_cpu,
+            real_memory,
+            &self.real_traffic,
+            &earlier.real_traffic,
+        );
         let hollow_cpu = time(&self.hollow, &earlier.hollow);
-        let hollow_proxy =
-            cost(hollow, hollow_cpu, hollow_memory, &self.hollow_traffic, &earlier.hollow_traffic);
+        let hollow_proxy = cost(
+            hollow,
+            hollow_cpu,
+            hollow_memory,
+            &self.hollow_traffic,
+            &earlier.hollow_traffic,
+        );
         let by_replica = self.replicas.iter().zip(&earlier.replicas);
         let bytes = self.at_replicas.iter().zip(&earlier.at_replicas);
-        let list = |reading: &Reading| reading.real_traffic.list.bytes + reading.hollow_traffic.list.bytes;
+        let list =
+            |reading: &Reading| reading.real_traffic.list.bytes + reading.hollow_traffic.list.bytes;
         Cost {
             seconds,
             proxy: average((real, real_proxy), (hollow, hollow_proxy)),
             real_proxy,
             hollow_proxy,
             control_cpu_us_per_s: by_replica.map(|(now, then)| rate(now.0, then.0)).collect(),
-            control_bytes_per_s: bytes.map(|(now, then)| rate(now.bytes, then.bytes)).collect(),
+            control_bytes_per_s: bytes
+                .map(|(now, then)| rate(now.bytes, then.bytes))
+                .collect(),
             control_memory_kib: self.replicas.iter().map(|usage| usage.1).collect(),
             list_cpu_us_per_s: rate(self.list.0, earlier.list.0),
             list_bytes_per_s: rate(list(self), list(earlier)),
@@ -156,7 +173,10 @@
         list: rate(now.list.bytes, then.list.bytes),
         peers: rate(now.peers.bytes, then.peers.bytes),
         datagrams: rate(now.peers.pieces, then.peers.pieces),
-        pieces: rate(now.control.pieces + now.list.pieces, then.control.pieces + then.list.pieces),
+        pieces: rate(
+            now.control.pieces + now.list.pieces,
+            then.control.pieces + then.list.pieces,
+        ),
     }
 }
 
@@ -180,7 +200,9 @@
 fn average(real: (usize, Option<ProxyCost>), hollow: (usize, Option<ProxyCost>)) -> ProxyCost {
     let all = (real.0 + hollow.0) as f64;
     let of = |value: fn(&ProxyCost) -> f64| {
-        let sum = |(count, cost): (usize, Option<ProxyCost>)| cost.map_or(0.0, |c| value(&c) * count as f64);
+        let sum = |(count, cost): (usize, Option<ProxyCost>)| {
+            cost.map_or(0.0, |c| value(&c) * count as f64)
+        };
         (sum(real) + sum(hollow)) / all
     };
     ProxyCost {
--- a/crates/trial/src/scale/mod.rs
+++ b/crates/trial/src/scale/mod.rs
@@ -91,7 +91,9 @@
     tokio::time::sleep(course.measured / 3).await;
     publisher.publish(&fleet, For::All).await?;
     tokio::time::sleep_until(end).await;
-    let cost = Reading::take(&fleet).await.since(&before, (size.real, size.hollow()));
+    let cost = Reading::take(&fleet)
+        .await
+        .since(&before, (size.real, size.hollow()));
 
     let (stop, stopped) = watch::channel(false);
     let rate = RATE * size.real.max(1) as f64;
@@ -105,7 +107,9 @@
     tokio::time::sleep_until(began + course.from + course.from / 2).await;
     let mut scopes = scopes(size.regions).into_iter().cycle();
     while Instant::now() < end {
-        publisher.publish(&shared, scopes.next().unwrap_or(For::All)).await?;
+        publisher
+            .publish(&shared, scopes.next().unwrap_or(For::All))
+            .await?;
         tokio::time::sleep(PUBLISH_PAUSE).await;
     }
     fault.await.map_err(|e| e.to_string())??;
@@ -126,7 +130,13 @@
     let executed: HashMap<String, u32> = fleet.hosts.executed();
     let well = |proxy: usize, from: Micros, until: Micros| ready.well(proxy, from, until);
     let across = Across::of(&size, &histories, &lines);
-    let verdict = judge_regions(&size, (&publisher, &histories), (&lines, &tries), &executed, well);
+    let verdict = judge_regions(
+        &size,
+        (&publisher, &histories),
+        (&lines, &tries),
+        &executed,
+        well,
+    );
     let refused = Refused::of(&size, &tries, &closed, &ready);
     let why_not_settled = settled.err();
     Ok(Played::new(
@@ -145,7 +155,10 @@
             return Ok(());
         }
     }
-    let why = publisher.published.last().map_or("", |last| &last.heard.why);
+    let why = publisher
+        .published
+        .last()
+        .map_or("", |last| &last.heard.why);
     Err(format!("the first policy did not come into force: {why}"))
 }
 
@@ -168,7 +181,10 @@
         let mut process = process.lock().await;
         process.tell().await?;
         let events = process.events();
-        if let Some(ended) = events.iter().find(|e| matches!(e, hollow::Event::Ended { .. })) {
+        if let Some(ended) = events
+            .iter()
+            .find(|e| matches!(e, hollow::Event::Ended { .. }))
+        {
             return Err(format!("a hollow proxy ended by itself: {ended:?}"));
         }
         lines.extend(verdict::begun(&events));
@@ -181,9 +197,15 @@
         logs.insert(proxy, fleet.log(proxy).await);
     }
     for proxy in 0..fleet.size.real {
-        lines.extend(logs[&proxy].iter().filter_map(|(_, line)| Line::read(proxy, line)));
+        lines.extend(
+            logs[&proxy]
+                .iter()
+                .filter_map(|(_, line)| Line::read(proxy, line)),
+        );
     }
-    let ready = Ready::of(&downs, |proxy| logs.get(&proxy).cloned().unwrap_or_default());
+    let ready = Ready::of(&downs, |proxy| {
+        logs.get(&proxy).cloned().unwrap_or_default()
+    });
     // Before its first lease a proxy has not been well yet.
     let opened: HashMap<usize, Micros> = lines.iter().fold(HashMap::new(), |mut first, line| {
         let at = first.entry(line.proxy).or_insert(line.at);
--- a/crates/trial/src/scale/played.rs
+++ b/crates/trial/src/scale/played.rs
@@ -42,7 +42,11 @@
 impl Changes {
     /// From what the publisher heard; what came up to the first policy in force is the fleet's start.
     pub fn of(published: &[Published], last: Outcome) -> Changes {
-        let start = published.iter().take_while(|p| p.outcome != Outcome::InForce).count() + 1;
+        let start = published
+            .iter()
+            .take_while(|p| p.outcome != Outcome::InForce)
+            .count()
+            + 1;
         let later = || published.iter().skip(start);
         let count = |wanted: Outcome| later().filter(|p| p.outcome == wanted).count();
         let heard = || later().map(|p| &p.heard);
@@ -51,7 +55,10 @@
             in_force: count(Outcome::InForce),
             not_in_force: count(Outcome::NotInForce),
             not_known: count(Outcome::NotKnown),
-            why: heard().filter(|h| !h.in_force).map(|h| h.why.clone()).collect(),
+            why: heard()
+                .filter(|h| !h.in_force)
+                .map(|h| h.why.clone())
+                .collect(),
             failed_in_their_region: later().filter(|p| p.failed_in_its_region()).count(),
             last_in_force: last == Outcome::InForce,
         }
@@ -144,7 +151,12 @@
         let mut broke = broken_rules((&verdict, &across), refused.hollow, ready, &changes);
         broke.extend(not_settled);
         let crossed = crossed_limits(&cost, &changes);
-        let by_region = |region: usize| size.replica_places().iter().filter(|p| p.region == region).count();
+        let by_region = |region: usize| {
+            size.replica_places()
+                .iter()
+                .filter(|p| p.region == region)
+                .count()
+        };
         let of_leader = |all: &[f64]| leader.and_then(|replica| all.get(replica)).copied();
         Played {
             held: broke.is_empty() && crossed.is_empty(),
@@ -157,7 +169,9 @@
             zones: size.zones,
             replicas: (0..size.regions).map(by_region).collect(),
             seed: course.seed,
-            fault: course.fault.map_or_else(|| "none".to_owned(), super::course::Kind::name),
+            fault: course
+                .fault
+                .map_or_else(|| "none".to_owned(), super::course::Kind::name),
             course,
             times,
             begun_mixed: verdict.begun_mixed,
@@ -197,15 +211,30 @@
             across.mixed_across,
             "changes of all regions under whose old policy a call began too late elsewhere",
         ),
-        (across.ended_apart, "changes of all regions that ended differently"),
-        (changes.failed_in_their_region, "changes of one region that did not come into force there"),
+        (
+            across.ended_apart,
+            "changes of all regions that ended differently",
+        ),
+        (
+            changes.failed_in_their_region,
+            "changes of one region that did not come into force there",
+        ),
         (verdict.executed_twice, "executed twice"),
         (verdict.lost, "calls without an answer"),
-        (verdict.refused_well, "calls refused by proxies that were well"),
-        (refused_hollow, "times that a hollow proxy that was well admitted nothing"),
+        (
+            verdict.refused_well,
+            "calls refused by proxies that were well",
+        ),
+        (
+            refused_hollow,
+            "times that a hollow proxy that was well admitted nothing",
+        ),
         (ready.not_ready, "proxies not ready after a restart"),
         (changes.not_known, "changes that did not end"),
-        (usize::from(!changes.last_in_force), "last change not in force though all was well"),
+        (
+            usize::from(!changes.last_in_force),
+            "last change not in force though all was well",
+        ),
     ];
     counts
         .into_iter()
@@ -217,22 +246,34 @@
 fn crossed_limits(cost: &Cost, changes: &Changes) -> Vec<String> {
     let mut crossed = Vec::new();
     let kinds = [("real", cost.real_proxy), ("hollow", cost.hollow_proxy)];
-    for (kind, cost) in kinds.into_iter().filter_map(|(kind, cost)| Some((kind, cost?))) {
-        let ProxyCost { cpu_us_per_s, memory_kib, bytes_per_s, .. } = cost;
+    for (kind, cost) in kinds
+        .into_iter()
+        .filter_map(|(kind, cost)| Some((kind, cost?)))
+    {
+        let ProxyCost {
+            cpu_us_per_s,
+            memory_kib,
+            bytes_per_s,
+            ..
+        } = cost;
         let limits = [
             (cpu_us_per_s, CPU_MOST, "us of processor time a second"),
             (memory_kib, MEMORY_MOST, "KiB of memory"),
             (bytes_per_s, BYTES_MOST, "bytes a second"),
         ];
         for (found, most, what) in limits.into_iter().filter(|(found, most, _)| found > most) {
-            crossed.push(format!("a {kind} proxy takes {found:.0} {what}, allowed are {most:.0}"));
+            crossed.push(format!(
+                "a {kind} proxy takes {found:.0} {what}, allowed are {most:.0}"
+            ));
         }
     }
     let mut sorted = changes.in_force_ms.clone();
     sorted.sort_unstable();
     let place = (sorted.len() * 99).div_ceil(100).max(1) - 1;
     if let Some(&late) = sorted.get(place).filter(|&&ms| ms > IN_FORCE_MOST) {
-        crossed.push(format!("99 in 100 changes were in force after {late} ms, allowed are {IN_FORCE_MOST}"));
+        crossed.push(format!(
+            "99 in 100 changes were in force after {late} ms, allowed are {IN_FORCE_MOST}"
+        ));
     }
     crossed
 }
--- a/crates/trial/src/scale/publisher.rs
+++ b/crates/trial/src/scale/publisher.rs
@@ -67,7 +67,9 @@
             Ok(standing) => {
                 let policy = files::policy(self.number);
                 let files = HashMap::from([(files::APPLICATION.to_owned(), policy)]);
-                let done = control.publish_for(asked, &files, standing.revision, |_| {}).await;
+                let done = control
+                    .publish_for(asked, &files, standing.revision, |_| {})
+                    .await;
                 (done.outcome, done.generation.unwrap_or(0), done.why)
             }
             Err(fault) => (Outcome::NotKnown, 0, fault.to_string()),
@@ -79,7 +81,11 @@
             took_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
             why,
         };
-        self.published.push(Published { scope, heard, outcome });
+        self.published.push(Published {
+            scope,
+            heard,
+            outcome,
+        });
         Ok(outcome)
     }
 
@@ -90,7 +96,11 @@
             For::Region(own) => own == region,
         };
         let known = |p: &&Published| p.outcome != Outcome::NotKnown && p.heard.generation > 0;
-        let here = self.published.iter().filter(|p| numbered_here(p.scope)).filter(known);
+        let here = self
+            .published
+            .iter()
+            .filter(|p| numbered_here(p.scope))
+            .filter(known);
         here.map(|p| p.heard.clone()).collect()
     }
 }
--- a/crates/trial/src/scale/report.rs
+++ b/crates/trial/src/scale/report.rs
@@ -17,7 +17,9 @@
     &[
         ("a proxy", |p| Some(p.proxy_cpu_us_per_s)),
         ("control's leader", |p| p.leader_cpu_us_per_s),
-        ("another replica", |p| p.cost.other_replica(&p.cost.control_cpu_us_per_s, p.leader)),
+        ("another replica", |p| {
+            p.cost.other_replica(&p.cost.control_cpu_us_per_s, p.leader)
+        }),
         ("the list service", |p| Some(p.cost.list_cpu_us_per_s)),
     ],
 );
@@ -26,7 +28,9 @@
     &[
         ("a proxy", |p| Some(p.proxy_bytes_per_s)),
         ("control's leader", |p| p.leader_bytes_per_s),
-        ("another replica", |p| p.cost.other_replica(&p.cost.control_bytes_per_s, p.leader)),
+        ("another replica", |p| {
+            p.cost.other_replica(&p.cost.control_bytes_per_s, p.leader)
+        }),
         ("the list service", |p| Some(p.cost.list_bytes_per_s)),
     ],
 );
@@ -34,7 +38,15 @@
     "memory, KiB",
     &[
         ("a proxy", |p| Some(p.proxy_memory_kib)),
-        ("a replica", |p| Some(p.cost.control_memory_kib.iter().map(|&kib| kib as f64).mean())),
+        ("a replica", |p| {
+            Some(
+                p.cost
+                    .control_memory_kib
+                    .iter()
+                    .map(|&kib| kib as f64)
+                    .mean(),
+            )
+        }),
     ],
 );
 const PANELS: [Panel; 3] = [PROCESSOR, BYTES, MEMORY];
@@ -63,17 +75,27 @@
         let variance = (&sizes).variance();
         let slope = (&sizes).covariance(&values) / variance;
         let constant = (&values).mean() - slope * (&sizes).mean();
-        let left: f64 = points.iter().map(|(size, value)| (value - constant - slope * size).powi(2)).sum();
+        let left: f64 = points
+            .iter()
+            .map(|(size, value)| (value - constant - slope * size).powi(2))
+            .sum();
         let free = points.len() as f64 - 2.0;
         let residual = (free > 0.0).then(|| (left / free).sqrt());
         let spread = variance * (points.len() as f64 - 1.0);
         let slope_error = residual.map(|residual| residual / spread.sqrt());
-        Some(Fit { constant, slope, slope_error, residual })
+        Some(Fit {
+            constant,
+            slope,
+            slope_error,
+            residual,
+        })
     }
 }
 
 fn points(all: &[Played], value: fn(&Played) -> Option<f64>) -> Vec<(f64, f64)> {
-    all.iter().filter_map(|played| Some((played.proxies as f64, value(played)?))).collect()
+    all.iter()
+        .filter_map(|played| Some((played.proxies as f64, value(played)?)))
+        .collect()
 }
 
 /// A line for each course.
@@ -94,8 +116,14 @@
         "leader B/s"
     );
     for played in all {
-        let most = |times: &[u64]| times.iter().max().map_or_else(|| "-".to_owned(), u64::to_string);
-        let number = |value: Option<f64>| value.map_or_else(|| "-".to_owned(), |v| format!("{v:.0}"));
+        let most = |times: &[u64]| {
+            times
+                .iter()
+                .max()
+                .map_or_else(|| "-".to_owned(), u64::to_string)
+        };
+        let number =
+            |value: Option<f64>| value.map_or_else(|| "-".to_owned(), |v| format!("{v:.0}"));
         let _ = writeln!(
             text,
             "{:>8}{:>6}{:>12}{:>7}{:>10}{:>10}{:>10}{:>10.0}{:>11.0}{:>10.0}{:>12}{:>12}",
@@ -121,8 +149,11 @@
     let mut text = String::new();
     for (title, measures) in PANELS {
         for (name, value) in measures {
-            let Some(fit) = Fit::of(&points(all, *value)) else { continue };
-            let error = |error: Option<f64>| error.map_or_else(|| "-".to_owned(), |e| format!("{e:.3}"));
+            let Some(fit) = Fit::of(&points(all, *value)) else {
+                continue;
+            };
+            let error =
+                |error: Option<f64>| error.map_or_else(|| "-".to_owned(), |e| format!("{e:.3}"));
             let _ = writeln!(
                 text,
                 "{title:<28}{name:<18}{:>12.1} + {:>9.3} * proxies   (slope +- {}, points +- {})",
@@ -168,15 +199,30 @@
         .x_label_area_size(34)
         .y_label_area_size(70)
         .build_cartesian_2d(0.0..largest * 1.05, 0.0..highest * 1.05)?;
-    chart.configure_mesh().x_desc("proxies").y_desc(title).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("proxies")
+        .y_desc(title)
+        .draw()?;
     for ((name, value), colour) in measures.iter().zip([BLUE, RED, GREEN, MAGENTA]) {
         let points = points(all, *value);
-        chart.draw_series(points.iter().map(|&point| Circle::new(point, 3, colour.filled())))?;
-        let Some(fit) = Fit::of(&points) else { continue };
+        chart.draw_series(
+            points
+                .iter()
+                .map(|&point| Circle::new(point, 3, colour.filled())),
+        )?;
+        let Some(fit) = Fit::of(&points) else {
+            continue;
+        };
         let line = [0.0, largest].map(|size| (size, fit.constant + fit.slope * size));
         let drawn = chart.draw_series(LineSeries::new(line, &colour))?;
-        drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+        drawn
+            .label(*name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
     }
-    chart.configure_series_labels().position(SeriesLabelPosition::UpperLeft).draw()?;
+    chart
+        .configure_series_labels()
+        .position(SeriesLabelPosition::UpperLeft)
+        .draw()?;
     Ok(())
 }
--- a/crates/trial/src/scale/verdict.rs
+++ b/crates/trial/src/scale/verdict.rs
@@ -30,8 +30,11 @@
                 ready.unwell.push((down.proxy, down.from, Micros::MAX));
                 continue;
             };
-            let next =
-                downs.iter().filter(|d| d.proxy == down.proxy && d.from > started).map(|d| d.from).min();
+            let next = downs
+                .iter()
+                .filter(|d| d.proxy == down.proxy && d.from > started)
+                .map(|d| d.from)
+                .min();
             match ready_at(&log(down.proxy), started, next.unwrap_or(Micros::MAX)) {
                 Some(at) => {
                     ready.ready_ms.push((at - started) / 1_000);
@@ -49,7 +52,10 @@
 
     /// Was this proxy well all through a span?
     pub fn well(&self, proxy: usize, from: Micros, until: Micros) -> bool {
-        !self.unwell.iter().any(|u| u.0 == proxy && u.1 <= until && from <= u.2)
+        !self
+            .unwell
+            .iter()
+            .any(|u| u.0 == proxy && u.1 <= until && from <= u.2)
     }
 }
 
@@ -64,13 +70,26 @@
 
 impl Refused {
     /// Counts the tries of clients that were refused, and these spans of hollow proxies.
-    pub fn of(size: &Size, tries: &[Try], closed: &[(usize, Micros, Micros)], ready: &Ready) -> Refused {
-        let mut refused = Refused { by_region: vec![0; size.regions], hollow: 0 };
-        let tries = tries.iter().filter(|t| t.ended == Ended::Status(SERVICE_UNAVAILABLE));
+    pub fn of(
+        size: &Size,
+        tries: &[Try],
+        closed: &[(usize, Micros, Micros)],
+        ready: &Ready,
+    ) -> Refused {
+        let mut refused = Refused {
+            by_region: vec![0; size.regions],
+            hollow: 0,
+        };
+        let tries = tries
+            .iter()
+            .filter(|t| t.ended == Ended::Status(SERVICE_UNAVAILABLE));
         for done in tries.filter(|t| ready.well(t.proxy, t.from, t.until)) {
             refused.by_region[size.proxy(done.proxy).region] += 1;
         }
-        for span in closed.iter().filter(|span| ready.well(span.0, span.1, span.2)) {
+        for span in closed
+            .iter()
+            .filter(|span| ready.well(span.0, span.1, span.2))
+        {
             refused.by_region[size.proxy(span.0).region] += 1;
             refused.hollow += 1;
         }
@@ -91,13 +110,31 @@
 pub fn begun(events: &[Event]) -> Vec<Line> {
     let mut lines = Vec::new();
     for event in events {
-        let Event::Admitted { proxy, admits: Admits::Under { old, new }, from, until } = event else {
+        let Event::Admitted {
+            proxy,
+            admits: Admits::Under { old, new },
+            from,
+            until,
+        } = event
+        else {
+            continue;
+        };
+        let Some(proxy) = proxy_named(proxy) else {
             continue;
         };
-        let Some(proxy) = proxy_named(proxy) else { continue };
-        let mode = Mode { revision: 0, old: Generation(*old), new: Generation(*new) };
+        let mode = Mode {
+            revision: 0,
+            old: Generation(*old),
+            new: Generation(*new),
+        };
         let request = format!("a look at p{proxy}");
-        let line = |at| Line { at, proxy, mode, floor: false, request: request.clone() };
+        let line = |at| Line {
+            at,
+            proxy,
+            mode,
+            floor: false,
+            request: request.clone(),
+        };
         lines.extend([line(*from), line(*until)]);
     }
     lines
@@ -106,9 +143,12 @@
 /// Spans in which a hollow proxy admitted nothing: who, from when, until when.
 pub fn closed(events: &[Event]) -> Vec<(usize, Micros, Micros)> {
     let span = |event: &Event| match event {
-        Event::Admitted { proxy, admits: Admits::Nothing, from, until } => {
-            Some((proxy_named(proxy)?, *from, *until))
-        }
+        Event::Admitted {
+            proxy,
+            admits: Admits::Nothing,
+            from,
+            until,
+        } => Some((proxy_named(proxy)?, *from, *until)),
         _ => None,
     };
     events.iter().filter_map(span).collect()
--- a/crates/trial/src/scale/wiring.rs
+++ b/crates/trial/src/scale/wiring.rs
@@ -82,20 +82,31 @@
         hears: Vec<Target>,
         seed: u64,
     ) -> Result<Wiring, String> {
-        let regions_of_replicas: Vec<usize> = size.replica_places().iter().map(|p| p.region).collect();
+        let regions_of_replicas: Vec<usize> =
+            size.replica_places().iter().map(|p| p.region).collect();
         let mut groups = Vec::new();
         for region in 0..size.regions {
             for real in [true, false] {
                 let control = links(replicas).await?;
                 let list = Link::to(list.clone()).await.map_err(text)?;
-                groups.push(GroupLinks { group: Group { real, region }, control, list });
+                groups.push(GroupLinks {
+                    group: Group { real, region },
+                    control,
+                    list,
+                });
             }
         }
         let between_regions = between_regions(replicas, &regions_of_replicas, size.regions).await?;
         let mut inbound = Vec::new();
         for (proxy, hears) in hears.into_iter().enumerate() {
-            let datagrams = Datagrams::to(hears.clone(), seed ^ proxy as u64).await.map_err(text)?;
-            inbound.push(Inbound { datagrams, hears, region: size.proxy(proxy).region });
+            let datagrams = Datagrams::to(hears.clone(), seed ^ proxy as u64)
+                .await
+                .map_err(text)?;
+            inbound.push(Inbound {
+                datagrams,
+                hears,
+                region: size.proxy(proxy).region,
+            });
         }
         let publisher = links(replicas).await?;
         let real = size.real;
@@ -116,13 +127,18 @@
 
     /// Where the proxies of a group reach the replicas of their region.
     pub fn control(&self, group: Group) -> Vec<SocketAddr> {
-        let Some(links) = self.group(group) else { return Vec::new() };
+        let Some(links) = self.group(group) else {
+            return Vec::new();
+        };
         self.of_region(&links.control, group.region)
     }
 
     fn of_region(&self, links: &[Link], region: usize) -> Vec<SocketAddr> {
         let regions = links.iter().zip(&self.regions_of_replicas);
-        regions.filter(|(_, of)| **of == region).map(|(link, _)| link.address).collect()
+        regions
+            .filter(|(_, of)| **of == region)
+            .map(|(link, _)| link.address)
+            .collect()
     }
 
     /// Where the proxies of a group reach the list service.
@@ -147,8 +163,13 @@
 
     /// Where the replicas of one region reach those of another.
     pub fn between(&self, from: usize, to: usize) -> Vec<SocketAddr> {
-        let ways = self.between_regions.iter().filter(|way| (way.from, way.to) == (from, to));
-        ways.flat_map(|way| &way.replicas).map(|(_, link)| link.address).collect()
+        let ways = self
+            .between_regions
+            .iter()
+            .filter(|way| (way.from, way.to) == (from, to));
+        ways.flat_map(|way| &way.replicas)
+            .map(|(_, link)| link.address)
+            .collect()
     }
 
     /// Where others reach a proxy.
@@ -165,11 +186,17 @@
             link.set(|state| (state.forth, state.back) = (pass, pass));
         };
         for way in &self.between_regions {
-            way.replicas.iter().for_each(|(_, link)| set(link, apart(way.from, way.to)));
+            way.replicas
+                .iter()
+                .for_each(|(_, link)| set(link, apart(way.from, way.to)));
         }
         for to in &self.inbound {
-            let refused = self.inbound.iter().filter(|from| apart(from.region, to.region));
-            let refused: HashSet<SocketAddr> = refused.filter_map(|from| *from.hears.borrow()).collect();
+            let refused = self
+                .inbound
+                .iter()
+                .filter(|from| apart(from.region, to.region));
+            let refused: HashSet<SocketAddr> =
+                refused.filter_map(|from| *from.hears.borrow()).collect();
             to.datagrams.set(|state| state.refused = Arc::new(refused));
         }
     }
@@ -178,13 +205,22 @@
     pub fn traffic(&self, real: bool) -> Traffic {
         let mut traffic = Traffic::default();
         for links in self.groups.iter().filter(|links| links.group.real == real) {
-            links.control.iter().for_each(|link| add(&mut traffic.control, link.passed()));
+            links
+                .control
+                .iter()
+                .for_each(|link| add(&mut traffic.control, link.passed()));
             add(&mut traffic.list, links.list.passed());
         }
         for (proxy, inbound) in self.inbound.iter().enumerate() {
             if (proxy < self.real) == real {
                 let sent = inbound.datagrams.sent();
-                add(&mut traffic.peers, Passed { bytes: sent.bytes, pieces: sent.datagrams });
+                add(
+                    &mut traffic.peers,
+                    Passed {
+                        bytes: sent.bytes,
+                        pieces: sent.datagrams,
+                    },
+                );
             }
         }
         traffic
@@ -196,7 +232,9 @@
         let mut all = vec![Passed::default(); self.replicas.len()];
         let groups = self.groups.iter().map(|links| &links.control);
         for links in groups.chain([&self.publisher, &self.replicas]) {
-            all.iter_mut().zip(links).for_each(|(sum, link)| add(sum, link.passed()));
+            all.iter_mut()
+                .zip(links)
+                .for_each(|(sum, link)| add(sum, link.passed()));
         }
         for (replica, link) in self.between_regions.iter().flat_map(|way| &way.replicas) {
             add(&mut all[*replica], link.passed());
@@ -232,7 +270,11 @@
                     links.push((replica, Link::to(target.clone()).await.map_err(text)?));
                 }
             }
-            all.push(RegionLinks { from, to, replicas: links });
+            all.push(RegionLinks {
+                from,
+                to,
+                replicas: links,
+            });
         }
     }
     Ok(all)
--- a/crates/trial/src/start/cold.rs
+++ b/crates/trial/src/start/cold.rs
@@ -63,7 +63,12 @@
     /// Most connections within a second.
     pub fn connects_most(&self) -> usize {
         (0..self.connects.len())
-            .map(|n| self.connects[n..].iter().take_while(|at| **at < self.connects[n] + 1_000_000).count())
+            .map(|n| {
+                self.connects[n..]
+                    .iter()
+                    .take_while(|at| **at < self.connects[n] + 1_000_000)
+                    .count()
+            })
             .max()
             .unwrap_or(0)
     }
@@ -72,9 +77,13 @@
     pub fn multiple(&self, kind: &Kind) -> f64 {
         let mut most: f64 = 0.0;
         for (n, &from) in self.requests.iter().enumerate() {
-            let came = self.requests[n..].iter().take_while(|at| **at < from + FALL_TIME).count();
-            let does =
-                kind.capacity((from + FALL_TIME / 2).saturating_sub(self.started)) * FALL_TIME as f64 / 1e6;
+            let came = self.requests[n..]
+                .iter()
+                .take_while(|at| **at < from + FALL_TIME)
+                .count();
+            let does = kind.capacity((from + FALL_TIME / 2).saturating_sub(self.started))
+                * FALL_TIME as f64
+                / 1e6;
             most = most.max(came as f64 / does);
         }
         most
@@ -112,7 +121,11 @@
             keys: HashMap::new(),
             executed: HashMap::new(),
         };
-        Hosts { addresses: Vec::new(), shared: Arc::new(Mutex::new(shared)), listeners: Vec::new() }
+        Hosts {
+            addresses: Vec::new(),
+            shared: Arc::new(Mutex::new(shared)),
+            listeners: Vec::new(),
+        }
     }
 
     /// One more starts now.
@@ -120,12 +133,18 @@
     /// # Errors
     /// If no port can be had.
     pub async fn add(&mut self) -> Result<usize, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
-        self.addresses.push(listener.local_addr().map_err(|e| e.to_string())?);
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
+        self.addresses
+            .push(listener.local_addr().map_err(|e| e.to_string())?);
         let place = self.addresses.len() - 1;
         {
             let mut shared = locked(&self.shared);
-            shared.seen.push(Seen { started: now(), ..Seen::default() });
+            shared.seen.push(Seen {
+                started: now(),
+                ..Seen::default()
+            });
             shared.free.push(0);
         }
         let shared = Arc::clone(&self.shared);
@@ -159,7 +178,9 @@
 /// Takes the host's core for this work; how long until it is done, or `None` if the wait is too long.
 fn taken(shared: &mut Shared, place: usize, work: Duration, most: Duration) -> Option<Duration> {
     let at = now();
-    let speed = shared.kind.speed(at.saturating_sub(shared.seen[place].started));
+    let speed = shared
+        .kind
+        .speed(at.saturating_sub(shared.seen[place].started));
     let free = shared.free[place].max(at);
     if free - at > most.as_micros() as Micros {
         return None;
@@ -174,7 +195,9 @@
     let mut held = Vec::new();
     let mut fresh = true;
     while let Some((head, _)) = message(&mut stream, &mut held).await {
-        let key = header(&head, "idempotency-key").unwrap_or_default().to_owned();
+        let key = header(&head, "idempotency-key")
+            .unwrap_or_default()
+            .to_owned();
         let keyed = head.contains("/registro-entrada");
         let (takes, runs) = {
             let mut shared = locked(&shared);
@@ -223,11 +246,18 @@
             fall_multiple: 3.0,
             waiting: Duration::from_secs(1),
         };
-        assert!((kind.capacity(0) - 10.0).abs() < 1e-6 && (kind.capacity(20_000_000) - 100.0).abs() < 1e-6);
+        assert!(
+            (kind.capacity(0) - 10.0).abs() < 1e-6
+                && (kind.capacity(20_000_000) - 100.0).abs() < 1e-6
+        );
         // 19 a second in its second second.
         let requests = (0..38).map(|n| n * 52_000).collect();
-        let seen =
-            Seen { started: 0, requests, connects: vec![0, 10, 999_999, 1_000_000], ..Seen::default() };
+        let seen = Seen {
+            started: 0,
+            requests,
+            connects: vec![0, 10, 999_999, 1_000_000],
+            ..Seen::default()
+        };
         let multiple = seen.multiple(&kind);
         assert!((0.9..1.1).contains(&multiple), "{multiple}");
         assert_eq!(seen.connects_most(), 3);
--- a/crates/trial/src/start/course.rs
+++ b/crates/trial/src/start/course.rs
@@ -76,7 +76,10 @@
 impl Kind {
     /// Its name, as it stands in a course that was written down.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 
     /// The kind of this name.
@@ -87,12 +90,18 @@
     /// Do proxies stop or end by it?
     pub fn of_processes(self) -> bool {
         use Kind::{KillAll, KillAskers, KillMany, KillSeeds, Roll, StopAskers, StopSome};
-        matches!(self, KillMany | KillAll | KillSeeds | KillAskers | StopAskers | StopSome | Roll)
+        matches!(
+            self,
+            KillMany | KillAll | KillSeeds | KillAskers | StopAskers | StopSome | Roll
+        )
     }
 
     /// Does it change what the service tells?
     pub fn of_service(self) -> bool {
-        matches!(self, Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld)
+        matches!(
+            self,
+            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld
+        )
     }
 }
 
@@ -133,16 +142,29 @@
         let mut faults: Vec<Fault> = Vec::new();
         for kind in kinds {
             // Half of them meet the start itself.
-            let from = if draws.gen_bool(0.5) { 0 } else { draws.gen_range(0..BEGIN_WITHIN) };
+            let from = if draws.gen_bool(0.5) {
+                0
+            } else {
+                draws.gen_range(0..BEGIN_WITHIN)
+            };
             let from = Duration::from_millis(from);
             let until = from + Duration::from_millis(draws.gen_range(LASTS));
             let lot = draws.gen();
             let same = |f: &&Fault| {
-                (f.kind.of_processes() && kind.of_processes()) || (f.kind.of_service() && kind.of_service())
+                (f.kind.of_processes() && kind.of_processes())
+                    || (f.kind.of_service() && kind.of_service())
             };
-            let beside = faults.iter().filter(same).any(|f| f.from < until && from < f.until);
+            let beside = faults
+                .iter()
+                .filter(same)
+                .any(|f| f.from < until && from < f.until);
             if !beside {
-                faults.push(Fault { kind, from, until, lot });
+                faults.push(Fault {
+                    kind,
+                    from,
+                    until,
+                    lot,
+                });
             }
         }
         faults.sort_by_key(|f| f.from);
@@ -169,6 +191,8 @@
             }
         }
         assert_eq!(met.len(), KINDS.len());
-        assert!(KINDS.into_iter().all(|kind| Kind::named(&kind.name()) == Some(kind)));
+        assert!(KINDS
+            .into_iter()
+            .all(|kind| Kind::named(&kind.name()) == Some(kind)));
     }
 }
--- a/crates/trial/src/start/mod.rs
+++ b/crates/trial/src/start/mod.rs
@@ -272,7 +272,9 @@
 }
 
 fn unix_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(0)
 }
 
@@ -286,26 +288,41 @@
         let text = |e: std::io::Error| e.to_string();
         let mut folder = Folder::new(&format!("start-{seed:x}-{:?}", size.way))?;
         folder.keep = keep;
-        let secret = folder.write("secret", &format!("a secret of the trial {seed:016x}"), true)?;
+        let secret = folder.write(
+            "secret",
+            &format!("a secret of the trial {seed:016x}"),
+            true,
+        )?;
         let mut hosts = Hosts::new(size.host);
         let mut listed = Vec::new();
         for _ in 0..size.hosts {
             let place = hosts.add().await?;
             listed.push(Some((hosts.addresses[place], false, unix_ms())));
         }
-        let service = Service::start(listed.iter().copied().enumerate().collect(), size.capacity).await?;
+        let service =
+            Service::start(listed.iter().copied().enumerate().collect(), size.capacity).await?;
         let (_, at) = watch::channel(Some(service.address));
         let mut built = Vec::new();
         for place in 0..size.proxies {
             let (tells, hearing) = watch::channel(None);
             let link = Link::to(at.clone()).await.map_err(text)?;
-            let peers = Datagrams::to(hearing.clone(), seed ^ place as u64).await.map_err(text)?;
+            let peers = Datagrams::to(hearing.clone(), seed ^ place as u64)
+                .await
+                .map_err(text)?;
             built.push((tells, hearing, link, peers));
         }
-        let seeds: Vec<String> = built.iter().take(SEEDS).map(|b| format!("\"{}\"", b.3.address)).collect();
+        let seeds: Vec<String> = built
+            .iter()
+            .take(SEEDS)
+            .map(|b| format!("\"{}\"", b.3.address))
+            .collect();
         let mut proxies = Vec::new();
         for (place, (tells, hearing, service, peers)) in built.into_iter().enumerate() {
-            let own = (&*secret.display().to_string(), peers.address, &*seeds.join(", "));
+            let own = (
+                &*secret.display().to_string(),
+                peers.address,
+                &*seeds.join(", "),
+            );
             let file = folder.write(
                 &format!("p{place}.toml"),
                 &file((&size, place), service.address, own, "trial"),
@@ -313,11 +330,22 @@
             )?;
             let mut arguments = programs.1.clone();
             arguments.extend(["run".to_owned(), file.display().to_string()]);
-            let plan =
-                Plan { program: programs.0.clone(), arguments, keep: Vec::new(), variables: Vec::new() };
+            let plan = Plan {
+                program: programs.0.clone(),
+                arguments,
+                keep: Vec::new(),
+                variables: Vec::new(),
+            };
             // Started later, when its moment has come.
             let process = tokio::sync::Mutex::new(Process::waiting(plan, tells));
-            proxies.push(Proxy { process, address: Mutex::new(None), hearing, service, peers, file });
+            proxies.push(Proxy {
+                process,
+                address: Mutex::new(None),
+                hearing,
+                service,
+                peers,
+                file,
+            });
         }
         Ok(World {
             size,
@@ -353,20 +381,29 @@
     /// Sets all links between proxies by what holds.
     fn pass(&self) {
         let ways = locked(&self.ways);
-        let heard: Vec<Option<SocketAddr>> = self.proxies.iter().map(|p| *p.hearing.borrow()).collect();
+        let heard: Vec<Option<SocketAddr>> =
+            self.proxies.iter().map(|p| *p.hearing.borrow()).collect();
         for (to, proxy) in self.proxies.iter().enumerate() {
-            let apart =
-                |from: usize| ways.apart.iter().any(|half| half.contains(&from) != half.contains(&to));
+            let apart = |from: usize| {
+                ways.apart
+                    .iter()
+                    .any(|half| half.contains(&from) != half.contains(&to))
+            };
             let refused: HashSet<SocketAddr> = match ways.apart.is_empty() {
                 true => HashSet::new(),
-                false => {
-                    (0..heard.len()).filter(|from| apart(*from)).filter_map(|from| heard[from]).collect()
-                }
+                false => (0..heard.len())
+                    .filter(|from| apart(*from))
+                    .filter_map(|from| heard[from])
+                    .collect(),
             };
             proxy.peers.set(|state| {
                 state.forth.lost = if ways.lossy { 0.33 } else { 0.0 };
                 state.forth.doubled = if ways.doubled { 0.33 } else { 0.0 };
-                state.forth.late = if ways.late { Duration::from_secs(2) } else { Duration::ZERO };
+                state.forth.late = if ways.late {
+                    Duration::from_secs(2)
+                } else {
+                    Duration::ZERO
+                };
                 state.refused = Arc::new(refused);
             });
         }
@@ -391,13 +428,19 @@
 
     fn some(&self, lot: u64, share: f64) -> Vec<usize> {
         let mut draws = Pcg32::seed_from_u64(lot);
-        (0..self.proxies.len()).filter(|_| draws.gen_bool(share)).collect()
+        (0..self.proxies.len())
+            .filter(|_| draws.gen_bool(share))
+            .collect()
     }
 
     async fn restart(&self, whom: &[usize], until: Instant) -> Result<(), String> {
         let from = now();
         for &place in whom {
-            self.proxies[place].process.lock().await.signal(Signal::KILL);
+            self.proxies[place]
+                .process
+                .lock()
+                .await
+                .signal(Signal::KILL);
         }
         for &place in whom {
             self.kill(place).await;
@@ -414,11 +457,19 @@
     async fn stand(&self, whom: &[usize], until: Instant) {
         let from = now();
         for &place in whom {
-            self.proxies[place].process.lock().await.signal(Signal::STOP);
+            self.proxies[place]
+                .process
+                .lock()
+                .await
+                .signal(Signal::STOP);
         }
         tokio::time::sleep_until(until).await;
         for &place in whom {
-            self.proxies[place].process.lock().await.signal(Signal::CONT);
+            self.proxies[place]
+                .process
+                .lock()
+                .await
+                .signal(Signal::CONT);
         }
         let until = now();
         locked(&self.down).extend(whom.iter().map(|place| (*place, from, until)));
@@ -466,8 +517,11 @@
             Kind::CutFromService => {
                 let whom = self.some(fault.lot, 0.5);
                 let set = |pass| {
-                    whom.iter()
-                        .for_each(|p| self.proxies[*p].service.set(|s| (s.forth, s.back) = (pass, pass)));
+                    whom.iter().for_each(|p| {
+                        self.proxies[*p]
+                            .service
+                            .set(|s| (s.forth, s.back) = (pass, pass))
+                    });
                 };
                 set(Pass::Cut);
                 tokio::time::sleep_until(until).await;
@@ -478,7 +532,11 @@
                 let halves = match fault.kind {
                     Kind::Halves => vec![self.some(fault.lot, share).into_iter().collect()],
                     // Each by itself.
-                    _ => self.some(fault.lot, share).into_iter().map(|p| HashSet::from([p])).collect(),
+                    _ => self
+                        .some(fault.lot, share)
+                        .into_iter()
+                        .map(|p| HashSet::from([p]))
+                        .collect(),
                 };
                 ways(&|w| w.apart.extend(halves.iter().cloned()));
                 tokio::time::sleep_until(until).await;
@@ -528,9 +586,12 @@
     async fn drain(&self, fault: Fault, until: Instant) {
         let place = {
             let mut listed = locked(&self.listed);
-            let up: Vec<usize> =
-                (0..listed.len()).filter(|p| matches!(listed[*p], Some((_, false, _)))).collect();
-            let Some(&place) = up.choose(&mut Pcg32::seed_from_u64(fault.lot)) else { return };
+            let up: Vec<usize> = (0..listed.len())
+                .filter(|p| matches!(listed[*p], Some((_, false, _))))
+                .collect();
+            let Some(&place) = up.choose(&mut Pcg32::seed_from_u64(fault.lot)) else {
+                return;
+            };
             if let Some((_, drains, _)) = &mut listed[place] {
                 *drains = true;
             }
@@ -550,11 +611,19 @@
         let text = std::fs::read_to_string(&self.proxies[0].file).map_err(|e| e.to_string())?;
         let text = text.replace("fleet = \"trial\"", "fleet = \"another\"");
         let own = format!("advertise = \"{}\"\n", self.proxies[0].peers.address);
-        let file = self.folder.write(&format!("stranger-{lot:x}.toml"), &text.replace(&own, ""), false)?;
+        let file = self.folder.write(
+            &format!("stranger-{lot:x}.toml"),
+            &text.replace(&own, ""),
+            false,
+        )?;
         let mut arguments = self.programs.1.clone();
         arguments.extend(["run".to_owned(), file.display().to_string()]);
-        let plan =
-            Plan { program: self.programs.0.clone(), arguments, keep: Vec::new(), variables: Vec::new() };
+        let plan = Plan {
+            program: self.programs.0.clone(),
+            arguments,
+            keep: Vec::new(),
+            variables: Vec::new(),
+        };
         let process = Process::start(plan).await?;
         locked(&self.strangers).push(process);
         Ok(())
@@ -634,7 +703,14 @@
 
 async fn one(key: String, path: &'static str, proxy: usize, address: SocketAddr) -> Call {
     let from = now();
-    let mut call = Call { key, from, served: None, ended: Ended::Nobody, proxy, last: from };
+    let mut call = Call {
+        key,
+        from,
+        served: None,
+        ended: Ended::Nobody,
+        proxy,
+        last: from,
+    };
     for _ in 0..TRIES {
         call.last = now();
         let (ended, again) = once(address, path, &call.key).await;
@@ -644,7 +720,9 @@
                 call.served = Some(now());
                 break;
             }
-            Ended::Status(429 | 503) => tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await,
+            Ended::Status(429 | 503) => {
+                tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await
+            }
             // Its proxy has gone, or it may have run.
             _ => break,
         }
@@ -668,7 +746,10 @@
     let mut order: Vec<usize> = (0..size.proxies).collect();
     order.shuffle(&mut Pcg32::seed_from_u64(course.seed));
     for (n, place) in order.into_iter().enumerate() {
-        let (world, at) = (Arc::clone(&world), began + size.within.mul_f64(n as f64 / size.proxies as f64));
+        let (world, at) = (
+            Arc::clone(&world),
+            began + size.within.mul_f64(n as f64 / size.proxies as f64),
+        );
         tasks.spawn(async move {
             tokio::time::sleep_until(at).await;
             world.start(place).await
@@ -677,8 +758,16 @@
     let mut faults = tokio::task::JoinSet::new();
     for &fault in &course.faults {
         // Processes end only after they have started.
-        let from = if fault.kind.of_processes() { fault.from.max(size.within) } else { fault.from };
-        let fault = Fault { from, until: fault.until.max(from + Duration::from_millis(300)), ..fault };
+        let from = if fault.kind.of_processes() {
+            fault.from.max(size.within)
+        } else {
+            fault.from
+        };
+        let fault = Fault {
+            from,
+            until: fault.until.max(from + Duration::from_millis(300)),
+            ..fault
+        };
         faults.spawn(Arc::clone(&world).inflict(fault, began));
     }
     let load = tokio::spawn(Arc::clone(&world).load(course.seed, began));
@@ -689,6 +778,10 @@
         done.map_err(|e| e.to_string())??;
     }
     let calls = load.await.map_err(|e| e.to_string())?;
-    let behind = if size.way == Way::Peers { world.behind().await? } else { 0 };
+    let behind = if size.way == Way::Peers {
+        world.behind().await?
+    } else {
+        0
+    };
     report::judge(&world, course, (zero, calls), behind).await
 }
--- a/crates/trial/src/start/report.rs
+++ b/crates/trial/src/start/report.rs
@@ -49,8 +49,15 @@
     let first = counts.first_answer.unwrap_or(zero);
     let last_lives = || all_lives.iter().filter_map(|l| l.last());
     let unlisted = last_lives().filter(|l| l.1.is_none()).count();
-    let listed = || all_lives.iter().flatten().filter_map(|(from, at)| Some((*from, (*at)?)));
-    let mut waits: Vec<Micros> = listed().map(|(from, at)| at.saturating_sub(first.max(from))).collect();
+    let listed = || {
+        all_lives
+            .iter()
+            .flatten()
+            .filter_map(|(from, at)| Some((*from, (*at)?)))
+    };
+    let mut waits: Vec<Micros> = listed()
+        .map(|(from, at)| at.saturating_sub(first.max(from)))
+        .collect();
     waits.sort_unstable();
     let quantile = |share: f64| {
         let place = ((waits.len() as f64 - 1.0) * share).ceil().max(0.0) as usize;
@@ -69,9 +76,14 @@
             *who == call.proxy && *until >= call.last && *from <= call.last + 6_000_000
         })
     };
-    let lost: Vec<&Call> =
-        calls.iter().filter(|c| matches!(c.ended, Ended::Cut | Ended::Silence) && well(c)).collect();
-    let early: Vec<&Call> = calls.iter().filter(|c| c.from < zero + 10_000_000).collect();
+    let lost: Vec<&Call> = calls
+        .iter()
+        .filter(|c| matches!(c.ended, Ended::Cut | Ended::Silence) && well(c))
+        .collect();
+    let early: Vec<&Call> = calls
+        .iter()
+        .filter(|c| c.from < zero + 10_000_000)
+        .collect();
     let served_early = early.iter().filter(|c| c.served.is_some()).count();
     let drained = locked(&world.drained).clone();
     let last_call = |place: usize, version: u64| {
@@ -79,7 +91,10 @@
         let last = seen.get(place)?.requests.last().copied()?;
         Some(ms(last.saturating_sub(told)))
     };
-    let drained_ms = drained.iter().filter_map(|(place, version)| last_call(*place, *version)).max();
+    let drained_ms = drained
+        .iter()
+        .filter_map(|(place, version)| last_call(*place, *version))
+        .max();
     let mut problems = Vec::new();
     if unlisted > 0 {
         problems.push(format!("{unlisted} proxies have no list"));
@@ -88,10 +103,16 @@
         problems.push(format!("{behind} proxies do not have the newest list"));
     }
     if let Some(call) = lost.first() {
-        problems.push(format!("call {} at p{} was lost: {:?}", call.key, call.proxy, call.ended));
+        problems.push(format!(
+            "call {} at p{} was lost: {:?}",
+            call.key, call.proxy, call.ended
+        ));
     }
     if executed_twice > 0 {
-        let twice = executed.iter().find(|(_, times)| **times > 1).map(|(key, _)| key.clone());
+        let twice = executed
+            .iter()
+            .find(|(_, times)| **times > 1)
+            .map(|(key, _)| key.clone());
         problems.push(format!("call {} ran twice", twice.unwrap_or_default()));
     }
     let second = |at: Micros| (at.saturating_sub(zero) / 1_000_000) as usize;
@@ -103,15 +124,23 @@
         }
     };
     counts.questions.iter().for_each(|at| count(*at, 0));
-    seen.iter().flat_map(|s| &s.connects).for_each(|at| count(*at, 1));
+    seen.iter()
+        .flat_map(|s| &s.connects)
+        .for_each(|at| count(*at, 1));
     calls.iter().for_each(|c| count(c.from, 2));
-    calls.iter().filter_map(|c| c.served).for_each(|at| count(at, 3));
+    calls
+        .iter()
+        .filter_map(|c| c.served)
+        .for_each(|at| count(at, 3));
     let questions_most = seconds.iter().map(|s| s[0]).max().unwrap_or(0);
     let tenths = (0..(most + 1) * 10)
         .map(|n| {
             let at = zero + (n as Micros + 1) * 100_000;
             let has = |l: &&(Micros, Option<Micros>)| l.1.is_some_and(|listed| listed <= at);
-            all_lives.iter().filter(|lives| lives.iter().rfind(|l| l.0 <= at).filter(has).is_some()).count()
+            all_lives
+                .iter()
+                .filter(|lives| lives.iter().rfind(|l| l.0 <= at).filter(has).is_some())
+                .count()
         })
         .collect();
     Ok(Played {
@@ -128,7 +157,10 @@
         given_up: counts.given_up,
         connects_most: seen.iter().map(Seen::connects_most).max().unwrap_or(0),
         connects: seen.iter().map(|s| s.connects.len()).sum(),
-        multiple_most: seen.iter().map(|s| s.multiple(&world.size.host)).fold(0.0, f64::max),
+        multiple_most: seen
+            .iter()
+            .map(|s| s.multiple(&world.size.host))
+            .fold(0.0, f64::max),
         calls: calls.len(),
         served: calls.iter().filter(|c| c.served.is_some()).count(),
         goodput: served_early as f64 / early.len().max(1) as f64,
@@ -154,24 +186,38 @@
     row("way", &|p| format!("{:?}", p.way).to_lowercase());
     row("seed", &|p| p.seed.to_string());
     for (place, name) in ["half", "99 in 100", "all"].into_iter().enumerate() {
-        row(&format!("listed, {name}, ms"), &|p| p.listed_ms[place].to_string());
+        row(&format!("listed, {name}, ms"), &|p| {
+            p.listed_ms[place].to_string()
+        });
     }
-    row("first answer to the last list, ms", &|p| p.all_listed_ms.to_string());
+    row("first answer to the last list, ms", &|p| {
+        p.all_listed_ms.to_string()
+    });
     row("without a list", &|p| p.unlisted.to_string());
     row("not the newest list", &|p| p.behind.to_string());
-    row("questions until all had their list", &|p| p.questions_start.to_string());
+    row("questions until all had their list", &|p| {
+        p.questions_start.to_string()
+    });
     row("questions", &|p| p.questions.to_string());
-    row("questions, most in a second", &|p| p.questions_most.to_string());
+    row("questions, most in a second", &|p| {
+        p.questions_most.to_string()
+    });
     row("questions given up", &|p| p.given_up.to_string());
     row("connections at hosts", &|p| p.connects.to_string());
-    row("connections at one, most in a second", &|p| p.connects_most.to_string());
-    row("sent over what a host can do, most", &|p| format!("{:.2}", p.multiple_most));
+    row("connections at one, most in a second", &|p| {
+        p.connects_most.to_string()
+    });
+    row("sent over what a host can do, most", &|p| {
+        format!("{:.2}", p.multiple_most)
+    });
     row("calls", &|p| p.calls.to_string());
     row("served", &|p| p.served.to_string());
     row("goodput, first 10 s", &|p| format!("{:.3}", p.goodput));
     row("lost", &|p| p.lost.to_string());
     row("executed twice", &|p| p.executed_twice.to_string());
-    row("last call after a drain, ms", &|p| p.drained_ms.map_or("-".to_owned(), |ms| ms.to_string()));
+    row("last call after a drain, ms", &|p| {
+        p.drained_ms.map_or("-".to_owned(), |ms| ms.to_string())
+    });
     text
 }
 
@@ -190,9 +236,15 @@
     row("not the newest list", sum(|p| p.behind) as u64);
     row("listed, all, ms, the longest", most(|p| p.listed_ms[2]));
     row("questions", sum(|p| p.questions) as u64);
-    row("questions in a second, most", most(|p| p.questions_most as u64));
+    row(
+        "questions in a second, most",
+        most(|p| p.questions_most as u64),
+    );
     row("questions given up", sum(|p| p.given_up as usize) as u64);
-    row("connections at one host, most in 1 s", most(|p| p.connects_most as u64));
+    row(
+        "connections at one host, most in 1 s",
+        most(|p| p.connects_most as u64),
+    );
     row("calls", sum(|p| p.calls) as u64);
     row("served", sum(|p| p.served) as u64);
     row("lost", sum(|p| p.lost) as u64);
@@ -211,17 +263,34 @@
         let most = all.iter().map(|p| p.seconds.len()).max().unwrap_or(1) as f64;
         type Line = Vec<(f64, f64)>;
         let by_second = |p: &Played, of: &dyn Fn(&[usize; 4]) -> f64| -> Line {
-            p.seconds.iter().enumerate().map(|(n, s)| (n as f64 + 0.5, of(s))).collect()
+            p.seconds
+                .iter()
+                .enumerate()
+                .map(|(n, s)| (n as f64 + 0.5, of(s)))
+                .collect()
         };
         let share = |p: &Played| -> Line {
-            p.tenths.iter().enumerate().map(|(n, c)| (n as f64 / 10.0, *c as f64 / proxies as f64)).collect()
+            p.tenths
+                .iter()
+                .enumerate()
+                .map(|(n, c)| (n as f64 / 10.0, *c as f64 / proxies as f64))
+                .collect()
         };
         type Panel<'a> = (&'static str, Box<dyn Fn(&Played) -> Line + 'a>);
         let panels: [Panel<'_>; 4] = [
-            ("questions a second", Box::new(move |p| by_second(p, &|s| s[0] as f64))),
+            (
+                "questions a second",
+                Box::new(move |p| by_second(p, &|s| s[0] as f64)),
+            ),
             ("share of proxies with a list", Box::new(share)),
-            ("connections opened a second", Box::new(move |p| by_second(p, &|s| s[1] as f64))),
-            ("served a second", Box::new(move |p| by_second(p, &|s| s[3] as f64))),
+            (
+                "connections opened a second",
+                Box::new(move |p| by_second(p, &|s| s[1] as f64)),
+            ),
+            (
+                "served a second",
+                Box::new(move |p| by_second(p, &|s| s[3] as f64)),
+            ),
         ];
         for (area, (name, line)) in root.split_evenly((2, 2)).iter().zip(&panels) {
             let lines: Vec<Line> = all.iter().map(line).collect();
@@ -232,7 +301,10 @@
                 .x_label_area_size(28)
                 .y_label_area_size(44)
                 .build_cartesian_2d(0.0..most, 0.0..high * 1.05)?;
-            chart.configure_mesh().x_desc("s since the first start").draw()?;
+            chart
+                .configure_mesh()
+                .x_desc("s since the first start")
+                .draw()?;
             for (line, played) in lines.into_iter().zip(all) {
                 let colour = match played.way {
                     super::Way::None => RED,
--- a/crates/trial/src/start/service.rs
+++ b/crates/trial/src/start/service.rs
@@ -72,7 +72,9 @@
     /// # Errors
     /// If no port can be had.
     pub async fn start(first: Vec<(usize, Listed)>, capacity: f64) -> Result<Service, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         let shared = Arc::new(Mutex::new(Shared {
             mood: Mood::Well,
@@ -80,7 +82,10 @@
             log: vec![(now(), first)],
             waiting: VecDeque::new(),
             working: false,
-            counts: Counts { told: vec![None], ..Counts::default() },
+            counts: Counts {
+                told: vec![None],
+                ..Counts::default()
+            },
         }));
         let (version, _) = watch::channel(1);
         let (all, versions) = (Arc::clone(&shared), version.clone());
@@ -89,7 +94,12 @@
                 tokio::spawn(serve(stream, Arc::clone(&all), versions.subscribe()));
             }
         });
-        Ok(Service { address, shared, version, listener: task.abort_handle() })
+        Ok(Service {
+            address,
+            shared,
+            version,
+            listener: task.abort_handle(),
+        })
     }
 
     /// The list changes; tells which version this is.
@@ -128,7 +138,11 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, shared: Arc<Mutex<Shared>>, mut version: watch::Receiver<u64>) {
+async fn serve(
+    mut stream: TcpStream,
+    shared: Arc<Mutex<Shared>>,
+    mut version: watch::Receiver<u64>,
+) {
     let _ = stream.set_nodelay(true);
     let mut held = Vec::new();
     while let Some((head, _)) = message(&mut stream, &mut held).await {
@@ -147,8 +161,13 @@
             }
             continue;
         }
-        let Some(body) = answer(&head, &shared, &mut version).await else { return };
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let Some(body) = answer(&head, &shared, &mut version).await else {
+            return;
+        };
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if send(&mut stream, text.as_bytes()).await.is_err() {
             return;
         }
@@ -168,7 +187,10 @@
         }
     };
     if let Some(mine) = mine {
-        if tokio::time::timeout(PATIENCE, mine.notified()).await.is_err() {
+        if tokio::time::timeout(PATIENCE, mine.notified())
+            .await
+            .is_err()
+        {
             let mut shared = locked(shared);
             let before = shared.waiting.len();
             shared.waiting.retain(|other| !Arc::ptr_eq(other, &mine));
@@ -198,18 +220,29 @@
 
 fn entry((host, listed): &(usize, Listed)) -> String {
     let (address, status, since) = match listed {
-        Some((address, drains, since)) => {
-            (address.to_string(), if *drains { "draining" } else { "up" }, *since)
-        }
+        Some((address, drains, since)) => (
+            address.to_string(),
+            if *drains { "draining" } else { "up" },
+            *since,
+        ),
         None => (String::new(), "removed", 0),
     };
-    format!(r#"{{"name":"h{host}","address":"{address}","status":"{status}","group":1,"since_ms":{since}}}"#)
+    format!(
+        r#"{{"name":"h{host}","address":"{address}","status":"{status}","group":1,"since_ms":{since}}}"#
+    )
 }
 
-async fn answer(head: &str, shared: &Mutex<Shared>, version: &mut watch::Receiver<u64>) -> Option<String> {
+async fn answer(
+    head: &str,
+    shared: &Mutex<Shared>,
+    version: &mut watch::Receiver<u64>,
+) -> Option<String> {
     let number = |name: &str| {
         let (_, rest) = head.lines().next()?.split_once(name)?;
-        rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
+        rest.split(|c: char| !c.is_ascii_digit())
+            .next()?
+            .parse::<u64>()
+            .ok()
     };
     let (index, wait) = (number("index="), number("wait=").unwrap_or(0));
     let told = |shared: &Shared| match shared.mood {
@@ -243,5 +276,8 @@
         .filter(|(_, l)| !whole || l.is_some())
         .map(|e| entry(&e))
         .collect();
-    Some(format!(r#"{{"index":{newest},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(",")))
+    Some(format!(
+        r#"{{"index":{newest},"snapshot":{whole},"endpoints":[{}]}}"#,
+        entries.join(",")
+    ))
 }
--- a/crates/trial/tests/scale.rs
+++ b/crates/trial/tests/scale.rs
@@ -13,15 +13,26 @@
 use badgerramp_trial::scale::report::Fit;
 use badgerramp_trial::scale::verdict::{begun, closed, Ready, Refused};
 
-const SIZE: Size = Size { proxies: 80, real: 8, regions: 2, zones: 4, replicas: 3 };
+const SIZE: Size = Size {
+    proxies: 80,
+    real: 8,
+    regions: 2,
+    zones: 4,
+    replicas: 3,
+};
 
 #[test]
 fn zones_are_alike_and_regions_have_zones_of_their_own() {
     for zone in 0..SIZE.zones {
         let proxies = SIZE.proxies_in(zone);
         assert_eq!(proxies.len(), 20);
-        assert_eq!(proxies.iter().filter(|&&proxy| SIZE.is_real(proxy)).count(), 2);
-        assert!(proxies.iter().all(|&proxy| SIZE.proxy(proxy).region == zone / 2));
+        assert_eq!(
+            proxies.iter().filter(|&&proxy| SIZE.is_real(proxy)).count(),
+            2
+        );
+        assert!(proxies
+            .iter()
+            .all(|&proxy| SIZE.proxy(proxy).region == zone / 2));
         assert!(SIZE.rack(zone).iter().all(|proxy| proxies.contains(proxy)));
         assert_eq!(SIZE.rack(zone).len(), 4);
     }
@@ -32,7 +43,9 @@
     let places = SIZE.replica_places();
     let regions: Vec<usize> = places.iter().map(|place| place.region).collect();
     assert_eq!(regions, [0, 0, 0, 1, 1, 1]);
-    let in_zones: Vec<usize> = (0..SIZE.zones).map(|zone| SIZE.replicas_in(zone).len()).collect();
+    let in_zones: Vec<usize> = (0..SIZE.zones)
+        .map(|zone| SIZE.replicas_in(zone).len())
+        .collect();
     assert_eq!(in_zones, [2, 1, 2, 1]);
 }
 
@@ -45,21 +58,36 @@
             assert_eq!(format!("{course:?}"), format!("{:?}", draw()));
             assert!(course.proxies.iter().all(|&proxy| proxy < SIZE.proxies));
             assert!(course.replicas.iter().all(|&replica| replica < 6));
-            assert!(course.from < course.until && course.until <= course.called, "{course:?}");
+            assert!(
+                course.from < course.until && course.until <= course.called,
+                "{course:?}"
+            );
         }
     }
-    assert!(KINDS.into_iter().all(|kind| Kind::named(&kind.name()) == Some(kind)));
+    assert!(KINDS
+        .into_iter()
+        .all(|kind| Kind::named(&kind.name()) == Some(kind)));
 }
 
 #[test]
 fn a_region_is_cut_off_for_longer_than_every_time_of_control() {
-    let times = ControlTimes { lease_ms: 3_000, wait_ms: 6_000, election_ms: 1_000, regions_wait_ms: 4_000 };
+    let times = ControlTimes {
+        lease_ms: 3_000,
+        wait_ms: 6_000,
+        election_ms: 1_000,
+        regions_wait_ms: 4_000,
+    };
     let course = Course::draw(1, Some(Kind::CutRegion), &SIZE, times, 10);
     assert!((course.until - course.from).as_millis() > 3_000 + 6_000 + 1_000);
 }
 
 fn admitted(proxy: &str, admits: Admits, from: Micros, until: Micros) -> Event {
-    Event::Admitted { proxy: proxy.to_owned(), admits, from, until }
+    Event::Admitted {
+        proxy: proxy.to_owned(),
+        admits,
+        from,
+        until,
+    }
 }
 
 #[test]
@@ -70,9 +98,16 @@
         Event::Told,
     ];
     let lines = begun(&events);
-    let mode = Mode { revision: 0, old: Generation(3), new: Generation(4) };
+    let mode = Mode {
+        revision: 0,
+        old: Generation(3),
+        new: Generation(4),
+    };
     assert_eq!(
-        lines.iter().map(|l| (l.at, l.proxy, l.mode)).collect::<Vec<_>>(),
+        lines
+            .iter()
+            .map(|l| (l.at, l.proxy, l.mode))
+            .collect::<Vec<_>>(),
         [(5, 9, mode), (8, 9, mode)]
     );
     assert_eq!(closed(&events), [(9, 1, 2)]);
@@ -83,24 +118,58 @@
     let line = |at: Micros, text: &str| (at, format!("{{\"message\":\"{text}\"}}"));
     let log = [
         line(10, "policy: generation 1"),
-        line(11, "peers: list 1 of the list service with 4 hosts, 3 ms after the start"),
-        line(5_000, "peers: list 1 of 127.0.0.1:1 with 4 hosts, 3 ms after the start"),
+        line(
+            11,
+            "peers: list 1 of the list service with 4 hosts, 3 ms after the start",
+        ),
+        line(
+            5_000,
+            "peers: list 1 of 127.0.0.1:1 with 4 hosts, 3 ms after the start",
+        ),
         line(9_000, "policy: generation 1"),
     ];
-    let down = |proxy, until| Down { proxy, from: 1_000, until };
+    let down = |proxy, until| Down {
+        proxy,
+        from: 1_000,
+        until,
+    };
     let downs = [down(1, Some(2_000)), down(2, Some(2_000)), down(3, None)];
-    let ready = Ready::of(&downs, |proxy| if proxy == 1 { log.to_vec() } else { log[..3].to_vec() });
+    let ready = Ready::of(&downs, |proxy| {
+        if proxy == 1 {
+            log.to_vec()
+        } else {
+            log[..3].to_vec()
+        }
+    });
     assert_eq!((ready.ready_ms.as_slice(), ready.not_ready), (&[7][..], 1));
     assert!(!ready.well(1, 8_000, 8_001) && ready.well(1, 9_001, 9_002) && ready.well(1, 0, 999));
-    assert!(!ready.well(2, 10_000, 10_001) && !ready.well(3, 10_000, 10_001) && ready.well(4, 0, 10_000));
+    assert!(
+        !ready.well(2, 10_000, 10_001)
+            && !ready.well(3, 10_000, 10_001)
+            && ready.well(4, 0, 10_000)
+    );
 }
 
 #[test]
 fn refusals_of_proxies_that_were_well_count_in_their_region() {
-    let attempt =
-        |proxy, status| Try { key: String::new(), proxy, from: 50, until: 60, ended: Ended::Status(status) };
-    let ready = Ready { unwell: vec![(4, 40, 70)], ..Ready::default() };
-    let tries = [attempt(0, 503), attempt(0, 200), attempt(2, 503), attempt(3, 503), attempt(4, 503)];
+    let attempt = |proxy, status| Try {
+        key: String::new(),
+        proxy,
+        from: 50,
+        until: 60,
+        ended: Ended::Status(status),
+    };
+    let ready = Ready {
+        unwell: vec![(4, 40, 70)],
+        ..Ready::default()
+    };
+    let tries = [
+        attempt(0, 503),
+        attempt(0, 200),
+        attempt(2, 503),
+        attempt(3, 503),
+        attempt(4, 503),
+    ];
     let refused = Refused::of(&SIZE, &tries, &[(11, 1, 2), (4, 41, 42)], &ready);
     assert_eq!((refused.by_region, refused.hollow), (vec![1, 3], 1));
 }
@@ -109,10 +178,16 @@
 fn orders_and_events_lead_back() {
     let order = Order::Kill("p7".to_owned());
     let text = serde_json::to_string(&order).expect("JSON");
-    assert_eq!(serde_json::from_str::<Order>(&text).expect("an order"), order);
+    assert_eq!(
+        serde_json::from_str::<Order>(&text).expect("an order"),
+        order
+    );
     let event = admitted("p7", Admits::Under { old: 1, new: 2 }, 3, 4);
     let text = serde_json::to_string(&event).expect("JSON");
-    assert_eq!(serde_json::from_str::<Event>(&text).expect("an event"), event);
+    assert_eq!(
+        serde_json::from_str::<Event>(&text).expect("an event"),
+        event
+    );
 }
 
 #[test]
@@ -127,24 +202,54 @@
 }
 
 fn change(generation: u64, outcome: &'static str, id: &str) -> Change {
-    Change { generation, from: 1, outcome, why: String::new(), all_regions: Some(id.to_owned()) }
+    Change {
+        generation,
+        from: 1,
+        outcome,
+        why: String::new(),
+        all_regions: Some(id.to_owned()),
+    }
 }
 
 /// A call at a proxy under one generation, or between two.
 fn call(proxy: usize, at: Micros, old: u64, new: u64) -> Line {
-    let mode = Mode { revision: 0, old: Generation(old), new: Generation(new) };
-    Line { at, proxy, mode, floor: false, request: String::new() }
+    let mode = Mode {
+        revision: 0,
+        old: Generation(old),
+        new: Generation(new),
+    };
+    Line {
+        at,
+        proxy,
+        mode,
+        floor: false,
+        request: String::new(),
+    }
 }
 
 #[test]
 fn changes_of_all_regions_are_held_against_each_other_though_numbered_differently() {
     let (first, second) = (SIZE.proxies_of(0)[0], SIZE.proxies_of(1)[0]);
-    let histories = [vec![change(4, "in force", "a")], vec![change(7, "in force", "a")]];
+    let histories = [
+        vec![change(4, "in force", "a")],
+        vec![change(7, "in force", "a")],
+    ];
     // The second region is still between its policies when the first has left the old one.
-    let good =
-        [call(second, 10, 6, 6), call(second, 15, 6, 7), call(first, 20, 4, 4), call(second, 30, 6, 7)];
+    let good = [
+        call(second, 10, 6, 6),
+        call(second, 15, 6, 7),
+        call(first, 20, 4, 4),
+        call(second, 30, 6, 7),
+    ];
     let across = Across::of(&SIZE, &histories, &good);
-    assert_eq!((across.mixed_across, across.ended_apart, across.all_regions_in_force), (0, 0, 1));
+    assert_eq!(
+        (
+            across.mixed_across,
+            across.ended_apart,
+            across.all_regions_in_force
+        ),
+        (0, 0, 1)
+    );
     let late = [call(first, 20, 4, 4), call(second, 21, 6, 6)];
     assert_eq!(Across::of(&SIZE, &histories, &late).mixed_across, 1);
 }
@@ -152,7 +257,11 @@
 #[test]
 fn a_change_that_ended_differently_in_two_regions_is_seen() {
     let ended = |first, second| {
-        let across = Across::of(&SIZE, &[vec![change(2, first, "a")], vec![change(2, second, "a")]], &[]);
+        let across = Across::of(
+            &SIZE,
+            &[vec![change(2, first, "a")], vec![change(2, second, "a")]],
+            &[],
+        );
         across.ended_apart
     };
     assert_eq!(ended("in force", "in force"), 0);
@@ -160,6 +269,7 @@
     assert_eq!(ended("in force", "not in force"), 1);
     assert_eq!(ended("in force", "under way"), 1);
     // One that a region never heard of has to have come to nothing.
-    let unheard = |outcome| Across::of(&SIZE, &[vec![change(2, outcome, "a")], Vec::new()], &[]).ended_apart;
+    let unheard =
+        |outcome| Across::of(&SIZE, &[vec![change(2, outcome, "a")], Vec::new()], &[]).ended_apart;
     assert_eq!((unheard("not in force"), unheard("in force")), (0, 1));
 }
--- a/crates/watch/src/budget.rs
+++ b/crates/watch/src/budget.rs
@@ -66,7 +66,10 @@
         let doubt = (terms.grace / 2).clamp(DOUBT.0, DOUBT.1);
         match terms.source {
             Source::Agent => {
-                let (derived, doubt) = ((terms.grace / 2).clamp(AGENT_WAIT.0, AGENT_WAIT.1), doubt / 2);
+                let (derived, doubt) = (
+                    (terms.grace / 2).clamp(AGENT_WAIT.0, AGENT_WAIT.1),
+                    doubt / 2,
+                );
                 Budget {
                     source: Source::Agent,
                     wait: terms.wait.unwrap_or(derived),
@@ -78,7 +81,12 @@
                 let spare = TOLD_AFTER_SILENCE + terms.grace / 2 - CONNECT - SERVICE_ANSWERS;
                 let derived = spare.saturating_sub(doubt).min(TOLD_AFTER_SILENCE / 3);
                 let pause = (doubt.min(spare / 2), spare / 2);
-                Budget { source: Source::Service, wait: terms.wait.unwrap_or(derived), doubt, pause }
+                Budget {
+                    source: Source::Service,
+                    wait: terms.wait.unwrap_or(derived),
+                    doubt,
+                    pause,
+                }
             }
         }
     }
@@ -122,14 +130,25 @@
     #[test]
     fn the_times_of_usual_graces() {
         let of = |source, grace| {
-            let b = Budget::of(Terms { source, grace, wait: None });
+            let b = Budget::of(Terms {
+                source,
+                grace,
+                wait: None,
+            });
             (b.wait, b.doubt)
         };
         assert_eq!(of(Source::Service, 1_000_000), (2_000_000, 500_000));
         assert_eq!(of(Source::Service, 500_000), (2_000_000, 250_000));
         assert_eq!(of(Source::Agent, 1_000_000), (500_000, 250_000));
         assert_eq!(of(Source::Agent, 500_000), (250_000, 125_000));
-        let long = Budget::of(Terms { source: Source::Service, grace: 1_000_000, wait: Some(10_000_000) });
-        assert!(long.heard() > long.told(0) + 1_000_000, "ten seconds are too long: it is heard too late");
+        let long = Budget::of(Terms {
+            source: Source::Service,
+            grace: 1_000_000,
+            wait: Some(10_000_000),
+        });
+        assert!(
+            long.heard() > long.told(0) + 1_000_000,
+            "ten seconds are too long: it is heard too late"
+        );
     }
 }
--- a/crates/watch/src/pause.rs
+++ b/crates/watch/src/pause.rs
@@ -15,7 +15,11 @@
 
 impl Pause {
     pub(crate) fn new(bounds: (Micros, Micros), seed: u64) -> Self {
-        Pause { bounds, doublings: 0, random: Pcg32::seed_from_u64(seed) }
+        Pause {
+            bounds,
+            doublings: 0,
+            random: Pcg32::seed_from_u64(seed),
+        }
     }
 
     /// The next one. Where both bounds are the same nobody else asks, and nothing is left to chance.
--- a/crates/watch/src/stall.rs
+++ b/crates/watch/src/stall.rs
@@ -23,7 +23,11 @@
     /// One that expects its first beat at `due`. Half of the time in which sends to a host that drains must end is the
     /// most that goes unnoticed beside the time between beats.
     pub fn new(due: Micros, grace: Micros) -> Self {
-        Stall { slack: (grace / 2).clamp(100_000, 500_000), due, until: 0 }
+        Stall {
+            slack: (grace / 2).clamp(100_000, 500_000),
+            due,
+            until: 0,
+        }
     }
 
     /// A beat; the next one comes in `next`.
@@ -51,7 +55,10 @@
     #[test]
     fn a_beat_that_is_late_holds_sends_back_until_the_news_is_read() {
         let mut stall = Stall::new(250_000, 1_000_000);
-        assert_eq!([0, 250_000, 750_000].map(|now| stall.behind(now)), [None; 3]);
+        assert_eq!(
+            [0, 250_000, 750_000].map(|now| stall.behind(now)),
+            [None; 3]
+        );
         // Before the late beat, whatever runs first; and after it for a while.
         assert_eq!(stall.behind(5_000_000), Some(CATCH_UP));
         stall.beat(5_000_000, 250_000);
@@ -59,6 +66,9 @@
         assert_eq!(stall.behind(5_000_000 + CATCH_UP), None);
         // Beats in time change nothing.
         stall.beat(5_300_000, 1_000_000);
-        assert_eq!([5_300_000, 6_700_000].map(|now| stall.behind(now)), [None; 2]);
+        assert_eq!(
+            [5_300_000, 6_700_000].map(|now| stall.behind(now)),
+            [None; 2]
+        );
     }
 }
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -159,7 +159,11 @@
 
     /// When [`Input::Timer`] is due; `None`: not before something else happens.
     pub fn due(&self) -> Option<Micros> {
-        let doubts = self.open.iter().filter(|q| !q.doubted).map(|q| self.patience(q));
+        let doubts = self
+            .open
+            .iter()
+            .filter(|q| !q.doubted)
+            .map(|q| self.patience(q));
         self.ask_at.into_iter().chain(doubts).min()
     }
 
@@ -171,7 +175,11 @@
                 self.ask_at = Some(now + self.poll.as_mut().map_or(0, Poll::first));
             }
             Input::Begin => {}
-            Input::Answered { question, index, whole } => {
+            Input::Answered {
+                question,
+                index,
+                whole,
+            } => {
                 if let Some(place) = self.open.iter().position(|q| q.id == question) {
                     self.answered(now, place, (index, whole), out);
                 }
@@ -210,7 +218,13 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, place: usize, (index, whole): (u64, bool), out: &mut Vec<Output>) {
+    fn answered(
+        &mut self,
+        now: Micros,
+        place: usize,
+        (index, whole): (u64, bool),
+        out: &mut Vec<Output>,
+    ) {
         // It settles whatever else is out: an answer that comes later is to an older question, or tells nothing more.
         let question = self.open.remove(place);
         // Read so late that this process must have stood still.
@@ -250,7 +264,12 @@
 
     /// The newest question is late.
     fn doubt(&mut self, now: Micros, idle: bool, out: &mut Vec<Output>) {
-        let Some(newest) = self.open.last().copied().filter(|q| !q.doubted && self.patience(q) <= now) else {
+        let Some(newest) = self
+            .open
+            .last()
+            .copied()
+            .filter(|q| !q.doubted && self.patience(q) <= now)
+        else {
             return;
         };
         self.open.iter_mut().for_each(|q| q.doubted = true);
@@ -276,14 +295,29 @@
         };
         let question = QuestionId(self.next);
         self.next += 1;
-        self.open.push(Question { id: question, asked: now, index: self.index, wait, queue, doubted: false });
-        out.push(Output::Ask { question, index: self.index, wait, fresh });
+        self.open.push(Question {
+            id: question,
+            asked: now,
+            index: self.index,
+            wait,
+            queue,
+            doubted: false,
+        });
+        out.push(Output::Ask {
+            question,
+            index: self.index,
+            wait,
+            fresh,
+        });
     }
 
     /// Is the timer so late that this process must have stood still? Once for each question, or a proxy with almost no
     /// processor time would never doubt.
     fn held_up(&self, now: Micros) -> bool {
-        let anew = self.open.last().is_some_and(|q| self.believe_until <= q.asked);
+        let anew = self
+            .open
+            .last()
+            .is_some_and(|q| self.believe_until <= q.asked);
         anew && self.due().is_some_and(|due| due + HELD_UP < now)
     }
 
--- a/crates/watch/tests/courses.rs
+++ b/crates/watch/tests/courses.rs
@@ -71,7 +71,11 @@
 }
 
 fn play(course: &Course, until: Micros) -> Outcome {
-    let terms = Terms { source: Source::Service, grace: course.grace, wait: course.wait };
+    let terms = Terms {
+        source: Source::Service,
+        grace: course.grace,
+        wait: course.wait,
+    };
     let mut watch = Watch::new(Budget::of(terms), Some(0), None, course.seed);
     let mut out = Vec::new();
     watch.handle(0, Input::Begin, false, &mut out);
@@ -79,19 +83,32 @@
     let mut lags = course.lags.iter().cycle();
     let (mut outcome, mut now, mut begin) = (Outcome::default(), 0, None);
     let mut cut = false;
-    let mut refused: Vec<bool> = course.outages.iter().map(|outage| !outage.refuses_once).collect();
+    let mut refused: Vec<bool> = course
+        .outages
+        .iter()
+        .map(|outage| !outage.refuses_once)
+        .collect();
     // Told, and not heard yet: when each change counts as told.
     let mut told: BTreeMap<u64, Micros> = BTreeMap::new();
     loop {
         for output in std::mem::take(&mut out) {
             match output {
-                Output::Ask { question, index, wait, fresh } => {
+                Output::Ask {
+                    question,
+                    index,
+                    wait,
+                    fresh,
+                } => {
                     let &(connect, answer) = lags.next().expect("a cycle");
                     // After a failure there is no connection to go on with.
                     let fresh = fresh || std::mem::take(&mut cut);
                     let part = |share: f64, most: Micros| (share * most as f64) as Micros;
                     let there = now + if fresh { part(connect, CONNECT) } else { 0 };
-                    let turn = if fresh { part(answer, SERVICE_ANSWERS) } else { 0 };
+                    let turn = if fresh {
+                        part(answer, SERVICE_ANSWERS)
+                    } else {
+                        0
+                    };
                     let mut way = Way {
                         asked: now,
                         index,
@@ -105,7 +122,9 @@
                     for (outage, refused) in course.outages.iter().zip(&mut refused) {
                         if (outage.from..outage.until).contains(&now) {
                             match outage.down {
-                                Down::Refuses => (way.fails, way.refused) = (Some(now + 1_000), true),
+                                Down::Refuses => {
+                                    (way.fails, way.refused) = (Some(now + 1_000), true)
+                                }
                                 // A connection that is there stays silent; another one is given up.
                                 Down::Silent if fresh => way.fails = Some(now + CONNECT),
                                 Down::Silent => way.silent = Some(now),
@@ -131,15 +150,25 @@
         outcome.open_most = outcome.open_most.max(ways.len());
         // When each answer comes.
         let answer = |way: &Way| {
-            let news = course.changes.iter().enumerate().find(|(n, _)| *n as u64 >= way.index.unwrap_or(0));
+            let news = course
+                .changes
+                .iter()
+                .enumerate()
+                .find(|(n, _)| *n as u64 >= way.index.unwrap_or(0));
             let ready = news.map_or(Micros::MAX, |(_, &at)| at.max(way.there) + way.turn);
             let at = ready.min(way.there + way.wait);
-            let in_time =
-                way.silent.is_none_or(|silent| at <= silent) && way.fails.is_none_or(|fails| at < fails);
+            let in_time = way.silent.is_none_or(|silent| at <= silent)
+                && way.fails.is_none_or(|fails| at < fails);
             in_time.then_some(at)
         };
-        let fails = ways.iter().filter_map(|(q, way)| Some((way.fails?.max(now), *q))).min();
-        let next_answer = ways.iter().filter_map(|(q, way)| Some((answer(way)?.max(now), *q))).min();
+        let fails = ways
+            .iter()
+            .filter_map(|(q, way)| Some((way.fails?.max(now), *q)))
+            .min();
+        let next_answer = ways
+            .iter()
+            .filter_map(|(q, way)| Some((answer(way)?.max(now), *q)))
+            .min();
         let later = |times: &[Micros]| times.iter().copied().find(|&t| t > now);
         let moments = [
             next_answer.map(|a| a.0),
@@ -151,15 +180,29 @@
             later(&course.resets),
             later(&course.changes),
         ];
-        let Some(next) = moments.into_iter().flatten().min().filter(|&t| t <= until) else { break };
+        let Some(next) = moments.into_iter().flatten().min().filter(|&t| t <= until) else {
+            break;
+        };
         now = now.max(next);
-        for (n, &at) in course.changes.iter().enumerate().filter(|(_, &at)| at == now) {
+        for (n, &at) in course
+            .changes
+            .iter()
+            .enumerate()
+            .filter(|(_, &at)| at == now)
+        {
             // With a silent watch open it counts as told later, whether or not it arrives.
             // One that goes down before the news is out could not be reached for it.
-            let down = course.outages.iter().find(|o| o.from < at + 6_000_000 && at < o.until);
-            let silent = ways.values().filter_map(|w| Some((w.silent?, w.asked + w.wait))).min();
-            let counts =
-                silent.map_or(Micros::MAX, |(silent, end)| (silent + 6_000_000).max(end + 2_000_000));
+            let down = course
+                .outages
+                .iter()
+                .find(|o| o.from < at + 6_000_000 && at < o.until);
+            let silent = ways
+                .values()
+                .filter_map(|w| Some((w.silent?, w.asked + w.wait)))
+                .min();
+            let counts = silent.map_or(Micros::MAX, |(silent, end)| {
+                (silent + 6_000_000).max(end + 2_000_000)
+            });
             // Whatever failed: so long after the service had it and could be reached.
             let counts = match down {
                 Some(outage) => outage.until + 6_000_000,
@@ -171,7 +214,9 @@
             }
         }
         if course.silences.contains(&now) {
-            ways.values_mut().filter(|w| w.there <= now).for_each(|w| w.silent = w.silent.or(Some(now)));
+            ways.values_mut()
+                .filter(|w| w.there <= now)
+                .for_each(|w| w.silent = w.silent.or(Some(now)));
         }
         for outage in course.outages.iter().filter(|o| o.from == now) {
             // What is open then is reset, or falls silent.
@@ -182,7 +227,10 @@
                 }
             }
         }
-        let failed = ways.iter().find(|(_, way)| way.fails.is_some_and(|at| at <= now)).map(|(q, _)| *q);
+        let failed = ways
+            .iter()
+            .find(|(_, way)| way.fails.is_some_and(|at| at <= now))
+            .map(|(q, _)| *q);
         let input = if let Some(question) = failed {
             let refused = ways.remove(&question).is_some_and(|way| way.refused);
             match refused {
@@ -199,7 +247,11 @@
         } else if let Some((_, question)) = next_answer.filter(|a| a.0 <= now) {
             let way = ways.remove(&question).expect("it is out");
             let index = course.changes.iter().filter(|&&at| at <= now).count() as u64;
-            Input::Answered { question, index: index.max(way.index.unwrap_or(0)), whole: false }
+            Input::Answered {
+                question,
+                index: index.max(way.index.unwrap_or(0)),
+                whole: false,
+            }
         } else {
             Input::Timer
         };
@@ -210,7 +262,11 @@
         }
     }
     // What was never heard.
-    let unheard = told.values().map(|&at| until.saturating_sub(at)).max().unwrap_or(0);
+    let unheard = told
+        .values()
+        .map(|&at| until.saturating_sub(at))
+        .max()
+        .unwrap_or(0);
     outcome.latest = outcome.latest.max(unheard);
     outcome
 }
@@ -219,8 +275,14 @@
     let times = |most| prop::collection::btree_set(1_000u64..40_000_000, 0..most);
     let lags = prop::collection::vec((0.0f64..1.0, 0.0f64..1.0), 1..9);
     // Silence a second time before the first is mended would be another fault: they are far apart.
-    (300_000u64..2_000_000, times(4), 1_000u64..9_000_000, times(3), lags).prop_map(
-        |(grace, changes, silence, resets, lags)| Course {
+    (
+        300_000u64..2_000_000,
+        times(4),
+        1_000u64..9_000_000,
+        times(3),
+        lags,
+    )
+        .prop_map(|(grace, changes, silence, resets, lags)| Course {
             seed: silence,
             outages: Vec::new(),
             grace,
@@ -229,20 +291,29 @@
             silences: vec![silence, silence + 20_000_000],
             resets: resets.into_iter().collect(),
             lags,
-        },
-    )
+        })
 }
 
 /// The service is down twice, for up to a quarter of a minute.
 fn outages() -> impl Strategy<Value = Vec<Outage>> {
-    let one = (1_000_000u64..9_000_000, 100_000u64..15_000_000, any::<bool>(), any::<bool>());
+    let one = (
+        1_000_000u64..9_000_000,
+        100_000u64..15_000_000,
+        any::<bool>(),
+        any::<bool>(),
+    );
     prop::collection::vec(one, 1..3).prop_map(|drawn| {
         let mut at = 0;
         let outage = |(after, long, silent, refuses_once)| {
             let from = at + after;
             at = from + long + 15_000_000;
             let down = if silent { Down::Silent } else { Down::Refuses };
-            Outage { from, until: from + long, down, refuses_once }
+            Outage {
+                from,
+                until: from + long,
+                down,
+                refuses_once,
+            }
         };
         drawn.into_iter().map(outage).collect()
     })
@@ -296,6 +367,12 @@
     };
     let long = play(&course, 60_000_000);
     assert!(long.latest > course.grace, "{long:?}");
-    let short = play(&Course { wait: None, ..course.clone() }, 60_000_000);
+    let short = play(
+        &Course {
+            wait: None,
+            ..course.clone()
+        },
+        60_000_000,
+    );
     assert!(short.latest <= course.grace, "{short:?}");
 }
--- a/crates/watch/tests/watch.rs
+++ b/crates/watch/tests/watch.rs
@@ -14,8 +14,20 @@
 
 impl Hand {
     fn new(source: Source, index: Option<u64>) -> Hand {
-        let watch = Watch::new(Budget::of(Terms { source, grace: GRACE, wait: None }), index, None, 7);
-        let mut hand = Hand { watch, out: Vec::new() };
+        let watch = Watch::new(
+            Budget::of(Terms {
+                source,
+                grace: GRACE,
+                wait: None,
+            }),
+            index,
+            None,
+            7,
+        );
+        let mut hand = Hand {
+            watch,
+            out: Vec::new(),
+        };
         hand.tell(0, Input::Begin);
         hand
     }
@@ -27,15 +39,32 @@
     }
 
     fn answer(&mut self, now: Micros, question: u64, index: u64, whole: bool) -> Vec<Output> {
-        self.tell(now, Input::Answered { question: QuestionId(question), index, whole })
+        self.tell(
+            now,
+            Input::Answered {
+                question: QuestionId(question),
+                index,
+                whole,
+            },
+        )
     }
 
     fn fail(&mut self, now: Micros, question: u64) -> Vec<Output> {
-        self.tell(now, Input::Failed { question: QuestionId(question) })
+        self.tell(
+            now,
+            Input::Failed {
+                question: QuestionId(question),
+            },
+        )
     }
 
     fn refuse(&mut self, now: Micros, question: u64) -> Vec<Output> {
-        self.tell(now, Input::Refused { question: QuestionId(question) })
+        self.tell(
+            now,
+            Input::Refused {
+                question: QuestionId(question),
+            },
+        )
     }
 
     /// Lets the time come that it waits for.
@@ -50,7 +79,12 @@
 }
 
 fn ask(question: u64, index: Option<u64>, wait: Micros, fresh: bool) -> Output {
-    Output::Ask { question: QuestionId(question), index, wait, fresh }
+    Output::Ask {
+        question: QuestionId(question),
+        index,
+        wait,
+        fresh,
+    }
 }
 
 fn dropped(question: u64) -> Output {
@@ -61,29 +95,62 @@
 fn an_answer_holds_and_the_watch_goes_on_at_once() {
     let mut hand = Hand::new(Source::Service, Some(41));
     assert_eq!(hand.out, [ask(0, Some(41), 2_000_000, false)]);
-    assert_eq!(hand.tell(1, Input::Begin), [], "a second wish changes nothing");
-    assert_eq!(hand.answer(700_000, 0, 42, false), [Output::Take, ask(1, Some(42), 2_000_000, false)]);
+    assert_eq!(
+        hand.tell(1, Input::Begin),
+        [],
+        "a second wish changes nothing"
+    );
+    assert_eq!(
+        hand.answer(700_000, 0, 42, false),
+        [Output::Take, ask(1, Some(42), 2_000_000, false)]
+    );
     // Nothing new at the end of the wait.
-    assert_eq!(hand.answer(2_700_000, 1, 42, false), [Output::Take, ask(2, Some(42), 2_000_000, false)]);
+    assert_eq!(
+        hand.answer(2_700_000, 1, 42, false),
+        [Output::Take, ask(2, Some(42), 2_000_000, false)]
+    );
     // Nothing new, and at once: a pause, which stays within the 200 ms.
     assert_eq!(hand.answer(2_700_010, 2, 42, false), [Output::Take]);
-    assert_eq!(hand.late(), (2_750_010, vec![ask(3, Some(42), 2_000_000, false)]));
+    assert_eq!(
+        hand.late(),
+        (2_750_010, vec![ask(3, Some(42), 2_000_000, false)])
+    );
 }
 
 /// Its silence showed two seconds after its wait, when what it missed was told already.
 #[test]
 fn a_late_answer_brings_a_second_question_beside_the_first_on_a_fresh_connection() {
     let mut hand = Hand::new(Source::Service, Some(41));
-    let beside = vec![Output::Doubted(QuestionId(0)), ask(1, Some(41), 2_000_000, true)];
+    let beside = vec![
+        Output::Doubted(QuestionId(0)),
+        ask(1, Some(41), 2_000_000, true),
+    ];
     assert_eq!(hand.late(), (2_500_000, beside));
     assert_eq!(hand.open(), [0, 1]);
     // Either answer holds, and settles the other.
-    let mut other = Hand { watch: hand.watch.clone(), out: Vec::new() };
+    let mut other = Hand {
+        watch: hand.watch.clone(),
+        out: Vec::new(),
+    };
     let next = ask(2, Some(42), 2_000_000, false);
-    assert_eq!(hand.answer(2_600_000, 1, 42, false), [dropped(0), Output::Take, next]);
-    assert_eq!(hand.answer(2_700_000, 0, 43, false), [], "the old watch's news come too late");
-    assert_eq!(other.answer(2_600_000, 0, 42, false), [dropped(1), Output::Take, next]);
-    assert_eq!(other.answer(2_700_000, 1, 41, true), [], "and so does an older list");
+    assert_eq!(
+        hand.answer(2_600_000, 1, 42, false),
+        [dropped(0), Output::Take, next]
+    );
+    assert_eq!(
+        hand.answer(2_700_000, 0, 43, false),
+        [],
+        "the old watch's news come too late"
+    );
+    assert_eq!(
+        other.answer(2_600_000, 0, 42, false),
+        [dropped(1), Output::Take, next]
+    );
+    assert_eq!(
+        other.answer(2_700_000, 1, 41, true),
+        [],
+        "and so does an older list"
+    );
     assert_eq!(other.watch.index(), Some(42));
 }
 
@@ -91,19 +158,46 @@
 fn where_the_second_fails_as_well_or_is_silent_asking_has_failed() {
     let mut hand = Hand::new(Source::Service, Some(41));
     hand.late();
-    let mut other = Hand { watch: hand.watch.clone(), out: Vec::new() };
-    assert_eq!(hand.fail(2_600_000, 1), [Output::Failed], "the first is doubted");
+    let mut other = Hand {
+        watch: hand.watch.clone(),
+        out: Vec::new(),
+    };
+    assert_eq!(
+        hand.fail(2_600_000, 1),
+        [Output::Failed],
+        "the first is doubted"
+    );
     assert_eq!(hand.open(), [0], "and may still be answered");
-    assert_eq!(hand.tell(2_600_001, Input::Begin), [], "a wish of the decisions changes nothing");
+    assert_eq!(
+        hand.tell(2_600_001, Input::Begin),
+        [],
+        "a wish of the decisions changes nothing"
+    );
     let (at, again) = hand.late();
-    assert!((2_600_000 + 250_000..=2_600_000 + 500_000).contains(&at), "{at}");
+    assert!(
+        (2_600_000 + 250_000..=2_600_000 + 500_000).contains(&at),
+        "{at}"
+    );
     assert_eq!(again, [ask(2, Some(41), 2_000_000, false)]);
-    assert_eq!(hand.answer(at + 1, 0, 42, false)[..2], [dropped(2), Output::Take]);
+    assert_eq!(
+        hand.answer(at + 1, 0, 42, false)[..2],
+        [dropped(2), Output::Take]
+    );
     let doubted = Output::Doubted(QuestionId(1));
-    assert_eq!(other.late(), (5_000_000, vec![doubted, dropped(0), Output::Failed]));
-    assert_eq!(other.open(), [1], "it has as long as a late connection and an answer in turn take");
+    assert_eq!(
+        other.late(),
+        (5_000_000, vec![doubted, dropped(0), Output::Failed])
+    );
+    assert_eq!(
+        other.open(),
+        [1],
+        "it has as long as a late connection and an answer in turn take"
+    );
     assert_eq!(other.late().1, [ask(2, Some(41), 2_000_000, false)]);
-    assert_eq!(other.answer(6_500_000, 1, 42, false)[..2], [dropped(2), Output::Take]);
+    assert_eq!(
+        other.answer(6_500_000, 1, 42, false)[..2],
+        [dropped(2), Output::Take]
+    );
     // The first fails, which is no news of the second.
     let mut third = Hand::new(Source::Service, Some(41));
     third.late();
@@ -119,18 +213,34 @@
     let mut hand = Hand::new(Source::Service, Some(41));
     assert_eq!(hand.refuse(10_000, 0), [Output::Failed]);
     let (asked, again) = hand.late();
-    assert_eq!(again, [ask(1, Some(41), DOUBT, false)], "the wait is short, as the queue comes before it");
-    let mut other = Hand { watch: hand.watch.clone(), out: Vec::new() };
+    assert_eq!(
+        again,
+        [ask(1, Some(41), DOUBT, false)],
+        "the wait is short, as the queue comes before it"
+    );
+    let mut other = Hand {
+        watch: hand.watch.clone(),
+        out: Vec::new(),
+    };
     // One that stays away is doubted after the queue and the wait.
-    let beside = vec![Output::Doubted(QuestionId(1)), ask(2, Some(41), DOUBT, true)];
+    let beside = vec![
+        Output::Doubted(QuestionId(1)),
+        ask(2, Some(41), DOUBT, true),
+    ];
     assert_eq!(hand.late(), (asked + SERVICE_ANSWERS + 2 * DOUBT, beside));
     // An answer ends that: the watch goes on as ever.
     let next = ask(2, Some(42), 2_000_000, false);
-    assert_eq!(other.answer(asked + SERVICE_ANSWERS, 1, 42, false), [Output::Take, next]);
+    assert_eq!(
+        other.answer(asked + SERVICE_ANSWERS, 1, 42, false),
+        [Output::Take, next]
+    );
     assert_eq!(other.late().0, asked + SERVICE_ANSWERS + 2_500_000);
     // So does another service.
     hand.refuse(asked + 6_000_000, 2);
-    assert_eq!(hand.tell(asked + 6_000_001, Input::Moved).last(), Some(&ask(3, None, 2_000_000, false)));
+    assert_eq!(
+        hand.tell(asked + 6_000_001, Input::Moved).last(),
+        Some(&ask(3, None, 2_000_000, false))
+    );
 }
 
 /// A connection that is reset says nothing of a queue.
@@ -151,14 +261,23 @@
     for _ in 0..100 {
         let (now, out) = hand.late();
         assert!(now - last <= GRACE * 3 / 4, "{now} after {last}");
-        assert!(matches!(out.last(), Some(Output::Ask { fresh: true, .. })), "{out:?}");
+        assert!(
+            matches!(out.last(), Some(Output::Ask { fresh: true, .. })),
+            "{out:?}"
+        );
         assert!(hand.open().len() <= 2);
         (last, asked) = (now, asked + 1);
     }
     let newest = asked - 1;
     let taken = hand.answer(last + 1, newest, 50, false);
     assert!(taken.contains(&Output::Take), "{taken:?}");
-    assert!(matches!(taken.last(), Some(Output::Ask { index: Some(50), .. })));
+    assert!(matches!(
+        taken.last(),
+        Some(Output::Ask {
+            index: Some(50),
+            ..
+        })
+    ));
     // Refused, it is asked again with nobody to say so.
     let refused = hand.fail(last + 2, asked);
     assert_eq!(refused, [Output::Failed]);
@@ -169,9 +288,15 @@
 fn an_index_of_another_life_means_nothing() {
     let mut hand = Hand::new(Source::Service, Some(41));
     let back = Output::Odd(Odd::Back { from: 41, to: 7 });
-    assert_eq!(hand.answer(10, 0, 7, false), [back, ask(1, None, 2_000_000, false)]);
+    assert_eq!(
+        hand.answer(10, 0, 7, false),
+        [back, ask(1, None, 2_000_000, false)]
+    );
     // Changes are no answer to a question for the whole list.
-    assert_eq!(hand.answer(20, 1, 7, false), [Output::Odd(Odd::NoList), Output::Failed]);
+    assert_eq!(
+        hand.answer(20, 1, 7, false),
+        [Output::Odd(Odd::NoList), Output::Failed]
+    );
     let (at, again) = hand.late();
     assert_eq!(again, [ask(2, None, 2_000_000, false)]);
     assert_eq!(hand.answer(at + 10, 2, 7, true)[..1], [Output::Take]);
@@ -188,10 +313,16 @@
     let mut hand = Hand::new(Source::Service, Some(41));
     hand.late();
     let moved = hand.tell(2_600_000, Input::Moved);
-    assert_eq!(moved, [dropped(0), dropped(1), ask(2, None, 2_000_000, false)]);
+    assert_eq!(
+        moved,
+        [dropped(0), dropped(1), ask(2, None, 2_000_000, false)]
+    );
     assert_eq!(hand.answer(2_700_000, 1, 42, false), []);
     // Its connection may be silent as well: one for the whole list is doubted like any other.
-    let beside = vec![Output::Doubted(QuestionId(2)), ask(3, None, 2_000_000, true)];
+    let beside = vec![
+        Output::Doubted(QuestionId(2)),
+        ask(3, None, 2_000_000, true),
+    ];
     assert_eq!(hand.late(), (5_100_000, beside));
     let out = vec![Output::Doubted(QuestionId(3)), dropped(2), Output::Failed];
     assert_eq!(hand.late(), (7_600_000, out));
@@ -212,18 +343,35 @@
         now = at + 1;
     }
     let most = (TOLD_AFTER_SILENCE + GRACE / 2 - CONNECT - SERVICE_ANSWERS) / 2;
-    assert!(pauses.iter().all(|p| (250_000..=most).contains(p)), "{pauses:?}");
-    assert!(pauses[3..].iter().any(|p| *p > most / 2 + most / 4), "they grow, and spread: {pauses:?}");
+    assert!(
+        pauses.iter().all(|p| (250_000..=most).contains(p)),
+        "{pauses:?}"
+    );
+    assert!(
+        pauses[3..].iter().any(|p| *p > most / 2 + most / 4),
+        "they grow, and spread: {pauses:?}"
+    );
     let other = Watch::new(
-        Budget::of(Terms { source: Source::Service, grace: GRACE, wait: None }),
+        Budget::of(Terms {
+            source: Source::Service,
+            grace: GRACE,
+            wait: None,
+        }),
         Some(41),
         None,
         8,
     );
-    let mut other = Hand { watch: other, out: Vec::new() };
+    let mut other = Hand {
+        watch: other,
+        out: Vec::new(),
+    };
     other.tell(0, Input::Begin);
     other.fail(10, 0);
-    assert_ne!(other.late().0 - 10, pauses[0], "two proxies do not come back together");
+    assert_ne!(
+        other.late().0 - 10,
+        pauses[0],
+        "two proxies do not come back together"
+    );
     // An answer ends the row.
     hand.answer(now, question, 42, false);
     hand.fail(now + 1, question + 1);
@@ -235,9 +383,19 @@
 fn a_timer_that_was_held_up_lets_what_came_in_be_read_first() {
     let mut hand = Hand::new(Source::Service, Some(41));
     hand.late();
-    assert_eq!(hand.tell(9_000_000, Input::Timer), [], "both are late, by this process's own fault");
-    let mut other = Hand { watch: hand.watch.clone(), out: Vec::new() };
-    assert_eq!(hand.answer(9_000_500, 1, 42, false)[..2], [dropped(0), Output::Take]);
+    assert_eq!(
+        hand.tell(9_000_000, Input::Timer),
+        [],
+        "both are late, by this process's own fault"
+    );
+    let mut other = Hand {
+        watch: hand.watch.clone(),
+        out: Vec::new(),
+    };
+    assert_eq!(
+        hand.answer(9_000_500, 1, 42, false)[..2],
+        [dropped(0), Output::Take]
+    );
     // Nothing had come; and the next timer is as late, as there is almost no processor time.
     assert!(other.watch.due() <= Some(9_100_000));
     let out = other.tell(12_000_000, Input::Timer);
@@ -249,7 +407,23 @@
 fn an_answer_that_is_read_late_is_followed_by_a_question_on_a_fresh_connection() {
     let mut hand = Hand::new(Source::Agent, Some(41));
     let out = hand.answer(5_000_000, 0, 42, false);
-    assert!(matches!(out[..], [Output::Take, Output::Ask { index: Some(42), fresh: true, .. }]), "{out:?}");
+    assert!(
+        matches!(
+            out[..],
+            [
+                Output::Take,
+                Output::Ask {
+                    index: Some(42),
+                    fresh: true,
+                    ..
+                }
+            ]
+        ),
+        "{out:?}"
+    );
     let out = hand.answer(5_100_000, 1, 43, false);
-    assert!(matches!(out[..], [Output::Take, Output::Ask { fresh: false, .. }]), "{out:?}");
+    assert!(
+        matches!(out[..], [Output::Take, Output::Ask { fresh: false, .. }]),
+        "{out:?}"
+    );
 }
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -59,9 +59,18 @@
             Trouble::Spike { factor } => factor.max(1.0),
             _ => 1.0,
         });
-        let peak = scenario.clients.rate * (1.0 + scenario.clients.tide.0) * spikes.product::<f64>();
+        let peak =
+            scenario.clients.rate * (1.0 + scenario.clients.tide.0) * spikes.product::<f64>();
         let shares = scenario.classes.iter().map(|c| c.share).sum();
-        Clients { scenario, draws, shares, peak, candidate: 0, at: 0.0, scripted: 0 }
+        Clients {
+            scenario,
+            draws,
+            shares,
+            peak,
+            candidate: 0,
+            at: 0.0,
+            scripted: 0,
+        }
     }
 
     /// First tries a second at this time.
@@ -74,10 +83,15 @@
             1.0
         };
         let on = |f: &&Fault| f.from <= at && at < f.until;
-        let spikes = self.scenario.faults.iter().filter(on).map(|f| match f.trouble {
-            Trouble::Spike { factor } => factor,
-            _ => 1.0,
-        });
+        let spikes = self
+            .scenario
+            .faults
+            .iter()
+            .filter(on)
+            .map(|f| match f.trouble {
+                Trouble::Spike { factor } => factor,
+                _ => 1.0,
+            });
         clients.rate * tide * spikes.product::<f64>()
     }
 
@@ -101,7 +115,12 @@
             }
             if self.draws.unit((0xa5c, self.candidate, 1)) * self.peak < self.rate(at) {
                 let (proxy, class) = (self.proxy(self.candidate), self.class(self.candidate));
-                return Some(self.first(Request { at, proxy, class, id: self.candidate }));
+                return Some(self.first(Request {
+                    at,
+                    proxy,
+                    class,
+                    id: self.candidate,
+                }));
             }
         }
     }
@@ -134,15 +153,27 @@
     }
 
     fn first(&self, request: Request) -> Ask {
-        let Request { at, proxy, class, id } = request;
+        let Request {
+            at,
+            proxy,
+            class,
+            id,
+        } = request;
         let spec = &self.scenario.classes[class];
         let usual = self.draws.between((0x0c57, id, 0), spec.work);
         let mut work = usual;
-        for fault in self.scenario.faults.iter().filter(|f| f.from <= at && at < f.until) {
+        for fault in self
+            .scenario
+            .faults
+            .iter()
+            .filter(|f| f.from <= at && at < f.until)
+        {
             match fault.trouble {
-                Trouble::Costly { class: of, share, factor }
-                    if of == class && self.draws.happens((0x0c57, id, 1), share) =>
-                {
+                Trouble::Costly {
+                    class: of,
+                    share,
+                    factor,
+                } if of == class && self.draws.happens((0x0c57, id, 1), share) => {
                     work = (work as f64 * factor) as Micros;
                 }
                 _ => {}
@@ -155,16 +186,36 @@
         };
         let patience = (spec.deadline as f64 * self.scenario.clients.patience) as Micros;
         let patience = patience.clamp(1, spec.deadline);
-        Ask { op: OpId(id), number: 0, at, first: at, class, proxy, patience, work, usual, tenant }
+        Ask {
+            op: OpId(id),
+            number: 0,
+            at,
+            first: at,
+            class,
+            proxy,
+            patience,
+            work,
+            usual,
+            tenant,
+        }
     }
 
     /// What a client does that was answered at `now`; `told` is when it was told to come back, if it was.
-    pub fn after(&self, ask: &Ask, answered: Option<Answered>, now: Micros, told: Option<Micros>) -> Next {
+    pub fn after(
+        &self,
+        ask: &Ask,
+        answered: Option<Answered>,
+        now: Micros,
+        told: Option<Micros>,
+    ) -> Next {
         let clients = &self.scenario.clients;
         let class = &self.scenario.classes[ask.class];
         let harmless = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed { group: Group::All, window } => now < ask.first + window,
+            Effect::Keyed {
+                group: Group::All,
+                window,
+            } => now < ask.first + window,
             Effect::Keyed { .. } | Effect::Unsafe => false,
         };
         let again = match answered {
@@ -178,6 +229,11 @@
         if !again || ask.number >= clients.retries || left < class.deadline / 20 {
             return Next::Rests;
         }
-        Next::Asks(Ask { number: ask.number + 1, at, patience: ask.patience.min(left), ..*ask })
+        Next::Asks(Ask {
+            number: ask.number + 1,
+            at,
+            patience: ask.patience.min(left),
+            ..*ask
+        })
     }
 }
--- a/crates/world/src/draw.rs
+++ b/crates/world/src/draw.rs
@@ -19,7 +19,9 @@
     /// A generator for one purpose.
     pub fn source(&self, (a, b, c): (u64, u64, u64)) -> Pcg64Mcg {
         // Each part is spread over all bits before the next comes in: neighbours must not be alike.
-        let mixed = [a, b, c].iter().fold(self.seed, |state, part| spread(state ^ spread(*part)));
+        let mixed = [a, b, c]
+            .iter()
+            .fold(self.seed, |state, part| spread(state ^ spread(*part)));
         Pcg64Mcg::seed_from_u64(mixed)
     }
 
@@ -67,7 +69,11 @@
         let all: Vec<f64> = (0..10_000).map(|n| draws.unit((1, n, 3))).collect();
         let mean = all.iter().sum::<f64>() / all.len() as f64;
         assert!((mean - 0.5).abs() < 0.02, "{mean}");
-        let pairs = all.windows(2).map(|w| (w[0] - 0.5) * (w[1] - 0.5)).sum::<f64>() / all.len() as f64;
+        let pairs = all
+            .windows(2)
+            .map(|w| (w[0] - 0.5) * (w[1] - 0.5))
+            .sum::<f64>()
+            / all.len() as f64;
         assert!(pairs.abs() < 0.005, "{pairs}");
         assert_ne!(draws.unit((1, 2, 3)), Draws::new(8).unit((1, 2, 3)));
         let waits = (0..10_000).map(|n| draws.wait((2, n, 0), 5.0)).sum::<f64>() / 1e4;
--- a/crates/world/src/host.rs
+++ b/crates/world/src/host.rs
@@ -94,7 +94,8 @@
     fn repeat(&mut self, now: Micros, group: u64, op: OpId, window: Micros, host: usize) -> bool {
         if now > self.swept + SWEEP {
             self.swept = now;
-            self.keys.retain(|_, (at, _, _)| *at + 3 * REMEMBERED_LONGER > now);
+            self.keys
+                .retain(|_, (at, _, _)| *at + 3 * REMEMBERED_LONGER > now);
         }
         match self.keys.entry((group, op)) {
             Entry::Vacant(slot) => {
@@ -169,7 +170,11 @@
     /// The host at this place of a scenario. One that joins later is down until [`Host::start`].
     pub fn new(scenario: &Scenario, place: usize, draws: Draws) -> Self {
         let spec = scenario.hosts[place].clone();
-        let zone = scenario.hosts.iter().position(|h| h.zone == spec.zone).unwrap_or(0) as u64;
+        let zone = scenario
+            .hosts
+            .iter()
+            .position(|h| h.zone == spec.zone)
+            .unwrap_or(0) as u64;
         Host::made(place, zone, spec, draws)
     }
 
@@ -229,7 +234,10 @@
     /// Its load.
     pub fn report(&self) -> Report {
         let running = self.running.iter().filter(|r| !r.silent).count();
-        Report { in_hand: (running + self.queue.len()) as u32, waiting: self.queue.len() as u32 }
+        Report {
+            in_hand: (running + self.queue.len()) as u32,
+            waiting: self.queue.len() as u32,
+        }
     }
 
     /// Open connections.
@@ -240,11 +248,18 @@
     /// The group that drops repeats of such a call here.
     fn group(&self, effect: Effect) -> Option<(u64, Micros)> {
         match effect {
-            Effect::Keyed { group: Group::All, window } => Some((0, window)),
-            Effect::Keyed { group: Group::Zone, window } => Some((1 + self.zone, window)),
-            Effect::Keyed { group: Group::Group, window } => {
-                Some((1_000_000 + u64::from(self.spec.group), window))
-            }
+            Effect::Keyed {
+                group: Group::All,
+                window,
+            } => Some((0, window)),
+            Effect::Keyed {
+                group: Group::Zone,
+                window,
+            } => Some((1 + self.zone, window)),
+            Effect::Keyed {
+                group: Group::Group,
+                window,
+            } => Some((1_000_000 + u64::from(self.spec.group), window)),
             Effect::Safe | Effect::Unsafe => None,
         }
     }
@@ -264,7 +279,10 @@
         self.connections = 0;
         memory.died(self.place);
         let waiting = std::mem::take(&mut self.queue).into_iter().map(|q| q.0);
-        let running = std::mem::take(&mut self.running).into_iter().filter(|r| !r.silent).map(|r| r.job);
+        let running = std::mem::take(&mut self.running)
+            .into_iter()
+            .filter(|r| !r.silent)
+            .map(|r| r.job);
         running.chain(waiting).collect()
     }
 
@@ -310,9 +328,23 @@
         if self.spec.connection_cost > 0 && self.running.len() < self.spec.cores as usize {
             let (effect, work) = (Effect::Safe, self.spec.connection_cost);
             let op = OpId(u64::MAX);
-            let job = Job { token: u64::MAX, op, name: 0, effect, work, usual: work, informed: true };
+            let job = Job {
+                token: u64::MAX,
+                op,
+                name: 0,
+                effect,
+                work,
+                usual: work,
+                informed: true,
+            };
             let ends = now.max(self.stalled_until) + self.time(now, work);
-            self.running.push(Running { ends, job, repeat: false, verdict: Verdict::Served, silent: true });
+            self.running.push(Running {
+                ends,
+                job,
+                repeat: false,
+                verdict: Verdict::Served,
+                silent: true,
+            });
         }
         true
     }
@@ -339,7 +371,11 @@
             let in_hand = (self.running.len() + self.queue.len()) as f64 / cores;
             1.0 + c.slope * (in_hand - c.knee).max(0.0)
         });
-        let jammed = self.spec.jam.filter(|_| self.jammed).map_or(1.0, |j| j.slower);
+        let jammed = self
+            .spec
+            .jam
+            .filter(|_| self.jammed)
+            .map_or(1.0, |j| j.slower);
         let speed = self.spec.speed * self.warmth(now);
         ((work as f64 * self.slow * crowded * jammed / speed.max(1e-9)) as Micros).max(1)
     }
@@ -358,7 +394,9 @@
             return Arrival::Ended(Verdict::TurnedAway);
         }
         let fault = self.fault(&job);
-        if let Some((verdict, false)) = fault.filter(|f| f.0 == Verdict::Failed || f.0 == Verdict::Reset) {
+        if let Some((verdict, false)) =
+            fault.filter(|f| f.0 == Verdict::Failed || f.0 == Verdict::Reset)
+        {
             return Arrival::Ended(verdict);
         }
         let full = self.running.len() >= self.spec.cores as usize;
@@ -366,7 +404,8 @@
             return Arrival::Ended(Verdict::TurnedAway);
         }
         let group = self.group(job.effect);
-        let repeat = group.is_some_and(|(g, window)| memory.repeat(now, g, job.op, window, self.place));
+        let repeat =
+            group.is_some_and(|(g, window)| memory.repeat(now, g, job.op, window, self.place));
         let verdict = fault.map_or(Verdict::Served, |f| f.0);
         if full {
             self.queue.push_back((job, repeat, verdict));
@@ -378,11 +417,21 @@
     }
 
     fn begin_work(&mut self, now: Micros, job: Job, repeat: bool, verdict: Verdict) {
-        let work = if repeat { job.work / REPEAT_COST } else { job.work };
+        let work = if repeat {
+            job.work / REPEAT_COST
+        } else {
+            job.work
+        };
         let time = self.time(now, work);
         self.worked += time;
         let ends = now.max(self.stalled_until) + time;
-        self.running.push(Running { ends, job, repeat, verdict, silent: false });
+        self.running.push(Running {
+            ends,
+            job,
+            repeat,
+            verdict,
+            silent: false,
+        });
     }
 
     /// How a fault ends this job, if one does, and whether it runs first.
@@ -405,11 +454,19 @@
 
     /// Counts what a cold host is sent against what it can do.
     fn weigh(&mut self, now: Micros, job: &Job) {
-        let Some(cold) = self.spec.cold.filter(|c| self.cold && now < self.started + c.time) else { return };
+        let Some(cold) = self
+            .spec
+            .cold
+            .filter(|c| self.cold && now < self.started + c.time)
+        else {
+            return;
+        };
         let work = job.usual as f64 / self.spec.speed;
         self.received.push_back((now, work, job.informed));
         self.received_sum += work;
-        while let Some(&(at, work, _)) = self.received.front().filter(|r| r.0 + cold.fall_time < now) {
+        while let Some(&(at, work, _)) =
+            self.received.front().filter(|r| r.0 + cold.fall_time < now)
+        {
             debug_assert!(at <= now);
             self.received_sum -= work;
             self.received.pop_front();
@@ -451,8 +508,15 @@
     pub fn advance(&mut self, now: Micros, memory: &mut Memory, done: &mut Vec<Done>) {
         loop {
             // The first of those that end together is the one that began first.
-            let next = self.running.iter().enumerate().min_by_key(|(place, r)| (r.ends, *place));
-            let Some((place, ends)) = next.map(|(place, r)| (place, r.ends)).filter(|n| n.1 <= now) else {
+            let next = self
+                .running
+                .iter()
+                .enumerate()
+                .min_by_key(|(place, r)| (r.ends, *place));
+            let Some((place, ends)) = next
+                .map(|(place, r)| (place, r.ends))
+                .filter(|n| n.1 <= now)
+            else {
                 break;
             };
             let ended = self.running.remove(place);
@@ -482,7 +546,9 @@
 
     /// A job whose sender has gone: one that only waits is dropped, one in work goes on.
     pub fn abandon(&mut self, token: u64, memory: &mut Memory) -> bool {
-        let Some(place) = self.queue.iter().position(|q| q.0.token == token) else { return false };
+        let Some(place) = self.queue.iter().position(|q| q.0.token == token) else {
+            return false;
+        };
         if let Some((job, false, _)) = self.queue.remove(place) {
             if let Some((group, _)) = self.group(job.effect) {
                 memory.keys.remove(&(group, job.op));
--- a/crates/world/src/judge.rs
+++ b/crates/world/src/judge.rs
@@ -165,7 +165,13 @@
 impl Judge {
     /// A judge for a scenario. `slack`: what the ways outside the proxy may take.
     pub fn new(scenario: Arc<Scenario>, slack: Micros) -> Self {
-        let zone = |name: &str| scenario.hosts.iter().position(|h| h.zone == name).unwrap_or(0);
+        let zone = |name: &str| {
+            scenario
+                .hosts
+                .iter()
+                .position(|h| h.zone == name)
+                .unwrap_or(0)
+        };
         let zones = scenario.hosts.iter().map(|h| zone(&h.zone)).collect();
         Judge {
             zones,
@@ -184,7 +190,10 @@
 
     /// A judge that sees what clients and hosts see, and nothing of the proxy's own.
     pub fn outside(scenario: Arc<Scenario>, slack: Micros) -> Self {
-        Judge { outside: true, ..Judge::new(scenario, slack) }
+        Judge {
+            outside: true,
+            ..Judge::new(scenario, slack)
+        }
     }
 
     /// What was broken, the first ones word for word.
@@ -201,14 +210,32 @@
     pub fn note(&mut self, rule: Rule, at: Micros, op: Option<OpId>, text: impl Into<String>) {
         self.seen += 1;
         if self.broken.len() < KEPT {
-            self.broken.push(Broken { rule, at, op, text: text.into() });
+            self.broken.push(Broken {
+                rule,
+                at,
+                op,
+                text: text.into(),
+            });
         }
     }
 
     /// A proxy has taken a try and owes its answer by `until`.
-    pub fn taken(&mut self, now: Micros, op: OpId, number: u32, (class, proxy): (usize, u32), until: Micros) {
+    pub fn taken(
+        &mut self,
+        now: Micros,
+        op: OpId,
+        number: u32,
+        (class, proxy): (usize, u32),
+        until: Micros,
+    ) {
         self.pass(now);
-        let call = Call { class, proxy, until, attempts: Vec::new(), answered: None };
+        let call = Call {
+            class,
+            proxy,
+            until,
+            attempts: Vec::new(),
+            answered: None,
+        };
         self.calls.insert((op, number), call);
         self.dues.insert((until, (op, number)));
     }
@@ -235,23 +262,36 @@
 
     /// An attempt went to a host at `at`. Tells its number, for [`Judge::over`].
     pub fn sent(&mut self, at: Micros, op: OpId, number: u32, host: usize) -> usize {
-        let Some(call) = self.calls.get(&(op, number)) else { return usize::MAX };
+        let Some(call) = self.calls.get(&(op, number)) else {
+            return usize::MAX;
+        };
         let class = &self.scenario.classes[call.class];
         let mut found: Vec<(Rule, String)> = Vec::new();
         let place = call.attempts.len();
         if let Some((when, what)) = call.answered.filter(|a| a.0 + self.slack < at) {
-            found.push((Rule::AfterEnd, format!("attempt {place} after the answer {what:?} at {when}")));
+            found.push((
+                Rule::AfterEnd,
+                format!("attempt {place} after the answer {what:?} at {when}"),
+            ));
         }
         if at > call.until + self.slack {
-            found.push((Rule::AfterEnd, format!("attempt {place} after its client's time, {}", call.until)));
+            found.push((
+                Rule::AfterEnd,
+                format!("attempt {place} after its client's time, {}", call.until),
+            ));
         }
         if place as u32 >= class.attempts {
-            found.push((Rule::TooMany, format!("attempt {place} of {} allowed", class.attempts)));
+            found.push((
+                Rule::TooMany,
+                format!("attempt {place} of {} allowed", class.attempts),
+            ));
         }
         let out = call.attempts.iter().filter(|a| !a.over).count();
         if out > 0 && class.second_copy == SecondCopy::Off && !self.outside {
-            found
-                .push((Rule::TooMany, format!("attempt {place} while {out} are out, without second copies")));
+            found.push((
+                Rule::TooMany,
+                format!("attempt {place} while {out} are out, without second copies"),
+            ));
         }
         if let Some(first) = call.attempts.iter().find(|a| !a.proven) {
             let hosts = &self.scenario.hosts;
@@ -276,7 +316,10 @@
                         ));
                     }
                     if at > first.at + window + self.slack {
-                        found.push((Rule::Resent, format!("keyed: attempt {place} outside its window")));
+                        found.push((
+                            Rule::Resent,
+                            format!("keyed: attempt {place} outside its window"),
+                        ));
                     }
                 }
             }
@@ -291,21 +334,33 @@
                 found.push((Rule::Drain, text));
             }
         }
-        found.into_iter().for_each(|(rule, text)| self.note(rule, at, Some(op), text));
+        found
+            .into_iter()
+            .for_each(|(rule, text)| self.note(rule, at, Some(op), text));
         if let Some(call) = self.calls.get_mut(&(op, number)) {
-            call.attempts.push(Attempt { host, at, proven: false, over: false });
+            call.attempts.push(Attempt {
+                host,
+                at,
+                proven: false,
+                over: false,
+            });
         }
         place
     }
 
     /// Has anything gone to a host for this try?
     pub fn went_out(&self, op: OpId, number: u32) -> bool {
-        self.calls.get(&(op, number)).is_some_and(|c| !c.attempts.is_empty())
+        self.calls
+            .get(&(op, number))
+            .is_some_and(|c| !c.attempts.is_empty())
     }
 
     /// The proxy has learned how the attempt ended; `proven`: it never ran.
     pub fn over(&mut self, op: OpId, number: u32, attempt: usize, proven: bool) {
-        let tried = self.calls.get_mut(&(op, number)).and_then(|c| c.attempts.get_mut(attempt));
+        let tried = self
+            .calls
+            .get_mut(&(op, number))
+            .and_then(|c| c.attempts.get_mut(attempt));
         if let Some(tried) = tried {
             (tried.over, tried.proven) = (true, proven);
         }
@@ -314,29 +369,51 @@
     /// The try's client has its final answer, or its time has ended.
     pub fn answered(&mut self, now: Micros, op: OpId, number: u32, answer: Answered) {
         self.pass(now);
-        let Some(call) = self.calls.get_mut(&(op, number)) else { return };
+        let Some(call) = self.calls.get_mut(&(op, number)) else {
+            return;
+        };
         let class = &self.scenario.classes[call.class];
         let mut found = Vec::new();
         match call.answered {
             Some((at, before)) => {
-                found.push((Rule::AnsweredTwice, format!("{answer:?} after {before:?} at {at}")));
+                found.push((
+                    Rule::AnsweredTwice,
+                    format!("{answer:?} after {before:?} at {at}"),
+                ));
             }
             None => call.answered = Some((now, answer)),
         }
         if answer == Answered::Overdue {
             found.push((Rule::Forgotten, "the backstop answered".to_owned()));
         }
-        let harmless = matches!(class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let harmless = matches!(
+            class.effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         if answer == Answered::Refused && !harmless && call.attempts.iter().any(|a| !a.proven) {
-            found.push((Rule::RefusedThoughRan, "refused though an attempt may have run".to_owned()));
+            found.push((
+                Rule::RefusedThoughRan,
+                "refused though an attempt may have run".to_owned(),
+            ));
         }
         let until = call.until;
         self.dues.remove(&(until, (op, number)));
         if now > until + self.slack {
-            found
-                .push((Rule::Lost, format!("answered at {now}, {} us after its client's time", now - until)));
+            found.push((
+                Rule::Lost,
+                format!(
+                    "answered at {now}, {} us after its client's time",
+                    now - until
+                ),
+            ));
         }
-        found.into_iter().for_each(|(rule, text)| self.note(rule, now, Some(op), text));
+        found
+            .into_iter()
+            .for_each(|(rule, text)| self.note(rule, now, Some(op), text));
     }
 
     /// Its client has left: no answer is owed, and nothing more may go out.
@@ -353,8 +430,10 @@
         let (_, count) = self.effects.entry(op).or_insert((now, 0));
         *count += 1;
         if *count == 2 {
-            let text =
-                format!("its effect came about a second time, at {}", hosts_name(&self.scenario, host));
+            let text = format!(
+                "its effect came about a second time, at {}",
+                hosts_name(&self.scenario, host)
+            );
             self.note(Rule::RanTwice, now, Some(op), text);
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -22,8 +22,8 @@
 pub use list::{Entry, ListService, Told};
 pub use network::{Network, Way};
 pub use scenario::{
-    Class, Clients as ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
-    NetworkSpec, Request, Scenario, SecondCopy, Trouble,
+    Class, Clients as ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged,
+    ListSpec, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
 };
 
 /// A moment or a span, in microseconds.
--- a/crates/world/src/list.rs
+++ b/crates/world/src/list.rs
@@ -47,7 +47,10 @@
     /// A service that lists these from the beginning.
     pub fn new(spec: ListSpec, faults: &[Fault], first: Vec<Entry>) -> Self {
         let concerns = |f: &&Fault| {
-            matches!(f.trouble, Trouble::ListSilent | Trouble::ListFails | Trouble::ListOld { .. })
+            matches!(
+                f.trouble,
+                Trouble::ListSilent | Trouble::ListFails | Trouble::ListOld { .. }
+            )
         };
         ListService {
             spec,
@@ -66,10 +69,14 @@
 
     /// Versions listed by now. An older list is one of the past.
     fn version(&self, now: Micros) -> usize {
-        let back = self.faults.iter().filter(|f| f.from <= now && now < f.until).map(|f| match f.trouble {
-            Trouble::ListOld { by } => by,
-            _ => 0,
-        });
+        let back = self
+            .faults
+            .iter()
+            .filter(|f| f.from <= now && now < f.until)
+            .map(|f| match f.trouble {
+                Trouble::ListOld { by } => by,
+                _ => 0,
+            });
         let at = now.saturating_sub(back.max().unwrap_or(0));
         self.log.partition_point(|l| l.0 <= at)
     }
@@ -89,7 +96,11 @@
 
     /// The answer that leaves now for one that knows `known` (None: nothing).
     pub fn answer(&self, now: Micros, known: Option<u64>) -> Told {
-        for fault in self.faults.iter().filter(|f| f.from <= now && now < f.until) {
+        for fault in self
+            .faults
+            .iter()
+            .filter(|f| f.from <= now && now < f.until)
+        {
             match fault.trouble {
                 Trouble::ListSilent => return Told::Silence,
                 Trouble::ListFails => return Told::Failed,
@@ -100,7 +111,10 @@
         match known {
             Some(known) if known as usize == version => Told::Nothing,
             Some(known) if (known as usize) < version => {
-                let news = self.log[known as usize..version].iter().map(|l| l.1).collect();
+                let news = self.log[known as usize..version]
+                    .iter()
+                    .map(|l| l.1)
+                    .collect();
                 Told::Changes(version as u64, news)
             }
             // Nothing known, or an index that this list has not reached.
@@ -132,31 +146,66 @@
     use super::*;
 
     fn entry(host: usize, state: u8) -> Entry {
-        Entry { host, state, started: 0 }
+        Entry {
+            host,
+            state,
+            started: 0,
+        }
     }
 
     #[test]
     fn changes_come_late_and_in_order_and_an_older_list_is_one_of_the_past() {
-        let spec = ListSpec { lag: 100, capacity: 1e6, patience: 1_000 };
-        let old = Fault { from: 500, until: 600, trouble: Trouble::ListOld { by: 450 } };
-        let silent = Fault { from: 700, until: 800, trouble: Trouble::ListSilent };
+        let spec = ListSpec {
+            lag: 100,
+            capacity: 1e6,
+            patience: 1_000,
+        };
+        let old = Fault {
+            from: 500,
+            until: 600,
+            trouble: Trouble::ListOld { by: 450 },
+        };
+        let silent = Fault {
+            from: 700,
+            until: 800,
+            trouble: Trouble::ListSilent,
+        };
         let mut list = ListService::new(spec, &[old, silent], vec![entry(0, 0), entry(1, 0)]);
-        assert_eq!(list.answer(0, None), Told::Full(2, vec![entry(0, 0), entry(1, 0)]));
+        assert_eq!(
+            list.answer(0, None),
+            Told::Full(2, vec![entry(0, 0), entry(1, 0)])
+        );
         list.change(50, entry(1, 1));
-        assert_eq!((list.answer(149, Some(2)), list.next(2)), (Told::Nothing, Some(150)));
-        assert_eq!(list.answer(150, Some(2)), Told::Changes(3, vec![entry(1, 1)]));
+        assert_eq!(
+            (list.answer(149, Some(2)), list.next(2)),
+            (Told::Nothing, Some(150))
+        );
+        assert_eq!(
+            list.answer(150, Some(2)),
+            Told::Changes(3, vec![entry(1, 1)])
+        );
         list.change(200, entry(1, 2));
         assert_eq!(list.answer(400, None), Told::Full(4, vec![entry(0, 0)]));
         // Who knows more than the service does is given the whole list that it has.
-        assert_eq!(list.answer(550, Some(4)), Told::Full(2, vec![entry(0, 0), entry(1, 0)]));
+        assert_eq!(
+            list.answer(550, Some(4)),
+            Told::Full(2, vec![entry(0, 0), entry(1, 0)])
+        );
         assert_eq!(list.answer(750, Some(4)), Told::Silence);
         assert_eq!(list.answer(900, Some(4)), Told::Nothing);
     }
 
     #[test]
     fn questions_beyond_its_capacity_wait() {
-        let spec = ListSpec { lag: 0, capacity: 10.0, patience: 1_000_000 };
+        let spec = ListSpec {
+            lag: 0,
+            capacity: 10.0,
+            patience: 1_000_000,
+        };
         let mut list = ListService::new(spec, &[], Vec::new());
-        assert_eq!([list.ask(0), list.ask(0), list.ask(1_000_000)], [100_000, 200_000, 1_100_000]);
+        assert_eq!(
+            [list.ask(0), list.ask(0), list.ask(1_000_000)],
+            [100_000, 200_000, 1_100_000]
+        );
     }
 }
--- a/crates/world/src/network.rs
+++ b/crates/world/src/network.rs
@@ -28,13 +28,23 @@
     /// A network with these faults.
     pub fn new(spec: NetworkSpec, faults: &[Fault], draws: Draws) -> Self {
         let concerns = |f: &&Fault| {
-            matches!(f.trouble, Trouble::Partition { .. } | Trouble::Loss { .. } | Trouble::Lag { .. })
+            matches!(
+                f.trouble,
+                Trouble::Partition { .. } | Trouble::Loss { .. } | Trouble::Lag { .. }
+            )
         };
-        Network { spec, faults: faults.iter().filter(concerns).copied().collect(), draws }
+        Network {
+            spec,
+            faults: faults.iter().filter(concerns).copied().collect(),
+            draws,
+        }
     }
 
     fn now(&self, now: Micros) -> impl Iterator<Item = &Trouble> {
-        self.faults.iter().filter(move |f| f.from <= now && now < f.until).map(|f| &f.trouble)
+        self.faults
+            .iter()
+            .filter(move |f| f.from <= now && now < f.until)
+            .map(|f| &f.trouble)
     }
 
     /// A packet that is sent now between a proxy and `host` (None: the list service); `near` if both are of one zone.
@@ -49,7 +59,8 @@
                 Trouble::Loss { share } => {
                     // Each time it is lost it waits twice as long, as TCP has it.
                     let lost = (0..LOST_MOST).take_while(|n| {
-                        self.draws.happens((what.0 ^ 0x10_5e, what.1, what.2 * 8 + n), share)
+                        self.draws
+                            .happens((what.0 ^ 0x10_5e, what.1, what.2 * 8 + n), share)
                     });
                     delay += self.spec.resend * ((1 << lost.count()) - 1);
                 }
