--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -374,7 +374,10 @@
     /// The last moment at which a fault still holds.
     pub fn last_fault(&self) -> Micros {
         let ends = self.faults.iter().map(|f| f.until);
-        let joins = self.hosts.iter().map(|h| h.joins + h.cold.filter(|_| h.joins > 0).map_or(0, |c| c.time));
+        let joins = self
+            .hosts
+            .iter()
+            .map(|h| h.joins + h.cold.filter(|_| h.joins > 0).map_or(0, |c| c.time));
         ends.chain(joins).max().unwrap_or(0)
     }
 
@@ -385,10 +388,20 @@
 
     /// Work a second that all hosts can do, against what is asked, without faults: under 1 they bear it.
     pub fn utilisation(&self) -> f64 {
-        let capacity: f64 = self.hosts.iter().map(|h| f64::from(h.cores) * h.speed).sum();
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum::<f64>().max(f64::MIN_POSITIVE);
+        let capacity: f64 = self
+            .hosts
+            .iter()
+            .map(|h| f64::from(h.cores) * h.speed)
+            .sum();
+        let shares: f64 = self
+            .classes
+            .iter()
+            .map(|c| c.share)
+            .sum::<f64>()
+            .max(f64::MIN_POSITIVE);
         let work = |c: &Class| c.share / shares * (c.work.0 + c.work.1) as f64 / 2e6;
-        self.clients.rate * self.classes.iter().map(work).sum::<f64>() / capacity.max(f64::MIN_POSITIVE)
+        self.clients.rate * self.classes.iter().map(work).sum::<f64>()
+            / capacity.max(f64::MIN_POSITIVE)
     }
 
     /// Requests and faults: what a schedule that is cut down is counted by.
--- a/crates/world/tests/model.rs
+++ b/crates/world/tests/model.rs
@@ -33,14 +33,22 @@
         connections: 4,
         connection_cost: 0,
         idle: 1_000_000,
-        cold: Some(Cold { share: 0.5, time: 1_000_000, fall_multiple: 3.0, fall_time: 200_000 }),
+        cold: Some(Cold {
+            share: 0.5,
+            time: 1_000_000,
+            fall_multiple: 3.0,
+            fall_time: 200_000,
+        }),
         crowding: None,
         jam: None,
         joins: 0,
     }
 }
 
-const KEYED: Effect = Effect::Keyed { group: Group::Group, window: 300_000 };
+const KEYED: Effect = Effect::Keyed {
+    group: Group::Group,
+    window: 300_000,
+};
 
 fn scenario(effect: Effect) -> Scenario {
     Scenario {
@@ -69,14 +77,30 @@
             idle: 0,
             connect: 100_000,
         },
-        list: ListSpec { lag: 0, capacity: 1e3, patience: 1_000_000 },
+        list: ListSpec {
+            lag: 0,
+            capacity: 1e3,
+            patience: 1_000_000,
+        },
         faults: Vec::new(),
-        judged: Judged { drain_grace: 1_000_000, recovers: None, share: 0.9 },
+        judged: Judged {
+            drain_grace: 1_000_000,
+            recovers: None,
+            share: 0.9,
+        },
     }
 }
 
 fn job(token: u64, op: u64, effect: Effect, work: Micros) -> Job {
-    Job { token, op: OpId(op), name: token, effect, work, usual: work, informed: true }
+    Job {
+        token,
+        op: OpId(op),
+        name: token,
+        effect,
+        work,
+        usual: work,
+        informed: true,
+    }
 }
 
 fn all(host: &mut Host, memory: &mut Memory, until: Micros) -> Vec<Done> {
@@ -88,12 +112,22 @@
 #[test]
 fn a_host_works_on_as_many_as_it_has_cores_and_turns_away_what_finds_no_place() {
     let (mut host, mut memory) = (Host::alone(host(1), Draws::new(1)), Memory::default());
-    let arrivals: Vec<Arrival> =
-        (0..7).map(|n| host.arrive(0, job(n, n, Effect::Unsafe, 10_000), &mut memory)).collect();
+    let arrivals: Vec<Arrival> = (0..7)
+        .map(|n| host.arrive(0, job(n, n, Effect::Unsafe, 10_000), &mut memory))
+        .collect();
     assert_eq!(arrivals[..5], [Arrival::Taken; 5]);
     assert_eq!(arrivals[5..], [Arrival::Ended(Verdict::TurnedAway); 2]);
-    assert_eq!(host.report(), Report { in_hand: 5, waiting: 3 });
-    let ends: Vec<Micros> = all(&mut host, &mut memory, 100_000).iter().map(|d| d.at).collect();
+    assert_eq!(
+        host.report(),
+        Report {
+            in_hand: 5,
+            waiting: 3
+        }
+    );
+    let ends: Vec<Micros> = all(&mut host, &mut memory, 100_000)
+        .iter()
+        .map(|d| d.at)
+        .collect();
     assert_eq!(ends, [10_000, 10_000, 20_000, 20_000, 30_000]);
 }
 
@@ -108,8 +142,15 @@
     let mut effects = Vec::new();
     for (n, host) in hosts.iter_mut().enumerate() {
         let at = n as Micros * 50_000;
-        assert_eq!(host.arrive(at, job(n as u64, 7, KEYED, 10_000), &mut memory), Arrival::Taken);
-        effects.extend(all(host, &mut memory, at + 20_000).iter().map(|d| d.effected));
+        assert_eq!(
+            host.arrive(at, job(n as u64, 7, KEYED, 10_000), &mut memory),
+            Arrival::Taken
+        );
+        effects.extend(
+            all(host, &mut memory, at + 20_000)
+                .iter()
+                .map(|d| d.effected),
+        );
     }
     assert_eq!(effects, [true, false, true]);
 }
@@ -120,7 +161,10 @@
     let mut first = Host::alone(host(1), Draws::new(1));
     first.arrive(0, job(0, 7, KEYED, 10_000), &mut memory);
     assert_eq!(first.die(&mut memory).len(), 1);
-    assert_eq!(first.arrive(1, job(1, 7, KEYED, 10_000), &mut memory), Arrival::Nobody);
+    assert_eq!(
+        first.arrive(1, job(1, 7, KEYED, 10_000), &mut memory),
+        Arrival::Nobody
+    );
     let mut second = Host::alone(host(1), Draws::new(2));
     second.arrive(5_000, job(2, 7, KEYED, 10_000), &mut memory);
     assert!(all(&mut second, &mut memory, 20_000)[0].effected);
@@ -135,7 +179,11 @@
     assert_eq!(cold.due(), Some(21_000));
     // 2 cores, half warm, 200 ms, three times: 600 ms of work, and a little more as it warms.
     for n in 1..40 {
-        cold.arrive(1_000 + n * 1_000, job(n, n, Effect::Safe, 20_000), &mut memory);
+        cold.arrive(
+            1_000 + n * 1_000,
+            job(n, n, Effect::Safe, 20_000),
+            &mut memory,
+        );
     }
     assert_eq!((cold.fell(), cold.is_up()), (Some(true), false));
     let mut warm = Host::alone(host(1), Draws::new(1));
@@ -149,10 +197,17 @@
 fn stalls_put_off_what_is_in_work_and_drains_turn_away() {
     let (mut host, mut memory) = (Host::alone(host(1), Draws::new(1)), Memory::default());
     host.arrive(0, job(0, 0, Effect::Safe, 10_000), &mut memory);
-    let stall = Fault { from: 5_000, until: 55_000, trouble: Trouble::Stalls { host: 0 } };
+    let stall = Fault {
+        from: 5_000,
+        until: 55_000,
+        trouble: Trouble::Stalls { host: 0 },
+    };
     host.begin(5_000, &stall);
     host.arrive(6_000, job(1, 1, Effect::Safe, 10_000), &mut memory);
-    let ends: Vec<Micros> = all(&mut host, &mut memory, 100_000).iter().map(|d| d.at).collect();
+    let ends: Vec<Micros> = all(&mut host, &mut memory, 100_000)
+        .iter()
+        .map(|d| d.at)
+        .collect();
     assert_eq!(ends, [60_000, 65_000]);
     host.drain();
     assert_eq!(
@@ -192,7 +247,12 @@
     assert_eq!(judged(Effect::Unsafe, served), []);
     assert_eq!(judged(Effect::Unsafe, |_| {}), [Rule::Lost]);
     assert_eq!(
-        judged(Effect::Unsafe, |j| j.answered(502_000, op, 0, Answered::Served)),
+        judged(Effect::Unsafe, |j| j.answered(
+            502_000,
+            op,
+            0,
+            Answered::Served
+        )),
         [Rule::Lost, Rule::Lost]
     );
     let twice = |j: &mut Judge| {
@@ -212,7 +272,11 @@
         j.answered(12_000, op, 0, Answered::Served);
     };
     assert_eq!(judged(Effect::Unsafe, again), [Rule::Resent]);
-    assert_eq!(judged(KEYED, again), [Rule::Resent], "the other host is of another group");
+    assert_eq!(
+        judged(KEYED, again),
+        [Rule::Resent],
+        "the other host is of another group"
+    );
     assert_eq!(judged(Effect::Safe, again), []);
     let proven = |j: &mut Judge| {
         j.over(op, 0, 0, true);
@@ -263,7 +327,11 @@
         j.sent(4_000, op, 0, 1);
     };
     assert_eq!(judged(Effect::Unsafe, left), [Rule::AfterEnd]);
-    assert_eq!(judged(Effect::Unsafe, |j| j.died(0)), [], "what a dead proxy held is its clients' to repeat");
+    assert_eq!(
+        judged(Effect::Unsafe, |j| j.died(0)),
+        [],
+        "what a dead proxy held is its clients' to repeat"
+    );
 }
 
 #[test]
@@ -272,7 +340,9 @@
     let mut clients = Clients::new(Arc::clone(&scenario), Draws::new(3));
     let asks: Vec<Ask> = std::iter::from_fn(|| clients.next_first()).collect();
     assert!((400..600).contains(&asks.len()), "{}", asks.len());
-    assert!(asks.windows(2).all(|w| w[0].at <= w[1].at) && asks.iter().all(|a| a.patience == 500_000));
+    assert!(
+        asks.windows(2).all(|w| w[0].at <= w[1].at) && asks.iter().all(|a| a.patience == 500_000)
+    );
     assert!((1..=3).all(|t| asks.iter().any(|a| a.tenant == t)));
     let ask = asks[0];
     let again = |answered| clients.after(&ask, answered, ask.at + 1_000, None);
@@ -283,7 +353,15 @@
     assert_eq!(again(None), Next::Rests);
     let told = clients.after(&ask, Some(Answered::Refused), ask.at, Some(300_000));
     assert!(matches!(told, Next::Asks(next) if next.at == ask.at + 300_000));
-    assert_eq!(clients.after(&Ask { number: 2, ..ask }, Some(Answered::Refused), ask.at, None), Next::Rests);
+    assert_eq!(
+        clients.after(
+            &Ask { number: 2, ..ask },
+            Some(Answered::Refused),
+            ask.at,
+            None
+        ),
+        Next::Rests
+    );
 }
 
 proptest! {
