--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -1,7 +1,10 @@
 //! Seeded defects: small changes of the program's sources that each break something, applied to a copy of the tree. They
 //! show what a hunt can see; the standing code never has them.
 
+mod source_match;
+
 use crate::play::Fault;
+use source_match::find_all;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Instant;
@@ -40,7 +43,7 @@
         what: "an unsafe call goes again without proof",
         play: "virtual",
         edits: &[
-            (MODULE, "(Some(_), Repeat::SingleShot) => None,", "(Some(_), Repeat::SingleShot) => Some(Domain::All),"),
+            (MODULE, "(Some(_), Repeat::SingleShot) => None", "(Some(_), Repeat::SingleShot) => Some(Domain::All)"),
             // The file's own word stands guard as well.
             (MODULE, "call.terms.resend == Resend::Any || call.binding().is_none();", "true;"),
         ],
@@ -55,7 +58,7 @@
         name: "zone-for-cell",
         what: "the group of a keyed call is taken for its zone",
         play: "virtual",
-        edits: &[(FLEET, "Scope::Cell => self.cells.get(cell.0),", "Scope::Cell => self.zones.get(zone.0),")],
+        edits: &[(FLEET, "Scope::Cell => self.cells.get(cell.0)", "Scope::Cell => self.zones.get(zone.0)")],
     },
     Defect {
         name: "last-outcome-alone",
@@ -206,7 +209,7 @@
         name: "set-aside-for-good",
         what: "a host that was set aside is never tried again",
         play: "virtual",
-        edits: &[(MODULE, "back_at: self.budget.backoff_end.max(self.not_before).max(warm_at),", "back_at: Micros::MAX,")],
+        edits: &[(MODULE, "back_at: self.budget.backoff_end.max(self.not_before).max(warm_at)", "back_at: Micros::MAX")],
     },
     Defect {
         name: "start-unasked",
@@ -230,7 +233,7 @@
         what: "an attempt that timed out is taken as one that was never written",
         play: "sockets",
         edits: &[
-            (DRIVER_TIMERS, "Some(Attempt { started: false, .. }) => Outcome::NoConnection,", "Some(_) => Outcome::NoConnection,"),
+            (DRIVER_TIMERS, "Some(Attempt { started: false, .. }) => Outcome::NoConnection", "Some(_) => Outcome::NoConnection"),
         ],
     },
     Defect {
@@ -238,7 +241,7 @@
         what: "a connection that broke under a request is told as one that never was",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into(),", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::NoConnection.into(),"),
+            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into()", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::NoConnection.into()"),
         ],
     },
     Defect {
@@ -246,7 +249,7 @@
         what: "an answer that can't be read is told as one of a host that turned the call away",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into(),", "Err(Fault::Spoilt) => return Outcome::TurnedAway.into(),"),
+            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into()", "Err(Fault::Spoilt) => return Outcome::TurnedAway.into()"),
         ],
     },
     Defect {
@@ -363,13 +366,15 @@
         let path = copy.join(file);
         let io = |e: std::io::Error| Fault::Other(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(&path).map_err(io)?;
-        if text.matches(from).count() != 1 {
+        let places = find_all(&text, from);
+        let [place] = places.as_slice() else {
             return Err(Fault::Other(format!(
                 "{}: its place is not in {file} once",
                 defect.name
             )));
-        }
-        std::fs::write(&path, text.replacen(from, to, 1)).map_err(io)?;
+        };
+        let changed = [&text[..place.start], to, &text[place.end..]].concat();
+        std::fs::write(&path, changed).map_err(io)?;
         sound.push((path, text));
     }
     let hunted = build(copy).and_then(|program| hunt(&program, defect, seconds));
@@ -504,7 +509,7 @@
         for defect in DEFECTS {
             for (file, from, to) in defect.edits {
                 let text = std::fs::read_to_string(root.join(file)).expect("a source");
-                assert_eq!(text.matches(from).count(), 1, "{}", defect.name);
+                assert_eq!(find_all(&text, from).len(), 1, "{}", defect.name);
                 assert_ne!(from, to);
             }
         }
