--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,6 +1,9 @@
 //! Hosts balancers on the bench's wire: one JSON batch a line in, one JSON reply a line out. Decides nothing.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod wire;
 
@@ -72,7 +75,8 @@
 
 impl Host {
     fn batch(&mut self, line: &str) -> Result<String, String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
+        let batch: Batch<'_> =
+            serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
         let mut reply = Reply {
             cmds: Vec::with_capacity(batch.input.len()),
         };
@@ -82,7 +86,7 @@
         serde_json::to_string(&reply).map_err(|e| format!("no reply: {e}"))
     }
 
-    fn input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), String> {
+    fn input(&mut self, now: u64, input: Input<'_>, reply: &mut Reply) -> Result<(), String> {
         let verb = input.verb.as_ref();
         if verb == "POOL" {
             let list = need(input.roster_id, verb, "roster_id")?;
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -6,7 +6,7 @@
 use std::borrow::Cow;
 
 #[derive(Deserialize)]
-pub struct Batch<'a> {
+pub(crate) struct Batch<'a> {
     pub clock_us: u64,
     #[serde(borrow)]
     pub input: Vec<Input<'a>>,
@@ -14,7 +14,7 @@
 
 /// Any event; which fields it has depends on its verb.
 #[derive(Deserialize)]
-pub struct Input<'a> {
+pub(crate) struct Input<'a> {
     #[serde(borrow)]
     pub verb: Cow<'a, str>,
     pub proxy: Option<i64>,
@@ -43,7 +43,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct Stats {
+pub(crate) struct Stats {
     active: Option<f64>,
     waiting: Option<f64>,
     cpu: Option<f64>,
@@ -51,7 +51,7 @@
 }
 
 impl Stats {
-    pub fn load(&self) -> Load {
+    pub(crate) fn load(&self) -> Load {
         Load {
             in_hand: self.active,
             waiting: self.waiting,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct Element {
+pub(crate) struct Element {
     #[serde(default)]
     last_start_us: u64,
     #[serde(default)]
@@ -78,7 +78,7 @@
 }
 
 impl Element {
-    pub fn entry(&self) -> Result<Entry, String> {
+    pub(crate) fn entry(&self) -> Result<Entry, String> {
         let state = match self.state {
             0 => State::Draining,
             1 => State::Ready,
@@ -97,7 +97,7 @@
     }
 }
 
-pub fn outcome(code: &str) -> Outcome {
+pub(crate) fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
@@ -112,13 +112,13 @@
 }
 
 #[derive(Serialize)]
-pub struct Reply {
+pub(crate) struct Reply {
     pub cmds: Vec<Command>,
 }
 
 #[derive(Serialize)]
 #[serde(tag = "verb", rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Command {
+pub(crate) enum Command {
     Route {
         proxy: i64,
         call: String,
--- a/crates/bench/src/chain.rs
+++ b/crates/bench/src/chain.rs
@@ -32,7 +32,7 @@
 
 /// Whether calls of the measured class may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Effect {
+pub(crate) enum Effect {
     Safe,
     Keyed,
     Unsafe,
@@ -56,7 +56,7 @@
 
 /// What the last service does with each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Failure {
+pub(crate) enum Failure {
     /// Answers 503 at once; the request may have run.
     Error,
     /// Answers 503 at once with the proof that the request never ran.
@@ -67,7 +67,7 @@
 
 /// What is measured.
 #[derive(Args, Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Depths of the chain.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3,4,6,13", value_parser = clap::value_parser!(u32).range(1..=20))]
     depth: Vec<u32>,
@@ -415,7 +415,7 @@
 }
 
 /// Measures every depth with every effect and failure, and prints the table.
-pub async fn run(plan: &Plan) -> Result<(), Fault> {
+pub(crate) async fn run(plan: &Plan) -> Result<(), Fault> {
     println!("depth  effect  failure    answer       ms requests  later  requests by depth");
     for &failure in &plan.failure {
         for &effect in &plan.effect {
--- a/crates/bench/src/chart.rs
+++ b/crates/bench/src/chart.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// Questions to the list service by second, with marks where scenes begin.
-pub fn questions(seconds: &[u32], marks: &[(usize, &str)], to: &Path) -> Result<(), Fault> {
+pub(crate) fn questions(seconds: &[u32], marks: &[(usize, &str)], to: &Path) -> Result<(), Fault> {
     let most = seconds.iter().copied().max().unwrap_or(1).max(1);
     let area = SVGBackend::new(to, (760, 260)).into_drawing_area();
     area.fill(&WHITE)?;
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -26,7 +26,7 @@
 
 /// One request of one client proxy that is read and never answered, so that the bench can be seen to name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ignored {
+pub(crate) struct Ignored {
     /// The client proxy, as `RELAY_NAME` names it.
     proxy: String,
     /// Which of its requests, from 1.
@@ -70,9 +70,10 @@
             return Fate::Well;
         }
         self.read.set(self.read.get() + 1);
-        match self.ignored == Some(self.read.get()) {
-            true => Fate::Ignored,
-            false => Fate::Refused,
+        if self.ignored == Some(self.read.get()) {
+            Fate::Ignored
+        } else {
+            Fate::Refused
         }
     }
 }
@@ -81,7 +82,7 @@
 ///
 /// # Errors
 /// If the variable names no address, or nothing can listen there.
-pub fn serve(ignored: Option<Ignored>) -> io::Result<()> {
+pub(crate) fn serve(ignored: Option<Ignored>) -> io::Result<()> {
     let odd = |fault: String| {
         io::Error::new(
             io::ErrorKind::InvalidInput,
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -10,7 +10,7 @@
 const REQUESTS_MOST: u64 = 2_000_000;
 
 /// What is measured, and for how long.
-pub struct Course {
+pub(crate) struct Course {
     pub seconds: f64,
     pub rounds: usize,
     pub other: Option<PathBuf>,
@@ -72,7 +72,11 @@
 }
 
 /// Measures each size of the fleet with each number of clients, and prints the table.
-pub async fn fleet(sizes: &[usize], clients: &[usize], course_of: &Course) -> Result<(), Fault> {
+pub(crate) async fn fleet(
+    sizes: &[usize],
+    clients: &[usize],
+    course_of: &Course,
+) -> Result<(), Fault> {
     let me = std::env::current_exe()?;
     println!("endpoints  clients  what      requests/s   of plain  p50 us  p99 us  CPU us/request  of plain  not 200");
     for &endpoints in sizes {
@@ -163,7 +167,7 @@
 }
 
 /// Prints the memory of the program that holds no connection, by size of the fleet.
-pub async fn memory(sizes: &[usize]) -> Result<(), Fault> {
+pub(crate) async fn memory(sizes: &[usize]) -> Result<(), Fault> {
     println!("endpoints  resident KiB  bytes an endpoint beyond the first size");
     let mut first: Option<(usize, u64)> = None;
     for &endpoints in sizes {
--- a/crates/bench/src/hosts.rs
+++ b/crates/bench/src/hosts.rs
@@ -19,7 +19,7 @@
 const PORTS: usize = 16;
 
 /// Serves until it is ended. Prints the ports of the hosts on one line.
-pub fn serve() -> io::Result<()> {
+pub(crate) fn serve() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -76,7 +76,7 @@
 }
 
 /// Serves the list: at once to who has none, and nothing more to who watches.
-pub async fn discovery(endpoints: usize, ports: &[u16]) -> io::Result<SocketAddr> {
+pub(crate) async fn discovery(endpoints: usize, ports: &[u16]) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let text = Bytes::from(list(endpoints, ports));
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -25,7 +25,7 @@
 
 /// What is measured.
 #[derive(Args, Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Calls a second.
     #[arg(long, value_delimiter = ',', default_value = "333,666,1332")]
     rate: Vec<f64>,
@@ -172,7 +172,7 @@
 }
 
 /// Measures every rate and prints the table.
-pub fn run(plan: &Plan) -> Result<(), Fault> {
+pub(crate) fn run(plan: &Plan) -> Result<(), Fault> {
     let (_hosts, ports) = start_hosts()?;
     let name = format!("badgerramp-latency-{}.toml", std::process::id());
     let file = TemporaryFile::write(&name, &operators_file(plan, &ports))?;
--- a/crates/bench/src/list.rs
+++ b/crates/bench/src/list.rs
@@ -24,7 +24,7 @@
 }
 
 /// Prints the table.
-pub fn play(sizes: &[usize]) -> Result<(), Fault> {
+pub(crate) fn play(sizes: &[usize]) -> Result<(), Fault> {
     println!("endpoints  what                            us each time");
     for &size in sizes {
         let size = u32::try_from(size)?;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -8,13 +8,13 @@
 use tokio::net::TcpStream;
 
 /// The request that is sent.
-pub const REQUEST: &[u8] =
+pub(crate) const REQUEST: &[u8] =
     b"GET /safe/member?id=7 HTTP/1.1\r\nHost: service.internal\r\nUser-Agent: bench\r\nAccept: */*\r\nX-Timeout: 9000m\r\n\r\n";
 
 const LENGTH: &[u8] = b"content-length:";
 
 /// What came of a course.
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub answered: u64,
     /// Answers with another status than 200.
     pub odd: u64,
@@ -24,7 +24,7 @@
 }
 
 /// Asks on so many connections until the time is up or so many are answered.
-pub async fn run(
+pub(crate) async fn run(
     to: SocketAddr,
     connections: usize,
     time: Duration,
@@ -53,7 +53,7 @@
 }
 
 /// For times in microseconds.
-pub fn histogram() -> Histogram<u64> {
+pub(crate) fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit")
 }
 
@@ -82,7 +82,7 @@
 }
 
 /// Is this an answer with all of its body? They all tell their length.
-pub fn whole(answer: &[u8]) -> bool {
+pub(crate) fn whole(answer: &[u8]) -> bool {
     let Some(head) = answer.windows(4).position(|w| w == b"\r\n\r\n") else {
         return false;
     };
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,6 +1,15 @@
 //! The program beside a plain pass-through, in one run on one pinned core: throughput, times, CPU a request and
 //! memory, by size of the fleet and number of clients. `docs/large-fleets.md` has the command and its figures.
 #![forbid(unsafe_code)]
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod chain;
 mod chart;
--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -24,7 +24,7 @@
 
 /// What is measured.
 #[derive(Args, Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Sizes of the fleet.
     #[arg(long, value_delimiter = ',', default_value = "100,200,400,780,1560")]
     proxies: Vec<usize>,
@@ -162,7 +162,7 @@
 }
 
 /// Measures all sizes, prints the table and a line through each of its figures.
-pub fn run(plan: &Plan) -> Result<(), Fault> {
+pub(crate) fn run(plan: &Plan) -> Result<(), Fault> {
     println!(
         "calm: seconds {} to {} after the first start; start: the first {START_SECONDS} s; KB/s: 1000 bytes a second and proxy, sent, sealed",
         plan.from,
--- a/crates/bench/src/plain.rs
+++ b/crates/bench/src/plain.rs
@@ -20,7 +20,7 @@
 type Sender = client::SendRequest<Full<Bytes>>;
 
 /// Connections to hosts, kept for the next request.
-pub struct Pool {
+pub(crate) struct Pool {
     addresses: Vec<SocketAddr>,
     idle: Vec<RefCell<Vec<Sender>>>,
     next: Cell<usize>,
@@ -28,7 +28,7 @@
 
 impl Pool {
     /// One without connections yet.
-    pub fn new(addresses: Vec<SocketAddr>) -> Self {
+    pub(crate) fn new(addresses: Vec<SocketAddr>) -> Self {
         let idle = addresses.iter().map(|_| RefCell::default()).collect();
         Pool {
             addresses,
@@ -39,12 +39,12 @@
 }
 
 /// An answer with this body.
-pub fn answer(body: Bytes) -> Response<Full<Bytes>> {
+pub(crate) fn answer(body: Bytes) -> Response<Full<Bytes>> {
     Response::new(Full::new(body))
 }
 
 /// Serves until it is ended. Prints where it listens.
-pub fn serve(endpoints: usize, ports: &[u16]) -> io::Result<()> {
+pub(crate) fn serve(endpoints: usize, ports: &[u16]) -> io::Result<()> {
     let addresses =
         (0..endpoints).map(|n| SocketAddr::from(([127, 0, 0, 1], ports[n % ports.len()])));
     let pool = Rc::new(Pool::new(addresses.collect()));
@@ -70,7 +70,7 @@
 }
 
 /// Passes a request to the next host in turn; 502 if that fails.
-pub async fn pass(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
+pub(crate) async fn pass(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let place = pool.next.get();
     pool.next.set((place + 1) % pool.addresses.len());
     let (parts, body) = request.into_parts();
@@ -86,7 +86,7 @@
 }
 
 /// Sends a request to the host of this place and reads its whole answer.
-pub async fn exchange(
+pub(crate) async fn exchange(
     pool: &Pool,
     place: usize,
     request: Request<Full<Bytes>>,
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -20,14 +20,14 @@
 use std::time::{Duration, Instant};
 
 /// A replica in threads of this process; its folder goes with it.
-pub struct Control {
+pub(crate) struct Control {
     address: SocketAddr,
     folder: PathBuf,
 }
 
 impl Control {
     /// Starts one.
-    pub fn start() -> Result<Control, Fault> {
+    pub(crate) fn start() -> Result<Control, Fault> {
         let folder =
             std::env::temp_dir().join(format!("badgerramp-bench-control-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -71,7 +71,7 @@
     }
 
     /// What a proxy's file says of it.
-    pub fn table(&self) -> String {
+    pub(crate) fn table(&self) -> String {
         let (address, secret) = (self.address, self.folder.join("secret"));
         format!(
             "[policy]\ncontrol = [\"{address}\"]\nsecret = \"{}\"\napplication = \"bench\"\n",
@@ -80,7 +80,7 @@
     }
 
     /// Brings a policy into force.
-    pub async fn publish(&self, text: String) -> Result<(), Fault> {
+    pub(crate) async fn publish(&self, text: String) -> Result<(), Fault> {
         let at = At {
             control: vec![self.address],
             secret: self.folder.join("secret"),
@@ -98,7 +98,7 @@
 }
 
 /// Prints the time of both looks at the lease that a call takes.
-pub fn gate() {
+pub(crate) fn gate() {
     const TIMES: u32 = 2_000_000;
     let identity = Identity {
         name: "bench".to_owned(),
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -11,7 +11,7 @@
 const PAGE_KIB: u64 = 4;
 
 /// A process that listens; ended with this.
-pub struct Process {
+pub(crate) struct Process {
     child: Child,
     pub address: SocketAddr,
 }
@@ -25,7 +25,7 @@
 
 impl Process {
     /// Starts a program on the first core and waits until it tells where it listens.
-    pub fn start(program: &Path, arguments: &[String]) -> Result<Self, Fault> {
+    pub(crate) fn start(program: &Path, arguments: &[String]) -> Result<Self, Fault> {
         let mut command = Command::new(std::env::current_exe()?);
         command
             .args(["pinned", "0"])
@@ -36,7 +36,7 @@
     }
 
     /// Starts the program as a sidecar with this operator's file, on any core.
-    pub fn sidecar(file: &TemporaryFile) -> Result<Self, Fault> {
+    pub(crate) fn sidecar(file: &TemporaryFile) -> Result<Self, Fault> {
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("proxy").arg(file.path());
         Process::listening(command)
@@ -68,7 +68,7 @@
     }
 
     /// CPU used so far, in microseconds.
-    pub fn cpu(&self) -> Result<f64, Fault> {
+    pub(crate) fn cpu(&self) -> Result<f64, Fault> {
         let stat = self.stat("stat")?;
         let fields: Vec<&str> = stat
             .rsplit(')')
@@ -86,7 +86,7 @@
     }
 
     /// Resident memory in KiB.
-    pub fn memory(&self) -> Result<u64, Fault> {
+    pub(crate) fn memory(&self) -> Result<u64, Fault> {
         let pages = self
             .stat("statm")?
             .split(' ')
@@ -97,7 +97,7 @@
 }
 
 /// The stand-in hosts, in a process of their own, and their ports.
-pub fn start_hosts() -> Result<(HostProcess, Vec<u16>), Fault> {
+pub(crate) fn start_hosts() -> Result<(HostProcess, Vec<u16>), Fault> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg("hosts")
         .stdout(Stdio::piped())
@@ -112,7 +112,7 @@
 }
 
 /// The process of the stand-in hosts; ended with this.
-pub struct HostProcess(Child);
+pub(crate) struct HostProcess(Child);
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
@@ -122,18 +122,18 @@
 }
 
 /// A file that is removed with this.
-pub struct TemporaryFile(PathBuf);
+pub(crate) struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
     /// Writes a file of this name into the folder for temporary files.
-    pub fn write(name: &str, text: &str) -> Result<Self, Fault> {
+    pub(crate) fn write(name: &str, text: &str) -> Result<Self, Fault> {
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text)?;
         Ok(TemporaryFile(path))
     }
 
     /// Where it is.
-    pub fn path(&self) -> String {
+    pub(crate) fn path(&self) -> String {
         self.0.display().to_string()
     }
 }
--- a/crates/bench/src/quiet.rs
+++ b/crates/bench/src/quiet.rs
@@ -33,7 +33,7 @@
 const LONG: Duration = Duration::from_secs(240);
 
 /// What is played.
-pub struct Plan {
+pub(crate) struct Plan {
     pub proxies: u32,
     pub endpoints: usize,
     pub seconds: u64,
@@ -388,7 +388,7 @@
 }
 
 /// Plays the scenes and prints what they show beside what is stated.
-pub async fn play(plan: &Plan) -> Result<(), Fault> {
+pub(crate) async fn play(plan: &Plan) -> Result<(), Fault> {
     let world = Rc::new(World {
         addresses: RefCell::default(),
         open: RefCell::default(),
--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -18,7 +18,12 @@
 }
 
 /// What travels. The comments are the schema's.
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    clippy::doc_markdown,
+    clippy::too_many_lines,
+    reason = "generated from the schema"
+)]
 pub mod wire {
     tonic::include_proto!("badgerramp.control.v1");
 }
--- a/crates/channel/src/seal.rs
+++ b/crates/channel/src/seal.rs
@@ -292,10 +292,7 @@
             let length = sealed.body.len() + sealed.mac.len();
             let place = place.index(length);
             let own_body = sealed.body.len();
-            match place < own_body {
-                true => sealed.body[place] ^= 1 << bit,
-                false => sealed.mac[place - own_body] ^= 1 << bit,
-            }
+            if place < own_body { sealed.body[place] ^= 1 << bit } else { sealed.mac[place - own_body] ^= 1 << bit }
             prop_assert_eq!(own.open_bytes(Purpose::Reply, sealed), Err(SealFault::Forged));
         }
     }
@@ -317,7 +314,7 @@
         let path = std::env::temp_dir().join(format!("badgerramp-secret-{}", std::process::id()));
         std::fs::write(&path, "0123456789abcdef\n").expect("a temporary file");
         let set = |mode| {
-            std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set")
+            std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set");
         };
         set(0o640);
         assert!(matches!(Secret::read(&path), Err(SecretFault::Open(_))));
--- a/crates/channel/tests/wire_format.rs
+++ b/crates/channel/tests/wire_format.rs
@@ -1,5 +1,13 @@
 //! The bytes of every message of the control protocol, and the names of its service. Processes of an older and of a newer
 //! version talk to each other while a fleet is upgraded, so neither may change.
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_channel::wire::{
     self, change, control_server, outcome_reply, refusal, reply, request, vote_reply, CutOff,
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -124,9 +124,10 @@
         stack: vec![own],
     };
     loader.includes(0);
-    match loader.report.good() {
-        true => Ok(loader.report),
-        false => Err(loader.report),
+    if loader.report.good() {
+        Ok(loader.report)
+    } else {
+        Err(loader.report)
     }
 }
 
@@ -162,7 +163,7 @@
             if let Some(value) = table.get("include") {
                 match value.get_ref() {
                     DeValue::Array(list) => {
-                        wanted.extend(list.iter().map(|v| (v.get_ref().as_str(), v.span())))
+                        wanted.extend(list.iter().map(|v| (v.get_ref().as_str(), v.span())));
                     }
                     _ => wanted.push((None, value.span())),
                 }
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -357,9 +357,10 @@
             if let Some(id) = &change.all_regions {
                 let _ = write!(text, " (all regions, {id})");
             }
-            let _ = match change.why.is_empty() {
-                true => writeln!(text),
-                false => writeln!(text, ": {}", change.why),
+            let _ = if change.why.is_empty() {
+                writeln!(text)
+            } else {
+                writeln!(text, ": {}", change.why)
             };
         }
         text
@@ -492,12 +493,13 @@
                 .iter()
                 .map(|p| format!("{} {}", p.name, p.incarnation))
                 .collect();
-            return Err(match found.is_empty() {
-                true => format!("no proxy {name:?}; control knows: {}", all.join(", ")),
-                false => format!(
+            return Err(if found.is_empty() {
+                format!("no proxy {name:?}; control knows: {}", all.join(", "))
+            } else {
+                format!(
                     "{name:?} runs more than once: name its start too: {}",
                     found.join(", ")
-                ),
+                )
             });
         };
         let incarnation = u64::from_str_radix(&one.incarnation, 16).map_err(|e| e.to_string())?;
@@ -640,15 +642,15 @@
                 let ended = change.map(|c| (c.ended(), c.why.clone()));
                 match ended {
                     Some((Ended::InForce, _)) => {
-                        (done.outcome, done.why) = (Outcome::InForce, String::new())
+                        (done.outcome, done.why) = (Outcome::InForce, String::new());
                     }
                     Some((Ended::NotInForce, why)) => {
-                        (done.outcome, done.why) = (Outcome::NotInForce, why)
+                        (done.outcome, done.why) = (Outcome::NotInForce, why);
                     }
                     Some(_) => {}
                     None => {
                         done.why =
-                            "control does not know this change: it has lost its store".to_owned()
+                            "control does not know this change: it has lost its store".to_owned();
                     }
                 }
                 if done.outcome != Outcome::NotKnown {
@@ -727,9 +729,10 @@
             files.insert(name.to_owned(), text);
         }
     }
-    match files.is_empty() {
-        true => Err(format!("{shown}: no file that ends in .toml")),
-        false => Ok(files),
+    if files.is_empty() {
+        Err(format!("{shown}: no file that ends in .toml"))
+    } else {
+        Ok(files)
     }
 }
 
--- a/crates/config-tool/src/lib.rs
+++ b/crates/config-tool/src/lib.rs
@@ -9,7 +9,15 @@
 //! - [`fleet`]: a set brought into force for a whole fleet, through its control.
 //! - [`explain`]: what a file makes of a request, and the longest course of a class.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 pub mod commands;
 pub mod description;
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -258,9 +258,10 @@
                     let effect = theirs.0 != own.0 && theirs.1 != own.1;
                     let key = theirs.2 != own.2 && matches!(own.1, Repeat::Guarded { .. });
                     if (effect || key) && told.insert(request.clone()) {
-                        let reason = match effect {
-                            true => format!("while both run, {request} would be two things"),
-                            false => format!("while both run, {request} would have two keys"),
+                        let reason = if effect {
+                            format!("while both run, {request} would be two things")
+                        } else {
+                            format!("while both run, {request} would have two keys")
                         };
                         let found =
                             format!("class {} ({}), key {:?}", own.0, show_repeat(own.1), own.2);
@@ -281,10 +282,10 @@
                     }
                 }
                 (Some(_), None) if told.insert(request.clone()) => {
-                    change.note(format!("{request} has no route any more"))
+                    change.note(format!("{request} has no route any more"));
                 }
                 (None, Some(_)) if told.insert(request.clone()) => {
-                    change.note(format!("{request} has a route now"))
+                    change.note(format!("{request} has a route now"));
                 }
                 _ => {}
             }
--- a/crates/config-tool/tests/common/mod.rs
+++ b/crates/config-tool/tests/common/mod.rs
@@ -7,10 +7,10 @@
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
 /// A folder that goes at the end of its test.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new() -> Folder {
+    pub(crate) fn new() -> Folder {
         let name = format!(
             "badgerramp-config-{}-{}",
             std::process::id(),
@@ -21,14 +21,14 @@
         Folder(path)
     }
 
-    pub fn put(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn put(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
         std::fs::write(&path, text).expect("a file");
         path
     }
 
-    pub fn get(&self, name: &str) -> String {
+    pub(crate) fn get(&self, name: &str) -> String {
         std::fs::read_to_string(self.0.join(name)).expect("a file")
     }
 }
@@ -39,15 +39,16 @@
     }
 }
 
-pub fn examples() -> PathBuf {
+pub(crate) fn examples() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples")
 }
 
-pub const APPS: &str = include_str!("../../../../examples/cordillera/apps.toml");
-pub const CLASSES: &str = include_str!("../../../../examples/cordillera/shared/classes.toml");
+pub(crate) const APPS: &str = include_str!("../../../../examples/cordillera/apps.toml");
+pub(crate) const CLASSES: &str =
+    include_str!("../../../../examples/cordillera/shared/classes.toml");
 
 /// The chain's description in a folder, with one edit in each file.
-pub fn chain(folder: &Folder, apps: (&str, &str), classes: (&str, &str)) -> PathBuf {
+pub(crate) fn chain(folder: &Folder, apps: (&str, &str), classes: (&str, &str)) -> PathBuf {
     let edit = |text: &str, (from, to): (&str, &str)| {
         assert!(text.contains(from), "{from:?} is not there");
         text.replacen(from, to, 1)
--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -1,6 +1,10 @@
 //! The heart of the checks: from a correct set, single edits to any value. Each edited set that is accepted is driven
 //! through the decisions without sockets, with adversarial outcomes and the clients that it is written for. No charge
 //! runs twice, no keyed entry runs twice, no answer is owed.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 mod common;
 
--- a/crates/config-tool/tests/tool.rs
+++ b/crates/config-tool/tests/tool.rs
@@ -1,4 +1,8 @@
 //! The tool as its user meets it: what it writes, what it refuses and where, what a change would do.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 mod common;
 
--- a/crates/config/benches/load.rs
+++ b/crates/config/benches/load.rs
@@ -1,4 +1,8 @@
 //! What it takes to read and check a file, by its routes.
+#![expect(
+    missing_docs,
+    reason = "the macro of the benchmark library makes a function without docs"
+)]
 
 use badgerramp_config::parse;
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -32,7 +36,7 @@
     for count in [1, 100, 10_000] {
         let text = file(count);
         group.bench_with_input(BenchmarkId::from_parameter(count), &text, |b, text| {
-            b.iter(|| parse("bench.toml", black_box(text)).expect("a good file"))
+            b.iter(|| parse("bench.toml", black_box(text)).expect("a good file"));
         });
     }
     group.finish();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,7 +10,10 @@
 //! assert!(mistakes.to_string().contains("my.toml:1:10"));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod expressions;
 mod file;
--- a/crates/control/src/check.rs
+++ b/crates/control/src/check.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// If the text is not what [`text_of`] writes.
-pub fn files_of(text: &str) -> Result<BTreeMap<String, String>, String> {
+pub(crate) fn files_of(text: &str) -> Result<BTreeMap<String, String>, String> {
     serde_json::from_str(text).map_err(|e| format!("the files of a generation can't be read: {e}"))
 }
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If they can't be written down.
-pub fn text_of(files: &BTreeMap<String, String>) -> Result<String, String> {
+pub(crate) fn text_of(files: &BTreeMap<String, String>) -> Result<String, String> {
     serde_json::to_string(files).map_err(|e| format!("the files can't be written down: {e}"))
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// If they are too many or too large, and all mistakes in them, as text that names file, line and key.
-pub fn read(files: &BTreeMap<String, String>) -> Result<Files, String> {
+pub(crate) fn read(files: &BTreeMap<String, String>) -> Result<Files, String> {
     let bytes: usize = files
         .iter()
         .map(|(name, text)| name.len() + text.len())
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// All that it would change, and how to go about it.
-pub fn leaves_floors(
+pub(crate) fn leaves_floors(
     record: &Record,
     floors: &BTreeSet<Generation>,
     new: &Files,
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 /// Why it can't come here.
-pub fn of_other_region(
+pub(crate) fn of_other_region(
     record: &Record,
     floors: &BTreeSet<Generation>,
     text: &str,
--- a/crates/control/src/floor.rs
+++ b/crates/control/src/floor.rs
@@ -22,9 +22,10 @@
             Err(found) => mistakes.push(found.to_string()),
         }
     }
-    match mistakes.is_empty() {
-        true => Ok(read),
-        false => Err(mistakes.concat()),
+    if mistakes.is_empty() {
+        Ok(read)
+    } else {
+        Err(mistakes.concat())
     }
 }
 
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -25,7 +25,7 @@
 
 /// Why there is no answer of a leader.
 #[derive(Clone, Debug)]
-pub struct NotLeader {
+pub(crate) struct NotLeader {
     /// Where the leader is, if that is known.
     pub leader: Option<String>,
     /// Why.
@@ -40,12 +40,12 @@
 }
 
 /// A question for a lease, and where its answer goes.
-pub type Question = (Ask, oneshot::Sender<Result<Lent, NotLeader>>);
+pub(crate) type Question = (Ask, oneshot::Sender<Result<Lent, NotLeader>>);
 /// Those that wait.
-pub type Questions = mpsc::Receiver<Question>;
+pub(crate) type Questions = mpsc::Receiver<Question>;
 
 /// The leader's part of a replica.
-pub struct Leader {
+pub(crate) struct Leader {
     raft: Raft<Types>,
     store: Store,
     terms: LeaseTerms,
@@ -78,7 +78,7 @@
 
 impl Leader {
     /// The part of this replica. [`Leader::run`] must run beside it.
-    pub fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
+    pub(crate) fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
         let terms = LeaseTerms {
             lease: micros(settings.lease),
@@ -137,12 +137,12 @@
     }
 
     /// Does this replica lead, as far as it knows?
-    pub fn leads(&self) -> bool {
+    pub(crate) fn leads(&self) -> bool {
         self.term().is_some()
     }
 
     /// Still the leader, with all that was agreed on before this was asked?
-    pub async fn confirmed(&self) -> Result<(), NotLeader> {
+    pub(crate) async fn confirmed(&self) -> Result<(), NotLeader> {
         self.raft
             .ensure_linearizable()
             .await
@@ -156,7 +156,7 @@
     }
 
     /// Has the replicas agree on a command.
-    pub async fn agree(&self, command: Command) -> Result<Outcome, NotLeader> {
+    pub(crate) async fn agree(&self, command: Command) -> Result<Outcome, NotLeader> {
         let before = self.store.with(Before::of);
         let written = self.raft.client_write(command.clone()).await;
         let outcome = written.map(|w| w.data).map_err(|fault| {
@@ -178,7 +178,7 @@
     }
 
     /// Asks for a mode.
-    pub async fn lend(&self, ask: Ask) -> Result<Lent, NotLeader> {
+    pub(crate) async fn lend(&self, ask: Ask) -> Result<Lent, NotLeader> {
         let (sender, answer) = oneshot::channel();
         let busy = || NotLeader {
             leader: None,
@@ -189,7 +189,7 @@
     }
 
     /// Answers questions, many after one look at whether this is still the leader.
-    pub async fn answer(&self, mut asked: Questions) {
+    pub(crate) async fn answer(&self, mut asked: Questions) {
         let mut together = Vec::new();
         while asked.recv_many(&mut together, TOGETHER).await > 0 {
             let confirmed = self.confirmed().await;
@@ -237,7 +237,7 @@
     }
 
     /// A proxy has ended by itself.
-    pub async fn leaves(&self, identity: Identity) -> Result<(), NotLeader> {
+    pub(crate) async fn leaves(&self, identity: Identity) -> Result<(), NotLeader> {
         self.confirmed().await?;
         if self
             .store
@@ -256,7 +256,7 @@
     }
 
     /// Who holds the change up, and who has been lent what.
-    pub fn view(&self) -> (Vec<Blocker>, BTreeMap<Identity, u64>) {
+    pub(crate) fn view(&self) -> (Vec<Blocker>, BTreeMap<Identity, u64>) {
         let mut held = self.held();
         self.lead(&mut held);
         let Some(held) = held.as_ref() else {
@@ -300,7 +300,7 @@
     }
 
     /// Takes changes on, as long as this replica runs.
-    pub async fn run(&self) {
+    pub(crate) async fn run(&self) {
         loop {
             let Some(command) = self.step() else {
                 let _ = tokio::time::timeout(LOOK, self.stir.notified()).await;
@@ -314,7 +314,7 @@
     }
 
     /// Gives up the change to this generation; `None`: no such change is under way.
-    pub async fn abort(
+    pub(crate) async fn abort(
         &self,
         generation: Generation,
         why: String,
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -19,7 +19,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Most bytes of a message between replicas.
-pub const MESSAGE_MOST: usize = badgerramp_channel::BODY_MOST + 1024;
+pub(crate) const MESSAGE_MOST: usize = badgerramp_channel::BODY_MOST + 1024;
 
 /// A question of one replica to another.
 #[derive(Serialize, Deserialize)]
@@ -30,12 +30,12 @@
 }
 
 /// Opens ways to other replicas.
-pub struct Network {
+pub(crate) struct Network {
     pub secret: Secret,
 }
 
 /// The way to one.
-pub struct Way {
+pub(crate) struct Way {
     secret: Secret,
     target: Id,
     client: ControlClient<Channel>,
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// If it is no question.
-pub async fn answer(raft: &Raft<Types>, body: &[u8]) -> Result<Vec<u8>, String> {
+pub(crate) async fn answer(raft: &Raft<Types>, body: &[u8]) -> Result<Vec<u8>, String> {
     let asked = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let answer = match asked {
         Asked::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
--- a/crates/control/src/progress.rs
+++ b/crates/control/src/progress.rs
@@ -5,14 +5,14 @@
 use std::fmt::Display;
 
 /// The change under way before a command.
-pub struct Before {
+pub(crate) struct Before {
     middle: Option<Mode>,
     cross_region: Option<CrossRegion>,
 }
 
 impl Before {
     /// That of this record.
-    pub fn of(record: &Record) -> Self {
+    pub(crate) fn of(record: &Record) -> Self {
         Before {
             middle: record.middle(),
             cross_region: record.cross_region().cloned(),
@@ -21,7 +21,7 @@
 }
 
 /// The line for a command that came to this outcome, if it is a step of a change.
-pub fn line(
+pub(crate) fn line(
     before: &Before,
     command: &Command,
     outcome: &Outcome,
--- a/crates/control/src/refusals.rs
+++ b/crates/control/src/refusals.rs
@@ -9,7 +9,7 @@
 use tonic::{Code, Status};
 
 /// A refusal with this code.
-pub fn refuse(code: refusal::Code, text: impl Into<String>) -> reply::What {
+pub(crate) fn refuse(code: refusal::Code, text: impl Into<String>) -> reply::What {
     reply::What::Refusal(Refusal {
         code: code.into(),
         text: text.into(),
@@ -18,7 +18,7 @@
 }
 
 /// Another replica may lead, and this one does not.
-pub fn elsewhere(fault: NotLeader) -> reply::What {
+pub(crate) fn elsewhere(fault: NotLeader) -> reply::What {
     reply::What::Refusal(Refusal {
         code: refusal::Code::NotLeader.into(),
         text: fault.why,
@@ -28,7 +28,7 @@
 }
 
 /// What is told of a message whose seal does not pass.
-pub fn denied(fault: &SealFault) -> Status {
+pub(crate) fn denied(fault: &SealFault) -> Status {
     let code = match fault {
         SealFault::Version(_) => Code::FailedPrecondition,
         SealFault::Forged => Code::PermissionDenied,
@@ -38,7 +38,7 @@
 }
 
 /// What is told of a command that had no effect.
-pub fn not_logged(refused: &Refused) -> reply::What {
+pub(crate) fn not_logged(refused: &Refused) -> reply::What {
     let code = match refused {
         Refused::UnderWay(_) | Refused::AcrossRegions { .. } | Refused::AwaitsDecision { .. } => {
             refusal::Code::UnderWay
@@ -50,7 +50,7 @@
 }
 
 /// Only the coordinator takes a change of all regions: where it is.
-pub fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::What {
+pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::What {
     reply::What::Refusal(Refusal {
         code: refusal::Code::NotCoordinator.into(),
         text: format!("region {coordinator} coordinates changes of all regions: publish there"),
--- a/crates/control/src/regions.rs
+++ b/crates/control/src/regions.rs
@@ -29,7 +29,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Carries what the own leader has to tell the others. It runs in every replica and is silent while that does not lead.
-pub struct Carrier {
+pub(crate) struct Carrier {
     /// The regions, and where they are.
     pub settings: RegionSettings,
     /// The own leader.
@@ -42,7 +42,7 @@
 
 impl Carrier {
     /// Carries messages to all other regions, as long as this replica runs.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let mut carriers = JoinSet::new();
         let carrier = Arc::new(self);
         for region in carrier.settings.replicas.keys() {
@@ -154,7 +154,7 @@
 }
 
 /// Answers the other regions.
-pub struct Responder {
+pub(crate) struct Responder {
     /// The regions.
     pub regions: Regions,
     /// The own leader.
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// If this replica does not lead.
-    pub async fn answer(&self, what: request::What) -> Result<reply::What, NotLeader> {
+    pub(crate) async fn answer(&self, what: request::What) -> Result<reply::What, NotLeader> {
         match what {
             request::What::Prepare(prepare) => {
                 let to = prepare.region.clone();
--- a/crates/control/src/removed.rs
+++ b/crates/control/src/removed.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 /// Stands for the acknowledgement that a removed region can't give. `others` are the other regions that there are.
-pub fn acknowledgement(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
+pub(crate) fn acknowledgement(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
     let commit = record.unacknowledged()?;
     let removed = commit.regions.difference(others).next()?;
     Some(Command::Acknowledged {
@@ -16,7 +16,7 @@
 }
 
 /// Ends a change that only a removed region could decide.
-pub fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
+pub(crate) fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
     let CrossRegion {
         change,
         role: Role::Participant { .. },
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -92,13 +92,14 @@
     found: u64,
     allowed: std::ops::RangeInclusive<u64>,
 ) -> Result<u64, String> {
-    match allowed.contains(&found) {
-        true => Ok(found),
-        false => Err(format!(
+    if allowed.contains(&found) {
+        Ok(found)
+    } else {
+        Err(format!(
             "{file}: {key}: found {found}, allowed is {} to {}",
             allowed.start(),
             allowed.end()
-        )),
+        ))
     }
 }
 
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// What a status is made of.
-pub struct View<'r> {
+pub(crate) struct View<'r> {
     /// What is agreed on.
     pub record: &'r Record,
     /// Which proxies hold the change under way up.
@@ -27,7 +27,7 @@
 
 impl View<'_> {
     /// As it travels.
-    pub fn status(self) -> wire::Status {
+    pub(crate) fn status(self) -> wire::Status {
         let proxies = proxies(self.record, self.sessions);
         let held_by_proxies = self
             .blockers
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -33,9 +33,9 @@
 pub type Id = u64;
 type Failed = StorageError<Id>;
 
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const SNAPSHOTS: TableDefinition<u64, &[u8]> = TableDefinition::new("snapshots");
+const META: TableDefinition<'static, &str, &[u8]> = TableDefinition::new("meta");
+const LOG: TableDefinition<'static, u64, &[u8]> = TableDefinition::new("log");
+const SNAPSHOTS: TableDefinition<'static, u64, &[u8]> = TableDefinition::new("snapshots");
 
 /// Snapshots that are kept.
 const KEPT: usize = 3;
--- a/crates/control/tests/regions.rs
+++ b/crates/control/tests/regions.rs
@@ -1,5 +1,9 @@
 //! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
 //! ways between them are cut at any of its steps.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_channel::wire::{self, refusal, reply, request};
 use badgerramp_channel::{Client, Fault, Secret};
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -1,4 +1,8 @@
 //! A replica's file: what it says of regions, and what is refused.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_control::settings::{RegionSettings, Settings};
 use badgerramp_trial::process::Folder;
--- a/crates/decisions/src/balance.rs
+++ b/crates/decisions/src/balance.rs
@@ -14,7 +14,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most steps of a budget: A105's default for max_connections_per_subchannel.
+/// Most steps of a budget: A105's default for `max_connections_per_subchannel`.
 const STEP_CLAMP: u32 = 10;
 /// Calls in flight at a server over all balancers, for a few cores: at first, and where mild strain leads.
 const START_CONCURRENCY: f64 = 7.0;
@@ -1388,7 +1388,7 @@
                 }
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
                 Route::Hold if self.calls[&id].binding().is_some() && index < LOOK_PAST => {
-                    index += 1
+                    index += 1;
                 }
                 Route::Hold => break,
             }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -23,7 +23,11 @@
 //! }
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod api;
 mod balance;
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -1,5 +1,9 @@
 //! Cold servers under the sum of what many proxies send, in virtual time: drawn deployments, with servers of which the list
 //! says nothing, proxies of several times the mean traffic, and most of the fleet cold at once.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_decisions::*;
 use rand::{Rng, SeedableRng};
@@ -255,11 +259,11 @@
                     self.send(proxy, (call, attempt), server.0 as usize, until);
                 }
                 Action::Refuse { call, .. } | Action::Fail { call } => {
-                    self.ended(proxy, call, false)
+                    self.ended(proxy, call, false);
                 }
                 Action::Wake { after } => self.at(self.now + after, Next::Wake { proxy }),
                 Action::Cancel { call, attempt } => {
-                    self.outcome(proxy, call, attempt, Outcome::CalledOff, 0, None)
+                    self.outcome(proxy, call, attempt, Outcome::CalledOff, 0, None);
                 }
                 _ => {}
             }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -3,10 +3,10 @@
 
 use badgerramp_decisions::*;
 
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 
 /// A proxy that carries out nothing and remembers everything.
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub balancer: Balancer,
     pub now: Micros,
     pub actions: Vec<Action>,
@@ -14,7 +14,7 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(repeat: Repeat) -> Settings {
+pub(crate) fn settings(repeat: Repeat) -> Settings {
     let class = Class {
         aim: 500 * MS,
         deadline: 1_200 * MS,
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn ready(server: u32) -> Entry {
+pub(crate) fn ready(server: u32) -> Entry {
     Entry {
         server: ServerId(server),
         state: State::Ready,
@@ -43,7 +43,7 @@
 
 impl Proxy {
     /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
-    pub fn new(settings: Settings, servers: u32) -> Proxy {
+    pub(crate) fn new(settings: Settings, servers: u32) -> Proxy {
         let mut proxy = Proxy {
             balancer: Balancer::new(7, settings),
             now: 1_000_000,
@@ -55,18 +55,18 @@
         proxy
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.actions.extend(actions.iter().cloned());
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
+    pub(crate) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
         self.event(Event::Members { kind, entries })
     }
 
-    pub fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
+    pub(crate) fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
         self.next += 1;
         let call = CallId(self.next);
         let class = ClassId(class);
@@ -81,11 +81,11 @@
         (call, self.event(event))
     }
 
-    pub fn call(&mut self) -> (CallId, Vec<Action>) {
+    pub(crate) fn call(&mut self) -> (CallId, Vec<Action>) {
         self.call_of(0)
     }
 
-    pub fn end(
+    pub(crate) fn end(
         &mut self,
         call: CallId,
         attempt: u32,
@@ -104,7 +104,7 @@
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
-    pub fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
+    pub(crate) fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
         let (call, actions) = self.call();
         let server = sent(&actions).first().map(|s| s.1);
         self.now += elapsed;
@@ -112,13 +112,13 @@
         server
     }
 
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn wait(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
         self.event(Event::Timer)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(CallId, ServerId)> {
+pub(crate) fn sent(actions: &[Action]) -> Vec<(CallId, ServerId)> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -128,13 +128,13 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action], id: CallId) -> bool {
+pub(crate) fn refused(actions: &[Action], id: CallId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
 }
 
-pub fn failed(actions: &[Action], id: CallId) -> bool {
+pub(crate) fn failed(actions: &[Action], id: CallId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Fail { call } if *call == id))
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -29,7 +29,7 @@
         }
     });
     two(&room, redrawn, |id, _, chance| {
-        *chances.entry(id).or_insert(0.0) += chance
+        *chances.entry(id).or_insert(0.0) += chance;
     });
     chances
 }
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -1,4 +1,8 @@
 //! The mechanism of the design, each part by itself.
+#![expect(
+    clippy::many_single_char_names,
+    reason = "short names are still to be spelled out"
+)]
 
 mod common;
 use badgerramp_decisions::*;
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -1,4 +1,9 @@
 //! Long odd-but-legal event sequences; the rules are checked on every action.
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 mod common;
 use badgerramp_decisions::*;
@@ -262,7 +267,7 @@
                 assert!(
                     (attempt as usize) < calls[&call].attempts.len(),
                     "no such attempt"
-                )
+                );
             }
             _ => {}
         }
--- a/crates/decisions/tests/sparse.rs
+++ b/crates/decisions/tests/sparse.rs
@@ -1,4 +1,8 @@
 //! What acts where balancers outnumber servers, and each balancer sees little: asking, groups, zones, cold lots.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 mod common;
 use badgerramp_decisions::*;
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,5 +1,9 @@
 //! Runs the real program between stand-in hosts in trouble and two classes of load, and holds it to the rules.
 #![forbid(unsafe_code)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 use badgerramp_testkit::{
     load, Catalog, Course, Fault, Kind, Ledger, Listed, LoadResult, Member, Model, Proxy, Tally,
--- a/crates/expr/benches/evaluate.rs
+++ b/crates/expr/benches/evaluate.rs
@@ -1,4 +1,13 @@
 //! Evaluation: typical tables beside conditions in plain Rust, and the worst case over an adversarial corpus.
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
+#![expect(
+    missing_docs,
+    reason = "the macro of the benchmark library makes a function without docs"
+)]
 
 use badgerramp_expr::{Builder, Head, Id, Program, Scratch, Unmetered, Wanted, BUDGET};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -64,13 +73,13 @@
                         == badgerramp_expr::Value::Bool(true)
                 });
                 black_box(held.count())
-            })
+            });
         });
         group.bench_function(BenchmarkId::new("plain Rust", count), |b| {
             b.iter(|| {
                 let head = head(&headers);
                 black_box(prefixes.iter().filter(|p| by_hand(p, &head)).count())
-            })
+            });
         });
     }
     group.finish();
@@ -150,7 +159,7 @@
         );
         let program = builder.build();
         group.bench_function(*name, |b| {
-            b.iter(|| black_box(program.holds(id, &head(headers))))
+            b.iter(|| black_box(program.holds(id, &head(headers))));
         });
     }
     group.finish();
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -18,7 +18,11 @@
 //! assert!(mistakes[0].reason.contains("may be absent"));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod ast;
 mod bounds;
--- a/crates/expr/src/parse.rs
+++ b/crates/expr/src/parse.rs
@@ -107,9 +107,10 @@
             "and, or, or nothing",
         );
     }
-    match parser.mistakes.is_empty() {
-        true => Ok(ast),
-        false => Err(parser.mistakes),
+    if parser.mistakes.is_empty() {
+        Ok(ast)
+    } else {
+        Err(parser.mistakes)
     }
 }
 
--- a/crates/expr/src/value.rs
+++ b/crates/expr/src/value.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// The stated hash for sampling: FNV-1a over the bytes, 64 bits, mixed by the finalizer of MurmurHash3. It never changes.
+/// The stated hash for sampling: FNV-1a over the bytes, 64 bits, mixed by the finalizer of `MurmurHash3`. It never changes.
 pub fn hash(text: &[u8]) -> u64 {
     let fnv = text.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/crates/expr/src/witness.rs
+++ b/crates/expr/src/witness.rs
@@ -143,7 +143,7 @@
                         drop(
                             r.headers
                                 .insert(HeaderName::from_static("cookie"), value.clone()),
-                        )
+                        );
                     });
                 }
             }
@@ -156,7 +156,7 @@
                 }
             }
             Node::Path if text.starts_with('/') => {
-                requests.iter_mut().for_each(|r| r.path = text.to_owned())
+                requests.iter_mut().for_each(|r| r.path = text.to_owned());
             }
             _ => {}
         }
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -853,7 +853,7 @@
             b.at as f64 / 1e3,
             b.rule,
             b.text
-        )
+        );
     });
     Ok(broken.is_empty())
 }
--- a/crates/lab/src/defects/source_match.rs
+++ b/crates/lab/src/defects/source_match.rs
@@ -30,7 +30,7 @@
 }
 
 /// Where `piece` stands in `source`, in order. An empty piece stands nowhere.
-pub fn find_all(source: &str, piece: &str) -> Vec<Range<usize>> {
+pub(super) fn find_all(source: &str, piece: &str) -> Vec<Range<usize>> {
     let (source, piece) = (Compact::new(source), Compact::new(piece));
     if piece.bytes.is_empty() {
         return Vec::new();
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -385,7 +385,7 @@
             &|s| {
                 s.hosts
                     .iter_mut()
-                    .for_each(|h| (h.crowding, h.jam) = (None, None))
+                    .for_each(|h| (h.crowding, h.jam) = (None, None));
             },
             &|s| s.list.lag = 0,
             &|s| {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,14 @@
 //! The lab: one scenario, played in virtual time or on sockets, measured and held against the rules.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 /// The word that makes `badgerramp-lab` the client proxy.
 pub const AS_PROXY: &str = "as-proxy";
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -743,7 +743,7 @@
         SecondCopy::Off => out.text("second_copy", "off"),
         SecondCopy::Auto => out.text("second_copy", "auto"),
         SecondCopy::After(after) => {
-            out.text("second_copy", &format!("after {}", show_duration(after)))
+            out.text("second_copy", &format!("after {}", show_duration(after)));
         }
     }
     out.time("work_least", class.work.0);
--- a/crates/lab/src/trial_drains.rs
+++ b/crates/lab/src/trial_drains.rs
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// If it could not be played.
-pub fn run(terms: &Drains) -> Result<bool, play::Fault> {
+pub(crate) fn run(terms: &Drains) -> Result<bool, play::Fault> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
--- a/crates/lab/src/trial_start.rs
+++ b/crates/lab/src/trial_start.rs
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 /// If the trial itself could not be played.
-pub fn run(terms: &ColdStart) -> Result<bool, play::Fault> {
+pub(crate) fn run(terms: &ColdStart) -> Result<bool, play::Fault> {
     if terms.in_virtual_time {
         return Ok(virtually(terms));
     }
--- a/crates/peers/src/belief.rs
+++ b/crates/peers/src/belief.rs
@@ -295,13 +295,10 @@
             let (mut belief, mut newest) = (Belief::default(), None);
             for (at, (life, index, as_news)) in words.into_iter().enumerate() {
                 let (stamp, hosts) = made(life, index);
-                let verdict = match as_news && index > 0 {
-                    true => {
-                        let (from, old) = made(life, index - 1);
-                        belief.news(at as Micros, (from, stamp), &hosts.since(&old))
-                    }
-                    false => belief.peer(at as Micros, stamp, hosts),
-                };
+                let verdict = if as_news && index > 0 {
+                    let (from, old) = made(life, index - 1);
+                    belief.news(at as Micros, (from, stamp), &hosts.since(&old))
+                } else { belief.peer(at as Micros, stamp, hosts) };
                 if verdict != Verdict::Unfit {
                     newest = newest.max(Some(stamp));
                 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -11,7 +11,14 @@
 //! Nothing here does I/O or reads a clock: a [`peer::Peer`] is told what happens, at moments in microseconds, and says
 //! what is to be sent, asked and believed. What the list means for calls is the balancer's.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 pub mod belief;
 pub mod list;
--- a/crates/peers/src/peer/receive.rs
+++ b/crates/peers/src/peer/receive.rs
@@ -36,10 +36,10 @@
                 self.carry_out_swim(now, out);
             }
             Message::Status { stamp, statuses } => {
-                self.handle_status(now, from, (stamp, &statuses), out)
+                self.handle_status(now, from, (stamp, &statuses), out);
             }
             Message::Want { stamp, of, parts } => {
-                self.handle_list_request(now, from, (stamp, of, &parts), out)
+                self.handle_list_request(now, from, (stamp, of, &parts), out);
             }
             Message::Part {
                 stamp,
@@ -57,7 +57,7 @@
                 let own = self.belief.stamp();
                 match self.belief.news(now, (old, to), &changes) {
                     Verdict::News(changes) => {
-                        self.adopt_list(now, own, (Some(from.address), changes), out)
+                        self.adopt_list(now, own, (Some(from.address), changes), out);
                     }
                     Verdict::Unfit => self.request_list(now, from.address, out),
                     Verdict::Known | Verdict::Doubted => {}
--- a/crates/peers/src/peer/service.rs
+++ b/crates/peers/src/peer/service.rs
@@ -27,17 +27,17 @@
         self.polling
             .answered(now, answer.at_once.then_some(answer.took));
         let from = self.belief.stamp();
-        let verdict = match answer.whole {
-            true => self
-                .belief
-                .whole(now, answer.index, HostList::new(answer.changes)),
-            false => self.belief.changes(now, answer.index, &answer.changes),
+        let verdict = if answer.whole {
+            self.belief
+                .whole(now, answer.index, HostList::new(answer.changes))
+        } else {
+            self.belief.changes(now, answer.index, &answer.changes)
         };
         self.whole = matches!(verdict, Verdict::Doubted | Verdict::Unfit);
         match verdict {
             Verdict::News(changes) => self.adopt_list(now, from, (None, changes), out),
             Verdict::Known if answer.took < PAUSE_WITHOUT_NEWS => {
-                self.polling.not_before(now + PAUSE_WITHOUT_NEWS)
+                self.polling.not_before(now + PAUSE_WITHOUT_NEWS);
             }
             Verdict::Doubted => {
                 out.push(Output::Note(Note::Doubts(answer.index)));
--- a/crates/peers/src/peer/tick.rs
+++ b/crates/peers/src/peer/tick.rs
@@ -54,13 +54,13 @@
             *sender,
         );
         // From the last sender, or from another peer that may have the list.
-        let to = match self.random.gen_bool(0.5) {
-            true => sender,
-            false => self
-                .random_peers(1, Some(sender))
+        let to = if self.random.gen_bool(0.5) {
+            sender
+        } else {
+            self.random_peers(1, Some(sender))
                 .first()
                 .copied()
-                .unwrap_or(sender),
+                .unwrap_or(sender)
         };
         let stamp = self.belief.stamp();
         self.send(now, to, Message::Want { stamp, of, parts }, out);
@@ -84,14 +84,14 @@
         let statuses = self.polling.statuses(now, true);
         let stamp = self.belief.stamp();
         let listed = stamp.is_some();
-        let message = match listed {
-            true => Message::Status { stamp, statuses },
-            // The statuses of pollers come back with the answer.
-            false => Message::Want {
+        let message = if listed {
+            Message::Status { stamp, statuses }
+        } else {
+            Message::Want {
                 stamp: None,
                 of: None,
                 parts: Vec::new(),
-            },
+            }
         };
         if listed || self.partial.is_none() {
             let bytes = self.encode(message);
--- a/crates/peers/src/peer/transfer.rs
+++ b/crates/peers/src/peer/transfer.rs
@@ -85,21 +85,19 @@
             return;
         }
         let all = self.packed.as_ref().map_or(0, PackedList::parts);
-        let some: Vec<u16> = match of == own && !parts.is_empty() {
-            true => parts
+        let some: Vec<u16> = if of == own && !parts.is_empty() {
+            parts
                 .iter()
                 .copied()
                 .filter(|n| *n < all)
                 .take(MAX_PARTS_SENT)
-                .collect(),
-            // Starting at a random part: peers that received different parts can exchange them.
-            false => {
-                let first = self.random.gen_range(0..all.max(1));
-                (0..all)
-                    .map(|n| (n + first) % all)
-                    .take(MAX_PARTS_SENT)
-                    .collect()
-            }
+                .collect()
+        } else {
+            let first = self.random.gen_range(0..all.max(1));
+            (0..all)
+                .map(|n| (n + first) % all)
+                .take(MAX_PARTS_SENT)
+                .collect()
         };
         for number in some {
             if let Some(part) = self.part_message(number) {
--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -135,10 +135,7 @@
             Refused::UnderWay(generation) => write!(f, "the change to {generation} is under way"),
             Refused::AcrossRegions { generation, id, waits_for } => {
                 write!(f, "the change of all regions {id}, here {generation}, is not at its end: ")?;
-                match waits_for.is_empty() {
-                    true => f.write_str("it waits for proxies of this region"),
-                    false => write!(f, "it waits for {}", listed(waits_for)),
-                }
+                if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", listed(waits_for)) }
             }
             Refused::NotPrepared { regions } => write!(f, "no vote yet of {}", listed(regions)),
             Refused::AwaitsDecision { coordinator } => write!(
--- a/crates/policy/src/identity.rs
+++ b/crates/policy/src/identity.rs
@@ -26,7 +26,7 @@
     use std::collections::BTreeMap;
 
     /// Writes a map.
-    pub fn serialize<V: Serialize, S: Serializer>(
+    pub(crate) fn serialize<V: Serialize, S: Serializer>(
         map: &BTreeMap<Identity, V>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
@@ -37,7 +37,7 @@
     }
 
     /// Reads a map.
-    pub fn deserialize<'de, V: Deserialize<'de>, D: Deserializer<'de>>(
+    pub(crate) fn deserialize<'de, V: Deserialize<'de>, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<BTreeMap<Identity, V>, D::Error> {
         let entries = BTreeMap::<String, V>::deserialize(deserializer)?;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,6 +10,7 @@
 //! A fleet may have several regions, each with control of its own: [`regions`] says how one change comes into force in all
 //! of them or in none, and `docs/regions-design.md` why so.
 #![forbid(unsafe_code)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 
 mod command;
 mod holder;
--- a/crates/policy/src/mode.rs
+++ b/crates/policy/src/mode.rs
@@ -49,9 +49,10 @@
 
 impl fmt::Display for Mode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.is_middle() {
-            true => write!(f, "between {} and {}", self.old, self.new),
-            false => write!(f, "{}", self.new),
+        if self.is_middle() {
+            write!(f, "between {} and {}", self.old, self.new)
+        } else {
+            write!(f, "{}", self.new)
         }
     }
 }
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -61,11 +61,12 @@
         let allowed =
             |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
         let begins = name.starts_with(|c: char| c.is_ascii_lowercase());
-        match begins && name.len() <= REGION_NAME_MOST && name.chars().all(allowed) {
-            true => Ok(Region(name.to_owned())),
-            false => Err(InvalidRegion {
+        if begins && name.len() <= REGION_NAME_MOST && name.chars().all(allowed) {
+            Ok(Region(name.to_owned()))
+        } else {
+            Err(InvalidRegion {
                 found: name.to_owned(),
-            }),
+            })
         }
     }
 }
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -129,8 +129,9 @@
     let waits = |commit: &Unacknowledged| {
         commit.change.id == asked.id && commit.regions.contains(&asked.region)
     };
-    match record.unacknowledged().is_some_and(waits) {
-        true => Decision::InForce,
-        false => Decision::NotInForce,
+    if record.unacknowledged().is_some_and(waits) {
+        Decision::InForce
+    } else {
+        Decision::NotInForce
     }
 }
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/exhaustive.rs
@@ -2,6 +2,10 @@
 //! lost, late, doubled and reordered, crashes and restarts, leaders that change, clocks that fall behind, publishes,
 //! aborts. Each proxy is taken to begin a call at every moment at which it may. Then the same worlds with the decisions
 //! used in a wrong way: each must be found.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_policy::{
     Admission, Ask, Begun, Command, CutOff, Ended, Generation, Grant, Holder, HolderTerms,
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -727,9 +727,10 @@
 
 impl Course {
     fn record(&mut self, is_norte: bool) -> &mut Record {
-        match is_norte {
-            true => &mut self.norte,
-            false => &mut self.sur,
+        if is_norte {
+            &mut self.norte
+        } else {
+            &mut self.sur
         }
     }
 
@@ -758,10 +759,10 @@
             }
             Event::Request(number) => match one_of(&self.requests, number) {
                 Some(Request::Prepare(prepare)) => {
-                    self.answers.push(take_prepare(&mut self.sur, &prepare))
+                    self.answers.push(take_prepare(&mut self.sur, &prepare));
                 }
                 Some(Request::Commit(commit)) => {
-                    self.answers.push(take_commit(&mut self.sur, &commit))
+                    self.answers.push(take_commit(&mut self.sur, &commit));
                 }
                 None => {}
             },
--- a/crates/policy/tests/regions_model/judge.rs
+++ b/crates/policy/tests/regions_model/judge.rs
@@ -6,7 +6,7 @@
 
 /// A property that broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// A call may begin under the old policy after one has begun under the new one.
     Mixed,
     /// A change is in force in one region, and another one has not voted for it.
@@ -58,7 +58,7 @@
 }
 
 /// Judges a state that was just reached.
-pub fn judge(state: &mut State) {
+pub(crate) fn judge(state: &mut State) {
     let ids: Vec<ChangeId> = ids(state).collect();
     for id in ids {
         let sites = &state.sites;
@@ -115,17 +115,20 @@
 }
 
 /// Has the first change of all regions ended in all of them, as in force or not?
-pub fn all_ended(state: &State, in_force: bool) -> bool {
+pub(crate) fn all_ended(state: &State, in_force: bool) -> bool {
     let id = ChangeId(1);
     state.published > 0
-        && state.sites.iter().all(|s| match in_force {
-            true => s.in_force(id) > 0,
-            false => s.not_in_force(id),
+        && state.sites.iter().all(|s| {
+            if in_force {
+                s.in_force(id) > 0
+            } else {
+                s.not_in_force(id)
+            }
         })
 }
 
 /// Is a region that has voted still under way when the coordinator has decided?
-pub fn waits_in_vain(state: &State) -> bool {
+pub(crate) fn waits_in_vain(state: &State) -> bool {
     ids(state).any(|id| {
         let (coordinator, participants) = (&state.sites[0], &state.sites[1..]);
         !coordinator.is_under_way(id) && participants.iter().any(|s| s.is_under_way(id))
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -2,6 +2,10 @@
 //! and doubled, leaders that change and forget what is not logged, leases, time-outs, aborts, changes of one region. Each
 //! proxy is taken to begin a call at every moment at which it may. Then the same worlds with the decisions used in a wrong
 //! way: each must be found, with the property that it breaks.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 mod judge;
 mod mutant;
--- a/crates/policy/tests/regions_model/mutant.rs
+++ b/crates/policy/tests/regions_model/mutant.rs
@@ -5,7 +5,7 @@
 
 /// A wrong way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub(crate) enum Mutant {
     /// The coordinator advances without the votes of all participants.
     AdvanceWithoutVotes,
     /// A participant aborts on its time-out after it has voted.
@@ -37,7 +37,7 @@
 }
 
 /// All of them.
-pub const ALL: [Mutant; 14] = [
+pub(crate) const ALL: [Mutant; 14] = [
     Mutant::AdvanceWithoutVotes,
     Mutant::AbortAfterVote,
     Mutant::VoteBeforePrepared,
@@ -56,7 +56,7 @@
 
 impl Mutant {
     /// A world in which it does harm, and the property that it breaks there.
-    pub fn world(self) -> (World, &'static str) {
+    pub(crate) fn world(self) -> (World, &'static str) {
         let world = World {
             mutant: Some(self),
             ..World::default()
--- a/crates/policy/tests/regions_model/world.rs
+++ b/crates/policy/tests/regions_model/world.rs
@@ -33,7 +33,7 @@
 
 /// What a world allows.
 #[derive(Clone, Debug)]
-pub struct World {
+pub(crate) struct World {
     /// Regions.
     pub regions: usize,
     /// The regions have a policy when the course begins.
@@ -78,7 +78,7 @@
 
 /// What can happen. Regions go by their place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub(crate) enum Step {
     /// Time passes.
     Tick,
     /// A proxy asks until it holds the present mode, and control knows so.
@@ -107,7 +107,7 @@
 
 /// A message between regions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Message {
+pub(crate) struct Message {
     from: usize,
     to: usize,
     body: Body,
@@ -134,7 +134,7 @@
 
 /// A region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Site {
+pub(crate) struct Site {
     /// What survives.
     pub record: Record,
     /// Its proxy.
@@ -152,7 +152,7 @@
 
 /// A state of the world.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct State {
+pub(crate) struct State {
     /// The time.
     pub now: u64,
     /// The regions.
@@ -208,7 +208,7 @@
     }
 
     /// Does its log have its vote for the change under way?
-    pub fn has_voted(&self) -> bool {
+    pub(crate) fn has_voted(&self) -> bool {
         matches!(
             self.record.cross_region(),
             Some(CrossRegion {
@@ -294,7 +294,7 @@
     }
 
     /// All regions serve, if they have a policy; each has one of its own.
-    pub fn first(&self) -> State {
+    pub(crate) fn first(&self) -> State {
         State {
             now: LEASE,
             sites: (0..self.regions).map(|number| self.site(number)).collect(),
@@ -306,7 +306,7 @@
     }
 
     /// What can happen next.
-    pub fn steps(&self, state: &State, steps: &mut Vec<Step>) {
+    pub(crate) fn steps(&self, state: &State, steps: &mut Vec<Step>) {
         // A mutant may break several properties one after the other.
         if self.mutant.is_none() && !state.faults.is_empty() {
             return;
@@ -369,7 +369,7 @@
     }
 
     /// The state after a step.
-    pub fn after(&self, last: &State, step: Step) -> State {
+    pub(crate) fn after(&self, last: &State, step: Step) -> State {
         let mut state = last.clone();
         let now = state.now;
         match step {
@@ -471,13 +471,10 @@
     }
 
     fn log(&self, site: &mut Site, command: Command) {
-        match self.slow_log {
-            true => {
-                site.slow.insert(command);
-            }
-            false => {
-                site.record.apply(&command);
-            }
+        if self.slow_log {
+            site.slow.insert(command);
+        } else {
+            site.record.apply(&command);
         }
     }
 
@@ -498,7 +495,7 @@
         }
         match command {
             Some(Command::Vote { .. }) if self.is(Mutant::VoteInMemory) => {
-                site.unlogged_vote = site.under_way()
+                site.unlogged_vote = site.under_way();
             }
             Some(command) => self.log(site, command),
             None => {}
@@ -647,7 +644,7 @@
     }
 
     /// With no faults any more, is every change at its end after some rounds, and can the next one begin?
-    pub fn ends(&self, state: &State) -> bool {
+    pub(crate) fn ends(&self, state: &State) -> bool {
         let mut state = state.clone();
         for _ in 0..ROUNDS {
             if state.sites.iter().all(Site::is_idle) {
--- a/crates/proxy/src/class_ids.rs
+++ b/crates/proxy/src/class_ids.rs
@@ -7,11 +7,11 @@
 /// The class that each id stands for: a class keeps its id over reloads, and the id of a class that has gone is reused
 /// only when no call of it is open.
 #[derive(Debug, Default, PartialEq)]
-pub struct ClassIds(Vec<Option<String>>);
+pub(crate) struct ClassIds(Vec<Option<String>>);
 
 impl ClassIds {
     /// The ids of the classes of a file, and those among them that stood for another class or none before.
-    pub fn assign(
+    pub(crate) fn assign(
         &mut self,
         names: &[&str],
         in_use: impl Fn(ClassId) -> bool,
@@ -41,7 +41,7 @@
     }
 
     /// The settings of a file with its classes under these ids.
-    pub fn settings(&self, config: &Config, ids: &[ClassId]) -> Settings {
+    pub(crate) fn settings(&self, config: &Config, ids: &[ClassId]) -> Settings {
         let mut settings = config.settings();
         let classes = std::mem::take(&mut settings.classes);
         let classes: Vec<_> = ids.iter().copied().zip(classes).collect();
@@ -50,7 +50,11 @@
 
     /// Settings with these classes under their ids. An id without a class gets a copy of an existing class, so that it
     /// does not affect what is computed over all classes.
-    pub fn settings_with(&self, mut settings: Settings, classes: &[(ClassId, Class)]) -> Settings {
+    pub(crate) fn settings_with(
+        &self,
+        mut settings: Settings,
+        classes: &[(ClassId, Class)],
+    ) -> Settings {
         let filler = classes.first().map(|(_, class)| *class).unwrap_or_default();
         settings.classes = vec![filler; self.0.len()];
         for &(ClassId(id), class) in classes {
@@ -61,7 +65,7 @@
 }
 
 /// A seed that differs with each start.
-pub fn seed() -> u64 {
+pub(crate) fn seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -9,7 +9,7 @@
 
 /// A client proxy with client-side load balancing.
 ///
-/// Without a command it runs on the platform: RELAY_CONFIG names its configuration (JSON). `run` needs nothing but the
+/// Without a command it runs on the platform: `RELAY_CONFIG` names its configuration (JSON). `run` needs nothing but the
 /// operator's file. On SIGHUP the files are read again, and a bad one changes nothing; on SIGTERM what was taken is
 /// finished.
 #[derive(Parser)]
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -12,7 +12,7 @@
 const WAIT: Duration = Duration::from_secs(2);
 
 /// Asks the proxy of this file and prints what it knows.
-pub fn run(file: &Path, at: Option<SocketAddr>, json: bool) -> Result<(), Fault> {
+pub(crate) fn run(file: &Path, at: Option<SocketAddr>, json: bool) -> Result<(), Fault> {
     let config = badgerramp_config::load(file)?;
     let Some(terms) = &config.peers else {
         return Err(Fault::Other(format!(
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -147,9 +147,10 @@
             }
             Err(fault) => {
                 tracing::warn!("discovery: {}", fault.why);
-                let input = match fault.refused {
-                    true => Input::Refused { question },
-                    false => Input::Failed { question },
+                let input = if fault.refused {
+                    Input::Refused { question }
+                } else {
+                    Input::Failed { question }
                 };
                 self.tell(input, None);
             }
@@ -205,7 +206,7 @@
     fn odd(&self, odd: Odd) {
         match odd {
             Odd::NoList => {
-                tracing::warn!("discovery: odd list: changes, where the whole was asked for")
+                tracing::warn!("discovery: odd list: changes, where the whole was asked for");
             }
             Odd::Back { from, to } => {
                 tracing::warn!(
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -213,7 +213,7 @@
                 }
             }
             Some(reply) if outcome == Outcome::Error && self.keep_errors => {
-                call.last_error = Some(reply)
+                call.last_error = Some(reply);
             }
             _ => {}
         }
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -188,7 +188,7 @@
                 self.start_attempt(core, now, (call, server), (until, start_by));
             }
             Action::Refuse { call, retry_after } => {
-                core.finish_call(call, Some(Answer::Refused { retry_after }))
+                core.finish_call(call, Some(Answer::Refused { retry_after }));
             }
             Action::Fail { call } => {
                 let last_error = core.calls.get_mut(&call).and_then(|c| c.last_error.take());
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -330,14 +330,13 @@
             return self.refused(0);
         };
         let late = clock.instant(since.saturating_add(UNASKED));
-        let body = match body.is_end_stream() {
-            true => Ok(Ok(Bytes::new())),
-            false => {
-                let body = Box::pin(Limited::new(body, body_most).collect());
-                tokio::time::timeout_at(late, body)
-                    .await
-                    .map(|read| read.map(Collected::to_bytes))
-            }
+        let body = if body.is_end_stream() {
+            Ok(Ok(Bytes::new()))
+        } else {
+            let body = Box::pin(Limited::new(body, body_most).collect());
+            tokio::time::timeout_at(late, body)
+                .await
+                .map(|read| read.map(Collected::to_bytes))
         };
         let body = match body {
             Ok(Ok(body)) => body,
@@ -486,10 +485,10 @@
             // The operator wants none.
             return response;
         }
-        let seconds = match self.plain_http {
-            // RFC 9110, 10.2.3: whole seconds.
-            true => wait.div_ceil(1_000_000).to_string(),
-            false => format!("{}.{:03}", wait / 1_000_000, wait / 1_000 % 1_000),
+        let seconds = if self.plain_http {
+            wait.div_ceil(1_000_000).to_string()
+        } else {
+            format!("{}.{:03}", wait / 1_000_000, wait / 1_000 % 1_000)
         };
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -278,7 +278,7 @@
             Err(Strange::Form) => self.strangers.form += 1,
             Err(Strange::Seal) => self.strangers.seal += 1,
             Ok((sender, count, _)) if !self.replays.take(sender, count) => {
-                self.strangers.again += 1
+                self.strangers.again += 1;
             }
             Ok((_, _, body)) if kind == Kind::Letter => self.tell(Input::Message(body)),
             Ok((sender, count, _)) => {
@@ -320,7 +320,7 @@
                         u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
                 Output::Ask { index, wait } => {
-                    self.question = Some(self.ask(index, Duration::from_micros(wait)))
+                    self.question = Some(self.ask(index, Duration::from_micros(wait)));
                 }
                 Output::List { whole, changes } => {
                     let kind = if whole {
@@ -457,7 +457,7 @@
             );
         }
         Note::Life(life) => {
-            tracing::warn!("peers: the list service was restored or changed: life {life}")
+            tracing::warn!("peers: the list service was restored or changed: life {life}");
         }
         Note::Settled(alive) => tracing::info!("peers: the start is over, {alive} proxies"),
         Note::Unsettled(alive) => tracing::warn!("peers: most proxies have gone, {alive} are left"),
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -102,11 +102,12 @@
 
     pub(super) fn admit(&self, parts: &mut Parts, client: IpAddr) -> Result<Admitted, Rejection> {
         let admitted = self.rules.admit(parts, client)?;
-        match self.classes.contains(&admitted.class) {
-            true => Ok(admitted),
-            false => Err(reject_for_now(
+        if self.classes.contains(&admitted.class) {
+            Ok(admitted)
+        } else {
+            Err(reject_for_now(
                 "cut off from control, and no call of the floor",
-            )),
+            ))
         }
     }
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -1,4 +1,4 @@
-//! The program on the platform: RELAY_CONFIG names what holds, and an operator's file may narrow it.
+//! The program on the platform: `RELAY_CONFIG` names what holds, and an operator's file may narrow it.
 
 use crate::net::driver::List;
 use crate::net::rules::{Platform, Rules};
@@ -44,7 +44,7 @@
 }
 
 /// The settings in a configuration of the platform.
-pub fn facts_of(path: &Path) -> Result<Facts, String> {
+pub(crate) fn facts_of(path: &Path) -> Result<Facts, String> {
     read(path).map(|(_, facts)| facts)
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Runs the program.
-pub fn run(operator: Option<PathBuf>) -> Result<(), Fault> {
+pub(crate) fn run(operator: Option<PathBuf>) -> Result<(), Fault> {
     // What is wrong with the file is told after this, by `rules`; its log is the default one then.
     let log = operator
         .as_deref()
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -31,7 +31,7 @@
 const NAP: Duration = Duration::from_millis(500);
 
 /// Asks control for a lease of the policy and installs the rules that are lent.
-pub struct PolicyClient {
+pub(crate) struct PolicyClient {
     gate: Rc<AdmissionGate>,
     identity: Identity,
     terms: PolicyTerms,
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// If there is no `[policy]`, or its secret is none.
-    pub fn new(local: Config, places: ClassIds) -> Result<Rc<Self>, String> {
+    pub(crate) fn new(local: Config, places: ClassIds) -> Result<Rc<Self>, String> {
         let terms = local.policy.clone().ok_or("no [policy]")?;
         let secret = Secret::read(&terms.secret)
             .map_err(|e| format!("policy.secret: {}: {e}", terms.secret.display()))?;
@@ -109,7 +109,7 @@
     }
 
     /// What may begin.
-    pub fn gate(&self) -> Rc<AdmissionGate> {
+    pub(crate) fn gate(&self) -> Rc<AdmissionGate> {
         Rc::clone(&self.gate)
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Begins to ask.
-    pub fn start(self: &Rc<Self>, running: &Running) {
+    pub(crate) fn start(self: &Rc<Self>, running: &Running) {
         let (driver, front) = (running.driver.clone(), Rc::clone(&running.front));
         let (asks, hears) = (Rc::clone(self), Rc::clone(self));
         let tasks = [
@@ -129,7 +129,7 @@
     }
 
     /// Tells control that this program has ended.
-    pub async fn leave(&self) {
+    pub(crate) async fn leave(&self) {
         self.tasks
             .borrow_mut()
             .drain(..)
@@ -351,7 +351,7 @@
     ///
     /// # Errors
     /// If what is held can't be read beside it. Nothing has changed then.
-    pub fn localize(&self, local: Config, running: &Running) -> Result<(), String> {
+    pub(crate) fn localize(&self, local: Config, running: &Running) -> Result<(), String> {
         if local.policy.as_ref() != Some(&self.terms) {
             return Err("a running program can't change policy: start it anew".to_owned());
         }
@@ -369,7 +369,7 @@
     }
 
     /// The proxy's own file, as it holds.
-    pub fn local(&self) -> std::cell::Ref<'_, Config> {
+    pub(crate) fn local(&self) -> std::cell::Ref<'_, Config> {
         self.local.borrow()
     }
 }
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -120,9 +120,10 @@
 
 /// The rules of a mode; `None` if its policies are no sidecar's.
 pub(crate) fn mode_rules(mode: Mode, old: Rc<Rules>, new: Rc<Rules>) -> Option<Rc<Rules>> {
-    match mode.is_middle() {
-        false => Some(old),
-        true => TransitionRules::between(old, new)
-            .map(|middle| Rc::new(Rules::Transition(Box::new(middle)))),
+    if !mode.is_middle() {
+        Some(old)
+    } else {
+        TransitionRules::between(old, new)
+            .map(|middle| Rc::new(Rules::Transition(Box::new(middle))))
     }
 }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -270,7 +270,7 @@
     let mut watch = Task(tokio::task::spawn_local(async move {
         match (address, among) {
             (Some(_), Some(among)) => {
-                peers::run(driver_of_watch, network, moves, among, left).await
+                peers::run(driver_of_watch, network, moves, among, left).await;
             }
             (Some(_), None) => {
                 let asking = (budget, Watch::new(budget, index, poll, setup.seed));
--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -1,4 +1,8 @@
 //! Sidecars from the files that the configuration tool writes: each starts on loopback and serves its own classes.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_config_tool::commands::compose;
 use badgerramp_testkit::*;
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,5 +1,9 @@
 //! The program with `[peers]`: a list that one proxy was told reaches all, strange datagrams do no harm, and what a
 //! proxy knows is shown.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_testkit::{Catalog, Listed};
 use badgerramp_trial::process::{Folder, Plan, Process};
--- a/crates/reading/src/lib.rs
+++ b/crates/reading/src/lib.rs
@@ -1,7 +1,6 @@
 //! Reading of TOML files key by key. What is wrong is noted with its place, and reading goes on, so that all mistakes
 //! are told at once.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod mistake;
 mod section;
--- a/crates/route/benches/table.rs
+++ b/crates/route/benches/table.rs
@@ -1,4 +1,8 @@
 //! What a look-up costs with 1, 100 and 10,000 routes, and what it costs to build the table.
+#![expect(
+    missing_docs,
+    reason = "the macro of the benchmark library makes a function without docs"
+)]
 
 use badgerramp_decisions::{Hedge, Resend};
 use badgerramp_route::{pattern, Answers, PathPattern, Route, Table, Timing};
@@ -55,7 +59,7 @@
             );
             for (name, path) in [("hit", hit.as_str()), ("miss", "/branch/none/fees/2026/12")] {
                 group.bench_with_input(BenchmarkId::new(name, count), path, |b, path| {
-                    b.iter(|| black_box(table.find(&Method::POST, black_box(path), &headers)))
+                    b.iter(|| black_box(table.find(&Method::POST, black_box(path), &headers)));
                 });
             }
         }
@@ -69,7 +73,7 @@
     for count in [100, 10_000] {
         let all = routes(count, 1);
         group.bench_with_input(BenchmarkId::from_parameter(count), &all, |b, all| {
-            b.iter(|| Table::new(black_box(all.clone())).expect("a table"))
+            b.iter(|| Table::new(black_box(all.clone())).expect("a table"));
         });
     }
     group.finish();
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! A [`Table`] holds [`Route`]s in the order of the operator's file; the first that takes a request wins.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod answers;
 mod path;
--- a/crates/subset/src/deal.rs
+++ b/crates/subset/src/deal.rs
@@ -75,7 +75,7 @@
 
 /// Where an endpoint lies for a team. It depends on nothing else, so all proxies agree on it, in this and every later
 /// version: XXH3 is a published function.
-pub fn place(endpoint: &str, team: u32) -> u64 {
+pub(crate) fn place(endpoint: &str, team: u32) -> u64 {
     xxh3_64_with_seed(endpoint.as_bytes(), u64::from(team))
 }
 
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -9,7 +9,6 @@
 //! Nothing here does I/O or reads a clock: [`Subset`] is told of the list and of how its members fare, at moments in
 //! microseconds that its owner gives.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod bounds;
 mod deal;
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -127,7 +127,7 @@
                 *locked(&self.keys).entry((group, key.clone())).or_default() += 1;
             }
             Request::Charge(charge) => {
-                *locked(&self.charges).entry(charge.clone()).or_default() += 1
+                *locked(&self.charges).entry(charge.clone()).or_default() += 1;
             }
             Request::Plain => {}
         }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,6 +2,11 @@
 //! model, discovery by hand or as a service, clients, load, and the program as a process between them. Nothing here
 //! uses the program's own code.
 #![forbid(unsafe_code)]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
+#![expect(missing_docs, reason = "public items are still to be documented")]
 
 mod catalog;
 mod client;
--- a/crates/trial/src/drains/judge.rs
+++ b/crates/trial/src/drains/judge.rs
@@ -14,7 +14,7 @@
 const AFTER_GONE: Micros = 100_000;
 
 /// The histories of a course.
-pub struct Histories<'a> {
+pub(super) struct Histories<'a> {
     /// Of the service.
     pub notes: &'a [Note],
     /// Each version: when, which host, what it is.
@@ -91,7 +91,7 @@
     }
 
     /// The verdict; `slack` is for the ways of a busy machine.
-    pub fn judge(&self, slack: Micros) -> Verdict {
+    pub(super) fn judge(&self, slack: Micros) -> Verdict {
         let mut verdict = Verdict {
             arrivals: self.arrivals.len(),
             ..Verdict::default()
--- a/crates/trial/src/drains/service.rs
+++ b/crates/trial/src/drains/service.rs
@@ -14,7 +14,7 @@
 
 /// What the list says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub(super) enum Status {
     /// It takes calls; its process started then, Unix time in milliseconds.
     Up(u64),
     /// It finishes what it has.
@@ -23,7 +23,7 @@
 
 /// What a proxy and the service said to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub(super) enum What {
     /// Asked on this connection, for so long.
     Asked {
         /// Number of the connection.
@@ -47,7 +47,7 @@
 
 /// A note of the service.
 #[derive(Clone, Copy, Debug)]
-pub struct Note {
+pub(super) struct Note {
     /// When.
     pub at: Micros,
     /// The proxy.
@@ -82,7 +82,7 @@
 }
 
 /// The service.
-pub struct Service {
+pub(super) struct Service {
     shared: Arc<Mutex<Shared>>,
     now: watch::Sender<Now>,
     turn: Arc<Turn<()>>,
@@ -96,7 +96,7 @@
 impl Service {
     /// One that lists these hosts as up for long. A question that begins a watch takes `work` of it, one after the other;
     /// `None`: it is an agent of pushed lists, which answers at once.
-    pub fn new(addresses: Vec<SocketAddr>, work: Option<Duration>) -> Service {
+    pub(super) fn new(addresses: Vec<SocketAddr>, work: Option<Duration>) -> Service {
         let log = (0..addresses.len())
             .map(|host| (now(), host, Status::Up(0)))
             .collect();
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// If no port can be had.
-    pub async fn door(&mut self, proxy: usize) -> Result<SocketAddr, String> {
+    pub(super) async fn door(&mut self, proxy: usize) -> Result<SocketAddr, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(|e| e.to_string())?;
@@ -166,13 +166,13 @@
     }
 
     /// The first list, in the form of a configuration's.
-    pub fn known(&self) -> String {
+    pub(super) fn known(&self) -> String {
         let shared = locked(&self.shared);
         list(&shared, None, shared.log.len() as u64)
     }
 
     /// A host's status changes.
-    pub fn change(&self, host: usize, status: Status) {
+    pub(super) fn change(&self, host: usize, status: Status) {
         let mut shared = locked(&self.shared);
         shared.log.push((now(), host, status));
         let version = shared.log.len() as u64;
@@ -181,19 +181,19 @@
     }
 
     /// All that is open falls silent: nothing comes on it any more, and it stays open.
-    pub fn silence(&self) {
+    pub(super) fn silence(&self) {
         let connections = locked(&self.shared).connections;
         self.now.send_modify(|n| n.silent = connections);
     }
 
     /// All that is open is reset.
-    pub fn reset(&self) {
+    pub(super) fn reset(&self) {
         let connections = locked(&self.shared).connections;
         self.now.send_modify(|n| n.reset = connections);
     }
 
     /// It is down, or back.
-    pub fn down(&self, down: bool) {
+    pub(super) fn down(&self, down: bool) {
         if down && locked(&self.shared).agent {
             self.silence();
         }
@@ -201,12 +201,12 @@
     }
 
     /// New connections are so late.
-    pub fn late(&self, late: Duration) {
+    pub(super) fn late(&self, late: Duration) {
         locked(&self.shared).late = late;
     }
 
     /// Notes so far, and each version: when, which host, what it is.
-    pub fn history(&self) -> (Vec<Note>, Vec<(Micros, usize, Status)>) {
+    pub(super) fn history(&self) -> (Vec<Note>, Vec<(Micros, usize, Status)>) {
         let shared = locked(&self.shared);
         (shared.notes.clone(), shared.log.clone())
     }
@@ -231,7 +231,7 @@
             at: now(),
             proxy,
             what,
-        })
+        });
     };
     let late = locked(shared).late;
     tokio::time::sleep(late).await;
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -14,7 +14,19 @@
 //! - [`start`]: the trial of a start of all proxies together.
 //! - [`report`]: tables and plots.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(
+    clippy::items_after_statements,
+    reason = "items are still to be moved to the module"
+)]
+#![expect(
+    clippy::needless_pass_by_value,
+    reason = "signatures are still to be narrowed"
+)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 pub mod clients;
 pub mod contender;
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -107,9 +107,10 @@
 
 /// The policy: charges are keyed, or unsafe.
 fn policy(keyed: bool) -> String {
-    let effect = match keyed {
-        true => "effect = \"keyed\"\ngroup = \"group\"\nwindow = \"1200ms\"",
-        false => "effect = \"unsafe\"",
+    let effect = if keyed {
+        "effect = \"keyed\"\ngroup = \"group\"\nwindow = \"1200ms\""
+    } else {
+        "effect = \"unsafe\""
     };
     let key = if keyed {
         "key = { header = \"Idempotency-Key\" }\n"
--- a/crates/trial/src/scale/across.rs
+++ b/crates/trial/src/scale/across.rs
@@ -62,7 +62,7 @@
     /// Holds the regions' histories against each other, and the calls that began against both.
     pub fn of(size: &Size, histories: &[Vec<Change>], lines: &[Line]) -> Across {
         let mut across = Across::default();
-        let mut by_id: HashMap<&str, Vec<Seen>> = HashMap::new();
+        let mut by_id: HashMap<&str, Vec<Seen<'_>>> = HashMap::new();
         for (region, history) in histories.iter().enumerate() {
             for change in history {
                 let Some(id) = &change.all_regions else {
@@ -86,25 +86,25 @@
 }
 
 /// Did a call begin under the old policy alone in one region after one had begun under the new one alone in another?
-fn mixed(size: &Size, seen: &[Seen], lines: &[Line]) -> bool {
+fn mixed(size: &Size, seen: &[Seen<'_>], lines: &[Line]) -> bool {
     let in_region = |region: usize| {
         lines
             .iter()
             .filter(move |line| !line.floor && size.proxy(line.proxy).region == region)
     };
-    let first_new = |seen: &Seen| -> Option<Micros> {
+    let first_new = |seen: &Seen<'_>| -> Option<Micros> {
         in_region(seen.region)
             .filter(|line| line.mode.old >= seen.generation())
             .map(|line| line.at)
             .min()
     };
-    let last_old = |seen: &Seen| -> Option<Micros> {
+    let last_old = |seen: &Seen<'_>| -> Option<Micros> {
         in_region(seen.region)
             .filter(|line| line.mode.new < seen.generation())
             .map(|line| line.at)
             .max()
     };
-    let apart = |new: &Seen, old: &Seen| match (first_new(new), last_old(old)) {
+    let apart = |new: &Seen<'_>, old: &Seen<'_>| match (first_new(new), last_old(old)) {
         (Some(first), Some(last)) => new.region != old.region && first < last,
         _ => false,
     };
--- a/crates/trial/src/start/mod.rs
+++ b/crates/trial/src/start/mod.rs
@@ -389,12 +389,13 @@
                     .iter()
                     .any(|half| half.contains(&from) != half.contains(&to))
             };
-            let refused: HashSet<SocketAddr> = match ways.apart.is_empty() {
-                true => HashSet::new(),
-                false => (0..heard.len())
+            let refused: HashSet<SocketAddr> = if ways.apart.is_empty() {
+                HashSet::new()
+            } else {
+                (0..heard.len())
                     .filter(|from| apart(*from))
                     .filter_map(|from| heard[from])
-                    .collect(),
+                    .collect()
             };
             proxy.peers.set(|state| {
                 state.forth.lost = if ways.lossy { 0.33 } else { 0.0 };
@@ -520,7 +521,7 @@
                     whom.iter().for_each(|p| {
                         self.proxies[*p]
                             .service
-                            .set(|s| (s.forth, s.back) = (pass, pass))
+                            .set(|s| (s.forth, s.back) = (pass, pass));
                     });
                 };
                 set(Pass::Cut);
@@ -721,7 +722,7 @@
                 break;
             }
             Ended::Status(429 | 503) => {
-                tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await
+                tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await;
             }
             // Its proxy has gone, or it may have run.
             _ => break,
--- a/crates/watch/src/lib.rs
+++ b/crates/watch/src/lib.rs
@@ -5,7 +5,6 @@
 //! long a watch may wait so that a proxy that is told has heard; [`Watch`] asks by it, bears the silence of a watch, and
 //! takes an answer at most once.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod budget;
 mod pause;
--- a/crates/watch/tests/courses.rs
+++ b/crates/watch/tests/courses.rs
@@ -1,6 +1,10 @@
 //! Drawn courses in virtual time: watches fall silent, connections hang, answers come late or are reset, the service
 //! is down for a while and refuses once more at its return. No change is heard later than it counts as told and the grace;
 //! questions stay within their bound.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_watch::{
     Budget, Input, Micros, Output, QuestionId, Source, Terms, Watch, CONNECT, SERVICE_ANSWERS,
@@ -123,7 +127,7 @@
                         if (outage.from..outage.until).contains(&now) {
                             match outage.down {
                                 Down::Refuses => {
-                                    (way.fails, way.refused) = (Some(now + 1_000), true)
+                                    (way.fails, way.refused) = (Some(now + 1_000), true);
                                 }
                                 // A connection that is there stays silent; another one is given up.
                                 Down::Silent if fresh => way.fails = Some(now + CONNECT),
@@ -233,9 +237,10 @@
             .map(|(q, _)| *q);
         let input = if let Some(question) = failed {
             let refused = ways.remove(&question).is_some_and(|way| way.refused);
-            match refused {
-                true => Input::Refused { question },
-                false => Input::Failed { question },
+            if refused {
+                Input::Refused { question }
+            } else {
+                Input::Failed { question }
             }
         } else if course.resets.contains(&now) && ways.values().any(|w| w.there < now) {
             let (&question, _) = ways.iter().find(|(_, w)| w.there < now).expect("just seen");
--- a/crates/world/src/draw.rs
+++ b/crates/world/src/draw.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The finalizer of MurmurHash3: each bit of the input reaches all of the output.
+/// The finalizer of `MurmurHash3`: each bit of the input reaches all of the output.
 fn spread(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -5,7 +5,11 @@
 //! All chance is drawn by name ([`Draws`]): what happens to one call does not shift when another is taken out, which
 //! is what lets a failing course be cut down.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod clients;
 mod draw;
--- a/crates/world/tests/model.rs
+++ b/crates/world/tests/model.rs
@@ -1,4 +1,8 @@
 //! The model's own laws: hosts do no more than they can, keys run once in a group, judges tell each broken rule.
+#![expect(
+    clippy::too_many_lines,
+    reason = "a test plays one course of events from its start to its end"
+)]
 
 use badgerramp_world::*;
 use proptest::prelude::*;
