--- a/crates/watch/tests/courses.rs
+++ b/crates/endpoint-watch/tests/courses.rs
@@ -6,7 +6,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_watch::{
+use badgerramp_endpoint_watch::{
     Budget, Input, Micros, Output, QuestionId, Source, Terms, Watch, CONNECT, SERVICE_ANSWERS,
 };
 use proptest::prelude::*;
--- a/crates/watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -1,6 +1,6 @@
 //! The watch by hand: which question goes out when, and which answer holds.
 
-use badgerramp_watch::{
+use badgerramp_endpoint_watch::{
     Budget, Input, Micros, Odd, Output, QuestionId, Source, Terms, Watch, CONNECT, SERVICE_ANSWERS,
     TOLD_AFTER_SILENCE,
 };
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -1,10 +1,10 @@
-//! The list of hosts: carries out what [`badgerramp_watch`] says, which also says when to ask again after a failure; calls
+//! The list of hosts: carries out what [`badgerramp_endpoint_watch`] says, which also says when to ask again after a failure; calls
 //! never wait for it.
 
 use super::driver::{Driver, List};
 use super::socket::{Network, Socket};
 use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_watch::{
+use badgerramp_endpoint_watch::{
     Budget, Input, Odd, Output, QuestionId, Source, Watch, CONNECT, SERVICE_ANSWERS,
     TOLD_AFTER_SILENCE,
 };
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -28,8 +28,8 @@
 use badgerramp_decisions::{
     Action, Balancer, CallId, Event, Load, Micros, Outcome, ServerId, Settings,
 };
+use badgerramp_endpoint_watch::Stall;
 use badgerramp_subset::Subset;
-use badgerramp_watch::Stall;
 use calls::Call;
 use membership::Host;
 use std::cell::RefCell;
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -6,13 +6,13 @@
 use super::socket::Network;
 use badgerramp_channel::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_endpoint_watch::FETCH;
 use badgerramp_peers::list::{Change, Entry};
 use badgerramp_peers::peer::{
     Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST,
 };
 use badgerramp_peers::polling::Id;
 use badgerramp_peers::replay::Replays;
-use badgerramp_watch::FETCH;
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 use std::io;
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -16,8 +16,8 @@
 };
 use badgerramp_decisions::settings::Facts;
 use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_endpoint_watch::{Budget, Source, Terms, Watch};
 use badgerramp_subset::{Poll, Subset};
-use badgerramp_watch::{Budget, Source, Terms, Watch};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
