--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -5,8 +5,8 @@
 
 use crate::Fault;
 use badgerramp_channel::TAG;
-use badgerramp_peers::play::traffic::{Count, MessageKind, Traffic};
-use badgerramp_peers::play::{play, Played, World};
+use badgerramp_gossip::play::traffic::{Count, MessageKind, Traffic};
+use badgerramp_gossip::play::{play, Played, World};
 use clap::Args;
 use statrs::statistics::Statistics;
 
--- a/crates/lab/src/play/among.rs
+++ b/crates/lab/src/play/among.rs
@@ -1,9 +1,9 @@
 //! Proxies that pass the list on among each other, in the play on the decisions: the program's own code, on the play's
 //! network.
 
-use badgerramp_peers::list::{Change, Entry as PeerEntry};
-use badgerramp_peers::peer::{Answer, Input, Member, Output, Peer, Terms};
-use badgerramp_peers::polling::Id;
+use badgerramp_gossip::list::{Change, Entry as PeerEntry};
+use badgerramp_gossip::peer::{Answer, Input, Member, Output, Peer, Terms};
+use badgerramp_gossip::polling::Id;
 use badgerramp_world::{Entry, Micros, Told};
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/lab/src/play/shell.rs
+++ b/crates/lab/src/play/shell.rs
@@ -2,7 +2,7 @@
 
 use badgerramp_config::Config;
 use badgerramp_decisions::{Balancer, CallId, ClassId, Micros, Terms};
-use badgerramp_peers::peer::Peer;
+use badgerramp_gossip::peer::Peer;
 use badgerramp_world::{Ask, Scenario};
 use http::{HeaderMap, HeaderValue, Method};
 use rustc_hash::FxHashMap;
--- a/crates/lab/src/play/virtually.rs
+++ b/crates/lab/src/play/virtually.rs
@@ -11,7 +11,7 @@
     self as decisions, settings, Action, Balancer, CallId, CellId, Event, ListKind, Load, Outcome,
     ServerId, Settings, State,
 };
-use badgerramp_peers::peer::{Input, Output};
+use badgerramp_gossip::peer::{Input, Output};
 use badgerramp_world::{
     Answered, Arrival, Ask, Clients, Done, Draws, Entry, Host, Job, Judge, ListService, Memory,
     Micros, Network, Next, Report, Rule, Scenario, Told, Trouble, Verdict, Way,
--- a/crates/lab/src/trial_start.rs
+++ b/crates/lab/src/trial_start.rs
@@ -2,8 +2,8 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_peers::play::{self as peers, World};
-use badgerramp_peers::polling::Mechanism;
+use badgerramp_gossip::play::{self as peers, World};
+use badgerramp_gossip::polling::Mechanism;
 use badgerramp_trial::process::want_descriptors;
 use badgerramp_trial::start::cold;
 use badgerramp_trial::start::course::{Course, Kind, KINDS};
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -1,5 +1,5 @@
 //! The other proxies of the fleet: datagrams, each under a seal, and the questions to the list service that
-//! [`badgerramp_peers`] wants asked. What is decided is decided there.
+//! [`badgerramp_gossip`] wants asked. What is decided is decided there.
 
 use super::discovery::{self, changed, Link};
 use super::driver::{Driver, Endpoint, List};
@@ -7,12 +7,12 @@
 use badgerramp_channel::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::FETCH;
-use badgerramp_peers::list::{Change, Entry};
-use badgerramp_peers::peer::{
+use badgerramp_gossip::list::{Change, Entry};
+use badgerramp_gossip::peer::{
     Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST,
 };
-use badgerramp_peers::polling::Id;
-use badgerramp_peers::replay::Replays;
+use badgerramp_gossip::polling::Id;
+use badgerramp_gossip::replay::Replays;
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 use std::io;
@@ -32,7 +32,7 @@
 const MOST: usize = HEAD + MESSAGE_MOST;
 /// Datagrams that are read before anything else gets its turn; the rest waits for the next one, and none is left out.
 const AT_ONCE: usize = 64;
-/// An answer that is so much later than its wait does not come: [`badgerramp_peers`] decides what follows.
+/// An answer that is so much later than its wait does not come: [`badgerramp_gossip`] decides what follows.
 const SILENCE: Duration = Duration::from_secs(2);
 /// The answer to a look is larger than any message.
 const LOOK_MOST: usize = 60_000;
--- a/crates/proxy/src/platform/tests.rs
+++ b/crates/proxy/src/platform/tests.rs
@@ -1,7 +1,7 @@
 //! The keys of the configuration that `RELAY_CONFIG` names.
 
 use super::{read, Config, Facts};
-use badgerramp_peers::list::{Change, Entry};
+use badgerramp_gossip::list::{Change, Entry};
 use serde_json::{json, Value};
 
 fn full() -> Value {
