--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -4,7 +4,7 @@
 //! on no second differs much from that window.
 
 use crate::Fault;
-use badgerramp_channel::TAG;
+use badgerramp_control_protocol::TAG;
 use badgerramp_gossip::play::traffic::{Count, MessageKind, Traffic};
 use badgerramp_gossip::play::{play, Played, World};
 use clap::Args;
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -3,10 +3,10 @@
 use crate::Fault;
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::net::rules::{Platform, Rules};
-use badgerramp_channel::clock;
 use badgerramp_config_tool::fleet::{At, Control as Asked, Outcome};
 use badgerramp_control::settings::Settings;
 use badgerramp_control::store::Store;
+use badgerramp_control_protocol::clock;
 use badgerramp_decisions::settings::{Facts, Transport};
 use badgerramp_decisions::Settings as Decided;
 use badgerramp_policy::{CutOff, Generation, Grant, Holder, HolderTerms, Identity, Mode};
@@ -46,7 +46,7 @@
             replicas: [(1, address)].into(),
             listen: address,
             store: folder.join("store"),
-            secret: badgerramp_channel::Secret::read(&secret)?,
+            secret: badgerramp_control_protocol::Secret::read(&secret)?,
             lease: Duration::from_secs(10),
             drift: Duration::from_millis(21),
             wait: Duration::from_secs(60),
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
-use badgerramp_channel::wire::{self, change::Ended, refusal, reply, request};
-use badgerramp_channel::{Client, Fault, Secret};
+use badgerramp_control_protocol::wire::{self, change::Ended, refusal, reply, request};
+use badgerramp_control_protocol::{Client, Fault, Secret};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
--- a/crates/channel/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -9,10 +9,10 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_channel::wire::{
+use badgerramp_control_protocol::wire::{
     self, change, control_server, outcome_reply, refusal, reply, request, vote_reply, CutOff,
 };
-use badgerramp_channel::{digest, Purpose, Secret};
+use badgerramp_control_protocol::{digest, Purpose, Secret};
 use prost::Message;
 use std::collections::HashMap;
 use std::fmt::{Debug, Write};
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -4,7 +4,7 @@
 use crate::removed;
 use crate::settings::Settings;
 use crate::store::{Id, Store, Types};
-use badgerramp_channel::clock;
+use badgerramp_control_protocol::clock;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{
     next_command, Ask, Blocker, Command, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -1,8 +1,8 @@
 //! Between replicas: the consensus library's messages as JSON under a seal.
 
 use crate::store::{Id, Types};
-use badgerramp_channel::wire::control_client::ControlClient;
-use badgerramp_channel::{Purpose, Secret};
+use badgerramp_control_protocol::wire::control_client::ControlClient;
+use badgerramp_control_protocol::{Purpose, Secret};
 use openraft::error::{
     InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
 };
@@ -19,7 +19,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Most bytes of a message between replicas.
-pub(crate) const MESSAGE_MOST: usize = badgerramp_channel::BODY_MOST + 1024;
+pub(crate) const MESSAGE_MOST: usize = badgerramp_control_protocol::BODY_MOST + 1024;
 
 /// A question of one replica to another.
 #[derive(Serialize, Deserialize)]
--- a/crates/control/src/refusals.rs
+++ b/crates/control/src/refusals.rs
@@ -1,8 +1,8 @@
 //! What control answers to a question that it does not take.
 
 use crate::leader::NotLeader;
-use badgerramp_channel::wire::{refusal, reply, Refusal};
-use badgerramp_channel::SealFault;
+use badgerramp_control_protocol::wire::{refusal, reply, Refusal};
+use badgerramp_control_protocol::SealFault;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::Refused;
 use std::net::SocketAddr;
--- a/crates/control/src/regions.rs
+++ b/crates/control/src/regions.rs
@@ -6,9 +6,9 @@
 use crate::refusals::refuse;
 use crate::settings::RegionSettings;
 use crate::store::Store;
-use badgerramp_channel::regions::{to_coordinator, to_participant};
-use badgerramp_channel::wire::{self, refusal, reply, request};
-use badgerramp_channel::{Client, Fault, Secret};
+use badgerramp_control_protocol::regions::{to_coordinator, to_participant};
+use badgerramp_control_protocol::wire::{self, refusal, reply, request};
+use badgerramp_control_protocol::{Client, Fault, Secret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
     coordinator, participant, Commit, Prepare, Region, Regions, VoteReply,
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -8,9 +8,9 @@
 use crate::settings::{RegionSettings, Settings};
 use crate::status::View;
 use crate::store::{Store, Types};
-use badgerramp_channel::wire::control_server::{Control, ControlServer};
-use badgerramp_channel::wire::{self, refusal, reply, request, Reply, Request, Sealed};
-use badgerramp_channel::{digest, Purpose, Secret};
+use badgerramp_control_protocol::wire::control_server::{Control, ControlServer};
+use badgerramp_control_protocol::wire::{self, refusal, reply, request, Reply, Request, Sealed};
+use badgerramp_control_protocol::{digest, Purpose, Secret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
     Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
@@ -243,7 +243,7 @@
             sessions,
             regions: self.regions.as_ref(),
             address: &self.address,
-            now: badgerramp_channel::clock::now(),
+            now: badgerramp_control_protocol::clock::now(),
         };
         Ok(reply::What::Status(view.status()))
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,6 +1,6 @@
 //! The file of a replica.
 
-use badgerramp_channel::Secret;
+use badgerramp_control_protocol::Secret;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,7 +1,7 @@
 //! How control stands, as it tells operators.
 
 use crate::settings::RegionSettings;
-use badgerramp_channel::wire::{self, change};
+use badgerramp_control_protocol::wire::{self, change};
 use badgerramp_policy::regions::{CrossRegion, Region, Role};
 use badgerramp_policy::{
     Blocker, Change, CutOff, Ended, Generation, Identity, Micros, Record, Why,
--- a/crates/control/tests/regions.rs
+++ b/crates/control/tests/regions.rs
@@ -5,9 +5,9 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_channel::wire::{self, refusal, reply, request};
-use badgerramp_channel::{Client, Fault, Secret};
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
+use badgerramp_control_protocol::wire::{self, refusal, reply, request};
+use badgerramp_control_protocol::{Client, Fault, Secret};
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{Ask, CutOff, Identity};
 use badgerramp_trial::link::{Link, Pass};
--- a/crates/control/tests/replica.rs
+++ b/crates/control/tests/replica.rs
@@ -1,9 +1,9 @@
 //! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
 
-use badgerramp_channel::wire::{refusal, reply, request, Publish, StatusAsked};
-use badgerramp_channel::{Client, Fault, Secret};
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control::store::{self, Store};
+use badgerramp_control_protocol::wire::{refusal, reply, request, Publish, StatusAsked};
+use badgerramp_control_protocol::{Client, Fault, Secret};
 use badgerramp_trial::link::Link;
 use badgerramp_trial::process::{Folder, Plan, Process};
 use openraft::storage::RaftLogStorage;
--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -2,7 +2,7 @@
 //! call, against the clock at that moment.
 
 use super::rules::Rules;
-use badgerramp_channel::clock;
+use badgerramp_control_protocol::clock;
 use badgerramp_policy::{Admission, Closed, Generation, Holder, Mode};
 use hyper::header::HeaderMap;
 use std::cell::RefCell;
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -4,7 +4,7 @@
 use super::discovery::{self, changed, Link};
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
-use badgerramp_channel::{Secret, TAG};
+use badgerramp_control_protocol::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::FETCH;
 use badgerramp_gossip::list::{Change, Entry};
--- a/crates/proxy/src/policy_copy.rs
+++ b/crates/proxy/src/policy_copy.rs
@@ -1,6 +1,6 @@
 //! The copy of the policy on disk: so that it need not be sent again, and as no licence to serve.
 
-use badgerramp_channel::digest;
+use badgerramp_control_protocol::digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The program with `[policy]`, beside a replica of control: what begins, when, and what its copy on disk is worth.
 
-use badgerramp_channel::Secret;
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
 use badgerramp_control::settings::Settings;
 use badgerramp_control::store::Store;
+use badgerramp_control_protocol::Secret;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use badgerramp_trial::process::Folder;
 use std::collections::HashMap;
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -1,9 +1,9 @@
 //! A proxy that moves to the control of another region: its copy of the policy is no copy of the one there.
 
-use badgerramp_channel::Secret;
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control::settings::Settings;
 use badgerramp_control::store::Store;
+use badgerramp_control_protocol::Secret;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use badgerramp_trial::process::Folder;
 use std::collections::HashMap;
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -43,4 +43,4 @@
 pub mod start;
 
 /// The clock of all notes, which is the one that leases run on.
-pub use badgerramp_channel::clock::now;
+pub use badgerramp_control_protocol::clock::now;
