--- a/crates/config-tool/src/commands.rs
+++ b/crates/config-tool/src/commands.rs
@@ -7,7 +7,7 @@
 use crate::rollout;
 use crate::set::{Application, Described, Set};
 use badgerramp_config::read_upstream;
-use badgerramp_reading::{document, Notes, Section};
+use badgerramp_toml_diagnostics::{document, Notes, Section};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
@@ -102,7 +102,7 @@
         key: format!("app.{}.upstream", app.name),
         reason: "this upstream is used but not described".to_owned(),
         found: format!("{:?}", facts.upstream.value),
-        allowed: badgerramp_reading::known_names(&facts.upstream.value, &known),
+        allowed: badgerramp_toml_diagnostics::known_names(&facts.upstream.value, &known),
         place: Place::new(app.place.file, &facts.upstream.span),
         related: Vec::new(),
         apps: [app.name.clone()].into(),
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -5,7 +5,7 @@
 use crate::facts;
 use crate::finding::{Finding, Place, Report};
 use crate::set::folded;
-use badgerramp_reading::{document, known_names, DeTable, DeValue, Notes, Section, Span};
+use badgerramp_toml_diagnostics::{document, known_names, DeTable, DeValue, Notes, Section, Span};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
@@ -522,7 +522,7 @@
             .unwrap_or_default()
         {
             let Some(part) = value.get_ref().as_table() else {
-                let found = badgerramp_reading::show(value.get_ref());
+                let found = badgerramp_toml_diagnostics::show(value.get_ref());
                 notes.add(
                     (&key, &value.span()),
                     "this is no route",
@@ -571,7 +571,7 @@
     };
     let key = parent.of(name);
     let Some(table) = value.get_ref().as_table() else {
-        let found = badgerramp_reading::show(value.get_ref());
+        let found = badgerramp_toml_diagnostics::show(value.get_ref());
         notes.add(
             (&key, &value.span()),
             "this is not a table",
@@ -584,7 +584,7 @@
     for (name, part) in table {
         let path = format!("{key}.{}", name.get_ref());
         let Some(inner) = part.get_ref().as_table() else {
-            let found = badgerramp_reading::show(part.get_ref());
+            let found = badgerramp_toml_diagnostics::show(part.get_ref());
             notes.add(
                 (&path, &part.span()),
                 "this is not a table",
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -3,8 +3,8 @@
 use badgerramp_config::{Config, Figure, ANSWER_ROOM};
 use badgerramp_decisions::{Hedge, Micros, Repeat, Resend};
 use badgerramp_expr::{Builder, Wanted};
-use badgerramp_reading::values::show_duration;
 use badgerramp_route::{normalize, Head, PathPattern, Route, Source, Timing};
+use badgerramp_toml_diagnostics::values::show_duration;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use serde::Serialize;
 use std::fmt::Write;
@@ -304,7 +304,7 @@
         let known: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
         return Err(format!(
             "no class {name:?}: {}",
-            badgerramp_reading::known_names(name, &known)
+            badgerramp_toml_diagnostics::known_names(name, &known)
         ));
     };
     let class = &config.classes[place];
--- a/crates/config-tool/src/facts.rs
+++ b/crates/config-tool/src/facts.rs
@@ -2,9 +2,9 @@
 //! honours. Description and manifest hold them under the same keys.
 
 use badgerramp_decisions::{Micros, Scope};
-use badgerramp_reading::values::show_duration;
-use badgerramp_reading::{Notes, Section, Set, Span};
 use badgerramp_route::normalize;
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{Notes, Section, Set, Span};
 use http::HeaderName;
 use std::fmt::Write;
 
@@ -188,7 +188,7 @@
                 notes.add(
                     (&key, &value.span()),
                     "this is no table",
-                    badgerramp_reading::show(value.get_ref()),
+                    badgerramp_toml_diagnostics::show(value.get_ref()),
                     form,
                 );
                 continue;
--- a/crates/config-tool/src/finding.rs
+++ b/crates/config-tool/src/finding.rs
@@ -1,6 +1,6 @@
 //! What is wrong in a set of files, with all places that have to do with it, and how that is told.
 
-use badgerramp_reading::{Mistake, Span};
+use badgerramp_toml_diagnostics::{Mistake, Span};
 use codespan_reporting::diagnostic::{Diagnostic, Label};
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term::{self, Chars};
--- a/crates/config-tool/src/manifest.rs
+++ b/crates/config-tool/src/manifest.rs
@@ -5,7 +5,7 @@
 use crate::finding::{Finding, Place, Report};
 use crate::set::{Application, Described, Set};
 use badgerramp_config::read_upstream;
-use badgerramp_reading::{document, Notes, Section};
+use badgerramp_toml_diagnostics::{document, Notes, Section};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -73,7 +73,7 @@
     let mut notes = Notes::default();
     let table = document(&mut notes, &text);
     let apps = table.get("app").and_then(|a| a.get_ref().as_table());
-    let entry = |app: &badgerramp_reading::DeTable<'_>| {
+    let entry = |app: &badgerramp_toml_diagnostics::DeTable<'_>| {
         let text = |name: &str| {
             app.get(name)
                 .and_then(|v| v.get_ref().as_str())
--- a/crates/config-tool/src/render.rs
+++ b/crates/config-tool/src/render.rs
@@ -3,7 +3,7 @@
 use crate::description::{App, Class, Description, Raw, Upstream};
 use crate::finding::{Finding, Place, Report};
 use badgerramp_config::ANSWER_ROOM;
-use badgerramp_reading::values::{duration, show_duration};
+use badgerramp_toml_diagnostics::values::{duration, show_duration};
 
 /// A file that was written.
 #[derive(Clone, Debug)]
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -4,8 +4,8 @@
 use crate::set::{show_repeat, Application, Set};
 use badgerramp_config::Config;
 use badgerramp_decisions::Repeat;
-use badgerramp_reading::values::show_duration;
 use badgerramp_route::{PathPattern, Route};
+use badgerramp_toml_diagnostics::values::show_duration;
 use http::{HeaderMap, HeaderValue, Method};
 
 /// Compares; what must not be is a finding, what changes is a note.
--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -5,8 +5,8 @@
 use crate::overlap::{covers, loose, may_write, takes_under, takes_writes_of, under};
 use badgerramp_config::{connections_kept, Config, Upstream, ANSWER_ROOM};
 use badgerramp_decisions::{Micros, Repeat, Scope};
-use badgerramp_reading::values::show_duration;
 use badgerramp_route::{PathPattern, Route, Source};
+use badgerramp_toml_diagnostics::values::show_duration;
 use std::collections::{BTreeMap, HashMap};
 use unicode_normalization::UnicodeNormalization;
 
@@ -138,7 +138,8 @@
                     "this upstream is used but not described",
                 );
                 finding.found = format!("{:?}", facts.upstream.value);
-                finding.allowed = badgerramp_reading::known_names(&facts.upstream.value, &known);
+                finding.allowed =
+                    badgerramp_toml_diagnostics::known_names(&facts.upstream.value, &known);
                 report.findings.push(finding);
                 continue;
             };
--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -2,8 +2,8 @@
 //! whose conditions overlap.
 
 use badgerramp_expr::{both, Builder, Head, Id, Program, Wanted, BUDGET};
-use badgerramp_reading::{DeValue, Notes, Section, Span, Value};
 use badgerramp_route::{Expression, PathPattern, Route, Table};
+use badgerramp_toml_diagnostics::{DeValue, Notes, Section, Span, Value};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
 /// Pairs of routes that are held against one another at the most.
@@ -133,7 +133,7 @@
         .unwrap_or_default()
     {
         let DeValue::Table(own) = value.get_ref() else {
-            let found = badgerramp_reading::show(value.get_ref());
+            let found = badgerramp_toml_diagnostics::show(value.get_ref());
             notes.add(
                 (&key, &value.span()),
                 "this is no request",
@@ -235,7 +235,7 @@
                 Some((header, text)) => drop(headers.append(header, text)),
                 None => {
                     let key = section.of("headers");
-                    let found = badgerramp_reading::show(value.get_ref());
+                    let found = badgerramp_toml_diagnostics::show(value.get_ref());
                     notes.add(
                         (&key, &value.span()),
                         "this is no header",
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -9,14 +9,14 @@
     self as decisions, settings, CellId, Entry, Micros, Repeat, Scope, ServerId, State,
 };
 use badgerramp_expr::{Program, Wanted};
-use badgerramp_reading::values::{show_duration, show_size};
-use badgerramp_reading::{
-    document, known_names, show, DeTable, DeValue, Mistakes, Notes, Section, Set, Span, Value,
-};
 use badgerramp_route::{
     normalize, pattern, Answers, HeaderPattern, PathPattern, Route, Source, Table, Timing,
     PATTERN_BYTES,
 };
+use badgerramp_toml_diagnostics::values::{show_duration, show_size};
+use badgerramp_toml_diagnostics::{
+    document, known_names, show, DeTable, DeValue, Mistakes, Notes, Section, Set, Span, Value,
+};
 use http::{HeaderName, HeaderValue, Method};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
 
 pub use timing::Figure;
 
-pub use badgerramp_reading::{Mistake, Mistakes};
+pub use badgerramp_toml_diagnostics::{Mistake, Mistakes};
 pub use file::{read_upstream, Class, Config, Endpoint, Limits, NoRoute, Upstream, Use};
 pub use log::{Format, Level, Log};
 pub use peers::PeersTerms;
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,6 +1,6 @@
 //! `[log]`: what the program writes of what it does.
 
-use badgerramp_reading::{show, Notes, Section};
+use badgerramp_toml_diagnostics::{show, Notes, Section};
 
 pub(crate) const KEYS: [&str; 4] = ["format", "level", "targets", "rate"];
 const LEVELS: [(&str, Level); 5] = [
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -1,6 +1,6 @@
 //! `[peers]`: where this proxy hears the others of its fleet, and where others may be met.
 
-use badgerramp_reading::{show, Notes, Section, Set};
+use badgerramp_toml_diagnostics::{show, Notes, Section, Set};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -5,9 +5,9 @@
 use crate::ANSWER_ROOM;
 use badgerramp_decisions::settings::Facts;
 use badgerramp_decisions::Hedge;
-use badgerramp_reading::values::show_duration;
-use badgerramp_reading::{known_names, Mistakes, Notes, Span};
 use badgerramp_route::{Table, Timing};
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{known_names, Mistakes, Notes, Span};
 
 /// The timing of each class of the platform, in its order, and the routes with the platform's classes.
 ///
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -3,7 +3,7 @@
 
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::CutOff;
-use badgerramp_reading::{show, Notes, Section};
+use badgerramp_toml_diagnostics::{show, Notes, Section};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -3,9 +3,9 @@
 use crate::file::{Limits, Upstream};
 use crate::{clients_borne, DESCRIPTORS_RESERVED};
 use badgerramp_decisions::Micros;
-use badgerramp_reading::values::show_duration;
-use badgerramp_reading::{Notes, Section};
 use badgerramp_subset::{Bounds, Instance, Need, PollTerms};
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{Notes, Section};
 
 pub(crate) const SUBSET: [&str; 12] = [
     "instance",
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -3,9 +3,9 @@
 
 use crate::{values, ANSWER_ROOM};
 use badgerramp_decisions::{Hedge, Micros, Repeat, Resend};
-use badgerramp_reading::values::show_duration;
-use badgerramp_reading::{show, DeValue, Mistake, Notes, Section, Set, Span};
 use badgerramp_route::{Answers, Proof, StatusSet, Timing};
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{show, DeValue, Mistake, Notes, Section, Set, Span};
 use http::{HeaderName, HeaderValue};
 
 /// Keys that may stand in all three places.
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,8 +1,8 @@
 //! Values that are written as text: statuses and second copies.
 
 use badgerramp_decisions::Hedge;
-use badgerramp_reading::values::duration;
 use badgerramp_route::StatusSet;
+use badgerramp_toml_diagnostics::values::duration;
 
 /// `200`, `2xx` or `200-204`.
 pub(crate) fn statuses(text: &str, into: &mut StatusSet) -> Option<()> {
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -1,7 +1,7 @@
 //! Scenarios as TOML: read with all mistakes told at their places, and written so that what was read comes back.
 
-use badgerramp_reading::values::show_duration;
-use badgerramp_reading::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
 use badgerramp_world::{
     Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
     Micros, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
@@ -362,7 +362,7 @@
     let read = section.read(notes, "second_copy", allowed, |v| match v.as_str()? {
         "off" => Some(SecondCopy::Off),
         "auto" => Some(SecondCopy::Auto),
-        text => badgerramp_reading::values::duration(text.strip_prefix("after ")?)
+        text => badgerramp_toml_diagnostics::values::duration(text.strip_prefix("after ")?)
             .map(SecondCopy::After),
     });
     read.map_or(SecondCopy::Off, |r| r.value)
@@ -393,7 +393,7 @@
         match value.get_ref().as_table() {
             Some(table) => sections.push(Section::new(notes, table, (&key, value.span()), known)),
             None => {
-                let found = badgerramp_reading::show(value.get_ref());
+                let found = badgerramp_toml_diagnostics::show(value.get_ref());
                 notes.add(
                     (&key, &value.span()),
                     "this is not a table",
