--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -2,14 +2,14 @@
 
 use crate::generate;
 use crate::play::{virtually, Fault, Options};
-use badgerramp_world::{Effect, Scenario, SecondCopy};
+use badgerramp_sim_model::{Effect, Scenario, SecondCopy};
 use std::sync::Arc;
 use std::time::Instant;
 
 /// A calm world of so many hosts and proxies: each host has ten requests a second of 5 ms.
 pub fn plain(hosts: usize, proxies: u32, seconds: u64, rate: f64) -> Scenario {
     let mut scenario = generate::scenario(0);
-    let spec = badgerramp_world::HostSpec {
+    let spec = badgerramp_sim_model::HostSpec {
         name: String::new(),
         zone: "a".to_owned(),
         group: 0,
@@ -27,7 +27,7 @@
     };
     scenario.name = format!("{proxies} proxies, {hosts} hosts");
     scenario.hosts = (0..hosts)
-        .map(|n| badgerramp_world::HostSpec {
+        .map(|n| badgerramp_sim_model::HostSpec {
             name: format!("h{n}"),
             ..spec.clone()
         })
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::experiment::{self, Compared, Point, Template};
 use crate::play::{Fault, Options, Way};
 use crate::{bench, check, defects, generate, hunt, report, scenario_file};
-use badgerramp_world::{OpId, Rule, Scenario};
+use badgerramp_sim_model::{OpId, Rule, Scenario};
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
@@ -774,7 +774,7 @@
     )
 }
 
-use badgerramp_world::Broken;
+use badgerramp_sim_model::Broken;
 
 fn shrink(
     name: &str,
--- a/crates/lab/src/course.rs
+++ b/crates/lab/src/course.rs
@@ -1,6 +1,6 @@
 //! What is measured of a course, in either play.
 
-use badgerramp_world::{Answered, Ask, Broken, Micros, OpId, Scenario};
+use badgerramp_sim_model::{Answered, Ask, Broken, Micros, OpId, Scenario};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,7 +3,7 @@
 use crate::course::Summary;
 use crate::play::Fault;
 use crate::scenario_file;
-use badgerramp_world::Scenario;
+use badgerramp_sim_model::Scenario;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::path::Path;
--- a/crates/lab/src/generate.rs
+++ b/crates/lab/src/generate.rs
@@ -1,7 +1,7 @@
 //! Random scenarios: small worlds with much trouble, each made by its seed alone.
 
 use crate::operator;
-use badgerramp_world::{
+use badgerramp_sim_model::{
     Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
     Micros, NetworkSpec, Scenario, SecondCopy, Trouble,
 };
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::course::Course;
 use crate::generate;
 use crate::play::{Fault, Options};
-use badgerramp_world::{Broken, Clients, Draws, Micros, Rule, Scenario};
+use badgerramp_sim_model::{Broken, Clients, Draws, Micros, Rule, Scenario};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -250,7 +250,7 @@
     let mut requests = Vec::new();
     while let Some(ask) = clients.next_first() {
         let (at, proxy, class, id) = (ask.at, ask.proxy, ask.class, ask.op.0);
-        requests.push(badgerramp_world::Request {
+        requests.push(badgerramp_sim_model::Request {
             at,
             proxy,
             class,
@@ -355,7 +355,7 @@
         let mut host = best.scenario.hosts.len();
         while host > 0 {
             host -= 1;
-            let used = |f: &badgerramp_world::Fault| f.trouble.host() == Some(host);
+            let used = |f: &badgerramp_sim_model::Fault| f.trouble.host() == Some(host);
             if best.scenario.hosts.len() < 2 || best.scenario.faults.iter().any(used) {
                 continue;
             }
@@ -374,7 +374,7 @@
             .unwrap_or(0)
             + 1;
         let crashed = best.scenario.faults.iter().filter_map(|f| match f.trouble {
-            badgerramp_world::Trouble::ProxyCrash { proxy } => Some(proxy + 1),
+            badgerramp_sim_model::Trouble::ProxyCrash { proxy } => Some(proxy + 1),
             _ => None,
         });
         let proxies = crashed.max().unwrap_or(0).max(proxies);
@@ -405,8 +405,8 @@
 }
 
 /// Places of hosts after one that has gone move up.
-fn move_host(fault: &mut badgerramp_world::Fault, gone: usize) {
-    use badgerramp_world::Trouble as T;
+fn move_host(fault: &mut badgerramp_sim_model::Fault, gone: usize) {
+    use badgerramp_sim_model::Trouble as T;
     if let T::Fails { host, .. }
     | T::Stalls { host }
     | T::Slow { host, .. }
--- a/crates/lab/src/operator.rs
+++ b/crates/lab/src/operator.rs
@@ -2,8 +2,8 @@
 //! reader as any operator's, so that routes and timing under test are those of the program.
 
 use badgerramp_config::{Config, Mistakes};
+use badgerramp_sim_model::{Effect, Group, Scenario, SecondCopy};
 use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_world::{Effect, Group, Scenario, SecondCopy};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
--- a/crates/lab/src/play/among.rs
+++ b/crates/lab/src/play/among.rs
@@ -4,7 +4,7 @@
 use badgerramp_gossip::list::{Change, Entry as PeerEntry};
 use badgerramp_gossip::peer::{Answer, Input, Member, Output, Peer, Terms};
 use badgerramp_gossip::polling::Id;
-use badgerramp_world::{Entry, Micros, Told};
+use badgerramp_sim_model::{Entry, Micros, Told};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The address of a proxy.
--- a/crates/lab/src/play/events.rs
+++ b/crates/lab/src/play/events.rs
@@ -1,7 +1,7 @@
 //! What is still to happen, in the order of time. What falls on one instant comes by rank and then in the order in
 //! which it was caused, or in a drawn one.
 
-use badgerramp_world::{Draws, Micros};
+use badgerramp_sim_model::{Draws, Micros};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/lab/src/play/mod.rs
+++ b/crates/lab/src/play/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::course::Course;
 use badgerramp_config::Mistakes;
-use badgerramp_world::{Judge, Micros, OpId, Rule, Scenario};
+use badgerramp_sim_model::{Judge, Micros, OpId, Rule, Scenario};
 use std::fmt;
 use std::sync::Arc;
 
--- a/crates/lab/src/play/shell.rs
+++ b/crates/lab/src/play/shell.rs
@@ -3,7 +3,7 @@
 use badgerramp_config::Config;
 use badgerramp_decisions::{Balancer, CallId, ClassId, Micros, Terms};
 use badgerramp_gossip::peer::Peer;
-use badgerramp_world::{Ask, Scenario};
+use badgerramp_sim_model::{Ask, Scenario};
 use http::{HeaderMap, HeaderValue, Method};
 use rustc_hash::FxHashMap;
 
@@ -18,7 +18,7 @@
 
 /// The routes of each class of a scenario.
 pub(crate) fn routes(scenario: &Scenario, config: &Config) -> Result<Vec<Routed>, String> {
-    let one = |class: &badgerramp_world::Class| {
+    let one = |class: &badgerramp_sim_model::Class| {
         let path = format!("/{}", class.name);
         let mut headers = HeaderMap::new();
         headers.insert("idempotency-key", HeaderValue::from_static("5c0f"));
--- a/crates/lab/src/play/virtually.rs
+++ b/crates/lab/src/play/virtually.rs
@@ -12,7 +12,7 @@
     ServerId, Settings, State,
 };
 use badgerramp_gossip::peer::{Input, Output};
-use badgerramp_world::{
+use badgerramp_sim_model::{
     Answered, Arrival, Ask, Clients, Done, Draws, Entry, Host, Job, Judge, ListService, Memory,
     Micros, Network, Next, Report, Rule, Scenario, Told, Trouble, Verdict, Way,
 };
@@ -969,7 +969,7 @@
     fn arrives(&mut self, wire: Wire, link: Link) {
         let host = wire.host;
         self.settle(host);
-        let dead = |f: &badgerramp_world::Fault| {
+        let dead = |f: &badgerramp_sim_model::Fault| {
             let half_open = matches!(f.trouble, Trouble::HalfOpen { host: at } if at == host);
             half_open && f.from <= self.now && link.opened < f.from
         };
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -1,11 +1,11 @@
 //! Scenarios as TOML: read with all mistakes told at their places, and written so that what was read comes back.
 
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
-use badgerramp_world::{
+use badgerramp_sim_model::{
     Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
     Micros, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
 };
+use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
 use std::fmt::Write;
 use std::path::Path;
 
--- a/crates/lab/src/sockets/around.rs
+++ b/crates/lab/src/sockets/around.rs
@@ -2,7 +2,7 @@
 
 use super::memory::{Accepting, End, Time, Who, World};
 use badgerramp::net::socket::Stream;
-use badgerramp_world::{Fault, Micros, Network as Ways, Trouble, Way};
+use badgerramp_sim_model::{Fault, Micros, Network as Ways, Trouble, Way};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/lab/src/sockets/memory.rs
+++ b/crates/lab/src/sockets/memory.rs
@@ -2,7 +2,7 @@
 //! scenario. The program's socket code runs on it unchanged.
 
 use badgerramp::net::socket::{Connecting, Listener, Network, Stream};
-use badgerramp_world::{Fault, Micros, Network as Ways, Trouble, Way};
+use badgerramp_sim_model::{Fault, Micros, Network as Ways, Trouble, Way};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -17,11 +17,11 @@
 use badgerramp::net::Descriptors;
 use badgerramp::program::{serve_in, Surroundings};
 use badgerramp::sidecar;
-use badgerramp_testkit::Proxy;
-use badgerramp_world::{
+use badgerramp_sim_model::{
     Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId,
     Rule, Scenario, Trouble,
 };
+use badgerramp_testkit::Proxy;
 use memory::{Time, Who, World};
 use peers::{host_address, list_address, proxy_address, HostCell};
 use std::cell::{Cell, RefCell};
@@ -315,7 +315,7 @@
     /// Are answers being spoilt now?
     fn spoils(&self) -> bool {
         let now = self.now();
-        let on = |f: &&badgerramp_world::Fault| f.from <= now && now < f.until;
+        let on = |f: &&badgerramp_sim_model::Fault| f.from <= now && now < f.until;
         self.scenario
             .faults
             .iter()
--- a/crates/lab/src/sockets/peers.rs
+++ b/crates/lab/src/sockets/peers.rs
@@ -5,7 +5,7 @@
 use super::memory::Who;
 use super::wire::{self, Message};
 use super::Shared;
-use badgerramp_world::{
+use badgerramp_sim_model::{
     Answered, Arrival, Ask, Done, Entry, Host, Job, Micros, Next, OpId, Report, Rule, Told,
     Trouble, Verdict,
 };
@@ -650,7 +650,9 @@
 async fn exchange(shared: &Rc<Shared>, ask: &Ask, mut stream: Io) -> Option<(Message, Option<Io>)> {
     let class = &shared.scenario.classes[ask.class];
     let key = match class.effect {
-        badgerramp_world::Effect::Keyed { .. } => format!("Idempotency-Key: {:x}\r\n", ask.op.0),
+        badgerramp_sim_model::Effect::Keyed { .. } => {
+            format!("Idempotency-Key: {:x}\r\n", ask.op.0)
+        }
         _ => String::new(),
     };
     let head = format!(
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -7,7 +7,7 @@
 use badgerramp_lab::hunt::{self, Hunt};
 use badgerramp_lab::play::{Fault, Options, Way};
 use badgerramp_lab::{generate, operator, report, scenario_file};
-use badgerramp_world::{Broken, Rule, Scenario, Trouble};
+use badgerramp_sim_model::{Broken, Rule, Scenario, Trouble};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::AtomicBool;
@@ -319,7 +319,7 @@
 #[test]
 fn a_scenario_that_no_operators_file_may_ask_for_is_refused() {
     let mut scenario = scenarios(&folder()).remove(0).1;
-    scenario.classes[1].second_copy = badgerramp_world::SecondCopy::Auto;
+    scenario.classes[1].second_copy = badgerramp_sim_model::SecondCopy::Auto;
     let refused = operator::read(&scenario)
         .expect_err("an unsafe class has no second copy")
         .to_string();
--- a/crates/world/tests/model.rs
+++ b/crates/sim-model/tests/model.rs
@@ -4,7 +4,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_world::*;
+use badgerramp_sim_model::*;
 use proptest::prelude::*;
 use std::sync::Arc;
 
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::host::answer;
 use crate::message::{read, Message};
-use badgerramp_world::{
+use badgerramp_sim_model::{
     self as world, Arrival, Cold, Done, Draws, Effect, Group, Host, HostSpec, Job, Memory, Micros,
     OpId, Trouble, Verdict,
 };
