--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -4,8 +4,8 @@
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::net::rules::{Platform, Rules};
 use badgerramp_config_tool::fleet::{At, Control as Asked, Outcome};
-use badgerramp_control::settings::Settings;
-use badgerramp_control::store::Store;
+use badgerramp_control_plane::settings::Settings;
+use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
 use badgerramp_decisions::settings::{Facts, Transport};
 use badgerramp_decisions::Settings as Decided;
@@ -58,7 +58,7 @@
                 .enable_all()
                 .build();
             let served = runtime.map_err(|e| e.to_string()).and_then(|r| {
-                r.block_on(badgerramp_control::serve::run(
+                r.block_on(badgerramp_control_plane::serve::run(
                     settings,
                     std::future::pending(),
                 ))
--- a/crates/control/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -2,5 +2,5 @@
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
-    badgerramp_control::cli::main(std::env::args_os())
+    badgerramp_control_plane::cli::main(std::env::args_os())
 }
--- a/crates/control/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,7 +1,7 @@
 //! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
-use badgerramp_control::store::{self, Store};
+use badgerramp_control_plane::store::{self, Store};
 use badgerramp_control_protocol::wire::{refusal, reply, request, Publish, StatusAsked};
 use badgerramp_control_protocol::{Client, Fault, Secret};
 use badgerramp_trial::link::Link;
--- a/crates/control/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -4,7 +4,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_control::settings::{RegionSettings, Settings};
+use badgerramp_control_plane::settings::{RegionSettings, Settings};
 use badgerramp_trial::process::Folder;
 use std::time::Duration;
 
--- a/crates/control/tests/stored_state.rs
+++ b/crates/control-plane/tests/stored_state.rs
@@ -1,7 +1,7 @@
 //! A replica's store as this format's writer left it: policies in force, aborted and under way, proxies registered and
 //! evicted, a change of all regions, a snapshot and the log after it. Each version opens it and finds the same.
 
-use badgerramp_control::store::{Id, Store, Types};
+use badgerramp_control_plane::store::{Id, Store, Types};
 use badgerramp_policy::regions::{AllRegions, ChangeId, Region};
 use badgerramp_policy::{Command, CutOff, Generation, Identity};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,7 @@
             badgerramp::cli::main(own.into_iter().chain(arguments.skip(1)))
         }
         Some(badgerramp_lab::AS_CONTROL) => {
-            badgerramp_control::cli::main(own.into_iter().chain(arguments.skip(1)))
+            badgerramp_control_plane::cli::main(own.into_iter().chain(arguments.skip(1)))
         }
         Some(badgerramp_lab::AS_HOLLOW_PROXIES) => {
             badgerramp_lab::hollow_proxies::main(arguments.skip(1))
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The program with `[policy]`, beside a replica of control: what begins, when, and what its copy on disk is worth.
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
-use badgerramp_control::settings::Settings;
-use badgerramp_control::store::Store;
+use badgerramp_control_plane::settings::Settings;
+use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::Secret;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use badgerramp_trial::process::Folder;
@@ -45,7 +45,7 @@
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
                 .build();
-            let served = badgerramp_control::serve::run(settings, async move {
+            let served = badgerramp_control_plane::serve::run(settings, async move {
                 let _ = stopped.await;
             });
             runtime
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -1,8 +1,8 @@
 //! A proxy that moves to the control of another region: its copy of the policy is no copy of the one there.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
-use badgerramp_control::settings::Settings;
-use badgerramp_control::store::Store;
+use badgerramp_control_plane::settings::Settings;
+use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::Secret;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use badgerramp_trial::process::Folder;
@@ -42,7 +42,7 @@
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
                 .build();
-            let served = badgerramp_control::serve::run(settings, std::future::pending());
+            let served = badgerramp_control_plane::serve::run(settings, std::future::pending());
             runtime.expect("a runtime").block_on(served)
         });
         Region { name, address }
