--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -8,10 +8,10 @@
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, refusal, reply, request};
 use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_fault_injection::link::{Link, Pass};
+use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{Ask, CutOff, Identity};
-use badgerramp_trial::link::{Link, Pass};
-use badgerramp_trial::process::{Folder, Plan, Process};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/control-plane/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -5,7 +5,7 @@
 )]
 
 use badgerramp_control_plane::settings::{RegionSettings, Settings};
-use badgerramp_trial::process::Folder;
+use badgerramp_fault_injection::process::Folder;
 use std::time::Duration;
 
 const GOOD: &str =
--- a/crates/trial/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -1,17 +1,17 @@
 //! The trial of a fleet of many proxies: where its parts stand, what its notes are judged as, and its fits.
 
 use badgerramp_config_tool::fleet::Change;
+use badgerramp_fault_injection::clients::{Ended, Try};
+use badgerramp_fault_injection::judge::Line;
+use badgerramp_fault_injection::scale::across::Across;
+use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
+use badgerramp_fault_injection::scale::files::ControlTimes;
+use badgerramp_fault_injection::scale::fleet::Down;
+use badgerramp_fault_injection::scale::hollow::{Admits, Event, Order};
+use badgerramp_fault_injection::scale::layout::Size;
+use badgerramp_fault_injection::scale::report::Fit;
+use badgerramp_fault_injection::scale::verdict::{begun, closed, Ready, Refused};
 use badgerramp_policy::{Generation, Micros, Mode};
-use badgerramp_trial::clients::{Ended, Try};
-use badgerramp_trial::judge::Line;
-use badgerramp_trial::scale::across::Across;
-use badgerramp_trial::scale::course::{Course, Kind, KINDS};
-use badgerramp_trial::scale::files::ControlTimes;
-use badgerramp_trial::scale::fleet::Down;
-use badgerramp_trial::scale::hollow::{Admits, Event, Order};
-use badgerramp_trial::scale::layout::Size;
-use badgerramp_trial::scale::report::Fit;
-use badgerramp_trial::scale::verdict::{begun, closed, Ready, Refused};
 
 const SIZE: Size = Size {
     proxies: 80,
--- a/crates/lab/src/hollow_proxies.rs
+++ b/crates/lab/src/hollow_proxies.rs
@@ -4,10 +4,10 @@
 
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::sidecar;
+use badgerramp_fault_injection::now;
+use badgerramp_fault_injection::process::all_descriptors;
+use badgerramp_fault_injection::scale::hollow::{Admits, Event, Order};
 use badgerramp_policy::Admission;
-use badgerramp_trial::now;
-use badgerramp_trial::process::all_descriptors;
-use badgerramp_trial::scale::hollow::{Admits, Event, Order};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
--- a/crates/lab/src/list_service.rs
+++ b/crates/lab/src/list_service.rs
@@ -19,10 +19,12 @@
 }
 
 fn run(file: PathBuf) -> Result<(), String> {
-    badgerramp_trial::process::all_descriptors();
+    badgerramp_fault_injection::process::all_descriptors();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    runtime.block_on(badgerramp_trial::scale::list_service::serve(&file))
+    runtime.block_on(badgerramp_fault_injection::scale::list_service::serve(
+        &file,
+    ))
 }
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -2,11 +2,11 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_trial::contender::Way;
-use badgerramp_trial::course::{Course, Fault, Kind, KINDS};
-use badgerramp_trial::policy::{play, Played, Programs, Size};
-use badgerramp_trial::process::want_descriptors;
-use badgerramp_trial::report;
+use badgerramp_fault_injection::contender::Way;
+use badgerramp_fault_injection::course::{Course, Fault, Kind, KINDS};
+use badgerramp_fault_injection::policy::{play, Played, Programs, Size};
+use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::report;
 use clap::{Args, Subcommand};
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/lab/src/trial_drains.rs
+++ b/crates/lab/src/trial_drains.rs
@@ -2,8 +2,8 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_trial::drains::{play as play_drains, Course, Kind, Played, Size, KINDS};
-use badgerramp_trial::process::want_descriptors;
+use badgerramp_fault_injection::drains::{play as play_drains, Course, Kind, Played, Size, KINDS};
+use badgerramp_fault_injection::process::want_descriptors;
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/lab/src/trial_scale.rs
+++ b/crates/lab/src/trial_scale.rs
@@ -2,12 +2,12 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_trial::process::want_descriptors;
-use badgerramp_trial::scale::course::{Course, Kind, KINDS};
-use badgerramp_trial::scale::files::ControlTimes;
-use badgerramp_trial::scale::layout::Size;
-use badgerramp_trial::scale::played::Played;
-use badgerramp_trial::scale::{play as play_course, report, Programs};
+use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
+use badgerramp_fault_injection::scale::files::ControlTimes;
+use badgerramp_fault_injection::scale::layout::Size;
+use badgerramp_fault_injection::scale::played::Played;
+use badgerramp_fault_injection::scale::{play as play_course, report, Programs};
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/lab/src/trial_start.rs
+++ b/crates/lab/src/trial_start.rs
@@ -2,12 +2,12 @@
 
 use crate::only::Only;
 use crate::play;
+use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::start::cold;
+use badgerramp_fault_injection::start::course::{Course, Kind, KINDS};
+use badgerramp_fault_injection::start::{play as play_start, report, Played, Size, Way};
 use badgerramp_gossip::play::{self as peers, World};
 use badgerramp_gossip::polling::Mechanism;
-use badgerramp_trial::process::want_descriptors;
-use badgerramp_trial::start::cold;
-use badgerramp_trial::start::course::{Course, Kind, KINDS};
-use badgerramp_trial::start::{play as play_start, report, Played, Size, Way};
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -5,8 +5,8 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
+use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_testkit::{Catalog, Listed};
-use badgerramp_trial::process::{Folder, Plan, Process};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
