--- a/crates/lab/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -565,7 +565,7 @@
     let _ = writeln!(out, "    // {}", found.what);
     let _ = writeln!(out, "    let world = {world:?};");
     let _ = writeln!(out, "    let steps = {:?};", found.steps);
-    out + "    assert_eq!(badgerramp_lab::check::replay(&world, &steps), Ok(()));\n}\n"
+    out + "    assert_eq!(badgerramp_simulator::check::replay(&world, &steps), Ok(()));\n}\n"
 }
 
 /// Takes these steps one after the other.
--- a/crates/lab/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -20,7 +20,7 @@
 ///
 /// Exits 0 if no rule broke, 1 if one did, 2 for bad usage or a bad file. Ctrl-C keeps what was measured.
 #[derive(Parser)]
-#[command(name = "badgerramp-lab", version)]
+#[command(name = "badgerramp-sim", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -96,7 +96,7 @@
         /// Other values for the second.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Another build of badgerramp-lab that plays the second.
+        /// Another build of badgerramp-sim that plays the second.
         #[arg(long, value_name = "PROGRAM")]
         binary: Option<PathBuf>,
         #[command(flatten)]
@@ -107,7 +107,7 @@
         told: Told,
     },
     /// Play courses of faults between processes of the real program.
-    Trial {
+    FaultTest {
         #[command(subcommand)]
         trial: crate::trial::Trial,
     },
@@ -251,7 +251,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(fault) => {
-            eprintln!("badgerramp-lab: {fault}");
+            eprintln!("badgerramp-sim: {fault}");
             ExitCode::from(2)
         }
     }
@@ -309,7 +309,7 @@
             let files = (first.as_path(), second.as_deref().unwrap_or(&first));
             compare(files, &set, binary.as_deref(), &many, &played, &told, stop)
         }
-        Command::Trial { trial } => crate::trial::run(trial),
+        Command::FaultTest { trial } => crate::trial::run(trial),
         Command::Hunt {
             first,
             count,
@@ -673,7 +673,7 @@
     stop: &AtomicBool,
     bar: &ProgressBar,
 ) -> Result<Vec<Summary>, Fault> {
-    let out = std::env::temp_dir().join(format!("badgerramp-lab-{}.jsonl", std::process::id()));
+    let out = std::env::temp_dir().join(format!("badgerramp-sim-{}.jsonl", std::process::id()));
     let mut all = Vec::new();
     for seed in 1..=many.seeds {
         if stop.load(std::sync::atomic::Ordering::Relaxed) {
@@ -758,7 +758,7 @@
     }
     println!("\nleast goodput among those whose hosts bear the load:");
     for (goodput, number) in &found.losses {
-        println!("  {goodput:.3}  badgerramp-lab replay {number}");
+        println!("  {goodput:.3}  badgerramp-sim replay {number}");
     }
     Ok(found.finds.is_empty())
 }
--- a/crates/lab/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -395,7 +395,7 @@
             "--quiet",
             "--locked",
             "--package",
-            "badgerramp-lab",
+            "badgerramp-simulator",
         ])
         .current_dir(copy);
     // One place for all builds, and quick ones: only what a defect touches is built anew, and it need not run fast.
@@ -413,7 +413,7 @@
             String::from_utf8_lossy(&done.stderr)
         )));
     }
-    Ok(copy.join("target/release/badgerramp-lab"))
+    Ok(copy.join("target/release/badgerramp-sim"))
 }
 
 fn hunt(program: &Path, defect: &Defect, seconds: u64) -> Result<Hunted, Fault> {
--- a/crates/lab/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -48,14 +48,14 @@
 /// Runs the process: the argument is the folder of the proxies' files.
 pub fn main(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> ExitCode {
     let Some(folder) = arguments.next() else {
-        eprintln!("badgerramp-lab: hollow proxies: no folder");
+        eprintln!("badgerramp-sim: hollow proxies: no folder");
         return ExitCode::from(2);
     };
     all_descriptors();
     match run(PathBuf::from(folder)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("badgerramp-lab: hollow proxies: {fault}");
+            eprintln!("badgerramp-sim: hollow proxies: {fault}");
             ExitCode::FAILURE
         }
     }
@@ -77,7 +77,7 @@
             let order = match serde_json::from_str(&line) {
                 Ok(order) => order,
                 Err(fault) => {
-                    eprintln!("badgerramp-lab: hollow proxies: {line:?}: {fault}");
+                    eprintln!("badgerramp-sim: hollow proxies: {line:?}: {fault}");
                     continue;
                 }
             };
--- a/crates/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -10,7 +10,7 @@
     reason = "long functions are still to be split"
 )]
 
-/// The word that makes `badgerramp-lab` the client proxy.
+/// The word that makes `badgerramp-sim` the client proxy.
 pub const AS_PROXY: &str = "as-proxy";
 
 /// The word that starts this very program as a replica of control.
--- a/crates/lab/src/list_service.rs
+++ b/crates/simulator/src/list_service.rs
@@ -6,13 +6,13 @@
 /// Runs the process: the argument is a file with the hosts' addresses.
 pub fn main(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> ExitCode {
     let Some(file) = arguments.next() else {
-        eprintln!("badgerramp-lab: list service: no file");
+        eprintln!("badgerramp-sim: list service: no file");
         return ExitCode::from(2);
     };
     match run(PathBuf::from(file)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("badgerramp-lab: list service: {fault}");
+            eprintln!("badgerramp-sim: list service: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgerramp-lab`: see `docs/lab.md`.
+//! `badgerramp-sim`: see `docs/lab.md`.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
@@ -6,18 +6,18 @@
     let own = arguments.next();
     // A real play starts this very program as its proxies, and a trial as control too.
     match std::env::args().nth(1).as_deref() {
-        Some(badgerramp_lab::AS_PROXY) => {
+        Some(badgerramp_simulator::AS_PROXY) => {
             badgerramp::cli::main(own.into_iter().chain(arguments.skip(1)))
         }
-        Some(badgerramp_lab::AS_CONTROL) => {
+        Some(badgerramp_simulator::AS_CONTROL) => {
             badgerramp_control_plane::cli::main(own.into_iter().chain(arguments.skip(1)))
         }
-        Some(badgerramp_lab::AS_HOLLOW_PROXIES) => {
-            badgerramp_lab::hollow_proxies::main(arguments.skip(1))
+        Some(badgerramp_simulator::AS_HOLLOW_PROXIES) => {
+            badgerramp_simulator::hollow_proxies::main(arguments.skip(1))
         }
-        Some(badgerramp_lab::AS_LIST_SERVICE) => {
-            badgerramp_lab::list_service::main(arguments.skip(1))
+        Some(badgerramp_simulator::AS_LIST_SERVICE) => {
+            badgerramp_simulator::list_service::main(arguments.skip(1))
         }
-        _ => badgerramp_lab::cli::main(std::env::args_os()),
+        _ => badgerramp_simulator::cli::main(std::env::args_os()),
     }
 }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -129,7 +129,7 @@
     set.block_on(&runtime, course(Arc::clone(scenario), options, None))
 }
 
-/// Plays a scenario with built programs on loopback. The program is this one itself, as `badgerramp-lab` can be the
+/// Plays a scenario with built programs on loopback. The program is this one itself, as `badgerramp-sim` can be the
 /// client proxy, or the `badgerramp` that `BADGERRAMP_PROGRAM` names.
 ///
 /// # Errors
--- a/crates/lab/src/trial.rs
+++ b/crates/simulator/src/trial.rs
@@ -106,7 +106,7 @@
     let one = if terms.one { " --one" } else { "" };
     let only = Only::option(terms.only, Kind::name);
     format!(
-        "badgerramp-lab trial policy --courses 1 --seed {seed} --proxies {proxies} --replicas {replicas} \
+        "badgerramp-sim fault-test policy --courses 1 --seed {seed} --proxies {proxies} --replicas {replicas} \
          --publishes {publishes} --rate {rate} --way {way}{only}{one}"
     )
 }
--- a/crates/lab/src/trial_drains.rs
+++ b/crates/simulator/src/trial_drains.rs
@@ -152,7 +152,7 @@
         } = terms;
         let only = Only::option(terms.only, Kind::name);
         println!(
-            "  again: badgerramp-lab trial drains --courses 1 --seed {} --proxies {proxies} --hosts {hosts} --rate {rate}{only}",
+            "  again: badgerramp-sim fault-test drains --courses 1 --seed {} --proxies {proxies} --hosts {hosts} --rate {rate}{only}",
             course.seed
         );
     }
--- a/crates/lab/src/trial_scale.rs
+++ b/crates/simulator/src/trial_scale.rs
@@ -151,7 +151,7 @@
             .lease_ms
             .map_or_else(String::new, |ms| format!(" --lease-ms {ms}"));
         format!(
-            "badgerramp-lab trial scale --proxies {} --real {} --regions {regions} --zones {zones} --replicas {replicas} \
+            "badgerramp-sim fault-test scale --proxies {} --real {} --regions {regions} --zones {zones} --replicas {replicas} \
              --seed {} --seconds {seconds} --only {}{lease}",
             played.proxies, played.real, played.seed, played.fault
         )
--- a/crates/lab/src/trial_start.rs
+++ b/crates/simulator/src/trial_start.rs
@@ -107,7 +107,7 @@
     fn again(&self, played: &Played) -> String {
         let only = Only::option(self.only, Kind::name);
         format!(
-            "badgerramp-lab trial cold-start --seed {} --proxies {} --hosts {} --capacity {} --way {}{only}",
+            "badgerramp-sim fault-test cold-start --seed {} --proxies {} --hosts {} --capacity {} --way {}{only}",
             played.seed,
             self.proxies,
             self.hosts,
--- a/crates/lab/tests/keys.rs
+++ b/crates/simulator/tests/keys.rs
@@ -1,7 +1,7 @@
 //! Every key that a table of a scenario file may hold. An unknown key is refused with the list of the known ones, so one
 //! unknown key in each table shows them all.
 
-use badgerramp_lab::scenario_file::parse;
+use badgerramp_simulator::scenario_file::parse;
 
 const FILE: &str = r#"
 zzzz = 1
--- a/crates/lab/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,20 +1,20 @@
 //! The lab itself: what it plays keeps the rules, the same seed gives the same course, what it finds is told once and
 //! cut down, and what is wrong with a file is told at its place.
 
-use badgerramp_lab::check;
-use badgerramp_lab::course::Course;
-use badgerramp_lab::experiment::Template;
-use badgerramp_lab::hunt::{self, Hunt};
-use badgerramp_lab::play::{Fault, Options, Way};
-use badgerramp_lab::{generate, operator, report, scenario_file};
 use badgerramp_sim_model::{Broken, Rule, Scenario, Trouble};
+use badgerramp_simulator::check;
+use badgerramp_simulator::course::Course;
+use badgerramp_simulator::experiment::Template;
+use badgerramp_simulator::hunt::{self, Hunt};
+use badgerramp_simulator::play::{Fault, Options, Way};
+use badgerramp_simulator::{generate, operator, report, scenario_file};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Duration;
 
-const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-sim");
 
 fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
@@ -415,7 +415,7 @@
     let mut short = scenario_file::load(Path::new(file)).expect("a scenario");
     (short.duration, short.clients.rate, short.proxies) = (1_000_000, 40.0, 1);
     let path = std::env::temp_dir().join(format!(
-        "badgerramp-lab-followed-{}.toml",
+        "badgerramp-sim-followed-{}.toml",
         std::process::id()
     ));
     std::fs::write(&path, scenario_file::write(&short)).expect("a file");
@@ -449,7 +449,7 @@
         code == Some(2) && fault.contains("no-such-file.toml"),
         "{fault}"
     );
-    let out = std::env::temp_dir().join(format!("badgerramp-lab-test-{}", std::process::id()));
+    let out = std::env::temp_dir().join(format!("badgerramp-sim-test-{}", std::process::id()));
     std::fs::create_dir_all(&out).expect("a folder");
     let path = |name: &str| out.join(name).display().to_string();
     let (json, html, kept) = (path("a.jsonl"), path("a.html"), path("a.toml"));
--- a/crates/lab/tests/trial.rs
+++ b/crates/simulator/tests/trial.rs
@@ -2,11 +2,11 @@
 
 use std::process::{Command, Output};
 
-const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-sim");
 
 fn trial(arguments: &str) -> Output {
     let done = Command::new(LAB)
-        .args(["trial", "policy"])
+        .args(["fault-test", "policy"])
         .args(arguments.split(' '))
         .output();
     done.expect("it runs")
@@ -57,7 +57,7 @@
 
 fn start(arguments: &str) -> Output {
     let done = Command::new(LAB)
-        .args(["trial", "cold-start"])
+        .args(["fault-test", "cold-start"])
         .args(arguments.split(' '))
         .output();
     done.expect("it runs")
@@ -125,7 +125,7 @@
 
 fn drains(arguments: &str) -> Output {
     let done = Command::new(LAB)
-        .args(["trial", "drains"])
+        .args(["fault-test", "drains"])
         .args(arguments.split(' '))
         .output();
     done.expect("it runs")
--- a/crates/lab/tests/trial_scale.rs
+++ b/crates/simulator/tests/trial_scale.rs
@@ -2,11 +2,11 @@
 
 use std::process::{Command, Output};
 
-const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_badgerramp-sim");
 
 fn scale(arguments: &str) -> Output {
     Command::new(LAB)
-        .args(["trial", "scale"])
+        .args(["fault-test", "scale"])
         .args(arguments.split(' '))
         .output()
         .expect("it runs")
