--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -8,13 +8,13 @@
 
 mod common;
 
-use badgerramp_adversary::{Answer, Request, World};
 use badgerramp_config::Config;
 use badgerramp_config_tool::commands;
 use badgerramp_config_tool::facts::RetryOn;
 use badgerramp_config_tool::overlap::under;
 use badgerramp_config_tool::set::Set;
 use badgerramp_decisions::Micros;
+use badgerramp_testkit::decision_driver::{Answer, Request, World};
 use common::*;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use rand::seq::SliceRandom;
--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -2,9 +2,9 @@
 //! keyed one goes again only within its group and window, and each call has one final answer within its client's time.
 //! The decisions are driven without sockets.
 
-use badgerramp_adversary::{Request, World};
 use badgerramp_config::{parse, Config};
 use badgerramp_decisions::Repeat;
+use badgerramp_testkit::decision_driver::{Request, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::Rng;
--- a/crates/adversary/src/lib.rs
+++ b/crates/testkit/src/decision_driver.rs
@@ -1,11 +1,6 @@
 //! Drives the decisions of one sidecar without sockets: time is a number, and each attempt may end in any way. It holds
 //! every action against the rules of the sidecar's file as it happens: no unsafe call has two attempts that may have
 //! run, a keyed one goes again only within its group and window, each call has one final answer within its time.
-#![forbid(unsafe_code)]
-#![expect(
-    clippy::too_many_lines,
-    reason = "long functions are still to be split"
-)]
 
 use badgerramp_config::Config;
 use badgerramp_decisions::*;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,8 @@
 //! Stand-ins on loopback sockets for tests, demo and benchmarks: hosts that answer by a script or out of a seeded
-//! model, discovery by hand or as a service, clients, load, and the program as a process between them. Nothing here
-//! uses the program's own code.
+//! model, discovery by hand or as a service, clients, load, and the program as a process between them. The stand-ins use
+//! none of the program's own code.
+//!
+//! [`decision_driver`] needs no sockets: it drives the decisions through any course of outcomes.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::too_many_lines,
@@ -10,6 +12,7 @@
 
 mod catalog;
 mod client;
+pub mod decision_driver;
 mod discovery;
 mod fleet;
 mod host;
