--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgerramp-sim`: see `docs/lab.md`.
+//! `badgerramp-sim`: see `docs/simulator.md`.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
