--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,7 +4,9 @@
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use badgerramp_decisions::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State, Terms};
+//! use badgerramp_decisions::{
+//!     Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State, Terms,
+//! };
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
@@ -12,7 +14,14 @@
 //! let entries = vec![Entry { server: ServerId(1), state: State::Ready, ..Entry::default() }];
 //! balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
 //! let call = CallId(1);
-//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, resent: false, terms: Terms::default() };
+//! let event = Event::Request {
+//!     call,
+//!     class: ClassId(0),
+//!     tenant: None,
+//!     time_left: 500_000,
+//!     resent: false,
+//!     terms: Terms::default(),
+//! };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
