--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -9,7 +9,8 @@
 
 use badgerramp_decisions::settings;
 use badgerramp_decisions::{
-    Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId, Terms,
+    Action, Balancer, CallId, CallPolicy, ClassId, EndpointEntry, EndpointId, Event,
+    ListUpdateKind, Outcome, TenantId,
 };
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
@@ -123,14 +124,14 @@
             "CREATE" => Event::Start,
             "MEMBERS" => {
                 let kind = match need(input.scope, verb, "scope")? {
-                    0 => ListKind::Failed,
-                    1 => ListKind::Cached,
-                    2 => ListKind::Delta,
-                    3 => ListKind::Full,
+                    0 => ListUpdateKind::Failed,
+                    1 => ListUpdateKind::Cached,
+                    2 => ListUpdateKind::Delta,
+                    3 => ListUpdateKind::Full,
                     other => return Err(format!("MEMBERS with unknown scope {other}")),
                 };
-                let entries: Vec<Entry> = match kind {
-                    ListKind::Failed => Vec::new(),
+                let entries: Vec<EndpointEntry> = match kind {
+                    ListUpdateKind::Failed => Vec::new(),
                     _ => {
                         let list = need(input.roster_id, verb, "roster_id")?;
                         let list = self
@@ -142,11 +143,11 @@
                             .collect::<Result<_, _>>()?
                     }
                 };
-                Event::Members { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             "ALARM" => Event::Timer,
-            "PROBED" => Event::Probed {
-                server: ServerId(need(input.host, verb, "host")?),
+            "PROBED" => Event::ProbeCompleted {
+                endpoint: EndpointId(need(input.host, verb, "host")?),
                 outcome: wire::outcome(&need(input.result, verb, "result")?),
                 elapsed: input.elapsed_us.unwrap_or(0),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
@@ -171,8 +172,8 @@
                                 .and_then(|t| place(&instance.tenants, &t))
                                 .map(TenantId),
                             time_left: need(input.time_budget_us, verb, "time_budget_us")?,
-                            resent: input.resent,
-                            terms: Terms::default(),
+                            is_retry: input.resent,
+                            policy: CallPolicy::default(),
                         }
                     }
                     "DONE" => {
@@ -198,7 +199,7 @@
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::Gone { call }
+                        Event::ClientGone { call }
                     }
                 }
             }
@@ -223,8 +224,8 @@
     Some(match action {
         Action::Send {
             call,
-            server,
-            until,
+            endpoint: server,
+            attempt_deadline: until,
             ..
         } => {
             let name = instance.names.get_mut(&call)?;
@@ -236,7 +237,7 @@
                 stop_at_us: until,
             }
         }
-        Action::Refuse { call, retry_after } => {
+        Action::Reject { call, retry_after } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
             let command = Command::Bounce {
@@ -262,7 +263,7 @@
             call: word(call, &instance.names)?,
             seq_no: attempt,
         },
-        Action::Probe { server } => Command::Test {
+        Action::Probe { endpoint: server } => Command::Test {
             proxy,
             host: server.0,
         },
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,9 @@
 //! Messages of the wire, as they are read and written.
 
 use badgerramp_decisions::settings;
-use badgerramp_decisions::{CellId, Entry, Load, Outcome, ServerId, State};
+use badgerramp_decisions::{
+    CellId, EndpointEntry, EndpointId, EndpointStatus, LoadReport, Outcome,
+};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -51,11 +53,11 @@
 }
 
 impl Stats {
-    pub(crate) fn load(&self) -> Load {
-        Load {
-            in_hand: self.active,
-            waiting: self.waiting,
-            busy: self.cpu,
+    pub(crate) fn load(&self) -> LoadReport {
+        LoadReport {
+            in_flight: self.active,
+            queued: self.waiting,
+            cpu_utilization: self.cpu,
             error_rate: self.err_rps,
         }
     }
@@ -78,19 +80,19 @@
 }
 
 impl Element {
-    pub(crate) fn entry(&self) -> Result<Entry, String> {
+    pub(crate) fn entry(&self) -> Result<EndpointEntry, String> {
         let state = match self.state {
-            0 => State::Draining,
-            1 => State::Ready,
-            2 => State::Gone,
+            0 => EndpointStatus::Draining,
+            1 => EndpointStatus::Ready,
+            2 => EndpointStatus::Removed,
             other => return Err(format!("host {} in unknown state {other}", self.host)),
         };
-        Ok(Entry {
-            server: ServerId(self.host),
-            state,
-            zone: settings::zone(&self.az),
+        Ok(EndpointEntry {
+            endpoint: EndpointId(self.host),
+            status: state,
+            zone: settings::zone_id(&self.az),
             cell: CellId(self.cohort),
-            kind: settings::kind(&self.shape),
+            kind: settings::kind_id(&self.shape),
             weight: self.weight,
             started: self.last_start_us,
         })
@@ -101,11 +103,11 @@
     match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::TurnedAway,
+        "turned_away" => Outcome::Rejected,
         "no_answer" => Outcome::TimedOut,
-        "no_connection" => Outcome::NoConnection,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::Reset,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
         _ => Outcome::Unknown,
     }
--- a/crates/bench/src/list.rs
+++ b/crates/bench/src/list.rs
@@ -1,18 +1,20 @@
 //! What news of a long list costs the decisions and a subset, by how much of it changed.
 
 use crate::Fault;
-use badgerramp_decisions::{Balancer, Entry, Event, ListKind, ServerId, Settings, State};
+use badgerramp_decisions::{
+    Balancer, EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Settings,
+};
 use badgerramp_subset::{Instance, Need, Subset};
 use std::time::Instant;
 
 const ROUNDS: u32 = 200;
 
-fn entry(server: u32, started: u64) -> Entry {
-    Entry {
-        server: ServerId(server),
-        state: State::Ready,
+fn entry(server: u32, started: u64) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointId(server),
+        status: EndpointStatus::Ready,
         started,
-        ..Entry::default()
+        ..EndpointEntry::default()
     }
 }
 
@@ -30,26 +32,26 @@
         let size = u32::try_from(size)?;
         let mut balancer = Balancer::new(1, Settings::default());
         let mut actions = Vec::new();
-        let all: Vec<Entry> = (0..size).map(|n| entry(n, 0)).collect();
+        let all: Vec<EndpointEntry> = (0..size).map(|n| entry(n, 0)).collect();
         balancer.handle(
             1,
-            Event::Members {
-                kind: ListKind::Full,
+            Event::EndpointList {
+                kind: ListUpdateKind::Full,
                 entries: all.clone(),
             },
             &mut actions,
         );
         let mut tell = |kind, entries, now| {
-            balancer.handle(now, Event::Members { kind, entries }, &mut actions);
+            balancer.handle(now, Event::EndpointList { kind, entries }, &mut actions);
             actions.clear();
         };
-        let same = timed(|n| tell(ListKind::Full, all.clone(), u64::from(n)));
+        let same = timed(|n| tell(ListUpdateKind::Full, all.clone(), u64::from(n)));
         // Ten processes a time are new ones under their old names.
         let few = timed(|n| {
             let changed = (0..10)
                 .map(|k| entry((n * 10 + k) % size, u64::from(n) + 1))
                 .collect();
-            tell(ListKind::Delta, changed, u64::from(n));
+            tell(ListUpdateKind::Delta, changed, u64::from(n));
         });
         let mut subset = Subset::new(
             Need::of(20),
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -7,7 +7,7 @@
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
-use badgerramp_decisions::settings::{Facts, Transport};
+use badgerramp_decisions::settings::{PlatformSettings, Transport};
 use badgerramp_decisions::Settings as Decided;
 use badgerramp_policy::{CutOff, Generation, Grant, Holder, HolderTerms, Identity, Mode};
 use hyper::header::HeaderMap;
@@ -127,7 +127,7 @@
         connect_timeout: 1,
     };
     let (settings, classes, tenants) = (Decided::default(), Vec::new(), Vec::new());
-    let facts = Facts {
+    let facts = PlatformSettings {
         settings,
         classes,
         tenants,
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -1,7 +1,7 @@
 //! What a file makes of a request and why, and the longest course that a call of a class may take.
 
 use badgerramp_config::{Config, Figure, ANSWER_ROOM};
-use badgerramp_decisions::{Hedge, Micros, Repeat, Resend};
+use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
 use badgerramp_expr::{Builder, Wanted};
 use badgerramp_route::{normalize, Head, PathPattern, Route, Source, Timing};
 use badgerramp_toml_diagnostics::values::show_duration;
@@ -100,13 +100,13 @@
         .collect()
 }
 
-fn effect(repeat: Repeat) -> String {
+fn effect(repeat: Idempotency) -> String {
     match repeat {
-        Repeat::Free => "safe: it may run again".to_owned(),
-        Repeat::SingleShot => {
+        Idempotency::Idempotent => "safe: it may run again".to_owned(),
+        Idempotency::NonIdempotent => {
             "unsafe: it goes again only if every attempt provably never ran".to_owned()
         }
-        Repeat::Guarded { window, .. } => {
+        Idempotency::Keyed { window, .. } => {
             format!(
                 "keyed: it may go again within its group, for {}",
                 show_duration(window)
@@ -215,12 +215,12 @@
     };
     if let Some((place, route)) = found {
         let class = &config.classes[route.class];
-        let guarded = matches!(class.class.repeat, Repeat::Guarded { .. });
+        let guarded = matches!(class.class.idempotency, Idempotency::Keyed { .. });
         told_of.route = Some((
             route.name.clone(),
             line(config, config.route_span(place).start),
         ));
-        told_of.class = Some((class.name.clone(), effect(class.class.repeat)));
+        told_of.class = Some((class.name.clone(), effect(class.class.idempotency)));
         told_of.key = route.key.as_ref().filter(|_| guarded).map(|source| {
             let place = match source {
                 Source::Header(name) => format!("header {name}"),
@@ -308,7 +308,7 @@
         ));
     };
     let class = &config.classes[place];
-    let course = |timing: &Timing| steps(timing, class.class.repeat, class.class.deadline);
+    let course = |timing: &Timing| steps(timing, class.class.idempotency, class.class.deadline);
     let mut courses = vec![Course {
         route: None,
         steps: course(&class.timing),
@@ -327,10 +327,10 @@
     Ok(courses)
 }
 
-fn steps(timing: &Timing, repeat: Repeat, deadline: Micros) -> Vec<Step> {
+fn steps(timing: &Timing, repeat: Idempotency, deadline: Micros) -> Vec<Step> {
     let mut steps = Vec::new();
     let mut add = |at_us: Micros, what: String| steps.push(Step { at_us, what });
-    let only_proven = repeat == Repeat::SingleShot || timing.resend == Resend::NeverRan;
+    let only_proven = repeat == Idempotency::NonIdempotent || timing.resend == RetryOn::NotExecuted;
     let mut at = 0;
     for number in 1..=timing.attempts {
         if at >= timing.total {
@@ -339,10 +339,10 @@
         let condition = match (number, repeat) {
             (1, _) => "",
             _ if only_proven => ", if all before it provably never ran",
-            (_, Repeat::Guarded { .. }) => ", if it is keyed, within its group",
+            (_, Idempotency::Keyed { .. }) => ", if it is keyed, within its group",
             _ => ", if none before it was served",
         };
-        if let Repeat::Guarded { window, .. } = repeat {
+        if let Idempotency::Keyed { window, .. } = repeat {
             if number > 1 && at >= window {
                 add(
                     at,
@@ -369,7 +369,7 @@
                     at + wait,
                     "a second copy goes out, if no answer has come".to_owned(),
                 ),
-                Hedge::Share(share) => {
+                Hedge::Quantile(share) => {
                     add(
                         at,
                         format!(
--- a/crates/config-tool/src/facts.rs
+++ b/crates/config-tool/src/facts.rs
@@ -1,7 +1,7 @@
 //! What no operator's file tells: how an application's client waits and tries again, and what an upstream bears and
 //! honours. Description and manifest hold them under the same keys.
 
-use badgerramp_decisions::{Micros, Scope};
+use badgerramp_decisions::{DedupScope, Micros};
 use badgerramp_route::normalize;
 use badgerramp_toml_diagnostics::values::show_duration;
 use badgerramp_toml_diagnostics::{Notes, Section, Set, Span};
@@ -58,7 +58,7 @@
     /// It and all below it.
     pub prefix: String,
     /// Who drops repeats.
-    pub group: Scope,
+    pub group: DedupScope,
     /// For how long.
     pub window: Micros,
     /// The header that holds the key.
@@ -141,11 +141,11 @@
 }
 
 /// The word for who drops repeats.
-pub fn show_scope(scope: Scope) -> &'static str {
+pub fn show_scope(scope: DedupScope) -> &'static str {
     match scope {
-        Scope::All => "all",
-        Scope::Zone => "zone",
-        Scope::Cell => "group",
+        DedupScope::All => "all",
+        DedupScope::Zone => "zone",
+        DedupScope::Cell => "group",
     }
 }
 
@@ -197,9 +197,9 @@
             let part = Section::new(notes, table, (&key, value.span()), &known);
             known.iter().for_each(|name| part.want(notes, name, form));
             let words = [
-                ("all", Scope::All),
-                ("zone", Scope::Zone),
-                ("group", Scope::Cell),
+                ("all", DedupScope::All),
+                ("zone", DedupScope::Zone),
+                ("group", DedupScope::Cell),
             ];
             let path = part
                 .text(notes, "prefix")
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -3,7 +3,7 @@
 use crate::finding::{Finding, Place, Report};
 use crate::set::{show_repeat, Application, Set};
 use badgerramp_config::Config;
-use badgerramp_decisions::Repeat;
+use badgerramp_decisions::Idempotency;
 use badgerramp_route::{PathPattern, Route};
 use badgerramp_toml_diagnostics::values::show_duration;
 use http::{HeaderMap, HeaderValue, Method};
@@ -144,23 +144,23 @@
         };
         let (own, theirs) = (class.class, known.class);
         let key = |what: &str| format!("class.{name}.{what}");
-        let same_kind = match (theirs.repeat, own.repeat) {
-            (Repeat::Guarded { scope: a, .. }, Repeat::Guarded { scope: b, .. }) => a == b,
+        let same_kind = match (theirs.idempotency, own.idempotency) {
+            (Idempotency::Keyed { scope: a, .. }, Idempotency::Keyed { scope: b, .. }) => a == b,
             (a, b) => a == b,
         };
         if !same_kind {
             let reason = "while both run, one would send again what the other holds for unsafe";
             let path = ["class", name, "effect"];
-            let found = show_repeat(own.repeat);
+            let found = show_repeat(own.idempotency);
             change.refuse(
                 "effect-changed",
                 (key("effect"), &path),
                 reason,
                 found,
-                show_repeat(theirs.repeat),
+                show_repeat(theirs.idempotency),
             );
-        } else if let (Repeat::Guarded { window: a, .. }, Repeat::Guarded { window: b, .. }) =
-            (theirs.repeat, own.repeat)
+        } else if let (Idempotency::Keyed { window: a, .. }, Idempotency::Keyed { window: b, .. }) =
+            (theirs.idempotency, own.idempotency)
         {
             if b < a {
                 let reason = "while both run, the old one would send again what the hosts may have forgotten";
@@ -182,7 +182,7 @@
             }
         }
         for (what, a, b) in [
-            ("aim", theirs.aim, own.aim),
+            ("aim", theirs.latency_objective, own.latency_objective),
             ("deadline", theirs.deadline, own.deadline),
         ] {
             if a != b {
@@ -244,7 +244,7 @@
                 let class = &c.classes[route.class];
                 Some((
                     class.name.clone(),
-                    class.class.repeat,
+                    class.class.idempotency,
                     route.key.clone(),
                     route.name.clone(),
                 ))
@@ -256,7 +256,7 @@
                 (Some(theirs), Some(own)) => {
                     // The same class is looked at as a class.
                     let effect = theirs.0 != own.0 && theirs.1 != own.1;
-                    let key = theirs.2 != own.2 && matches!(own.1, Repeat::Guarded { .. });
+                    let key = theirs.2 != own.2 && matches!(own.1, Idempotency::Keyed { .. });
                     if (effect || key) && told.insert(request.clone()) {
                         let reason = if effect {
                             format!("while both run, {request} would be two things")
--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -4,7 +4,7 @@
 use crate::finding::{Finding, Place, Report};
 use crate::overlap::{covers, loose, may_write, takes_under, takes_writes_of, under};
 use badgerramp_config::{connections_kept, Config, Upstream, ANSWER_ROOM};
-use badgerramp_decisions::{Micros, Repeat, Scope};
+use badgerramp_decisions::{DedupScope, Idempotency, Micros};
 use badgerramp_route::{PathPattern, Route, Source};
 use badgerramp_toml_diagnostics::values::show_duration;
 use std::collections::{BTreeMap, HashMap};
@@ -48,11 +48,11 @@
 }
 
 /// What an effect is called.
-pub fn show_repeat(repeat: Repeat) -> String {
+pub fn show_repeat(repeat: Idempotency) -> String {
     match repeat {
-        Repeat::Free => "safe".to_owned(),
-        Repeat::SingleShot => "unsafe".to_owned(),
-        Repeat::Guarded { scope, window } => {
+        Idempotency::Idempotent => "safe".to_owned(),
+        Idempotency::NonIdempotent => "unsafe".to_owned(),
+        Idempotency::Keyed { scope, window } => {
             format!(
                 "keyed, group {:?}, window {}",
                 show_scope(scope),
@@ -205,8 +205,8 @@
                 let pairs = [
                     (
                         "effect",
-                        show_repeat(own.repeat),
-                        show_repeat(theirs.repeat),
+                        show_repeat(own.idempotency),
+                        show_repeat(theirs.idempotency),
                     ),
                     (
                         "deadline",
@@ -232,7 +232,7 @@
             }
             for (place, route) in app.config.routes.routes().iter().enumerate() {
                 let class = &app.config.classes[route.class];
-                if !matches!(class.class.repeat, Repeat::Guarded { .. }) {
+                if !matches!(class.class.idempotency, Idempotency::Keyed { .. }) {
                     continue;
                 }
                 let (other, other_place) = *keys.entry(&class.name).or_insert((app, place));
@@ -420,7 +420,7 @@
             let found =
                 format!("{wanted} requests a second over {endpoints} endpoints: {each:.1} each");
             let rules = &upstream.upstream.rules;
-            let cold = rate.value * rules.cold_share * rules.fall_multiple;
+            let cold = rate.value * rules.slow_start_min_capacity * rules.overload_multiple;
             if each > rate.value {
                 let reason = "all applications together ask more than the endpoints bear";
                 add(
@@ -487,22 +487,22 @@
             );
             same(
                 "cold_share",
-                own.rules.cold_share == theirs.rules.cold_share,
+                own.rules.slow_start_min_capacity == theirs.rules.slow_start_min_capacity,
                 report,
             );
             same(
                 "cold_time",
-                own.rules.cold_time == theirs.rules.cold_time,
+                own.rules.slow_start_duration == theirs.rules.slow_start_duration,
                 report,
             );
             same(
                 "fall_multiple",
-                own.rules.fall_multiple == theirs.rules.fall_multiple,
+                own.rules.overload_multiple == theirs.rules.overload_multiple,
                 report,
             );
             same(
                 "fall_time",
-                own.rules.fall_time == theirs.rules.fall_time,
+                own.rules.overload_duration == theirs.rules.overload_duration,
                 report,
             );
         }
@@ -564,17 +564,17 @@
                 report.findings.push(finding);
             }
         };
-        match class.class.repeat {
-            Repeat::Free => {}
-            Repeat::SingleShot => {
+        match class.class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => {
                 if facts.retry_on == RetryOn::Failed {
                     let reason = "the client itself sends an unsafe call again that may have run";
                     let found = format!("{} retries after failures", facts.retries.value);
                     add(reason, found, "retry_on = \"refused\", or no retries");
                 }
             }
-            Repeat::Guarded { scope, window } => {
-                if facts.retry_on == RetryOn::Failed && scope != Scope::All {
+            Idempotency::Keyed { scope, window } => {
+                if facts.retry_on == RetryOn::Failed && scope != DedupScope::All {
                     let reason =
                         "the client's own retry may land in a group that does not know its key";
                     let found = format!(
@@ -590,7 +590,7 @@
                 }
                 // A call whose repeats all drop may be refused though it has run.
                 let longest = last_try(facts, route.timing.total);
-                if scope == Scope::All && longest >= window {
+                if scope == DedupScope::All && longest >= window {
                     let reason =
                         "the client's last retry comes after the hosts have forgotten its key";
                     let found = format!("{} after the first try", show_duration(longest));
@@ -618,9 +618,9 @@
 fn contract(report: &mut Report, app: &Application, upstream: &Described) {
     let routes = app.config.routes.routes();
     for (place, route) in routes.iter().enumerate().filter(|(_, r)| may_write(r)) {
-        let repeat = app.config.classes[route.class].class.repeat;
+        let repeat = app.config.classes[route.class].class.idempotency;
         for (prefix, span) in &upstream.facts.once {
-            if repeat != Repeat::SingleShot {
+            if repeat != Idempotency::NonIdempotent {
                 lax(
                     report,
                     app,
@@ -633,10 +633,10 @@
         }
         for keyed in &upstream.facts.keyed {
             let honoured = match repeat {
-                Repeat::SingleShot => true,
-                Repeat::Free => false,
-                Repeat::Guarded { scope, window } => {
-                    (scope == keyed.group || keyed.group == Scope::All)
+                Idempotency::NonIdempotent => true,
+                Idempotency::Idempotent => false,
+                Idempotency::Keyed { scope, window } => {
+                    (scope == keyed.group || keyed.group == DedupScope::All)
                         && window <= keyed.window
                         && route.key == Some(Source::Header(keyed.header.clone()))
                 }
@@ -661,13 +661,13 @@
     }
     // A keyed class on paths of which the upstream says nothing is believed by nobody.
     for (place, route) in routes.iter().enumerate().filter(|(_, r)| may_write(r)) {
-        let repeat = app.config.classes[route.class].class.repeat;
+        let repeat = app.config.classes[route.class].class.idempotency;
         let within = |prefix: &str| match &route.path {
             PathPattern::Exact(path) | PathPattern::Prefix(path) => under(path, prefix),
             PathPattern::Regex(_) => takes_under(route, prefix),
         };
         let promised = upstream.facts.keyed.iter().any(|k| within(&k.prefix));
-        if matches!(repeat, Repeat::Guarded { .. }) && !promised {
+        if matches!(repeat, Idempotency::Keyed { .. }) && !promised {
             let class = &app.config.classes[route.class].name;
             let mut finding = app.finding(
                 "keyed-unhonoured",
@@ -711,7 +711,7 @@
             "route {:?} of class {} ({})",
             route.name,
             class.name,
-            show_repeat(class.class.repeat)
+            show_repeat(class.class.idempotency)
         );
         finding.allowed = allowed.to_owned();
         finding.related.push((
--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -119,8 +119,8 @@
             .as_ref()
             .is_none_or(|key| key.read(&headers).is_none());
         let guarded = matches!(
-            config.classes[taken.class].class.repeat,
-            badgerramp_decisions::Repeat::Guarded { .. }
+            config.classes[taken.class].class.idempotency,
+            badgerramp_decisions::Idempotency::Keyed { .. }
         );
         let asked = world.now();
         let call = world.ask(Request {
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -6,7 +6,8 @@
 use crate::timing::{self, Draft, Facts, Figure};
 use crate::{clients_borne, peers, policy, PeersTerms, PolicyTerms, ANSWER_ROOM};
 use badgerramp_decisions::{
-    self as decisions, settings, CellId, Entry, Micros, Repeat, Scope, ServerId, State,
+    self as decisions, settings, CellId, DedupScope, EndpointEntry, EndpointId, EndpointStatus,
+    Idempotency, Micros,
 };
 use badgerramp_expr::{Program, Wanted};
 use badgerramp_route::{
@@ -142,7 +143,7 @@
     /// Endpoints close a connection that has been idle for this long, in microseconds.
     pub idle: Micros,
     /// Figures of drains and cold starts.
-    pub rules: decisions::Rules,
+    pub rules: decisions::EndpointRules,
 }
 
 /// An endpoint that the file names.
@@ -164,13 +165,13 @@
 
 impl Endpoint {
     /// Its entry in the list, for the decisions.
-    pub fn entry(&self, server: ServerId) -> Entry {
-        Entry {
-            server,
-            state: State::Ready,
-            zone: settings::zone(&self.zone),
+    pub fn entry(&self, server: EndpointId) -> EndpointEntry {
+        EndpointEntry {
+            endpoint: server,
+            status: EndpointStatus::Ready,
+            zone: settings::zone_id(&self.zone),
             cell: CellId(self.group),
-            kind: settings::kind(&self.kind),
+            kind: settings::kind_id(&self.kind),
             weight: self.weight,
             started: 0,
         }
@@ -307,21 +308,21 @@
         let weighted = upstream.endpoints.iter().any(|e| e.weight != 1.0);
         decisions::Settings {
             balancers: upstream.proxies,
-            zone: settings::zone(&upstream.zone),
-            ask: upstream.discovery.is_some(),
+            zone: settings::zone_id(&upstream.zone),
+            poll_endpoint_list: upstream.discovery.is_some(),
             classes: self.classes.iter().map(|c| c.class).collect(),
             limits: decisions::Limits {
-                second_copies: timings().any(|t| t.hedge != decisions::Hedge::Never),
+                hedging: timings().any(|t| t.hedge != decisions::Hedge::Never),
                 max_attempts: timings().map(|t| t.attempts).max().unwrap_or(1),
                 max_retry_after: self.limits.retry_after,
                 ..plain.limits
             },
             rules: upstream.rules,
-            reports: decisions::Reports {
-                how: decisions::Reporting::Inline,
-                in_hand: true,
+            load_reporting: decisions::LoadReporting {
+                mode: decisions::ReportMode::Inline,
+                includes_in_flight: true,
             },
-            weights: if weighted {
+            weight_source: if weighted {
                 decisions::WeightSource::Nominal
             } else {
                 decisions::WeightSource::Off
@@ -339,7 +340,7 @@
     deadline: Option<Set<Micros>>,
     worth: f64,
     late_worth: f64,
-    repeat: Option<Repeat>,
+    repeat: Option<Idempotency>,
     draft: Draft,
 }
 
@@ -463,11 +464,11 @@
             };
             let repeat = c.repeat.unwrap_or_default();
             let class = decisions::Class {
-                aim,
+                latency_objective: aim,
                 deadline,
-                worth: c.worth,
+                priority_weight: c.worth,
                 late_value: c.late_worth,
-                repeat,
+                idempotency: repeat,
             };
             let timing = match usage {
                 Use::Alone => c.draft.timing(&c.facts()),
@@ -602,16 +603,16 @@
             rules.drain_grace = grace.value;
         }
         if let Some(share) = section.number(notes, "cold_share", 0.01..=1.0) {
-            rules.cold_share = share.value;
+            rules.slow_start_min_capacity = share.value;
         }
         if let Some(time) = section.duration(notes, "cold_time", 0..=600_000_000) {
-            rules.cold_time = time.value;
+            rules.slow_start_duration = time.value;
         }
         if let Some(multiple) = section.number(notes, "fall_multiple", 1.0..=100.0) {
-            rules.fall_multiple = multiple.value;
+            rules.overload_multiple = multiple.value;
         }
         if let Some(time) = section.duration(notes, "fall_time", 1_000..=600_000_000) {
-            rules.fall_time = time.value;
+            rules.overload_duration = time.value;
         }
         let endpoints = self.endpoints(section);
         Upstream {
@@ -903,7 +904,7 @@
             if own.says() {
                 draft.check(notes, &facts);
             }
-            let guarded = matches!(class.repeat, Some(Repeat::Guarded { .. }));
+            let guarded = matches!(class.repeat, Some(Idempotency::Keyed { .. }));
             if section.has("key") && !guarded && usage == Use::Alone && class.repeat.is_some() {
                 let span = section
                     .get("key")
@@ -1023,16 +1024,16 @@
             return;
         };
         for class in classes {
-            let Some(Repeat::Guarded { scope, .. }) = class.repeat else {
+            let Some(Idempotency::Keyed { scope, .. }) = class.repeat else {
                 continue;
             };
             let (what, bare) = match scope {
-                Scope::All => continue,
-                Scope::Zone => (
+                DedupScope::All => continue,
+                DedupScope::Zone => (
                     "zone",
                     upstream.endpoints.iter().find(|e| e.zone.is_empty()),
                 ),
-                Scope::Cell => ("group", upstream.endpoints.iter().find(|e| e.group == 0)),
+                DedupScope::Cell => ("group", upstream.endpoints.iter().find(|e| e.group == 0)),
             };
             if let Some(bare) = bare {
                 let reason =
@@ -1063,11 +1064,11 @@
 }
 
 fn nowhere() -> Upstream {
-    let rules = decisions::Rules {
-        cold_share: 0.3,
-        cold_time: 7_500_000,
-        fall_multiple: 3.0,
-        fall_time: 2_000_000,
+    let rules = decisions::EndpointRules {
+        slow_start_min_capacity: 0.3,
+        slow_start_duration: 7_500_000,
+        overload_multiple: 3.0,
+        overload_duration: 2_000_000,
         ..decisions::Settings::default().rules
     };
     Upstream {
@@ -1118,7 +1119,7 @@
     Some(read.value)
 }
 
-fn repeat(notes: &mut Notes, section: &Section<'_>) -> Option<Repeat> {
+fn repeat(notes: &mut Notes, section: &Section<'_>) -> Option<Idempotency> {
     #[derive(Clone, Copy, PartialEq)]
     enum Effect {
         Safe,
@@ -1135,9 +1136,9 @@
         notes,
         "group",
         &[
-            ("all", Scope::All),
-            ("zone", Scope::Zone),
-            ("group", Scope::Cell),
+            ("all", DedupScope::All),
+            ("zone", DedupScope::Zone),
+            ("group", DedupScope::Cell),
         ],
     );
     let window = section.duration(notes, "window", 1_000..=3_600_000_000);
@@ -1156,8 +1157,8 @@
         }
     }
     match effect {
-        Effect::Safe => Some(Repeat::Free),
-        Effect::Unsafe => Some(Repeat::SingleShot),
+        Effect::Safe => Some(Idempotency::Idempotent),
+        Effect::Unsafe => Some(Idempotency::NonIdempotent),
         Effect::Keyed => {
             section.want(
                 notes,
@@ -1169,7 +1170,7 @@
                 "window",
                 "for how long repeats are dropped, like \"1200ms\"",
             );
-            Some(Repeat::Guarded {
+            Some(Idempotency::Keyed {
                 scope: scope?.value,
                 window: window?.value,
             })
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::file::Config;
 use crate::timing::{show_hedge, Draft};
 use crate::ANSWER_ROOM;
-use badgerramp_decisions::settings::Facts;
+use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::Hedge;
 use badgerramp_route::{Table, Timing};
 use badgerramp_toml_diagnostics::values::show_duration;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// All that the file would widen, and classes that the platform does not have.
-pub fn narrow(config: &Config, facts: &Facts) -> Result<(Vec<Timing>, Table), Mistakes> {
+pub fn narrow(config: &Config, facts: &PlatformSettings) -> Result<(Vec<Timing>, Table), Mistakes> {
     let mut notes = Notes::default();
     let mut timings = vec![Timing::UNLIMITED; facts.classes.len()];
     let known: Vec<&str> = facts.classes.iter().map(String::as_str).collect();
@@ -68,7 +68,7 @@
 
 fn narrowed(
     notes: &mut Notes,
-    facts: &Facts,
+    facts: &PlatformSettings,
     place: usize,
     (name, span): (&str, &Span),
     draft: &Draft,
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -2,7 +2,7 @@
 //! rules.
 
 use crate::{values, ANSWER_ROOM};
-use badgerramp_decisions::{Hedge, Micros, Repeat, Resend};
+use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
 use badgerramp_route::{Answers, Proof, StatusSet, Timing};
 use badgerramp_toml_diagnostics::values::show_duration;
 use badgerramp_toml_diagnostics::{show, DeValue, Mistake, Notes, Section, Set, Span};
@@ -41,7 +41,7 @@
     pub(crate) attempts: Option<Set<u64>>,
     pub(crate) backoff: Option<Set<Micros>>,
     pub(crate) second_copy: Option<Set<Hedge>>,
-    pub(crate) retry: Option<Set<Resend>>,
+    pub(crate) retry: Option<Set<RetryOn>>,
     pub(crate) served: Option<Set<StatusSet>>,
     pub(crate) never_ran: Option<Set<Vec<Proof>>>,
 }
@@ -52,7 +52,7 @@
     pub(crate) name: &'f str,
     pub(crate) span: &'f Span,
     pub(crate) deadline: Option<Micros>,
-    pub(crate) repeat: Option<Repeat>,
+    pub(crate) repeat: Option<Idempotency>,
 }
 
 /// One figure of a timing: what it is and where it was set.
@@ -83,7 +83,10 @@
             retry: section.word(
                 notes,
                 "retry",
-                &[("never-ran", Resend::NeverRan), ("failed", Resend::Any)],
+                &[
+                    ("never-ran", RetryOn::NotExecuted),
+                    ("failed", RetryOn::AnyFailure),
+                ],
             ),
             served: served(notes, section),
             never_ran: never_ran(notes, section),
@@ -144,11 +147,13 @@
             .max(1);
         let total = value(&self.total).unwrap_or(most).min(most);
         let attempt = value(&self.attempt).unwrap_or(total);
-        let harmless = facts.repeat.is_some_and(|r| r != Repeat::SingleShot);
+        let harmless = facts
+            .repeat
+            .is_some_and(|r| r != Idempotency::NonIdempotent);
         let resend = if harmless {
-            Resend::Any
+            RetryOn::AnyFailure
         } else {
-            Resend::NeverRan
+            RetryOn::NotExecuted
         };
         Timing {
             connect: value(&self.connect).unwrap_or(CONNECT).min(attempt),
@@ -176,8 +181,8 @@
             set: at(set),
         };
         let resend = match timing.resend {
-            Resend::Any => "\"failed\"",
-            Resend::NeverRan => "\"never-ran\"",
+            RetryOn::AnyFailure => "\"failed\"",
+            RetryOn::NotExecuted => "\"never-ran\"",
         };
         let attempts = match timing.attempts {
             u32::MAX => "no limit".to_owned(),
@@ -221,8 +226,8 @@
     pub(crate) fn check(&self, notes: &mut Notes, facts: &Facts<'_>) {
         self.check_times(notes, facts);
         match facts.repeat {
-            Some(Repeat::SingleShot) => self.check_unsafe(notes, facts),
-            Some(Repeat::Guarded { window, .. }) => self.check_keyed(notes, facts, window),
+            Some(Idempotency::NonIdempotent) => self.check_unsafe(notes, facts),
+            Some(Idempotency::Keyed { window, .. }) => self.check_keyed(notes, facts, window),
             _ => {}
         }
         if let (Some(served), Some(proofs)) = (&self.served, &self.never_ran) {
@@ -379,7 +384,11 @@
                 "\"off\" for an unsafe class",
             );
         }
-        if let Some(retry) = self.retry.as_ref().filter(|r| r.value != Resend::NeverRan) {
+        if let Some(retry) = self
+            .retry
+            .as_ref()
+            .filter(|r| r.value != RetryOn::NotExecuted)
+        {
             let reason = "an unsafe call that failed may have run, and would run twice";
             add(
                 notes,
@@ -399,7 +408,7 @@
         if let Some(attempt) = self
             .attempt
             .as_ref()
-            .filter(|_| timing.resend == Resend::Any)
+            .filter(|_| timing.resend == RetryOn::AnyFailure)
         {
             let last = timing.last_start();
             if last >= window {
@@ -453,7 +462,7 @@
         Hedge::Auto => "\"auto\"".to_owned(),
         Hedge::Never => "\"off\"".to_owned(),
         Hedge::After(wait) => format!("\"after {}\"", show_duration(wait)),
-        Hedge::Share(share) => format!("\"at {}%\"", (share * 1_000.0).round() / 10.0),
+        Hedge::Quantile(share) => format!("\"at {}%\"", (share * 1_000.0).round() / 10.0),
     }
 }
 
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -40,7 +40,7 @@
                     let share = rest.trim().strip_suffix('%')?.parse::<f64>().ok()?;
                     (50.0..=99.9)
                         .contains(&share)
-                        .then_some(Hedge::Share(share / 100.0))
+                        .then_some(Hedge::Quantile(share / 100.0))
                 }
                 _ => None,
             }
@@ -68,7 +68,7 @@
             assert_eq!(set(bad), None, "{bad}");
         }
         assert_eq!(second_copy("after 120ms"), Some(Hedge::After(120_000)));
-        assert_eq!(second_copy("at 95%"), Some(Hedge::Share(0.95)));
+        assert_eq!(second_copy("at 95%"), Some(Hedge::Quantile(0.95)));
         for bad in [
             "after",
             "after 0ms",
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -105,7 +105,7 @@
     use badgerramp_config::{narrow, parse};
     use badgerramp_decisions::{settings, Hedge, Micros};
 
-    fn facts() -> settings::Facts {
+    fn facts() -> settings::PlatformSettings {
         let class = |name: &str, kind: &str| {
             format!(
                 r#"{{"name":"{name}","objective_us":500000,"deadline_us":1200000,"idempotency":"{kind}"}}"#
--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -3,7 +3,7 @@
 //! The decisions are driven without sockets.
 
 use badgerramp_config::{parse, Config};
-use badgerramp_decisions::Repeat;
+use badgerramp_decisions::Idempotency;
 use badgerramp_testkit::decision_driver::{Request, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -134,11 +134,12 @@
             continue;
         };
         accepted += 1;
-        let any =
-            |of: fn(Repeat) -> bool| u32::from(config.classes.iter().any(|c| of(c.class.repeat)));
-        hedged += u32::from(config.settings().limits.second_copies);
-        keyed += any(|r| matches!(r, Repeat::Guarded { .. }));
-        single += any(|r| r == Repeat::SingleShot);
+        let any = |of: fn(Idempotency) -> bool| {
+            u32::from(config.classes.iter().any(|c| of(c.class.idempotency)))
+        };
+        hedged += u32::from(config.settings().limits.hedging);
+        keyed += any(|r| matches!(r, Idempotency::Keyed { .. }));
+        single += any(|r| r == Idempotency::NonIdempotent);
     }
     assert!(
         accepted > 300 && hedged > 30 && keyed > 60 && single > 60 && refused > 300,
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -9,7 +9,7 @@
 
 /// A server (a process's place); it keeps its number when the process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub u32);
+pub struct EndpointId(pub u32);
 
 /// Place of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
 
 /// Which servers drop repeats of a guarded call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -44,38 +44,38 @@
 
 /// Whether a call of a class may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Harmless.
-    Free,
+    Idempotent,
     /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
-    Guarded {
+    Keyed {
         /// Who drops repeats.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
     /// Never.
     #[default]
-    SingleShot,
+    NonIdempotent,
 }
 
 /// What is asked of a class of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for an answer between aim and deadline.
     pub late_value: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 /// When a second copy of a call may go out while its first attempt is still out. Whether it may at all is up to
-/// the class ([`Repeat`]) and the site ([`Limits::second_copies`]).
+/// the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedge {
     /// As late as can still be in time.
@@ -86,46 +86,46 @@
     /// This long after the first attempt.
     After(Micros),
     /// After the time within which this share (0 to 1) of the class's answers come; as `Auto` until it is learned.
-    Share(f64),
+    Quantile(f64),
 }
 
 /// After which outcomes a call may go again, where its class lets it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Resend {
+pub enum RetryOn {
     /// After any.
     #[default]
-    Any,
+    AnyFailure,
     /// Only while every attempt provably never ran.
-    NeverRan,
+    NotExecuted,
 }
 
 /// What an operator sets for one call. It only narrows what class and site allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct CallPolicy {
     /// Most attempts.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Longest time of one attempt.
-    pub attempt_time: Micros,
+    pub attempt_timeout: Micros,
     /// Pause between the end of one attempt and the next.
     pub backoff: Micros,
     /// Second copies.
     pub hedge: Hedge,
     /// What may be sent again.
-    pub resend: Resend,
+    pub retry_on: RetryOn,
     /// It is unsafe to repeat whatever its class says: what the class goes by is missing.
-    pub once: bool,
+    pub non_idempotent: bool,
 }
 
-impl Default for Terms {
+impl Default for CallPolicy {
     /// Nothing is narrowed.
     fn default() -> Self {
-        Terms {
-            attempts: u32::MAX,
-            attempt_time: Micros::MAX,
+        CallPolicy {
+            max_attempts: u32::MAX,
+            attempt_timeout: Micros::MAX,
             backoff: 0,
             hedge: Hedge::Auto,
-            resend: Resend::Any,
-            once: false,
+            retry_on: RetryOn::AnyFailure,
+            non_idempotent: false,
         }
     }
 }
@@ -139,7 +139,7 @@
     pub quota: f64,
 }
 
-/// What [`Entry::weight`] means.
+/// What [`EndpointEntry::weight`] means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     /// Nothing.
@@ -155,7 +155,7 @@
 
 /// Where servers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reporting {
+pub enum ReportMode {
     /// Nowhere.
     #[default]
     Off,
@@ -167,16 +167,16 @@
 
 /// What a server reports of its load, and where.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reports {
+pub struct LoadReporting {
     /// Where.
-    pub how: Reporting,
-    /// Whether [`Load::in_hand`] is among the figures.
-    pub in_hand: bool,
+    pub mode: ReportMode,
+    /// Whether [`LoadReport::in_flight`] is among the figures.
+    pub includes_in_flight: bool,
 }
 
 /// Points that are taken off the result, for each unit a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Charges {
+pub struct Costs {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
     /// A probe.
@@ -184,9 +184,9 @@
     /// A new connection.
     pub handshake: f64,
     /// Server work that gave no answer, as much as was asked for.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// All worth failing only after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// What the site allows.
@@ -197,7 +197,7 @@
     /// Servers may be probed.
     pub probes: bool,
     /// A call may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for a call.
     pub max_attempts: u32,
     /// Longest advice that a client heeds; 0 where clients are given none.
@@ -208,26 +208,26 @@
 
 /// Figures of the rules that must hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct EndpointRules {
     /// A server starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub slow_start_min_capacity: f64,
     /// And is warm after this at the latest.
-    pub cold_time: Micros,
+    pub slow_start_duration: Micros,
     /// Sent more than this multiple of what it can then do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this span, a cold server falls over.
-    pub fall_time: Micros,
+    pub overload_duration: Micros,
     /// Latest that calls may still go to a server after word that it drains or is gone.
     pub drain_grace: Micros,
     /// Longest that a proxy may go without asking for the list.
-    pub ask_every: Micros,
+    pub list_poll_interval: Micros,
 }
 
 /// Weights of the parts of the goal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Goal {
+pub struct ScoreGoal {
     /// All calls together.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst-served class.
     pub worst_class: f64,
     /// The worst-served tenant, within its share.
@@ -246,7 +246,7 @@
     /// Smallest step of the proxy's clock.
     pub tick: Micros,
     /// Whether news of the server list must be asked for.
-    pub ask: bool,
+    pub poll_endpoint_list: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
     /// Tenants, if there are any.
@@ -254,88 +254,88 @@
     /// What the site allows.
     pub limits: Limits,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: EndpointRules,
     /// Weights of the goal.
-    pub goal: Goal,
+    pub goal: ScoreGoal,
     /// What costs points.
-    pub charges: Charges,
+    pub costs: Costs,
     /// What servers report.
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     /// What the list's weights mean.
-    pub weights: WeightSource,
+    pub weight_source: WeightSource,
     /// What a call is worth beyond its tenant's share, against one within.
-    pub over_share_worth: f64,
+    pub over_share_weight: f64,
     /// Clients say which calls are repeats of theirs.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
 }
 
 impl Default for Settings {
     /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
     fn default() -> Self {
-        let repeat = Repeat::SingleShot;
+        let idempotency = Idempotency::NonIdempotent;
         Settings {
             balancers: 1,
             zone: ZoneId::default(),
             tick: 1_000,
-            ask: false,
+            poll_endpoint_list: false,
             classes: vec![Class {
-                aim: 500_000,
+                latency_objective: 500_000,
                 deadline: 1_000_000,
-                worth: 1.0,
+                priority_weight: 1.0,
                 late_value: 0.0,
-                repeat,
+                idempotency,
             }],
             tenants: Vec::new(),
             limits: Limits {
                 cancel: true,
                 probes: false,
-                second_copies: false,
+                hedging: false,
                 max_attempts: 3,
                 max_retry_after: 1_000_000,
                 max_streams: 0,
             },
-            rules: Rules {
-                cold_share: 0.1,
-                cold_time: 20_000_000,
-                fall_multiple: 3.0,
-                fall_time: 2_000_000,
+            rules: EndpointRules {
+                slow_start_min_capacity: 0.1,
+                slow_start_duration: 20_000_000,
+                overload_multiple: 3.0,
+                overload_duration: 2_000_000,
                 drain_grace: 1_000_000,
-                ask_every: 10_000_000,
+                list_poll_interval: 10_000_000,
             },
-            goal: Goal {
-                whole: 1.0,
+            goal: ScoreGoal {
+                overall: 1.0,
                 worst_class: 0.0,
                 worst_tenant: 0.0,
                 worst_window: 0.0,
             },
-            charges: Charges::default(),
-            reports: Reports::default(),
-            weights: WeightSource::default(),
-            over_share_worth: 1.0,
-            marks_retry: false,
+            costs: Costs::default(),
+            load_reporting: LoadReporting::default(),
+            weight_source: WeightSource::default(),
+            over_share_weight: 1.0,
+            clients_mark_retries: false,
         }
     }
 }
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointStatus {
     /// It takes calls.
     #[default]
     Ready,
     /// It finishes its work and takes no more.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Which server.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// What it does.
-    pub state: State,
+    pub status: EndpointStatus,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -350,7 +350,7 @@
 
 /// How much of the list a piece of news holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Changed entries only.
     Delta,
     /// The whole list.
@@ -369,15 +369,15 @@
     /// The server answered with an error.
     Error,
     /// Turned away unseen: full or draining.
-    TurnedAway,
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection could be made.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke while the attempt was out.
     Reset,
     /// Called off by this balancer.
-    CalledOff,
+    Cancelled,
     /// Never sent.
     NotSent,
     /// Anything else; it may have run.
@@ -386,23 +386,23 @@
 
 impl Outcome {
     /// Whether this proves that the attempt never ran.
-    pub fn never_ran(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
-            Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         )
     }
 }
 
 /// A server's word on its load; what it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests in hand.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its cores that is busy.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Errors a second.
     pub error_rate: Option<f64>,
 }
@@ -413,11 +413,11 @@
     /// The proxy comes up. Its saved list, if any, comes next.
     Start,
     /// News of the server list.
-    Members {
+    EndpointList {
         /// How much of it.
-        kind: ListKind,
+        kind: ListUpdateKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A call has come in.
     Request {
@@ -430,9 +430,9 @@
         /// How long the client still waits.
         time_left: Micros,
         /// The client says that it has tried before.
-        resent: bool,
+        is_retry: bool,
         /// What the operator set for it.
-        terms: Terms,
+        policy: CallPolicy,
     },
     /// An attempt is over.
     Outcome {
@@ -447,7 +447,7 @@
         /// Nothing more is owed for the call.
         closed: bool,
         /// The server's report.
-        load: Load,
+        load: LoadReport,
     },
     /// The answer of an attempt has begun to flow; the call is bound to it.
     Streaming {
@@ -457,18 +457,18 @@
         attempt: u32,
     },
     /// A probe was answered.
-    Probed {
+    ProbeCompleted {
         /// By which server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         elapsed: Micros,
         /// The server's report.
-        load: Load,
+        load: LoadReport,
     },
     /// Nobody waits for this call any more.
-    Gone {
+    ClientGone {
         /// Which.
         call: CallId,
     },
@@ -477,7 +477,7 @@
         /// All of them. A class keeps its place; one that has gone leaves its place to a copy of another.
         settings: Box<Settings>,
         /// Classes whose places meant something else before: nothing learned of those holds.
-        fresh: Vec<ClassId>,
+        redefined_classes: Vec<ClassId>,
     },
     /// A time asked for by [`Action::Wake`] has come.
     Timer,
@@ -491,15 +491,15 @@
         /// Which call.
         call: CallId,
         /// To which server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// When the attempt times out (a moment); `None`: with the client's patience.
-        until: Option<Micros>,
+        attempt_deadline: Option<Micros>,
         /// When its first byte must be on its way (a moment): from then on the servers may have forgotten the call's
         /// key, and an attempt that still waits for its connection must not start. `None`: no such moment.
         start_by: Option<Micros>,
     },
     /// End the call unserved; it may safely come again.
-    Refuse {
+    Reject {
         /// Which call.
         call: CallId,
         /// Advice when.
@@ -520,7 +520,7 @@
     /// Send a health check.
     Probe {
         /// To which server.
-        server: ServerId,
+        endpoint: EndpointId,
     },
     /// Send [`Event::Timer`] after this time.
     Wake {
@@ -538,19 +538,19 @@
 
 /// What a balancer knows of a server at a moment, for whoever looks on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
+pub struct EndpointView {
     /// It takes calls, by the list.
     pub listed: bool,
     /// Attempts of this balancer's that are out there.
     pub in_flight: u32,
     /// Attempts that it may have out there when it is warm.
-    pub concurrency: f64,
+    pub concurrency_limit: f64,
     /// Answer times over what they may be; 1 is the limit.
-    pub strain: f64,
+    pub latency_ratio: f64,
     /// Recent share of failures, 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Share of its capacity that it has at the least.
-    pub warmth: f64,
+    pub slow_start_capacity: f64,
     /// It is sent nothing but a trial.
-    pub set_aside: bool,
+    pub ejected: bool,
 }
--- a/crates/decisions/src/balance.rs
+++ b/crates/decisions/src/balance.rs
@@ -111,7 +111,7 @@
 }
 
 impl Server {
-    fn full(&self, now: Micros, rules: &Rules) -> bool {
+    fn full(&self, now: Micros, rules: &EndpointRules) -> bool {
         let budget =
             f64::from(self.budget.steps) * self.budget.concurrency * self.warmth(now, rules);
         self.in_flight >= (budget + 0.5).max(1.0) as u32
@@ -125,12 +125,12 @@
     }
 
     /// Where it stands at `now`, where answers usually take no longer than `usual`.
-    fn standing(&self, now: Micros, rules: &Rules, usual: f64) -> Standing {
+    fn standing(&self, now: Micros, rules: &EndpointRules, usual: f64) -> Standing {
         let (aside, paused) = (self.listed && self.budget.steps == 0, now < self.not_before);
         let warm_at = if self.started == 0 {
             0
         } else {
-            self.started.saturating_add(rules.cold_time)
+            self.started.saturating_add(rules.slow_start_duration)
         };
         let (warm, backing_off) = (now >= warm_at, now < self.budget.backoff_end);
         let up = self.usable(now) && warm;
@@ -175,15 +175,15 @@
 impl Call {
     /// May it have another attempt, by their number?
     fn more(&self) -> bool {
-        (self.attempts.len() as u32) < self.terms.attempts
+        (self.attempts.len() as u32) < self.terms.max_attempts
     }
 
     fn may_be_refused(&self) -> bool {
         let harmless = matches!(
-            self.class.repeat,
-            Repeat::Free
-                | Repeat::Guarded {
-                    scope: Scope::All,
+            self.class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DedupScope::All,
                     ..
                 }
         );
@@ -270,20 +270,24 @@
             self.refile(now, place);
         }
         match event {
-            Event::Start => actions.extend(self.settings.ask.then_some(Action::Subscribe)),
-            Event::Probed {
-                server,
+            Event::Start => actions.extend(
+                self.settings
+                    .poll_endpoint_list
+                    .then_some(Action::Subscribe),
+            ),
+            Event::ProbeCompleted {
+                endpoint: server,
                 outcome,
                 load,
                 ..
             } => self.probed(now, server, outcome, load, actions),
-            Event::Members { kind, entries } => self.members(now, kind, &entries),
+            Event::EndpointList { kind, entries } => self.members(now, kind, &entries),
             Event::Request {
                 call,
                 class,
                 time_left,
-                resent,
-                terms,
+                is_retry: resent,
+                policy: terms,
                 ..
             } if !self.calls.contains_key(&call) => {
                 self.request(now, call, (class, time_left, !resent), terms, actions);
@@ -314,12 +318,15 @@
                     self.wakes.set(call, None);
                 }
             }
-            Event::Gone { call } => {
+            Event::ClientGone { call } => {
                 self.end(call);
                 self.cancel_others(call, None, actions);
                 self.forget(call);
             }
-            Event::Reconfigure { settings, fresh } => self.reconfigure(now, *settings, &fresh),
+            Event::Reconfigure {
+                settings,
+                redefined_classes: fresh,
+            } => self.reconfigure(now, *settings, &fresh),
             Event::Timer => self.timer_at = Micros::MAX,
         }
         self.wake_calls(now, actions);
@@ -332,7 +339,7 @@
     }
 
     /// What is known of a server; None: nothing.
-    pub fn view(&self, now: Micros, server: ServerId) -> Option<View> {
+    pub fn view(&self, now: Micros, server: EndpointId) -> Option<EndpointView> {
         let server = &self.fleet[self.fleet.place(server)?];
         let Server {
             in_flight,
@@ -343,14 +350,14 @@
         } = *server;
         let concurrency = f64::from(budget.steps) * budget.concurrency;
         let (warmth, set_aside) = (server.warmth(now, &self.settings.rules), budget.steps == 0);
-        Some(View {
+        Some(EndpointView {
             listed: server.listed,
             in_flight,
-            concurrency,
-            strain,
-            failing,
-            warmth,
-            set_aside,
+            concurrency_limit: concurrency,
+            latency_ratio: strain,
+            failure_rate: failing,
+            slow_start_capacity: warmth,
+            ejected: set_aside,
         })
     }
 
@@ -365,29 +372,29 @@
         (self.calls.len(), self.hold.len(), self.retries)
     }
 
-    fn members(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
-        if kind == ListKind::Failed {
+    fn members(&mut self, now: Micros, kind: ListUpdateKind, entries: &[EndpointEntry]) {
+        if kind == ListUpdateKind::Failed {
             // Jitter keeps balancers that lost the list together from asking together again.
-            let wait = (self.settings.rules.ask_every / 32) << self.ask_failures.min(3);
+            let wait = (self.settings.rules.list_poll_interval / 32) << self.ask_failures.min(3);
             self.ask_failures += 1;
-            if self.settings.ask {
+            if self.settings.poll_endpoint_list {
                 self.ask_at = now + wait / 2 + (self.unit() * wait as f64) as Micros;
             }
             return;
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdateKind::Cached {
             self.ask_failures = 0;
         }
-        if kind != ListKind::Delta {
+        if kind != ListUpdateKind::Delta {
             self.fleet.begin_list();
         }
         for entry in entries {
-            let found = self.fleet.place(entry.server);
+            let found = self.fleet.place(entry.endpoint);
             // A restart under the same number is a new, cold process: nothing learned of the old one holds.
             let same = found.filter(|&place| entry.started <= self.fleet[place].started);
             let place = same.unwrap_or_else(|| {
                 let budget = Budget::new(self.settings.balancers);
-                let mut server = Server::new(entry, self.settings.weights, budget);
+                let mut server = Server::new(entry, self.settings.weight_source, budget);
                 if let Some(old) = found.map(|place| &self.fleet[place]) {
                     (server.in_flight, server.budget.trial_out) =
                         (old.in_flight, old.budget.trial_out);
@@ -397,9 +404,9 @@
             });
             self.fleet.named(place);
             self.fleet.place_in(place, entry.zone, entry.cell);
-            self.list(now, place, entry.state == State::Ready);
+            self.list(now, place, entry.status == EndpointStatus::Ready);
         }
-        if kind != ListKind::Delta {
+        if kind != ListUpdateKind::Delta {
             for place in self.fleet.unnamed() {
                 self.list(now, place, false);
             }
@@ -447,12 +454,12 @@
         now: Micros,
         id: CallId,
         (class, left, lot): (ClassId, Micros, bool),
-        terms: Terms,
+        terms: CallPolicy,
         actions: &mut Actions,
     ) {
         // A class that the settings do not name is unsafe.
         let unknown = Class {
-            aim: left,
+            latency_objective: left,
             deadline: left,
             ..Class::default()
         };
@@ -462,18 +469,18 @@
             .get(class.0)
             .copied()
             .unwrap_or(unknown);
-        if terms.once {
-            spec.repeat = Repeat::SingleShot;
+        if terms.non_idempotent {
+            spec.idempotency = Idempotency::NonIdempotent;
         }
         // Settings may change while it is open: what they allow now is its own from here on.
         let limits = &self.settings.limits;
-        let hedge = if limits.second_copies {
+        let hedge = if limits.hedging {
             terms.hedge
         } else {
             Hedge::Never
         };
-        let terms = Terms {
-            attempts: terms.attempts.min(limits.max_attempts),
+        let terms = CallPolicy {
+            max_attempts: terms.max_attempts.min(limits.max_attempts),
             hedge,
             ..terms
         };
@@ -524,13 +531,13 @@
     /// late. Classes of much worth for their work wait longest.
     fn wait_limit(&self, id: CallId) -> Micros {
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.aim);
+        let usual = self.usual(call.class_id, call.class.latency_objective);
         let aim = call.aim_at().saturating_sub(call.arrived) as f64;
         let shortest = self
             .settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
             .unwrap_or(0) as f64;
         let limit = aim.min(WAIT_LONGEST * shortest) * WAIT_AIM;
@@ -545,12 +552,12 @@
     fn protected(&self, call: &Call) -> bool {
         let all = self.paces.iter().zip(&self.settings.classes);
         let (worth, work) = all.fold((0.0, 0.0), |(w, t), (p, c)| {
-            (w + p.asked * c.worth, t + p.asked * p.base)
+            (w + p.asked * c.priority_weight, t + p.asked * p.base)
         });
         let base = self.paces.get(call.class_id).map_or(f64::MAX, |p| p.base);
-        let density = call.class.worth / base * work / worth.max(f64::MIN_POSITIVE);
+        let density = call.class.priority_weight / base * work / worth.max(f64::MIN_POSITIVE);
         let goal = &self.settings.goal;
-        goal.whole * density > goal.whole + goal.worst_class
+        goal.overall * density > goal.overall + goal.worst_class
     }
 
     fn usual(&self, class_id: usize, aim: Micros) -> f64 {
@@ -566,7 +573,7 @@
         };
         call.held = true;
         call.asks.clear();
-        let (class_id, aim, end) = (call.class_id, call.class.aim, call.aim_at());
+        let (class_id, aim, end) = (call.class_id, call.class.latency_objective, call.aim_at());
         // Its way out: when a usual answer could not come in time, and always before the client gives up.
         let wake = end
             .saturating_sub(self.usual(class_id, aim) as Micros)
@@ -596,7 +603,7 @@
             .attempts
             .get_mut(attempt as usize)
             .filter(|a| a.effect == Effect::Out)?;
-        tried.effect = if outcome.never_ran() {
+        tried.effect = if outcome.proves_not_executed() {
             Effect::NeverRan
         } else {
             Effect::MayHaveRan
@@ -628,7 +635,7 @@
     }
 
     /// As many waiting as in work, or nearly all cores busy, is as much as an answer at its limit.
-    fn report(&mut self, now: Micros, id: CallId, attempt: u32, load: Load) {
+    fn report(&mut self, now: Micros, id: CallId, attempt: u32, load: LoadReport) {
         let Some(tried) = self
             .calls
             .get(&id)
@@ -640,13 +647,14 @@
             return;
         };
         let crowding = match load {
-            Load {
-                in_hand: Some(all),
-                waiting: Some(waiting),
+            LoadReport {
+                in_flight: Some(all),
+                queued: Some(waiting),
                 ..
             } => waiting / (all - waiting).max(1.0),
-            Load {
-                busy: Some(busy), ..
+            LoadReport {
+                cpu_utilization: Some(busy),
+                ..
             } => busy / BUSY_FULL,
             _ => return,
         };
@@ -657,7 +665,7 @@
         };
         self.fleet[place].crowding = crowding;
         // How busy cores are tells of no crowd: they are all busy long before one waits.
-        if load.waiting.is_some() && self.sparse() {
+        if load.queued.is_some() && self.sparse() {
             self.crowd.told(now, &mut self.fleet[place].word, crowding);
         }
     }
@@ -692,7 +700,7 @@
             .settings
             .classes
             .get(class_id)
-            .map_or(f64::MAX, |c| c.aim as f64);
+            .map_or(f64::MAX, |c| c.latency_objective as f64);
         let limit = pace.as_ref().map_or(f64::MAX, |p| {
             (p.base * STRAIN_TIMES).min(aim * STRAIN_AIM).max(p.base)
         });
@@ -708,7 +716,7 @@
             Outcome::Served => false,
             // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
             Outcome::TimedOut if server.answered > sent => false,
-            Outcome::CalledOff | Outcome::NotSent => {
+            Outcome::Cancelled | Outcome::NotSent => {
                 // A loser called off was at least this slow.
                 server.strain += (strain - server.strain).max(0.0) * SMOOTHING;
                 server.budget.trial_out &= !trial;
@@ -757,11 +765,11 @@
             server.answered = now;
         }
         // What is crowded most tells nothing: it answers nothing in time, or turns away unseen.
-        if sparse && matches!(outcome, Outcome::TimedOut | Outcome::TurnedAway) {
+        if sparse && matches!(outcome, Outcome::TimedOut | Outcome::Rejected) {
             self.crowd.silent(now, &mut server.word);
         }
         // Latency well above an unloaded server's is the sign, beside refusals, of too much in flight.
-        if outcome == Outcome::TurnedAway {
+        if outcome == Outcome::Rejected {
             server.budget.cut(CUT_FULL, 0.0);
             // Fast refusals leave it looking idle: without a pause it would draw in call after call.
             server.not_before = server.not_before.max(now + longest as Micros);
@@ -779,7 +787,7 @@
         }
         let was_up = server.budget.steps > 0;
         // A broken connection is not the end of a server that answers: its failures are counted.
-        let (refused, broke) = (outcome == Outcome::NoConnection, outcome == Outcome::Reset);
+        let (refused, broke) = (outcome == Outcome::ConnectFailed, outcome == Outcome::Reset);
         if refused || broke {
             let in_row = server.answered <= std::mem::replace(&mut server.broke, now);
             let last = may_set_aside && in_row && (refused || server.answered == 0);
@@ -833,10 +841,10 @@
             None => false,
         };
         let call = &self.calls[&id];
-        let in_time =
-            next as f64 + self.usual(call.class_id, call.class.aim) < call.aim_at() as f64;
-        let allowed = call.terms.resend == Resend::Any || call.binding().is_none();
-        let paid = self.retries >= 1.0 || outcome == Outcome::NoConnection;
+        let in_time = next as f64 + self.usual(call.class_id, call.class.latency_objective)
+            < call.aim_at() as f64;
+        let allowed = call.terms.retry_on == RetryOn::AnyFailure || call.binding().is_none();
+        let paid = self.retries >= 1.0 || outcome == Outcome::ConnectFailed;
         if !(in_time && some && allowed && call.more() && paid && !call.streaming) {
             self.give_up(id, 0, actions);
             return;
@@ -861,7 +869,7 @@
         self.goodput -= self.goodput * SMOOTHING;
         if self.calls[&id].may_be_refused() {
             let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 call: id,
                 retry_after,
             });
@@ -907,10 +915,10 @@
     /// over all its attempts decides, never the last outcome alone.
     fn domain(&mut self, now: Micros, id: CallId) -> Option<Domain> {
         let call = &self.calls[&id];
-        match (call.binding(), call.class.repeat) {
-            (None, _) | (_, Repeat::Free) => Some(Domain::All),
-            (Some(_), Repeat::SingleShot) => None,
-            (Some(first), Repeat::Guarded { scope, window })
+        match (call.binding(), call.class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => Some(Domain::All),
+            (Some(_), Idempotency::NonIdempotent) => None,
+            (Some(first), Idempotency::Keyed { scope, window })
                 if now.saturating_add(self.settings.tick) < first.sent.saturating_add(window) =>
             {
                 let place = (scope, first.zone, first.cell);
@@ -1070,11 +1078,12 @@
 
     /// Servers to ask before this call goes: a balancer of little traffic knows nothing fresh of nearly all.
     fn ask(&mut self, now: Micros, id: CallId, room: &[usize]) -> Option<Vec<usize>> {
-        let (limits, reports) = (self.settings.limits, self.settings.reports);
-        let told = limits.probes && reports.how == Reporting::OnProbe && reports.in_hand;
-        let most = (ASK_POINTS / self.settings.charges.probe.max(f64::MIN_POSITIVE)) as usize;
+        let (limits, reports) = (self.settings.limits, self.settings.load_reporting);
+        let told =
+            limits.probes && reports.mode == ReportMode::OnProbe && reports.includes_in_flight;
+        let most = (ASK_POINTS / self.settings.costs.probe.max(f64::MIN_POSITIVE)) as usize;
         let call = &self.calls[&id];
-        let usual = self.usual(call.class_id, call.class.aim);
+        let usual = self.usual(call.class_id, call.class.latency_objective);
         let in_time = (now + self.ask_wait(call)) as f64 + usual < call.aim_at() as f64;
         if !told || !self.sparse() || most < 2 || !in_time {
             // What has found all full does not go blindly in the end.
@@ -1101,7 +1110,7 @@
     }
 
     fn ask_wait(&self, call: &Call) -> Micros {
-        ((call.class.aim as f64 * ASK_WAIT) as Micros).max(self.settings.tick)
+        ((call.class.latency_objective as f64 * ASK_WAIT) as Micros).max(self.settings.tick)
     }
 
     fn start_asking(&mut self, now: Micros, id: CallId, servers: &[usize], actions: &mut Actions) {
@@ -1110,7 +1119,11 @@
             return;
         };
         (call.asks, call.asks_at) = (servers.iter().map(|&i| self.fleet[i].id).collect(), now);
-        actions.extend(call.asks.iter().map(|&server| Action::Probe { server }));
+        actions.extend(
+            call.asks
+                .iter()
+                .map(|&server| Action::Probe { endpoint: server }),
+        );
         self.asking.push(id);
         self.wakes.set(id, Some(wake));
     }
@@ -1119,16 +1132,16 @@
     fn probed(
         &mut self,
         now: Micros,
-        id: ServerId,
+        id: EndpointId,
         outcome: Outcome,
-        load: Load,
+        load: LoadReport,
         actions: &mut Actions,
     ) {
         let Some(place) = self.fleet.place(id) else {
             return;
         };
         let told = load
-            .in_hand
+            .in_flight
             .filter(|l| outcome == Outcome::Served && l.is_finite());
         let server = &mut self.fleet[place];
         (server.in_hand, server.asked) = (told.map_or(f64::MAX, |l| l.max(0.0)), now);
@@ -1136,7 +1149,7 @@
             let Some(c) = self.calls.get(&call).filter(|c| !c.asks.is_empty()) else {
                 continue;
             };
-            let waits = |&id: &ServerId| {
+            let waits = |&id: &EndpointId| {
                 self.fleet
                     .place(id)
                     .is_some_and(|p| self.fleet[p].asked < c.asks_at)
@@ -1201,7 +1214,7 @@
     fn crowd_limit(&self, id: CallId) -> f64 {
         let start = START_CONCURRENCY * self.fleet.listed() as f64
             / self.fleet.size().max(f64::MIN_POSITIVE);
-        let aim = self.calls[&id].class.aim as f64 * CROWD_AIM;
+        let aim = self.calls[&id].class.latency_objective as f64 * CROWD_AIM;
         let (time, crowd) = (
             self.told.0 + aim / SMOOTHING,
             self.told.1 + start / SMOOTHING,
@@ -1227,7 +1240,7 @@
         let cold = self.fleet.cold_size(now, &rules);
         let all = self.fleet.size() - self.fleet.cold_full_size() + cold;
         // First tries alone draw lots where repeats are marked: a few balancers' stay within bounds by that.
-        let first_alone = self.settings.marks_retry && !self.sparse();
+        let first_alone = self.settings.clients_mark_retries && !self.sparse();
         let goodput = if first_alone {
             1.0
         } else {
@@ -1308,8 +1321,8 @@
             ..
         } = &self.fleet[place];
         let effect = Effect::Out;
-        let start_by = match (call.binding(), call.class.repeat) {
-            (Some(first), Repeat::Guarded { window, .. }) => {
+        let start_by = match (call.binding(), call.class.idempotency) {
+            (Some(first), Idempotency::Keyed { window, .. }) => {
                 Some(first.sent.saturating_add(window))
             }
             _ => None,
@@ -1328,15 +1341,15 @@
         let (aim, arrived) = (call.aim_at(), call.arrived);
         let (deadline, usual) = (
             call.deadline,
-            self.usual(class_id, self.calls[&id].class.aim),
+            self.usual(class_id, self.calls[&id].class.latency_objective),
         );
         let until = (aim < deadline && aim as f64 > now as f64 + usual).then_some(aim);
-        let most = Some(now.saturating_add(terms.attempt_time)).filter(|&at| at < deadline);
+        let most = Some(now.saturating_add(terms.attempt_timeout)).filter(|&at| at < deadline);
         let until = until.into_iter().chain(most).min();
         actions.push(Action::Send {
             call: id,
-            server,
-            until,
+            endpoint: server,
+            attempt_deadline: until,
             start_by,
         });
         // A second copy as late as can be in time, but not before the first is slow.
@@ -1347,7 +1360,7 @@
             Hedge::Never => None,
             Hedge::Auto => auto,
             Hedge::After(wait) => Some(now.saturating_add(wait)),
-            Hedge::Share(part) => {
+            Hedge::Quantile(part) => {
                 share(part).map_or(auto, |wait| Some(now.saturating_add(wait as Micros)))
             }
         };
@@ -1397,7 +1410,7 @@
 
     /// A set-aside server is tried by a call that can go again, where the site has such calls.
     fn may_test(&self, call: &Call) -> bool {
-        let repeats = |c: &Class| c.repeat != Repeat::SingleShot;
+        let repeats = |c: &Class| c.idempotency != Idempotency::NonIdempotent;
         // Else trials of many servers set aside would take most calls, or those of a quiet balancer.
         let few = !self.sparse() && self.fleet.aside() <= ASIDE_FEW || call.chance < SMOOTHING;
         few && call.attempts.is_empty()
@@ -1477,7 +1490,7 @@
         self.settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .max()
             .unwrap_or(0)
             .max(1) as f64
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -115,7 +115,7 @@
     slots: Vec<Server>,
     standings: Vec<Standing>,
     free: Vec<usize>,
-    places: FxHashMap<ServerId, u32>,
+    places: FxHashMap<EndpointId, u32>,
     up: WeightedSet,
     room: WeightedSet,
     trial: WeightedSet,
@@ -135,7 +135,7 @@
     zones: Members,
     cells: Members,
     /// No longer listed, but something is still out there.
-    leaving: BTreeSet<ServerId>,
+    leaving: BTreeSet<EndpointId>,
     /// Grows with each full list: those that it did not name have gone.
     round: u32,
     rounds: Vec<u32>,
@@ -158,7 +158,7 @@
 
 impl Fleet {
     /// The slot of a server, if it is known.
-    pub(crate) fn place(&self, id: ServerId) -> Option<usize> {
+    pub(crate) fn place(&self, id: EndpointId) -> Option<usize> {
         self.places.get(&id).map(|&slot| slot as usize)
     }
 
@@ -188,11 +188,12 @@
     }
 
     /// What all cold servers can do at the least, as the rules say that they warm up.
-    pub(crate) fn cold_size(&self, now: Micros, rules: &Rules) -> f64 {
+    pub(crate) fn cold_size(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let weight = self.cold.total();
         let age = (u128::from(now) * u128::from(weight)).saturating_sub(self.cold_moment) as f64;
-        let grown = age / rules.cold_time.max(1) as f64 * (1.0 - rules.cold_share);
-        (grown + rules.cold_share * weight as f64) * weighted::size(1)
+        let grown =
+            age / rules.slow_start_duration.max(1) as f64 * (1.0 - rules.slow_start_min_capacity);
+        (grown + rules.slow_start_min_capacity * weight as f64) * weighted::size(1)
     }
 
     /// Sum of the sizes of all cold servers.
@@ -407,12 +408,12 @@
     pub(crate) fn sharing(
         &self,
         random: &mut impl Rng,
-        (scope, zone, cell): (Scope, ZoneId, CellId),
+        (scope, zone, cell): (DedupScope, ZoneId, CellId),
     ) -> Domain {
         let list = match scope {
-            Scope::All => return Domain::All,
-            Scope::Zone => self.zones.get(zone.0),
-            Scope::Cell => self.cells.get(cell.0),
+            DedupScope::All => return Domain::All,
+            DedupScope::Zone => self.zones.get(zone.0),
+            DedupScope::Cell => self.cells.get(cell.0),
         };
         let start = random.gen_range(0..list.len().max(1));
         let slots = list
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,19 +4,19 @@
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use badgerramp_decisions::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State, Terms};
+//! use badgerramp_decisions::{Action, Balancer, CallId, ClassId, Event, EndpointEntry, EndpointId, EndpointStatus, ListUpdateKind, Settings, CallPolicy};
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
 //! balancer.handle(0, Event::Start, &mut actions);
-//! let entries = vec![Entry { server: ServerId(1), state: State::Ready, ..Entry::default() }];
-//! balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+//! let entries = vec![EndpointEntry { endpoint: EndpointId(1), status: EndpointStatus::Ready, ..EndpointEntry::default() }];
+//! balancer.handle(0, Event::EndpointList { kind: ListUpdateKind::Full, entries }, &mut actions);
 //! let call = CallId(1);
-//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, resent: false, terms: Terms::default() };
+//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, is_retry: false, policy: CallPolicy::default() };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
+//!         Action::Send { call, endpoint, .. } => println!("send {call:?} to {endpoint:?}"),
 //!         Action::Wake { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -7,41 +7,41 @@
 use serde_json::Value;
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawSettings {
     balancers: u32,
-    classes: Vec<ClassFacts>,
+    classes: Vec<RawClass>,
     #[serde(default)]
-    tenants: Vec<TenantFacts>,
+    tenants: Vec<RawTenant>,
     #[serde(default)]
     discovery: String,
-    limits: LimitFacts,
-    invariants: RuleFacts,
+    limits: RawLimits,
+    invariants: RawRules,
     #[serde(default)]
-    result_mix: GoalFacts,
+    result_mix: RawScoreGoal,
     #[serde(default)]
     tick_us: u64,
     #[serde(default)]
     locality: String,
     #[serde(default)]
-    charges: ChargeFacts,
+    charges: RawCosts,
     #[serde(default)]
-    report: ReportFacts,
+    report: RawLoadReporting,
     #[serde(default)]
     weight_source: String,
     over_share_worth: Option<f64>,
     #[serde(default)]
-    client_habits: HabitFacts,
+    client_habits: RawClientHabits,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct HabitFacts {
+struct RawClientHabits {
     marks_retry: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct ChargeFacts {
+struct RawCosts {
     cross_zone: f64,
     probe: f64,
     handshake: f64,
@@ -51,13 +51,13 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct ReportFacts {
+struct RawLoadReporting {
     how: String,
     columns: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct RawClass {
     name: String,
     objective_us: u64,
     deadline_us: u64,
@@ -73,7 +73,7 @@
 }
 
 #[derive(Deserialize)]
-struct TenantFacts {
+struct RawTenant {
     name: String,
     #[serde(default)]
     portion: f64,
@@ -83,7 +83,7 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitFacts {
+struct RawLimits {
     cancel: bool,
     probes: bool,
     second_copies: bool,
@@ -96,10 +96,10 @@
     connect_timeout_us: u64,
 }
 
-impl Default for LimitFacts {
+impl Default for RawLimits {
     fn default() -> Self {
         let (cancel, probes, second_copies, retry_after) = (false, false, false, false);
-        LimitFacts {
+        RawLimits {
             cancel,
             probes,
             second_copies,
@@ -115,7 +115,7 @@
 }
 
 #[derive(Deserialize)]
-struct RuleFacts {
+struct RawRules {
     cold_from: f64,
     cold_us: u64,
     tip_after_us: u64,
@@ -126,21 +126,21 @@
 }
 
 fn ask_every() -> u64 {
-    Settings::default().rules.ask_every
+    Settings::default().rules.list_poll_interval
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct GoalFacts {
+struct RawScoreGoal {
     whole: f64,
     worst_class: f64,
     worst_tenant: f64,
     worst_window: f64,
 }
 
-impl Default for GoalFacts {
+impl Default for RawScoreGoal {
     fn default() -> Self {
-        GoalFacts {
+        RawScoreGoal {
             whole: 1.0,
             worst_class: 0.0,
             worst_tenant: 0.0,
@@ -162,7 +162,7 @@
 
 /// All that is read from the settings object.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct PlatformSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the classes, in the order of their numbers.
@@ -174,79 +174,79 @@
 }
 
 /// A number for a name (FNV-1a), the same wherever it is met.
-fn number(name: &str) -> u32 {
+fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
     })
 }
 
 /// The number of a zone by its name.
-pub fn zone(name: &str) -> ZoneId {
-    ZoneId(number(name))
+pub fn zone_id(name: &str) -> ZoneId {
+    ZoneId(name_hash(name))
 }
 
 /// The number of a machine kind by its name.
-pub fn kind(name: &str) -> KindId {
-    KindId(number(name))
+pub fn kind_id(name: &str) -> KindId {
+    KindId(name_hash(name))
 }
 
 /// Reads the settings object; the error says which part is missing or odd.
-pub fn read(facts: &Value) -> Result<Facts, String> {
-    let facts = Raw::deserialize(facts).map_err(|e| e.to_string())?;
+pub fn read(raw: &Value) -> Result<PlatformSettings, String> {
+    let raw = RawSettings::deserialize(raw).map_err(|e| e.to_string())?;
     let mut classes = Vec::new();
-    for class in &facts.classes {
+    for class in &raw.classes {
         let scope = match class.dedup_scope.as_str() {
-            "all" => Some(Scope::All),
-            "zone" => Some(Scope::Zone),
-            "cell" => Some(Scope::Cell),
+            "all" => Some(DedupScope::All),
+            "zone" => Some(DedupScope::Zone),
+            "cell" => Some(DedupScope::Cell),
             _ => None,
         };
         // A kind or a scope that is not known is taken to allow no repeat.
         let repeat = match (class.idempotency.as_str(), scope) {
-            ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", Some(scope)) => Idempotency::Keyed {
                 scope,
                 window: class.repeat_window_us,
             },
-            _ => Repeat::SingleShot,
+            _ => Idempotency::NonIdempotent,
         };
         let (aim, deadline) = (class.objective_us, class.deadline_us);
         classes.push(Class {
-            aim,
+            latency_objective: aim,
             deadline,
-            worth: class.worth,
+            priority_weight: class.worth,
             late_value: class.late_value,
-            repeat,
+            idempotency: repeat,
         });
     }
     // Taken for the wrong one, the list would be asked for too often by all, or too late.
-    if !["", "ask", "push"].contains(&facts.discovery.as_str()) {
+    if !["", "ask", "push"].contains(&raw.discovery.as_str()) {
         return Err(format!(
             "discovery: found {:?}, allowed are \"ask\" and \"push\"",
-            facts.discovery
+            raw.discovery
         ));
     }
-    let limits = &facts.limits;
-    let rules = &facts.invariants;
-    let (mix, charges, harmless) = (&facts.result_mix, &facts.charges, Settings::default());
-    let weights = match facts.weight_source.as_str() {
+    let limits = &raw.limits;
+    let rules = &raw.invariants;
+    let (mix, charges, harmless) = (&raw.result_mix, &raw.charges, Settings::default());
+    let weights = match raw.weight_source.as_str() {
         "nominal" => WeightSource::Nominal,
         "rough" => WeightSource::Rough,
         "live" => WeightSource::Live,
         _ => WeightSource::Off,
     };
-    let how = match facts.report.how.as_str() {
-        "inline" => Reporting::Inline,
-        "on_probe" => Reporting::OnProbe,
-        _ => Reporting::Off,
+    let how = match raw.report.how.as_str() {
+        "inline" => ReportMode::Inline,
+        "on_probe" => ReportMode::OnProbe,
+        _ => ReportMode::Off,
     };
     let settings = Settings {
-        balancers: facts.balancers,
-        zone: zone(&facts.locality),
-        tick: facts.tick_us,
-        ask: facts.discovery == "ask",
+        balancers: raw.balancers,
+        zone: zone_id(&raw.locality),
+        tick: raw.tick_us,
+        poll_endpoint_list: raw.discovery == "ask",
         classes,
-        tenants: facts
+        tenants: raw
             .tenants
             .iter()
             .map(|t| Tenant {
@@ -257,7 +257,7 @@
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
-            second_copies: limits.second_copies,
+            hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
             max_streams: limits.max_streams,
             max_retry_after: if limits.retry_after {
@@ -266,43 +266,45 @@
                 0
             },
         },
-        rules: Rules {
-            cold_share: rules.cold_from,
-            cold_time: rules.cold_us,
-            fall_multiple: rules.fall_multiple.unwrap_or(harmless.rules.fall_multiple),
-            fall_time: rules.tip_after_us,
+        rules: EndpointRules {
+            slow_start_min_capacity: rules.cold_from,
+            slow_start_duration: rules.cold_us,
+            overload_multiple: rules
+                .fall_multiple
+                .unwrap_or(harmless.rules.overload_multiple),
+            overload_duration: rules.tip_after_us,
             drain_grace: rules.drain_grace_us.unwrap_or(harmless.rules.drain_grace),
-            ask_every: rules.ask_every_us,
+            list_poll_interval: rules.ask_every_us,
         },
-        goal: Goal {
-            whole: mix.whole,
+        goal: ScoreGoal {
+            overall: mix.whole,
             worst_class: mix.worst_class,
             worst_tenant: mix.worst_tenant,
             worst_window: mix.worst_window,
         },
-        charges: Charges {
+        costs: Costs {
             cross_zone: charges.cross_zone,
             probe: charges.probe,
             handshake: charges.handshake,
-            waste: charges.waste,
-            late_fail: charges.late_fail,
+            wasted_work: charges.waste,
+            late_failure: charges.late_fail,
         },
-        reports: Reports {
-            how,
-            in_hand: facts.report.columns.iter().any(|c| c == "active"),
+        load_reporting: LoadReporting {
+            mode: how,
+            includes_in_flight: raw.report.columns.iter().any(|c| c == "active"),
         },
-        weights,
-        over_share_worth: facts.over_share_worth.unwrap_or(harmless.over_share_worth),
-        marks_retry: facts.client_habits.marks_retry,
+        weight_source: weights,
+        over_share_weight: raw.over_share_worth.unwrap_or(harmless.over_share_weight),
+        clients_mark_retries: raw.client_habits.marks_retry,
     };
-    let classes = facts.classes.into_iter().map(|c| c.name).collect();
+    let classes = raw.classes.into_iter().map(|c| c.name).collect();
     let transport = Transport {
         max_open: limits.max_open,
         conn_idle: limits.conn_idle_us,
         connect_timeout: limits.connect_timeout_us,
     };
-    let tenants = facts.tenants.into_iter().map(|t| t.name).collect();
-    Ok(Facts {
+    let tenants = raw.tenants.into_iter().map(|t| t.name).collect();
+    Ok(PlatformSettings {
         settings,
         classes,
         tenants,
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -24,7 +24,7 @@
 /// A server as this balancer sees it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Server {
-    pub(crate) id: ServerId,
+    pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) kind: KindId,
@@ -69,7 +69,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) sent: Micros,
@@ -84,7 +84,7 @@
 pub(crate) struct Call {
     pub(crate) class: Class,
     pub(crate) class_id: usize,
-    pub(crate) terms: Terms,
+    pub(crate) terms: CallPolicy,
     pub(crate) arrived: Micros,
     /// When its client first asked, as far as can be told.
     pub(crate) asked: Micros,
@@ -95,7 +95,7 @@
     /// From 0 to 1: it goes to groups of at least this share.
     pub(crate) chance: f64,
     /// Servers asked for their load, and since when; the call goes to one of them.
-    pub(crate) asks: Vec<ServerId>,
+    pub(crate) asks: Vec<EndpointId>,
     pub(crate) asks_at: Micros,
     /// It asks again from then on, and how often it has found all full.
     pub(crate) ask_next: Micros,
@@ -196,7 +196,7 @@
         let aim = if self.class.late_value > 0.0 {
             self.class.deadline
         } else {
-            self.class.aim
+            self.class.latency_objective
         };
         self.deadline.min(self.asked.saturating_add(aim))
     }
@@ -214,9 +214,9 @@
     }
 
     /// A server as the list names it.
-    pub(crate) fn new(entry: &Entry, weights: WeightSource, budget: Budget) -> Self {
-        let &Entry {
-            server: id,
+    pub(crate) fn new(entry: &EndpointEntry, weights: WeightSource, budget: Budget) -> Self {
+        let &EndpointEntry {
+            endpoint: id,
             zone,
             cell,
             kind,
@@ -243,16 +243,17 @@
     }
 
     /// Share of its capacity that a server has at the least, by the rules' cold share and time.
-    pub(crate) fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
+    pub(crate) fn warmth(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let age = now.saturating_sub(self.started);
-        if self.started == 0 || age >= rules.cold_time {
+        if self.started == 0 || age >= rules.slow_start_duration {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+        rules.slow_start_min_capacity
+            + (1.0 - rules.slow_start_min_capacity) * age as f64 / rules.slow_start_duration as f64
     }
 
     /// Calls of all balancers there after one more, for its present size.
-    pub(crate) fn load(&self, now: Micros, rules: &Rules) -> f64 {
+    pub(crate) fn load(&self, now: Micros, rules: &EndpointRules) -> f64 {
         if self.asked == 0 {
             return 0.0;
         }
@@ -264,8 +265,8 @@
     /// The pace of a class of which nothing is known yet.
     pub(crate) fn of(class: &Class) -> Self {
         Pace {
-            mean: class.aim as f64 / 4.0,
-            base: class.aim as f64 / 4.0,
+            mean: class.latency_objective as f64 / 4.0,
+            base: class.latency_objective as f64 / 4.0,
             ..Pace::default()
         }
     }
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -27,7 +27,7 @@
     /// How often a client asks again, and whether it says so.
     retries: u32,
     marked: bool,
-    rules: Rules,
+    rules: EndpointRules,
     /// All warm servers fail for a while when the cold ones have started.
     trouble: bool,
 }
@@ -41,13 +41,13 @@
             random.gen_range(8..30)
         };
         let cold = (servers as f64 * random.gen_range(0.1..0.9)) as usize;
-        let rules = Rules {
-            cold_share: random.gen_range(0.12..0.58),
-            cold_time: random.gen_range(4 * S..20 * S),
-            fall_multiple: random.gen_range(2.0..3.0),
-            fall_time: random.gen_range(S..2_500 * MS),
+        let rules = EndpointRules {
+            slow_start_min_capacity: random.gen_range(0.12..0.58),
+            slow_start_duration: random.gen_range(4 * S..20 * S),
+            overload_multiple: random.gen_range(2.0..3.0),
+            overload_duration: random.gen_range(S..2_500 * MS),
             drain_grace: S,
-            ask_every: 5 * S,
+            list_poll_interval: 5 * S,
         };
         Deployment {
             seed,
@@ -83,16 +83,16 @@
 }
 
 impl Machine {
-    fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
+    fn warmth(&self, now: Micros, rules: &EndpointRules) -> f64 {
         if self.started == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started) as f64 / rules.cold_time as f64;
-        rules.cold_share + (1.0 - rules.cold_share) * age.min(1.0)
+        let age = now.saturating_sub(self.started) as f64 / rules.slow_start_duration as f64;
+        rules.slow_start_min_capacity + (1.0 - rules.slow_start_min_capacity) * age.min(1.0)
     }
 
     /// Calls of mean work that it does in a microsecond.
-    fn capacity(&self, now: Micros, rules: &Rules) -> f64 {
+    fn capacity(&self, now: Micros, rules: &EndpointRules) -> f64 {
         self.speed * CORES as f64 / WORK * self.warmth(now, rules)
     }
 }
@@ -140,22 +140,22 @@
     fn new(deployment: Deployment) -> Self {
         let mut random = Pcg32::seed_from_u64(deployment.seed ^ 0x5eed);
         let class = Class {
-            aim: 700 * MS,
+            latency_objective: 700 * MS,
             deadline: DEADLINE,
-            worth: 1.0,
+            priority_weight: 1.0,
             late_value: 0.0,
-            repeat: Repeat::Free,
+            idempotency: Idempotency::Idempotent,
         };
         let settings = Settings {
             balancers: deployment.proxies as u32,
             classes: vec![class],
             rules: deployment.rules,
-            reports: Reports {
-                how: Reporting::Inline,
-                in_hand: true,
+            load_reporting: LoadReporting {
+                mode: ReportMode::Inline,
+                includes_in_flight: true,
             },
-            weights: WeightSource::Off,
-            marks_retry: deployment.marked,
+            weight_source: WeightSource::Off,
+            clients_mark_retries: deployment.marked,
             ..Settings::default()
         };
         let machine = |n: usize| Machine {
@@ -225,18 +225,18 @@
             .enumerate()
             .filter(|(_, m)| cold || m.started == 0);
         let entries = named
-            .map(|(n, m)| Entry {
-                server: ServerId(n as u32),
-                state: State::Ready,
+            .map(|(n, m)| EndpointEntry {
+                endpoint: EndpointId(n as u32),
+                status: EndpointStatus::Ready,
                 weight: 1.0,
                 started: m.started,
-                ..Entry::default()
+                ..EndpointEntry::default()
             })
             .collect();
         self.tell(
             proxy,
-            Event::Members {
-                kind: ListKind::Full,
+            Event::EndpointList {
+                kind: ListUpdateKind::Full,
                 entries,
             },
         );
@@ -249,8 +249,8 @@
             match action {
                 Action::Send {
                     call,
-                    server,
-                    until,
+                    endpoint: server,
+                    attempt_deadline: until,
                     ..
                 } => {
                     let entry = self.calls[proxy].get_mut(&call).expect("a known call");
@@ -258,12 +258,12 @@
                     (entry.1, entry.2) = (entry.1 + 1, entry.2 + 1);
                     self.send(proxy, (call, attempt), server.0 as usize, until);
                 }
-                Action::Refuse { call, .. } | Action::Fail { call } => {
+                Action::Reject { call, .. } | Action::Fail { call } => {
                     self.ended(proxy, call, false);
                 }
                 Action::Wake { after } => self.at(self.now + after, Next::Wake { proxy }),
                 Action::Cancel { call, attempt } => {
-                    self.outcome(proxy, call, attempt, Outcome::CalledOff, 0, None);
+                    self.outcome(proxy, call, attempt, Outcome::Cancelled, 0, None);
                 }
                 _ => {}
             }
@@ -338,7 +338,7 @@
         attempt: u32,
         outcome: Outcome,
         elapsed: Micros,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         let Some(entry) = self.calls[proxy].get_mut(&call) else {
             return;
@@ -392,7 +392,7 @@
                     self.asked += u64::from(tries == 0);
                     self.calls[proxy].insert(call, (tries, 0, 0));
                     let resent = tries > 0 && self.deployment.marked;
-                    let (class, terms) = (ClassId(0), Terms::default());
+                    let (class, terms) = (ClassId(0), CallPolicy::default());
                     self.tell(
                         proxy,
                         Event::Request {
@@ -400,8 +400,8 @@
                             class,
                             tenant: None,
                             time_left: DEADLINE,
-                            resent,
-                            terms,
+                            is_retry: resent,
+                            policy: terms,
                         },
                     );
                 }
@@ -417,7 +417,7 @@
                         let outcome = if fails {
                             Outcome::Error
                         } else {
-                            Outcome::TurnedAway
+                            Outcome::Rejected
                         };
                         self.outcome(proxy, call, attempt, outcome, MS, None);
                         continue;
@@ -426,10 +426,10 @@
                     let machine = &self.machines[server];
                     let in_hand = (machine.running + machine.waiting.len()) as f64;
                     let waiting = Some(machine.waiting.len() as f64);
-                    let load = Load {
-                        in_hand: Some(in_hand),
-                        waiting,
-                        ..Load::default()
+                    let load = LoadReport {
+                        in_flight: Some(in_hand),
+                        queued: waiting,
+                        ..LoadReport::default()
                     };
                     let elapsed = self.now - sent;
                     self.outcome(proxy, call, attempt, Outcome::Served, elapsed, Some(load));
@@ -459,13 +459,14 @@
         for machine in self.machines.iter().filter(|m| m.started > 0) {
             let mut first = 0;
             for (n, &at) in machine.sent.iter().enumerate() {
-                while machine.sent[first] + rules.fall_time <= at {
+                while machine.sent[first] + rules.overload_duration <= at {
                     first += 1;
                 }
                 // The capacity in the middle of the span; at the start the span has not passed, and the whole of it counts.
-                let middle = at.saturating_sub(rules.fall_time / 2).max(STARTS);
-                let budget =
-                    rules.fall_multiple * machine.capacity(middle, &rules) * rules.fall_time as f64;
+                let middle = at.saturating_sub(rules.overload_duration / 2).max(STARTS);
+                let budget = rules.overload_multiple
+                    * machine.capacity(middle, &rules)
+                    * rules.overload_duration as f64;
                 let most = budget + 2.0 * budget.sqrt() + 2.0;
                 worst = worst.max((n + 1 - first) as f64 / most);
             }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -14,13 +14,13 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub(crate) fn settings(repeat: Repeat) -> Settings {
+pub(crate) fn settings(repeat: Idempotency) -> Settings {
     let class = Class {
-        aim: 500 * MS,
+        latency_objective: 500 * MS,
         deadline: 1_200 * MS,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_value: 0.0,
-        repeat,
+        idempotency: repeat,
     };
     Settings {
         classes: vec![class],
@@ -33,11 +33,11 @@
     }
 }
 
-pub(crate) fn ready(server: u32) -> Entry {
-    Entry {
-        server: ServerId(server),
-        state: State::Ready,
-        ..Entry::default()
+pub(crate) fn ready(server: u32) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointId(server),
+        status: EndpointStatus::Ready,
+        ..EndpointEntry::default()
     }
 }
 
@@ -51,7 +51,7 @@
             next: 0,
         };
         proxy.event(Event::Start);
-        proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+        proxy.list(ListUpdateKind::Full, (1..=servers).map(ready).collect());
         proxy
     }
 
@@ -62,8 +62,12 @@
         actions
     }
 
-    pub(crate) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+    pub(crate) fn list(
+        &mut self,
+        kind: ListUpdateKind,
+        entries: Vec<EndpointEntry>,
+    ) -> Vec<Action> {
+        self.event(Event::EndpointList { kind, entries })
     }
 
     pub(crate) fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
@@ -75,8 +79,8 @@
             class,
             tenant: None,
             time_left: 1_200 * MS,
-            resent: false,
-            terms: Terms::default(),
+            is_retry: false,
+            policy: CallPolicy::default(),
         };
         (call, self.event(event))
     }
@@ -99,12 +103,12 @@
             outcome,
             elapsed,
             closed,
-            load: Load::default(),
+            load: LoadReport::default(),
         })
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
-    pub(crate) fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
+    pub(crate) fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (call, actions) = self.call();
         let server = sent(&actions).first().map(|s| s.1);
         self.now += elapsed;
@@ -118,11 +122,15 @@
     }
 }
 
-pub(crate) fn sent(actions: &[Action]) -> Vec<(CallId, ServerId)> {
+pub(crate) fn sent(actions: &[Action]) -> Vec<(CallId, EndpointId)> {
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { call, server, .. } => Some((*call, *server)),
+            Action::Send {
+                call,
+                endpoint: server,
+                ..
+            } => Some((*call, *server)),
             _ => None,
         })
         .collect()
@@ -131,7 +139,7 @@
 pub(crate) fn refused(actions: &[Action], id: CallId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
+        .any(|a| matches!(a, Action::Reject { call, .. } if *call == id))
 }
 
 pub(crate) fn failed(actions: &[Action], id: CallId) -> bool {
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -16,10 +16,10 @@
 
 /// The chance of each server to be picked: the less loaded of two drawn by size without putting back, of all that are
 /// up; if it is full, of those with room.
-fn walk(servers: &BTreeMap<ServerId, Seen>) -> BTreeMap<ServerId, f64> {
+fn walk(servers: &BTreeMap<EndpointId, Seen>) -> BTreeMap<EndpointId, f64> {
     let mut chances = BTreeMap::new();
-    let all: Vec<(ServerId, Seen)> = servers.iter().map(|(&id, &s)| (id, s)).collect();
-    let room: Vec<(ServerId, Seen)> = all.iter().filter(|(_, s)| !s.full).copied().collect();
+    let all: Vec<(EndpointId, Seen)> = servers.iter().map(|(&id, &s)| (id, s)).collect();
+    let room: Vec<(EndpointId, Seen)> = all.iter().filter(|(_, s)| !s.full).copied().collect();
     let mut redrawn = 0.0;
     two(&all, 1.0, |id, seen, chance| {
         if seen.full {
@@ -35,7 +35,7 @@
 }
 
 /// Every ordered pair with its chance, and the better of the two; the first of equals.
-fn two(among: &[(ServerId, Seen)], whole: f64, mut better: impl FnMut(ServerId, Seen, f64)) {
+fn two(among: &[(EndpointId, Seen)], whole: f64, mut better: impl FnMut(EndpointId, Seen, f64)) {
     let sum: f64 = among.iter().map(|(_, s)| s.size).sum();
     for &(a, first) in among {
         let chance = whole * first.size / sum;
@@ -54,25 +54,25 @@
 }
 
 /// Servers of sizes that differ.
-fn sized(count: u32) -> Vec<Entry> {
+fn sized(count: u32) -> Vec<EndpointEntry> {
     (1..=count)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             weight: f64::from(1 + n % 4),
             ..ready(n)
         })
         .collect()
 }
 
-fn proxy(seed: u64, settings: &Settings, entries: &[Entry]) -> Proxy {
+fn proxy(seed: u64, settings: &Settings, entries: &[EndpointEntry]) -> Proxy {
     let mut proxy = Proxy::new(settings.clone(), 0);
     proxy.balancer = Balancer::new(seed, settings.clone());
     proxy.event(Event::Start);
-    proxy.list(ListKind::Full, entries.to_vec());
+    proxy.list(ListUpdateKind::Full, entries.to_vec());
     proxy
 }
 
 /// Half the sum of all differences, between shares counted and chances.
-fn distance(counted: &BTreeMap<ServerId, u32>, chances: &BTreeMap<ServerId, f64>) -> f64 {
+fn distance(counted: &BTreeMap<EndpointId, u32>, chances: &BTreeMap<EndpointId, f64>) -> f64 {
     let total: u32 = counted.values().sum();
     let ids: std::collections::BTreeSet<_> = counted.keys().chain(chances.keys()).collect();
     let share = |id| f64::from(counted.get(id).copied().unwrap_or(0)) / f64::from(total);
@@ -83,18 +83,18 @@
 }
 
 /// What a walk would see of the fleet now.
-fn seen(proxy: &Proxy, entries: &[Entry]) -> BTreeMap<ServerId, Seen> {
+fn seen(proxy: &Proxy, entries: &[EndpointEntry]) -> BTreeMap<EndpointId, Seen> {
     let mut servers = BTreeMap::new();
     for entry in entries {
-        let Some(view) = proxy.balancer.view(proxy.now, entry.server) else {
+        let Some(view) = proxy.balancer.view(proxy.now, entry.endpoint) else {
             continue;
         };
-        if !view.listed || view.set_aside || view.warmth < 1.0 {
+        if !view.listed || view.ejected || view.slow_start_capacity < 1.0 {
             continue;
         }
-        let full = view.in_flight >= (view.concurrency + 0.5).max(1.0) as u32;
+        let full = view.in_flight >= (view.concurrency_limit + 0.5).max(1.0) as u32;
         servers.insert(
-            entry.server,
+            entry.endpoint,
             Seen {
                 size: entry.weight,
                 in_flight: view.in_flight,
@@ -106,9 +106,9 @@
 }
 
 /// Where the next call goes in many copies of one proxy that differ in what they draw from now on, against the walk.
-fn next_call(settings: &Settings, entries: &[Entry], prepare: impl Fn(&mut Proxy)) -> f64 {
-    let mut counted: BTreeMap<ServerId, u32> = BTreeMap::new();
-    let mut chances: BTreeMap<ServerId, f64> = BTreeMap::new();
+fn next_call(settings: &Settings, entries: &[EndpointEntry], prepare: impl Fn(&mut Proxy)) -> f64 {
+    let mut counted: BTreeMap<EndpointId, u32> = BTreeMap::new();
+    let mut chances: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let (states, calls) = (8, 2_000);
     for seed in 0..states {
         let mut proxy = proxy(seed, settings, entries);
@@ -124,8 +124,8 @@
                 panic!("not sent: {actions:?}")
             };
             *counted.entry(server).or_default() += 1;
-            proxy.event(Event::Gone { call });
-            proxy.end(call, 0, Outcome::CalledOff, 0);
+            proxy.event(Event::ClientGone { call });
+            proxy.end(call, 0, Outcome::Cancelled, 0);
         }
     }
     distance(&counted, &chances)
@@ -134,8 +134,8 @@
 fn weighted(balancers: u32) -> Settings {
     Settings {
         balancers,
-        weights: WeightSource::Nominal,
-        ..settings(Repeat::Free)
+        weight_source: WeightSource::Nominal,
+        ..settings(Idempotency::Idempotent)
     }
 }
 
@@ -175,13 +175,17 @@
     entries
         .iter_mut()
         .step_by(3)
-        .for_each(|e| e.state = State::Draining);
+        .for_each(|e| e.status = EndpointStatus::Draining);
     let distance = next_call(&weighted(1), &entries, |proxy| {
-        let gone = sized(100).into_iter().skip(1).step_by(5).map(|e| Entry {
-            state: State::Gone,
-            ..e
-        });
-        proxy.list(ListKind::Delta, gone.collect());
+        let gone = sized(100)
+            .into_iter()
+            .skip(1)
+            .step_by(5)
+            .map(|e| EndpointEntry {
+                status: EndpointStatus::Removed,
+                ..e
+            });
+        proxy.list(ListUpdateKind::Delta, gone.collect());
         for _ in 0..200 {
             proxy.call();
         }
@@ -200,7 +204,8 @@
         .iter_mut()
         .step_by(4)
         .for_each(|e| e.started = started);
-    let warmth = rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64;
+    let warmth = rules.slow_start_min_capacity
+        + (1.0 - rules.slow_start_min_capacity) * age as f64 / rules.slow_start_duration as f64;
     let (mut cold, mut all) = (0.0, 0.0);
     entries.iter().for_each(|e| {
         let size = e.weight * if e.started > 0 { warmth } else { 1.0 };
@@ -213,16 +218,16 @@
     for _ in 0..calls {
         let (call, actions) = proxy.call();
         *counted.entry(sent(&actions)[0].1).or_insert(0) += 1;
-        proxy.event(Event::Gone { call });
-        proxy.end(call, 0, Outcome::CalledOff, 0);
+        proxy.event(Event::ClientGone { call });
+        proxy.end(call, 0, Outcome::Cancelled, 0);
     }
     let chance = cold / all * 1.2;
-    let of_cold: BTreeMap<ServerId, f64> = entries
+    let of_cold: BTreeMap<EndpointId, f64> = entries
         .iter()
         .filter(|e| e.started > 0)
-        .map(|e| (e.server, e.weight * warmth / cold))
+        .map(|e| (e.endpoint, e.weight * warmth / cold))
         .collect();
-    let to_cold: BTreeMap<ServerId, u32> = counted
+    let to_cold: BTreeMap<EndpointId, u32> = counted
         .iter()
         .filter(|(id, _)| of_cold.contains_key(id))
         .map(|(&id, &n)| (id, n))
@@ -235,9 +240,9 @@
 /// Two random draws would hardly meet it.
 #[test]
 fn a_call_finds_the_one_server_of_thousands_that_has_room() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2_000);
-    let out: Vec<(CallId, ServerId)> = (0..2_000).map(|_| sent(&proxy.call().1)[0]).collect();
-    let distinct: std::collections::BTreeSet<ServerId> = out.iter().map(|o| o.1).collect();
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2_000);
+    let out: Vec<(CallId, EndpointId)> = (0..2_000).map(|_| sent(&proxy.call().1)[0]).collect();
+    let distinct: std::collections::BTreeSet<EndpointId> = out.iter().map(|o| o.1).collect();
     assert_eq!(
         distinct.len(),
         2_000,
@@ -251,8 +256,8 @@
 /// Two hundred that are due to be tried took every call for some time.
 #[test]
 fn with_half_a_large_fleet_set_aside_most_calls_go_to_the_rest() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 400);
-    let broken = |id: ServerId| id.0.is_multiple_of(2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 400);
+    let broken = |id: EndpointId| id.0.is_multiple_of(2);
     for _ in 0..12_000 {
         let (call, actions) = proxy.call();
         proxy.now += MS;
@@ -260,7 +265,7 @@
         let mut attempt = 0;
         while let Some((call, server)) = out.pop() {
             let outcome = if broken(server) {
-                Outcome::NoConnection
+                Outcome::ConnectFailed
             } else {
                 Outcome::Served
             };
@@ -271,17 +276,17 @@
             );
             attempt += 1;
         }
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::ClientGone { call });
     }
     let aside = (1..=400).filter(|&n| {
         proxy
             .balancer
-            .view(proxy.now, ServerId(n))
-            .is_some_and(|v| v.set_aside)
+            .view(proxy.now, EndpointId(n))
+            .is_some_and(|v| v.ejected)
     });
     let aside: Vec<u32> = aside.collect();
     assert!(
-        aside.iter().all(|n| broken(ServerId(*n))) && aside.len() > 150,
+        aside.iter().all(|n| broken(EndpointId(*n))) && aside.len() > 150,
         "{}",
         aside.len()
     );
@@ -292,8 +297,8 @@
         let (call, actions) = proxy.call();
         let server = sent(&actions)[0].1;
         tried += u32::from(aside.contains(&server.0));
-        proxy.event(Event::Gone { call });
-        proxy.end(call, 0, Outcome::CalledOff, 0);
+        proxy.event(Event::ClientGone { call });
+        proxy.end(call, 0, Outcome::Cancelled, 0);
     }
     assert!((20..100).contains(&tried), "{tried}");
 }
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
-fn full_server(repeat: Repeat) -> (Proxy, CallId) {
+fn full_server(repeat: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(repeat), 1);
     let (first, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
@@ -19,16 +19,16 @@
 
 #[test]
 fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
-    assert_eq!(sent(&actions), [(trial, ServerId(1))]);
+    assert_eq!(sent(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.call();
     assert!(sent(&actions).is_empty(), "one trial at a time");
 }
 
 #[test]
 fn a_served_trial_adds_one_step() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
@@ -40,7 +40,7 @@
     let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
     // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
     // what it does.
-    assert_eq!(sent(&actions), [(a, ServerId(1))]);
+    assert_eq!(sent(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end(a, 0, Outcome::Served, 100 * MS);
     proxy.now += 100 * MS;
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let mut trial = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
@@ -104,7 +104,7 @@
 
 #[test]
 fn waiting_calls_go_out_in_the_order_of_arrival() {
-    let (mut proxy, first) = full_server(Repeat::SingleShot);
+    let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
@@ -125,25 +125,25 @@
     let mut proxy = Proxy::new(
         Settings {
             balancers: 1,
-            ..settings(Repeat::SingleShot)
+            ..settings(Idempotency::NonIdempotent)
         },
         2,
     );
-    let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
+    let mut load: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for _ in 0..10 {
         let server = sent(&proxy.call().1)[0].1;
         *load.entry(server).or_default() += 1;
     }
-    assert_eq!(load[&ServerId(1)], 5);
-    assert_eq!(load[&ServerId(2)], 5);
+    assert_eq!(load[&EndpointId(1)], 5);
+    assert_eq!(load[&EndpointId(2)], 5);
 }
 
 #[test]
 fn ties_go_to_the_server_with_the_shorter_recent_times() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
-        let elapsed = if sent(&actions)[0].1 == ServerId(1) {
+        let elapsed = if sent(&actions)[0].1 == EndpointId(1) {
             200 * MS
         } else {
             40 * MS
@@ -152,7 +152,7 @@
         proxy.end(call, 0, Outcome::Served, elapsed);
     }
     let chosen = (0..20)
-        .filter(|_| proxy.serve(40 * MS) == Some(ServerId(2)))
+        .filter(|_| proxy.serve(40 * MS) == Some(EndpointId(2)))
         .count();
     assert_eq!(chosen, 20);
 }
@@ -160,8 +160,8 @@
 #[test]
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 20);
-    let servers: std::collections::BTreeSet<ServerId> =
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
+    let servers: std::collections::BTreeSet<EndpointId> =
         (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
     assert_eq!(
         servers.len(),
@@ -181,7 +181,7 @@
         Settings {
             balancers: 1,
             limits,
-            ..settings(Repeat::SingleShot)
+            ..settings(Idempotency::NonIdempotent)
         },
         1,
     );
@@ -206,7 +206,7 @@
 fn a_refusal_as_full_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
     assert_eq!(
-        room_after(Outcome::TurnedAway),
+        room_after(Outcome::Rejected),
         7,
         "four fifths of seven, and a trial"
     );
@@ -223,7 +223,7 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::Gone { call: waiting });
+    proxy.event(Event::ClientGone { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
@@ -237,7 +237,7 @@
     let mut proxy = Proxy::new(
         Settings {
             limits,
-            ..settings(Repeat::SingleShot)
+            ..settings(Idempotency::NonIdempotent)
         },
         1,
     );
@@ -249,7 +249,7 @@
     for _ in 0..9 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1);
-        proxy.end(call, 0, Outcome::NoConnection, MS);
+        proxy.end(call, 0, Outcome::ConnectFailed, MS);
         for _ in 0..8 {
             proxy.serve(40 * MS);
         }
@@ -264,11 +264,11 @@
 #[test]
 fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call(
 ) {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
-    let other = sent(&proxy.end(call, 0, Outcome::NoConnection, MS))[0].1;
+    let other = sent(&proxy.end(call, 0, Outcome::ConnectFailed, MS))[0].1;
     assert_ne!(broken, other);
     proxy.now += MS;
     proxy.end(call, 1, Outcome::Served, MS);
@@ -283,7 +283,7 @@
     proxy.end(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end(trial, 0, Outcome::Served, MS);
-    let mut used: Vec<ServerId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
+    let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 2, "taken back");
@@ -298,7 +298,7 @@
             .iter()
             .any(|a| matches!(a, Action::Log { text } if text.ends_with("set aside")))
     };
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     let mut resets = 0;
     for call in 1..200 {
         let (id, actions) = proxy.call();
@@ -323,7 +323,7 @@
     let mut ended = false;
     for _ in 0..40 {
         let (id, actions) = proxy.call();
-        let breaks = sent(&actions)[0].1 == ServerId(1);
+        let breaks = sent(&actions)[0].1 == EndpointId(1);
         proxy.now += MS;
         ended |= set_aside(&proxy.end(
             id,
@@ -341,16 +341,16 @@
 
 #[test]
 fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
     proxy.end(call, 0, Outcome::Reset, MS);
-    proxy.list(ListKind::Full, vec![ready(broken.0)]);
+    proxy.list(ListUpdateKind::Full, vec![ready(broken.0)]);
     let (call, actions) = proxy.call();
     let advice = actions.iter().find_map(|a| match a {
-        Action::Refuse {
+        Action::Reject {
             call: id,
             retry_after,
         } if *id == call => Some(*retry_after),
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random.rs
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 struct Seen {
-    attempts: Vec<(ServerId, Option<Outcome>, Micros)>,
+    attempts: Vec<(EndpointId, Option<Outcome>, Micros)>,
     ended: bool,
     deadline: Micros,
     class: usize,
@@ -31,34 +31,34 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
-        Repeat::Free,
-        Repeat::SingleShot,
-        Repeat::Guarded {
-            scope: Scope::Cell,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed {
+            scope: DedupScope::Cell,
             window: 300 * MS,
         },
-        Repeat::Guarded {
-            scope: Scope::All,
+        Idempotency::Keyed {
+            scope: DedupScope::All,
             window: 300 * MS,
         },
     ];
-    let mut settings = settings(Repeat::Free);
+    let mut settings = settings(Idempotency::Idempotent);
     settings.classes = kinds
         .iter()
         .map(|&repeat| Class {
-            repeat,
+            idempotency: repeat,
             ..settings.classes[0]
         })
         .collect();
-    settings.limits.second_copies = seed.is_multiple_of(2);
+    settings.limits.hedging = seed.is_multiple_of(2);
     settings.limits.max_attempts = 4;
     settings.balancers = 1 + below(5) as u32;
-    settings.ask = seed.is_multiple_of(3);
-    let (second_copies, classes) = (settings.limits.second_copies, settings.classes.clone());
+    settings.poll_endpoint_list = seed.is_multiple_of(3);
+    let (second_copies, classes) = (settings.limits.hedging, settings.classes.clone());
     let mut proxy = Proxy::new(settings, 0);
     let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
-    let mut list: BTreeMap<ServerId, State> = BTreeMap::new();
-    let mut known: BTreeSet<ServerId> = BTreeSet::new();
+    let mut list: BTreeMap<EndpointId, EndpointStatus> = BTreeMap::new();
+    let mut known: BTreeSet<EndpointId> = BTreeSet::new();
     for step in 0..4_000_u64 {
         proxy.now += below(8) * MS;
         let open: Vec<(CallId, usize)> = calls
@@ -88,8 +88,8 @@
                 let (id, attempt) = open[below(open.len() as u64) as usize];
                 let outcome = match below(12) {
                     0 => Outcome::Error,
-                    1 => Outcome::TurnedAway,
-                    2 => Outcome::NoConnection,
+                    1 => Outcome::Rejected,
+                    2 => Outcome::ConnectFailed,
                     3 => Outcome::Reset,
                     4 => Outcome::Unknown,
                     _ => Outcome::Served,
@@ -101,25 +101,29 @@
                 proxy.end(id, attempt as u32, outcome, elapsed)
             }
             8 if step % 7 == 0 => {
-                let server = ServerId(below(8) as u32);
-                let state =
-                    [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
+                let server = EndpointId(below(8) as u32);
+                let state = [
+                    EndpointStatus::Ready,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Removed,
+                ][below(4) as usize];
                 let started = if below(4) > 0 { 0 } else { proxy.now };
                 known.insert(server);
                 list.insert(server, state);
                 let cell = CellId(server.0 % 2);
                 proxy.list(
-                    ListKind::Delta,
-                    vec![Entry {
-                        server,
-                        state,
+                    ListUpdateKind::Delta,
+                    vec![EndpointEntry {
+                        endpoint: server,
+                        status: state,
                         started,
                         cell,
-                        ..Entry::default()
+                        ..EndpointEntry::default()
                     }],
                 )
             }
-            8 if step % 31 == 0 => proxy.list(ListKind::Failed, vec![]),
+            8 if step % 31 == 0 => proxy.list(ListUpdateKind::Failed, vec![]),
             _ => {
                 // Deadlines first, as the proxy's clock would bring them.
                 let mut all = Vec::new();
@@ -207,19 +211,23 @@
 fn check(
     actions: &[Action],
     calls: &mut BTreeMap<CallId, Seen>,
-    list: &BTreeMap<ServerId, State>,
-    known: &BTreeSet<ServerId>,
+    list: &BTreeMap<EndpointId, EndpointStatus>,
+    known: &BTreeSet<EndpointId>,
     classes: &[Class],
     second_copies: bool,
     now: Micros,
 ) {
     for action in actions {
         match *action {
-            Action::Send { call, server, .. } => {
+            Action::Send {
+                call,
+                endpoint: server,
+                ..
+            } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!seen.ended, "sent after its end");
                 assert!(
-                    known.contains(&server) && list[&server] == State::Ready,
+                    known.contains(&server) && list[&server] == EndpointStatus::Ready,
                     "sent to one not ready"
                 );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
@@ -228,12 +236,12 @@
                 let first = seen
                     .attempts
                     .iter()
-                    .find(|a| a.1.is_none_or(|o| !o.never_ran()));
-                match (classes[seen.class].repeat, first) {
-                    (Repeat::SingleShot, Some(_)) => panic!("an unsafe call went again"),
-                    (Repeat::Guarded { scope, window }, Some(first)) => {
+                    .find(|a| a.1.is_none_or(|o| !o.proves_not_executed()));
+                match (classes[seen.class].idempotency, first) {
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::Keyed { scope, window }, Some(first)) => {
                         assert!(
-                            scope == Scope::All || first.0 .0 % 2 == server.0 % 2,
+                            scope == DedupScope::All || first.0 .0 % 2 == server.0 % 2,
                             "left its cell"
                         );
                         assert!(now <= first.2 + window, "left its window");
@@ -242,18 +250,18 @@
                 }
                 seen.attempts.push((server, None, now));
             }
-            Action::Refuse { call, .. } => {
+            Action::Reject { call, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
                 let proven = seen
                     .attempts
                     .iter()
-                    .all(|a| a.1.is_some_and(Outcome::never_ran));
+                    .all(|a| a.1.is_some_and(Outcome::proves_not_executed));
                 let harmless = matches!(
-                    classes[seen.class].repeat,
-                    Repeat::Free
-                        | Repeat::Guarded {
-                            scope: Scope::All,
+                    classes[seen.class].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DedupScope::All,
                             ..
                         }
                 );
@@ -277,7 +285,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut proxy = Proxy::new(settings(Repeat::Free), 5);
+        let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
             proxy.serve((i % 17) * MS);
         }
@@ -288,20 +296,20 @@
 
 #[test]
 fn odd_input_is_survived() {
-    let mut odd = settings(Repeat::Free);
+    let mut odd = settings(Idempotency::Idempotent);
     odd.balancers = 0;
     odd.limits.max_attempts = 0;
     odd.tenants = vec![Tenant {
         share: 0.0,
         quota: 0.0,
     }];
-    odd.rules = Rules {
-        cold_share: 0.0,
-        cold_time: 0,
-        fall_multiple: 0.0,
-        fall_time: 0,
+    odd.rules = EndpointRules {
+        slow_start_min_capacity: 0.0,
+        slow_start_duration: 0,
+        overload_multiple: 0.0,
+        overload_duration: 0,
         drain_grace: 0,
-        ask_every: 0,
+        list_poll_interval: 0,
     };
     let empty = Settings {
         classes: vec![],
@@ -319,8 +327,8 @@
                 class,
                 tenant,
                 time_left,
-                resent: true,
-                terms: Terms::default(),
+                is_retry: true,
+                policy: CallPolicy::default(),
             };
             proxy.event(event.clone());
             proxy.event(event);
@@ -329,33 +337,33 @@
             }
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
-        proxy.event(Event::Gone { call: CallId(99) });
+        proxy.event(Event::ClientGone { call: CallId(99) });
         proxy.event(Event::Streaming {
             call: CallId(99),
             attempt: 3,
         });
-        let load = Load {
-            in_hand: Some(f64::NAN),
-            waiting: Some(-1.0),
-            ..Load::default()
+        let load = LoadReport {
+            in_flight: Some(f64::NAN),
+            queued: Some(-1.0),
+            ..LoadReport::default()
         };
-        proxy.event(Event::Probed {
-            server: ServerId(9),
+        proxy.event(Event::ProbeCompleted {
+            endpoint: EndpointId(9),
             outcome: Outcome::Served,
             elapsed: 0,
             load,
         });
-        proxy.list(ListKind::Full, vec![]);
+        proxy.list(ListUpdateKind::Full, vec![]);
         proxy.now = u64::MAX - 10;
         proxy.list(
-            ListKind::Delta,
-            vec![Entry {
+            ListUpdateKind::Delta,
+            vec![EndpointEntry {
                 started: u64::MAX,
                 ..ready(1)
             }],
         );
         let (call, _) = proxy.call();
         proxy.wait(5);
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::ClientGone { call });
     }
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -4,14 +4,14 @@
 use badgerramp_decisions::*;
 use common::*;
 
-const CELL: Repeat = Repeat::Guarded {
-    scope: Scope::Cell,
+const CELL: Idempotency = Idempotency::Keyed {
+    scope: DedupScope::Cell,
     window: 400 * MS,
 };
 
-fn two_cells() -> Vec<Entry> {
+fn two_cells() -> Vec<EndpointEntry> {
     (1..=4)
-        .map(|i| Entry {
+        .map(|i| EndpointEntry {
             cell: CellId(i % 2),
             zone: ZoneId(i % 2),
             ..ready(i)
@@ -23,7 +23,7 @@
 
 #[test]
 fn held_calls_are_ended_before_their_client_gives_up() {
-    for repeat in [Repeat::Free, Repeat::SingleShot, CELL] {
+    for repeat in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
         let mut proxy = Proxy::new(settings(repeat), 0);
         let (call, actions) = proxy.call();
         assert!(sent(&actions).is_empty());
@@ -43,8 +43,8 @@
 #[test]
 fn the_deadlines_own_no_answer_ends_the_call() {
     for (repeat, may_refuse) in [
-        (Repeat::Free, true),
-        (Repeat::SingleShot, false),
+        (Idempotency::Idempotent, true),
+        (Idempotency::NonIdempotent, false),
         (CELL, false),
     ] {
         let mut proxy = Proxy::new(settings(repeat), 1);
@@ -61,48 +61,48 @@
 
 const CODES: [Outcome; 8] = [
     Outcome::Error,
-    Outcome::TurnedAway,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::NoConnection,
+    Outcome::ConnectFailed,
     Outcome::Reset,
-    Outcome::CalledOff,
+    Outcome::Cancelled,
     Outcome::NotSent,
     Outcome::Unknown,
 ];
 
 #[test]
 fn each_outcome_against_each_kind_of_call() {
-    let guarded = |scope| Repeat::Guarded {
+    let guarded = |scope| Idempotency::Keyed {
         scope,
         window: 400 * MS,
     };
     let kinds = [
-        Repeat::Free,
-        Repeat::SingleShot,
-        guarded(Scope::All),
-        guarded(Scope::Zone),
-        guarded(Scope::Cell),
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        guarded(DedupScope::All),
+        guarded(DedupScope::Zone),
+        guarded(DedupScope::Cell),
     ];
     for repeat in kinds {
         for first in CODES {
             for second in CODES {
                 let mut proxy = Proxy::new(settings(repeat), 0);
-                proxy.list(ListKind::Full, two_cells());
+                proxy.list(ListUpdateKind::Full, two_cells());
                 let (call, actions) = proxy.call();
                 let home = sent(&actions)[0].1;
                 proxy.now += MS;
                 let actions = proxy.end(call, 0, first, MS);
                 let again = sent(&actions);
-                let proven = first.never_ran();
-                if repeat == Repeat::SingleShot && !proven {
+                let proven = first.proves_not_executed();
+                if repeat == Idempotency::NonIdempotent && !proven {
                     assert!(again.is_empty() && failed(&actions, call), "{first:?}");
                     continue;
                 }
                 assert_eq!(again.len(), 1, "{repeat:?} after {first:?}");
                 let bound = matches!(
                     repeat,
-                    Repeat::Guarded {
-                        scope: Scope::Zone | Scope::Cell,
+                    Idempotency::Keyed {
+                        scope: DedupScope::Zone | DedupScope::Cell,
                         ..
                     }
                 );
@@ -113,11 +113,12 @@
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
                 let harmless = match repeat {
-                    Repeat::Free
-                    | Repeat::Guarded {
-                        scope: Scope::All, ..
+                    Idempotency::Idempotent
+                    | Idempotency::Keyed {
+                        scope: DedupScope::All,
+                        ..
                     } => true,
-                    _ => proven && second.never_ran(),
+                    _ => proven && second.proves_not_executed(),
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
                 assert_eq!(
@@ -134,8 +135,8 @@
 #[test]
 fn a_guarded_call_does_not_go_again_after_its_window() {
     let mut proxy = Proxy::new(
-        settings(Repeat::Guarded {
-            scope: Scope::Cell,
+        settings(Idempotency::Keyed {
+            scope: DedupScope::Cell,
             window: 100 * MS,
         }),
         4,
@@ -149,12 +150,12 @@
 #[test]
 fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
     for (repeat, allowed, copies) in [
-        (Repeat::Free, true, 1),
-        (Repeat::Free, false, 0),
-        (Repeat::SingleShot, true, 0),
+        (Idempotency::Idempotent, true, 1),
+        (Idempotency::Idempotent, false, 0),
+        (Idempotency::NonIdempotent, true, 0),
     ] {
         let mut settings = settings(repeat);
-        settings.limits.second_copies = allowed;
+        settings.limits.hedging = allowed;
         let mut proxy = Proxy::new(settings, 3);
         for _ in 0..20 {
             proxy.serve(40 * MS);
@@ -174,8 +175,8 @@
 
 #[test]
 fn a_stream_is_bound_to_its_attempt() {
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
     proxy.event(Event::Streaming { call, attempt: 0 });
@@ -188,22 +189,31 @@
 
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
-    for kind in [ListKind::Delta, ListKind::Full] {
-        for state in [State::Draining, State::Gone] {
-            let mut proxy = Proxy::new(settings(Repeat::Free), 0);
-            proxy.list(ListKind::Cached, vec![ready(1), ready(2)]);
-            proxy.list(kind, vec![Entry { state, ..ready(1) }, ready(2)]);
+    for kind in [ListUpdateKind::Delta, ListUpdateKind::Full] {
+        for state in [EndpointStatus::Draining, EndpointStatus::Removed] {
+            let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
+            proxy.list(ListUpdateKind::Cached, vec![ready(1), ready(2)]);
+            proxy.list(
+                kind,
+                vec![
+                    EndpointEntry {
+                        status: state,
+                        ..ready(1)
+                    },
+                    ready(2),
+                ],
+            );
             for _ in 0..50 {
-                assert_eq!(proxy.serve(MS), Some(ServerId(2)));
+                assert_eq!(proxy.serve(MS), Some(EndpointId(2)));
             }
         }
     }
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
-    proxy.list(ListKind::Full, vec![ready(2)]);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    proxy.list(ListUpdateKind::Full, vec![ready(2)]);
     for _ in 0..50 {
         assert_eq!(
             proxy.serve(MS),
-            Some(ServerId(2)),
+            Some(EndpointId(2)),
             "what a full list leaves out is gone"
         );
     }
@@ -213,14 +223,14 @@
 
 /// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 3);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
         proxy.serve(10 * MS);
     }
     let id = if restart { 1 } else { 4 };
     proxy.list(
-        ListKind::Delta,
-        vec![Entry {
+        ListUpdateKind::Delta,
+        vec![EndpointEntry {
             started: proxy.now,
             ..ready(id)
         }],
@@ -232,7 +242,7 @@
         proxy.now += 10 * MS;
         let mut attempt = 0;
         while let Some(server) = last {
-            let cold = server == ServerId(id);
+            let cold = server == EndpointId(id);
             count += usize::from(cold);
             let end = if cold { outcome } else { Outcome::Served };
             let actions = proxy.end(call, attempt, end, 10 * MS);
@@ -247,9 +257,9 @@
 fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
     for outcome in [
         Outcome::Served,
-        Outcome::TurnedAway,
+        Outcome::Rejected,
         Outcome::Error,
-        Outcome::NoConnection,
+        Outcome::ConnectFailed,
     ] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
@@ -263,11 +273,11 @@
 
 #[test]
 fn fast_errors_set_a_server_aside_though_it_looks_idle() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     let mut errors = 0;
     for _ in 0..200 {
         let (call, actions) = proxy.call();
-        let bad = sent(&actions)[0].1 == ServerId(1);
+        let bad = sent(&actions)[0].1 == EndpointId(1);
         errors += usize::from(bad);
         proxy.now += 2 * MS;
         proxy.end(
@@ -282,7 +292,7 @@
 
 #[test]
 fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_bad = 0;
     for round in 0..400 {
         let (call, actions) = proxy.call();
@@ -290,7 +300,7 @@
         proxy.now += 5 * MS;
         let mut attempt = 0;
         while let Some(server) = at {
-            let bad = server == ServerId(1);
+            let bad = server == EndpointId(1);
             to_bad += usize::from(bad);
             let end = if bad && to_bad % 3 != 0 {
                 Outcome::Error
@@ -313,7 +323,7 @@
 
 #[test]
 fn most_of_the_fleet_is_never_set_aside() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 6);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
         assert_eq!(
@@ -328,7 +338,7 @@
 
 #[test]
 fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut early = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
@@ -344,13 +354,13 @@
 #[test]
 fn calls_of_a_long_aim_do_not_fill_the_hold_before_those_of_a_short_one() {
     let refused_behind = |shorter: Micros| {
-        let plain = settings(Repeat::SingleShot);
+        let plain = settings(Idempotency::NonIdempotent);
         let long = Class {
-            aim: 800 * MS,
+            latency_objective: 800 * MS,
             ..plain.classes[0]
         };
         let short = Class {
-            aim: shorter,
+            latency_objective: shorter,
             ..long
         };
         let mut proxy = Proxy::new(
@@ -379,13 +389,13 @@
 fn a_lost_subscription_is_asked_for_again_with_a_pause() {
     let mut proxy = Proxy::new(
         Settings {
-            ask: true,
-            ..settings(Repeat::Free)
+            poll_endpoint_list: true,
+            ..settings(Idempotency::Idempotent)
         },
         2,
     );
     assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
-    let actions = proxy.list(ListKind::Failed, vec![]);
+    let actions = proxy.list(ListUpdateKind::Failed, vec![]);
     assert!(!actions.contains(&Action::Subscribe), "not at once");
     let after = actions.iter().find_map(|a| {
         if let Action::Wake { after } = a {
@@ -402,8 +412,8 @@
         Some(true),
         "the old list stands"
     );
-    let mut push = Proxy::new(settings(Repeat::Free), 1);
-    push.list(ListKind::Failed, vec![]);
+    let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
+    push.list(ListUpdateKind::Failed, vec![]);
     push.wait(60_000 * MS);
     assert!(
         !push.actions.contains(&Action::Subscribe),
@@ -413,7 +423,7 @@
 
 #[test]
 fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
     }
@@ -425,10 +435,10 @@
         proxy.now += 2 * MS;
         let mut attempt = 0;
         while let Some(server) = at {
-            let full = server == ServerId(1);
+            let full = server == EndpointId(1);
             to_full += usize::from(full);
             let end = if full {
-                Outcome::TurnedAway
+                Outcome::Rejected
             } else {
                 Outcome::Served
             };
@@ -444,7 +454,7 @@
 
 #[test]
 fn a_strained_server_gets_no_trials() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
     }
@@ -464,7 +474,7 @@
     let mut proxy = Proxy::new(
         Settings {
             balancers: 1,
-            ..settings(Repeat::SingleShot)
+            ..settings(Idempotency::NonIdempotent)
         },
         3,
     );
@@ -497,11 +507,11 @@
 }
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
-fn trial_after(load: Load) -> bool {
+fn trial_after(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
             balancers: 12,
-            ..settings(Repeat::SingleShot)
+            ..settings(Idempotency::NonIdempotent)
         },
         1,
     );
@@ -527,16 +537,18 @@
 
 #[test]
 fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
-    let busy = |b| Load {
-        busy: Some(b),
-        ..Load::default()
+    let busy = |b| LoadReport {
+        cpu_utilization: Some(b),
+        ..LoadReport::default()
     };
-    let queue = |w| Load {
-        in_hand: Some(10.0),
-        waiting: Some(w),
-        ..Load::default()
+    let queue = |w| LoadReport {
+        in_flight: Some(10.0),
+        queued: Some(w),
+        ..LoadReport::default()
     };
-    assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
+    assert!(
+        trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0))
+    );
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
     assert!(!trial_after(queue(5.5)), "more waiting than in work");
 }
@@ -549,15 +561,15 @@
         class: ClassId(0),
         tenant: None,
         time_left,
-        resent: false,
-        terms: Terms::default(),
+        is_retry: false,
+        policy: CallPolicy::default(),
     };
     (call, proxy.event(event))
 }
 
 /// One budget's call and the trial are out, and one call has been waiting for 10 ms.
 fn crowded() -> Proxy {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for id in 1_001..=1_003 {
         patient(&mut proxy, id, 1_200 * MS);
     }
@@ -594,12 +606,16 @@
 
 #[test]
 fn a_later_try_that_cannot_make_its_aim_is_served_with_room_and_not_timed_out_at_it() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     patient(&mut proxy, 1_001, 1_200 * MS);
     proxy.end(CallId(1_001), 0, Outcome::Error, MS);
     let until = |actions: &[Action]| {
         actions.iter().find_map(|a| {
-            if let Action::Send { until, .. } = a {
+            if let Action::Send {
+                attempt_deadline: until,
+                ..
+            } = a
+            {
                 Some(*until)
             } else {
                 None
--- a/crates/decisions/tests/sparse.rs
+++ b/crates/decisions/tests/sparse.rs
@@ -13,35 +13,35 @@
 /// A thousand balancers; probes tell what a server holds and cost little.
 fn many(probed: bool) -> Settings {
     let how = if probed {
-        Reporting::OnProbe
+        ReportMode::OnProbe
     } else {
-        Reporting::Off
+        ReportMode::Off
     };
     let limits = Limits {
         probes: true,
-        ..settings(Repeat::Free).limits
+        ..settings(Idempotency::Idempotent).limits
     };
     Settings {
         balancers: 1_000,
         zone: HERE,
         limits,
-        reports: Reports {
-            how,
-            in_hand: probed,
+        load_reporting: LoadReporting {
+            mode: how,
+            includes_in_flight: probed,
         },
-        charges: Charges {
+        costs: Costs {
             probe: 0.01,
-            ..Charges::default()
+            ..Costs::default()
         },
-        ..settings(Repeat::Free)
+        ..settings(Idempotency::Idempotent)
     }
 }
 
-fn probes(actions: &[Action]) -> Vec<ServerId> {
+fn probes(actions: &[Action]) -> Vec<EndpointId> {
     actions
         .iter()
         .filter_map(|a| {
-            if let Action::Probe { server } = a {
+            if let Action::Probe { endpoint: server } = a {
                 Some(*server)
             } else {
                 None
@@ -50,18 +50,18 @@
         .collect()
 }
 
-fn tell(proxy: &mut Proxy, server: ServerId, in_hand: Option<f64>) -> Vec<Action> {
-    let load = Load {
-        in_hand,
-        ..Load::default()
+fn tell(proxy: &mut Proxy, server: EndpointId, in_hand: Option<f64>) -> Vec<Action> {
+    let load = LoadReport {
+        in_flight: in_hand,
+        ..LoadReport::default()
     };
     let outcome = if in_hand.is_some() {
         Outcome::Served
     } else {
         Outcome::TimedOut
     };
-    proxy.event(Event::Probed {
-        server,
+    proxy.event(Event::ProbeCompleted {
+        endpoint: server,
         outcome,
         elapsed: MS,
         load,
@@ -95,8 +95,8 @@
 /// answers that it has nothing in hand.
 #[test]
 fn a_server_that_starts_anew_while_it_is_asked_gets_no_call_for_it() {
-    let rules = Rules {
-        cold_share: 0.5,
+    let rules = EndpointRules {
+        slow_start_min_capacity: 0.5,
         ..many(true).rules
     };
     let mut proxy = Proxy::new(
@@ -108,11 +108,11 @@
     );
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
-    let anew = Entry {
+    let anew = EndpointEntry {
         started: proxy.now,
         ..ready(asked[0].0)
     };
-    proxy.list(ListKind::Delta, vec![anew]);
+    proxy.list(ListUpdateKind::Delta, vec![anew]);
     proxy.now += MS;
     tell(&mut proxy, asked[0], Some(0.0));
     assert_eq!(
@@ -191,7 +191,7 @@
 #[test]
 fn absurd_reports_and_probes_of_unknown_servers_change_nothing() {
     let mut proxy = Proxy::new(many(true), 6);
-    tell(&mut proxy, ServerId(99), Some(1.0));
+    tell(&mut proxy, EndpointId(99), Some(1.0));
     let (call, actions) = proxy.call();
     for (server, told) in probes(&actions).into_iter().zip([f64::NAN, -7.0]) {
         tell(&mut proxy, server, Some(told));
@@ -220,7 +220,7 @@
             for attempt in 1..5 {
                 proxy.end(call, attempt, outcome, elapsed);
             }
-            proxy.event(Event::Gone { call });
+            proxy.event(Event::ClientGone { call });
         }
         served
     };
@@ -240,9 +240,9 @@
     let mut proxy = Proxy::new(many(false), 0);
     let kind = |i: u32| KindId(i % 2);
     proxy.list(
-        ListKind::Full,
+        ListUpdateKind::Full,
         (1..=200)
-            .map(|i| Entry {
+            .map(|i| EndpointEntry {
                 kind: kind(i),
                 ..ready(i)
             })
@@ -271,22 +271,22 @@
     let zone = |i: u32| ZoneId(i % 3 + 1);
     let mut went = [0; 3];
     for seed in 0..300 {
-        let charges = Charges {
+        let charges = Costs {
             cross_zone: 0.1,
-            ..Charges::default()
+            ..Costs::default()
         };
         let mut proxy = Proxy::new(many(false), 0);
         proxy.balancer = Balancer::new(
             seed,
             Settings {
-                charges,
+                costs: charges,
                 ..many(false)
             },
         );
         proxy.list(
-            ListKind::Full,
+            ListUpdateKind::Full,
             (0..90)
-                .map(|i| Entry {
+                .map(|i| EndpointEntry {
                     zone: zone(i),
                     ..ready(i)
                 })
@@ -305,16 +305,16 @@
     for seed in 0..1_000 {
         let mut balancer = Balancer::new(seed, many(false));
         let mut actions = Vec::new();
-        let mut entries: Vec<Entry> = (1..=9).map(ready).collect();
-        entries.push(Entry {
+        let mut entries: Vec<EndpointEntry> = (1..=9).map(ready).collect();
+        entries.push(EndpointEntry {
             started: 1_000_000,
             ..ready(10)
         });
         balancer.handle(1_000_001, Event::Start, &mut actions);
         balancer.handle(
             1_000_001,
-            Event::Members {
-                kind: ListKind::Full,
+            Event::EndpointList {
+                kind: ListUpdateKind::Full,
                 entries,
             },
             &mut actions,
@@ -325,13 +325,13 @@
             class,
             tenant: None,
             time_left: 900 * MS,
-            resent: false,
-            terms: Terms::default(),
+            is_retry: false,
+            policy: CallPolicy::default(),
         };
         balancer.handle(1_000_002, event, &mut actions);
         cold += sent(&actions)
             .iter()
-            .filter(|s| s.1 == ServerId(10))
+            .filter(|s| s.1 == EndpointId(10))
             .count();
     }
     // A tenth of a tenth of the capacity is there: 11 of 1,000 calls, where an even share were 100.
@@ -342,9 +342,9 @@
 fn repeats_of_clients_draw_no_cold_server() {
     for (resent, expected) in [(false, true), (true, false)] {
         let mut proxy = Proxy::new(many(false), 0);
-        let mut entries: Vec<Entry> = (1..=4).map(ready).collect();
+        let mut entries: Vec<EndpointEntry> = (1..=4).map(ready).collect();
         entries[3].started = proxy.now - MS;
-        proxy.list(ListKind::Full, entries);
+        proxy.list(ListUpdateKind::Full, entries);
         let mut cold = false;
         for n in 0..400 {
             let (call, class) = (CallId(10_000 + n), ClassId(0));
@@ -353,11 +353,11 @@
                 class,
                 tenant: None,
                 time_left: 900 * MS,
-                resent,
-                terms: Terms::default(),
+                is_retry: resent,
+                policy: CallPolicy::default(),
             };
             let actions = proxy.event(event);
-            cold |= sent(&actions).iter().any(|s| s.1 == ServerId(4));
+            cold |= sent(&actions).iter().any(|s| s.1 == EndpointId(4));
             proxy.now += MS;
             proxy.end(call, 0, Outcome::Served, MS);
         }
@@ -370,8 +370,8 @@
     let few = |seed: u64| {
         let mut proxy = Proxy::new(many(false), 0);
         proxy.balancer = Balancer::new(seed, many(false));
-        proxy.list(ListKind::Full, (1..=60).map(ready).collect());
-        let used: Vec<ServerId> = (0..200).filter_map(|_| proxy.serve(40 * MS)).collect();
+        proxy.list(ListUpdateKind::Full, (1..=60).map(ready).collect());
+        let used: Vec<EndpointId> = (0..200).filter_map(|_| proxy.serve(40 * MS)).collect();
         assert_eq!(used.len(), 200);
         std::collections::BTreeSet::from_iter(used)
     };
@@ -383,7 +383,7 @@
     assert_ne!(one, other);
     // Many calls at once find those few at their budgets, and go beyond.
     let mut proxy = Proxy::new(many(false), 60);
-    let went: std::collections::BTreeSet<ServerId> = (0..40)
+    let went: std::collections::BTreeSet<EndpointId> = (0..40)
         .flat_map(|_| sent(&proxy.call().1))
         .map(|s| s.1)
         .collect();
@@ -401,10 +401,10 @@
                 return false;
             };
             proxy.now += 40 * MS;
-            let load = Load {
-                in_hand: Some(4.0 * (1.0 + crowding)),
-                waiting: Some(4.0 * crowding),
-                ..Load::default()
+            let load = LoadReport {
+                in_flight: Some(4.0 * (1.0 + crowding)),
+                queued: Some(4.0 * crowding),
+                ..LoadReport::default()
             };
             let (attempt, outcome, elapsed) = (0, Outcome::Served, 40 * MS);
             proxy.event(Event::Outcome {
@@ -466,10 +466,10 @@
         let (call, actions) = proxy.call();
         if !sent(&actions).is_empty() {
             proxy.now += 40 * MS;
-            let load = Load {
-                in_hand: Some(16.0),
-                waiting: Some(12.0),
-                ..Load::default()
+            let load = LoadReport {
+                in_flight: Some(16.0),
+                queued: Some(12.0),
+                ..LoadReport::default()
             };
             let (attempt, outcome, elapsed) = (0, Outcome::Error, 40 * MS);
             let actions = proxy.event(Event::Outcome {
--- a/crates/decisions/tests/terms.rs
+++ b/crates/decisions/tests/terms.rs
@@ -4,9 +4,9 @@
 use badgerramp_decisions::*;
 use common::*;
 
-fn with_copies(repeat: Repeat) -> Settings {
+fn with_copies(repeat: Idempotency) -> Settings {
     let limits = Limits {
-        second_copies: true,
+        hedging: true,
         max_attempts: 5,
         ..Settings::default().limits
     };
@@ -16,7 +16,7 @@
     }
 }
 
-fn call_with(proxy: &mut Proxy, number: u64, terms: Terms) -> (CallId, Vec<Action>) {
+fn call_with(proxy: &mut Proxy, number: u64, terms: CallPolicy) -> (CallId, Vec<Action>) {
     let call = CallId(1_000 + number);
     let (class, time_left) = (ClassId(0), 1_200 * MS);
     (
@@ -26,15 +26,19 @@
             class,
             tenant: None,
             time_left,
-            resent: false,
-            terms,
+            is_retry: false,
+            policy: terms,
         }),
     )
 }
 
 fn until(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| {
-        if let Action::Send { until, .. } = a {
+        if let Action::Send {
+            attempt_deadline: until,
+            ..
+        } = a
+        {
             *until
         } else {
             None
@@ -56,13 +60,13 @@
 #[test]
 fn attempts_are_as_many_as_the_call_is_given() {
     for most in 1..=4 {
-        let mut proxy = Proxy::new(settings(Repeat::Free), 6);
+        let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 6);
         let (call, actions) = call_with(
             &mut proxy,
             0,
-            Terms {
-                attempts: most,
-                ..Terms::default()
+            CallPolicy {
+                max_attempts: most,
+                ..CallPolicy::default()
             },
         );
         assert_eq!(sent(&actions).len(), 1);
@@ -83,20 +87,20 @@
 fn a_call_widens_nothing() {
     let limits = Limits {
         max_attempts: 1,
-        second_copies: false,
+        hedging: false,
         ..Settings::default().limits
     };
     let mut proxy = Proxy::new(
         Settings {
             limits,
-            ..settings(Repeat::Free)
+            ..settings(Idempotency::Idempotent)
         },
         4,
     );
-    let terms = Terms {
-        attempts: 9,
+    let terms = CallPolicy {
+        max_attempts: 9,
         hedge: Hedge::After(10 * MS),
-        ..Terms::default()
+        ..CallPolicy::default()
     };
     let (call, actions) = call_with(&mut proxy, 0, terms);
     assert_eq!(sent(&actions).len(), 1);
@@ -109,22 +113,22 @@
 
 #[test]
 fn an_attempt_ends_in_its_own_time_or_the_aims() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (_, actions) = call_with(
         &mut proxy,
         0,
-        Terms {
-            attempt_time: 70 * MS,
-            ..Terms::default()
+        CallPolicy {
+            attempt_timeout: 70 * MS,
+            ..CallPolicy::default()
         },
     );
     assert_eq!(until(&actions), Some(proxy.now + 70 * MS));
     let (_, actions) = call_with(
         &mut proxy,
         1,
-        Terms {
-            attempt_time: 900 * MS,
-            ..Terms::default()
+        CallPolicy {
+            attempt_timeout: 900 * MS,
+            ..CallPolicy::default()
         },
     );
     assert_eq!(
@@ -136,13 +140,13 @@
 
 #[test]
 fn a_backoff_is_kept_and_the_call_goes_on_after_it() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = call_with(
         &mut proxy,
         0,
-        Terms {
+        CallPolicy {
             backoff: 40 * MS,
-            ..Terms::default()
+            ..CallPolicy::default()
         },
     );
     let actions = proxy.end(call, 0, Outcome::Error, 1);
@@ -153,9 +157,9 @@
     let (late, _) = call_with(
         &mut proxy,
         1,
-        Terms {
+        CallPolicy {
             backoff: 490 * MS,
-            ..Terms::default()
+            ..CallPolicy::default()
         },
     );
     assert!(refused(&proxy.end(late, 0, Outcome::Error, 1), late));
@@ -163,27 +167,30 @@
 
 #[test]
 fn a_client_that_leaves_ends_a_pause() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = call_with(
         &mut proxy,
         0,
-        Terms {
+        CallPolicy {
             backoff: 40 * MS,
-            ..Terms::default()
+            ..CallPolicy::default()
         },
     );
     proxy.end(call, 0, Outcome::Error, 1);
-    proxy.event(Event::Gone { call });
+    proxy.event(Event::ClientGone { call });
     assert!(sent(&proxy.wait(100 * MS)).is_empty());
 }
 
 #[test]
 fn a_second_copy_goes_when_it_is_set_to_and_never_for_what_may_not_repeat() {
-    for (repeat, copies) in [(Repeat::Free, 1), (Repeat::SingleShot, 0)] {
+    for (repeat, copies) in [
+        (Idempotency::Idempotent, 1),
+        (Idempotency::NonIdempotent, 0),
+    ] {
         let mut proxy = Proxy::new(with_copies(repeat), 4);
-        let terms = Terms {
+        let terms = CallPolicy {
             hedge: Hedge::After(60 * MS),
-            ..Terms::default()
+            ..CallPolicy::default()
         };
         let (_, actions) = call_with(&mut proxy, 0, terms);
         assert_eq!(wake(&actions), 60 * MS);
@@ -192,9 +199,9 @@
         let (_, _) = call_with(
             &mut proxy,
             1,
-            Terms {
+            CallPolicy {
                 hedge: Hedge::Never,
-                ..Terms::default()
+                ..CallPolicy::default()
             },
         );
         assert!(sent(&proxy.wait(499 * MS)).is_empty(), "none is wanted");
@@ -203,7 +210,7 @@
 
 #[test]
 fn a_second_copy_follows_the_usual_answer_times() {
-    let mut proxy = Proxy::new(with_copies(Repeat::Free), 4);
+    let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
     for n in 0..100 {
         // Nine of ten answers come in 20 ms, the others in 100.
         proxy
@@ -214,9 +221,9 @@
         let (call, _) = call_with(
             &mut proxy,
             number,
-            Terms {
-                hedge: Hedge::Share(share),
-                ..Terms::default()
+            CallPolicy {
+                hedge: Hedge::Quantile(share),
+                ..CallPolicy::default()
             },
         );
         let asked = proxy.now;
@@ -224,7 +231,7 @@
             assert!(proxy.now < asked + 500 * MS, "no second copy");
         }
         let after = proxy.now - asked;
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::ClientGone { call });
         after
     };
     let (common, rare) = (after(0, 0.8), after(1, 0.99));
@@ -234,28 +241,31 @@
 
 #[test]
 fn what_may_have_run_is_kept_back_where_only_the_rest_may_go_again() {
-    let terms = Terms {
-        resend: Resend::NeverRan,
-        ..Terms::default()
+    let terms = CallPolicy {
+        retry_on: RetryOn::NotExecuted,
+        ..CallPolicy::default()
     };
-    let mut proxy = Proxy::new(settings(Repeat::Free), 6);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 6);
     let (call, _) = call_with(&mut proxy, 0, terms);
-    assert_eq!(sent(&proxy.end(call, 0, Outcome::NoConnection, 1)).len(), 1);
+    assert_eq!(
+        sent(&proxy.end(call, 0, Outcome::ConnectFailed, 1)).len(),
+        1
+    );
     assert!(refused(&proxy.end(call, 1, Outcome::Error, 1), call));
 }
 
 /// The key that a guarded class goes by is missing: no host could tell its repeat.
 #[test]
 fn a_call_without_its_key_is_unsafe_whatever_its_class() {
-    let guarded = Repeat::Guarded {
-        scope: Scope::All,
+    let guarded = Idempotency::Keyed {
+        scope: DedupScope::All,
         window: 400 * MS,
     };
     let mut proxy = Proxy::new(with_copies(guarded), 6);
-    let terms = Terms {
-        once: true,
+    let terms = CallPolicy {
+        non_idempotent: true,
         hedge: Hedge::After(10 * MS),
-        ..Terms::default()
+        ..CallPolicy::default()
     };
     let (call, _) = call_with(&mut proxy, 0, terms);
     assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no second copy");
@@ -265,17 +275,17 @@
 
 #[test]
 fn open_calls_end_under_the_settings_they_came_under() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = proxy.call();
-    let mut changed = settings(Repeat::SingleShot);
+    let mut changed = settings(Idempotency::NonIdempotent);
     changed.classes.push(Class {
-        aim: 100 * MS,
+        latency_objective: 100 * MS,
         deadline: 200 * MS,
         ..changed.classes[0]
     });
     proxy.event(Event::Reconfigure {
         settings: Box::new(changed),
-        fresh: vec![ClassId(0)],
+        redefined_classes: vec![ClassId(0)],
     });
     assert_eq!(
         sent(&proxy.end(call, 0, Outcome::Error, 1)).len(),
@@ -295,35 +305,35 @@
 /// Nor does a site that allows less from now on take anything from them.
 #[test]
 fn open_calls_keep_the_attempts_and_copies_they_came_with() {
-    let mut proxy = Proxy::new(with_copies(Repeat::Free), 4);
+    let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
     let (tried, _) = call_with(
         &mut proxy,
         0,
-        Terms {
-            attempts: 3,
-            ..Terms::default()
+        CallPolicy {
+            max_attempts: 3,
+            ..CallPolicy::default()
         },
     );
     let (hedged, _) = call_with(
         &mut proxy,
         1,
-        Terms {
+        CallPolicy {
             hedge: Hedge::After(60 * MS),
-            ..Terms::default()
+            ..CallPolicy::default()
         },
     );
     let limits = Limits {
         max_attempts: 1,
-        second_copies: false,
+        hedging: false,
         ..Settings::default().limits
     };
     let changed = Settings {
         limits,
-        ..settings(Repeat::Free)
+        ..settings(Idempotency::Idempotent)
     };
     proxy.event(Event::Reconfigure {
         settings: Box::new(changed),
-        fresh: Vec::new(),
+        redefined_classes: Vec::new(),
     });
     assert_eq!(sent(&proxy.end(tried, 0, Outcome::Error, 1)).len(), 1);
     let copies = proxy.wait(60 * MS);
@@ -331,9 +341,9 @@
     let (call, _) = call_with(
         &mut proxy,
         2,
-        Terms {
-            attempts: 3,
-            ..Terms::default()
+        CallPolicy {
+            max_attempts: 3,
+            ..CallPolicy::default()
         },
     );
     assert!(
@@ -345,15 +355,15 @@
 /// Calls that wait in the hold when their class goes are answered all the same.
 #[test]
 fn held_calls_outlive_their_class() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     let (call, _) = proxy.call();
-    let mut changed = settings(Repeat::SingleShot);
-    changed.classes[0].aim = 50 * MS;
+    let mut changed = settings(Idempotency::NonIdempotent);
+    changed.classes[0].latency_objective = 50 * MS;
     proxy.event(Event::Reconfigure {
         settings: Box::new(changed),
-        fresh: vec![ClassId(0)],
+        redefined_classes: vec![ClassId(0)],
     });
-    let actions = proxy.list(ListKind::Full, vec![ready(1)]);
+    let actions = proxy.list(ListUpdateKind::Full, vec![ready(1)]);
     assert_eq!(sent(&actions).iter().filter(|s| s.0 == call).count(), 1);
     let actions = proxy.end(call, 0, Outcome::Error, 1);
     assert!(!failed(&actions, call), "still of the class it came in");
@@ -374,13 +384,13 @@
     };
     let window = 800 * MS;
     let mut proxy = Proxy::new(
-        settings(Repeat::Guarded {
-            scope: Scope::All,
+        settings(Idempotency::Keyed {
+            scope: DedupScope::All,
             window,
         }),
         4,
     );
-    let (call, actions) = call_with(&mut proxy, 0, Terms::default());
+    let (call, actions) = call_with(&mut proxy, 0, CallPolicy::default());
     assert_eq!(start_by(&actions), Some(None), "nothing binds the first");
     let first = proxy.now;
     let actions = proxy.end(call, 0, Outcome::Error, 1);
--- a/crates/policy/src/meet.rs
+++ b/crates/policy/src/meet.rs
@@ -2,7 +2,7 @@
 //! each made of it, so that it is exact for any two tables of routes, whatever their patterns and conditions.
 
 use crate::Micros;
-use badgerramp_decisions::{Hedge, Repeat, Resend, Scope, Terms};
+use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_route::{Answers, StatusSet};
 use std::fmt;
 
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Its key, where `repeat` goes by one.
     pub key: Key,
     /// From its last byte to its final answer.
     pub time: Micros,
     /// Its terms.
-    pub terms: Terms,
+    pub terms: CallPolicy,
     /// Longest time for a connection.
     pub connect: Micros,
     /// Bytes of its body at the most.
@@ -49,7 +49,7 @@
     /// From its last byte to its final answer.
     pub time: Micros,
     /// Its terms. They say `once` where neither effect lies within the other.
-    pub terms: Terms,
+    pub terms: CallPolicy,
     /// Longest time for a connection.
     pub connect: Micros,
     /// Bytes of its body at the most.
@@ -75,20 +75,20 @@
 }
 
 /// Is all that `inner` lets run again let by `outer` too?
-fn within(inner: Repeat, outer: Repeat) -> bool {
+fn within(inner: Idempotency, outer: Idempotency) -> bool {
     match (inner, outer) {
-        (Repeat::SingleShot, _) | (_, Repeat::Free) => true,
-        (Repeat::Free, _) | (_, Repeat::SingleShot) => false,
+        (Idempotency::NonIdempotent, _) | (_, Idempotency::Idempotent) => true,
+        (Idempotency::Idempotent, _) | (_, Idempotency::NonIdempotent) => false,
         (
-            Repeat::Guarded {
+            Idempotency::Keyed {
                 scope: a,
                 window: b,
             },
-            Repeat::Guarded {
+            Idempotency::Keyed {
                 scope: c,
                 window: d,
             },
-        ) => (a == c || c == Scope::All) && b <= d,
+        ) => (a == c || c == DedupScope::All) && b <= d,
     }
 }
 
@@ -119,23 +119,23 @@
     };
     let chosen = if class == Side::Old { old } else { new };
     // A host that knows it by another key would not know the repeat.
-    let keyed = |call: &Call| matches!(call.repeat, Repeat::Guarded { .. });
+    let keyed = |call: &Call| matches!(call.repeat, Idempotency::Keyed { .. });
     let other_key = keyed(old) && keyed(new) && old.key != new.key;
     let neither = !within(old.repeat, new.repeat) && !within(new.repeat, old.repeat);
     let (a, b) = (&old.terms, &new.terms);
-    let never_ran = [a.resend, b.resend].contains(&Resend::NeverRan);
-    let terms = Terms {
-        attempts: a.attempts.min(b.attempts),
-        attempt_time: a.attempt_time.min(b.attempt_time),
+    let never_ran = [a.retry_on, b.retry_on].contains(&RetryOn::NotExecuted);
+    let terms = CallPolicy {
+        max_attempts: a.max_attempts.min(b.max_attempts),
+        attempt_timeout: a.attempt_timeout.min(b.attempt_timeout),
         backoff: a.backoff.max(b.backoff),
         hedge: hedge(a.hedge, b.hedge),
-        resend: if never_ran {
-            Resend::NeverRan
+        retry_on: if never_ran {
+            RetryOn::NotExecuted
         } else {
-            Resend::Any
+            RetryOn::AnyFailure
         },
-        once: a.once
-            || b.once
+        non_idempotent: a.non_idempotent
+            || b.non_idempotent
             || other_key
             || neither
             || (keyed(chosen) && chosen.key == Key::None),
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -1,15 +1,23 @@
 //! What the meet admits, both admit: for any two calls that two policies could make of one request, and any answer.
 
-use badgerramp_decisions::{Hedge, Repeat, Resend, Scope, Terms};
+use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_policy::{meet, meet_answers, Call, Key, Side, Unlike};
 use badgerramp_route::{Answers, Proof, StatusSet, Verdict};
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
 
-fn repeat() -> impl Strategy<Value = Repeat> {
-    let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
-    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Repeat::Guarded { scope, window });
-    prop_oneof![Just(Repeat::Free), Just(Repeat::SingleShot), guarded]
+fn repeat() -> impl Strategy<Value = Idempotency> {
+    let scope = prop_oneof![
+        Just(DedupScope::All),
+        Just(DedupScope::Zone),
+        Just(DedupScope::Cell)
+    ];
+    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    prop_oneof![
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        guarded
+    ]
 }
 
 fn hedge() -> impl Strategy<Value = Hedge> {
@@ -30,28 +38,33 @@
         any in any::<bool>(),
         (connect, body) in (1..4u64, 0..3usize),
     ) -> Call {
-        let resend = if any { Resend::Any } else { Resend::NeverRan };
-        let once = matches!(repeat, Repeat::Guarded { .. }) && key == Key::None;
-        let terms = Terms { attempts, attempt_time, backoff, hedge, resend, once };
+        let resend = if any { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
+        let once = matches!(repeat, Idempotency::Keyed { .. }) && key == Key::None;
+        let terms = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
         Call { repeat, key, time, terms, connect, body }
     }
 }
 
 /// May a call of these terms run again at a host of the same zone (and cell), or of another, `after` its first attempt?
-fn runs_again(repeat: Repeat, terms: &Terms, (zone, cell): (bool, bool), after: u64) -> bool {
+fn runs_again(
+    repeat: Idempotency,
+    terms: &CallPolicy,
+    (zone, cell): (bool, bool),
+    after: u64,
+) -> bool {
     let class = match repeat {
-        Repeat::Free => true,
-        Repeat::SingleShot => false,
-        Repeat::Guarded { scope, window } => {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::Keyed { scope, window } => {
             let here = match scope {
-                Scope::All => true,
-                Scope::Zone => zone,
-                Scope::Cell => cell,
+                DedupScope::All => true,
+                DedupScope::Zone => zone,
+                DedupScope::Cell => cell,
             };
-            here && after < window && !terms.once
+            here && after < window && !terms.non_idempotent
         }
     };
-    class && !terms.once && terms.resend == Resend::Any
+    class && !terms.non_idempotent && terms.retry_on == RetryOn::AnyFailure
 }
 
 proptest! {
@@ -62,17 +75,17 @@
         for own in [&old, &new] {
             let (terms, its) = (&met.terms, &own.terms);
             prop_assert!(met.time <= own.time && met.connect <= own.connect && met.body <= own.body);
-            prop_assert!(terms.attempts <= its.attempts && terms.attempt_time <= its.attempt_time);
+            prop_assert!(terms.max_attempts <= its.max_attempts && terms.attempt_timeout <= its.attempt_timeout);
             prop_assert!(terms.backoff >= its.backoff);
             prop_assert!(terms.hedge == Hedge::Never || terms.hedge == its.hedge);
-            prop_assert!(terms.resend == Resend::NeverRan || its.resend == Resend::Any);
+            prop_assert!(terms.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
             for place in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
                     if runs_again(chosen.repeat, terms, place, after) {
                         prop_assert!(runs_again(own.repeat, its, place, after), "{place:?} {after}");
                         // By the key that it bears, where it goes by one.
-                        if matches!(own.repeat, Repeat::Guarded { .. }) {
-                            prop_assert!(own.key == chosen.key || chosen.repeat == Repeat::Free);
+                        if matches!(own.repeat, Idempotency::Keyed { .. }) {
+                            prop_assert!(own.key == chosen.key || chosen.repeat == Idempotency::Idempotent);
                         }
                     }
                 }
@@ -123,9 +136,9 @@
 
 #[test]
 fn what_only_one_takes_is_turned_away_with_the_reason() {
-    let terms = Terms::default();
+    let terms = CallPolicy::default();
     let call = Call {
-        repeat: Repeat::Free,
+        repeat: Idempotency::Idempotent,
         key: Key::None,
         time: 1,
         terms,
@@ -139,11 +152,11 @@
 
 #[test]
 fn keyed_and_unsafe_meet_in_unsafe() {
-    let guarded = Repeat::Guarded {
-        scope: Scope::All,
+    let guarded = Idempotency::Keyed {
+        scope: DedupScope::All,
         window: 3,
     };
-    let terms = Terms::default();
+    let terms = CallPolicy::default();
     let keyed = Call {
         repeat: guarded,
         key: Key::Value("k".to_owned()),
@@ -153,7 +166,7 @@
         body: 1,
     };
     let unsafe_ = Call {
-        repeat: Repeat::SingleShot,
+        repeat: Idempotency::NonIdempotent,
         key: Key::None,
         ..keyed.clone()
     };
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::driver::{Driver, List};
 use super::socket::{Network, Socket};
-use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_decisions::{ListUpdateKind, Micros};
 use badgerramp_endpoint_watch::{
     Budget, Input, Odd, Output, QuestionId, Source, Watch, CONNECT, SERVICE_ANSWERS,
     TOLD_AFTER_SILENCE,
@@ -184,9 +184,9 @@
                         );
                     }
                     let kind = if list.snapshot {
-                        ListKind::Full
+                        ListUpdateKind::Full
                     } else {
-                        ListKind::Delta
+                        ListUpdateKind::Delta
                     };
                     self.driver.members(kind, &list.endpoints);
                 }
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -5,7 +5,9 @@
 use crate::log::CALLS;
 use crate::net::exchange::{Ended, Request, Target};
 use crate::net::hosts;
-use badgerramp_decisions::{CallId, Event, Micros, Outcome, ServerId, State, View};
+use badgerramp_decisions::{
+    CallId, EndpointId, EndpointStatus, EndpointView, Event, Micros, Outcome,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::AbortHandle;
@@ -14,7 +16,7 @@
 /// One attempt of a call at one host.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) server: ServerId,
+    pub(super) server: EndpointId,
     pub(super) sent: Micros,
     /// Its deadline.
     pub(super) until: Micros,
@@ -61,7 +63,7 @@
         };
         let host = hosts.get(&attempt.server);
         attempt.started = self.clock.now() < attempt.until.min(attempt.start_by)
-            && host.is_some_and(|h| h.state == State::Ready && h.generation == generation);
+            && host.is_some_and(|h| h.state == EndpointStatus::Ready && h.generation == generation);
         attempt.started
     }
 
@@ -82,7 +84,7 @@
         &self,
         core: &mut Core,
         now: Micros,
-        (id, server): (CallId, ServerId),
+        (id, server): (CallId, EndpointId),
         (until, start_by): (Option<Micros>, Option<Micros>),
     ) {
         let Some(call) = core.calls.get_mut(&id) else {
@@ -156,7 +158,7 @@
         let mut core = self.core.borrow_mut();
         let count = core.calls.get(&call).map_or(0, |c| c.attempts.len() as u32);
         for attempt in 0..count {
-            core.finish_attempt(self.clock.now(), call, attempt, Outcome::CalledOff.into());
+            core.finish_attempt(self.clock.now(), call, attempt, Outcome::Cancelled.into());
         }
         self.run_with(&mut core);
         core.forget_if_done(call);
@@ -231,15 +233,15 @@
 }
 
 /// Logs the start of an attempt, with the balancer's view of its host.
-fn log_sent((call, attempt): (CallId, u32), host: &str, view: Option<View>, left: Micros) {
+fn log_sent((call, attempt): (CallId, u32), host: &str, view: Option<EndpointView>, left: Micros) {
     let Some(view) = view else { return };
-    let View {
+    let EndpointView {
         in_flight,
-        concurrency,
-        strain,
-        failing,
-        warmth,
-        set_aside,
+        concurrency_limit: concurrency,
+        latency_ratio: strain,
+        failure_rate: failing,
+        slow_start_capacity: warmth,
+        ejected: set_aside,
         ..
     } = view;
     debug!(target: CALLS, call = call.0, attempt, host, left, in_flight, concurrency, strain,
--- a/crates/proxy/src/net/driver/audit.rs
+++ b/crates/proxy/src/net/driver/audit.rs
@@ -1,14 +1,14 @@
 //! A consistency check: what the balancer counts against what the driver holds.
 
 use super::Driver;
-use badgerramp_decisions::ServerId;
+use badgerramp_decisions::EndpointId;
 use std::collections::BTreeMap;
 
 impl Driver {
     /// Describes each count of the balancer that differs from the driver's; empty if all agree.
     pub fn audit(&self) -> Vec<String> {
         let core = self.core.borrow();
-        let mut in_flight: BTreeMap<ServerId, u32> = BTreeMap::new();
+        let mut in_flight: BTreeMap<EndpointId, u32> = BTreeMap::new();
         let attempts = core.calls.values().flat_map(|c| &c.attempts);
         attempts
             .filter(|a| a.in_flight)
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -5,7 +5,7 @@
 use super::{Core, Driver};
 use crate::log::CALLS;
 use crate::net::exchange::{Client, Reply, Request};
-use badgerramp_decisions::{CallId, ClassId, Event, Micros, TenantId, Terms};
+use badgerramp_decisions::{CallId, CallPolicy, ClassId, Event, Micros, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::debug;
@@ -17,7 +17,7 @@
     pub tenant: Option<String>,
     pub deadline: Micros,
     pub resent: bool,
-    pub terms: Terms,
+    pub terms: CallPolicy,
 }
 
 /// The one final answer of a call.
@@ -127,8 +127,8 @@
             class: intake.class,
             tenant: tenant.map(TenantId),
             time_left: deadline.saturating_sub(self.clock.now()),
-            resent: intake.resent,
-            terms: intake.terms,
+            is_retry: intake.resent,
+            policy: intake.terms,
         };
         drop(core);
         self.event(event);
@@ -147,7 +147,7 @@
             return;
         }
         self.core.borrow_mut().finish_call(call, None);
-        self.event(Event::Gone { call });
+        self.event(Event::ClientGone { call });
         self.cancel_attempts(call);
     }
 
