--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -3,7 +3,9 @@
 use super::{Core, Driver};
 use crate::net::exchange::Target;
 use crate::net::hosts::Hosts;
-use badgerramp_decisions::{settings, CellId, Entry, Event, ListKind, Micros, ServerId, State};
+use badgerramp_decisions::{
+    settings, CellId, EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Micros,
+};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -56,11 +58,11 @@
     }
 
     /// A host that drains, or whose status is unknown, gets nothing new.
-    fn state(&self) -> State {
+    fn state(&self) -> EndpointStatus {
         match self.status.as_str() {
-            STATUS_UP => State::Ready,
-            STATUS_REMOVED => State::Gone,
-            _ => State::Draining,
+            STATUS_UP => EndpointStatus::Ready,
+            STATUS_REMOVED => EndpointStatus::Removed,
+            _ => EndpointStatus::Draining,
         }
     }
 
@@ -89,17 +91,17 @@
     pub(super) name: Rc<str>,
     pub(super) address: Option<SocketAddr>,
     pub(super) started: Micros,
-    pub(super) state: State,
+    pub(super) state: EndpointStatus,
     /// Identifies a process at an address: connections of an earlier generation are not used.
     pub(super) generation: u64,
     /// Its last entry of the list; kept only where the balancer is told of a subset.
-    pub(super) entry: Option<Entry>,
+    pub(super) entry: Option<EndpointEntry>,
 }
 
 impl Host {
     /// Where attempts at this host go, if it takes calls.
-    pub(super) fn target(&self, server: ServerId) -> Option<Target> {
-        if self.state != State::Ready {
+    pub(super) fn target(&self, server: EndpointId) -> Option<Target> {
+        if self.state != EndpointStatus::Ready {
             return None;
         }
         Some(Target {
@@ -112,11 +114,11 @@
 
 impl Driver {
     /// The list, or a change of it, has come from discovery.
-    pub fn members(&self, kind: ListKind, list: &[Endpoint]) {
+    pub fn members(&self, kind: ListUpdateKind, list: &[Endpoint]) {
         let mut core = self.core.borrow_mut();
         let core = &mut *core;
         let mut touched = Vec::new();
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::Cached) {
             touched = core.forget_unlisted(list, &self.sockets);
         }
         let mut entries = Vec::new();
@@ -125,10 +127,10 @@
                 continue;
             };
             if core.subset.is_some() {
-                touched.push(entry.server.0);
+                touched.push(entry.endpoint.0);
                 core.update_subset_candidate(&endpoint.name, &entry);
             }
-            if entry.state == State::Gone {
+            if entry.status == EndpointStatus::Removed {
                 core.forget(&endpoint.name, &self.sockets);
             }
             entries.push(entry);
@@ -136,15 +138,15 @@
         if core.subset.is_some() {
             core.list_changed(self.clock.now(), kind, &touched);
         } else {
-            core.events.push_back(Event::Members { kind, entries });
+            core.events.push_back(Event::EndpointList { kind, entries });
         }
         self.run_with(core);
     }
 
     /// Asking for the list failed, or the watch broke.
     pub fn members_failed(&self) {
-        self.event(Event::Members {
-            kind: ListKind::Failed,
+        self.event(Event::EndpointList {
+            kind: ListUpdateKind::Failed,
             entries: Vec::new(),
         });
     }
@@ -152,14 +154,14 @@
 
 impl Core {
     /// The id of a host by its name: a new one for an unknown host, unless that has gone as well.
-    fn server_id(&mut self, name: &str, state: State) -> Option<ServerId> {
+    fn server_id(&mut self, name: &str, state: EndpointStatus) -> Option<EndpointId> {
         if let Some(&server) = self.server_ids.get(name) {
             return Some(server);
         }
-        if state == State::Gone {
+        if state == EndpointStatus::Removed {
             return None;
         }
-        let (server, name) = (ServerId(self.next_server), Rc::<str>::from(name));
+        let (server, name) = (EndpointId(self.next_server), Rc::<str>::from(name));
         self.next_server += 1;
         self.server_ids.insert(Rc::clone(&name), server);
         // Draining until it is known better: whatever its first entry says is a change.
@@ -167,7 +169,7 @@
             name,
             address: None,
             started: 0,
-            state: State::Draining,
+            state: EndpointStatus::Draining,
             generation: 0,
             entry: None,
         };
@@ -177,39 +179,46 @@
 
     /// Applies an entry of the list to its host, whose connections are closed or opened as that demands. Returns the
     /// entry in the balancer's form; `None` for an unknown host that has gone.
-    fn update_host(&mut self, endpoint: &Endpoint, sockets: &Hosts) -> Option<Entry> {
+    fn update_host(&mut self, endpoint: &Endpoint, sockets: &Hosts) -> Option<EndpointEntry> {
         let listed_state = endpoint.state();
         let started = endpoint.since_ms.saturating_mul(MICROS_PER_MILLISECOND);
         let server = self.server_id(&endpoint.name, listed_state)?;
         let host = self.hosts.get_mut(&server)?;
-        if !endpoint.has_known_status() && (host.generation == 0 || host.state == State::Ready) {
+        if !endpoint.has_known_status()
+            && (host.generation == 0 || host.state == EndpointStatus::Ready)
+        {
             endpoint.warn_of_status();
         }
-        let last_address = host.address.filter(|_| listed_state != State::Ready);
+        let last_address = host
+            .address
+            .filter(|_| listed_state != EndpointStatus::Ready);
         let address = endpoint.address.parse().ok().or(last_address);
         // Nothing can go to a host whose address is unknown.
-        let without_address = listed_state == State::Ready && address.is_none();
+        let without_address = listed_state == EndpointStatus::Ready && address.is_none();
         let state = if without_address {
-            State::Draining
+            EndpointStatus::Draining
         } else {
             listed_state
         };
         // The same name with a new start is a new process, and a new address is another way to it: open connections
         // lead to the old one.
-        if state != State::Ready {
+        if state != EndpointStatus::Ready {
             sockets.close(server);
-        } else if host.state != State::Ready || address != host.address || started != host.started {
+        } else if host.state != EndpointStatus::Ready
+            || address != host.address
+            || started != host.started
+        {
             host.generation = self.next_generation;
             self.next_generation += 1;
             sockets.open(server, host.generation);
         }
         (host.state, host.address, host.started) = (state, address, started);
-        let entry = Entry {
-            server,
-            state,
-            zone: settings::zone(&endpoint.zone),
+        let entry = EndpointEntry {
+            endpoint: server,
+            status: state,
+            zone: settings::zone_id(&endpoint.zone),
             cell: CellId(endpoint.group),
-            kind: settings::kind(&endpoint.kind),
+            kind: settings::kind_id(&endpoint.kind),
             weight: endpoint.weight,
             started,
         };
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -24,9 +24,9 @@
 
 use super::clock::Clock;
 use super::hosts::Hosts;
-use badgerramp_decisions::settings::Facts;
+use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{
-    Action, Balancer, CallId, Event, Load, Micros, Outcome, ServerId, Settings,
+    Action, Balancer, CallId, EndpointId, Event, LoadReport, Micros, Outcome, Settings,
 };
 use badgerramp_endpoint_watch::Stall;
 use badgerramp_subset::Subset;
@@ -51,8 +51,8 @@
     next_call: u64,
     /// Ids of the listed hosts by name. A host that has gone is forgotten with its id, which is never given again: an
     /// attempt still in flight there concerns no other host.
-    server_ids: BTreeMap<Rc<str>, ServerId>,
-    hosts: HashMap<ServerId, Host>,
+    server_ids: BTreeMap<Rc<str>, EndpointId>,
+    hosts: HashMap<EndpointId, Host>,
     next_server: u32,
     next_generation: u64,
     timers: BTreeSet<(Micros, Due)>,
@@ -86,7 +86,7 @@
 impl Driver {
     pub fn new(
         seed: u64,
-        facts: Facts,
+        facts: PlatformSettings,
         keep_errors: bool,
         subset: Option<Subset>,
         clock: Clock,
@@ -181,13 +181,13 @@
         match action {
             Action::Send {
                 call,
-                server,
-                until,
+                endpoint: server,
+                attempt_deadline: until,
                 start_by,
             } => {
                 self.start_attempt(core, now, (call, server), (until, start_by));
             }
-            Action::Refuse { call, retry_after } => {
+            Action::Reject { call, retry_after } => {
                 core.finish_call(call, Some(Answer::Refused { retry_after }));
             }
             Action::Fail { call } => {
@@ -195,16 +195,16 @@
                 core.finish_call(call, Some(Answer::Failed(last_error)));
             }
             Action::Cancel { call, attempt } => {
-                core.finish_attempt(now, call, attempt, Outcome::CalledOff.into());
+                core.finish_attempt(now, call, attempt, Outcome::Cancelled.into());
             }
             Action::Wake { after } => core.set_balancer_timer(now.saturating_add(after)),
             Action::Subscribe => self.subscribe.notify_one(),
             // Where the site allows no probes the balancer asks for none.
-            Action::Probe { server } => core.events.push_back(Event::Probed {
-                server,
+            Action::Probe { endpoint: server } => core.events.push_back(Event::ProbeCompleted {
+                endpoint: server,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
-                load: Load::default(),
+                load: LoadReport::default(),
             }),
             Action::Log { text } => tracing::info!("{}", core.with_host_names(&text)),
         }
@@ -214,7 +214,7 @@
 impl Core {
     /// A text of the balancer in which the ids of hosts are replaced by their names.
     fn with_host_names(&self, text: &str) -> String {
-        let name = |id: &str| Some(&*self.hosts.get(&ServerId(id.parse().ok()?))?.name);
+        let name = |id: &str| Some(&*self.hosts.get(&EndpointId(id.parse().ok()?))?.name);
         let words = text.split(' ').map(|word| name(word).unwrap_or(word));
         words.collect::<Vec<_>>().join(" ")
     }
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -19,7 +19,7 @@
         drop(core);
         self.event(Event::Reconfigure {
             settings: Box::new(settings),
-            fresh,
+            redefined_classes: fresh,
         });
     }
 
@@ -40,7 +40,7 @@
         drop(core);
         self.event(Event::Reconfigure {
             settings,
-            fresh: Vec::new(),
+            redefined_classes: Vec::new(),
         });
     }
 }
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -1,7 +1,9 @@
 //! The subset of a large fleet: which hosts the balancer is told of, and how many proxies share them.
 
 use super::{Core, Driver};
-use badgerramp_decisions::{Entry, Event, ListKind, Micros, ServerId, Settings, State};
+use badgerramp_decisions::{
+    EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Micros, Settings,
+};
 use badgerramp_subset::{Changes, Health, Subset};
 
 /// The subset that the balancer is told of, and the settings that it was last told.
@@ -27,7 +29,7 @@
         let all = core
             .hosts
             .values()
-            .filter(|h| h.state == State::Ready)
+            .filter(|h| h.state == EndpointStatus::Ready)
             .count();
         (
             core.subset
@@ -40,21 +42,22 @@
 
 impl Core {
     /// A host was updated from the list: it is or is no longer a candidate for the subset.
-    pub(super) fn update_subset_candidate(&mut self, name: &str, entry: &Entry) {
+    pub(super) fn update_subset_candidate(&mut self, name: &str, entry: &EndpointEntry) {
         let Some(view) = &mut self.subset else { return };
-        match entry.state {
-            State::Ready => view
-                .subset
-                .add(entry.server.0, name, entry.zone == view.settings.zone),
-            _ => view.subset.remove(entry.server.0),
+        match entry.status {
+            EndpointStatus::Ready => {
+                view.subset
+                    .add(entry.endpoint.0, name, entry.zone == view.settings.zone)
+            }
+            _ => view.subset.remove(entry.endpoint.0),
         }
     }
 
     /// The list has changed: the balancer is told what that makes of the subset.
-    pub(super) fn list_changed(&mut self, now: Micros, kind: ListKind, touched: &[u32]) {
+    pub(super) fn list_changed(&mut self, now: Micros, kind: ListUpdateKind, touched: &[u32]) {
         let Some(view) = &mut self.subset else { return };
         let changes = view.subset.listed(now, touched);
-        if kind == ListKind::Delta {
+        if kind == ListUpdateKind::Delta {
             // A member may have changed and stayed one.
             let stay = touched.iter().copied().filter(|&id| view.subset.holds(id));
             let joined = changes.joined.iter().copied().chain(stay).collect();
@@ -89,29 +92,29 @@
         };
         let changes = view.subset.pulse(now, health);
         if !changes.is_empty() {
-            self.announce(ListKind::Delta, &changes);
+            self.announce(ListUpdateKind::Delta, &changes);
         }
     }
 
     /// Tells the balancer of changes to the subset, and of how many proxies share its members where that has changed
     /// notably.
-    fn announce(&mut self, kind: ListKind, changes: &Changes) {
+    fn announce(&mut self, kind: ListUpdateKind, changes: &Changes) {
         let gone = |&id: &u32| {
             let entry = self
                 .hosts
-                .get(&ServerId(id))
+                .get(&EndpointId(id))
                 .and_then(|h| h.entry)
-                .filter(|e| e.state != State::Ready);
-            entry.unwrap_or(Entry {
-                server: ServerId(id),
-                state: State::Gone,
-                ..Entry::default()
+                .filter(|e| e.status != EndpointStatus::Ready);
+            entry.unwrap_or(EndpointEntry {
+                endpoint: EndpointId(id),
+                status: EndpointStatus::Removed,
+                ..EndpointEntry::default()
             })
         };
         let joined = changes
             .joined
             .iter()
-            .filter_map(|id| self.hosts.get(&ServerId(*id))?.entry);
+            .filter_map(|id| self.hosts.get(&EndpointId(*id))?.entry);
         let entries = changes.left.iter().map(gone).chain(joined).collect();
         if let Some(view) = &mut self.subset {
             let (sharing, told) = (view.subset.sharing(), view.settings.balancers);
@@ -120,11 +123,11 @@
                 let settings = Box::new(view.settings.clone());
                 self.events.push_back(Event::Reconfigure {
                     settings,
-                    fresh: Vec::new(),
+                    redefined_classes: Vec::new(),
                 });
             }
         }
-        self.events.push_back(Event::Members { kind, entries });
+        self.events.push_back(Event::EndpointList { kind, entries });
     }
 }
 
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -5,7 +5,7 @@
 use crate::net::socket::Tcp;
 use crate::net::{Descriptors, Room};
 use badgerramp_decisions::settings::Transport;
-use badgerramp_decisions::{ClassId, ListKind, Terms};
+use badgerramp_decisions::{CallPolicy, ClassId, ListUpdateKind};
 use hyper::http::{HeaderMap, Method, Uri};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
@@ -37,7 +37,7 @@
         Rc::new(Tcp),
         clock,
     );
-    let facts = Facts {
+    let facts = PlatformSettings {
         settings: Settings::default(),
         classes: vec![],
         tenants: vec![],
@@ -116,9 +116,9 @@
         unix / 1_000
     );
     let list: Vec<Endpoint> = serde_json::from_str(&list).expect("a list");
-    driver.members(ListKind::Full, &list);
+    driver.members(ListUpdateKind::Full, &list);
     assert_eq!(
-        driver.core.borrow().hosts[&ServerId(0)].started,
+        driver.core.borrow().hosts[&EndpointId(0)].started,
         unix / 1_000 * 1_000
     );
 }
@@ -133,10 +133,10 @@
         serde_json::from_str(&text).expect("a list")
     };
     for n in 0..50 {
-        driver.members(ListKind::Full, &list(&format!("s{n}"), "up"));
+        driver.members(ListUpdateKind::Full, &list(&format!("s{n}"), "up"));
     }
     let number = driver.core.borrow().server_ids["s49"];
-    driver.members(ListKind::Delta, &list("s49", "removed"));
+    driver.members(ListUpdateKind::Delta, &list("s49", "removed"));
     assert_eq!(
         (
             driver.core.borrow().hosts.len(),
@@ -144,7 +144,7 @@
         ),
         (0, 0)
     );
-    driver.members(ListKind::Delta, &list("s49", "up"));
+    driver.members(ListUpdateKind::Delta, &list("s49", "up"));
     assert_ne!(driver.core.borrow().server_ids["s49"], number);
 }
 
@@ -171,7 +171,10 @@
             .as_ref()
             .map_or(vec![], |view| view.subset.members().collect())
     };
-    driver.members(ListKind::Full, &list(&(0..1_000).collect::<Vec<_>>(), "up"));
+    driver.members(
+        ListUpdateKind::Full,
+        &list(&(0..1_000).collect::<Vec<_>>(), "up"),
+    );
     let first: Vec<u32> = members();
     assert_eq!(
         (told(), driver.chosen()),
@@ -188,20 +191,20 @@
         "500 share 1,000"
     );
     // Numbers are given in the list's order.
-    driver.members(ListKind::Delta, &list(&first[..2], "draining"));
+    driver.members(ListUpdateKind::Delta, &list(&first[..2], "draining"));
     assert_eq!(
         (told(), members().len()),
         (first.len() - 2, first.len() - 2)
     );
     assert!(first[..2].iter().all(|n| !members().contains(n)));
-    driver.members(ListKind::Delta, &list(&first[..1], "up"));
+    driver.members(ListUpdateKind::Delta, &list(&first[..1], "up"));
     assert!(members().contains(&first[0]) && told() == members().len());
     // The whole list without one of them.
     let rest: Vec<u32> = (0..1_000).filter(|n| *n != first[3]).collect();
-    driver.members(ListKind::Full, &list(&rest, "up"));
+    driver.members(ListUpdateKind::Full, &list(&rest, "up"));
     assert!(!members().contains(&first[3]) && told() == members().len());
     // All of the rest go: others take their place.
-    driver.members(ListKind::Delta, &list(&members(), "removed"));
+    driver.members(ListUpdateKind::Delta, &list(&members(), "removed"));
     assert!(told() >= 5 && told() == members().len());
     assert!(driver.audit().is_empty());
 }
@@ -216,7 +219,7 @@
         tenant: None,
         deadline: driver.clock.now() + 60_000_000,
         resent: false,
-        terms: Terms::default(),
+        terms: CallPolicy::default(),
     };
     let held: Vec<_> = (0..9)
         .map(|_| driver.request(intake(), request()).expect("room"))
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -71,7 +71,7 @@
         // An attempt whose time is up while it still waits for its connection never ran: to call it timed out would
         // fail an unsafe call that may safely be repeated or refused.
         let outcome = match attempt {
-            Some(Attempt { started: false, .. }) => Outcome::NoConnection,
+            Some(Attempt { started: false, .. }) => Outcome::ConnectFailed,
             _ => Outcome::TimedOut,
         };
         self.finish_attempt(now, call, number, outcome.into());
@@ -81,7 +81,7 @@
     fn end_overdue(&mut self, call: CallId) {
         if self.calls.get(&call).is_some_and(|c| c.is_open()) {
             self.finish_call(call, Some(Answer::Overdue));
-            self.events.push_back(Event::Gone { call });
+            self.events.push_back(Event::ClientGone { call });
         }
     }
 }
--- a/crates/proxy/src/net/exchange.rs
+++ b/crates/proxy/src/net/exchange.rs
@@ -1,7 +1,7 @@
 //! What passes between the owner of the calls and the connections to hosts: a request, where an attempt goes, and
 //! how it ended.
 
-use badgerramp_decisions::{Load, Micros, Outcome, ServerId};
+use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
 use badgerramp_route::Answers;
 use bytes::Bytes;
 use hyper::http::{HeaderMap, Method, StatusCode, Uri};
@@ -40,7 +40,7 @@
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub address: SocketAddr,
     pub generation: u64,
 }
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct Ended {
     pub outcome: Outcome,
-    pub load: Load,
+    pub load: LoadReport,
     /// What came back, if it could be read.
     pub reply: Option<Reply>,
 }
@@ -66,7 +66,7 @@
     fn from(outcome: Outcome) -> Self {
         Ended {
             outcome,
-            load: Load::default(),
+            load: LoadReport::default(),
             reply: None,
         }
     }
--- a/crates/proxy/src/net/hosts.rs
+++ b/crates/proxy/src/net/hosts.rs
@@ -6,7 +6,7 @@
 use super::socket::{Network, Socket, Stream};
 use super::{Descriptor, Descriptors, Room};
 use badgerramp_decisions::settings::Transport;
-use badgerramp_decisions::{Load, Micros, Outcome, ServerId};
+use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
 use badgerramp_route::Verdict;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, Limited};
@@ -299,9 +299,9 @@
 /// The connections to all hosts.
 pub struct Hosts {
     /// Sorted: which goes first must not hang on how numbers are hashed.
-    idle: RefCell<BTreeMap<ServerId, Vec<Link>>>,
+    idle: RefCell<BTreeMap<EndpointId, Vec<Link>>>,
     /// The generation of each host to which something may go.
-    current: RefCell<BTreeMap<ServerId, u64>>,
+    current: RefCell<BTreeMap<EndpointId, u64>>,
     staleness: RefCell<Staleness>,
     /// Until when connections rest between requests.
     noisy_until: Cell<Micros>,
@@ -338,14 +338,14 @@
     }
 
     /// Connections of this generation, and of no other, lead to a host from now on.
-    pub fn open(&self, server: ServerId, generation: u64) {
+    pub fn open(&self, server: EndpointId, generation: u64) {
         self.close(server);
         self.current.borrow_mut().insert(server, generation);
     }
 
     /// Nothing leads to a host any more: its idle connections are closed, and those in use when they come back. A
     /// host that drains would otherwise keep connections that nothing uses.
-    pub fn close(&self, server: ServerId) {
+    pub fn close(&self, server: EndpointId) {
         self.idle.borrow_mut().remove(&server);
         self.current.borrow_mut().remove(&server);
     }
@@ -439,7 +439,7 @@
                 self.evict();
                 return Err(Outcome::NotSent);
             }
-            _ => return Err(Outcome::NoConnection),
+            _ => return Err(Outcome::ConnectFailed),
         };
         let handed_over = Rc::new(Cell::new(false));
         let watched = Watched {
@@ -450,7 +450,7 @@
             .max_buf_size(HEAD_MOST)
             .handshake(TokioIo::new(watched))
             .await;
-        let (sender, connection) = handshake.map_err(|_| Outcome::NoConnection)?;
+        let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let (idle_since, generation) = (0, target.generation);
         let mut link = Link {
             sender,
@@ -464,11 +464,11 @@
         if self.ready(&mut link).await {
             Ok(link)
         } else {
-            Err(Outcome::NoConnection)
+            Err(Outcome::ConnectFailed)
         }
     }
 
-    async fn keep(&self, server: ServerId, mut link: Link) {
+    async fn keep(&self, server: EndpointId, mut link: Link) {
         let current = self.current.borrow().get(&server) == Some(&link.generation);
         // The kernel is asked before its next use, when there is more to know.
         let settled = link.settled().await;
@@ -527,7 +527,7 @@
         Err(Fault::Spoilt) => return Outcome::Error.into(),
         // Never ran only if the last byte was not handed to the socket; all else may have run.
         Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into(),
-        Err(Fault::Broken) => return Outcome::NoConnection.into(),
+        Err(Fault::Broken) => return Outcome::ConnectFailed.into(),
     };
     if answer.status() != StatusCode::SWITCHING_PROTOCOLS {
         hosts.keep(target.server, link).await;
@@ -539,7 +539,7 @@
         .verdict(answer.status(), answer.headers())
     {
         Verdict::Served => Outcome::Served,
-        Verdict::NeverRan => Outcome::TurnedAway,
+        Verdict::NeverRan => Outcome::Rejected,
         Verdict::Error => Outcome::Error,
     };
     let (parts, ()) = answer.into_parts();
@@ -603,18 +603,18 @@
 }
 
 /// The load report of an answer: the first that tells anything.
-fn loads(headers: &HeaderMap) -> Load {
+fn loads(headers: &HeaderMap) -> LoadReport {
     let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(load);
     reports
-        .find(|load| *load != Load::default())
+        .find(|load| *load != LoadReport::default())
         .unwrap_or_default()
 }
 
 /// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
 /// columns (`active`), or those of the protocol's example (`inflight`): a reader of the latter alone left the
 /// module without any report, and hosts were loaded until calls timed out.
-pub fn load(value: &HeaderValue) -> Load {
-    let mut load = Load::default();
+pub fn load(value: &HeaderValue) -> LoadReport {
+    let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
     for (name, value) in text
         .trim_start_matches("TEXT")
@@ -627,9 +627,9 @@
             .ok()
             .filter(|v: &f64| v.is_finite() && *v >= 0.0);
         match name.trim() {
-            "active" | "inflight" => load.in_hand = value,
-            "waiting" | "queue" => load.waiting = value,
-            "cpu" | "util" => load.busy = value,
+            "active" | "inflight" => load.in_flight = value,
+            "waiting" | "queue" => load.queued = value,
+            "cpu" | "util" => load.cpu_utilization = value,
             "err_rps" | "eps" => load.error_rate = value,
             _ => {}
         }
@@ -681,9 +681,9 @@
             Rc::new(Tcp),
             Clock::start(),
         );
-        hosts.open(ServerId(0), 0);
+        hosts.open(EndpointId(0), 0);
         let target = Target {
-            server: ServerId(0),
+            server: EndpointId(0),
             address,
             generation: 0,
         };
@@ -713,10 +713,10 @@
 
     #[test]
     fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_example() {
-        let wanted = Load {
-            in_hand: Some(7.0),
-            waiting: Some(2.5),
-            busy: Some(0.5),
+        let wanted = LoadReport {
+            in_flight: Some(7.0),
+            queued: Some(2.5),
+            cpu_utilization: Some(0.5),
             error_rate: Some(0.0),
         };
         for text in [
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -5,7 +5,7 @@
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
 use badgerramp_control_protocol::{Secret, TAG};
-use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_decisions::{ListUpdateKind, Micros};
 use badgerramp_endpoint_watch::FETCH;
 use badgerramp_gossip::list::{Change, Entry};
 use badgerramp_gossip::peer::{
@@ -324,9 +324,9 @@
                 }
                 Output::List { whole, changes } => {
                     let kind = if whole {
-                        ListKind::Full
+                        ListUpdateKind::Full
                     } else {
-                        ListKind::Delta
+                        ListUpdateKind::Delta
                     };
                     let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
                     self.driver.members(kind, &list);
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -13,7 +13,7 @@
 pub use transition::{FallbackRules, TransitionRules};
 
 use super::exchange::Manner;
-use badgerramp_decisions::{ClassId, Micros, Terms};
+use badgerramp_decisions::{CallPolicy, ClassId, Micros};
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::StatusCode;
@@ -33,7 +33,7 @@
     /// The length of its body, if declared; else it has at most [`Admitted::body_most`] bytes.
     pub length: Option<usize>,
     pub body_most: usize,
-    pub terms: Terms,
+    pub terms: CallPolicy,
     pub manner: Rc<Manner>,
 }
 
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -4,8 +4,8 @@
 use super::{reject, Admitted, Rejection};
 use crate::net::exchange::Manner;
 use badgerramp_config::ANSWER_ROOM;
-use badgerramp_decisions::settings::Facts;
-use badgerramp_decisions::{ClassId, Repeat};
+use badgerramp_decisions::settings::PlatformSettings;
+use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_route::{Answers, Table, Timing};
 use hyper::header;
 use hyper::http::request::Parts;
@@ -40,7 +40,7 @@
 
 impl Platform {
     /// The platform's classes as its settings give them, narrowed by the limits of an operator's file.
-    pub fn new(facts: &Facts, narrowed: Option<(Vec<Timing>, Table)>) -> Self {
+    pub fn new(facts: &PlatformSettings, narrowed: Option<(Vec<Timing>, Table)>) -> Self {
         let answers = Arc::new(Answers::platform());
         let plain = facts.transport.connect_timeout;
         let make = |timing: Option<Timing>| {
@@ -60,9 +60,9 @@
         let class =
             |(place, (name, class)): (usize, (&String, &badgerramp_decisions::Class))| Class {
                 name: name.clone(),
-                method: match class.repeat {
-                    Repeat::Free => Method::GET,
-                    Repeat::Guarded { .. } | Repeat::SingleShot => Method::POST,
+                method: match class.idempotency {
+                    Idempotency::Idempotent => Method::GET,
+                    Idempotency::Keyed { .. } | Idempotency::NonIdempotent => Method::POST,
                 },
                 limits: make(timings.and_then(|t| t.get(place)).copied()),
             };
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -4,7 +4,7 @@
 use super::{reject, Admitted, Rejection};
 use crate::net::exchange::Manner;
 use badgerramp_config::{Config, ANSWER_ROOM};
-use badgerramp_decisions::{ClassId, Repeat};
+use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_policy::{Call, Key};
 use badgerramp_route::Route;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -120,7 +120,7 @@
             ));
         }
         // Without its key no host could recognise the repeat of a keyed call.
-        let guarded = matches!(class.repeat, Repeat::Guarded { .. });
+        let guarded = matches!(class.idempotency, Idempotency::Keyed { .. });
         let key = || {
             self.config
                 .routes
@@ -148,7 +148,7 @@
         };
         Ok(Evaluation {
             admitted,
-            repeat: class.repeat,
+            repeat: class.idempotency,
             key: key.map_or(Key::None, Key::Value),
         })
     }
@@ -176,7 +176,7 @@
 /// What a policy determines of a request, with the key by which hosts recognise a repeat.
 pub(super) struct Evaluation {
     pub(super) admitted: Admitted,
-    repeat: Repeat,
+    repeat: Idempotency,
     key: Key,
 }
 
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::net::rules::{Platform, Rules};
 use crate::program::{self, Fault, Members, Running, Setup};
 use badgerramp_config::{narrow, Use};
-use badgerramp_decisions::settings::{self, Facts};
+use badgerramp_decisions::settings::{self, PlatformSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -34,7 +34,7 @@
     64
 }
 
-fn read(path: &Path) -> Result<(Config, Facts), String> {
+fn read(path: &Path) -> Result<(Config, PlatformSettings), String> {
     let shown = path.display();
     let text = std::fs::read(path).map_err(|e| format!("configuration {shown}: {e}"))?;
     let config: Config =
@@ -44,11 +44,11 @@
 }
 
 /// The settings in a configuration of the platform.
-pub(crate) fn facts_of(path: &Path) -> Result<Facts, String> {
+pub(crate) fn facts_of(path: &Path) -> Result<PlatformSettings, String> {
     read(path).map(|(_, facts)| facts)
 }
 
-fn rules(facts: &Facts, operator: Option<&Path>) -> Result<Rules, Fault> {
+fn rules(facts: &PlatformSettings, operator: Option<&Path>) -> Result<Rules, Fault> {
     let narrowed = match operator {
         Some(path) => {
             let config = badgerramp_config::load(path)?;
@@ -83,7 +83,7 @@
         .settings
         .classes
         .iter()
-        .map(|c| c.aim)
+        .map(|c| c.latency_objective)
         .max()
         .unwrap_or_default();
     let rules_of = rules(&facts, operator.as_deref())?;
--- a/crates/proxy/src/platform/tests.rs
+++ b/crates/proxy/src/platform/tests.rs
@@ -1,6 +1,6 @@
 //! The keys of the configuration that `RELAY_CONFIG` names.
 
-use super::{read, Config, Facts};
+use super::{read, Config, PlatformSettings};
 use badgerramp_gossip::list::{Change, Entry};
 use serde_json::{json, Value};
 
@@ -33,7 +33,7 @@
     })
 }
 
-fn load(name: &str, config: &Value) -> Result<(Config, Facts), String> {
+fn load(name: &str, config: &Value) -> Result<(Config, PlatformSettings), String> {
     let path = std::env::temp_dir().join(format!(
         "badgerramp-platform-{name}-{}.json",
         std::process::id()
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -93,7 +93,7 @@
     pub(crate) fn add(&mut self, config: &Config, numbers: Vec<ClassId>) {
         let own = config.settings();
         let limits = &mut self.settings.limits;
-        limits.second_copies |= own.limits.second_copies;
+        limits.hedging |= own.limits.hedging;
         limits.max_attempts = limits.max_attempts.max(own.limits.max_attempts);
         self.open_calls = config.limits.open_calls.min(self.open_calls);
         // Of both the newer: it concerns only those that are refused.
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -14,8 +14,8 @@
 use badgerramp_config::{
     clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
 };
-use badgerramp_decisions::settings::Facts;
-use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_decisions::settings::PlatformSettings;
+use badgerramp_decisions::{ListUpdateKind, Micros};
 use badgerramp_endpoint_watch::{Budget, Source, Terms, Watch};
 use badgerramp_subset::{Poll, Subset};
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
 pub struct Setup {
     pub listen: SocketAddr,
     pub seed: u64,
-    pub facts: Facts,
+    pub facts: PlatformSettings,
     pub descriptors: usize,
     pub memory: usize,
     pub members: Members,
@@ -219,7 +219,7 @@
         Rc::clone(&network),
         clock,
     );
-    let source = if setup.facts.settings.ask {
+    let source = if setup.facts.settings.poll_endpoint_list {
         Source::Service
     } else {
         Source::Agent
@@ -250,11 +250,11 @@
             known,
             index,
         } => {
-            driver.members(ListKind::Cached, &known);
+            driver.members(ListUpdateKind::Cached, &known);
             (Some(address), index)
         }
         Members::Fixed(list) => {
-            driver.members(ListKind::Full, &list);
+            driver.members(ListUpdateKind::Full, &list);
             (None, None)
         }
     };
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -9,8 +9,8 @@
 use crate::program::{self, Fault, Members, Running, Setup};
 use badgerramp_config::{Config, PeersTerms, Use};
 use badgerramp_control_protocol::Secret;
-use badgerramp_decisions::settings::{Facts, Transport};
-use badgerramp_decisions::ListKind;
+use badgerramp_decisions::settings::{PlatformSettings, Transport};
+use badgerramp_decisions::ListUpdateKind;
 use std::collections::HashMap;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     };
     let settings = places.settings(&config, &numbers);
     let classes = config.classes.iter().map(|c| c.name.clone()).collect();
-    let facts = Facts {
+    let facts = PlatformSettings {
         settings,
         classes,
         tenants: Vec::new(),
@@ -288,7 +288,7 @@
         None => {
             // One that is added now may have been started just now: until its cold time is over it gets little.
             let list = known.list(config, running.clock.now() / 1_000);
-            running.driver.members(ListKind::Full, &list);
+            running.driver.members(ListUpdateKind::Full, &list);
         }
     }
 }
--- a/crates/route/benches/table.rs
+++ b/crates/route/benches/table.rs
@@ -4,7 +4,7 @@
     reason = "the macro of the benchmark library makes a function without docs"
 )]
 
-use badgerramp_decisions::{Hedge, Resend};
+use badgerramp_decisions::{Hedge, RetryOn};
 use badgerramp_route::{pattern, Answers, PathPattern, Route, Table, Timing};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use http::{HeaderMap, Method};
@@ -20,7 +20,7 @@
         attempts: 1,
         backoff: 0,
         hedge: Hedge::Never,
-        resend: Resend::NeverRan,
+        resend: RetryOn::NotExecuted,
     };
     let answers = Arc::new(Answers::standard());
     let path = |n: usize| match n % 100 {
--- a/crates/route/src/timing.rs
+++ b/crates/route/src/timing.rs
@@ -1,6 +1,6 @@
 //! The timing of one route, with all defaults filled in.
 
-use badgerramp_decisions::{Hedge, Micros, Resend, Terms};
+use badgerramp_decisions::{CallPolicy, Hedge, Micros, RetryOn};
 
 /// How long what may take, and what may be tried again.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     /// Second copies.
     pub hedge: Hedge,
     /// What may go again.
-    pub resend: Resend,
+    pub resend: RetryOn,
 }
 
 impl Timing {
@@ -30,18 +30,18 @@
         attempts: u32::MAX,
         backoff: 0,
         hedge: Hedge::Auto,
-        resend: Resend::Any,
+        resend: RetryOn::AnyFailure,
     };
 
     /// What the decisions are told of a call. `once`: the key that its class goes by is missing.
-    pub fn terms(&self, once: bool) -> Terms {
-        Terms {
-            attempts: self.attempts,
-            attempt_time: self.attempt,
+    pub fn terms(&self, once: bool) -> CallPolicy {
+        CallPolicy {
+            max_attempts: self.attempts,
+            attempt_timeout: self.attempt,
             backoff: self.backoff,
             hedge: self.hedge,
-            resend: self.resend,
-            once,
+            retry_on: self.resend,
+            non_idempotent: once,
         }
     }
 
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -1,6 +1,6 @@
 //! The table against plain reading of its rules: the first route that takes a request wins.
 
-use badgerramp_decisions::{Hedge, Resend};
+use badgerramp_decisions::{Hedge, RetryOn};
 use badgerramp_route::*;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::Method;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 fn timing() -> Timing {
-    let (hedge, resend) = (Hedge::Never, Resend::NeverRan);
+    let (hedge, resend) = (Hedge::Never, RetryOn::NotExecuted);
     Timing {
         connect: 1,
         attempt: 1,
--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -3,8 +3,9 @@
 //! observable and by all that the decisions remember.
 
 use badgerramp_decisions::{
-    Action, Balancer, CallId, Class, ClassId, Entry, Event, Hedge, ListKind, Load, Micros, Outcome,
-    Repeat, Scope, ServerId, Settings, State, Terms,
+    Action, Balancer, CallId, CallPolicy, Class, ClassId, DedupScope, EndpointEntry, EndpointId,
+    EndpointStatus, Event, Hedge, Idempotency, ListUpdateKind, LoadReport, Micros, Outcome,
+    Settings,
 };
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::VecDeque;
@@ -17,7 +18,7 @@
     /// Servers.
     pub servers: u32,
     /// What each call is.
-    pub calls: Vec<Repeat>,
+    pub calls: Vec<Idempotency>,
     /// Events in a row.
     pub depth: usize,
     /// Attempts that a call may have.
@@ -102,19 +103,19 @@
 }
 
 fn settings(world: &World) -> Settings {
-    let class = |repeat: &Repeat| Class {
-        aim: DEADLINE / 2,
+    let class = |repeat: &Idempotency| Class {
+        latency_objective: DEADLINE / 2,
         deadline: DEADLINE,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_value: 1.0,
-        repeat: *repeat,
+        idempotency: *repeat,
     };
     let mut settings = Settings {
         classes: world.calls.iter().map(class).collect(),
         ..Settings::default()
     };
     settings.limits.max_attempts = world.attempts;
-    settings.limits.second_copies = world.copies;
+    settings.limits.hedging = world.copies;
     settings
 }
 
@@ -135,12 +136,12 @@
         };
         node.tell(world, Event::Start)?;
         let entries = (0..world.servers)
-            .map(|n| entry(n, State::Ready, 0))
+            .map(|n| entry(n, EndpointStatus::Ready, 0))
             .collect();
         node.tell(
             world,
-            Event::Members {
-                kind: ListKind::Full,
+            Event::EndpointList {
+                kind: ListUpdateKind::Full,
                 entries,
             },
         )?;
@@ -156,16 +157,16 @@
                 match action {
                     Action::Send {
                         call,
-                        server,
-                        until,
+                        endpoint: server,
+                        attempt_deadline: until,
                         ..
                     } => {
                         queue.extend(self.send(world, call.0 as usize, server.0, until)?);
                     }
-                    Action::Refuse { call, .. } => self.answer(world, call.0 as usize, true)?,
+                    Action::Reject { call, .. } => self.answer(world, call.0 as usize, true)?,
                     Action::Fail { call } => self.answer(world, call.0 as usize, false)?,
                     Action::Cancel { call, attempt } => {
-                        queue.extend(self.ends(call.0 as usize, attempt, Outcome::CalledOff));
+                        queue.extend(self.ends(call.0 as usize, attempt, Outcome::Cancelled));
                     }
                     Action::Wake { after } => {
                         let at = self.now + after;
@@ -200,19 +201,21 @@
             return Err(format!("call {place}: more attempts than are allowed"));
         }
         let out = call.tried.iter().filter(|t| t.over.is_none()).count();
-        if out > 0 && (!world.copies || repeat == Repeat::SingleShot) {
+        if out > 0 && (!world.copies || repeat == Idempotency::NonIdempotent) {
             return Err(format!("call {place}: a second copy that is not allowed"));
         }
         if let Some(first) = call
             .tried
             .iter()
-            .find(|t| t.over.is_none_or(|o| !o.never_ran()))
+            .find(|t| t.over.is_none_or(|o| !o.proves_not_executed()))
         {
             match repeat {
-                Repeat::Free => {}
-                Repeat::SingleShot => return Err(format!("call {place}: it may run twice")),
-                Repeat::Guarded { scope, window } => {
-                    if scope == Scope::Cell && group(first.server) != group(server) {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    return Err(format!("call {place}: it may run twice"))
+                }
+                Idempotency::Keyed { scope, window } => {
+                    if scope == DedupScope::Cell && group(first.server) != group(server) {
                         return Err(format!("call {place}: it goes again outside its group"));
                     }
                     if now >= first.sent + window {
@@ -252,16 +255,16 @@
         }
         let harmless = matches!(
             world.calls[place],
-            Repeat::Free
-                | Repeat::Guarded {
-                    scope: Scope::All,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DedupScope::All,
                     ..
                 }
         );
         let ran = call
             .tried
             .iter()
-            .any(|t| t.over.is_none_or(|o| !o.never_ran()));
+            .any(|t| t.over.is_none_or(|o| !o.proves_not_executed()));
         if refused && ran && !harmless {
             return Err(format!("call {place}: refused though it may have run"));
         }
@@ -282,7 +285,7 @@
             call.answered = true;
         }
         let closed = call.answered;
-        let load = Load::default();
+        let load = LoadReport::default();
         Some(Event::Outcome {
             call: CallId(place as u64),
             attempt: number,
@@ -298,8 +301,8 @@
         const OUTCOMES: [Outcome; 6] = [
             Outcome::Served,
             Outcome::Error,
-            Outcome::TurnedAway,
-            Outcome::NoConnection,
+            Outcome::Rejected,
+            Outcome::ConnectFailed,
             Outcome::Reset,
             Outcome::NotSent,
         ];
@@ -347,10 +350,10 @@
                 } else {
                     Hedge::Never
                 };
-                let terms = Terms {
-                    attempts: world.attempts,
+                let terms = CallPolicy {
+                    max_attempts: world.attempts,
                     hedge,
-                    ..Terms::default()
+                    ..CallPolicy::default()
                 };
                 self.tell(
                     world,
@@ -359,8 +362,8 @@
                         class: ClassId(place),
                         tenant: None,
                         time_left: DEADLINE,
-                        resent: false,
-                        terms,
+                        is_retry: false,
+                        policy: terms,
                     },
                 )
             }
@@ -372,12 +375,12 @@
                 self.calls[place].answered = true;
                 self.tell(
                     world,
-                    Event::Gone {
+                    Event::ClientGone {
                         call: CallId(place as u64),
                     },
                 )?;
                 for number in 0..self.calls[place].tried.len() as u32 {
-                    if let Some(event) = self.ends(place, number, Outcome::CalledOff) {
+                    if let Some(event) = self.ends(place, number, Outcome::Cancelled) {
                         self.tell(world, event)?;
                     }
                 }
@@ -387,22 +390,22 @@
             Step::Drains(server) => {
                 let started = self.servers[server as usize].1;
                 self.servers[server as usize] = (false, started, Some(self.now));
-                let entries = vec![entry(server, State::Draining, started)];
+                let entries = vec![entry(server, EndpointStatus::Draining, started)];
                 self.tell(
                     world,
-                    Event::Members {
-                        kind: ListKind::Delta,
+                    Event::EndpointList {
+                        kind: ListUpdateKind::Delta,
                         entries,
                     },
                 )
             }
             Step::Restarts(server) => {
                 self.servers[server as usize] = (true, self.now, None);
-                let entries = vec![entry(server, State::Ready, self.now)];
+                let entries = vec![entry(server, EndpointStatus::Ready, self.now)];
                 self.tell(
                     world,
-                    Event::Members {
-                        kind: ListKind::Delta,
+                    Event::EndpointList {
+                        kind: ListUpdateKind::Delta,
                         entries,
                     },
                 )
@@ -464,7 +467,7 @@
                 .count() as u32;
             if let Some(view) = self
                 .balancer
-                .view(self.now, ServerId(server))
+                .view(self.now, EndpointId(server))
                 .filter(|v| v.in_flight != out)
             {
                 return Err(format!(
@@ -501,14 +504,14 @@
     }
 }
 
-fn entry(server: u32, state: State, started: Micros) -> Entry {
+fn entry(server: u32, state: EndpointStatus, started: Micros) -> EndpointEntry {
     let cell = badgerramp_decisions::CellId(group(server));
-    Entry {
-        server: ServerId(server),
-        state,
+    EndpointEntry {
+        endpoint: EndpointId(server),
+        status: state,
         cell,
         started,
-        ..Entry::default()
+        ..EndpointEntry::default()
     }
 }
 
@@ -583,15 +586,15 @@
 
 /// The worlds that are checked by default.
 pub fn worlds(depth: usize, most: usize) -> Vec<World> {
-    let keyed = Repeat::Guarded {
-        scope: Scope::Cell,
+    let keyed = Idempotency::Keyed {
+        scope: DedupScope::Cell,
         window: WINDOW,
     };
-    let all = Repeat::Guarded {
-        scope: Scope::All,
+    let all = Idempotency::Keyed {
+        scope: DedupScope::All,
         window: WINDOW,
     };
-    let world = |servers, calls: &[Repeat], copies| World {
+    let world = |servers, calls: &[Idempotency], copies| World {
         servers,
         calls: calls.to_vec(),
         depth,
@@ -601,10 +604,14 @@
         most,
     };
     vec![
-        world(2, &[Repeat::SingleShot, keyed], false),
-        world(3, &[keyed, Repeat::SingleShot], true),
+        world(2, &[Idempotency::NonIdempotent, keyed], false),
+        world(3, &[keyed, Idempotency::NonIdempotent], true),
         world(3, &[keyed, keyed], true),
-        world(2, &[Repeat::Free, Repeat::SingleShot], true),
-        world(2, &[all, Repeat::SingleShot], true),
+        world(
+            2,
+            &[Idempotency::Idempotent, Idempotency::NonIdempotent],
+            true,
+        ),
+        world(2, &[all, Idempotency::NonIdempotent], true),
     ]
 }
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -43,22 +43,22 @@
         what: "an unsafe call goes again without proof",
         play: "virtual",
         edits: &[
-            (MODULE, "(Some(_), Repeat::SingleShot) => None", "(Some(_), Repeat::SingleShot) => Some(Domain::All)"),
+            (MODULE, "(Some(_), Idempotency::NonIdempotent) => None", "(Some(_), Idempotency::NonIdempotent) => Some(Domain::All)"),
             // The file's own word stands guard as well.
-            (MODULE, "call.terms.resend == Resend::Any || call.binding().is_none();", "true;"),
+            (MODULE, "call.terms.retry_on == RetryOn::AnyFailure || call.binding().is_none();", "true;"),
         ],
     },
     Defect {
         name: "resend-outside-group",
         what: "a keyed call goes again outside its group",
         play: "virtual",
-        edits: &[(MODULE, "let place = (scope, first.zone, first.cell);", "let place = (Scope::All, first.zone, first.cell);")],
+        edits: &[(MODULE, "let place = (scope, first.zone, first.cell);", "let place = (DedupScope::All, first.zone, first.cell);")],
     },
     Defect {
         name: "zone-for-cell",
         what: "the group of a keyed call is taken for its zone",
         play: "virtual",
-        edits: &[(FLEET, "Scope::Cell => self.cells.get(cell.0)", "Scope::Cell => self.zones.get(zone.0)")],
+        edits: &[(FLEET, "DedupScope::Cell => self.cells.get(cell.0)", "DedupScope::Cell => self.zones.get(zone.0)")],
     },
     Defect {
         name: "last-outcome-alone",
@@ -70,13 +70,13 @@
         name: "reset-is-proof",
         what: "a broken connection is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(API, "matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)", "matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent | Outcome::Reset)")],
+        edits: &[(API, "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)", "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Reset)")],
     },
     Defect {
         name: "error-is-proof",
         what: "an error is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(MODULE, "tried.effect = if outcome.never_ran() {", "tried.effect = if outcome.never_ran() || outcome == Outcome::Error {")],
+        edits: &[(MODULE, "tried.effect = if outcome.proves_not_executed() {", "tried.effect = if outcome.proves_not_executed() || outcome == Outcome::Error {")],
     },
     Defect {
         name: "refuse-what-may-have-run",
@@ -101,7 +101,7 @@
         name: "drain-ignored",
         what: "a host that drains still counts as ready",
         play: "virtual",
-        edits: &[(MODULE, "self.list(now, place, entry.state == State::Ready);", "self.list(now, place, entry.state != State::Gone);")],
+        edits: &[(MODULE, "self.list(now, place, entry.status == EndpointStatus::Ready);", "self.list(now, place, entry.status != EndpointStatus::Removed);")],
     },
     Defect {
         name: "gone-stays",
@@ -113,7 +113,7 @@
         name: "cold-as-warm",
         what: "a cold host is taken for a warm one",
         play: "virtual",
-        edits: &[(STATE, "if self.started == 0 || age >= rules.cold_time {", "if self.started == 0 || age >= rules.cold_time / 100 {")],
+        edits: &[(STATE, "if self.started == 0 || age >= rules.slow_start_duration {", "if self.started == 0 || age >= rules.slow_start_duration / 100 {")],
     },
     Defect {
         name: "restart-unseen",
@@ -125,7 +125,7 @@
         name: "slot-leaked",
         what: "an attempt that was called off keeps its place",
         play: "virtual",
-        edits: &[(MODULE, "server.in_flight = server.in_flight.saturating_sub(1);", "if outcome != Outcome::CalledOff { server.in_flight = server.in_flight.saturating_sub(1); }")],
+        edits: &[(MODULE, "server.in_flight = server.in_flight.saturating_sub(1);", "if outcome != Outcome::Cancelled { server.in_flight = server.in_flight.saturating_sub(1); }")],
     },
     Defect {
         name: "slot-freed-twice",
@@ -161,13 +161,13 @@
         name: "one-attempt-more",
         what: "a call has one attempt more than its file allows",
         play: "virtual",
-        edits: &[(MODULE, "(self.attempts.len() as u32) < self.terms.attempts", "(self.attempts.len() as u32) <= self.terms.attempts")],
+        edits: &[(MODULE, "(self.attempts.len() as u32) < self.terms.max_attempts", "(self.attempts.len() as u32) <= self.terms.max_attempts")],
     },
     Defect {
         name: "copies-for-all",
         what: "a second copy goes out whatever the file says",
         play: "virtual",
-        edits: &[(MODULE, "let hedge = if limits.second_copies { terms.hedge } else { Hedge::Never };", "let hedge = if limits.second_copies { Hedge::Auto } else { Hedge::Auto };")],
+        edits: &[(MODULE, "let hedge = if limits.hedging { terms.hedge } else { Hedge::Never };", "let hedge = if limits.hedging { Hedge::Auto } else { Hedge::Auto };")],
     },
     Defect {
         name: "send-after-answer",
@@ -197,7 +197,7 @@
         name: "list-asked-once",
         what: "after a failure the list is not asked for again",
         play: "virtual",
-        edits: &[(MODULE, "self.ask_failures += 1;\n            if self.settings.ask {", "self.ask_failures += 1;\n            if self.settings.ask && self.ask_failures == 0 {")],
+        edits: &[(MODULE, "self.ask_failures += 1;\n            if self.settings.poll_endpoint_list {", "self.ask_failures += 1;\n            if self.settings.poll_endpoint_list && self.ask_failures == 0 {")],
     },
     Defect {
         name: "hold-skipped",
@@ -233,7 +233,7 @@
         what: "an attempt that timed out is taken as one that was never written",
         play: "sockets",
         edits: &[
-            (DRIVER_TIMERS, "Some(Attempt { started: false, .. }) => Outcome::NoConnection", "Some(_) => Outcome::NoConnection"),
+            (DRIVER_TIMERS, "Some(Attempt { started: false, .. }) => Outcome::ConnectFailed", "Some(_) => Outcome::ConnectFailed"),
         ],
     },
     Defect {
@@ -241,7 +241,7 @@
         what: "a connection that broke under a request is told as one that never was",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into()", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::NoConnection.into()"),
+            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into()", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::ConnectFailed.into()"),
         ],
     },
     Defect {
@@ -249,7 +249,7 @@
         what: "an answer that can't be read is told as one of a host that turned the call away",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into()", "Err(Fault::Spoilt) => return Outcome::TurnedAway.into()"),
+            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into()", "Err(Fault::Spoilt) => return Outcome::Rejected.into()"),
         ],
     },
     Defect {
@@ -305,7 +305,7 @@
         what: "the decisions are not told of a client that has left",
         play: "sockets",
         edits: &[
-            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::Gone { call });", "self.core.borrow_mut().finish_call(call, None);"),
+            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::ClientGone { call });", "self.core.borrow_mut().finish_call(call, None);"),
         ],
     },
 ];
--- a/crates/simulator/src/play/shell.rs
+++ b/crates/simulator/src/play/shell.rs
@@ -1,7 +1,7 @@
 //! A proxy as the decisions see it: what the program's driver keeps, without its sockets. It decides nothing.
 
 use badgerramp_config::Config;
-use badgerramp_decisions::{Balancer, CallId, ClassId, Micros, Terms};
+use badgerramp_decisions::{Balancer, CallId, CallPolicy, ClassId, Micros};
 use badgerramp_gossip::peer::Peer;
 use badgerramp_sim_model::{Ask, Scenario};
 use http::{HeaderMap, HeaderValue, Method};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Routed {
     pub(crate) class: ClassId,
-    pub(crate) terms: Terms,
+    pub(crate) terms: CallPolicy,
     pub(crate) total: Micros,
     pub(crate) connect: Micros,
 }
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -8,8 +8,8 @@
 use crate::operator;
 use badgerramp_config::{connections_kept, Config, ANSWER_ROOM};
 use badgerramp_decisions::{
-    self as decisions, settings, Action, Balancer, CallId, CellId, Event, ListKind, Load, Outcome,
-    ServerId, Settings, State,
+    self as decisions, settings, Action, Balancer, CallId, CellId, EndpointId, EndpointStatus,
+    Event, ListUpdateKind, LoadReport, Outcome, Settings,
 };
 use badgerramp_gossip::peer::{Input, Output};
 use badgerramp_sim_model::{
@@ -173,7 +173,7 @@
                 started: 0,
             })
             .collect();
-        let zone = |name: &str| settings::zone(name).0;
+        let zone = |name: &str| settings::zone_id(name).0;
         let mut settings = config.settings();
         // The program's step is its clock's; the file does not set it.
         settings.tick = 1_000;
@@ -312,7 +312,7 @@
                     out[attempt.host] += 1;
                 }
                 for (host, &out) in out.iter().enumerate() {
-                    let view = proxy.balancer.view(self.now, ServerId(host as u32));
+                    let view = proxy.balancer.view(self.now, EndpointId(host as u32));
                     if let Some(view) = view.filter(|v| v.in_flight != out) {
                         let text = format!(
                             "proxy {}: the decisions count {} in flight at {}, and {out} are",
@@ -373,7 +373,7 @@
                 let forgotten = shell.calls.get(&call).is_some_and(|c| !c.answered);
                 if shell.up && shell.epoch == epoch && forgotten {
                     self.answer(proxy, call, Answered::Overdue, None);
-                    self.tell(proxy, Event::Gone { call });
+                    self.tell(proxy, Event::ClientGone { call });
                 }
             }
             Ev::ListAsked(question) => {
@@ -429,8 +429,8 @@
         self.tell(place, Event::Start);
         self.tell(
             place,
-            Event::Members {
-                kind: ListKind::Cached,
+            Event::EndpointList {
+                kind: ListUpdateKind::Cached,
                 entries: Vec::new(),
             },
         );
@@ -490,9 +490,9 @@
                     self.learn(
                         place,
                         if whole {
-                            ListKind::Full
+                            ListUpdateKind::Full
                         } else {
-                            ListKind::Delta
+                            ListUpdateKind::Delta
                         },
                         entries,
                     );
@@ -527,14 +527,14 @@
         match action {
             Action::Send {
                 call,
-                server,
-                until,
+                endpoint: server,
+                attempt_deadline: until,
                 start_by,
             } => {
                 let sent = self.send(proxy, call, server.0 as usize, (until, start_by));
                 queue.extend(sent);
             }
-            Action::Refuse { call, retry_after } => {
+            Action::Reject { call, retry_after } => {
                 // As the program's front has it: its own advice where there is none, in whole seconds.
                 let wait = if retry_after == 0 {
                     self.advice
@@ -550,8 +550,8 @@
                     proxy,
                     call,
                     attempt,
-                    Outcome::CalledOff,
-                    Load::default(),
+                    Outcome::Cancelled,
+                    LoadReport::default(),
                 ));
             }
             Action::Wake { after } => {
@@ -574,11 +574,11 @@
                     self.ask_list(proxy);
                 }
             }
-            Action::Probe { server } => queue.push_back(Event::Probed {
-                server,
+            Action::Probe { endpoint: server } => queue.push_back(Event::ProbeCompleted {
+                endpoint: server,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
-                load: Load::default(),
+                load: LoadReport::default(),
             }),
             Action::Log { .. } => {}
         }
@@ -655,8 +655,8 @@
             class: routed.class,
             tenant: None,
             time_left: time,
-            resent: ask.number > 0,
-            terms: routed.terms,
+            is_retry: ask.number > 0,
+            policy: routed.terms,
         };
         self.tell(proxy, event);
     }
@@ -693,15 +693,19 @@
         self.course.note(self.options.trace, ask.op, self.now, || {
             "its client leaves".to_owned()
         });
-        self.tell(proxy, Event::Gone { call });
+        self.tell(proxy, Event::ClientGone { call });
         let count = self.proxies[proxy as usize]
             .calls
             .get(&call)
             .map_or(0, |c| c.attempts.len());
         for attempt in 0..count as u32 {
-            if let Some(event) =
-                self.outcome(proxy, call, attempt, Outcome::CalledOff, Load::default())
-            {
+            if let Some(event) = self.outcome(
+                proxy,
+                call,
+                attempt,
+                Outcome::Cancelled,
+                LoadReport::default(),
+            ) {
                 self.tell(proxy, event);
             }
         }
@@ -780,16 +784,16 @@
             let name = self.scenario.hosts.get(host).map_or("?", |h| &h.name);
             let view = self.proxies[proxy as usize]
                 .balancer
-                .view(self.now, ServerId(host as u32));
+                .view(self.now, EndpointId(host as u32));
             let knew = view.map_or_else(String::new, |v| {
                 format!(
                     "; known: {} in flight of {:.1}, strain {:.2}, failing {:.2}, warmth {:.2}{}",
                     v.in_flight,
-                    v.concurrency,
-                    v.strain,
-                    v.failing,
-                    v.warmth,
-                    if v.set_aside { ", set aside" } else { "" }
+                    v.concurrency_limit,
+                    v.latency_ratio,
+                    v.failure_rate,
+                    v.slow_start_capacity,
+                    if v.ejected { ", set aside" } else { "" }
                 )
             });
             let line = format!("attempt {attempt} to {name} until {until}{knew}");
@@ -798,7 +802,7 @@
         }
         self.judge.sent(self.now, ask.op, ask.number, host);
         if !known.ready || until <= self.now || answered {
-            return self.outcome(proxy, id, attempt, Outcome::NotSent, Load::default());
+            return self.outcome(proxy, id, attempt, Outcome::NotSent, LoadReport::default());
         }
         let wire = Wire {
             proxy,
@@ -940,7 +944,7 @@
         }
         match link {
             Some(link) => self.start(wire, link),
-            None => self.ends(wire, Outcome::NoConnection, Load::default()),
+            None => self.ends(wire, Outcome::ConnectFailed, LoadReport::default()),
         }
     }
 
@@ -957,7 +961,7 @@
         if !attempt.started {
             attempt.link = Some(link);
             self.keep(wire);
-            self.ends(wire, Outcome::NotSent, Load::default());
+            self.ends(wire, Outcome::NotSent, LoadReport::default());
             return;
         }
         attempt.link = Some(link);
@@ -1081,17 +1085,17 @@
         if self.attempt(&wire).is_none() {
             return;
         }
-        let load = Load {
-            in_hand: Some(f64::from(report.in_hand)),
-            waiting: Some(f64::from(report.waiting)),
-            ..Load::default()
+        let load = LoadReport {
+            in_flight: Some(f64::from(report.in_hand)),
+            queued: Some(f64::from(report.waiting)),
+            ..LoadReport::default()
         };
         let (outcome, load) = match verdict {
             Verdict::Served => (Outcome::Served, load),
             Verdict::Failed => (Outcome::Error, load),
-            Verdict::TurnedAway => (Outcome::TurnedAway, load),
-            Verdict::Reset => (Outcome::Reset, Load::default()),
-            Verdict::Spoilt => (Outcome::Error, Load::default()),
+            Verdict::TurnedAway => (Outcome::Rejected, load),
+            Verdict::Reset => (Outcome::Reset, LoadReport::default()),
+            Verdict::Spoilt => (Outcome::Error, LoadReport::default()),
         };
         match verdict {
             Verdict::Served | Verdict::Failed | Verdict::TurnedAway => self.keep(wire),
@@ -1179,12 +1183,12 @@
         let outcome = if attempt.started {
             Outcome::TimedOut
         } else {
-            Outcome::NoConnection
+            Outcome::ConnectFailed
         };
-        self.ends(wire, outcome, Load::default());
+        self.ends(wire, outcome, LoadReport::default());
     }
 
-    fn ends(&mut self, wire: Wire, outcome: Outcome, load: Load) {
+    fn ends(&mut self, wire: Wire, outcome: Outcome, load: LoadReport) {
         if let Some(event) = self.outcome(wire.proxy, wire.call, wire.attempt, outcome, load) {
             self.tell(wire.proxy, event);
         }
@@ -1197,7 +1201,7 @@
         id: CallId,
         number: u32,
         outcome: Outcome,
-        load: Load,
+        load: LoadReport,
     ) -> Option<Event> {
         let shell = &mut self.proxies[proxy as usize];
         let call = shell.calls.get_mut(&id)?;
@@ -1205,8 +1209,12 @@
         let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
         attempt.out = false;
         let (elapsed, link, token) = (self.now - attempt.sent, attempt.link.take(), attempt.token);
-        self.judge
-            .over(ask.op, ask.number, number as usize, outcome.never_ran());
+        self.judge.over(
+            ask.op,
+            ask.number,
+            number as usize,
+            outcome.proves_not_executed(),
+        );
         self.course.step(
             self.now,
             7,
@@ -1316,8 +1324,8 @@
             return self.among(question.proxy, input);
         }
         let (kind, version, list) = match told {
-            Told::Full(version, list) => (ListKind::Full, version, list),
-            Told::Changes(version, list) => (ListKind::Delta, version, list),
+            Told::Full(version, list) => (ListUpdateKind::Full, version, list),
+            Told::Changes(version, list) => (ListUpdateKind::Delta, version, list),
             Told::Failed => return self.list_failed(question.proxy),
             Told::Nothing | Told::Silence => return,
         };
@@ -1332,9 +1340,9 @@
     }
 
     /// A proxy's list is this, or has changed by this.
-    fn learn(&mut self, proxy: u32, kind: ListKind, list: Vec<Entry>) {
+    fn learn(&mut self, proxy: u32, kind: ListUpdateKind, list: Vec<Entry>) {
         let shell = &mut self.proxies[proxy as usize];
-        if kind == ListKind::Full {
+        if kind == ListUpdateKind::Full {
             for (host, known) in shell.hosts.iter_mut().enumerate() {
                 if known.ready && !list.iter().any(|e| e.host == host) {
                     known.ready = false;
@@ -1353,12 +1361,16 @@
             shell.hosts[host] = Known { ready, started };
             self.judge.told(self.now, proxy, host, ready);
             let spec = &self.scenario.hosts[host];
-            entries.push(decisions::Entry {
-                server: ServerId(host as u32),
-                state: [State::Ready, State::Draining, State::Gone][usize::from(state.min(2))],
-                zone: settings::zone(&spec.zone),
+            entries.push(decisions::EndpointEntry {
+                endpoint: EndpointId(host as u32),
+                status: [
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Removed,
+                ][usize::from(state.min(2))],
+                zone: settings::zone_id(&spec.zone),
                 cell: CellId(spec.group),
-                kind: settings::kind(&spec.kind),
+                kind: settings::kind_id(&spec.kind),
                 weight: 1.0,
                 started,
             });
@@ -1377,7 +1389,7 @@
             .flatten()
             .collect();
         gone.into_iter().for_each(|link| self.close(link, u64::MAX));
-        self.tell(proxy, Event::Members { kind, entries });
+        self.tell(proxy, Event::EndpointList { kind, entries });
     }
 
     fn list_failed(&mut self, proxy: u32) {
@@ -1391,8 +1403,8 @@
         }
         self.tell(
             proxy,
-            Event::Members {
-                kind: ListKind::Failed,
+            Event::EndpointList {
+                kind: ListUpdateKind::Failed,
                 entries: Vec::new(),
             },
         );
--- a/crates/testkit/src/decision_driver.rs
+++ b/crates/testkit/src/decision_driver.rs
@@ -11,7 +11,7 @@
 /// An attempt as the sockets know it.
 pub struct Tried {
     /// Where it went.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// When.
     pub sent: Micros,
     /// When it ends, and how; what the sockets time out ends at its own time.
@@ -35,7 +35,8 @@
 impl Tried {
     /// It has run, or nothing proves that it did not.
     pub fn may_have_run(&self) -> bool {
-        self.over.is_none_or(|outcome| !outcome.never_ran())
+        self.over
+            .is_none_or(|outcome| !outcome.proves_not_executed())
     }
 }
 
@@ -88,10 +89,10 @@
             .endpoints
             .iter()
             .zip(0..)
-            .map(|(e, n)| e.entry(ServerId(n)))
+            .map(|(e, n)| e.entry(EndpointId(n)))
             .collect();
-        world.tell(Event::Members {
-            kind: ListKind::Full,
+        world.tell(Event::EndpointList {
+            kind: ListUpdateKind::Full,
             entries,
         });
         world
@@ -122,7 +123,7 @@
         let route = &self.config.routes.routes()[request.route];
         let mut class = self.config.classes[route.class].class;
         if request.once {
-            class.repeat = Repeat::SingleShot;
+            class.idempotency = Idempotency::NonIdempotent;
         }
         let time_left = route
             .timing
@@ -133,7 +134,7 @@
         let open = Open {
             class,
             hedged: terms.hedge != Hedge::Never,
-            most: terms.attempts,
+            most: terms.max_attempts,
             deadline: self.now + time_left,
             tried: Vec::new(),
             answered: None,
@@ -146,8 +147,8 @@
             class,
             tenant: None,
             time_left,
-            resent: false,
-            terms,
+            is_retry: false,
+            policy: terms,
         });
         call
     }
@@ -159,11 +160,11 @@
             match action {
                 Action::Send {
                     call,
-                    server,
-                    until,
+                    endpoint: server,
+                    attempt_deadline: until,
                     ..
                 } => self.send(call, server, until),
-                Action::Refuse { call, .. } => self.answer(call, Answer::Refused),
+                Action::Reject { call, .. } => self.answer(call, Answer::Refused),
                 Action::Fail { call } => self.answer(call, Answer::Failed),
                 Action::Cancel { call, attempt } => {
                     if let Some(tried) = self
@@ -171,7 +172,7 @@
                         .get_mut(&call)
                         .and_then(|c| c.tried.get_mut(attempt as usize))
                     {
-                        (tried.ends, tried.outcome) = (self.now, Outcome::CalledOff);
+                        (tried.ends, tried.outcome) = (self.now, Outcome::Cancelled);
                     }
                 }
                 Action::Wake { after } => {
@@ -183,11 +184,11 @@
         }
     }
 
-    fn group(&self, server: ServerId) -> u32 {
+    fn group(&self, server: EndpointId) -> u32 {
         self.config.upstream.endpoints[server.0 as usize].group
     }
 
-    fn send(&mut self, call: CallId, server: ServerId, until: Option<Micros>) {
+    fn send(&mut self, call: CallId, server: EndpointId, until: Option<Micros>) {
         let (group, now) = (self.group(server), self.now);
         let groups: Vec<u32> = self
             .config
@@ -215,12 +216,13 @@
             "a second copy where the file wants none"
         );
         if let Some(first) = open.tried.iter().find(|t| t.may_have_run()) {
-            match open.class.repeat {
-                Repeat::Free => {}
-                Repeat::SingleShot => panic!("an unsafe call would run twice"),
-                Repeat::Guarded { scope, window } => {
+            match open.class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe call would run twice"),
+                Idempotency::Keyed { scope, window } => {
                     assert!(now < first.sent + window, "a keyed call outside its window");
-                    let inside = scope != Scope::Cell || groups[first.server.0 as usize] == group;
+                    let inside =
+                        scope != DedupScope::Cell || groups[first.server.0 as usize] == group;
                     assert!(inside, "a keyed call outside its group");
                 }
             }
@@ -230,8 +232,8 @@
         let outcome = match self.random.gen_range(0..9) {
             0..=2 => Outcome::Served,
             3 => Outcome::Error,
-            4 => Outcome::TurnedAway,
-            5 => Outcome::NoConnection,
+            4 => Outcome::Rejected,
+            5 => Outcome::ConnectFailed,
             6 => Outcome::Reset,
             7 => Outcome::NotSent,
             _ => Outcome::Unknown,
@@ -265,10 +267,10 @@
         );
         let ran = open.tried.iter().any(Tried::may_have_run);
         let harmless = matches!(
-            open.class.repeat,
-            Repeat::Free
-                | Repeat::Guarded {
-                    scope: Scope::All,
+            open.class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DedupScope::All,
                     ..
                 }
         );
@@ -322,7 +324,7 @@
                         outcome,
                         elapsed,
                         closed,
-                        load: Load::default(),
+                        load: LoadReport::default(),
                     });
                 }
                 None => {
