--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,15 +4,29 @@
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use badgerramp_decisions::{Action, Balancer, CallId, ClassId, Event, EndpointEntry, EndpointId, EndpointStatus, ListUpdateKind, Settings, CallPolicy};
+//! use badgerramp_decisions::{
+//!     Action, Balancer, CallId, CallPolicy, ClassId, EndpointEntry, EndpointId, EndpointStatus,
+//!     Event, ListUpdateKind, Settings,
+//! };
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
 //! balancer.handle(0, Event::Start, &mut actions);
-//! let entries = vec![EndpointEntry { endpoint: EndpointId(1), status: EndpointStatus::Ready, ..EndpointEntry::default() }];
-//! balancer.handle(0, Event::EndpointList { kind: ListUpdateKind::Full, entries }, &mut actions);
-//! let call = CallId(1);
-//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, is_retry: false, policy: CallPolicy::default() };
+//! let entry = EndpointEntry {
+//!     endpoint: EndpointId(1),
+//!     status: EndpointStatus::Ready,
+//!     ..EndpointEntry::default()
+//! };
+//! let (kind, entries) = (ListUpdateKind::Full, vec![entry]);
+//! balancer.handle(0, Event::EndpointList { kind, entries }, &mut actions);
+//! let event = Event::Request {
+//!     call: CallId(1),
+//!     class: ClassId(0),
+//!     tenant: None,
+//!     time_left: 500_000,
+//!     is_retry: false,
+//!     policy: CallPolicy::default(),
+//! };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
