--- a/crates/endpoint-watch/src/pause.rs
+++ b/crates/endpoint-watch/src/backoff.rs
@@ -7,15 +7,15 @@
 /// Twice as long each time, within its bounds, and up to half of it less at random: proxies that lost the list together
 /// must not come back to it together.
 #[derive(Clone, Debug)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     bounds: (Micros, Micros),
     doublings: u32,
     random: Pcg32,
 }
 
-impl Pause {
+impl Backoff {
     pub(crate) fn new(bounds: (Micros, Micros), seed: u64) -> Self {
-        Pause {
+        Backoff {
             bounds,
             doublings: 0,
             random: Pcg32::seed_from_u64(seed),
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -1,21 +1,22 @@
 //! When the list of hosts is asked for, when silence is doubted, and which answer holds. No I/O and no clock: the time
 //! comes with each input.
 //!
-//! A drain counts as told to a proxy whether or not it hears of it. [`Budget`] derives from the protocol's clocks how
+//! A drain counts as told to a proxy whether or not it hears of it. [`Timeouts`] derives from the protocol's clocks how
 //! long a watch may wait so that a proxy that is told has heard; [`Watch`] asks by it, bears the silence of a watch, and
 //! takes an answer at most once.
 #![forbid(unsafe_code)]
 
-mod budget;
-mod pause;
-mod stall;
+mod backoff;
+mod stall_detector;
+mod timeouts;
 mod watch;
 
-pub use budget::{
-    Budget, Source, Terms, CONNECT, FETCH, SERVICE_ANSWERS, TOLD_AFTER_SILENCE, TOLD_AFTER_WAIT,
+pub use stall_detector::StallDetector;
+pub use timeouts::{
+    Source, TimeoutConfig, Timeouts, CONNECT_TIMEOUT, FETCH_TIMEOUT, NOTIFIED_AFTER_SILENCE,
+    NOTIFIED_AFTER_WAIT, SERVICE_RESPONSE_TIMEOUT,
 };
-pub use stall::Stall;
-pub use watch::{Input, Odd, Output, QuestionId, Watch};
+pub use watch::{Input, Output, PollId, ProtocolViolation, Watch};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/crates/endpoint-watch/src/stall.rs
+++ b/crates/endpoint-watch/src/stall_detector.rs
@@ -10,7 +10,7 @@
 
 /// Notices that time has passed without this process.
 #[derive(Clone, Copy, Debug)]
-pub struct Stall {
+pub struct StallDetector {
     /// A beat that is so late was held up.
     slack: Micros,
     /// When the next beat is due.
@@ -19,11 +19,11 @@
     until: Micros,
 }
 
-impl Stall {
+impl StallDetector {
     /// One that expects its first beat at `due`. Half of the time in which sends to a host that drains must end is the
     /// most that goes unnoticed beside the time between beats.
     pub fn new(due: Micros, grace: Micros) -> Self {
-        Stall {
+        StallDetector {
             slack: (grace / 2).clamp(100_000, 500_000),
             due,
             until: 0,
@@ -31,7 +31,7 @@
     }
 
     /// A beat; the next one comes in `next`.
-    pub fn beat(&mut self, now: Micros, next: Micros) {
+    pub fn tick(&mut self, now: Micros, next: Micros) {
         if now > self.due + self.slack {
             self.until = now + CATCH_UP;
         }
@@ -39,7 +39,7 @@
     }
 
     /// How long nothing may be sent, so that what came in meanwhile is read first; `None`: all is well.
-    pub fn behind(&self, now: Micros) -> Option<Micros> {
+    pub fn catch_up_time(&self, now: Micros) -> Option<Micros> {
         if now > self.due + self.slack {
             // The beat itself is still to come.
             return Some(CATCH_UP);
@@ -54,20 +54,20 @@
 
     #[test]
     fn a_beat_that_is_late_holds_sends_back_until_the_news_is_read() {
-        let mut stall = Stall::new(250_000, 1_000_000);
+        let mut stall = StallDetector::new(250_000, 1_000_000);
         assert_eq!(
-            [0, 250_000, 750_000].map(|now| stall.behind(now)),
+            [0, 250_000, 750_000].map(|now| stall.catch_up_time(now)),
             [None; 3]
         );
         // Before the late beat, whatever runs first; and after it for a while.
-        assert_eq!(stall.behind(5_000_000), Some(CATCH_UP));
-        stall.beat(5_000_000, 250_000);
-        assert_eq!(stall.behind(5_005_000), Some(CATCH_UP - 5_000));
-        assert_eq!(stall.behind(5_000_000 + CATCH_UP), None);
+        assert_eq!(stall.catch_up_time(5_000_000), Some(CATCH_UP));
+        stall.tick(5_000_000, 250_000);
+        assert_eq!(stall.catch_up_time(5_005_000), Some(CATCH_UP - 5_000));
+        assert_eq!(stall.catch_up_time(5_000_000 + CATCH_UP), None);
         // Beats in time change nothing.
-        stall.beat(5_300_000, 1_000_000);
+        stall.tick(5_300_000, 1_000_000);
         assert_eq!(
-            [5_300_000, 6_700_000].map(|now| stall.behind(now)),
+            [5_300_000, 6_700_000].map(|now| stall.catch_up_time(now)),
             [None; 2]
         );
     }
--- a/crates/endpoint-watch/src/budget.rs
+++ b/crates/endpoint-watch/src/timeouts.rs
@@ -3,15 +3,15 @@
 use crate::Micros;
 
 /// A change that a silent watch misses counts as told so long after it fell silent (the protocol's figures).
-pub const TOLD_AFTER_SILENCE: Micros = 6_000_000;
+pub const NOTIFIED_AFTER_SILENCE: Micros = 6_000_000;
 /// ... and no sooner than so long after its wait is over.
-pub const TOLD_AFTER_WAIT: Micros = 2_000_000;
+pub const NOTIFIED_AFTER_WAIT: Micros = 2_000_000;
 /// A service that works through questions in turn gives one up that waited for longer.
-pub const SERVICE_ANSWERS: Micros = 3_000_000;
+pub const SERVICE_RESPONSE_TIMEOUT: Micros = 3_000_000;
 /// A connection to the service that is not up by then has failed: one that has vanished refuses nobody.
-pub const CONNECT: Micros = 1_000_000;
+pub const CONNECT_TIMEOUT: Micros = 1_000_000;
 /// Patience with a question for the whole list: the service's own, and half a second of ways and work.
-pub const FETCH: Micros = SERVICE_ANSWERS + 500_000;
+pub const FETCH_TIMEOUT: Micros = SERVICE_RESPONSE_TIMEOUT + 500_000;
 
 /// The least and the most that an answer may be late before its watch is doubted. A little under the least is what a
 /// proxy with almost no processor time is late by itself; the most is half of a usual grace.
@@ -31,11 +31,11 @@
 
 /// What the times are derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct TimeoutConfig {
     /// Where lists come from.
     pub source: Source,
     /// Time in which sends to a host that drains must end, from when that counts as told.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// How long a watch waits, where an operator says so. What a silent one misses is then heard later than it counts
     /// as told.
     pub wait: Option<Micros>,
@@ -43,49 +43,51 @@
 
 /// The times of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct Timeouts {
     /// Where lists come from.
     pub source: Source,
     /// How long a question waits at the source for news.
     pub wait: Micros,
     /// An answer that is so much later than its wait is doubted: another question goes out beside it.
-    pub doubt: Micros,
+    pub response_slack: Micros,
     /// The least and the most of a pause after a question that failed.
-    pub pause: (Micros, Micros),
+    pub backoff: (Micros, Micros),
 }
 
-impl Budget {
+impl Timeouts {
     /// Half of the grace is left for the last step, from the list to what is being written; the other half bounds the
     /// doubt. At a service the wait is what remains after a fresh connection that hangs and an answer that takes as long
-    /// as the service bears: `wait + doubt + CONNECT + SERVICE_ANSWERS <= TOLD_AFTER_SILENCE + grace / 2`. What follows a
+    /// as the service bears: `wait + doubt + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT <= NOTIFIED_AFTER_SILENCE + grace / 2`. What follows a
     /// question that failed has the same time, as a change counts as told so long after the service could be reached
     /// again: two pauses, as a service that comes back to many callers may refuse once more, a connection that hangs, and
     /// an answer. At an agent, where the return of the service counts as told at once, wait and doubt together stay
     /// within the grace.
-    pub fn of(terms: Terms) -> Self {
-        let doubt = (terms.grace / 2).clamp(DOUBT.0, DOUBT.1);
-        match terms.source {
+    pub fn derive(config: TimeoutConfig) -> Self {
+        let doubt = (config.drain_grace / 2).clamp(DOUBT.0, DOUBT.1);
+        match config.source {
             Source::Agent => {
                 let (derived, doubt) = (
-                    (terms.grace / 2).clamp(AGENT_WAIT.0, AGENT_WAIT.1),
+                    (config.drain_grace / 2).clamp(AGENT_WAIT.0, AGENT_WAIT.1),
                     doubt / 2,
                 );
-                Budget {
+                Timeouts {
                     source: Source::Agent,
-                    wait: terms.wait.unwrap_or(derived),
-                    doubt,
-                    pause: (doubt, doubt),
+                    wait: config.wait.unwrap_or(derived),
+                    response_slack: doubt,
+                    backoff: (doubt, doubt),
                 }
             }
             Source::Service => {
-                let spare = TOLD_AFTER_SILENCE + terms.grace / 2 - CONNECT - SERVICE_ANSWERS;
-                let derived = spare.saturating_sub(doubt).min(TOLD_AFTER_SILENCE / 3);
+                let spare = NOTIFIED_AFTER_SILENCE + config.drain_grace / 2
+                    - CONNECT_TIMEOUT
+                    - SERVICE_RESPONSE_TIMEOUT;
+                let derived = spare.saturating_sub(doubt).min(NOTIFIED_AFTER_SILENCE / 3);
                 let pause = (doubt.min(spare / 2), spare / 2);
-                Budget {
+                Timeouts {
                     source: Source::Service,
-                    wait: terms.wait.unwrap_or(derived),
-                    doubt,
-                    pause,
+                    wait: config.wait.unwrap_or(derived),
+                    response_slack: doubt,
+                    backoff: pause,
                 }
             }
         }
@@ -93,14 +95,14 @@
 
     /// When a change that a watch misses counts as told at the earliest, after the watch's question went out and silence
     /// began `silence` later.
-    pub fn told(&self, silence: Micros) -> Micros {
-        (silence + TOLD_AFTER_SILENCE).max(self.wait + TOLD_AFTER_WAIT)
+    pub fn earliest_notification(&self, silence: Micros) -> Micros {
+        (silence + NOTIFIED_AFTER_SILENCE).max(self.wait + NOTIFIED_AFTER_WAIT)
     }
 
     /// When a change is heard at the latest, after the question of a watch that falls silent went out, if a fresh
     /// connection serves.
-    pub fn heard(&self) -> Micros {
-        self.wait + self.doubt + CONNECT + SERVICE_ANSWERS
+    pub fn latest_receipt(&self) -> Micros {
+        self.wait + self.response_slack + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT
     }
 }
 
@@ -114,15 +116,15 @@
         /// agent the return of the service is heard within the grace.
         #[test]
         fn who_is_told_has_heard(grace in 300_000u64..5_000_000, into_wait in 0.0f64..=1.0) {
-            let service = Budget::of(Terms { source: Source::Service, grace, wait: None });
+            let service = Timeouts::derive(TimeoutConfig { source: Source::Service, drain_grace: grace, wait: None });
             let silence = (service.wait as f64 * into_wait) as Micros;
-            prop_assert!(service.heard() <= service.told(silence) + grace / 2, "{service:?}");
+            prop_assert!(service.latest_receipt() <= service.earliest_notification(silence) + grace / 2, "{service:?}");
             prop_assert!(service.wait >= 1_500_000, "{service:?}");
-            let refused_twice = 2 * service.pause.1 + CONNECT + SERVICE_ANSWERS;
-            prop_assert!(refused_twice <= TOLD_AFTER_SILENCE + grace / 2, "{service:?}");
-            prop_assert!(service.pause.0 <= service.pause.1, "{service:?}");
-            let agent = Budget::of(Terms { source: Source::Agent, grace, wait: None });
-            prop_assert!(agent.wait + agent.doubt < grace, "{agent:?}");
+            let refused_twice = 2 * service.backoff.1 + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
+            prop_assert!(refused_twice <= NOTIFIED_AFTER_SILENCE + grace / 2, "{service:?}");
+            prop_assert!(service.backoff.0 <= service.backoff.1, "{service:?}");
+            let agent = Timeouts::derive(TimeoutConfig { source: Source::Agent, drain_grace: grace, wait: None });
+            prop_assert!(agent.wait + agent.response_slack < grace, "{agent:?}");
         }
     }
 
@@ -130,24 +132,24 @@
     #[test]
     fn the_times_of_usual_graces() {
         let of = |source, grace| {
-            let b = Budget::of(Terms {
+            let b = Timeouts::derive(TimeoutConfig {
                 source,
-                grace,
+                drain_grace: grace,
                 wait: None,
             });
-            (b.wait, b.doubt)
+            (b.wait, b.response_slack)
         };
         assert_eq!(of(Source::Service, 1_000_000), (2_000_000, 500_000));
         assert_eq!(of(Source::Service, 500_000), (2_000_000, 250_000));
         assert_eq!(of(Source::Agent, 1_000_000), (500_000, 250_000));
         assert_eq!(of(Source::Agent, 500_000), (250_000, 125_000));
-        let long = Budget::of(Terms {
+        let long = Timeouts::derive(TimeoutConfig {
             source: Source::Service,
-            grace: 1_000_000,
+            drain_grace: 1_000_000,
             wait: Some(10_000_000),
         });
         assert!(
-            long.heard() > long.told(0) + 1_000_000,
+            long.latest_receipt() > long.earliest_notification(0) + 1_000_000,
             "ten seconds are too long: it is heard too late"
         );
     }
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -1,8 +1,8 @@
 //! The watch: one question at a time, a second one beside it when its answer is late, and one answer that holds.
 
-use crate::budget::{Budget, Source, SERVICE_ANSWERS};
-use crate::pause::Pause;
-use crate::stall::READ;
+use crate::backoff::Backoff;
+use crate::stall_detector::READ;
+use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
 use badgerramp_subset::Poll;
 
@@ -17,56 +17,56 @@
 
 /// A question, by its number since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QuestionId(pub u64);
+pub struct PollId(pub u64);
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The decisions want the list to be watched. Means nothing while it is, or is about to be.
-    Begin,
+    Start,
     /// An answer that can be read: its index, and whether it is the whole list.
-    Answered {
+    Response {
         /// To which question.
-        question: QuestionId,
+        poll: PollId,
         /// The list's version.
         index: u64,
         /// The whole list, or what changed.
-        whole: bool,
+        complete: bool,
     },
     /// A question failed: no connection, a reset, an answer that can't be read.
     Failed {
         /// Which.
-        question: QuestionId,
+        poll: PollId,
     },
     /// The source refused a question: it is there, and has more callers than it can answer in time.
-    Refused {
+    Rejected {
         /// Which.
-        question: QuestionId,
+        poll: PollId,
     },
     /// The source is another one now.
-    Moved,
-    /// [`Watch::due`] is over.
+    SourceChanged,
+    /// [`Watch::next_deadline`] is over.
     Timer,
 }
 
 /// What is wrong with an answer that could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Odd {
+pub enum ProtocolViolation {
     /// Changes, where the whole list was asked for.
-    NoList,
+    ChangesInsteadOfList,
     /// Changes up to an index before the one asked from: they are those of another life of the service.
-    Back {
+    IndexWentBack {
         /// Asked from.
-        from: u64,
+        requested: u64,
         /// Told.
-        to: u64,
+        received: u64,
     },
     /// The whole list, with an index before the one asked from: it holds, as another life of the service.
-    AnotherLife {
+    NewIncarnation {
         /// Asked from.
-        from: u64,
+        requested: u64,
         /// Told.
-        to: u64,
+        received: u64,
     },
 }
 
@@ -74,31 +74,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Ask.
-    Ask {
+    Send {
         /// Its number.
-        question: QuestionId,
+        poll: PollId,
         /// For what is newer than this; `None`: for the whole list.
         index: Option<u64>,
         /// How long it may wait at the source for news, in microseconds.
         wait: Micros,
         /// On a connection of its own, as what is there may be silent.
-        fresh: bool,
+        fresh_connection: bool,
     },
     /// Nobody waits for this question any more: its connection is closed.
-    Drop(QuestionId),
+    Cancel(PollId),
     /// The answer that came just now holds.
-    Take,
+    Accept,
     /// The answer that came just now is odd.
-    Odd(Odd),
+    Violation(ProtocolViolation),
     /// A watch is doubted: its answer is late.
-    Doubted(QuestionId),
+    Overdue(PollId),
     /// Asking has failed; the list that is there stands.
     Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Question {
-    id: QuestionId,
+struct InFlightPoll {
+    id: PollId,
     asked: Micros,
     index: Option<u64>,
     wait: Micros,
@@ -110,10 +110,10 @@
 /// When the list is asked for.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    budget: Budget,
+    timeouts: Timeouts,
     index: Option<u64>,
     /// The oldest first.
-    open: Vec<Question>,
+    in_flight: Vec<InFlightPoll>,
     next: u64,
     /// When to ask, if nothing else is heard before. Of what is open then all is doubted.
     ask_at: Option<Micros>,
@@ -124,26 +124,26 @@
     /// The last question was refused: the next one is to stand in the source's queue, and a second one beside it would
     /// take its place there.
     crowded: bool,
-    poll: Option<Poll>,
+    schedule: Option<Poll>,
     /// The pauses after questions that failed, where no turns are taken.
-    pause: Pause,
+    backoff: Backoff,
 }
 
 impl Watch {
-    /// One that knows the list of this version. `poll` gives the turns, where an operator has many proxies ask one
+    /// One that knows the list of this version. `schedule` gives the turns, where an operator has many proxies ask one
     /// service. `seed` differs from proxy to proxy, so that those whose questions fail together don't ask together again.
-    pub fn new(budget: Budget, index: Option<u64>, poll: Option<Poll>, seed: u64) -> Self {
+    pub fn new(timeouts: Timeouts, index: Option<u64>, schedule: Option<Poll>, seed: u64) -> Self {
         Watch {
-            budget,
+            timeouts,
             index,
-            open: Vec::new(),
+            in_flight: Vec::new(),
             next: 0,
             ask_at: None,
             believe_until: 0,
             idle_link: false,
             crowded: false,
-            poll,
-            pause: Pause::new(budget.pause, seed),
+            schedule,
+            backoff: Backoff::new(timeouts.backoff, seed),
         }
     }
 
@@ -153,17 +153,17 @@
     }
 
     /// Questions that are out.
-    pub fn open(&self) -> impl Iterator<Item = QuestionId> + '_ {
-        self.open.iter().map(|q| q.id)
+    pub fn in_flight(&self) -> impl Iterator<Item = PollId> + '_ {
+        self.in_flight.iter().map(|q| q.id)
     }
 
     /// When [`Input::Timer`] is due; `None`: not before something else happens.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let doubts = self
-            .open
+            .in_flight
             .iter()
             .filter(|q| !q.doubted)
-            .map(|q| self.patience(q));
+            .map(|q| self.response_deadline(q));
         self.ask_at.into_iter().chain(doubts).min()
     }
 
@@ -171,49 +171,49 @@
     /// serves, where an operator has set one.
     pub fn handle(&mut self, now: Micros, input: Input, idle: bool, out: &mut Vec<Output>) {
         match input {
-            Input::Begin if self.open.is_empty() && self.ask_at.is_none() => {
-                self.ask_at = Some(now + self.poll.as_mut().map_or(0, Poll::first));
+            Input::Start if self.in_flight.is_empty() && self.ask_at.is_none() => {
+                self.ask_at = Some(now + self.schedule.as_mut().map_or(0, Poll::first));
             }
-            Input::Begin => {}
-            Input::Answered {
-                question,
+            Input::Start => {}
+            Input::Response {
+                poll,
                 index,
-                whole,
+                complete,
             } => {
-                if let Some(place) = self.open.iter().position(|q| q.id == question) {
-                    self.answered(now, place, (index, whole), out);
+                if let Some(place) = self.in_flight.iter().position(|q| q.id == poll) {
+                    self.answered(now, place, (index, complete), out);
                 }
             }
-            Input::Failed { question } => self.failed(now, question, out),
-            Input::Refused { question } => {
-                self.crowded |= self.open.iter().any(|q| q.id == question);
-                self.failed(now, question, out);
+            Input::Failed { poll } => self.failed(now, poll, out),
+            Input::Rejected { poll } => {
+                self.crowded |= self.in_flight.iter().any(|q| q.id == poll);
+                self.failed(now, poll, out);
             }
-            Input::Moved => {
+            Input::SourceChanged => {
                 self.drop_all(out);
                 self.index = None;
                 self.crowded = false;
-                self.pause.over();
-                self.ask_at = Some(now + self.poll.as_mut().map_or(0, Poll::first));
+                self.backoff.over();
+                self.ask_at = Some(now + self.schedule.as_mut().map_or(0, Poll::first));
             }
             // An agent costs nothing to ask, so that it is asked beside at once.
-            Input::Timer if self.budget.source == Source::Service && self.held_up(now) => {
+            Input::Timer if self.timeouts.source == Source::Service && self.held_up(now) => {
                 self.believe_until = now + READ;
             }
             Input::Timer => self.doubt(now, idle, out),
         }
         if self.ask_at.is_some_and(|at| at <= now) {
-            let fresh = std::mem::take(&mut self.idle_link);
-            self.ask(now, idle, fresh, out);
+            let fresh_connection = std::mem::take(&mut self.idle_link);
+            self.ask(now, idle, fresh_connection, out);
         }
     }
 
     /// A question came to nothing. Of the others one that is doubted proves nothing; it may still be answered.
-    fn failed(&mut self, now: Micros, question: QuestionId, out: &mut Vec<Output>) {
-        let before = self.open.len();
-        self.open.retain(|q| q.id != question);
-        let doubted = self.open.iter().all(|q| q.doubted);
-        if self.open.len() < before && doubted && self.ask_at.is_none() {
+    fn failed(&mut self, now: Micros, poll: PollId, out: &mut Vec<Output>) {
+        let before = self.in_flight.len();
+        self.in_flight.retain(|q| q.id != poll);
+        let doubted = self.in_flight.iter().all(|q| q.doubted);
+        if self.in_flight.len() < before && doubted && self.ask_at.is_none() {
             self.fail(now, out);
         }
     }
@@ -222,39 +222,47 @@
         &mut self,
         now: Micros,
         place: usize,
-        (index, whole): (u64, bool),
+        (index, complete): (u64, bool),
         out: &mut Vec<Output>,
     ) {
         // It settles whatever else is out: an answer that comes later is to an older question, or tells nothing more.
-        let question = self.open.remove(place);
+        let poll = self.in_flight.remove(place);
         // Read so late that this process must have stood still.
-        self.idle_link = now > self.patience(&question) + HELD_UP;
+        self.idle_link = now > self.response_deadline(&poll) + HELD_UP;
         self.drop_all(out);
-        let odd = match question.index {
-            None if !whole => Some(Odd::NoList),
-            Some(from) if index < from && whole => Some(Odd::AnotherLife { from, to: index }),
-            Some(from) if index < from => Some(Odd::Back { from, to: index }),
+        let odd = match poll.index {
+            None if !complete => Some(ProtocolViolation::ChangesInsteadOfList),
+            Some(requested) if index < requested && complete => {
+                Some(ProtocolViolation::NewIncarnation {
+                    requested,
+                    received: index,
+                })
+            }
+            Some(requested) if index < requested => Some(ProtocolViolation::IndexWentBack {
+                requested,
+                received: index,
+            }),
             _ => None,
         };
-        out.extend(odd.map(Output::Odd));
+        out.extend(odd.map(Output::Violation));
         match odd {
             // Nothing is to be made of it; the whole list shows what holds.
-            Some(Odd::NoList) => return self.fail(now, out),
-            Some(Odd::Back { .. }) => {
+            Some(ProtocolViolation::ChangesInsteadOfList) => return self.fail(now, out),
+            Some(ProtocolViolation::IndexWentBack { .. }) => {
                 self.index = None;
                 self.ask_at = Some(now);
                 return;
             }
-            Some(Odd::AnotherLife { .. }) | None => out.push(Output::Take),
+            Some(ProtocolViolation::NewIncarnation { .. }) | None => out.push(Output::Accept),
         }
-        self.pause.over();
+        self.backoff.over();
         self.crowded = false;
         let news = self.index.replace(index) != Some(index);
-        let calm = !news && now.saturating_sub(question.asked) < CALM;
-        let told = self.poll.as_mut().map_or(0, |poll| {
-            poll.answered();
+        let calm = !news && now.saturating_sub(poll.asked) < CALM;
+        let told = self.schedule.as_mut().map_or(0, |schedule| {
+            schedule.answered();
             if news {
-                poll.told()
+                schedule.told()
             } else {
                 0
             }
@@ -265,20 +273,20 @@
     /// The newest question is late.
     fn doubt(&mut self, now: Micros, idle: bool, out: &mut Vec<Output>) {
         let Some(newest) = self
-            .open
+            .in_flight
             .last()
             .copied()
-            .filter(|q| !q.doubted && self.patience(q) <= now)
+            .filter(|q| !q.doubted && self.response_deadline(q) <= now)
         else {
             return;
         };
-        self.open.iter_mut().for_each(|q| q.doubted = true);
-        out.push(Output::Doubted(newest.id));
-        if self.open.len() == OPEN_MOST {
+        self.in_flight.iter_mut().for_each(|q| q.doubted = true);
+        out.push(Output::Overdue(newest.id));
+        if self.in_flight.len() == OPEN_MOST {
             // The newer one stays: its connection may have come up late, and its answer waits in turn.
-            let oldest = self.open.remove(0);
-            out.push(Output::Drop(oldest.id));
-            if self.budget.source == Source::Service {
+            let oldest = self.in_flight.remove(0);
+            out.push(Output::Cancel(oldest.id));
+            if self.timeouts.source == Source::Service {
                 return self.fail(now, out);
             }
         }
@@ -286,28 +294,28 @@
         self.ask(now, idle, true, out);
     }
 
-    fn ask(&mut self, now: Micros, idle: bool, fresh: bool, out: &mut Vec<Output>) {
+    fn ask(&mut self, now: Micros, idle: bool, fresh_connection: bool, out: &mut Vec<Output>) {
         self.ask_at = None;
-        let (wait, queue) = match &mut self.poll {
-            Some(poll) => (poll.wait(idle), 0),
-            None if self.crowded => (self.budget.doubt, SERVICE_ANSWERS),
-            None => (self.budget.wait, 0),
+        let (wait, queue) = match &mut self.schedule {
+            Some(schedule) => (schedule.wait(idle), 0),
+            None if self.crowded => (self.timeouts.response_slack, SERVICE_RESPONSE_TIMEOUT),
+            None => (self.timeouts.wait, 0),
         };
-        let question = QuestionId(self.next);
+        let poll = PollId(self.next);
         self.next += 1;
-        self.open.push(Question {
-            id: question,
+        self.in_flight.push(InFlightPoll {
+            id: poll,
             asked: now,
             index: self.index,
             wait,
             queue,
             doubted: false,
         });
-        out.push(Output::Ask {
-            question,
+        out.push(Output::Send {
+            poll,
             index: self.index,
             wait,
-            fresh,
+            fresh_connection,
         });
     }
 
@@ -315,28 +323,28 @@
     /// processor time would never doubt.
     fn held_up(&self, now: Micros) -> bool {
         let anew = self
-            .open
+            .in_flight
             .last()
             .is_some_and(|q| self.believe_until <= q.asked);
-        anew && self.due().is_some_and(|due| due + HELD_UP < now)
+        anew && self.next_deadline().is_some_and(|due| due + HELD_UP < now)
     }
 
-    fn patience(&self, question: &Question) -> Micros {
+    fn response_deadline(&self, poll: &InFlightPoll) -> Micros {
         // A question for the whole list is answered in its turn, and has as long: its connection may be silent as well.
-        let wait = question.index.map_or(self.budget.wait, |_| question.wait);
-        (question.asked + question.queue + wait + self.budget.doubt).max(self.believe_until)
+        let wait = poll.index.map_or(self.timeouts.wait, |_| poll.wait);
+        (poll.asked + poll.queue + wait + self.timeouts.response_slack).max(self.believe_until)
     }
 
     fn drop_all(&mut self, out: &mut Vec<Output>) {
-        out.extend(self.open.drain(..).map(|q| Output::Drop(q.id)));
+        out.extend(self.in_flight.drain(..).map(|q| Output::Cancel(q.id)));
         self.ask_at = None;
     }
 
     fn fail(&mut self, now: Micros, out: &mut Vec<Output>) {
         out.push(Output::Failed);
-        let pause = match &mut self.poll {
-            Some(poll) => poll.failed(),
-            None => self.pause.next(),
+        let pause = match &mut self.schedule {
+            Some(schedule) => schedule.failed(),
+            None => self.backoff.next(),
         };
         self.ask_at = Some(now + pause);
     }
--- a/crates/endpoint-watch/tests/courses.rs
+++ b/crates/endpoint-watch/tests/notification_deadline.rs
@@ -7,7 +7,8 @@
 )]
 
 use badgerramp_endpoint_watch::{
-    Budget, Input, Micros, Output, QuestionId, Source, Terms, Watch, CONNECT, SERVICE_ANSWERS,
+    Input, Micros, Output, PollId, Source, TimeoutConfig, Timeouts, Watch, CONNECT_TIMEOUT,
+    SERVICE_RESPONSE_TIMEOUT,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -75,15 +76,15 @@
 }
 
 fn play(course: &Course, until: Micros) -> Outcome {
-    let terms = Terms {
+    let terms = TimeoutConfig {
         source: Source::Service,
-        grace: course.grace,
+        drain_grace: course.grace,
         wait: course.wait,
     };
-    let mut watch = Watch::new(Budget::of(terms), Some(0), None, course.seed);
+    let mut watch = Watch::new(Timeouts::derive(terms), Some(0), None, course.seed);
     let mut out = Vec::new();
-    watch.handle(0, Input::Begin, false, &mut out);
-    let mut ways: BTreeMap<QuestionId, Way> = BTreeMap::new();
+    watch.handle(0, Input::Start, false, &mut out);
+    let mut ways: BTreeMap<PollId, Way> = BTreeMap::new();
     let mut lags = course.lags.iter().cycle();
     let (mut outcome, mut now, mut begin) = (Outcome::default(), 0, None);
     let mut cut = false;
@@ -97,19 +98,24 @@
     loop {
         for output in std::mem::take(&mut out) {
             match output {
-                Output::Ask {
-                    question,
+                Output::Send {
+                    poll,
                     index,
                     wait,
-                    fresh,
+                    fresh_connection,
                 } => {
                     let &(connect, answer) = lags.next().expect("a cycle");
                     // After a failure there is no connection to go on with.
-                    let fresh = fresh || std::mem::take(&mut cut);
+                    let fresh_connection = fresh_connection || std::mem::take(&mut cut);
                     let part = |share: f64, most: Micros| (share * most as f64) as Micros;
-                    let there = now + if fresh { part(connect, CONNECT) } else { 0 };
-                    let turn = if fresh {
-                        part(answer, SERVICE_ANSWERS)
+                    let there = now
+                        + if fresh_connection {
+                            part(connect, CONNECT_TIMEOUT)
+                        } else {
+                            0
+                        };
+                    let turn = if fresh_connection {
+                        part(answer, SERVICE_RESPONSE_TIMEOUT)
                     } else {
                         0
                     };
@@ -130,18 +136,20 @@
                                     (way.fails, way.refused) = (Some(now + 1_000), true);
                                 }
                                 // A connection that is there stays silent; another one is given up.
-                                Down::Silent if fresh => way.fails = Some(now + CONNECT),
+                                Down::Silent if fresh_connection => {
+                                    way.fails = Some(now + CONNECT_TIMEOUT)
+                                }
                                 Down::Silent => way.silent = Some(now),
                             }
                         } else if now >= outage.until && !std::mem::replace(refused, true) {
                             (way.fails, way.refused) = (Some(now + 1_000), true);
                         }
                     }
-                    ways.insert(question, way);
+                    ways.insert(poll, way);
                     outcome.questions += 1;
                 }
-                Output::Drop(question) => {
-                    ways.remove(&question);
+                Output::Cancel(poll) => {
+                    ways.remove(&poll);
                 }
                 Output::Failed => {
                     // The decisions wish for it as well, which changes nothing.
@@ -178,7 +186,7 @@
             next_answer.map(|a| a.0),
             fails.map(|f| f.0),
             course.outages.iter().map(|o| o.from).find(|&t| t > now),
-            watch.due(),
+            watch.next_deadline(),
             begin,
             later(&course.silences),
             later(&course.resets),
@@ -235,27 +243,27 @@
             .iter()
             .find(|(_, way)| way.fails.is_some_and(|at| at <= now))
             .map(|(q, _)| *q);
-        let input = if let Some(question) = failed {
-            let refused = ways.remove(&question).is_some_and(|way| way.refused);
+        let input = if let Some(poll) = failed {
+            let refused = ways.remove(&poll).is_some_and(|way| way.refused);
             if refused {
-                Input::Refused { question }
+                Input::Rejected { poll }
             } else {
-                Input::Failed { question }
+                Input::Failed { poll }
             }
         } else if course.resets.contains(&now) && ways.values().any(|w| w.there < now) {
-            let (&question, _) = ways.iter().find(|(_, w)| w.there < now).expect("just seen");
-            ways.remove(&question);
-            Input::Failed { question }
+            let (&poll, _) = ways.iter().find(|(_, w)| w.there < now).expect("just seen");
+            ways.remove(&poll);
+            Input::Failed { poll }
         } else if begin.is_some_and(|at| at <= now) {
             begin = None;
-            Input::Begin
-        } else if let Some((_, question)) = next_answer.filter(|a| a.0 <= now) {
-            let way = ways.remove(&question).expect("it is out");
+            Input::Start
+        } else if let Some((_, poll)) = next_answer.filter(|a| a.0 <= now) {
+            let way = ways.remove(&poll).expect("it is out");
             let index = course.changes.iter().filter(|&&at| at <= now).count() as u64;
-            Input::Answered {
-                question,
+            Input::Response {
+                poll,
                 index: index.max(way.index.unwrap_or(0)),
-                whole: false,
+                complete: false,
             }
         } else {
             Input::Timer
--- a/crates/endpoint-watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -1,8 +1,8 @@
 //! The watch by hand: which question goes out when, and which answer holds.
 
 use badgerramp_endpoint_watch::{
-    Budget, Input, Micros, Odd, Output, QuestionId, Source, Terms, Watch, CONNECT, SERVICE_ANSWERS,
-    TOLD_AFTER_SILENCE,
+    Input, Micros, Output, PollId, ProtocolViolation, Source, TimeoutConfig, Timeouts, Watch,
+    CONNECT_TIMEOUT, NOTIFIED_AFTER_SILENCE, SERVICE_RESPONSE_TIMEOUT,
 };
 
 const GRACE: Micros = 1_000_000;
@@ -15,9 +15,9 @@
 impl Hand {
     fn new(source: Source, index: Option<u64>) -> Hand {
         let watch = Watch::new(
-            Budget::of(Terms {
+            Timeouts::derive(TimeoutConfig {
                 source,
-                grace: GRACE,
+                drain_grace: GRACE,
                 wait: None,
             }),
             index,
@@ -28,7 +28,7 @@
             watch,
             out: Vec::new(),
         };
-        hand.tell(0, Input::Begin);
+        hand.tell(0, Input::Start);
         hand
     }
 
@@ -38,57 +38,47 @@
         self.out.clone()
     }
 
-    fn answer(&mut self, now: Micros, question: u64, index: u64, whole: bool) -> Vec<Output> {
+    fn answer(&mut self, now: Micros, poll: u64, index: u64, complete: bool) -> Vec<Output> {
         self.tell(
             now,
-            Input::Answered {
-                question: QuestionId(question),
+            Input::Response {
+                poll: PollId(poll),
                 index,
-                whole,
+                complete,
             },
         )
     }
 
-    fn fail(&mut self, now: Micros, question: u64) -> Vec<Output> {
-        self.tell(
-            now,
-            Input::Failed {
-                question: QuestionId(question),
-            },
-        )
+    fn fail(&mut self, now: Micros, poll: u64) -> Vec<Output> {
+        self.tell(now, Input::Failed { poll: PollId(poll) })
     }
 
-    fn refuse(&mut self, now: Micros, question: u64) -> Vec<Output> {
-        self.tell(
-            now,
-            Input::Refused {
-                question: QuestionId(question),
-            },
-        )
+    fn refuse(&mut self, now: Micros, poll: u64) -> Vec<Output> {
+        self.tell(now, Input::Rejected { poll: PollId(poll) })
     }
 
     /// Lets the time come that it waits for.
     fn late(&mut self) -> (Micros, Vec<Output>) {
-        let due = self.watch.due().expect("it waits for something");
+        let due = self.watch.next_deadline().expect("it waits for something");
         (due, self.tell(due, Input::Timer))
     }
 
     fn open(&self) -> Vec<u64> {
-        self.watch.open().map(|q| q.0).collect()
+        self.watch.in_flight().map(|q| q.0).collect()
     }
 }
 
-fn ask(question: u64, index: Option<u64>, wait: Micros, fresh: bool) -> Output {
-    Output::Ask {
-        question: QuestionId(question),
+fn ask(poll: u64, index: Option<u64>, wait: Micros, fresh_connection: bool) -> Output {
+    Output::Send {
+        poll: PollId(poll),
         index,
         wait,
-        fresh,
+        fresh_connection,
     }
 }
 
-fn dropped(question: u64) -> Output {
-    Output::Drop(QuestionId(question))
+fn dropped(poll: u64) -> Output {
+    Output::Cancel(PollId(poll))
 }
 
 #[test]
@@ -96,21 +86,21 @@
     let mut hand = Hand::new(Source::Service, Some(41));
     assert_eq!(hand.out, [ask(0, Some(41), 2_000_000, false)]);
     assert_eq!(
-        hand.tell(1, Input::Begin),
+        hand.tell(1, Input::Start),
         [],
         "a second wish changes nothing"
     );
     assert_eq!(
         hand.answer(700_000, 0, 42, false),
-        [Output::Take, ask(1, Some(42), 2_000_000, false)]
+        [Output::Accept, ask(1, Some(42), 2_000_000, false)]
     );
     // Nothing new at the end of the wait.
     assert_eq!(
         hand.answer(2_700_000, 1, 42, false),
-        [Output::Take, ask(2, Some(42), 2_000_000, false)]
+        [Output::Accept, ask(2, Some(42), 2_000_000, false)]
     );
     // Nothing new, and at once: a pause, which stays within the 200 ms.
-    assert_eq!(hand.answer(2_700_010, 2, 42, false), [Output::Take]);
+    assert_eq!(hand.answer(2_700_010, 2, 42, false), [Output::Accept]);
     assert_eq!(
         hand.late(),
         (2_750_010, vec![ask(3, Some(42), 2_000_000, false)])
@@ -122,7 +112,7 @@
 fn a_late_answer_brings_a_second_question_beside_the_first_on_a_fresh_connection() {
     let mut hand = Hand::new(Source::Service, Some(41));
     let beside = vec![
-        Output::Doubted(QuestionId(0)),
+        Output::Overdue(PollId(0)),
         ask(1, Some(41), 2_000_000, true),
     ];
     assert_eq!(hand.late(), (2_500_000, beside));
@@ -135,7 +125,7 @@
     let next = ask(2, Some(42), 2_000_000, false);
     assert_eq!(
         hand.answer(2_600_000, 1, 42, false),
-        [dropped(0), Output::Take, next]
+        [dropped(0), Output::Accept, next]
     );
     assert_eq!(
         hand.answer(2_700_000, 0, 43, false),
@@ -144,7 +134,7 @@
     );
     assert_eq!(
         other.answer(2_600_000, 0, 42, false),
-        [dropped(1), Output::Take, next]
+        [dropped(1), Output::Accept, next]
     );
     assert_eq!(
         other.answer(2_700_000, 1, 41, true),
@@ -169,7 +159,7 @@
     );
     assert_eq!(hand.open(), [0], "and may still be answered");
     assert_eq!(
-        hand.tell(2_600_001, Input::Begin),
+        hand.tell(2_600_001, Input::Start),
         [],
         "a wish of the decisions changes nothing"
     );
@@ -181,9 +171,9 @@
     assert_eq!(again, [ask(2, Some(41), 2_000_000, false)]);
     assert_eq!(
         hand.answer(at + 1, 0, 42, false)[..2],
-        [dropped(2), Output::Take]
+        [dropped(2), Output::Accept]
     );
-    let doubted = Output::Doubted(QuestionId(1));
+    let doubted = Output::Overdue(PollId(1));
     assert_eq!(
         other.late(),
         (5_000_000, vec![doubted, dropped(0), Output::Failed])
@@ -196,7 +186,7 @@
     assert_eq!(other.late().1, [ask(2, Some(41), 2_000_000, false)]);
     assert_eq!(
         other.answer(6_500_000, 1, 42, false)[..2],
-        [dropped(2), Output::Take]
+        [dropped(2), Output::Accept]
     );
     // The first fails, which is no news of the second.
     let mut third = Hand::new(Source::Service, Some(41));
@@ -223,22 +213,22 @@
         out: Vec::new(),
     };
     // One that stays away is doubted after the queue and the wait.
-    let beside = vec![
-        Output::Doubted(QuestionId(1)),
-        ask(2, Some(41), DOUBT, true),
-    ];
-    assert_eq!(hand.late(), (asked + SERVICE_ANSWERS + 2 * DOUBT, beside));
+    let beside = vec![Output::Overdue(PollId(1)), ask(2, Some(41), DOUBT, true)];
+    assert_eq!(
+        hand.late(),
+        (asked + SERVICE_RESPONSE_TIMEOUT + 2 * DOUBT, beside)
+    );
     // An answer ends that: the watch goes on as ever.
     let next = ask(2, Some(42), 2_000_000, false);
     assert_eq!(
-        other.answer(asked + SERVICE_ANSWERS, 1, 42, false),
-        [Output::Take, next]
+        other.answer(asked + SERVICE_RESPONSE_TIMEOUT, 1, 42, false),
+        [Output::Accept, next]
     );
-    assert_eq!(other.late().0, asked + SERVICE_ANSWERS + 2_500_000);
+    assert_eq!(other.late().0, asked + SERVICE_RESPONSE_TIMEOUT + 2_500_000);
     // So does another service.
     hand.refuse(asked + 6_000_000, 2);
     assert_eq!(
-        hand.tell(asked + 6_000_001, Input::Moved).last(),
+        hand.tell(asked + 6_000_001, Input::SourceChanged).last(),
         Some(&ask(3, None, 2_000_000, false))
     );
 }
@@ -262,7 +252,13 @@
         let (now, out) = hand.late();
         assert!(now - last <= GRACE * 3 / 4, "{now} after {last}");
         assert!(
-            matches!(out.last(), Some(Output::Ask { fresh: true, .. })),
+            matches!(
+                out.last(),
+                Some(Output::Send {
+                    fresh_connection: true,
+                    ..
+                })
+            ),
             "{out:?}"
         );
         assert!(hand.open().len() <= 2);
@@ -270,10 +266,10 @@
     }
     let newest = asked - 1;
     let taken = hand.answer(last + 1, newest, 50, false);
-    assert!(taken.contains(&Output::Take), "{taken:?}");
+    assert!(taken.contains(&Output::Accept), "{taken:?}");
     assert!(matches!(
         taken.last(),
-        Some(Output::Ask {
+        Some(Output::Send {
             index: Some(50),
             ..
         })
@@ -281,13 +277,16 @@
     // Refused, it is asked again with nobody to say so.
     let refused = hand.fail(last + 2, asked);
     assert_eq!(refused, [Output::Failed]);
-    assert!(matches!(hand.late().1[..], [Output::Ask { .. }]));
+    assert!(matches!(hand.late().1[..], [Output::Send { .. }]));
 }
 
 #[test]
 fn an_index_of_another_life_means_nothing() {
     let mut hand = Hand::new(Source::Service, Some(41));
-    let back = Output::Odd(Odd::Back { from: 41, to: 7 });
+    let back = Output::Violation(ProtocolViolation::IndexWentBack {
+        requested: 41,
+        received: 7,
+    });
     assert_eq!(
         hand.answer(10, 0, 7, false),
         [back, ask(1, None, 2_000_000, false)]
@@ -295,15 +294,21 @@
     // Changes are no answer to a question for the whole list.
     assert_eq!(
         hand.answer(20, 1, 7, false),
-        [Output::Odd(Odd::NoList), Output::Failed]
+        [
+            Output::Violation(ProtocolViolation::ChangesInsteadOfList),
+            Output::Failed
+        ]
     );
     let (at, again) = hand.late();
     assert_eq!(again, [ask(2, None, 2_000_000, false)]);
-    assert_eq!(hand.answer(at + 10, 2, 7, true)[..1], [Output::Take]);
+    assert_eq!(hand.answer(at + 10, 2, 7, true)[..1], [Output::Accept]);
     assert_eq!(hand.watch.index(), Some(7));
     let mut hand = Hand::new(Source::Service, Some(41));
-    let life = Output::Odd(Odd::AnotherLife { from: 41, to: 7 });
-    assert_eq!(hand.answer(10, 0, 7, true)[..2], [life, Output::Take]);
+    let life = Output::Violation(ProtocolViolation::NewIncarnation {
+        requested: 41,
+        received: 7,
+    });
+    assert_eq!(hand.answer(10, 0, 7, true)[..2], [life, Output::Accept]);
     assert_eq!(hand.watch.index(), Some(7));
 }
 
@@ -312,19 +317,16 @@
 fn a_move_asks_for_the_whole_list_at_once() {
     let mut hand = Hand::new(Source::Service, Some(41));
     hand.late();
-    let moved = hand.tell(2_600_000, Input::Moved);
+    let moved = hand.tell(2_600_000, Input::SourceChanged);
     assert_eq!(
         moved,
         [dropped(0), dropped(1), ask(2, None, 2_000_000, false)]
     );
     assert_eq!(hand.answer(2_700_000, 1, 42, false), []);
     // Its connection may be silent as well: one for the whole list is doubted like any other.
-    let beside = vec![
-        Output::Doubted(QuestionId(2)),
-        ask(3, None, 2_000_000, true),
-    ];
+    let beside = vec![Output::Overdue(PollId(2)), ask(3, None, 2_000_000, true)];
     assert_eq!(hand.late(), (5_100_000, beside));
-    let out = vec![Output::Doubted(QuestionId(3)), dropped(2), Output::Failed];
+    let out = vec![Output::Overdue(PollId(3)), dropped(2), Output::Failed];
     assert_eq!(hand.late(), (7_600_000, out));
 }
 
@@ -333,16 +335,17 @@
 #[test]
 fn however_often_it_fails_a_pause_leaves_time_for_an_answer() {
     let mut hand = Hand::new(Source::Service, Some(41));
-    let (mut question, mut now, mut pauses) = (0, 10, Vec::new());
+    let (mut poll, mut now, mut pauses) = (0, 10, Vec::new());
     for _ in 0..40 {
-        assert_eq!(hand.fail(now, question), [Output::Failed]);
+        assert_eq!(hand.fail(now, poll), [Output::Failed]);
         let (at, again) = hand.late();
-        question += 1;
-        assert_eq!(again, [ask(question, Some(41), 2_000_000, false)]);
+        poll += 1;
+        assert_eq!(again, [ask(poll, Some(41), 2_000_000, false)]);
         pauses.push(at - now);
         now = at + 1;
     }
-    let most = (TOLD_AFTER_SILENCE + GRACE / 2 - CONNECT - SERVICE_ANSWERS) / 2;
+    let most =
+        (NOTIFIED_AFTER_SILENCE + GRACE / 2 - CONNECT_TIMEOUT - SERVICE_RESPONSE_TIMEOUT) / 2;
     assert!(
         pauses.iter().all(|p| (250_000..=most).contains(p)),
         "{pauses:?}"
@@ -352,9 +355,9 @@
         "they grow, and spread: {pauses:?}"
     );
     let other = Watch::new(
-        Budget::of(Terms {
+        Timeouts::derive(TimeoutConfig {
             source: Source::Service,
-            grace: GRACE,
+            drain_grace: GRACE,
             wait: None,
         }),
         Some(41),
@@ -365,7 +368,7 @@
         watch: other,
         out: Vec::new(),
     };
-    other.tell(0, Input::Begin);
+    other.tell(0, Input::Start);
     other.fail(10, 0);
     assert_ne!(
         other.late().0 - 10,
@@ -373,8 +376,8 @@
         "two proxies do not come back together"
     );
     // An answer ends the row.
-    hand.answer(now, question, 42, false);
-    hand.fail(now + 1, question + 1);
+    hand.answer(now, poll, 42, false);
+    hand.fail(now + 1, poll + 1);
     assert!(hand.late().0 - now - 1 <= 500_000);
 }
 
@@ -394,10 +397,10 @@
     };
     assert_eq!(
         hand.answer(9_000_500, 1, 42, false)[..2],
-        [dropped(0), Output::Take]
+        [dropped(0), Output::Accept]
     );
     // Nothing had come; and the next timer is as late, as there is almost no processor time.
-    assert!(other.watch.due() <= Some(9_100_000));
+    assert!(other.watch.next_deadline() <= Some(9_100_000));
     let out = other.tell(12_000_000, Input::Timer);
     assert!(out.contains(&Output::Failed), "{out:?}");
 }
@@ -411,10 +414,10 @@
         matches!(
             out[..],
             [
-                Output::Take,
-                Output::Ask {
+                Output::Accept,
+                Output::Send {
                     index: Some(42),
-                    fresh: true,
+                    fresh_connection: true,
                     ..
                 }
             ]
@@ -423,7 +426,16 @@
     );
     let out = hand.answer(5_100_000, 1, 43, false);
     assert!(
-        matches!(out[..], [Output::Take, Output::Ask { fresh: false, .. }]),
+        matches!(
+            out[..],
+            [
+                Output::Accept,
+                Output::Send {
+                    fresh_connection: false,
+                    ..
+                }
+            ]
+        ),
         "{out:?}"
     );
 }
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -5,8 +5,8 @@
 use super::socket::{Network, Socket};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::{
-    Budget, Input, Odd, Output, QuestionId, Source, Watch, CONNECT, SERVICE_ANSWERS,
-    TOLD_AFTER_SILENCE,
+    Input, Output, PollId, ProtocolViolation, Source, Timeouts, Watch, CONNECT_TIMEOUT,
+    NOTIFIED_AFTER_SILENCE, SERVICE_RESPONSE_TIMEOUT,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -26,7 +26,8 @@
 
 /// Longest that the service may send its callers away for, in seconds: what it says to a refused one postpones nothing of
 /// what counts as told, so that a connection and an answer must still fit.
-const RETRY_MOST: f64 = ((TOLD_AFTER_SILENCE - CONNECT - SERVICE_ANSWERS) / 1_000_000) as f64;
+const RETRY_MOST: f64 =
+    ((NOTIFIED_AFTER_SILENCE - CONNECT_TIMEOUT - SERVICE_RESPONSE_TIMEOUT) / 1_000_000) as f64;
 
 /// A connection to the service.
 pub(super) struct Link {
@@ -42,7 +43,7 @@
 
 /// What became of a question, and the connection that it left.
 struct Answer {
-    question: QuestionId,
+    poll: PollId,
     list: Result<List, Unanswered>,
     link: Option<Link>,
 }
@@ -63,7 +64,7 @@
     driver: Driver,
     network: Rc<dyn Network>,
     mut address: watch::Receiver<SocketAddr>,
-    (budget, watch): (Budget, Watch),
+    (timeouts, watch): (Timeouts, Watch),
     idle_after: Micros,
 ) {
     let (answers, mut answered) = mpsc::unbounded_channel();
@@ -79,14 +80,14 @@
         answers,
         idle_after,
     };
-    if budget.source == Source::Agent {
+    if timeouts.source == Source::Agent {
         // Nobody else says so: the decisions ask where it costs the service something.
-        asking.tell(Input::Begin, None);
+        asking.tell(Input::Start, None);
     }
     loop {
         let due = asking
             .watch
-            .due()
+            .next_deadline()
             .map(|due| asking.driver.clock().instant(due));
         let late = async {
             match due {
@@ -100,10 +101,10 @@
             () = changed(&mut address) => {
                 asking.address = *address.borrow_and_update();
                 asking.link = None;
-                asking.tell(Input::Moved, None);
+                asking.tell(Input::SourceChanged, None);
             }
             Some(answer) = answered.recv() => asking.answered(answer),
-            () = asking.driver.subscribed() => asking.tell(Input::Begin, None),
+            () = asking.driver.subscribed() => asking.tell(Input::Start, None),
             () = late => asking.tell(Input::Timer, None),
         }
     }
@@ -117,40 +118,33 @@
     watch: Watch,
     /// Left open by the last answer.
     link: Option<Link>,
-    open: BTreeMap<QuestionId, Out>,
+    open: BTreeMap<PollId, Out>,
     answers: mpsc::UnboundedSender<Answer>,
     idle_after: Micros,
 }
 
 impl Asking {
-    fn answered(
-        &mut self,
-        Answer {
-            question,
-            list,
-            link,
-        }: Answer,
-    ) {
+    fn answered(&mut self, Answer { poll, list, link }: Answer) {
         // One that was dropped meanwhile means nothing any more.
-        if self.open.remove(&question).is_none() {
+        if self.open.remove(&poll).is_none() {
             return;
         }
         match list {
             Ok(list) => {
                 self.link = link;
-                let input = Input::Answered {
-                    question,
+                let input = Input::Response {
+                    poll,
                     index: list.index,
-                    whole: list.snapshot,
+                    complete: list.snapshot,
                 };
                 self.tell(input, Some(list));
             }
             Err(fault) => {
                 tracing::warn!("discovery: {}", fault.why);
                 let input = if fault.refused {
-                    Input::Refused { question }
+                    Input::Rejected { poll }
                 } else {
-                    Input::Failed { question }
+                    Input::Failed { poll }
                 };
                 self.tell(input, None);
             }
@@ -165,16 +159,16 @@
             .handle(self.driver.clock().now(), input, idle, &mut out);
         for output in out {
             match output {
-                Output::Ask {
-                    question,
+                Output::Send {
+                    poll,
                     index,
                     wait,
-                    fresh,
-                } => self.ask(question, (index, wait), fresh),
-                Output::Drop(question) => {
-                    self.open.remove(&question);
+                    fresh_connection,
+                } => self.ask(poll, (index, wait), fresh_connection),
+                Output::Cancel(poll) => {
+                    self.open.remove(&poll);
                 }
-                Output::Take => {
+                Output::Accept => {
                     let Some(list) = &list else { continue };
                     if before.is_none() {
                         tracing::info!(
@@ -190,8 +184,8 @@
                     };
                     self.driver.members(kind, &list.endpoints);
                 }
-                Output::Odd(odd) => self.odd(odd),
-                Output::Doubted(QuestionId(number)) => {
+                Output::Violation(violation) => self.log_violation(violation),
+                Output::Overdue(PollId(number)) => {
                     self.link = None;
                     tracing::warn!("discovery: no answer to question {number} in its time");
                 }
@@ -203,29 +197,41 @@
         }
     }
 
-    fn odd(&self, odd: Odd) {
-        match odd {
-            Odd::NoList => {
+    fn log_violation(&self, violation: ProtocolViolation) {
+        match violation {
+            ProtocolViolation::ChangesInsteadOfList => {
                 tracing::warn!("discovery: odd list: changes, where the whole was asked for");
             }
-            Odd::Back { from, to } => {
+            ProtocolViolation::IndexWentBack {
+                requested,
+                received,
+            } => {
                 tracing::warn!(
-                    "discovery: odd list: changes up to {to}, asked for those after {from}"
+                    "discovery: odd list: changes up to {received}, asked for those after {requested}"
                 );
             }
-            Odd::AnotherLife { from, to } => {
+            ProtocolViolation::NewIncarnation {
+                requested,
+                received,
+            } => {
                 tracing::warn!(
-                    "discovery: the index went back from {from} to {to}: another service's list"
+                    "discovery: the index went back from {requested} to {received}: another service's list"
                 );
             }
         }
     }
 
-    fn ask(&mut self, question: QuestionId, (index, wait): (Option<u64>, Micros), fresh: bool) {
-        let mut link = self.link.take().filter(|_| !fresh);
+    fn ask(&mut self, poll: PollId, (index, wait): (Option<u64>, Micros), fresh_connection: bool) {
+        let mut link = self.link.take().filter(|_| !fresh_connection);
         let (network, address, answers) =
             (Rc::clone(&self.network), self.address, self.answers.clone());
-        tracing::debug!(number = question.0, index, wait, fresh, "discovery: asked");
+        tracing::debug!(
+            number = poll.0,
+            index,
+            wait,
+            fresh = fresh_connection,
+            "discovery: asked"
+        );
         let task = tokio::task::spawn_local(async move {
             let list = ask(
                 &mut link,
@@ -235,13 +241,9 @@
             )
             .await;
             // Nobody listens at the end of the program.
-            let _ = answers.send(Answer {
-                question,
-                list,
-                link,
-            });
+            let _ = answers.send(Answer { poll, list, link });
         });
-        self.open.insert(question, Out(task.abort_handle()));
+        self.open.insert(poll, Out(task.abort_handle()));
     }
 }
 
@@ -318,8 +320,11 @@
 }
 
 async fn connect(network: &dyn Network, address: SocketAddr) -> Result<Link, String> {
-    let stream =
-        tokio::time::timeout(Duration::from_micros(CONNECT), network.connect(address)).await;
+    let stream = tokio::time::timeout(
+        Duration::from_micros(CONNECT_TIMEOUT),
+        network.connect(address),
+    )
+    .await;
     let stream = stream.map_err(|_| "no connection in time".to_owned())?;
     let stream = stream.map_err(|e| format!("no connection: {e}"))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(&stream)))
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -45,7 +45,7 @@
             return false;
         }
         let mut core = self.core.borrow_mut();
-        if core.stall.behind(self.clock.now()).is_some() {
+        if core.stall.catch_up_time(self.clock.now()).is_some() {
             return false;
         }
         let Core { calls, hosts, .. } = &mut *core;
@@ -164,7 +164,7 @@
 
     /// Resolves once what arrived while the process was stalled has been read; at once if it was not stalled.
     pub(super) async fn caught_up(&self) {
-        let behind = self.core.borrow().stall.behind(self.clock.now());
+        let behind = self.core.borrow().stall.catch_up_time(self.clock.now());
         if let Some(time) = behind {
             tokio::time::sleep(Duration::from_micros(time)).await;
         }
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -28,7 +28,7 @@
 use badgerramp_decisions::{
     Action, Balancer, CallId, Event, Load, Micros, Outcome, ServerId, Settings,
 };
-use badgerramp_endpoint_watch::Stall;
+use badgerramp_endpoint_watch::StallDetector;
 use badgerramp_subset::Subset;
 use calls::Call;
 use membership::Host;
@@ -70,7 +70,7 @@
     alive_proxies: u32,
     /// When the last call was taken on.
     last_call_at: Micros,
-    stall: Stall,
+    stall: StallDetector,
 }
 
 /// A handle to the driver, which all its clones share.
@@ -102,7 +102,7 @@
             settings: facts.settings.clone(),
             alive_proxies: 0,
             last_call_at: clock.now(),
-            stall: Stall::new(clock.now(), facts.settings.rules.drain_grace),
+            stall: StallDetector::new(clock.now(), facts.settings.rules.drain_grace),
             balancer: Balancer::new(seed, facts.settings),
             tenants: facts.tenants,
             max_open: facts.transport.max_open,
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -16,7 +16,7 @@
     pub fn pulse(&self, next: Micros) {
         let mut core = self.core.borrow_mut();
         let now = self.clock.now();
-        core.stall.beat(now, next);
+        core.stall.tick(now, next);
         core.resize_subset(now);
         self.run_with(&mut core);
     }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -6,7 +6,7 @@
 use super::socket::Network;
 use badgerramp_control_protocol::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_endpoint_watch::FETCH;
+use badgerramp_endpoint_watch::FETCH_TIMEOUT;
 use badgerramp_gossip::list::{Change, Entry};
 use badgerramp_gossip::peer::{
     Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST,
@@ -347,7 +347,7 @@
             let patience = if index.is_some() {
                 wait + SILENCE
             } else {
-                Duration::from_micros(FETCH)
+                Duration::from_micros(FETCH_TIMEOUT)
             };
             let asking = discovery::ask(&mut link, &*network, address, (index, wait));
             let answer = match tokio::time::timeout(patience, asking).await {
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -16,7 +16,7 @@
 };
 use badgerramp_decisions::settings::Facts;
 use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_endpoint_watch::{Budget, Source, Terms, Watch};
+use badgerramp_endpoint_watch::{Source, TimeoutConfig, Timeouts, Watch};
 use badgerramp_subset::{Poll, Subset};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -236,9 +236,9 @@
         clock,
         Rc::clone(&hosts),
     );
-    let budget = Budget::of(Terms {
+    let timeouts = Timeouts::derive(TimeoutConfig {
         source,
-        grace,
+        drain_grace: grace,
         wait: setup.watch_wait,
     });
     let poll = setup.list.map(|terms| Poll::new(terms.poll, setup.seed));
@@ -273,7 +273,7 @@
                 peers::run(driver_of_watch, network, moves, among, left).await;
             }
             (Some(_), None) => {
-                let asking = (budget, Watch::new(budget, index, poll, setup.seed));
+                let asking = (timeouts, Watch::new(timeouts, index, poll, setup.seed));
                 discovery::run(driver_of_watch, network, moves, asking, idle_after).await;
             }
             (None, _) => std::future::pending().await,
