--- a/crates/bench/src/list.rs
+++ b/crates/bench/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::Fault;
 use badgerramp_decisions::{Balancer, Entry, Event, ListKind, ServerId, Settings, State};
-use badgerramp_subset::{Instance, Need, Subset};
+use badgerramp_subset::{Instance, Subset, SubsetConfig};
 use std::time::Instant;
 
 const ROUNDS: u32 = 200;
@@ -52,21 +52,21 @@
             tell(ListKind::Delta, changed, u64::from(n));
         });
         let mut subset = Subset::new(
-            Need::of(20),
+            SubsetConfig::with_size(20),
             Instance {
                 number: 7,
                 count: 2_000,
             },
         );
         (0..size).for_each(|n| subset.add(n, &format!("endpoint-{n}"), false));
-        subset.listed(0, &(0..size).collect::<Vec<_>>());
+        subset.apply_list_change(0, &(0..size).collect::<Vec<_>>());
         let dealt = timed(|n| {
             let touched: Vec<u32> = (0..10).map(|k| (n * 10 + k) % size).collect();
             for &id in &touched {
                 subset.remove(id);
                 subset.add(id, &format!("endpoint-{id}-{n}"), false);
             }
-            subset.listed(u64::from(n), &touched);
+            subset.apply_list_change(u64::from(n), &touched);
         });
         println!("{size:>9}  decisions, whole list as before {same:>12.1}");
         println!("{size:>9}  decisions, ten changed          {few:>12.1}");
--- a/crates/bench/src/quiet.rs
+++ b/crates/bench/src/quiet.rs
@@ -4,7 +4,7 @@
 
 use crate::chart;
 use crate::Fault;
-use badgerramp_subset::{Bounds, Need, PollTerms};
+use badgerramp_subset::{PollConfig, ResourceBounds, SubsetConfig};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -408,18 +408,18 @@
     let service = service(&world).await?;
     let folder = std::env::temp_dir().join(format!("badgerramp-quiet-{}", std::process::id()));
     let mut proxies = Proxies::write(&folder, plan, service)?;
-    let bounds = Bounds {
+    let bounds = ResourceBounds {
         proxies: plan.proxies,
         endpoints: plan.endpoints,
-        kept: 1,
+        idle_connections: 1,
     };
-    let need = Need::of(SIZE);
+    let need = SubsetConfig::with_size(SIZE);
     let wait = WAIT_S * 1_000_000;
-    let poll = PollTerms {
+    let poll = PollConfig {
         proxies: plan.proxies,
-        rate: RATE,
+        polls_per_second: RATE,
         wait,
-        wait_idle: wait,
+        idle_wait: wait,
     };
     println!(
         "{} proxies, {} endpoints, subsets of {SIZE}",
@@ -464,8 +464,8 @@
     line("calm: served", format!("{served} of {sent}"), String::new());
     let stated = format!(
         "at most {} at rest, {} ever",
-        bounds.sharing(&need),
-        bounds.connections_per_endpoint(&need)
+        bounds.proxies_per_endpoint(&need),
+        bounds.max_connections_per_endpoint(&need)
     );
     line(
         "  connections an endpoint, most / mean now",
@@ -474,8 +474,8 @@
     );
     let stated = format!(
         "{:.0} to {:.0}",
-        bounds.questions_per_second(&poll),
-        bounds.questions_per_second(&poll) * 8.0 / 7.0
+        bounds.polls_per_second(&poll),
+        bounds.polls_per_second(&poll) * 8.0 / 7.0
     );
     line(
         "  questions a second, mean",
@@ -517,7 +517,7 @@
     line(
         "  connections to it, most",
         new_most.to_string(),
-        format!("at most {} at rest", bounds.sharing(&need)),
+        format!("at most {} at rest", bounds.proxies_per_endpoint(&need)),
     );
 
     // All go and come together.
@@ -528,7 +528,7 @@
     let least = f64::from(plan.proxies) * WORK.as_secs_f64();
     let stated = format!(
         "{least:.0} s of work; a round is {:.0} s",
-        poll.round() as f64 / 1e6
+        poll.spread_window() as f64 / 1e6
     );
     line(
         "common restart: all have their list after",
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -3,7 +3,7 @@
 use crate::file::{Limits, Upstream};
 use crate::{clients_borne, DESCRIPTORS_RESERVED};
 use badgerramp_decisions::Micros;
-use badgerramp_subset::{Bounds, Instance, Need, PollTerms};
+use badgerramp_subset::{Instance, PollConfig, ResourceBounds, SubsetConfig};
 use badgerramp_toml_diagnostics::values::show_duration;
 use badgerramp_toml_diagnostics::{Notes, Section};
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetTerms {
     /// What the subset is to be.
-    pub need: Need,
+    pub need: SubsetConfig,
     /// Which proxy this is.
     pub instance: Instance,
     /// Idle connections kept to an endpoint.
@@ -46,13 +46,13 @@
 
 impl SubsetTerms {
     /// What all proxies together hold at the most, if the size of the fleet is known.
-    pub fn bounds(&self, upstream: &Upstream) -> Option<Bounds> {
+    pub fn bounds(&self, upstream: &Upstream) -> Option<ResourceBounds> {
         let named = Some(upstream.endpoints.len()).filter(|&n| n > 0);
         let endpoints = self.endpoints.or(named)?;
-        Some(Bounds {
+        Some(ResourceBounds {
             proxies: self.instance.count,
             endpoints,
-            kept: self.kept,
+            idle_connections: self.kept,
         })
     }
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListTerms {
     /// When.
-    pub poll: PollTerms,
+    pub poll: PollConfig,
     /// Without a call for this long a proxy is idle, in microseconds.
     pub idle_after: Micros,
 }
@@ -83,13 +83,13 @@
     let count = upstream.map_or(1, |u| u.proxies);
     let number = section.integer(notes, "instance", 0..=u64::from(count.saturating_sub(1)));
     let size = section.integer(notes, "size", SIZE);
-    let mut need = Need::of(size.as_ref().map_or(2, |s| s.value as usize));
-    if let Some(least) = section.integer(notes, "least", 1..=need.size as u64) {
-        need.least = least.value as usize;
+    let mut need = SubsetConfig::with_size(size.as_ref().map_or(2, |s| s.value as usize));
+    if let Some(least) = section.integer(notes, "least", 1..=need.target_size as u64) {
+        need.min_size = least.value as usize;
     }
     // Parts differ in size: one of twice the wanted size must not be cut.
-    if let Some(most) = section.integer(notes, "most", 2 * need.size as u64..=100_000) {
-        need.most = most.value as usize;
+    if let Some(most) = section.integer(notes, "most", 2 * need.target_size as u64..=100_000) {
+        need.max_size = most.value as usize;
     }
     let own_zone = section.read(
         notes,
@@ -97,9 +97,9 @@
         ("this is not a flag", "true or false"),
         |v| v.as_bool(),
     );
-    need.own_zone = own_zone.is_some_and(|o| o.value);
+    need.prefer_own_zone = own_zone.is_some_and(|o| o.value);
     if let Some(zone) = upstream
-        .filter(|u| need.own_zone && u.zone.is_empty())
+        .filter(|u| need.prefer_own_zone && u.zone.is_empty())
         .map(|u| &u.zone)
     {
         let allowed = "the proxy's zone in upstream.zone";
@@ -111,14 +111,14 @@
         );
     }
     if let Some(load) = section.number(notes, "load", 0.1..=1_000.0) {
-        need.load = load.value;
+        need.max_load_per_member = load.value;
     }
-    need.pause = section
+    need.growth_interval = section
         .duration(notes, "pause", SPAN)
-        .map_or(need.pause, |d| d.value);
-    need.calm = section
+        .map_or(need.growth_interval, |d| d.value);
+    need.shrink_delay = section
         .duration(notes, "calm", SPAN)
-        .map_or(need.calm, |d| d.value);
+        .map_or(need.shrink_delay, |d| d.value);
     let kept = section
         .integer(notes, "kept", 0..=64)
         .map_or(1, |k| k.value as usize);
@@ -142,14 +142,14 @@
     size?;
     if let Some(limits) = limits {
         let fleet = endpoints.unwrap_or(usize::MAX);
-        let held = need.most.min(fleet) * kept;
+        let held = need.max_size.min(fleet) * kept;
         let room = limits
             .descriptors
             .saturating_sub(DESCRIPTORS_RESERVED + clients_borne(limits.descriptors));
         if held > room {
             let reason = format!(
                 "{} endpoints with {kept} idle connections each hold more than there is room for",
-                need.most
+                need.max_size
             );
             let allowed =
                 format!("at most {room} of limits.descriptors: a smaller `most` or `kept`");
@@ -171,12 +171,12 @@
                 notes.add((&key, &most.span), reason, "no `endpoints`", allowed);
             }
             Some(bounds) => {
-                let held = bounds.connections_per_endpoint(&terms.need);
+                let held = bounds.max_connections_per_endpoint(&terms.need);
                 if held > most.value {
                     let reason = format!(
                         "{} proxies, {} of which may come to keep to one endpoint with {} each, hold more",
                         bounds.proxies,
-                        bounds.sharing_most(&terms.need),
+                        bounds.max_proxies_per_endpoint(&terms.need),
                         terms.kept
                     );
                     let allowed = format!("at least {held}, or a smaller `most` or `kept`");
@@ -220,11 +220,11 @@
         .duration(notes, "idle_after", SPAN)
         .map_or(30_000_000, |w| w.value);
     let proxies = upstream.map_or(1, |u| u.proxies);
-    let poll = PollTerms {
+    let poll = PollConfig {
         proxies,
-        rate: rate.value,
+        polls_per_second: rate.value,
         wait,
-        wait_idle,
+        idle_wait: wait_idle,
     };
     let asked = f64::from(proxies) * 1e6 / wait as f64;
     if asked > rate.value {
--- a/crates/config/tests/subset.rs
+++ b/crates/config/tests/subset.rs
@@ -29,7 +29,10 @@
     let config = file(DISCOVERY, "[subset]\ninstance = 17\nsize = 20").expect("good");
     let terms = config.subset.expect("set");
     assert_eq!((terms.instance.number, terms.instance.count), (17, 2_000));
-    assert_eq!((terms.need.least, terms.need.most, terms.kept), (10, 80, 1));
+    assert_eq!(
+        (terms.need.min_size, terms.need.max_size, terms.kept),
+        (10, 80, 1)
+    );
     assert!(
         file(DISCOVERY, "").expect("good").subset.is_none(),
         "off unless it is set"
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::stall_detector::READ;
 use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
-use badgerramp_subset::Poll;
+use badgerramp_subset::PollSchedule;
 
 /// An answer that came sooner and told nothing new is followed by a pause of as long: it stays within the 200 ms in which
 /// the next question goes on with the watch, and keeps a confused service from being asked without end.
@@ -124,7 +124,7 @@
     /// The last question was refused: the next one is to stand in the source's queue, and a second one beside it would
     /// take its place there.
     crowded: bool,
-    schedule: Option<Poll>,
+    schedule: Option<PollSchedule>,
     /// The pauses after questions that failed, where no turns are taken.
     backoff: Backoff,
 }
@@ -132,7 +132,12 @@
 impl Watch {
     /// One that knows the list of this version. `schedule` gives the turns, where an operator has many proxies ask one
     /// service. `seed` differs from proxy to proxy, so that those whose questions fail together don't ask together again.
-    pub fn new(timeouts: Timeouts, index: Option<u64>, schedule: Option<Poll>, seed: u64) -> Self {
+    pub fn new(
+        timeouts: Timeouts,
+        index: Option<u64>,
+        schedule: Option<PollSchedule>,
+        seed: u64,
+    ) -> Self {
         Watch {
             timeouts,
             index,
@@ -172,7 +177,12 @@
     pub fn handle(&mut self, now: Micros, input: Input, idle: bool, out: &mut Vec<Output>) {
         match input {
             Input::Start if self.in_flight.is_empty() && self.ask_at.is_none() => {
-                self.ask_at = Some(now + self.schedule.as_mut().map_or(0, Poll::first));
+                self.ask_at = Some(
+                    now + self
+                        .schedule
+                        .as_mut()
+                        .map_or(0, PollSchedule::initial_delay),
+                );
             }
             Input::Start => {}
             Input::Response {
@@ -194,7 +204,12 @@
                 self.index = None;
                 self.crowded = false;
                 self.backoff.over();
-                self.ask_at = Some(now + self.schedule.as_mut().map_or(0, Poll::first));
+                self.ask_at = Some(
+                    now + self
+                        .schedule
+                        .as_mut()
+                        .map_or(0, PollSchedule::initial_delay),
+                );
             }
             // An agent costs nothing to ask, so that it is asked beside at once.
             Input::Timer if self.timeouts.source == Source::Service && self.held_up(now) => {
@@ -260,9 +275,9 @@
         let news = self.index.replace(index) != Some(index);
         let calm = !news && now.saturating_sub(poll.asked) < CALM;
         let told = self.schedule.as_mut().map_or(0, |schedule| {
-            schedule.answered();
+            schedule.reset_backoff();
             if news {
-                schedule.told()
+                schedule.delay_after_update()
             } else {
                 0
             }
@@ -297,7 +312,7 @@
     fn ask(&mut self, now: Micros, idle: bool, fresh_connection: bool, out: &mut Vec<Output>) {
         self.ask_at = None;
         let (wait, queue) = match &mut self.schedule {
-            Some(schedule) => (schedule.wait(idle), 0),
+            Some(schedule) => (schedule.next_wait(idle), 0),
             None if self.crowded => (self.timeouts.response_slack, SERVICE_RESPONSE_TIMEOUT),
             None => (self.timeouts.wait, 0),
         };
@@ -343,7 +358,7 @@
     fn fail(&mut self, now: Micros, out: &mut Vec<Output>) {
         out.push(Output::Failed);
         let pause = match &mut self.schedule {
-            Some(schedule) => schedule.failed(),
+            Some(schedule) => schedule.retry_delay(),
             None => self.backoff.next(),
         };
         self.ask_at = Some(now + pause);
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -14,7 +14,7 @@
         core.sharing_proxies = settings.balancers;
         if let Some(view) = &mut core.subset {
             view.settings = settings.clone();
-            settings.balancers = view.subset.sharing();
+            settings.balancers = view.subset.sharing_proxies();
         }
         drop(core);
         self.event(Event::Reconfigure {
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, Driver};
 use badgerramp_decisions::{Entry, Event, ListKind, Micros, ServerId, Settings, State};
-use badgerramp_subset::{Changes, Health, Subset};
+use badgerramp_subset::{Health, MembershipChange, Subset};
 
 /// The subset that the balancer is told of, and the settings that it was last told.
 pub(super) struct SubsetView {
@@ -32,7 +32,7 @@
         (
             core.subset
                 .as_ref()
-                .map_or(all, |view| view.subset.standing().members),
+                .map_or(all, |view| view.subset.status().members),
             all,
         )
     }
@@ -53,25 +53,28 @@
     /// The list has changed: the balancer is told what that makes of the subset.
     pub(super) fn list_changed(&mut self, now: Micros, kind: ListKind, touched: &[u32]) {
         let Some(view) = &mut self.subset else { return };
-        let changes = view.subset.listed(now, touched);
+        let changes = view.subset.apply_list_change(now, touched);
         if kind == ListKind::Delta {
             // A member may have changed and stayed one.
-            let stay = touched.iter().copied().filter(|&id| view.subset.holds(id));
-            let joined = changes.joined.iter().copied().chain(stay).collect();
+            let stay = touched
+                .iter()
+                .copied()
+                .filter(|&id| view.subset.contains(id));
+            let joined = changes.added.iter().copied().chain(stay).collect();
             self.announce(
                 kind,
-                &Changes {
-                    joined,
-                    left: changes.left,
+                &MembershipChange {
+                    added: joined,
+                    removed: changes.removed,
                 },
             );
         } else {
             let joined = view.subset.members().collect();
             self.announce(
                 kind,
-                &Changes {
-                    joined,
-                    left: Vec::new(),
+                &MembershipChange {
+                    added: joined,
+                    removed: Vec::new(),
                 },
             );
         }
@@ -85,9 +88,9 @@
         let health = Health {
             usable: listed - troubled,
             in_flight: calls - waiting,
-            waiting,
+            queued: waiting,
         };
-        let changes = view.subset.pulse(now, health);
+        let changes = view.subset.adjust_size(now, health);
         if !changes.is_empty() {
             self.announce(ListKind::Delta, &changes);
         }
@@ -95,7 +98,7 @@
 
     /// Tells the balancer of changes to the subset, and of how many proxies share its members where that has changed
     /// notably.
-    fn announce(&mut self, kind: ListKind, changes: &Changes) {
+    fn announce(&mut self, kind: ListKind, changes: &MembershipChange) {
         let gone = |&id: &u32| {
             let entry = self
                 .hosts
@@ -109,12 +112,12 @@
             })
         };
         let joined = changes
-            .joined
+            .added
             .iter()
             .filter_map(|id| self.hosts.get(&ServerId(*id))?.entry);
-        let entries = changes.left.iter().map(gone).chain(joined).collect();
+        let entries = changes.removed.iter().map(gone).chain(joined).collect();
         if let Some(view) = &mut self.subset {
-            let (sharing, told) = (view.subset.sharing(), view.settings.balancers);
+            let (sharing, told) = (view.subset.sharing_proxies(), view.settings.balancers);
             if differs_notably(sharing, told) {
                 view.settings.balancers = sharing;
                 let settings = Box::new(view.settings.clone());
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -155,7 +155,10 @@
         number: 3,
         count: 500,
     };
-    let driver = driver_with(Some(Subset::new(badgerramp_subset::Need::of(10), instance)));
+    let driver = driver_with(Some(Subset::new(
+        badgerramp_subset::SubsetConfig::with_size(10),
+        instance,
+    )));
     let list = |names: &[u32], status: &str| -> Vec<Endpoint> {
         let one =
             |n: &u32| format!(r#"{{"name":"s{n}","address":"127.0.0.1:9","status":"{status}"}}"#);
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -17,7 +17,7 @@
 use badgerramp_decisions::settings::Facts;
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::{Source, TimeoutConfig, Timeouts, Watch};
-use badgerramp_subset::{Poll, Subset};
+use badgerramp_subset::{PollSchedule, Subset};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -241,7 +241,9 @@
         drain_grace: grace,
         wait: setup.watch_wait,
     });
-    let poll = setup.list.map(|terms| Poll::new(terms.poll, setup.seed));
+    let poll = setup
+        .list
+        .map(|terms| PollSchedule::new(terms.poll, setup.seed));
     let idle_after = setup.list.map_or(Micros::MAX, |terms| terms.idle_after);
     driver.start();
     let (address, index) = match setup.members {
--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -1,7 +1,7 @@
 //! How evenly ways to choose subsets spread proxies over endpoints, and how much moves when the fleet changes:
 //! `cargo run --release -p badgerramp-subset --example spread`. The table stands in `docs/large-fleets.md`.
 
-use badgerramp_subset::{Instance, Need, Subset};
+use badgerramp_subset::{Instance, Subset, SubsetConfig};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -50,7 +50,7 @@
 
 fn ours(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
     let mut subset = Subset::new(
-        Need::of(size),
+        SubsetConfig::with_size(size),
         Instance {
             number: proxy,
             count: proxies,
@@ -59,7 +59,7 @@
     fleet
         .iter()
         .for_each(|&e| subset.add(e, &format!("e{e}"), false));
-    subset.listed(0, fleet);
+    subset.apply_list_change(0, fleet);
     subset.members().collect()
 }
 
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -10,15 +10,15 @@
 //! microseconds that its owner gives.
 #![forbid(unsafe_code)]
 
-mod bounds;
-mod deal;
-mod poll;
+mod partition;
+mod poll_schedule;
+mod resource_bounds;
 mod subset;
 
-pub use bounds::{Bounds, Instance, Need};
-pub use deal::{Deal, Team};
-pub use poll::{Poll, PollTerms};
-pub use subset::{Changes, Health, Standing, Subset};
+pub use partition::{Partition, Team};
+pub use poll_schedule::{PollConfig, PollSchedule};
+pub use resource_bounds::{Instance, ResourceBounds, SubsetConfig};
+pub use subset::{Health, MembershipChange, Subset, SubsetStatus};
 
 /// Moments and spans are in microseconds.
 pub type Micros = u64;
--- a/crates/subset/src/deal.rs
+++ b/crates/subset/src/partition.rs
@@ -19,11 +19,11 @@
 
 /// Into how many parts the fleet is dealt: two to the power of `splits`, each about as large as was wanted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Deal {
+pub struct Partition {
     splits: u32,
 }
 
-impl Deal {
+impl Partition {
     /// How so many endpoints are dealt where parts of `wanted` are asked for, by what `self` has done so far.
     #[must_use]
     pub fn for_fleet(self, endpoints: usize, wanted: usize) -> Self {
@@ -32,7 +32,7 @@
         if parts <= now * SLACK && parts >= now / SLACK {
             return self;
         }
-        Deal {
+        Partition {
             splits: (parts.max(1.0).log2().round() as u32).min(SPLITS_MOST),
         }
     }
@@ -86,7 +86,7 @@
     #[test]
     fn a_team_deals_every_place_to_exactly_one_member() {
         for splits in 0..8 {
-            let deal = Deal { splits };
+            let deal = Partition { splits };
             let mut parts: Vec<(u64, u64)> = (0..deal.members())
                 .map(|p| deal.part(deal.team(p), 0))
                 .collect();
@@ -98,7 +98,7 @@
 
     #[test]
     fn a_wider_part_holds_the_narrower_and_the_widest_is_all() {
-        let deal = Deal { splits: 6 };
+        let deal = Partition { splits: 6 };
         for proxy in 0..200 {
             let team = deal.team(proxy);
             for doublings in 0..deal.doublings() {
@@ -111,7 +111,7 @@
 
     #[test]
     fn a_fleet_that_breathes_is_not_dealt_anew() {
-        let deal = Deal::default().for_fleet(1_000, 20);
+        let deal = Partition::default().for_fleet(1_000, 20);
         assert_eq!(deal.members(), 64);
         assert!((801..2_048).all(|n| deal.for_fleet(n, 20) == deal));
         assert_eq!(deal.for_fleet(5_000, 20).members(), 256);
--- a/crates/subset/src/poll.rs
+++ b/crates/subset/src/poll_schedule.rs
@@ -16,37 +16,38 @@
 
 /// What holds for a proxy's questions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PollTerms {
+pub struct PollConfig {
     /// Proxies that ask the same service.
     pub proxies: u32,
     /// Questions a second that it bears.
-    pub rate: f64,
+    pub polls_per_second: f64,
     /// How long a question waits at the service for news, while calls come and while none do.
     pub wait: Micros,
     /// See `wait`.
-    pub wait_idle: Micros,
+    pub idle_wait: Micros,
 }
 
-impl PollTerms {
+impl PollConfig {
     /// Time in which all proxies can have the list and begin their watch without crowding the service.
-    pub fn round(&self) -> Micros {
-        (f64::from(QUESTIONS * self.proxies) / (self.rate.max(0.001) * BUSY_MOST) * 1e6) as Micros
+    pub fn spread_window(&self) -> Micros {
+        (f64::from(QUESTIONS * self.proxies) / (self.polls_per_second.max(0.001) * BUSY_MOST) * 1e6)
+            as Micros
     }
 }
 
 /// Decides when this proxy asks.
 #[derive(Clone, Debug)]
-pub struct Poll {
-    terms: PollTerms,
+pub struct PollSchedule {
+    config: PollConfig,
     random: Pcg32,
     failures: u32,
 }
 
-impl Poll {
+impl PollSchedule {
     /// One that draws from `seed`, which differs from proxy to proxy.
-    pub fn new(terms: PollTerms, seed: u64) -> Self {
-        Poll {
-            terms,
+    pub fn new(config: PollConfig, seed: u64) -> Self {
+        PollSchedule {
+            config,
             random: Pcg32::seed_from_u64(seed),
             failures: 0,
         }
@@ -54,38 +55,39 @@
 
     /// The pause before the first question: a turn anywhere in a round. To hurry would gain nothing, also for a
     /// proxy that has no list yet: the service answers no faster, and works on questions that have been given up.
-    pub fn first(&mut self) -> Micros {
-        self.within(self.terms.round())
+    pub fn initial_delay(&mut self) -> Micros {
+        self.within(self.config.spread_window())
     }
 
     /// The pause after a question that failed: half a round, twice as long each time up to two, and up to as much
     /// again at random.
-    pub fn failed(&mut self) -> Micros {
+    pub fn retry_delay(&mut self) -> Micros {
         let doublings = self.failures.min(DOUBLINGS);
         self.failures += 1;
-        let pause = (PAUSE_LEAST << doublings).max((self.terms.round() / 2) << doublings.min(2));
+        let pause =
+            (PAUSE_LEAST << doublings).max((self.config.spread_window() / 2) << doublings.min(2));
         pause / 2 + self.within(pause / 2)
     }
 
     /// A question was answered.
-    pub fn answered(&mut self) {
+    pub fn reset_backoff(&mut self) {
         self.failures = 0;
     }
 
     /// The pause before the next question after one that brought news: all proxies had it at the same moment, and ask
     /// again together. The list has an index, so nothing is lost meanwhile; it is only heard later.
-    pub fn told(&mut self) -> Micros {
+    pub fn delay_after_update(&mut self) -> Micros {
         self.failures = 0;
-        self.within(self.terms.round() / u64::from(QUESTIONS))
+        self.within(self.config.spread_window() / u64::from(QUESTIONS))
     }
 
     /// How long the next question may wait for news. A little less at random: watches that began together must not
     /// end together for ever.
-    pub fn wait(&mut self, idle: bool) -> Micros {
+    pub fn next_wait(&mut self, idle: bool) -> Micros {
         let wait = if idle {
-            self.terms.wait_idle
+            self.config.idle_wait
         } else {
-            self.terms.wait
+            self.config.wait
         };
         wait - self.within(wait / 8)
     }
@@ -107,19 +109,19 @@
     /// that waited for longer than `patience`. Tells when the last had its list, and questions a second at the worst.
     fn common_start(proxies: u32, spread: bool) -> (Micros, u64) {
         let (service, patience) = (10_000, 3_000_000);
-        let terms = PollTerms {
+        let terms = PollConfig {
             proxies: if spread { proxies } else { 0 },
-            rate: 100.0,
+            polls_per_second: 100.0,
             wait: 10_000_000,
-            wait_idle: 60_000_000,
+            idle_wait: 60_000_000,
         };
-        let mut polls: Vec<Poll> = (0..proxies)
-            .map(|n| Poll::new(terms, u64::from(n)))
+        let mut polls: Vec<PollSchedule> = (0..proxies)
+            .map(|n| PollSchedule::new(terms, u64::from(n)))
             .collect();
         let mut due: BTreeSet<(Micros, usize)> = polls
             .iter_mut()
             .enumerate()
-            .map(|(n, p)| (p.first(), n))
+            .map(|(n, p)| (p.initial_delay(), n))
             .collect();
         let (mut free_at, mut last, mut seconds) = (0, 0, std::collections::BTreeMap::new());
         while let Some((now, n)) = due.pop_first() {
@@ -129,11 +131,11 @@
             if begins > now + patience {
                 // It works on what nobody waits for any more.
                 free_at += service / 2;
-                due.insert((now + patience + polls[n].failed(), n));
+                due.insert((now + patience + polls[n].retry_delay(), n));
             } else {
                 free_at = begins + service;
                 last = free_at;
-                polls[n].answered();
+                polls[n].reset_backoff();
             }
         }
         (last, seconds.into_values().max().unwrap_or(0))
@@ -154,18 +156,18 @@
 
     #[test]
     fn pauses_grow_and_end_and_an_answer_ends_them() {
-        let terms = PollTerms {
+        let terms = PollConfig {
             proxies: 10,
-            rate: 100.0,
+            polls_per_second: 100.0,
             wait: 10_000_000,
-            wait_idle: 60_000_000,
+            idle_wait: 60_000_000,
         };
-        let mut poll = Poll::new(terms, 1);
-        let pauses: Vec<Micros> = (0..20).map(|_| poll.failed()).collect();
+        let mut poll = PollSchedule::new(terms, 1);
+        let pauses: Vec<Micros> = (0..20).map(|_| poll.retry_delay()).collect();
         assert!(pauses[0] <= PAUSE_LEAST && pauses.iter().all(|&p| p <= PAUSE_LEAST << DOUBLINGS));
-        poll.answered();
-        assert!(poll.failed() <= PAUSE_LEAST);
-        let waits: BTreeSet<Micros> = (0..10).map(|_| poll.wait(true)).collect();
+        poll.reset_backoff();
+        assert!(poll.retry_delay() <= PAUSE_LEAST);
+        let waits: BTreeSet<Micros> = (0..10).map(|_| poll.next_wait(true)).collect();
         assert!(
             waits.len() > 5
                 && waits
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,7 +1,7 @@
 //! The subset of one proxy as the fleet, its own traffic and its members' health change.
 
-use crate::bounds::{Instance, Need};
-use crate::deal::{place, Deal, Team};
+use crate::partition::{place, Partition, Team};
+use crate::resource_bounds::{Instance, SubsetConfig};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,32 +13,32 @@
     /// Calls in flight at them.
     pub in_flight: usize,
     /// Calls that wait because all of them are full.
-    pub waiting: usize,
+    pub queued: usize,
 }
 
 /// What has changed of the subset. The two share no endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct MembershipChange {
     /// Endpoints that belong to it from now on.
-    pub joined: Vec<u32>,
+    pub added: Vec<u32>,
     /// Those that do not any more: what is out there may end, nothing new goes there.
-    pub left: Vec<u32>,
+    pub removed: Vec<u32>,
 }
 
-impl Changes {
+impl MembershipChange {
     /// Has nothing changed?
     pub fn is_empty(&self) -> bool {
-        self.joined.is_empty() && self.left.is_empty()
+        self.added.is_empty() && self.removed.is_empty()
     }
 }
 
 /// A subset's size, for whoever looks on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct SubsetStatus {
     /// Members.
     pub members: usize,
     /// Endpoints of the fleet.
-    pub fleet: usize,
+    pub endpoints: usize,
     /// How often it has doubled.
     pub doublings: u32,
 }
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 struct Circle {
     places: BTreeSet<(u64, u32)>,
-    deal: Deal,
+    deal: Partition,
     /// Doublings of the part; `None`: nothing of this circle is wanted.
     doublings: Option<u32>,
 }
@@ -84,7 +84,7 @@
 /// The endpoints that one proxy keeps to.
 #[derive(Clone, Debug)]
 pub struct Subset {
-    need: Need,
+    need: SubsetConfig,
     instance: Instance,
     known: BTreeMap<u32, Known>,
     /// Endpoints of the own zone, if they come first; and all.
@@ -99,9 +99,9 @@
 
 impl Subset {
     /// An empty one.
-    pub fn new(need: Need, instance: Instance) -> Self {
+    pub fn new(need: SubsetConfig, instance: Instance) -> Self {
         let (mut near, mut all) = (Circle::default(), Circle::default());
-        (near.doublings, all.doublings) = if need.own_zone {
+        (near.doublings, all.doublings) = if need.prefer_own_zone {
             (Some(0), None)
         } else {
             (None, Some(0))
@@ -126,22 +126,22 @@
     }
 
     /// Is this endpoint a member?
-    pub fn holds(&self, endpoint: u32) -> bool {
+    pub fn contains(&self, endpoint: u32) -> bool {
         self.members.contains(&endpoint)
     }
 
     /// Its size.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> SubsetStatus {
         let doublings = self.all.doublings.or(self.near.doublings).unwrap_or(0);
-        Standing {
+        SubsetStatus {
             members: self.members.len(),
-            fleet: self.known.len(),
+            endpoints: self.known.len(),
             doublings,
         }
     }
 
     /// Proxies that keep to each of its members, this one included, as far as can be told.
-    pub fn sharing(&self) -> u32 {
+    pub fn sharing_proxies(&self) -> u32 {
         let part = self.members.len() as f64 / self.known.len().max(1) as f64;
         ((f64::from(self.instance.count) * part).ceil() as u32).clamp(1, self.instance.count.max(1))
     }
@@ -159,7 +159,7 @@
         let number = self.instance.number;
         let team = |circle: &Circle| circle.deal.team(number).number;
         let places = [place(name, team(&self.near)), place(name, team(&self.all))];
-        if near && self.need.own_zone {
+        if near && self.need.prefer_own_zone {
             self.near.places.insert((places[0], endpoint));
         }
         self.all.places.insert((places[1], endpoint));
@@ -182,23 +182,23 @@
     }
 
     /// The list has changed: who belongs to the subset now? Costs what changed, unless the fleet is dealt anew.
-    pub fn listed(&mut self, now: Micros, touched: &[u32]) -> Changes {
+    pub fn apply_list_change(&mut self, now: Micros, touched: &[u32]) -> MembershipChange {
         let dealt = self.deal_anew();
-        let mut changes = Changes::default();
+        let mut changes = MembershipChange::default();
         if dealt || self.cut {
             changes = self.settle();
         } else {
             for &endpoint in touched {
                 let wanted = self.known.get(&endpoint).is_some_and(|k| self.wants(k));
                 if wanted && self.members.insert(endpoint) {
-                    changes.joined.push(endpoint);
+                    changes.added.push(endpoint);
                 } else if !wanted && self.members.remove(&endpoint) {
-                    changes.left.push(endpoint);
+                    changes.removed.push(endpoint);
                 }
             }
         }
         // Never more than allowed, and never fewer than wanted for want of looking further.
-        if self.members.len() > self.need.most {
+        if self.members.len() > self.need.max_size {
             changes = join(changes, self.settle());
         }
         while self.members.len() < self.least() && self.widen(now) {
@@ -209,39 +209,44 @@
 
     /// How the members fare: it grows at once when they can't bear this proxy's calls, and shrinks when that is over
     /// for long.
-    pub fn pulse(&mut self, now: Micros, health: Health) -> Changes {
+    pub fn adjust_size(&mut self, now: Micros, health: Health) -> MembershipChange {
         let members = self.members.len();
         let failing = health.usable * 2 < members || health.usable == 0;
-        let full = health.waiting > 0;
-        let busy = health.in_flight as f64 > self.need.load * health.usable as f64;
+        let full = health.queued > 0;
+        let busy = health.in_flight as f64 > self.need.max_load_per_member * health.usable as f64;
         if failing || full || busy {
             self.wanted = now;
-            let paused = self.grown > 0 && now < self.grown.saturating_add(self.need.pause);
+            let paused =
+                self.grown > 0 && now < self.grown.saturating_add(self.need.growth_interval);
             // With nobody left to send to, the pause would be paid by calls.
             if (health.usable == 0 || !paused) && self.widen(now) {
                 return self.settle();
             }
-            return Changes::default();
+            return MembershipChange::default();
         }
-        let calm = self.wanted.max(self.grown).saturating_add(self.need.calm);
-        let light = (health.in_flight * 4) as f64 <= self.need.load * health.usable as f64;
+        let calm = self
+            .wanted
+            .max(self.grown)
+            .saturating_add(self.need.shrink_delay);
+        let light =
+            (health.in_flight * 4) as f64 <= self.need.max_load_per_member * health.usable as f64;
         let wide = self.all.doublings.or(self.near.doublings).unwrap_or(0) > 0
-            || self.need.own_zone && self.all.doublings.is_some();
+            || self.need.prefer_own_zone && self.all.doublings.is_some();
         if now >= calm && light && wide {
             self.grown = now;
             let before = (self.near.doublings, self.all.doublings);
             self.narrow();
             if self.wanted_now().0.len() < self.least() {
                 (self.near.doublings, self.all.doublings) = before;
-                return Changes::default();
+                return MembershipChange::default();
             }
             return self.settle();
         }
-        Changes::default()
+        MembershipChange::default()
     }
 
     fn least(&self) -> usize {
-        self.need.least.min(self.known.len())
+        self.need.min_size.min(self.known.len())
     }
 
     fn wants(&self, known: &Known) -> bool {
@@ -257,7 +262,7 @@
         for circle in [&self.near, &self.all] {
             for doublings in circle.doublings.into_iter().flat_map(|d| 0..=d) {
                 for endpoint in circle.within(number, doublings) {
-                    if wanted.len() >= self.need.most && !wanted.contains(&endpoint) {
+                    if wanted.len() >= self.need.max_size && !wanted.contains(&endpoint) {
                         return (wanted, true);
                     }
                     wanted.insert(endpoint);
@@ -269,7 +274,7 @@
 
     /// Takes twice the part, first of the own zone and then of all; false if there is no more or no more is allowed.
     fn widen(&mut self, now: Micros) -> bool {
-        if self.members.len() >= self.need.most {
+        if self.members.len() >= self.need.max_size {
             return false;
         }
         let next = |circle: &Circle| {
@@ -279,7 +284,7 @@
                 .map(|d| d + 1)
         };
         if let (true, Some(wider)) = (
-            self.need.own_zone && self.all.doublings.is_none(),
+            self.need.prefer_own_zone && self.all.doublings.is_none(),
             next(&self.near),
         ) {
             self.near.doublings = Some(wider);
@@ -296,7 +301,7 @@
 
     /// The other way.
     fn narrow(&mut self) -> bool {
-        let own_zone = self.need.own_zone;
+        let own_zone = self.need.prefer_own_zone;
         match (self.all.doublings, self.near.doublings) {
             (Some(0), _) if own_zone => self.all.doublings = None,
             (Some(wide @ 1..), _) => self.all.doublings = Some(wide - 1),
@@ -308,7 +313,7 @@
 
     /// Deals the fleet anew if it has outgrown its parts. True if it was.
     fn deal_anew(&mut self) -> bool {
-        let (number, size) = (self.instance.number, self.need.size);
+        let (number, size) = (self.instance.number, self.need.target_size);
         let mut dealt = false;
         for (which, circle) in [&mut self.near, &mut self.all].into_iter().enumerate() {
             let deal = circle.deal.for_fleet(circle.places.len(), size);
@@ -342,32 +347,35 @@
     }
 
     /// Makes the members what is wanted now.
-    fn settle(&mut self) -> Changes {
+    fn settle(&mut self) -> MembershipChange {
         let (wanted, cut) = self.wanted_now();
         self.cut = cut;
         let joined = wanted.difference(&self.members).copied().collect();
         let left = self.members.difference(&wanted).copied().collect();
         self.members = wanted;
-        Changes { joined, left }
+        MembershipChange {
+            added: joined,
+            removed: left,
+        }
     }
 }
 
 /// One after the other, as one.
-fn join(first: Changes, then: Changes) -> Changes {
+fn join(first: MembershipChange, then: MembershipChange) -> MembershipChange {
     let joined: BTreeSet<u32> = first
-        .joined
+        .added
         .into_iter()
-        .chain(then.joined.iter().copied())
+        .chain(then.added.iter().copied())
         .collect();
     let left: BTreeSet<u32> = first
-        .left
+        .removed
         .into_iter()
-        .chain(then.left.iter().copied())
+        .chain(then.removed.iter().copied())
         .collect();
-    let gone: BTreeSet<u32> = then.left.into_iter().collect();
-    let back: BTreeSet<u32> = then.joined.into_iter().collect();
-    Changes {
-        joined: joined.into_iter().filter(|e| !gone.contains(e)).collect(),
-        left: left.into_iter().filter(|e| !back.contains(e)).collect(),
+    let gone: BTreeSet<u32> = then.removed.into_iter().collect();
+    let back: BTreeSet<u32> = then.added.into_iter().collect();
+    MembershipChange {
+        added: joined.into_iter().filter(|e| !gone.contains(e)).collect(),
+        removed: left.into_iter().filter(|e| !back.contains(e)).collect(),
     }
 }
