--- a/crates/bench/src/quiet.rs
+++ b/crates/bench/src/quiet.rs
@@ -4,7 +4,8 @@
 
 use crate::chart;
 use crate::Fault;
-use badgerramp_subset::{PollConfig, ResourceBounds, SubsetConfig};
+use badgerramp_endpoint_watch::PollConfig;
+use badgerramp_subset::{ResourceBounds, SubsetConfig};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -474,8 +475,8 @@
     );
     let stated = format!(
         "{:.0} to {:.0}",
-        bounds.polls_per_second(&poll),
-        bounds.polls_per_second(&poll) * 8.0 / 7.0
+        poll.fleet_polls_per_second(),
+        poll.fleet_polls_per_second() * 8.0 / 7.0
     );
     line(
         "  questions a second, mean",
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -3,7 +3,8 @@
 use crate::file::{Limits, Upstream};
 use crate::{clients_borne, DESCRIPTORS_RESERVED};
 use badgerramp_decisions::Micros;
-use badgerramp_subset::{Instance, PollConfig, ResourceBounds, SubsetConfig};
+use badgerramp_endpoint_watch::PollConfig;
+use badgerramp_subset::{Instance, ResourceBounds, SubsetConfig};
 use badgerramp_toml_diagnostics::values::show_duration;
 use badgerramp_toml_diagnostics::{Notes, Section};
 
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -7,10 +7,12 @@
 #![forbid(unsafe_code)]
 
 mod backoff;
+mod poll_schedule;
 mod stall_detector;
 mod timeouts;
 mod watch;
 
+pub use poll_schedule::{PollConfig, PollSchedule};
 pub use stall_detector::StallDetector;
 pub use timeouts::{
     Source, TimeoutConfig, Timeouts, CONNECT_TIMEOUT, FETCH_TIMEOUT, NOTIFIED_AFTER_SILENCE,
--- a/crates/subset/src/poll_schedule.rs
+++ b/crates/endpoint-watch/src/poll_schedule.rs
@@ -28,6 +28,11 @@
 }
 
 impl PollConfig {
+    /// Polls per second that all proxies together send while the service works and the list does not change.
+    pub fn fleet_polls_per_second(&self) -> f64 {
+        f64::from(self.proxies) * 1e6 / self.wait.max(1) as f64
+    }
+
     /// Time in which all proxies can have the list and begin their watch without crowding the service.
     pub fn spread_window(&self) -> Micros {
         (f64::from(QUESTIONS * self.proxies) / (self.polls_per_second.max(0.001) * BUSY_MOST) * 1e6)
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -1,10 +1,10 @@
 //! The watch: one question at a time, a second one beside it when its answer is late, and one answer that holds.
 
 use crate::backoff::Backoff;
+use crate::poll_schedule::PollSchedule;
 use crate::stall_detector::READ;
 use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
-use badgerramp_subset::PollSchedule;
 
 /// An answer that came sooner and told nothing new is followed by a pause of as long: it stays within the 200 ms in which
 /// the next question goes on with the watch, and keeps a confused service from being asked without end.
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -16,8 +16,8 @@
 };
 use badgerramp_decisions::settings::Facts;
 use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_endpoint_watch::{Source, TimeoutConfig, Timeouts, Watch};
-use badgerramp_subset::{PollSchedule, Subset};
+use badgerramp_endpoint_watch::{PollSchedule, Source, TimeoutConfig, Timeouts, Watch};
+use badgerramp_subset::Subset;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -11,12 +11,10 @@
 #![forbid(unsafe_code)]
 
 mod partition;
-mod poll_schedule;
 mod resource_bounds;
 mod subset;
 
 pub use partition::{Partition, Team};
-pub use poll_schedule::{PollConfig, PollSchedule};
 pub use resource_bounds::{Instance, ResourceBounds, SubsetConfig};
 pub use subset::{Health, MembershipChange, Subset, SubsetStatus};
 
--- a/crates/subset/src/resource_bounds.rs
+++ b/crates/subset/src/resource_bounds.rs
@@ -1,7 +1,6 @@
 //! What an operator asks for, and what follows from it: formulas that the page states and the check at load uses.
 
 use crate::partition::Partition;
-use crate::poll_schedule::PollConfig;
 use crate::Micros;
 
 /// Which proxy this is.
@@ -86,11 +85,6 @@
     pub fn max_connections_per_proxy(&self, need: &SubsetConfig) -> usize {
         need.max_size.min(self.endpoints) * self.idle_connections
     }
-
-    /// Questions to the list service a second, of all proxies, while it works and nothing changes.
-    pub fn polls_per_second(&self, poll: &PollConfig) -> f64 {
-        f64::from(self.proxies) * 1e6 / poll.wait.max(1) as f64
-    }
 }
 
 #[cfg(test)]
