--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -7,18 +7,20 @@
 #![forbid(unsafe_code)]
 
 mod backoff;
+mod event;
 mod poll_schedule;
 mod stall_detector;
 mod timeouts;
 mod watch;
 
+pub use event::{Input, Output, PollId, ProtocolViolation};
 pub use poll_schedule::{PollConfig, PollSchedule};
 pub use stall_detector::StallDetector;
 pub use timeouts::{
     Source, TimeoutConfig, Timeouts, CONNECT_TIMEOUT, FETCH_TIMEOUT, NOTIFIED_AFTER_SILENCE,
     NOTIFIED_AFTER_WAIT, SERVICE_RESPONSE_TIMEOUT,
 };
-pub use watch::{Input, Output, PollId, ProtocolViolation, Watch};
+pub use watch::Watch;
 
 /// Microseconds.
 pub type Micros = u64;
