--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -16,8 +16,8 @@
 };
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ListUpdateKind, Micros};
-use badgerramp_endpoint_watch::{Budget, Source, Terms, Watch};
-use badgerramp_subset::{Poll, Subset};
+use badgerramp_endpoint_watch::{PollSchedule, Source, TimeoutConfig, Timeouts, Watch};
+use badgerramp_subset::Subset;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -236,12 +236,14 @@
         clock,
         Rc::clone(&hosts),
     );
-    let budget = Budget::of(Terms {
+    let timeouts = Timeouts::derive(TimeoutConfig {
         source,
-        grace,
+        drain_grace: grace,
         wait: setup.watch_wait,
     });
-    let poll = setup.list.map(|terms| Poll::new(terms.poll, setup.seed));
+    let poll = setup
+        .list
+        .map(|terms| PollSchedule::new(terms.poll, setup.seed));
     let idle_after = setup.list.map_or(Micros::MAX, |terms| terms.idle_after);
     driver.start();
     let (address, index) = match setup.members {
@@ -273,7 +275,7 @@
                 peers::run(driver_of_watch, network, moves, among, left).await;
             }
             (Some(_), None) => {
-                let asking = (budget, Watch::new(budget, index, poll, setup.seed));
+                let asking = (timeouts, Watch::new(timeouts, index, poll, setup.seed));
                 discovery::run(driver_of_watch, network, moves, asking, idle_after).await;
             }
             (None, _) => std::future::pending().await,
