--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -72,3 +72,37 @@
     };
     assert_eq!(postcard::to_stdvec(&counts), Ok(vec![1, 2, 3, 4]));
 }
+
+#[test]
+fn the_report_printed_as_json_keeps_its_keys() {
+    let own = Member {
+        address: "127.0.0.1:7946".parse().expect("an address"),
+        id: Id(7),
+        started: 8,
+    };
+    let mut peer = Peer::new(
+        0,
+        Terms {
+            own,
+            seeds: Vec::new(),
+            without: None,
+        },
+    );
+    let answer = Answer {
+        whole: true,
+        index: 41,
+        changes: Vec::new(),
+        took: 5_000,
+        at_once: true,
+    };
+    let mut out = Vec::new();
+    peer.handle(0, Input::Timer, &mut out);
+    peer.handle(20_000_000, Input::Timer, &mut out);
+    peer.handle(20_000_000, Input::Answered(answer), &mut out);
+    let told = Told {
+        standing: peer.standing(20_000_000),
+        strangers: Strangers::default(),
+    };
+    let text = serde_json::to_string(&told).expect("it can be written");
+    insta::assert_snapshot!(text);
+}
