--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -5,8 +5,8 @@
 
 use crate::Fault;
 use badgerramp_control_protocol::TAG;
-use badgerramp_gossip::play::traffic::{Count, MessageKind, Traffic};
-use badgerramp_gossip::play::{play, Played, World};
+use badgerramp_gossip::simulation::traffic::{Count, MessageKind, Traffic};
+use badgerramp_gossip::simulation::{simulate, Outcome, SimConfig};
 use clap::Args;
 use statrs::statistics::Statistics;
 
@@ -88,13 +88,13 @@
 
 fn measure(plan: &Plan, proxies: usize, seed: u64) -> Result<Measured, Fault> {
     let until = (plan.from + plan.window) * 1_000_000;
-    let world = World {
+    let world = SimConfig {
         proxies,
         hosts: plan.hosts as usize,
         until,
-        ..World::default()
+        ..SimConfig::default()
     };
-    let Played { sent, alive, .. } = play(&world, seed);
+    let Outcome { sent, alive, .. } = simulate(&world, seed);
     let (from, window) = (plan.from as usize, plan.window as usize);
     let calm_seconds = sent
         .get(from..from + window)
--- a/crates/gossip/src/list.rs
+++ b/crates/gossip/src/endpoint_list.rs
@@ -9,9 +9,10 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stamp {
-    /// A service that was restored counts from an older index: then a new life begins.
-    pub life: u32,
+pub struct ListVersion {
+    /// A service that was restored counts from an older index: then a new incarnation begins.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
     /// The service's own version.
     pub index: u64,
     /// Of the content.
@@ -20,7 +21,7 @@
 
 /// What the list says of a host, in discovery's words.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Address and port.
     pub address: String,
     /// Zone, if it is told.
@@ -37,32 +38,32 @@
     pub since_ms: u64,
 }
 
-impl Entry {
+impl EndpointEntry {
     /// Does it take calls?
-    pub fn up(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         self.status == "up"
     }
 }
 
 /// A change of one host: its entry, or that it has gone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct EndpointChange {
     /// The host.
     pub name: String,
     /// `None`: removed.
-    pub entry: Option<Entry>,
+    pub entry: Option<EndpointEntry>,
 }
 
 /// A whole list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HostList {
-    entries: BTreeMap<String, Entry>,
+pub struct EndpointList {
+    entries: BTreeMap<String, EndpointEntry>,
 }
 
-impl HostList {
+impl EndpointList {
     /// Of these entries. One that is removed is not in it.
-    pub fn new(changes: impl IntoIterator<Item = Change>) -> Self {
-        HostList {
+    pub fn new(changes: impl IntoIterator<Item = EndpointChange>) -> Self {
+        EndpointList {
             entries: changes
                 .into_iter()
                 .filter_map(|c| Some((c.name, c.entry?)))
@@ -71,7 +72,7 @@
     }
 
     /// The list after these changes.
-    pub fn after(&self, changes: &[Change]) -> Self {
+    pub fn apply(&self, changes: &[EndpointChange]) -> Self {
         let mut entries = self.entries.clone();
         for change in changes {
             match &change.entry {
@@ -79,16 +80,16 @@
                 None => entries.remove(&change.name),
             };
         }
-        HostList { entries }
+        EndpointList { entries }
     }
 
     /// What makes this list out of an older one.
-    pub fn since(&self, old: &HostList) -> Vec<Change> {
+    pub fn diff_from(&self, old: &EndpointList) -> Vec<EndpointChange> {
         let gone = old
             .entries
             .keys()
             .filter(|name| !self.entries.contains_key(*name));
-        let gone = gone.map(|name| Change {
+        let gone = gone.map(|name| EndpointChange {
             name: name.clone(),
             entry: None,
         });
@@ -96,7 +97,7 @@
             .entries
             .iter()
             .filter(|(name, entry)| old.entries.get(*name) != Some(entry));
-        let new = new.map(|(name, entry)| Change {
+        let new = new.map(|(name, entry)| EndpointChange {
             name: name.clone(),
             entry: Some(entry.clone()),
         });
@@ -104,44 +105,44 @@
     }
 
     /// Its entries by name.
-    pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &Entry)> {
+    pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &EndpointEntry)> {
         self.entries.iter()
     }
 
     /// The entry of this name.
-    pub fn get(&self, name: &str) -> Option<&Entry> {
+    pub fn get(&self, name: &str) -> Option<&EndpointEntry> {
         self.entries.get(name)
     }
 
     /// Hosts that take calls.
-    pub fn up(&self) -> usize {
-        self.entries.values().filter(|e| e.up()).count()
+    pub fn count_up(&self) -> usize {
+        self.entries.values().filter(|e| e.is_up()).count()
     }
 
     /// Hosts that take calls here and are not even named there.
-    pub fn missing_from(&self, other: &HostList) -> usize {
+    pub fn count_missing_from(&self, other: &EndpointList) -> usize {
         self.entries
             .iter()
-            .filter(|(name, e)| e.up() && !other.entries.contains_key(*name))
+            .filter(|(name, e)| e.is_up() && !other.entries.contains_key(*name))
             .count()
     }
 
     /// As bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // A map of strings and numbers can't fail to be written into memory.
         postcard::to_stdvec(&self.entries).unwrap_or_default()
     }
 
     /// Out of bytes.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes)
             .ok()
-            .map(|entries| HostList { entries })
+            .map(|entries| EndpointList { entries })
     }
 
     /// Of its content.
     pub fn digest(&self) -> u64 {
-        xxh3_64(&self.bytes())
+        xxh3_64(&self.encode())
     }
 }
 
@@ -149,21 +150,21 @@
 pub(crate) mod tests {
     use super::*;
 
-    pub(crate) fn up(name: &str) -> Change {
+    pub(crate) fn up(name: &str) -> EndpointChange {
         let status = "up".to_owned();
-        let entry = Entry {
+        let entry = EndpointEntry {
             address: format!("127.0.0.1:{}", 9_000 + name.len()),
             status,
-            ..Entry::default()
+            ..EndpointEntry::default()
         };
-        Change {
+        EndpointChange {
             name: name.to_owned(),
             entry: Some(entry),
         }
     }
 
-    pub(crate) fn gone(name: &str) -> Change {
-        Change {
+    pub(crate) fn gone(name: &str) -> EndpointChange {
+        EndpointChange {
             name: name.to_owned(),
             entry: None,
         }
@@ -172,28 +173,32 @@
     #[test]
     fn changes_lead_from_one_list_to_the_other() {
         let (old, new) = (
-            HostList::new([up("a"), up("bb")]),
-            HostList::new([up("bb"), up("ccc"), gone("d")]),
+            EndpointList::new([up("a"), up("bb")]),
+            EndpointList::new([up("bb"), up("ccc"), gone("d")]),
         );
-        let changes = new.since(&old);
+        let changes = new.diff_from(&old);
         assert_eq!(changes, vec![gone("a"), up("ccc")]);
-        assert_eq!(old.after(&changes), new);
+        assert_eq!(old.apply(&changes), new);
         assert_eq!(
-            (new.since(&new).len(), new.missing_from(&old), new.up()),
+            (
+                new.diff_from(&new).len(),
+                new.count_missing_from(&old),
+                new.count_up()
+            ),
             (0, 1, 2)
         );
-        assert_eq!(HostList::read(&new.bytes()), Some(new.clone()));
+        assert_eq!(EndpointList::decode(&new.encode()), Some(new.clone()));
         assert_ne!(new.digest(), old.digest());
-        assert_eq!(HostList::read(&new.bytes()[..9]), None);
+        assert_eq!(EndpointList::decode(&new.encode()[..9]), None);
     }
 
     #[test]
     fn a_new_life_is_newer_than_any_version_of_the_old_one() {
-        let stamp = |life, index, digest| Stamp {
-            life,
+        let version = |incarnation, index, digest| ListVersion {
+            incarnation,
             index,
             digest,
         };
-        assert!(stamp(2, 1, 0) > stamp(1, 900, 9) && stamp(1, 8, 0) > stamp(1, 7, 9));
+        assert!(version(2, 1, 0) > version(1, 900, 9) && version(1, 8, 0) > version(1, 7, 9));
     }
 }
--- a/crates/gossip/src/packed_list.rs
+++ b/crates/gossip/src/packed_list.rs
@@ -1,44 +1,44 @@
 //! A list in parts that fit into datagrams.
 
-use crate::list::{HostList, Stamp};
+use crate::endpoint_list::{EndpointList, ListVersion};
 use std::rc::Rc;
 
 /// Bytes of a part.
-pub const PART: usize = 1_000;
+pub const PART_SIZE: usize = 1_000;
 /// Most parts of a list, and most bytes of one that is unpacked: as the list service's own answer may have.
-const PARTS_MOST: usize = 4_096;
-const BYTES_MOST: usize = 8 << 20;
+const MAX_PARTS: usize = 4_096;
+const MAX_UNPACKED_BYTES: usize = 8 << 20;
 
 /// A list, packed.
 #[derive(Clone, Debug)]
 pub struct PackedList {
     /// Which list.
-    pub stamp: Stamp,
+    pub version: ListVersion,
     bytes: Rc<[u8]>,
 }
 
 impl PackedList {
     /// Packs a list. `None`: it is too large to pass on. No answer that is read of a list service (4 MiB) makes such a
     /// one.
-    pub fn pack(stamp: Stamp, book: &HostList) -> Option<Self> {
-        let bytes = zstd::bulk::compress(&book.bytes(), 1).ok()?;
-        (bytes.len() <= PART * PARTS_MOST).then(|| PackedList {
-            stamp,
+    pub fn pack(version: ListVersion, list: &EndpointList) -> Option<Self> {
+        let bytes = zstd::bulk::compress(&list.encode(), 1).ok()?;
+        (bytes.len() <= PART_SIZE * MAX_PARTS).then(|| PackedList {
+            version,
             bytes: bytes.into(),
         })
     }
 
     /// How many parts it has.
     pub fn parts(&self) -> u16 {
-        u16::try_from(self.bytes.len().div_ceil(PART))
+        u16::try_from(self.bytes.len().div_ceil(PART_SIZE))
             .unwrap_or(u16::MAX)
             .max(1)
     }
 
     /// A part.
     pub fn part(&self, number: u16) -> Option<&[u8]> {
-        let from = usize::from(number) * PART;
-        (number < self.parts()).then(|| &self.bytes[from..self.bytes.len().min(from + PART)])
+        let from = usize::from(number) * PART_SIZE;
+        (number < self.parts()).then(|| &self.bytes[from..self.bytes.len().min(from + PART_SIZE)])
     }
 }
 
@@ -46,17 +46,17 @@
 #[derive(Debug)]
 pub struct PartialList {
     /// Which list.
-    pub stamp: Stamp,
+    pub version: ListVersion,
     parts: Vec<Option<Vec<u8>>>,
     left: usize,
 }
 
 impl PartialList {
     /// One of so many parts; `None`: no list has so many.
-    pub fn new(stamp: Stamp, parts: u16) -> Option<Self> {
+    pub fn new(version: ListVersion, parts: u16) -> Option<Self> {
         let count = usize::from(parts);
-        (1..=PARTS_MOST).contains(&count).then(|| PartialList {
-            stamp,
+        (1..=MAX_PARTS).contains(&count).then(|| PartialList {
+            version,
             parts: vec![None; count],
             left: count,
         })
@@ -64,7 +64,7 @@
 
     /// Adds a part. True: it was missing.
     pub fn add(&mut self, number: u16, parts: u16, bytes: &[u8]) -> bool {
-        let fits = usize::from(parts) == self.parts.len() && bytes.len() <= PART;
+        let fits = usize::from(parts) == self.parts.len() && bytes.len() <= PART_SIZE;
         match self
             .parts
             .get_mut(usize::from(number))
@@ -85,26 +85,26 @@
         missing.map(|(n, _)| n as u16).take(most).collect()
     }
 
-    /// The list, once all is there. An error: what came is not the list that its stamp tells.
+    /// The list, once all is there. An error: what came is not the list that its version tells.
     ///
     /// # Errors
     /// See above.
-    pub fn whole(&self) -> Option<Result<HostList, ()>> {
+    pub fn complete(&self) -> Option<Result<EndpointList, ()>> {
         if self.left > 0 {
             return None;
         }
         let bytes: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
-        let book = zstd::bulk::decompress(&bytes, BYTES_MOST)
+        let list = zstd::bulk::decompress(&bytes, MAX_UNPACKED_BYTES)
             .ok()
-            .and_then(|b| HostList::read(&b));
-        Some(book.filter(|b| b.digest() == self.stamp.digest).ok_or(()))
+            .and_then(|b| EndpointList::decode(&b));
+        Some(list.filter(|b| b.digest() == self.version.digest).ok_or(()))
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::list::tests::up;
+    use crate::endpoint_list::tests::up;
 
     #[test]
     fn parts_in_any_order_make_the_list_and_others_do_not() {
@@ -115,29 +115,37 @@
             }
             change
         });
-        let book = HostList::new(many);
-        let stamp = Stamp {
-            life: 1,
+        let list = EndpointList::new(many);
+        let version = ListVersion {
+            incarnation: 1,
             index: 7,
-            digest: book.digest(),
+            digest: list.digest(),
         };
-        let parcel = PackedList::pack(stamp, &book).expect("it can be passed on");
-        let parts = parcel.parts();
+        let packed = PackedList::pack(version, &list).expect("it can be passed on");
+        let parts = packed.parts();
         assert!(parts > 10, "{parts}");
-        let mut assembly = PartialList::new(stamp, parts).expect("so many may be");
+        let mut partial = PartialList::new(version, parts).expect("so many may be");
         for number in (0..parts).rev() {
-            assert!(assembly.whole().is_none());
-            let bytes = parcel.part(number).expect("a part");
-            assert!(!assembly.add(number, parts + 1, bytes), "of another parcel");
-            assert!(assembly.add(number, parts, bytes) && !assembly.add(number, parts, bytes));
+            assert!(partial.complete().is_none());
+            let bytes = packed.part(number).expect("a part");
+            assert!(!partial.add(number, parts + 1, bytes), "of another packed");
+            assert!(partial.add(number, parts, bytes) && !partial.add(number, parts, bytes));
         }
-        assert_eq!(assembly.whole(), Some(Ok(book.clone())));
-        assert!(parcel.part(parts).is_none() && assembly.missing(9).is_empty());
+        assert_eq!(partial.complete(), Some(Ok(list.clone())));
+        assert!(packed.part(parts).is_none() && partial.missing(9).is_empty());
         // Of another list.
-        let mut other =
-            PartialList::new(Stamp { digest: 1, ..stamp }, parts).expect("so many may be");
-        (0..parts).for_each(|n| assert!(other.add(n, parts, parcel.part(n).expect("a part"))));
-        assert_eq!(other.whole(), Some(Err(())));
-        assert!(PartialList::new(stamp, 0).is_none() && PartialList::new(stamp, 5_000).is_none());
+        let mut other = PartialList::new(
+            ListVersion {
+                digest: 1,
+                ..version
+            },
+            parts,
+        )
+        .expect("so many may be");
+        (0..parts).for_each(|n| assert!(other.add(n, parts, packed.part(n).expect("a part"))));
+        assert_eq!(other.complete(), Some(Err(())));
+        assert!(
+            PartialList::new(version, 0).is_none() && PartialList::new(version, 5_000).is_none()
+        );
     }
 }
--- a/crates/gossip/src/peer/api.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -1,7 +1,7 @@
 //! What a peer is told, what it asks for, and what it reports of itself.
 
-use crate::list::{Change, Stamp};
-use crate::polling::{Id, Mechanism, PollerStatus};
+use crate::endpoint_list::{EndpointChange, ListVersion};
+use crate::polling::{Mechanism, PeerId, PollerStatus};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
     /// Where it hears.
     pub address: SocketAddr,
     /// Its number.
-    pub id: Id,
+    pub id: PeerId,
     /// Unix time of its start in milliseconds, and one more each time that it was thought dead: of two at one address
     /// the later one is there.
     pub started: u64,
@@ -42,34 +42,34 @@
 pub enum Input<'a> {
     /// A message has come whose seal was good.
     Message(&'a [u8]),
-    /// [`Peer::due`](super::Peer::due) has come.
+    /// [`Peer::next_deadline`](super::Peer::next_deadline) has come.
     Timer,
     /// The list service has answered.
-    Answered(Answer),
+    PollAnswered(PollAnswer),
     /// It has not; `retry_after`: what it said.
-    Failed {
+    PollFailed {
         /// How long to stay away.
         retry_after: Option<Micros>,
     },
     /// There is another list service; what was asked of the old one is void.
-    Moved,
+    SourceChanged,
     /// The program ends.
     Leave,
 }
 
 /// An answer of the list service.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct PollAnswer {
     /// The whole list, and not what changed.
-    pub whole: bool,
+    pub complete: bool,
     /// Its version.
     pub index: u64,
     /// The entries.
-    pub changes: Vec<Change>,
+    pub changes: Vec<EndpointChange>,
     /// How long it took.
-    pub took: Micros,
+    pub latency: Micros,
     /// It did not wait for news.
-    pub at_once: bool,
+    pub immediate: bool,
 }
 
 /// What a proxy is to do.
@@ -78,100 +78,124 @@
     /// Send a message.
     Send(SocketAddr, Vec<u8>),
     /// Ask the list service: for the whole list, or for what is newer than a version, which may wait.
-    Ask {
+    Poll {
         /// What is known.
         index: Option<u64>,
         /// How long to wait for news.
         wait: Micros,
     },
-    /// The list has changed, or is there for the first time (`whole`).
-    List {
+    /// The list has changed, or is there for the first time (`complete`).
+    ListChanged {
         /// All of it.
-        whole: bool,
+        complete: bool,
         /// What changed.
-        changes: Vec<Change>,
+        changes: Vec<EndpointChange>,
     },
     /// So many proxies are alive, this one included.
-    Alive(usize),
+    AliveCount(usize),
     /// Something for the log.
-    Note(Note),
+    Event(PeerEvent),
 }
 
 /// Steps of a start, and what is odd.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum PeerEvent {
     /// A list is there, so long after the start.
-    Listed {
+    ListReceived {
         /// Whom it is from; `None`: the service itself.
-        from: Option<SocketAddr>,
+        source: Option<SocketAddr>,
         /// Which.
-        stamp: Stamp,
+        version: ListVersion,
         /// Hosts that take calls.
-        hosts: usize,
+        endpoints: usize,
         /// Time since the start.
-        after: Micros,
+        elapsed: Micros,
     },
-    /// It asks for all, or no more.
-    Asks(bool),
+    /// This proxy has become one of the pollers.
+    PollingStarted,
+    /// This proxy leaves polling to others.
+    PollingStopped,
     /// The service tells a list that is older than the one believed, or names less than half of its hosts.
-    Doubts(u64),
-    /// The service was restored, or another one tells other lists: a new life.
-    Life(u32),
+    ListQuarantined {
+        /// The list's index at the service.
+        index: u64,
+    },
+    /// The service was restored, or another one tells other lists: a new incarnation.
+    IncarnationStarted {
+        /// The new one.
+        incarnation: u32,
+    },
     /// The start is over: there is a list from a service that is heard, and no new proxies come up.
-    Settled(usize),
+    Converged {
+        /// Proxies alive, this one included.
+        alive: usize,
+    },
     /// Most proxies have gone: as at a start.
-    Unsettled(usize),
+    MembershipLost {
+        /// Proxies still alive, this one included.
+        alive: usize,
+    },
 }
 
-/// Counts of what came and went.
+/// Counters of what came and went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct Metrics {
     /// Messages sent.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
     /// Messages that were not sent as there were too many.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub rate_limited: u64,
     /// Messages taken.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Messages that are none.
     pub malformed: u64,
-    /// Lists that were not what their stamp tells.
-    pub torn: u64,
+    /// Lists that were not what their version tells.
+    #[serde(rename = "torn")]
+    pub checksum_mismatch: u64,
     /// Questions to the list service.
-    pub questions: u64,
+    #[serde(rename = "questions")]
+    pub polls: u64,
     /// ... that failed.
-    pub failed: u64,
-    /// Lists of the service that were doubted.
-    pub doubted: u64,
+    #[serde(rename = "failed")]
+    pub polls_failed: u64,
+    /// Lists of the service that were quarantined.
+    #[serde(rename = "doubted")]
+    pub quarantined: u64,
 }
 
 /// What a proxy knows, for whoever looks on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct PeerStatus {
     /// Itself.
     pub own: Member,
     /// Its list, since when it has it, and from whom (`None`: the service).
-    pub list: Option<(Stamp, Micros, Option<SocketAddr>)>,
+    pub list: Option<(ListVersion, Micros, Option<SocketAddr>)>,
     /// Hosts that take calls.
-    pub hosts: usize,
+    #[serde(rename = "hosts")]
+    pub endpoints: usize,
     /// Proxies that are alive, this one included.
     pub alive: usize,
     /// The start is over.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub converged: bool,
     /// Those that ask, and how long ago something new was heard of each.
-    pub askers: Vec<(PollerStatus, Micros)>,
-    /// Counts.
-    pub counts: Counts,
+    #[serde(rename = "askers")]
+    pub pollers: Vec<(PollerStatus, Micros)>,
+    /// Metrics.
+    #[serde(rename = "counts")]
+    pub metrics: Metrics,
 }
 
 /// What holds for a proxy.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct PeerConfig {
     /// Itself; its number is drawn at its start.
     pub own: Member,
     /// Where others may be met.
     pub seeds: Vec<SocketAddr>,
     /// What is left out, to measure what it is worth; else `None`.
-    pub without: Option<Mechanism>,
+    pub disabled: Option<Mechanism>,
 }
--- a/crates/gossip/src/peer/members.rs
+++ b/crates/gossip/src/peer/members.rs
@@ -1,7 +1,7 @@
-//! Membership by SWIM: its settings, what the library asks for, and when a fleet counts as found.
+//! Membership by SWIM: its settings, what the library asks for, and when a fleet metrics as found.
 
 use super::message::Message;
-use super::{Member, Note, Output, Peer};
+use super::{Member, Output, Peer, PeerEvent};
 use crate::Micros;
 use foca::{Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec};
 use rand_members::rngs::SmallRng;
@@ -14,13 +14,13 @@
 /// How often a seed that is no member is contacted.
 pub(super) const SEED_INTERVAL: Micros = 5_000_000;
 
-/// Ticks without a new member after which a fleet counts as found.
+/// Ticks without a new member after which a fleet metrics as found.
 const STEADY_TICKS: u32 = 10;
 
 pub(super) type Swim = Foca<Member, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
 /// The settings of SWIM.
-pub(super) fn swim_terms() -> foca::Config {
+pub(super) fn swim_config() -> foca::Config {
     let every = |ms, members| {
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         Some(PeriodicParams {
@@ -28,20 +28,20 @@
             num_members,
         })
     };
-    let mut terms = foca::Config::simple();
-    terms.probe_period = Duration::from_millis(1_000);
-    terms.probe_rtt = Duration::from_millis(500);
+    let mut config = foca::Config::simple();
+    config.probe_period = Duration::from_millis(1_000);
+    config.probe_rtt = Duration::from_millis(500);
     // A process on a busy machine, or one that stands still for a moment, is not dead.
-    terms.suspect_to_down_after = Duration::from_secs(3);
+    config.suspect_to_down_after = Duration::from_secs(3);
     // One whose clock was wrong and is set back comes back as an earlier start.
-    terms.remove_down_after = Some(Duration::from_secs(60));
-    terms.max_transmissions = NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN);
-    terms.max_packet_size = NonZeroUsize::new(MAX_SWIM_MESSAGE).unwrap_or(NonZeroUsize::MIN);
-    terms.notify_down_members = true;
-    terms.periodic_announce = every(5_000, 1);
-    terms.periodic_announce_to_down_members = every(10_000, 2);
-    terms.periodic_gossip = every(500, 3);
-    terms
+    config.remove_down_after = Some(Duration::from_secs(60));
+    config.max_transmissions = NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN);
+    config.max_packet_size = NonZeroUsize::new(MAX_SWIM_MESSAGE).unwrap_or(NonZeroUsize::MIN);
+    config.notify_down_members = true;
+    config.periodic_announce = every(5_000, 1);
+    config.periodic_announce_to_down_members = every(10_000, 2);
+    config.periodic_gossip = every(500, 3);
+    config
 }
 
 impl Peer {
@@ -59,7 +59,7 @@
             match told {
                 OwnedNotification::MemberUp(_) => {
                     self.steady = 0;
-                    if self.settled.is_none() {
+                    if self.converged.is_none() {
                         self.advance_tick(now);
                     }
                 }
@@ -67,7 +67,7 @@
                 OwnedNotification::MemberDown(old) | OwnedNotification::Rename(old, _)
                     if old.id != self.own.id =>
                 {
-                    self.polling.gone(now, old.id);
+                    self.polling.peer_down(now, old.id);
                 }
                 _ => {}
             }
@@ -75,26 +75,26 @@
         let (alive, told) = (self.alive(), self.told_alive);
         if alive.abs_diff(told) * 10 > told {
             self.told_alive = alive;
-            out.push(Output::Alive(alive));
+            out.push(Output::AliveCount(alive));
         }
     }
 
     /// Decides whether the start is over, or has begun again because most proxies have gone.
-    pub(super) fn update_settled(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn update_converged(&mut self, out: &mut Vec<Output>) {
         let alive = self.alive();
         self.steady = self.steady.saturating_add(1);
-        match &mut self.settled {
+        match &mut self.converged {
             None if self.steady >= STEADY_TICKS
-                && self.belief.held().is_some()
-                && self.polling.heard() =>
+                && self.acceptance.accepted().is_some()
+                && self.polling.knows_healthy_poller() =>
             {
-                self.settled = Some(alive);
-                out.push(Output::Note(Note::Settled(alive)));
+                self.converged = Some(alive);
+                out.push(Output::Event(PeerEvent::Converged { alive }));
             }
             None => {}
             Some(most) if 2 * alive < *most => {
-                (self.settled, self.steady) = (None, 0);
-                out.push(Output::Note(Note::Unsettled(alive)));
+                (self.converged, self.steady) = (None, 0);
+                out.push(Output::Event(PeerEvent::MembershipLost { alive }));
             }
             Some(most) => *most = alive.max(*most),
         }
--- a/crates/gossip/src/peer/message.rs
+++ b/crates/gossip/src/peer/message.rs
@@ -1,7 +1,7 @@
 //! The messages between peers.
 
 use super::Member;
-use crate::list::{Change, Stamp};
+use crate::endpoint_list::{EndpointChange, ListVersion};
 use crate::polling::PollerStatus;
 use serde::{Deserialize, Serialize};
 
@@ -12,27 +12,27 @@
     Swim(Vec<u8>),
     /// The version of the sender's list, and the pollers that it knows.
     Status {
-        stamp: Option<Stamp>,
+        version: Option<ListVersion>,
         statuses: Vec<PollerStatus>,
     },
-    /// The sender requests a list newer than `stamp`; of the list `of`, which it has in part, only these parts.
-    Want {
-        stamp: Option<Stamp>,
-        of: Option<Stamp>,
+    /// The sender requests a list newer than `version`; of the list `of`, which it has in part, only these parts.
+    ListRequest {
+        version: Option<ListVersion>,
+        of: Option<ListVersion>,
         parts: Vec<u16>,
     },
     /// A part of a list.
-    Part {
-        stamp: Stamp,
+    ListPart {
+        version: ListVersion,
         number: u16,
         parts: u16,
         bytes: Vec<u8>,
     },
     /// The changes from one list to the next.
-    News {
-        from: Stamp,
-        to: Stamp,
-        changes: Vec<Change>,
+    ListDelta {
+        from: ListVersion,
+        to: ListVersion,
+        changes: Vec<EndpointChange>,
     },
 }
 
--- a/crates/gossip/src/peer/message/tests.rs
+++ b/crates/gossip/src/peer/message/tests.rs
@@ -2,10 +2,10 @@
 //! upgraded, so they may not change.
 
 use super::{Envelope, Message};
-use crate::list::{Change, Entry, HostList, Stamp};
+use crate::endpoint_list::{EndpointChange, EndpointEntry, EndpointList, ListVersion};
 use crate::packed_list::PartialList;
-use crate::peer::{Counts, Member, Standing};
-use crate::polling::{Id, PollerStatus};
+use crate::peer::{Member, Metrics, PeerStatus};
+use crate::polling::{PeerId, PollerStatus};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -29,21 +29,21 @@
 fn member() -> Member {
     Member {
         address: "127.0.0.1:7946".parse().expect("an address"),
-        id: Id(0x1122_3344_5566_7788),
+        id: PeerId(0x1122_3344_5566_7788),
         started: 1_700_000_000_123,
     }
 }
 
-fn stamp(index: u64) -> Stamp {
-    Stamp {
-        life: 2,
+fn version(index: u64) -> ListVersion {
+    ListVersion {
+        incarnation: 2,
         index,
         digest: 0x8877_6655_4433_2211,
     }
 }
 
-fn entry() -> Entry {
-    Entry {
+fn entry() -> EndpointEntry {
+    EndpointEntry {
         address: "10.0.0.1:9000".to_owned(),
         zone: "a".to_owned(),
         kind: "m2".to_owned(),
@@ -54,13 +54,13 @@
     }
 }
 
-fn changes() -> Vec<Change> {
+fn changes() -> Vec<EndpointChange> {
     vec![
-        Change {
+        EndpointChange {
             name: "s-1".to_owned(),
             entry: Some(entry()),
         },
-        Change {
+        EndpointChange {
             name: "s-2".to_owned(),
             entry: None,
         },
@@ -69,11 +69,11 @@
 
 fn status() -> PollerStatus {
     PollerStatus {
-        id: Id(9),
-        count: 300,
-        asks: true,
+        id: PeerId(9),
+        version: 300,
+        active: true,
         failures: u32::MAX,
-        answer_ms: 40,
+        latency_ms: 40,
     }
 }
 
@@ -82,32 +82,32 @@
     let messages = [
         Message::Swim(vec![1, 2, 3]),
         Message::Status {
-            stamp: Some(stamp(41)),
+            version: Some(version(41)),
             statuses: vec![status()],
         },
         Message::Status {
-            stamp: None,
+            version: None,
             statuses: Vec::new(),
         },
-        Message::Want {
-            stamp: Some(stamp(40)),
-            of: Some(stamp(41)),
+        Message::ListRequest {
+            version: Some(version(40)),
+            of: Some(version(41)),
             parts: vec![0, 300],
         },
-        Message::Want {
-            stamp: None,
+        Message::ListRequest {
+            version: None,
             of: None,
             parts: Vec::new(),
         },
-        Message::Part {
-            stamp: stamp(41),
+        Message::ListPart {
+            version: version(41),
             number: 1,
             parts: 2,
             bytes: vec![9; 5],
         },
-        Message::News {
-            from: stamp(40),
-            to: stamp(41),
+        Message::ListDelta {
+            from: version(40),
+            to: version(41),
             changes: changes(),
         },
     ];
@@ -136,37 +136,37 @@
 
 #[test]
 fn the_report_of_a_proxy_keeps_its_bytes() {
-    let counts = Counts {
+    let metrics = Metrics {
         sent: 1,
         sent_bytes: 2,
-        held_back: 3,
-        taken: 4,
+        rate_limited: 3,
+        accepted: 4,
         malformed: 5,
-        torn: 6,
-        questions: 7,
-        failed: 8,
-        doubted: 9,
+        checksum_mismatch: 6,
+        polls: 7,
+        polls_failed: 8,
+        quarantined: 9,
     };
-    let standing = Standing {
+    let status = PeerStatus {
         own: member(),
         list: Some((
-            stamp(41),
+            version(41),
             5_000_000,
             Some("127.0.0.1:7947".parse().expect("an address")),
         )),
-        hosts: 12,
+        endpoints: 12,
         alive: 50,
-        settled: true,
-        askers: vec![(status(), 1_000)],
-        counts,
+        converged: true,
+        pollers: vec![(status(), 1_000)],
+        metrics,
     };
-    insta::assert_snapshot!(bytes(&standing));
+    insta::assert_snapshot!(bytes(&status));
 }
 
 #[test]
 fn a_list_keeps_its_bytes_and_its_digest() {
-    let list = HostList::new(changes());
-    insta::assert_snapshot!(format!("{} {:016x}", hex(&list.bytes()), list.digest()));
+    let list = EndpointList::new(changes());
+    insta::assert_snapshot!(format!("{} {:016x}", hex(&list.encode()), list.digest()));
 }
 
 /// As an older build has packed the list of the test above.
@@ -174,14 +174,14 @@
 
 #[test]
 fn a_list_that_an_older_build_packed_is_read() {
-    let list = HostList::new(changes());
-    let stamp = Stamp {
+    let list = EndpointList::new(changes());
+    let version = ListVersion {
         digest: list.digest(),
-        ..stamp(41)
+        ..version(41)
     };
     let octet = |at: usize| u8::from_str_radix(&PACKED[at..at + 2], 16).expect("hexadecimal");
     let part: Vec<u8> = (0..PACKED.len()).step_by(2).map(octet).collect();
-    let mut partial = PartialList::new(stamp, 1).expect("one part");
+    let mut partial = PartialList::new(version, 1).expect("one part");
     assert!(partial.add(0, 1, &part));
-    assert_eq!(partial.whole(), Some(Ok(list)));
+    assert_eq!(partial.complete(), Some(Ok(list)));
 }
--- a/crates/gossip/src/peer/mod.rs
+++ b/crates/gossip/src/peer/mod.rs
@@ -5,7 +5,7 @@
 //! a peer without a list asks those it knows, first the seeds; and each sends its status to two others periodically, so
 //! that lost messages are made up for.
 //!
-//! - `api`: inputs, outputs and reports.
+//! - `interface`: inputs, outputs and reports.
 //! - `message`: the messages between peers.
 //! - `receive`, `send`: messages in and out.
 //! - `transfer`: lists in parts.
@@ -13,7 +13,7 @@
 //! - `members`: membership.
 //! - `tick`: timers.
 
-mod api;
+mod interface;
 mod members;
 mod message;
 mod receive;
@@ -22,16 +22,18 @@
 mod tick;
 mod transfer;
 
-pub use api::{Answer, Counts, Input, Member, Note, Output, Standing, Terms};
-pub use send::{BURST, RATE};
+pub use interface::{
+    Input, Member, Metrics, Output, PeerConfig, PeerEvent, PeerStatus, PollAnswer,
+};
+pub use send::{MESSAGES_PER_SECOND, MESSAGE_BURST};
 
-use crate::belief::Belief;
-use crate::list::{HostList, Stamp};
-use crate::packed_list::{PackedList, PartialList, PART};
+use crate::acceptance::ListAcceptance;
+use crate::endpoint_list::{EndpointList, ListVersion};
+use crate::packed_list::{PackedList, PartialList, PART_SIZE};
 use crate::polling::{Mechanism, PollScheduler};
 use crate::Micros;
 use foca::{AccumulatingRuntime, Foca, PostcardCodec, Timer};
-use members::{swim_terms, Swim, MAX_SWIM_MESSAGE};
+use members::{swim_config, Swim, MAX_SWIM_MESSAGE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
@@ -40,14 +42,14 @@
 use transfer::PART_TIMEOUT;
 
 /// Most bytes of a message, without its seal: with it and the heads of UDP and IP it fits into any Ethernet frame.
-pub const MESSAGE_MOST: usize = 1_200;
+pub const MAX_MESSAGE_SIZE: usize = 1_200;
 
 /// One proxy among its peers.
 pub struct Peer {
     own: Member,
     seeds: Vec<SocketAddr>,
     began: Micros,
-    belief: Belief,
+    acceptance: ListAcceptance,
     /// The peer that the list came from; `None`: the service.
     source: Option<SocketAddr>,
     /// The list, ready to be sent in parts.
@@ -56,8 +58,8 @@
     partial: Option<(PartialList, SocketAddr, Micros)>,
     polling: PollScheduler,
     disabled: Option<Mechanism>,
-    /// The next request to the service is for the whole list.
-    whole: bool,
+    /// The next request to the service is for the request_full_list list.
+    request_full_list: bool,
     swim: Swim,
     runtime: AccumulatingRuntime<Member>,
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
@@ -75,34 +77,34 @@
     told_alive: usize,
     steady: u32,
     /// Proxies alive at the highest, since the start was over.
-    settled: Option<usize>,
-    counts: Counts,
+    converged: Option<usize>,
+    metrics: Metrics,
 }
 
 impl Peer {
     /// A proxy that starts now. All chance is drawn from its number.
-    pub fn new(now: Micros, terms: Terms) -> Self {
-        let own = terms.own;
-        let alone = terms.seeds.iter().all(|s| *s == own.address);
-        let seed = alone || terms.seeds.contains(&own.address);
+    pub fn new(now: Micros, config: PeerConfig) -> Self {
+        let own = config.own;
+        let alone = config.seeds.iter().all(|s| *s == own.address);
+        let seed = alone || config.seeds.contains(&own.address);
         let mut random = Pcg32::seed_from_u64(own.id.0 ^ 0x9e37_79b9);
         let rng = rand_members::SeedableRng::seed_from_u64(random.gen());
         Peer {
             own,
-            seeds: terms
+            seeds: config
                 .seeds
                 .into_iter()
                 .filter(|s| *s != own.address)
                 .collect(),
             began: now,
-            belief: Belief::default(),
+            acceptance: ListAcceptance::default(),
             source: None,
             packed: None,
             partial: None,
-            polling: PollScheduler::new(own.id, seed).without(terms.without),
-            disabled: terms.without,
-            whole: true,
-            swim: Foca::new(own, swim_terms(), rng, PostcardCodec),
+            polling: PollScheduler::new(own.id, seed).with_disabled(config.disabled),
+            disabled: config.disabled,
+            request_full_list: true,
+            swim: Foca::new(own, swim_config(), rng, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             timers_set: 0,
@@ -112,45 +114,45 @@
             seeds_at: now,
             passed_on: 0,
             heard: VecDeque::new(),
-            tokens: BURST,
+            tokens: MESSAGE_BURST,
             tokens_at: now,
             told_alive: 0,
             steady: 0,
-            settled: None,
-            counts: Counts::default(),
+            converged: None,
+            metrics: Metrics::default(),
         }
     }
 
     /// When [`Input::Timer`] is due.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let swim = self.timers.first_key_value().map(|(key, _)| key.0);
         let stalled = self.partial.as_ref().map(|(_, _, at)| at + PART_TIMEOUT);
-        [swim, stalled, self.polling.due()]
+        [swim, stalled, self.polling.next_deadline()]
             .into_iter()
             .flatten()
             .fold(self.tick_at, Micros::min)
     }
 
     /// What this proxy knows.
-    pub fn standing(&self, now: Micros) -> Standing {
-        let held = self.belief.held();
-        Standing {
+    pub fn status(&self, now: Micros) -> PeerStatus {
+        let held = self.acceptance.accepted();
+        PeerStatus {
             own: *self.swim.identity(),
-            list: held.map(|h| (h.stamp, now.saturating_sub(h.since), self.source)),
-            hosts: held.map_or(0, |h| h.hosts.up()),
+            list: held.map(|h| (h.version, now.saturating_sub(h.since), self.source)),
+            endpoints: held.map_or(0, |h| h.hosts.count_up()),
             alive: self.alive(),
-            settled: self.settled.is_some(),
-            askers: self.polling.known(now),
-            counts: Counts {
-                doubted: self.belief.doubted,
-                ..self.counts
+            converged: self.converged.is_some(),
+            pollers: self.polling.pollers(now),
+            metrics: Metrics {
+                quarantined: self.acceptance.quarantined,
+                ..self.metrics
             },
         }
     }
 
     /// The list that it believes.
-    pub fn host_list(&self) -> Option<(&Stamp, &HostList)> {
-        self.belief.held().map(|h| (&h.stamp, &h.hosts))
+    pub fn endpoint_list(&self) -> Option<(&ListVersion, &EndpointList)> {
+        self.acceptance.accepted().map(|h| (&h.version, &h.hosts))
     }
 
     /// Proxies alive, as it knows, itself included.
@@ -163,16 +165,16 @@
         match input {
             Input::Message(bytes) => self.handle_message(now, bytes, out),
             Input::Timer => {}
-            Input::Answered(answer) => self.handle_answer(now, answer, out),
-            Input::Failed { retry_after } => {
-                self.counts.failed += 1;
-                self.whole |= self.belief.held().is_none();
-                self.polling.failed(now, retry_after);
+            Input::PollAnswered(answer) => self.handle_answer(now, answer, out),
+            Input::PollFailed { retry_after } => {
+                self.metrics.polls_failed += 1;
+                self.request_full_list |= self.acceptance.accepted().is_none();
+                self.polling.poll_failed(now, retry_after);
                 self.send_status_to_some(now, out);
             }
-            Input::Moved => {
-                self.whole = true;
-                self.polling.moved(now);
+            Input::SourceChanged => {
+                self.request_full_list = true;
+                self.polling.source_changed(now);
             }
             Input::Leave => {
                 let _ = self.swim.leave_cluster(&mut self.runtime);
@@ -185,4 +187,4 @@
     }
 }
 
-const _: () = assert!(PART < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MESSAGE_MOST);
+const _: () = assert!(PART_SIZE < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MAX_MESSAGE_SIZE);
--- a/crates/gossip/src/peer/send.rs
+++ b/crates/gossip/src/peer/send.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 
 /// Messages a second that a proxy sends at the most, and how many at once.
-pub const RATE: f64 = 400.0;
+pub const MESSAGES_PER_SECOND: f64 = 400.0;
 
-/// See [`RATE`].
-pub const BURST: f64 = 400.0;
+/// See [`MESSAGES_PER_SECOND`].
+pub const MESSAGE_BURST: f64 = 400.0;
 
 /// How many peers get each periodic status.
 pub(super) const STATUS_FANOUT: usize = 2;
@@ -38,16 +38,17 @@
         out: &mut Vec<Output>,
     ) {
         let Some(bytes) = bytes else { return };
-        self.tokens =
-            (self.tokens + now.saturating_sub(self.tokens_at) as f64 / 1e6 * RATE).min(BURST);
+        self.tokens = (self.tokens
+            + now.saturating_sub(self.tokens_at) as f64 / 1e6 * MESSAGES_PER_SECOND)
+            .min(MESSAGE_BURST);
         self.tokens_at = now;
         if self.tokens < 1.0 {
-            self.counts.held_back += 1;
+            self.metrics.rate_limited += 1;
             return;
         }
         self.tokens -= 1.0;
-        self.counts.sent += 1;
-        self.counts.sent_bytes += bytes.len() as u64;
+        self.metrics.sent += 1;
+        self.metrics.sent_bytes += bytes.len() as u64;
         out.push(Output::Send(to, bytes));
     }
 
@@ -80,8 +81,8 @@
 
     /// Sends the status of this proxy to some peers at once: its list version, and the pollers that it knows.
     pub(super) fn send_status_to_some(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let (stamp, statuses) = (self.belief.stamp(), self.polling.statuses(now, false));
-        let bytes = self.encode(Message::Status { stamp, statuses });
+        let (version, statuses) = (self.acceptance.version(), self.polling.statuses(now, false));
+        let bytes = self.encode(Message::Status { version, statuses });
         for to in self.random_peers(FANOUT, None) {
             self.send_encoded(now, to, bytes.clone(), out);
         }
--- a/crates/gossip/src/peer/service.rs
+++ b/crates/gossip/src/peer/service.rs
@@ -2,9 +2,9 @@
 
 use super::message::Message;
 use super::send::FANOUT;
-use super::{Answer, Note, Output, Peer, MESSAGE_MOST};
-use crate::belief::{Verdict, DOUBT};
-use crate::list::{Change, HostList, Stamp};
+use super::{Output, Peer, PeerEvent, PollAnswer, MAX_MESSAGE_SIZE};
+use crate::acceptance::{Verdict, PARTIAL_LIST_QUARANTINE};
+use crate::endpoint_list::{EndpointChange, EndpointList, ListVersion};
 use crate::packed_list::PackedList;
 use crate::polling::Mechanism;
 use crate::Micros;
@@ -22,30 +22,33 @@
 
 impl Peer {
     /// The list service has answered.
-    pub(super) fn handle_answer(&mut self, now: Micros, answer: Answer, out: &mut Vec<Output>) {
-        let first = !self.polling.hears();
+    pub(super) fn handle_answer(&mut self, now: Micros, answer: PollAnswer, out: &mut Vec<Output>) {
+        let first = !self.polling.is_healthy_poller();
         self.polling
-            .answered(now, answer.at_once.then_some(answer.took));
-        let from = self.belief.stamp();
-        let verdict = if answer.whole {
-            self.belief
-                .whole(now, answer.index, HostList::new(answer.changes))
+            .poll_answered(now, answer.immediate.then_some(answer.latency));
+        let from = self.acceptance.version();
+        let verdict = if answer.complete {
+            self.acceptance
+                .offer_service_list(now, answer.index, EndpointList::new(answer.changes))
         } else {
-            self.belief.changes(now, answer.index, &answer.changes)
+            self.acceptance
+                .offer_service_changes(now, answer.index, &answer.changes)
         };
-        self.whole = matches!(verdict, Verdict::Doubted | Verdict::Unfit);
+        self.request_full_list = matches!(verdict, Verdict::Quarantined | Verdict::Invalid);
         match verdict {
-            Verdict::News(changes) => self.adopt_list(now, from, (None, changes), out),
-            Verdict::Known if answer.took < PAUSE_WITHOUT_NEWS => {
-                self.polling.not_before(now + PAUSE_WITHOUT_NEWS);
+            Verdict::Newer(changes) => self.adopt_list(now, from, (None, changes), out),
+            Verdict::Duplicate if answer.latency < PAUSE_WITHOUT_NEWS => {
+                self.polling.delay_until(now + PAUSE_WITHOUT_NEWS);
             }
-            Verdict::Doubted => {
-                out.push(Output::Note(Note::Doubts(answer.index)));
+            Verdict::Quarantined => {
+                out.push(Output::Event(PeerEvent::ListQuarantined {
+                    index: answer.index,
+                }));
                 // Asked for the whole list, it answers at once.
-                self.polling.not_before(now + DOUBT / 4);
+                self.polling.delay_until(now + PARTIAL_LIST_QUARANTINE / 4);
             }
-            Verdict::Unfit => self.polling.not_before(now + PAUSE_WITHOUT_NEWS),
-            Verdict::Known => {}
+            Verdict::Invalid => self.polling.delay_until(now + PAUSE_WITHOUT_NEWS),
+            Verdict::Duplicate => {}
         }
         if first {
             self.send_status_to_some(now, out);
@@ -54,28 +57,32 @@
 
     /// Polls the list service if it is time to.
     pub(super) fn poll_service(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let before = self.polling.asks();
-        let listed = self.belief.held().is_some();
-        let asks = self.polling.ask(now, listed);
-        if self.polling.asks() != before {
-            out.push(Output::Note(Note::Asks(!before)));
+        let before = self.polling.is_poller();
+        let listed = self.acceptance.accepted().is_some();
+        let asks = self.polling.start_poll(now, listed);
+        if self.polling.is_poller() != before {
+            out.push(Output::Event(if before {
+                PeerEvent::PollingStopped
+            } else {
+                PeerEvent::PollingStarted
+            }));
             self.send_status_to_some(now, out);
         }
         if asks {
-            self.counts.questions += 1;
+            self.metrics.polls += 1;
             let index = self
-                .belief
-                .stamp()
+                .acceptance
+                .version()
                 .map(|s| s.index)
-                .filter(|_| !self.whole || !listed);
-            let wait = if self.polling.hears() {
+                .filter(|_| !self.request_full_list || !listed);
+            let wait = if self.polling.is_healthy_poller() {
                 POLL_WAIT
             } else {
                 FIRST_POLL_WAIT
             };
             // Jitter: requests that began together are not to end together for ever.
             let wait = wait - self.random.gen_range(0..=wait / 8);
-            out.push(Output::Ask { index, wait });
+            out.push(Output::Poll { index, wait });
         }
     }
 
@@ -83,46 +90,48 @@
     pub(super) fn adopt_list(
         &mut self,
         now: Micros,
-        from: Option<Stamp>,
-        (source, changes): (Option<SocketAddr>, Vec<Change>),
+        from: Option<ListVersion>,
+        (source, changes): (Option<SocketAddr>, Vec<EndpointChange>),
         out: &mut Vec<Output>,
     ) {
-        let Some(held) = self.belief.held() else {
+        let Some(held) = self.acceptance.accepted() else {
             return;
         };
-        let stamp = held.stamp;
+        let version = held.version;
         self.source = source;
-        self.packed = PackedList::pack(stamp, &held.hosts);
+        self.packed = PackedList::pack(version, &held.hosts);
         if from.is_none() {
-            let (hosts, after) = (held.hosts.up(), now - self.began);
-            out.push(Output::Note(Note::Listed {
-                from: source,
-                stamp,
-                hosts,
-                after,
+            let (endpoints, elapsed) = (held.hosts.count_up(), now - self.began);
+            out.push(Output::Event(PeerEvent::ListReceived {
+                source,
+                version,
+                endpoints,
+                elapsed,
             }));
         }
-        if from.is_some_and(|f| f.life < stamp.life) {
-            out.push(Output::Note(Note::Life(stamp.life)));
+        if from.is_some_and(|f| f.incarnation < version.incarnation) {
+            out.push(Output::Event(PeerEvent::IncarnationStarted {
+                incarnation: version.incarnation,
+            }));
         }
         if self
             .partial
             .as_ref()
-            .is_some_and(|(a, ..)| a.stamp <= stamp)
+            .is_some_and(|(a, ..)| a.version <= version)
         {
             self.partial = None;
         }
         self.advance_tick(now);
-        let news = from.map(|from| Message::News {
+        let news = from.map(|from| Message::ListDelta {
             from,
-            to: stamp,
+            to: version,
             changes: changes.clone(),
         });
         let news = news
             .and_then(|news| self.encode(news))
-            .filter(|bytes| bytes.len() <= MESSAGE_MOST);
-        out.push(Output::List {
-            whole: from.is_none(),
+            .filter(|bytes| bytes.len() <= MAX_MESSAGE_SIZE);
+        out.push(Output::ListChanged {
+            complete: from.is_none(),
             changes,
         });
         let bytes = match (news, &self.packed) {
@@ -133,12 +142,12 @@
             _ => {
                 let statuses = self.polling.statuses(now, false);
                 self.encode(Message::Status {
-                    stamp: Some(stamp),
+                    version: Some(version),
                     statuses,
                 })
             }
         };
-        let fanout = if self.disabled == Some(Mechanism::Push) {
+        let fanout = if self.disabled == Some(Mechanism::EagerPush) {
             0
         } else {
             FANOUT
--- a/crates/gossip/src/peer/tick.rs
+++ b/crates/gossip/src/peer/tick.rs
@@ -5,7 +5,7 @@
 use super::send::STATUS_FANOUT;
 use super::transfer::{MAX_PARTS_SENT, PART_TIMEOUT};
 use super::{Member, Output, Peer};
-use crate::polling::Id;
+use crate::polling::PeerId;
 use crate::Micros;
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -49,7 +49,7 @@
         }
         *at = now;
         let (of, parts, sender) = (
-            Some(partial.stamp),
+            Some(partial.version),
             partial.missing(MAX_PARTS_SENT),
             *sender,
         );
@@ -62,8 +62,8 @@
                 .copied()
                 .unwrap_or(sender)
         };
-        let stamp = self.belief.stamp();
-        self.send(now, to, Message::Want { stamp, of, parts }, out);
+        let version = self.acceptance.version();
+        self.send(now, to, Message::ListRequest { version, of, parts }, out);
     }
 
     /// Sends the periodic status, or asks for a list, and looks for missing seeds.
@@ -71,7 +71,7 @@
         // Jitter: proxies that start together do not send together for ever.
         let tick = self.tick * self.random.gen_range(75..=125) / 100;
         self.tick_at = now + tick;
-        let most = if self.belief.held().is_some() {
+        let most = if self.acceptance.accepted().is_some() {
             MAX_TICK
         } else {
             MAX_TICK_WITHOUT_LIST
@@ -82,13 +82,13 @@
             self.contact_missing_seed(now, out);
         }
         let statuses = self.polling.statuses(now, true);
-        let stamp = self.belief.stamp();
-        let listed = stamp.is_some();
+        let version = self.acceptance.version();
+        let listed = version.is_some();
         let message = if listed {
-            Message::Status { stamp, statuses }
+            Message::Status { version, statuses }
         } else {
-            Message::Want {
-                stamp: None,
+            Message::ListRequest {
+                version: None,
                 of: None,
                 parts: Vec::new(),
             }
@@ -99,7 +99,7 @@
                 self.send_encoded(now, to, bytes.clone(), out);
             }
         }
-        self.update_settled(out);
+        self.update_converged(out);
     }
 
     /// Announces this proxy to a seed that is no member: at the start, and where a part of the fleet has lost the others.
@@ -116,7 +116,7 @@
             let _ = self.swim.announce(
                 Member {
                     address,
-                    id: Id(0),
+                    id: PeerId(0),
                     started: 0,
                 },
                 &mut self.runtime,
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -2,8 +2,8 @@
 
 use super::message::Message;
 use super::{Member, Output, Peer};
-use crate::belief::Verdict;
-use crate::list::Stamp;
+use crate::acceptance::Verdict;
+use crate::endpoint_list::ListVersion;
 use crate::packed_list::{PackedList, PartialList};
 use crate::Micros;
 use rand::Rng;
@@ -20,8 +20,8 @@
     pub(super) fn part_message(&self, number: u16) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         let bytes = packed.part(number)?.to_vec();
-        Some(Message::Part {
-            stamp: packed.stamp,
+        Some(Message::ListPart {
+            version: packed.version,
             number,
             parts: packed.parts(),
             bytes,
@@ -31,14 +31,14 @@
     /// Requests a newer list.
     pub(super) fn request_list(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<Output>) {
         let (of, parts) = match &self.partial {
-            Some((partial, ..)) => (Some(partial.stamp), partial.missing(MAX_PARTS_SENT)),
+            Some((partial, ..)) => (Some(partial.version), partial.missing(MAX_PARTS_SENT)),
             None => (None, Vec::new()),
         };
         self.send(
             now,
             from,
-            Message::Want {
-                stamp: self.belief.stamp(),
+            Message::ListRequest {
+                version: self.acceptance.version(),
                 of,
                 parts,
             },
@@ -52,7 +52,7 @@
         let message = match self.part_message(0).filter(|_| single) {
             Some(part) => part,
             None => Message::Status {
-                stamp: self.belief.stamp(),
+                version: self.acceptance.version(),
                 statuses: self.polling.statuses(now, false),
             },
         };
@@ -64,19 +64,19 @@
         &mut self,
         now: Micros,
         from: Member,
-        (stamp, of, parts): (Option<Stamp>, Option<Stamp>, &[u16]),
+        (version, of, parts): (Option<ListVersion>, Option<ListVersion>, &[u16]),
         out: &mut Vec<Output>,
     ) {
-        let own = self.belief.stamp();
-        if own <= stamp {
+        let own = self.acceptance.version();
+        if own <= version {
             // Nothing newer; but perhaps it does not know the pollers.
             let statuses = self.polling.statuses(now, false);
-            if !statuses.is_empty() || own < stamp {
+            if !statuses.is_empty() || own < version {
                 self.send(
                     now,
                     from.address,
                     Message::Status {
-                        stamp: own,
+                        version: own,
                         statuses,
                     },
                     out,
@@ -111,22 +111,27 @@
         &mut self,
         now: Micros,
         from: Member,
-        (stamp, number, parts): (Stamp, u16, u16),
+        (version, number, parts): (ListVersion, u16, u16),
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) {
-        let own = self.belief.stamp();
-        if Some(stamp) <= own {
+        let own = self.acceptance.version();
+        if Some(version) <= own {
             return;
         }
-        if self.partial.as_ref().is_none_or(|(a, ..)| a.stamp < stamp) {
-            let Some(fresh) = PartialList::new(stamp, parts) else {
-                self.counts.malformed += 1;
+        if self
+            .partial
+            .as_ref()
+            .is_none_or(|(a, ..)| a.version < version)
+        {
+            let Some(fresh) = PartialList::new(version, parts) else {
+                self.metrics.malformed += 1;
                 return;
             };
             self.partial = Some((fresh, from.address, now));
         }
-        let Some((partial, last, at)) = self.partial.as_mut().filter(|(a, ..)| a.stamp == stamp)
+        let Some((partial, last, at)) =
+            self.partial.as_mut().filter(|(a, ..)| a.version == version)
         else {
             return;
         };
@@ -134,15 +139,19 @@
             return;
         }
         (*last, *at) = (from.address, now);
-        let Some(whole) = partial.whole() else { return };
+        let Some(complete) = partial.complete() else {
+            return;
+        };
         self.partial = None;
-        match whole {
+        match complete {
             Ok(hosts) => {
-                if let Verdict::News(changes) = self.belief.peer(now, stamp, hosts) {
+                if let Verdict::Newer(changes) =
+                    self.acceptance.offer_peer_list(now, version, hosts)
+                {
                     self.adopt_list(now, own, (Some(from.address), changes), out);
                 }
             }
-            Err(()) => self.counts.torn += 1,
+            Err(()) => self.metrics.checksum_mismatch += 1,
         }
     }
 }
--- a/crates/gossip/src/polling.rs
+++ b/crates/gossip/src/polling.rs
@@ -1,6 +1,6 @@
 //! Which proxies poll the list service, and when.
 //!
-//! [`WANTED`] proxies ask for all. Nobody appoints them: a proxy that hears of fewer draws a time and asks when it is up,
+//! [`TARGET_POLLERS`] proxies ask for all. Nobody appoints them: a proxy that hears of fewer draws a time and asks when it is up,
 //! unless it has heard of enough by then. The law of the draw is that of the feedback timers of TFMCC (RFC 4654, 2.5.1):
 //! most times are long and few are short, so that some begin early and are heard before the rest begin, be they five
 //! or ten thousand. Where more ask than are wanted, those of the lowest rank (a hash of the number that a proxy has drawn
@@ -22,64 +22,64 @@
 use std::collections::BTreeMap;
 
 /// Proxies that ask: one may die and another be cut off at the same moment.
-pub const WANTED: usize = 3;
+pub const TARGET_POLLERS: usize = 3;
 /// The law of the draw holds for up to so many proxies (RFC 4654's own figure).
-const PROXIES_MOST: f64 = 10_000.0;
+const MAX_PROXIES: f64 = 10_000.0;
 /// Span of the draw of one that has no list, has met a peer and knows of nobody who asks. A question, its answer and their way to the
 /// others take about a tenth of it, so that few begin in vain.
-const SPAN: Micros = 1_000_000;
+const TAKEOVER_SPAN: Micros = 1_000_000;
 /// Earliest and latest time of one that has met no peer. Machines that are switched on together come up within a
 /// second, seeds among them: who asks before has not waited for any. 300 that are alone are 75 questions for the list in
 /// the second after, and fewer in each later one.
-const ALONE: (Micros, Micros) = (1_000_000, 16_000_000);
+const ISOLATED_DELAY: (Micros, Micros) = (1_000_000, 16_000_000);
 /// ... of a seed, which is asked by those that start: it is the first to need the list.
-const SPAN_SEED: Micros = 100_000;
+const SEED_TAKEOVER_SPAN: Micros = 100_000;
 /// ... of one that has a list, or knows somebody who asks.
-const SPAN_MORE: Micros = 4_000_000;
+const RELAXED_TAKEOVER_SPAN: Micros = 4_000_000;
 /// ... of one that knows that all who ask fail.
-const SPAN_FAILED: Micros = 8_000_000;
+const UNREACHABLE_TAKEOVER_SPAN: Micros = 8_000_000;
 /// Failures in a row after which one that asks counts as cut off.
-pub const CUT_OFF: u32 = 3;
+pub const UNREACHABLE_AFTER_FAILURES: u32 = 3;
 /// Pause after the first failure, and the longest, if the service answers quickly.
-const PAUSE_LEAST: Micros = 200_000;
-const PAUSE_MOST: Micros = 2_000_000;
+const MIN_BACKOFF: Micros = 200_000;
+const MAX_BACKOFF: Micros = 2_000_000;
 /// The longest pause in times of an answer, where that is more: a service that takes a second for an answer gets a
 /// question from each that asks in twenty.
-const ANSWERS: u64 = 20;
+const MAX_BACKOFF_PER_LATENCY: u64 = 20;
 /// One that asks is forgotten when nothing new was heard of it for so long: an announcement a second from each takes about seven
 /// rounds to reach two thousand.
-pub const FRESH: Micros = 15_000_000;
+pub const STATUS_LIFETIME: Micros = 15_000_000;
 /// ... of one that does not hear the service: it tells of itself each second, and at once when its standing changes. To
 /// take one for dead that is not costs a question or two; to wait for a dead one costs a start its time.
-const FRESH_TRYING: Micros = 4_000_000;
+const UNHEALTHY_STATUS_LIFETIME: Micros = 4_000_000;
 /// One that has heard no peer at all for so long counts as cut off from them: in calm about four messages a second come
-/// to each. What it knows of who asks holds no longer, and it asks for itself in its own time ([`ALONE`]).
-const SILENT: Micros = 3_000_000;
+/// to each. What it knows of who asks holds no longer, and it asks for itself in its own time ([`ISOLATED_DELAY`]).
+const ISOLATED_AFTER: Micros = 3_000_000;
 /// After its turn was in vain a proxy leaves it to others for so long.
-const REST: Micros = 30_000_000;
+const TAKEOVER_PAUSE: Micros = 30_000_000;
 /// Most statuses in a message: more pollers need not be told apart.
 pub const MAX_STATUSES: usize = 8;
 /// Most that are remembered, with those that have stopped or gone. One that was forgotten while others still tell of it
 /// would come back as a new one, and be waited for. Room is taken as they come; beyond it those that do not ask go first.
-const KNOWN_MOST: usize = 4_096;
+const MAX_KNOWN_POLLERS: usize = 4_096;
 
 /// The number that a proxy has drawn at its start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Id(pub u64);
+pub struct PeerId(pub u64);
 
 /// What can be left out, to measure what it is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     /// The law by which few times are short: all are alike.
-    Law,
+    BiasedDelay,
     /// A seed asks sooner than others.
-    Seeds,
+    SeedPriority,
     /// A new list goes to some others at once.
-    Push,
+    EagerPush,
     /// News of those that ask goes on at once.
-    Words,
+    StatusForwarding,
 }
 
 impl Mechanism {
@@ -87,8 +87,13 @@
     pub const NAMES: [&'static str; 4] = ["law", "seeds", "push", "words"];
 
     /// The one of this name.
-    pub fn named(name: &str) -> Option<Self> {
-        let all = [Self::Law, Self::Seeds, Self::Push, Self::Words];
+    pub fn from_name(name: &str) -> Option<Self> {
+        let all = [
+            Self::BiasedDelay,
+            Self::SeedPriority,
+            Self::EagerPush,
+            Self::StatusForwarding,
+        ];
         all.into_iter()
             .zip(Self::NAMES)
             .find(|(_, n)| *n == name)
@@ -101,15 +106,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollerStatus {
     /// The proxy.
-    pub id: Id,
+    pub id: PeerId,
     /// Version of the status: grows each time that the proxy itself announces it; 0 for never.
-    pub count: u32,
+    #[serde(rename = "count")]
+    pub version: u32,
     /// It polls the service; else it has stopped.
-    pub asks: bool,
+    #[serde(rename = "asks")]
+    pub active: bool,
     /// Failures since the service last answered it; [`u32::MAX`]: it has not heard it yet.
     pub failures: u32,
     /// The time that the service takes for an answer, in milliseconds, as learned.
-    pub answer_ms: u32,
+    #[serde(rename = "answer_ms")]
+    pub latency_ms: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -119,12 +127,12 @@
 }
 
 impl KnownPoller {
-    fn fresh(&self, now: Micros) -> bool {
+    fn is_fresh(&self, now: Micros) -> bool {
         now < self.heard
             + if self.status.failures == 0 {
-                FRESH
+                STATUS_LIFETIME
             } else {
-                FRESH_TRYING
+                UNHEALTHY_STATUS_LIFETIME
             }
     }
 }
@@ -134,17 +142,17 @@
 enum Delay {
     /// Within a span, by the law of RFC 4654.
     Within(Micros),
-    /// See [`ALONE`].
-    Alone,
+    /// See [`ISOLATED_DELAY`].
+    Isolated,
 }
 
 /// Decides when this proxy polls the list service.
 #[derive(Clone, Debug)]
 pub struct PollScheduler {
-    id: Id,
+    id: PeerId,
     seed: bool,
     random: Pcg32,
-    others: BTreeMap<Id, KnownPoller>,
+    others: BTreeMap<PeerId, KnownPoller>,
     own: PollerStatus,
     /// A request to the list service is pending.
     pending: bool,
@@ -164,13 +172,13 @@
 
 impl PollScheduler {
     /// The scheduler of a proxy; `seed`: other proxies contact it when they start.
-    pub fn new(id: Id, seed: bool) -> Self {
+    pub fn new(id: PeerId, seed: bool) -> Self {
         let own = PollerStatus {
             id,
-            count: 0,
-            asks: false,
+            version: 0,
+            active: false,
             failures: u32::MAX,
-            answer_ms: 0,
+            latency_ms: 0,
         };
         PollScheduler {
             id,
@@ -191,41 +199,42 @@
 
     /// Leaves a mechanism out.
     #[must_use]
-    pub fn without(mut self, without: Option<Mechanism>) -> Self {
-        self.disabled = without;
+    pub fn with_disabled(mut self, mechanism: Option<Mechanism>) -> Self {
+        self.disabled = mechanism;
         self
     }
 
     /// Does this proxy ask for all?
-    pub fn asks(&self) -> bool {
-        self.own.asks
+    pub fn is_poller(&self) -> bool {
+        self.own.active
     }
 
     /// Does it hear the service?
-    pub fn hears(&self) -> bool {
-        self.own.asks && self.own.failures == 0
+    pub fn is_healthy_poller(&self) -> bool {
+        self.own.active && self.own.failures == 0
     }
 
     /// Is anybody known who hears the service, this proxy included?
-    pub fn heard(&self) -> bool {
-        self.hears()
+    pub fn knows_healthy_poller(&self) -> bool {
+        self.is_healthy_poller()
             || self
                 .others
                 .values()
-                .any(|o| o.status.asks && o.status.failures == 0)
+                .any(|o| o.status.active && o.status.failures == 0)
     }
 
     /// The statuses of pollers that a message carries, this proxy's own first; `tick`: as a new version.
     pub fn statuses(&mut self, now: Micros, tick: bool) -> Vec<PollerStatus> {
-        let tell_own = self.own.asks || self.own.count > 0;
-        if tick && self.own.asks {
-            self.own.count += 1;
+        let tell_own = self.own.active || self.own.version > 0;
+        if tick && self.own.active {
+            self.own.version += 1;
         }
         let own = tell_own.then_some(self.own);
         // Those that ask before those that have stopped, then those that were heard of last. Nobody tells of one of whom
         // he has heard nothing new for long: the dead would be told of for ever.
-        let mut others: Vec<&KnownPoller> = self.others.values().filter(|o| o.fresh(now)).collect();
-        others.sort_by_key(|o| std::cmp::Reverse((o.status.asks, o.heard)));
+        let mut others: Vec<&KnownPoller> =
+            self.others.values().filter(|o| o.is_fresh(now)).collect();
+        others.sort_by_key(|o| std::cmp::Reverse((o.status.active, o.heard)));
         own.into_iter()
             .chain(others.into_iter().map(|o| o.status))
             .take(MAX_STATUSES)
@@ -233,16 +242,16 @@
     }
 
     /// Those known to ask, this proxy included, and since when nothing was heard of them.
-    pub fn known(&self, now: Micros) -> Vec<(PollerStatus, Micros)> {
-        let own = self.own.asks.then_some((self.own, 0));
-        let others = self.others.values().filter(|o| o.status.asks);
+    pub fn pollers(&self, now: Micros) -> Vec<(PollerStatus, Micros)> {
+        let own = self.own.active.then_some((self.own, 0));
+        let others = self.others.values().filter(|o| o.status.active);
         own.into_iter()
             .chain(others.map(|o| (o.status, now.saturating_sub(o.heard))))
             .collect()
     }
 
     /// A peer tells of those that ask. True: somebody has begun to ask, hears the service now or does so no more.
-    pub fn told(&mut self, now: Micros, statuses: &[PollerStatus]) -> bool {
+    pub fn handle_statuses(&mut self, now: Micros, statuses: &[PollerStatus]) -> bool {
         let mut news = false;
         self.last_heard = Some(now);
         for &status in statuses
@@ -251,65 +260,73 @@
             .filter(|w| w.id != self.id)
         {
             let old = self.others.get(&status.id).map(|o| o.status);
-            if old.is_some_and(|o| o.count >= status.count) {
+            if old.is_some_and(|o| o.version >= status.version) {
                 continue;
             }
-            let state = |w: PollerStatus| (w.asks, w.failures == 0, w.failures >= CUT_OFF);
-            news |= old.map(state) != Some(state(status)) && (status.asks || old.is_some());
+            let state = |w: PollerStatus| {
+                (
+                    w.active,
+                    w.failures == 0,
+                    w.failures >= UNREACHABLE_AFTER_FAILURES,
+                )
+            };
+            news |= old.map(state) != Some(state(status)) && (status.active || old.is_some());
             self.others
                 .insert(status.id, KnownPoller { status, heard: now });
-            if self.own.answer_ms == 0 {
-                self.own.answer_ms = status.answer_ms;
+            if self.own.latency_ms == 0 {
+                self.own.latency_ms = status.latency_ms;
             }
         }
-        while self.others.len() > KNOWN_MOST {
+        while self.others.len() > MAX_KNOWN_POLLERS {
             let oldest = self
                 .others
                 .values()
-                .min_by_key(|o| (o.status.asks, o.heard))
+                .min_by_key(|o| (o.status.active, o.heard))
                 .map(|o| o.status.id);
             oldest.map(|id| self.others.remove(&id));
         }
-        self.look(now);
+        self.reschedule(now);
         news
     }
 
     /// A peer was heard.
-    pub fn met(&mut self, now: Micros) {
+    pub fn record_contact(&mut self, now: Micros) {
         if self.last_heard.replace(now).is_none() {
-            self.look(now);
+            self.reschedule(now);
         }
     }
 
     /// A peer has gone.
-    pub fn gone(&mut self, now: Micros, id: Id) {
+    pub fn peer_down(&mut self, now: Micros, id: PeerId) {
         if let Some(other) = self.others.get_mut(&id) {
             // Remembered, so that an old status still in circulation does not bring it back.
-            other.status.asks = false;
+            other.status.active = false;
         }
-        self.look(now);
+        self.reschedule(now);
     }
 
     /// Nobody was heard, ever or for long.
-    fn alone(&self, now: Micros) -> bool {
-        self.last_heard.is_none_or(|at| at + SILENT <= now)
+    fn is_isolated(&self, now: Micros) -> bool {
+        self.last_heard.is_none_or(|at| at + ISOLATED_AFTER <= now)
     }
 
     /// Others that ask: those that hear the service, those that have not heard it yet or only just failed, and those that
     /// are cut off.
     fn standing(&self, now: Micros) -> (usize, usize, usize) {
         let mut counts = (0, 0, 0);
-        if self.alone(now) {
+        if self.is_isolated(now) {
             return counts;
         }
         for other in self
             .others
             .values()
-            .filter(|o| o.status.asks && o.fresh(now))
+            .filter(|o| o.status.active && o.is_fresh(now))
         {
             match other.status.failures {
                 0 => counts.0 += 1,
-                failures if failures < CUT_OFF || failures == u32::MAX => counts.1 += 1,
+                failures if failures < UNREACHABLE_AFTER_FAILURES || failures == u32::MAX => {
+                    counts.1 += 1
+                }
                 _ => counts.2 += 1,
             }
         }
@@ -317,20 +334,22 @@
     }
 
     /// What this proxy's time is drawn from; `None`: others ask.
-    fn wanted(&self, now: Micros) -> Option<Delay> {
+    fn takeover_delay(&self, now: Micros) -> Option<Delay> {
         let (hearing, trying, cut_off) = self.standing(now);
-        if hearing + trying >= WANTED || (hearing == 0 && trying > 0) {
+        if hearing + trying >= TARGET_POLLERS || (hearing == 0 && trying > 0) {
             return None;
         }
         let span = match (hearing, cut_off) {
-            (1.., _) => SPAN_MORE,
-            (0, 0) if self.alone(now) && !(self.seed && self.last_heard.is_none()) => {
-                return Some(Delay::Alone)
+            (1.., _) => RELAXED_TAKEOVER_SPAN,
+            (0, 0) if self.is_isolated(now) && !(self.seed && self.last_heard.is_none()) => {
+                return Some(Delay::Isolated)
+            }
+            (0, 0) if self.listed => RELAXED_TAKEOVER_SPAN,
+            (0, 0) if self.seed && self.disabled != Some(Mechanism::SeedPriority) => {
+                SEED_TAKEOVER_SPAN
             }
-            (0, 0) if self.listed => SPAN_MORE,
-            (0, 0) if self.seed && self.disabled != Some(Mechanism::Seeds) => SPAN_SEED,
-            (0, 0) => SPAN,
-            (0, _) => SPAN_FAILED,
+            (0, 0) => TAKEOVER_SPAN,
+            (0, _) => UNREACHABLE_TAKEOVER_SPAN,
         };
         Some(Delay::Within(span))
     }
@@ -338,24 +357,26 @@
     fn draw(&mut self, delay: Delay) -> Micros {
         let share: f64 = self.random.gen_range(f64::MIN_POSITIVE..=1.0);
         match delay {
-            Delay::Within(span) if self.disabled == Some(Mechanism::Law) => {
+            Delay::Within(span) if self.disabled == Some(Mechanism::BiasedDelay) => {
                 (span as f64 * share) as Micros
             }
             Delay::Within(span) => {
-                (span as f64 * (1.0 + share.ln() / PROXIES_MOST.ln()).max(0.0)) as Micros
+                (span as f64 * (1.0 + share.ln() / MAX_PROXIES.ln()).max(0.0)) as Micros
             }
-            Delay::Alone => {
-                (ALONE.0 as f64 * (ALONE.1 as f64 / ALONE.0 as f64).powf(share)) as Micros
+            Delay::Isolated => {
+                (ISOLATED_DELAY.0 as f64
+                    * (ISOLATED_DELAY.1 as f64 / ISOLATED_DELAY.0 as f64).powf(share))
+                    as Micros
             }
         }
     }
 
     /// Sets or takes back the time at which this proxy would begin to ask.
-    fn look(&mut self, now: Micros) {
-        if self.own.asks {
+    fn reschedule(&mut self, now: Micros) {
+        if self.own.active {
             return;
         }
-        match self.wanted(now) {
+        match self.takeover_delay(now) {
             None => self.due = None,
             Some(delay) if self.due.is_none() || Some(delay) != self.delay => {
                 self.delay = Some(delay);
@@ -367,21 +388,22 @@
     }
 
     /// Should the service be asked now? `listed`: this proxy has a list. True: the question counts as out.
-    pub fn ask(&mut self, now: Micros, listed: bool) -> bool {
+    pub fn start_poll(&mut self, now: Micros, listed: bool) -> bool {
         self.listed = listed;
-        self.others.retain(|_, o| now < o.heard + 4 * FRESH);
-        if self.own.asks {
-            self.stop(now);
+        self.others
+            .retain(|_, o| now < o.heard + 4 * STATUS_LIFETIME);
+        if self.own.active {
+            self.step_down_if_redundant(now);
         }
-        self.look(now);
+        self.reschedule(now);
         if self.pending || self.due.is_none_or(|due| now < due) {
             return false;
         }
-        if !self.own.asks {
+        if !self.own.active {
             self.own = PollerStatus {
-                asks: true,
+                active: true,
                 failures: u32::MAX,
-                count: self.own.count + 1,
+                version: self.own.version + 1,
                 ..self.own
             };
         }
@@ -389,43 +411,44 @@
         true
     }
 
-    /// When [`PollScheduler::ask`] should be looked at again.
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`PollScheduler::start_poll`] should be looked at again.
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.due.filter(|_| !self.pending)
     }
 
     /// Leaves it to others where more ask than are wanted.
-    fn stop(&mut self, now: Micros) {
-        let fresh = |o: &&KnownPoller| o.status.asks && o.fresh(now);
-        let hearing: Vec<Id> = self
+    fn step_down_if_redundant(&mut self, now: Micros) {
+        let is_fresh = |o: &&KnownPoller| o.status.active && o.is_fresh(now);
+        let hearing: Vec<PeerId> = self
             .others
             .values()
-            .filter(fresh)
+            .filter(is_fresh)
             .filter(|o| o.status.failures == 0)
             .map(|o| o.status.id)
             .collect();
-        let rank = |id: Id| xxhash_rust::xxh3::xxh3_64(&id.0.to_le_bytes());
-        let before = |ids: &[Id]| ids.iter().filter(|id| rank(**id) > rank(self.id)).count();
+        let rank = |id: PeerId| xxhash_rust::xxh3::xxh3_64(&id.0.to_le_bytes());
+        let before = |ids: &[PeerId]| ids.iter().filter(|id| rank(**id) > rank(self.id)).count();
         let stops = match self.own.failures {
-            0 => before(&hearing) >= WANTED,
+            0 => before(&hearing) >= TARGET_POLLERS,
             // It has not heard the service yet.
-            u32::MAX => hearing.len() >= WANTED,
+            u32::MAX => hearing.len() >= TARGET_POLLERS,
             failures => {
                 let (_, trying, cut_off) = self.standing(now);
                 // At its first failure the others may have failed as well, and be about to tell: all that asked must
                 // not stop together.
-                let enough = failures > 1 && hearing.len() >= WANTED;
-                let in_turn = failures >= CUT_OFF && (trying > 0 || cut_off >= WANTED);
+                let enough = failures > 1 && hearing.len() >= TARGET_POLLERS;
+                let in_turn = failures >= UNREACHABLE_AFTER_FAILURES
+                    && (trying > 0 || cut_off >= TARGET_POLLERS);
                 if in_turn && !enough {
-                    self.rest_until = now + REST;
+                    self.rest_until = now + TAKEOVER_PAUSE;
                 }
                 enough || in_turn
             }
         };
         if stops && !self.pending {
             self.own = PollerStatus {
-                asks: false,
-                count: self.own.count + 1,
+                active: false,
+                version: self.own.version + 1,
                 ..self.own
             };
             self.due = None;
@@ -433,32 +456,32 @@
     }
 
     /// The service has answered: a watch may follow at once. `took`: for an answer that did not wait for news.
-    pub fn answered(&mut self, now: Micros, took: Option<Micros>) {
+    pub fn poll_answered(&mut self, now: Micros, took: Option<Micros>) {
         self.pending = false;
         self.own.failures = 0;
-        self.own.count += 1;
+        self.own.version += 1;
         if let Some(took) = took {
             let ms = (took / 1_000).clamp(1, 60_000) as u32;
-            self.own.answer_ms = if self.own.answer_ms == 0 {
+            self.own.latency_ms = if self.own.latency_ms == 0 {
                 ms
             } else {
-                (3 * self.own.answer_ms + ms) / 4
+                (3 * self.own.latency_ms + ms) / 4
             };
         }
         self.due = Some(now);
     }
 
     /// The question has failed; `told`: the service has said when to come back.
-    pub fn failed(&mut self, now: Micros, told: Option<Micros>) {
+    pub fn poll_failed(&mut self, now: Micros, told: Option<Micros>) {
         self.pending = false;
-        self.own.count += 1;
+        self.own.version += 1;
         self.own.failures = match self.own.failures {
             u32::MAX => 1,
             failures => (failures + 1).min(1_000),
         };
-        let answer = Micros::from(self.own.answer_ms) * 1_000;
-        let most = PAUSE_MOST.max(ANSWERS * answer);
-        let pause = (PAUSE_LEAST << (self.own.failures - 1).min(8))
+        let answer = Micros::from(self.own.latency_ms) * 1_000;
+        let most = MAX_BACKOFF.max(MAX_BACKOFF_PER_LATENCY * answer);
+        let pause = (MIN_BACKOFF << (self.own.failures - 1).min(8))
             .min(most)
             .max(2 * answer);
         let pause = pause / 2 + self.random.gen_range(0..=pause / 2);
@@ -467,14 +490,14 @@
     }
 
     /// There is another service: a question that is out concerns nobody.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn source_changed(&mut self, now: Micros) {
         if std::mem::take(&mut self.pending) {
             self.due = Some(now);
         }
     }
 
     /// The next question is not to come before this moment.
-    pub fn not_before(&mut self, at: Micros) {
+    pub fn delay_until(&mut self, at: Micros) {
         self.due = self.due.map(|due| due.max(at));
     }
 }
@@ -485,11 +508,11 @@
 
     fn status(id: u64, count: u32, failures: u32) -> PollerStatus {
         PollerStatus {
-            id: Id(id),
-            count,
-            asks: true,
+            id: PeerId(id),
+            version: count,
+            active: true,
             failures,
-            answer_ms: 8,
+            latency_ms: 8,
         }
     }
 
@@ -498,83 +521,90 @@
         for proxies in [5, 300, 2_000, 10_000] {
             let mut firsts: Vec<Micros> = (0..proxies)
                 .map(|n| {
-                    let mut scheduler = PollScheduler::new(Id(n), false);
-                    scheduler.met(0);
-                    assert!(!scheduler.ask(0, false) || scheduler.pending);
-                    scheduler.due().unwrap_or(0)
+                    let mut scheduler = PollScheduler::new(PeerId(n), false);
+                    scheduler.record_contact(0);
+                    assert!(!scheduler.start_poll(0, false) || scheduler.pending);
+                    scheduler.next_deadline().unwrap_or(0)
                 })
                 .collect();
             firsts.sort_unstable();
             // Within a tenth of the span after the first one there are never many, however many there are.
             let early = firsts
                 .iter()
-                .filter(|t| **t <= firsts[0] + SPAN / 10)
+                .filter(|t| **t <= firsts[0] + TAKEOVER_SPAN / 10)
                 .count();
             assert!(early <= 12, "{early} of {proxies}");
-            assert!(firsts[0] <= SPAN * 9 / 10);
+            assert!(firsts[0] <= TAKEOVER_SPAN * 9 / 10);
         }
     }
 
     /// Sixty-four were remembered, of fleets of hundreds.
     #[test]
     fn a_thousand_that_ask_are_told_apart_and_beyond_the_room_those_go_that_do_not() {
-        let mut scheduler = PollScheduler::new(Id(0), false);
+        let mut scheduler = PollScheduler::new(PeerId(0), false);
         for n in 1..=1_024 {
-            scheduler.told(n, &[status(n, 1, 0)]);
+            scheduler.handle_statuses(n, &[status(n, 1, 0)]);
         }
         assert_eq!(scheduler.others.len(), 1_024);
-        let room = KNOWN_MOST as u64;
+        let room = MAX_KNOWN_POLLERS as u64;
         for n in 1_025..=2 * room {
-            scheduler.told(
+            scheduler.handle_statuses(
                 n,
                 &[PollerStatus {
-                    asks: false,
+                    active: false,
                     ..status(n, 1, 0)
                 }],
             );
         }
-        assert_eq!(scheduler.others.len(), KNOWN_MOST);
+        assert_eq!(scheduler.others.len(), MAX_KNOWN_POLLERS);
         assert!(
-            (1..=1_024).all(|n| scheduler.others.contains_key(&Id(n))),
+            (1..=1_024).all(|n| scheduler.others.contains_key(&PeerId(n))),
             "who asks is kept"
         );
     }
 
     #[test]
     fn one_that_hears_of_enough_does_not_ask_and_one_that_hears_of_fewer_does() {
-        let mut scheduler = PollScheduler::new(Id(9), false);
-        assert!(!scheduler.ask(0, false));
-        assert!(scheduler.told(
+        let mut scheduler = PollScheduler::new(PeerId(9), false);
+        assert!(!scheduler.start_poll(0, false));
+        assert!(scheduler.handle_statuses(
             10,
             &[status(1, 1, 0), status(2, 1, 0), status(3, 1, u32::MAX)]
         ));
-        assert!(!scheduler.told(11, &[status(1, 1, 0)]), "nothing new");
-        scheduler.met(5_000_000);
-        assert!(scheduler.due().is_none() && !scheduler.ask(5_000_000, false) && scheduler.heard());
+        assert!(
+            !scheduler.handle_statuses(11, &[status(1, 1, 0)]),
+            "nothing new"
+        );
+        scheduler.record_contact(5_000_000);
+        assert!(
+            scheduler.next_deadline().is_none()
+                && !scheduler.start_poll(5_000_000, false)
+                && scheduler.knows_healthy_poller()
+        );
         // One dies, and the others go on.
-        scheduler.gone(5_000_000, Id(3));
-        let due = scheduler.due().expect("it would stand in");
-        assert!(due <= 5_000_000 + SPAN_MORE);
-        scheduler.met(due);
-        assert!(scheduler.ask(due, true) && scheduler.asks());
+        scheduler.peer_down(5_000_000, PeerId(3));
+        let due = scheduler.next_deadline().expect("it would stand in");
+        assert!(due <= 5_000_000 + RELAXED_TAKEOVER_SPAN);
+        scheduler.record_contact(due);
+        assert!(scheduler.start_poll(due, true) && scheduler.is_poller());
         // An old status does not bring the dead one back.
-        scheduler.told(due, &[status(3, 1, 0)]);
-        assert_eq!(scheduler.known(due).len(), 3);
+        scheduler.handle_statuses(due, &[status(3, 1, 0)]);
+        assert_eq!(scheduler.pollers(due).len(), 3);
     }
 
     #[test]
     fn who_tries_in_vain_keeps_others_from_trying_and_is_relieved_in_the_end() {
-        let mut scheduler = PollScheduler::new(Id(9), false);
-        scheduler.told(0, &[status(1, 1, 2)]);
-        assert!(!scheduler.ask(2_900_000, false), "somebody tries");
-        scheduler.told(3_000_000, &[status(1, 2, CUT_OFF)]);
-        let due = scheduler.due().expect("it may be cut off");
-        scheduler.told(due - 1, &[status(1, 3, CUT_OFF)]);
-        assert!(due <= 3_000_000 + SPAN_FAILED && scheduler.ask(due, false));
+        let mut scheduler = PollScheduler::new(PeerId(9), false);
+        scheduler.handle_statuses(0, &[status(1, 1, 2)]);
+        assert!(!scheduler.start_poll(2_900_000, false), "somebody tries");
+        scheduler.handle_statuses(3_000_000, &[status(1, 2, UNREACHABLE_AFTER_FAILURES)]);
+        let due = scheduler.next_deadline().expect("it may be cut off");
+        scheduler.handle_statuses(due - 1, &[status(1, 3, UNREACHABLE_AFTER_FAILURES)]);
+        assert!(due <= 3_000_000 + UNREACHABLE_TAKEOVER_SPAN && scheduler.start_poll(due, false));
         // In vain here as well: with enough others that try it rests.
         let mut now = due;
-        for _ in 0..CUT_OFF {
-            scheduler.told(
+        for _ in 0..UNREACHABLE_AFTER_FAILURES {
+            scheduler.handle_statuses(
                 now,
                 &[
                     status(1, now as u32, 9),
@@ -582,116 +612,123 @@
                     status(3, now as u32, 9),
                 ],
             );
-            scheduler.failed(now, Some(700_000));
-            let due = scheduler.due().expect("again");
+            scheduler.poll_failed(now, Some(700_000));
+            let due = scheduler.next_deadline().expect("again");
             assert!(due >= now + 700_000);
             now = due;
-            if scheduler.asks() && scheduler.ask(now, false) {
+            if scheduler.is_poller() && scheduler.start_poll(now, false) {
                 continue;
             }
         }
-        assert!(!scheduler.asks(), "{:?}", scheduler.own);
-        scheduler.gone(now, Id(1));
-        assert!(scheduler.due().is_none_or(|d| d >= now + REST - 1));
+        assert!(!scheduler.is_poller(), "{:?}", scheduler.own);
+        scheduler.peer_down(now, PeerId(1));
+        assert!(scheduler
+            .next_deadline()
+            .is_none_or(|d| d >= now + TAKEOVER_PAUSE - 1));
     }
 
     #[test]
     fn one_that_hears_no_peer_any_more_asks_for_itself_and_leaves_it_to_them_when_it_does() {
-        let mut scheduler = PollScheduler::new(Id(9), false);
-        scheduler.met(0);
-        scheduler.told(0, &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)]);
-        scheduler.ask(SILENT - 1, true);
-        assert_eq!(scheduler.due(), None);
-        scheduler.ask(SILENT, true);
-        let due = scheduler.due().expect("it is cut off");
-        assert!((SILENT + ALONE.0..=SILENT + ALONE.1).contains(&due));
-        scheduler.met(SILENT + 1);
-        scheduler.ask(SILENT + 1, true);
-        assert_eq!(scheduler.due(), None);
-        scheduler.ask(2 * SILENT + 1, true);
-        assert!(scheduler.ask(due + 2 * SILENT + ALONE.1, true) && scheduler.asks());
+        let mut scheduler = PollScheduler::new(PeerId(9), false);
+        scheduler.record_contact(0);
+        scheduler.handle_statuses(0, &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)]);
+        scheduler.start_poll(ISOLATED_AFTER - 1, true);
+        assert_eq!(scheduler.next_deadline(), None);
+        scheduler.start_poll(ISOLATED_AFTER, true);
+        let due = scheduler.next_deadline().expect("it is cut off");
+        assert!(
+            (ISOLATED_AFTER + ISOLATED_DELAY.0..=ISOLATED_AFTER + ISOLATED_DELAY.1).contains(&due)
+        );
+        scheduler.record_contact(ISOLATED_AFTER + 1);
+        scheduler.start_poll(ISOLATED_AFTER + 1, true);
+        assert_eq!(scheduler.next_deadline(), None);
+        scheduler.start_poll(2 * ISOLATED_AFTER + 1, true);
+        assert!(
+            scheduler.start_poll(due + 2 * ISOLATED_AFTER + ISOLATED_DELAY.1, true)
+                && scheduler.is_poller()
+        );
     }
 
     #[test]
     fn a_time_that_was_drawn_stays_whatever_is_heard_meanwhile() {
-        let mut scheduler = PollScheduler::new(Id(9), false);
-        scheduler.met(0);
-        scheduler.ask(0, true);
-        let due = scheduler.due().expect("nobody asks");
+        let mut scheduler = PollScheduler::new(PeerId(9), false);
+        scheduler.record_contact(0);
+        scheduler.start_poll(0, true);
+        let due = scheduler.next_deadline().expect("nobody asks");
         for at in 1..100 {
-            scheduler.told(
+            scheduler.handle_statuses(
                 at,
                 &[PollerStatus {
-                    asks: false,
+                    active: false,
                     ..status(1, at as u32, 0)
                 }],
             );
-            scheduler.ask(at, true);
-            assert_eq!(scheduler.due(), Some(due));
+            scheduler.start_poll(at, true);
+            assert_eq!(scheduler.next_deadline(), Some(due));
         }
     }
 
     /// The service goes down, and all that ask it fail at once, each with the status that the others hear it.
     #[test]
     fn those_that_fail_together_do_not_stop_together() {
-        let mut scheduler = PollScheduler::new(Id(9), true);
-        scheduler.ask(0, false);
-        assert!(scheduler.asks() || scheduler.ask(SPAN_SEED, false));
-        scheduler.answered(SPAN_SEED, None);
-        scheduler.told(
-            SPAN_SEED,
+        let mut scheduler = PollScheduler::new(PeerId(9), true);
+        scheduler.start_poll(0, false);
+        assert!(scheduler.is_poller() || scheduler.start_poll(SEED_TAKEOVER_SPAN, false));
+        scheduler.poll_answered(SEED_TAKEOVER_SPAN, None);
+        scheduler.handle_statuses(
+            SEED_TAKEOVER_SPAN,
             &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)],
         );
-        scheduler.failed(SPAN_SEED, None);
-        scheduler.ask(SPAN_SEED, true);
-        assert!(scheduler.asks());
-        scheduler.failed(SPAN_SEED, None);
-        scheduler.ask(SPAN_SEED, true);
-        assert!(!scheduler.asks(), "the others hear it still");
+        scheduler.poll_failed(SEED_TAKEOVER_SPAN, None);
+        scheduler.start_poll(SEED_TAKEOVER_SPAN, true);
+        assert!(scheduler.is_poller());
+        scheduler.poll_failed(SEED_TAKEOVER_SPAN, None);
+        scheduler.start_poll(SEED_TAKEOVER_SPAN, true);
+        assert!(!scheduler.is_poller(), "the others hear it still");
     }
 
     #[test]
     fn of_more_than_are_wanted_those_of_the_lowest_rank_stop() {
         let ids: Vec<u64> = (1..=8).collect();
         let stays = |own: u64| {
-            let mut scheduler = PollScheduler::new(Id(own), false);
-            scheduler.ask(0, false);
-            let due = scheduler.due().unwrap_or(0);
-            assert!(scheduler.asks() || scheduler.ask(due, false));
-            scheduler.answered(due, Some(8_000));
+            let mut scheduler = PollScheduler::new(PeerId(own), false);
+            scheduler.start_poll(0, false);
+            let due = scheduler.next_deadline().unwrap_or(0);
+            assert!(scheduler.is_poller() || scheduler.start_poll(due, false));
+            scheduler.poll_answered(due, Some(8_000));
             let others: Vec<PollerStatus> = ids
                 .iter()
                 .filter(|n| **n != own)
                 .map(|n| status(*n, 1, 0))
                 .collect();
-            scheduler.told(due, &others);
-            scheduler.ask(due, true);
-            scheduler.asks()
+            scheduler.handle_statuses(due, &others);
+            scheduler.start_poll(due, true);
+            scheduler.is_poller()
         };
         let staying = ids.iter().filter(|n| stays(**n)).count();
-        assert_eq!(staying, WANTED);
+        assert_eq!(staying, TARGET_POLLERS);
     }
 
     #[test]
     fn pauses_grow_with_failures_and_with_what_an_answer_takes() {
-        let mut scheduler = PollScheduler::new(Id(1), true);
-        scheduler.ask(0, false);
-        let due = scheduler.due().unwrap_or(0);
-        assert!(scheduler.ask(due, false) || scheduler.pending);
+        let mut scheduler = PollScheduler::new(PeerId(1), true);
+        scheduler.start_poll(0, false);
+        let due = scheduler.next_deadline().unwrap_or(0);
+        assert!(scheduler.start_poll(due, false) || scheduler.pending);
         let mut longest = 0;
         for _ in 0..20 {
-            scheduler.failed(0, None);
-            longest = longest.max(scheduler.due().unwrap_or(0));
+            scheduler.poll_failed(0, None);
+            longest = longest.max(scheduler.next_deadline().unwrap_or(0));
         }
-        assert!((PAUSE_MOST / 2..=PAUSE_MOST).contains(&longest));
-        scheduler.answered(0, Some(1_000_000));
+        assert!((MAX_BACKOFF / 2..=MAX_BACKOFF).contains(&longest));
+        scheduler.poll_answered(0, Some(1_000_000));
         for _ in 0..20 {
-            scheduler.failed(0, None);
+            scheduler.poll_failed(0, None);
         }
         assert!(
-            scheduler.due().is_some_and(|d| d >= 10_000_000),
+            scheduler.next_deadline().is_some_and(|d| d >= 10_000_000),
             "{:?}",
-            scheduler.due()
+            scheduler.next_deadline()
         );
     }
 }
--- a/crates/gossip/src/replay.rs
+++ b/crates/gossip/src/replay.rs
@@ -1,13 +1,13 @@
 //! Messages that were taken before are not taken again: the sliding window of RFC 4303 (appendix A2), for each sender.
 //!
 //! A sender counts its messages to all others together, so its window is wide. Of one that was forgotten (after
-//! [`SENDERS`] others) a message could be taken twice; so could all that was sent before this proxy's own start. Neither
+//! [`MAX_SENDERS`] others) a message could be taken twice; so could all that was sent before this proxy's own start. Neither
 //! makes an older list newer, nor an older word on who asks.
 
 use std::collections::HashMap;
 
 /// Senders that are remembered.
-pub const SENDERS: usize = 4_096;
+pub const MAX_SENDERS: usize = 4_096;
 /// Messages of a sender that may be under way at once.
 const WINDOW: u64 = 1_024;
 const WORDS: usize = (WINDOW / 64) as usize;
@@ -22,16 +22,16 @@
 
 /// The messages that were taken.
 #[derive(Clone, Debug, Default)]
-pub struct Replays {
+pub struct ReplayFilter {
     senders: HashMap<u64, Sender>,
     taken: u64,
 }
 
-impl Replays {
+impl ReplayFilter {
     /// Notes a message by its sender and that one's count. False: it was taken before, or is too old to tell.
-    pub fn take(&mut self, sender: u64, count: u64) -> bool {
+    pub fn accept(&mut self, sender: u64, count: u64) -> bool {
         self.taken += 1;
-        if self.senders.len() >= SENDERS && !self.senders.contains_key(&sender) {
+        if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
             let oldest = self
                 .senders
                 .iter()
@@ -73,26 +73,26 @@
 
     #[test]
     fn what_is_too_old_is_not_taken_and_the_oldest_sender_is_forgotten() {
-        let mut replays = Replays::default();
-        assert!(replays.take(1, 5_000) && replays.take(1, 3_977) && !replays.take(1, 3_976));
-        for sender in 2..=SENDERS as u64 {
-            assert!(replays.take(sender, 1));
+        let mut replays = ReplayFilter::default();
+        assert!(replays.accept(1, 5_000) && replays.accept(1, 3_977) && !replays.accept(1, 3_976));
+        for sender in 2..=MAX_SENDERS as u64 {
+            assert!(replays.accept(sender, 1));
         }
-        assert!(!replays.take(1, 5_000));
+        assert!(!replays.accept(1, 5_000));
         assert!(
-            replays.take(9_999, 1) && replays.take(2, 1),
+            replays.accept(9_999, 1) && replays.accept(2, 1),
             "the one not heard for longest"
         );
-        assert_eq!(replays.senders.len(), SENDERS);
+        assert_eq!(replays.senders.len(), MAX_SENDERS);
     }
 
     proptest! {
         #[test]
         fn each_message_is_taken_once_in_any_order(mut counts in prop::collection::vec(1..1_000u64, 1..200)) {
-            let (mut replays, mut taken) = (Replays::default(), HashSet::new());
+            let (mut replays, mut taken) = (ReplayFilter::default(), HashSet::new());
             counts.push(1_500);
             for count in counts {
-                prop_assert_eq!(replays.take(7, count), taken.insert(count));
+                prop_assert_eq!(replays.accept(7, count), taken.insert(count));
             }
         }
     }
--- a/crates/gossip/src/play/traffic.rs
+++ b/crates/gossip/src/simulation/traffic.rs
@@ -101,7 +101,7 @@
 pub struct Traffic([Count; MessageKind::ALL.len()]);
 
 impl Traffic {
-    /// Counts an encoded message.
+    /// Metrics an encoded message.
     pub(super) fn count(&mut self, message: &[u8]) {
         let kind = MessageKind::of(message);
         self.0[kind as usize] += Count {
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -62,32 +62,32 @@
     );
     let list = match &standing.list {
         None => "none yet".to_owned(),
-        Some((stamp, since, from)) => {
+        Some((version, since, from)) => {
             let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let life = if stamp.life > 1 {
-                format!(" (life {})", stamp.life)
+            let life = if version.incarnation > 1 {
+                format!(" (life {})", version.incarnation)
             } else {
                 String::new()
             };
             format!(
                 "{}{life} of {from}, {} ago; {} hosts take calls",
-                stamp.index,
+                version.index,
                 span(*since),
-                standing.hosts
+                standing.endpoints
             )
         }
     };
     line("list", list);
     line(
         "start",
-        if standing.settled {
+        if standing.converged {
             "over"
         } else {
             "under way"
         }
         .to_owned(),
     );
-    for (word, age) in &standing.askers {
+    for (word, age) in &standing.pollers {
         let who = if word.id == standing.own.id {
             " (this one)"
         } else {
@@ -107,19 +107,19 @@
             ),
         );
     }
-    let counts = &standing.counts;
+    let counts = &standing.metrics;
     line(
         "counts",
         format!(
             "{} questions, {} failed, {} lists doubted; {} messages sent ({} KiB), {} held back, {} taken, {} torn",
-            counts.questions,
-            counts.failed,
-            counts.doubted,
+            counts.polls,
+            counts.polls_failed,
+            counts.quarantined,
             counts.sent,
             counts.sent_bytes / 1_024,
-            counts.held_back,
-            counts.taken,
-            counts.torn
+            counts.rate_limited,
+            counts.accepted,
+            counts.checksum_mismatch
         ),
     );
     let strange = [
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -7,12 +7,12 @@
 use badgerramp_control_protocol::{Secret, TAG};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::FETCH;
-use badgerramp_gossip::list::{Change, Entry};
+use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use badgerramp_gossip::peer::{
-    Answer, Input, Member, Note, Output, Peer, Standing, Terms, MESSAGE_MOST,
+    Input, Member, Output, Peer, PeerConfig, PeerEvent, PeerStatus, PollAnswer, MAX_MESSAGE_SIZE,
 };
-use badgerramp_gossip::polling::Id;
-use badgerramp_gossip::replay::Replays;
+use badgerramp_gossip::polling::PeerId;
+use badgerramp_gossip::replay::ReplayFilter;
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 use std::io;
@@ -29,7 +29,7 @@
 /// Version, what it is, seal, sender, the sender's count.
 const HEAD: usize = 2 + TAG + 16;
 /// Most bytes of a datagram: a longer one is cut when it is read, and so is strange.
-const MOST: usize = HEAD + MESSAGE_MOST;
+const MOST: usize = HEAD + MAX_MESSAGE_SIZE;
 /// Datagrams that are read before anything else gets its turn; the rest waits for the next one, and none is left out.
 const AT_ONCE: usize = 64;
 /// An answer that is so much later than its wait does not come: [`badgerramp_gossip`] decides what follows.
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
     /// What it knows.
-    pub standing: Standing,
+    pub standing: PeerStatus,
     /// What it did not take.
     pub strangers: Strangers,
 }
@@ -143,7 +143,7 @@
 
 struct Asked {
     link: Option<Link>,
-    answer: Result<Answer, Option<Duration>>,
+    answer: Result<PollAnswer, Option<Duration>>,
 }
 
 struct Here {
@@ -153,7 +153,7 @@
     seals: Rc<Seals>,
     id: u64,
     peer: Peer,
-    replays: Replays,
+    replays: ReplayFilter,
     strangers: Strangers,
     count: u64,
     address: SocketAddr,
@@ -184,7 +184,7 @@
     let now = driver.clock().now();
     let own = Member {
         address: setup.advertise,
-        id: Id(setup.id),
+        id: PeerId(setup.id),
         started: now / 1_000,
     };
     setup.socket.set_nonblocking(true)?;
@@ -196,13 +196,13 @@
         id: setup.id,
         peer: Peer::new(
             now,
-            Terms {
+            PeerConfig {
                 own,
                 seeds: setup.seeds,
-                without: None,
+                disabled: None,
             },
         ),
-        replays: Replays::default(),
+        replays: ReplayFilter::default(),
         strangers: Strangers::default(),
         count: 0,
         address: at,
@@ -214,7 +214,7 @@
     here.tell(Input::Timer);
     let mut buffer = vec![0; MOST + 1];
     loop {
-        let due = here.driver.clock().instant(here.peer.due());
+        let due = here.driver.clock().instant(here.peer.next_deadline());
         tokio::select! {
             () = leave.notified() => {
                 here.tell(Input::Leave);
@@ -223,7 +223,7 @@
             () = changed(&mut address) => {
                 here.address = *address.borrow_and_update();
                 (here.link, here.question) = (None, None);
-                here.tell(Input::Moved);
+                here.tell(Input::SourceChanged);
             }
             ready = here.socket.readable() => {
                 ready?;
@@ -277,13 +277,13 @@
         match seals.open(kind, datagram) {
             Err(Strange::Form) => self.strangers.form += 1,
             Err(Strange::Seal) => self.strangers.seal += 1,
-            Ok((sender, count, _)) if !self.replays.take(sender, count) => {
+            Ok((sender, count, _)) if !self.replays.accept(sender, count) => {
                 self.strangers.again += 1;
             }
             Ok((_, _, body)) if kind == Kind::Letter => self.tell(Input::Message(body)),
             Ok((sender, count, _)) => {
                 let told = Told {
-                    standing: self.peer.standing(self.now()),
+                    standing: self.peer.status(self.now()),
                     strangers: self.strangers,
                 };
                 if let Ok(body) = postcard::to_stdvec(&told) {
@@ -298,11 +298,11 @@
     fn asked(&mut self, asked: Asked) {
         self.link = asked.link;
         match asked.answer {
-            Ok(answer) => self.tell(Input::Answered(answer)),
+            Ok(answer) => self.tell(Input::PollAnswered(answer)),
             Err(after) => {
                 let retry_after =
                     after.map(|a| Micros::try_from(a.as_micros()).unwrap_or(Micros::MAX));
-                self.tell(Input::Failed { retry_after });
+                self.tell(Input::PollFailed { retry_after });
             }
         }
     }
@@ -319,11 +319,11 @@
                     self.strangers.unsent +=
                         u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
-                Output::Ask { index, wait } => {
+                Output::Poll { index, wait } => {
                     self.question = Some(self.ask(index, Duration::from_micros(wait)));
                 }
-                Output::List { whole, changes } => {
-                    let kind = if whole {
+                Output::ListChanged { complete, changes } => {
+                    let kind = if complete {
                         ListKind::Full
                     } else {
                         ListKind::Delta
@@ -331,10 +331,10 @@
                     let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
                     self.driver.members(kind, &list);
                 }
-                Output::Alive(proxies) => self
+                Output::AliveCount(proxies) => self
                     .driver
                     .alive(u32::try_from(proxies).unwrap_or(u32::MAX)),
-                Output::Note(note) => log(&note),
+                Output::Event(note) => log(&note),
             }
         }
     }
@@ -367,17 +367,21 @@
     }
 }
 
-fn answer(list: List, index: Option<u64>, took: Duration) -> Answer {
-    Answer {
-        whole: list.snapshot,
+fn answer(list: List, index: Option<u64>, took: Duration) -> PollAnswer {
+    PollAnswer {
+        complete: list.snapshot,
         index: list.index,
-        changes: list.endpoints.into_iter().map(Change::from).collect(),
-        took: Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX),
-        at_once: index.is_none(),
+        changes: list
+            .endpoints
+            .into_iter()
+            .map(EndpointChange::from)
+            .collect(),
+        latency: Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX),
+        immediate: index.is_none(),
     }
 }
 
-impl From<Endpoint> for Change {
+impl From<Endpoint> for EndpointChange {
     fn from(e: Endpoint) -> Self {
         let Endpoint {
             name,
@@ -390,7 +394,7 @@
             since_ms,
         } = e;
         let gone = status == "removed";
-        let entry = Entry {
+        let entry = EndpointEntry {
             address,
             zone,
             kind,
@@ -399,20 +403,20 @@
             weight,
             since_ms,
         };
-        Change {
+        EndpointChange {
             name,
             entry: (!gone).then_some(entry),
         }
     }
 }
 
-impl From<Change> for Endpoint {
-    fn from(Change { name, entry }: Change) -> Self {
-        let gone = || Entry {
+impl From<EndpointChange> for Endpoint {
+    fn from(EndpointChange { name, entry }: EndpointChange) -> Self {
+        let gone = || EndpointEntry {
             status: "removed".to_owned(),
-            ..Entry::default()
+            ..EndpointEntry::default()
         };
-        let Entry {
+        let EndpointEntry {
             address,
             zone,
             kind,
@@ -434,33 +438,39 @@
     }
 }
 
-fn log(note: &Note) {
+fn log(note: &PeerEvent) {
     match note {
-        Note::Listed {
-            from,
-            stamp,
-            hosts,
-            after,
+        PeerEvent::ListReceived {
+            source,
+            version,
+            endpoints,
+            elapsed,
         } => {
-            let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let ms = after / 1_000;
+            let from = source.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
+            let ms = elapsed / 1_000;
             tracing::info!(
-                "peers: list {} of {from} with {hosts} hosts, {ms} ms after the start",
-                stamp.index
+                "peers: list {} of {from} with {endpoints} hosts, {ms} ms after the start",
+                version.index
             );
         }
-        Note::Asks(true) => tracing::info!("peers: this proxy asks the list service for others"),
-        Note::Asks(false) => tracing::info!("peers: others ask the list service"),
-        Note::Doubts(index) => {
+        PeerEvent::PollingStarted => {
+            tracing::info!("peers: this proxy asks the list service for others")
+        }
+        PeerEvent::PollingStopped => tracing::info!("peers: others ask the list service"),
+        PeerEvent::ListQuarantined { index } => {
             tracing::warn!(
                 "peers: list {index} of the service is doubted: older than the one held, or half of it"
             );
         }
-        Note::Life(life) => {
-            tracing::warn!("peers: the list service was restored or changed: life {life}");
+        PeerEvent::IncarnationStarted { incarnation } => {
+            tracing::warn!("peers: the list service was restored or changed: life {incarnation}");
+        }
+        PeerEvent::Converged { alive } => {
+            tracing::info!("peers: the start is over, {alive} proxies")
+        }
+        PeerEvent::MembershipLost { alive } => {
+            tracing::warn!("peers: most proxies have gone, {alive} are left")
         }
-        Note::Settled(alive) => tracing::info!("peers: the start is over, {alive} proxies"),
-        Note::Unsettled(alive) => tracing::warn!("peers: most proxies have gone, {alive} are left"),
     }
 }
 
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -37,13 +37,13 @@
 fn entries_go_there_and_back() {
     let text = r#"{"name":"s","address":"10.0.0.1:9","zone":"a","type":"m2","group":3,"status":"draining","weight":1.5,"since_ms":7}"#;
     let one: Endpoint = serde_json::from_str(text).expect("an entry");
-    let change = Change::from(one);
-    assert_eq!(Change::from(Endpoint::from(change.clone())), change);
-    let gone = Change {
+    let change = EndpointChange::from(one);
+    assert_eq!(EndpointChange::from(Endpoint::from(change.clone())), change);
+    let gone = EndpointChange {
         name: "s".to_owned(),
         entry: None,
     };
-    assert_eq!(Change::from(Endpoint::from(gone.clone())), gone);
+    assert_eq!(EndpointChange::from(Endpoint::from(gone.clone())), gone);
 }
 
 #[test]
@@ -77,30 +77,30 @@
 fn the_report_printed_as_json_keeps_its_keys() {
     let own = Member {
         address: "127.0.0.1:7946".parse().expect("an address"),
-        id: Id(7),
+        id: PeerId(7),
         started: 8,
     };
     let mut peer = Peer::new(
         0,
-        Terms {
+        PeerConfig {
             own,
             seeds: Vec::new(),
-            without: None,
+            disabled: None,
         },
     );
-    let answer = Answer {
-        whole: true,
+    let answer = PollAnswer {
+        complete: true,
         index: 41,
         changes: Vec::new(),
-        took: 5_000,
-        at_once: true,
+        latency: 5_000,
+        immediate: true,
     };
     let mut out = Vec::new();
     peer.handle(0, Input::Timer, &mut out);
     peer.handle(20_000_000, Input::Timer, &mut out);
-    peer.handle(20_000_000, Input::Answered(answer), &mut out);
+    peer.handle(20_000_000, Input::PollAnswered(answer), &mut out);
     let told = Told {
-        standing: peer.standing(20_000_000),
+        standing: peer.status(20_000_000),
         strangers: Strangers::default(),
     };
     let text = serde_json::to_string(&told).expect("it can be written");
--- a/crates/proxy/src/platform/tests.rs
+++ b/crates/proxy/src/platform/tests.rs
@@ -1,7 +1,7 @@
 //! The keys of the configuration that `RELAY_CONFIG` names.
 
 use super::{read, Config, Facts};
-use badgerramp_gossip::list::{Change, Entry};
+use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use serde_json::{json, Value};
 
 fn full() -> Value {
@@ -61,8 +61,8 @@
     let known = config.known.expect("a known list");
     assert_eq!(known.index, 41);
     assert!(known.snapshot);
-    let change = Change::from(known.endpoints.into_iter().next().expect("one endpoint"));
-    let expected = Entry {
+    let change = EndpointChange::from(known.endpoints.into_iter().next().expect("one endpoint"));
+    let expected = EndpointEntry {
         address: "127.0.0.1:9000".to_owned(),
         zone: "a".to_owned(),
         kind: "m2".to_owned(),
@@ -73,7 +73,7 @@
     };
     assert_eq!(
         change,
-        Change {
+        EndpointChange {
             name: "s-1".to_owned(),
             entry: Some(expected)
         }
--- a/crates/simulator/src/play/among.rs
+++ b/crates/simulator/src/play/among.rs
@@ -1,9 +1,9 @@
 //! Proxies that pass the list on among each other, in the play on the decisions: the program's own code, on the play's
 //! network.
 
-use badgerramp_gossip::list::{Change, Entry as PeerEntry};
-use badgerramp_gossip::peer::{Answer, Input, Member, Output, Peer, Terms};
-use badgerramp_gossip::polling::Id;
+use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
+use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
+use badgerramp_gossip::polling::PeerId;
 use badgerramp_sim_model::{Entry, Micros, Told};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -24,22 +24,22 @@
 pub(super) fn start(now: Micros, (place, seeds): (u32, u32), id: u64) -> Peer {
     let own = Member {
         address: address(place),
-        id: Id(id),
+        id: PeerId(id),
         started: now,
     };
     Peer::new(
         now,
-        Terms {
+        PeerConfig {
             own,
             seeds: (0..seeds).map(address).collect(),
-            without: None,
+            disabled: None,
         },
     )
 }
 
 const STATUS: [&str; 3] = ["up", "draining", "removed"];
 
-fn change(entry: Entry) -> Change {
+fn change(entry: Entry) -> EndpointChange {
     let Entry {
         host,
         state,
@@ -48,24 +48,24 @@
     let status = STATUS[usize::from(state.min(2))].to_owned();
     let there = state < 2;
     // The play's times are no Unix times; it is enough that they come back.
-    let entry = PeerEntry {
+    let entry = EndpointEntry {
         status,
         since_ms: started,
-        ..PeerEntry::default()
+        ..EndpointEntry::default()
     };
-    Change {
+    EndpointChange {
         name: host.to_string(),
         entry: there.then_some(entry),
     }
 }
 
 /// What the list says, in the play's words.
-pub(super) fn entry(change: &Change) -> Option<Entry> {
+pub(super) fn entry(change: &EndpointChange) -> Option<Entry> {
     let host = change.name.parse().ok()?;
     Some(match &change.entry {
         Some(told) => Entry {
             host,
-            state: u8::from(!told.up()),
+            state: u8::from(!told.is_up()),
             started: told.since_ms,
         },
         None => Entry {
@@ -77,18 +77,18 @@
 }
 
 /// What the service's answer is to a peer; `None`: it failed.
-pub(super) fn answer(told: Told, took: Micros, at_once: bool) -> Option<Answer> {
+pub(super) fn answer(told: Told, took: Micros, at_once: bool) -> Option<PollAnswer> {
     let (whole, index, entries) = match told {
         Told::Full(index, entries) => (true, index, entries),
         Told::Changes(index, entries) => (false, index, entries),
         Told::Nothing | Told::Failed | Told::Silence => return None,
     };
-    Some(Answer {
-        whole,
+    Some(PollAnswer {
+        complete: whole,
         index,
         changes: entries.into_iter().map(change).collect(),
-        took,
-        at_once,
+        latency: took,
+        immediate: at_once,
     })
 }
 
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -452,7 +452,7 @@
             return;
         };
         let out = among::tell(peer, self.now, input);
-        let (due, epoch) = (peer.due().max(self.now + 1), shell.epoch);
+        let (due, epoch) = (peer.next_deadline().max(self.now + 1), shell.epoch);
         if due != shell.peer_due {
             shell.peer_due = due;
             self.at(
@@ -481,15 +481,15 @@
                         self.at(at, Ev::Peer(to, bytes));
                     }
                 }
-                Output::Ask { index, wait } => {
+                Output::Poll { index, wait } => {
                     self.proxies[place as usize].version = index;
                     self.ask_list_for(place, wait);
                 }
-                Output::List { whole, changes } => {
+                Output::ListChanged { complete, changes } => {
                     let entries = changes.iter().filter_map(among::entry).collect();
                     self.learn(
                         place,
-                        if whole {
+                        if complete {
                             ListKind::Full
                         } else {
                             ListKind::Delta
@@ -497,7 +497,7 @@
                         entries,
                     );
                 }
-                Output::Alive(_) | Output::Note(_) => {}
+                Output::AliveCount(_) | Output::Event(_) => {}
             }
         }
     }
@@ -1312,7 +1312,7 @@
         if self.scenario.peers > 0 {
             self.proxies[question.proxy as usize].asking = None;
             let answer = among::answer(told, self.now - question.asked, question.known.is_none());
-            let input = answer.map_or(Input::Failed { retry_after: None }, Input::Answered);
+            let input = answer.map_or(Input::PollFailed { retry_after: None }, Input::PollAnswered);
             return self.among(question.proxy, input);
         }
         let (kind, version, list) = match told {
@@ -1384,7 +1384,7 @@
         let shell = &mut self.proxies[proxy as usize];
         shell.asking = None;
         if self.scenario.peers > 0 {
-            return self.among(proxy, Input::Failed { retry_after: None });
+            return self.among(proxy, Input::PollFailed { retry_after: None });
         }
         if std::mem::take(&mut shell.wanted) {
             self.ask_list(proxy);
--- a/crates/simulator/src/trial_start.rs
+++ b/crates/simulator/src/trial_start.rs
@@ -6,8 +6,8 @@
 use badgerramp_fault_injection::start::cold;
 use badgerramp_fault_injection::start::course::{Course, Kind, KINDS};
 use badgerramp_fault_injection::start::{play as play_start, report, Played, Size, Way};
-use badgerramp_gossip::play::{self as peers, World};
 use badgerramp_gossip::polling::Mechanism;
+use badgerramp_gossip::simulation::{random_config, simulate, SimConfig};
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
@@ -145,16 +145,16 @@
     let drawn = !matches!(terms.only, Some(Only::Nothing));
     let proxies = terms.proxies as usize;
     let work = (1e6 / terms.capacity.clamp(0.1, 1e5)) as u64;
-    let calm = World {
+    let calm = SimConfig {
         proxies,
         hosts: terms.hosts as usize,
-        work,
+        poll_work: work,
         start: terms.within_ms * 1_000,
-        ..World::default()
+        ..SimConfig::default()
     };
     // One change, so that its way to all can be told.
     let until = terms.seconds * 1_000_000;
-    let calm = World {
+    let calm = SimConfig {
         until,
         changes: vec![until / 4 * 3],
         ..calm
@@ -162,16 +162,16 @@
     let mut held = true;
     for seed in terms.seed..terms.seed.saturating_add(terms.courses) {
         let mut world = if drawn {
-            peers::draw(proxies, seed)
+            random_config(proxies, seed)
         } else {
             calm.clone()
         };
-        world.without = terms.without.as_deref().and_then(Mechanism::named);
-        let played = peers::play(&world, seed);
+        world.disabled = terms.without.as_deref().and_then(Mechanism::from_name);
+        let played = simulate(&world, seed);
         let broken = played
-            .broken(&world)
-            .filter(|_| drawn || played.given_up > 0);
-        let waits = played.waits();
+            .violation(&world)
+            .filter(|_| drawn || played.polls_timed_out > 0);
+        let waits = played.list_latencies();
         let at = |share: f64| {
             let place = ((waits.len() as f64 - 1.0) * share).ceil() as usize;
             waits
@@ -193,14 +193,14 @@
             at(0.5),
             at(0.99),
             at(1.0),
-            played.listed.iter().flatten().max().map_or(0, |at| at / 1_000),
+            played.received_list_at.iter().flatten().max().map_or(0, |at| at / 1_000),
             spread.map_or("-".to_owned(), |ms| ms.to_string()),
-            played.questions.iter().sum::<u32>(),
-            played.questions.iter().max().unwrap_or(&0),
-            played.given_up,
-            played.asking,
-            played.sent_calm,
-            played.sent_most
+            played.polls.iter().sum::<u32>(),
+            played.polls.iter().max().unwrap_or(&0),
+            played.polls_timed_out,
+            played.pollers,
+            played.final_rate,
+            played.max_sent_per_second
         );
         if broken.is_some() {
             println!("  {world:?}");
