--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -9,7 +9,9 @@
 use badgerramp_control_protocol::clock;
 use badgerramp_decisions::settings::{Facts, Transport};
 use badgerramp_decisions::Settings as Decided;
-use badgerramp_policy::{CutOff, Generation, Grant, Holder, HolderTerms, Identity, Mode};
+use badgerramp_policy::{
+    Generation, Identity, LeaseGrant, LeaseHolder, LeaseHolderConfig, Mode, OnLeaseLoss,
+};
 use hyper::header::HeaderMap;
 use std::collections::HashMap;
 use std::io::Write;
@@ -104,17 +106,17 @@
         name: "bench".to_owned(),
         incarnation: 1,
     };
-    let terms = HolderTerms {
-        cut_off: CutOff::Refuse,
+    let terms = LeaseHolderConfig {
+        cut_off: OnLeaseLoss::Refuse,
         answer_within: 1,
         pause: 1,
     };
-    let mut holder = Holder::new(identity, terms, [Generation(1)].into());
+    let mut holder = LeaseHolder::new(identity, terms, [Generation(1)].into());
     let mode = Mode::settled(1, Generation(1));
     let asked = holder.ask(clock::now());
     holder.answered(
         clock::now(),
-        Grant {
+        LeaseGrant {
             number: asked.number,
             mode,
             lease: 3_600_000_000,
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -2,7 +2,7 @@
 //! cut off from it.
 
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::CutOff;
+use badgerramp_policy::OnLeaseLoss;
 use badgerramp_toml_diagnostics::{show, Notes, Section};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     /// The region of its control; `None`: whatever that of `control` is.
     pub region: Option<Region>,
     /// What it does when its lease has run out.
-    pub cut_off: CutOff,
+    pub cut_off: OnLeaseLoss,
     /// The classes whose calls go on where `cut_off` is `narrow`.
     pub floor: Vec<String>,
     /// The folder for the last policy, so that it need not be sent again. It is no licence to serve.
@@ -67,9 +67,9 @@
     let name = section.text(notes, "name").map(|n| n.value);
     let region = region(notes, &section);
     let words = [
-        ("refuse", CutOff::Refuse),
-        ("narrow", CutOff::Narrow),
-        ("keep", CutOff::Keep),
+        ("refuse", OnLeaseLoss::Refuse),
+        ("narrow", OnLeaseLoss::Narrow),
+        ("keep", OnLeaseLoss::Keep),
     ];
     let cut_off = section.word(notes, "cut_off", &words);
     let state = section.text(notes, "state").map(|s| PathBuf::from(s.value));
@@ -93,7 +93,7 @@
     }
     if let Some(narrow) = cut_off
         .as_ref()
-        .filter(|c| c.value == CutOff::Narrow && floor.is_empty())
+        .filter(|c| c.value == OnLeaseLoss::Narrow && floor.is_empty())
     {
         let reason = "cut off, this proxy would begin nothing at all";
         let allowed = "classes in policy.floor, or \"refuse\"";
@@ -110,7 +110,7 @@
         application: application?.value,
         name,
         region,
-        cut_off: cut_off.map_or(CutOff::Refuse, |c| c.value),
+        cut_off: cut_off.map_or(OnLeaseLoss::Refuse, |c| c.value),
         floor,
         state,
     })
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -7,8 +7,8 @@
 use badgerramp_control_protocol::clock;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{
-    next_command, Ask, Blocker, Command, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
-    Micros, Mode, Outcome, Record,
+    next_command, Blocker, ChangeTimeouts, Command, Generation, GrantOutcome, Identity,
+    LeaseConfig, LeaseRequest, Leases, Micros, Mode, Outcome, Record,
 };
 use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
 use openraft::{BasicNode, Raft, ServerState};
@@ -40,7 +40,10 @@
 }
 
 /// A question for a lease, and where its answer goes.
-pub(crate) type Question = (Ask, oneshot::Sender<Result<Lent, NotLeader>>);
+pub(crate) type Question = (
+    LeaseRequest,
+    oneshot::Sender<Result<GrantOutcome, NotLeader>>,
+);
 /// Those that wait.
 pub(crate) type Questions = mpsc::Receiver<Question>;
 
@@ -48,8 +51,8 @@
 pub(crate) struct Leader {
     raft: Raft<Types>,
     store: Store,
-    terms: LeaseTerms,
-    limits: Limits,
+    terms: LeaseConfig,
+    limits: ChangeTimeouts,
     /// The other regions.
     others: BTreeSet<Region>,
     held: Mutex<Option<Held>>,
@@ -80,7 +83,7 @@
     /// The part of this replica. [`Leader::run`] must run beside it.
     pub(crate) fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
-        let terms = LeaseTerms {
+        let terms = LeaseConfig {
             lease: micros(settings.lease),
             drift: micros(settings.drift),
         };
@@ -93,7 +96,7 @@
             .regions
             .as_ref()
             .map_or(settings.wait, |regions| regions.wait);
-        let limits = Limits {
+        let limits = ChangeTimeouts {
             wait: micros(settings.wait),
             regions_wait: micros(regions_wait),
         };
@@ -178,7 +181,7 @@
     }
 
     /// Asks for a mode.
-    pub(crate) async fn lend(&self, ask: Ask) -> Result<Lent, NotLeader> {
+    pub(crate) async fn lend(&self, ask: LeaseRequest) -> Result<GrantOutcome, NotLeader> {
         let (sender, answer) = oneshot::channel();
         let busy = || NotLeader {
             leader: None,
@@ -204,7 +207,7 @@
         }
     }
 
-    async fn lend_one(&self, ask: Ask) -> Result<Lent, NotLeader> {
+    async fn lend_one(&self, ask: LeaseRequest) -> Result<GrantOutcome, NotLeader> {
         let lend = || {
             let mut held = self.held();
             // The clock is read after the leases are this term's.
@@ -216,13 +219,13 @@
             }
             let now = clock::now();
             let lent = |h: &mut Held| self.store.with(|record| h.leases.lend(now, record, &ask));
-            Ok(held.as_mut().map_or(Lent::RegisterFirst, lent))
+            Ok(held.as_mut().map_or(GrantOutcome::RegisterFirst, lent))
         };
         let lent = lend()?;
-        if lent != Lent::RegisterFirst {
+        if lent != GrantOutcome::RegisterFirst {
             return Ok(lent);
         }
-        let Ask {
+        let LeaseRequest {
             ref identity,
             cut_off,
             ..
--- a/crates/control-plane/src/network/tests.rs
+++ b/crates/control-plane/src/network/tests.rs
@@ -3,7 +3,7 @@
 
 use super::Asked;
 use crate::store::{Id, Types};
-use badgerramp_policy::{Command, CutOff, Identity};
+use badgerramp_policy::{Command, Identity, OnLeaseLoss};
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -50,7 +50,7 @@
         EntryPayload::Blank,
         EntryPayload::Normal(Command::Register {
             identity,
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         }),
         EntryPayload::Membership(membership()),
     ];
--- a/crates/control-plane/src/progress.rs
+++ b/crates/control-plane/src/progress.rs
@@ -1,13 +1,13 @@
 //! What the log of a replica says of each step of a change.
 
-use badgerramp_policy::regions::{CrossRegion, Role};
+use badgerramp_policy::regions::{CrossRegionChange, Role};
 use badgerramp_policy::{Command, Generation, Mode, Outcome, Record};
 use std::fmt::Display;
 
 /// The change under way before a command.
 pub(crate) struct Before {
     middle: Option<Mode>,
-    cross_region: Option<CrossRegion>,
+    cross_region: Option<CrossRegionChange>,
 }
 
 impl Before {
@@ -63,7 +63,7 @@
     }
 }
 
-fn of_all(cross: &CrossRegion, step: impl Display) -> String {
+fn of_all(cross: &CrossRegionChange, step: impl Display) -> String {
     format!("change of all regions {}: {step}", cross.change.id)
 }
 
--- a/crates/control-plane/src/refusals.rs
+++ b/crates/control-plane/src/refusals.rs
@@ -4,7 +4,7 @@
 use badgerramp_control_protocol::wire::{refusal, reply, Refusal};
 use badgerramp_control_protocol::SealFault;
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::Refused;
+use badgerramp_policy::Rejection;
 use std::net::SocketAddr;
 use tonic::{Code, Status};
 
@@ -38,13 +38,13 @@
 }
 
 /// What is told of a command that had no effect.
-pub(crate) fn not_logged(refused: &Refused) -> reply::What {
+pub(crate) fn not_logged(refused: &Rejection) -> reply::What {
     let code = match refused {
-        Refused::UnderWay(_) | Refused::AcrossRegions { .. } | Refused::AwaitsDecision { .. } => {
-            refusal::Code::UnderWay
-        }
-        Refused::Evicted => refusal::Code::Evicted,
-        Refused::NotPrepared { .. } | Refused::Moved => refusal::Code::Moved,
+        Rejection::UnderWay(_)
+        | Rejection::AcrossRegions { .. }
+        | Rejection::AwaitsDecision { .. } => refusal::Code::UnderWay,
+        Rejection::Evicted => refusal::Code::Evicted,
+        Rejection::NotPrepared { .. } | Rejection::Moved => refusal::Code::Moved,
     };
     refuse(code, refused.to_string())
 }
--- a/crates/control-plane/src/removed.rs
+++ b/crates/control-plane/src/removed.rs
@@ -1,7 +1,7 @@
 //! Regions that were taken out of the replicas' files. With that an operator vouches that none of their proxies runs any
 //! more: nobody waits for the word of such a region.
 
-use badgerramp_policy::regions::{CrossRegion, Region, Role};
+use badgerramp_policy::regions::{CrossRegionChange, Region, Role};
 use badgerramp_policy::{Command, Record};
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 
 /// Ends a change that only a removed region could decide.
 pub(crate) fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
-    let CrossRegion {
+    let CrossRegionChange {
         change,
         role: Role::Participant { .. },
     } = record.cross_region()?
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -13,7 +13,7 @@
 use badgerramp_control_protocol::{digest, Purpose, Secret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
-    Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
+    Command, Generation, GrantOutcome, Identity, LeaseDenial, LeaseGrant, Mode, Outcome, Rejection,
 };
 use openraft::{BasicNode, Config, Raft, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -117,22 +117,27 @@
         }
         let has = ask.has.clone();
         Ok(match self.leader.lend(ask).await? {
-            Lent::Grant(grant) => self.grant(grant, &has, &asked.application),
-            Lent::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
-            Lent::Stale(Stale::Older) => {
+            GrantOutcome::Grant(grant) => self.grant(grant, &has, &asked.application),
+            GrantOutcome::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
+            GrantOutcome::Stale(LeaseDenial::Older) => {
                 refuse(refusal::Code::Stale, "a later question has been answered")
             }
-            Lent::Stale(Stale::NoPolicy) => {
+            GrantOutcome::Stale(LeaseDenial::NoPolicy) => {
                 refuse(refusal::Code::NoPolicy, "there is no policy yet")
             }
-            Lent::Stale(Stale::Evicted) => refuse(
+            GrantOutcome::Stale(LeaseDenial::Evicted) => refuse(
                 refusal::Code::Evicted,
                 "this start of the proxy was evicted: start it anew",
             ),
         })
     }
 
-    fn grant(&self, grant: Grant, has: &BTreeSet<Generation>, application: &str) -> reply::What {
+    fn grant(
+        &self,
+        grant: LeaseGrant,
+        has: &BTreeSet<Generation>,
+        application: &str,
+    ) -> reply::What {
         let Mode { old, new, .. } = grant.mode;
         let mut texts = Vec::new();
         let mut digests = HashMap::new();
@@ -224,7 +229,7 @@
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.why).await? {
             Some(Outcome::Done) => reply::What::Done(wire::Done {}),
-            Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => {
+            Some(Outcome::Refused(refused @ Rejection::AwaitsDecision { .. })) => {
                 not_logged(&refused)
             }
             _ => refuse(
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -2,9 +2,9 @@
 
 use crate::settings::RegionSettings;
 use badgerramp_control_protocol::wire::{self, change};
-use badgerramp_policy::regions::{CrossRegion, Region, Role};
+use badgerramp_policy::regions::{CrossRegionChange, Region, Role};
 use badgerramp_policy::{
-    Blocker, Change, CutOff, Ended, Generation, Identity, Micros, Record, Why,
+    BlockReason, Blocker, Change, ChangeStatus, Generation, Identity, Micros, OnLeaseLoss, Record,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -59,19 +59,19 @@
 
 fn proxy_blocker(blocker: Blocker, now: Micros) -> wire::Blocker {
     let (why, left) = match blocker.why {
-        Why::Lease(until) if blocker.identity.is_none() => (
+        BlockReason::Lease(until) if blocker.identity.is_none() => (
             "a leader before this one may have lent to any proxy".to_owned(),
             until.saturating_sub(now),
         ),
-        Why::Lease(until) => (
+        BlockReason::Lease(until) => (
             "it has not told that it acts under it, and its lease runs".to_owned(),
             until.saturating_sub(now),
         ),
-        Why::Keeps => (
+        BlockReason::Keeps => (
             "it goes on without a lease, and has not told that it acts under it".to_owned(),
             0,
         ),
-        Why::Unread(reason) => (format!("it can't read it: {reason}"), 0),
+        BlockReason::Unread(reason) => (format!("it can't read it: {reason}"), 0),
     };
     let region = String::new();
     wire::Blocker {
@@ -83,7 +83,7 @@
 }
 
 /// The regions whose word a change of all regions waits for.
-fn region_blockers(cross: &CrossRegion) -> Vec<wire::Blocker> {
+fn region_blockers(cross: &CrossRegionChange) -> Vec<wire::Blocker> {
     let why = match cross.role {
         Role::Coordinator { .. } => "it has not voted that it is prepared",
         Role::Participant { voted: true } => {
@@ -101,9 +101,9 @@
 
 fn change(generation: Generation, change: &Change) -> wire::Change {
     let (ended, why) = match &change.ended {
-        Ended::Open => (change::Ended::Open, String::new()),
-        Ended::InForce => (change::Ended::InForce, String::new()),
-        Ended::NotInForce { why } => (change::Ended::NotInForce, why.clone()),
+        ChangeStatus::Open => (change::Ended::Open, String::new()),
+        ChangeStatus::InForce => (change::Ended::InForce, String::new()),
+        ChangeStatus::NotInForce { why } => (change::Ended::NotInForce, why.clone()),
     };
     wire::Change {
         generation: generation.0,
@@ -119,9 +119,11 @@
         .standing()
         .iter()
         .map(|(i, s)| (i.clone(), (s.cut_off, s.revision)));
-    let mut proxies: BTreeMap<Identity, (CutOff, u64)> = standing.collect();
+    let mut proxies: BTreeMap<Identity, (OnLeaseLoss, u64)> = standing.collect();
     for (identity, acting) in sessions {
-        let known = proxies.entry(identity).or_insert((CutOff::Refuse, acting));
+        let known = proxies
+            .entry(identity)
+            .or_insert((OnLeaseLoss::Refuse, acting));
         known.1 = known.1.max(acting);
     }
     let told = proxies
@@ -146,7 +148,7 @@
 
 /// The change of all regions that is under way here.
 fn under_way(record: &Record) -> Option<wire::CrossRegion> {
-    let CrossRegion { change, role } = record.cross_region()?;
+    let CrossRegionChange { change, role } = record.cross_region()?;
     let (voted, participants) = match role {
         Role::Participant { voted } => (*voted, Vec::new()),
         Role::Coordinator {
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -11,7 +11,7 @@
 use badgerramp_fault_injection::link::{Link, Pass};
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::{Ask, CutOff, Identity};
+use badgerramp_policy::{Identity, LeaseRequest, OnLeaseLoss};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -303,7 +303,7 @@
 
     /// Asks for a lease, for a proxy that goes on without one.
     async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::Grant {
-        let what = request::What::Ask(ask(number, acting, CutOff::Keep));
+        let what = request::What::Ask(ask(number, acting, OnLeaseLoss::Keep));
         match self.client(place).ask_until(&what, LONG).await {
             Ok(reply::What::Grant(grant)) => grant,
             other => panic!("{other:?}"),
@@ -336,12 +336,12 @@
     HashMap::from([("caja".to_owned(), format!("{POLICY}\n# {number}\n"))])
 }
 
-fn ask(number: u64, acting: u64, cut_off: CutOff) -> wire::Ask {
+fn ask(number: u64, acting: u64, cut_off: OnLeaseLoss) -> wire::Ask {
     let identity = Identity {
         name: "proxy".to_owned(),
         incarnation: 7,
     };
-    let ask = Ask {
+    let ask = LeaseRequest {
         identity,
         number,
         acting,
@@ -599,7 +599,7 @@
     );
     // A proxy that means the control of another region gets no lease.
     let sur: Region = "sur".parse().expect("a name");
-    let strayed = ask(1, 0, CutOff::Refuse).in_region(Some(&sur));
+    let strayed = ask(1, 0, OnLeaseLoss::Refuse).in_region(Some(&sur));
     let refusal = world
         .refused(NORTE, request::What::Ask(strayed.clone()))
         .await;
--- a/crates/control-plane/tests/stored_state.rs
+++ b/crates/control-plane/tests/stored_state.rs
@@ -3,7 +3,7 @@
 
 use badgerramp_control_plane::store::{Id, Store, Types};
 use badgerramp_policy::regions::{AllRegions, ChangeId, Region};
-use badgerramp_policy::{Command, CutOff, Generation, Identity};
+use badgerramp_policy::{Command, Generation, Identity, OnLeaseLoss};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
 use openraft::{
     BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, RaftLogReader,
@@ -78,15 +78,15 @@
         publish(0, r#"{"caja":"one"}"#, &[], None),
         Command::Register {
             identity: identity("caja"),
-            cut_off: CutOff::Narrow,
+            cut_off: OnLeaseLoss::Narrow,
         },
         Command::Register {
             identity: identity("puerta"),
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         },
         Command::Register {
             identity: identity("gone"),
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         },
         Command::Evict {
             identity: identity("gone"),
--- a/crates/control-protocol/src/convert.rs
+++ b/crates/control-protocol/src/convert.rs
@@ -2,7 +2,9 @@
 
 use crate::wire;
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::{Ask, CutOff, Generation, Grant, Identity, Mode, Unread};
+use badgerramp_policy::{
+    Generation, Identity, LeaseGrant, LeaseRequest, Mode, OnLeaseLoss, RejectedGeneration,
+};
 
 impl From<Identity> for wire::Identity {
     fn from(own: Identity) -> Self {
@@ -42,19 +44,19 @@
     }
 }
 
-impl From<CutOff> for wire::CutOff {
-    fn from(own: CutOff) -> Self {
+impl From<OnLeaseLoss> for wire::CutOff {
+    fn from(own: OnLeaseLoss) -> Self {
         match own {
-            CutOff::Refuse => wire::CutOff::Refuse,
-            CutOff::Narrow => wire::CutOff::Narrow,
-            CutOff::Keep => wire::CutOff::Keep,
+            OnLeaseLoss::Refuse => wire::CutOff::Refuse,
+            OnLeaseLoss::Narrow => wire::CutOff::Narrow,
+            OnLeaseLoss::Keep => wire::CutOff::Keep,
         }
     }
 }
 
 impl wire::Ask {
     /// The question of a proxy that takes this application's file.
-    pub fn of(own: Ask, application: &str) -> Self {
+    pub fn of(own: LeaseRequest, application: &str) -> Self {
         wire::Ask {
             identity: Some(own.identity.into()),
             number: own.number,
@@ -80,18 +82,18 @@
     }
 
     /// What the decisions take; `None` if a part is missing or out of its range.
-    pub fn read(&self) -> Option<Ask> {
+    pub fn read(&self) -> Option<LeaseRequest> {
         let cut_off = match self.cut_off() {
             wire::CutOff::Unspecified => return None,
-            wire::CutOff::Refuse => CutOff::Refuse,
-            wire::CutOff::Narrow => CutOff::Narrow,
-            wire::CutOff::Keep => CutOff::Keep,
+            wire::CutOff::Refuse => OnLeaseLoss::Refuse,
+            wire::CutOff::Narrow => OnLeaseLoss::Narrow,
+            wire::CutOff::Keep => OnLeaseLoss::Keep,
         };
-        let unread = self.unread.as_ref().map(|u| Unread {
+        let unread = self.unread.as_ref().map(|u| RejectedGeneration {
             generation: Generation(u.generation),
             reason: u.reason.clone(),
         });
-        Some(Ask {
+        Some(LeaseRequest {
             identity: self.identity.clone().filter(|i| !i.name.is_empty())?.into(),
             number: self.number,
             acting: self.acting,
@@ -104,9 +106,9 @@
 
 impl wire::Grant {
     /// What the decisions take; `None` if it names no mode.
-    pub fn read(&self) -> Option<Grant> {
+    pub fn read(&self) -> Option<LeaseGrant> {
         let mode = Mode::from(self.mode?);
-        (mode.old <= mode.new).then_some(Grant {
+        (mode.old <= mode.new).then_some(LeaseGrant {
             number: self.number,
             mode,
             lease: self.lease,
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{self, outcome_reply, request, vote_reply};
 use badgerramp_policy::regions::{
-    ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request,
+    ChangeId, ChangeRef, Commit, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
     Vote, VoteReply,
 };
 use badgerramp_policy::Generation;
@@ -45,7 +45,7 @@
 }
 
 /// A participant's question to this coordinator.
-pub fn to_coordinator(coordinator: &Region, asked: OutcomeAsked) -> request::What {
+pub fn to_coordinator(coordinator: &Region, asked: OutcomeRequest) -> request::What {
     request::What::Outcome(wire::OutcomeAsked {
         id: asked.id.0,
         region: asked.region.into(),
@@ -74,8 +74,8 @@
 
 impl wire::OutcomeAsked {
     /// What the decisions take; `None` if it names no region.
-    pub fn read(self) -> Option<OutcomeAsked> {
-        Some(OutcomeAsked {
+    pub fn read(self) -> Option<OutcomeRequest> {
+        Some(OutcomeRequest {
             id: ChangeId(self.id),
             region: self.region.parse().ok()?,
         })
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -1,7 +1,9 @@
 //! What broke, judged from what the processes and the hosts did, in the order of the one clock.
 
 use crate::clients::{Ended, Try};
-use badgerramp_policy::{Begun, Fault, Generation, Identity, Judge, Micros, Mode};
+use badgerramp_policy::{
+    Generation, Identity, InvariantChecker, Micros, Mode, StartedCall, Violation,
+};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -121,7 +123,7 @@
     let mut first = None;
     // What falls on one microsecond has no order: the older first.
     begun.sort_by_key(|line| (line.at, line.mode.old, line.mode.new));
-    let mut judge = Judge::default();
+    let mut judge = InvariantChecker::default();
     let mut told: Vec<&Heard> = heard.iter().filter(|h| h.in_force).collect();
     told.sort_by_key(|h| h.at);
     let mut told = told.into_iter().peekable();
@@ -140,15 +142,15 @@
         if line.mode.new < newest {
             verdict.mixed_ms = verdict.mixed_ms.max((line.at - since) / 1_000);
         }
-        let Some(fault) = judge.begun(&Begun {
+        let Some(fault) = judge.begun(&StartedCall {
             identity,
             mode: line.mode,
         }) else {
             continue;
         };
         match fault {
-            Fault::Mixed { .. } => verdict.begun_mixed += 1,
-            Fault::NotInForce(_) | Fault::BehindForce { .. } => verdict.begun_wrong += 1,
+            Violation::Mixed { .. } => verdict.begun_mixed += 1,
+            Violation::NotInForce(_) | Violation::BehindForce { .. } => verdict.begun_wrong += 1,
         }
         first.get_or_insert_with(|| format!("{} at {}: {fault:?}", line.request, line.at));
     }
--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -1,7 +1,7 @@
 //! The commands that the replicas of a region agree on, and what becomes of them.
 
 use crate::regions::{listed, AllRegions, ChangeId, ChangeRef, Region};
-use crate::{CutOff, Generation, Identity};
+use crate::{Generation, Identity, OnLeaseLoss};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -78,7 +78,7 @@
         /// Which.
         identity: Identity,
         /// What it does then.
-        cut_off: CutOff,
+        cut_off: OnLeaseLoss,
     },
     /// Such proxies act under this revision and none older.
     Acting {
@@ -101,7 +101,7 @@
 
 /// Why a command had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refused {
+pub enum Rejection {
     /// A change of this region is under way.
     UnderWay(Generation),
     /// A change of all regions is under way here, or is in force and not acknowledged by all regions.
@@ -129,21 +129,21 @@
     Evicted,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::UnderWay(generation) => write!(f, "the change to {generation} is under way"),
-            Refused::AcrossRegions { generation, id, waits_for } => {
+            Rejection::UnderWay(generation) => write!(f, "the change to {generation} is under way"),
+            Rejection::AcrossRegions { generation, id, waits_for } => {
                 write!(f, "the change of all regions {id}, here {generation}, is not at its end: ")?;
                 if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", listed(waits_for)) }
             }
-            Refused::NotPrepared { regions } => write!(f, "no vote yet of {}", listed(regions)),
-            Refused::AwaitsDecision { coordinator } => write!(
+            Rejection::NotPrepared { regions } => write!(f, "no vote yet of {}", listed(regions)),
+            Rejection::AwaitsDecision { coordinator } => write!(
                 f,
                 "this region has voted for a change of all regions: region {coordinator} decides how it ends"
             ),
-            Refused::Moved => f.write_str("something else came in between: look again"),
-            Refused::Evicted => f.write_str("this start of the proxy was evicted: start it anew"),
+            Rejection::Moved => f.write_str("something else came in between: look again"),
+            Rejection::Evicted => f.write_str("this start of the proxy was evicted: start it anew"),
         }
     }
 }
@@ -156,5 +156,5 @@
     /// Done.
     Done,
     /// It had no effect.
-    Refused(Refused),
+    Refused(Rejection),
 }
--- a/crates/policy/src/meet.rs
+++ b/crates/policy/src/intersection.rs
@@ -8,7 +8,7 @@
 
 /// By what hosts know a call again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Key {
+pub enum IdempotencyKey {
     /// By nothing.
     None,
     /// By this value.
@@ -17,11 +17,11 @@
 
 /// What one policy makes of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct ResolvedCall {
     /// Whether it may run again.
     pub repeat: Repeat,
     /// Its key, where `repeat` goes by one.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// From its last byte to its final answer.
     pub time: Micros,
     /// Its terms.
@@ -43,7 +43,7 @@
 
 /// What both allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Met {
+pub struct Intersection {
     /// Whose class it goes by: that with the stricter effect.
     pub class: Side,
     /// From its last byte to its final answer.
@@ -58,18 +58,18 @@
 
 /// Why nothing can be begun that both allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unlike {
+pub enum Mismatch {
     /// Only the policy in force takes it.
     OnlyOld,
     /// Only the one that is to come takes it.
     OnlyNew,
 }
 
-impl fmt::Display for Unlike {
+impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unlike::OnlyOld => "the policy that is to come does not take it",
-            Unlike::OnlyNew => "the policy in force does not take it",
+            Mismatch::OnlyOld => "the policy that is to come does not take it",
+            Mismatch::OnlyNew => "the policy in force does not take it",
         })
     }
 }
@@ -105,11 +105,14 @@
 ///
 /// # Errors
 /// If only one of them takes it. Turned away by both it is no matter of the change: `Ok(None)`.
-pub fn meet(old: Option<&Call>, new: Option<&Call>) -> Result<Option<Met>, Unlike> {
+pub fn intersect(
+    old: Option<&ResolvedCall>,
+    new: Option<&ResolvedCall>,
+) -> Result<Option<Intersection>, Mismatch> {
     let (old, new) = match (old, new) {
         (None, None) => return Ok(None),
-        (Some(_), None) => return Err(Unlike::OnlyOld),
-        (None, Some(_)) => return Err(Unlike::OnlyNew),
+        (Some(_), None) => return Err(Mismatch::OnlyOld),
+        (None, Some(_)) => return Err(Mismatch::OnlyNew),
         (Some(old), Some(new)) => (old, new),
     };
     let class = if within(old.repeat, new.repeat) {
@@ -119,7 +122,7 @@
     };
     let chosen = if class == Side::Old { old } else { new };
     // A host that knows it by another key would not know the repeat.
-    let keyed = |call: &Call| matches!(call.repeat, Repeat::Guarded { .. });
+    let keyed = |call: &ResolvedCall| matches!(call.repeat, Repeat::Guarded { .. });
     let other_key = keyed(old) && keyed(new) && old.key != new.key;
     let neither = !within(old.repeat, new.repeat) && !within(new.repeat, old.repeat);
     let (a, b) = (&old.terms, &new.terms);
@@ -138,9 +141,9 @@
             || b.once
             || other_key
             || neither
-            || (keyed(chosen) && chosen.key == Key::None),
+            || (keyed(chosen) && chosen.key == IdempotencyKey::None),
     };
-    Ok(Some(Met {
+    Ok(Some(Intersection {
         class,
         time: old.time.min(new.time),
         terms,
@@ -150,7 +153,7 @@
 }
 
 /// What an answer means where both read it alike; else it is an error that may have run.
-pub fn meet_answers(old: &Answers, new: &Answers) -> Answers {
+pub fn intersect_answers(old: &Answers, new: &Answers) -> Answers {
     if old == new {
         return old.clone();
     }
--- a/crates/policy/src/judge.rs
+++ b/crates/policy/src/invariants.rs
@@ -6,7 +6,7 @@
 
 /// A call that began.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct StartedCall {
     /// Where.
     pub identity: Identity,
     /// Under what.
@@ -15,20 +15,20 @@
 
 /// A property that broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Violation {
     /// P1: it began under `mode` after a call had begun under a generation past that.
     Mixed {
         /// The call.
-        begun: Begun,
+        begun: StartedCall,
         /// The oldest generation under which a call had begun by then.
         after: Generation,
     },
     /// P2: a generation that came to nothing was begun under.
-    NotInForce(Begun),
+    NotInForce(StartedCall),
     /// P2: the fleet was told that a generation is in force, and a call began under an older one.
     BehindForce {
         /// The call.
-        begun: Begun,
+        begun: StartedCall,
         /// What was in force.
         force: Generation,
     },
@@ -36,7 +36,7 @@
 
 /// Watches a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Judge {
+pub struct InvariantChecker {
     /// No call may begin wholly under what is older than this.
     past: Generation,
     force: Generation,
@@ -45,25 +45,25 @@
     alone: BTreeSet<Generation>,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// A call began.
-    pub fn begun(&mut self, begun: &Begun) -> Option<Fault> {
+    pub fn begun(&mut self, begun: &StartedCall) -> Option<Violation> {
         let Mode { old, new, .. } = begun.mode;
         if old == new {
             self.alone.insert(new);
         }
         // In the middle a call is bound to the old one, and goes by no more than the new one allows too.
         if self.dead.contains(&old) {
-            return Some(Fault::NotInForce(begun.clone()));
+            return Some(Violation::NotInForce(begun.clone()));
         }
         if new < self.force {
-            return Some(Fault::BehindForce {
+            return Some(Violation::BehindForce {
                 begun: begun.clone(),
                 force: self.force,
             });
         }
         if new < self.past {
-            return Some(Fault::Mixed {
+            return Some(Violation::Mixed {
                 begun: begun.clone(),
                 after: self.past,
             });
@@ -89,13 +89,13 @@
 mod tests {
     use super::*;
 
-    fn begun(old: u64, new: u64) -> Begun {
+    fn begun(old: u64, new: u64) -> StartedCall {
         let mode = Mode {
             revision: 0,
             old: Generation(old),
             new: Generation(new),
         };
-        Begun {
+        StartedCall {
             identity: Identity {
                 name: "p".to_owned(),
                 incarnation: 1,
@@ -106,7 +106,7 @@
 
     #[test]
     fn old_beside_middle_and_middle_beside_new_are_not_mixed() {
-        let mut judge = Judge::default();
+        let mut judge = InvariantChecker::default();
         for (old, new) in [
             (1, 1),
             (1, 2),
@@ -121,29 +121,29 @@
         }
         assert!(matches!(
             judge.begun(&begun(1, 1)),
-            Some(Fault::Mixed { .. })
+            Some(Violation::Mixed { .. })
         ));
         assert_eq!(judge.begun(&begun(3, 3)), None);
         assert!(matches!(
             judge.begun(&begun(1, 2)),
-            Some(Fault::Mixed { .. })
+            Some(Violation::Mixed { .. })
         ));
     }
 
     #[test]
     fn both_ends_of_a_change_bind() {
-        let mut judge = Judge::default();
+        let mut judge = InvariantChecker::default();
         judge.begun(&begun(1, 2));
         assert!(judge.not_in_force(Generation(2)));
         assert!(matches!(
             judge.begun(&begun(2, 2)),
-            Some(Fault::NotInForce(_))
+            Some(Violation::NotInForce(_))
         ));
         assert!(!judge.not_in_force(Generation(2)));
         judge.in_force(Generation(3));
         assert!(matches!(
             judge.begun(&begun(1, 1)),
-            Some(Fault::BehindForce { .. })
+            Some(Violation::BehindForce { .. })
         ));
         assert_eq!(judge.begun(&begun(1, 3)), None);
     }
--- a/crates/policy/src/holder.rs
+++ b/crates/policy/src/lease_holder.rs
@@ -11,7 +11,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub enum CutOff {
+pub enum OnLeaseLoss {
     /// Turns every call away.
     #[default]
     Refuse,
@@ -23,9 +23,9 @@
 
 /// What is set for a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseHolderConfig {
     /// What it does when cut off.
-    pub cut_off: CutOff,
+    pub cut_off: OnLeaseLoss,
     /// A question that is not answered within this is given up.
     pub answer_within: Micros,
     /// Pause after a question that came to nothing.
@@ -34,7 +34,7 @@
 
 /// The proxy's question to control.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Who asks.
     pub identity: Identity,
     /// Grows with each question of this proxy: control takes none that is older than one it has had.
@@ -44,14 +44,14 @@
     /// The generations whose text it has read and found good.
     pub has: BTreeSet<Generation>,
     /// A generation that it can't read.
-    pub unread: Option<Unread>,
+    pub unread: Option<RejectedGeneration>,
     /// What it does when cut off.
-    pub cut_off: CutOff,
+    pub cut_off: OnLeaseLoss,
 }
 
 /// Why a proxy can't take a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Unread {
+pub struct RejectedGeneration {
     /// Which.
     pub generation: Generation,
     /// Why, for people.
@@ -60,7 +60,7 @@
 
 /// Control's answer: a mode, lent for a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The question that it answers.
     pub number: u64,
     /// What to act under.
@@ -71,7 +71,7 @@
 
 /// What a grant came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answered {
+pub enum GrantResult {
     /// The proxy acts under it. `again`: control waits to hear so; ask at once.
     Taken {
         /// Ask at once.
@@ -85,7 +85,7 @@
 
 /// Why nothing may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Closed {
+pub enum NotAdmitted {
     /// No mode was ever lent to this start of the program. A copy on disk does not stand in for it.
     NoLease,
     /// The lease has run out.
@@ -102,14 +102,14 @@
     /// Only the floor of this generation.
     Floor(Generation),
     /// Nothing.
-    Closed(Closed),
+    Closed(NotAdmitted),
 }
 
 /// What a proxy holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct LeaseHolder {
     identity: Identity,
-    terms: Terms,
+    terms: LeaseHolderConfig,
     /// What it acts under, and until when.
     held: Option<(Mode, Micros)>,
     /// The question that is out: its number and when it was asked.
@@ -117,15 +117,15 @@
     number: u64,
     next: Micros,
     has: BTreeSet<Generation>,
-    unread: Option<Unread>,
+    unread: Option<RejectedGeneration>,
     evicted: bool,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A proxy that has just started: it holds nothing, whatever its disk says. `has` are the generations whose texts
     /// it has from there, so that they need not be sent again.
-    pub fn new(identity: Identity, terms: Terms, has: BTreeSet<Generation>) -> Self {
-        Holder {
+    pub fn new(identity: Identity, terms: LeaseHolderConfig, has: BTreeSet<Generation>) -> Self {
+        LeaseHolder {
             identity,
             terms,
             held: None,
@@ -141,15 +141,15 @@
     /// What may begin at `now`. A call begins at the moment at which the clock was read for this.
     pub fn admission(&self, now: Micros) -> Admission {
         if self.evicted {
-            return Admission::Closed(Closed::Evicted);
+            return Admission::Closed(NotAdmitted::Evicted);
         }
         match (self.held, self.terms.cut_off) {
-            (None, _) => Admission::Closed(Closed::NoLease),
+            (None, _) => Admission::Closed(NotAdmitted::NoLease),
             (Some((mode, until)), _) if now < until => Admission::Under(mode),
-            (Some((mode, _)), CutOff::Keep) => Admission::Under(mode),
+            (Some((mode, _)), OnLeaseLoss::Keep) => Admission::Under(mode),
             // What is in force when it is cut off stays admissible; what was to come may not come.
-            (Some((mode, _)), CutOff::Narrow) => Admission::Floor(mode.old),
-            (Some(_), CutOff::Refuse) => Admission::Closed(Closed::RunOut),
+            (Some((mode, _)), OnLeaseLoss::Narrow) => Admission::Floor(mode.old),
+            (Some(_), OnLeaseLoss::Refuse) => Admission::Closed(NotAdmitted::RunOut),
         }
     }
 
@@ -158,7 +158,7 @@
         self.held
     }
 
-    /// When [`Holder::ask`] is due, with no question out; `None` while one is.
+    /// When [`LeaseHolder::ask`] is due, with no question out; `None` while one is.
     pub fn due(&self) -> Option<Micros> {
         (self.out.is_none() && !self.evicted).then_some(self.next)
     }
@@ -170,10 +170,10 @@
     }
 
     /// The question to send now. One that is out is given up by this.
-    pub fn ask(&mut self, now: Micros) -> Ask {
+    pub fn ask(&mut self, now: Micros) -> LeaseRequest {
         self.number += 1;
         self.out = Some((self.number, now));
-        Ask {
+        LeaseRequest {
             identity: self.identity.clone(),
             number: self.number,
             acting: self.held.map_or(0, |(mode, _)| mode.revision),
@@ -202,7 +202,7 @@
 
     /// A text can't be read; control is told why with the next question.
     pub fn cannot_read(&mut self, generation: Generation, reason: String) {
-        self.unread = Some(Unread { generation, reason });
+        self.unread = Some(RejectedGeneration { generation, reason });
     }
 
     /// Texts of generations that nothing can come back to are let go.
@@ -210,21 +210,21 @@
         self.has.retain(|&g| keep(g));
     }
 
-    /// Control's answer. The texts that came with it have been read before ([`Holder::read`]).
-    pub fn answered(&mut self, now: Micros, grant: Grant) -> Answered {
+    /// Control's answer. The texts that came with it have been read before ([`LeaseHolder::read`]).
+    pub fn answered(&mut self, now: Micros, grant: LeaseGrant) -> GrantResult {
         let Some((number, asked)) = self.out.filter(|(number, _)| *number == grant.number) else {
-            return Answered::Late;
+            return GrantResult::Late;
         };
         self.out = None;
         // Asked for anew after a third: two questions may come to nothing before the lease ends.
         self.next = asked.saturating_add(grant.lease / 3).max(now);
         let Mode { revision, old, new } = grant.mode;
         if self.held.is_some_and(|(held, _)| held.revision > revision) {
-            return Answered::Late;
+            return GrantResult::Late;
         }
         if !self.has.contains(&old) || !self.has.contains(&new) {
             self.next = now.saturating_add(self.terms.pause);
-            return Answered::Wants;
+            return GrantResult::Wants;
         }
         let changed = self.held.is_none_or(|(held, _)| held.revision != revision);
         let until = asked.saturating_add(grant.lease);
@@ -234,7 +234,7 @@
         if again {
             self.next = now;
         }
-        Answered::Taken { again }
+        GrantResult::Taken { again }
     }
 
     /// The question came to nothing: no way there, no answer in time, or a refusal.
@@ -254,25 +254,25 @@
 mod tests {
     use super::*;
 
-    fn holder(cut_off: CutOff) -> Holder {
+    fn holder(cut_off: OnLeaseLoss) -> LeaseHolder {
         let identity = Identity {
             name: "p".to_owned(),
             incarnation: 1,
         };
-        let terms = Terms {
+        let terms = LeaseHolderConfig {
             cut_off,
             answer_within: 100,
             pause: 50,
         };
-        Holder::new(
+        LeaseHolder::new(
             identity,
             terms,
             BTreeSet::from([Generation(1), Generation(2)]),
         )
     }
 
-    fn grant(number: u64, mode: Mode) -> Grant {
-        Grant {
+    fn grant(number: u64, mode: Mode) -> LeaseGrant {
+        LeaseGrant {
             number,
             mode,
             lease: 300,
@@ -281,22 +281,25 @@
 
     #[test]
     fn a_lease_runs_from_the_question() {
-        let mut holder = holder(CutOff::Refuse);
-        assert_eq!(holder.admission(0), Admission::Closed(Closed::NoLease));
+        let mut holder = holder(OnLeaseLoss::Refuse);
+        assert_eq!(holder.admission(0), Admission::Closed(NotAdmitted::NoLease));
         let ask = holder.ask(1_000);
         let mode = Mode::settled(1, Generation(1));
         assert_eq!(
             holder.answered(1_090, grant(ask.number, mode)),
-            Answered::Taken { again: false }
+            GrantResult::Taken { again: false }
         );
         assert_eq!(holder.admission(1_299), Admission::Under(mode));
-        assert_eq!(holder.admission(1_300), Admission::Closed(Closed::RunOut));
+        assert_eq!(
+            holder.admission(1_300),
+            Admission::Closed(NotAdmitted::RunOut)
+        );
         assert_eq!(holder.due(), Some(1_100));
     }
 
     #[test]
     fn what_is_late_older_or_unread_changes_nothing() {
-        let mut holder = holder(CutOff::Refuse);
+        let mut holder = holder(OnLeaseLoss::Refuse);
         let first = holder.ask(0);
         let second = holder.ask(100);
         let middle = Mode {
@@ -306,19 +309,22 @@
         };
         assert_eq!(
             holder.answered(110, grant(first.number, middle)),
-            Answered::Late
+            GrantResult::Late
+        );
+        assert_eq!(
+            holder.admission(110),
+            Admission::Closed(NotAdmitted::NoLease)
         );
-        assert_eq!(holder.admission(110), Admission::Closed(Closed::NoLease));
         assert_eq!(
             holder.answered(120, grant(second.number, middle)),
-            Answered::Taken { again: true }
+            GrantResult::Taken { again: true }
         );
         let third = holder.ask(130);
         assert_eq!(third.acting, 5);
         let older = Mode::settled(4, Generation(1));
         assert_eq!(
             holder.answered(140, grant(third.number, older)),
-            Answered::Late
+            GrantResult::Late
         );
         assert_eq!(holder.admission(140), Admission::Under(middle));
         let fourth = holder.ask(150);
@@ -329,7 +335,7 @@
         };
         assert_eq!(
             holder.answered(160, grant(fourth.number, unread)),
-            Answered::Wants
+            GrantResult::Wants
         );
         assert_eq!(holder.admission(160), Admission::Under(middle));
         holder.cannot_read(Generation(3), "a key that it does not know".to_owned());
@@ -342,10 +348,10 @@
     #[test]
     fn cut_off_it_does_what_it_was_told_to() {
         for (cut_off, then) in [
-            (CutOff::Refuse, Admission::Closed(Closed::RunOut)),
-            (CutOff::Narrow, Admission::Floor(Generation(1))),
+            (OnLeaseLoss::Refuse, Admission::Closed(NotAdmitted::RunOut)),
+            (OnLeaseLoss::Narrow, Admission::Floor(Generation(1))),
             (
-                CutOff::Keep,
+                OnLeaseLoss::Keep,
                 Admission::Under(Mode {
                     revision: 5,
                     old: Generation(1),
@@ -364,7 +370,10 @@
             assert_eq!(holder.admission(299), Admission::Under(middle));
             assert_eq!(holder.admission(300), then);
             holder.evict();
-            assert_eq!(holder.admission(10), Admission::Closed(Closed::Evicted));
+            assert_eq!(
+                holder.admission(10),
+                Admission::Closed(NotAdmitted::Evicted)
+            );
         }
     }
 }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -1,12 +1,14 @@
 //! The leader's passing side: what it has lent, to whom, and who can still act under an older mode. It is not written
 //! down: a leader that begins counts on anything that the leaders before it may have lent, for as long as that may run.
 
-use crate::{Ask, CutOff, Grant, Identity, Micros, Mode, Record, Unread};
+use crate::{
+    Identity, LeaseGrant, LeaseRequest, Micros, Mode, OnLeaseLoss, Record, RejectedGeneration,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What holds for leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// How long a mode is lent, counted from the question.
     pub lease: Micros,
     /// How much longer control counts it: as much as a proxy's clock may fall behind over one lease.
@@ -20,15 +22,15 @@
     number: u64,
     /// It acts under this revision and none older.
     acting: u64,
-    cut_off: CutOff,
+    cut_off: OnLeaseLoss,
     /// By revision: until when it may be acted under.
     lent: BTreeMap<u64, Micros>,
-    unread: Option<Unread>,
+    unread: Option<RejectedGeneration>,
 }
 
 /// Why a question gets no grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stale {
+pub enum LeaseDenial {
     /// A later question of this proxy has been answered.
     Older,
     /// There is no policy yet.
@@ -39,13 +41,13 @@
 
 /// What is to be done with a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lent {
+pub enum GrantOutcome {
     /// This goes out. It counts from now on, whether it arrives or not.
-    Grant(Grant),
+    Grant(LeaseGrant),
     /// The proxy may act without a lease: that is to be agreed on first ([`crate::Command::Register`]).
     RegisterFirst,
     /// None goes out.
-    Stale(Stale),
+    Stale(LeaseDenial),
 }
 
 /// Who can still act under an older mode.
@@ -54,12 +56,12 @@
     /// Which proxy; `None`: any, lent to by a leader before this one.
     pub identity: Option<Identity>,
     /// Why.
-    pub why: Why,
+    pub why: BlockReason,
 }
 
 /// Why a proxy holds a change up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum BlockReason {
     /// A lease that runs until then.
     Lease(Micros),
     /// It goes on without one, and has not told that it acts under the middle.
@@ -71,7 +73,7 @@
 /// The leases of one leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
-    terms: Terms,
+    terms: LeaseConfig,
     /// Until then leases of other leaders may run.
     unknown: Micros,
     sessions: BTreeMap<Identity, Session>,
@@ -79,7 +81,7 @@
 
 impl Leases {
     /// A leader that begins at `now`.
-    pub fn elected(terms: Terms, now: Micros) -> Self {
+    pub fn elected(terms: LeaseConfig, now: Micros) -> Self {
         let unknown = now.saturating_add(terms.lease).saturating_add(terms.drift);
         Leases {
             terms,
@@ -90,21 +92,21 @@
 
     /// A question has come. It must be known, after it came in, that this leader is still the one, and `record` must
     /// hold all that was agreed on until then.
-    pub fn lend(&mut self, now: Micros, record: &Record, ask: &Ask) -> Lent {
+    pub fn lend(&mut self, now: Micros, record: &Record, ask: &LeaseRequest) -> GrantOutcome {
         if record.is_evicted(&ask.identity) {
             self.sessions.remove(&ask.identity);
-            return Lent::Stale(Stale::Evicted);
+            return GrantOutcome::Stale(LeaseDenial::Evicted);
         }
         let Some(mode) = record.mode() else {
-            return Lent::Stale(Stale::NoPolicy);
+            return GrantOutcome::Stale(LeaseDenial::NoPolicy);
         };
-        if ask.cut_off != CutOff::Refuse && !record.standing().contains_key(&ask.identity) {
-            return Lent::RegisterFirst;
+        if ask.cut_off != OnLeaseLoss::Refuse && !record.standing().contains_key(&ask.identity) {
+            return GrantOutcome::RegisterFirst;
         }
         let session = self.sessions.entry(ask.identity.clone()).or_default();
         if ask.number <= session.number {
             // What it says is older than what is known: it may have taken up less than it now has.
-            return Lent::Stale(Stale::Older);
+            return GrantOutcome::Stale(LeaseDenial::Older);
         }
         session.number = ask.number;
         session.cut_off = ask.cut_off;
@@ -118,7 +120,7 @@
             .saturating_add(self.terms.lease)
             .saturating_add(self.terms.drift);
         session.lent.insert(mode.revision, until);
-        Lent::Grant(Grant {
+        GrantOutcome::Grant(LeaseGrant {
             number: ask.number,
             mode,
             lease: self.terms.lease,
@@ -133,7 +135,7 @@
     /// Lets go of those whose leases have run out.
     pub fn sweep(&mut self, now: Micros) {
         self.sessions.retain(|_, s| {
-            s.cut_off != CutOff::Refuse || s.lent.values().any(|&until| now < until)
+            s.cut_off != OnLeaseLoss::Refuse || s.lent.values().any(|&until| now < until)
         });
     }
 
@@ -145,7 +147,7 @@
         if now < self.unknown {
             all.push(Blocker {
                 identity: None,
-                why: Why::Lease(self.unknown),
+                why: BlockReason::Lease(self.unknown),
             });
         }
         for (identity, session) in &self.sessions {
@@ -157,8 +159,8 @@
                 .max();
             let why = match (&session.unread, until) {
                 (_, None) => continue,
-                (Some(unread), _) => Why::Unread(unread.reason.clone()),
-                (None, Some(until)) => Why::Lease(until),
+                (Some(unread), _) => BlockReason::Unread(unread.reason.clone()),
+                (None, Some(until)) => BlockReason::Lease(until),
             };
             all.push(Blocker {
                 identity: Some(identity.clone()),
@@ -167,10 +169,10 @@
         }
         for (identity, standing) in record.standing() {
             let acting = self.sessions.get(identity).map_or(0, |s| s.acting);
-            if standing.cut_off == CutOff::Keep && standing.revision.max(acting) < revision {
+            if standing.cut_off == OnLeaseLoss::Keep && standing.revision.max(acting) < revision {
                 all.push(Blocker {
                     identity: Some(identity.clone()),
-                    why: Why::Keeps,
+                    why: BlockReason::Keeps,
                 });
             }
         }
@@ -207,8 +209,8 @@
             .blockers(now, record)
             .into_iter()
             .filter_map(|b| match b.why {
-                Why::Lease(until) => Some(until),
-                Why::Keeps | Why::Unread(_) => None,
+                BlockReason::Lease(until) => Some(until),
+                BlockReason::Keeps | BlockReason::Unread(_) => None,
             });
         leases.min()
     }
@@ -226,7 +228,7 @@
     use super::*;
     use crate::{Command, Generation};
 
-    const TERMS: Terms = Terms {
+    const TERMS: LeaseConfig = LeaseConfig {
         lease: 100,
         drift: 10,
     };
@@ -245,8 +247,8 @@
         record
     }
 
-    fn ask(number: u64, acting: u64) -> Ask {
-        Ask {
+    fn ask(number: u64, acting: u64) -> LeaseRequest {
+        LeaseRequest {
             identity: Identity {
                 name: "p".to_owned(),
                 incarnation: 1,
@@ -255,7 +257,7 @@
             acting,
             has: BTreeSet::new(),
             unread: None,
-            cut_off: CutOff::Refuse,
+            cut_off: OnLeaseLoss::Refuse,
         }
     }
 
@@ -274,11 +276,11 @@
         let (stable, middle) = (record(1), record(2));
         assert!(matches!(
             leases.lend(200, &stable, &ask(1, 0)),
-            Lent::Grant(_)
+            GrantOutcome::Grant(_)
         ));
         assert!(matches!(
             leases.lend(220, &middle, &ask(2, 1)),
-            Lent::Grant(_)
+            GrantOutcome::Grant(_)
         ));
         assert_eq!(
             leases.blockers(230, &middle).len(),
@@ -288,7 +290,7 @@
         let mut told = leases.clone();
         assert!(matches!(
             told.lend(240, &middle, &ask(3, 2)),
-            Lent::Grant(_)
+            GrantOutcome::Grant(_)
         ));
         assert_eq!(told.blockers(241, &middle), []);
         assert_eq!(leases.blockers(309, &middle).len(), 1);
@@ -302,15 +304,15 @@
         leases.lend(200, &middle, &ask(5, 2));
         assert_eq!(
             leases.lend(201, &middle, &ask(5, 2)),
-            Lent::Stale(Stale::Older)
+            GrantOutcome::Stale(LeaseDenial::Older)
         );
         assert_eq!(
             leases.lend(201, &middle, &ask(4, 1)),
-            Lent::Stale(Stale::Older)
+            GrantOutcome::Stale(LeaseDenial::Older)
         );
         assert_eq!(
             leases.lend(201, &Record::default(), &ask(6, 2)),
-            Lent::Stale(Stale::NoPolicy)
+            GrantOutcome::Stale(LeaseDenial::NoPolicy)
         );
     }
 
@@ -318,16 +320,22 @@
     fn who_keeps_is_registered_first_and_waited_for() {
         let mut leases = Leases::elected(TERMS, 0);
         let mut record = record(1);
-        let keeps = Ask {
-            cut_off: CutOff::Keep,
+        let keeps = LeaseRequest {
+            cut_off: OnLeaseLoss::Keep,
             ..ask(1, 0)
         };
-        assert_eq!(leases.lend(200, &record, &keeps), Lent::RegisterFirst);
+        assert_eq!(
+            leases.lend(200, &record, &keeps),
+            GrantOutcome::RegisterFirst
+        );
         record.apply(&Command::Register {
             identity: keeps.identity.clone(),
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         });
-        assert!(matches!(leases.lend(200, &record, &keeps), Lent::Grant(_)));
+        assert!(matches!(
+            leases.lend(200, &record, &keeps),
+            GrantOutcome::Grant(_)
+        ));
         let (revision, floors) = (record.revision(), record.floors());
         record.apply(&Command::Publish {
             revision,
@@ -341,9 +349,9 @@
                 .map(|b| b.why)
                 .collect::<Vec<_>>()
         };
-        assert_eq!(why(&leases), [Why::Keeps]);
-        let told = Ask {
-            cut_off: CutOff::Keep,
+        assert_eq!(why(&leases), [BlockReason::Keeps]);
+        let told = LeaseRequest {
+            cut_off: OnLeaseLoss::Keep,
             ..ask(2, 2)
         };
         leases.lend(10_000, &record, &told);
@@ -352,10 +360,10 @@
         record.apply(&Command::Evict {
             identity: told.identity.clone(),
         });
-        let again = Ask { number: 3, ..told };
+        let again = LeaseRequest { number: 3, ..told };
         assert_eq!(
             leases.lend(10_001, &record, &again),
-            Lent::Stale(Stale::Evicted)
+            GrantOutcome::Stale(LeaseDenial::Evicted)
         );
     }
 
@@ -363,14 +371,14 @@
     fn who_cannot_read_it_is_named() {
         let mut leases = Leases::elected(TERMS, 0);
         let middle = record(2);
-        let unread = Unread {
+        let unread = RejectedGeneration {
             generation: Generation(2),
             reason: "odd".to_owned(),
         };
         leases.lend(
             0,
             &middle,
-            &Ask {
+            &LeaseRequest {
                 unread: Some(unread),
                 ..ask(1, 1)
             },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Control holds one [`Mode`]: either one generation, or two in their middle. A proxy acts under the mode that control
 //! last lent it, for as long as the lease runs. In the middle it admits only what both generations allow alike
-//! ([`meet`]). Control leaves the middle for the new generation when no proxy can act under an older mode any more: it
+//! ([`intersect`]). Control leaves the middle for the new generation when no proxy can act under an older mode any more: it
 //! has told so, or its lease has run out. So at any time old stands beside middle, or middle beside new, and old never
 //! beside new. `docs/policy-design.md` weighs this against other ways.
 //!
@@ -13,27 +13,30 @@
 #![expect(clippy::similar_names, reason = "names are still to be told apart")]
 
 mod command;
-mod holder;
 mod identity;
-mod judge;
+mod intersection;
+mod invariants;
+mod lease_holder;
 mod leases;
-mod meet;
 mod mode;
+mod next_command;
 mod record;
 pub mod regions;
-mod steps;
 
-pub use command::{Command, Outcome, Refused};
-pub use holder::{
-    Admission, Answered, Ask, Closed, CutOff, Grant, Holder, Terms as HolderTerms, Unread,
-};
+pub use command::{Command, Outcome, Rejection};
 pub use identity::Identity;
-pub use judge::{Begun, Fault, Judge};
-pub use leases::{Blocker, Leases, Lent, Stale, Terms as LeaseTerms, Why};
-pub use meet::{meet, meet_answers, Call, Key, Met, Side, Unlike};
+pub use intersection::{
+    intersect, intersect_answers, IdempotencyKey, Intersection, Mismatch, ResolvedCall, Side,
+};
+pub use invariants::{InvariantChecker, StartedCall, Violation};
+pub use lease_holder::{
+    Admission, GrantResult, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest, NotAdmitted,
+    OnLeaseLoss, RejectedGeneration,
+};
+pub use leases::{BlockReason, Blocker, GrantOutcome, LeaseConfig, LeaseDenial, Leases};
 pub use mode::{Generation, Mode};
-pub use record::{Change, Ended, Record, Standing};
-pub use steps::{next_command, Limits};
+pub use next_command::{next_command, ChangeTimeouts};
+pub use record::{Change, ChangeStatus, LeaselessProxy, Record};
 
 /// Microseconds.
 pub use badgerramp_decisions::Micros;
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/next_command.rs
@@ -1,12 +1,12 @@
 //! The next step of the change under way, as the leader of a region sees it.
 
-use crate::regions::{listed, CrossRegion, Region, Role};
+use crate::regions::{listed, CrossRegionChange, Region, Role};
 use crate::{Blocker, Command, Leases, Micros, Mode, Record};
 use std::collections::BTreeSet;
 
 /// How long a change may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Limits {
+pub struct ChangeTimeouts {
     /// Longest wait for the proxies of the own region.
     pub wait: Micros,
     /// Longest wait of a coordinator for the votes of the other regions.
@@ -20,7 +20,7 @@
     leases: &Leases,
     now: Micros,
     begun: Micros,
-    limits: Limits,
+    limits: ChangeTimeouts,
 ) -> Option<Command> {
     let behind = leases.acting(record);
     let Some(middle) = record.middle() else {
@@ -67,7 +67,7 @@
 fn may_abort(record: &Record) -> bool {
     !matches!(
         record.cross_region(),
-        Some(CrossRegion {
+        Some(CrossRegionChange {
             role: Role::Participant { voted: true },
             ..
         })
@@ -80,7 +80,7 @@
     leases: &Leases,
     now: Micros,
     elapsed: Micros,
-    limits: Limits,
+    limits: ChangeTimeouts,
 ) -> Option<String> {
     if let Some((identity, why)) = leases.unread(record.middle()?) {
         return Some(format!("{identity} can't read it: {why}"));
@@ -112,7 +112,7 @@
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
         Some(
-            cross @ CrossRegion {
+            cross @ CrossRegionChange {
                 role: Role::Coordinator { .. },
                 ..
             },
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -2,10 +2,10 @@
 
 use crate::identity::as_key;
 use crate::regions::{
-    AllRegions, ChangeId, ChangeRef, CrossRegion, Decision, Participation, Region, Role, Scope,
-    Unacknowledged,
+    AllRegions, ChangeId, ChangeRef, CrossRegionChange, Decision, Participation, Region, Role,
+    Scope, UnacknowledgedCommit,
 };
-use crate::{Command, CutOff, Generation, Identity, Mode, Outcome, Refused};
+use crate::{Command, Generation, Identity, Mode, OnLeaseLoss, Outcome, Rejection};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,9 +18,9 @@
 
 /// A proxy that may act without a lease, and under what at the oldest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct LeaselessProxy {
     /// What it does when cut off.
-    pub cut_off: CutOff,
+    pub cut_off: OnLeaseLoss,
     /// It acts under this revision or a newer one.
     pub revision: u64,
     /// Its floor is that of this generation or of one that came into force later.
@@ -29,7 +29,7 @@
 
 /// How a change stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ended {
+pub enum ChangeStatus {
     /// Under way.
     Open,
     /// In force.
@@ -47,7 +47,7 @@
     /// The generation in force before.
     pub from: Generation,
     /// How it stands.
-    pub ended: Ended,
+    pub ended: ChangeStatus,
     /// Identifies it among the regions, if it is a change of all regions.
     #[serde(default)]
     pub id: Option<ChangeId>,
@@ -71,14 +71,14 @@
     texts: BTreeMap<Generation, String>,
     changes: BTreeMap<Generation, Change>,
     #[serde(with = "as_key")]
-    standing: BTreeMap<Identity, Standing>,
+    standing: BTreeMap<Identity, LeaselessProxy>,
     evicted: BTreeSet<Identity>,
     /// The change of all regions that the middle is for.
     #[serde(default)]
-    cross_region: Option<CrossRegion>,
+    cross_region: Option<CrossRegionChange>,
     /// The commit that the coordinator has to remember.
     #[serde(default)]
-    unacknowledged: Option<Unacknowledged>,
+    unacknowledged: Option<UnacknowledgedCommit>,
     /// By coordinator: the last change of all regions in which this region took part.
     #[serde(default)]
     participations: BTreeMap<Region, Participation>,
@@ -113,12 +113,12 @@
     }
 
     /// The change of all regions under way here, and this region's part in it.
-    pub fn cross_region(&self) -> Option<&CrossRegion> {
+    pub fn cross_region(&self) -> Option<&CrossRegionChange> {
         self.cross_region.as_ref()
     }
 
     /// The commit that not all participants have acknowledged to this coordinator.
-    pub fn unacknowledged(&self) -> Option<&Unacknowledged> {
+    pub fn unacknowledged(&self) -> Option<&UnacknowledgedCommit> {
         self.unacknowledged.as_ref()
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// The proxies that may act without a lease.
-    pub fn standing(&self) -> &BTreeMap<Identity, Standing> {
+    pub fn standing(&self) -> &BTreeMap<Identity, LeaselessProxy> {
         &self.standing
     }
 
@@ -157,7 +157,7 @@
         let narrow = self
             .standing
             .values()
-            .filter(|s| s.cut_off == CutOff::Narrow)
+            .filter(|s| s.cut_off == OnLeaseLoss::Narrow)
             .map(|s| s.floor);
         narrow
             .chain(self.mode().map(|mode| mode.old))
@@ -184,10 +184,10 @@
             Command::Prepared { revision, region } => self.prepared(*revision, region),
             Command::Advance { revision } => self.advance(*revision),
             Command::Abort { revision, why } => self.abort(*revision, why),
-            Command::Committed { id } => self.decided(*id, Ended::InForce),
+            Command::Committed { id } => self.decided(*id, ChangeStatus::InForce),
             Command::Aborted { id } => self.decided(
                 *id,
-                Ended::NotInForce {
+                ChangeStatus::NotInForce {
                     why: GIVEN_UP.to_owned(),
                 },
             ),
@@ -204,11 +204,11 @@
     }
 
     /// Why nothing new can begin, if it can't.
-    fn under_way(&self) -> Option<Refused> {
+    fn under_way(&self) -> Option<Rejection> {
         let generation = self.middle()?.new;
         Some(match &self.cross_region {
-            None => Refused::UnderWay(generation),
-            Some(cross) => Refused::AcrossRegions {
+            None => Rejection::UnderWay(generation),
+            Some(cross) => Rejection::AcrossRegions {
                 generation,
                 id: cross.change.id,
                 waits_for: cross.waits_for(),
@@ -217,9 +217,9 @@
     }
 
     /// Why no change of all regions can begin beside [`Record::under_way`], if it can't.
-    fn remembered(&self) -> Option<Refused> {
-        let Unacknowledged { change, regions } = self.unacknowledged.as_ref()?;
-        Some(Refused::AcrossRegions {
+    fn remembered(&self) -> Option<Rejection> {
+        let UnacknowledgedCommit { change, regions } = self.unacknowledged.as_ref()?;
+        Some(Rejection::AcrossRegions {
             generation: change.number,
             id: change.id,
             waits_for: regions.clone(),
@@ -232,7 +232,7 @@
         text: &str,
         floors: &BTreeSet<Generation>,
         all_regions: Option<&AllRegions>,
-    ) -> Result<Outcome, Refused> {
+    ) -> Result<Outcome, Rejection> {
         let in_the_way = self
             .under_way()
             .or_else(|| all_regions.and_then(|_| self.remembered()));
@@ -244,7 +244,7 @@
             // Before the first policy nothing can begin, so there is nothing to stand between.
             if self.mode.old == Generation(0) {
                 self.mode = Mode::settled(self.mode.revision, number);
-                self.note(number, Ended::InForce);
+                self.note(number, ChangeStatus::InForce);
             }
             return Ok(Outcome::Begun(number));
         };
@@ -258,7 +258,7 @@
             participants: all.participants.clone(),
             prepared: BTreeSet::new(),
         };
-        self.cross_region = Some(CrossRegion { change, role });
+        self.cross_region = Some(CrossRegionChange { change, role });
         Ok(Outcome::Begun(number))
     }
 
@@ -268,7 +268,7 @@
         change: &ChangeRef,
         text: &str,
         floors: &BTreeSet<Generation>,
-    ) -> Result<Outcome, Refused> {
+    ) -> Result<Outcome, Rejection> {
         if let Some(refused) = self.under_way() {
             return Err(refused);
         }
@@ -278,11 +278,11 @@
             .get(&change.coordinator)
             .map_or(Generation(0), |p| p.change.number);
         if change.number <= last {
-            return Err(Refused::Moved);
+            return Err(Rejection::Moved);
         }
         let number = self.begin(revision, text, floors, Some(change.id))?;
         let role = Role::Participant { voted: false };
-        self.cross_region = Some(CrossRegion {
+        self.cross_region = Some(CrossRegionChange {
             change: change.clone(),
             role,
         });
@@ -302,9 +302,9 @@
         text: &str,
         floors: &BTreeSet<Generation>,
         id: Option<ChangeId>,
-    ) -> Result<Generation, Refused> {
+    ) -> Result<Generation, Rejection> {
         if revision != self.mode.revision || !self.floors().is_subset(floors) {
-            return Err(Refused::Moved);
+            return Err(Rejection::Moved);
         }
         self.last = Generation(self.last.0 + 1);
         self.texts.insert(self.last, text.to_owned());
@@ -312,7 +312,7 @@
             self.last,
             Change {
                 from: self.mode.old,
-                ended: Ended::Open,
+                ended: ChangeStatus::Open,
                 id,
             },
         );
@@ -325,16 +325,16 @@
         Ok(self.last)
     }
 
-    fn vote(&mut self, revision: u64) -> Result<Outcome, Refused> {
+    fn vote(&mut self, revision: u64) -> Result<Outcome, Rejection> {
         let now = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
             Some(Role::Participant { voted }) if revision == now => *voted = true,
-            _ => return Err(Refused::Moved),
+            _ => return Err(Rejection::Moved),
         }
         Ok(Outcome::Done)
     }
 
-    fn prepared(&mut self, revision: u64, region: &Region) -> Result<Outcome, Refused> {
+    fn prepared(&mut self, revision: u64, region: &Region) -> Result<Outcome, Rejection> {
         let now = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
             Some(Role::Coordinator {
@@ -343,24 +343,24 @@
             }) if revision == now && participants.contains(region) => {
                 prepared.insert(region.clone());
             }
-            _ => return Err(Refused::Moved),
+            _ => return Err(Rejection::Moved),
         }
         Ok(Outcome::Done)
     }
 
-    fn is_middle_of(&self, revision: u64) -> Result<(), Refused> {
+    fn is_middle_of(&self, revision: u64) -> Result<(), Rejection> {
         match self.middle() {
             Some(middle) if middle.revision == revision => Ok(()),
-            _ => Err(Refused::Moved),
+            _ => Err(Rejection::Moved),
         }
     }
 
-    fn advance(&mut self, revision: u64) -> Result<Outcome, Refused> {
+    fn advance(&mut self, revision: u64) -> Result<Outcome, Rejection> {
         self.is_middle_of(revision)?;
-        if let Some(CrossRegion { change, role }) = &self.cross_region {
+        if let Some(CrossRegionChange { change, role }) = &self.cross_region {
             match role {
                 Role::Participant { .. } => {
-                    return Err(Refused::AwaitsDecision {
+                    return Err(Rejection::AwaitsDecision {
                         coordinator: change.coordinator.clone(),
                     })
                 }
@@ -368,58 +368,58 @@
                     participants,
                     prepared,
                 } if participants != prepared => {
-                    return Err(Refused::NotPrepared {
+                    return Err(Rejection::NotPrepared {
                         regions: participants.difference(prepared).cloned().collect(),
                     })
                 }
                 Role::Coordinator { participants, .. } if !participants.is_empty() => {
                     let (change, regions) = (change.clone(), participants.clone());
-                    self.unacknowledged = Some(Unacknowledged { change, regions });
+                    self.unacknowledged = Some(UnacknowledgedCommit { change, regions });
                 }
                 Role::Coordinator { .. } => {}
             }
         }
-        self.settle(Ended::InForce);
+        self.settle(ChangeStatus::InForce);
         Ok(Outcome::Done)
     }
 
-    fn abort(&mut self, revision: u64, why: &str) -> Result<Outcome, Refused> {
+    fn abort(&mut self, revision: u64, why: &str) -> Result<Outcome, Rejection> {
         self.is_middle_of(revision)?;
-        if let Some(CrossRegion {
+        if let Some(CrossRegionChange {
             change,
             role: Role::Participant { voted: true },
         }) = &self.cross_region
         {
-            return Err(Refused::AwaitsDecision {
+            return Err(Rejection::AwaitsDecision {
                 coordinator: change.coordinator.clone(),
             });
         }
-        self.settle(Ended::NotInForce {
+        self.settle(ChangeStatus::NotInForce {
             why: why.to_owned(),
         });
         Ok(Outcome::Done)
     }
 
     /// Takes in what the coordinator has decided. Only a participant that has voted can find itself committed.
-    fn decided(&mut self, id: ChangeId, ended: Ended) -> Result<Outcome, Refused> {
+    fn decided(&mut self, id: ChangeId, ended: ChangeStatus) -> Result<Outcome, Rejection> {
         match &self.cross_region {
-            Some(CrossRegion {
+            Some(CrossRegionChange {
                 change,
                 role: Role::Participant { voted },
-            }) if change.id == id && (*voted || ended != Ended::InForce) => {}
-            _ => return Err(Refused::Moved),
+            }) if change.id == id && (*voted || ended != ChangeStatus::InForce) => {}
+            _ => return Err(Rejection::Moved),
         }
         self.settle(ended);
         Ok(Outcome::Done)
     }
 
-    fn acknowledged(&mut self, id: ChangeId, region: &Region) -> Result<Outcome, Refused> {
+    fn acknowledged(&mut self, id: ChangeId, region: &Region) -> Result<Outcome, Rejection> {
         let Some(commit) = self
             .unacknowledged
             .as_mut()
             .filter(|commit| commit.change.id == id)
         else {
-            return Err(Refused::Moved);
+            return Err(Rejection::Moved);
         };
         commit.regions.remove(region);
         if commit.regions.is_empty() {
@@ -429,12 +429,12 @@
     }
 
     /// Leaves the middle.
-    fn settle(&mut self, ended: Ended) {
+    fn settle(&mut self, ended: ChangeStatus) {
         let Mode { revision, old, new } = self.mode;
-        let in_force = ended == Ended::InForce;
+        let in_force = ended == ChangeStatus::InForce;
         self.mode = Mode::settled(revision + 1, if in_force { new } else { old });
         self.note(new, ended);
-        let Some(CrossRegion {
+        let Some(CrossRegionChange {
             change,
             role: Role::Participant { .. },
         }) = self.cross_region.take()
@@ -452,28 +452,38 @@
     }
 
     /// Notes how a change has ended.
-    fn note(&mut self, generation: Generation, ended: Ended) {
+    fn note(&mut self, generation: Generation, ended: ChangeStatus) {
         if let Some(change) = self.changes.get_mut(&generation) {
             change.ended = ended;
         }
     }
 
-    fn register(&mut self, identity: &Identity, cut_off: CutOff) -> Result<Outcome, Refused> {
+    fn register(
+        &mut self,
+        identity: &Identity,
+        cut_off: OnLeaseLoss,
+    ) -> Result<Outcome, Rejection> {
         if self.evicted.contains(identity) {
-            return Err(Refused::Evicted);
+            return Err(Rejection::Evicted);
         }
         let Mode { revision, old, .. } = self.mode;
-        self.standing.entry(identity.clone()).or_insert(Standing {
-            cut_off,
-            revision,
-            floor: old,
-        });
+        self.standing
+            .entry(identity.clone())
+            .or_insert(LeaselessProxy {
+                cut_off,
+                revision,
+                floor: old,
+            });
         Ok(Outcome::Done)
     }
 
-    fn acting(&mut self, revision: u64, proxies: &BTreeSet<Identity>) -> Result<Outcome, Refused> {
+    fn acting(
+        &mut self,
+        revision: u64,
+        proxies: &BTreeSet<Identity>,
+    ) -> Result<Outcome, Rejection> {
         if revision != self.mode.revision {
-            return Err(Refused::Moved);
+            return Err(Rejection::Moved);
         }
         for (_, standing) in self
             .standing
@@ -486,7 +496,7 @@
         Ok(Outcome::Done)
     }
 
-    fn retire(&mut self, identity: &Identity) -> Result<Outcome, Refused> {
+    fn retire(&mut self, identity: &Identity) -> Result<Outcome, Rejection> {
         self.standing.remove(identity);
         self.clear();
         Ok(Outcome::Done)
@@ -547,11 +557,11 @@
         );
         assert_eq!(
             publish(&mut record),
-            Outcome::Refused(Refused::UnderWay(Generation(2)))
+            Outcome::Refused(Rejection::UnderWay(Generation(2)))
         );
         assert_eq!(
             record.apply(&Command::Advance { revision: 1 }),
-            Outcome::Refused(Refused::Moved)
+            Outcome::Refused(Rejection::Moved)
         );
         assert_eq!(
             record.apply(&Command::Advance { revision: 2 }),
@@ -562,7 +572,7 @@
             revision: 2,
             why: String::new(),
         };
-        assert_eq!(record.apply(&late), Outcome::Refused(Refused::Moved));
+        assert_eq!(record.apply(&late), Outcome::Refused(Rejection::Moved));
     }
 
     #[test]
@@ -578,7 +588,7 @@
         assert_eq!(publish(&mut record), Outcome::Begun(Generation(3)));
         assert_eq!(
             record.changes()[&Generation(2)].ended,
-            Ended::NotInForce {
+            ChangeStatus::NotInForce {
                 why: "unread".to_owned()
             }
         );
@@ -590,7 +600,7 @@
         publish(&mut record);
         record.apply(&Command::Register {
             identity: identity("n"),
-            cut_off: CutOff::Narrow,
+            cut_off: OnLeaseLoss::Narrow,
         });
         publish(&mut record);
         record.apply(&Command::Advance { revision: 2 });
@@ -604,7 +614,7 @@
             floors: BTreeSet::from([Generation(2)]),
             all_regions: None,
         };
-        assert_eq!(record.apply(&one_floor), Outcome::Refused(Refused::Moved));
+        assert_eq!(record.apply(&one_floor), Outcome::Refused(Rejection::Moved));
         record.apply(&Command::Acting {
             revision: 3,
             proxies: BTreeSet::from([identity("n")]),
@@ -618,14 +628,17 @@
         let mut record = Record::default();
         let register = Command::Register {
             identity: identity("n"),
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         };
         assert_eq!(record.apply(&register), Outcome::Done);
         record.apply(&Command::Evict {
             identity: identity("n"),
         });
         assert!(record.standing().is_empty());
-        assert_eq!(record.apply(&register), Outcome::Refused(Refused::Evicted));
+        assert_eq!(
+            record.apply(&register),
+            Outcome::Refused(Rejection::Evicted)
+        );
     }
 
     #[test]
@@ -634,7 +647,7 @@
         publish(&mut record);
         record.apply(&Command::Register {
             identity: identity("n"),
-            cut_off: CutOff::Narrow,
+            cut_off: OnLeaseLoss::Narrow,
         });
         for _ in 0..3 * KEPT {
             publish(&mut record);
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -11,7 +11,7 @@
 //!   commits the change everywhere. A refusal, a time-out or an operator aborts it, as long as it has not advanced.
 //! - **Commit and acknowledge.** The coordinator sends [`Commit`] until each participant has answered [`Vote::InForce`],
 //!   and remembers the decision until then; the next change of all regions has to wait for that.
-//! - **Presumed abort.** A participant that waits sends [`OutcomeAsked`]. The coordinator answers
+//! - **Presumed abort.** A participant that waits sends [`OutcomeRequest`]. The coordinator answers
 //!   [`Decision::NotInForce`] for a change that it does not know, so an abort need not be remembered. The answer has to be
 //!   linearizable: a deposed leader may not know yet of a change that its successor has begun.
 //!
@@ -216,14 +216,14 @@
 
 /// A change of all regions that is under way in a region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct CrossRegion {
+pub struct CrossRegionChange {
     /// The change.
     pub change: ChangeRef,
     /// This region's part in it.
     pub role: Role,
 }
 
-impl CrossRegion {
+impl CrossRegionChange {
     /// The regions whose word this region waits for.
     pub fn waits_for(&self) -> BTreeSet<Region> {
         match &self.role {
@@ -239,7 +239,7 @@
 /// A change of all regions that is in force here, and of which the coordinator does not know yet whether all participants
 /// have taken it in.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Unacknowledged {
+pub struct UnacknowledgedCommit {
     /// The change.
     pub change: ChangeRef,
     /// The participants that have not acknowledged it; never empty.
@@ -320,7 +320,7 @@
 
 /// From a participant to the coordinator: how did this change end? The answer is an [`OutcomeReply`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OutcomeAsked {
+pub struct OutcomeRequest {
     /// The change.
     pub id: ChangeId,
     /// The region that asks.
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -1,8 +1,8 @@
 //! The coordinator of a change of all regions: what it sends, logs and answers, as its record stands.
 
 use super::{
-    Commit, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request, Role,
-    Unacknowledged, Vote, VoteReply,
+    Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
+    Role, UnacknowledgedCommit, Vote, VoteReply,
 };
 use crate::{Command, Record};
 
@@ -17,7 +17,7 @@
 
 fn prepares(record: &Record) -> Vec<(Region, Request)> {
     let Some(
-        cross @ CrossRegion {
+        cross @ CrossRegionChange {
             change,
             role: Role::Coordinator { .. },
         },
@@ -40,7 +40,7 @@
 }
 
 fn commits(record: &Record) -> Vec<(Region, Request)> {
-    let Some(Unacknowledged { change, regions }) = record.unacknowledged() else {
+    let Some(UnacknowledgedCommit { change, regions }) = record.unacknowledged() else {
         return Vec::new();
     };
     let commit = || Commit {
@@ -112,21 +112,21 @@
 ///
 /// Only a region that waits for a commit is told of it. One that has acknowledged it holds it in its log, and a middle
 /// that it might be in has begun by a late message.
-pub fn outcome(record: &Record, asked: &OutcomeAsked) -> OutcomeReply {
+pub fn outcome(record: &Record, asked: &OutcomeRequest) -> OutcomeReply {
     OutcomeReply {
         id: asked.id,
         decision: decision(record, asked),
     }
 }
 
-fn decision(record: &Record, asked: &OutcomeAsked) -> Decision {
+fn decision(record: &Record, asked: &OutcomeRequest) -> Decision {
     if record
         .cross_region()
         .is_some_and(|cross| cross.change.id == asked.id)
     {
         return Decision::Open;
     }
-    let waits = |commit: &Unacknowledged| {
+    let waits = |commit: &UnacknowledgedCommit| {
         commit.change.id == asked.id && commit.regions.contains(&asked.region)
     };
     if record.unacknowledged().is_some_and(waits) {
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -1,10 +1,10 @@
 //! A participant of a change of all regions: what it answers, logs and asks, as its record stands.
 
 use super::{
-    ChangeRef, Commit, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare, Regions, Role,
-    Vote, VoteReply,
+    ChangeRef, Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Regions,
+    Role, Vote, VoteReply,
 };
-use crate::{Command, Generation, Outcome, Record, Refused};
+use crate::{Command, Generation, Outcome, Record, Rejection};
 use std::collections::BTreeSet;
 
 /// What to do with a [`Prepare`].
@@ -78,7 +78,7 @@
 pub fn begun(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
     match outcome {
         Outcome::Begun(_) | Outcome::Done => reply(change, Vote::Preparing),
-        Outcome::Refused(Refused::UnderWay(generation)) => refused(
+        Outcome::Refused(Rejection::UnderWay(generation)) => refused(
             change,
             format!("the change to {generation} is under way there"),
         ),
@@ -112,15 +112,15 @@
 
 /// The question for the outcome, to be sent again and again to the coordinator while a change of all regions is under
 /// way here.
-pub fn inquiry(record: &Record, regions: &Regions) -> Option<(super::Region, OutcomeAsked)> {
-    let CrossRegion {
+pub fn inquiry(record: &Record, regions: &Regions) -> Option<(super::Region, OutcomeRequest)> {
+    let CrossRegionChange {
         change,
         role: Role::Participant { .. },
     } = record.cross_region()?
     else {
         return None;
     };
-    let asked = OutcomeAsked {
+    let asked = OutcomeRequest {
         id: change.id,
         region: regions.own().clone(),
     };
@@ -129,7 +129,7 @@
 
 /// What to log when the coordinator has answered. `None`: nothing.
 pub fn on_outcome(record: &Record, reply: &OutcomeReply) -> Option<Command> {
-    let CrossRegion {
+    let CrossRegionChange {
         change,
         role: Role::Participant { voted },
     } = record.cross_region()?
@@ -171,7 +171,7 @@
 fn voted(record: &Record) -> bool {
     matches!(
         record.cross_region(),
-        Some(CrossRegion {
+        Some(CrossRegionChange {
             role: Role::Participant { voted: true },
             ..
         })
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/exhaustive.rs
@@ -8,8 +8,9 @@
 )]
 
 use badgerramp_policy::{
-    Admission, Ask, Begun, Command, CutOff, Ended, Generation, Grant, Holder, HolderTerms,
-    Identity, Judge, LeaseTerms, Leases, Lent, Mode, Outcome, Record,
+    Admission, ChangeStatus, Command, Generation, GrantOutcome, Identity, InvariantChecker,
+    LeaseConfig, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest, Leases, Mode,
+    OnLeaseLoss, Outcome, Record, StartedCall,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -68,7 +69,7 @@
 #[derive(Clone, Debug)]
 struct World {
     /// What each proxy does when cut off.
-    proxies: Vec<CutOff>,
+    proxies: Vec<OnLeaseLoss>,
     lease: u64,
     questions: u64,
     publishes: u8,
@@ -105,13 +106,13 @@
     leases: Leases,
     /// The leader before, which may not know: what it has lent, and the record as it has it.
     deposed: Option<(Leases, Record)>,
-    holders: Vec<Holder>,
+    holders: Vec<LeaseHolder>,
     /// How far each clock has fallen behind, and when it last did.
     behind: Vec<(u64, u64)>,
     asked: Vec<u64>,
-    questions: Vec<(usize, Ask)>,
-    answers: Vec<(usize, Grant)>,
-    judge: Judge,
+    questions: Vec<(usize, LeaseRequest)>,
+    answers: Vec<(usize, LeaseGrant)>,
+    judge: InvariantChecker,
     left: (u8, u8, u8, u8),
     /// For mutants: the record as it was.
     before: Option<Record>,
@@ -126,24 +127,24 @@
 }
 
 impl World {
-    fn holder(&self, place: usize, incarnation: u64) -> Holder {
+    fn holder(&self, place: usize, incarnation: u64) -> LeaseHolder {
         // Texts are no matter here: all of them are there.
         let has = (0..4).map(Generation).collect();
-        let terms = HolderTerms {
+        let terms = LeaseHolderConfig {
             cut_off: self.proxies[place],
             answer_within: ANSWER,
             pause: 1,
         };
-        Holder::new(identity(place, incarnation), terms, has)
+        LeaseHolder::new(identity(place, incarnation), terms, has)
     }
 
-    fn terms(&self) -> LeaseTerms {
+    fn terms(&self) -> LeaseConfig {
         let drift = if self.mutant == Some(Mutant::NoDrift) {
             0
         } else {
             DRIFT
         };
-        LeaseTerms {
+        LeaseConfig {
             lease: self.lease,
             drift,
         }
@@ -159,7 +160,7 @@
             all_regions: None,
         });
         for (place, &cut_off) in self.proxies.iter().enumerate() {
-            if cut_off != CutOff::Refuse {
+            if cut_off != OnLeaseLoss::Refuse {
                 record.apply(&Command::Register {
                     identity: identity(place, 1),
                     cut_off,
@@ -180,7 +181,7 @@
             asked: vec![0; self.proxies.len()],
             questions: Vec::new(),
             answers: Vec::new(),
-            judge: Judge::default(),
+            judge: InvariantChecker::default(),
             left: (self.publishes, self.crashes, self.elections, self.aborts),
             before: None,
             fault: None,
@@ -218,7 +219,7 @@
             return false;
         };
         let forgotten = |b: &badgerramp_policy::Blocker| {
-            self.is(Mutant::KeeperForgotten) && b.why == badgerramp_policy::Why::Keeps
+            self.is(Mutant::KeeperForgotten) && b.why == badgerramp_policy::BlockReason::Keeps
         };
         self.is(Mutant::AdvanceEarly)
             || (state
@@ -229,7 +230,7 @@
                 && state.leases.unread(mode).is_none())
     }
 
-    fn question(&self, state: &mut State, place: usize, ask: &Ask) {
+    fn question(&self, state: &mut State, place: usize, ask: &LeaseRequest) {
         let mut ask = ask.clone();
         if self.is(Mutant::ToldAhead) {
             ask.acting = state.record.revision();
@@ -248,7 +249,7 @@
             .chain([(&mut state.leases, &state.record)]);
         for (leases, record) in leaders {
             let before = leases.clone();
-            let Lent::Grant(grant) = leases.lend(state.now, record, &ask) else {
+            let GrantOutcome::Grant(grant) = leases.lend(state.now, record, &ask) else {
                 continue;
             };
             if self.is(Mutant::NotedLate) && ask.acting != grant.mode.revision {
@@ -264,7 +265,7 @@
             .sort_by_key(|(place, grant)| (*place, grant.number, grant.mode.revision));
     }
 
-    fn answer(&self, state: &mut State, place: usize, mut grant: Grant) {
+    fn answer(&self, state: &mut State, place: usize, mut grant: LeaseGrant) {
         let clock = state.now - state.behind[place].0;
         let holder = &mut state.holders[place];
         if self.is(Mutant::AnyAnswer) {
@@ -293,14 +294,14 @@
             state.asked[place] = ask.number;
             anew.answered(
                 clock,
-                Grant {
+                LeaseGrant {
                     number: ask.number,
                     mode,
                     lease: self.lease,
                 },
             );
         }
-        if self.proxies[place] != CutOff::Refuse {
+        if self.proxies[place] != OnLeaseLoss::Refuse {
             let identity = identity(place, incarnation);
             state.record.apply(&Command::Register {
                 identity,
@@ -369,7 +370,7 @@
         for place in 0..state.holders.len() {
             let clock = state.now - state.behind[place].0;
             if let Admission::Under(mode) = state.holders[place].admission(clock) {
-                let begun = Begun {
+                let begun = StartedCall {
                     identity: identity(place, 0),
                     mode,
                 };
@@ -402,7 +403,9 @@
             for place in 0..self.proxies.len() {
                 let clock = state.now - state.behind[place].0;
                 let ask = state.holders[place].ask(clock);
-                if let Lent::Grant(grant) = state.leases.lend(state.now, &state.record, &ask) {
+                if let GrantOutcome::Grant(grant) =
+                    state.leases.lend(state.now, &state.record, &ask)
+                {
                     state.holders[place].answered(clock, grant);
                 }
             }
@@ -539,7 +542,7 @@
                 s.record
                     .changes()
                     .values()
-                    .filter(|c| c.ended == Ended::InForce)
+                    .filter(|c| c.ended == ChangeStatus::InForce)
                     .count()
                     > 1
             }),
@@ -547,7 +550,7 @@
     }
 }
 
-fn world(proxies: &[CutOff]) -> World {
+fn world(proxies: &[OnLeaseLoss]) -> World {
     World {
         proxies: proxies.to_vec(),
         lease: 2,
@@ -563,7 +566,7 @@
 
 /// The worlds that are gone through, and how deep.
 fn worlds() -> Vec<(&'static str, World, usize)> {
-    use CutOff::{Keep, Refuse};
+    use OnLeaseLoss::{Keep, Refuse};
     let two = world(&[Refuse, Refuse]);
     vec![
         (
@@ -680,7 +683,7 @@
 #[test]
 fn each_wrong_way_is_found() {
     for mutant in ALL {
-        use CutOff::{Keep, Refuse};
+        use OnLeaseLoss::{Keep, Refuse};
         let one = World {
             mutant: Some(mutant),
             ..world(&[Refuse])
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -1,7 +1,9 @@
 //! What the meet admits, both admit: for any two calls that two policies could make of one request, and any answer.
 
 use badgerramp_decisions::{Hedge, Repeat, Resend, Scope, Terms};
-use badgerramp_policy::{meet, meet_answers, Call, Key, Side, Unlike};
+use badgerramp_policy::{
+    intersect, intersect_answers, IdempotencyKey, Mismatch, ResolvedCall, Side,
+};
 use badgerramp_route::{Answers, Proof, StatusSet, Verdict};
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
@@ -23,17 +25,17 @@
 prop_compose! {
     fn call()(
         repeat in repeat(),
-        key in prop_oneof![Just(Key::None), "[ab]".prop_map(Key::Value)],
+        key in prop_oneof![Just(IdempotencyKey::None), "[ab]".prop_map(IdempotencyKey::Value)],
         time in 1..4u64,
         (attempts, attempt_time, backoff) in (1..4u32, 1..4u64, 0..3u64),
         hedge in hedge(),
         any in any::<bool>(),
         (connect, body) in (1..4u64, 0..3usize),
-    ) -> Call {
+    ) -> ResolvedCall {
         let resend = if any { Resend::Any } else { Resend::NeverRan };
-        let once = matches!(repeat, Repeat::Guarded { .. }) && key == Key::None;
+        let once = matches!(repeat, Repeat::Guarded { .. }) && key == IdempotencyKey::None;
         let terms = Terms { attempts, attempt_time, backoff, hedge, resend, once };
-        Call { repeat, key, time, terms, connect, body }
+        ResolvedCall { repeat, key, time, terms, connect, body }
     }
 }
 
@@ -57,7 +59,7 @@
 proptest! {
     #[test]
     fn what_the_meet_allows_both_allow(old in call(), new in call()) {
-        let met = meet(Some(&old), Some(&new)).expect("both take it").expect("both take it");
+        let met = intersect(Some(&old), Some(&new)).expect("both take it").expect("both take it");
         let chosen = if met.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
             let (terms, its) = (&met.terms, &own.terms);
@@ -82,13 +84,13 @@
 
     #[test]
     fn the_meet_of_one_policy_with_itself_is_that_policy(own in call()) {
-        let met = meet(Some(&own), Some(&own)).expect("both take it").expect("both take it");
+        let met = intersect(Some(&own), Some(&own)).expect("both take it").expect("both take it");
         prop_assert_eq!((met.time, met.terms, met.connect, met.body), (own.time, own.terms, own.connect, own.body));
     }
 
     #[test]
     fn an_answer_means_what_it_means_to_both_or_may_have_run(old in answers(), new in answers()) {
-        let met = meet_answers(&old, &new);
+        let met = intersect_answers(&old, &new);
         let marked = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
         for status in [200, 201, 503, 504] {
             let status = StatusCode::from_u16(status).expect("a status");
@@ -124,17 +126,17 @@
 #[test]
 fn what_only_one_takes_is_turned_away_with_the_reason() {
     let terms = Terms::default();
-    let call = Call {
+    let call = ResolvedCall {
         repeat: Repeat::Free,
-        key: Key::None,
+        key: IdempotencyKey::None,
         time: 1,
         terms,
         connect: 1,
         body: 1,
     };
-    assert_eq!(meet(Some(&call), None), Err(Unlike::OnlyOld));
-    assert_eq!(meet(None, Some(&call)), Err(Unlike::OnlyNew));
-    assert_eq!(meet(None, None), Ok(None));
+    assert_eq!(intersect(Some(&call), None), Err(Mismatch::OnlyOld));
+    assert_eq!(intersect(None, Some(&call)), Err(Mismatch::OnlyNew));
+    assert_eq!(intersect(None, None), Ok(None));
 }
 
 #[test]
@@ -144,20 +146,24 @@
         window: 3,
     };
     let terms = Terms::default();
-    let keyed = Call {
+    let keyed = ResolvedCall {
         repeat: guarded,
-        key: Key::Value("k".to_owned()),
+        key: IdempotencyKey::Value("k".to_owned()),
         time: 1,
         terms,
         connect: 1,
         body: 1,
     };
-    let unsafe_ = Call {
+    let unsafe_ = ResolvedCall {
         repeat: Repeat::SingleShot,
-        key: Key::None,
+        key: IdempotencyKey::None,
         ..keyed.clone()
     };
-    let side = |old, new| meet(Some(old), Some(new)).expect("both").map(|m| m.class);
+    let side = |old, new| {
+        intersect(Some(old), Some(new))
+            .expect("both")
+            .map(|m| m.class)
+    };
     assert_eq!(side(&keyed, &unsafe_), Some(Side::New));
     assert_eq!(side(&unsafe_, &keyed), Some(Side::Old));
 }
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -3,21 +3,21 @@
 
 use badgerramp_policy::regions::participant::{self, OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    coordinator, AllRegions, ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply,
+    coordinator, AllRegions, ChangeId, ChangeRef, Commit, Decision, OutcomeReply, OutcomeRequest,
     Prepare, Region, Regions, Request, Role, Scope, Vote, VoteReply,
 };
 use badgerramp_policy::{
-    next_command, Ask, Command, CutOff, Ended, Generation, Identity, LeaseTerms, Leases, Limits,
-    Mode, Outcome, Record, Refused, Unread,
+    next_command, ChangeStatus, ChangeTimeouts, Command, Generation, Identity, LeaseConfig,
+    LeaseRequest, Leases, Mode, OnLeaseLoss, Outcome, Record, RejectedGeneration, Rejection,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-const LIMITS: Limits = Limits {
+const LIMITS: ChangeTimeouts = ChangeTimeouts {
     wait: 1_000,
     regions_wait: 500,
 };
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseConfig = LeaseConfig {
     lease: 100,
     drift: 10,
 };
@@ -170,7 +170,7 @@
     (norte, sur)
 }
 
-fn ended(record: &Record, id: u64) -> Vec<Ended> {
+fn ended(record: &Record, id: u64) -> Vec<ChangeStatus> {
     let of = |change: &&badgerramp_policy::Change| change.id == Some(ChangeId(id));
     record
         .changes()
@@ -193,7 +193,7 @@
     assert_eq!(coordinator::requests(&norte), []);
     assert_eq!(
         (ended(&norte, 1), ended(&sur, 1)),
-        (vec![Ended::InForce], vec![Ended::InForce])
+        (vec![ChangeStatus::InForce], vec![ChangeStatus::InForce])
     );
     assert_eq!(sur.changes()[&Generation(2)].scope(), Scope::All);
     assert_eq!(sur.changes()[&Generation(1)].scope(), Scope::Region);
@@ -225,7 +225,7 @@
     let advance = Command::Advance {
         revision: norte.revision(),
     };
-    let refused = Refused::NotPrepared {
+    let refused = Rejection::NotPrepared {
         regions: BTreeSet::from([sur()]),
     };
     assert_eq!(norte.apply(&advance), Outcome::Refused(refused));
@@ -233,12 +233,12 @@
         revision: norte.revision(),
         region: region("este"),
     };
-    assert_eq!(norte.apply(&stranger), Outcome::Refused(Refused::Moved));
+    assert_eq!(norte.apply(&stranger), Outcome::Refused(Rejection::Moved));
     let stale = Command::Prepared {
         revision: norte.revision() - 1,
         region: sur(),
     };
-    assert_eq!(norte.apply(&stale), Outcome::Refused(Refused::Moved));
+    assert_eq!(norte.apply(&stale), Outcome::Refused(Rejection::Moved));
     assert_eq!(
         norte.apply(&Command::Prepared {
             revision: norte.revision(),
@@ -254,7 +254,7 @@
     let (norte, mut sur) = voted();
     let revision = sur.revision();
     let awaits = || {
-        Outcome::Refused(Refused::AwaitsDecision {
+        Outcome::Refused(Rejection::AwaitsDecision {
             coordinator: self::norte(),
         })
     };
@@ -268,7 +268,7 @@
     assert_eq!(sur.apply(&Command::Advance { revision }), awaits());
     // Neither a time-out nor a proxy that can't read the policy changes that.
     let mut leases = leases();
-    let unread = Unread {
+    let unread = RejectedGeneration {
         generation: Generation(2),
         reason: "odd".to_owned(),
     };
@@ -278,11 +278,11 @@
     for id in [0, 2] {
         assert_eq!(
             sur.apply(&Command::Committed { id: ChangeId(id) }),
-            Outcome::Refused(Refused::Moved)
+            Outcome::Refused(Rejection::Moved)
         );
         assert_eq!(
             sur.apply(&Command::Aborted { id: ChangeId(id) }),
-            Outcome::Refused(Refused::Moved)
+            Outcome::Refused(Rejection::Moved)
         );
     }
     assert_eq!(
@@ -291,8 +291,8 @@
     );
 }
 
-fn ask(unread: Option<Unread>) -> Ask {
-    Ask {
+fn ask(unread: Option<RejectedGeneration>) -> LeaseRequest {
+    LeaseRequest {
         identity: Identity {
             name: "p".to_owned(),
             incarnation: 1,
@@ -301,7 +301,7 @@
         acting: 0,
         has: BTreeSet::new(),
         unread,
-        cut_off: CutOff::Refuse,
+        cut_off: OnLeaseLoss::Refuse,
     }
 }
 
@@ -324,7 +324,7 @@
         sur.apply(&Command::Vote {
             revision: sur.revision() - 1
         }),
-        Outcome::Refused(Refused::Moved)
+        Outcome::Refused(Rejection::Moved)
     );
     assert_eq!(sur.apply(&vote), Outcome::Done);
 }
@@ -335,7 +335,7 @@
     take_prepare(&mut sur, &prepare(&norte));
     assert_eq!(
         sur.apply(&Command::Committed { id: ChangeId(1) }),
-        Outcome::Refused(Refused::Moved)
+        Outcome::Refused(Rejection::Moved)
     );
     let early = OutcomeReply {
         id: ChangeId(1),
@@ -351,7 +351,7 @@
     assert_eq!(reply.vote, Vote::NotInForce);
     assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
     let why = "region sur has given it up".to_owned();
-    assert_eq!(ended(&norte, 1), [Ended::NotInForce { why }]);
+    assert_eq!(ended(&norte, 1), [ChangeStatus::NotInForce { why }]);
 }
 
 #[test]
@@ -363,7 +363,7 @@
     assert_eq!(reply.vote, Vote::Refused { why });
     assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
     let why = "region sur refuses it: the change to generation 2 is under way there".to_owned();
-    assert_eq!(ended(&norte, 1), [Ended::NotInForce { why }]);
+    assert_eq!(ended(&norte, 1), [ChangeStatus::NotInForce { why }]);
 }
 
 #[test]
@@ -392,7 +392,7 @@
     let (mut norte, mut sur) = voted();
     let refused = |waits_for| {
         let waits_for = BTreeSet::from([waits_for]);
-        Outcome::Refused(Refused::AcrossRegions {
+        Outcome::Refused(Rejection::AcrossRegions {
             generation: Generation(2),
             id: ChangeId(1),
             waits_for,
@@ -447,7 +447,7 @@
     assert_eq!(norte.apply(&abort), Outcome::Done);
     assert_eq!(
         norte.apply(&Command::Advance { revision: 2 }),
-        Outcome::Refused(Refused::Moved)
+        Outcome::Refused(Rejection::Moved)
     );
 }
 
@@ -461,9 +461,9 @@
     assert_eq!((norte.cross_region(), norte.unacknowledged()), (None, None));
     assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
     let why = "the coordinating region has given it up".to_owned();
-    assert_eq!(ended(&sur, 1), [Ended::NotInForce { why }]);
+    assert_eq!(ended(&sur, 1), [ChangeStatus::NotInForce { why }]);
     assert_eq!(sur.mode(), Some(Mode::settled(3, Generation(1))));
-    let unknown = OutcomeAsked {
+    let unknown = OutcomeRequest {
         id: ChangeId(77),
         region: self::sur(),
     };
@@ -484,14 +484,14 @@
         id: ChangeId(2),
         region: self::sur(),
     };
-    assert_eq!(norte.apply(&stranger), Outcome::Refused(Refused::Moved));
+    assert_eq!(norte.apply(&stranger), Outcome::Refused(Rejection::Moved));
     let late = VoteReply {
         id: ChangeId(1),
         vote: Vote::Prepared,
     };
     assert_eq!(take_vote(&mut norte, &late), None);
     assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
-    assert_eq!(ended(&sur, 1), [Ended::InForce]);
+    assert_eq!(ended(&sur, 1), [ChangeStatus::InForce]);
     let acknowledged = take_commit(&mut sur, &commit(&norte));
     assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Done));
     assert_eq!(take_vote(&mut norte, &acknowledged), None);
@@ -518,7 +518,7 @@
         text: String::new(),
         floors: sur.floors(),
     };
-    assert_eq!(sur.apply(&forced), Outcome::Refused(Refused::Moved));
+    assert_eq!(sur.apply(&forced), Outcome::Refused(Rejection::Moved));
     assert_eq!(sur, before);
 }
 
@@ -556,7 +556,7 @@
     let (first, second) = (publish(&norte, "a", Some(1)), publish(&norte, "b", Some(2)));
     assert_eq!(norte.apply(&first), Outcome::Begun(Generation(2)));
     let waits_for = BTreeSet::from([sur()]);
-    let refused = Refused::AcrossRegions {
+    let refused = Rejection::AcrossRegions {
         generation: Generation(2),
         id: ChangeId(1),
         waits_for,
@@ -574,7 +574,7 @@
     };
     sur.apply(&Command::Register {
         identity,
-        cut_off: CutOff::Narrow,
+        cut_off: OnLeaseLoss::Narrow,
     });
     let prepare = prepare(&norte);
     let unchecked = Command::Prepare {
@@ -583,7 +583,7 @@
         text: prepare.text.clone(),
         floors: BTreeSet::new(),
     };
-    assert_eq!(sur.apply(&unchecked), Outcome::Refused(Refused::Moved));
+    assert_eq!(sur.apply(&unchecked), Outcome::Refused(Rejection::Moved));
     assert_eq!(take_prepare(&mut sur, &prepare).vote, Vote::Preparing);
     assert!(matches!(
         sur.cross_region().map(|c| &c.role),
@@ -620,7 +620,7 @@
 
 #[test]
 fn a_refusal_says_what_is_waited_for() {
-    let across = |waits_for: &[Region]| Refused::AcrossRegions {
+    let across = |waits_for: &[Region]| Rejection::AcrossRegions {
         generation: Generation(7),
         id: ChangeId(255),
         waits_for: waits_for.iter().cloned().collect(),
@@ -638,7 +638,7 @@
         across(&[]).to_string(),
         format!("{head}it waits for proxies of this region")
     );
-    let awaits = Refused::AwaitsDecision {
+    let awaits = Rejection::AwaitsDecision {
         coordinator: norte(),
     }
     .to_string();
@@ -669,7 +669,7 @@
     }
     assert_eq!(
         (ended(&norte, 1), ended(&sur, 1)),
-        (vec![Ended::InForce], vec![Ended::InForce])
+        (vec![ChangeStatus::InForce], vec![ChangeStatus::InForce])
     );
     assert_eq!(
         (norte.unacknowledged(), norte.middle(), sur.middle()),
@@ -807,9 +807,9 @@
     let all = ended(record, id);
     assert!(all.len() <= 1, "a change begins once: {all:?}");
     match all.first() {
-        Some(Ended::InForce) => Some(true),
-        Some(Ended::NotInForce { .. }) => Some(false),
-        Some(Ended::Open) | None => None,
+        Some(ChangeStatus::InForce) => Some(true),
+        Some(ChangeStatus::NotInForce { .. }) => Some(false),
+        Some(ChangeStatus::Open) | None => None,
     }
 }
 
--- a/crates/policy/tests/regions_model/judge.rs
+++ b/crates/policy/tests/regions_model/judge.rs
@@ -2,11 +2,11 @@
 
 use crate::world::{Site, State};
 use badgerramp_policy::regions::ChangeId;
-use badgerramp_policy::{Admission, Ended, Generation, Mode};
+use badgerramp_policy::{Admission, ChangeStatus, Generation, Mode};
 
 /// A property that broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Fault {
+pub(crate) enum Violation {
     /// A call may begin under the old policy after one has begun under the new one.
     Mixed,
     /// A change is in force in one region, and another one has not voted for it.
@@ -19,7 +19,7 @@
 
 impl Site {
     /// The generations that a change of all regions has had here, and how each ended.
-    fn generations(&self, id: ChangeId) -> impl Iterator<Item = (Generation, &Ended)> {
+    fn generations(&self, id: ChangeId) -> impl Iterator<Item = (Generation, &ChangeStatus)> {
         let of = move |change: &badgerramp_policy::Change| change.id == Some(id);
         self.record
             .changes()
@@ -30,13 +30,13 @@
 
     fn in_force(&self, id: ChangeId) -> usize {
         self.generations(id)
-            .filter(|(_, ended)| **ended == Ended::InForce)
+            .filter(|(_, ended)| **ended == ChangeStatus::InForce)
             .count()
     }
 
     fn not_in_force(&self, id: ChangeId) -> bool {
         self.generations(id)
-            .any(|(_, ended)| matches!(ended, Ended::NotInForce { .. }))
+            .any(|(_, ended)| matches!(ended, ChangeStatus::NotInForce { .. }))
     }
 
     fn is_under_way(&self, id: ChangeId) -> bool {
@@ -76,10 +76,10 @@
         let mixed = state.passed.contains(&id) && sites.iter().any(old);
         let twice = sites.iter().any(|s| s.in_force(id) > 1);
         let found = [
-            (mixed, Fault::Mixed),
-            (unvoted(sites, id), Fault::Unvoted),
-            (ends_unlike(sites, id), Fault::EndsUnlike),
-            (twice, Fault::TwiceInForce),
+            (mixed, Violation::Mixed),
+            (unvoted(sites, id), Violation::Unvoted),
+            (ends_unlike(sites, id), Violation::EndsUnlike),
+            (twice, Violation::TwiceInForce),
         ];
         state.faults.extend(
             found
@@ -93,7 +93,7 @@
 /// Does a call under `mode` go by the new policy of a change, or by one after it?
 fn begins_new(site: &Site, id: ChangeId, mode: Mode) -> bool {
     site.generations(id).any(|(generation, ended)| {
-        mode.old == generation || (mode.old > generation && *ended == Ended::InForce)
+        mode.old == generation || (mode.old > generation && *ended == ChangeStatus::InForce)
     })
 }
 
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -11,7 +11,7 @@
 mod mutant;
 mod world;
 
-use judge::Fault;
+use judge::Violation;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use world::{State, Step, World};
 
@@ -43,13 +43,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(MIXED, |_, s: &State| !s.faults.contains(&Fault::Mixed)),
+            Property::always(MIXED, |_, s: &State| !s.faults.contains(&Violation::Mixed)),
             Property::always(UNLIKE, |_, s: &State| {
-                !s.faults.contains(&Fault::EndsUnlike)
+                !s.faults.contains(&Violation::EndsUnlike)
+            }),
+            Property::always(UNVOTED, |_, s: &State| {
+                !s.faults.contains(&Violation::Unvoted)
             }),
-            Property::always(UNVOTED, |_, s: &State| !s.faults.contains(&Fault::Unvoted)),
             Property::always(TWICE, |_, s: &State| {
-                !s.faults.contains(&Fault::TwiceInForce)
+                !s.faults.contains(&Violation::TwiceInForce)
             }),
             Property::always(STUCK, |w: &World, s: &State| {
                 !s.faults.is_empty() || w.ends(s)
--- a/crates/policy/tests/regions_model/world.rs
+++ b/crates/policy/tests/regions_model/world.rs
@@ -1,16 +1,16 @@
 //! Regions with a leader, a record and a proxy each, and the messages between them.
 
-use crate::judge::{judge, Fault};
+use crate::judge::{judge, Violation};
 use crate::mutant::Mutant;
 use badgerramp_policy::regions::coordinator;
 use badgerramp_policy::regions::participant::{self, OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    AllRegions, ChangeId, ChangeRef, CrossRegion, Decision, OutcomeAsked, OutcomeReply, Prepare,
-    Region, Regions, Request, Role, Vote, VoteReply,
+    AllRegions, ChangeId, ChangeRef, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest,
+    Prepare, Region, Regions, Request, Role, Vote, VoteReply,
 };
 use badgerramp_policy::{
-    next_command, Answered, Command, CutOff, Generation, Grant, Holder, HolderTerms, Identity,
-    LeaseTerms, Leases, Lent, Limits, Outcome, Record,
+    next_command, ChangeTimeouts, Command, Generation, GrantOutcome, GrantResult, Identity,
+    LeaseConfig, LeaseGrant, LeaseHolder, LeaseHolderConfig, Leases, OnLeaseLoss, Outcome, Record,
 };
 use std::collections::BTreeSet;
 
@@ -19,12 +19,12 @@
 /// The place of the coordinator.
 const COORDINATOR: usize = 0;
 const LEASE: u64 = 1;
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseConfig = LeaseConfig {
     lease: LEASE,
     drift: 0,
 };
 /// A change that a leader has seen for one moment is over its time.
-const LIMITS: Limits = Limits {
+const LIMITS: ChangeTimeouts = ChangeTimeouts {
     wait: 0,
     regions_wait: 0,
 };
@@ -118,7 +118,7 @@
 enum Body {
     Request(Request),
     Vote(VoteReply),
-    Asked(OutcomeAsked),
+    Asked(OutcomeRequest),
     Outcome(OutcomeReply),
 }
 
@@ -138,9 +138,9 @@
     /// What survives.
     pub record: Record,
     /// Its proxy.
-    pub holder: Holder,
+    pub holder: LeaseHolder,
     leases: Leases,
-    late: Option<Grant>,
+    late: Option<LeaseGrant>,
     /// Commands that were decided on and are not in the log yet.
     slow: BTreeSet<Command>,
     left: Left,
@@ -162,7 +162,7 @@
     /// Changes under whose new policy a call has begun.
     pub passed: BTreeSet<ChangeId>,
     /// What broke.
-    pub faults: BTreeSet<Fault>,
+    pub faults: BTreeSet<Violation>,
     messages: BTreeSet<Message>,
 }
 
@@ -191,10 +191,10 @@
     fn talk(&mut self, now: u64) {
         loop {
             let ask = self.holder.ask(now);
-            let Lent::Grant(grant) = self.leases.lend(now, &self.record, &ask) else {
+            let GrantOutcome::Grant(grant) = self.leases.lend(now, &self.record, &ask) else {
                 return;
             };
-            if self.holder.answered(now, grant) != (Answered::Taken { again: true }) {
+            if self.holder.answered(now, grant) != (GrantResult::Taken { again: true }) {
                 return;
             }
         }
@@ -202,7 +202,7 @@
 
     fn ask(&mut self, now: u64) {
         let ask = self.holder.ask(now);
-        if let Lent::Grant(grant) = self.leases.lend(now, &self.record, &ask) {
+        if let GrantOutcome::Grant(grant) = self.leases.lend(now, &self.record, &ask) {
             self.late = Some(grant);
         }
     }
@@ -211,7 +211,7 @@
     pub(crate) fn has_voted(&self) -> bool {
         matches!(
             self.record.cross_region(),
-            Some(CrossRegion {
+            Some(CrossRegionChange {
                 role: Role::Participant { voted: true },
                 ..
             })
@@ -221,7 +221,7 @@
     fn is_unvoted(&self) -> bool {
         matches!(
             self.record.cross_region(),
-            Some(CrossRegion {
+            Some(CrossRegionChange {
                 role: Role::Participant { voted: false },
                 ..
             })
@@ -268,14 +268,14 @@
             name: format!("p{number}"),
             incarnation: 1,
         };
-        let terms = HolderTerms {
-            cut_off: CutOff::Refuse,
+        let terms = LeaseHolderConfig {
+            cut_off: OnLeaseLoss::Refuse,
             answer_within: 1,
             pause: 1,
         };
         let mut site = Site {
             record,
-            holder: Holder::new(identity, terms, has),
+            holder: LeaseHolder::new(identity, terms, has),
             leases: Leases::elected(TERMS, 0),
             late: None,
             slow: BTreeSet::new(),
@@ -625,7 +625,7 @@
         reply
     }
 
-    fn outcome(&self, site: &Site, asked: &OutcomeAsked) -> OutcomeReply {
+    fn outcome(&self, site: &Site, asked: &OutcomeRequest) -> OutcomeReply {
         let record = site.deposed.as_ref().unwrap_or(&site.record);
         let mut reply = coordinator::outcome(record, asked);
         if self.is(Mutant::PresumedCommit) && reply.decision == Decision::NotInForce {
@@ -635,7 +635,7 @@
             reply.decision = Decision::NotInForce;
         }
         let in_force = |change: &badgerramp_policy::Change| {
-            change.id == Some(asked.id) && change.ended == badgerramp_policy::Ended::InForce
+            change.id == Some(asked.id) && change.ended == badgerramp_policy::ChangeStatus::InForce
         };
         if self.is(Mutant::LatePrepareBeginsAgain) && record.changes().values().any(in_force) {
             reply.decision = Decision::InForce;
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/steps.rs
@@ -1,16 +1,16 @@
 //! The next step of a change of one region, as its leader sees it.
 
 use badgerramp_policy::{
-    next_command, Ask, Command, CutOff, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
-    Record, Unread,
+    next_command, ChangeTimeouts, Command, Generation, GrantOutcome, Identity, LeaseConfig,
+    LeaseRequest, Leases, OnLeaseLoss, Record, RejectedGeneration,
 };
 use std::collections::BTreeSet;
 
-const LIMITS: Limits = Limits {
+const LIMITS: ChangeTimeouts = ChangeTimeouts {
     wait: 1_000,
     regions_wait: 10,
 };
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseConfig = LeaseConfig {
     lease: 100,
     drift: 10,
 };
@@ -34,8 +34,8 @@
     }
 }
 
-fn ask(name: &str, number: u64, acting: u64, cut_off: CutOff) -> Ask {
-    Ask {
+fn ask(name: &str, number: u64, acting: u64, cut_off: OnLeaseLoss) -> LeaseRequest {
+    LeaseRequest {
         identity: identity(name),
         number,
         acting,
@@ -45,15 +45,18 @@
     }
 }
 
-fn lend(leases: &mut Leases, record: &Record, ask: &Ask) {
-    assert!(matches!(leases.lend(NOW, record, ask), Lent::Grant(_)));
+fn lend(leases: &mut Leases, record: &Record, ask: &LeaseRequest) {
+    assert!(matches!(
+        leases.lend(NOW, record, ask),
+        GrantOutcome::Grant(_)
+    ));
 }
 
 /// In a middle, with a proxy that was lent the mode before it.
 fn middle() -> (Record, Leases) {
     let (mut record, mut leases) = (Record::default(), Leases::elected(TERMS, 0));
     publish(&mut record);
-    lend(&mut leases, &record, &ask("p", 1, 0, CutOff::Refuse));
+    lend(&mut leases, &record, &ask("p", 1, 0, OnLeaseLoss::Refuse));
     publish(&mut record);
     (record, leases)
 }
@@ -72,7 +75,7 @@
         next_command(&record, &leases, lease_over, NOW, LIMITS),
         advance
     );
-    lend(&mut leases, &record, &ask("p", 2, 2, CutOff::Refuse));
+    lend(&mut leases, &record, &ask("p", 2, 2, OnLeaseLoss::Refuse));
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), advance);
 }
 
@@ -95,16 +98,16 @@
 #[test]
 fn a_change_that_a_proxy_cannot_read_is_given_up_at_once() {
     let (record, mut leases) = middle();
-    let unread = Some(Unread {
+    let unread = Some(RejectedGeneration {
         generation: Generation(2),
         reason: "odd".to_owned(),
     });
     lend(
         &mut leases,
         &record,
-        &Ask {
+        &LeaseRequest {
             unread,
-            ..ask("p", 2, 1, CutOff::Refuse)
+            ..ask("p", 2, 1, OnLeaseLoss::Refuse)
         },
     );
     let why = "p (0000000000000001) can't read it: odd".to_owned();
@@ -118,11 +121,11 @@
     publish(&mut record);
     record.apply(&Command::Register {
         identity: identity("k"),
-        cut_off: CutOff::Keep,
+        cut_off: OnLeaseLoss::Keep,
     });
     publish(&mut record);
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
-    lend(&mut leases, &record, &ask("k", 1, 2, CutOff::Keep));
+    lend(&mut leases, &record, &ask("k", 1, 2, OnLeaseLoss::Keep));
     let acting = Command::Acting {
         revision: 2,
         proxies: BTreeSet::from([identity("k")]),
@@ -140,7 +143,7 @@
     record.apply(&advance);
     // Without a change it is logged when most of them have moved.
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
-    lend(&mut leases, &record, &ask("k", 2, 3, CutOff::Keep));
+    lend(&mut leases, &record, &ask("k", 2, 3, OnLeaseLoss::Keep));
     let acting = Command::Acting {
         revision: 3,
         proxies: BTreeSet::from([identity("k")]),
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -1,7 +1,9 @@
 //! What replicas write down can be read again, also as versions without regions wrote it. The fixtures are what the last
 //! such version wrote.
 
-use badgerramp_policy::{Command, CutOff, Ended, Generation, Identity, Mode, Outcome, Record};
+use badgerramp_policy::{
+    ChangeStatus, Command, Generation, Identity, Mode, OnLeaseLoss, Outcome, Record,
+};
 use std::collections::BTreeSet;
 
 /// The commands of a log, in order, and what became of each.
@@ -77,7 +79,7 @@
     );
     assert_eq!(
         record.changes()[&Generation(2)].ended,
-        Ended::NotInForce {
+        ChangeStatus::NotInForce {
             why: "unread".to_owned()
         }
     );
@@ -114,7 +116,7 @@
         };
         record.apply(&Command::Register {
             identity,
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         });
     }
     assert_eq!(record.standing().len(), 4);
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -2,7 +2,7 @@
 //! version wrote the next one reads, and writes the same again.
 
 use badgerramp_policy::regions::{AllRegions, ChangeId, ChangeRef, Region};
-use badgerramp_policy::{Command, CutOff, Generation, Identity, Outcome, Record, Refused};
+use badgerramp_policy::{Command, Generation, Identity, OnLeaseLoss, Outcome, Record, Rejection};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -86,15 +86,15 @@
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: CutOff::Refuse,
+            cut_off: OnLeaseLoss::Refuse,
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: CutOff::Narrow,
+            cut_off: OnLeaseLoss::Narrow,
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: CutOff::Keep,
+            cut_off: OnLeaseLoss::Keep,
         },
         Command::Acting {
             revision: 5,
@@ -117,20 +117,20 @@
 #[test]
 fn outcomes_keep_their_json() {
     let refused = [
-        Refused::UnderWay(Generation(2)),
-        Refused::AcrossRegions {
+        Rejection::UnderWay(Generation(2)),
+        Rejection::AcrossRegions {
             generation: Generation(2),
             id: ChangeId(77),
             waits_for: BTreeSet::from([region("sur")]),
         },
-        Refused::NotPrepared {
+        Rejection::NotPrepared {
             regions: BTreeSet::from([region("sur")]),
         },
-        Refused::AwaitsDecision {
+        Rejection::AwaitsDecision {
             coordinator: region("norte"),
         },
-        Refused::Moved,
-        Refused::Evicted,
+        Rejection::Moved,
+        Rejection::Evicted,
     ];
     let outcomes = [Outcome::Begun(Generation(3)), Outcome::Done];
     let outcomes: Vec<_> = outcomes
@@ -154,9 +154,9 @@
     };
     publish(&mut record, "one", None);
     for (name, cut_off) in [
-        ("caja", CutOff::Narrow),
-        ("a#b", CutOff::Keep),
-        ("gone", CutOff::Keep),
+        ("caja", OnLeaseLoss::Narrow),
+        ("a#b", OnLeaseLoss::Keep),
+        ("gone", OnLeaseLoss::Keep),
     ] {
         record.apply(&Command::Register {
             identity: identity(name),
--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -3,7 +3,7 @@
 
 use super::rules::Rules;
 use badgerramp_control_protocol::clock;
-use badgerramp_policy::{Admission, Closed, Generation, Holder, Mode};
+use badgerramp_policy::{Admission, Generation, LeaseHolder, Mode, NotAdmitted};
 use hyper::header::HeaderMap;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,13 +32,13 @@
 
 /// Admits requests under the lease that the proxy holds.
 pub struct AdmissionGate {
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     installed: RefCell<InstalledRules>,
 }
 
 impl AdmissionGate {
     /// The gate of a proxy that has just started.
-    pub fn new(holder: Holder) -> Rc<Self> {
+    pub fn new(holder: LeaseHolder) -> Rc<Self> {
         Rc::new(AdmissionGate {
             holder: RefCell::new(holder),
             installed: RefCell::default(),
@@ -46,7 +46,7 @@
     }
 
     /// The holder of the lease. It must not stay borrowed over an await.
-    pub fn holder(&self) -> &RefCell<Holder> {
+    pub fn holder(&self) -> &RefCell<LeaseHolder> {
         &self.holder
     }
 
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// If no call may start.
-    pub fn admit(&self) -> Result<(Rc<Rules>, Ticket), Closed> {
+    pub fn admit(&self) -> Result<(Rc<Rules>, Ticket), NotAdmitted> {
         let admission = self.holder.borrow().admission(clock::now());
         let installed = self.installed.borrow();
         let rules = match admission {
@@ -75,7 +75,7 @@
                 .map(|(_, r)| r),
             Admission::Floor(generation) => installed.fallbacks.get(&generation),
         };
-        let rules = rules.ok_or(Closed::NoLease)?;
+        let rules = rules.ok_or(NotAdmitted::NoLease)?;
         Ok((
             Rc::clone(rules),
             Ticket {
@@ -114,9 +114,9 @@
             Admission::Floor(generation) => {
                 Ok(format!("cut off from control, the floor of {generation}"))
             }
-            Admission::Closed(Closed::NoLease) => Err("no policy from control yet".to_owned()),
-            Admission::Closed(Closed::RunOut) => Err("cut off from control".to_owned()),
-            Admission::Closed(Closed::Evicted) => {
+            Admission::Closed(NotAdmitted::NoLease) => Err("no policy from control yet".to_owned()),
+            Admission::Closed(NotAdmitted::RunOut) => Err("cut off from control".to_owned()),
+            Admission::Closed(NotAdmitted::Evicted) => {
                 Err("evicted by control: start it anew".to_owned())
             }
         }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -5,7 +5,7 @@
 use crate::net::exchange::Manner;
 use badgerramp_config::{Config, ANSWER_ROOM};
 use badgerramp_decisions::{ClassId, Repeat};
-use badgerramp_policy::{Call, Key};
+use badgerramp_policy::{IdempotencyKey, ResolvedCall};
 use badgerramp_route::Route;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -149,7 +149,7 @@
         Ok(Evaluation {
             admitted,
             repeat: class.repeat,
-            key: key.map_or(Key::None, Key::Value),
+            key: key.map_or(IdempotencyKey::None, IdempotencyKey::Value),
         })
     }
 
@@ -177,12 +177,12 @@
 pub(super) struct Evaluation {
     pub(super) admitted: Admitted,
     repeat: Repeat,
-    key: Key,
+    key: IdempotencyKey,
 }
 
 impl Evaluation {
-    pub(super) fn call(&self) -> Call {
-        Call {
+    pub(super) fn call(&self) -> ResolvedCall {
+        ResolvedCall {
             repeat: self.repeat,
             key: self.key.clone(),
             time: self.admitted.time,
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -5,7 +5,7 @@
 use super::{reject_for_now, Admitted, Rejection, Rules};
 use crate::net::exchange::Manner;
 use badgerramp_decisions::ClassId;
-use badgerramp_policy::{meet, meet_answers, Side};
+use badgerramp_policy::{intersect, intersect_answers, Side};
 use badgerramp_route::Answers;
 use hyper::http::request::Parts;
 use std::cell::RefCell;
@@ -43,7 +43,7 @@
             by_old.as_ref().ok().map(Evaluation::call),
             by_new.as_ref().ok().map(Evaluation::call),
         );
-        let met = meet(calls.0.as_ref(), calls.1.as_ref());
+        let met = intersect(calls.0.as_ref(), calls.1.as_ref());
         let met = met.map_err(|unlike| {
             reject_for_now(format!("a change of policy is under way: {unlike}"))
         })?;
@@ -83,7 +83,7 @@
         let mut known = self.answers.borrow_mut();
         let met = known
             .entry(addresses)
-            .or_insert_with(|| Arc::new(meet_answers(&old.answers, &new.answers)));
+            .or_insert_with(|| Arc::new(intersect_answers(&old.answers, &new.answers)));
         Arc::clone(met)
     }
 }
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -1,5 +1,5 @@
 //! `[policy]`: the way to the fleet's control. Questions, answers and the rules that come of them; what may begin is
-//! decided by [`badgerramp_policy::Holder`].
+//! decided by [`badgerramp_policy::LeaseHolder`].
 
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
@@ -12,7 +12,9 @@
 use badgerramp_control_protocol::wire::{self, refusal, reply, request};
 use badgerramp_control_protocol::{clock, digest, Client, Fault, Secret};
 use badgerramp_decisions::ClassId;
-use badgerramp_policy::{Answered, CutOff, Generation, Holder, HolderTerms, Identity, Mode};
+use badgerramp_policy::{
+    Generation, GrantResult, Identity, LeaseHolder, LeaseHolderConfig, Mode, OnLeaseLoss,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -86,13 +88,13 @@
             Some(Err(fault)) => warn!("the policy on disk is not used: {fault}"),
             Some(Ok(None)) | None => {}
         }
-        let holder = HolderTerms {
+        let holder = LeaseHolderConfig {
             cut_off: terms.cut_off,
             answer_within: micros(ANSWER),
             pause: micros(PAUSE),
         };
         let has = read.keys().copied().collect();
-        let gate = AdmissionGate::new(Holder::new(identity.clone(), holder, has));
+        let gate = AdmissionGate::new(LeaseHolder::new(identity.clone(), holder, has));
         info!("policy from control, as {identity}");
         Ok(Rc::new(PolicyClient {
             gate,
@@ -238,13 +240,13 @@
         let answered = holder.answered(clock::now(), grant);
         drop(holder);
         match answered {
-            Answered::Taken { .. } => {
+            GrantResult::Taken { .. } => {
                 if fresh || self.set.get() != Some(grant.mode) {
                     self.set(grant.mode, driver, front);
                     info!("policy: {}", grant.mode);
                 }
             }
-            Answered::Wants | Answered::Late => {}
+            GrantResult::Wants | GrantResult::Late => {}
         }
         Ok(())
     }
@@ -383,7 +385,7 @@
     let narrow = local
         .policy
         .as_ref()
-        .is_some_and(|p| p.cut_off == CutOff::Narrow);
+        .is_some_and(|p| p.cut_off == OnLeaseLoss::Narrow);
     if narrow && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
         return Err(
             "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
