--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -107,19 +107,19 @@
         incarnation: 1,
     };
     let terms = LeaseHolderConfig {
-        cut_off: OnLeaseLoss::Refuse,
-        answer_within: 1,
-        pause: 1,
+        on_lease_loss: OnLeaseLoss::Reject,
+        request_timeout: 1,
+        retry_delay: 1,
     };
     let mut holder = LeaseHolder::new(identity, terms, [Generation(1)].into());
-    let mode = Mode::settled(1, Generation(1));
-    let asked = holder.ask(clock::now());
-    holder.answered(
+    let mode = Mode::stable(1, Generation(1));
+    let asked = holder.request(clock::now());
+    holder.on_grant(
         clock::now(),
         LeaseGrant {
-            number: asked.number,
+            sequence: asked.sequence,
             mode,
-            lease: 3_600_000_000,
+            duration: 3_600_000_000,
         },
     );
     let gate = AdmissionGate::new(holder);
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -67,8 +67,8 @@
     let name = section.text(notes, "name").map(|n| n.value);
     let region = region(notes, &section);
     let words = [
-        ("refuse", OnLeaseLoss::Refuse),
-        ("narrow", OnLeaseLoss::Narrow),
+        ("refuse", OnLeaseLoss::Reject),
+        ("narrow", OnLeaseLoss::Fallback),
         ("keep", OnLeaseLoss::Keep),
     ];
     let cut_off = section.word(notes, "cut_off", &words);
@@ -93,7 +93,7 @@
     }
     if let Some(narrow) = cut_off
         .as_ref()
-        .filter(|c| c.value == OnLeaseLoss::Narrow && floor.is_empty())
+        .filter(|c| c.value == OnLeaseLoss::Fallback && floor.is_empty())
     {
         let reason = "cut off, this proxy would begin nothing at all";
         let allowed = "classes in policy.floor, or \"refuse\"";
@@ -110,7 +110,7 @@
         application: application?.value,
         name,
         region,
-        cut_off: cut_off.map_or(OnLeaseLoss::Refuse, |c| c.value),
+        cut_off: cut_off.map_or(OnLeaseLoss::Reject, |c| c.value),
         floor,
         state,
     })
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -84,8 +84,8 @@
     pub(crate) fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
         let terms = LeaseConfig {
-            lease: micros(settings.lease),
-            drift: micros(settings.drift),
+            duration: micros(settings.lease),
+            max_clock_drift: micros(settings.drift),
         };
         let others = settings
             .regions
@@ -97,8 +97,8 @@
             .as_ref()
             .map_or(settings.wait, |regions| regions.wait);
         let limits = ChangeTimeouts {
-            wait: micros(settings.wait),
-            regions_wait: micros(regions_wait),
+            proxies: micros(settings.wait),
+            regions: micros(regions_wait),
         };
         let leader = Leader {
             raft,
@@ -131,7 +131,7 @@
                 info!("replica leads in term {term}");
                 *held = Some(Held {
                     term,
-                    leases: Leases::elected(self.terms, clock::now()),
+                    leases: Leases::after_election(self.terms, clock::now()),
                     since: None,
                 });
             }
@@ -218,7 +218,7 @@
                 });
             }
             let now = clock::now();
-            let lent = |h: &mut Held| self.store.with(|record| h.leases.lend(now, record, &ask));
+            let lent = |h: &mut Held| self.store.with(|record| h.leases.grant(now, record, &ask));
             Ok(held.as_mut().map_or(GrantOutcome::RegisterFirst, lent))
         };
         let lent = lend()?;
@@ -227,13 +227,13 @@
         }
         let LeaseRequest {
             ref identity,
-            cut_off,
+            on_lease_loss: cut_off,
             ..
         } = ask;
         info!("{identity} may act without a lease: it is written down");
         self.agree(Command::Register {
             identity: identity.clone(),
-            cut_off,
+            on_lease_loss: cut_off,
         })
         .await?;
         lend()
@@ -244,15 +244,15 @@
         self.confirmed().await?;
         if self
             .store
-            .with(|record| record.standing().contains_key(&identity))
+            .with(|record| record.leaseless_proxies().contains_key(&identity))
         {
-            self.agree(Command::Retire {
+            self.agree(Command::Unregister {
                 identity: identity.clone(),
             })
             .await?;
         }
         if let Some(held) = self.held().as_mut() {
-            held.leases.leaves(&identity);
+            held.leases.unregister(&identity);
         }
         self.stir.notify_one();
         Ok(())
@@ -265,7 +265,7 @@
         let Some(held) = held.as_ref() else {
             return Default::default();
         };
-        let blockers = |record: &Record| match record.middle() {
+        let blockers = |record: &Record| match record.transition() {
             Some(_) => held.leases.blockers(clock::now(), record),
             None => Vec::new(),
         };
@@ -285,7 +285,7 @@
         }
         let held = held.as_mut()?;
         let now = clock::now();
-        held.leases.sweep(now);
+        held.leases.expire(now);
         let record = self.store.record();
         let revision = record.revision();
         let begun = match held.since {
@@ -325,7 +325,7 @@
         self.confirmed().await?;
         let middle = self
             .store
-            .with(Record::middle)
+            .with(Record::transition)
             .filter(|middle| middle.new == generation);
         let Some(Mode { revision, .. }) = middle else {
             return Ok(None);
@@ -336,6 +336,11 @@
         {
             return self.agree(command).await.map(Some);
         }
-        self.agree(Command::Abort { revision, why }).await.map(Some)
+        self.agree(Command::Abort {
+            revision,
+            reason: why,
+        })
+        .await
+        .map(Some)
     }
 }
--- a/crates/control-plane/src/network/tests.rs
+++ b/crates/control-plane/src/network/tests.rs
@@ -50,7 +50,7 @@
         EntryPayload::Blank,
         EntryPayload::Normal(Command::Register {
             identity,
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         }),
         EntryPayload::Membership(membership()),
     ];
--- a/crates/control-plane/src/progress.rs
+++ b/crates/control-plane/src/progress.rs
@@ -14,7 +14,7 @@
     /// That of this record.
     pub(crate) fn of(record: &Record) -> Self {
         Before {
-            middle: record.middle(),
+            middle: record.transition(),
             cross_region: record.cross_region().cloned(),
         }
     }
@@ -28,8 +28,8 @@
     after: &Record,
 ) -> Option<String> {
     match (command, outcome) {
-        (_, Outcome::Refused(_)) => None,
-        (_, Outcome::Begun(generation)) => Some(begun(*generation, after)),
+        (_, Outcome::Rejected(_)) => None,
+        (_, Outcome::Started(generation)) => Some(begun(*generation, after)),
         (Command::Vote { .. }, _) => {
             let cross = before.cross_region.as_ref()?;
             let coordinator = &cross.change.coordinator;
@@ -48,7 +48,7 @@
         (Command::Advance { .. } | Command::Committed { .. }, _) => {
             Some(ended(before, format!("{} is in force", before.middle?.new)))
         }
-        (Command::Abort { why, .. }, _) => Some(match &before.cross_region {
+        (Command::Abort { reason: why, .. }, _) => Some(match &before.cross_region {
             None => format!("the change comes to nothing: {why}"),
             Some(cross) => of_all(
                 cross,
--- a/crates/control-plane/src/refusals.rs
+++ b/crates/control-plane/src/refusals.rs
@@ -40,11 +40,11 @@
 /// What is told of a command that had no effect.
 pub(crate) fn not_logged(refused: &Rejection) -> reply::What {
     let code = match refused {
-        Rejection::UnderWay(_)
-        | Rejection::AcrossRegions { .. }
+        Rejection::ChangePending(_)
+        | Rejection::CrossRegionPending { .. }
         | Rejection::AwaitsDecision { .. } => refusal::Code::UnderWay,
         Rejection::Evicted => refusal::Code::Evicted,
-        Rejection::NotPrepared { .. } | Rejection::Moved => refusal::Code::Moved,
+        Rejection::NotPrepared { .. } | Rejection::Conflict => refusal::Code::Moved,
     };
     refuse(code, refused.to_string())
 }
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -109,7 +109,7 @@
             if let Some((_, request)) = requests.into_iter().find(|(to, _)| to == region) {
                 return Some(to_participant(region, request));
             }
-            let (to, asked) = participant::inquiry(record, &self.settings.regions)?;
+            let (to, asked) = participant::outcome_request(record, &self.settings.regions)?;
             (to == *region).then(|| to_coordinator(region, asked))
         })
     }
@@ -209,12 +209,15 @@
         let record = self.store.record();
         match participant::on_prepare(&record, &self.regions, &prepare) {
             OnPrepare::Reply(reply) => Ok(reply),
-            OnPrepare::Begin { floors, command } => {
+            OnPrepare::Start {
+                fallback_generations: floors,
+                command,
+            } => {
                 if let Err(why) = check::of_other_region(&record, &floors, &prepare.text) {
-                    return Ok(participant::refused(&prepare.change, why));
+                    return Ok(participant::rejected(&prepare.change, why));
                 }
                 let outcome = self.leader.agree(command).await?;
-                Ok(participant::begun(&prepare.change, &outcome))
+                Ok(participant::prepare_reply(&prepare.change, &outcome))
             }
         }
     }
@@ -229,7 +232,7 @@
                 self.leader.agree(command).await?;
                 Ok(self
                     .store
-                    .with(|record| participant::standing(record, &commit.change)))
+                    .with(|record| participant::current_status(record, &commit.change)))
             }
         }
     }
--- a/crates/control-plane/src/removed.rs
+++ b/crates/control-plane/src/removed.rs
@@ -7,7 +7,7 @@
 
 /// Stands for the acknowledgement that a removed region can't give. `others` are the other regions that there are.
 pub(crate) fn acknowledgement(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
-    let commit = record.unacknowledged()?;
+    let commit = record.unacknowledged_commit()?;
     let removed = commit.regions.difference(others).next()?;
     Some(Command::Acknowledged {
         id: commit.change.id,
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -115,17 +115,17 @@
         if let Some(refused) = self.of_other_region(&asked.region) {
             return Ok(refused);
         }
-        let has = ask.has.clone();
+        let has = ask.loaded_generations.clone();
         Ok(match self.leader.lend(ask).await? {
-            GrantOutcome::Grant(grant) => self.grant(grant, &has, &asked.application),
+            GrantOutcome::Granted(grant) => self.grant(grant, &has, &asked.application),
             GrantOutcome::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
-            GrantOutcome::Stale(LeaseDenial::Older) => {
+            GrantOutcome::Denied(LeaseDenial::OutOfOrder) => {
                 refuse(refusal::Code::Stale, "a later question has been answered")
             }
-            GrantOutcome::Stale(LeaseDenial::NoPolicy) => {
+            GrantOutcome::Denied(LeaseDenial::NoPolicy) => {
                 refuse(refusal::Code::NoPolicy, "there is no policy yet")
             }
-            GrantOutcome::Stale(LeaseDenial::Evicted) => refuse(
+            GrantOutcome::Denied(LeaseDenial::Evicted) => refuse(
                 refusal::Code::Evicted,
                 "this start of the proxy was evicted: start it anew",
             ),
@@ -159,9 +159,9 @@
             }
         }
         reply::What::Grant(wire::Grant {
-            number: grant.number,
+            number: grant.sequence,
             mode: Some(grant.mode.into()),
-            lease: grant.lease,
+            lease: grant.duration,
             texts,
             digests,
         })
@@ -200,7 +200,7 @@
             let text = "something has changed since this was looked at: look again";
             return Ok(refuse(refusal::Code::Moved, text));
         }
-        let floors = record.floors();
+        let floors = record.fallback_generations();
         let good =
             check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
         let text = match good {
@@ -210,15 +210,15 @@
         let command = Command::Publish {
             revision: policy.revision,
             text,
-            floors,
+            fallback_generations: floors,
             all_regions,
         };
         Ok(match self.leader.agree(command).await? {
-            Outcome::Begun(generation) => reply::What::Begun(wire::Begun {
+            Outcome::Started(generation) => reply::What::Begun(wire::Begun {
                 generation: generation.0,
             }),
-            Outcome::Refused(refused) => not_logged(&refused),
-            Outcome::Done => refuse(
+            Outcome::Rejected(refused) => not_logged(&refused),
+            Outcome::Applied => refuse(
                 refusal::Code::Moved,
                 "something else came in between: look again",
             ),
@@ -228,8 +228,8 @@
     async fn abort(&self, abort: wire::Abort) -> Result<reply::What, NotLeader> {
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.why).await? {
-            Some(Outcome::Done) => reply::What::Done(wire::Done {}),
-            Some(Outcome::Refused(refused @ Rejection::AwaitsDecision { .. })) => {
+            Some(Outcome::Applied) => reply::What::Done(wire::Done {}),
+            Some(Outcome::Rejected(refused @ Rejection::AwaitsDecision { .. })) => {
                 not_logged(&refused)
             }
             _ => refuse(
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -58,7 +58,7 @@
 }
 
 fn proxy_blocker(blocker: Blocker, now: Micros) -> wire::Blocker {
-    let (why, left) = match blocker.why {
+    let (why, left) = match blocker.reason {
         BlockReason::Lease(until) if blocker.identity.is_none() => (
             "a leader before this one may have lent to any proxy".to_owned(),
             until.saturating_sub(now),
@@ -67,11 +67,11 @@
             "it has not told that it acts under it, and its lease runs".to_owned(),
             until.saturating_sub(now),
         ),
-        BlockReason::Keeps => (
+        BlockReason::ServesWithoutLease => (
             "it goes on without a lease, and has not told that it acts under it".to_owned(),
             0,
         ),
-        BlockReason::Unread(reason) => (format!("it can't read it: {reason}"), 0),
+        BlockReason::GenerationRejected(reason) => (format!("it can't read it: {reason}"), 0),
     };
     let region = String::new();
     wire::Blocker {
@@ -96,14 +96,14 @@
         why: why.to_owned(),
         ..Default::default()
     };
-    cross.waits_for().into_iter().map(held).collect()
+    cross.awaited_regions().into_iter().map(held).collect()
 }
 
 fn change(generation: Generation, change: &Change) -> wire::Change {
-    let (ended, why) = match &change.ended {
-        ChangeStatus::Open => (change::Ended::Open, String::new()),
-        ChangeStatus::InForce => (change::Ended::InForce, String::new()),
-        ChangeStatus::NotInForce { why } => (change::Ended::NotInForce, why.clone()),
+    let (ended, why) = match &change.status {
+        ChangeStatus::Pending => (change::Ended::Open, String::new()),
+        ChangeStatus::Committed => (change::Ended::InForce, String::new()),
+        ChangeStatus::Aborted { reason: why } => (change::Ended::NotInForce, why.clone()),
     };
     wire::Change {
         generation: generation.0,
@@ -116,14 +116,14 @@
 
 fn proxies(record: &Record, sessions: BTreeMap<Identity, u64>) -> Vec<wire::Proxy> {
     let standing = record
-        .standing()
+        .leaseless_proxies()
         .iter()
-        .map(|(i, s)| (i.clone(), (s.cut_off, s.revision)));
+        .map(|(i, s)| (i.clone(), (s.on_lease_loss, s.revision)));
     let mut proxies: BTreeMap<Identity, (OnLeaseLoss, u64)> = standing.collect();
     for (identity, acting) in sessions {
         let known = proxies
             .entry(identity)
-            .or_insert((OnLeaseLoss::Refuse, acting));
+            .or_insert((OnLeaseLoss::Reject, acting));
         known.1 = known.1.max(acting);
     }
     let told = proxies
@@ -164,7 +164,7 @@
     };
     Some(wire::CrossRegion {
         id: change.id.0,
-        generation: record.middle().map_or(0, |middle| middle.new.0),
+        generation: record.transition().map_or(0, |middle| middle.new.0),
         coordinator: change.coordinator.to_string(),
         voted,
         participants,
@@ -173,7 +173,7 @@
 
 /// The change of all regions that is in force here, and that not all regions have acknowledged.
 fn unacknowledged(record: &Record, settings: &RegionSettings) -> Option<wire::CrossRegion> {
-    let commit = record.unacknowledged()?;
+    let commit = record.unacknowledged_commit()?;
     let all: BTreeSet<Region> = settings
         .regions
         .others()
@@ -183,7 +183,7 @@
     let acknowledged = all.difference(&commit.regions).cloned().collect();
     Some(wire::CrossRegion {
         id: commit.change.id.0,
-        generation: commit.change.number.0,
+        generation: commit.change.generation.0,
         coordinator: commit.change.coordinator.to_string(),
         voted: false,
         participants: all
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -501,11 +501,11 @@
         for entry in entries {
             machine.applied = Some(entry.log_id);
             outcomes.push(match entry.payload {
-                EntryPayload::Blank => Outcome::Done,
+                EntryPayload::Blank => Outcome::Applied,
                 EntryPayload::Normal(command) => machine.record.apply(&command),
                 EntryPayload::Membership(membership) => {
                     machine.membership = StoredMembership::new(Some(entry.log_id), membership);
-                    Outcome::Done
+                    Outcome::Applied
                 }
             });
         }
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -343,11 +343,11 @@
     };
     let ask = LeaseRequest {
         identity,
-        number,
-        acting,
-        has: BTreeSet::new(),
-        unread: None,
-        cut_off,
+        sequence: number,
+        active_revision: acting,
+        loaded_generations: BTreeSet::new(),
+        rejected_generation: None,
+        on_lease_loss: cut_off,
     };
     wire::Ask::of(ask, "caja")
 }
@@ -599,7 +599,7 @@
     );
     // A proxy that means the control of another region gets no lease.
     let sur: Region = "sur".parse().expect("a name");
-    let strayed = ask(1, 0, OnLeaseLoss::Refuse).in_region(Some(&sur));
+    let strayed = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
     let refusal = world
         .refused(NORTE, request::What::Ask(strayed.clone()))
         .await;
--- a/crates/control-plane/tests/stored_state.rs
+++ b/crates/control-plane/tests/stored_state.rs
@@ -62,7 +62,7 @@
     Command::Publish {
         revision,
         text: text.to_owned(),
-        floors,
+        fallback_generations: floors,
         all_regions,
     }
 }
@@ -78,15 +78,15 @@
         publish(0, r#"{"caja":"one"}"#, &[], None),
         Command::Register {
             identity: identity("caja"),
-            cut_off: OnLeaseLoss::Narrow,
+            on_lease_loss: OnLeaseLoss::Fallback,
         },
         Command::Register {
             identity: identity("puerta"),
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         },
         Command::Register {
             identity: identity("gone"),
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         },
         Command::Evict {
             identity: identity("gone"),
@@ -94,11 +94,11 @@
         publish(1, r#"{"caja":"two"}"#, &[1], None),
         Command::Abort {
             revision: 2,
-            why: "unread".to_owned(),
+            reason: "unread".to_owned(),
         },
         publish(3, r#"{"caja":"three"}"#, &[1], None),
         Command::Advance { revision: 4 },
-        Command::Acting {
+        Command::RecordActive {
             revision: 5,
             proxies: BTreeSet::from([identity("caja")]),
         },
@@ -121,7 +121,7 @@
             revision: 6,
             region: region("sur"),
         },
-        Command::Retire {
+        Command::Unregister {
             identity: identity("puerta"),
         },
     ];
--- a/crates/control-protocol/src/convert.rs
+++ b/crates/control-protocol/src/convert.rs
@@ -47,8 +47,8 @@
 impl From<OnLeaseLoss> for wire::CutOff {
     fn from(own: OnLeaseLoss) -> Self {
         match own {
-            OnLeaseLoss::Refuse => wire::CutOff::Refuse,
-            OnLeaseLoss::Narrow => wire::CutOff::Narrow,
+            OnLeaseLoss::Reject => wire::CutOff::Refuse,
+            OnLeaseLoss::Fallback => wire::CutOff::Narrow,
             OnLeaseLoss::Keep => wire::CutOff::Keep,
         }
     }
@@ -59,14 +59,14 @@
     pub fn of(own: LeaseRequest, application: &str) -> Self {
         wire::Ask {
             identity: Some(own.identity.into()),
-            number: own.number,
-            acting: own.acting,
-            has: own.has.into_iter().map(|g| g.0).collect(),
-            unread: own.unread.map(|u| wire::Unread {
+            number: own.sequence,
+            acting: own.active_revision,
+            has: own.loaded_generations.into_iter().map(|g| g.0).collect(),
+            unread: own.rejected_generation.map(|u| wire::Unread {
                 generation: u.generation.0,
                 reason: u.reason,
             }),
-            cut_off: wire::CutOff::from(own.cut_off).into(),
+            cut_off: wire::CutOff::from(own.on_lease_loss).into(),
             application: application.to_owned(),
             region: String::new(),
         }
@@ -85,8 +85,8 @@
     pub fn read(&self) -> Option<LeaseRequest> {
         let cut_off = match self.cut_off() {
             wire::CutOff::Unspecified => return None,
-            wire::CutOff::Refuse => OnLeaseLoss::Refuse,
-            wire::CutOff::Narrow => OnLeaseLoss::Narrow,
+            wire::CutOff::Refuse => OnLeaseLoss::Reject,
+            wire::CutOff::Narrow => OnLeaseLoss::Fallback,
             wire::CutOff::Keep => OnLeaseLoss::Keep,
         };
         let unread = self.unread.as_ref().map(|u| RejectedGeneration {
@@ -95,11 +95,11 @@
         });
         Some(LeaseRequest {
             identity: self.identity.clone().filter(|i| !i.name.is_empty())?.into(),
-            number: self.number,
-            acting: self.acting,
-            has: self.has.iter().map(|&g| Generation(g)).collect(),
-            unread,
-            cut_off,
+            sequence: self.number,
+            active_revision: self.acting,
+            loaded_generations: self.has.iter().map(|&g| Generation(g)).collect(),
+            rejected_generation: unread,
+            on_lease_loss: cut_off,
         })
     }
 }
@@ -109,9 +109,9 @@
     pub fn read(&self) -> Option<LeaseGrant> {
         let mode = Mode::from(self.mode?);
         (mode.old <= mode.new).then_some(LeaseGrant {
-            number: self.number,
+            sequence: self.number,
             mode,
-            lease: self.lease,
+            duration: self.lease,
         })
     }
 }
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -12,7 +12,7 @@
         wire::ChangeRef {
             id: own.id.0,
             coordinator: own.coordinator.into(),
-            number: own.number.0,
+            number: own.generation.0,
         }
     }
 }
@@ -23,7 +23,7 @@
         Some(ChangeRef {
             id: ChangeId(self.id),
             coordinator: self.coordinator.parse().ok()?,
-            number: Generation(self.number),
+            generation: Generation(self.number),
         })
     }
 }
@@ -88,9 +88,9 @@
         let (vote, why) = match own.vote {
             Vote::Preparing => (On::Preparing, String::new()),
             Vote::Prepared => (On::Prepared, String::new()),
-            Vote::Refused { why } => (On::Refused, why),
-            Vote::InForce => (On::InForce, String::new()),
-            Vote::NotInForce => (On::NotInForce, String::new()),
+            Vote::Rejected { reason: why } => (On::Refused, why),
+            Vote::Committed => (On::InForce, String::new()),
+            Vote::Aborted => (On::NotInForce, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
@@ -108,9 +108,9 @@
             On::Unspecified => return None,
             On::Preparing => Vote::Preparing,
             On::Prepared => Vote::Prepared,
-            On::Refused => Vote::Refused { why: self.why },
-            On::InForce => Vote::InForce,
-            On::NotInForce => Vote::NotInForce,
+            On::Refused => Vote::Rejected { reason: self.why },
+            On::InForce => Vote::Committed,
+            On::NotInForce => Vote::Aborted,
         };
         Some(VoteReply {
             id: ChangeId(self.id),
@@ -123,9 +123,9 @@
     fn from(own: OutcomeReply) -> Self {
         use outcome_reply::Decision as On;
         let decision = match own.decision {
-            Decision::Open => On::Open,
-            Decision::InForce => On::InForce,
-            Decision::NotInForce => On::NotInForce,
+            Decision::Pending => On::Open,
+            Decision::Committed => On::InForce,
+            Decision::Aborted => On::NotInForce,
         };
         wire::OutcomeReply {
             id: own.id.0,
@@ -140,9 +140,9 @@
         use outcome_reply::Decision as On;
         let decision = match self.decision() {
             On::Unspecified => return None,
-            On::Open => Decision::Open,
-            On::InForce => Decision::InForce,
-            On::NotInForce => Decision::NotInForce,
+            On::Open => Decision::Pending,
+            On::InForce => Decision::Committed,
+            On::NotInForce => Decision::Aborted,
         };
         Some(OutcomeReply {
             id: ChangeId(self.id),
--- a/crates/fault-injection/src/contender.rs
+++ b/crates/fault-injection/src/contender.rs
@@ -67,7 +67,7 @@
             .iter()
             .take_while(|(at, _)| *at <= t.from)
             .last()?;
-        let mode = Mode::settled(0, Generation(held.1));
+        let mode = Mode::stable(0, Generation(held.1));
         Some(Line {
             at: t.from,
             proxy: t.proxy,
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -133,7 +133,7 @@
             (newest, since) = (line.mode.old, line.at);
         }
         while let Some(heard) = told.next_if(|h| h.at < line.at) {
-            judge.in_force(Generation(heard.generation));
+            judge.record_committed(Generation(heard.generation));
         }
         let identity = Identity {
             name: line.proxy.to_string(),
@@ -142,15 +142,17 @@
         if line.mode.new < newest {
             verdict.mixed_ms = verdict.mixed_ms.max((line.at - since) / 1_000);
         }
-        let Some(fault) = judge.begun(&StartedCall {
+        let Some(fault) = judge.record_start(&StartedCall {
             identity,
             mode: line.mode,
         }) else {
             continue;
         };
         match fault {
-            Violation::Mixed { .. } => verdict.begun_mixed += 1,
-            Violation::NotInForce(_) | Violation::BehindForce { .. } => verdict.begun_wrong += 1,
+            Violation::MixedGenerations { .. } => verdict.begun_mixed += 1,
+            Violation::AbortedGeneration(_) | Violation::BehindCommitted { .. } => {
+                verdict.begun_wrong += 1
+            }
         }
         first.get_or_insert_with(|| format!("{} at {}: {fault:?}", line.request, line.at));
     }
--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -16,7 +16,8 @@
         /// Its text.
         text: String,
         /// The generations whose floors it was checked against.
-        floors: BTreeSet<Generation>,
+        #[serde(rename = "floors")]
+        fallback_generations: BTreeSet<Generation>,
         /// For a change of all regions; without it the change is of this region.
         #[serde(default)]
         all_regions: Option<AllRegions>,
@@ -30,7 +31,8 @@
         /// The text of the policy.
         text: String,
         /// The generations whose floors it was checked against.
-        floors: BTreeSet<Generation>,
+        #[serde(rename = "floors")]
+        fallback_generations: BTreeSet<Generation>,
     },
     /// No proxy of this participant's region can act under a mode older than this middle.
     Vote {
@@ -54,7 +56,8 @@
         /// The middle.
         revision: u64,
         /// Why, for people.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// A participant has heard from the coordinator that the change is in force.
     Committed {
@@ -78,17 +81,20 @@
         /// Which.
         identity: Identity,
         /// What it does then.
-        cut_off: OnLeaseLoss,
+        #[serde(rename = "cut_off")]
+        on_lease_loss: OnLeaseLoss,
     },
     /// Such proxies act under this revision and none older.
-    Acting {
+    #[serde(rename = "Acting")]
+    RecordActive {
         /// The revision.
         revision: u64,
         /// Which.
         proxies: BTreeSet<Identity>,
     },
     /// A proxy has ended by itself.
-    Retire {
+    #[serde(rename = "Retire")]
+    Unregister {
         /// Which.
         identity: Identity,
     },
@@ -103,15 +109,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
     /// A change of this region is under way.
-    UnderWay(Generation),
+    #[serde(rename = "UnderWay")]
+    ChangePending(Generation),
     /// A change of all regions is under way here, or is in force and not acknowledged by all regions.
-    AcrossRegions {
+    #[serde(rename = "AcrossRegions")]
+    CrossRegionPending {
         /// Its generation in this region.
         generation: Generation,
         /// Its identifier.
         id: ChangeId,
         /// The regions whose word is missing. Empty: this region itself is not prepared yet.
-        waits_for: BTreeSet<Region>,
+        #[serde(rename = "waits_for")]
+        awaited_regions: BTreeSet<Region>,
     },
     /// A change of all regions can't be in force yet: these regions are not prepared.
     NotPrepared {
@@ -124,7 +133,8 @@
         coordinator: Region,
     },
     /// Something else happened in between.
-    Moved,
+    #[serde(rename = "Moved")]
+    Conflict,
     /// This start of the proxy was evicted.
     Evicted,
 }
@@ -132,8 +142,8 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejection::UnderWay(generation) => write!(f, "the change to {generation} is under way"),
-            Rejection::AcrossRegions { generation, id, waits_for } => {
+            Rejection::ChangePending(generation) => write!(f, "the change to {generation} is under way"),
+            Rejection::CrossRegionPending { generation, id, awaited_regions: waits_for } => {
                 write!(f, "the change of all regions {id}, here {generation}, is not at its end: ")?;
                 if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", listed(waits_for)) }
             }
@@ -142,7 +152,7 @@
                 f,
                 "this region has voted for a change of all regions: region {coordinator} decides how it ends"
             ),
-            Rejection::Moved => f.write_str("something else came in between: look again"),
+            Rejection::Conflict => f.write_str("something else came in between: look again"),
             Rejection::Evicted => f.write_str("this start of the proxy was evicted: start it anew"),
         }
     }
@@ -152,9 +162,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The change has this number.
-    Begun(Generation),
+    #[serde(rename = "Begun")]
+    Started(Generation),
     /// Done.
-    Done,
+    #[serde(rename = "Done")]
+    Applied,
     /// It had no effect.
-    Refused(Rejection),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
 }
--- a/crates/policy/src/intersection.rs
+++ b/crates/policy/src/intersection.rs
@@ -19,17 +19,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedCall {
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Repeat,
     /// Its key, where `repeat` goes by one.
     pub key: IdempotencyKey,
     /// From its last byte to its final answer.
-    pub time: Micros,
+    pub timeout: Micros,
     /// Its terms.
-    pub terms: Terms,
+    pub policy: Terms,
     /// Longest time for a connection.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Bytes of its body at the most.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Which of two.
@@ -47,13 +47,13 @@
     /// Whose class it goes by: that with the stricter effect.
     pub class: Side,
     /// From its last byte to its final answer.
-    pub time: Micros,
+    pub timeout: Micros,
     /// Its terms. They say `once` where neither effect lies within the other.
-    pub terms: Terms,
+    pub policy: Terms,
     /// Longest time for a connection.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Bytes of its body at the most.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Why nothing can be begun that both allow.
@@ -115,17 +115,18 @@
         (None, Some(_)) => return Err(Mismatch::OnlyNew),
         (Some(old), Some(new)) => (old, new),
     };
-    let class = if within(old.repeat, new.repeat) {
+    let class = if within(old.idempotency, new.idempotency) {
         Side::Old
     } else {
         Side::New
     };
     let chosen = if class == Side::Old { old } else { new };
     // A host that knows it by another key would not know the repeat.
-    let keyed = |call: &ResolvedCall| matches!(call.repeat, Repeat::Guarded { .. });
+    let keyed = |call: &ResolvedCall| matches!(call.idempotency, Repeat::Guarded { .. });
     let other_key = keyed(old) && keyed(new) && old.key != new.key;
-    let neither = !within(old.repeat, new.repeat) && !within(new.repeat, old.repeat);
-    let (a, b) = (&old.terms, &new.terms);
+    let neither =
+        !within(old.idempotency, new.idempotency) && !within(new.idempotency, old.idempotency);
+    let (a, b) = (&old.policy, &new.policy);
     let never_ran = [a.resend, b.resend].contains(&Resend::NeverRan);
     let terms = Terms {
         attempts: a.attempts.min(b.attempts),
@@ -145,10 +146,10 @@
     };
     Ok(Some(Intersection {
         class,
-        time: old.time.min(new.time),
-        terms,
-        connect: old.connect.min(new.connect),
-        body: old.body.min(new.body),
+        timeout: old.timeout.min(new.timeout),
+        policy: terms,
+        connect_timeout: old.connect_timeout.min(new.connect_timeout),
+        max_body_bytes: old.max_body_bytes.min(new.max_body_bytes),
     }))
 }
 
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -17,20 +17,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// P1: it began under `mode` after a call had begun under a generation past that.
-    Mixed {
+    MixedGenerations {
         /// The call.
-        begun: StartedCall,
+        call: StartedCall,
         /// The oldest generation under which a call had begun by then.
         after: Generation,
     },
     /// P2: a generation that came to nothing was begun under.
-    NotInForce(StartedCall),
+    AbortedGeneration(StartedCall),
     /// P2: the fleet was told that a generation is in force, and a call began under an older one.
-    BehindForce {
+    BehindCommitted {
         /// The call.
-        begun: StartedCall,
+        call: StartedCall,
         /// What was in force.
-        force: Generation,
+        committed: Generation,
     },
 }
 
@@ -47,24 +47,24 @@
 
 impl InvariantChecker {
     /// A call began.
-    pub fn begun(&mut self, begun: &StartedCall) -> Option<Violation> {
+    pub fn record_start(&mut self, begun: &StartedCall) -> Option<Violation> {
         let Mode { old, new, .. } = begun.mode;
         if old == new {
             self.alone.insert(new);
         }
         // In the middle a call is bound to the old one, and goes by no more than the new one allows too.
         if self.dead.contains(&old) {
-            return Some(Violation::NotInForce(begun.clone()));
+            return Some(Violation::AbortedGeneration(begun.clone()));
         }
         if new < self.force {
-            return Some(Violation::BehindForce {
-                begun: begun.clone(),
-                force: self.force,
+            return Some(Violation::BehindCommitted {
+                call: begun.clone(),
+                committed: self.force,
             });
         }
         if new < self.past {
-            return Some(Violation::Mixed {
-                begun: begun.clone(),
+            return Some(Violation::MixedGenerations {
+                call: begun.clone(),
                 after: self.past,
             });
         }
@@ -73,13 +73,13 @@
     }
 
     /// A publisher heard that this is in force.
-    pub fn in_force(&mut self, generation: Generation) {
+    pub fn record_committed(&mut self, generation: Generation) {
         self.force = self.force.max(generation);
     }
 
     /// A publisher heard that this is not in force. False: calls have begun under it.
     #[must_use]
-    pub fn not_in_force(&mut self, generation: Generation) -> bool {
+    pub fn record_aborted(&mut self, generation: Generation) -> bool {
         self.dead.insert(generation);
         !self.alone.contains(&generation)
     }
@@ -117,34 +117,34 @@
             (2, 3),
             (2, 2),
         ] {
-            assert_eq!(judge.begun(&begun(old, new)), None, "{old} {new}");
+            assert_eq!(judge.record_start(&begun(old, new)), None, "{old} {new}");
         }
         assert!(matches!(
-            judge.begun(&begun(1, 1)),
-            Some(Violation::Mixed { .. })
+            judge.record_start(&begun(1, 1)),
+            Some(Violation::MixedGenerations { .. })
         ));
-        assert_eq!(judge.begun(&begun(3, 3)), None);
+        assert_eq!(judge.record_start(&begun(3, 3)), None);
         assert!(matches!(
-            judge.begun(&begun(1, 2)),
-            Some(Violation::Mixed { .. })
+            judge.record_start(&begun(1, 2)),
+            Some(Violation::MixedGenerations { .. })
         ));
     }
 
     #[test]
     fn both_ends_of_a_change_bind() {
         let mut judge = InvariantChecker::default();
-        judge.begun(&begun(1, 2));
-        assert!(judge.not_in_force(Generation(2)));
+        judge.record_start(&begun(1, 2));
+        assert!(judge.record_aborted(Generation(2)));
         assert!(matches!(
-            judge.begun(&begun(2, 2)),
-            Some(Violation::NotInForce(_))
+            judge.record_start(&begun(2, 2)),
+            Some(Violation::AbortedGeneration(_))
         ));
-        assert!(!judge.not_in_force(Generation(2)));
-        judge.in_force(Generation(3));
+        assert!(!judge.record_aborted(Generation(2)));
+        judge.record_committed(Generation(3));
         assert!(matches!(
-            judge.begun(&begun(1, 1)),
-            Some(Violation::BehindForce { .. })
+            judge.record_start(&begun(1, 1)),
+            Some(Violation::BehindCommitted { .. })
         ));
-        assert_eq!(judge.begun(&begun(1, 3)), None);
+        assert_eq!(judge.record_start(&begun(1, 3)), None);
     }
 }
--- a/crates/policy/src/lease_holder.rs
+++ b/crates/policy/src/lease_holder.rs
@@ -14,9 +14,11 @@
 pub enum OnLeaseLoss {
     /// Turns every call away.
     #[default]
-    Refuse,
+    #[serde(rename = "Refuse")]
+    Reject,
     /// Begins only what its policy declares as its floor, which no change may leave while it may be acted under.
-    Narrow,
+    #[serde(rename = "Narrow")]
+    Fallback,
     /// Goes on under the mode that it has. A change waits for it.
     Keep,
 }
@@ -25,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolderConfig {
     /// What it does when cut off.
-    pub cut_off: OnLeaseLoss,
+    pub on_lease_loss: OnLeaseLoss,
     /// A question that is not answered within this is given up.
-    pub answer_within: Micros,
+    pub request_timeout: Micros,
     /// Pause after a question that came to nothing.
-    pub pause: Micros,
+    pub retry_delay: Micros,
 }
 
 /// The proxy's question to control.
@@ -38,15 +40,20 @@
     /// Who asks.
     pub identity: Identity,
     /// Grows with each question of this proxy: control takes none that is older than one it has had.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The revision that it acts under, and none older from here on; 0: none.
-    pub acting: u64,
+    #[serde(rename = "acting")]
+    pub active_revision: u64,
     /// The generations whose text it has read and found good.
-    pub has: BTreeSet<Generation>,
+    #[serde(rename = "has")]
+    pub loaded_generations: BTreeSet<Generation>,
     /// A generation that it can't read.
-    pub unread: Option<RejectedGeneration>,
+    #[serde(rename = "unread")]
+    pub rejected_generation: Option<RejectedGeneration>,
     /// What it does when cut off.
-    pub cut_off: OnLeaseLoss,
+    #[serde(rename = "cut_off")]
+    pub on_lease_loss: OnLeaseLoss,
 }
 
 /// Why a proxy can't take a generation.
@@ -62,25 +69,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The question that it answers.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// What to act under.
     pub mode: Mode,
     /// For how long, counted from when the question was asked.
-    pub lease: Micros,
+    #[serde(rename = "lease")]
+    pub duration: Micros,
 }
 
 /// What a grant came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantResult {
     /// The proxy acts under it. `again`: control waits to hear so; ask at once.
-    Taken {
+    Accepted {
         /// Ask at once.
-        again: bool,
+        renew_now: bool,
     },
     /// Texts of these generations are wanted first; the old mode stays until its lease ends.
-    Wants,
+    MissingGenerations,
     /// It answers no question that is out, or is older than what is held. Nothing changed.
-    Late,
+    Ignored,
 }
 
 /// Why nothing may begin.
@@ -89,7 +98,7 @@
     /// No mode was ever lent to this start of the program. A copy on disk does not stand in for it.
     NoLease,
     /// The lease has run out.
-    RunOut,
+    LeaseExpired,
     /// Control holds this start of the program for dead and has gone on without it.
     Evicted,
 }
@@ -100,9 +109,9 @@
     /// What this mode allows: a generation, or what both of two allow alike.
     Under(Mode),
     /// Only the floor of this generation.
-    Floor(Generation),
+    Fallback(Generation),
     /// Nothing.
-    Closed(NotAdmitted),
+    Denied(NotAdmitted),
 }
 
 /// What a proxy holds.
@@ -141,55 +150,55 @@
     /// What may begin at `now`. A call begins at the moment at which the clock was read for this.
     pub fn admission(&self, now: Micros) -> Admission {
         if self.evicted {
-            return Admission::Closed(NotAdmitted::Evicted);
+            return Admission::Denied(NotAdmitted::Evicted);
         }
-        match (self.held, self.terms.cut_off) {
-            (None, _) => Admission::Closed(NotAdmitted::NoLease),
+        match (self.held, self.terms.on_lease_loss) {
+            (None, _) => Admission::Denied(NotAdmitted::NoLease),
             (Some((mode, until)), _) if now < until => Admission::Under(mode),
             (Some((mode, _)), OnLeaseLoss::Keep) => Admission::Under(mode),
             // What is in force when it is cut off stays admissible; what was to come may not come.
-            (Some((mode, _)), OnLeaseLoss::Narrow) => Admission::Floor(mode.old),
-            (Some(_), OnLeaseLoss::Refuse) => Admission::Closed(NotAdmitted::RunOut),
+            (Some((mode, _)), OnLeaseLoss::Fallback) => Admission::Fallback(mode.old),
+            (Some(_), OnLeaseLoss::Reject) => Admission::Denied(NotAdmitted::LeaseExpired),
         }
     }
 
     /// What it acts under, and until when, whether that has passed or not.
-    pub fn held(&self) -> Option<(Mode, Micros)> {
+    pub fn lease(&self) -> Option<(Mode, Micros)> {
         self.held
     }
 
-    /// When [`LeaseHolder::ask`] is due, with no question out; `None` while one is.
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`LeaseHolder::request`] is due, with no question out; `None` while one is.
+    pub fn next_request_at(&self) -> Option<Micros> {
         (self.out.is_none() && !self.evicted).then_some(self.next)
     }
 
     /// When the question that is out is given up.
-    pub fn gives_up(&self) -> Option<Micros> {
+    pub fn request_deadline(&self) -> Option<Micros> {
         self.out
-            .map(|(_, asked)| asked.saturating_add(self.terms.answer_within))
+            .map(|(_, asked)| asked.saturating_add(self.terms.request_timeout))
     }
 
     /// The question to send now. One that is out is given up by this.
-    pub fn ask(&mut self, now: Micros) -> LeaseRequest {
+    pub fn request(&mut self, now: Micros) -> LeaseRequest {
         self.number += 1;
         self.out = Some((self.number, now));
         LeaseRequest {
             identity: self.identity.clone(),
-            number: self.number,
-            acting: self.held.map_or(0, |(mode, _)| mode.revision),
-            has: self.has.clone(),
-            unread: self.unread.clone(),
-            cut_off: self.terms.cut_off,
+            sequence: self.number,
+            active_revision: self.held.map_or(0, |(mode, _)| mode.revision),
+            loaded_generations: self.has.clone(),
+            rejected_generation: self.unread.clone(),
+            on_lease_loss: self.terms.on_lease_loss,
         }
     }
 
     /// Control has news: ask as soon as may be.
-    pub fn news(&mut self, now: Micros) {
+    pub fn request_soon(&mut self, now: Micros) {
         self.next = self.next.min(now);
     }
 
     /// A text was read and found good.
-    pub fn read(&mut self, generation: Generation) {
+    pub fn accept_generation(&mut self, generation: Generation) {
         self.has.insert(generation);
         if self
             .unread
@@ -201,46 +210,46 @@
     }
 
     /// A text can't be read; control is told why with the next question.
-    pub fn cannot_read(&mut self, generation: Generation, reason: String) {
+    pub fn reject_generation(&mut self, generation: Generation, reason: String) {
         self.unread = Some(RejectedGeneration { generation, reason });
     }
 
     /// Texts of generations that nothing can come back to are let go.
-    pub fn forget(&mut self, keep: impl Fn(Generation) -> bool) {
+    pub fn retain_generations(&mut self, keep: impl Fn(Generation) -> bool) {
         self.has.retain(|&g| keep(g));
     }
 
-    /// Control's answer. The texts that came with it have been read before ([`LeaseHolder::read`]).
-    pub fn answered(&mut self, now: Micros, grant: LeaseGrant) -> GrantResult {
-        let Some((number, asked)) = self.out.filter(|(number, _)| *number == grant.number) else {
-            return GrantResult::Late;
+    /// Control's answer. The texts that came with it have been read before ([`LeaseHolder::accept_generation`]).
+    pub fn on_grant(&mut self, now: Micros, grant: LeaseGrant) -> GrantResult {
+        let Some((number, asked)) = self.out.filter(|(number, _)| *number == grant.sequence) else {
+            return GrantResult::Ignored;
         };
         self.out = None;
         // Asked for anew after a third: two questions may come to nothing before the lease ends.
-        self.next = asked.saturating_add(grant.lease / 3).max(now);
+        self.next = asked.saturating_add(grant.duration / 3).max(now);
         let Mode { revision, old, new } = grant.mode;
         if self.held.is_some_and(|(held, _)| held.revision > revision) {
-            return GrantResult::Late;
+            return GrantResult::Ignored;
         }
         if !self.has.contains(&old) || !self.has.contains(&new) {
-            self.next = now.saturating_add(self.terms.pause);
-            return GrantResult::Wants;
+            self.next = now.saturating_add(self.terms.retry_delay);
+            return GrantResult::MissingGenerations;
         }
         let changed = self.held.is_none_or(|(held, _)| held.revision != revision);
-        let until = asked.saturating_add(grant.lease);
+        let until = asked.saturating_add(grant.duration);
         debug_assert!(number <= self.number);
         self.held = Some((grant.mode, until));
-        let again = changed && grant.mode.is_middle();
+        let again = changed && grant.mode.is_transition();
         if again {
             self.next = now;
         }
-        GrantResult::Taken { again }
+        GrantResult::Accepted { renew_now: again }
     }
 
     /// The question came to nothing: no way there, no answer in time, or a refusal.
-    pub fn came_to_nothing(&mut self, now: Micros) {
+    pub fn on_request_failed(&mut self, now: Micros) {
         self.out = None;
-        self.next = now.saturating_add(self.terms.pause);
+        self.next = now.saturating_add(self.terms.retry_delay);
     }
 
     /// Control holds this start of the program for dead. Nothing begins any more.
@@ -260,9 +269,9 @@
             incarnation: 1,
         };
         let terms = LeaseHolderConfig {
-            cut_off,
-            answer_within: 100,
-            pause: 50,
+            on_lease_loss: cut_off,
+            request_timeout: 100,
+            retry_delay: 50,
         };
         LeaseHolder::new(
             identity,
@@ -273,74 +282,77 @@
 
     fn grant(number: u64, mode: Mode) -> LeaseGrant {
         LeaseGrant {
-            number,
+            sequence: number,
             mode,
-            lease: 300,
+            duration: 300,
         }
     }
 
     #[test]
     fn a_lease_runs_from_the_question() {
-        let mut holder = holder(OnLeaseLoss::Refuse);
-        assert_eq!(holder.admission(0), Admission::Closed(NotAdmitted::NoLease));
-        let ask = holder.ask(1_000);
-        let mode = Mode::settled(1, Generation(1));
+        let mut holder = holder(OnLeaseLoss::Reject);
+        assert_eq!(holder.admission(0), Admission::Denied(NotAdmitted::NoLease));
+        let ask = holder.request(1_000);
+        let mode = Mode::stable(1, Generation(1));
         assert_eq!(
-            holder.answered(1_090, grant(ask.number, mode)),
-            GrantResult::Taken { again: false }
+            holder.on_grant(1_090, grant(ask.sequence, mode)),
+            GrantResult::Accepted { renew_now: false }
         );
         assert_eq!(holder.admission(1_299), Admission::Under(mode));
         assert_eq!(
             holder.admission(1_300),
-            Admission::Closed(NotAdmitted::RunOut)
+            Admission::Denied(NotAdmitted::LeaseExpired)
         );
-        assert_eq!(holder.due(), Some(1_100));
+        assert_eq!(holder.next_request_at(), Some(1_100));
     }
 
     #[test]
     fn what_is_late_older_or_unread_changes_nothing() {
-        let mut holder = holder(OnLeaseLoss::Refuse);
-        let first = holder.ask(0);
-        let second = holder.ask(100);
+        let mut holder = holder(OnLeaseLoss::Reject);
+        let first = holder.request(0);
+        let second = holder.request(100);
         let middle = Mode {
             revision: 5,
             old: Generation(1),
             new: Generation(2),
         };
         assert_eq!(
-            holder.answered(110, grant(first.number, middle)),
-            GrantResult::Late
+            holder.on_grant(110, grant(first.sequence, middle)),
+            GrantResult::Ignored
         );
         assert_eq!(
             holder.admission(110),
-            Admission::Closed(NotAdmitted::NoLease)
+            Admission::Denied(NotAdmitted::NoLease)
         );
         assert_eq!(
-            holder.answered(120, grant(second.number, middle)),
-            GrantResult::Taken { again: true }
+            holder.on_grant(120, grant(second.sequence, middle)),
+            GrantResult::Accepted { renew_now: true }
         );
-        let third = holder.ask(130);
-        assert_eq!(third.acting, 5);
-        let older = Mode::settled(4, Generation(1));
+        let third = holder.request(130);
+        assert_eq!(third.active_revision, 5);
+        let older = Mode::stable(4, Generation(1));
         assert_eq!(
-            holder.answered(140, grant(third.number, older)),
-            GrantResult::Late
+            holder.on_grant(140, grant(third.sequence, older)),
+            GrantResult::Ignored
         );
         assert_eq!(holder.admission(140), Admission::Under(middle));
-        let fourth = holder.ask(150);
+        let fourth = holder.request(150);
         let unread = Mode {
             revision: 7,
             old: Generation(2),
             new: Generation(3),
         };
         assert_eq!(
-            holder.answered(160, grant(fourth.number, unread)),
-            GrantResult::Wants
+            holder.on_grant(160, grant(fourth.sequence, unread)),
+            GrantResult::MissingGenerations
         );
         assert_eq!(holder.admission(160), Admission::Under(middle));
-        holder.cannot_read(Generation(3), "a key that it does not know".to_owned());
+        holder.reject_generation(Generation(3), "a key that it does not know".to_owned());
         assert_eq!(
-            holder.ask(170).unread.map(|u| u.generation),
+            holder
+                .request(170)
+                .rejected_generation
+                .map(|u| u.generation),
             Some(Generation(3))
         );
     }
@@ -348,8 +360,11 @@
     #[test]
     fn cut_off_it_does_what_it_was_told_to() {
         for (cut_off, then) in [
-            (OnLeaseLoss::Refuse, Admission::Closed(NotAdmitted::RunOut)),
-            (OnLeaseLoss::Narrow, Admission::Floor(Generation(1))),
+            (
+                OnLeaseLoss::Reject,
+                Admission::Denied(NotAdmitted::LeaseExpired),
+            ),
+            (OnLeaseLoss::Fallback, Admission::Fallback(Generation(1))),
             (
                 OnLeaseLoss::Keep,
                 Admission::Under(Mode {
@@ -360,19 +375,19 @@
             ),
         ] {
             let mut holder = holder(cut_off);
-            let ask = holder.ask(0);
+            let ask = holder.request(0);
             let middle = Mode {
                 revision: 5,
                 old: Generation(1),
                 new: Generation(2),
             };
-            holder.answered(1, grant(ask.number, middle));
+            holder.on_grant(1, grant(ask.sequence, middle));
             assert_eq!(holder.admission(299), Admission::Under(middle));
             assert_eq!(holder.admission(300), then);
             holder.evict();
             assert_eq!(
                 holder.admission(10),
-                Admission::Closed(NotAdmitted::Evicted)
+                Admission::Denied(NotAdmitted::Evicted)
             );
         }
     }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// How long a mode is lent, counted from the question.
-    pub lease: Micros,
+    pub duration: Micros,
     /// How much longer control counts it: as much as a proxy's clock may fall behind over one lease.
-    pub drift: Micros,
+    pub max_clock_drift: Micros,
 }
 
 /// What was lent and may still be acted under.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDenial {
     /// A later question of this proxy has been answered.
-    Older,
+    OutOfOrder,
     /// There is no policy yet.
     NoPolicy,
     /// This start of the proxy was evicted.
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
     /// This goes out. It counts from now on, whether it arrives or not.
-    Grant(LeaseGrant),
+    Granted(LeaseGrant),
     /// The proxy may act without a lease: that is to be agreed on first ([`crate::Command::Register`]).
     RegisterFirst,
     /// None goes out.
-    Stale(LeaseDenial),
+    Denied(LeaseDenial),
 }
 
 /// Who can still act under an older mode.
@@ -56,7 +56,7 @@
     /// Which proxy; `None`: any, lent to by a leader before this one.
     pub identity: Option<Identity>,
     /// Why.
-    pub why: BlockReason,
+    pub reason: BlockReason,
 }
 
 /// Why a proxy holds a change up.
@@ -65,9 +65,9 @@
     /// A lease that runs until then.
     Lease(Micros),
     /// It goes on without one, and has not told that it acts under the middle.
-    Keeps,
+    ServesWithoutLease,
     /// It can't read the new policy.
-    Unread(String),
+    GenerationRejected(String),
 }
 
 /// The leases of one leader.
@@ -81,8 +81,10 @@
 
 impl Leases {
     /// A leader that begins at `now`.
-    pub fn elected(terms: LeaseConfig, now: Micros) -> Self {
-        let unknown = now.saturating_add(terms.lease).saturating_add(terms.drift);
+    pub fn after_election(terms: LeaseConfig, now: Micros) -> Self {
+        let unknown = now
+            .saturating_add(terms.duration)
+            .saturating_add(terms.max_clock_drift);
         Leases {
             terms,
             unknown,
@@ -92,50 +94,55 @@
 
     /// A question has come. It must be known, after it came in, that this leader is still the one, and `record` must
     /// hold all that was agreed on until then.
-    pub fn lend(&mut self, now: Micros, record: &Record, ask: &LeaseRequest) -> GrantOutcome {
+    pub fn grant(&mut self, now: Micros, record: &Record, ask: &LeaseRequest) -> GrantOutcome {
         if record.is_evicted(&ask.identity) {
             self.sessions.remove(&ask.identity);
-            return GrantOutcome::Stale(LeaseDenial::Evicted);
+            return GrantOutcome::Denied(LeaseDenial::Evicted);
         }
         let Some(mode) = record.mode() else {
-            return GrantOutcome::Stale(LeaseDenial::NoPolicy);
+            return GrantOutcome::Denied(LeaseDenial::NoPolicy);
         };
-        if ask.cut_off != OnLeaseLoss::Refuse && !record.standing().contains_key(&ask.identity) {
+        if ask.on_lease_loss != OnLeaseLoss::Reject
+            && !record.leaseless_proxies().contains_key(&ask.identity)
+        {
             return GrantOutcome::RegisterFirst;
         }
         let session = self.sessions.entry(ask.identity.clone()).or_default();
-        if ask.number <= session.number {
+        if ask.sequence <= session.number {
             // What it says is older than what is known: it may have taken up less than it now has.
-            return GrantOutcome::Stale(LeaseDenial::Older);
+            return GrantOutcome::Denied(LeaseDenial::OutOfOrder);
         }
-        session.number = ask.number;
-        session.cut_off = ask.cut_off;
-        session.acting = session.acting.max(ask.acting);
-        session.unread = ask.unread.clone().filter(|u| u.generation == mode.new);
+        session.number = ask.sequence;
+        session.cut_off = ask.on_lease_loss;
+        session.acting = session.acting.max(ask.active_revision);
+        session.unread = ask
+            .rejected_generation
+            .clone()
+            .filter(|u| u.generation == mode.new);
         let acting = session.acting;
         session
             .lent
             .retain(|&revision, &mut until| revision >= acting && now < until);
         let until = now
-            .saturating_add(self.terms.lease)
-            .saturating_add(self.terms.drift);
+            .saturating_add(self.terms.duration)
+            .saturating_add(self.terms.max_clock_drift);
         session.lent.insert(mode.revision, until);
-        GrantOutcome::Grant(LeaseGrant {
-            number: ask.number,
+        GrantOutcome::Granted(LeaseGrant {
+            sequence: ask.sequence,
             mode,
-            lease: self.terms.lease,
+            duration: self.terms.duration,
         })
     }
 
     /// A proxy has ended by itself and begins nothing more.
-    pub fn leaves(&mut self, identity: &Identity) {
+    pub fn unregister(&mut self, identity: &Identity) {
         self.sessions.remove(identity);
     }
 
     /// Lets go of those whose leases have run out.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn expire(&mut self, now: Micros) {
         self.sessions.retain(|_, s| {
-            s.cut_off != OnLeaseLoss::Refuse || s.lent.values().any(|&until| now < until)
+            s.cut_off != OnLeaseLoss::Reject || s.lent.values().any(|&until| now < until)
         });
     }
 
@@ -147,7 +154,7 @@
         if now < self.unknown {
             all.push(Blocker {
                 identity: None,
-                why: BlockReason::Lease(self.unknown),
+                reason: BlockReason::Lease(self.unknown),
             });
         }
         for (identity, session) in &self.sessions {
@@ -159,20 +166,22 @@
                 .max();
             let why = match (&session.unread, until) {
                 (_, None) => continue,
-                (Some(unread), _) => BlockReason::Unread(unread.reason.clone()),
+                (Some(unread), _) => BlockReason::GenerationRejected(unread.reason.clone()),
                 (None, Some(until)) => BlockReason::Lease(until),
             };
             all.push(Blocker {
                 identity: Some(identity.clone()),
-                why,
+                reason: why,
             });
         }
-        for (identity, standing) in record.standing() {
+        for (identity, standing) in record.leaseless_proxies() {
             let acting = self.sessions.get(identity).map_or(0, |s| s.acting);
-            if standing.cut_off == OnLeaseLoss::Keep && standing.revision.max(acting) < revision {
+            if standing.on_lease_loss == OnLeaseLoss::Keep
+                && standing.revision.max(acting) < revision
+            {
                 all.push(Blocker {
                     identity: Some(identity.clone()),
-                    why: BlockReason::Keeps,
+                    reason: BlockReason::ServesWithoutLease,
                 });
             }
         }
@@ -180,11 +189,11 @@
     }
 
     /// Proxies that can't read the generation that is to come, and why: the change has to be given up.
-    pub fn unread(&self, mode: Mode) -> Option<(&Identity, &str)> {
+    pub fn rejected_generation(&self, mode: Mode) -> Option<(&Identity, &str)> {
         let of = |s: &Session| {
             s.unread
                 .as_ref()
-                .is_some_and(|u| mode.is_middle() && u.generation == mode.new)
+                .is_some_and(|u| mode.is_transition() && u.generation == mode.new)
         };
         self.sessions
             .iter()
@@ -193,24 +202,24 @@
     }
 
     /// Proxies without need of a lease that act under the present mode while the record has them at an older one.
-    pub fn acting(&self, record: &Record) -> BTreeSet<Identity> {
+    pub fn caught_up_proxies(&self, record: &Record) -> BTreeSet<Identity> {
         let revision = record.revision();
         let newer = |i: &Identity| self.sessions.get(i).is_some_and(|s| s.acting == revision);
         let behind = record
-            .standing()
+            .leaseless_proxies()
             .iter()
             .filter(|(i, s)| s.revision < revision && newer(i));
         behind.map(|(identity, _)| identity.clone()).collect()
     }
 
     /// When the next lease that holds the change up runs out.
-    pub fn next(&self, now: Micros, record: &Record) -> Option<Micros> {
+    pub fn next_deadline(&self, now: Micros, record: &Record) -> Option<Micros> {
         let leases = self
             .blockers(now, record)
             .into_iter()
-            .filter_map(|b| match b.why {
+            .filter_map(|b| match b.reason {
                 BlockReason::Lease(until) => Some(until),
-                BlockReason::Keeps | BlockReason::Unread(_) => None,
+                BlockReason::ServesWithoutLease | BlockReason::GenerationRejected(_) => None,
             });
         leases.min()
     }
@@ -229,18 +238,18 @@
     use crate::{Command, Generation};
 
     const TERMS: LeaseConfig = LeaseConfig {
-        lease: 100,
-        drift: 10,
+        duration: 100,
+        max_clock_drift: 10,
     };
 
     fn record(publishes: u64) -> Record {
         let mut record = Record::default();
         for _ in 0..publishes {
-            let (revision, floors) = (record.revision(), record.floors());
+            let (revision, floors) = (record.revision(), record.fallback_generations());
             record.apply(&Command::Publish {
                 revision,
                 text: String::new(),
-                floors,
+                fallback_generations: floors,
                 all_regions: None,
             });
         }
@@ -253,34 +262,34 @@
                 name: "p".to_owned(),
                 incarnation: 1,
             },
-            number,
-            acting,
-            has: BTreeSet::new(),
-            unread: None,
-            cut_off: OnLeaseLoss::Refuse,
+            sequence: number,
+            active_revision: acting,
+            loaded_generations: BTreeSet::new(),
+            rejected_generation: None,
+            on_lease_loss: OnLeaseLoss::Reject,
         }
     }
 
     #[test]
     fn a_leader_that_begins_waits_for_what_others_may_have_lent() {
-        let leases = Leases::elected(TERMS, 1_000);
+        let leases = Leases::after_election(TERMS, 1_000);
         let middle = record(2);
         assert_eq!(leases.blockers(1_109, &middle).len(), 1);
         assert_eq!(leases.blockers(1_110, &middle), []);
-        assert_eq!(leases.next(1_000, &middle), Some(1_110));
+        assert_eq!(leases.next_deadline(1_000, &middle), Some(1_110));
     }
 
     #[test]
     fn an_older_mode_is_out_until_it_is_told_or_has_run_out() {
-        let mut leases = Leases::elected(TERMS, 0);
+        let mut leases = Leases::after_election(TERMS, 0);
         let (stable, middle) = (record(1), record(2));
         assert!(matches!(
-            leases.lend(200, &stable, &ask(1, 0)),
-            GrantOutcome::Grant(_)
+            leases.grant(200, &stable, &ask(1, 0)),
+            GrantOutcome::Granted(_)
         ));
         assert!(matches!(
-            leases.lend(220, &middle, &ask(2, 1)),
-            GrantOutcome::Grant(_)
+            leases.grant(220, &middle, &ask(2, 1)),
+            GrantOutcome::Granted(_)
         ));
         assert_eq!(
             leases.blockers(230, &middle).len(),
@@ -289,8 +298,8 @@
         );
         let mut told = leases.clone();
         assert!(matches!(
-            told.lend(240, &middle, &ask(3, 2)),
-            GrantOutcome::Grant(_)
+            told.grant(240, &middle, &ask(3, 2)),
+            GrantOutcome::Granted(_)
         ));
         assert_eq!(told.blockers(241, &middle), []);
         assert_eq!(leases.blockers(309, &middle).len(), 1);
@@ -299,93 +308,98 @@
 
     #[test]
     fn an_older_question_says_nothing() {
-        let mut leases = Leases::elected(TERMS, 0);
+        let mut leases = Leases::after_election(TERMS, 0);
         let middle = record(2);
-        leases.lend(200, &middle, &ask(5, 2));
+        leases.grant(200, &middle, &ask(5, 2));
         assert_eq!(
-            leases.lend(201, &middle, &ask(5, 2)),
-            GrantOutcome::Stale(LeaseDenial::Older)
+            leases.grant(201, &middle, &ask(5, 2)),
+            GrantOutcome::Denied(LeaseDenial::OutOfOrder)
         );
         assert_eq!(
-            leases.lend(201, &middle, &ask(4, 1)),
-            GrantOutcome::Stale(LeaseDenial::Older)
+            leases.grant(201, &middle, &ask(4, 1)),
+            GrantOutcome::Denied(LeaseDenial::OutOfOrder)
         );
         assert_eq!(
-            leases.lend(201, &Record::default(), &ask(6, 2)),
-            GrantOutcome::Stale(LeaseDenial::NoPolicy)
+            leases.grant(201, &Record::default(), &ask(6, 2)),
+            GrantOutcome::Denied(LeaseDenial::NoPolicy)
         );
     }
 
     #[test]
     fn who_keeps_is_registered_first_and_waited_for() {
-        let mut leases = Leases::elected(TERMS, 0);
+        let mut leases = Leases::after_election(TERMS, 0);
         let mut record = record(1);
         let keeps = LeaseRequest {
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
             ..ask(1, 0)
         };
         assert_eq!(
-            leases.lend(200, &record, &keeps),
+            leases.grant(200, &record, &keeps),
             GrantOutcome::RegisterFirst
         );
         record.apply(&Command::Register {
             identity: keeps.identity.clone(),
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         });
         assert!(matches!(
-            leases.lend(200, &record, &keeps),
-            GrantOutcome::Grant(_)
+            leases.grant(200, &record, &keeps),
+            GrantOutcome::Granted(_)
         ));
-        let (revision, floors) = (record.revision(), record.floors());
+        let (revision, floors) = (record.revision(), record.fallback_generations());
         record.apply(&Command::Publish {
             revision,
             text: String::new(),
-            floors,
+            fallback_generations: floors,
             all_regions: None,
         });
         let why = |l: &Leases| {
             l.blockers(10_000, &record)
                 .into_iter()
-                .map(|b| b.why)
+                .map(|b| b.reason)
                 .collect::<Vec<_>>()
         };
-        assert_eq!(why(&leases), [BlockReason::Keeps]);
+        assert_eq!(why(&leases), [BlockReason::ServesWithoutLease]);
         let told = LeaseRequest {
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
             ..ask(2, 2)
         };
-        leases.lend(10_000, &record, &told);
+        leases.grant(10_000, &record, &told);
         assert_eq!(why(&leases), []);
-        assert_eq!(leases.acting(&record).len(), 1);
+        assert_eq!(leases.caught_up_proxies(&record).len(), 1);
         record.apply(&Command::Evict {
             identity: told.identity.clone(),
         });
-        let again = LeaseRequest { number: 3, ..told };
+        let again = LeaseRequest {
+            sequence: 3,
+            ..told
+        };
         assert_eq!(
-            leases.lend(10_001, &record, &again),
-            GrantOutcome::Stale(LeaseDenial::Evicted)
+            leases.grant(10_001, &record, &again),
+            GrantOutcome::Denied(LeaseDenial::Evicted)
         );
     }
 
     #[test]
     fn who_cannot_read_it_is_named() {
-        let mut leases = Leases::elected(TERMS, 0);
+        let mut leases = Leases::after_election(TERMS, 0);
         let middle = record(2);
         let unread = RejectedGeneration {
             generation: Generation(2),
             reason: "odd".to_owned(),
         };
-        leases.lend(
+        leases.grant(
             0,
             &middle,
             &LeaseRequest {
-                unread: Some(unread),
+                rejected_generation: Some(unread),
                 ..ask(1, 1)
             },
         );
         let mode = middle.mode().expect("a policy");
         assert_eq!(
-            leases.unread(mode).map(|(i, why)| (i.name.as_str(), why)),
+            leases
+                .rejected_generation(mode)
+                .map(|(i, why)| (i.name.as_str(), why)),
             Some(("p", "odd"))
         );
     }
--- a/crates/policy/src/mode.rs
+++ b/crates/policy/src/mode.rs
@@ -28,7 +28,7 @@
 
 impl Mode {
     /// One generation, in force.
-    pub fn settled(revision: u64, generation: Generation) -> Self {
+    pub fn stable(revision: u64, generation: Generation) -> Self {
         Mode {
             revision,
             old: generation,
@@ -37,19 +37,19 @@
     }
 
     /// Is a change under way?
-    pub fn is_middle(self) -> bool {
+    pub fn is_transition(self) -> bool {
         self.old != self.new
     }
 
     /// May calls begin under this one while others begin under `other`? They may if one generation allows both.
-    pub fn beside(self, other: Mode) -> bool {
+    pub fn is_compatible_with(self, other: Mode) -> bool {
         self.old <= other.new && other.old <= self.new
     }
 }
 
 impl fmt::Display for Mode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.is_middle() {
+        if self.is_transition() {
             write!(f, "between {} and {}", self.old, self.new)
         } else {
             write!(f, "{}", self.new)
--- a/crates/policy/src/next_command.rs
+++ b/crates/policy/src/next_command.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeTimeouts {
     /// Longest wait for the proxies of the own region.
-    pub wait: Micros,
+    pub proxies: Micros,
     /// Longest wait of a coordinator for the votes of the other regions.
-    pub regions_wait: Micros,
+    pub regions: Micros,
 }
 
 /// The command that the leader has to log next; `None`: nothing for now. `begun` is when this leader first saw the present
@@ -22,11 +22,11 @@
     begun: Micros,
     limits: ChangeTimeouts,
 ) -> Option<Command> {
-    let behind = leases.acting(record);
-    let Some(middle) = record.middle() else {
+    let behind = leases.caught_up_proxies(record);
+    let Some(middle) = record.transition() else {
         // Whose floors are held is brought up to date together, when most have moved.
-        let most = behind.len() * 2 > record.standing().len();
-        return most.then(|| Command::Acting {
+        let most = behind.len() * 2 > record.leaseless_proxies().len();
+        return most.then(|| Command::RecordActive {
             revision: record.revision(),
             proxies: behind,
         });
@@ -34,14 +34,17 @@
     let revision = middle.revision;
     if may_abort(record) {
         if let Some(why) = abort_reason(record, leases, now, now.saturating_sub(begun), limits) {
-            return Some(Command::Abort { revision, why });
+            return Some(Command::Abort {
+                revision,
+                reason: why,
+            });
         }
     }
     if !leases.blockers(now, record).is_empty() {
         return None;
     }
     if !behind.is_empty() {
-        return Some(Command::Acting {
+        return Some(Command::RecordActive {
             revision,
             proxies: behind,
         });
@@ -82,18 +85,18 @@
     elapsed: Micros,
     limits: ChangeTimeouts,
 ) -> Option<String> {
-    if let Some((identity, why)) = leases.unread(record.middle()?) {
+    if let Some((identity, why)) = leases.rejected_generation(record.transition()?) {
         return Some(format!("{identity} can't read it: {why}"));
     }
     let missing = missing_votes(record);
-    if elapsed > limits.regions_wait && !missing.is_empty() {
+    if elapsed > limits.regions && !missing.is_empty() {
         return Some(format!(
             "not in force in time; no vote of {}",
             listed(&missing)
         ));
     }
     let blockers = leases.blockers(now, record);
-    if elapsed > limits.wait && !blockers.is_empty() {
+    if elapsed > limits.proxies && !blockers.is_empty() {
         let named = |b: &Blocker| {
             b.identity
                 .as_ref()
@@ -116,7 +119,7 @@
                 role: Role::Coordinator { .. },
                 ..
             },
-        ) => cross.waits_for(),
+        ) => cross.awaited_regions(),
         _ => BTreeSet::new(),
     }
 }
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -20,24 +20,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaselessProxy {
     /// What it does when cut off.
-    pub cut_off: OnLeaseLoss,
+    #[serde(rename = "cut_off")]
+    pub on_lease_loss: OnLeaseLoss,
     /// It acts under this revision or a newer one.
     pub revision: u64,
     /// Its floor is that of this generation or of one that came into force later.
-    pub floor: Generation,
+    #[serde(rename = "floor")]
+    pub fallback_generation: Generation,
 }
 
 /// How a change stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
     /// Under way.
-    Open,
+    #[serde(rename = "Open")]
+    Pending,
     /// In force.
-    InForce,
+    #[serde(rename = "InForce")]
+    Committed,
     /// It never was, and never will be.
-    NotInForce {
+    #[serde(rename = "NotInForce")]
+    Aborted {
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -47,7 +53,8 @@
     /// The generation in force before.
     pub from: Generation,
     /// How it stands.
-    pub ended: ChangeStatus,
+    #[serde(rename = "ended")]
+    pub status: ChangeStatus,
     /// Identifies it among the regions, if it is a change of all regions.
     #[serde(default)]
     pub id: Option<ChangeId>,
@@ -88,7 +95,7 @@
     /// No policy yet: nothing may begin.
     fn default() -> Self {
         Record {
-            mode: Mode::settled(0, Generation(0)),
+            mode: Mode::stable(0, Generation(0)),
             last: Generation(0),
             texts: BTreeMap::new(),
             changes: BTreeMap::new(),
@@ -108,8 +115,8 @@
     }
 
     /// The change under way: also the first one, before which there is no policy.
-    pub fn middle(&self) -> Option<Mode> {
-        self.mode.is_middle().then_some(self.mode)
+    pub fn transition(&self) -> Option<Mode> {
+        self.mode.is_transition().then_some(self.mode)
     }
 
     /// The change of all regions under way here, and this region's part in it.
@@ -118,7 +125,7 @@
     }
 
     /// The commit that not all participants have acknowledged to this coordinator.
-    pub fn unacknowledged(&self) -> Option<&UnacknowledgedCommit> {
+    pub fn unacknowledged_commit(&self) -> Option<&UnacknowledgedCommit> {
         self.unacknowledged.as_ref()
     }
 
@@ -143,7 +150,7 @@
     }
 
     /// The proxies that may act without a lease.
-    pub fn standing(&self) -> &BTreeMap<Identity, LeaselessProxy> {
+    pub fn leaseless_proxies(&self) -> &BTreeMap<Identity, LeaselessProxy> {
         &self.standing
     }
 
@@ -153,12 +160,12 @@
     }
 
     /// The generations under whose floors proxies may act: a policy that leaves one of them may not come.
-    pub fn floors(&self) -> BTreeSet<Generation> {
+    pub fn fallback_generations(&self) -> BTreeSet<Generation> {
         let narrow = self
             .standing
             .values()
-            .filter(|s| s.cut_off == OnLeaseLoss::Narrow)
-            .map(|s| s.floor);
+            .filter(|s| s.on_lease_loss == OnLeaseLoss::Fallback)
+            .map(|s| s.fallback_generation);
         narrow
             .chain(self.mode().map(|mode| mode.old))
             .filter(|&g| g > Generation(0))
@@ -171,47 +178,53 @@
             Command::Publish {
                 revision,
                 text,
-                floors,
+                fallback_generations: floors,
                 all_regions,
             } => self.publish(*revision, text, floors, all_regions.as_ref()),
             Command::Prepare {
                 revision,
                 change,
                 text,
-                floors,
+                fallback_generations: floors,
             } => self.prepare(*revision, change, text, floors),
             Command::Vote { revision } => self.vote(*revision),
             Command::Prepared { revision, region } => self.prepared(*revision, region),
             Command::Advance { revision } => self.advance(*revision),
-            Command::Abort { revision, why } => self.abort(*revision, why),
-            Command::Committed { id } => self.decided(*id, ChangeStatus::InForce),
+            Command::Abort {
+                revision,
+                reason: why,
+            } => self.abort(*revision, why),
+            Command::Committed { id } => self.decided(*id, ChangeStatus::Committed),
             Command::Aborted { id } => self.decided(
                 *id,
-                ChangeStatus::NotInForce {
-                    why: GIVEN_UP.to_owned(),
+                ChangeStatus::Aborted {
+                    reason: GIVEN_UP.to_owned(),
                 },
             ),
             Command::Acknowledged { id, region } => self.acknowledged(*id, region),
-            Command::Register { identity, cut_off } => self.register(identity, *cut_off),
-            Command::Acting { revision, proxies } => self.acting(*revision, proxies),
-            Command::Retire { identity } => self.retire(identity),
+            Command::Register {
+                identity,
+                on_lease_loss: cut_off,
+            } => self.register(identity, *cut_off),
+            Command::RecordActive { revision, proxies } => self.acting(*revision, proxies),
+            Command::Unregister { identity } => self.retire(identity),
             Command::Evict { identity } => {
                 self.evicted.insert(identity.clone());
                 self.retire(identity)
             }
         };
-        applied.unwrap_or_else(Outcome::Refused)
+        applied.unwrap_or_else(Outcome::Rejected)
     }
 
     /// Why nothing new can begin, if it can't.
     fn under_way(&self) -> Option<Rejection> {
-        let generation = self.middle()?.new;
+        let generation = self.transition()?.new;
         Some(match &self.cross_region {
-            None => Rejection::UnderWay(generation),
-            Some(cross) => Rejection::AcrossRegions {
+            None => Rejection::ChangePending(generation),
+            Some(cross) => Rejection::CrossRegionPending {
                 generation,
                 id: cross.change.id,
-                waits_for: cross.waits_for(),
+                awaited_regions: cross.awaited_regions(),
             },
         })
     }
@@ -219,10 +232,10 @@
     /// Why no change of all regions can begin beside [`Record::under_way`], if it can't.
     fn remembered(&self) -> Option<Rejection> {
         let UnacknowledgedCommit { change, regions } = self.unacknowledged.as_ref()?;
-        Some(Rejection::AcrossRegions {
-            generation: change.number,
+        Some(Rejection::CrossRegionPending {
+            generation: change.generation,
             id: change.id,
-            waits_for: regions.clone(),
+            awaited_regions: regions.clone(),
         })
     }
 
@@ -243,23 +256,23 @@
             let number = self.begin(revision, text, floors, None)?;
             // Before the first policy nothing can begin, so there is nothing to stand between.
             if self.mode.old == Generation(0) {
-                self.mode = Mode::settled(self.mode.revision, number);
-                self.note(number, ChangeStatus::InForce);
+                self.mode = Mode::stable(self.mode.revision, number);
+                self.note(number, ChangeStatus::Committed);
             }
-            return Ok(Outcome::Begun(number));
+            return Ok(Outcome::Started(number));
         };
         let number = self.begin(revision, text, floors, Some(all.id))?;
         let change = ChangeRef {
             id: all.id,
             coordinator: all.coordinator.clone(),
-            number,
+            generation: number,
         };
         let role = Role::Coordinator {
             participants: all.participants.clone(),
             prepared: BTreeSet::new(),
         };
         self.cross_region = Some(CrossRegionChange { change, role });
-        Ok(Outcome::Begun(number))
+        Ok(Outcome::Started(number))
     }
 
     fn prepare(
@@ -276,9 +289,9 @@
         let last = self
             .participations
             .get(&change.coordinator)
-            .map_or(Generation(0), |p| p.change.number);
-        if change.number <= last {
-            return Err(Rejection::Moved);
+            .map_or(Generation(0), |p| p.change.generation);
+        if change.generation <= last {
+            return Err(Rejection::Conflict);
         }
         let number = self.begin(revision, text, floors, Some(change.id))?;
         let role = Role::Participant { voted: false };
@@ -288,11 +301,11 @@
         });
         let participation = Participation {
             change: change.clone(),
-            decision: Decision::Open,
+            decision: Decision::Pending,
         };
         self.participations
             .insert(change.coordinator.clone(), participation);
-        Ok(Outcome::Begun(number))
+        Ok(Outcome::Started(number))
     }
 
     /// Begins the middle of a new generation.
@@ -303,8 +316,8 @@
         floors: &BTreeSet<Generation>,
         id: Option<ChangeId>,
     ) -> Result<Generation, Rejection> {
-        if revision != self.mode.revision || !self.floors().is_subset(floors) {
-            return Err(Rejection::Moved);
+        if revision != self.mode.revision || !self.fallback_generations().is_subset(floors) {
+            return Err(Rejection::Conflict);
         }
         self.last = Generation(self.last.0 + 1);
         self.texts.insert(self.last, text.to_owned());
@@ -312,7 +325,7 @@
             self.last,
             Change {
                 from: self.mode.old,
-                ended: ChangeStatus::Open,
+                status: ChangeStatus::Pending,
                 id,
             },
         );
@@ -329,9 +342,9 @@
         let now = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
             Some(Role::Participant { voted }) if revision == now => *voted = true,
-            _ => return Err(Rejection::Moved),
+            _ => return Err(Rejection::Conflict),
         }
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     fn prepared(&mut self, revision: u64, region: &Region) -> Result<Outcome, Rejection> {
@@ -343,15 +356,15 @@
             }) if revision == now && participants.contains(region) => {
                 prepared.insert(region.clone());
             }
-            _ => return Err(Rejection::Moved),
+            _ => return Err(Rejection::Conflict),
         }
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     fn is_middle_of(&self, revision: u64) -> Result<(), Rejection> {
-        match self.middle() {
+        match self.transition() {
             Some(middle) if middle.revision == revision => Ok(()),
-            _ => Err(Rejection::Moved),
+            _ => Err(Rejection::Conflict),
         }
     }
 
@@ -379,8 +392,8 @@
                 Role::Coordinator { .. } => {}
             }
         }
-        self.settle(ChangeStatus::InForce);
-        Ok(Outcome::Done)
+        self.settle(ChangeStatus::Committed);
+        Ok(Outcome::Applied)
     }
 
     fn abort(&mut self, revision: u64, why: &str) -> Result<Outcome, Rejection> {
@@ -394,10 +407,10 @@
                 coordinator: change.coordinator.clone(),
             });
         }
-        self.settle(ChangeStatus::NotInForce {
-            why: why.to_owned(),
+        self.settle(ChangeStatus::Aborted {
+            reason: why.to_owned(),
         });
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     /// Takes in what the coordinator has decided. Only a participant that has voted can find itself committed.
@@ -406,11 +419,11 @@
             Some(CrossRegionChange {
                 change,
                 role: Role::Participant { voted },
-            }) if change.id == id && (*voted || ended != ChangeStatus::InForce) => {}
-            _ => return Err(Rejection::Moved),
+            }) if change.id == id && (*voted || ended != ChangeStatus::Committed) => {}
+            _ => return Err(Rejection::Conflict),
         }
         self.settle(ended);
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     fn acknowledged(&mut self, id: ChangeId, region: &Region) -> Result<Outcome, Rejection> {
@@ -419,20 +432,20 @@
             .as_mut()
             .filter(|commit| commit.change.id == id)
         else {
-            return Err(Rejection::Moved);
+            return Err(Rejection::Conflict);
         };
         commit.regions.remove(region);
         if commit.regions.is_empty() {
             self.unacknowledged = None;
         }
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     /// Leaves the middle.
     fn settle(&mut self, ended: ChangeStatus) {
         let Mode { revision, old, new } = self.mode;
-        let in_force = ended == ChangeStatus::InForce;
-        self.mode = Mode::settled(revision + 1, if in_force { new } else { old });
+        let in_force = ended == ChangeStatus::Committed;
+        self.mode = Mode::stable(revision + 1, if in_force { new } else { old });
         self.note(new, ended);
         let Some(CrossRegionChange {
             change,
@@ -442,9 +455,9 @@
             return;
         };
         let decision = if in_force {
-            Decision::InForce
+            Decision::Committed
         } else {
-            Decision::NotInForce
+            Decision::Aborted
         };
         let coordinator = change.coordinator.clone();
         self.participations
@@ -454,7 +467,7 @@
     /// Notes how a change has ended.
     fn note(&mut self, generation: Generation, ended: ChangeStatus) {
         if let Some(change) = self.changes.get_mut(&generation) {
-            change.ended = ended;
+            change.status = ended;
         }
     }
 
@@ -470,11 +483,11 @@
         self.standing
             .entry(identity.clone())
             .or_insert(LeaselessProxy {
-                cut_off,
+                on_lease_loss: cut_off,
                 revision,
-                floor: old,
+                fallback_generation: old,
             });
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     fn acting(
@@ -483,28 +496,28 @@
         proxies: &BTreeSet<Identity>,
     ) -> Result<Outcome, Rejection> {
         if revision != self.mode.revision {
-            return Err(Rejection::Moved);
+            return Err(Rejection::Conflict);
         }
         for (_, standing) in self
             .standing
             .iter_mut()
             .filter(|(i, _)| proxies.contains(i))
         {
-            (standing.revision, standing.floor) = (revision, self.mode.old);
+            (standing.revision, standing.fallback_generation) = (revision, self.mode.old);
         }
         self.clear();
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     fn retire(&mut self, identity: &Identity) -> Result<Outcome, Rejection> {
         self.standing.remove(identity);
         self.clear();
-        Ok(Outcome::Done)
+        Ok(Outcome::Applied)
     }
 
     /// Lets go of what nothing can come back to: a floor that may be acted under keeps its text.
     fn clear(&mut self) {
-        let floors = self.floors();
+        let floors = self.fallback_generations();
         let Mode { old, new, .. } = self.mode;
         while self.texts.len() > KEPT {
             let gone = |g: &&Generation| !floors.contains(g) && **g != old && **g != new;
@@ -527,7 +540,7 @@
         let command = Command::Publish {
             revision: record.revision(),
             text: "t".to_owned(),
-            floors: record.floors(),
+            fallback_generations: record.fallback_generations(),
             all_regions: None,
         };
         record.apply(&command)
@@ -544,9 +557,9 @@
     fn the_first_policy_is_in_force_at_once_and_the_next_has_a_middle() {
         let mut record = Record::default();
         assert_eq!(record.mode(), None);
-        assert_eq!(publish(&mut record), Outcome::Begun(Generation(1)));
-        assert_eq!(record.mode(), Some(Mode::settled(1, Generation(1))));
-        assert_eq!(publish(&mut record), Outcome::Begun(Generation(2)));
+        assert_eq!(publish(&mut record), Outcome::Started(Generation(1)));
+        assert_eq!(record.mode(), Some(Mode::stable(1, Generation(1))));
+        assert_eq!(publish(&mut record), Outcome::Started(Generation(2)));
         assert_eq!(
             record.mode(),
             Some(Mode {
@@ -557,22 +570,22 @@
         );
         assert_eq!(
             publish(&mut record),
-            Outcome::Refused(Rejection::UnderWay(Generation(2)))
+            Outcome::Rejected(Rejection::ChangePending(Generation(2)))
         );
         assert_eq!(
             record.apply(&Command::Advance { revision: 1 }),
-            Outcome::Refused(Rejection::Moved)
+            Outcome::Rejected(Rejection::Conflict)
         );
         assert_eq!(
             record.apply(&Command::Advance { revision: 2 }),
-            Outcome::Done
+            Outcome::Applied
         );
-        assert_eq!(record.mode(), Some(Mode::settled(3, Generation(2))));
+        assert_eq!(record.mode(), Some(Mode::stable(3, Generation(2))));
         let late = Command::Abort {
             revision: 2,
-            why: String::new(),
+            reason: String::new(),
         };
-        assert_eq!(record.apply(&late), Outcome::Refused(Rejection::Moved));
+        assert_eq!(record.apply(&late), Outcome::Rejected(Rejection::Conflict));
     }
 
     #[test]
@@ -582,14 +595,14 @@
         publish(&mut record);
         record.apply(&Command::Abort {
             revision: 2,
-            why: "unread".to_owned(),
+            reason: "unread".to_owned(),
         });
-        assert_eq!(record.mode(), Some(Mode::settled(3, Generation(1))));
-        assert_eq!(publish(&mut record), Outcome::Begun(Generation(3)));
+        assert_eq!(record.mode(), Some(Mode::stable(3, Generation(1))));
+        assert_eq!(publish(&mut record), Outcome::Started(Generation(3)));
         assert_eq!(
-            record.changes()[&Generation(2)].ended,
-            ChangeStatus::NotInForce {
-                why: "unread".to_owned()
+            record.changes()[&Generation(2)].status,
+            ChangeStatus::Aborted {
+                reason: "unread".to_owned()
             }
         );
     }
@@ -600,27 +613,33 @@
         publish(&mut record);
         record.apply(&Command::Register {
             identity: identity("n"),
-            cut_off: OnLeaseLoss::Narrow,
+            on_lease_loss: OnLeaseLoss::Fallback,
         });
         publish(&mut record);
         record.apply(&Command::Advance { revision: 2 });
         assert_eq!(
-            record.floors(),
+            record.fallback_generations(),
             BTreeSet::from([Generation(1), Generation(2)])
         );
         let one_floor = Command::Publish {
             revision: 3,
             text: String::new(),
-            floors: BTreeSet::from([Generation(2)]),
+            fallback_generations: BTreeSet::from([Generation(2)]),
             all_regions: None,
         };
-        assert_eq!(record.apply(&one_floor), Outcome::Refused(Rejection::Moved));
-        record.apply(&Command::Acting {
+        assert_eq!(
+            record.apply(&one_floor),
+            Outcome::Rejected(Rejection::Conflict)
+        );
+        record.apply(&Command::RecordActive {
             revision: 3,
             proxies: BTreeSet::from([identity("n")]),
         });
-        assert_eq!(record.floors(), BTreeSet::from([Generation(2)]));
-        assert_eq!(record.apply(&one_floor), Outcome::Begun(Generation(3)));
+        assert_eq!(
+            record.fallback_generations(),
+            BTreeSet::from([Generation(2)])
+        );
+        assert_eq!(record.apply(&one_floor), Outcome::Started(Generation(3)));
     }
 
     #[test]
@@ -628,16 +647,16 @@
         let mut record = Record::default();
         let register = Command::Register {
             identity: identity("n"),
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         };
-        assert_eq!(record.apply(&register), Outcome::Done);
+        assert_eq!(record.apply(&register), Outcome::Applied);
         record.apply(&Command::Evict {
             identity: identity("n"),
         });
-        assert!(record.standing().is_empty());
+        assert!(record.leaseless_proxies().is_empty());
         assert_eq!(
             record.apply(&register),
-            Outcome::Refused(Rejection::Evicted)
+            Outcome::Rejected(Rejection::Evicted)
         );
     }
 
@@ -647,7 +666,7 @@
         publish(&mut record);
         record.apply(&Command::Register {
             identity: identity("n"),
-            cut_off: OnLeaseLoss::Narrow,
+            on_lease_loss: OnLeaseLoss::Fallback,
         });
         for _ in 0..3 * KEPT {
             publish(&mut record);
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -9,10 +9,10 @@
 //!   [`Vote::Prepared`]. From then on it neither aborts nor advances by itself.
 //! - **Decide.** The coordinator logs each vote. With all votes, and its own region prepared, it advances: that log entry
 //!   commits the change everywhere. A refusal, a time-out or an operator aborts it, as long as it has not advanced.
-//! - **Commit and acknowledge.** The coordinator sends [`Commit`] until each participant has answered [`Vote::InForce`],
+//! - **Commit and acknowledge.** The coordinator sends [`Commit`] until each participant has answered [`Vote::Committed`],
 //!   and remembers the decision until then; the next change of all regions has to wait for that.
 //! - **Presumed abort.** A participant that waits sends [`OutcomeRequest`]. The coordinator answers
-//!   [`Decision::NotInForce`] for a change that it does not know, so an abort need not be remembered. The answer has to be
+//!   [`Decision::Aborted`] for a change that it does not know, so an abort need not be remembered. The answer has to be
 //!   linearizable: a deposed leader may not know yet of a change that its successor has begun.
 //!
 //! All that the protocol relies on after a restart is in the record. [`coordinator`] and [`participant`] say what follows
@@ -183,7 +183,8 @@
     /// The region that coordinates it.
     pub coordinator: Region,
     /// Its generation in the coordinator's record. It grows from one change of all regions to the next.
-    pub number: Generation,
+    #[serde(rename = "number")]
+    pub generation: Generation,
 }
 
 /// What a publish of all regions says beside the policy.
@@ -225,7 +226,7 @@
 
 impl CrossRegionChange {
     /// The regions whose word this region waits for.
-    pub fn waits_for(&self) -> BTreeSet<Region> {
+    pub fn awaited_regions(&self) -> BTreeSet<Region> {
         match &self.role {
             Role::Coordinator {
                 participants,
@@ -259,11 +260,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Decision {
     /// Nothing yet.
-    Open,
+    #[serde(rename = "Open")]
+    Pending,
     /// It is in force in all regions.
-    InForce,
+    #[serde(rename = "InForce")]
+    Committed,
     /// It never was in force in any region, and never will be.
-    NotInForce,
+    #[serde(rename = "NotInForce")]
+    Aborted,
 }
 
 /// From the coordinator to a participant: take part in this change, and tell whether you are prepared.
@@ -299,14 +303,18 @@
     /// It is prepared, and waits for the decision.
     Prepared,
     /// It was not taken in.
-    Refused {
+    #[serde(rename = "Refused")]
+    Rejected {
         /// Why, for people.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The commit is in its log. This acknowledges it.
-    InForce,
+    #[serde(rename = "InForce")]
+    Committed,
     /// It has ended here as not in force.
-    NotInForce,
+    #[serde(rename = "NotInForce")]
+    Aborted,
 }
 
 /// From a participant to the coordinator.
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -25,7 +25,7 @@
     else {
         return Vec::new();
     };
-    let Some(text) = record.text(change.number) else {
+    let Some(text) = record.text(change.generation) else {
         return Vec::new();
     };
     let prepare = || Prepare {
@@ -33,14 +33,14 @@
         text: text.to_owned(),
     };
     cross
-        .waits_for()
+        .awaited_regions()
         .into_iter()
         .map(|region| (region, Request::Prepare(prepare())))
         .collect()
 }
 
 fn commits(record: &Record) -> Vec<(Region, Request)> {
-    let Some(UnacknowledgedCommit { change, regions }) = record.unacknowledged() else {
+    let Some(UnacknowledgedCommit { change, regions }) = record.unacknowledged_commit() else {
         return Vec::new();
     };
     let commit = || Commit {
@@ -57,19 +57,19 @@
     match &reply.vote {
         Vote::Preparing => None,
         Vote::Prepared => prepared(record, region, reply),
-        Vote::Refused { why } => give_up(
+        Vote::Rejected { reason: why } => give_up(
             record,
             region,
             reply,
             format!("region {region} refuses it: {why}"),
         ),
-        Vote::NotInForce => give_up(
+        Vote::Aborted => give_up(
             record,
             region,
             reply,
             format!("region {region} has given it up"),
         ),
-        Vote::InForce => acknowledged(record, region, reply),
+        Vote::Committed => acknowledged(record, region, reply),
     }
 }
 
@@ -79,7 +79,7 @@
         .cross_region()
         .filter(|cross| cross.change.id == reply.id)?;
     let waits =
-        matches!(cross.role, Role::Coordinator { .. }) && cross.waits_for().contains(region);
+        matches!(cross.role, Role::Coordinator { .. }) && cross.awaited_regions().contains(region);
     waits.then(|| record.revision())
 }
 
@@ -93,12 +93,15 @@
 
 fn give_up(record: &Record, region: &Region, reply: &VoteReply, why: String) -> Option<Command> {
     let revision = waiting(record, region, reply)?;
-    Some(Command::Abort { revision, why })
+    Some(Command::Abort {
+        revision,
+        reason: why,
+    })
 }
 
 fn acknowledged(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     let commit = record
-        .unacknowledged()
+        .unacknowledged_commit()
         .filter(|commit| commit.change.id == reply.id)?;
     let waits = commit.regions.contains(region);
     waits.then(|| Command::Acknowledged {
@@ -124,14 +127,14 @@
         .cross_region()
         .is_some_and(|cross| cross.change.id == asked.id)
     {
-        return Decision::Open;
+        return Decision::Pending;
     }
     let waits = |commit: &UnacknowledgedCommit| {
         commit.change.id == asked.id && commit.regions.contains(&asked.region)
     };
-    if record.unacknowledged().is_some_and(waits) {
-        Decision::InForce
+    if record.unacknowledged_commit().is_some_and(waits) {
+        Decision::Committed
     } else {
-        Decision::NotInForce
+        Decision::Aborted
     }
 }
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -13,10 +13,10 @@
     /// Answer this.
     Reply(VoteReply),
     /// Read the policy and check it against these floors of the own record. If it is good, log the command and answer
-    /// [`begun`] of what became of it; if not, answer [`refused`].
-    Begin {
+    /// [`prepare_reply`] of what became of it; if not, answer [`rejected`].
+    Start {
         /// The generations whose floors the policy must leave.
-        floors: BTreeSet<Generation>,
+        fallback_generations: BTreeSet<Generation>,
         /// What to log.
         command: Command,
     },
@@ -27,7 +27,7 @@
 pub enum OnCommit {
     /// Answer this.
     Reply(VoteReply),
-    /// Log this, and then answer [`standing`].
+    /// Log this, and then answer [`current_status`].
     Log(Command),
 }
 
@@ -41,23 +41,27 @@
         return OnPrepare::Reply(reply(change, Vote::Preparing));
     }
     if let Some(why) = not_taken(record, regions, change) {
-        return OnPrepare::Reply(refused(change, why));
+        return OnPrepare::Reply(rejected(change, why));
     }
-    let floors = record.floors();
+    let floors = record.fallback_generations();
     let command = Command::Prepare {
         revision: record.revision(),
         change: change.clone(),
         text: prepare.text.clone(),
-        floors: floors.clone(),
+        fallback_generations: floors.clone(),
     };
-    OnPrepare::Begin { floors, command }
+    OnPrepare::Start {
+        fallback_generations: floors,
+        command,
+    }
 }
 
 /// Is this region still in the middle of an older change of the same coordinator? That one has ended, and the answer to
-/// the next [`inquiry`] makes room for the new one.
+/// the next [`outcome_request`] makes room for the new one.
 fn awaits_older(record: &Record, change: &ChangeRef) -> bool {
     record.cross_region().is_some_and(|cross| {
-        cross.change.coordinator == change.coordinator && cross.change.number < change.number
+        cross.change.coordinator == change.coordinator
+            && cross.change.generation < change.generation
     })
 }
 
@@ -70,26 +74,26 @@
             "it comes from region {found}; for region {own} {coordinator} coordinates"
         ));
     }
-    let middle = record.middle()?;
+    let middle = record.transition()?;
     Some(format!("the change to {} is under way there", middle.new))
 }
 
-/// The answer to a [`Prepare`] whose [`OnPrepare::Begin`] was logged and came to this.
-pub fn begun(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
+/// The answer to a [`Prepare`] whose [`OnPrepare::Start`] was logged and came to this.
+pub fn prepare_reply(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
     match outcome {
-        Outcome::Begun(_) | Outcome::Done => reply(change, Vote::Preparing),
-        Outcome::Refused(Rejection::UnderWay(generation)) => refused(
+        Outcome::Started(_) | Outcome::Applied => reply(change, Vote::Preparing),
+        Outcome::Rejected(Rejection::ChangePending(generation)) => rejected(
             change,
             format!("the change to {generation} is under way there"),
         ),
         // Another message may have been faster; the next one finds out.
-        Outcome::Refused(_) => reply(change, Vote::Preparing),
+        Outcome::Rejected(_) => reply(change, Vote::Preparing),
     }
 }
 
 /// The answer to a [`Prepare`] whose policy can't come here.
-pub fn refused(change: &ChangeRef, why: String) -> VoteReply {
-    reply(change, Vote::Refused { why })
+pub fn rejected(change: &ChangeRef, why: String) -> VoteReply {
+    reply(change, Vote::Rejected { reason: why })
 }
 
 /// A [`Commit`] has come in.
@@ -98,21 +102,24 @@
         Some(Vote::Prepared) => OnCommit::Log(Command::Committed {
             id: commit.change.id,
         }),
-        _ => OnCommit::Reply(standing(record, &commit.change)),
+        _ => OnCommit::Reply(current_status(record, &commit.change)),
     }
 }
 
 /// How a change stands here.
-pub fn standing(record: &Record, change: &ChangeRef) -> VoteReply {
-    let unknown = || Vote::Refused {
-        why: "it is not known there".to_owned(),
+pub fn current_status(record: &Record, change: &ChangeRef) -> VoteReply {
+    let unknown = || Vote::Rejected {
+        reason: "it is not known there".to_owned(),
     };
     reply(change, known(record, change).unwrap_or_else(unknown))
 }
 
 /// The question for the outcome, to be sent again and again to the coordinator while a change of all regions is under
 /// way here.
-pub fn inquiry(record: &Record, regions: &Regions) -> Option<(super::Region, OutcomeRequest)> {
+pub fn outcome_request(
+    record: &Record,
+    regions: &Regions,
+) -> Option<(super::Region, OutcomeRequest)> {
     let CrossRegionChange {
         change,
         role: Role::Participant { .. },
@@ -139,10 +146,10 @@
     let id = change.id;
     match reply.decision {
         _ if id != reply.id => None,
-        Decision::Open => None,
+        Decision::Pending => None,
         // Nothing is committed without this region's vote.
-        Decision::InForce => voted.then_some(Command::Committed { id }),
-        Decision::NotInForce => Some(Command::Aborted { id }),
+        Decision::Committed => voted.then_some(Command::Committed { id }),
+        Decision::Aborted => Some(Command::Aborted { id }),
     }
 }
 
@@ -158,14 +165,14 @@
     let last = record.participation(&change.coordinator)?;
     if last.change.id == change.id {
         return Some(match last.decision {
-            Decision::Open if voted(record) => Vote::Prepared,
-            Decision::Open => Vote::Preparing,
-            Decision::InForce => Vote::InForce,
-            Decision::NotInForce => Vote::NotInForce,
+            Decision::Pending if voted(record) => Vote::Prepared,
+            Decision::Pending => Vote::Preparing,
+            Decision::Committed => Vote::Committed,
+            Decision::Aborted => Vote::Aborted,
         });
     }
     // The coordinator has begun a later change, so this one has ended, and nobody waits for this answer any more.
-    (change.number <= last.change.number).then_some(Vote::NotInForce)
+    (change.generation <= last.change.generation).then_some(Vote::Aborted)
 }
 
 fn voted(record: &Record) -> bool {
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/exhaustive.rs
@@ -131,9 +131,9 @@
         // Texts are no matter here: all of them are there.
         let has = (0..4).map(Generation).collect();
         let terms = LeaseHolderConfig {
-            cut_off: self.proxies[place],
-            answer_within: ANSWER,
-            pause: 1,
+            on_lease_loss: self.proxies[place],
+            request_timeout: ANSWER,
+            retry_delay: 1,
         };
         LeaseHolder::new(identity(place, incarnation), terms, has)
     }
@@ -145,8 +145,8 @@
             DRIFT
         };
         LeaseConfig {
-            lease: self.lease,
-            drift,
+            duration: self.lease,
+            max_clock_drift: drift,
         }
     }
 
@@ -156,14 +156,14 @@
         record.apply(&Command::Publish {
             revision: 0,
             text: String::new(),
-            floors,
+            fallback_generations: floors,
             all_regions: None,
         });
         for (place, &cut_off) in self.proxies.iter().enumerate() {
-            if cut_off != OnLeaseLoss::Refuse {
+            if cut_off != OnLeaseLoss::Reject {
                 record.apply(&Command::Register {
                     identity: identity(place, 1),
-                    cut_off,
+                    on_lease_loss: cut_off,
                 });
             }
         }
@@ -172,7 +172,7 @@
             now,
             record,
             // It has led for long.
-            leases: Leases::elected(self.terms(), 0),
+            leases: Leases::after_election(self.terms(), 0),
             deposed: None,
             holders: (0..self.proxies.len())
                 .map(|place| self.holder(place, 1))
@@ -188,8 +188,8 @@
         };
         // All of them serve when the course begins.
         for place in 0..self.proxies.len() {
-            let ask = state.holders[place].ask(now);
-            state.asked[place] = ask.number;
+            let ask = state.holders[place].request(now);
+            state.asked[place] = ask.sequence;
             self.question(&mut state, place, &ask);
             let (_, grant) = state.answers.remove(0);
             self.answer(&mut state, place, grant);
@@ -201,13 +201,13 @@
     fn plain(&self, state: &mut State) {
         let asked = &state.asked;
         if !self.is(Mutant::AnyAnswer) {
-            let out = |p: usize| state.holders[p].gives_up().is_some();
+            let out = |p: usize| state.holders[p].request_deadline().is_some();
             state
                 .answers
-                .retain(|(p, grant)| grant.number == asked[*p] && out(*p));
+                .retain(|(p, grant)| grant.sequence == asked[*p] && out(*p));
         }
-        state.leases.sweep(state.now);
-        state.holders.iter_mut().for_each(|h| h.news(0));
+        state.leases.expire(state.now);
+        state.holders.iter_mut().for_each(|h| h.request_soon(0));
     }
 
     fn is(&self, mutant: Mutant) -> bool {
@@ -215,11 +215,12 @@
     }
 
     fn may_advance(&self, state: &State) -> bool {
-        let Some(mode) = state.record.mode().filter(|m| m.is_middle()) else {
+        let Some(mode) = state.record.mode().filter(|m| m.is_transition()) else {
             return false;
         };
         let forgotten = |b: &badgerramp_policy::Blocker| {
-            self.is(Mutant::KeeperForgotten) && b.why == badgerramp_policy::BlockReason::Keeps
+            self.is(Mutant::KeeperForgotten)
+                && b.reason == badgerramp_policy::BlockReason::ServesWithoutLease
         };
         self.is(Mutant::AdvanceEarly)
             || (state
@@ -227,18 +228,18 @@
                 .blockers(state.now, &state.record)
                 .iter()
                 .all(forgotten)
-                && state.leases.unread(mode).is_none())
+                && state.leases.rejected_generation(mode).is_none())
     }
 
     fn question(&self, state: &mut State, place: usize, ask: &LeaseRequest) {
         let mut ask = ask.clone();
         if self.is(Mutant::ToldAhead) {
-            ask.acting = state.record.revision();
+            ask.active_revision = state.record.revision();
         }
         if self.is(Mutant::TwinClears) {
             (0..self.proxies.len())
                 .filter(|&p| p != place)
-                .for_each(|p| state.leases.leaves(&identity(p, 1)));
+                .for_each(|p| state.leases.unregister(&identity(p, 1)));
         }
         let deposed = state
             .deposed
@@ -249,10 +250,10 @@
             .chain([(&mut state.leases, &state.record)]);
         for (leases, record) in leaders {
             let before = leases.clone();
-            let GrantOutcome::Grant(grant) = leases.lend(state.now, record, &ask) else {
+            let GrantOutcome::Granted(grant) = leases.grant(state.now, record, &ask) else {
                 continue;
             };
-            if self.is(Mutant::NotedLate) && ask.acting != grant.mode.revision {
+            if self.is(Mutant::NotedLate) && ask.active_revision != grant.mode.revision {
                 *leases = before;
             }
             let answer = (place, grant);
@@ -262,26 +263,26 @@
         }
         state
             .answers
-            .sort_by_key(|(place, grant)| (*place, grant.number, grant.mode.revision));
+            .sort_by_key(|(place, grant)| (*place, grant.sequence, grant.mode.revision));
     }
 
     fn answer(&self, state: &mut State, place: usize, mut grant: LeaseGrant) {
         let clock = state.now - state.behind[place].0;
         let holder = &mut state.holders[place];
         if self.is(Mutant::AnyAnswer) {
-            grant.number = state.asked[place];
+            grant.sequence = state.asked[place];
         }
         if let Some(gives_up) = holder
-            .gives_up()
+            .request_deadline()
             .filter(|_| self.is(Mutant::LeaseFromReceipt))
         {
-            grant.lease += clock - (gives_up - ANSWER);
+            grant.duration += clock - (gives_up - ANSWER);
         }
-        holder.answered(clock, grant);
+        holder.on_grant(clock, grant);
     }
 
     fn crash(&self, state: &mut State, place: usize) {
-        let held = state.holders[place].held();
+        let held = state.holders[place].lease();
         let incarnation = 2 + u64::from(self.crashes - state.left.1);
         let mut anew = self.holder(place, incarnation);
         // Its numbers begin anew with it; what is on its way to or from the old one finds nobody.
@@ -290,22 +291,22 @@
         state.answers.retain(|(p, _)| *p != place);
         if let Some((mode, _)) = held.filter(|_| self.is(Mutant::DiskIsLicence)) {
             let clock = state.now - state.behind[place].0;
-            let ask = anew.ask(clock);
-            state.asked[place] = ask.number;
-            anew.answered(
+            let ask = anew.request(clock);
+            state.asked[place] = ask.sequence;
+            anew.on_grant(
                 clock,
                 LeaseGrant {
-                    number: ask.number,
+                    sequence: ask.sequence,
                     mode,
-                    lease: self.lease,
+                    duration: self.lease,
                 },
             );
         }
-        if self.proxies[place] != OnLeaseLoss::Refuse {
+        if self.proxies[place] != OnLeaseLoss::Reject {
             let identity = identity(place, incarnation);
             state.record.apply(&Command::Register {
                 identity,
-                cut_off: self.proxies[place],
+                on_lease_loss: self.proxies[place],
             });
         }
         state.holders[place] = anew;
@@ -315,14 +316,14 @@
         if self.is(Mutant::NumberAgain) {
             state.before = Some(state.record.clone());
         }
-        let (revision, floors) = (state.record.revision(), state.record.floors());
+        let (revision, floors) = (state.record.revision(), state.record.fallback_generations());
         let published = state.record.apply(&Command::Publish {
             revision,
             text: String::new(),
-            floors,
+            fallback_generations: floors,
             all_regions: None,
         });
-        if self.is(Mutant::NoMiddle) && matches!(published, Outcome::Begun(_)) {
+        if self.is(Mutant::NoMiddle) && matches!(published, Outcome::Started(_)) {
             self.advance(state);
         }
     }
@@ -336,9 +337,9 @@
         };
         if state.record.apply(&Command::Advance {
             revision: mode.revision,
-        }) == Outcome::Done
+        }) == Outcome::Applied
         {
-            state.judge.in_force(mode.new);
+            state.judge.record_committed(mode.new);
         }
     }
 
@@ -351,9 +352,10 @@
         };
         let command = Command::Abort {
             revision: mode.revision,
-            why: String::new(),
+            reason: String::new(),
         };
-        if state.record.apply(&command) == Outcome::Done && !state.judge.not_in_force(mode.new) {
+        if state.record.apply(&command) == Outcome::Applied && !state.judge.record_aborted(mode.new)
+        {
             state.fault = Some("a generation came to nothing under which calls had begun");
         }
         if let Some(before) = state
@@ -374,7 +376,7 @@
                     identity: identity(place, 0),
                     mode,
                 };
-                if state.judge.begun(&begun).is_some() && state.fault.is_none() {
+                if state.judge.record_start(&begun).is_some() && state.fault.is_none() {
                     state.fault = Some("a call began that must not");
                 }
             }
@@ -387,11 +389,11 @@
         let alive: Vec<Identity> = state
             .holders
             .iter_mut()
-            .map(|h| h.ask(0).identity)
+            .map(|h| h.request(0).identity)
             .collect();
         let dead: Vec<Identity> = state
             .record
-            .standing()
+            .leaseless_proxies()
             .keys()
             .filter(|i| !alive.contains(i))
             .cloned()
@@ -402,14 +404,14 @@
         for _ in 0..=self.lease + DRIFT + 2 {
             for place in 0..self.proxies.len() {
                 let clock = state.now - state.behind[place].0;
-                let ask = state.holders[place].ask(clock);
-                if let GrantOutcome::Grant(grant) =
-                    state.leases.lend(state.now, &state.record, &ask)
+                let ask = state.holders[place].request(clock);
+                if let GrantOutcome::Granted(grant) =
+                    state.leases.grant(state.now, &state.record, &ask)
                 {
-                    state.holders[place].answered(clock, grant);
+                    state.holders[place].on_grant(clock, grant);
                 }
             }
-            if state.record.mode().is_none_or(|m| !m.is_middle()) {
+            if state.record.mode().is_none_or(|m| !m.is_transition()) {
                 return true;
             }
             if self.may_advance(&state) {
@@ -433,7 +435,7 @@
         if state.fault.is_some() {
             return;
         }
-        let middle = state.record.mode().is_some_and(Mode::is_middle);
+        let middle = state.record.mode().is_some_and(Mode::is_transition);
         if state.now < self.until {
             steps.push(Step::Tick(None));
             // A clock falls behind by no more than is allowed for over one lease.
@@ -453,7 +455,7 @@
             state
                 .questions
                 .iter()
-                .map(|(p, ask)| Step::Question(*p, ask.number)),
+                .map(|(p, ask)| Step::Question(*p, ask.sequence)),
         );
         steps.extend((0..state.answers.len()).map(Step::Answer));
         if state.left.0 > 0 && !middle {
@@ -483,15 +485,15 @@
                 }
             }
             Step::Asks(place) => {
-                let ask = state.holders[place].ask(state.now - state.behind[place].0);
-                state.asked[place] = ask.number;
+                let ask = state.holders[place].request(state.now - state.behind[place].0);
+                state.asked[place] = ask.sequence;
                 state.questions.push((place, ask));
             }
             Step::Question(place, number) => {
                 let found = state
                     .questions
                     .iter()
-                    .find(|(p, ask)| (*p, ask.number) == (place, number));
+                    .find(|(p, ask)| (*p, ask.sequence) == (place, number));
                 let ask = found?.1.clone();
                 self.question(&mut state, place, &ask);
             }
@@ -520,8 +522,10 @@
                 } else {
                     state.now
                 };
-                let leases =
-                    std::mem::replace(&mut state.leases, Leases::elected(self.terms(), since));
+                let leases = std::mem::replace(
+                    &mut state.leases,
+                    Leases::after_election(self.terms(), since),
+                );
                 state.deposed = Some((leases, state.record.clone()));
             }
         }
@@ -542,7 +546,7 @@
                 s.record
                     .changes()
                     .values()
-                    .filter(|c| c.ended == ChangeStatus::InForce)
+                    .filter(|c| c.status == ChangeStatus::Committed)
                     .count()
                     > 1
             }),
@@ -566,14 +570,14 @@
 
 /// The worlds that are gone through, and how deep.
 fn worlds() -> Vec<(&'static str, World, usize)> {
-    use OnLeaseLoss::{Keep, Refuse};
-    let two = world(&[Refuse, Refuse]);
+    use OnLeaseLoss::{Keep, Reject};
+    let two = world(&[Reject, Reject]);
     vec![
         (
             "one proxy",
             World {
                 questions: 4,
-                ..world(&[Refuse])
+                ..world(&[Reject])
             },
             40,
         ),
@@ -581,7 +585,7 @@
             "one proxy, an election",
             World {
                 elections: 1,
-                ..world(&[Refuse])
+                ..world(&[Reject])
             },
             40,
         ),
@@ -589,7 +593,7 @@
             "one proxy, a crash",
             World {
                 crashes: 1,
-                ..world(&[Refuse])
+                ..world(&[Reject])
             },
             40,
         ),
@@ -607,7 +611,7 @@
                 publishes: 2,
                 aborts: 1,
                 questions: 4,
-                ..world(&[Refuse])
+                ..world(&[Reject])
             },
             40,
         ),
@@ -641,11 +645,11 @@
             "one that keeps",
             World {
                 crashes: 1,
-                ..world(&[Keep, Refuse])
+                ..world(&[Keep, Reject])
             },
             8,
         ),
-        ("three proxies", world(&[Refuse, Refuse, Refuse]), 7),
+        ("three proxies", world(&[Reject, Reject, Reject]), 7),
     ]
 }
 
@@ -683,10 +687,10 @@
 #[test]
 fn each_wrong_way_is_found() {
     for mutant in ALL {
-        use OnLeaseLoss::{Keep, Refuse};
+        use OnLeaseLoss::{Keep, Reject};
         let one = World {
             mutant: Some(mutant),
-            ..world(&[Refuse])
+            ..world(&[Reject])
         };
         let world = match mutant {
             Mutant::NoWaitAfterElection | Mutant::DeposedAnswers => World {
@@ -705,7 +709,7 @@
                 ..one
             },
             Mutant::TwinClears => World {
-                proxies: vec![Refuse, Refuse],
+                proxies: vec![Reject, Reject],
                 questions: 2,
                 until: 6,
                 ..one
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -35,7 +35,7 @@
         let resend = if any { Resend::Any } else { Resend::NeverRan };
         let once = matches!(repeat, Repeat::Guarded { .. }) && key == IdempotencyKey::None;
         let terms = Terms { attempts, attempt_time, backoff, hedge, resend, once };
-        ResolvedCall { repeat, key, time, terms, connect, body }
+        ResolvedCall { idempotency: repeat, key, timeout: time, policy: terms, connect_timeout: connect, max_body_bytes: body }
     }
 }
 
@@ -62,19 +62,19 @@
         let met = intersect(Some(&old), Some(&new)).expect("both take it").expect("both take it");
         let chosen = if met.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
-            let (terms, its) = (&met.terms, &own.terms);
-            prop_assert!(met.time <= own.time && met.connect <= own.connect && met.body <= own.body);
+            let (terms, its) = (&met.policy, &own.policy);
+            prop_assert!(met.timeout <= own.timeout && met.connect_timeout <= own.connect_timeout && met.max_body_bytes <= own.max_body_bytes);
             prop_assert!(terms.attempts <= its.attempts && terms.attempt_time <= its.attempt_time);
             prop_assert!(terms.backoff >= its.backoff);
             prop_assert!(terms.hedge == Hedge::Never || terms.hedge == its.hedge);
             prop_assert!(terms.resend == Resend::NeverRan || its.resend == Resend::Any);
             for place in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
-                    if runs_again(chosen.repeat, terms, place, after) {
-                        prop_assert!(runs_again(own.repeat, its, place, after), "{place:?} {after}");
+                    if runs_again(chosen.idempotency, terms, place, after) {
+                        prop_assert!(runs_again(own.idempotency, its, place, after), "{place:?} {after}");
                         // By the key that it bears, where it goes by one.
-                        if matches!(own.repeat, Repeat::Guarded { .. }) {
-                            prop_assert!(own.key == chosen.key || chosen.repeat == Repeat::Free);
+                        if matches!(own.idempotency, Repeat::Guarded { .. }) {
+                            prop_assert!(own.key == chosen.key || chosen.idempotency == Repeat::Free);
                         }
                     }
                 }
@@ -85,7 +85,7 @@
     #[test]
     fn the_meet_of_one_policy_with_itself_is_that_policy(own in call()) {
         let met = intersect(Some(&own), Some(&own)).expect("both take it").expect("both take it");
-        prop_assert_eq!((met.time, met.terms, met.connect, met.body), (own.time, own.terms, own.connect, own.body));
+        prop_assert_eq!((met.timeout, met.policy, met.connect_timeout, met.max_body_bytes), (own.timeout, own.policy, own.connect_timeout, own.max_body_bytes));
     }
 
     #[test]
@@ -127,12 +127,12 @@
 fn what_only_one_takes_is_turned_away_with_the_reason() {
     let terms = Terms::default();
     let call = ResolvedCall {
-        repeat: Repeat::Free,
+        idempotency: Repeat::Free,
         key: IdempotencyKey::None,
-        time: 1,
-        terms,
-        connect: 1,
-        body: 1,
+        timeout: 1,
+        policy: terms,
+        connect_timeout: 1,
+        max_body_bytes: 1,
     };
     assert_eq!(intersect(Some(&call), None), Err(Mismatch::OnlyOld));
     assert_eq!(intersect(None, Some(&call)), Err(Mismatch::OnlyNew));
@@ -147,15 +147,15 @@
     };
     let terms = Terms::default();
     let keyed = ResolvedCall {
-        repeat: guarded,
+        idempotency: guarded,
         key: IdempotencyKey::Value("k".to_owned()),
-        time: 1,
-        terms,
-        connect: 1,
-        body: 1,
+        timeout: 1,
+        policy: terms,
+        connect_timeout: 1,
+        max_body_bytes: 1,
     };
     let unsafe_ = ResolvedCall {
-        repeat: Repeat::SingleShot,
+        idempotency: Repeat::SingleShot,
         key: IdempotencyKey::None,
         ..keyed.clone()
     };
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/regions.rs
@@ -14,12 +14,12 @@
 use std::collections::BTreeSet;
 
 const LIMITS: ChangeTimeouts = ChangeTimeouts {
-    wait: 1_000,
-    regions_wait: 500,
+    proxies: 1_000,
+    regions: 500,
 };
 const TERMS: LeaseConfig = LeaseConfig {
-    lease: 100,
-    drift: 10,
+    duration: 100,
+    max_clock_drift: 10,
 };
 /// A moment at which no lease of another leader runs.
 const NOW: u64 = 10_000;
@@ -49,7 +49,7 @@
     Command::Publish {
         revision: record.revision(),
         text: text.to_owned(),
-        floors: record.floors(),
+        fallback_generations: record.fallback_generations(),
         all_regions: id.map(all),
     }
 }
@@ -77,7 +77,7 @@
 }
 
 fn leases() -> Leases {
-    Leases::elected(TERMS, 0)
+    Leases::after_election(TERMS, 0)
 }
 
 fn lead(record: &mut Record) -> Option<Outcome> {
@@ -107,9 +107,12 @@
 fn take_prepare(record: &mut Record, prepare: &Prepare) -> VoteReply {
     match participant::on_prepare(record, &regions_of_sur(), prepare) {
         OnPrepare::Reply(reply) => reply,
-        OnPrepare::Begin { command, floors } => {
-            assert_eq!(floors, record.floors());
-            participant::begun(&prepare.change, &record.apply(&command))
+        OnPrepare::Start {
+            command,
+            fallback_generations: floors,
+        } => {
+            assert_eq!(floors, record.fallback_generations());
+            participant::prepare_reply(&prepare.change, &record.apply(&command))
         }
     }
 }
@@ -120,7 +123,7 @@
         OnCommit::Reply(reply) => reply,
         OnCommit::Log(command) => {
             record.apply(&command);
-            participant::standing(record, &commit.change)
+            participant::current_status(record, &commit.change)
         }
     }
 }
@@ -132,7 +135,7 @@
 
 /// A participant asks for the outcome, and takes the answer.
 fn ask_outcome(coordinating: &Record, record: &mut Record) -> Option<Outcome> {
-    let (to, asked) = participant::inquiry(record, &regions_of_sur())?;
+    let (to, asked) = participant::outcome_request(record, &regions_of_sur())?;
     assert_eq!(to, norte());
     let reply = coordinator::outcome(coordinating, &asked);
     let command = participant::on_outcome(record, &reply)?;
@@ -142,7 +145,7 @@
 /// Both regions, with the change 1 begun in the coordinator.
 fn begun() -> (Record, Record) {
     let (mut norte, sur) = (with_policy(), with_policy());
-    assert_eq!(publish_all(&mut norte, 1), Outcome::Begun(Generation(2)));
+    assert_eq!(publish_all(&mut norte, 1), Outcome::Started(Generation(2)));
     (norte, sur)
 }
 
@@ -153,7 +156,7 @@
         take_prepare(&mut sur, &prepare(&norte)).vote,
         Vote::Preparing
     );
-    assert_eq!(lead(&mut sur), Some(Outcome::Done));
+    assert_eq!(lead(&mut sur), Some(Outcome::Applied));
     assert_eq!(
         take_prepare(&mut sur, &prepare(&norte)).vote,
         Vote::Prepared
@@ -165,8 +168,8 @@
 fn committed() -> (Record, Record) {
     let (mut norte, mut sur) = voted();
     let vote = take_prepare(&mut sur, &prepare(&norte));
-    assert_eq!(take_vote(&mut norte, &vote), Some(Outcome::Done));
-    assert_eq!(lead(&mut norte), Some(Outcome::Done));
+    assert_eq!(take_vote(&mut norte, &vote), Some(Outcome::Applied));
+    assert_eq!(lead(&mut norte), Some(Outcome::Applied));
     (norte, sur)
 }
 
@@ -176,24 +179,24 @@
         .changes()
         .values()
         .filter(of)
-        .map(|change| change.ended.clone())
+        .map(|change| change.status.clone())
         .collect()
 }
 
 #[test]
 fn a_change_of_all_regions_comes_into_force_in_both() {
     let (mut norte, mut sur) = committed();
-    assert_eq!(norte.mode(), Some(Mode::settled(3, Generation(2))));
-    assert!(sur.mode().is_some_and(Mode::is_middle));
+    assert_eq!(norte.mode(), Some(Mode::stable(3, Generation(2))));
+    assert!(sur.mode().is_some_and(Mode::is_transition));
     let reply = take_commit(&mut sur, &commit(&norte));
-    assert_eq!(reply.vote, Vote::InForce);
-    assert_eq!(sur.mode(), Some(Mode::settled(3, Generation(2))));
-    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
-    assert_eq!(norte.unacknowledged(), None);
+    assert_eq!(reply.vote, Vote::Committed);
+    assert_eq!(sur.mode(), Some(Mode::stable(3, Generation(2))));
+    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Applied));
+    assert_eq!(norte.unacknowledged_commit(), None);
     assert_eq!(coordinator::requests(&norte), []);
     assert_eq!(
         (ended(&norte, 1), ended(&sur, 1)),
-        (vec![ChangeStatus::InForce], vec![ChangeStatus::InForce])
+        (vec![ChangeStatus::Committed], vec![ChangeStatus::Committed])
     );
     assert_eq!(sur.changes()[&Generation(2)].scope(), Scope::All);
     assert_eq!(sur.changes()[&Generation(1)].scope(), Scope::Region);
@@ -202,9 +205,9 @@
 #[test]
 fn the_first_policy_of_all_regions_is_in_force_in_none_before_the_decision() {
     let (mut norte, mut sur) = (Record::default(), Record::default());
-    assert_eq!(publish_all(&mut norte, 1), Outcome::Begun(Generation(1)));
+    assert_eq!(publish_all(&mut norte, 1), Outcome::Started(Generation(1)));
     assert_eq!(
-        (norte.mode(), norte.middle().map(|m| m.new)),
+        (norte.mode(), norte.transition().map(|m| m.new)),
         (None, Some(Generation(1)))
     );
     take_prepare(&mut sur, &prepare(&norte));
@@ -213,9 +216,9 @@
     take_vote(&mut norte, &vote);
     assert_eq!(sur.mode(), None);
     lead(&mut norte);
-    assert_eq!(norte.mode(), Some(Mode::settled(2, Generation(1))));
-    assert_eq!(take_commit(&mut sur, &commit(&norte)).vote, Vote::InForce);
-    assert_eq!(sur.mode(), Some(Mode::settled(2, Generation(1))));
+    assert_eq!(norte.mode(), Some(Mode::stable(2, Generation(1))));
+    assert_eq!(take_commit(&mut sur, &commit(&norte)).vote, Vote::Committed);
+    assert_eq!(sur.mode(), Some(Mode::stable(2, Generation(1))));
 }
 
 #[test]
@@ -228,25 +231,28 @@
     let refused = Rejection::NotPrepared {
         regions: BTreeSet::from([sur()]),
     };
-    assert_eq!(norte.apply(&advance), Outcome::Refused(refused));
+    assert_eq!(norte.apply(&advance), Outcome::Rejected(refused));
     let stranger = Command::Prepared {
         revision: norte.revision(),
         region: region("este"),
     };
-    assert_eq!(norte.apply(&stranger), Outcome::Refused(Rejection::Moved));
+    assert_eq!(
+        norte.apply(&stranger),
+        Outcome::Rejected(Rejection::Conflict)
+    );
     let stale = Command::Prepared {
         revision: norte.revision() - 1,
         region: sur(),
     };
-    assert_eq!(norte.apply(&stale), Outcome::Refused(Rejection::Moved));
+    assert_eq!(norte.apply(&stale), Outcome::Rejected(Rejection::Conflict));
     assert_eq!(
         norte.apply(&Command::Prepared {
             revision: norte.revision(),
             region: sur()
         }),
-        Outcome::Done
+        Outcome::Applied
     );
-    assert_eq!(norte.apply(&advance), Outcome::Done);
+    assert_eq!(norte.apply(&advance), Outcome::Applied);
 }
 
 #[test]
@@ -254,14 +260,14 @@
     let (norte, mut sur) = voted();
     let revision = sur.revision();
     let awaits = || {
-        Outcome::Refused(Rejection::AwaitsDecision {
+        Outcome::Rejected(Rejection::AwaitsDecision {
             coordinator: self::norte(),
         })
     };
     assert_eq!(
         sur.apply(&Command::Abort {
             revision,
-            why: String::new()
+            reason: String::new()
         }),
         awaits()
     );
@@ -272,22 +278,22 @@
         generation: Generation(2),
         reason: "odd".to_owned(),
     };
-    leases.lend(NOW, &sur, &ask(Some(unread)));
+    leases.grant(NOW, &sur, &ask(Some(unread)));
     assert_eq!(next_command(&sur, &leases, NOW, 0, LIMITS), None);
     assert_eq!(ask_outcome(&norte, &mut sur), None);
     for id in [0, 2] {
         assert_eq!(
             sur.apply(&Command::Committed { id: ChangeId(id) }),
-            Outcome::Refused(Rejection::Moved)
+            Outcome::Rejected(Rejection::Conflict)
         );
         assert_eq!(
             sur.apply(&Command::Aborted { id: ChangeId(id) }),
-            Outcome::Refused(Rejection::Moved)
+            Outcome::Rejected(Rejection::Conflict)
         );
     }
     assert_eq!(
         sur.apply(&Command::Committed { id: ChangeId(1) }),
-        Outcome::Done
+        Outcome::Applied
     );
 }
 
@@ -297,11 +303,11 @@
             name: "p".to_owned(),
             incarnation: 1,
         },
-        number: 1,
-        acting: 0,
-        has: BTreeSet::new(),
-        unread,
-        cut_off: OnLeaseLoss::Refuse,
+        sequence: 1,
+        active_revision: 0,
+        loaded_generations: BTreeSet::new(),
+        rejected_generation: unread,
+        on_lease_loss: OnLeaseLoss::Reject,
     }
 }
 
@@ -309,9 +315,9 @@
 fn a_participant_votes_when_no_proxy_can_act_under_an_older_mode() {
     let (norte, mut sur) = begun();
     let mut leases = leases();
-    leases.lend(NOW, &sur, &ask(None));
+    leases.grant(NOW, &sur, &ask(None));
     take_prepare(&mut sur, &prepare(&norte));
-    let until = NOW + TERMS.lease + TERMS.drift;
+    let until = NOW + TERMS.duration + TERMS.max_clock_drift;
     assert_eq!(next_command(&sur, &leases, until - 1, NOW, LIMITS), None);
     let vote = Command::Vote {
         revision: sur.revision(),
@@ -324,9 +330,9 @@
         sur.apply(&Command::Vote {
             revision: sur.revision() - 1
         }),
-        Outcome::Refused(Rejection::Moved)
+        Outcome::Rejected(Rejection::Conflict)
     );
-    assert_eq!(sur.apply(&vote), Outcome::Done);
+    assert_eq!(sur.apply(&vote), Outcome::Applied);
 }
 
 #[test]
@@ -335,23 +341,23 @@
     take_prepare(&mut sur, &prepare(&norte));
     assert_eq!(
         sur.apply(&Command::Committed { id: ChangeId(1) }),
-        Outcome::Refused(Rejection::Moved)
+        Outcome::Rejected(Rejection::Conflict)
     );
     let early = OutcomeReply {
         id: ChangeId(1),
-        decision: Decision::InForce,
+        decision: Decision::Committed,
     };
     assert_eq!(participant::on_outcome(&sur, &early), None);
     let abort = Command::Abort {
         revision: sur.revision(),
-        why: "an operator".to_owned(),
+        reason: "an operator".to_owned(),
     };
-    assert_eq!(sur.apply(&abort), Outcome::Done);
+    assert_eq!(sur.apply(&abort), Outcome::Applied);
     let reply = take_prepare(&mut sur, &prepare(&norte));
-    assert_eq!(reply.vote, Vote::NotInForce);
-    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
+    assert_eq!(reply.vote, Vote::Aborted);
+    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Applied));
     let why = "region sur has given it up".to_owned();
-    assert_eq!(ended(&norte, 1), [ChangeStatus::NotInForce { why }]);
+    assert_eq!(ended(&norte, 1), [ChangeStatus::Aborted { reason: why }]);
 }
 
 #[test]
@@ -360,10 +366,10 @@
     publish_here(&mut sur, "local");
     let reply = take_prepare(&mut sur, &prepare(&norte));
     let why = "the change to generation 2 is under way there".to_owned();
-    assert_eq!(reply.vote, Vote::Refused { why });
-    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Done));
+    assert_eq!(reply.vote, Vote::Rejected { reason: why });
+    assert_eq!(take_vote(&mut norte, &reply), Some(Outcome::Applied));
     let why = "region sur refuses it: the change to generation 2 is under way there".to_owned();
-    assert_eq!(ended(&norte, 1), [ChangeStatus::NotInForce { why }]);
+    assert_eq!(ended(&norte, 1), [ChangeStatus::Aborted { reason: why }]);
 }
 
 #[test]
@@ -371,7 +377,7 @@
     let change = ChangeRef {
         id: ChangeId(9),
         coordinator: region("oeste"),
-        number: Generation(1),
+        generation: Generation(1),
     };
     let mut sur = with_policy();
     let before = sur.clone();
@@ -383,7 +389,7 @@
         },
     );
     let why = "it comes from region oeste; for region sur norte coordinates".to_owned();
-    assert_eq!(reply.vote, Vote::Refused { why });
+    assert_eq!(reply.vote, Vote::Rejected { reason: why });
     assert_eq!(sur, before);
 }
 
@@ -392,10 +398,10 @@
     let (mut norte, mut sur) = voted();
     let refused = |waits_for| {
         let waits_for = BTreeSet::from([waits_for]);
-        Outcome::Refused(Rejection::AcrossRegions {
+        Outcome::Rejected(Rejection::CrossRegionPending {
             generation: Generation(2),
             id: ChangeId(1),
-            waits_for,
+            awaited_regions: waits_for,
         })
     };
     assert_eq!(publish_here(&mut norte, "local"), refused(self::sur()));
@@ -408,28 +414,28 @@
     assert_eq!(publish_all(&mut norte, 2), refused(self::sur()));
     assert_eq!(
         publish_here(&mut norte, "local"),
-        Outcome::Begun(Generation(3))
+        Outcome::Started(Generation(3))
     );
-    assert_eq!(lead(&mut norte), Some(Outcome::Done));
+    assert_eq!(lead(&mut norte), Some(Outcome::Applied));
     assert_eq!(publish_here(&mut sur, "local"), refused(self::norte()));
     let acknowledged = take_commit(&mut sur, &commit(&norte));
-    assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Done));
+    assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Applied));
     assert_eq!(
         publish_here(&mut sur, "local"),
-        Outcome::Begun(Generation(3))
+        Outcome::Started(Generation(3))
     );
-    assert_eq!(publish_all(&mut norte, 2), Outcome::Begun(Generation(4)));
+    assert_eq!(publish_all(&mut norte, 2), Outcome::Started(Generation(4)));
 }
 
 #[test]
 fn the_coordinator_gives_up_when_votes_are_missing_in_time() {
     let (mut norte, _) = begun();
-    let begun = NOW - LIMITS.regions_wait;
+    let begun = NOW - LIMITS.regions;
     assert_eq!(next_command(&norte, &leases(), NOW, begun, LIMITS), None);
     let why = "not in force in time; no vote of region sur".to_owned();
     let abort = Command::Abort {
         revision: norte.revision(),
-        why,
+        reason: why,
     };
     assert_eq!(
         next_command(&norte, &leases(), NOW, begun - 1, LIMITS),
@@ -444,10 +450,10 @@
         next_command(&norte, &leases(), NOW, 0, LIMITS),
         Some(Command::Advance { revision: 2 })
     );
-    assert_eq!(norte.apply(&abort), Outcome::Done);
+    assert_eq!(norte.apply(&abort), Outcome::Applied);
     assert_eq!(
         norte.apply(&Command::Advance { revision: 2 }),
-        Outcome::Refused(Rejection::Moved)
+        Outcome::Rejected(Rejection::Conflict)
     );
 }
 
@@ -456,20 +462,23 @@
     let (mut norte, mut sur) = voted();
     norte.apply(&Command::Abort {
         revision: norte.revision(),
-        why: "an operator".to_owned(),
+        reason: "an operator".to_owned(),
     });
-    assert_eq!((norte.cross_region(), norte.unacknowledged()), (None, None));
-    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
+    assert_eq!(
+        (norte.cross_region(), norte.unacknowledged_commit()),
+        (None, None)
+    );
+    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Applied));
     let why = "the coordinating region has given it up".to_owned();
-    assert_eq!(ended(&sur, 1), [ChangeStatus::NotInForce { why }]);
-    assert_eq!(sur.mode(), Some(Mode::settled(3, Generation(1))));
+    assert_eq!(ended(&sur, 1), [ChangeStatus::Aborted { reason: why }]);
+    assert_eq!(sur.mode(), Some(Mode::stable(3, Generation(1))));
     let unknown = OutcomeRequest {
         id: ChangeId(77),
         region: self::sur(),
     };
     assert_eq!(
         coordinator::outcome(&Record::default(), &unknown).decision,
-        Decision::NotInForce
+        Decision::Aborted
     );
 }
 
@@ -484,16 +493,19 @@
         id: ChangeId(2),
         region: self::sur(),
     };
-    assert_eq!(norte.apply(&stranger), Outcome::Refused(Rejection::Moved));
+    assert_eq!(
+        norte.apply(&stranger),
+        Outcome::Rejected(Rejection::Conflict)
+    );
     let late = VoteReply {
         id: ChangeId(1),
         vote: Vote::Prepared,
     };
     assert_eq!(take_vote(&mut norte, &late), None);
-    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
-    assert_eq!(ended(&sur, 1), [ChangeStatus::InForce]);
+    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Applied));
+    assert_eq!(ended(&sur, 1), [ChangeStatus::Committed]);
     let acknowledged = take_commit(&mut sur, &commit(&norte));
-    assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Done));
+    assert_eq!(take_vote(&mut norte, &acknowledged), Some(Outcome::Applied));
     assert_eq!(take_vote(&mut norte, &acknowledged), None);
 }
 
@@ -510,15 +522,15 @@
     }
     assert_eq!(ended(&sur, 1), []);
     let before = sur.clone();
-    assert_eq!(take_prepare(&mut sur, &old_prepare).vote, Vote::InForce);
-    assert_eq!(take_commit(&mut sur, &old_commit).vote, Vote::InForce);
+    assert_eq!(take_prepare(&mut sur, &old_prepare).vote, Vote::Committed);
+    assert_eq!(take_commit(&mut sur, &old_commit).vote, Vote::Committed);
     let forced = Command::Prepare {
         revision: sur.revision(),
         change: old_prepare.change.clone(),
         text: String::new(),
-        floors: sur.floors(),
+        fallback_generations: sur.fallback_generations(),
     };
-    assert_eq!(sur.apply(&forced), Outcome::Refused(Rejection::Moved));
+    assert_eq!(sur.apply(&forced), Outcome::Rejected(Rejection::Conflict));
     assert_eq!(sur, before);
 }
 
@@ -527,41 +539,41 @@
     let (mut norte, mut sur) = voted();
     norte.apply(&Command::Abort {
         revision: norte.revision(),
-        why: String::new(),
+        reason: String::new(),
     });
-    assert_eq!(publish_all(&mut norte, 2), Outcome::Begun(Generation(3)));
+    assert_eq!(publish_all(&mut norte, 2), Outcome::Started(Generation(3)));
     // Not a refusal: that would give the new change up for an old one that is over.
     assert_eq!(
         take_prepare(&mut sur, &prepare(&norte)).vote,
         Vote::Preparing
     );
-    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Done));
+    assert_eq!(ask_outcome(&norte, &mut sur), Some(Outcome::Applied));
     assert_eq!(
         take_prepare(&mut sur, &prepare(&norte)).vote,
         Vote::Preparing
     );
-    assert_eq!(lead(&mut sur), Some(Outcome::Done));
+    assert_eq!(lead(&mut sur), Some(Outcome::Applied));
     let late = VoteReply {
         id: ChangeId(1),
         vote: Vote::Prepared,
     };
     assert_eq!(take_vote(&mut norte, &late), None);
     let vote = take_prepare(&mut sur, &prepare(&norte));
-    assert_eq!(take_vote(&mut norte, &vote), Some(Outcome::Done));
+    assert_eq!(take_vote(&mut norte, &vote), Some(Outcome::Applied));
 }
 
 #[test]
 fn of_two_publishers_one_is_refused_and_told_what_is_under_way() {
     let mut norte = with_policy();
     let (first, second) = (publish(&norte, "a", Some(1)), publish(&norte, "b", Some(2)));
-    assert_eq!(norte.apply(&first), Outcome::Begun(Generation(2)));
+    assert_eq!(norte.apply(&first), Outcome::Started(Generation(2)));
     let waits_for = BTreeSet::from([sur()]);
-    let refused = Rejection::AcrossRegions {
+    let refused = Rejection::CrossRegionPending {
         generation: Generation(2),
         id: ChangeId(1),
-        waits_for,
+        awaited_regions: waits_for,
     };
-    assert_eq!(norte.apply(&second), Outcome::Refused(refused));
+    assert_eq!(norte.apply(&second), Outcome::Rejected(refused));
     assert_eq!(ended(&norte, 2), []);
 }
 
@@ -574,16 +586,19 @@
     };
     sur.apply(&Command::Register {
         identity,
-        cut_off: OnLeaseLoss::Narrow,
+        on_lease_loss: OnLeaseLoss::Fallback,
     });
     let prepare = prepare(&norte);
     let unchecked = Command::Prepare {
         revision: sur.revision(),
         change: prepare.change.clone(),
         text: prepare.text.clone(),
-        floors: BTreeSet::new(),
+        fallback_generations: BTreeSet::new(),
     };
-    assert_eq!(sur.apply(&unchecked), Outcome::Refused(Rejection::Moved));
+    assert_eq!(
+        sur.apply(&unchecked),
+        Outcome::Rejected(Rejection::Conflict)
+    );
     assert_eq!(take_prepare(&mut sur, &prepare).vote, Vote::Preparing);
     assert!(matches!(
         sur.cross_region().map(|c| &c.role),
@@ -620,10 +635,10 @@
 
 #[test]
 fn a_refusal_says_what_is_waited_for() {
-    let across = |waits_for: &[Region]| Rejection::AcrossRegions {
+    let across = |waits_for: &[Region]| Rejection::CrossRegionPending {
         generation: Generation(7),
         id: ChangeId(255),
-        waits_for: waits_for.iter().cloned().collect(),
+        awaited_regions: waits_for.iter().cloned().collect(),
     };
     let head = "the change of all regions 00000000000000ff, here generation 7, is not at its end: ";
     assert_eq!(
@@ -669,10 +684,14 @@
     }
     assert_eq!(
         (ended(&norte, 1), ended(&sur, 1)),
-        (vec![ChangeStatus::InForce], vec![ChangeStatus::InForce])
+        (vec![ChangeStatus::Committed], vec![ChangeStatus::Committed])
     );
     assert_eq!(
-        (norte.unacknowledged(), norte.middle(), sur.middle()),
+        (
+            norte.unacknowledged_commit(),
+            norte.transition(),
+            sur.transition()
+        ),
         (None, None, None)
     );
 }
@@ -772,7 +791,7 @@
                 }
             }
             Event::Inquire => {
-                let inquiry = participant::inquiry(&self.sur, &regions_of_sur());
+                let inquiry = participant::outcome_request(&self.sur, &regions_of_sur());
                 self.outcomes
                     .extend(inquiry.map(|(_, asked)| coordinator::outcome(&self.norte, &asked)));
             }
@@ -807,9 +826,9 @@
     let all = ended(record, id);
     assert!(all.len() <= 1, "a change begins once: {all:?}");
     match all.first() {
-        Some(ChangeStatus::InForce) => Some(true),
-        Some(ChangeStatus::NotInForce { .. }) => Some(false),
-        Some(ChangeStatus::Open) | None => None,
+        Some(ChangeStatus::Committed) => Some(true),
+        Some(ChangeStatus::Aborted { .. }) => Some(false),
+        Some(ChangeStatus::Pending) | None => None,
     }
 }
 
@@ -829,9 +848,9 @@
             }
         }
         course.finish();
-        prop_assert_eq!(course.norte.middle(), None);
-        prop_assert_eq!(course.sur.middle(), None);
-        prop_assert_eq!(course.norte.unacknowledged(), None);
+        prop_assert_eq!(course.norte.transition(), None);
+        prop_assert_eq!(course.sur.transition(), None);
+        prop_assert_eq!(course.norte.unacknowledged_commit(), None);
         for id in 1..=course.published {
             let in_force = |record: &Record| is_in_force(record, id) == Some(true);
             prop_assert_eq!(in_force(&course.norte), in_force(&course.sur));
--- a/crates/policy/tests/regions_model/judge.rs
+++ b/crates/policy/tests/regions_model/judge.rs
@@ -25,18 +25,18 @@
             .changes()
             .iter()
             .filter(move |(_, c)| of(c))
-            .map(|(&g, c)| (g, &c.ended))
+            .map(|(&g, c)| (g, &c.status))
     }
 
     fn in_force(&self, id: ChangeId) -> usize {
         self.generations(id)
-            .filter(|(_, ended)| **ended == ChangeStatus::InForce)
+            .filter(|(_, ended)| **ended == ChangeStatus::Committed)
             .count()
     }
 
     fn not_in_force(&self, id: ChangeId) -> bool {
         self.generations(id)
-            .any(|(_, ended)| matches!(ended, ChangeStatus::NotInForce { .. }))
+            .any(|(_, ended)| matches!(ended, ChangeStatus::Aborted { .. }))
     }
 
     fn is_under_way(&self, id: ChangeId) -> bool {
@@ -48,7 +48,7 @@
     fn may_begin(&self, now: u64) -> Option<Mode> {
         match self.holder.admission(now) {
             Admission::Under(mode) => Some(mode),
-            Admission::Floor(_) | Admission::Closed(_) => None,
+            Admission::Fallback(_) | Admission::Denied(_) => None,
         }
     }
 }
@@ -93,7 +93,7 @@
 /// Does a call under `mode` go by the new policy of a change, or by one after it?
 fn begins_new(site: &Site, id: ChangeId, mode: Mode) -> bool {
     site.generations(id).any(|(generation, ended)| {
-        mode.old == generation || (mode.old > generation && *ended == ChangeStatus::InForce)
+        mode.old == generation || (mode.old > generation && *ended == ChangeStatus::Committed)
     })
 }
 
--- a/crates/policy/tests/regions_model/world.rs
+++ b/crates/policy/tests/regions_model/world.rs
@@ -20,13 +20,13 @@
 const COORDINATOR: usize = 0;
 const LEASE: u64 = 1;
 const TERMS: LeaseConfig = LeaseConfig {
-    lease: LEASE,
-    drift: 0,
+    duration: LEASE,
+    max_clock_drift: 0,
 };
 /// A change that a leader has seen for one moment is over its time.
 const LIMITS: ChangeTimeouts = ChangeTimeouts {
-    wait: 0,
-    regions_wait: 0,
+    proxies: 0,
+    regions: 0,
 };
 /// Rounds without faults in which everything has to come to its end.
 const ROUNDS: usize = 8;
@@ -178,11 +178,11 @@
 }
 
 fn publish(record: &Record, all_regions: Option<AllRegions>) -> Command {
-    let (revision, floors) = (record.revision(), record.floors());
+    let (revision, floors) = (record.revision(), record.fallback_generations());
     Command::Publish {
         revision,
         text: String::new(),
-        floors,
+        fallback_generations: floors,
         all_regions,
     }
 }
@@ -190,19 +190,19 @@
 impl Site {
     fn talk(&mut self, now: u64) {
         loop {
-            let ask = self.holder.ask(now);
-            let GrantOutcome::Grant(grant) = self.leases.lend(now, &self.record, &ask) else {
+            let ask = self.holder.request(now);
+            let GrantOutcome::Granted(grant) = self.leases.grant(now, &self.record, &ask) else {
                 return;
             };
-            if self.holder.answered(now, grant) != (GrantResult::Taken { again: true }) {
+            if self.holder.on_grant(now, grant) != (GrantResult::Accepted { renew_now: true }) {
                 return;
             }
         }
     }
 
     fn ask(&mut self, now: u64) {
-        let ask = self.holder.ask(now);
-        if let GrantOutcome::Grant(grant) = self.leases.lend(now, &self.record, &ask) {
+        let ask = self.holder.request(now);
+        if let GrantOutcome::Granted(grant) = self.leases.grant(now, &self.record, &ask) {
             self.late = Some(grant);
         }
     }
@@ -237,7 +237,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.record.middle().is_none() && self.record.unacknowledged().is_none()
+        self.record.transition().is_none() && self.record.unacknowledged_commit().is_none()
     }
 }
 
@@ -269,14 +269,14 @@
             incarnation: 1,
         };
         let terms = LeaseHolderConfig {
-            cut_off: OnLeaseLoss::Refuse,
-            answer_within: 1,
-            pause: 1,
+            on_lease_loss: OnLeaseLoss::Reject,
+            request_timeout: 1,
+            retry_delay: 1,
         };
         let mut site = Site {
             record,
             holder: LeaseHolder::new(identity, terms, has),
-            leases: Leases::elected(TERMS, 0),
+            leases: Leases::after_election(TERMS, 0),
             late: None,
             slow: BTreeSet::new(),
             left: Left {
@@ -332,7 +332,7 @@
     }
 
     fn steps_of(&self, state: &State, place: usize, site: &Site, steps: &mut Vec<Step>) {
-        let middle = site.record.middle().is_some();
+        let middle = site.record.transition().is_some();
         let left = site.left;
         let may = [
             (left.talks > 0, Step::Talks(place)),
@@ -384,7 +384,7 @@
             }
             Step::Arrives(place) => {
                 if let Some(grant) = state.sites[place].late.take() {
-                    state.sites[place].holder.answered(now, grant);
+                    state.sites[place].holder.on_grant(now, grant);
                 }
             }
             Step::PublishesAll => self.publish_all(&mut state),
@@ -397,7 +397,7 @@
                     site,
                     Command::Abort {
                         revision,
-                        why: String::new(),
+                        reason: String::new(),
                     },
                 );
             }
@@ -426,7 +426,7 @@
         for place in 0..self.regions {
             let sent = self.sent(&state.sites[place], place);
             state.messages.extend(sent);
-            state.sites[place].leases.sweep(state.now);
+            state.sites[place].leases.expire(state.now);
         }
         let answers: Vec<Message> = state
             .messages
@@ -443,7 +443,7 @@
             to: place(&to),
             body: Body::Request(request),
         });
-        let inquiry = participant::inquiry(&site.record, &self.regions(from));
+        let inquiry = participant::outcome_request(&site.record, &self.regions(from));
         let inquiry = inquiry.filter(|_| !self.is(Mutant::NeverAsks));
         let inquiry = inquiry.map(|(to, asked)| Message {
             from,
@@ -501,7 +501,12 @@
             None => {}
         }
         let forgets = self.is(Mutant::CommitForgotten);
-        if let Some(commit) = site.record.unacknowledged().filter(|_| forgets).cloned() {
+        if let Some(commit) = site
+            .record
+            .unacknowledged_commit()
+            .filter(|_| forgets)
+            .cloned()
+        {
             for region in commit.regions {
                 site.record.apply(&Command::Acknowledged {
                     id: commit.change.id,
@@ -523,7 +528,7 @@
 
     fn elect(&self, site: &mut Site, now: u64) {
         site.left.elections -= 1;
-        site.leases = Leases::elected(TERMS, now);
+        site.leases = Leases::after_election(TERMS, now);
         site.unlogged_vote = None;
         if self.is(Mutant::DeposedAnswers) {
             site.deposed = Some(site.record.clone());
@@ -535,7 +540,7 @@
         match &message.body {
             Body::Request(Request::Prepare(prepare)) => {
                 match self.on_prepare(site, message.to, prepare) {
-                    OnPrepare::Begin { command, .. } => Some(command),
+                    OnPrepare::Start { command, .. } => Some(command),
                     OnPrepare::Reply(_) => None,
                 }
             }
@@ -558,7 +563,7 @@
         let body = match &message.body {
             Body::Request(Request::Prepare(prepare)) => {
                 match self.on_prepare(site, message.to, prepare) {
-                    OnPrepare::Begin { .. } => return None,
+                    OnPrepare::Start { .. } => return None,
                     OnPrepare::Reply(reply) => Body::Vote(reply),
                 }
             }
@@ -567,7 +572,7 @@
                     OnCommit::Log(_) if self.is(Mutant::AcknowledgedEarly) => {
                         Body::Vote(VoteReply {
                             id: commit.change.id,
-                            vote: Vote::InForce,
+                            vote: Vote::Committed,
                         })
                     }
                     OnCommit::Log(_) => return None,
@@ -602,8 +607,8 @@
     fn on_prepare(&self, site: &Site, own: usize, prepare: &Prepare) -> OnPrepare {
         if self.is(Mutant::LatePrepareBeginsAgain) {
             if let Some(command) = begin_again(&site.record, prepare) {
-                return OnPrepare::Begin {
-                    floors: site.record.floors(),
+                return OnPrepare::Start {
+                    fallback_generations: site.record.fallback_generations(),
                     command,
                 };
             }
@@ -628,17 +633,18 @@
     fn outcome(&self, site: &Site, asked: &OutcomeRequest) -> OutcomeReply {
         let record = site.deposed.as_ref().unwrap_or(&site.record);
         let mut reply = coordinator::outcome(record, asked);
-        if self.is(Mutant::PresumedCommit) && reply.decision == Decision::NotInForce {
-            reply.decision = Decision::InForce;
+        if self.is(Mutant::PresumedCommit) && reply.decision == Decision::Aborted {
+            reply.decision = Decision::Committed;
         }
-        if self.is(Mutant::UndecidedIsNotInForce) && reply.decision == Decision::Open {
-            reply.decision = Decision::NotInForce;
+        if self.is(Mutant::UndecidedIsNotInForce) && reply.decision == Decision::Pending {
+            reply.decision = Decision::Aborted;
         }
         let in_force = |change: &badgerramp_policy::Change| {
-            change.id == Some(asked.id) && change.ended == badgerramp_policy::ChangeStatus::InForce
+            change.id == Some(asked.id)
+                && change.status == badgerramp_policy::ChangeStatus::Committed
         };
         if self.is(Mutant::LatePrepareBeginsAgain) && record.changes().values().any(in_force) {
-            reply.decision = Decision::InForce;
+            reply.decision = Decision::Committed;
         }
         reply
     }
@@ -658,7 +664,7 @@
     fn admits_another(&self, state: &State) -> bool {
         let mut record = state.sites[COORDINATOR].record.clone();
         let outcome = record.apply(&publish(&record, Some(self.all_regions(state))));
-        matches!(outcome, Outcome::Begun(_))
+        matches!(outcome, Outcome::Started(_))
     }
 
     /// Each proxy talks with control, each leader takes its step, and each message is answered.
@@ -696,7 +702,7 @@
 fn has_effect(body: &Body) -> bool {
     match body {
         Body::Vote(reply) => reply.vote != Vote::Preparing,
-        Body::Outcome(reply) => reply.decision != Decision::Open,
+        Body::Outcome(reply) => reply.decision != Decision::Pending,
         Body::Request(_) | Body::Asked(_) => true,
     }
 }
@@ -704,14 +710,14 @@
 /// Takes a change that has ended for one that was never seen.
 fn begin_again(record: &Record, prepare: &Prepare) -> Option<Command> {
     let last = record.participation(&prepare.change.coordinator)?;
-    let has_ended = last.change.id == prepare.change.id && last.decision != Decision::Open;
+    let has_ended = last.change.id == prepare.change.id && last.decision != Decision::Pending;
     has_ended.then(|| Command::Prepare {
         revision: record.revision(),
         change: ChangeRef {
-            number: Generation(last.change.number.0 + 1),
+            generation: Generation(last.change.generation.0 + 1),
             ..prepare.change.clone()
         },
         text: prepare.text.clone(),
-        floors: record.floors(),
+        fallback_generations: record.fallback_generations(),
     })
 }
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/steps.rs
@@ -7,22 +7,22 @@
 use std::collections::BTreeSet;
 
 const LIMITS: ChangeTimeouts = ChangeTimeouts {
-    wait: 1_000,
-    regions_wait: 10,
+    proxies: 1_000,
+    regions: 10,
 };
 const TERMS: LeaseConfig = LeaseConfig {
-    lease: 100,
-    drift: 10,
+    duration: 100,
+    max_clock_drift: 10,
 };
 /// A moment at which no lease of another leader runs.
 const NOW: u64 = 10_000;
 
 fn publish(record: &mut Record) {
-    let (revision, floors) = (record.revision(), record.floors());
+    let (revision, floors) = (record.revision(), record.fallback_generations());
     record.apply(&Command::Publish {
         revision,
         text: String::new(),
-        floors,
+        fallback_generations: floors,
         all_regions: None,
     });
 }
@@ -37,26 +37,26 @@
 fn ask(name: &str, number: u64, acting: u64, cut_off: OnLeaseLoss) -> LeaseRequest {
     LeaseRequest {
         identity: identity(name),
-        number,
-        acting,
-        has: BTreeSet::new(),
-        unread: None,
-        cut_off,
+        sequence: number,
+        active_revision: acting,
+        loaded_generations: BTreeSet::new(),
+        rejected_generation: None,
+        on_lease_loss: cut_off,
     }
 }
 
 fn lend(leases: &mut Leases, record: &Record, ask: &LeaseRequest) {
     assert!(matches!(
-        leases.lend(NOW, record, ask),
-        GrantOutcome::Grant(_)
+        leases.grant(NOW, record, ask),
+        GrantOutcome::Granted(_)
     ));
 }
 
 /// In a middle, with a proxy that was lent the mode before it.
 fn middle() -> (Record, Leases) {
-    let (mut record, mut leases) = (Record::default(), Leases::elected(TERMS, 0));
+    let (mut record, mut leases) = (Record::default(), Leases::after_election(TERMS, 0));
     publish(&mut record);
-    lend(&mut leases, &record, &ask("p", 1, 0, OnLeaseLoss::Refuse));
+    lend(&mut leases, &record, &ask("p", 1, 0, OnLeaseLoss::Reject));
     publish(&mut record);
     (record, leases)
 }
@@ -66,7 +66,7 @@
     let (record, mut leases) = middle();
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     let advance = Some(Command::Advance { revision: 2 });
-    let lease_over = NOW + TERMS.lease + TERMS.drift;
+    let lease_over = NOW + TERMS.duration + TERMS.max_clock_drift;
     assert_eq!(
         next_command(&record, &leases, lease_over - 1, NOW, LIMITS),
         None
@@ -75,7 +75,7 @@
         next_command(&record, &leases, lease_over, NOW, LIMITS),
         advance
     );
-    lend(&mut leases, &record, &ask("p", 2, 2, OnLeaseLoss::Refuse));
+    lend(&mut leases, &record, &ask("p", 2, 2, OnLeaseLoss::Reject));
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), advance);
 }
 
@@ -84,13 +84,16 @@
     let (record, leases) = middle();
     // It waits for no other region, so the limit for regions is no matter.
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW - LIMITS.wait, LIMITS),
+        next_command(&record, &leases, NOW, NOW - LIMITS.proxies, LIMITS),
         None
     );
     let why = "not in force in time; held up by p (0000000000000001)".to_owned();
-    let abort = Some(Command::Abort { revision: 2, why });
+    let abort = Some(Command::Abort {
+        revision: 2,
+        reason: why,
+    });
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW - LIMITS.wait - 1, LIMITS),
+        next_command(&record, &leases, NOW, NOW - LIMITS.proxies - 1, LIMITS),
         abort
     );
 }
@@ -106,27 +109,30 @@
         &mut leases,
         &record,
         &LeaseRequest {
-            unread,
-            ..ask("p", 2, 1, OnLeaseLoss::Refuse)
+            rejected_generation: unread,
+            ..ask("p", 2, 1, OnLeaseLoss::Reject)
         },
     );
     let why = "p (0000000000000001) can't read it: odd".to_owned();
-    let abort = Some(Command::Abort { revision: 2, why });
+    let abort = Some(Command::Abort {
+        revision: 2,
+        reason: why,
+    });
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), abort);
 }
 
 #[test]
 fn what_proxies_without_leases_act_under_is_logged_before_the_change_goes_on() {
-    let (mut record, mut leases) = (Record::default(), Leases::elected(TERMS, 0));
+    let (mut record, mut leases) = (Record::default(), Leases::after_election(TERMS, 0));
     publish(&mut record);
     record.apply(&Command::Register {
         identity: identity("k"),
-        cut_off: OnLeaseLoss::Keep,
+        on_lease_loss: OnLeaseLoss::Keep,
     });
     publish(&mut record);
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     lend(&mut leases, &record, &ask("k", 1, 2, OnLeaseLoss::Keep));
-    let acting = Command::Acting {
+    let acting = Command::RecordActive {
         revision: 2,
         proxies: BTreeSet::from([identity("k")]),
     };
@@ -144,7 +150,7 @@
     // Without a change it is logged when most of them have moved.
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     lend(&mut leases, &record, &ask("k", 2, 3, OnLeaseLoss::Keep));
-    let acting = Command::Acting {
+    let acting = Command::RecordActive {
         revision: 3,
         proxies: BTreeSet::from([identity("k")]),
     };
@@ -159,7 +165,7 @@
     assert_eq!(
         next_command(
             &Record::default(),
-            &Leases::elected(TERMS, 0),
+            &Leases::after_election(TERMS, 0),
             NOW,
             0,
             LIMITS
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -78,14 +78,14 @@
         })
     );
     assert_eq!(
-        record.changes()[&Generation(2)].ended,
-        ChangeStatus::NotInForce {
-            why: "unread".to_owned()
+        record.changes()[&Generation(2)].status,
+        ChangeStatus::Aborted {
+            reason: "unread".to_owned()
         }
     );
     assert_eq!(record.text(Generation(4)), Some("four"));
     assert_eq!(
-        (record.cross_region(), record.unacknowledged()),
+        (record.cross_region(), record.unacknowledged_commit()),
         (None, None)
     );
 }
@@ -95,10 +95,10 @@
     let mut record: Record = read(RECORD);
     assert_eq!(
         record.apply(&Command::Advance { revision: 6 }),
-        Outcome::Done
+        Outcome::Applied
     );
-    assert_eq!(record.mode(), Some(Mode::settled(7, Generation(4))));
-    assert_eq!(record.apply(&read(EVICT)), Outcome::Done);
+    assert_eq!(record.mode(), Some(Mode::stable(7, Generation(4))));
+    assert_eq!(record.apply(&read(EVICT)), Outcome::Applied);
     let identity = Identity {
         name: "p".to_owned(),
         incarnation: 7,
@@ -116,10 +116,10 @@
         };
         record.apply(&Command::Register {
             identity,
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         });
     }
-    assert_eq!(record.standing().len(), 4);
+    assert_eq!(record.leaseless_proxies().len(), 4);
     let text = serde_json::to_string(&record).expect("it can be written");
     assert_eq!(read::<Record>(&text), record);
 }
@@ -144,7 +144,7 @@
 #[test]
 fn floors_of_a_command_are_kept() {
     let Command::Publish {
-        floors,
+        fallback_generations: floors,
         all_regions,
         ..
     } = read(LOG[8].0)
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -29,7 +29,7 @@
     ChangeRef {
         id: ChangeId(0x1122_3344_5566_7788),
         coordinator: region("norte"),
-        number: Generation(9),
+        generation: Generation(9),
     }
 }
 
@@ -56,7 +56,7 @@
     let publish = |all_regions| Command::Publish {
         revision: 4,
         text: "{\"tablet\":\"listen = 1\"}".to_owned(),
-        floors: floors(),
+        fallback_generations: floors(),
         all_regions,
     };
     vec![
@@ -66,7 +66,7 @@
             revision: 4,
             change: change(),
             text: "{}".to_owned(),
-            floors: floors(),
+            fallback_generations: floors(),
         },
         Command::Vote { revision: 5 },
         Command::Prepared {
@@ -76,7 +76,7 @@
         Command::Advance { revision: 5 },
         Command::Abort {
             revision: 5,
-            why: "unread".to_owned(),
+            reason: "unread".to_owned(),
         },
         Command::Committed { id: ChangeId(77) },
         Command::Aborted { id: ChangeId(77) },
@@ -86,21 +86,21 @@
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: OnLeaseLoss::Refuse,
+            on_lease_loss: OnLeaseLoss::Reject,
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: OnLeaseLoss::Narrow,
+            on_lease_loss: OnLeaseLoss::Fallback,
         },
         Command::Register {
             identity: identity("caja"),
-            cut_off: OnLeaseLoss::Keep,
+            on_lease_loss: OnLeaseLoss::Keep,
         },
-        Command::Acting {
+        Command::RecordActive {
             revision: 5,
             proxies: BTreeSet::from([identity("caja"), identity("a#b")]),
         },
-        Command::Retire {
+        Command::Unregister {
             identity: identity("caja"),
         },
         Command::Evict {
@@ -117,11 +117,11 @@
 #[test]
 fn outcomes_keep_their_json() {
     let refused = [
-        Rejection::UnderWay(Generation(2)),
-        Rejection::AcrossRegions {
+        Rejection::ChangePending(Generation(2)),
+        Rejection::CrossRegionPending {
             generation: Generation(2),
             id: ChangeId(77),
-            waits_for: BTreeSet::from([region("sur")]),
+            awaited_regions: BTreeSet::from([region("sur")]),
         },
         Rejection::NotPrepared {
             regions: BTreeSet::from([region("sur")]),
@@ -129,13 +129,13 @@
         Rejection::AwaitsDecision {
             coordinator: region("norte"),
         },
-        Rejection::Moved,
+        Rejection::Conflict,
         Rejection::Evicted,
     ];
-    let outcomes = [Outcome::Begun(Generation(3)), Outcome::Done];
+    let outcomes = [Outcome::Started(Generation(3)), Outcome::Applied];
     let outcomes: Vec<_> = outcomes
         .into_iter()
-        .chain(refused.map(Outcome::Refused))
+        .chain(refused.map(Outcome::Rejected))
         .collect();
     insta::assert_snapshot!(lines(&outcomes));
 }
@@ -147,20 +147,20 @@
         let command = Command::Publish {
             revision: record.revision(),
             text: text.to_owned(),
-            floors: record.floors(),
+            fallback_generations: record.fallback_generations(),
             all_regions,
         };
         record.apply(&command)
     };
     publish(&mut record, "one", None);
     for (name, cut_off) in [
-        ("caja", OnLeaseLoss::Narrow),
+        ("caja", OnLeaseLoss::Fallback),
         ("a#b", OnLeaseLoss::Keep),
         ("gone", OnLeaseLoss::Keep),
     ] {
         record.apply(&Command::Register {
             identity: identity(name),
-            cut_off,
+            on_lease_loss: cut_off,
         });
     }
     record.apply(&Command::Evict {
@@ -169,14 +169,14 @@
     publish(&mut record, "two", None);
     record.apply(&Command::Abort {
         revision: record.revision(),
-        why: "unread".to_owned(),
+        reason: "unread".to_owned(),
     });
     publish(&mut record, "three", None);
     record.apply(&Command::Advance {
         revision: record.revision(),
     });
     let acting = BTreeSet::from([identity("a#b")]);
-    record.apply(&Command::Acting {
+    record.apply(&Command::RecordActive {
         revision: record.revision(),
         proxies: acting,
     });
@@ -192,47 +192,47 @@
     let publish = Command::Publish {
         revision,
         text: "four".to_owned(),
-        floors: coordinator.floors(),
+        fallback_generations: coordinator.fallback_generations(),
         all_regions: Some(all_regions(77)),
     };
-    assert_eq!(coordinator.apply(&publish), Outcome::Begun(Generation(4)));
+    assert_eq!(coordinator.apply(&publish), Outcome::Started(Generation(4)));
     let mut with_vote = coordinator.clone();
     let prepared = Command::Prepared {
         revision: revision + 1,
         region: region("sur"),
     };
-    assert_eq!(with_vote.apply(&prepared), Outcome::Done);
+    assert_eq!(with_vote.apply(&prepared), Outcome::Applied);
     let mut unacknowledged = with_vote.clone();
     assert_eq!(
         unacknowledged.apply(&Command::Advance {
             revision: revision + 1
         }),
-        Outcome::Done
+        Outcome::Applied
     );
     let mut participant = settled.clone();
     let prepare = Command::Prepare {
         revision,
         change: change(),
         text: "four".to_owned(),
-        floors: participant.floors(),
+        fallback_generations: participant.fallback_generations(),
     };
-    assert_eq!(participant.apply(&prepare), Outcome::Begun(Generation(4)));
+    assert_eq!(participant.apply(&prepare), Outcome::Started(Generation(4)));
     let mut voted = participant.clone();
     assert_eq!(
         voted.apply(&Command::Vote {
             revision: revision + 1
         }),
-        Outcome::Done
+        Outcome::Applied
     );
     let mut committed = voted.clone();
     assert_eq!(
         committed.apply(&Command::Committed { id: change().id }),
-        Outcome::Done
+        Outcome::Applied
     );
     let mut aborted = participant.clone();
     assert_eq!(
         aborted.apply(&Command::Aborted { id: change().id }),
-        Outcome::Done
+        Outcome::Applied
     );
     insta::assert_snapshot!(lines(&[
         empty,
--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -67,13 +67,13 @@
         let admission = self.holder.borrow().admission(clock::now());
         let installed = self.installed.borrow();
         let rules = match admission {
-            Admission::Closed(closed) => return Err(closed),
+            Admission::Denied(closed) => return Err(closed),
             Admission::Under(mode) => installed
                 .mode
                 .as_ref()
                 .filter(|(m, _)| *m == mode)
                 .map(|(_, r)| r),
-            Admission::Floor(generation) => installed.fallbacks.get(&generation),
+            Admission::Fallback(generation) => installed.fallbacks.get(&generation),
         };
         let rules = rules.ok_or(NotAdmitted::NoLease)?;
         Ok((
@@ -94,8 +94,8 @@
         }
         let (floor, old, new) = match admission {
             Admission::Under(mode) => (false, mode.old, mode.new),
-            Admission::Floor(generation) => (true, generation, generation),
-            Admission::Closed(_) => return false,
+            Admission::Fallback(generation) => (true, generation, generation),
+            Admission::Denied(_) => return false,
         };
         let id = || {
             headers
@@ -111,12 +111,12 @@
     pub fn health(&self) -> Result<String, String> {
         match self.holder.borrow().admission(clock::now()) {
             Admission::Under(mode) => Ok(format!("ok, {mode}")),
-            Admission::Floor(generation) => {
+            Admission::Fallback(generation) => {
                 Ok(format!("cut off from control, the floor of {generation}"))
             }
-            Admission::Closed(NotAdmitted::NoLease) => Err("no policy from control yet".to_owned()),
-            Admission::Closed(NotAdmitted::RunOut) => Err("cut off from control".to_owned()),
-            Admission::Closed(NotAdmitted::Evicted) => {
+            Admission::Denied(NotAdmitted::NoLease) => Err("no policy from control yet".to_owned()),
+            Admission::Denied(NotAdmitted::LeaseExpired) => Err("cut off from control".to_owned()),
+            Admission::Denied(NotAdmitted::Evicted) => {
                 Err("evicted by control: start it anew".to_owned())
             }
         }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -183,12 +183,12 @@
 impl Evaluation {
     pub(super) fn call(&self) -> ResolvedCall {
         ResolvedCall {
-            repeat: self.repeat,
+            idempotency: self.repeat,
             key: self.key.clone(),
-            time: self.admitted.time,
-            terms: self.admitted.terms,
-            connect: self.admitted.manner.connect,
-            body: self.admitted.body_most,
+            timeout: self.admitted.time,
+            policy: self.admitted.terms,
+            connect_timeout: self.admitted.manner.connect,
+            max_body_bytes: self.admitted.body_most,
         }
     }
 }
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -57,9 +57,9 @@
         };
         let answers = self.answers(&by_old.manner, &by_new.manner);
         let manner = Rc::new(Manner {
-            connect: met.connect,
+            connect: met.connect_timeout,
             answers,
-            body_most: met.body,
+            body_most: met.max_body_bytes,
         });
         let chosen = if met.class == Side::Old {
             by_old
@@ -68,9 +68,9 @@
         };
         old.set_forwarding_headers(parts);
         Ok(Admitted {
-            time: met.time,
-            terms: met.terms,
-            body_most: met.body,
+            time: met.timeout,
+            terms: met.policy,
+            body_most: met.max_body_bytes,
             manner,
             ..chosen
         })
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -89,9 +89,9 @@
             Some(Ok(None)) | None => {}
         }
         let holder = LeaseHolderConfig {
-            cut_off: terms.cut_off,
-            answer_within: micros(ANSWER),
-            pause: micros(PAUSE),
+            on_lease_loss: terms.cut_off,
+            request_timeout: micros(ANSWER),
+            retry_delay: micros(PAUSE),
         };
         let has = read.keys().copied().collect();
         let gate = AdmissionGate::new(LeaseHolder::new(identity.clone(), holder, has));
@@ -161,19 +161,19 @@
         let mut client = self.client();
         let mut told = String::new();
         loop {
-            let (due, now) = (self.gate.holder().borrow().due(), clock::now());
+            let (due, now) = (self.gate.holder().borrow().next_request_at(), clock::now());
             let Some(due) = due else {
                 return std::future::pending().await;
             };
             if now < due {
                 let nap = Duration::from_micros(due - now).min(NAP);
                 tokio::select! {
-                    () = self.news.notified() => self.gate.holder().borrow_mut().news(clock::now()),
+                    () = self.news.notified() => self.gate.holder().borrow_mut().request_soon(clock::now()),
                     () = tokio::time::sleep(nap) => {}
                 }
                 continue;
             }
-            let ask = self.gate.holder().borrow_mut().ask(clock::now());
+            let ask = self.gate.holder().borrow_mut().request(clock::now());
             let ask =
                 wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
             let ask = request::What::Ask(ask);
@@ -193,7 +193,7 @@
                     self.gate
                         .holder()
                         .borrow_mut()
-                        .came_to_nothing(clock::now());
+                        .on_request_failed(clock::now());
                     if told != fault {
                         warn!("no lease: {fault}");
                         told = fault;
@@ -219,12 +219,12 @@
             let generation = Generation(text.generation);
             match self.take(generation, text) {
                 Ok(()) => {
-                    holder.read(generation);
+                    holder.accept_generation(generation);
                     fresh = true;
                 }
                 Err(why) => {
                     warn!("{generation} can't be read: {why}");
-                    holder.cannot_read(generation, why);
+                    holder.reject_generation(generation, why);
                 }
             }
         }
@@ -235,18 +235,18 @@
             _ => true,
         };
         let Mode { old, new, .. } = grant.mode;
-        holder.forget(|g| (g == old || g == new) && same(g));
+        holder.retain_generations(|g| (g == old || g == new) && same(g));
         drop(read);
-        let answered = holder.answered(clock::now(), grant);
+        let answered = holder.on_grant(clock::now(), grant);
         drop(holder);
         match answered {
-            GrantResult::Taken { .. } => {
+            GrantResult::Accepted { .. } => {
                 if fresh || self.set.get() != Some(grant.mode) {
                     self.set(grant.mode, driver, front);
                     info!("policy: {}", grant.mode);
                 }
             }
-            GrantResult::Wants | GrantResult::Late => {}
+            GrantResult::MissingGenerations | GrantResult::Ignored => {}
         }
         Ok(())
     }
@@ -385,7 +385,7 @@
     let narrow = local
         .policy
         .as_ref()
-        .is_some_and(|p| p.cut_off == OnLeaseLoss::Narrow);
+        .is_some_and(|p| p.cut_off == OnLeaseLoss::Fallback);
     if narrow && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
         return Err(
             "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -120,7 +120,7 @@
 
 /// The rules of a mode; `None` if its policies are no sidecar's.
 pub(crate) fn mode_rules(mode: Mode, old: Rc<Rules>, new: Rc<Rules>) -> Option<Rc<Rules>> {
-    if !mode.is_middle() {
+    if !mode.is_transition() {
         Some(old)
     } else {
         TransitionRules::between(old, new)
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -218,7 +218,7 @@
                 old: mode.old.0,
                 new: mode.new.0,
             },
-            Some(Admission::Floor(_) | Admission::Closed(_)) | None => Admits::Nothing,
+            Some(Admission::Fallback(_) | Admission::Denied(_)) | None => Admits::Nothing,
         };
         match &mut self.seen {
             Some(seen) if seen.admits == admits => seen.until = now,
