--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -1,6 +1,6 @@
 //! What the meet admits, both admit: for any two calls that two policies could make of one request, and any answer.
 
-use badgerramp_decisions::{Hedge, Repeat, Resend, Scope, Terms};
+use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_policy::{
     intersect, intersect_answers, IdempotencyKey, Mismatch, ResolvedCall, Side,
 };
@@ -8,10 +8,18 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
 
-fn repeat() -> impl Strategy<Value = Repeat> {
-    let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
-    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Repeat::Guarded { scope, window });
-    prop_oneof![Just(Repeat::Free), Just(Repeat::SingleShot), guarded]
+fn repeat() -> impl Strategy<Value = Idempotency> {
+    let scope = prop_oneof![
+        Just(DedupScope::All),
+        Just(DedupScope::Zone),
+        Just(DedupScope::Cell)
+    ];
+    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    prop_oneof![
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        guarded
+    ]
 }
 
 fn hedge() -> impl Strategy<Value = Hedge> {
@@ -32,28 +40,33 @@
         any in any::<bool>(),
         (connect, body) in (1..4u64, 0..3usize),
     ) -> ResolvedCall {
-        let resend = if any { Resend::Any } else { Resend::NeverRan };
-        let once = matches!(repeat, Repeat::Guarded { .. }) && key == IdempotencyKey::None;
-        let terms = Terms { attempts, attempt_time, backoff, hedge, resend, once };
+        let resend = if any { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
+        let once = matches!(repeat, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
+        let terms = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
         ResolvedCall { idempotency: repeat, key, timeout: time, policy: terms, connect_timeout: connect, max_body_bytes: body }
     }
 }
 
 /// May a call of these terms run again at a host of the same zone (and cell), or of another, `after` its first attempt?
-fn runs_again(repeat: Repeat, terms: &Terms, (zone, cell): (bool, bool), after: u64) -> bool {
+fn runs_again(
+    repeat: Idempotency,
+    terms: &CallPolicy,
+    (zone, cell): (bool, bool),
+    after: u64,
+) -> bool {
     let class = match repeat {
-        Repeat::Free => true,
-        Repeat::SingleShot => false,
-        Repeat::Guarded { scope, window } => {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::Keyed { scope, window } => {
             let here = match scope {
-                Scope::All => true,
-                Scope::Zone => zone,
-                Scope::Cell => cell,
+                DedupScope::All => true,
+                DedupScope::Zone => zone,
+                DedupScope::Cell => cell,
             };
-            here && after < window && !terms.once
+            here && after < window && !terms.non_idempotent
         }
     };
-    class && !terms.once && terms.resend == Resend::Any
+    class && !terms.non_idempotent && terms.retry_on == RetryOn::AnyFailure
 }
 
 proptest! {
@@ -64,17 +77,17 @@
         for own in [&old, &new] {
             let (terms, its) = (&met.policy, &own.policy);
             prop_assert!(met.timeout <= own.timeout && met.connect_timeout <= own.connect_timeout && met.max_body_bytes <= own.max_body_bytes);
-            prop_assert!(terms.attempts <= its.attempts && terms.attempt_time <= its.attempt_time);
+            prop_assert!(terms.max_attempts <= its.max_attempts && terms.attempt_timeout <= its.attempt_timeout);
             prop_assert!(terms.backoff >= its.backoff);
             prop_assert!(terms.hedge == Hedge::Never || terms.hedge == its.hedge);
-            prop_assert!(terms.resend == Resend::NeverRan || its.resend == Resend::Any);
+            prop_assert!(terms.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
             for place in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
                     if runs_again(chosen.idempotency, terms, place, after) {
                         prop_assert!(runs_again(own.idempotency, its, place, after), "{place:?} {after}");
                         // By the key that it bears, where it goes by one.
-                        if matches!(own.idempotency, Repeat::Guarded { .. }) {
-                            prop_assert!(own.key == chosen.key || chosen.idempotency == Repeat::Free);
+                        if matches!(own.idempotency, Idempotency::Keyed { .. }) {
+                            prop_assert!(own.key == chosen.key || chosen.idempotency == Idempotency::Idempotent);
                         }
                     }
                 }
@@ -125,9 +138,9 @@
 
 #[test]
 fn what_only_one_takes_is_turned_away_with_the_reason() {
-    let terms = Terms::default();
+    let terms = CallPolicy::default();
     let call = ResolvedCall {
-        idempotency: Repeat::Free,
+        idempotency: Idempotency::Idempotent,
         key: IdempotencyKey::None,
         timeout: 1,
         policy: terms,
@@ -141,11 +154,11 @@
 
 #[test]
 fn keyed_and_unsafe_meet_in_unsafe() {
-    let guarded = Repeat::Guarded {
-        scope: Scope::All,
+    let guarded = Idempotency::Keyed {
+        scope: DedupScope::All,
         window: 3,
     };
-    let terms = Terms::default();
+    let terms = CallPolicy::default();
     let keyed = ResolvedCall {
         idempotency: guarded,
         key: IdempotencyKey::Value("k".to_owned()),
@@ -155,7 +168,7 @@
         max_body_bytes: 1,
     };
     let unsafe_ = ResolvedCall {
-        idempotency: Repeat::SingleShot,
+        idempotency: Idempotency::NonIdempotent,
         key: IdempotencyKey::None,
         ..keyed.clone()
     };
