--- a/crates/control-plane/src/progress.rs
+++ b/crates/control-plane/src/progress.rs
@@ -1,20 +1,20 @@
 //! What the log of a replica says of each step of a change.
 
-use badgerramp_policy::regions::{CrossRegion, Role};
+use badgerramp_policy::regions::{CrossRegionChange, Role};
 use badgerramp_policy::{Command, Generation, Mode, Outcome, Record};
 use std::fmt::Display;
 
 /// The change under way before a command.
 pub(crate) struct Before {
     middle: Option<Mode>,
-    cross_region: Option<CrossRegion>,
+    cross_region: Option<CrossRegionChange>,
 }
 
 impl Before {
     /// That of this record.
     pub(crate) fn of(record: &Record) -> Self {
         Before {
-            middle: record.middle(),
+            middle: record.transition(),
             cross_region: record.cross_region().cloned(),
         }
     }
@@ -28,8 +28,8 @@
     after: &Record,
 ) -> Option<String> {
     match (command, outcome) {
-        (_, Outcome::Refused(_)) => None,
-        (_, Outcome::Begun(generation)) => Some(begun(*generation, after)),
+        (_, Outcome::Rejected(_)) => None,
+        (_, Outcome::Started(generation)) => Some(begun(*generation, after)),
         (Command::Vote { .. }, _) => {
             let cross = before.cross_region.as_ref()?;
             let coordinator = &cross.change.coordinator;
@@ -48,7 +48,7 @@
         (Command::Advance { .. } | Command::Committed { .. }, _) => {
             Some(ended(before, format!("{} is in force", before.middle?.new)))
         }
-        (Command::Abort { why, .. }, _) => Some(match &before.cross_region {
+        (Command::Abort { reason: why, .. }, _) => Some(match &before.cross_region {
             None => format!("the change comes to nothing: {why}"),
             Some(cross) => of_all(
                 cross,
@@ -63,7 +63,7 @@
     }
 }
 
-fn of_all(cross: &CrossRegion, step: impl Display) -> String {
+fn of_all(cross: &CrossRegionChange, step: impl Display) -> String {
     format!("change of all regions {}: {step}", cross.change.id)
 }
 
--- a/crates/policy/src/steps.rs
+++ b/crates/policy/src/next_command.rs
@@ -1,16 +1,16 @@
 //! The next step of the change under way, as the leader of a region sees it.
 
-use crate::regions::{listed, CrossRegion, Region, Role};
+use crate::regions::{listed, CrossRegionChange, Region, Role};
 use crate::{Blocker, Command, Leases, Micros, Mode, Record};
 use std::collections::BTreeSet;
 
 /// How long a change may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Limits {
+pub struct ChangeTimeouts {
     /// Longest wait for the proxies of the own region.
-    pub wait: Micros,
+    pub proxies: Micros,
     /// Longest wait of a coordinator for the votes of the other regions.
-    pub regions_wait: Micros,
+    pub regions: Micros,
 }
 
 /// The command that the leader has to log next; `None`: nothing for now. `begun` is when this leader first saw the present
@@ -20,13 +20,13 @@
     leases: &Leases,
     now: Micros,
     begun: Micros,
-    limits: Limits,
+    limits: ChangeTimeouts,
 ) -> Option<Command> {
-    let behind = leases.acting(record);
-    let Some(middle) = record.middle() else {
+    let behind = leases.caught_up_proxies(record);
+    let Some(middle) = record.transition() else {
         // Whose floors are held is brought up to date together, when most have moved.
-        let most = behind.len() * 2 > record.standing().len();
-        return most.then(|| Command::Acting {
+        let most = behind.len() * 2 > record.leaseless_proxies().len();
+        return most.then(|| Command::RecordActive {
             revision: record.revision(),
             proxies: behind,
         });
@@ -34,14 +34,17 @@
     let revision = middle.revision;
     if may_abort(record) {
         if let Some(why) = abort_reason(record, leases, now, now.saturating_sub(begun), limits) {
-            return Some(Command::Abort { revision, why });
+            return Some(Command::Abort {
+                revision,
+                reason: why,
+            });
         }
     }
     if !leases.blockers(now, record).is_empty() {
         return None;
     }
     if !behind.is_empty() {
-        return Some(Command::Acting {
+        return Some(Command::RecordActive {
             revision,
             proxies: behind,
         });
@@ -67,7 +70,7 @@
 fn may_abort(record: &Record) -> bool {
     !matches!(
         record.cross_region(),
-        Some(CrossRegion {
+        Some(CrossRegionChange {
             role: Role::Participant { voted: true },
             ..
         })
@@ -80,20 +83,20 @@
     leases: &Leases,
     now: Micros,
     elapsed: Micros,
-    limits: Limits,
+    limits: ChangeTimeouts,
 ) -> Option<String> {
-    if let Some((identity, why)) = leases.unread(record.middle()?) {
+    if let Some((identity, why)) = leases.rejected_generation(record.transition()?) {
         return Some(format!("{identity} can't read it: {why}"));
     }
     let missing = missing_votes(record);
-    if elapsed > limits.regions_wait && !missing.is_empty() {
+    if elapsed > limits.regions && !missing.is_empty() {
         return Some(format!(
             "not in force in time; no vote of {}",
             listed(&missing)
         ));
     }
     let blockers = leases.blockers(now, record);
-    if elapsed > limits.wait && !blockers.is_empty() {
+    if elapsed > limits.proxies && !blockers.is_empty() {
         let named = |b: &Blocker| {
             b.identity
                 .as_ref()
@@ -112,11 +115,11 @@
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
         Some(
-            cross @ CrossRegion {
+            cross @ CrossRegionChange {
                 role: Role::Coordinator { .. },
                 ..
             },
-        ) => cross.waits_for(),
+        ) => cross.awaited_regions(),
         _ => BTreeSet::new(),
     }
 }
