--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -246,7 +246,7 @@
 }
 
 impl Client for Seat {
-    fn connected(&self) -> bool {
+    fn is_connected(&self) -> bool {
         let (mut bytes, mut taken) = ([0; 4096], 0);
         // What comes behind a request whose length is known is worthless, as its answer closes the connection.
         let worthless = self.length.get() < u64::MAX;
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -3,7 +3,7 @@
 use super::timers::Due;
 use super::{Answer, Core, Driver};
 use crate::log::CALLS;
-use crate::net::exchange::{Ended, Request, Target};
+use crate::net::exchange::{AttemptResult, AttemptTarget, Request};
 use crate::net::hosts;
 use badgerramp_decisions::{
     CallId, EndpointId, EndpointStatus, EndpointView, Event, Micros, Outcome,
@@ -41,7 +41,7 @@
             .calls
             .get(&call)
             .map(|c| Rc::clone(&c.client));
-        if client.is_some_and(|client| !client.connected()) {
+        if client.is_some_and(|client| !client.is_connected()) {
             // The HTTP library may not have noticed: it stops looking once it has buffered bytes behind the request.
             self.gone(call);
             return false;
@@ -68,7 +68,7 @@
     }
 
     /// An attempt has ended by itself. Only its first outcome counts.
-    pub fn ended(&self, call: CallId, attempt: u32, ended: Ended) {
+    pub fn attempt_ended(&self, call: CallId, attempt: u32, ended: AttemptResult) {
         // Also called when a task is dropped. Should that ever happen while the core is borrowed, a second panic would
         // abort the program; the attempt's own deadline ends it then.
         let Ok(mut core) = self.core.try_borrow_mut() else {
@@ -130,7 +130,7 @@
     fn spawn_attempt(
         &self,
         (call, attempt): (CallId, u32),
-        target: Target,
+        target: AttemptTarget,
         until: Micros,
         request: Rc<Request>,
     ) -> AbortHandle {
@@ -147,7 +147,7 @@
             driver.caught_up().await;
             let left = || until.saturating_sub(driver.clock.now());
             let may_start = || driver.may_start(call, attempt, target.generation);
-            let ended = hosts::attempt(&driver.sockets, target, &request, left, may_start).await;
+            let ended = hosts::attempt(&driver.pool, target, &request, left, may_start).await;
             guard.ended = Some(ended);
         });
         task.abort_handle()
@@ -180,7 +180,7 @@
         now: Micros,
         id: CallId,
         number: u32,
-        ended: Ended,
+        ended: AttemptResult,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
@@ -201,21 +201,21 @@
         }
         let elapsed = now.saturating_sub(attempt.sent);
         debug!(target: CALLS, call = id.0, attempt = number, outcome = ?ended.outcome, elapsed, "over");
-        let Ended {
+        let AttemptResult {
             outcome,
             load,
-            reply,
+            response,
         } = ended;
-        match reply {
-            Some(reply) if outcome == Outcome::Served => {
+        match response {
+            Some(response) if outcome == Outcome::Served => {
                 if let Some(sender) = call.answer.take() {
                     self.open_calls -= 1;
                     self.timers.remove(&(call.deadline, Due::Deadline(id)));
-                    let _ = sender.send(Answer::Served(reply));
+                    let _ = sender.send(Answer::Served(response));
                 }
             }
-            Some(reply) if outcome == Outcome::Error && self.keep_errors => {
-                call.last_error = Some(reply);
+            Some(response) if outcome == Outcome::Error && self.keep_errors => {
+                call.last_error = Some(response);
             }
             _ => {}
         }
@@ -253,13 +253,13 @@
     driver: Driver,
     call: CallId,
     attempt: u32,
-    ended: Option<Ended>,
+    ended: Option<AttemptResult>,
 }
 
 impl Drop for OutcomeGuard {
     fn drop(&mut self) {
         if let Some(ended) = self.ended.take() {
-            self.driver.ended(self.call, self.attempt, ended);
+            self.driver.attempt_ended(self.call, self.attempt, ended);
         }
     }
 }
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{Core, Driver};
 use crate::log::CALLS;
-use crate::net::exchange::{Client, Reply, Request};
+use crate::net::exchange::{Client, Request, UpstreamResponse};
 use badgerramp_decisions::{CallId, CallPolicy, ClassId, Event, Micros, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -23,12 +23,12 @@
 /// The one final answer of a call.
 #[derive(Debug)]
 pub enum Answer {
-    Served(Reply),
+    Served(UpstreamResponse),
     Refused {
         retry_after: Micros,
     },
     /// The last error of a host that is passed on, if any.
-    Failed(Option<Reply>),
+    Failed(Option<UpstreamResponse>),
     /// The deadline came before the balancer had ended the call.
     Overdue,
 }
@@ -55,7 +55,7 @@
     pub(super) answer: Option<oneshot::Sender<Answer>>,
     pub(super) attempts: Vec<Attempt>,
     /// The last error that a host answered, if errors are passed on.
-    pub(super) last_error: Option<Reply>,
+    pub(super) last_error: Option<UpstreamResponse>,
 }
 
 impl Call {
--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -1,8 +1,8 @@
 //! Membership: the discovery list, the ids of its hosts, and what a change of it means for their connections.
 
 use super::{Core, Driver};
-use crate::net::exchange::Target;
-use crate::net::hosts::Hosts;
+use crate::net::exchange::AttemptTarget;
+use crate::net::hosts::ConnectionPool;
 use badgerramp_decisions::{
     settings, CellId, EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Micros,
 };
@@ -100,12 +100,12 @@
 
 impl Host {
     /// Where attempts at this host go, if it takes calls.
-    pub(super) fn target(&self, server: EndpointId) -> Option<Target> {
+    pub(super) fn target(&self, endpoint: EndpointId) -> Option<AttemptTarget> {
         if self.state != EndpointStatus::Ready {
             return None;
         }
-        Some(Target {
-            server,
+        Some(AttemptTarget {
+            endpoint,
             address: self.address?,
             generation: self.generation,
         })
@@ -119,11 +119,11 @@
         let core = &mut *core;
         let mut touched = Vec::new();
         if matches!(kind, ListUpdateKind::Full | ListUpdateKind::Cached) {
-            touched = core.forget_unlisted(list, &self.sockets);
+            touched = core.forget_unlisted(list, &self.pool);
         }
         let mut entries = Vec::new();
         for endpoint in list {
-            let Some(entry) = core.update_host(endpoint, &self.sockets) else {
+            let Some(entry) = core.update_host(endpoint, &self.pool) else {
                 continue;
             };
             if core.subset.is_some() {
@@ -131,7 +131,7 @@
                 core.update_subset_candidate(&endpoint.name, &entry);
             }
             if entry.status == EndpointStatus::Removed {
-                core.forget(&endpoint.name, &self.sockets);
+                core.forget(&endpoint.name, &self.pool);
             }
             entries.push(entry);
         }
@@ -179,7 +179,7 @@
 
     /// Applies an entry of the list to its host, whose connections are closed or opened as that demands. Returns the
     /// entry in the balancer's form; `None` for an unknown host that has gone.
-    fn update_host(&mut self, endpoint: &Endpoint, sockets: &Hosts) -> Option<EndpointEntry> {
+    fn update_host(&mut self, endpoint: &Endpoint, pool: &ConnectionPool) -> Option<EndpointEntry> {
         let listed_state = endpoint.state();
         let started = endpoint.since_ms.saturating_mul(MICROS_PER_MILLISECOND);
         let server = self.server_id(&endpoint.name, listed_state)?;
@@ -203,14 +203,14 @@
         // The same name with a new start is a new process, and a new address is another way to it: open connections
         // lead to the old one.
         if state != EndpointStatus::Ready {
-            sockets.close(server);
+            pool.remove_endpoint(server);
         } else if host.state != EndpointStatus::Ready
             || address != host.address
             || started != host.started
         {
             host.generation = self.next_generation;
             self.next_generation += 1;
-            sockets.open(server, host.generation);
+            pool.add_endpoint(server, host.generation);
         }
         (host.state, host.address, host.started) = (state, address, started);
         let entry = EndpointEntry {
@@ -227,7 +227,7 @@
     }
 
     /// Forgets the hosts that a whole list does not name; returns their ids.
-    fn forget_unlisted(&mut self, list: &[Endpoint], sockets: &Hosts) -> Vec<u32> {
+    fn forget_unlisted(&mut self, list: &[Endpoint], pool: &ConnectionPool) -> Vec<u32> {
         let listed: HashSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         let unlisted = self
             .server_ids
@@ -237,16 +237,16 @@
             .map(|(name, server)| (Rc::clone(name), server.0))
             .collect();
         for (name, _) in &unlisted {
-            self.forget(name, sockets);
+            self.forget(name, pool);
         }
         unlisted.into_iter().map(|(_, server)| server).collect()
     }
 
     /// Forgets a host and its id, and closes its connections.
-    fn forget(&mut self, name: &str, sockets: &Hosts) {
+    fn forget(&mut self, name: &str, pool: &ConnectionPool) {
         if let Some(server) = self.server_ids.remove(name) {
             self.hosts.remove(&server);
-            sockets.close(server);
+            pool.remove_endpoint(server);
             if let Some(view) = &mut self.subset {
                 view.subset.remove(server.0);
             }
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -23,7 +23,7 @@
 pub use membership::{Endpoint, List};
 
 use super::clock::Clock;
-use super::hosts::Hosts;
+use super::hosts::ConnectionPool;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{
     Action, Balancer, CallId, EndpointId, Event, LoadReport, Micros, Outcome, Settings,
@@ -78,7 +78,7 @@
 pub struct Driver {
     core: Rc<RefCell<Core>>,
     clock: Clock,
-    sockets: Rc<Hosts>,
+    pool: Rc<ConnectionPool>,
     timer_moved: Rc<Notify>,
     subscribe: Rc<Notify>,
 }
@@ -90,7 +90,7 @@
         keep_errors: bool,
         subset: Option<Subset>,
         clock: Clock,
-        sockets: Rc<Hosts>,
+        pool: Rc<ConnectionPool>,
     ) -> Self {
         let subset = subset.map(|subset| SubsetView {
             subset,
@@ -123,7 +123,7 @@
         Driver {
             core: Rc::new(RefCell::new(core)),
             clock,
-            sockets,
+            pool,
             timer_moved,
             subscribe,
         }
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of the driver that look into its state.
 
 use super::*;
-use crate::net::exchange::{Client, Manner, Request};
+use crate::net::exchange::{AttemptOptions, Client, Request};
 use crate::net::socket::Tcp;
-use crate::net::{Descriptors, Room};
+use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_decisions::settings::Transport;
 use badgerramp_decisions::{CallPolicy, ClassId, ListUpdateKind};
 use hyper::http::{HeaderMap, Method, Uri};
@@ -14,7 +14,7 @@
 struct Waits;
 
 impl Client for Waits {
-    fn connected(&self) -> bool {
+    fn is_connected(&self) -> bool {
         true
     }
 }
@@ -30,10 +30,10 @@
         conn_idle: 60_000_000,
         connect_timeout: 9_000_000,
     };
-    let sockets = Hosts::new(
+    let pool = ConnectionPool::new(
         transport,
         (16, Micros::MAX),
-        (Descriptors::new(9), Room::new(1 << 20)),
+        (Descriptors::new(9), MemoryBudget::new(1 << 20)),
         Rc::new(Tcp),
         clock,
     );
@@ -43,23 +43,23 @@
         tenants: vec![],
         transport,
     };
-    Driver::new(7, facts, false, subset, clock, sockets)
+    Driver::new(7, facts, false, subset, clock, pool)
 }
 
 fn request() -> Request {
     let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
     let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
-    let manner = Rc::new(Manner {
-        connect: 1,
+    let options = Rc::new(AttemptOptions {
+        connect_timeout: 1,
         answers,
-        body_most: 1,
+        max_body_len: 1,
     });
     Request {
         method: Method::GET,
         uri,
         headers,
         body: bytes::Bytes::new(),
-        manner,
+        options,
     }
 }
 
--- a/crates/proxy/src/net/exchange.rs
+++ b/crates/proxy/src/net/exchange.rs
@@ -17,37 +17,37 @@
     /// None that concerns its client's connection alone.
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub manner: Rc<Manner>,
+    pub options: Rc<AttemptOptions>,
 }
 
 /// Who waits for the answer to a request.
 pub trait Client {
     /// Is it still connected? This asks the system itself, as the news that it has closed may not have been read.
-    fn connected(&self) -> bool;
+    fn is_connected(&self) -> bool;
 }
 
 /// How attempts are made and their answers read; set by class or route.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct AttemptOptions {
     /// A connection that is not up by then has failed.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// What an answer means.
     pub answers: Arc<Answers>,
     /// Most bytes of an answer's body.
-    pub body_most: usize,
+    pub max_body_len: usize,
 }
 
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Target {
-    pub server: EndpointId,
+pub struct AttemptTarget {
+    pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub generation: u64,
 }
 
 /// A host's answer, whole.
 #[derive(Debug)]
-pub struct Reply {
+pub struct UpstreamResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -55,19 +55,19 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub load: LoadReport,
     /// What came back, if it could be read.
-    pub reply: Option<Reply>,
+    pub response: Option<UpstreamResponse>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        AttemptResult {
             outcome,
             load: LoadReport::default(),
-            reply: None,
+            response: None,
         }
     }
 }
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -3,11 +3,11 @@
 use super::admission_gate::AdmissionGate;
 use super::clients::{Clients, Noted, Seat, UNASKED};
 use super::driver::{Answer, Driver, Intake};
-use super::exchange::{Client, Reply, Request};
-use super::hosts::{self, Hosts};
+use super::exchange::{Client, Request, UpstreamResponse};
+use super::hosts::{self, ConnectionPool};
 use super::rules::{hop_by_hop, Admitted, Rejection, Rules};
 use super::socket::{Listener, Stream};
-use super::{Descriptors, Room};
+use super::{Descriptors, MemoryBudget};
 use crate::log::CLIENTS;
 use badgerramp_decisions::{CallId, Micros};
 use bytes::Bytes;
@@ -52,7 +52,7 @@
 
 pub struct Front {
     pub driver: Driver,
-    pub hosts: Rc<Hosts>,
+    pub pool: Rc<ConnectionPool>,
     pub descriptors: Rc<Descriptors>,
     pub clients: Clients,
     /// How requests are read; replaced whole.
@@ -62,7 +62,7 @@
     /// Answers pass with status and headers, and advice is in whole seconds, as HTTP has them.
     pub plain_http: bool,
     /// Bytes of bodies that may be held.
-    pub room: Rc<Room>,
+    pub memory_budget: Rc<MemoryBudget>,
     /// Ids of the requests that are open.
     pub open: RefCell<HashSet<HeaderValue>>,
     /// When to come back, where the module gives no advice; 0: none is given.
@@ -151,7 +151,7 @@
             io::ErrorKind::ConnectionAborted,
             io::ErrorKind::ConnectionReset,
         ];
-        if aborted.contains(&fault.kind()) || self.hosts.evict() {
+        if aborted.contains(&fault.kind()) || self.pool.evict_idle() {
             return;
         }
         if self.clients.evicted() == 0 {
@@ -165,9 +165,9 @@
         let clock = self.driver.clock();
         let staying = self.clients.count() - self.clients.evicted();
         let full = staying >= self.most && !self.clients.evict(clock.now());
-        let descriptor = self.descriptors.take().or_else(|| {
-            self.hosts.evict();
-            self.descriptors.take()
+        let descriptor = self.descriptors.acquire().or_else(|| {
+            self.pool.evict_idle();
+            self.descriptors.acquire()
         });
         let crowded = full || descriptor.is_none();
         let seat = self.clients.enter(stream, descriptor, clock);
@@ -310,9 +310,9 @@
             id,
             mut time,
             length,
-            body_most,
+            max_body_len,
             mut terms,
-            mut manner,
+            mut options,
         } = match rules.admit(&mut parts, seat.client()) {
             Ok(admitted) => admitted,
             Err(turned) => return self.turned(turned),
@@ -326,14 +326,14 @@
             }
             entered => entered,
         };
-        let Some(_held) = self.room.take(length.unwrap_or(body_most)) else {
+        let Some(_held) = self.memory_budget.reserve(length.unwrap_or(max_body_len)) else {
             return self.refused(0);
         };
         let late = clock.instant(since.saturating_add(UNASKED));
         let body = if body.is_end_stream() {
             Ok(Ok(Bytes::new()))
         } else {
-            let body = Box::pin(Limited::new(body, body_most).collect());
+            let body = Box::pin(Limited::new(body, max_body_len).collect());
             tokio::time::timeout_at(late, body)
                 .await
                 .map(|read| read.map(Collected::to_bytes))
@@ -367,14 +367,14 @@
                 };
                 parts = plain.clone();
                 let admitted = match rules.admit(&mut parts, seat.client()) {
-                    Ok(admitted) if admitted.body_most < body.len() => {
+                    Ok(admitted) if admitted.max_body_len < body.len() => {
                         return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
                     }
                     Ok(admitted) => admitted,
                     Err(turned) => return self.turned(turned),
                 };
                 (class, tenant, time) = (admitted.class, admitted.tenant, admitted.time);
-                (terms, manner, stamp) = (admitted.terms, admitted.manner, newer);
+                (terms, options, stamp) = (admitted.terms, admitted.options, newer);
                 now = clock.now();
             }
         }
@@ -390,14 +390,14 @@
         let (method, uri, mut headers) = (parts.method, parts.uri, parts.headers);
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
-            hosts::strip(&mut headers);
+            hosts::strip_hop_by_hop(&mut headers);
         }
         let request = Request {
             method,
             uri,
             headers,
             body,
-            manner,
+            options,
         };
         let Some((call, answer)) = self.driver.request(intake, request) else {
             return self.refused(0);
@@ -407,11 +407,13 @@
             call,
         };
         match answer.await {
-            Ok(Answer::Served(reply)) => self.reply(reply),
+            Ok(Answer::Served(response)) => self.reply(response),
             Ok(Answer::Refused { retry_after }) => self.refused(retry_after),
             // To a client these two mean that trying again is harmless, which no failure promises.
-            Ok(Answer::Failed(Some(reply))) if ![429, 503].contains(&reply.status.as_u16()) => {
-                self.reply(reply)
+            Ok(Answer::Failed(Some(response)))
+                if ![429, 503].contains(&response.status.as_u16()) =>
+            {
+                self.reply(response)
             }
             Ok(Answer::Failed(_)) => plain(StatusCode::BAD_GATEWAY, "failed"),
             Ok(Answer::Overdue) | Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
@@ -419,12 +421,12 @@
     }
 
     /// What a host answered, in the client's framing.
-    fn reply(&self, reply: Reply) -> Response<Full<Bytes>> {
-        let Reply {
+    fn reply(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
+        let UpstreamResponse {
             status,
             mut headers,
             body,
-        } = reply;
+        } = upstream;
         let mut response = Response::new(Full::new(body));
         if !self.plain_http {
             if let Some(content_type) = headers.remove(header::CONTENT_TYPE) {
--- a/crates/proxy/src/net/hosts.rs
+++ b/crates/proxy/src/net/hosts.rs
@@ -2,9 +2,9 @@
 //! there is no task behind it, so dropping the attempt closes it, and nothing is ever sent twice.
 
 use super::clock::Clock;
-use super::exchange::{Ended, Reply, Request, Target};
+use super::exchange::{AttemptResult, AttemptTarget, Request, UpstreamResponse};
 use super::socket::{Network, Socket, Stream};
-use super::{Descriptor, Descriptors, Room};
+use super::{Descriptor, Descriptors, MemoryBudget};
 use badgerramp_decisions::settings::Transport;
 use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
 use badgerramp_route::Verdict;
@@ -27,35 +27,35 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Most bytes of an answer's head, and of what is read of a body at once.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_LEN: usize = 16 * 1024;
 /// The shortest idle time that is told from others, and how many doublings of it.
-const AGE_LEAST: Micros = 50_000;
-const AGES: usize = 11;
+const SHORTEST_IDLE_TIME: Micros = 50_000;
+const IDLE_TIME_BUCKETS: usize = 11;
 /// Time over which what was learned of idle times fades.
-const MEMORY: f64 = 30e6;
+const DECAY_TIME: f64 = 30e6;
 /// Requests without a break that are supposed for each idle time: a few breaks prove little.
-const DOUBT: f64 = 8.0;
+const PRIOR_REQUESTS: f64 = 8.0;
 /// Share of requests beyond that of fresh connections that may break: a new connection costs a host as much as a
 /// tenth of a call or more.
-const BREAKS_MOST: f64 = 0.1;
+const MAX_EXCESS_FAILURE_SHARE: f64 = 0.1;
 
 /// Where hosts have sent what belongs to no request, a connection rests for so long after an answer before it is used again:
 /// a second copy of that answer comes some milliseconds late, and would be read as the answer to the next request.
-const REST: Micros = 10_000;
+const REUSE_DELAY: Micros = 10_000;
 /// For how long hosts are taken to do so again.
-const NOISY: Micros = 30_000_000;
+const UNSOLICITED_DATA_MEMORY: Micros = 30_000_000;
 
 /// The system's word for no descriptor left: in all, and for this process.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 
 /// A stream that notes whether all that was to be written has been handed to the socket.
-struct Watched {
+struct WriteTrackingStream {
     socket: Socket,
-    handed_over: Rc<Cell<bool>>,
+    all_written: Rc<Cell<bool>>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WriteTrackingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -65,7 +65,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WriteTrackingStream {
     // Not vectored: head and body are laid together and go out in one write.
     fn poll_write(
         mut self: Pin<&mut Self>,
@@ -74,7 +74,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = written {
-            self.handed_over.set(count == buf.len());
+            self.all_written.set(count == buf.len());
         }
         written
     }
@@ -88,45 +88,45 @@
     }
 }
 
-struct Link {
+struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
-    connection: Connection<TokioIo<Watched>, Full<Bytes>>,
+    connection: Connection<TokioIo<WriteTrackingStream>, Full<Bytes>>,
     stream: Rc<dyn Stream>,
-    handed_over: Rc<Cell<bool>>,
+    all_written: Rc<Cell<bool>>,
     idle_since: Micros,
     generation: u64,
     _descriptor: Descriptor,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Is it open and ready for a request, with nothing on it that belongs to an earlier one? What has come in, an
     /// end or a second copy of an answer, is looked for in the kernel: the runtime may not know of it yet, and
     /// would have it read as the answer to the next request.
-    async fn state(&mut self) -> LinkState {
-        match self.settled().await {
-            LinkState::Ready if self.stream.quiet() => LinkState::Ready,
+    async fn state(&mut self) -> ConnectionState {
+        match self.poll_state().await {
+            ConnectionState::Ready if self.stream.quiet() => ConnectionState::Ready,
             // It is of no further use, whatever has come.
-            LinkState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
-                LinkState::Noisy
+            ConnectionState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
+                ConnectionState::UnsolicitedData
             }
-            LinkState::Ready => LinkState::Ended,
+            ConnectionState::Ready => ConnectionState::Closed,
             other => other,
         }
     }
 
     /// The same, as far as the runtime knows.
-    async fn settled(&mut self) -> LinkState {
+    async fn poll_state(&mut self) -> ConnectionState {
         match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.connection).poll(cx))).await {
-            Poll::Pending if self.sender.is_ready() => LinkState::Ready,
+            Poll::Pending if self.sender.is_ready() => ConnectionState::Ready,
             // The library ends a connection on which something comes that nobody asked for; an error of the system has
             // its source.
             Poll::Ready(Err(fault))
                 if std::error::Error::source(&fault).is_none()
                     && !fault.is_incomplete_message() =>
             {
-                LinkState::Noisy
+                ConnectionState::UnsolicitedData
             }
-            _ => LinkState::Ended,
+            _ => ConnectionState::Closed,
         }
     }
 
@@ -134,22 +134,22 @@
     async fn exchange(
         &mut self,
         request: hyper::Request<Full<Bytes>>,
-        room: &Rc<Room>,
-        body_most: usize,
-    ) -> Result<(Response<()>, Bytes), Fault> {
-        self.handed_over.set(false);
+        memory_budget: &Rc<MemoryBudget>,
+        max_body_len: usize,
+    ) -> Result<(Response<()>, Bytes), ExchangeError> {
+        self.all_written.set(false);
         let bodiless = request.method() == Method::HEAD;
         let mut exchange = pin!(async {
             let answer = self
                 .sender
                 .send_request(request)
                 .await
-                .map_err(|e| Fault::of(&e))?;
+                .map_err(|e| ExchangeError::of(&e))?;
             let (parts, body) = answer.into_parts();
             // RFC 9110, 6.4.1: whatever the headers say, nothing follows them.
             let none = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
-            let most = if bodiless || none { 0 } else { body_most };
-            let body = whole(&parts.headers, body, room, most).await?;
+            let most = if bodiless || none { 0 } else { max_body_len };
+            let body = read_complete_body(&parts.headers, body, memory_budget, most).await?;
             Ok((Response::from_parts(parts, ()), body))
         });
         let connection = &mut self.connection;
@@ -161,7 +161,7 @@
             }
             let ended = Pin::new(&mut *connection).poll(cx).is_ready();
             match exchange.as_mut().poll(cx) {
-                Poll::Pending if ended => Poll::Ready(Err(Fault::Broken)),
+                Poll::Pending if ended => Poll::Ready(Err(ExchangeError::ConnectionLost)),
                 other => other,
             }
         })
@@ -171,43 +171,43 @@
 
 /// What may be done with a connection on which no request is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LinkState {
+enum ConnectionState {
     /// The next request may be written.
     Ready,
     /// It has ended.
-    Ended,
+    Closed,
     /// Something has come on it that belongs to no request.
-    Noisy,
+    UnsolicitedData,
 }
 
 /// Why an exchange brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
+enum ExchangeError {
     /// The connection broke or ended.
-    Broken,
+    ConnectionLost,
     /// What came back is no answer that can be used. The request has run.
-    Spoilt,
+    InvalidResponse,
 }
 
-impl Fault {
+impl ExchangeError {
     fn of(error: &hyper::Error) -> Self {
         if error.is_parse() {
-            Fault::Spoilt
+            ExchangeError::InvalidResponse
         } else {
-            Fault::Broken
+            ExchangeError::ConnectionLost
         }
     }
 }
 
-/// The body of an answer, only if it is provably whole: one that ends with its connection may have been cut, and
+/// The body of an answer, only if it is provably complete: one that ends with its connection may have been cut, and
 /// one framed in two ways may be anything. What can't be used is not read to its end.
-async fn whole(
+async fn read_complete_body(
     headers: &HeaderMap,
     body: Incoming,
-    room: &Rc<Room>,
-    body_most: usize,
-) -> Result<Bytes, Fault> {
-    if body_most == 0 && body.is_end_stream() {
+    memory_budget: &Rc<MemoryBudget>,
+    max_body_len: usize,
+) -> Result<Bytes, ExchangeError> {
+    if max_body_len == 0 && body.is_end_stream() {
         return Ok(Bytes::new());
     }
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
@@ -217,38 +217,47 @@
         .and_then(|length| usize::try_from(length).ok());
     let most = match length {
         Some(length) if headers.contains_key(header::CONTENT_LENGTH) && !chunked => length,
-        None if chunked && !headers.contains_key(header::CONTENT_LENGTH) && body_ends(headers) => {
-            body_most
+        None if chunked
+            && !headers.contains_key(header::CONTENT_LENGTH)
+            && is_only_chunked(headers) =>
+        {
+            max_body_len
         }
-        _ => return Err(Fault::Spoilt),
+        _ => return Err(ExchangeError::InvalidResponse),
     };
-    if most > body_most {
-        return Err(Fault::Spoilt);
+    if most > max_body_len {
+        return Err(ExchangeError::InvalidResponse);
     }
-    let _held = room.take(most).ok_or(Fault::Spoilt)?;
-    match Limited::new(body, body_most).collect().await {
+    let _held = memory_budget
+        .reserve(most)
+        .ok_or(ExchangeError::InvalidResponse)?;
+    match Limited::new(body, max_body_len).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(fault) => Err(fault
-            .downcast_ref()
-            .map_or(Fault::Spoilt, |e: &hyper::Error| {
-                if e.is_incomplete_message() || std::error::Error::source(e).is_some_and(broke) {
-                    Fault::Broken
-                } else {
-                    Fault::Spoilt
-                }
-            })),
+        Err(fault) => {
+            Err(fault
+                .downcast_ref()
+                .map_or(ExchangeError::InvalidResponse, |e: &hyper::Error| {
+                    if e.is_incomplete_message()
+                        || std::error::Error::source(e).is_some_and(is_connection_failure)
+                    {
+                        ExchangeError::ConnectionLost
+                    } else {
+                        ExchangeError::InvalidResponse
+                    }
+                }))
+        }
     }
 }
 
 /// Does a body in this transfer coding tell its end? All others end with the connection.
-fn body_ends(headers: &HeaderMap) -> bool {
+fn is_only_chunked(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let only = codings.next().filter(|_| codings.next().is_none());
     only.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"))
 }
 
 /// Did the connection break, rather than bring what can't be read?
-fn broke(source: &(dyn std::error::Error + 'static)) -> bool {
+fn is_connection_failure(source: &(dyn std::error::Error + 'static)) -> bool {
     let kinds = [
         io::ErrorKind::InvalidInput,
         io::ErrorKind::InvalidData,
@@ -259,174 +268,187 @@
         .is_some_and(|e| !kinds.contains(&e.kind()))
 }
 
-/// How often connections broke under a request, by how long they had been idle. Hosts tell how long they keep idle
+/// How often connections failed during a request, by how long they had been idle. Endpoints tell how long they keep idle
 /// ones at the most; one that drops them sooner, and says nothing, shows it here alone.
 #[derive(Debug, Default)]
-struct Staleness {
+struct IdleFailureStats {
     /// Requests and breaks for each doubling of the idle time, the shortest first; old ones count less.
-    ages: [(f64, f64); AGES],
-    faded: Micros,
+    buckets: [(f64, f64); IDLE_TIME_BUCKETS],
+    decayed_at: Micros,
 }
 
-impl Staleness {
-    fn age(idle: Micros) -> usize {
-        (idle / AGE_LEAST)
+impl IdleFailureStats {
+    fn bucket(idle: Micros) -> usize {
+        (idle / SHORTEST_IDLE_TIME)
             .checked_ilog2()
             .map_or(0, |doublings| doublings as usize + 1)
-            .min(AGES - 1)
+            .min(IDLE_TIME_BUCKETS - 1)
     }
 
-    fn used(&mut self, now: Micros, idle: Micros, broke: bool) {
-        let passed = now.saturating_sub(std::mem::replace(&mut self.faded, now));
-        let left = (-(passed as f64) / MEMORY).exp();
-        self.ages
+    fn record(&mut self, now: Micros, idle: Micros, connection_lost: bool) {
+        let passed = now.saturating_sub(std::mem::replace(&mut self.decayed_at, now));
+        let left = (-(passed as f64) / DECAY_TIME).exp();
+        self.buckets
             .iter_mut()
             .for_each(|(used, broken)| (*used, *broken) = (*used * left, *broken * left));
-        let (used, broken) = &mut self.ages[Self::age(idle)];
-        (*used, *broken) = (*used + 1.0, *broken + f64::from(u8::from(broke)));
+        let (used, broken) = &mut self.buckets[Self::bucket(idle)];
+        (*used, *broken) = (*used + 1.0, *broken + f64::from(u8::from(connection_lost)));
     }
 
     /// The idle time from which on connections break more often than a new one costs, against the freshest, which
     /// break for other reasons. Longer is no better.
-    fn limit(&self) -> Micros {
-        let share = |&(used, broken): &(f64, f64)| broken / (used + DOUBT);
-        let fresh = share(&self.ages[0]);
-        let bad = (1..AGES).find(|&age| share(&self.ages[age]) > fresh + BREAKS_MOST);
-        bad.map_or(Micros::MAX, |age| AGE_LEAST << (age - 1))
+    fn max_idle_time(&self) -> Micros {
+        let share = |&(used, broken): &(f64, f64)| broken / (used + PRIOR_REQUESTS);
+        let fresh = share(&self.buckets[0]);
+        let bad = (1..IDLE_TIME_BUCKETS)
+            .find(|&age| share(&self.buckets[age]) > fresh + MAX_EXCESS_FAILURE_SHARE);
+        bad.map_or(Micros::MAX, |age| SHORTEST_IDLE_TIME << (age - 1))
     }
 }
 
-/// The connections to all hosts.
-pub struct Hosts {
+/// The connections to all endpoints.
+pub struct ConnectionPool {
     /// Sorted: which goes first must not hang on how numbers are hashed.
-    idle: RefCell<BTreeMap<EndpointId, Vec<Link>>>,
+    idle: RefCell<BTreeMap<EndpointId, Vec<UpstreamConnection>>>,
     /// The generation of each host to which something may go.
     current: RefCell<BTreeMap<EndpointId, u64>>,
-    staleness: RefCell<Staleness>,
+    idle_failures: RefCell<IdleFailureStats>,
     /// Until when connections rest between requests.
-    noisy_until: Cell<Micros>,
+    delay_reuse_until: Cell<Micros>,
     network: Rc<dyn Network>,
-    room: Rc<Room>,
+    memory_budget: Rc<MemoryBudget>,
     descriptors: Rc<Descriptors>,
     clock: Clock,
-    idle_most: Micros,
-    spares: usize,
+    max_idle_time: Micros,
+    max_idle_per_endpoint: usize,
 }
 
-impl Hosts {
+impl ConnectionPool {
     /// Keeps so many idle connections to a host, for no longer than `idle` or what the hosts' own time allows.
     pub fn new(
         transport: Transport,
-        (spares, idle): (usize, Micros),
-        (descriptors, room): (Rc<Descriptors>, Rc<Room>),
+        (max_idle_per_endpoint, idle): (usize, Micros),
+        (descriptors, memory_budget): (Rc<Descriptors>, Rc<MemoryBudget>),
         network: Rc<dyn Network>,
         clock: Clock,
     ) -> Rc<Self> {
-        Rc::new(Hosts {
+        Rc::new(ConnectionPool {
             idle: RefCell::default(),
             current: RefCell::default(),
-            staleness: RefCell::default(),
-            noisy_until: Cell::new(0),
+            idle_failures: RefCell::default(),
+            delay_reuse_until: Cell::new(0),
             network,
-            room,
+            memory_budget,
             descriptors,
             clock,
             // Well ahead of the host, which may close it any time from then on.
-            idle_most: (transport.conn_idle / 4 * 3).min(idle),
-            spares,
+            max_idle_time: (transport.conn_idle / 4 * 3).min(idle),
+            max_idle_per_endpoint,
         })
     }
 
     /// Connections of this generation, and of no other, lead to a host from now on.
-    pub fn open(&self, server: EndpointId, generation: u64) {
-        self.close(server);
+    pub fn add_endpoint(&self, server: EndpointId, generation: u64) {
+        self.remove_endpoint(server);
         self.current.borrow_mut().insert(server, generation);
     }
 
     /// Nothing leads to a host any more: its idle connections are closed, and those in use when they come back. A
     /// host that drains would otherwise keep connections that nothing uses.
-    pub fn close(&self, server: EndpointId) {
+    pub fn remove_endpoint(&self, server: EndpointId) {
         self.idle.borrow_mut().remove(&server);
         self.current.borrow_mut().remove(&server);
     }
 
     /// Is no connection idle?
-    pub fn none_idle(&self) -> bool {
+    pub fn has_no_idle(&self) -> bool {
         self.idle.borrow().is_empty()
     }
 
     /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
-        let most = self.idle_most();
+        let most = self.max_idle_time();
         let mut idle = self.idle.borrow_mut();
-        idle.values_mut()
-            .for_each(|links| links.retain(|l| l.idle_since + most > now));
-        idle.retain(|_, links| !links.is_empty());
+        idle.values_mut().for_each(|connections| {
+            connections.retain(|connection| connection.idle_since + most > now)
+        });
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     /// Closes the connection that has been idle longest, to make room. False if none is idle.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle
-            .values_mut()
-            .min_by_key(|links| links.first().map_or(Micros::MAX, |l| l.idle_since));
+        let oldest = idle.values_mut().min_by_key(|connections| {
+            connections
+                .first()
+                .map_or(Micros::MAX, |connection| connection.idle_since)
+        });
         match oldest {
-            Some(links) if !links.is_empty() => {
-                links.remove(0);
+            Some(connections) if !connections.is_empty() => {
+                connections.remove(0);
                 true
             }
             _ => false,
         }
     }
 
-    fn idle_most(&self) -> Micros {
-        self.idle_most.min(self.staleness.borrow().limit())
+    fn max_idle_time(&self) -> Micros {
+        self.max_idle_time
+            .min(self.idle_failures.borrow().max_idle_time())
     }
 
     /// The idle connection used last, if it is still open; of those that rest, none.
-    async fn checkout(&self, target: &Target) -> Option<Link> {
-        let most = self.idle_most();
+    async fn check_out(&self, target: &AttemptTarget) -> Option<UpstreamConnection> {
+        let most = self.max_idle_time();
         loop {
             let now = self.clock.now();
-            let rest = if now < self.noisy_until.get() {
-                REST
+            let rest = if now < self.delay_reuse_until.get() {
+                REUSE_DELAY
             } else {
                 0
             };
-            let mut link = {
+            let mut connection = {
                 let mut idle = self.idle.borrow_mut();
-                let links = idle.get_mut(&target.server)?;
-                let place = links
+                let connections = idle.get_mut(&target.endpoint)?;
+                let place = connections
                     .iter()
-                    .rposition(|link| link.idle_since + rest <= now)?;
-                links.remove(place)
+                    .rposition(|connection| connection.idle_since + rest <= now)?;
+                connections.remove(place)
             };
-            let fresh = link.idle_since + most > now;
-            if fresh && link.generation == target.generation && self.ready(&mut link).await {
-                return Some(link);
+            let fresh = connection.idle_since + most > now;
+            if fresh
+                && connection.generation == target.generation
+                && self.is_ready(&mut connection).await
+            {
+                return Some(connection);
             }
         }
     }
 
     /// May the next request be written on this connection? Notes if a host has sent what nobody asked for.
-    async fn ready(&self, link: &mut Link) -> bool {
-        let state = link.state().await;
-        self.note(state);
-        state == LinkState::Ready
+    async fn is_ready(&self, connection: &mut UpstreamConnection) -> bool {
+        let state = connection.state().await;
+        self.record_state(state);
+        state == ConnectionState::Ready
     }
 
-    fn note(&self, state: LinkState) {
-        if state == LinkState::Noisy {
-            self.noisy_until.set(self.clock.now() + NOISY);
+    fn record_state(&self, state: ConnectionState) {
+        if state == ConnectionState::UnsolicitedData {
+            self.delay_reuse_until
+                .set(self.clock.now() + UNSOLICITED_DATA_MEMORY);
         }
     }
 
-    async fn connect(&self, target: &Target, most: Micros) -> Result<Link, Outcome> {
-        let descriptor = match self.descriptors.take() {
+    async fn connect(
+        &self,
+        target: &AttemptTarget,
+        most: Micros,
+    ) -> Result<UpstreamConnection, Outcome> {
+        let descriptor = match self.descriptors.acquire() {
             Some(descriptor) => descriptor,
             // Our own want of sockets says nothing of the host: not sent, rather than no connection.
-            None if self.evict() => self.descriptors.take().ok_or(Outcome::NotSent)?,
+            None if self.evict_idle() => self.descriptors.acquire().ok_or(Outcome::NotSent)?,
             None => return Err(Outcome::NotSent),
         };
         let connect = tokio::time::timeout(
@@ -436,52 +458,52 @@
         let stream = match connect.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(fault)) if matches!(fault.raw_os_error(), Some(ENFILE | EMFILE)) => {
-                self.evict();
+                self.evict_idle();
                 return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
         };
-        let handed_over = Rc::new(Cell::new(false));
-        let watched = Watched {
+        let all_written = Rc::new(Cell::new(false));
+        let stream_with_tracking = WriteTrackingStream {
             socket: Socket::new(&stream),
-            handed_over: Rc::clone(&handed_over),
+            all_written: Rc::clone(&all_written),
         };
         let handshake = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
-            .handshake(TokioIo::new(watched))
+            .max_buf_size(MAX_HEAD_LEN)
+            .handshake(TokioIo::new(stream_with_tracking))
             .await;
         let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let (idle_since, generation) = (0, target.generation);
-        let mut link = Link {
+        let mut connection = UpstreamConnection {
             sender,
             connection,
             stream,
-            handed_over,
+            all_written,
             idle_since,
             generation,
             _descriptor: descriptor,
         };
-        if self.ready(&mut link).await {
-            Ok(link)
+        if self.is_ready(&mut connection).await {
+            Ok(connection)
         } else {
             Err(Outcome::ConnectFailed)
         }
     }
 
-    async fn keep(&self, server: EndpointId, mut link: Link) {
-        let current = self.current.borrow().get(&server) == Some(&link.generation);
+    async fn check_in(&self, server: EndpointId, mut connection: UpstreamConnection) {
+        let current = self.current.borrow().get(&server) == Some(&connection.generation);
         // The kernel is asked before its next use, when there is more to know.
-        let settled = link.settled().await;
-        self.note(settled);
-        if !current || settled != LinkState::Ready {
+        let state = connection.poll_state().await;
+        self.record_state(state);
+        if !current || state != ConnectionState::Ready {
             return;
         }
-        link.idle_since = self.clock.now();
+        connection.idle_since = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(server).or_default();
-        links.push(link);
-        if links.len() > self.spares {
-            links.remove(0);
+        let connections = idle.entry(server).or_default();
+        connections.push(connection);
+        if connections.len() > self.max_idle_per_endpoint {
+            connections.remove(0);
         }
     }
 }
@@ -489,52 +511,54 @@
 /// Makes one attempt and tells how it ended. `left` is the time it still has; `may_start` is asked right
 /// before the first byte.
 pub async fn attempt(
-    hosts: &Hosts,
-    target: Target,
+    pool: &ConnectionPool,
+    target: AttemptTarget,
     request: &Request,
     left: impl Fn() -> Micros,
     may_start: impl Fn() -> bool,
-) -> Ended {
-    let mut link = match hosts.checkout(&target).await {
-        Some(link) => link,
+) -> AttemptResult {
+    let mut connection = match pool.check_out(&target).await {
+        Some(connection) => connection,
         // Apart, as it is rare and large: the task of each attempt is as large as its largest part.
-        None => match Box::pin(hosts.connect(&target, request.manner.connect)).await {
-            Ok(link) => link,
+        None => match Box::pin(pool.connect(&target, request.options.connect_timeout)).await {
+            Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         },
     };
     if !may_start() {
-        hosts.keep(target.server, link).await;
+        pool.check_in(target.endpoint, connection).await;
         return Outcome::NotSent.into();
     }
-    let Some(message) = message(request, left()) else {
+    let Some(message) = upstream_request(request, left()) else {
         return Outcome::NotSent.into();
     };
-    let idle = (link.idle_since > 0).then(|| hosts.clock.now().saturating_sub(link.idle_since));
-    let exchanged = link
-        .exchange(message, &hosts.room, request.manner.body_most)
+    let idle =
+        (connection.idle_since > 0).then(|| pool.clock.now().saturating_sub(connection.idle_since));
+    let exchanged = connection
+        .exchange(message, &pool.memory_budget, request.options.max_body_len)
         .await;
     if let Some(idle) = idle {
-        let broke = matches!(exchanged, Err(Fault::Broken));
-        hosts
-            .staleness
+        let connection_lost = matches!(exchanged, Err(ExchangeError::ConnectionLost));
+        pool.idle_failures
             .borrow_mut()
-            .used(hosts.clock.now(), idle, broke);
+            .record(pool.clock.now(), idle, connection_lost);
     }
     let (answer, body) = match exchanged {
         Ok(answer) => answer,
         // Its connection goes in either case. An answer that can't be used is a host's word all the same.
-        Err(Fault::Spoilt) => return Outcome::Error.into(),
+        Err(ExchangeError::InvalidResponse) => return Outcome::Error.into(),
         // Never ran only if the last byte was not handed to the socket; all else may have run.
-        Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into(),
-        Err(Fault::Broken) => return Outcome::ConnectFailed.into(),
+        Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {
+            return Outcome::Reset.into()
+        }
+        Err(ExchangeError::ConnectionLost) => return Outcome::ConnectFailed.into(),
     };
     if answer.status() != StatusCode::SWITCHING_PROTOCOLS {
-        hosts.keep(target.server, link).await;
+        pool.check_in(target.endpoint, connection).await;
     }
-    let load = loads(answer.headers());
+    let load = from_headers(answer.headers());
     let outcome = match request
-        .manner
+        .options
         .answers
         .verdict(answer.status(), answer.headers())
     {
@@ -543,10 +567,10 @@
         Verdict::Error => Outcome::Error,
     };
     let (parts, ()) = answer.into_parts();
-    Ended {
+    AttemptResult {
         outcome,
         load,
-        reply: Some(Reply {
+        response: Some(UpstreamResponse {
             status: parts.status,
             headers: parts.headers,
             body,
@@ -558,7 +582,7 @@
 const X_SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
 /// Headers that concern one connection only (RFC 9110, 7.6.1), and those that are written anew.
-pub fn passes(name: &HeaderName) -> bool {
+pub fn is_end_to_end(name: &HeaderName) -> bool {
     !matches!(
         name.as_str(),
         "connection"
@@ -575,10 +599,10 @@
 }
 
 /// Takes out all that does not pass.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let own: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| !passes(name))
+        .filter(|name| !is_end_to_end(name))
         .cloned()
         .collect();
     own.iter().for_each(|name| {
@@ -586,7 +610,7 @@
     });
 }
 
-fn message(request: &Request, left: Micros) -> Option<hyper::Request<Full<Bytes>>> {
+fn upstream_request(request: &Request, left: Micros) -> Option<hyper::Request<Full<Bytes>>> {
     let mut message = hyper::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.uri.clone();
@@ -603,8 +627,8 @@
 }
 
 /// The load report of an answer: the first that tells anything.
-fn loads(headers: &HeaderMap) -> LoadReport {
-    let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(load);
+fn from_headers(headers: &HeaderMap) -> LoadReport {
+    let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(parse_load_report);
     reports
         .find(|load| *load != LoadReport::default())
         .unwrap_or_default()
@@ -613,7 +637,7 @@
 /// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
 /// columns (`active`), or those of the protocol's example (`inflight`): a reader of the latter alone left the
 /// module without any report, and hosts were loaded until calls timed out.
-pub fn load(value: &HeaderValue) -> LoadReport {
+pub fn parse_load_report(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
     for (name, value) in text
@@ -640,23 +664,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::exchange::Manner;
+    use crate::net::exchange::AttemptOptions;
     use crate::net::socket::Tcp;
     use hyper::http::Uri;
     use std::io::{Read, Write};
     use std::net::TcpListener;
 
     /// One attempt at a stub that reads a little and answers `text`.
-    fn attempt_at(text: &'static str, may_start: bool) -> Ended {
+    fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
         attempt_keeping(text, may_start, (16, Micros::MAX)).0
     }
 
-    /// The same, with so many connections kept for so long; tells also how many are left after a sweep.
+    /// The same, with so many connections kept for so long; tells also how many are left after expired ones are closed.
     fn attempt_keeping(
         text: &'static str,
         may_start: bool,
         kept: (usize, Micros),
-    ) -> (Ended, usize) {
+    ) -> (AttemptResult, usize) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         std::thread::spawn(move || {
@@ -674,40 +698,40 @@
             conn_idle: 60_000_000,
             connect_timeout: Duration::from_secs(9).as_micros() as Micros,
         };
-        let hosts = Hosts::new(
+        let pool = ConnectionPool::new(
             transport,
             kept,
-            (Descriptors::new(9), Room::new(1 << 20)),
+            (Descriptors::new(9), MemoryBudget::new(1 << 20)),
             Rc::new(Tcp),
             Clock::start(),
         );
-        hosts.open(EndpointId(0), 0);
-        let target = Target {
-            server: EndpointId(0),
+        pool.add_endpoint(EndpointId(0), 0);
+        let target = AttemptTarget {
+            endpoint: EndpointId(0),
             address,
             generation: 0,
         };
         let (method, uri, headers) = (Method::GET, Uri::from_static("/a"), HeaderMap::new());
         let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
-        let manner = Rc::new(Manner {
-            connect: 9_000_000,
+        let options = Rc::new(AttemptOptions {
+            connect_timeout: 9_000_000,
             answers,
-            body_most: 1 << 16,
+            max_body_len: 1 << 16,
         });
         let request = Request {
             method,
             uri,
             headers,
             body: Bytes::new(),
-            manner,
+            options,
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .expect("a runtime");
-        let ended = runtime.block_on(attempt(&hosts, target, &request, || 1_000, || may_start));
-        hosts.sweep();
-        let left = hosts.idle.borrow().values().map(Vec::len).sum();
+        let ended = runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start));
+        pool.close_expired();
+        let left = pool.idle.borrow().values().map(Vec::len).sum();
         (ended, left)
     }
 
@@ -728,25 +752,26 @@
         }
     }
 
-    /// Hosts that dropped idle connections long before their time, without a word, cost every third call on one.
+    /// Endpoints that dropped idle connections long before their time, without a word, cost every third call on one.
     #[test]
     fn connections_that_break_when_idle_are_not_used_at_that_age() {
-        let (now, calm) = (1_000_000, &mut Staleness::default());
+        let (now, calm) = (1_000_000, &mut IdleFailureStats::default());
         for n in 0..100 {
             // As often as those just used: that is not their age.
-            (0..AGES).for_each(|age| calm.used(now, AGE_LEAST << age >> 1, n % 10 == 0));
+            (0..IDLE_TIME_BUCKETS)
+                .for_each(|age| calm.record(now, SHORTEST_IDLE_TIME << age >> 1, n % 10 == 0));
         }
-        assert_eq!(calm.limit(), Micros::MAX);
-        let mut stale = Staleness::default();
+        assert_eq!(calm.max_idle_time(), Micros::MAX);
+        let mut stale = IdleFailureStats::default();
         for n in 0..40 {
-            stale.used(now, 10_000, n % 10 == 0);
-            stale.used(now, 70_000, n % 10 == 0);
-            stale.used(now, 150_000, n % 2 == 0);
+            stale.record(now, 10_000, n % 10 == 0);
+            stale.record(now, 70_000, n % 10 == 0);
+            stale.record(now, 150_000, n % 2 == 0);
         }
-        assert_eq!(stale.limit(), 100_000);
+        assert_eq!(stale.max_idle_time(), 100_000);
         // It is tried again when that is long ago.
-        stale.used(now + 300_000_000, 10_000, false);
-        assert_eq!(stale.limit(), Micros::MAX);
+        stale.record(now + 300_000_000, 10_000, false);
+        assert_eq!(stale.max_idle_time(), Micros::MAX);
     }
 
     /// A quiet proxy among thousands holds nothing open: the floor is zero.
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -41,7 +41,7 @@
     }
 
     /// Counts one more in, if there is room.
-    pub fn take(self: &Rc<Self>) -> Option<Descriptor> {
+    pub fn acquire(self: &Rc<Self>) -> Option<Descriptor> {
         (self.open.get() < self.limit).then(|| {
             self.open.set(self.open.get() + 1);
             Descriptor(Rc::clone(self))
@@ -57,30 +57,30 @@
 
 /// Counts the bytes of bodies that are held, so that the process stays under its limit of memory.
 #[derive(Debug)]
-pub struct Room {
+pub struct MemoryBudget {
     free: Cell<usize>,
 }
 
 /// Some counted bytes; dropping them counts them out.
 #[derive(Debug)]
-pub struct Held(Rc<Room>, usize);
+pub struct Reservation(Rc<MemoryBudget>, usize);
 
-impl Room {
-    /// Room for `limit` bytes.
+impl MemoryBudget {
+    /// Allows `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Room {
+        Rc::new(MemoryBudget {
             free: Cell::new(limit),
         })
     }
 
     /// Counts so many in, if there is room.
-    pub fn take(self: &Rc<Self>, count: usize) -> Option<Held> {
+    pub fn reserve(self: &Rc<Self>, count: usize) -> Option<Reservation> {
         self.free.set(self.free.get().checked_sub(count)?);
-        Some(Held(Rc::clone(self), count))
+        Some(Reservation(Rc::clone(self), count))
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.0.free.set(self.0.free.get() + self.1);
     }
--- a/crates/proxy/src/net/rules/head.rs
+++ b/crates/proxy/src/net/rules/head.rs
@@ -63,7 +63,7 @@
     named.iter().for_each(|name| {
         headers.remove(name);
     });
-    hosts::strip(headers);
+    hosts::strip_hop_by_hop(headers);
 }
 
 /// The value of a header that occurs exactly once.
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -12,7 +12,7 @@
 pub use sidecar::Sidecar;
 pub use transition::{FallbackRules, TransitionRules};
 
-use super::exchange::Manner;
+use super::exchange::AttemptOptions;
 use badgerramp_decisions::{CallPolicy, ClassId, Micros};
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
@@ -30,11 +30,11 @@
     pub id: Option<HeaderValue>,
     /// From its last byte to its final answer.
     pub time: Micros,
-    /// The length of its body, if declared; else it has at most [`Admitted::body_most`] bytes.
+    /// The length of its body, if declared; else it has at most [`Admitted::max_body_len`] bytes.
     pub length: Option<usize>,
-    pub body_most: usize,
+    pub max_body_len: usize,
     pub terms: CallPolicy,
-    pub manner: Rc<Manner>,
+    pub options: Rc<AttemptOptions>,
 }
 
 /// The answer to a request that is not admitted.
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -2,7 +2,7 @@
 
 use super::head::{head, length, single, timeout};
 use super::{reject, Admitted, Rejection};
-use crate::net::exchange::Manner;
+use crate::net::exchange::AttemptOptions;
 use badgerramp_config::ANSWER_ROOM;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ClassId, Idempotency};
@@ -27,7 +27,7 @@
 /// The limits of a class or a route.
 struct Limits {
     timing: Timing,
-    manner: Rc<Manner>,
+    options: Rc<AttemptOptions>,
 }
 
 /// The rules of the platform.
@@ -45,15 +45,15 @@
         let plain = facts.transport.connect_timeout;
         let make = |timing: Option<Timing>| {
             let connect = timing.map_or(plain, |t| t.connect.min(plain));
-            let manner = Manner {
-                connect,
+            let options = AttemptOptions {
+                connect_timeout: connect,
                 answers: Arc::clone(&answers),
-                body_most: MAX_BODY,
+                max_body_len: MAX_BODY,
             };
             let timing = timing.unwrap_or(Timing::UNLIMITED);
             Limits {
                 timing,
-                manner: Rc::new(manner),
+                options: Rc::new(options),
             }
         };
         let timings = narrowed.as_ref().map(|n| &n.0);
@@ -148,9 +148,9 @@
                 .max(1)
                 .min(limits.timing.total),
             length: Some(length),
-            body_most: MAX_BODY,
+            max_body_len: MAX_BODY,
             terms: limits.timing.terms(false),
-            manner: Rc::clone(&limits.manner),
+            options: Rc::clone(&limits.options),
         })
     }
 
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -2,7 +2,7 @@
 
 use super::head::{head, hop_by_hop, length, plain_form, single, timeout};
 use super::{reject, Admitted, Rejection};
-use crate::net::exchange::Manner;
+use crate::net::exchange::AttemptOptions;
 use badgerramp_config::{Config, ANSWER_ROOM};
 use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_policy::{IdempotencyKey, ResolvedCall};
@@ -25,7 +25,7 @@
     config: Config,
     /// The id of each class of the file.
     classes: Vec<ClassId>,
-    manners: Vec<Rc<Manner>>,
+    options_by_route: Vec<Rc<AttemptOptions>>,
     ids: RefCell<Pcg32>,
     no_route: StatusCode,
 }
@@ -33,24 +33,24 @@
 impl Sidecar {
     /// The rules of a file; `classes` are the ids of its classes, in their order.
     pub fn new(config: Config, classes: Vec<ClassId>, seed: u64) -> Self {
-        let body_most = config.limits.body;
-        let manner = |r: &Route| Manner {
-            connect: r.timing.connect,
+        let max_body_len = config.limits.body;
+        let options = |r: &Route| AttemptOptions {
+            connect_timeout: r.timing.connect,
             answers: Arc::clone(&r.answers),
-            body_most,
+            max_body_len,
         };
-        let manners = config
+        let options_by_route = config
             .routes
             .routes()
             .iter()
-            .map(|r| Rc::new(manner(r)))
+            .map(|r| Rc::new(options(r)))
             .collect();
         let no_route =
             StatusCode::from_u16(config.no_route.status).unwrap_or(StatusCode::NOT_FOUND);
         Sidecar {
             config,
             classes,
-            manners,
+            options_by_route,
             ids: RefCell::new(Pcg32::seed_from_u64(seed)),
             no_route,
         }
@@ -142,9 +142,9 @@
                 .max(1)
                 .min(route.timing.total),
             length,
-            body_most: self.config.limits.body,
+            max_body_len: self.config.limits.body,
             terms: route.timing.terms(once),
-            manner: Rc::clone(&self.manners[place]),
+            options: Rc::clone(&self.options_by_route[place]),
         };
         Ok(Evaluation {
             admitted,
@@ -187,8 +187,8 @@
             key: self.key.clone(),
             timeout: self.admitted.time,
             policy: self.admitted.terms,
-            connect_timeout: self.admitted.manner.connect,
-            max_body_bytes: self.admitted.body_most,
+            connect_timeout: self.admitted.options.connect_timeout,
+            max_body_bytes: self.admitted.max_body_len,
         }
     }
 }
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -3,7 +3,7 @@
 use super::head::plain_form;
 use super::sidecar::Evaluation;
 use super::{reject_for_now, Admitted, Rejection, Rules};
-use crate::net::exchange::Manner;
+use crate::net::exchange::AttemptOptions;
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{intersect, intersect_answers, Side};
 use badgerramp_route::Answers;
@@ -18,7 +18,7 @@
 pub struct TransitionRules {
     old: Rc<Rules>,
     new: Rc<Rules>,
-    /// The meaning of answers on which both policies agree, by the addresses of the manners of their routes.
+    /// The meaning of answers on which both policies agree, by the addresses of the options of their routes.
     answers: RefCell<HashMap<(usize, usize), Arc<Answers>>>,
 }
 
@@ -55,11 +55,11 @@
         let Some(met) = met else {
             return Err(reject_for_now("no policy"));
         };
-        let answers = self.answers(&by_old.manner, &by_new.manner);
-        let manner = Rc::new(Manner {
-            connect: met.connect_timeout,
+        let answers = self.answers(&by_old.options, &by_new.options);
+        let options = Rc::new(AttemptOptions {
+            connect_timeout: met.connect_timeout,
             answers,
-            body_most: met.max_body_bytes,
+            max_body_len: met.max_body_bytes,
         });
         let chosen = if met.class == Side::Old {
             by_old
@@ -70,15 +70,15 @@
         Ok(Admitted {
             time: met.timeout,
             terms: met.policy,
-            body_most: met.max_body_bytes,
-            manner,
+            max_body_len: met.max_body_bytes,
+            options,
             ..chosen
         })
     }
 
     /// Computed once for each pair of routes that meet.
-    fn answers(&self, old: &Rc<Manner>, new: &Rc<Manner>) -> Arc<Answers> {
-        // The two policies keep their manners alive as long as this lives, so that addresses are unique.
+    fn answers(&self, old: &Rc<AttemptOptions>, new: &Rc<AttemptOptions>) -> Arc<Answers> {
+        // The two policies keep their options alive as long as this lives, so that addresses are unique.
         let addresses = (Rc::as_ptr(old) as usize, Rc::as_ptr(new) as usize);
         let mut known = self.answers.borrow_mut();
         let met = known
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -6,11 +6,11 @@
 use crate::net::discovery;
 use crate::net::driver::{Driver, Endpoint};
 use crate::net::front::Front;
-use crate::net::hosts::Hosts;
+use crate::net::hosts::ConnectionPool;
 use crate::net::peers;
 use crate::net::rules::Rules;
 use crate::net::socket::{Listener, Network, Tcp};
-use crate::net::{Descriptors, Room};
+use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_config::{
     clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
 };
@@ -203,7 +203,7 @@
         .max(8);
     let descriptors = Descriptors::new(room);
     // The rest is for buffers, which are bounded by the number of connections.
-    let bytes = Room::new(setup.memory / 4);
+    let bytes = MemoryBudget::new(setup.memory / 4);
     let counted = (Rc::clone(&descriptors), Rc::clone(&bytes));
     let kept = match setup.subset {
         Some(terms) => (terms.kept, terms.idle),
@@ -212,7 +212,7 @@
             Micros::MAX,
         ),
     };
-    let hosts = Hosts::new(
+    let pool = ConnectionPool::new(
         setup.facts.transport,
         kept,
         counted,
@@ -234,7 +234,7 @@
         setup.plain_http,
         subset,
         clock,
-        Rc::clone(&hosts),
+        Rc::clone(&pool),
     );
     let timeouts = Timeouts::derive(TimeoutConfig {
         source,
@@ -283,13 +283,13 @@
     }));
     let front = Rc::new(Front {
         driver: driver.clone(),
-        hosts: Rc::clone(&hosts),
+        pool: Rc::clone(&pool),
         descriptors,
         clients: Clients::default(),
         rules: RefCell::new(Rc::new(setup.rules)),
         gate: setup.gate,
         plain_http: setup.plain_http,
-        room: bytes,
+        memory_budget: bytes,
         open: RefCell::default(),
         advice: Cell::new(setup.advice),
         most: clients_borne(setup.descriptors),
@@ -312,13 +312,13 @@
     let sweep = async {
         loop {
             // Thousands of quiet proxies on one machine must not keep it awake.
-            let quiet = hosts.none_idle() && front.clients.count() == 0;
+            let quiet = pool.has_no_idle() && front.clients.count() == 0;
             let next = if quiet { SWEEP_QUIET } else { SWEEP };
             running
                 .driver
                 .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
             tokio::time::sleep(next).await;
-            hosts.sweep();
+            pool.close_expired();
             front.clients.sweep(clock.now());
         }
     };
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -216,7 +216,7 @@
         what: "a request is written without asking whether it may still start",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !may_start() {", "if !may_start() && hosts.spares > 1_000 {"),
+            (HOSTS, "if !may_start() {", "if !may_start() && pool.max_idle_per_endpoint > 1_000 {"),
         ],
     },
     Defect {
@@ -224,8 +224,8 @@
         what: "a connection is used again whatever has come in on it",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !current || settled != LinkState::Ready {", "if !current {"),
-            (HOSTS, "&& link.generation == target.generation && self.ready(&mut link).await {", "&& link.generation == target.generation {"),
+            (HOSTS, "if !current || state != ConnectionState::Ready {", "if !current {"),
+            (HOSTS, "&& connection.generation == target.generation && self.is_ready(&mut connection).await {", "&& connection.generation == target.generation {"),
         ],
     },
     Defect {
@@ -241,7 +241,7 @@
         what: "a connection that broke under a request is told as one that never was",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into()", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::ConnectFailed.into()"),
+            (HOSTS, "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::Reset.into()", "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::ConnectFailed.into()"),
         ],
     },
     Defect {
@@ -249,7 +249,7 @@
         what: "an answer that can't be read is told as one of a host that turned the call away",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into()", "Err(Fault::Spoilt) => return Outcome::Rejected.into()"),
+            (HOSTS, "Err(ExchangeError::InvalidResponse) => return Outcome::Error.into()", "Err(ExchangeError::InvalidResponse) => return Outcome::Rejected.into()"),
         ],
     },
     Defect {
@@ -257,7 +257,7 @@
         what: "a body that ends with its connection is served",
         play: "sockets",
         edits: &[
-            (HOSTS, "_ => return Err(Fault::Spoilt),\n    };", "_ => body_most,\n    };"),
+            (HOSTS, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
         ],
     },
     Defect {
