--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -2,8 +2,8 @@
 //! connection is noted here, as the HTTP library tells of a request only when its whole head is in.
 
 use super::clock::Clock;
-use super::exchange::Client;
 use super::socket::{Socket, Stream};
+use super::upstream::Client;
 use super::Descriptor;
 use badgerramp_decisions::Micros;
 use std::cell::{Cell, RefCell};
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -3,8 +3,8 @@
 use super::timers::Due;
 use super::{Answer, Core, Driver};
 use crate::log::CALLS;
-use crate::net::exchange::{AttemptResult, AttemptTarget, Request};
-use crate::net::hosts;
+use crate::net::upstream;
+use crate::net::upstream::{AttemptResult, AttemptTarget, Request};
 use badgerramp_decisions::{
     CallId, EndpointId, EndpointStatus, EndpointView, Event, Micros, Outcome,
 };
@@ -147,7 +147,7 @@
             driver.caught_up().await;
             let left = || until.saturating_sub(driver.clock.now());
             let may_start = || driver.may_start(call, attempt, target.generation);
-            let ended = hosts::attempt(&driver.pool, target, &request, left, may_start).await;
+            let ended = upstream::attempt(&driver.pool, target, &request, left, may_start).await;
             guard.ended = Some(ended);
         });
         task.abort_handle()
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{Core, Driver};
 use crate::log::CALLS;
-use crate::net::exchange::{Client, Request, UpstreamResponse};
+use crate::net::upstream::{Client, Request, UpstreamResponse};
 use badgerramp_decisions::{CallId, CallPolicy, ClassId, Event, Micros, TenantId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -1,8 +1,8 @@
 //! Membership: the discovery list, the ids of its hosts, and what a change of it means for their connections.
 
 use super::{Core, Driver};
-use crate::net::exchange::AttemptTarget;
-use crate::net::hosts::ConnectionPool;
+use crate::net::upstream::AttemptTarget;
+use crate::net::upstream::ConnectionPool;
 use badgerramp_decisions::{
     settings, CellId, EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Micros,
 };
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -23,7 +23,7 @@
 pub use membership::{Endpoint, List};
 
 use super::clock::Clock;
-use super::hosts::ConnectionPool;
+use super::upstream::ConnectionPool;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{
     Action, Balancer, CallId, EndpointId, Event, LoadReport, Micros, Outcome, Settings,
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the driver that look into its state.
 
 use super::*;
-use crate::net::exchange::{AttemptOptions, Client, Request};
 use crate::net::socket::Tcp;
+use crate::net::upstream::{AttemptOptions, Client, Request};
 use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_decisions::settings::Transport;
 use badgerramp_decisions::{CallPolicy, ClassId, ListUpdateKind};
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -3,10 +3,10 @@
 use super::admission_gate::AdmissionGate;
 use super::clients::{Clients, Noted, Seat, UNASKED};
 use super::driver::{Answer, Driver, Intake};
-use super::exchange::{Client, Request, UpstreamResponse};
-use super::hosts::{self, ConnectionPool};
 use super::rules::{hop_by_hop, Admitted, Rejection, Rules};
 use super::socket::{Listener, Stream};
+use super::upstream::{self, ConnectionPool};
+use super::upstream::{Client, Request, UpstreamResponse};
 use super::{Descriptors, MemoryBudget};
 use crate::log::CLIENTS;
 use badgerramp_decisions::{CallId, Micros};
@@ -390,7 +390,7 @@
         let (method, uri, mut headers) = (parts.method, parts.uri, parts.headers);
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
-            hosts::strip_hop_by_hop(&mut headers);
+            upstream::strip_hop_by_hop(&mut headers);
         }
         let request = Request {
             method,
--- a/crates/proxy/src/net/rules/head.rs
+++ b/crates/proxy/src/net/rules/head.rs
@@ -1,7 +1,7 @@
 //! Parts of a request's head: its target, and headers with a meaning of their own.
 
 use super::{reject, Rejection};
-use crate::net::hosts;
+use crate::net::upstream;
 use badgerramp_decisions::Micros;
 use badgerramp_route::Head;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -63,7 +63,7 @@
     named.iter().for_each(|name| {
         headers.remove(name);
     });
-    hosts::strip_hop_by_hop(headers);
+    upstream::strip_hop_by_hop(headers);
 }
 
 /// The value of a header that occurs exactly once.
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -12,7 +12,7 @@
 pub use sidecar::Sidecar;
 pub use transition::{FallbackRules, TransitionRules};
 
-use super::exchange::AttemptOptions;
+use super::upstream::AttemptOptions;
 use badgerramp_decisions::{CallPolicy, ClassId, Micros};
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -2,7 +2,7 @@
 
 use super::head::{head, length, single, timeout};
 use super::{reject, Admitted, Rejection};
-use crate::net::exchange::AttemptOptions;
+use crate::net::upstream::AttemptOptions;
 use badgerramp_config::ANSWER_ROOM;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ClassId, Idempotency};
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -2,7 +2,7 @@
 
 use super::head::{head, hop_by_hop, length, plain_form, single, timeout};
 use super::{reject, Admitted, Rejection};
-use crate::net::exchange::AttemptOptions;
+use crate::net::upstream::AttemptOptions;
 use badgerramp_config::{Config, ANSWER_ROOM};
 use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_policy::{IdempotencyKey, ResolvedCall};
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -3,7 +3,7 @@
 use super::head::plain_form;
 use super::sidecar::Evaluation;
 use super::{reject_for_now, Admitted, Rejection, Rules};
-use crate::net::exchange::AttemptOptions;
+use crate::net::upstream::AttemptOptions;
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{intersect, intersect_answers, Side};
 use badgerramp_route::Answers;
--- /dev/null
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -0,0 +1,79 @@
+//! Bodies of responses: read only if they are provably complete.
+
+use super::connection::ExchangeError;
+use crate::net::MemoryBudget;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap};
+use std::io;
+use std::rc::Rc;
+
+/// The body of an answer, only if it is provably complete: one that ends with its connection may have been cut, and
+/// one framed in two ways may be anything. What can't be used is not read to its end.
+pub(super) async fn read_complete_body(
+    headers: &HeaderMap,
+    body: Incoming,
+    memory_budget: &Rc<MemoryBudget>,
+    max_body_len: usize,
+) -> Result<Bytes, ExchangeError> {
+    if max_body_len == 0 && body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    let chunked = headers.contains_key(header::TRANSFER_ENCODING);
+    let length = body
+        .size_hint()
+        .exact()
+        .and_then(|length| usize::try_from(length).ok());
+    let most = match length {
+        Some(length) if headers.contains_key(header::CONTENT_LENGTH) && !chunked => length,
+        None if chunked
+            && !headers.contains_key(header::CONTENT_LENGTH)
+            && is_only_chunked(headers) =>
+        {
+            max_body_len
+        }
+        _ => return Err(ExchangeError::InvalidResponse),
+    };
+    if most > max_body_len {
+        return Err(ExchangeError::InvalidResponse);
+    }
+    let _held = memory_budget
+        .reserve(most)
+        .ok_or(ExchangeError::InvalidResponse)?;
+    match Limited::new(body, max_body_len).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(fault) => {
+            Err(fault
+                .downcast_ref()
+                .map_or(ExchangeError::InvalidResponse, |e: &hyper::Error| {
+                    if e.is_incomplete_message()
+                        || std::error::Error::source(e).is_some_and(is_connection_failure)
+                    {
+                        ExchangeError::ConnectionLost
+                    } else {
+                        ExchangeError::InvalidResponse
+                    }
+                }))
+        }
+    }
+}
+
+/// Does a body in this transfer coding tell its end? All others end with the connection.
+fn is_only_chunked(headers: &HeaderMap) -> bool {
+    let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
+    let only = codings.next().filter(|_| codings.next().is_none());
+    only.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"))
+}
+
+/// Did the connection break, rather than bring what can't be read?
+fn is_connection_failure(source: &(dyn std::error::Error + 'static)) -> bool {
+    let kinds = [
+        io::ErrorKind::InvalidInput,
+        io::ErrorKind::InvalidData,
+        io::ErrorKind::Other,
+    ];
+    source
+        .downcast_ref::<io::Error>()
+        .is_some_and(|e| !kinds.contains(&e.kind()))
+}
--- /dev/null
+++ b/crates/proxy/src/net/upstream/load_report.rs
@@ -0,0 +1,41 @@
+//! The load that endpoints report with their responses.
+
+use badgerramp_decisions::LoadReport;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+
+const X_SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
+
+/// The load report of an answer: the first that tells anything.
+pub(super) fn from_headers(headers: &HeaderMap) -> LoadReport {
+    let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(parse);
+    reports
+        .find(|load| *load != LoadReport::default())
+        .unwrap_or_default()
+}
+
+/// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
+/// columns (`active`), or those of the protocol's example (`inflight`): a reader of the latter alone left the
+/// module without any report, and hosts were loaded until calls timed out.
+fn parse(value: &HeaderValue) -> LoadReport {
+    let mut load = LoadReport::default();
+    let text = value.to_str().unwrap_or_default();
+    for (name, value) in text
+        .trim_start_matches("TEXT")
+        .split(',')
+        .filter_map(|part| part.split_once('='))
+    {
+        let value = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite() && *v >= 0.0);
+        match name.trim() {
+            "active" | "inflight" => load.in_flight = value,
+            "waiting" | "queue" => load.queued = value,
+            "cpu" | "util" => load.cpu_utilization = value,
+            "err_rps" | "eps" => load.error_rate = value,
+            _ => {}
+        }
+    }
+    load
+}
--- /dev/null
+++ b/crates/proxy/src/net/upstream/tests.rs
@@ -0,0 +1,136 @@
+//! Tests of attempts, the connection pool and what it learns of idle connections.
+
+use super::idle_failures::{IdleFailureStats, IDLE_TIME_BUCKETS, SHORTEST_IDLE_TIME};
+use super::*;
+use crate::net::clock::Clock;
+use crate::net::socket::Tcp;
+use crate::net::{Descriptors, MemoryBudget};
+use badgerramp_decisions::settings::Transport;
+use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::http::Uri;
+use hyper::Method;
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// One attempt at a stub that reads a little and answers `text`.
+fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
+    attempt_keeping(text, may_start, (16, Micros::MAX)).0
+}
+
+/// The same, with so many connections kept for so long; tells also how many are left after expired ones are closed.
+fn attempt_keeping(
+    text: &'static str,
+    may_start: bool,
+    kept: (usize, Micros),
+) -> (AttemptResult, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("its address");
+    std::thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        if stream.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {
+            stream
+                .write_all(text.as_bytes())
+                .expect("an open connection");
+        }
+        // Open until the other side closes.
+        let _ = stream.read(&mut [0]);
+    });
+    let transport = Transport {
+        max_open: 9,
+        conn_idle: 60_000_000,
+        connect_timeout: Duration::from_secs(9).as_micros() as Micros,
+    };
+    let pool = ConnectionPool::new(
+        transport,
+        kept,
+        (Descriptors::new(9), MemoryBudget::new(1 << 20)),
+        Rc::new(Tcp),
+        Clock::start(),
+    );
+    pool.add_endpoint(EndpointId(0), 0);
+    let target = AttemptTarget {
+        endpoint: EndpointId(0),
+        address,
+        generation: 0,
+    };
+    let (method, uri, headers) = (Method::GET, Uri::from_static("/a"), HeaderMap::new());
+    let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
+    let options = Rc::new(AttemptOptions {
+        connect_timeout: 9_000_000,
+        answers,
+        max_body_len: 1 << 16,
+    });
+    let request = Request {
+        method,
+        uri,
+        headers,
+        body: Bytes::new(),
+        options,
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    let ended = runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start));
+    pool.close_expired();
+    let left = pool.idle.borrow().values().map(Vec::len).sum();
+    (ended, left)
+}
+
+#[test]
+fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_example() {
+    let wanted = LoadReport {
+        in_flight: Some(7.0),
+        queued: Some(2.5),
+        cpu_utilization: Some(0.5),
+        error_rate: Some(0.0),
+    };
+    for text in [
+        "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
+    ] {
+        let ended = attempt_at(text, true);
+        assert_eq!((ended.outcome, ended.load), (Outcome::Served, wanted), "{text}");
+    }
+}
+
+/// Endpoints that dropped idle connections long before their time, without a word, cost every third call on one.
+#[test]
+fn connections_that_break_when_idle_are_not_used_at_that_age() {
+    let (now, calm) = (1_000_000, &mut IdleFailureStats::default());
+    for n in 0..100 {
+        // As often as those just used: that is not their age.
+        (0..IDLE_TIME_BUCKETS)
+            .for_each(|age| calm.record(now, SHORTEST_IDLE_TIME << age >> 1, n % 10 == 0));
+    }
+    assert_eq!(calm.max_idle_time(), Micros::MAX);
+    let mut stale = IdleFailureStats::default();
+    for n in 0..40 {
+        stale.record(now, 10_000, n % 10 == 0);
+        stale.record(now, 70_000, n % 10 == 0);
+        stale.record(now, 150_000, n % 2 == 0);
+    }
+    assert_eq!(stale.max_idle_time(), 100_000);
+    // It is tried again when that is long ago.
+    stale.record(now + 300_000_000, 10_000, false);
+    assert_eq!(stale.max_idle_time(), Micros::MAX);
+}
+
+/// A quiet proxy among thousands holds nothing open: the floor is zero.
+#[test]
+fn connections_are_kept_as_many_and_as_long_as_is_set() {
+    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    assert_eq!(attempt_keeping(answer, true, (1, Micros::MAX)).1, 1);
+    assert_eq!(attempt_keeping(answer, true, (0, Micros::MAX)).1, 0);
+    assert_eq!(attempt_keeping(answer, true, (1, 0)).1, 0);
+}
+
+#[test]
+fn what_may_not_start_any_more_is_not_sent() {
+    let ended = attempt_at("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
+    assert_eq!(ended.outcome, Outcome::NotSent);
+}
--- /dev/null
+++ b/crates/proxy/src/net/upstream/write_tracking.rs
@@ -0,0 +1,48 @@
+//! A socket that records whether everything given to it was written.
+
+use crate::net::socket::Socket;
+use std::cell::Cell;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+/// A stream that notes whether all that was to be written has been handed to the socket.
+pub(super) struct WriteTrackingStream {
+    pub(super) socket: Socket,
+    pub(super) all_written: Rc<Cell<bool>>,
+}
+
+impl AsyncRead for WriteTrackingStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_read(cx, buf)
+    }
+}
+
+impl AsyncWrite for WriteTrackingStream {
+    // Not vectored: head and body are laid together and go out in one write.
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let written = Pin::new(&mut self.socket).poll_write(cx, buf);
+        if let Poll::Ready(Ok(count)) = written {
+            self.all_written.set(count == buf.len());
+        }
+        written
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(cx)
+    }
+}
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -6,10 +6,10 @@
 use crate::net::discovery;
 use crate::net::driver::{Driver, Endpoint};
 use crate::net::front::Front;
-use crate::net::hosts::ConnectionPool;
 use crate::net::peers;
 use crate::net::rules::Rules;
 use crate::net::socket::{Listener, Network, Tcp};
+use crate::net::upstream::ConnectionPool;
 use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_config::{
     clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -32,9 +32,11 @@
 const DRIVER: &str = "crates/proxy/src/net/driver/mod.rs";
 const DRIVER_CALLS: &str = "crates/proxy/src/net/driver/calls.rs";
 const DRIVER_TIMERS: &str = "crates/proxy/src/net/driver/timers.rs";
-const HOSTS: &str = "crates/proxy/src/net/hosts.rs";
+const UPSTREAM_ATTEMPT: &str = "crates/proxy/src/net/upstream/attempt.rs";
+const UPSTREAM_BODY: &str = "crates/proxy/src/net/upstream/body.rs";
+const UPSTREAM_POOL: &str = "crates/proxy/src/net/upstream/pool.rs";
 const CLIENTS: &str = "crates/proxy/src/net/clients.rs";
-const NET: &str = "crates/proxy/src/net/mod.rs";
+const DESCRIPTORS: &str = "crates/proxy/src/net/descriptors.rs";
 
 /// All defects.
 pub const DEFECTS: &[Defect] = &[
@@ -216,7 +218,7 @@
         what: "a request is written without asking whether it may still start",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !may_start() {", "if !may_start() && pool.max_idle_per_endpoint > 1_000 {"),
+            (UPSTREAM_ATTEMPT, "if !may_start() {", "if !may_start() && pool.max_idle_per_endpoint > 1_000 {"),
         ],
     },
     Defect {
@@ -224,8 +226,8 @@
         what: "a connection is used again whatever has come in on it",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !current || state != ConnectionState::Ready {", "if !current {"),
-            (HOSTS, "&& connection.generation == target.generation && self.is_ready(&mut connection).await {", "&& connection.generation == target.generation {"),
+            (UPSTREAM_POOL, "if !current || state != ConnectionState::Ready {", "if !current {"),
+            (UPSTREAM_POOL, "&& connection.generation == target.generation && self.is_ready(&mut connection).await {", "&& connection.generation == target.generation {"),
         ],
     },
     Defect {
@@ -241,7 +243,7 @@
         what: "a connection that broke under a request is told as one that never was",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::Reset.into()", "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::ConnectFailed.into()"),
+            (UPSTREAM_ATTEMPT, "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::Reset.into()", "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::ConnectFailed.into()"),
         ],
     },
     Defect {
@@ -249,7 +251,7 @@
         what: "an answer that can't be read is told as one of a host that turned the call away",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(ExchangeError::InvalidResponse) => return Outcome::Error.into()", "Err(ExchangeError::InvalidResponse) => return Outcome::Rejected.into()"),
+            (UPSTREAM_ATTEMPT, "Err(ExchangeError::InvalidResponse) => return Outcome::Error.into()", "Err(ExchangeError::InvalidResponse) => return Outcome::Rejected.into()"),
         ],
     },
     Defect {
@@ -257,7 +259,7 @@
         what: "a body that ends with its connection is served",
         play: "sockets",
         edits: &[
-            (HOSTS, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
+            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
         ],
     },
     Defect {
@@ -289,7 +291,7 @@
         what: "sockets are never counted out",
         play: "sockets",
         edits: &[
-            (NET, "self.0.open.set(self.0.open.get() - 1);", "self.0.open.set(self.0.open.get());"),
+            (DESCRIPTORS, "self.0.open.set(self.0.open.get() - 1);", "self.0.open.set(self.0.open.get());"),
         ],
     },
     Defect {
