--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::socket::Tcp;
-use crate::net::upstream::{AttemptOptions, Client, Request};
+use crate::net::upstream::{AttemptOptions, Client, IdleLimits, Request};
 use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_decisions::settings::Transport;
 use badgerramp_decisions::{CallPolicy, ClassId, ListUpdateKind};
@@ -32,8 +32,12 @@
     };
     let pool = ConnectionPool::new(
         transport,
-        (16, Micros::MAX),
-        (Descriptors::new(9), MemoryBudget::new(1 << 20)),
+        IdleLimits {
+            per_endpoint: 16,
+            time: Micros::MAX,
+        },
+        Descriptors::new(9),
+        MemoryBudget::new(1 << 20),
         Rc::new(Tcp),
         clock,
     );
--- a/crates/proxy/src/net/upstream/attempt.rs
+++ b/crates/proxy/src/net/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at an endpoint.
+//! One attempt at an endpoint: takes a connection, asks whether it may still start, sends the request and tells what
+//! the response means.
 
 use super::connection::ExchangeError;
 use super::exchange::{AttemptResult, AttemptTarget, Request, UpstreamResponse};
@@ -9,18 +10,18 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue};
-use hyper::StatusCode;
+use hyper::{Response, StatusCode};
 use std::fmt::Write;
 
 const X_TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
 
-/// Makes one attempt and tells how it ended. `left` is the time it still has; `may_start` is asked right
+/// Makes one attempt and returns how it ended. `time_left` is the time it still has; `may_start` is asked right
 /// before the first byte.
 pub async fn attempt(
     pool: &ConnectionPool,
     target: AttemptTarget,
     request: &Request,
-    left: impl Fn() -> Micros,
+    time_left: impl Fn() -> Micros,
     may_start: impl Fn() -> bool,
 ) -> AttemptResult {
     let mut connection = match pool.check_out(&target).await {
@@ -35,23 +36,20 @@
         pool.check_in(target.endpoint, connection).await;
         return Outcome::NotSent.into();
     }
-    let Some(message) = upstream_request(request, left()) else {
+    let Some(message) = upstream_request(request, time_left()) else {
         return Outcome::NotSent.into();
     };
-    let idle =
-        (connection.idle_since > 0).then(|| pool.clock.now().saturating_sub(connection.idle_since));
+    let idle_time = pool.idle_time(&connection);
     let exchanged = connection
         .exchange(message, &pool.memory_budget, request.options.max_body_len)
         .await;
-    if let Some(idle) = idle {
+    if let Some(idle_time) = idle_time {
         let connection_lost = matches!(exchanged, Err(ExchangeError::ConnectionLost));
-        pool.idle_failures
-            .borrow_mut()
-            .record(pool.clock.now(), idle, connection_lost);
+        pool.record_reuse(idle_time, connection_lost);
     }
-    let (answer, body) = match exchanged {
-        Ok(answer) => answer,
-        // Its connection goes in either case. An answer that can't be used is a host's word all the same.
+    let (response, body) = match exchanged {
+        Ok(response) => response,
+        // Its connection is closed in either case. The endpoint has answered, even if not with what can be used.
         Err(ExchangeError::InvalidResponse) => return Outcome::Error.into(),
         // Never ran only if the last byte was not handed to the socket; all else may have run.
         Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {
@@ -59,23 +57,27 @@
         }
         Err(ExchangeError::ConnectionLost) => return Outcome::ConnectFailed.into(),
     };
-    if answer.status() != StatusCode::SWITCHING_PROTOCOLS {
+    if response.status() != StatusCode::SWITCHING_PROTOCOLS {
         pool.check_in(target.endpoint, connection).await;
     }
-    let load = load_report::from_headers(answer.headers());
-    let outcome = match request
+    classify(request, response, body)
+}
+
+/// What a complete response means under the options of its request.
+fn classify(request: &Request, response: Response<()>, body: Bytes) -> AttemptResult {
+    let (parts, ()) = response.into_parts();
+    let verdict = request
         .options
         .answers
-        .verdict(answer.status(), answer.headers())
-    {
+        .verdict(parts.status, &parts.headers);
+    let outcome = match verdict {
         Verdict::Served => Outcome::Served,
         Verdict::NeverRan => Outcome::Rejected,
         Verdict::Error => Outcome::Error,
     };
-    let (parts, ()) = answer.into_parts();
     AttemptResult {
         outcome,
-        load,
+        load: load_report::from_headers(&parts.headers),
         response: Some(UpstreamResponse {
             status: parts.status,
             headers: parts.headers,
@@ -84,18 +86,19 @@
     }
 }
 
-fn upstream_request(request: &Request, left: Micros) -> Option<hyper::Request<Full<Bytes>>> {
+/// The message that goes to the endpoint, with the time left in its `X-Timeout`.
+fn upstream_request(request: &Request, time_left: Micros) -> Option<hyper::Request<Full<Bytes>>> {
     let mut message = hyper::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.uri.clone();
-    let mut time = BytesMut::with_capacity(21);
+    let mut timeout = BytesMut::with_capacity(21);
     // Writing to a buffer does not fail.
-    let _ = write!(time, "{left}u");
+    let _ = write!(timeout, "{time_left}u");
     let headers = message.headers_mut();
     *headers = request.headers.clone();
     headers.insert(
         X_TIMEOUT,
-        HeaderValue::from_maybe_shared(time.freeze()).ok()?,
+        HeaderValue::from_maybe_shared(timeout.freeze()).ok()?,
     );
     Some(message)
 }
--- a/crates/proxy/src/net/upstream/connection.rs
+++ b/crates/proxy/src/net/upstream/connection.rs
@@ -18,7 +18,7 @@
 
 pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Full<Bytes>>,
-    pub(super) connection: Connection<TokioIo<WriteTrackingStream>, Full<Bytes>>,
+    pub(super) http_connection: Connection<TokioIo<WriteTrackingStream>, Full<Bytes>>,
     pub(super) stream: Rc<dyn Stream>,
     pub(super) all_written: Rc<Cell<bool>>,
     pub(super) idle_since: Micros,
@@ -44,7 +44,7 @@
 
     /// The same, as far as the runtime knows.
     pub(super) async fn poll_state(&mut self) -> ConnectionState {
-        match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.connection).poll(cx))).await {
+        match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.http_connection).poll(cx))).await {
             Poll::Pending if self.sender.is_ready() => ConnectionState::Ready,
             // The library ends a connection on which something comes that nobody asked for; an error of the system has
             // its source.
@@ -80,14 +80,14 @@
             let body = read_complete_body(&parts.headers, body, memory_budget, most).await?;
             Ok((Response::from_parts(parts, ()), body))
         });
-        let connection = &mut self.connection;
+        let http_connection = &mut self.http_connection;
         poll_fn(|cx| {
             // The first poll hands the request over, the second writes it, the third takes an answer that
             // has come with the end of the connection.
             if let Poll::Ready(answer) = exchange.as_mut().poll(cx) {
                 return Poll::Ready(answer);
             }
-            let ended = Pin::new(&mut *connection).poll(cx).is_ready();
+            let ended = Pin::new(&mut *http_connection).poll(cx).is_ready();
             match exchange.as_mut().poll(cx) {
                 Poll::Pending if ended => Poll::Ready(Err(ExchangeError::ConnectionLost)),
                 other => other,
--- a/crates/proxy/src/net/upstream/mod.rs
+++ b/crates/proxy/src/net/upstream/mod.rs
@@ -18,4 +18,4 @@
     AttemptOptions, AttemptResult, AttemptTarget, Client, Request, UpstreamResponse,
 };
 pub use headers::strip_hop_by_hop;
-pub use pool::ConnectionPool;
+pub use pool::{ConnectionPool, IdleLimits};
--- a/crates/proxy/src/net/upstream/pool.rs
+++ b/crates/proxy/src/net/upstream/pool.rs
@@ -16,90 +16,102 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most bytes of an answer's head, and of what is read of a body at once.
+/// Most bytes of a response's head, and of what is read of a body at once.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
-/// Where hosts have sent what belongs to no request, a connection rests for so long after an answer before it is used again:
-/// a second copy of that answer comes some milliseconds late, and would be read as the answer to the next request.
+/// After an endpoint has sent data that belongs to no request, a connection is reused only so long (in microseconds)
+/// after its last response: a duplicate of that response comes some milliseconds late, and would be read as the
+/// response to the next request.
 const REUSE_DELAY: Micros = 10_000;
-/// For how long hosts are taken to do so again.
+/// For how long endpoints are expected to do so again, in microseconds.
 const UNSOLICITED_DATA_MEMORY: Micros = 30_000_000;
 
-/// The system's word for no descriptor left: in all, and for this process.
+/// Error codes of the system for no descriptor left: system-wide, and for this process.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 
+/// How many idle connections are kept, and for how long.
+#[derive(Clone, Copy, Debug)]
+pub struct IdleLimits {
+    /// Most idle connections to one endpoint.
+    pub per_endpoint: usize,
+    /// Longest idle time of one.
+    pub time: Micros,
+}
+
 /// The connections to all endpoints.
 pub struct ConnectionPool {
-    /// Sorted: which goes first must not hang on how numbers are hashed.
-    pub(super) idle: RefCell<BTreeMap<EndpointId, Vec<UpstreamConnection>>>,
-    /// The generation of each host to which something may go.
-    current: RefCell<BTreeMap<EndpointId, u64>>,
-    pub(super) idle_failures: RefCell<IdleFailureStats>,
-    /// Until when connections rest between requests.
+    /// Sorted: which one is evicted first must not depend on how ids are hashed.
+    idle: RefCell<BTreeMap<EndpointId, Vec<UpstreamConnection>>>,
+    /// The generation of each endpoint that may be connected to.
+    generations: RefCell<BTreeMap<EndpointId, u64>>,
+    idle_failures: RefCell<IdleFailureStats>,
+    /// Until when a connection is left alone for a while between two requests.
     delay_reuse_until: Cell<Micros>,
     network: Rc<dyn Network>,
     pub(super) memory_budget: Rc<MemoryBudget>,
     descriptors: Rc<Descriptors>,
-    pub(super) clock: Clock,
-    max_idle_time: Micros,
-    max_idle_per_endpoint: usize,
+    clock: Clock,
+    limits: IdleLimits,
 }
 
 impl ConnectionPool {
-    /// Keeps so many idle connections to a host, for no longer than `idle` or what the hosts' own time allows.
+    /// A pool without connections. The endpoints' own idle time in `transport` shortens [`IdleLimits::time`].
     pub fn new(
         transport: Transport,
-        (max_idle_per_endpoint, idle): (usize, Micros),
-        (descriptors, memory_budget): (Rc<Descriptors>, Rc<MemoryBudget>),
+        limits: IdleLimits,
+        descriptors: Rc<Descriptors>,
+        memory_budget: Rc<MemoryBudget>,
         network: Rc<dyn Network>,
         clock: Clock,
     ) -> Rc<Self> {
         Rc::new(ConnectionPool {
             idle: RefCell::default(),
-            current: RefCell::default(),
+            generations: RefCell::default(),
             idle_failures: RefCell::default(),
             delay_reuse_until: Cell::new(0),
             network,
             memory_budget,
             descriptors,
             clock,
-            // Well ahead of the host, which may close it any time from then on.
-            max_idle_time: (transport.conn_idle / 4 * 3).min(idle),
-            max_idle_per_endpoint,
+            limits: IdleLimits {
+                // Well ahead of the endpoint, which may close it any time from then on.
+                time: (transport.conn_idle / 4 * 3).min(limits.time),
+                ..limits
+            },
         })
     }
 
-    /// Connections of this generation, and of no other, lead to a host from now on.
-    pub fn add_endpoint(&self, server: EndpointId, generation: u64) {
-        self.remove_endpoint(server);
-        self.current.borrow_mut().insert(server, generation);
+    /// Allows connections to an endpoint. Those of any other generation are closed.
+    pub fn add_endpoint(&self, endpoint: EndpointId, generation: u64) {
+        self.remove_endpoint(endpoint);
+        self.generations.borrow_mut().insert(endpoint, generation);
     }
 
-    /// Nothing leads to a host any more: its idle connections are closed, and those in use when they come back. A
-    /// host that drains would otherwise keep connections that nothing uses.
-    pub fn remove_endpoint(&self, server: EndpointId) {
-        self.idle.borrow_mut().remove(&server);
-        self.current.borrow_mut().remove(&server);
+    /// Closes the idle connections to an endpoint, and those in use when they are checked in. An endpoint that drains
+    /// would otherwise keep connections that nothing uses.
+    pub fn remove_endpoint(&self, endpoint: EndpointId) {
+        self.idle.borrow_mut().remove(&endpoint);
+        self.generations.borrow_mut().remove(&endpoint);
     }
 
-    /// Is no connection idle?
+    /// Whether no connection is idle.
     pub fn has_no_idle(&self) -> bool {
         self.idle.borrow().is_empty()
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = self.clock.now();
-        let most = self.max_idle_time();
+        let max_idle_time = self.max_idle_time();
         let mut idle = self.idle.borrow_mut();
         idle.values_mut().for_each(|connections| {
-            connections.retain(|connection| connection.idle_since + most > now)
+            connections.retain(|connection| connection.idle_since + max_idle_time > now)
         });
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes the connection that has been idle longest, to make room. False if none is idle.
+    /// Closes the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().min_by_key(|connections| {
@@ -116,17 +128,37 @@
         }
     }
 
+    /// How long a connection has been idle; `None` before its first request.
+    pub(super) fn idle_time(&self, connection: &UpstreamConnection) -> Option<Micros> {
+        (connection.idle_since > 0).then(|| self.clock.now().saturating_sub(connection.idle_since))
+    }
+
+    /// Records whether a connection that had been idle for this long broke under its next request.
+    pub(super) fn record_reuse(&self, idle_time: Micros, connection_lost: bool) {
+        self.idle_failures
+            .borrow_mut()
+            .record(self.clock.now(), idle_time, connection_lost);
+    }
+
+    /// The number of idle connections.
+    #[cfg(test)]
+    pub(super) fn idle_count(&self) -> usize {
+        self.idle.borrow().values().map(Vec::len).sum()
+    }
+
+    /// The time after which an idle connection is not used any more.
     fn max_idle_time(&self) -> Micros {
-        self.max_idle_time
+        self.limits
+            .time
             .min(self.idle_failures.borrow().max_idle_time())
     }
 
-    /// The idle connection used last, if it is still open; of those that rest, none.
+    /// Takes the idle connection that was used last and is still open. One whose reuse is delayed is left where it is.
     pub(super) async fn check_out(&self, target: &AttemptTarget) -> Option<UpstreamConnection> {
-        let most = self.max_idle_time();
+        let max_idle_time = self.max_idle_time();
         loop {
             let now = self.clock.now();
-            let rest = if now < self.delay_reuse_until.get() {
+            let reuse_delay = if now < self.delay_reuse_until.get() {
                 REUSE_DELAY
             } else {
                 0
@@ -134,12 +166,12 @@
             let mut connection = {
                 let mut idle = self.idle.borrow_mut();
                 let connections = idle.get_mut(&target.endpoint)?;
-                let place = connections
+                let position = connections
                     .iter()
-                    .rposition(|connection| connection.idle_since + rest <= now)?;
-                connections.remove(place)
+                    .rposition(|connection| connection.idle_since + reuse_delay <= now)?;
+                connections.remove(position)
             };
-            let fresh = connection.idle_since + most > now;
+            let fresh = connection.idle_since + max_idle_time > now;
             if fresh
                 && connection.generation == target.generation
                 && self.is_ready(&mut connection).await
@@ -149,13 +181,14 @@
         }
     }
 
-    /// May the next request be written on this connection? Notes if a host has sent what nobody asked for.
+    /// Whether the next request may be written on this connection. Records unsolicited data.
     async fn is_ready(&self, connection: &mut UpstreamConnection) -> bool {
         let state = connection.state().await;
         self.record_state(state);
         state == ConnectionState::Ready
     }
 
+    /// Delays the reuse of all connections after unsolicited data.
     fn record_state(&self, state: ConnectionState) {
         if state == ConnectionState::UnsolicitedData {
             self.delay_reuse_until
@@ -163,47 +196,47 @@
         }
     }
 
+    /// Opens a connection within `timeout`. Fails with the outcome of the attempt that asked for it.
     pub(super) async fn connect(
         &self,
         target: &AttemptTarget,
-        most: Micros,
+        timeout: Micros,
     ) -> Result<UpstreamConnection, Outcome> {
         let descriptor = match self.descriptors.acquire() {
             Some(descriptor) => descriptor,
-            // Our own want of sockets says nothing of the host: not sent, rather than no connection.
+            // A lack of descriptors on this side says nothing of the endpoint: not sent, rather than connect failed.
             None if self.evict_idle() => self.descriptors.acquire().ok_or(Outcome::NotSent)?,
             None => return Err(Outcome::NotSent),
         };
         let connect = tokio::time::timeout(
-            Duration::from_micros(most),
+            Duration::from_micros(timeout),
             self.network.connect(target.address),
         );
         let stream = match connect.await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(fault)) if matches!(fault.raw_os_error(), Some(ENFILE | EMFILE)) => {
+            Ok(Err(error)) if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => {
                 self.evict_idle();
                 return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
         };
         let all_written = Rc::new(Cell::new(false));
-        let stream_with_tracking = WriteTrackingStream {
+        let tracking_stream = WriteTrackingStream {
             socket: Socket::new(&stream),
             all_written: Rc::clone(&all_written),
         };
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_LEN)
-            .handshake(TokioIo::new(stream_with_tracking))
+            .handshake(TokioIo::new(tracking_stream))
             .await;
-        let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
-        let (idle_since, generation) = (0, target.generation);
+        let (sender, http_connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let mut connection = UpstreamConnection {
             sender,
-            connection,
+            http_connection,
             stream,
             all_written,
-            idle_since,
-            generation,
+            idle_since: 0,
+            generation: target.generation,
             _descriptor: descriptor,
         };
         if self.is_ready(&mut connection).await {
@@ -213,9 +246,10 @@
         }
     }
 
-    pub(super) async fn check_in(&self, server: EndpointId, mut connection: UpstreamConnection) {
-        let current = self.current.borrow().get(&server) == Some(&connection.generation);
-        // The kernel is asked before its next use, when there is more to know.
+    /// Takes a connection back after an exchange, if it can be used again.
+    pub(super) async fn check_in(&self, endpoint: EndpointId, mut connection: UpstreamConnection) {
+        let current = self.generations.borrow().get(&endpoint) == Some(&connection.generation);
+        // The kernel is asked before its next use, when there is more to be seen.
         let state = connection.poll_state().await;
         self.record_state(state);
         if !current || state != ConnectionState::Ready {
@@ -223,9 +257,9 @@
         }
         connection.idle_since = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let connections = idle.entry(server).or_default();
+        let connections = idle.entry(endpoint).or_default();
         connections.push(connection);
-        if connections.len() > self.max_idle_per_endpoint {
+        if connections.len() > self.limits.per_endpoint {
             connections.remove(0);
         }
     }
--- a/crates/proxy/src/net/upstream/tests.rs
+++ b/crates/proxy/src/net/upstream/tests.rs
@@ -16,16 +16,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+fn idle_limits(per_endpoint: usize, time: Micros) -> IdleLimits {
+    IdleLimits { per_endpoint, time }
+}
+
 /// One attempt at a stub that reads a little and answers `text`.
 fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
-    attempt_keeping(text, may_start, (16, Micros::MAX)).0
+    attempt_keeping(text, may_start, idle_limits(16, Micros::MAX)).0
 }
 
 /// The same, with so many connections kept for so long; tells also how many are left after expired ones are closed.
 fn attempt_keeping(
     text: &'static str,
     may_start: bool,
-    kept: (usize, Micros),
+    limits: IdleLimits,
 ) -> (AttemptResult, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -46,8 +50,9 @@
     };
     let pool = ConnectionPool::new(
         transport,
-        kept,
-        (Descriptors::new(9), MemoryBudget::new(1 << 20)),
+        limits,
+        Descriptors::new(9),
+        MemoryBudget::new(1 << 20),
         Rc::new(Tcp),
         Clock::start(),
     );
@@ -77,7 +82,7 @@
         .expect("a runtime");
     let ended = runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start));
     pool.close_expired();
-    let left = pool.idle.borrow().values().map(Vec::len).sum();
+    let left = pool.idle_count();
     (ended, left)
 }
 
@@ -124,9 +129,15 @@
 #[test]
 fn connections_are_kept_as_many_and_as_long_as_is_set() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(attempt_keeping(answer, true, (1, Micros::MAX)).1, 1);
-    assert_eq!(attempt_keeping(answer, true, (0, Micros::MAX)).1, 0);
-    assert_eq!(attempt_keeping(answer, true, (1, 0)).1, 0);
+    assert_eq!(
+        attempt_keeping(answer, true, idle_limits(1, Micros::MAX)).1,
+        1
+    );
+    assert_eq!(
+        attempt_keeping(answer, true, idle_limits(0, Micros::MAX)).1,
+        0
+    );
+    assert_eq!(attempt_keeping(answer, true, idle_limits(1, 0)).1, 0);
 }
 
 #[test]
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -9,7 +9,7 @@
 use crate::net::peers;
 use crate::net::rules::Rules;
 use crate::net::socket::{Listener, Network, Tcp};
-use crate::net::upstream::ConnectionPool;
+use crate::net::upstream::{ConnectionPool, IdleLimits};
 use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_config::{
     clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
@@ -204,18 +204,21 @@
     let descriptors = Descriptors::new(room);
     // The rest is for buffers, which are bounded by the number of connections.
     let bytes = MemoryBudget::new(setup.memory / 4);
-    let counted = (Rc::clone(&descriptors), Rc::clone(&bytes));
-    let kept = match setup.subset {
-        Some(terms) => (terms.kept, terms.idle),
-        None => (
-            connections_kept(setup.facts.settings.balancers),
-            Micros::MAX,
-        ),
+    let idle_limits = match setup.subset {
+        Some(terms) => IdleLimits {
+            per_endpoint: terms.kept,
+            time: terms.idle,
+        },
+        None => IdleLimits {
+            per_endpoint: connections_kept(setup.facts.settings.balancers),
+            time: Micros::MAX,
+        },
     };
     let pool = ConnectionPool::new(
         setup.facts.transport,
-        kept,
-        counted,
+        idle_limits,
+        Rc::clone(&descriptors),
+        Rc::clone(&bytes),
         Rc::clone(&network),
         clock,
     );
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -218,7 +218,7 @@
         what: "a request is written without asking whether it may still start",
         play: "sockets",
         edits: &[
-            (UPSTREAM_ATTEMPT, "if !may_start() {", "if !may_start() && pool.max_idle_per_endpoint > 1_000 {"),
+            (UPSTREAM_ATTEMPT, "if !may_start() {", "if !may_start() && target.generation == u64::MAX {"),
         ],
     },
     Defect {
