--- a/crates/proxy/src/net/upstream/body.rs
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -6,6 +6,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap};
+use std::error::Error;
 use std::io;
 use std::rc::Rc;
 
@@ -43,19 +44,20 @@
         .ok_or(ExchangeError::InvalidResponse)?;
     match Limited::new(body, max_body_len).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(fault) => {
-            Err(fault
-                .downcast_ref()
-                .map_or(ExchangeError::InvalidResponse, |e: &hyper::Error| {
-                    if e.is_incomplete_message()
-                        || std::error::Error::source(e).is_some_and(is_connection_failure)
-                    {
-                        ExchangeError::ConnectionLost
-                    } else {
-                        ExchangeError::InvalidResponse
-                    }
-                }))
+        Err(error) => Err(read_error(&*error)),
+    }
+}
+
+/// What an error while reading a body means: besides those of the connection, a body can be too long or malformed.
+fn read_error(error: &(dyn Error + Send + Sync + 'static)) -> ExchangeError {
+    match error.downcast_ref::<hyper::Error>() {
+        Some(error)
+            if error.is_incomplete_message()
+                || error.source().is_some_and(is_connection_failure) =>
+        {
+            ExchangeError::ConnectionLost
         }
+        _ => ExchangeError::InvalidResponse,
     }
 }
 
@@ -67,7 +69,7 @@
 }
 
 /// Did the connection break, rather than bring what can't be read?
-fn is_connection_failure(source: &(dyn std::error::Error + 'static)) -> bool {
+fn is_connection_failure(source: &(dyn Error + 'static)) -> bool {
     let kinds = [
         io::ErrorKind::InvalidInput,
         io::ErrorKind::InvalidData,
--- a/crates/proxy/src/net/upstream/connection.rs
+++ b/crates/proxy/src/net/upstream/connection.rs
@@ -15,6 +15,7 @@
 use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::task::Poll;
+use thiserror::Error;
 
 pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Full<Bytes>>,
@@ -68,12 +69,8 @@
         self.all_written.set(false);
         let bodiless = request.method() == Method::HEAD;
         let mut exchange = pin!(async {
-            let answer = self
-                .sender
-                .send_request(request)
-                .await
-                .map_err(|e| ExchangeError::of(&e))?;
-            let (parts, body) = answer.into_parts();
+            let response = self.sender.send_request(request).await?;
+            let (parts, body) = response.into_parts();
             // RFC 9110, 6.4.1: whatever the headers say, nothing follows them.
             let none = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
             let most = if bodiless || none { 0 } else { max_body_len };
@@ -108,17 +105,19 @@
     UnsolicitedData,
 }
 
-/// Why an exchange brought no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why an exchange brought no response that can be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ExchangeError {
     /// The connection broke or ended.
+    #[error("the connection broke or ended before the response was complete")]
     ConnectionLost,
-    /// What came back is no answer that can be used. The request has run.
+    /// The response can't be used. The request may have been executed.
+    #[error("the response is malformed, too large or not provably complete")]
     InvalidResponse,
 }
 
-impl ExchangeError {
-    pub(super) fn of(error: &hyper::Error) -> Self {
+impl From<hyper::Error> for ExchangeError {
+    fn from(error: hyper::Error) -> Self {
         if error.is_parse() {
             ExchangeError::InvalidResponse
         } else {
