--- a/crates/proxy/src/net/descriptors.rs
+++ b/crates/proxy/src/net/descriptors.rs
@@ -1,21 +1,21 @@
-//! The bound on open sockets.
+//! The bound on open sockets. Each open socket holds a [`Descriptor`].
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the sockets that are open, so that the process stays under its limit instead of finding it.
+/// Counts open sockets, so that the process never runs into the limit of the system.
 #[derive(Debug)]
 pub struct Descriptors {
     limit: usize,
     open: Cell<usize>,
 }
 
-/// One counted socket; dropping it counts it out.
+/// The permit for one open socket; dropping it gives it back.
 #[derive(Debug)]
 pub struct Descriptor(Rc<Descriptors>);
 
 impl Descriptors {
-    /// Room for `limit` sockets.
+    /// Allows `limit` open sockets.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Descriptors {
             limit,
@@ -23,12 +23,12 @@
         })
     }
 
-    /// How many are open.
+    /// The number of open sockets.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Counts one more in, if there is room.
+    /// The permit for one more socket; `None` at the limit.
     pub fn acquire(self: &Rc<Self>) -> Option<Descriptor> {
         (self.open.get() < self.limit).then(|| {
             self.open.set(self.open.get() + 1);
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -3,7 +3,7 @@
 use super::admission_gate::AdmissionGate;
 use super::clients::{Clients, Noted, Seat, UNASKED};
 use super::driver::{Answer, Driver, Intake};
-use super::rules::{hop_by_hop, Admitted, Rejection, Rules};
+use super::rules::{Admitted, Rejection, Rules};
 use super::socket::{Listener, Stream};
 use super::upstream::{self, ConnectionPool};
 use super::upstream::{Client, Request, UpstreamResponse};
@@ -438,7 +438,7 @@
         }
         // An answer to HEAD tells the length that a GET would have; the library drops it where nothing may tell one.
         let length = headers.remove(header::CONTENT_LENGTH);
-        hop_by_hop(&mut headers);
+        upstream::strip_hop_by_hop_and_listed(&mut headers);
         if let Some(length) = length.filter(|_| response.body().is_end_stream()) {
             headers.insert(header::CONTENT_LENGTH, length);
         }
--- a/crates/proxy/src/net/memory_budget.rs
+++ b/crates/proxy/src/net/memory_budget.rs
@@ -3,13 +3,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the bytes of bodies that are held, so that the process stays under its limit of memory.
+/// Counts the bytes reserved for bodies, so that the process stays under its limit of memory.
 #[derive(Debug)]
 pub struct MemoryBudget {
     free: Cell<usize>,
 }
 
-/// Some counted bytes; dropping them counts them out.
+/// Reserved bytes; dropping them gives them back.
 #[derive(Debug)]
 pub struct Reservation(Rc<MemoryBudget>, usize);
 
@@ -21,7 +21,7 @@
         })
     }
 
-    /// Counts so many in, if there is room.
+    /// Reserves `count` bytes; `None` if fewer are free.
     pub fn reserve(self: &Rc<Self>, count: usize) -> Option<Reservation> {
         self.free.set(self.free.get().checked_sub(count)?);
         Some(Reservation(Rc::clone(self), count))
--- a/crates/proxy/src/net/rules/head.rs
+++ b/crates/proxy/src/net/rules/head.rs
@@ -1,10 +1,9 @@
 //! Parts of a request's head: its target, and headers with a meaning of their own.
 
 use super::{reject, Rejection};
-use crate::net::upstream;
 use badgerramp_decisions::Micros;
 use badgerramp_route::Head;
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode, Uri};
 use std::net::IpAddr;
@@ -47,25 +46,6 @@
     Ok(())
 }
 
-/// Removes the headers that concern one connection only (RFC 9110, 7.6.1), including those that the message names.
-pub fn hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        // These identify a request: a client must not have them removed by naming them.
-        .filter(|name| {
-            !["host", "idempotency-key", "x-request-id", "content-type"].contains(&name.as_str())
-        })
-        .collect();
-    named.iter().for_each(|name| {
-        headers.remove(name);
-    });
-    upstream::strip_hop_by_hop(headers);
-}
-
 /// The value of a header that occurs exactly once.
 pub(super) fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a HeaderValue> {
     let mut all = headers.get_all(name).iter();
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -7,7 +7,6 @@
 mod sidecar;
 mod transition;
 
-pub use head::hop_by_hop;
 pub use platform::Platform;
 pub use sidecar::Sidecar;
 pub use transition::{FallbackRules, TransitionRules};
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -1,8 +1,8 @@
 //! The sidecar's form of requests: plain HTTP with the operator's routes.
 
-use super::head::{head, hop_by_hop, length, plain_form, single, timeout};
+use super::head::{head, length, plain_form, single, timeout};
 use super::{reject, Admitted, Rejection};
-use crate::net::upstream::AttemptOptions;
+use crate::net::upstream::{strip_hop_by_hop_and_listed, AttemptOptions};
 use badgerramp_config::{Config, ANSWER_ROOM};
 use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_policy::{IdempotencyKey, ResolvedCall};
@@ -155,7 +155,7 @@
 
     /// Removes the headers that concern this connection only, and adds those that each forwarded request has.
     pub(super) fn set_forwarding_headers(&self, parts: &mut Parts) {
-        hop_by_hop(&mut parts.headers);
+        strip_hop_by_hop_and_listed(&mut parts.headers);
         parts
             .headers
             .append(header::VIA, HeaderValue::from_static("1.1 badgerramp"));
--- a/crates/proxy/src/net/upstream/body.rs
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -10,8 +10,12 @@
 use std::io;
 use std::rc::Rc;
 
-/// The body of an answer, only if it is provably complete: one that ends with its connection may have been cut, and
-/// one framed in two ways may be anything. What can't be used is not read to its end.
+/// Reads the body of a response, if it is provably complete: one that is delimited by the end of the connection may
+/// have been truncated, and one with two framings is ambiguous (RFC 9112, 6.3). An unusable body is not read to its
+/// end.
+///
+/// # Errors
+/// If the body is not provably complete, is larger than `max_body_len` or the memory budget, or the connection breaks.
 pub(super) async fn read_complete_body(
     headers: &HeaderMap,
     body: Incoming,
@@ -26,7 +30,7 @@
         .size_hint()
         .exact()
         .and_then(|length| usize::try_from(length).ok());
-    let most = match length {
+    let expected_len = match length {
         Some(length) if headers.contains_key(header::CONTENT_LENGTH) && !chunked => length,
         None if chunked
             && !headers.contains_key(header::CONTENT_LENGTH)
@@ -36,11 +40,11 @@
         }
         _ => return Err(ExchangeError::InvalidResponse),
     };
-    if most > max_body_len {
+    if expected_len > max_body_len {
         return Err(ExchangeError::InvalidResponse);
     }
-    let _held = memory_budget
-        .reserve(most)
+    let _reservation = memory_budget
+        .reserve(expected_len)
         .ok_or(ExchangeError::InvalidResponse)?;
     match Limited::new(body, max_body_len).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -61,14 +65,14 @@
     }
 }
 
-/// Does a body in this transfer coding tell its end? All others end with the connection.
+/// Whether `chunked` is the only transfer coding: a body in any other ends with its connection.
 fn is_only_chunked(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let only = codings.next().filter(|_| codings.next().is_none());
     only.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"))
 }
 
-/// Did the connection break, rather than bring what can't be read?
+/// Whether this is an error of the connection, rather than of what was read from it.
 fn is_connection_failure(source: &(dyn Error + 'static)) -> bool {
     let kinds = [
         io::ErrorKind::InvalidInput,
--- a/crates/proxy/src/net/upstream/connection.rs
+++ b/crates/proxy/src/net/upstream/connection.rs
@@ -17,24 +17,28 @@
 use std::task::Poll;
 use thiserror::Error;
 
+/// An open HTTP/1.1 connection to an endpoint.
 pub(super) struct UpstreamConnection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) http_connection: Connection<TokioIo<WriteTrackingStream>, Full<Bytes>>,
     pub(super) stream: Rc<dyn Stream>,
+    /// Whether the request has been written to its last byte.
     pub(super) all_written: Rc<Cell<bool>>,
+    /// When its last response was complete; 0 before its first request.
     pub(super) idle_since: Micros,
+    /// The generation of its endpoint when it was opened.
     pub(super) generation: u64,
     pub(super) _descriptor: Descriptor,
 }
 
 impl UpstreamConnection {
-    /// Is it open and ready for a request, with nothing on it that belongs to an earlier one? What has come in, an
-    /// end or a second copy of an answer, is looked for in the kernel: the runtime may not know of it yet, and
-    /// would have it read as the answer to the next request.
+    /// Whether it is open and ready for a request, with nothing received that belongs to an earlier one. The kernel is
+    /// asked for received data, be it an end or a duplicate of a response: the runtime may not know of it yet, and
+    /// hyper would read it as the response to the next request.
     pub(super) async fn state(&mut self) -> ConnectionState {
         match self.poll_state().await {
             ConnectionState::Ready if self.stream.quiet() => ConnectionState::Ready,
-            // It is of no further use, whatever has come.
+            // The byte taken does not matter: the connection is closed in any case.
             ConnectionState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
                 ConnectionState::UnsolicitedData
             }
@@ -43,15 +47,15 @@
         }
     }
 
-    /// The same, as far as the runtime knows.
+    /// The same as [`UpstreamConnection::state`], as far as the runtime knows.
     pub(super) async fn poll_state(&mut self) -> ConnectionState {
         match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.http_connection).poll(cx))).await {
             Poll::Pending if self.sender.is_ready() => ConnectionState::Ready,
-            // The library ends a connection on which something comes that nobody asked for; an error of the system has
-            // its source.
-            Poll::Ready(Err(fault))
-                if std::error::Error::source(&fault).is_none()
-                    && !fault.is_incomplete_message() =>
+            // hyper ends a connection that receives unsolicited data with an error without a source; an error of the
+            // system has one.
+            Poll::Ready(Err(error))
+                if std::error::Error::source(&error).is_none()
+                    && !error.is_incomplete_message() =>
             {
                 ConnectionState::UnsolicitedData
             }
@@ -59,7 +63,11 @@
         }
     }
 
-    /// One exchange, driven from here.
+    /// Sends a request and reads its response. The connection is polled from here alone.
+    ///
+    /// # Errors
+    /// If the connection ends first, or the response is malformed, larger than `max_body_len` bytes or not provably
+    /// complete.
     pub(super) async fn exchange(
         &mut self,
         request: hyper::Request<Full<Bytes>>,
@@ -67,22 +75,28 @@
         max_body_len: usize,
     ) -> Result<(Response<()>, Bytes), ExchangeError> {
         self.all_written.set(false);
-        let bodiless = request.method() == Method::HEAD;
+        let is_head = request.method() == Method::HEAD;
         let mut exchange = pin!(async {
             let response = self.sender.send_request(request).await?;
             let (parts, body) = response.into_parts();
             // RFC 9110, 6.4.1: whatever the headers say, nothing follows them.
-            let none = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
-            let most = if bodiless || none { 0 } else { max_body_len };
-            let body = read_complete_body(&parts.headers, body, memory_budget, most).await?;
+            let no_content =
+                [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
+            let max_body_len = if is_head || no_content {
+                0
+            } else {
+                max_body_len
+            };
+            let body =
+                read_complete_body(&parts.headers, body, memory_budget, max_body_len).await?;
             Ok((Response::from_parts(parts, ()), body))
         });
         let http_connection = &mut self.http_connection;
         poll_fn(|cx| {
-            // The first poll hands the request over, the second writes it, the third takes an answer that
+            // The first poll hands the request over, the second writes it, the third takes a response that
             // has come with the end of the connection.
-            if let Poll::Ready(answer) = exchange.as_mut().poll(cx) {
-                return Poll::Ready(answer);
+            if let Poll::Ready(result) = exchange.as_mut().poll(cx) {
+                return Poll::Ready(result);
             }
             let ended = Pin::new(&mut *http_connection).poll(cx).is_ready();
             match exchange.as_mut().poll(cx) {
@@ -99,9 +113,9 @@
 pub(super) enum ConnectionState {
     /// The next request may be written.
     Ready,
-    /// It has ended.
+    /// The connection has ended.
     Closed,
-    /// Something has come on it that belongs to no request.
+    /// Data has been received that belongs to no request.
     UnsolicitedData,
 }
 
--- a/crates/proxy/src/net/upstream/headers.rs
+++ b/crates/proxy/src/net/upstream/headers.rs
@@ -1,8 +1,9 @@
 //! Headers that belong to one connection and are not forwarded.
 
-use hyper::header::{HeaderMap, HeaderName};
+use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and those that are written anew.
+/// Whether a header is forwarded: neither one that concerns a single connection (RFC 9110, 7.6.1) nor one that the
+/// proxy writes itself.
 fn is_end_to_end(name: &HeaderName) -> bool {
     !matches!(
         name.as_str(),
@@ -19,14 +20,33 @@
     )
 }
 
-/// Takes out all that does not pass.
+/// Removes the headers that are not forwarded.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> = headers
+    let removed: Vec<HeaderName> = headers
         .keys()
         .filter(|name| !is_end_to_end(name))
         .cloned()
         .collect();
-    own.iter().for_each(|name| {
+    for name in &removed {
         headers.remove(name);
-    });
+    }
+}
+
+/// Removes the same headers, and those that the message lists in its `Connection` header.
+pub fn strip_hop_by_hop_and_listed(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|v| v.to_str().ok())
+        .flat_map(|v| v.split(','))
+        .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
+        // These identify a request: a client must not have them removed by listing them.
+        .filter(|name| {
+            !["host", "idempotency-key", "x-request-id", "content-type"].contains(&name.as_str())
+        })
+        .collect();
+    for name in &listed {
+        headers.remove(name);
+    }
+    strip_hop_by_hop(headers);
 }
--- a/crates/proxy/src/net/upstream/load_report.rs
+++ b/crates/proxy/src/net/upstream/load_report.rs
@@ -5,7 +5,7 @@
 
 const X_SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
-/// The load report of an answer: the first that tells anything.
+/// The load report of a response: the first `X-Server-Load` header that holds any figure.
 pub(super) fn from_headers(headers: &HeaderMap) -> LoadReport {
     let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(parse);
     reports
@@ -13,9 +13,9 @@
         .unwrap_or_default()
 }
 
-/// Reads a load report. What is odd in it is skipped. Its figures bear the names that the settings give the
-/// columns (`active`), or those of the protocol's example (`inflight`): a reader of the latter alone left the
-/// module without any report, and hosts were loaded until calls timed out.
+/// Parses a load report; malformed parts are skipped. Each figure has two names, that of the columns in the settings
+/// (`active`) and that of the protocol's example (`inflight`). With the latter alone the balancer got no report, and
+/// endpoints were overloaded until calls timed out.
 fn parse(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
--- a/crates/proxy/src/net/upstream/write_tracking.rs
+++ b/crates/proxy/src/net/upstream/write_tracking.rs
@@ -8,7 +8,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A stream that notes whether all that was to be written has been handed to the socket.
+/// A stream that records whether everything given to it has been handed to the socket. Only a request whose last byte
+/// was not handed over is known not to have been executed.
 pub(super) struct WriteTrackingStream {
     pub(super) socket: Socket,
     pub(super) all_written: Rc<Cell<bool>>,
@@ -25,7 +26,7 @@
 }
 
 impl AsyncWrite for WriteTrackingStream {
-    // Not vectored: head and body are laid together and go out in one write.
+    // Not vectored: hyper then copies head and body together, and both go out in one write.
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
