--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,5 +1,6 @@
-//! Messages of the wire, as they are read and written.
+//! Messages of the wire, as they are read and written. Their names are the platform's.
 
+use crate::error::AdapterError;
 use badgerramp_decisions::settings;
 use badgerramp_decisions::{
     CellId, EndpointEntry, EndpointId, EndpointStatus, LoadReport, Outcome,
@@ -7,6 +8,30 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// An endpoint list, or what changed of one.
+pub(crate) const LIST: &str = "POOL";
+/// An instance starts.
+pub(crate) const CREATE: &str = "CREATE";
+/// An instance has gone.
+pub(crate) const DETACH: &str = "DETACH";
+/// A list has come to an instance.
+pub(crate) const LIST_UPDATE: &str = "MEMBERS";
+/// A timer is due.
+pub(crate) const TIMER: &str = "ALARM";
+/// A load probe is answered.
+pub(crate) const PROBE_COMPLETED: &str = "PROBED";
+/// A message of another instance; instances here send none.
+pub(crate) const PEER_MESSAGE: &str = "WHISPER";
+/// A call has come in.
+pub(crate) const REQUEST: &str = "JOB_IN";
+/// An attempt has ended.
+pub(crate) const OUTCOME: &str = "DONE";
+/// The answer of an attempt has begun to flow.
+pub(crate) const STREAMING: &str = "UNDER_WAY";
+/// The client of a call has gone.
+pub(crate) const CLIENT_GONE: &str = "CANCELLED_BY_CLIENT";
+
+/// One line of input: events that happen at one moment.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
     pub clock_us: u64,
@@ -44,6 +69,22 @@
     pub stats: Option<Stats>,
 }
 
+impl Input<'_> {
+    /// A field that this event's verb needs.
+    pub(crate) fn need<T>(&self, value: Option<T>, field: &'static str) -> Result<T, AdapterError> {
+        value.ok_or_else(|| AdapterError::MissingField {
+            verb: self.verb.to_string(),
+            field,
+        })
+    }
+
+    /// The endpoint's load report; empty if there is none.
+    pub(crate) fn load(&self) -> LoadReport {
+        self.stats.as_ref().map(Stats::load).unwrap_or_default()
+    }
+}
+
+/// A load report.
 #[derive(Deserialize)]
 pub(crate) struct Stats {
     active: Option<f64>,
@@ -53,7 +94,7 @@
 }
 
 impl Stats {
-    pub(crate) fn load(&self) -> LoadReport {
+    fn load(&self) -> LoadReport {
         LoadReport {
             in_flight: self.active,
             queued: self.waiting,
@@ -63,6 +104,7 @@
     }
 }
 
+/// An endpoint of a list.
 #[derive(Deserialize)]
 pub(crate) struct Element {
     #[serde(default)]
@@ -80,16 +122,20 @@
 }
 
 impl Element {
-    pub(crate) fn entry(&self) -> Result<EndpointEntry, String> {
-        let state = match self.state {
+    /// Its entry, as the decisions take it.
+    pub(crate) fn entry(&self) -> Result<EndpointEntry, AdapterError> {
+        let status = match self.state {
             0 => EndpointStatus::Draining,
             1 => EndpointStatus::Ready,
             2 => EndpointStatus::Removed,
-            other => return Err(format!("host {} in unknown state {other}", self.host)),
+            state => {
+                let host = self.host;
+                return Err(AdapterError::UnknownStatus { host, state });
+            }
         };
         Ok(EndpointEntry {
             endpoint: EndpointId(self.host),
-            status: state,
+            status,
             zone: settings::zone_id(&self.az),
             cell: CellId(self.cohort),
             kind: settings::kind_id(&self.shape),
@@ -99,6 +145,7 @@
     }
 }
 
+/// How an attempt or a probe ended. What is not known may have been executed.
 pub(crate) fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
@@ -113,11 +160,13 @@
     }
 }
 
+/// One line of output: what is to be done, in this order.
 #[derive(Serialize)]
 pub(crate) struct Reply {
     pub cmds: Vec<Command>,
 }
 
+/// Something that is to be done for an instance.
 #[derive(Serialize)]
 #[serde(tag = "verb", rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum Command {
