--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -43,7 +43,7 @@
             .map(|c| Rc::clone(&c.client));
         if client.is_some_and(|client| !client.is_connected()) {
             // The HTTP library may not have noticed: it stops looking once it has buffered bytes behind the request.
-            self.gone(call);
+            self.client_disconnected(call);
             return false;
         }
         let mut core = self.core.borrow_mut();
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes on a request. `None`: as many calls are open as the settings allow.
-    pub fn request(
+    pub fn start_call(
         &self,
         intake: Intake,
         request: Request,
@@ -136,7 +136,7 @@
     }
 
     /// The client of this call has gone. Its attempts are cancelled whatever the balancer decides.
-    pub fn gone(&self, call: CallId) {
+    pub fn client_disconnected(&self, call: CallId) {
         let open = self
             .core
             .borrow()
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -101,7 +101,7 @@
         (driver.open_calls(), driver.core.borrow().calls.len()),
         (0, 0)
     );
-    driver.gone(call);
+    driver.client_disconnected(call);
     assert_eq!(driver.open_calls(), 0, "a second end changes nothing");
 }
 
@@ -229,9 +229,9 @@
         terms: CallPolicy::default(),
     };
     let held: Vec<_> = (0..9)
-        .map(|_| driver.request(intake(), request()).expect("room"))
+        .map(|_| driver.start_call(intake(), request()).expect("room"))
         .collect();
-    assert!(driver.request(intake(), request()).is_none());
-    driver.gone(held[3].0);
-    assert!(driver.request(intake(), request()).is_some());
+    assert!(driver.start_call(intake(), request()).is_none());
+    driver.client_disconnected(held[3].0);
+    assert!(driver.start_call(intake(), request()).is_some());
 }
--- a/crates/proxy/src/net/front.rs
+++ b/crates/proxy/src/net/front.rs
@@ -1,7 +1,7 @@
 //! The client side: reads requests, hands them to the driver and writes the one final answer.
 
 use super::admission_gate::AdmissionGate;
-use super::clients::{Clients, Noted, Seat, UNASKED};
+use super::clients::{ClientConnection, ClientConnections, ObservedStream, REQUEST_TIMEOUT};
 use super::driver::{Answer, Driver, Intake};
 use super::rules::{Admitted, Rejection, Rules};
 use super::socket::{Listener, Stream};
@@ -32,29 +32,29 @@
 use tracing::debug;
 
 /// Most bytes of a request's head.
-const HEAD_MOST: usize = 32 * 1024;
+const MAX_HEAD_LEN: usize = 32 * 1024;
 /// At a stop, connections are accepted for at least this long, and until none has come for a while.
-const STOP_ACCEPT: Duration = Duration::from_millis(450);
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(450);
 /// ... and without an open call for this long, what is still connected has nothing to come.
-const QUIET: Duration = Duration::from_millis(100);
+const SHUTDOWN_QUIET_TIME: Duration = Duration::from_millis(100);
 /// From a stop on, requests that are still coming in are waited for so long: no client counts on an answer to one that
 /// comes later (the protocol's figure).
-const STOP_HEADS: Duration = Duration::from_millis(700);
+const SHUTDOWN_REQUEST_TIME: Duration = Duration::from_millis(700);
 /// How often a connection that is to go is looked at, if something of a request is on it.
-const LEAVE: Duration = Duration::from_millis(100);
+const CLOSE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a client may take over closing a connection that has been closed on this side.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause of accepting when the system has no descriptor left, or all places are taken.
-const SHORT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Once the program stops: until when requests that are still coming in are waited for.
-type Closing = Option<Instant>;
+type ShutdownDeadline = Option<Instant>;
 
-pub struct Front {
+pub struct Server {
     pub driver: Driver,
     pub pool: Rc<ConnectionPool>,
     pub descriptors: Rc<Descriptors>,
-    pub clients: Clients,
+    pub clients: ClientConnections,
     /// How requests are read; replaced whole.
     pub rules: RefCell<Rc<Rules>>,
     /// Where the policy is the fleet's: what may begin, and by which rules. They stand in for `rules`.
@@ -64,18 +64,18 @@
     /// Bytes of bodies that may be held.
     pub memory_budget: Rc<MemoryBudget>,
     /// Ids of the requests that are open.
-    pub open: RefCell<HashSet<HeaderValue>>,
+    pub in_flight_ids: RefCell<HashSet<HeaderValue>>,
     /// When to come back, where the module gives no advice; 0: none is given.
-    pub advice: Cell<Micros>,
+    pub default_retry_after: Cell<Micros>,
     /// Connections of clients that are served. They must leave descriptors for the way to the hosts: else a
     /// crowd of clients would be taken and none of them served. The machine lets clients hold a third of the
     /// descriptors at most: with idle ones beyond that, those that ask would find no connection.
-    pub most: usize,
+    pub max_connections: usize,
     /// Further ones that are taken to be refused and closed.
-    pub beyond: usize,
+    pub max_excess_connections: usize,
 }
 
-impl Front {
+impl Server {
     /// Serves clients until `stop` resolves, then finishes what is taken.
     pub async fn serve(self: Rc<Self>, listener: Rc<dyn Listener>, stop: impl Future<Output = ()>) {
         let (closing, closed) = watch::channel(None);
@@ -90,9 +90,9 @@
             };
             // With no place left, clients wait in the listener's queue: those refused leave soon, and so does one that is
             // evicted.
-            let room = self.clients.count() < self.most + self.beyond;
-            if !room && self.clients.evicted() == 0 {
-                self.clients.evict(self.driver.clock().now());
+            let room = self.clients.count() < self.max_connections + self.max_excess_connections;
+            if !room && self.clients.evicting() == 0 {
+                self.clients.evict_idle(self.driver.clock().now());
             }
             tokio::select! {
                 // A crowd of clients must not keep the stop from being heard, nor a stop clients from being taken.
@@ -101,15 +101,15 @@
                     // From now on each answer closes its connection, and idle ones close at once, but for those on
                     // which nothing was asked yet. New ones are still taken: clients move over before the listener goes.
                     let now = Instant::now();
-                    end = Some(now + STOP_ACCEPT);
-                    let _ = closing.send(Some(now + STOP_HEADS));
+                    end = Some(now + SHUTDOWN_ACCEPT_TIME);
+                    let _ = closing.send(Some(now + SHUTDOWN_REQUEST_TIME));
                 }
                 accepted = poll_fn(|cx| listener.poll_accept(cx)), if room => match accepted {
-                    Ok(stream) => self.accepted(stream, closed.clone()),
-                    Err(fault) => self.short_of_sockets(&fault).await,
+                    Ok(stream) => self.spawn_connection(stream, closed.clone()),
+                    Err(fault) => self.handle_accept_error(&fault).await,
                 },
-                () = self.clients.left(), if !room => {}
-                () = tokio::time::sleep(SHORT_PAUSE), if !room => {}
+                () = self.clients.connection_closed(), if !room => {}
+                () = tokio::time::sleep(ACCEPT_PAUSE), if !room => {}
                 () = late => break,
             }
         }
@@ -119,9 +119,9 @@
         // the kill.
         let mut since = Instant::now();
         let heads = closed.borrow().unwrap_or(since);
-        while self.clients.count() > 0 && since.elapsed() < QUIET {
-            tokio::time::sleep(QUIET / 10).await;
-            if self.clients.busy(Instant::now() < heads) {
+        while self.clients.count() > 0 && since.elapsed() < SHUTDOWN_QUIET_TIME {
+            tokio::time::sleep(SHUTDOWN_QUIET_TIME / 10).await;
+            if self.clients.has_pending(Instant::now() < heads) {
                 since = Instant::now();
             }
         }
@@ -132,20 +132,20 @@
     async fn accept_queued(
         self: &Rc<Self>,
         listener: &dyn Listener,
-        closed: &watch::Receiver<Closing>,
+        closed: &watch::Receiver<ShutdownDeadline>,
     ) {
         tokio::task::yield_now().await;
-        while self.clients.count() < self.most + self.beyond {
+        while self.clients.count() < self.max_connections + self.max_excess_connections {
             let accepted = poll_fn(|cx| Poll::Ready(listener.poll_accept(cx))).await;
             let Poll::Ready(Ok(stream)) = accepted else {
                 return;
             };
-            self.accepted(stream, closed.clone());
+            self.spawn_connection(stream, closed.clone());
         }
     }
 
     /// Running out of descriptors must not end the program: idle connections go first.
-    async fn short_of_sockets(&self, fault: &io::Error) {
+    async fn handle_accept_error(&self, fault: &io::Error) {
         tracing::warn!("a client's connection could not be taken: {fault}");
         let aborted = [
             io::ErrorKind::ConnectionAborted,
@@ -154,85 +154,89 @@
         if aborted.contains(&fault.kind()) || self.pool.evict_idle() {
             return;
         }
-        if self.clients.evicted() == 0 {
-            self.clients.evict(self.driver.clock().now());
+        if self.clients.evicting() == 0 {
+            self.clients.evict_idle(self.driver.clock().now());
         }
         // It has its descriptor until its task has ended it; to ask at once would have all others evicted as well.
-        let _ = tokio::time::timeout(SHORT_PAUSE, self.clients.left()).await;
+        let _ = tokio::time::timeout(ACCEPT_PAUSE, self.clients.connection_closed()).await;
     }
 
-    fn accepted(self: &Rc<Self>, stream: Rc<dyn Stream>, closing: watch::Receiver<Closing>) {
+    fn spawn_connection(
+        self: &Rc<Self>,
+        stream: Rc<dyn Stream>,
+        closing: watch::Receiver<ShutdownDeadline>,
+    ) {
         let clock = self.driver.clock();
-        let staying = self.clients.count() - self.clients.evicted();
-        let full = staying >= self.most && !self.clients.evict(clock.now());
+        let staying = self.clients.count() - self.clients.evicting();
+        let full = staying >= self.max_connections && !self.clients.evict_idle(clock.now());
         let descriptor = self.descriptors.acquire().or_else(|| {
             self.pool.evict_idle();
             self.descriptors.acquire()
         });
-        let crowded = full || descriptor.is_none();
-        let seat = self.clients.enter(stream, descriptor, clock);
-        debug!(target: CLIENTS, seat = seat.number(), count = self.clients.count(), crowded, "connected");
-        tokio::task::spawn_local(Rc::clone(self).connection(seat, closing, crowded));
+        let over_capacity = full || descriptor.is_none();
+        let client = self.clients.register(stream, descriptor, clock);
+        debug!(target: CLIENTS, seat = client.id(), count = self.clients.count(), crowded = over_capacity, "connected");
+        tokio::task::spawn_local(Rc::clone(self).serve_connection(client, closing, over_capacity));
     }
 
-    async fn connection(
+    async fn serve_connection(
         self: Rc<Self>,
-        seat: Rc<Seat>,
-        closing: watch::Receiver<Closing>,
-        crowded: bool,
+        client: Rc<ClientConnection>,
+        closing: watch::Receiver<ShutdownDeadline>,
+        over_capacity: bool,
     ) {
         let service = service_fn(|request| {
-            let (front, seat) = (Rc::clone(&self), Rc::clone(&seat));
+            let (server, client) = (Rc::clone(&self), Rc::clone(&client));
             async move {
-                let since = seat.opened();
+                let since = client.start_request();
                 let id = request
                     .headers()
                     .get("x-request-id")
                     .and_then(|v| v.to_str().ok())
                     .unwrap_or_default();
-                debug!(target: CLIENTS, seat = seat.number(), request = id, crowded, since, "asked");
-                let mut response = if crowded {
-                    front.refused(0)
+                debug!(target: CLIENTS, seat = client.id(), request = id, crowded = over_capacity, since, "asked");
+                let mut response = if over_capacity {
+                    server.shed(0)
                 } else {
-                    front.request(request, &seat, since).await
+                    server.handle_request(request, &client, since).await
                 };
-                debug!(target: CLIENTS, seat = seat.number(), status = response.status().as_u16(), "answered");
+                debug!(target: CLIENTS, seat = client.id(), status = response.status().as_u16(), "answered");
                 // What came before the answer belongs to no request that a client of ours would send.
-                if crowded || seat.is_last() || seat.surplus() {
-                    close(&mut response);
+                if over_capacity || client.closes_after_response() || client.has_excess_data() {
+                    set_connection_close(&mut response);
                 }
-                seat.answered();
+                client.response_ready();
                 Ok::<_, Infallible>(response)
             }
         });
         let connection = http1::Builder::new()
             // Overdue heads are looked for here, for all connections at once.
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST)
-            .keep_alive(!crowded && closing.borrow().is_none())
-            .serve_connection(TokioIo::new(Noted::new(&seat)), service);
-        self.until_closed(connection, &seat, closing).await;
+            .max_buf_size(MAX_HEAD_LEN)
+            .keep_alive(!over_capacity && closing.borrow().is_none())
+            .serve_connection(TokioIo::new(ObservedStream::new(&client)), service);
+        self.drive_connection(connection, &client, closing).await;
         // One that must go at once only drops what has come.
-        let most = if seat.is_evicted() {
+        let most = if client.is_evicted() {
             Duration::ZERO
         } else {
-            LINGER
+            LINGER_TIMEOUT
         };
         tokio::select! {
-            _ = tokio::time::timeout(most, seat.linger()) => {}
-            () = seat.leaves() => {}
+            _ = tokio::time::timeout(most, client.linger()) => {}
+            () = client.close_requested() => {}
         }
-        debug!(target: CLIENTS, seat = seat.number(), "left");
-        self.clients.leave(&seat);
+        debug!(target: CLIENTS, seat = client.id(), "left");
+        self.clients.unregister(&client);
     }
 
     /// Drives a connection to its end. It is closed between requests only if nothing of a request is on it, neither read
     /// nor still with the system; else its next answer is its last.
-    async fn until_closed<S>(
+    async fn drive_connection<S>(
         &self,
-        connection: http1::Connection<TokioIo<Noted>, S>,
-        seat: &Seat,
-        mut closing: watch::Receiver<Closing>,
+        connection: http1::Connection<TokioIo<ObservedStream>, S>,
+        client: &ClientConnection,
+        mut closing: watch::Receiver<ShutdownDeadline>,
     ) where
         S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
     {
@@ -250,42 +254,42 @@
                 biased;
                 // How a client's connection ends concerns nobody: its calls are dropped with it.
                 _ = connection.as_mut() => return,
-                () = seat.leaves() => {
-                    debug!(target: CLIENTS, seat = seat.number(), "is to leave");
-                    if !seat.rests() {
-                        self.clients.stays(seat);
+                () = client.close_requested() => {
+                    debug!(target: CLIENTS, seat = client.id(), "is to leave");
+                    if !client.is_idle() {
+                        self.clients.cancel_eviction(client);
                     }
-                    look = Some(Instant::now() + LEAVE);
+                    look = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
                 }
                 // What came in the moment in which it was to leave is answered first.
                 () = late => {
-                    if !seat.owes() {
+                    if !client.owes_response() {
                         return;
                     }
-                    look = Some(Instant::now() + LEAVE);
+                    look = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
                     continue;
                 }
                 _ = closing.changed(), if !told => {
                     told = true;
                     look = look.or(*closing.borrow());
                     // Its client has just connected, and is about to ask.
-                    if seat.is_unasked() {
-                        seat.set_last();
+                    if client.awaits_first_request() {
+                        client.set_close_after_response();
                         continue;
                     }
                 }
             }
-            seat.set_last();
-            if seat.rests() {
+            client.set_close_after_response();
+            if client.is_idle() {
                 connection.as_mut().graceful_shutdown();
             }
         }
     }
 
-    async fn request(
+    async fn handle_request(
         &self,
         request: hyper::Request<Incoming>,
-        seat: &Rc<Seat>,
+        client: &Rc<ClientConnection>,
         since: Micros,
     ) -> Response<Full<Bytes>> {
         let clock = self.driver.clock();
@@ -301,7 +305,7 @@
                     let plain = (!body.is_end_stream()).then(|| parts.clone());
                     (rules, Some((gate, stamp, plain)))
                 }
-                Err(_) => return self.refused(0),
+                Err(_) => return self.shed(0),
             },
         };
         let Admitted {
@@ -313,23 +317,23 @@
             max_body_len,
             mut terms,
             mut options,
-        } = match rules.admit(&mut parts, seat.client()) {
+        } = match rules.admit(&mut parts, client.peer()) {
             Ok(admitted) => admitted,
-            Err(turned) => return self.turned(turned),
+            Err(rejection) => return self.rejection(rejection),
         };
-        let _open = match id.map(|id| Open::enter(&self.open, id)) {
+        let _in_flight = match id.map(|id| InFlightGuard::enter(&self.in_flight_ids, id)) {
             Some(None) => {
-                return bad(
+                return bad_request(
                     StatusCode::CONFLICT,
                     "a request with this X-Request-ID is open",
                 )
             }
             entered => entered,
         };
-        let Some(_held) = self.memory_budget.reserve(length.unwrap_or(max_body_len)) else {
-            return self.refused(0);
+        let Some(_reservation) = self.memory_budget.reserve(length.unwrap_or(max_body_len)) else {
+            return self.shed(0);
         };
-        let late = clock.instant(since.saturating_add(UNASKED));
+        let late = clock.instant(since.saturating_add(REQUEST_TIMEOUT));
         let body = if body.is_end_stream() {
             Ok(Ok(Bytes::new()))
         } else {
@@ -341,16 +345,18 @@
         let body = match body {
             Ok(Ok(body)) => body,
             Ok(Err(fault)) if fault.is::<LengthLimitError>() => {
-                return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+                return bad_request(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+            }
+            Ok(Err(_)) => return bad_request(StatusCode::BAD_REQUEST, "broken body"),
+            Err(_) => {
+                return bad_request(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")
             }
-            Ok(Err(_)) => return bad(StatusCode::BAD_REQUEST, "broken body"),
-            Err(_) => return bad(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         };
         if let Some(length) = length.filter(|_| !self.plain_http) {
             // Plain HTTP lets a client send its next request ahead.
-            seat.whole(length);
-            if seat.surplus() {
-                return bad(StatusCode::BAD_REQUEST, "more bytes than the request has");
+            client.body_complete(length);
+            if client.has_excess_data() {
+                return bad_request(StatusCode::BAD_REQUEST, "more bytes than the request has");
             }
         }
         let resent = parts
@@ -363,22 +369,22 @@
             while !gate.confirm(stamp, &parts.headers) {
                 // The body took its time, and something else holds by now.
                 let (Ok((rules, newer)), Some(plain)) = (gate.admit(), &plain) else {
-                    return self.refused(0);
+                    return self.shed(0);
                 };
                 parts = plain.clone();
-                let admitted = match rules.admit(&mut parts, seat.client()) {
+                let admitted = match rules.admit(&mut parts, client.peer()) {
                     Ok(admitted) if admitted.max_body_len < body.len() => {
-                        return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+                        return bad_request(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
                     }
                     Ok(admitted) => admitted,
-                    Err(turned) => return self.turned(turned),
+                    Err(rejection) => return self.rejection(rejection),
                 };
                 (class, tenant, time) = (admitted.class, admitted.tenant, admitted.time);
                 (terms, options, stamp) = (admitted.terms, admitted.options, newer);
                 now = clock.now();
             }
         }
-        let client: Rc<dyn Client> = Rc::<Seat>::clone(seat);
+        let client: Rc<dyn Client> = Rc::<ClientConnection>::clone(client);
         let intake = Intake {
             client,
             class,
@@ -399,29 +405,31 @@
             body,
             options,
         };
-        let Some((call, answer)) = self.driver.request(intake, request) else {
-            return self.refused(0);
+        let Some((call, answer)) = self.driver.start_call(intake, request) else {
+            return self.shed(0);
         };
-        let _gone = Gone {
+        let _disconnect_guard = DisconnectGuard {
             driver: &self.driver,
             call,
         };
         match answer.await {
-            Ok(Answer::Served(response)) => self.reply(response),
-            Ok(Answer::Refused { retry_after }) => self.refused(retry_after),
+            Ok(Answer::Served(response)) => self.forward(response),
+            Ok(Answer::Refused { retry_after }) => self.shed(retry_after),
             // To a client these two mean that trying again is harmless, which no failure promises.
             Ok(Answer::Failed(Some(response)))
                 if ![429, 503].contains(&response.status.as_u16()) =>
             {
-                self.reply(response)
+                self.forward(response)
+            }
+            Ok(Answer::Failed(_)) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(Answer::Overdue) | Err(_) => {
+                plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
-            Ok(Answer::Failed(_)) => plain(StatusCode::BAD_GATEWAY, "failed"),
-            Ok(Answer::Overdue) | Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
         }
     }
 
     /// What a host answered, in the client's framing.
-    fn reply(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
+    fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
         let UpstreamResponse {
             status,
             mut headers,
@@ -449,11 +457,11 @@
 
     /// Whether calls are taken, and under which policy.
     fn health(&self) -> Response<Full<Bytes>> {
-        let told = match &self.gate {
-            None => return plain(StatusCode::OK, "ok"),
+        let health = match &self.gate {
+            None => return plain_response(StatusCode::OK, "ok"),
             Some(gate) => gate.health(),
         };
-        let (status, text) = match told {
+        let (status, text) = match health {
             Ok(text) => (StatusCode::OK, text),
             Err(text) => (StatusCode::SERVICE_UNAVAILABLE, text),
         };
@@ -462,24 +470,24 @@
         response
     }
 
-    fn turned(&self, turned: Rejection) -> Response<Full<Bytes>> {
-        if turned.retryable {
-            debug!(target: CLIENTS, why = &*turned.text, "turned away for now");
-            return self.refused(0);
+    fn rejection(&self, rejection: Rejection) -> Response<Full<Bytes>> {
+        if rejection.retryable {
+            debug!(target: CLIENTS, why = &*rejection.text, "turned away for now");
+            return self.shed(0);
         }
-        let mut response = Response::new(Full::from(turned.text));
-        *response.status_mut() = turned.status;
-        if turned.close {
-            close(&mut response);
+        let mut response = Response::new(Full::from(rejection.text));
+        *response.status_mut() = rejection.status;
+        if rejection.close {
+            set_connection_close(&mut response);
         }
         response
     }
 
     /// A refusal tells the client when to come back, in seconds.
-    fn refused(&self, retry_after: Micros) -> Response<Full<Bytes>> {
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    fn shed(&self, retry_after: Micros) -> Response<Full<Bytes>> {
+        let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
         let wait = if retry_after == 0 {
-            self.advice.get()
+            self.default_retry_after.get()
         } else {
             retry_after
         };
@@ -500,52 +508,52 @@
 }
 
 /// The id of a request while it is open.
-struct Open<'a> {
+struct InFlightGuard<'a> {
     all: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
-impl<'a> Open<'a> {
+impl<'a> InFlightGuard<'a> {
     /// None: it is open already.
     fn enter(all: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
         let new = all.borrow_mut().insert(id.clone());
         // Not made in vain: its drop would free the id of the first.
-        new.then(|| Open { all, id })
+        new.then(|| InFlightGuard { all, id })
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.all.borrow_mut().remove(&self.id);
     }
 }
 
 /// Tells the driver when the client goes before its answer: hyper drops the request's future then.
-struct Gone<'a> {
+struct DisconnectGuard<'a> {
     driver: &'a Driver,
     call: CallId,
 }
 
-impl Drop for Gone<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.driver.gone(self.call);
+        self.driver.client_disconnected(self.call);
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn plain_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(text));
     *response.status_mut() = status;
     response
 }
 
 /// What can't be used is turned away, and its connection closed: what follows on it may not be what it seems.
-fn bad(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    let mut response = plain(status, text);
-    close(&mut response);
+fn bad_request(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    let mut response = plain_response(status, text);
+    set_connection_close(&mut response);
     response
 }
 
-fn close(response: &mut Response<Full<Bytes>>) {
+fn set_connection_close(response: &mut Response<Full<Bytes>>) {
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -122,7 +122,7 @@
                 Fault::Mistakes(mistakes) => mistakes.line(),
                 Fault::Other(fault) => fault,
             })?;
-            *running.front.rules.borrow_mut() = Rc::new(rules);
+            *running.server.rules.borrow_mut() = Rc::new(rules);
         }
         running.follow(config.discovery);
         Ok(())
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -4,7 +4,7 @@
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::driver::Driver;
-use crate::net::front::Front;
+use crate::net::front::Server;
 use crate::policy_copy::{self, PolicyCopy};
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
@@ -121,10 +121,10 @@
 
     /// Begins to ask.
     pub(crate) fn start(self: &Rc<Self>, running: &Running) {
-        let (driver, front) = (running.driver.clone(), Rc::clone(&running.front));
+        let (driver, server) = (running.driver.clone(), Rc::clone(&running.server));
         let (asks, hears) = (Rc::clone(self), Rc::clone(self));
         let tasks = [
-            tokio::task::spawn_local(async move { asks.ask(driver, front).await }).abort_handle(),
+            tokio::task::spawn_local(async move { asks.ask(driver, server).await }).abort_handle(),
             tokio::task::spawn_local(async move { hears.hear().await }).abort_handle(),
         ];
         self.tasks.borrow_mut().extend(tasks);
@@ -157,7 +157,7 @@
         }
     }
 
-    async fn ask(&self, driver: Driver, front: Rc<Front>) {
+    async fn ask(&self, driver: Driver, server: Rc<Server>) {
         let mut client = self.client();
         let mut told = String::new();
         loop {
@@ -178,7 +178,7 @@
                 wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
             let ask = request::What::Ask(ask);
             let fault = match client.ask(&ask).await {
-                Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &front).err(),
+                Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &server).err(),
                 Ok(_) => Some("control answers oddly: no grant".to_owned()),
                 Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Evicted => {
                     self.gate.holder().borrow_mut().evict();
@@ -209,7 +209,7 @@
     }
 
     /// Takes what control lends. What fails leaves all as it is.
-    fn granted(&self, wire: &wire::Grant, driver: &Driver, front: &Front) -> Result<(), String> {
+    fn granted(&self, wire: &wire::Grant, driver: &Driver, server: &Server) -> Result<(), String> {
         let grant = wire
             .read()
             .ok_or("control answers oddly: a grant without a mode")?;
@@ -242,7 +242,7 @@
         match answered {
             GrantResult::Accepted { .. } => {
                 if fresh || self.set.get() != Some(grant.mode) {
-                    self.set(grant.mode, driver, front);
+                    self.set(grant.mode, driver, server);
                     info!("policy: {}", grant.mode);
                 }
             }
@@ -264,7 +264,7 @@
     }
 
     /// Sets the rules of a mode whose generations were read. From here on nothing fails.
-    fn set(&self, mode: Mode, driver: &Driver, front: &Front) {
+    fn set(&self, mode: Mode, driver: &Driver, server: &Server) {
         let mut read = self.read.borrow_mut();
         read.retain(|&g, _| g == mode.old || g == mode.new);
         let Some(combined) = self.combine(&mut read, driver) else {
@@ -281,7 +281,7 @@
             retry_after,
         } = combined;
         driver.reconfigure(settings, fresh, open_calls);
-        front.advice.set(retry_after);
+        server.default_retry_after.set(retry_after);
         let floor = floor_rules(&old);
         let Some(rules) = mode_rules(mode, old, new) else {
             return;
@@ -365,7 +365,7 @@
         *self.local.borrow_mut() = local;
         *self.read.borrow_mut() = anew;
         if let Some(mode) = self.set.get() {
-            self.set(mode, &running.driver, &running.front);
+            self.set(mode, &running.driver, &running.server);
         }
         Ok(())
     }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -1,11 +1,11 @@
 //! What both uses of the program share: listener, decisions, timers, signals, exit.
 
 use crate::net::admission_gate::AdmissionGate;
-use crate::net::clients::Clients;
+use crate::net::clients::ClientConnections;
 use crate::net::clock::Clock;
 use crate::net::discovery;
 use crate::net::driver::{Driver, Endpoint};
-use crate::net::front::Front;
+use crate::net::front::Server;
 use crate::net::peers;
 use crate::net::rules::Rules;
 use crate::net::socket::{Listener, Network, Tcp};
@@ -96,7 +96,7 @@
 /// What a reload may change of the running program.
 pub struct Running {
     pub driver: Driver,
-    pub front: Rc<Front>,
+    pub server: Rc<Server>,
     pub clock: Clock,
     discovery: watch::Sender<SocketAddr>,
 }
@@ -284,23 +284,23 @@
             (None, _) => std::future::pending().await,
         }
     }));
-    let front = Rc::new(Front {
+    let server = Rc::new(Server {
         driver: driver.clone(),
         pool: Rc::clone(&pool),
         descriptors,
-        clients: Clients::default(),
+        clients: ClientConnections::default(),
         rules: RefCell::new(Rc::new(setup.rules)),
         gate: setup.gate,
         plain_http: setup.plain_http,
         memory_budget: bytes,
-        open: RefCell::default(),
-        advice: Cell::new(setup.advice),
-        most: clients_borne(setup.descriptors),
-        beyond: (setup.descriptors / 40).max(2),
+        in_flight_ids: RefCell::default(),
+        default_retry_after: Cell::new(setup.advice),
+        max_connections: clients_borne(setup.descriptors),
+        max_excess_connections: (setup.descriptors / 40).max(2),
     });
     let running = Running {
         driver,
-        front: Rc::clone(&front),
+        server: Rc::clone(&server),
         clock,
         discovery: moved,
     };
@@ -315,19 +315,19 @@
     let sweep = async {
         loop {
             // Thousands of quiet proxies on one machine must not keep it awake.
-            let quiet = pool.has_no_idle() && front.clients.count() == 0;
+            let quiet = pool.has_no_idle() && server.clients.count() == 0;
             let next = if quiet { SWEEP_QUIET } else { SWEEP };
             running
                 .driver
                 .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
             tokio::time::sleep(next).await;
             pool.close_expired();
-            front.clients.sweep(clock.now());
+            server.clients.close_overdue(clock.now());
         }
     };
     let served = tokio::select! {
         biased;
-        () = Rc::clone(&front).serve(listener, stop) => Ok(()),
+        () = Rc::clone(&server).serve(listener, stop) => Ok(()),
         // Without these calls would stay unanswered: better a crash that is seen.
         ended = &mut timers.0 => Err(format!("the timers ended: {ended:?}")),
         ended = &mut watch.0 => Err(format!("discovery ended: {ended:?}")),
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -188,7 +188,7 @@
     setup.peers = peers;
     let reload = move |running: &Running| {
         let config = reread(&path)?;
-        let old = Rc::clone(&running.front.rules.borrow());
+        let old = Rc::clone(&running.server.rules.borrow());
         let Rules::Sidecar(old) = &*old else {
             return Err("this is no sidecar".to_owned());
         };
@@ -201,8 +201,11 @@
             .driver
             .reconfigure(settings, fresh, config.limits.open_calls);
         follow(&config, &mut known, running);
-        running.front.advice.set(config.limits.retry_after);
-        *running.front.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
+        running
+            .server
+            .default_retry_after
+            .set(config.limits.retry_after);
+        *running.server.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
             config,
             numbers,
             seed(),
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -299,7 +299,7 @@
         what: "a connection is closed on what still comes in after an early answer",
         play: "sockets",
         edits: &[
-            (CLIENTS, "while left > 0 {", "while left > LINGER_MOST {"),
+            (CLIENTS, "while left > 0 {", "while left > MAX_LINGER_LEN {"),
         ],
     },
     Defect {
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -463,7 +463,7 @@
                 |running| {
                     let parts = (
                         running.driver.clone(),
-                        Rc::clone(&running.front.descriptors),
+                        Rc::clone(&running.server.descriptors),
                     );
                     *shown.borrow_mut() = Some(parts);
                 },
