--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/client_connection/mod.rs
@@ -1,20 +1,27 @@
-//! The connections of clients: what each is about, and which may go when room is short. What passes on a
-//! connection is noted here, as the HTTP library tells of a request only when its whole head is in.
+//! The connections of clients: what each is doing, and which may be closed when descriptors are short. What passes on a
+//! connection is observed here, as hyper tells of a request only when its whole head is in.
+
+mod head_scan;
+mod observed_stream;
+mod registry;
+#[cfg(test)]
+mod tests;
+
+pub use observed_stream::ObservedStream;
+pub use registry::ClientConnections;
 
 use super::clock::Clock;
-use super::socket::{Socket, Stream};
+use super::socket::Stream;
 use super::upstream::Client;
 use super::Descriptor;
 use badgerramp_decisions::Micros;
+use head_scan::HeadScan;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::future::poll_fn;
 use std::io;
 use std::net::IpAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::io::ReadBuf;
 use tokio::sync::Notify;
 
 /// A connection that has never asked may be closed from then on when another wants its place: a client asks as
@@ -27,6 +34,8 @@
 /// Most bytes that are read ahead of the HTTP library, and of such as are worthless, to see whether their client has gone.
 const MAX_READ_AHEAD: usize = 32 * 1024;
 const MAX_DISCARDED: usize = 1 << 20;
+/// Most bytes that are read of what comes in after the last answer.
+const MAX_LINGER_LEN: usize = 64 * 1024;
 
 /// What a connection is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,34 +78,6 @@
     close_after_response: Cell<bool>,
 }
 
-/// Most bytes that are read of what comes in after the last answer.
-const MAX_LINGER_LEN: usize = 64 * 1024;
-
-/// How far the end of a head has come, as the HTTP library sees it: an empty line, which may lack its CR.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HeadScan {
-    /// Empty lines ahead of a head are skipped.
-    Before,
-    Line,
-    LineStart,
-    LineStartCr,
-    Complete,
-}
-
-impl HeadScan {
-    fn next(self, byte: u8) -> HeadScan {
-        match (self, byte) {
-            (HeadScan::Complete, _) | (HeadScan::LineStart | HeadScan::LineStartCr, b'\n') => {
-                HeadScan::Complete
-            }
-            (HeadScan::Before, b'\r' | b'\n') => HeadScan::Before,
-            (HeadScan::LineStart, b'\r') => HeadScan::LineStartCr,
-            (_, b'\n') => HeadScan::LineStart,
-            _ => HeadScan::Line,
-        }
-    }
-}
-
 impl ClientConnection {
     /// Resolves when the connection is to go.
     pub async fn close_requested(&self) {
@@ -286,196 +267,3 @@
         true
     }
 }
-
-/// All connections.
-#[derive(Default)]
-pub struct ClientConnections {
-    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next_id: Cell<u64>,
-    /// Those that were evicted and have not gone yet.
-    evicted: Cell<usize>,
-    closed: Notify,
-}
-
-impl ClientConnections {
-    /// All that are there, also those that are to go.
-    pub fn count(&self) -> usize {
-        self.connections.borrow().len()
-    }
-
-    /// Those that have been made to go and have not gone yet.
-    pub fn evicting(&self) -> usize {
-        self.evicted.get()
-    }
-
-    /// Is an answer owed to any, or does one wait for its client's close? Requests that are still coming in, and first
-    /// ones that may come, count if `heads` says so.
-    pub fn has_pending(&self, heads: bool) -> bool {
-        let busy = |connection: &Rc<ClientConnection>| match connection.phase.get() {
-            Phase::Closing => true,
-            Phase::InFlight | Phase::Responding => connection.owes_response(),
-            Phase::ReadingHead | Phase::Idle => {
-                heads && (connection.owes_response() || connection.awaits_first_request())
-            }
-        };
-        self.connections.borrow().values().any(busy)
-    }
-
-    /// Resolves when one has gone.
-    pub async fn connection_closed(&self) {
-        self.closed.notified().await;
-    }
-
-    /// Takes a connection in.
-    pub fn register(
-        &self,
-        stream: Rc<dyn Stream>,
-        descriptor: Option<Descriptor>,
-        clock: Clock,
-    ) -> Rc<ClientConnection> {
-        let id = self.next_id.replace(self.next_id.get() + 1);
-        let connection = Rc::new(ClientConnection {
-            id,
-            clock,
-            peer: stream.peer().unwrap_or(IpAddr::from([0, 0, 0, 0])),
-            stream,
-            descriptor: Cell::new(descriptor),
-            phase: Cell::new(Phase::Idle),
-            since: Cell::new(clock.now()),
-            has_requested: Cell::new(false),
-            head_scan: Cell::new(HeadScan::Before),
-            bytes_after_head: Cell::new(0),
-            body_len: Cell::new(u64::MAX),
-            read_ahead: RefCell::default(),
-            close_signal: Notify::new(),
-            close_pending: Cell::new(false),
-            evicted: Cell::new(false),
-            close_after_response: Cell::new(false),
-        });
-        self.connections
-            .borrow_mut()
-            .insert(id, Rc::clone(&connection));
-        connection
-    }
-
-    /// A connection has ended.
-    pub fn unregister(&self, connection: &ClientConnection) {
-        self.connections.borrow_mut().remove(&connection.id);
-        self.evicted
-            .set(self.evicted.get() - usize::from(connection.is_evicted()));
-        connection.descriptor.take();
-        self.closed.notify_one();
-    }
-
-    /// Has the connection go that has been idle longest, to make room. False if none may go.
-    pub fn evict_idle(&self, now: Micros) -> bool {
-        let connections = self.connections.borrow();
-        let longest = connections
-            .values()
-            .filter(|connection| connection.is_evictable(now))
-            .min_by_key(|connection| connection.since.get());
-        longest.inspect(|connection| {
-            connection.evicted.set(true);
-            self.evicted.set(self.evicted.get() + 1);
-            connection.request_close();
-        });
-        longest.is_some()
-    }
-
-    /// One that was to make room has had something come in: another has to go.
-    pub fn cancel_eviction(&self, connection: &ClientConnection) {
-        self.evicted
-            .set(self.evicted.get() - usize::from(connection.evicted.replace(false)));
-    }
-
-    /// Closes those that are overdue.
-    pub fn close_overdue(&self, now: Micros) {
-        self.connections
-            .borrow()
-            .values()
-            .filter(|connection| connection.is_overdue(now))
-            .for_each(|connection| connection.request_close());
-    }
-}
-
-/// The stream of a connection; what comes in on it is recorded at its connection.
-pub struct ObservedStream {
-    socket: Socket,
-    connection: Rc<ClientConnection>,
-}
-
-impl ObservedStream {
-    pub fn new(connection: &Rc<ClientConnection>) -> Self {
-        ObservedStream {
-            socket: Socket::new(&connection.stream),
-            connection: Rc::clone(connection),
-        }
-    }
-}
-
-impl AsyncRead for ObservedStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let mut read_ahead = self.connection.read_ahead.borrow_mut();
-        if !read_ahead.is_empty() {
-            let count = read_ahead.len().min(buf.remaining());
-            buf.put_slice(&read_ahead[..count]);
-            read_ahead.drain(..count);
-            return Poll::Ready(Ok(()));
-        }
-        drop(read_ahead);
-        let before = buf.filled().len();
-        let read = Pin::new(&mut self.socket).poll_read(cx, buf);
-        self.connection.observe(&buf.filled()[before..]);
-        read
-    }
-}
-
-impl AsyncWrite for ObservedStream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.socket).poll_write(cx, buf)
-    }
-
-    // The library comes here when it has nothing left to write.
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.connection.response_written();
-        Pin::new(&mut self.socket).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_shutdown(cx)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::HeadScan;
-
-    /// Bytes behind a request are told by where its head ends; a library that ends it elsewhere would see others.
-    #[test]
-    fn the_end_of_a_head_is_found_in_every_spelling() {
-        for (text, behind) in [
-            ("GET / HTTP/1.1\r\nA: b\r\n\r\nrest", 4),
-            ("\r\n\r\nGET / HTTP/1.1\r\n\r\n", 0),
-            ("GET / HTTP/1.1\nA: b\n\nxyz", 3),
-            ("GET / HTTP/1.1\r\nA: b\n\r\nx", 1),
-            ("GET / HTTP/1.1\r\nA: b\r\n", 0),
-            ("GET / HTTP/1.1\r\nA: b\r\n\r", 0),
-        ] {
-            let mut scan = HeadScan::Before;
-            let head = text.bytes().take_while(|&b| {
-                let going = scan != HeadScan::Complete;
-                scan = scan.next(b);
-                going
-            });
-            assert_eq!(text.len() - head.count(), behind, "{text:?}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/net/client_connection/observed_stream.rs
@@ -0,0 +1,65 @@
+//! The stream of a client's connection, as hyper uses it.
+
+use super::ClientConnection;
+use crate::net::socket::Socket;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+/// The stream of a connection; what comes in on it is recorded at its connection.
+pub struct ObservedStream {
+    socket: Socket,
+    connection: Rc<ClientConnection>,
+}
+
+impl ObservedStream {
+    pub fn new(connection: &Rc<ClientConnection>) -> Self {
+        ObservedStream {
+            socket: Socket::new(&connection.stream),
+            connection: Rc::clone(connection),
+        }
+    }
+}
+
+impl AsyncRead for ObservedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let mut read_ahead = self.connection.read_ahead.borrow_mut();
+        if !read_ahead.is_empty() {
+            let count = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..count]);
+            read_ahead.drain(..count);
+            return Poll::Ready(Ok(()));
+        }
+        drop(read_ahead);
+        let before = buf.filled().len();
+        let read = Pin::new(&mut self.socket).poll_read(cx, buf);
+        self.connection.observe(&buf.filled()[before..]);
+        read
+    }
+}
+
+impl AsyncWrite for ObservedStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.socket).poll_write(cx, buf)
+    }
+
+    // The library comes here when it has nothing left to write.
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.connection.response_written();
+        Pin::new(&mut self.socket).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(cx)
+    }
+}
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -1,15 +1,15 @@
 //! The program round the decisions: sockets, clock and timers. It decides nothing.
 
 pub mod admission_gate;
-pub mod clients;
+pub mod client_connection;
 pub mod clock;
 mod descriptors;
 pub mod discovery;
 pub mod driver;
-pub mod front;
 mod memory_budget;
 pub mod peers;
 pub mod rules;
+pub mod server;
 pub mod socket;
 pub mod upstream;
 
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -4,7 +4,7 @@
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::driver::Driver;
-use crate::net::front::Server;
+use crate::net::server::Server;
 use crate::policy_copy::{self, PolicyCopy};
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -1,13 +1,13 @@
 //! What both uses of the program share: listener, decisions, timers, signals, exit.
 
 use crate::net::admission_gate::AdmissionGate;
-use crate::net::clients::ClientConnections;
+use crate::net::client_connection::ClientConnections;
 use crate::net::clock::Clock;
 use crate::net::discovery;
 use crate::net::driver::{Driver, Endpoint};
-use crate::net::front::Server;
 use crate::net::peers;
 use crate::net::rules::Rules;
+use crate::net::server::Server;
 use crate::net::socket::{Listener, Network, Tcp};
 use crate::net::upstream::{ConnectionPool, IdleLimits};
 use crate::net::{Descriptors, MemoryBudget};
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -35,7 +35,7 @@
 const UPSTREAM_ATTEMPT: &str = "crates/proxy/src/net/upstream/attempt.rs";
 const UPSTREAM_BODY: &str = "crates/proxy/src/net/upstream/body.rs";
 const UPSTREAM_POOL: &str = "crates/proxy/src/net/upstream/pool.rs";
-const CLIENTS: &str = "crates/proxy/src/net/clients.rs";
+const CLIENT_CONNECTION: &str = "crates/proxy/src/net/client_connection/mod.rs";
 const DESCRIPTORS: &str = "crates/proxy/src/net/descriptors.rs";
 
 /// All defects.
@@ -299,7 +299,7 @@
         what: "a connection is closed on what still comes in after an early answer",
         play: "sockets",
         edits: &[
-            (CLIENTS, "while left > 0 {", "while left > MAX_LINGER_LEN {"),
+            (CLIENT_CONNECTION, "while left > 0 {", "while left > MAX_LINGER_LEN {"),
         ],
     },
     Defect {
