--- a/crates/proxy/src/net/client_connection/mod.rs
+++ b/crates/proxy/src/net/client_connection/mod.rs
@@ -79,6 +79,27 @@
 }
 
 impl ClientConnection {
+    fn new(id: u64, stream: Rc<dyn Stream>, descriptor: Option<Descriptor>, clock: Clock) -> Self {
+        ClientConnection {
+            id,
+            clock,
+            peer: stream.peer().unwrap_or(IpAddr::from([0, 0, 0, 0])),
+            stream,
+            descriptor: Cell::new(descriptor),
+            phase: Cell::new(Phase::Idle),
+            since: Cell::new(clock.now()),
+            has_requested: Cell::new(false),
+            head_scan: Cell::new(HeadScan::Before),
+            bytes_after_head: Cell::new(0),
+            body_len: Cell::new(u64::MAX),
+            read_ahead: RefCell::default(),
+            close_signal: Notify::new(),
+            close_pending: Cell::new(false),
+            evicted: Cell::new(false),
+            close_after_response: Cell::new(false),
+        }
+    }
+
     /// Resolves when the connection is to go.
     pub async fn close_requested(&self) {
         self.close_signal.notified().await;
--- a/crates/proxy/src/net/client_connection/registry.rs
+++ b/crates/proxy/src/net/client_connection/registry.rs
@@ -1,6 +1,5 @@
 //! All connections of clients, and which of them are closed when descriptors are short.
 
-use super::head_scan::HeadScan;
 use super::{ClientConnection, Phase};
 use crate::net::clock::Clock;
 use crate::net::socket::Stream;
@@ -8,7 +7,6 @@
 use badgerramp_decisions::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::IpAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -59,24 +57,7 @@
         clock: Clock,
     ) -> Rc<ClientConnection> {
         let id = self.next_id.replace(self.next_id.get() + 1);
-        let connection = Rc::new(ClientConnection {
-            id,
-            clock,
-            peer: stream.peer().unwrap_or(IpAddr::from([0, 0, 0, 0])),
-            stream,
-            descriptor: Cell::new(descriptor),
-            phase: Cell::new(Phase::Idle),
-            since: Cell::new(clock.now()),
-            has_requested: Cell::new(false),
-            head_scan: Cell::new(HeadScan::Before),
-            bytes_after_head: Cell::new(0),
-            body_len: Cell::new(u64::MAX),
-            read_ahead: RefCell::default(),
-            close_signal: Notify::new(),
-            close_pending: Cell::new(false),
-            evicted: Cell::new(false),
-            close_after_response: Cell::new(false),
-        });
+        let connection = Rc::new(ClientConnection::new(id, stream, descriptor, clock));
         self.connections
             .borrow_mut()
             .insert(id, Rc::clone(&connection));
