--- a/crates/proxy/src/net/server/guards.rs
+++ b/crates/proxy/src/net/server/guards.rs
@@ -6,17 +6,17 @@
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The id of a request while it is open.
+/// Holds the id of a request while it is in flight.
 pub(super) struct InFlightGuard<'a> {
     all: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> InFlightGuard<'a> {
-    /// None: it is open already.
+    /// `None` if a request with this id is in flight.
     pub(super) fn enter(all: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<Self> {
         let new = all.borrow_mut().insert(id.clone());
-        // Not made in vain: its drop would free the id of the first.
+        // Only then: dropping the guard would free the id of the first request.
         new.then(|| InFlightGuard { all, id })
     }
 }
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tells the driver when the client goes before its answer: hyper drops the request's future then.
+/// Notifies the driver when the client disconnects before its answer: hyper drops the request's future then.
 pub(super) struct DisconnectGuard<'a> {
     pub(super) driver: &'a Driver,
     pub(super) call: CallId,
--- a/crates/proxy/src/net/server/mod.rs
+++ b/crates/proxy/src/net/server/mod.rs
@@ -4,6 +4,7 @@
 mod connection;
 mod guards;
 mod request;
+mod request_error;
 mod response;
 
 use super::admission_gate::AdmissionGate;
--- a/crates/proxy/src/net/server/request.rs
+++ b/crates/proxy/src/net/server/request.rs
@@ -1,159 +1,193 @@
 //! One request of a client, from its head to its one final response.
 
 use super::guards::{DisconnectGuard, InFlightGuard};
-use super::response::{bad_request, plain_response};
+use super::request_error::RequestError;
 use super::Server;
+use crate::net::admission_gate::{AdmissionGate, Ticket};
 use crate::net::client_connection::{ClientConnection, REQUEST_TIMEOUT};
-use crate::net::driver::{Answer, Intake};
-use crate::net::rules::Admitted;
+use crate::net::driver::Intake;
+use crate::net::rules::{Admitted, Rules};
 use crate::net::upstream::{self, Client, Request};
 use badgerramp_decisions::Micros;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Collected, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::{Method, Response, StatusCode};
+use hyper::http::request::Parts;
+use hyper::{Method, Response};
 use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Path of the health check.
+const HEALTH_PATH: &str = "/_health";
+
+/// What a request was admitted under, where the policy is the fleet's.
+struct PendingTicket<'a> {
+    gate: &'a AdmissionGate,
+    ticket: Ticket,
+    /// The head as it came, to be admitted again. `None` for a request without a body: nothing can change before its
+    /// call starts.
+    original: Option<Parts>,
+}
 
 impl Server {
+    /// Handles one request. `since` is when its first byte came in.
     pub(super) async fn handle_request(
         &self,
         request: hyper::Request<Incoming>,
         client: &Rc<ClientConnection>,
         since: Micros,
     ) -> Response<Full<Bytes>> {
-        let clock = self.driver.clock();
-        let (mut parts, body) = request.into_parts();
-        if parts.uri.path() == "/_health" && matches!(parts.method, Method::GET | Method::HEAD) {
+        let (parts, body) = request.into_parts();
+        if parts.uri.path() == HEALTH_PATH && matches!(parts.method, Method::GET | Method::HEAD) {
             return self.health();
         }
-        let (rules, stamp) = match &self.gate {
-            None => (Rc::clone(&self.rules.borrow()), None),
-            Some(gate) => match gate.admit() {
-                Ok((rules, stamp)) => {
-                    // Without a body nothing can change before the call begins.
-                    let plain = (!body.is_end_stream()).then(|| parts.clone());
-                    (rules, Some((gate, stamp, plain)))
-                }
-                Err(_) => return self.shed(0),
-            },
-        };
-        let Admitted {
-            mut class,
-            mut tenant,
-            id,
-            mut time,
-            length,
-            max_body_len,
-            mut terms,
-            mut options,
-        } = match rules.admit(&mut parts, client.peer()) {
-            Ok(admitted) => admitted,
-            Err(rejection) => return self.rejection(rejection),
-        };
-        let _in_flight = match id.map(|id| InFlightGuard::enter(&self.in_flight_ids, id)) {
-            Some(None) => {
-                return bad_request(
-                    StatusCode::CONFLICT,
-                    "a request with this X-Request-ID is open",
-                )
-            }
-            entered => entered,
-        };
-        let Some(_reservation) = self.memory_budget.reserve(length.unwrap_or(max_body_len)) else {
-            return self.shed(0);
-        };
-        let late = clock.instant(since.saturating_add(REQUEST_TIMEOUT));
-        let body = if body.is_end_stream() {
-            Ok(Ok(Bytes::new()))
-        } else {
-            let body = Box::pin(Limited::new(body, max_body_len).collect());
-            tokio::time::timeout_at(late, body)
-                .await
-                .map(|read| read.map(Collected::to_bytes))
-        };
-        let body = match body {
-            Ok(Ok(body)) => body,
-            Ok(Err(fault)) if fault.is::<LengthLimitError>() => {
-                return bad_request(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-            }
-            Ok(Err(_)) => return bad_request(StatusCode::BAD_REQUEST, "broken body"),
-            Err(_) => {
-                return bad_request(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")
-            }
-        };
-        if let Some(length) = length.filter(|_| !self.plain_http) {
-            // Plain HTTP lets a client send its next request ahead.
-            client.body_complete(length);
-            if client.has_excess_data() {
-                return bad_request(StatusCode::BAD_REQUEST, "more bytes than the request has");
-            }
+        match self.forward_request(parts, body, client, since).await {
+            Ok(response) => response,
+            Err(error) => self.error_response(error),
         }
-        let resent = parts
+    }
+
+    /// Admits a request, reads its body, starts its call and waits for the final answer.
+    async fn forward_request(
+        &self,
+        mut parts: Parts,
+        body: Incoming,
+        client: &Rc<ClientConnection>,
+        since: Micros,
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
+        let (rules, ticket) = self.current_rules(&parts, &body)?;
+        let mut admitted = rules.admit(&mut parts, client.peer())?;
+        let _in_flight = match admitted.id.take() {
+            Some(id) => Some(
+                InFlightGuard::enter(&self.in_flight_ids, id).ok_or(RequestError::DuplicateId)?,
+            ),
+            None => None,
+        };
+        let reserved_len = admitted.length.unwrap_or(admitted.max_body_len);
+        let _reservation = self
+            .memory_budget
+            .reserve(reserved_len)
+            .ok_or(RequestError::Shed)?;
+        let clock = self.driver.clock();
+        let deadline = clock.instant(since.saturating_add(REQUEST_TIMEOUT));
+        let body = read_body(body, admitted.max_body_len, deadline).await?;
+        self.check_excess_data(&admitted, client)?;
+        let is_retry = parts
             .headers
             .get("x-retried")
             .is_some_and(|v| v.as_bytes() == b"1");
-        // Read before the lease is looked at: a process that is stopped in between finds its call's time over.
-        let mut now = clock.now();
-        if let Some((gate, mut stamp, plain)) = stamp {
-            while !gate.confirm(stamp, &parts.headers) {
-                // The body took its time, and something else holds by now.
-                let (Ok((rules, newer)), Some(plain)) = (gate.admit(), &plain) else {
-                    return self.shed(0);
-                };
-                parts = plain.clone();
-                let admitted = match rules.admit(&mut parts, client.peer()) {
-                    Ok(admitted) if admitted.max_body_len < body.len() => {
-                        return bad_request(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-                    }
-                    Ok(admitted) => admitted,
-                    Err(rejection) => return self.rejection(rejection),
-                };
-                (class, tenant, time) = (admitted.class, admitted.tenant, admitted.time);
-                (terms, options, stamp) = (admitted.terms, admitted.options, newer);
-                now = clock.now();
-            }
-        }
-        let client: Rc<dyn Client> = Rc::<ClientConnection>::clone(client);
+        let started = self.confirm(ticket, &mut parts, &mut admitted, body.len(), client)?;
+        let call_client: Rc<dyn Client> = Rc::<ClientConnection>::clone(client);
         let intake = Intake {
-            client,
-            class,
-            tenant,
-            deadline: now + time,
-            resent,
-            terms,
+            client: call_client,
+            class: admitted.class,
+            tenant: admitted.tenant,
+            deadline: started + admitted.time,
+            resent: is_retry,
+            terms: admitted.terms,
         };
-        let (method, uri, mut headers) = (parts.method, parts.uri, parts.headers);
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
-            upstream::strip_hop_by_hop(&mut headers);
+            upstream::strip_hop_by_hop(&mut parts.headers);
         }
         let request = Request {
-            method,
-            uri,
-            headers,
+            method: parts.method,
+            uri: parts.uri,
+            headers: parts.headers,
             body,
-            options,
-        };
-        let Some((call, answer)) = self.driver.start_call(intake, request) else {
-            return self.shed(0);
+            options: admitted.options,
         };
+        let (call, answer) = self
+            .driver
+            .start_call(intake, request)
+            .ok_or(RequestError::Shed)?;
         let _disconnect_guard = DisconnectGuard {
             driver: &self.driver,
             call,
         };
-        match answer.await {
-            Ok(Answer::Served(response)) => self.forward(response),
-            Ok(Answer::Refused { retry_after }) => self.shed(retry_after),
-            // To a client these two mean that trying again is harmless, which no failure promises.
-            Ok(Answer::Failed(Some(response)))
-                if ![429, 503].contains(&response.status.as_u16()) =>
-            {
-                self.forward(response)
+        Ok(self.answer_response(answer.await))
+    }
+
+    /// The rules for a request that arrives now, and what has to be confirmed before its call starts.
+    fn current_rules(
+        &self,
+        parts: &Parts,
+        body: &Incoming,
+    ) -> Result<(Rc<Rules>, Option<PendingTicket<'_>>), RequestError> {
+        let Some(gate) = &self.gate else {
+            return Ok((Rc::clone(&self.rules.borrow()), None));
+        };
+        let (rules, ticket) = gate.admit().map_err(|_| RequestError::Shed)?;
+        let pending = PendingTicket {
+            gate,
+            ticket,
+            original: (!body.is_end_stream()).then(|| parts.clone()),
+        };
+        Ok((rules, Some(pending)))
+    }
+
+    /// Fails if more has come in than the request. Plain HTTP lets a client send its next request ahead.
+    fn check_excess_data(
+        &self,
+        admitted: &Admitted,
+        client: &ClientConnection,
+    ) -> Result<(), RequestError> {
+        if let Some(length) = admitted.length.filter(|_| !self.plain_http) {
+            client.body_complete(length);
+            if client.has_excess_data() {
+                return Err(RequestError::ExcessData);
             }
-            Ok(Answer::Failed(_)) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
-            Ok(Answer::Overdue) | Err(_) => {
-                plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+        }
+        Ok(())
+    }
+
+    /// Confirms what the request was admitted under, or admits it again: its body took its time, and another policy may
+    /// be in force by now. Returns when the call starts.
+    fn confirm(
+        &self,
+        pending: Option<PendingTicket<'_>>,
+        parts: &mut Parts,
+        admitted: &mut Admitted,
+        body_len: usize,
+        client: &ClientConnection,
+    ) -> Result<Micros, RequestError> {
+        let clock = self.driver.clock();
+        // Read before the lease is looked at: a process that is stopped in between finds its call's time over.
+        let mut now = clock.now();
+        let Some(mut pending) = pending else {
+            return Ok(now);
+        };
+        while !pending.gate.confirm(pending.ticket, &parts.headers) {
+            let (Ok((rules, ticket)), Some(original)) = (pending.gate.admit(), &pending.original)
+            else {
+                return Err(RequestError::Shed);
+            };
+            *parts = original.clone();
+            *admitted = rules.admit(parts, client.peer())?;
+            if admitted.max_body_len < body_len {
+                return Err(RequestError::BodyTooLarge);
             }
+            pending.ticket = ticket;
+            now = clock.now();
         }
+        Ok(now)
+    }
+}
+
+/// Reads the body of a request until `deadline`.
+async fn read_body(
+    body: Incoming,
+    max_body_len: usize,
+    deadline: Instant,
+) -> Result<Bytes, RequestError> {
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    let body = Box::pin(Limited::new(body, max_body_len).collect());
+    match tokio::time::timeout_at(deadline, body).await {
+        Ok(Ok(body)) => Ok(Collected::to_bytes(body)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) => Err(RequestError::BodyBroken),
+        Err(_) => Err(RequestError::BodyTimeout),
     }
 }
--- a/crates/proxy/src/net/server/response.rs
+++ b/crates/proxy/src/net/server/response.rs
@@ -1,7 +1,9 @@
 //! Responses to clients.
 
+use super::request_error::RequestError;
 use super::Server;
 use crate::log::CLIENTS;
+use crate::net::driver::Answer;
 use crate::net::rules::Rejection;
 use crate::net::upstream::{self, UpstreamResponse};
 use badgerramp_decisions::Micros;
@@ -10,11 +12,42 @@
 use hyper::body::Body;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
+use tokio::sync::oneshot::error::RecvError;
 use tracing::debug;
 
 impl Server {
-    /// What a host answered, in the client's framing.
-    pub(super) fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
+    /// The response to a request that got no call.
+    pub(super) fn error_response(&self, error: RequestError) -> Response<Full<Bytes>> {
+        match error {
+            RequestError::Rejected(rejection) => self.rejection(rejection),
+            RequestError::Shed => self.shed(0),
+            error => bad_request(error.status(), error.to_string()),
+        }
+    }
+
+    /// The response for the final answer of a call.
+    pub(super) fn answer_response(
+        &self,
+        answer: Result<Answer, RecvError>,
+    ) -> Response<Full<Bytes>> {
+        match answer {
+            Ok(Answer::Served(response)) => self.forward(response),
+            Ok(Answer::Refused { retry_after }) => self.shed(retry_after),
+            // To a client these two statuses mean that a retry is harmless, which no failure promises.
+            Ok(Answer::Failed(Some(response)))
+                if ![429, 503].contains(&response.status.as_u16()) =>
+            {
+                self.forward(response)
+            }
+            Ok(Answer::Failed(_)) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(Answer::Overdue) | Err(_) => {
+                plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+            }
+        }
+    }
+
+    /// The response of an endpoint, in the client's framing.
+    fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
         let UpstreamResponse {
             status,
             mut headers,
@@ -29,7 +62,7 @@
             }
             return response;
         }
-        // An answer to HEAD tells the length that a GET would have; the library drops it where nothing may tell one.
+        // A response to HEAD has the length that a GET would have; hyper drops it where none is allowed.
         let length = headers.remove(header::CONTENT_LENGTH);
         upstream::strip_hop_by_hop_and_listed(&mut headers);
         if let Some(length) = length.filter(|_| response.body().is_end_stream()) {
@@ -40,7 +73,7 @@
         response
     }
 
-    /// Whether calls are taken, and under which policy.
+    /// The response to the health check: whether calls start, and under which policy.
     pub(super) fn health(&self) -> Response<Full<Bytes>> {
         let health = match &self.gate {
             None => return plain_response(StatusCode::OK, "ok"),
@@ -50,12 +83,11 @@
             Ok(text) => (StatusCode::OK, text),
             Err(text) => (StatusCode::SERVICE_UNAVAILABLE, text),
         };
-        let mut response = Response::new(Full::from(text));
-        *response.status_mut() = status;
-        response
+        plain_response(status, text)
     }
 
-    pub(super) fn rejection(&self, rejection: Rejection) -> Response<Full<Bytes>> {
+    /// The response to a request that the rules do not admit.
+    fn rejection(&self, rejection: Rejection) -> Response<Full<Bytes>> {
         if rejection.retryable {
             debug!(target: CLIENTS, why = &*rejection.text, "turned away for now");
             return self.shed(0);
@@ -68,7 +100,7 @@
         response
     }
 
-    /// A refusal tells the client when to come back, in seconds.
+    /// The rejection of a request that is not executed: it may be retried, after the time in `Retry-After`.
     pub(super) fn shed(&self, retry_after: Micros) -> Response<Full<Bytes>> {
         let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
         let wait = if retry_after == 0 {
@@ -77,7 +109,7 @@
             retry_after
         };
         if wait == 0 {
-            // The operator wants none.
+            // The operator wants no `Retry-After`.
             return response;
         }
         let seconds = if self.plain_http {
@@ -92,19 +124,20 @@
     }
 }
 
-pub(super) fn plain_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::from(text));
+fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// What can't be used is turned away, and its connection closed: what follows on it may not be what it seems.
-pub(super) fn bad_request(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+/// A final rejection that closes the connection: the bytes that follow may not be a request.
+fn bad_request(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = plain_response(status, text);
     set_connection_close(&mut response);
     response
 }
 
+/// Has the connection closed after this response.
 pub(super) fn set_connection_close(response: &mut Response<Full<Bytes>>) {
     response
         .headers_mut()
