--- a/crates/proxy/src/net/client_connection/mod.rs
+++ b/crates/proxy/src/net/client_connection/mod.rs
@@ -1,5 +1,11 @@
-//! The connections of clients: what each is doing, and which may be closed when descriptors are short. What passes on a
-//! connection is observed here, as hyper tells of a request only when its whole head is in.
+//! The connections of clients: what each is doing, and which may be closed when descriptors are short.
+//!
+//! The bytes on a connection are observed here, as hyper reports a request only when its whole head is in. This module
+//! owns the state of each connection; it reads no request and writes no response.
+//!
+//! - `head_scan`: the end of a request's head.
+//! - `observed_stream`: the stream that hyper reads and writes.
+//! - `registry`: all connections, eviction and time-outs.
 
 mod head_scan;
 mod observed_stream;
@@ -24,35 +30,36 @@
 use tokio::io::ReadBuf;
 use tokio::sync::Notify;
 
-/// A connection that has never asked may be closed from then on when another wants its place: a client asks as
-/// soon as it is connected.
+/// How long, in microseconds, a new connection without a request is kept from eviction: clients send their first
+/// request as soon as they are connected.
 const FIRST_REQUEST_GRACE: Micros = 100_000;
-/// A connection that has not asked by then is closed in any case, and so is a request that is not in.
+/// Time, in microseconds, for the first request of a connection, and for a request to come in completely.
 pub const REQUEST_TIMEOUT: Micros = 2_300_000;
-/// ... and one that nothing has passed on for this long, or whose client does not take its answer.
+/// Time, in microseconds, after which an idle connection is closed, and one whose client does not read its response.
 const IDLE_TIMEOUT: Micros = 60_000_000;
-/// Most bytes that are read ahead of the HTTP library, and of such as are worthless, to see whether their client has gone.
+/// Most bytes that are read ahead of hyper, to see whether the client is still connected.
 const MAX_READ_AHEAD: usize = 32 * 1024;
+/// Most bytes that are read and discarded for the same purpose.
 const MAX_DISCARDED: usize = 1 << 20;
-/// Most bytes that are read of what comes in after the last answer.
+/// Most bytes that are read after the last response.
 const MAX_LINGER_LEN: usize = 64 * 1024;
 
-/// What a connection is about.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No request is open.
+    /// No request is in flight.
     Idle,
-    /// The head of a request is coming in.
+    /// The head of a request is being received.
     ReadingHead,
-    /// A request is open: its body is coming in, or its answer is awaited.
+    /// A request is in flight: its body is being received, or its response is awaited.
     InFlight,
-    /// The answer is given and not yet written whole.
+    /// The response is known and not yet written completely.
     Responding,
-    /// No request is read any more.
+    /// Nothing more is written, and no further request is read.
     Closing,
 }
 
-/// One connection.
+/// One connection of a client.
 pub struct ClientConnection {
     id: u64,
     clock: Clock,
@@ -62,19 +69,21 @@
     phase: Cell<Phase>,
     /// When the phase began; for a first head, when the client connected.
     since: Cell<Micros>,
+    /// Whether a request has come in on it.
     has_requested: Cell<bool>,
     head_scan: Cell<HeadScan>,
-    /// Bytes that have come behind the head, and how many belong to the request.
+    /// Bytes received after the head.
     bytes_after_head: Cell<u64>,
+    /// How many of them belong to the request; `u64::MAX` while that is not known.
     body_len: Cell<u64>,
-    /// What came in behind the open request and was taken from the system before the HTTP library asked for it.
+    /// Bytes received after the request in flight and read from the socket before hyper asked for them.
     read_ahead: RefCell<Vec<u8>>,
     close_signal: Notify,
-    /// It is to go.
+    /// It has been asked to close.
     close_pending: Cell<bool>,
-    /// Its place is wanted.
+    /// It was asked to close so that another gets its descriptor.
     evicted: Cell<bool>,
-    /// The next answer on it is its last.
+    /// The next response closes it.
     close_after_response: Cell<bool>,
 }
 
@@ -100,12 +109,12 @@
         }
     }
 
-    /// Resolves when the connection is to go.
+    /// Resolves when the connection is to be closed.
     pub async fn close_requested(&self) {
         self.close_signal.notified().await;
     }
 
-    /// Its id, counted from the start; none returns.
+    /// Its id; ids are counted from the start and never reused.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -115,14 +124,15 @@
         self.peer
     }
 
-    /// The head of a request is in. Tells since when it has been coming.
+    /// Records that the head of a request is complete. Returns when its first byte came in; for the first request, when
+    /// the client connected.
     pub fn start_request(&self) -> Micros {
         self.phase.set(Phase::InFlight);
         self.has_requested.set(true);
         self.since.get()
     }
 
-    /// The answer is given.
+    /// Records that the response is known.
     pub fn response_ready(&self) {
         self.phase.set(Phase::Responding);
         self.since.set(self.clock.now());
@@ -131,20 +141,20 @@
         self.body_len.set(u64::MAX);
     }
 
-    /// The body of the open request is in.
+    /// Records that the body of the request in flight is complete.
     pub fn body_complete(&self, length: usize) {
         self.body_len.set(length as u64);
     }
 
-    /// Has more come than the open request?
+    /// Whether more bytes have come in than the request in flight has.
     pub fn has_excess_data(&self) -> bool {
         self.bytes_after_head.get() > self.body_len.get()
     }
 
-    /// The answer is written whole.
+    /// Records that the response is written completely.
     fn response_written(&self) {
         if self.phase.get() == Phase::Responding {
-            // What has come meanwhile belongs to the next request.
+            // What has come in meanwhile belongs to the next request.
             self.phase.set(if self.head_scan.get() == HeadScan::Before {
                 Phase::Idle
             } else {
@@ -154,31 +164,32 @@
         }
     }
 
-    /// The next answer is to close the connection.
+    /// Has the next response close the connection.
     pub fn set_close_after_response(&self) {
         self.close_after_response.set(true);
     }
 
-    /// Does the next answer close the connection?
+    /// Whether the next response closes the connection.
     pub fn closes_after_response(&self) -> bool {
         self.close_after_response.get()
     }
 
-    /// Is nothing of a request here, neither read nor still with the system? Only then may it be closed between requests.
+    /// Whether no byte of a request has come in, neither read nor still in the kernel. Only then may it be closed between
+    /// requests.
     pub fn is_idle(&self) -> bool {
         self.phase.get() == Phase::Idle
             && self.read_ahead.borrow().is_empty()
             && self.stream.quiet()
     }
 
-    /// Has it never been asked on? Its client has just connected, and its first request may be on its way.
+    /// Whether no request has come in yet: its client has just connected, and the first may be on its way.
     pub fn awaits_first_request(&self) -> bool {
         self.phase.get() == Phase::Idle && !self.has_requested.get()
     }
 
-    /// Is an answer owed, or still being taken, or a request on its way in that still has time to come?
+    /// Whether a response is due or still being written, or a request is being received and still within its time.
     pub fn owes_response(&self) -> bool {
-        let within = |most| self.since.get() + most > self.clock.now();
+        let within = |timeout| self.since.get() + timeout > self.clock.now();
         match self.phase.get() {
             Phase::InFlight => true,
             Phase::Responding => within(IDLE_TIMEOUT),
@@ -188,18 +199,18 @@
         }
     }
 
-    /// Is its place wanted, so that nobody waits for its client to close it?
+    /// Whether it is evicted: nobody waits for its client to close it then.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Writes no more, and reads what still comes in until the client has closed as well: a close with bytes unread breaks
-    /// the connection, and may take the answer with it before the client has read it (RFC 9112, 9.6). None of it is
-    /// looked at: what is read after this end can't be answered.
+    /// Shuts the write side down and discards what still comes in until the client has closed as well: a close with bytes
+    /// unread resets the connection, and the client may lose the response before it has read it (RFC 9112, 9.6).
     pub async fn linger(&self) {
         self.phase.set(Phase::Closing);
         self.stream.shutdown();
-        let (mut bytes, mut left) = ([0; 1024], MAX_LINGER_LEN);
+        let mut bytes = [0; 1024];
+        let mut left = MAX_LINGER_LEN;
         while left > 0 {
             let mut buf = ReadBuf::new(&mut bytes);
             let read = poll_fn(|cx| self.stream.poll_read(cx, &mut buf)).await;
@@ -210,6 +221,7 @@
         }
     }
 
+    /// Records bytes that have come in.
     fn observe(&self, bytes: &[u8]) {
         if self.phase.get() == Phase::Idle && !bytes.is_empty() {
             self.phase.set(Phase::ReadingHead);
@@ -217,7 +229,8 @@
                 self.since.set(self.clock.now());
             }
         }
-        let (mut scan, mut rest) = (self.head_scan.get(), bytes);
+        let mut scan = self.head_scan.get();
+        let mut rest = bytes;
         while let (false, Some((&byte, behind))) = (scan == HeadScan::Complete, rest.split_first())
         {
             (scan, rest) = (scan.next(byte), behind);
@@ -227,30 +240,32 @@
             .set(self.bytes_after_head.get() + rest.len() as u64);
     }
 
-    /// May it go, as another wants its place? Not if its request is on the way or its answer is. One that has its answer
-    /// may go at once, if none is idle longer: a crowd that asks once and stays would else keep out all who come.
+    /// Whether it may be closed in favour of another: not while a request is being received or answered. One that has had
+    /// its response may be closed at once: many clients that send one request and stay would otherwise keep out all
+    /// others.
     fn is_evictable(&self, now: Micros) -> bool {
-        let least = if self.has_requested.get() {
+        let grace = if self.has_requested.get() {
             0
         } else {
             FIRST_REQUEST_GRACE
         };
-        let idle = || self.since.get() + least <= now && self.is_idle();
+        let idle = || self.since.get() + grace <= now && self.is_idle();
         !self.close_pending.get() && (self.phase.get() == Phase::Closing || idle())
     }
 
+    /// Whether its time for a request, for its response or for being idle is over.
     fn is_overdue(&self, now: Micros) -> bool {
-        let most = match self.phase.get() {
+        let timeout = match self.phase.get() {
             Phase::Idle if self.has_requested.get() => IDLE_TIMEOUT,
             Phase::Responding => IDLE_TIMEOUT,
             Phase::Idle | Phase::ReadingHead => REQUEST_TIMEOUT,
             Phase::InFlight | Phase::Closing => return false,
         };
-        !self.close_pending.get() && self.since.get() + most <= now && self.stream.quiet()
+        !self.close_pending.get() && self.since.get() + timeout <= now && self.stream.quiet()
     }
 
-    /// Has it go at its task's next turn. Its place is free when it has gone, not before: else there would be more sockets
-    /// than are counted.
+    /// Asks its task to close it. Its descriptor is free once it is closed, not before: there would be more open sockets
+    /// than are counted otherwise.
     fn request_close(&self) {
         self.close_pending.set(true);
         self.close_signal.notify_one();
@@ -259,16 +274,18 @@
 
 impl Client for ClientConnection {
     fn is_connected(&self) -> bool {
-        let (mut bytes, mut taken) = ([0; 4096], 0);
-        // What comes behind a request whose length is known is worthless, as its answer closes the connection.
+        let mut bytes = [0; 4096];
+        let mut taken = 0;
+        // What follows a request of known length is discarded, as the response closes the connection.
         let discard = self.body_len.get() < u64::MAX;
-        while taken
-            < if discard {
+        let max_taken = |read_ahead: usize| {
+            if discard {
                 MAX_DISCARDED
             } else {
-                MAX_READ_AHEAD.saturating_sub(self.read_ahead.borrow().len())
+                MAX_READ_AHEAD.saturating_sub(read_ahead)
             }
-        {
+        };
+        while taken < max_taken(self.read_ahead.borrow().len()) {
             match self.stream.take(&mut bytes) {
                 Ok(0) => return false,
                 Ok(count) => {
@@ -280,8 +297,8 @@
                             .extend_from_slice(&bytes[..count]);
                     }
                 }
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => return true,
-                Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return true,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
--- a/crates/proxy/src/net/client_connection/observed_stream.rs
+++ b/crates/proxy/src/net/client_connection/observed_stream.rs
@@ -8,13 +8,14 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The stream of a connection; what comes in on it is recorded at its connection.
+/// The stream of a connection. What passes on it is recorded at its [`ClientConnection`].
 pub struct ObservedStream {
     socket: Socket,
     connection: Rc<ClientConnection>,
 }
 
 impl ObservedStream {
+    /// The stream of this connection.
     pub fn new(connection: &Rc<ClientConnection>) -> Self {
         ObservedStream {
             socket: Socket::new(&connection.stream),
@@ -53,7 +54,7 @@
         Pin::new(&mut self.socket).poll_write(cx, buf)
     }
 
-    // The library comes here when it has nothing left to write.
+    // hyper flushes when it has nothing left to write.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.response_written();
         Pin::new(&mut self.socket).poll_flush(cx)
--- a/crates/proxy/src/net/client_connection/registry.rs
+++ b/crates/proxy/src/net/client_connection/registry.rs
@@ -10,46 +10,46 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// All connections.
+/// All connections of clients.
 #[derive(Default)]
 pub struct ClientConnections {
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
-    /// Those that were evicted and have not gone yet.
+    /// How many are evicted and not closed yet.
     evicted: Cell<usize>,
     closed: Notify,
 }
 
 impl ClientConnections {
-    /// All that are there, also those that are to go.
+    /// The number of connections, including those that are about to close.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Those that have been made to go and have not gone yet.
+    /// The number of connections that are evicted and not closed yet.
     pub fn evicting(&self) -> usize {
         self.evicted.get()
     }
 
-    /// Is an answer owed to any, or does one wait for its client's close? Requests that are still coming in, and first
-    /// ones that may come, count if `heads` says so.
-    pub fn has_pending(&self, heads: bool) -> bool {
+    /// Whether any response is due, or any connection waits for its client to close it. With `incoming`, requests that are
+    /// still being received, and first ones that may come, count as well.
+    pub fn has_pending(&self, incoming: bool) -> bool {
         let busy = |connection: &Rc<ClientConnection>| match connection.phase.get() {
             Phase::Closing => true,
             Phase::InFlight | Phase::Responding => connection.owes_response(),
             Phase::ReadingHead | Phase::Idle => {
-                heads && (connection.owes_response() || connection.awaits_first_request())
+                incoming && (connection.owes_response() || connection.awaits_first_request())
             }
         };
         self.connections.borrow().values().any(busy)
     }
 
-    /// Resolves when one has gone.
+    /// Resolves when a connection has been closed.
     pub async fn connection_closed(&self) {
         self.closed.notified().await;
     }
 
-    /// Takes a connection in.
+    /// Adds a connection.
     pub fn register(
         &self,
         stream: Rc<dyn Stream>,
@@ -64,7 +64,7 @@
         connection
     }
 
-    /// A connection has ended.
+    /// Removes a connection and frees its descriptor.
     pub fn unregister(&self, connection: &ClientConnection) {
         self.connections.borrow_mut().remove(&connection.id);
         self.evicted
@@ -73,7 +73,7 @@
         self.closed.notify_one();
     }
 
-    /// Has the connection go that has been idle longest, to make room. False if none may go.
+    /// Evicts the connection that has been idle longest. Returns false if none may be closed.
     pub fn evict_idle(&self, now: Micros) -> bool {
         let connections = self.connections.borrow();
         let longest = connections
@@ -88,13 +88,13 @@
         longest.is_some()
     }
 
-    /// One that was to make room has had something come in: another has to go.
+    /// Keeps a connection that was evicted and on which something has come in meanwhile.
     pub fn cancel_eviction(&self, connection: &ClientConnection) {
         self.evicted
             .set(self.evicted.get() - usize::from(connection.evicted.replace(false)));
     }
 
-    /// Closes those that are overdue.
+    /// Closes connections whose time is over.
     pub fn close_overdue(&self, now: Micros) {
         self.connections
             .borrow()
--- a/crates/proxy/src/net/server/accept.rs
+++ b/crates/proxy/src/net/server/accept.rs
@@ -11,74 +11,75 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// At a stop, connections are accepted for at least this long, and until none has come for a while.
+/// During a shutdown, connections are accepted for this long, and then until the listener's queue is empty.
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(450);
-/// ... and without an open call for this long, what is still connected has nothing to come.
+/// A shutdown ends once no request has been in flight for this long: what is still connected has nothing to send.
 const SHUTDOWN_QUIET_TIME: Duration = Duration::from_millis(100);
-/// From a stop on, requests that are still coming in are waited for so long: no client counts on an answer to one that
-/// comes later (the protocol's figure).
+/// From the start of a shutdown, requests that are still being received are waited for this long: no client counts on a
+/// response to a later one (the figure is the protocol's).
 const SHUTDOWN_REQUEST_TIME: Duration = Duration::from_millis(700);
-/// Pause of accepting when the system has no descriptor left, or all places are taken.
+/// Pause of accepting when the system has no descriptor left, or at capacity.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 impl Server {
-    /// Serves clients until `stop` resolves, then finishes what is taken.
+    /// Serves clients until `stop` resolves, then drains: finishes what is in flight.
     pub async fn serve(self: Rc<Self>, listener: Rc<dyn Listener>, stop: impl Future<Output = ()>) {
-        let (closing, closed) = watch::channel(None);
+        let (shutdown_sender, shutdown) = watch::channel(None);
         let mut stop = pin!(stop);
-        let mut end: Option<Instant> = None;
+        let mut accept_until: Option<Instant> = None;
         loop {
-            let late = async move {
-                match end {
-                    Some(end) => tokio::time::sleep_until(end).await,
+            let accept_end = async move {
+                match accept_until {
+                    Some(accept_until) => tokio::time::sleep_until(accept_until).await,
                     None => std::future::pending().await,
                 }
             };
-            // With no place left, clients wait in the listener's queue: those refused leave soon, and so does one that is
-            // evicted.
-            let room = self.clients.count() < self.max_connections + self.max_excess_connections;
-            if !room && self.clients.evicting() == 0 {
+            // At capacity, clients wait in the listener's queue: rejected connections close soon, and so does an evicted
+            // one.
+            let has_capacity =
+                self.clients.count() < self.max_connections + self.max_excess_connections;
+            if !has_capacity && self.clients.evicting() == 0 {
                 self.clients.evict_idle(self.driver.clock().now());
             }
             tokio::select! {
-                // A crowd of clients must not keep the stop from being heard, nor a stop clients from being taken.
+                // Many clients must not keep the stop from being noticed, nor the stop clients from being accepted.
                 biased;
-                () = &mut stop, if end.is_none() => {
-                    // From now on each answer closes its connection, and idle ones close at once, but for those on
-                    // which nothing was asked yet. New ones are still taken: clients move over before the listener goes.
+                () = &mut stop, if accept_until.is_none() => {
+                    // From now on each response closes its connection, and idle ones close at once, except those that
+                    // await their first request. New ones are still accepted: clients migrate before the listener closes.
                     let now = Instant::now();
-                    end = Some(now + SHUTDOWN_ACCEPT_TIME);
-                    let _ = closing.send(Some(now + SHUTDOWN_REQUEST_TIME));
+                    accept_until = Some(now + SHUTDOWN_ACCEPT_TIME);
+                    let _ = shutdown_sender.send(Some(now + SHUTDOWN_REQUEST_TIME));
                 }
-                accepted = poll_fn(|cx| listener.poll_accept(cx)), if room => match accepted {
-                    Ok(stream) => self.spawn_connection(stream, closed.clone()),
-                    Err(fault) => self.handle_accept_error(&fault).await,
+                accepted = poll_fn(|cx| listener.poll_accept(cx)), if has_capacity => match accepted {
+                    Ok(stream) => self.spawn_connection(stream, shutdown.clone()),
+                    Err(error) => self.handle_accept_error(&error).await,
                 },
-                () = self.clients.connection_closed(), if !room => {}
-                () = tokio::time::sleep(ACCEPT_PAUSE), if !room => {}
-                () = late => break,
+                () = self.clients.connection_closed(), if !has_capacity => {}
+                () = tokio::time::sleep(ACCEPT_PAUSE), if !has_capacity => {}
+                () = accept_end => break,
             }
         }
-        self.accept_queued(&*listener, &closed).await;
+        self.accept_queued(&*listener, &shutdown).await;
         drop(listener);
-        // A connection with half a request on it does not end by itself, and must not hold the stop up until
-        // the kill.
-        let mut since = Instant::now();
-        let heads = closed.borrow().unwrap_or(since);
-        while self.clients.count() > 0 && since.elapsed() < SHUTDOWN_QUIET_TIME {
+        // A connection with an incomplete request does not end by itself, and must not delay the shutdown until the
+        // process is killed.
+        let mut busy_at = Instant::now();
+        let requests_until = shutdown.borrow().unwrap_or(busy_at);
+        while self.clients.count() > 0 && busy_at.elapsed() < SHUTDOWN_QUIET_TIME {
             tokio::time::sleep(SHUTDOWN_QUIET_TIME / 10).await;
-            if self.clients.has_pending(Instant::now() < heads) {
-                since = Instant::now();
+            if self.clients.has_pending(Instant::now() < requests_until) {
+                busy_at = Instant::now();
             }
         }
     }
 
-    /// Takes what waits in the listener's queue: the system would reset it as the listener goes. The runtime knows of it
-    /// only after its next look at all sockets.
+    /// Accepts what waits in the listener's queue: the system resets it when the listener is closed. The runtime knows of
+    /// it only after its next poll of all sockets.
     async fn accept_queued(
         self: &Rc<Self>,
         listener: &dyn Listener,
-        closed: &watch::Receiver<ShutdownDeadline>,
+        shutdown: &watch::Receiver<ShutdownDeadline>,
     ) {
         tokio::task::yield_now().await;
         while self.clients.count() < self.max_connections + self.max_excess_connections {
@@ -86,24 +87,24 @@
             let Poll::Ready(Ok(stream)) = accepted else {
                 return;
             };
-            self.spawn_connection(stream, closed.clone());
+            self.spawn_connection(stream, shutdown.clone());
         }
     }
 
-    /// Running out of descriptors must not end the program: idle connections go first.
-    async fn handle_accept_error(&self, fault: &io::Error) {
-        tracing::warn!("a client's connection could not be taken: {fault}");
+    /// Running out of descriptors must not end the program: idle connections are closed first.
+    async fn handle_accept_error(&self, error: &io::Error) {
+        tracing::warn!("a client's connection could not be taken: {error}");
         let aborted = [
             io::ErrorKind::ConnectionAborted,
             io::ErrorKind::ConnectionReset,
         ];
-        if aborted.contains(&fault.kind()) || self.pool.evict_idle() {
+        if aborted.contains(&error.kind()) || self.pool.evict_idle() {
             return;
         }
         if self.clients.evicting() == 0 {
             self.clients.evict_idle(self.driver.clock().now());
         }
-        // It has its descriptor until its task has ended it; to ask at once would have all others evicted as well.
+        // It keeps its descriptor until its task has closed it; accepting at once would evict all others as well.
         let _ = tokio::time::timeout(ACCEPT_PAUSE, self.clients.connection_closed()).await;
     }
 }
--- a/crates/proxy/src/net/server/connection.rs
+++ b/crates/proxy/src/net/server/connection.rs
@@ -21,34 +21,37 @@
 
 /// Most bytes of a request's head.
 const MAX_HEAD_LEN: usize = 32 * 1024;
-/// How often a connection that is to go is looked at, if something of a request is on it.
+/// How often a connection that is to be closed is checked again, if a request is on it.
 const CLOSE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a client may take over closing a connection that has been closed on this side.
+/// How long a client may take to close a connection that has been shut down on this side.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Server {
+    /// Registers an accepted connection and starts its task.
     pub(super) fn spawn_connection(
         self: &Rc<Self>,
         stream: Rc<dyn Stream>,
-        closing: watch::Receiver<ShutdownDeadline>,
+        shutdown: watch::Receiver<ShutdownDeadline>,
     ) {
         let clock = self.driver.clock();
-        let staying = self.clients.count() - self.clients.evicting();
-        let full = staying >= self.max_connections && !self.clients.evict_idle(clock.now());
+        let remaining = self.clients.count() - self.clients.evicting();
+        let at_capacity =
+            remaining >= self.max_connections && !self.clients.evict_idle(clock.now());
         let descriptor = self.descriptors.acquire().or_else(|| {
             self.pool.evict_idle();
             self.descriptors.acquire()
         });
-        let over_capacity = full || descriptor.is_none();
+        let over_capacity = at_capacity || descriptor.is_none();
         let client = self.clients.register(stream, descriptor, clock);
         debug!(target: CLIENTS, seat = client.id(), count = self.clients.count(), crowded = over_capacity, "connected");
-        tokio::task::spawn_local(Rc::clone(self).serve_connection(client, closing, over_capacity));
+        tokio::task::spawn_local(Rc::clone(self).serve_connection(client, shutdown, over_capacity));
     }
 
+    /// Serves a connection until it is closed. Over capacity its one request is rejected.
     async fn serve_connection(
         self: Rc<Self>,
         client: Rc<ClientConnection>,
-        closing: watch::Receiver<ShutdownDeadline>,
+        shutdown: watch::Receiver<ShutdownDeadline>,
         over_capacity: bool,
     ) {
         let service = service_fn(|request| {
@@ -67,7 +70,7 @@
                     server.handle_request(request, &client, since).await
                 };
                 debug!(target: CLIENTS, seat = client.id(), status = response.status().as_u16(), "answered");
-                // What came before the answer belongs to no request that a client of ours would send.
+                // Data that comes in before the response belongs to no request that a conforming client would send.
                 if over_capacity || client.closes_after_response() || client.has_excess_data() {
                     set_connection_close(&mut response);
                 }
@@ -76,69 +79,69 @@
             }
         });
         let connection = http1::Builder::new()
-            // Overdue heads are looked for here, for all connections at once.
+            // The registry looks for overdue requests, for all connections at once.
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_LEN)
-            .keep_alive(!over_capacity && closing.borrow().is_none())
+            .keep_alive(!over_capacity && shutdown.borrow().is_none())
             .serve_connection(TokioIo::new(ObservedStream::new(&client)), service);
-        self.drive_connection(connection, &client, closing).await;
-        // One that must go at once only drops what has come.
-        let most = if client.is_evicted() {
+        self.drive_connection(connection, &client, shutdown).await;
+        // An evicted one only discards what has come in.
+        let linger_timeout = if client.is_evicted() {
             Duration::ZERO
         } else {
             LINGER_TIMEOUT
         };
         tokio::select! {
-            _ = tokio::time::timeout(most, client.linger()) => {}
+            _ = tokio::time::timeout(linger_timeout, client.linger()) => {}
             () = client.close_requested() => {}
         }
         debug!(target: CLIENTS, seat = client.id(), "left");
         self.clients.unregister(&client);
     }
 
-    /// Drives a connection to its end. It is closed between requests only if nothing of a request is on it, neither read
-    /// nor still with the system; else its next answer is its last.
+    /// Drives a connection to its end. It is closed between requests only if no byte of a request has come in, neither
+    /// read nor still in the kernel; otherwise its next response closes it.
     async fn drive_connection<S>(
         &self,
         connection: http1::Connection<TokioIo<ObservedStream>, S>,
         client: &ClientConnection,
-        mut closing: watch::Receiver<ShutdownDeadline>,
+        mut shutdown: watch::Receiver<ShutdownDeadline>,
     ) where
         S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
     {
         let mut connection = pin!(connection);
-        let mut look = *closing.borrow();
-        let mut told = look.is_some();
+        let mut check_at = *shutdown.borrow();
+        let mut shutdown_seen = check_at.is_some();
         loop {
-            let late = async {
-                match look {
-                    Some(look) => tokio::time::sleep_until(look).await,
+            let next_check = async {
+                match check_at {
+                    Some(check_at) => tokio::time::sleep_until(check_at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 biased;
-                // How a client's connection ends concerns nobody: its calls are dropped with it.
+                // How a client's connection ends does not matter: its calls are dropped with it.
                 _ = connection.as_mut() => return,
                 () = client.close_requested() => {
                     debug!(target: CLIENTS, seat = client.id(), "is to leave");
                     if !client.is_idle() {
                         self.clients.cancel_eviction(client);
                     }
-                    look = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
+                    check_at = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
                 }
-                // What came in the moment in which it was to leave is answered first.
-                () = late => {
+                // A request that came in just as it was to be closed is answered first.
+                () = next_check => {
                     if !client.owes_response() {
                         return;
                     }
-                    look = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
+                    check_at = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
                     continue;
                 }
-                _ = closing.changed(), if !told => {
-                    told = true;
-                    look = look.or(*closing.borrow());
-                    // Its client has just connected, and is about to ask.
+                _ = shutdown.changed(), if !shutdown_seen => {
+                    shutdown_seen = true;
+                    check_at = check_at.or(*shutdown.borrow());
+                    // Its client has just connected, and is about to send its first request.
                     if client.awaits_first_request() {
                         client.set_close_after_response();
                         continue;
