--- a/crates/proxy/src/net/server/accept.rs
+++ b/crates/proxy/src/net/server/accept.rs
@@ -93,7 +93,7 @@
 
     /// Running out of descriptors must not end the program: idle connections are closed first.
     async fn handle_accept_error(&self, error: &io::Error) {
-        tracing::warn!("a client's connection could not be taken: {error}");
+        tracing::warn!(%error, "accept failed");
         let aborted = [
             io::ErrorKind::ConnectionAborted,
             io::ErrorKind::ConnectionReset,
--- a/crates/proxy/src/net/server/connection.rs
+++ b/crates/proxy/src/net/server/connection.rs
@@ -43,7 +43,7 @@
         });
         let over_capacity = at_capacity || descriptor.is_none();
         let client = self.clients.register(stream, descriptor, clock);
-        debug!(target: CLIENTS, seat = client.id(), count = self.clients.count(), crowded = over_capacity, "connected");
+        debug!(target: CLIENTS, connection = client.id(), open = self.clients.count(), over_capacity, "client connected");
         tokio::task::spawn_local(Rc::clone(self).serve_connection(client, shutdown, over_capacity));
     }
 
@@ -63,13 +63,13 @@
                     .get("x-request-id")
                     .and_then(|v| v.to_str().ok())
                     .unwrap_or_default();
-                debug!(target: CLIENTS, seat = client.id(), request = id, crowded = over_capacity, since, "asked");
+                debug!(target: CLIENTS, connection = client.id(), request = id, over_capacity, since, "request received");
                 let mut response = if over_capacity {
                     server.shed(0)
                 } else {
                     server.handle_request(request, &client, since).await
                 };
-                debug!(target: CLIENTS, seat = client.id(), status = response.status().as_u16(), "answered");
+                debug!(target: CLIENTS, connection = client.id(), status = response.status().as_u16(), "response ready");
                 // Data that comes in before the response belongs to no request that a conforming client would send.
                 if over_capacity || client.closes_after_response() || client.has_excess_data() {
                     set_connection_close(&mut response);
@@ -95,7 +95,7 @@
             _ = tokio::time::timeout(linger_timeout, client.linger()) => {}
             () = client.close_requested() => {}
         }
-        debug!(target: CLIENTS, seat = client.id(), "left");
+        debug!(target: CLIENTS, connection = client.id(), "connection closed");
         self.clients.unregister(&client);
     }
 
@@ -124,7 +124,7 @@
                 // How a client's connection ends does not matter: its calls are dropped with it.
                 _ = connection.as_mut() => return,
                 () = client.close_requested() => {
-                    debug!(target: CLIENTS, seat = client.id(), "is to leave");
+                    debug!(target: CLIENTS, connection = client.id(), "close requested");
                     if !client.is_idle() {
                         self.clients.cancel_eviction(client);
                     }
--- a/crates/proxy/src/net/server/response.rs
+++ b/crates/proxy/src/net/server/response.rs
@@ -89,7 +89,7 @@
     /// The response to a request that the rules do not admit.
     fn rejection(&self, rejection: Rejection) -> Response<Full<Bytes>> {
         if rejection.retryable {
-            debug!(target: CLIENTS, why = &*rejection.text, "turned away for now");
+            debug!(target: CLIENTS, reason = &*rejection.text, "request rejected, may be retried");
             return self.shed(0);
         }
         let mut response = Response::new(Full::from(rejection.text));
