--- a/crates/proxy/src/class_ids.rs
+++ b/crates/proxy/src/class_ids.rs
@@ -70,30 +70,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_class_keeps_its_number_and_one_in_use_is_not_given_again() {
-        let mut class_ids = ClassIds::default();
-        let ids = |all: &[usize]| all.iter().map(|&n| ClassId(n)).collect::<Vec<_>>();
-        assert_eq!(
-            class_ids.assign(&["a", "b"], |_| false),
-            (ids(&[0, 1]), ids(&[0, 1]))
-        );
-        // `a` goes with calls open: its id stays unused.
-        assert_eq!(
-            class_ids.assign(&["c", "b"], |class| class == ClassId(0)),
-            (ids(&[2, 1]), ids(&[2]))
-        );
-        // Now they have ended.
-        assert_eq!(
-            class_ids.assign(&["b", "d", "c"], |_| false),
-            (ids(&[1, 0, 2]), ids(&[0]))
-        );
-        assert_eq!(
-            class_ids.assign(&["c", "b", "d"], |_| true),
-            (ids(&[2, 1, 0]), ids(&[]))
-        );
-    }
-}
+mod tests;
