--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -72,14 +72,14 @@
             name,
             incarnation: seed(),
         };
-        let kept = terms
+        let copy = terms
             .state
             .as_deref()
             .map(|folder| policy_copy::load(folder, &terms.application));
         let mut read = BTreeMap::new();
-        match kept {
-            Some(Ok(Some(kept))) => {
-                for (generation, text) in kept.into_texts() {
+        match copy {
+            Some(Ok(Some(copy))) => {
+                for (generation, text) in copy.into_texts() {
                     if let Ok(config) = parse(&text, &local) {
                         read.insert(Generation(generation), Read::new(text, config));
                     }
--- a/crates/proxy/src/policy_copy.rs
+++ b/crates/proxy/src/policy_copy.rs
@@ -1,4 +1,4 @@
-//! The copy of the policy on disk: so that it need not be sent again, and as no licence to serve.
+//! The copy of the policy on disk. It saves the transfer after a restart; it does not permit to serve without a lease.
 
 use badgerramp_control_protocol::digest;
 use serde::{Deserialize, Serialize};
@@ -7,8 +7,9 @@
 use std::io::{self, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// The version of the file's form.
+/// The version of the file's format.
 const VERSION: u32 = 1;
 
 /// The texts of an application's policy, by generation.
@@ -35,57 +36,99 @@
     }
 }
 
-fn place(folder: &Path, application: &str) -> PathBuf {
+/// Why the copy on disk can't be used.
+#[derive(Debug, Error)]
+pub(crate) enum PolicyCopyError {
+    /// The file can't be read.
+    #[error("{}: {source}", path.display())]
+    Read { path: PathBuf, source: io::Error },
+    /// The file is no text.
+    #[error("{}: damaged", .0.display())]
+    NotText(PathBuf),
+    /// The file has no line for its checksum.
+    #[error("{}: torn", .0.display())]
+    NoChecksum(PathBuf),
+    /// The checksum is that of another content.
+    #[error("{}: damaged or torn: its checksum does not fit", .0.display())]
+    ChecksumMismatch(PathBuf),
+    /// The content is not what its version says.
+    #[error("{}: {source}", path.display())]
+    Malformed {
+        path: PathBuf,
+        source: serde_json::Error,
+    },
+    /// The file is of another version or application.
+    #[error("{}: of version {version}, for {application:?}", path.display())]
+    Foreign {
+        path: PathBuf,
+        version: u32,
+        application: String,
+    },
+}
+
+fn copy_path(folder: &Path, application: &str) -> PathBuf {
     folder.join(format!("{application}.policy"))
 }
 
-/// What is on disk; `None`: nothing yet.
-pub(crate) fn load(folder: &Path, application: &str) -> Result<Option<PolicyCopy>, String> {
-    let path = place(folder, application);
-    let shown = path.display();
+/// Reads the copy on disk; `None` if there is none yet.
+///
+/// # Errors
+/// If it can't be read, is damaged, or belongs to another application.
+pub(crate) fn load(
+    folder: &Path,
+    application: &str,
+) -> Result<Option<PolicyCopy>, PolicyCopyError> {
+    let path = copy_path(folder, application);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(fault) => return Err(format!("{shown}: {fault}")),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(source) => return Err(PolicyCopyError::Read { path, source }),
+    };
+    let Ok(text) = std::str::from_utf8(&bytes) else {
+        return Err(PolicyCopyError::NotText(path));
     };
-    let text = std::str::from_utf8(&bytes).map_err(|_| format!("{shown}: damaged"))?;
-    let (sum, body) = text
-        .split_once('\n')
-        .ok_or_else(|| format!("{shown}: torn"))?;
-    if hex(&digest(body)) != sum {
-        return Err(format!(
-            "{shown}: damaged or torn: its checksum does not fit"
-        ));
+    let Some((checksum, body)) = text.split_once('\n') else {
+        return Err(PolicyCopyError::NoChecksum(path));
+    };
+    if hex(&digest(body)) != checksum {
+        return Err(PolicyCopyError::ChecksumMismatch(path));
     }
-    let kept: PolicyCopy = serde_json::from_str(body).map_err(|e| format!("{shown}: {e}"))?;
-    if kept.version != VERSION || kept.application != application {
-        return Err(format!(
-            "{shown}: of version {}, for {:?}",
-            kept.version, kept.application
-        ));
+    let copy: PolicyCopy = match serde_json::from_str(body) {
+        Ok(copy) => copy,
+        Err(source) => return Err(PolicyCopyError::Malformed { path, source }),
+    };
+    if copy.version != VERSION || copy.application != application {
+        return Err(PolicyCopyError::Foreign {
+            path,
+            version: copy.version,
+            application: copy.application,
+        });
     }
-    Ok(Some(kept))
+    Ok(Some(copy))
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Whole or not at all, also when the machine stops in between.
-pub(crate) fn save(folder: &Path, kept: &PolicyCopy) -> io::Result<()> {
+/// Writes the copy atomically, also if the machine stops in between.
+///
+/// # Errors
+/// If the folder or the file can't be written.
+pub(crate) fn save(folder: &Path, copy: &PolicyCopy) -> io::Result<()> {
     fs::create_dir_all(folder)?;
-    let body = serde_json::to_string(kept)?;
-    let path = place(folder, &kept.application);
-    let torn = path.with_extension("new");
+    let body = serde_json::to_string(copy)?;
+    let path = copy_path(folder, &copy.application);
+    let temporary = path.with_extension("new");
     let mut file = File::options()
         .write(true)
         .create(true)
         .truncate(true)
         .mode(0o600)
-        .open(&torn)?;
+        .open(&temporary)?;
     write!(file, "{}\n{body}", hex(&digest(&body)))?;
     file.sync_all()?;
-    fs::rename(&torn, &path)?;
+    fs::rename(&temporary, &path)?;
     File::open(folder)?.sync_all()
 }
 
--- a/crates/proxy/src/policy_copy/tests.rs
+++ b/crates/proxy/src/policy_copy/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 #[test]
-fn a_copy_on_disk_is_whole_or_is_not_used() {
+fn a_truncated_or_damaged_copy_is_not_used() {
     let folder =
         std::env::temp_dir().join(format!("badgerramp-policy-copy-{}", std::process::id()));
     assert!(load(&folder, "a").expect("nothing yet").is_none());
     let texts = BTreeMap::from([(3, "some text".to_owned())]);
-    let kept = PolicyCopy::new("a".to_owned(), texts.clone());
-    save(&folder, &kept).expect("written");
+    let copy = PolicyCopy::new("a".to_owned(), texts.clone());
+    save(&folder, &copy).expect("written");
     assert_eq!(
         load(&folder, "a").expect("good").expect("there").texts,
         texts
     );
-    let path = place(&folder, "a");
+    let path = copy_path(&folder, "a");
     let whole = fs::read(&path).expect("a file");
     for place in 0..whole.len() {
         fs::write(&path, &whole[..place]).expect("a file");
@@ -37,7 +37,7 @@
         std::process::id()
     ));
     fs::create_dir_all(&folder).expect("a folder");
-    let path = place(&folder, "caja");
+    let path = copy_path(&folder, "caja");
     fs::write(&path, COPY).expect("a file");
     let texts = load(&folder, "caja")
         .expect("good")
