--- a/crates/proxy/src/class_ids.rs
+++ b/crates/proxy/src/class_ids.rs
@@ -1,16 +1,16 @@
-//! The ids of classes, which last over reloads and changes of policy.
+//! The ids of classes, which stay the same across reloads and changes of policy.
 
 use badgerramp_config::Config;
 use badgerramp_decisions::{Class, ClassId, Settings};
 use std::hash::{BuildHasher, RandomState};
 
-/// The class that each id stands for: a class keeps its id over reloads, and the id of a class that has gone is reused
-/// only when no call of it is open.
+/// The class that each id stands for: a class keeps its id over reloads, and the id of a removed class is reused only when no
+/// call of it is open.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct ClassIds(Vec<Option<String>>);
 
 impl ClassIds {
-    /// The ids of the classes of a file, and those among them that stood for another class or none before.
+    /// Assigns ids to the classes of a file. Also returns those ids that belonged to another class or none before.
     pub(crate) fn assign(
         &mut self,
         names: &[&str],
--- a/crates/proxy/src/class_ids/tests.rs
+++ b/crates/proxy/src/class_ids/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_class_keeps_its_number_and_one_in_use_is_not_given_again() {
+fn a_class_keeps_its_id_and_an_id_in_use_is_not_reused() {
     let mut class_ids = ClassIds::default();
     let ids = |all: &[usize]| all.iter().map(|&n| ClassId(n)).collect::<Vec<_>>();
     assert_eq!(
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,5 +1,5 @@
-//! What the program writes of what it does: events of `tracing` as text or JSON on standard error, within a bound of
-//! lines a second. Never a body, a key or a header's value but the request's id.
+//! The log: `tracing` events as text or JSON on standard error, limited to a number of lines per second. It never holds a
+//! body, a key, or the value of a header other than the request's id.
 
 use badgerramp_config::{Format, Level, Log};
 use std::io::{self, Write};
@@ -11,64 +11,64 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The target of what happens to single calls.
+/// The target of events of single calls.
 pub const CALLS: &str = "badgerramp::calls";
 
-/// The target of what happens to clients' connections: what ends before it is a call is told here alone.
+/// The target of events of clients' connections; a request that is rejected before it is a call is logged here alone.
 pub const CLIENTS: &str = "badgerramp::clients";
 
-/// Lines that have passed in the present second, and those that were left out.
-struct Passed {
+/// Lines written and dropped in the current second.
+struct Window {
     since: Instant,
-    lines: u64,
-    left_out: u64,
+    written: u64,
+    dropped: u64,
 }
 
-/// Lets so many lines a second through to `out`, and tells how many it has kept back.
-struct Bounded<W> {
+/// Writes at most `rate` lines per second to `out`, and reports how many were dropped.
+struct RateLimiter<W> {
     rate: u64,
     json: bool,
-    passed: Mutex<Passed>,
+    window: Mutex<Window>,
     out: W,
 }
 
-/// One line on its way; the writer of events hands each over whole.
-struct Line<'a, W>(&'a Bounded<W>);
+/// One line; the subscriber writes each in one call.
+struct Line<'a, W>(&'a RateLimiter<W>);
 
-impl<W> Bounded<W> {
+impl<W> RateLimiter<W> {
     fn new(rate: u64, json: bool, out: W) -> Self {
-        let passed = Passed {
+        let window = Window {
             since: Instant::now(),
-            lines: 0,
-            left_out: 0,
+            written: 0,
+            dropped: 0,
         };
-        Bounded {
+        RateLimiter {
             rate,
             json,
-            passed: Mutex::new(passed),
+            window: Mutex::new(window),
             out,
         }
     }
 
-    /// May a line pass at `now`? Also tells how many were kept back in the second that has ended.
-    fn pass(&self, now: Instant) -> (bool, u64) {
-        let mut passed = self.passed.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut told = 0;
-        if now.duration_since(passed.since) >= Duration::from_secs(1) {
-            told = passed.left_out;
-            *passed = Passed {
+    /// Whether a line may be written at `now`, and how many were dropped in the second that has ended.
+    fn admit(&self, now: Instant) -> (bool, u64) {
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut dropped_before = 0;
+        if now.duration_since(window.since) >= Duration::from_secs(1) {
+            dropped_before = window.dropped;
+            *window = Window {
                 since: now,
-                lines: 0,
-                left_out: 0,
+                written: 0,
+                dropped: 0,
             };
         }
-        let passes = passed.lines < self.rate;
-        if passes {
-            passed.lines += 1;
+        let admitted = window.written < self.rate;
+        if admitted {
+            window.written += 1;
         } else {
-            passed.left_out += 1;
+            window.dropped += 1;
         }
-        (passes, told)
+        (admitted, dropped_before)
     }
 }
 
@@ -77,7 +77,7 @@
     for<'b> &'b W: Write,
 {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let (passes, left_out) = self.0.pass(Instant::now());
+        let (admitted, left_out) = self.0.admit(Instant::now());
         let mut out = &self.0.out;
         if left_out > 0 {
             let text = if self.0.json {
@@ -89,7 +89,7 @@
             };
             out.write_all(text.as_bytes())?;
         }
-        if passes {
+        if admitted {
             out.write_all(line)?;
         }
         Ok(line.len())
@@ -101,7 +101,7 @@
 }
 
 /// Where events are written.
-struct Writer(Arc<Bounded<io::Stderr>>);
+struct Writer(Arc<RateLimiter<io::Stderr>>);
 
 impl<'a> MakeWriter<'a> for Writer {
     type Writer = Line<'a, io::Stderr>;
@@ -111,6 +111,7 @@
     }
 }
 
+/// The filter of a level of the operator's file.
 fn filter(level: Level) -> LevelFilter {
     match level {
         Level::Error => LevelFilter::ERROR,
@@ -121,23 +122,23 @@
     }
 }
 
-/// Events are written like this from now on. Only the first call of a process counts.
+/// Installs the subscriber for this process. Only the first call has an effect.
 pub fn start(log: &Log) {
     let targets = log
         .targets
         .iter()
         .map(|(name, level)| (name.clone(), filter(*level)));
-    // Libraries' own events are theirs: only this program's are wanted unless a target names others.
+    // Only events of this program, unless a target names a library.
     let targets = Targets::new()
         .with_target("badgerramp", filter(log.level))
         .with_targets(targets);
     let json = log.format == Format::Json;
-    let writer = Writer(Arc::new(Bounded::new(log.rate, json, io::stderr())));
+    let writer = Writer(Arc::new(RateLimiter::new(log.rate, json, io::stderr())));
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
         .with_writer(writer);
     let registry = tracing_subscriber::registry().with(targets);
-    // An embedding program may have its own.
+    // An embedding program may have installed its own.
     let _ = if json {
         registry.with(lines.json().flatten_event(true)).try_init()
     } else {
--- a/crates/proxy/src/log/tests.rs
+++ b/crates/proxy/src/log/tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 #[test]
-fn lines_beyond_the_bound_are_counted_and_told_in_the_next_second() {
-    let bounded = Bounded::new(3, false, ());
+fn lines_over_the_rate_limit_are_dropped_and_reported_in_the_next_second() {
+    let limiter = RateLimiter::new(3, false, ());
     let start = Instant::now();
-    let passed: Vec<bool> = (0..5).map(|_| bounded.pass(start).0).collect();
-    assert_eq!(passed, [true, true, true, false, false]);
+    let admitted: Vec<bool> = (0..5).map(|_| limiter.admit(start).0).collect();
+    assert_eq!(admitted, [true, true, true, false, false]);
     assert_eq!(
-        bounded.pass(start + Duration::from_millis(1_001)),
+        limiter.admit(start + Duration::from_millis(1_001)),
         (true, 2)
     );
     assert_eq!(
-        bounded.pass(start + Duration::from_millis(1_002)),
+        limiter.admit(start + Duration::from_millis(1_002)),
         (true, 0)
     );
 }
--- a/crates/proxy/src/net/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -1,11 +1,11 @@
-//! The one clock of the program.
+//! The one clock of the proxy.
 
 use badgerramp_decisions::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Monotonic microseconds that start at the Unix time of the process's start. So a host's start time, which
-/// is Unix time, is on this clock as it is, also where it lies before the start of this process.
+/// Monotonic microseconds that start at the Unix time of the process's start. So the start time of an endpoint,
+/// which is Unix time, can be compared with it, even if it is earlier than the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix: Micros,
@@ -13,6 +13,7 @@
 }
 
 impl Clock {
+    /// A clock that starts at the system time.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -20,8 +21,8 @@
         Clock::starting_at(unix.as_micros() as Micros)
     }
 
-    /// A clock that shows this Unix time now, in microseconds, and goes on as the runtime's time does: a simulation
-    /// has its own.
+    /// A clock that shows this Unix time now, in microseconds, and advances with the runtime's time, which a simulation
+    /// controls.
     pub fn starting_at(unix: Micros) -> Self {
         Clock {
             unix,
@@ -29,11 +30,12 @@
         }
     }
 
+    /// The time now, in microseconds.
     pub fn now(&self) -> Micros {
         self.unix + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The moment `at` as the timers of the runtime count.
+    /// The time `at` for the timers of the runtime.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.unix))
     }
