--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -4,6 +4,9 @@
 use crate::{Generation, Identity, Mode};
 use std::collections::BTreeSet;
 
+#[cfg(test)]
+mod tests;
+
 /// A call that began.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedCall {
@@ -84,67 +87,3 @@
         !self.alone.contains(&generation)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn begun(old: u64, new: u64) -> StartedCall {
-        let mode = Mode {
-            revision: 0,
-            old: Generation(old),
-            new: Generation(new),
-        };
-        StartedCall {
-            identity: Identity {
-                name: "p".to_owned(),
-                incarnation: 1,
-            },
-            mode,
-        }
-    }
-
-    #[test]
-    fn old_beside_middle_and_middle_beside_new_are_not_mixed() {
-        let mut judge = InvariantChecker::default();
-        for (old, new) in [
-            (1, 1),
-            (1, 2),
-            (1, 1),
-            (1, 2),
-            (2, 2),
-            (1, 2),
-            (2, 3),
-            (2, 2),
-        ] {
-            assert_eq!(judge.record_start(&begun(old, new)), None, "{old} {new}");
-        }
-        assert!(matches!(
-            judge.record_start(&begun(1, 1)),
-            Some(Violation::MixedGenerations { .. })
-        ));
-        assert_eq!(judge.record_start(&begun(3, 3)), None);
-        assert!(matches!(
-            judge.record_start(&begun(1, 2)),
-            Some(Violation::MixedGenerations { .. })
-        ));
-    }
-
-    #[test]
-    fn both_ends_of_a_change_bind() {
-        let mut judge = InvariantChecker::default();
-        judge.record_start(&begun(1, 2));
-        assert!(judge.record_aborted(Generation(2)));
-        assert!(matches!(
-            judge.record_start(&begun(2, 2)),
-            Some(Violation::AbortedGeneration(_))
-        ));
-        assert!(!judge.record_aborted(Generation(2)));
-        judge.record_committed(Generation(3));
-        assert!(matches!(
-            judge.record_start(&begun(1, 1)),
-            Some(Violation::BehindCommitted { .. })
-        ));
-        assert_eq!(judge.record_start(&begun(1, 3)), None);
-    }
-}
--- /dev/null
+++ b/crates/policy/src/lease_holder/tests.rs
@@ -0,0 +1,132 @@
+//! The proxy's side of a lease: its end, stale and older grants, rejected generations, and what happens after a loss.
+
+use super::*;
+
+fn holder(cut_off: OnLeaseLoss) -> LeaseHolder {
+    let identity = Identity {
+        name: "p".to_owned(),
+        incarnation: 1,
+    };
+    let terms = LeaseHolderConfig {
+        on_lease_loss: cut_off,
+        request_timeout: 100,
+        retry_delay: 50,
+    };
+    LeaseHolder::new(
+        identity,
+        terms,
+        BTreeSet::from([Generation(1), Generation(2)]),
+    )
+}
+
+fn grant(number: u64, mode: Mode) -> LeaseGrant {
+    LeaseGrant {
+        sequence: number,
+        mode,
+        duration: 300,
+    }
+}
+
+#[test]
+fn a_lease_runs_from_the_question() {
+    let mut holder = holder(OnLeaseLoss::Reject);
+    assert_eq!(holder.admission(0), Admission::Denied(NotAdmitted::NoLease));
+    let ask = holder.request(1_000);
+    let mode = Mode::stable(1, Generation(1));
+    assert_eq!(
+        holder.on_grant(1_090, grant(ask.sequence, mode)),
+        GrantResult::Accepted { renew_now: false }
+    );
+    assert_eq!(holder.admission(1_299), Admission::Under(mode));
+    assert_eq!(
+        holder.admission(1_300),
+        Admission::Denied(NotAdmitted::LeaseExpired)
+    );
+    assert_eq!(holder.next_request_at(), Some(1_100));
+}
+
+#[test]
+fn what_is_late_older_or_unread_changes_nothing() {
+    let mut holder = holder(OnLeaseLoss::Reject);
+    let first = holder.request(0);
+    let second = holder.request(100);
+    let middle = Mode {
+        revision: 5,
+        old: Generation(1),
+        new: Generation(2),
+    };
+    assert_eq!(
+        holder.on_grant(110, grant(first.sequence, middle)),
+        GrantResult::Ignored
+    );
+    assert_eq!(
+        holder.admission(110),
+        Admission::Denied(NotAdmitted::NoLease)
+    );
+    assert_eq!(
+        holder.on_grant(120, grant(second.sequence, middle)),
+        GrantResult::Accepted { renew_now: true }
+    );
+    let third = holder.request(130);
+    assert_eq!(third.active_revision, 5);
+    let older = Mode::stable(4, Generation(1));
+    assert_eq!(
+        holder.on_grant(140, grant(third.sequence, older)),
+        GrantResult::Ignored
+    );
+    assert_eq!(holder.admission(140), Admission::Under(middle));
+    let fourth = holder.request(150);
+    let unread = Mode {
+        revision: 7,
+        old: Generation(2),
+        new: Generation(3),
+    };
+    assert_eq!(
+        holder.on_grant(160, grant(fourth.sequence, unread)),
+        GrantResult::MissingGenerations
+    );
+    assert_eq!(holder.admission(160), Admission::Under(middle));
+    holder.reject_generation(Generation(3), "a key that it does not know".to_owned());
+    assert_eq!(
+        holder
+            .request(170)
+            .rejected_generation
+            .map(|u| u.generation),
+        Some(Generation(3))
+    );
+}
+
+#[test]
+fn cut_off_it_does_what_it_was_told_to() {
+    for (cut_off, then) in [
+        (
+            OnLeaseLoss::Reject,
+            Admission::Denied(NotAdmitted::LeaseExpired),
+        ),
+        (OnLeaseLoss::Fallback, Admission::Fallback(Generation(1))),
+        (
+            OnLeaseLoss::Keep,
+            Admission::Under(Mode {
+                revision: 5,
+                old: Generation(1),
+                new: Generation(2),
+            }),
+        ),
+    ] {
+        let mut holder = holder(cut_off);
+        let ask = holder.request(0);
+        let middle = Mode {
+            revision: 5,
+            old: Generation(1),
+            new: Generation(2),
+        };
+        holder.on_grant(1, grant(ask.sequence, middle));
+        assert_eq!(holder.admission(299), Admission::Under(middle));
+        assert_eq!(holder.admission(300), then);
+        holder.evict();
+        assert_eq!(
+            holder.admission(10),
+            Admission::Denied(NotAdmitted::Evicted)
+        );
+    }
+}
