--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -1,6 +1,6 @@
 //! The commands that the replicas of a region agree on, and what becomes of them.
 
-use crate::regions::{listed, AllRegions, ChangeId, ChangeRef, Region};
+use crate::regions::{region_list, AllRegions, ChangeId, ChangeRef, Region};
 use crate::{Generation, Identity, OnLeaseLoss};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -145,9 +145,9 @@
             Rejection::ChangePending(generation) => write!(f, "the change to {generation} is under way"),
             Rejection::CrossRegionPending { generation, id, awaited_regions: waits_for } => {
                 write!(f, "the change of all regions {id}, here {generation}, is not at its end: ")?;
-                if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", listed(waits_for)) }
+                if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", region_list(waits_for)) }
             }
-            Rejection::NotPrepared { regions } => write!(f, "no vote yet of {}", listed(regions)),
+            Rejection::NotPrepared { regions } => write!(f, "no vote yet of {}", region_list(regions)),
             Rejection::AwaitsDecision { coordinator } => write!(
                 f,
                 "this region has voted for a change of all regions: region {coordinator} decides how it ends"
--- a/crates/policy/src/identity.rs
+++ b/crates/policy/src/identity.rs
@@ -1,14 +1,14 @@
-//! Who a proxy is.
+//! The identity of a proxy process.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A process of a proxy: its name in the operator's file, and a number that is new at each start of the program.
+/// A proxy process: its configured name, and an incarnation that is drawn anew at each start of the program.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name.
+    /// The name in the operator's file.
     pub name: String,
-    /// This start of it. Two processes of one name are two proxies.
+    /// Tells restarts apart. Two processes of one name are two proxies.
     pub incarnation: u64,
 }
 
@@ -18,44 +18,45 @@
     }
 }
 
-/// Maps by [`Identity`] in formats whose keys have to be strings, as in JSON: `name#incarnation`.
+/// Serde form of maps keyed by [`Identity`], for formats with string keys such as JSON: `name#incarnation`, the
+/// incarnation in hexadecimal.
 pub(crate) mod as_key {
     use super::Identity;
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
 
-    /// Writes a map.
+    /// Serializes a map with string keys.
     pub(crate) fn serialize<V: Serialize, S: Serializer>(
         map: &BTreeMap<Identity, V>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         serializer.collect_map(
             map.iter()
-                .map(|(identity, value)| (written(identity), value)),
+                .map(|(identity, value)| (to_key(identity), value)),
         )
     }
 
-    /// Reads a map.
+    /// Deserializes a map with string keys; a malformed key is an error that shows it.
     pub(crate) fn deserialize<'de, V: Deserialize<'de>, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<BTreeMap<Identity, V>, D::Error> {
         let entries = BTreeMap::<String, V>::deserialize(deserializer)?;
-        let read_entry = |(key, value): (String, V)| match read(&key) {
+        let parse_entry = |(key, value): (String, V)| match parse_key(&key) {
             Some(identity) => Ok((identity, value)),
             None => Err(D::Error::custom(format!(
                 "found {key:?}, allowed is name#incarnation"
             ))),
         };
-        entries.into_iter().map(read_entry).collect()
+        entries.into_iter().map(parse_entry).collect()
     }
 
-    fn written(identity: &Identity) -> String {
+    fn to_key(identity: &Identity) -> String {
         format!("{}#{:016x}", identity.name, identity.incarnation)
     }
 
-    fn read(key: &str) -> Option<Identity> {
-        // A name may have the sign in it, a number may not.
+    fn parse_key(key: &str) -> Option<Identity> {
+        // A name may contain '#', an incarnation cannot: the last one separates them.
         let (name, incarnation) = key.rsplit_once('#')?;
         let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
         Some(Identity {
--- a/crates/policy/src/intersection.rs
+++ b/crates/policy/src/intersection.rs
@@ -1,67 +1,74 @@
-//! The meet of two policies: what both make alike of a request, and no more. It is taken request by request, on what
-//! each made of it, so that it is exact for any two tables of routes, whatever their patterns and conditions.
+//! The intersection of two policies: what both of them allow for a request, and no more. (If policies are ordered by
+//! what they allow, this is the meet of the lattice.)
+//!
+//! It is computed for each request from what either policy resolved for it, so that it is exact for any two routing
+//! tables, whatever their patterns and conditions.
 
 use crate::Micros;
 use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_route::{Answers, StatusSet};
 use std::fmt;
 
-/// By what hosts know a call again.
+/// Every status code that HTTP allows (RFC 9110, section 15).
+const STATUS_CODES: std::ops::RangeInclusive<u16> = 100..=999;
+
+/// The key by which endpoints recognise a repeated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IdempotencyKey {
-    /// By nothing.
+    /// The call has no key.
     None,
-    /// By this value.
+    /// The value that the call carries.
     Value(String),
 }
 
-/// What one policy makes of a request.
+/// What one policy resolves for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedCall {
-    /// Whether it may run again.
+    /// Whether and where the call may be repeated.
     pub idempotency: Idempotency,
-    /// Its key, where `repeat` goes by one.
+    /// Its key, if repeats are recognised by one.
     pub key: IdempotencyKey,
-    /// From its last byte to its final answer.
+    /// Time from the last byte of the request to its final response.
     pub timeout: Micros,
-    /// Its terms.
+    /// Retries, hedging and time limits.
     pub policy: CallPolicy,
-    /// Longest time for a connection.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Micros,
-    /// Bytes of its body at the most.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// Which of two.
+/// One of the two policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The policy in force.
     Old,
-    /// The one that is to come.
+    /// The pending policy.
     New,
 }
 
-/// What both allow.
+/// What both policies allow for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Intersection {
-    /// Whose class it goes by: that with the stricter effect.
+    /// The policy whose class applies: the one with the stricter idempotency.
     pub class: Side,
-    /// From its last byte to its final answer.
+    /// Time from the last byte of the request to its final response.
     pub timeout: Micros,
-    /// Its terms. They say `once` where neither effect lies within the other.
+    /// Retries, hedging and time limits. The call is treated as non-idempotent if neither idempotency covers the
+    /// other.
     pub policy: CallPolicy,
-    /// Longest time for a connection.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Micros,
-    /// Bytes of its body at the most.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// Why nothing can be begun that both allow.
+/// Why no call can start that both policies allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// Only the policy in force takes it.
+    /// Only the policy in force accepts the request.
     OnlyOld,
-    /// Only the one that is to come takes it.
+    /// Only the pending policy accepts the request.
     OnlyNew,
 }
 
@@ -74,37 +81,40 @@
     }
 }
 
-/// Is all that `inner` lets run again let by `outer` too?
-fn within(inner: Idempotency, outer: Idempotency) -> bool {
+/// Whether `outer` allows every repeat that `inner` allows.
+fn is_covered_by(inner: Idempotency, outer: Idempotency) -> bool {
     match (inner, outer) {
         (Idempotency::NonIdempotent, _) | (_, Idempotency::Idempotent) => true,
         (Idempotency::Idempotent, _) | (_, Idempotency::NonIdempotent) => false,
         (
             Idempotency::Keyed {
-                scope: a,
-                window: b,
+                scope: inner_scope,
+                window: inner_window,
             },
             Idempotency::Keyed {
-                scope: c,
-                window: d,
+                scope: outer_scope,
+                window: outer_window,
             },
-        ) => (a == c || c == DedupScope::All) && b <= d,
+        ) => {
+            let scope_is_covered = inner_scope == outer_scope || outer_scope == DedupScope::All;
+            scope_is_covered && inner_window <= outer_window
+        }
     }
 }
 
-fn hedge(a: Hedge, b: Hedge) -> Hedge {
-    // When a second copy goes out is not ordered: where they differ, none does.
-    if a == b {
-        a
+fn intersect_hedge(old: Hedge, new: Hedge) -> Hedge {
+    // Delays of hedged requests have no stricter one: if they differ, no hedged request is sent.
+    if old == new {
+        old
     } else {
         Hedge::Never
     }
 }
 
-/// What both allow of a request, given what each made of it: `None` where it takes none such.
+/// What both policies allow for a request, given what each of them resolved for it (`None`: rejected).
 ///
 /// # Errors
-/// If only one of them takes it. Turned away by both it is no matter of the change: `Ok(None)`.
+/// If only one of them accepts it. A request that both reject has nothing to do with the change: `Ok(None)`.
 pub fn intersect(
     old: Option<&ResolvedCall>,
     new: Option<&ResolvedCall>,
@@ -115,56 +125,68 @@
         (None, Some(_)) => return Err(Mismatch::OnlyNew),
         (Some(old), Some(new)) => (old, new),
     };
-    let class = if within(old.idempotency, new.idempotency) {
+    let old_is_stricter = is_covered_by(old.idempotency, new.idempotency);
+    let class = if old_is_stricter {
         Side::Old
     } else {
         Side::New
     };
-    let chosen = if class == Side::Old { old } else { new };
-    // A host that knows it by another key would not know the repeat.
-    let keyed = |call: &ResolvedCall| matches!(call.idempotency, Idempotency::Keyed { .. });
-    let other_key = keyed(old) && keyed(new) && old.key != new.key;
-    let neither =
-        !within(old.idempotency, new.idempotency) && !within(new.idempotency, old.idempotency);
-    let (a, b) = (&old.policy, &new.policy);
-    let never_ran = [a.retry_on, b.retry_on].contains(&RetryOn::NotExecuted);
-    let terms = CallPolicy {
-        max_attempts: a.max_attempts.min(b.max_attempts),
-        attempt_timeout: a.attempt_timeout.min(b.attempt_timeout),
-        backoff: a.backoff.max(b.backoff),
-        hedge: hedge(a.hedge, b.hedge),
-        retry_on: if never_ran {
-            RetryOn::NotExecuted
-        } else {
-            RetryOn::AnyFailure
-        },
-        non_idempotent: a.non_idempotent
-            || b.non_idempotent
-            || other_key
-            || neither
-            || (keyed(chosen) && chosen.key == IdempotencyKey::None),
-    };
     Ok(Some(Intersection {
         class,
         timeout: old.timeout.min(new.timeout),
-        policy: terms,
+        policy: intersect_call_policy(old, new, class),
         connect_timeout: old.connect_timeout.min(new.connect_timeout),
         max_body_bytes: old.max_body_bytes.min(new.max_body_bytes),
     }))
 }
 
-/// What an answer means where both read it alike; else it is an error that may have run.
+fn intersect_call_policy(old: &ResolvedCall, new: &ResolvedCall, class: Side) -> CallPolicy {
+    let (first, second) = (&old.policy, &new.policy);
+    let not_executed_only = [first.retry_on, second.retry_on].contains(&RetryOn::NotExecuted);
+    CallPolicy {
+        max_attempts: first.max_attempts.min(second.max_attempts),
+        attempt_timeout: first.attempt_timeout.min(second.attempt_timeout),
+        backoff: first.backoff.max(second.backoff),
+        hedge: intersect_hedge(first.hedge, second.hedge),
+        retry_on: if not_executed_only {
+            RetryOn::NotExecuted
+        } else {
+            RetryOn::AnyFailure
+        },
+        non_idempotent: first.non_idempotent
+            || second.non_idempotent
+            || forbids_repeats(old, new, class),
+    }
+}
+
+/// Whether no repeat of the call is safe under both policies, although either of them may allow repeats.
+fn forbids_repeats(old: &ResolvedCall, new: &ResolvedCall, class: Side) -> bool {
+    let is_keyed = |call: &ResolvedCall| matches!(call.idempotency, Idempotency::Keyed { .. });
+    // An endpoint that knows the call by another key would not recognise the repeat.
+    let differs_in_key = is_keyed(old) && is_keyed(new) && old.key != new.key;
+    let neither_is_covered = !is_covered_by(old.idempotency, new.idempotency)
+        && !is_covered_by(new.idempotency, old.idempotency);
+    let chosen = match class {
+        Side::Old => old,
+        Side::New => new,
+    };
+    let lacks_key = is_keyed(chosen) && chosen.key == IdempotencyKey::None;
+    differs_in_key || neither_is_covered || lacks_key
+}
+
+/// How responses are classified where both policies agree. Any other response is an error whose request may have been
+/// executed.
 pub fn intersect_answers(old: &Answers, new: &Answers) -> Answers {
     if old == new {
         return old.clone();
     }
     let mut served = StatusSet::default();
-    for status in 100..=999 {
+    for status in STATUS_CODES {
         if old.served.contains(status) && new.served.contains(status) {
             served.insert(status, status);
         }
     }
-    // What one of them serves proves nothing to it, whatever its list says.
+    // A status that one policy counts as served is no proof for it that the request did not run.
     let proves = |p: &&badgerramp_route::Proof| {
         new.never_ran.contains(p)
             && !old.served.contains(p.status)
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The properties, judged from a history of begun calls in the order of real time. It shares nothing with the
-//! decisions but the numbers of generations.
+//! The safety properties of policy changes, checked against a history of started calls in the order of real time. The
+//! check is independent of the rest of the crate: it shares only the numbers of generations with it.
 
 use crate::{Generation, Identity, Mode};
 use std::collections::BTreeSet;
@@ -7,83 +7,85 @@
 #[cfg(test)]
 mod tests;
 
-/// A call that began.
+/// A call that a proxy has started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedCall {
-    /// Where.
+    /// The proxy.
     pub identity: Identity,
-    /// Under what.
+    /// The mode that the call started under.
     pub mode: Mode,
 }
 
-/// A property that broke.
+/// A violated property: P1 (generations are never mixed) or P2 (publishers are told the truth) of
+/// `docs/policy-design.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// P1: it began under `mode` after a call had begun under a generation past that.
+    /// P1: a call started under older generations only, after another one had started under a newer one.
     MixedGenerations {
         /// The call.
         call: StartedCall,
-        /// The oldest generation under which a call had begun by then.
+        /// The oldest generation under which a call may still start.
         after: Generation,
     },
-    /// P2: a generation that came to nothing was begun under.
+    /// P2: a call started under an aborted generation.
     AbortedGeneration(StartedCall),
-    /// P2: the fleet was told that a generation is in force, and a call began under an older one.
+    /// P2: a call started under older generations only, after a publisher was told that a newer one is in force.
     BehindCommitted {
         /// The call.
         call: StartedCall,
-        /// What was in force.
+        /// The generation in force.
         committed: Generation,
     },
 }
 
-/// Watches a history.
+/// Checks a history, event by event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InvariantChecker {
-    /// No call may begin wholly under what is older than this.
-    past: Generation,
-    force: Generation,
-    dead: BTreeSet<Generation>,
-    /// Generations under which alone calls began.
-    alone: BTreeSet<Generation>,
+    /// No call may start under older generations only.
+    minimum: Generation,
+    /// The newest generation that a publisher was told to be in force.
+    committed: Generation,
+    aborted: BTreeSet<Generation>,
+    /// Generations under which calls started outside of a transition.
+    started_stable: BTreeSet<Generation>,
 }
 
 impl InvariantChecker {
-    /// A call began.
-    pub fn record_start(&mut self, begun: &StartedCall) -> Option<Violation> {
-        let Mode { old, new, .. } = begun.mode;
+    /// A call has started.
+    pub fn record_start(&mut self, call: &StartedCall) -> Option<Violation> {
+        let Mode { old, new, .. } = call.mode;
         if old == new {
-            self.alone.insert(new);
+            self.started_stable.insert(new);
         }
-        // In the middle a call is bound to the old one, and goes by no more than the new one allows too.
-        if self.dead.contains(&old) {
-            return Some(Violation::AbortedGeneration(begun.clone()));
+        // In a transition a call follows the old generation, restricted to what the new one allows too.
+        if self.aborted.contains(&old) {
+            return Some(Violation::AbortedGeneration(call.clone()));
         }
-        if new < self.force {
+        if new < self.committed {
             return Some(Violation::BehindCommitted {
-                call: begun.clone(),
-                committed: self.force,
+                call: call.clone(),
+                committed: self.committed,
             });
         }
-        if new < self.past {
+        if new < self.minimum {
             return Some(Violation::MixedGenerations {
-                call: begun.clone(),
-                after: self.past,
+                call: call.clone(),
+                after: self.minimum,
             });
         }
-        self.past = self.past.max(old);
+        self.minimum = self.minimum.max(old);
         None
     }
 
-    /// A publisher heard that this is in force.
+    /// A publisher was told that this generation is in force.
     pub fn record_committed(&mut self, generation: Generation) {
-        self.force = self.force.max(generation);
+        self.committed = self.committed.max(generation);
     }
 
-    /// A publisher heard that this is not in force. False: calls have begun under it.
+    /// A publisher was told that this generation was aborted. False if calls have started under it.
     #[must_use]
     pub fn record_aborted(&mut self, generation: Generation) -> bool {
-        self.dead.insert(generation);
-        !self.alone.contains(&generation)
+        self.aborted.insert(generation);
+        !self.started_stable.contains(&generation)
     }
 }
--- a/crates/policy/src/lease_holder.rs
+++ b/crates/policy/src/lease_holder.rs
@@ -1,7 +1,8 @@
-//! The proxy's side: which mode it holds, until when, and what it may begin now.
+//! The proxy's side of a lease: the mode that it holds, until when, and what may start under it now.
 //!
-//! A lease is counted from the moment at which the proxy *asked* for it, on a clock that goes on while the machine
-//! sleeps; control counts it from the moment at which it answered, which is later. So it ends here first.
+//! The lease time is counted from the moment at which the proxy *sent* its request, on a clock that keeps running while
+//! the machine sleeps. The control plane counts it from the moment at which it granted the lease, which is later, so
+//! the lease always expires at the proxy first.
 
 use crate::{Generation, Identity, Micros, Mode};
 use serde::{Deserialize, Serialize};
@@ -10,254 +11,311 @@
 #[cfg(test)]
 mod tests;
 
-/// What a proxy does when its lease has run out and control can't be had.
+/// A lease is renewed after this part of its duration (one third): two requests may fail before it expires.
+const RENEWALS_PER_LEASE: u64 = 3;
+
+/// What a proxy does when its lease has expired and the control plane is unreachable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum OnLeaseLoss {
-    /// Turns every call away.
+    /// Rejects every call.
     #[default]
     #[serde(rename = "Refuse")]
     Reject,
-    /// Begins only what its policy declares as its floor, which no change may leave while it may be acted under.
+    /// Starts only calls that the fallback policy of its last generation allows. No new generation may violate a
+    /// fallback policy that a proxy may still apply.
     #[serde(rename = "Narrow")]
     Fallback,
-    /// Goes on under the mode that it has. A change waits for it.
+    /// Keeps serving under its last mode. A change has to wait until this proxy has confirmed it.
     Keep,
 }
 
-/// What is set for a proxy.
+/// Settings of a [`LeaseHolder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolderConfig {
-    /// What it does when cut off.
+    /// What the proxy does when its lease has expired.
     pub on_lease_loss: OnLeaseLoss,
-    /// A question that is not answered within this is given up.
+    /// A request that is not answered within this time has failed.
     pub request_timeout: Micros,
-    /// Pause after a question that came to nothing.
+    /// Delay before the next request after one that failed.
     pub retry_delay: Micros,
 }
 
-/// The proxy's question to control.
+/// A proxy's request for a new or renewed lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// The proxy.
     pub identity: Identity,
-    /// Grows with each question of this proxy: control takes none that is older than one it has had.
+    /// Grows with each request of this process. The control plane ignores requests that arrive out of order.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The revision that it acts under, and none older from here on; 0: none.
+    /// The revision that the proxy serves under, and none older from now on; 0 without any.
     #[serde(rename = "acting")]
     pub active_revision: u64,
-    /// The generations whose text it has read and found good.
+    /// The generations whose text the proxy has loaded and found valid.
     #[serde(rename = "has")]
     pub loaded_generations: BTreeSet<Generation>,
-    /// A generation that it can't read.
+    /// A generation whose text the proxy cannot load.
     #[serde(rename = "unread")]
     pub rejected_generation: Option<RejectedGeneration>,
-    /// What it does when cut off.
+    /// What the proxy does when its lease has expired.
     #[serde(rename = "cut_off")]
     pub on_lease_loss: OnLeaseLoss,
 }
 
-/// Why a proxy can't take a generation.
+/// A generation that a proxy cannot load.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RejectedGeneration {
-    /// Which.
+    /// The generation.
     pub generation: Generation,
-    /// Why, for people.
+    /// The error, for operators.
     pub reason: String,
 }
 
-/// Control's answer: a mode, lent for a time.
+/// The control plane's reply to a [`LeaseRequest`]: a mode and how long it may be served under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The question that it answers.
+    /// Sequence number of the request that this answers.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// What to act under.
+    /// The mode to serve under.
     pub mode: Mode,
-    /// For how long, counted from when the question was asked.
+    /// Duration of the lease, counted from when the request was sent.
     #[serde(rename = "lease")]
     pub duration: Micros,
 }
 
-/// What a grant came to.
+/// What the proxy did with a [`LeaseGrant`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantResult {
-    /// The proxy acts under it. `again`: control waits to hear so; ask at once.
+    /// The proxy serves under the granted mode.
     Accepted {
-        /// Ask at once.
+        /// The control plane waits for the confirmation of a transition: send the next request at once.
         renew_now: bool,
     },
-    /// Texts of these generations are wanted first; the old mode stays until its lease ends.
+    /// The texts of the granted generations have to be loaded first. The old mode stays until its lease expires.
     MissingGenerations,
-    /// It answers no question that is out, or is older than what is held. Nothing changed.
+    /// The grant answers no pending request, or its mode is older than the present one. Nothing changed.
     Ignored,
 }
 
-/// Why nothing may begin.
+/// Why no call may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotAdmitted {
-    /// No mode was ever lent to this start of the program. A copy on disk does not stand in for it.
+    /// This process was never granted a lease. A copy of the policy on disk does not replace one.
     NoLease,
-    /// The lease has run out.
+    /// The lease has expired.
     LeaseExpired,
-    /// Control holds this start of the program for dead and has gone on without it.
+    /// The control plane has evicted this process and no longer waits for it.
     Evicted,
 }
 
-/// What may begin now.
+/// Which calls may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// What this mode allows: a generation, or what both of two allow alike.
+    /// Calls that this mode allows: one generation, or the intersection of two.
     Under(Mode),
-    /// Only the floor of this generation.
+    /// Calls that the fallback policy of this generation allows.
     Fallback(Generation),
-    /// Nothing.
+    /// None.
     Denied(NotAdmitted),
 }
 
-/// What a proxy holds.
+/// A granted mode and when its lease expires.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Lease {
+    /// The mode to serve under.
+    pub mode: Mode,
+    /// When the lease expires, on the proxy's clock. It may have passed.
+    pub expires_at: Micros,
+}
+
+/// A request that is not answered yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PendingRequest {
+    sequence: u64,
+    sent_at: Micros,
+}
+
+/// The state machine of one proxy process: it requests leases, takes grants and decides what may start.
+///
+/// The caller sends the requests, loads the texts of generations and provides the clock:
+///
+/// ```
+/// use badgerramp_policy::{
+///     Admission, Generation, Identity, LeaseGrant, LeaseHolder, LeaseHolderConfig, Mode, NotAdmitted, OnLeaseLoss,
+/// };
+///
+/// let identity = Identity { name: "checkout".to_owned(), incarnation: 1 };
+/// let config = LeaseHolderConfig {
+///     on_lease_loss: OnLeaseLoss::Reject,
+///     request_timeout: 1_000_000,
+///     retry_delay: 200_000,
+/// };
+/// let mut holder = LeaseHolder::new(identity, config, [Generation(7)].into());
+/// let request = holder.request(0);
+/// let mode = Mode::stable(1, Generation(7));
+/// holder.on_grant(5_000, LeaseGrant { sequence: request.sequence, mode, duration: 3_000_000 });
+/// assert_eq!(holder.admission(2_999_999), Admission::Under(mode));
+/// assert_eq!(holder.admission(3_000_000), Admission::Denied(NotAdmitted::LeaseExpired));
+/// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     identity: Identity,
-    terms: LeaseHolderConfig,
-    /// What it acts under, and until when.
-    held: Option<(Mode, Micros)>,
-    /// The question that is out: its number and when it was asked.
-    out: Option<(u64, Micros)>,
-    number: u64,
-    next: Micros,
-    has: BTreeSet<Generation>,
-    unread: Option<RejectedGeneration>,
+    config: LeaseHolderConfig,
+    lease: Option<Lease>,
+    pending: Option<PendingRequest>,
+    last_sequence: u64,
+    next_request_at: Micros,
+    loaded_generations: BTreeSet<Generation>,
+    rejected_generation: Option<RejectedGeneration>,
     evicted: bool,
 }
 
 impl LeaseHolder {
-    /// A proxy that has just started: it holds nothing, whatever its disk says. `has` are the generations whose texts
-    /// it has from there, so that they need not be sent again.
-    pub fn new(identity: Identity, terms: LeaseHolderConfig, has: BTreeSet<Generation>) -> Self {
+    /// A process that has just started: it has no lease, whatever is on its disk. `loaded_generations` are the
+    /// generations whose texts it has loaded from there, so that they need not be sent again.
+    pub fn new(
+        identity: Identity,
+        config: LeaseHolderConfig,
+        loaded_generations: BTreeSet<Generation>,
+    ) -> Self {
         LeaseHolder {
             identity,
-            terms,
-            held: None,
-            out: None,
-            number: 0,
-            next: 0,
-            has,
-            unread: None,
+            config,
+            lease: None,
+            pending: None,
+            last_sequence: 0,
+            next_request_at: 0,
+            loaded_generations,
+            rejected_generation: None,
             evicted: false,
         }
     }
 
-    /// What may begin at `now`. A call begins at the moment at which the clock was read for this.
+    /// Which calls may start at `now`. A call starts at the moment at which the clock was read for this.
     pub fn admission(&self, now: Micros) -> Admission {
         if self.evicted {
             return Admission::Denied(NotAdmitted::Evicted);
         }
-        match (self.held, self.terms.on_lease_loss) {
-            (None, _) => Admission::Denied(NotAdmitted::NoLease),
-            (Some((mode, until)), _) if now < until => Admission::Under(mode),
-            (Some((mode, _)), OnLeaseLoss::Keep) => Admission::Under(mode),
-            // What is in force when it is cut off stays admissible; what was to come may not come.
-            (Some((mode, _)), OnLeaseLoss::Fallback) => Admission::Fallback(mode.old),
-            (Some(_), OnLeaseLoss::Reject) => Admission::Denied(NotAdmitted::LeaseExpired),
+        let Some(lease) = self.lease else {
+            return Admission::Denied(NotAdmitted::NoLease);
+        };
+        if now < lease.expires_at {
+            return Admission::Under(lease.mode);
+        }
+        match self.config.on_lease_loss {
+            OnLeaseLoss::Keep => Admission::Under(lease.mode),
+            // The generation in force stays admissible; the pending one may never come into force.
+            OnLeaseLoss::Fallback => Admission::Fallback(lease.mode.old),
+            OnLeaseLoss::Reject => Admission::Denied(NotAdmitted::LeaseExpired),
         }
     }
 
-    /// What it acts under, and until when, whether that has passed or not.
-    pub fn lease(&self) -> Option<(Mode, Micros)> {
-        self.held
+    /// The last lease, expired or not.
+    pub fn lease(&self) -> Option<Lease> {
+        self.lease
     }
 
-    /// When [`LeaseHolder::request`] is due, with no question out; `None` while one is.
+    /// When [`LeaseHolder::request`] is to be called next; `None` while a request is pending, and after an eviction.
     pub fn next_request_at(&self) -> Option<Micros> {
-        (self.out.is_none() && !self.evicted).then_some(self.next)
+        (self.pending.is_none() && !self.evicted).then_some(self.next_request_at)
     }
 
-    /// When the question that is out is given up.
+    /// When the pending request times out.
     pub fn request_deadline(&self) -> Option<Micros> {
-        self.out
-            .map(|(_, asked)| asked.saturating_add(self.terms.request_timeout))
+        self.pending
+            .map(|request| request.sent_at.saturating_add(self.config.request_timeout))
     }
 
-    /// The question to send now. One that is out is given up by this.
+    /// The request to send now. It replaces a pending one.
     pub fn request(&mut self, now: Micros) -> LeaseRequest {
-        self.number += 1;
-        self.out = Some((self.number, now));
+        self.last_sequence += 1;
+        self.pending = Some(PendingRequest {
+            sequence: self.last_sequence,
+            sent_at: now,
+        });
         LeaseRequest {
             identity: self.identity.clone(),
-            sequence: self.number,
-            active_revision: self.held.map_or(0, |(mode, _)| mode.revision),
-            loaded_generations: self.has.clone(),
-            rejected_generation: self.unread.clone(),
-            on_lease_loss: self.terms.on_lease_loss,
+            sequence: self.last_sequence,
+            active_revision: self.lease.map_or(0, |lease| lease.mode.revision),
+            loaded_generations: self.loaded_generations.clone(),
+            rejected_generation: self.rejected_generation.clone(),
+            on_lease_loss: self.config.on_lease_loss,
         }
     }
 
-    /// Control has news: ask as soon as may be.
+    /// The control plane has announced a new revision: request as soon as possible.
     pub fn request_soon(&mut self, now: Micros) {
-        self.next = self.next.min(now);
+        self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// A text was read and found good.
+    /// The text of a generation was loaded and is valid.
     pub fn accept_generation(&mut self, generation: Generation) {
-        self.has.insert(generation);
+        self.loaded_generations.insert(generation);
         if self
-            .unread
+            .rejected_generation
             .as_ref()
-            .is_some_and(|u| u.generation == generation)
+            .is_some_and(|rejected| rejected.generation == generation)
         {
-            self.unread = None;
+            self.rejected_generation = None;
         }
     }
 
-    /// A text can't be read; control is told why with the next question.
+    /// The text of a generation cannot be loaded. The next request reports the reason.
     pub fn reject_generation(&mut self, generation: Generation, reason: String) {
-        self.unread = Some(RejectedGeneration { generation, reason });
+        self.rejected_generation = Some(RejectedGeneration { generation, reason });
     }
 
-    /// Texts of generations that nothing can come back to are let go.
-    pub fn retain_generations(&mut self, keep: impl Fn(Generation) -> bool) {
-        self.has.retain(|&g| keep(g));
+    /// Forgets the loaded generations for which `retain` is false.
+    pub fn retain_generations(&mut self, retain: impl Fn(Generation) -> bool) {
+        self.loaded_generations
+            .retain(|&generation| retain(generation));
     }
 
-    /// Control's answer. The texts that came with it have been read before ([`LeaseHolder::accept_generation`]).
+    /// Takes a grant. Texts that came with it have been passed to [`LeaseHolder::accept_generation`] before.
     pub fn on_grant(&mut self, now: Micros, grant: LeaseGrant) -> GrantResult {
-        let Some((number, asked)) = self.out.filter(|(number, _)| *number == grant.sequence) else {
+        let Some(request) = self
+            .pending
+            .filter(|request| request.sequence == grant.sequence)
+        else {
             return GrantResult::Ignored;
         };
-        self.out = None;
-        // Asked for anew after a third: two questions may come to nothing before the lease ends.
-        self.next = asked.saturating_add(grant.duration / 3).max(now);
+        self.pending = None;
+        let renew_at = request
+            .sent_at
+            .saturating_add(grant.duration / RENEWALS_PER_LEASE);
+        self.next_request_at = renew_at.max(now);
+        let held_revision = self.lease.map(|lease| lease.mode.revision);
         let Mode { revision, old, new } = grant.mode;
-        if self.held.is_some_and(|(held, _)| held.revision > revision) {
+        if held_revision.is_some_and(|held| held > revision) {
             return GrantResult::Ignored;
         }
-        if !self.has.contains(&old) || !self.has.contains(&new) {
-            self.next = now.saturating_add(self.terms.retry_delay);
+        if !self.loaded_generations.contains(&old) || !self.loaded_generations.contains(&new) {
+            self.next_request_at = now.saturating_add(self.config.retry_delay);
             return GrantResult::MissingGenerations;
         }
-        let changed = self.held.is_none_or(|(held, _)| held.revision != revision);
-        let until = asked.saturating_add(grant.duration);
-        debug_assert!(number <= self.number);
-        self.held = Some((grant.mode, until));
-        let again = changed && grant.mode.is_transition();
-        if again {
-            self.next = now;
+        self.lease = Some(Lease {
+            mode: grant.mode,
+            expires_at: request.sent_at.saturating_add(grant.duration),
+        });
+        let renew_now = held_revision != Some(revision) && grant.mode.is_transition();
+        if renew_now {
+            self.next_request_at = now;
         }
-        GrantResult::Accepted { renew_now: again }
+        GrantResult::Accepted { renew_now }
     }
 
-    /// The question came to nothing: no way there, no answer in time, or a refusal.
+    /// The pending request failed: no connection, a timeout or a rejection.
     pub fn on_request_failed(&mut self, now: Micros) {
-        self.out = None;
-        self.next = now.saturating_add(self.terms.retry_delay);
+        self.pending = None;
+        self.next_request_at = now.saturating_add(self.config.retry_delay);
     }
 
-    /// Control holds this start of the program for dead. Nothing begins any more.
+    /// The control plane has evicted this process. No call starts any more.
     pub fn evict(&mut self) {
         self.evicted = true;
-        self.out = None;
+        self.pending = None;
     }
 }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -1,5 +1,8 @@
-//! The leader's passing side: what it has lent, to whom, and who can still act under an older mode. It is not written
-//! down: a leader that begins counts on anything that the leaders before it may have lent, for as long as that may run.
+//! The leases that one leader of the control plane has granted, and the proxies that may still serve under an older
+//! mode.
+//!
+//! This state is kept in memory only. A new leader assumes that its predecessors granted leases up to its election, and
+//! waits for as long as these may run.
 
 use crate::{
     Identity, LeaseGrant, LeaseRequest, Micros, Mode, OnLeaseLoss, Record, RejectedGeneration,
@@ -9,228 +12,260 @@
 #[cfg(test)]
 mod tests;
 
-/// What holds for leases.
+/// Settings of [`Leases`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How long a mode is lent, counted from the question.
+    /// Duration of a lease, counted by the proxy from when it sent its request.
     pub duration: Micros,
-    /// How much longer control counts it: as much as a proxy's clock may fall behind over one lease.
+    /// How much longer the leader counts it: the most that a proxy's clock may fall behind during one lease.
     pub max_clock_drift: Micros,
 }
 
-/// What was lent and may still be acted under.
+impl LeaseConfig {
+    /// When a lease granted at `now` has expired at its proxy, however slow that proxy's clock is.
+    fn expiry(self, now: Micros) -> Micros {
+        now.saturating_add(self.duration)
+            .saturating_add(self.max_clock_drift)
+    }
+}
+
+/// What the leader knows of one proxy process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Session {
-    /// Its last question.
-    number: u64,
-    /// It acts under this revision and none older.
-    acting: u64,
-    cut_off: OnLeaseLoss,
-    /// By revision: until when it may be acted under.
-    lent: BTreeMap<u64, Micros>,
-    unread: Option<RejectedGeneration>,
+    /// Sequence number of its last request.
+    last_sequence: u64,
+    /// It serves under this revision and none older.
+    active_revision: u64,
+    on_lease_loss: OnLeaseLoss,
+    /// By granted revision: until when the proxy may serve under it.
+    expiries: BTreeMap<u64, Micros>,
+    rejected_generation: Option<RejectedGeneration>,
 }
 
-/// Why a question gets no grant.
+impl Session {
+    /// Takes over what a request says. Leases of revisions that the proxy has left, and expired ones, are dropped.
+    fn update(&mut self, now: Micros, mode: Mode, request: &LeaseRequest) {
+        self.last_sequence = request.sequence;
+        self.on_lease_loss = request.on_lease_loss;
+        self.active_revision = self.active_revision.max(request.active_revision);
+        self.rejected_generation = request
+            .rejected_generation
+            .clone()
+            .filter(|rejected| rejected.generation == mode.new);
+        let active_revision = self.active_revision;
+        self.expiries
+            .retain(|&revision, &mut expiry| revision >= active_revision && now < expiry);
+    }
+
+    /// Until when the proxy may serve under a revision older than `revision`; `None` if it can't any more.
+    fn older_lease_until(&self, now: Micros, revision: u64) -> Option<Micros> {
+        self.expiries
+            .range(..revision)
+            .map(|(_, &expiry)| expiry)
+            .filter(|&expiry| now < expiry)
+            .max()
+    }
+
+    fn block_reason(&self, now: Micros, revision: u64) -> Option<BlockReason> {
+        let until = self.older_lease_until(now, revision)?;
+        Some(match &self.rejected_generation {
+            Some(rejected) => BlockReason::GenerationRejected(rejected.reason.clone()),
+            None => BlockReason::Lease(until),
+        })
+    }
+}
+
+/// Why a request is not granted a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDenial {
-    /// A later question of this proxy has been answered.
+    /// A later request of this proxy was answered before.
     OutOfOrder,
-    /// There is no policy yet.
+    /// No policy has been published yet.
     NoPolicy,
-    /// This start of the proxy was evicted.
+    /// This process was evicted.
     Evicted,
 }
 
-/// What is to be done with a question.
+/// What to reply to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// This goes out. It counts from now on, whether it arrives or not.
+    /// Send this grant. The lease counts from now on, whether the grant arrives or not.
     Granted(LeaseGrant),
-    /// The proxy may act without a lease: that is to be agreed on first ([`crate::Command::Register`]).
+    /// The proxy may serve without a lease: log [`crate::Command::Register`] first, then grant again.
     RegisterFirst,
-    /// None goes out.
+    /// No lease is granted.
     Denied(LeaseDenial),
 }
 
-/// Who can still act under an older mode.
+/// A proxy that may still serve under an older mode, so that a transition cannot end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blocker {
-    /// Which proxy; `None`: any, lent to by a leader before this one.
+    /// The proxy; `None` stands for any proxy with a lease of an earlier leader.
     pub identity: Option<Identity>,
-    /// Why.
+    /// Why it blocks the transition.
     pub reason: BlockReason,
 }
 
-/// Why a proxy holds a change up.
+/// Why a proxy blocks a transition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BlockReason {
-    /// A lease that runs until then.
+    /// It may have a lease that expires at this time.
     Lease(Micros),
-    /// It goes on without one, and has not told that it acts under the middle.
+    /// It keeps serving without a lease and has not confirmed the transition.
     ServesWithoutLease,
-    /// It can't read the new policy.
+    /// It cannot load the new generation, for this reason.
     GenerationRejected(String),
 }
 
 /// The leases of one leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
-    terms: LeaseConfig,
-    /// Until then leases of other leaders may run.
-    unknown: Micros,
+    config: LeaseConfig,
+    /// Until then leases of earlier leaders may run.
+    earlier_leases_until: Micros,
     sessions: BTreeMap<Identity, Session>,
 }
 
 impl Leases {
-    /// A leader that begins at `now`.
-    pub fn after_election(terms: LeaseConfig, now: Micros) -> Self {
-        let unknown = now
-            .saturating_add(terms.duration)
-            .saturating_add(terms.max_clock_drift);
+    /// The leases of a leader that was elected at `now`.
+    pub fn after_election(config: LeaseConfig, now: Micros) -> Self {
         Leases {
-            terms,
-            unknown,
+            config,
+            earlier_leases_until: config.expiry(now),
             sessions: BTreeMap::new(),
         }
     }
 
-    /// A question has come. It must be known, after it came in, that this leader is still the one, and `record` must
-    /// hold all that was agreed on until then.
-    pub fn grant(&mut self, now: Micros, record: &Record, ask: &LeaseRequest) -> GrantOutcome {
-        if record.is_evicted(&ask.identity) {
-            self.sessions.remove(&ask.identity);
+    /// Answers a request. The caller has confirmed, after the request arrived, that this replica still leads, and
+    /// `record` holds every command committed until then.
+    pub fn grant(&mut self, now: Micros, record: &Record, request: &LeaseRequest) -> GrantOutcome {
+        if record.is_evicted(&request.identity) {
+            self.sessions.remove(&request.identity);
             return GrantOutcome::Denied(LeaseDenial::Evicted);
         }
         let Some(mode) = record.mode() else {
             return GrantOutcome::Denied(LeaseDenial::NoPolicy);
         };
-        if ask.on_lease_loss != OnLeaseLoss::Reject
-            && !record.leaseless_proxies().contains_key(&ask.identity)
-        {
+        let is_registered = record.leaseless_proxies().contains_key(&request.identity);
+        if request.on_lease_loss != OnLeaseLoss::Reject && !is_registered {
             return GrantOutcome::RegisterFirst;
         }
-        let session = self.sessions.entry(ask.identity.clone()).or_default();
-        if ask.sequence <= session.number {
-            // What it says is older than what is known: it may have taken up less than it now has.
+        let session = self.sessions.entry(request.identity.clone()).or_default();
+        if request.sequence <= session.last_sequence {
+            // The request is outdated: the proxy may serve under a newer mode than it says.
             return GrantOutcome::Denied(LeaseDenial::OutOfOrder);
         }
-        session.number = ask.sequence;
-        session.cut_off = ask.on_lease_loss;
-        session.acting = session.acting.max(ask.active_revision);
-        session.unread = ask
-            .rejected_generation
-            .clone()
-            .filter(|u| u.generation == mode.new);
-        let acting = session.acting;
+        session.update(now, mode, request);
         session
-            .lent
-            .retain(|&revision, &mut until| revision >= acting && now < until);
-        let until = now
-            .saturating_add(self.terms.duration)
-            .saturating_add(self.terms.max_clock_drift);
-        session.lent.insert(mode.revision, until);
+            .expiries
+            .insert(mode.revision, self.config.expiry(now));
         GrantOutcome::Granted(LeaseGrant {
-            sequence: ask.sequence,
+            sequence: request.sequence,
             mode,
-            duration: self.terms.duration,
+            duration: self.config.duration,
         })
     }
 
-    /// A proxy has ended by itself and begins nothing more.
+    /// Drops a proxy that has shut down and starts no more calls.
     pub fn unregister(&mut self, identity: &Identity) {
         self.sessions.remove(identity);
     }
 
-    /// Lets go of those whose leases have run out.
+    /// Drops the proxies whose leases have all expired. Those that may serve without a lease stay.
     pub fn expire(&mut self, now: Micros) {
-        self.sessions.retain(|_, s| {
-            s.cut_off != OnLeaseLoss::Reject || s.lent.values().any(|&until| now < until)
+        self.sessions.retain(|_, session| {
+            session.on_lease_loss != OnLeaseLoss::Reject
+                || session.expiries.values().any(|&expiry| now < expiry)
         });
     }
 
-    /// Who can still act under a mode older than the present one. With none, the middle may be left
-    /// ([`crate::Command::Advance`]); the present mode itself stands beside the next.
+    /// The proxies that may still serve under a mode older than the present one. Without any, a transition may end
+    /// ([`crate::Command::Advance`]): the present mode itself is compatible with the next one.
     pub fn blockers(&self, now: Micros, record: &Record) -> Vec<Blocker> {
         let revision = record.revision();
-        let mut all = Vec::new();
-        if now < self.unknown {
-            all.push(Blocker {
+        let mut blockers = Vec::new();
+        if now < self.earlier_leases_until {
+            blockers.push(Blocker {
                 identity: None,
-                reason: BlockReason::Lease(self.unknown),
+                reason: BlockReason::Lease(self.earlier_leases_until),
             });
         }
         for (identity, session) in &self.sessions {
-            let until = session
-                .lent
-                .range(..revision)
-                .map(|(_, &until)| until)
-                .filter(|&u| now < u)
-                .max();
-            let why = match (&session.unread, until) {
-                (_, None) => continue,
-                (Some(unread), _) => BlockReason::GenerationRejected(unread.reason.clone()),
-                (None, Some(until)) => BlockReason::Lease(until),
-            };
-            all.push(Blocker {
-                identity: Some(identity.clone()),
-                reason: why,
-            });
-        }
-        for (identity, standing) in record.leaseless_proxies() {
-            let acting = self.sessions.get(identity).map_or(0, |s| s.acting);
-            if standing.on_lease_loss == OnLeaseLoss::Keep
-                && standing.revision.max(acting) < revision
-            {
-                all.push(Blocker {
+            if let Some(reason) = session.block_reason(now, revision) {
+                blockers.push(Blocker {
                     identity: Some(identity.clone()),
-                    reason: BlockReason::ServesWithoutLease,
+                    reason,
                 });
             }
         }
-        all
+        blockers.extend(self.leaseless_blockers(record));
+        blockers
     }
 
-    /// Proxies that can't read the generation that is to come, and why: the change has to be given up.
-    pub fn rejected_generation(&self, mode: Mode) -> Option<(&Identity, &str)> {
-        let of = |s: &Session| {
-            s.unread
-                .as_ref()
-                .is_some_and(|u| mode.is_transition() && u.generation == mode.new)
-        };
-        self.sessions
+    /// The proxies that serve without a lease and have not confirmed the present revision.
+    fn leaseless_blockers<'a>(&'a self, record: &'a Record) -> impl Iterator<Item = Blocker> + 'a {
+        let revision = record.revision();
+        record
+            .leaseless_proxies()
             .iter()
-            .find(|(_, s)| of(s))
-            .map(|(i, s)| (i, s.unread.as_ref().map_or("", |u| u.reason.as_str())))
+            .filter(|(_, proxy)| proxy.on_lease_loss == OnLeaseLoss::Keep)
+            .filter(move |(identity, proxy)| {
+                proxy.revision.max(self.active_revision(identity)) < revision
+            })
+            .map(|(identity, _)| Blocker {
+                identity: Some(identity.clone()),
+                reason: BlockReason::ServesWithoutLease,
+            })
+    }
+
+    /// The revision that a proxy has confirmed to this leader; 0 if it has sent no request.
+    fn active_revision(&self, identity: &Identity) -> u64 {
+        self.sessions
+            .get(identity)
+            .map_or(0, |session| session.active_revision)
+    }
+
+    /// A proxy that cannot load the new generation of a transition, and its reason: the change has to be aborted.
+    pub fn rejected_generation(&self, mode: Mode) -> Option<(&Identity, &str)> {
+        if !mode.is_transition() {
+            return None;
+        }
+        self.sessions.iter().find_map(|(identity, session)| {
+            let rejected = session.rejected_generation.as_ref()?;
+            (rejected.generation == mode.new).then_some((identity, rejected.reason.as_str()))
+        })
     }
 
-    /// Proxies without need of a lease that act under the present mode while the record has them at an older one.
+    /// The proxies that may serve without a lease and have confirmed the present revision, while the record has an
+    /// older one for them.
     pub fn caught_up_proxies(&self, record: &Record) -> BTreeSet<Identity> {
         let revision = record.revision();
-        let newer = |i: &Identity| self.sessions.get(i).is_some_and(|s| s.acting == revision);
-        let behind = record
+        record
             .leaseless_proxies()
             .iter()
-            .filter(|(i, s)| s.revision < revision && newer(i));
-        behind.map(|(identity, _)| identity.clone()).collect()
+            .filter(|(identity, proxy)| {
+                proxy.revision < revision && self.active_revision(identity) == revision
+            })
+            .map(|(identity, _)| identity.clone())
+            .collect()
     }
 
-    /// When the next lease that holds the change up runs out.
+    /// When the next lease that blocks the transition expires.
     pub fn next_deadline(&self, now: Micros, record: &Record) -> Option<Micros> {
-        let leases = self
-            .blockers(now, record)
-            .into_iter()
-            .filter_map(|b| match b.reason {
-                BlockReason::Lease(until) => Some(until),
-                BlockReason::ServesWithoutLease | BlockReason::GenerationRejected(_) => None,
-            });
-        leases.min()
+        let blockers = self.blockers(now, record).into_iter();
+        let expiries = blockers.filter_map(|blocker| match blocker.reason {
+            BlockReason::Lease(until) => Some(until),
+            BlockReason::ServesWithoutLease | BlockReason::GenerationRejected(_) => None,
+        });
+        expiries.min()
     }
 
-    /// Who has been lent something: the proxy, the revision that it acts under, and until when at the latest.
+    /// The proxies that were granted a lease: the proxy, the revision that it serves under, and when its last lease
+    /// expires.
     pub fn sessions(&self) -> impl Iterator<Item = (&Identity, u64, Option<Micros>)> {
-        self.sessions
-            .iter()
-            .map(|(i, s)| (i, s.acting, s.lent.values().max().copied()))
+        self.sessions.iter().map(|(identity, session)| {
+            let expires_at = session.expiries.values().max().copied();
+            (identity, session.active_revision, expires_at)
+        })
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -30,8 +30,8 @@
 };
 pub use invariants::{InvariantChecker, StartedCall, Violation};
 pub use lease_holder::{
-    Admission, GrantResult, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest, NotAdmitted,
-    OnLeaseLoss, RejectedGeneration,
+    Admission, GrantResult, Lease, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest,
+    NotAdmitted, OnLeaseLoss, RejectedGeneration,
 };
 pub use leases::{BlockReason, Blocker, GrantOutcome, LeaseConfig, LeaseDenial, Leases};
 pub use mode::{Generation, Mode};
--- a/crates/policy/src/mode.rs
+++ b/crates/policy/src/mode.rs
@@ -1,9 +1,9 @@
-//! What holds for the fleet: one generation of the policy, or two in their middle.
+//! The mode that proxies serve under: one generation of the policy, or a transition between two.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a policy. Numbers grow, and one that was given to a change that came to nothing is never given again.
+/// The number of a published policy. Numbers only grow; the number of an aborted change is never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,19 +15,19 @@
     }
 }
 
-/// What proxies may act under.
+/// What proxies may serve under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Mode {
-    /// Grows with each step of control. A proxy never goes back to an older one.
+    /// Grows with each step of the control plane. A proxy never returns to an older revision.
     pub revision: u64,
     /// The generation in force.
     pub old: Generation,
-    /// The one that is to come; the same as `old` when there is no change under way.
+    /// The pending generation; equal to `old` outside of a transition.
     pub new: Generation,
 }
 
 impl Mode {
-    /// One generation, in force.
+    /// One generation in force, no change pending.
     pub fn stable(revision: u64, generation: Generation) -> Self {
         Mode {
             revision,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Is a change under way?
+    /// Whether a change from `old` to `new` is pending.
     pub fn is_transition(self) -> bool {
         self.old != self.new
     }
 
-    /// May calls begin under this one while others begin under `other`? They may if one generation allows both.
+    /// Whether calls may start under this mode while others start under `other`: one generation must allow both.
     pub fn is_compatible_with(self, other: Mode) -> bool {
         self.old <= other.new && other.old <= self.new
     }
--- a/crates/policy/src/next_command.rs
+++ b/crates/policy/src/next_command.rs
@@ -1,10 +1,10 @@
-//! The next step of the change under way, as the leader of a region sees it.
+//! The next command that the leader of a region has to log for the pending change.
 
-use crate::regions::{listed, CrossRegionChange, Region, Role};
+use crate::regions::{region_list, CrossRegionChange, Region, Role};
 use crate::{Blocker, Command, Leases, Micros, Mode, Record};
 use std::collections::BTreeSet;
 
-/// How long a change may take.
+/// How long a change may wait before its leader aborts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeTimeouts {
     /// Longest wait for the proxies of the own region.
@@ -13,48 +13,53 @@
     pub regions: Micros,
 }
 
-/// The command that the leader has to log next; `None`: nothing for now. `begun` is when this leader first saw the present
-/// revision. Of a change of all regions the messages take the other steps: see [`crate::regions`].
+/// The command that the leader has to log next; `None` if there is nothing to do yet.
+///
+/// `revision_seen_at` is when this leader first saw the present revision. The other steps of a cross-region change
+/// follow from messages: see [`crate::regions`].
 pub fn next_command(
     record: &Record,
     leases: &Leases,
     now: Micros,
-    begun: Micros,
-    limits: ChangeTimeouts,
+    revision_seen_at: Micros,
+    timeouts: ChangeTimeouts,
 ) -> Option<Command> {
-    let behind = leases.caught_up_proxies(record);
-    let Some(middle) = record.transition() else {
-        // Whose floors are held is brought up to date together, when most have moved.
-        let most = behind.len() * 2 > record.leaseless_proxies().len();
-        return most.then(|| Command::RecordActive {
-            revision: record.revision(),
-            proxies: behind,
-        });
+    let Some(transition) = record.transition() else {
+        return record_active_majority(record, leases);
     };
-    let revision = middle.revision;
-    if may_abort(record) {
-        if let Some(why) = abort_reason(record, leases, now, now.saturating_sub(begun), limits) {
-            return Some(Command::Abort {
-                revision,
-                reason: why,
-            });
-        }
+    let elapsed = now.saturating_sub(revision_seen_at);
+    if let Some(reason) = abort_reason(record, leases, now, elapsed, timeouts) {
+        return Some(Command::Abort {
+            revision: transition.revision,
+            reason,
+        });
     }
     if !leases.blockers(now, record).is_empty() {
         return None;
     }
-    if !behind.is_empty() {
+    let caught_up = leases.caught_up_proxies(record);
+    if !caught_up.is_empty() {
         return Some(Command::RecordActive {
-            revision,
-            proxies: behind,
+            revision: transition.revision,
+            proxies: caught_up,
         });
     }
-    prepared_step(record, middle)
+    finish_transition(record, transition)
+}
+
+/// Outside of a transition the record is brought up to date once for most of the proxies, not for each of them.
+fn record_active_majority(record: &Record, leases: &Leases) -> Option<Command> {
+    let caught_up = leases.caught_up_proxies(record);
+    let is_majority = caught_up.len() * 2 > record.leaseless_proxies().len();
+    is_majority.then(|| Command::RecordActive {
+        revision: record.revision(),
+        proxies: caught_up,
+    })
 }
 
-/// What follows when no proxy of the region can act under an older mode.
-fn prepared_step(record: &Record, middle: Mode) -> Option<Command> {
-    let revision = middle.revision;
+/// The command once no proxy of the region can serve under an older mode.
+fn finish_transition(record: &Record, transition: Mode) -> Option<Command> {
+    let revision = transition.revision;
     match record.cross_region().map(|cross| &cross.role) {
         None => Some(Command::Advance { revision }),
         Some(Role::Coordinator {
@@ -66,51 +71,40 @@
     }
 }
 
-/// A participant that has voted has given that right away.
-fn may_abort(record: &Record) -> bool {
-    !matches!(
-        record.cross_region(),
-        Some(CrossRegionChange {
-            role: Role::Participant { voted: true },
-            ..
-        })
-    )
-}
-
-/// Why the change has to be given up, if it has.
+/// Why the pending change has to be aborted, if it has.
 fn abort_reason(
     record: &Record,
     leases: &Leases,
     now: Micros,
     elapsed: Micros,
-    limits: ChangeTimeouts,
+    timeouts: ChangeTimeouts,
 ) -> Option<String> {
-    if let Some((identity, why)) = leases.rejected_generation(record.transition()?) {
-        return Some(format!("{identity} can't read it: {why}"));
+    if has_voted(record) {
+        return None;
     }
-    let missing = missing_votes(record);
-    if elapsed > limits.regions && !missing.is_empty() {
-        return Some(format!(
-            "not in force in time; no vote of {}",
-            listed(&missing)
-        ));
+    if let Some((identity, reason)) = leases.rejected_generation(record.transition()?) {
+        return Some(format!("{identity} can't read it: {reason}"));
+    }
+    let missing_votes = missing_votes(record);
+    if elapsed > timeouts.regions && !missing_votes.is_empty() {
+        let regions = region_list(&missing_votes);
+        return Some(format!("not in force in time; no vote of {regions}"));
     }
     let blockers = leases.blockers(now, record);
-    if elapsed > limits.proxies && !blockers.is_empty() {
-        let named = |b: &Blocker| {
-            b.identity
-                .as_ref()
-                .map_or("any".to_owned(), ToString::to_string)
-        };
-        let names: Vec<String> = blockers.iter().map(named).collect();
-        return Some(format!(
-            "not in force in time; held up by {}",
-            names.join(", ")
-        ));
+    if elapsed > timeouts.proxies && !blockers.is_empty() {
+        let proxies = proxy_list(&blockers);
+        return Some(format!("not in force in time; held up by {proxies}"));
     }
     None
 }
 
+/// A participant that has voted can no longer abort by itself.
+fn has_voted(record: &Record) -> bool {
+    record
+        .cross_region()
+        .is_some_and(|cross| cross.role == Role::Participant { voted: true })
+}
+
 /// The regions whose votes a coordinator waits for.
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
@@ -123,3 +117,13 @@
         _ => BTreeSet::new(),
     }
 }
+
+/// The names of blocking proxies, for operators.
+fn proxy_list(blockers: &[Blocker]) -> String {
+    let name = |blocker: &Blocker| match &blocker.identity {
+        Some(identity) => identity.to_string(),
+        None => "any".to_owned(),
+    };
+    let names: Vec<String> = blockers.iter().map(name).collect();
+    names.join(", ")
+}
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -13,11 +13,11 @@
 mod tests;
 
 /// Generations whose text is kept, so that a rollback can go there.
-const KEPT: usize = 16;
+const RETAINED_TEXTS: usize = 16;
 /// Changes that are remembered.
-const CHANGES_KEPT: usize = 8 * KEPT;
+const RETAINED_CHANGES: usize = 8 * RETAINED_TEXTS;
 /// Why a change ended that the coordinator has given up.
-const GIVEN_UP: &str = "the coordinating region has given it up";
+const ABORTED_BY_COORDINATOR: &str = "the coordinating region has given it up";
 
 /// A proxy that may act without a lease, and under what at the oldest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -77,18 +77,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     mode: Mode,
-    last: Generation,
+    #[serde(rename = "last")]
+    last_generation: Generation,
     texts: BTreeMap<Generation, String>,
     changes: BTreeMap<Generation, Change>,
-    #[serde(with = "as_key")]
-    standing: BTreeMap<Identity, LeaselessProxy>,
+    #[serde(rename = "standing", with = "as_key")]
+    leaseless_proxies: BTreeMap<Identity, LeaselessProxy>,
     evicted: BTreeSet<Identity>,
     /// The change of all regions that the middle is for.
     #[serde(default)]
     cross_region: Option<CrossRegionChange>,
     /// The commit that the coordinator has to remember.
-    #[serde(default)]
-    unacknowledged: Option<UnacknowledgedCommit>,
+    #[serde(default, rename = "unacknowledged")]
+    unacknowledged_commit: Option<UnacknowledgedCommit>,
     /// By coordinator: the last change of all regions in which this region took part.
     #[serde(default)]
     participations: BTreeMap<Region, Participation>,
@@ -99,13 +100,13 @@
     fn default() -> Self {
         Record {
             mode: Mode::stable(0, Generation(0)),
-            last: Generation(0),
+            last_generation: Generation(0),
             texts: BTreeMap::new(),
             changes: BTreeMap::new(),
-            standing: BTreeMap::new(),
+            leaseless_proxies: BTreeMap::new(),
             evicted: BTreeSet::new(),
             cross_region: None,
-            unacknowledged: None,
+            unacknowledged_commit: None,
             participations: BTreeMap::new(),
         }
     }
@@ -129,7 +130,7 @@
 
     /// The commit that not all participants have acknowledged to this coordinator.
     pub fn unacknowledged_commit(&self) -> Option<&UnacknowledgedCommit> {
-        self.unacknowledged.as_ref()
+        self.unacknowledged_commit.as_ref()
     }
 
     /// The last change of all regions of a coordinator in which this region took part.
@@ -137,7 +138,7 @@
         self.participations.get(coordinator)
     }
 
-    /// The revision now, policy or not.
+    /// The present revision, policy or not.
     pub fn revision(&self) -> u64 {
         self.mode.revision
     }
@@ -154,7 +155,7 @@
 
     /// The proxies that may act without a lease.
     pub fn leaseless_proxies(&self) -> &BTreeMap<Identity, LeaselessProxy> {
-        &self.standing
+        &self.leaseless_proxies
     }
 
     /// Was this start of a proxy evicted?
@@ -164,12 +165,12 @@
 
     /// The generations under whose floors proxies may act: a policy that leaves one of them may not come.
     pub fn fallback_generations(&self) -> BTreeSet<Generation> {
-        let narrow = self
-            .standing
+        let fallbacks = self
+            .leaseless_proxies
             .values()
             .filter(|s| s.on_lease_loss == OnLeaseLoss::Fallback)
             .map(|s| s.fallback_generation);
-        narrow
+        fallbacks
             .chain(self.mode().map(|mode| mode.old))
             .filter(|&g| g > Generation(0))
             .collect()
@@ -181,46 +182,43 @@
             Command::Publish {
                 revision,
                 text,
-                fallback_generations: floors,
+                fallback_generations,
                 all_regions,
-            } => self.publish(*revision, text, floors, all_regions.as_ref()),
+            } => self.publish(*revision, text, fallback_generations, all_regions.as_ref()),
             Command::Prepare {
                 revision,
                 change,
                 text,
-                fallback_generations: floors,
-            } => self.prepare(*revision, change, text, floors),
+                fallback_generations,
+            } => self.prepare(*revision, change, text, fallback_generations),
             Command::Vote { revision } => self.vote(*revision),
             Command::Prepared { revision, region } => self.prepared(*revision, region),
             Command::Advance { revision } => self.advance(*revision),
-            Command::Abort {
-                revision,
-                reason: why,
-            } => self.abort(*revision, why),
-            Command::Committed { id } => self.decided(*id, ChangeStatus::Committed),
-            Command::Aborted { id } => self.decided(
+            Command::Abort { revision, reason } => self.abort(*revision, reason),
+            Command::Committed { id } => self.apply_decision(*id, ChangeStatus::Committed),
+            Command::Aborted { id } => self.apply_decision(
                 *id,
                 ChangeStatus::Aborted {
-                    reason: GIVEN_UP.to_owned(),
+                    reason: ABORTED_BY_COORDINATOR.to_owned(),
                 },
             ),
             Command::Acknowledged { id, region } => self.acknowledged(*id, region),
             Command::Register {
                 identity,
-                on_lease_loss: cut_off,
-            } => self.register(identity, *cut_off),
-            Command::RecordActive { revision, proxies } => self.acting(*revision, proxies),
-            Command::Unregister { identity } => self.retire(identity),
+                on_lease_loss,
+            } => self.register(identity, *on_lease_loss),
+            Command::RecordActive { revision, proxies } => self.record_active(*revision, proxies),
+            Command::Unregister { identity } => self.unregister(identity),
             Command::Evict { identity } => {
                 self.evicted.insert(identity.clone());
-                self.retire(identity)
+                self.unregister(identity)
             }
         };
         applied.unwrap_or_else(Outcome::Rejected)
     }
 
     /// Why nothing new can begin, if it can't.
-    fn under_way(&self) -> Option<Rejection> {
+    fn pending_change(&self) -> Option<Rejection> {
         let generation = self.transition()?.new;
         Some(match &self.cross_region {
             None => Rejection::ChangePending(generation),
@@ -232,9 +230,9 @@
         })
     }
 
-    /// Why no change of all regions can begin beside [`Record::under_way`], if it can't.
-    fn remembered(&self) -> Option<Rejection> {
-        let UnacknowledgedCommit { change, regions } = self.unacknowledged.as_ref()?;
+    /// Why no change of all regions can begin beside [`Record::pending_change`], if it can't.
+    fn unacknowledged_change(&self) -> Option<Rejection> {
+        let UnacknowledgedCommit { change, regions } = self.unacknowledged_commit.as_ref()?;
         Some(Rejection::CrossRegionPending {
             generation: change.generation,
             id: change.id,
@@ -246,25 +244,25 @@
         &mut self,
         revision: u64,
         text: &str,
-        floors: &BTreeSet<Generation>,
+        fallback_generations: &BTreeSet<Generation>,
         all_regions: Option<&AllRegions>,
     ) -> Result<Outcome, Rejection> {
-        let in_the_way = self
-            .under_way()
-            .or_else(|| all_regions.and_then(|_| self.remembered()));
-        if let Some(refused) = in_the_way {
-            return Err(refused);
+        let rejection = self
+            .pending_change()
+            .or_else(|| all_regions.and_then(|_| self.unacknowledged_change()));
+        if let Some(rejection) = rejection {
+            return Err(rejection);
         }
         let Some(all) = all_regions else {
-            let number = self.begin(revision, text, floors, None)?;
+            let number = self.start_transition(revision, text, fallback_generations, None)?;
             // Before the first policy nothing can begin, so there is nothing to stand between.
             if self.mode.old == Generation(0) {
                 self.mode = Mode::stable(self.mode.revision, number);
-                self.note(number, ChangeStatus::Committed);
+                self.set_status(number, ChangeStatus::Committed);
             }
             return Ok(Outcome::Started(number));
         };
-        let number = self.begin(revision, text, floors, Some(all.id))?;
+        let number = self.start_transition(revision, text, fallback_generations, Some(all.id))?;
         let change = ChangeRef {
             id: all.id,
             coordinator: all.coordinator.clone(),
@@ -283,10 +281,10 @@
         revision: u64,
         change: &ChangeRef,
         text: &str,
-        floors: &BTreeSet<Generation>,
+        fallback_generations: &BTreeSet<Generation>,
     ) -> Result<Outcome, Rejection> {
-        if let Some(refused) = self.under_way() {
-            return Err(refused);
+        if let Some(rejection) = self.pending_change() {
+            return Err(rejection);
         }
         // A coordinator begins its next change when the one before has ended: a late message must not begin it again.
         let last = self
@@ -296,7 +294,8 @@
         if change.generation <= last {
             return Err(Rejection::Conflict);
         }
-        let number = self.begin(revision, text, floors, Some(change.id))?;
+        let number =
+            self.start_transition(revision, text, fallback_generations, Some(change.id))?;
         let role = Role::Participant { voted: false };
         self.cross_region = Some(CrossRegionChange {
             change: change.clone(),
@@ -312,20 +311,22 @@
     }
 
     /// Begins the middle of a new generation.
-    fn begin(
+    fn start_transition(
         &mut self,
         revision: u64,
         text: &str,
-        floors: &BTreeSet<Generation>,
+        fallback_generations: &BTreeSet<Generation>,
         id: Option<ChangeId>,
     ) -> Result<Generation, Rejection> {
-        if revision != self.mode.revision || !self.fallback_generations().is_subset(floors) {
+        if revision != self.mode.revision
+            || !self.fallback_generations().is_subset(fallback_generations)
+        {
             return Err(Rejection::Conflict);
         }
-        self.last = Generation(self.last.0 + 1);
-        self.texts.insert(self.last, text.to_owned());
+        self.last_generation = Generation(self.last_generation.0 + 1);
+        self.texts.insert(self.last_generation, text.to_owned());
         self.changes.insert(
-            self.last,
+            self.last_generation,
             Change {
                 from: self.mode.old,
                 status: ChangeStatus::Pending,
@@ -335,28 +336,28 @@
         self.mode = Mode {
             revision: revision + 1,
             old: self.mode.old,
-            new: self.last,
+            new: self.last_generation,
         };
-        self.clear();
-        Ok(self.last)
+        self.prune();
+        Ok(self.last_generation)
     }
 
     fn vote(&mut self, revision: u64) -> Result<Outcome, Rejection> {
-        let now = self.mode.revision;
+        let current = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
-            Some(Role::Participant { voted }) if revision == now => *voted = true,
+            Some(Role::Participant { voted }) if revision == current => *voted = true,
             _ => return Err(Rejection::Conflict),
         }
         Ok(Outcome::Applied)
     }
 
     fn prepared(&mut self, revision: u64, region: &Region) -> Result<Outcome, Rejection> {
-        let now = self.mode.revision;
+        let current = self.mode.revision;
         match self.cross_region.as_mut().map(|cross| &mut cross.role) {
             Some(Role::Coordinator {
                 participants,
                 prepared,
-            }) if revision == now && participants.contains(region) => {
+            }) if revision == current && participants.contains(region) => {
                 prepared.insert(region.clone());
             }
             _ => return Err(Rejection::Conflict),
@@ -364,7 +365,7 @@
         Ok(Outcome::Applied)
     }
 
-    fn is_middle_of(&self, revision: u64) -> Result<(), Rejection> {
+    fn check_transition(&self, revision: u64) -> Result<(), Rejection> {
         match self.transition() {
             Some(middle) if middle.revision == revision => Ok(()),
             _ => Err(Rejection::Conflict),
@@ -372,7 +373,7 @@
     }
 
     fn advance(&mut self, revision: u64) -> Result<Outcome, Rejection> {
-        self.is_middle_of(revision)?;
+        self.check_transition(revision)?;
         if let Some(CrossRegionChange { change, role }) = &self.cross_region {
             match role {
                 Role::Participant { .. } => {
@@ -390,17 +391,17 @@
                 }
                 Role::Coordinator { participants, .. } if !participants.is_empty() => {
                     let (change, regions) = (change.clone(), participants.clone());
-                    self.unacknowledged = Some(UnacknowledgedCommit { change, regions });
+                    self.unacknowledged_commit = Some(UnacknowledgedCommit { change, regions });
                 }
                 Role::Coordinator { .. } => {}
             }
         }
-        self.settle(ChangeStatus::Committed);
+        self.finish_transition(ChangeStatus::Committed);
         Ok(Outcome::Applied)
     }
 
-    fn abort(&mut self, revision: u64, why: &str) -> Result<Outcome, Rejection> {
-        self.is_middle_of(revision)?;
+    fn abort(&mut self, revision: u64, reason: &str) -> Result<Outcome, Rejection> {
+        self.check_transition(revision)?;
         if let Some(CrossRegionChange {
             change,
             role: Role::Participant { voted: true },
@@ -410,28 +411,28 @@
                 coordinator: change.coordinator.clone(),
             });
         }
-        self.settle(ChangeStatus::Aborted {
-            reason: why.to_owned(),
+        self.finish_transition(ChangeStatus::Aborted {
+            reason: reason.to_owned(),
         });
         Ok(Outcome::Applied)
     }
 
     /// Takes in what the coordinator has decided. Only a participant that has voted can find itself committed.
-    fn decided(&mut self, id: ChangeId, ended: ChangeStatus) -> Result<Outcome, Rejection> {
+    fn apply_decision(&mut self, id: ChangeId, status: ChangeStatus) -> Result<Outcome, Rejection> {
         match &self.cross_region {
             Some(CrossRegionChange {
                 change,
                 role: Role::Participant { voted },
-            }) if change.id == id && (*voted || ended != ChangeStatus::Committed) => {}
+            }) if change.id == id && (*voted || status != ChangeStatus::Committed) => {}
             _ => return Err(Rejection::Conflict),
         }
-        self.settle(ended);
+        self.finish_transition(status);
         Ok(Outcome::Applied)
     }
 
     fn acknowledged(&mut self, id: ChangeId, region: &Region) -> Result<Outcome, Rejection> {
         let Some(commit) = self
-            .unacknowledged
+            .unacknowledged_commit
             .as_mut()
             .filter(|commit| commit.change.id == id)
         else {
@@ -439,17 +440,17 @@
         };
         commit.regions.remove(region);
         if commit.regions.is_empty() {
-            self.unacknowledged = None;
+            self.unacknowledged_commit = None;
         }
         Ok(Outcome::Applied)
     }
 
     /// Leaves the middle.
-    fn settle(&mut self, ended: ChangeStatus) {
+    fn finish_transition(&mut self, status: ChangeStatus) {
         let Mode { revision, old, new } = self.mode;
-        let in_force = ended == ChangeStatus::Committed;
+        let in_force = status == ChangeStatus::Committed;
         self.mode = Mode::stable(revision + 1, if in_force { new } else { old });
-        self.note(new, ended);
+        self.set_status(new, status);
         let Some(CrossRegionChange {
             change,
             role: Role::Participant { .. },
@@ -468,32 +469,32 @@
     }
 
     /// Notes how a change has ended.
-    fn note(&mut self, generation: Generation, ended: ChangeStatus) {
+    fn set_status(&mut self, generation: Generation, status: ChangeStatus) {
         if let Some(change) = self.changes.get_mut(&generation) {
-            change.status = ended;
+            change.status = status;
         }
     }
 
     fn register(
         &mut self,
         identity: &Identity,
-        cut_off: OnLeaseLoss,
+        on_lease_loss: OnLeaseLoss,
     ) -> Result<Outcome, Rejection> {
         if self.evicted.contains(identity) {
             return Err(Rejection::Evicted);
         }
         let Mode { revision, old, .. } = self.mode;
-        self.standing
+        self.leaseless_proxies
             .entry(identity.clone())
             .or_insert(LeaselessProxy {
-                on_lease_loss: cut_off,
+                on_lease_loss,
                 revision,
                 fallback_generation: old,
             });
         Ok(Outcome::Applied)
     }
 
-    fn acting(
+    fn record_active(
         &mut self,
         revision: u64,
         proxies: &BTreeSet<Identity>,
@@ -501,35 +502,36 @@
         if revision != self.mode.revision {
             return Err(Rejection::Conflict);
         }
-        for (_, standing) in self
-            .standing
+        for (_, proxy) in self
+            .leaseless_proxies
             .iter_mut()
             .filter(|(i, _)| proxies.contains(i))
         {
-            (standing.revision, standing.fallback_generation) = (revision, self.mode.old);
+            (proxy.revision, proxy.fallback_generation) = (revision, self.mode.old);
         }
-        self.clear();
+        self.prune();
         Ok(Outcome::Applied)
     }
 
-    fn retire(&mut self, identity: &Identity) -> Result<Outcome, Rejection> {
-        self.standing.remove(identity);
-        self.clear();
+    fn unregister(&mut self, identity: &Identity) -> Result<Outcome, Rejection> {
+        self.leaseless_proxies.remove(identity);
+        self.prune();
         Ok(Outcome::Applied)
     }
 
     /// Lets go of what nothing can come back to: a floor that may be acted under keeps its text.
-    fn clear(&mut self) {
-        let floors = self.fallback_generations();
+    fn prune(&mut self) {
+        let fallback_generations = self.fallback_generations();
         let Mode { old, new, .. } = self.mode;
-        while self.texts.len() > KEPT {
-            let gone = |g: &&Generation| !floors.contains(g) && **g != old && **g != new;
-            let Some(&gone) = self.texts.keys().find(gone) else {
+        while self.texts.len() > RETAINED_TEXTS {
+            let removable =
+                |g: &&Generation| !fallback_generations.contains(g) && **g != old && **g != new;
+            let Some(&removable) = self.texts.keys().find(removable) else {
                 break;
             };
-            self.texts.remove(&gone);
+            self.texts.remove(&removable);
         }
-        while self.changes.len() > CHANGES_KEPT {
+        while self.changes.len() > RETAINED_CHANGES {
             self.changes.pop_first();
         }
     }
--- a/crates/policy/src/record/tests.rs
+++ b/crates/policy/src/record/tests.rs
@@ -134,7 +134,7 @@
         identity: identity("n"),
         on_lease_loss: OnLeaseLoss::Fallback,
     });
-    for _ in 0..3 * KEPT {
+    for _ in 0..3 * RETAINED_TEXTS {
         publish(&mut record);
         record.apply(&Command::Advance {
             revision: record.revision(),
@@ -142,5 +142,5 @@
     }
     assert!(record.text(Generation(1)).is_some());
     assert!(record.text(Generation(2)).is_none());
-    assert!(record.texts.len() <= KEPT);
+    assert!(record.texts.len() <= RETAINED_TEXTS);
 }
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -28,7 +28,7 @@
 use std::str::FromStr;
 
 /// Longest name of a region, in bytes.
-const REGION_NAME_MOST: usize = 63;
+const MAX_REGION_NAME_LEN: usize = 63;
 
 /// The name of a region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "region {:?}: allowed are 1 to {REGION_NAME_MOST} of a-z, 0-9, '-' and '_', the first one a letter",
+            "region {:?}: allowed are 1 to {MAX_REGION_NAME_LEN} of a-z, 0-9, '-' and '_', the first one a letter",
             self.found
         )
     }
@@ -60,8 +60,8 @@
     fn from_str(name: &str) -> Result<Self, InvalidRegion> {
         let allowed =
             |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
-        let begins = name.starts_with(|c: char| c.is_ascii_lowercase());
-        if begins && name.len() <= REGION_NAME_MOST && name.chars().all(allowed) {
+        let starts_with_letter = name.starts_with(|c: char| c.is_ascii_lowercase());
+        if starts_with_letter && name.len() <= MAX_REGION_NAME_LEN && name.chars().all(allowed) {
             Ok(Region(name.to_owned()))
         } else {
             Err(InvalidRegion {
@@ -99,7 +99,7 @@
 }
 
 /// Regions for people.
-pub(crate) fn listed(regions: &BTreeSet<Region>) -> String {
+pub(crate) fn region_list(regions: &BTreeSet<Region>) -> String {
     let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
     let noun = if names.len() == 1 {
         "region"
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -56,25 +56,25 @@
 pub fn on_vote(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     match &reply.vote {
         Vote::Preparing => None,
-        Vote::Prepared => prepared(record, region, reply),
-        Vote::Rejected { reason: why } => give_up(
+        Vote::Prepared => record_vote(record, region, reply),
+        Vote::Rejected { reason: why } => abort(
             record,
             region,
             reply,
             format!("region {region} refuses it: {why}"),
         ),
-        Vote::Aborted => give_up(
+        Vote::Aborted => abort(
             record,
             region,
             reply,
             format!("region {region} has given it up"),
         ),
-        Vote::Committed => acknowledged(record, region, reply),
+        Vote::Committed => record_acknowledgement(record, region, reply),
     }
 }
 
 /// The revision of the middle that still waits for the vote of `region`.
-fn waiting(record: &Record, region: &Region, reply: &VoteReply) -> Option<u64> {
+fn awaited_revision(record: &Record, region: &Region, reply: &VoteReply) -> Option<u64> {
     let cross = record
         .cross_region()
         .filter(|cross| cross.change.id == reply.id)?;
@@ -83,23 +83,23 @@
     waits.then(|| record.revision())
 }
 
-fn prepared(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
-    let revision = waiting(record, region, reply)?;
+fn record_vote(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
+    let revision = awaited_revision(record, region, reply)?;
     Some(Command::Prepared {
         revision,
         region: region.clone(),
     })
 }
 
-fn give_up(record: &Record, region: &Region, reply: &VoteReply, why: String) -> Option<Command> {
-    let revision = waiting(record, region, reply)?;
+fn abort(record: &Record, region: &Region, reply: &VoteReply, why: String) -> Option<Command> {
+    let revision = awaited_revision(record, region, reply)?;
     Some(Command::Abort {
         revision,
         reason: why,
     })
 }
 
-fn acknowledged(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
+fn record_acknowledgement(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     let commit = record
         .unacknowledged_commit()
         .filter(|commit| commit.change.id == reply.id)?;
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -34,31 +34,31 @@
 /// A [`Prepare`] has come in.
 pub fn on_prepare(record: &Record, regions: &Regions, prepare: &Prepare) -> OnPrepare {
     let change = &prepare.change;
-    if let Some(vote) = known(record, change) {
+    if let Some(vote) = known_vote(record, change) {
         return OnPrepare::Reply(reply(change, vote));
     }
-    if awaits_older(record, change) {
+    if awaits_older_change(record, change) {
         return OnPrepare::Reply(reply(change, Vote::Preparing));
     }
-    if let Some(why) = not_taken(record, regions, change) {
+    if let Some(why) = rejection_reason(record, regions, change) {
         return OnPrepare::Reply(rejected(change, why));
     }
-    let floors = record.fallback_generations();
+    let fallback_generations = record.fallback_generations();
     let command = Command::Prepare {
         revision: record.revision(),
         change: change.clone(),
         text: prepare.text.clone(),
-        fallback_generations: floors.clone(),
+        fallback_generations: fallback_generations.clone(),
     };
     OnPrepare::Start {
-        fallback_generations: floors,
+        fallback_generations,
         command,
     }
 }
 
 /// Is this region still in the middle of an older change of the same coordinator? That one has ended, and the answer to
 /// the next [`outcome_request`] makes room for the new one.
-fn awaits_older(record: &Record, change: &ChangeRef) -> bool {
+fn awaits_older_change(record: &Record, change: &ChangeRef) -> bool {
     record.cross_region().is_some_and(|cross| {
         cross.change.coordinator == change.coordinator
             && cross.change.generation < change.generation
@@ -66,7 +66,7 @@
 }
 
 /// Why a change that is not known here is not taken in, if it isn't.
-fn not_taken(record: &Record, regions: &Regions, change: &ChangeRef) -> Option<String> {
+fn rejection_reason(record: &Record, regions: &Regions, change: &ChangeRef) -> Option<String> {
     let (own, coordinator) = (regions.own(), regions.coordinator());
     if &change.coordinator != coordinator || coordinator == own {
         let found = &change.coordinator;
@@ -98,7 +98,7 @@
 
 /// A [`Commit`] has come in.
 pub fn on_commit(record: &Record, commit: &Commit) -> OnCommit {
-    match known(record, &commit.change) {
+    match known_vote(record, &commit.change) {
         Some(Vote::Prepared) => OnCommit::Log(Command::Committed {
             id: commit.change.id,
         }),
@@ -111,7 +111,7 @@
     let unknown = || Vote::Rejected {
         reason: "it is not known there".to_owned(),
     };
-    reply(change, known(record, change).unwrap_or_else(unknown))
+    reply(change, known_vote(record, change).unwrap_or_else(unknown))
 }
 
 /// The question for the outcome, to be sent again and again to the coordinator while a change of all regions is under
@@ -161,11 +161,11 @@
 }
 
 /// How a change stands here, if it was ever taken in or a later one of its coordinator was.
-fn known(record: &Record, change: &ChangeRef) -> Option<Vote> {
+fn known_vote(record: &Record, change: &ChangeRef) -> Option<Vote> {
     let last = record.participation(&change.coordinator)?;
     if last.change.id == change.id {
         return Some(match last.decision {
-            Decision::Pending if voted(record) => Vote::Prepared,
+            Decision::Pending if has_voted(record) => Vote::Prepared,
             Decision::Pending => Vote::Preparing,
             Decision::Committed => Vote::Committed,
             Decision::Aborted => Vote::Aborted,
@@ -175,7 +175,7 @@
     (change.generation <= last.change.generation).then_some(Vote::Aborted)
 }
 
-fn voted(record: &Record) -> bool {
+fn has_voted(record: &Record) -> bool {
     matches!(
         record.cross_region(),
         Some(CrossRegionChange {
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/exhaustive.rs
@@ -8,7 +8,7 @@
 )]
 
 use badgerramp_policy::{
-    Admission, ChangeStatus, Command, Generation, GrantOutcome, Identity, InvariantChecker,
+    Admission, ChangeStatus, Command, Generation, GrantOutcome, Identity, InvariantChecker, Lease,
     LeaseConfig, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest, Leases, Mode,
     OnLeaseLoss, Outcome, Record, StartedCall,
 };
@@ -289,7 +289,7 @@
         state.asked[place] = 0;
         state.questions.retain(|(p, _)| *p != place);
         state.answers.retain(|(p, _)| *p != place);
-        if let Some((mode, _)) = held.filter(|_| self.is(Mutant::DiskIsLicence)) {
+        if let Some(Lease { mode, .. }) = held.filter(|_| self.is(Mutant::DiskIsLicence)) {
             let clock = state.now - state.behind[place].0;
             let ask = anew.request(clock);
             state.asked[place] = ask.sequence;
