--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,6 +12,7 @@
 #![forbid(unsafe_code)]
 #![expect(clippy::similar_names, reason = "names are still to be told apart")]
 
+mod change;
 mod command;
 mod identity;
 mod intersection;
@@ -23,6 +24,7 @@
 mod record;
 pub mod regions;
 
+pub use change::{Change, ChangeStatus};
 pub use command::{Command, Outcome, Rejection};
 pub use identity::Identity;
 pub use intersection::{
@@ -36,7 +38,7 @@
 pub use leases::{BlockReason, Blocker, GrantOutcome, LeaseConfig, LeaseDenial, Leases};
 pub use mode::{Generation, Mode};
 pub use next_command::{next_command, ChangeTimeouts};
-pub use record::{Change, ChangeStatus, LeaselessProxy, Record};
+pub use record::{LeaselessProxy, Record};
 
 /// Microseconds.
 pub use badgerramp_decisions::Micros;
--- a/crates/policy/src/record/tests.rs
+++ b/crates/policy/src/record/tests.rs
@@ -1,6 +1,8 @@
 //! Commands applied to the record of one region: publish, abort, registered proxies, and what is retained.
 
+use super::retention::RETAINED_TEXTS;
 use super::*;
+use crate::Rejection;
 
 fn publish(record: &mut Record) -> Outcome {
     let command = Command::Publish {
