--- /dev/null
+++ b/crates/policy/src/regions/region.rs
@@ -0,0 +1,125 @@
+//! The names of regions, and the regions of a fleet as one of them sees them.
+
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+use std::fmt;
+use std::str::FromStr;
+
+/// Longest name of a region, in bytes.
+const MAX_REGION_NAME_LEN: usize = 63;
+
+/// The name of a region.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(try_from = "String", into = "String")]
+pub struct Region(String);
+
+/// Why a text is not the name of a region.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvalidRegion {
+    /// What was found.
+    pub found: String,
+}
+
+impl fmt::Display for InvalidRegion {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "region {:?}: allowed are 1 to {MAX_REGION_NAME_LEN} of a-z, 0-9, '-' and '_', the first one a letter",
+            self.found
+        )
+    }
+}
+
+impl std::error::Error for InvalidRegion {}
+
+impl FromStr for Region {
+    type Err = InvalidRegion;
+
+    fn from_str(name: &str) -> Result<Self, InvalidRegion> {
+        let allowed =
+            |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
+        let starts_with_letter = name.starts_with(|c: char| c.is_ascii_lowercase());
+        if starts_with_letter && name.len() <= MAX_REGION_NAME_LEN && name.chars().all(allowed) {
+            Ok(Region(name.to_owned()))
+        } else {
+            Err(InvalidRegion {
+                found: name.to_owned(),
+            })
+        }
+    }
+}
+
+impl TryFrom<String> for Region {
+    type Error = InvalidRegion;
+
+    fn try_from(name: String) -> Result<Self, InvalidRegion> {
+        name.parse()
+    }
+}
+
+impl From<Region> for String {
+    fn from(region: Region) -> Self {
+        region.0
+    }
+}
+
+impl Region {
+    /// The name.
+    pub fn as_str(&self) -> &str {
+        &self.0
+    }
+}
+
+impl fmt::Display for Region {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+/// Regions for people.
+pub(crate) fn region_list(regions: &BTreeSet<Region>) -> String {
+    let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
+    let noun = if names.len() == 1 {
+        "region"
+    } else {
+        "regions"
+    };
+    format!("{noun} {}", names.join(", "))
+}
+
+/// The regions of a fleet, as one of them sees them.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Regions {
+    own: Region,
+    others: BTreeSet<Region>,
+}
+
+impl Regions {
+    /// The own region and the other ones. The own region among `others` is left out of them.
+    pub fn new(own: Region, others: impl IntoIterator<Item = Region>) -> Self {
+        let others = others.into_iter().filter(|other| *other != own).collect();
+        Regions { own, others }
+    }
+
+    /// The region that this is.
+    pub fn own(&self) -> &Region {
+        &self.own
+    }
+
+    /// The other regions.
+    pub fn others(&self) -> &BTreeSet<Region> {
+        &self.others
+    }
+
+    /// The region that coordinates every change of all regions: the first by name.
+    pub fn coordinator(&self) -> &Region {
+        self.others
+            .first()
+            .map_or(&self.own, |first| first.min(&self.own))
+    }
+
+    /// Does this region coordinate the changes of all regions?
+    pub fn is_coordinator(&self) -> bool {
+        self.coordinator() == &self.own
+    }
+}
