--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that the replicas of a region agree on, and what becomes of them.
+//! The commands of a region's replicated log and their outcomes.
 
 use crate::regions::{region_list, AllRegions, ChangeId, ChangeRef, Region};
 use crate::{Generation, Identity, OnLeaseLoss};
@@ -6,123 +6,125 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// One entry of the replicated log. A command that names a revision is refused at any other revision.
+/// One entry of the replicated log. A command that names a revision is rejected at any other revision.
+///
+/// The serialized names are stored data: they stay when a variant or field is renamed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A policy is to come into force.
+    /// Publishes a policy: starts the transition to it.
     Publish {
-        /// The revision that it was checked against.
+        /// The revision that the policy was validated at.
         revision: u64,
-        /// Its text.
+        /// The text of the policy.
         text: String,
-        /// The generations whose floors it was checked against.
+        /// The generations whose fallback policies it was validated against.
         #[serde(rename = "floors")]
         fallback_generations: BTreeSet<Generation>,
-        /// For a change of all regions; without it the change is of this region.
+        /// Set for a cross-region change; without it the change is for this region alone.
         #[serde(default)]
         all_regions: Option<AllRegions>,
     },
-    /// A participant takes part in a change of all regions.
+    /// A participant starts the transition of a cross-region change.
     Prepare {
-        /// The revision that it was checked against.
+        /// The revision that the policy was validated at.
         revision: u64,
         /// The change.
         change: ChangeRef,
         /// The text of the policy.
         text: String,
-        /// The generations whose floors it was checked against.
+        /// The generations whose fallback policies it was validated against.
         #[serde(rename = "floors")]
         fallback_generations: BTreeSet<Generation>,
     },
-    /// No proxy of this participant's region can act under a mode older than this middle.
+    /// A participant is prepared: no proxy of its region can serve under a mode older than this transition.
     Vote {
-        /// The middle.
+        /// The revision of the transition.
         revision: u64,
     },
-    /// The coordinator has a participant's vote.
+    /// The coordinator has received a participant's vote.
     Prepared {
-        /// The coordinator's middle.
+        /// The revision of the coordinator's transition.
         revision: u64,
         /// The participant.
         region: Region,
     },
-    /// The middle is left for the new generation. Of a change of all regions this is the coordinator's commit.
+    /// Ends the transition with the new generation in force. For a cross-region change this is the commit.
     Advance {
-        /// The middle.
+        /// The revision of the transition.
         revision: u64,
     },
-    /// The middle is left for the old generation.
+    /// Ends the transition with the old generation in force.
     Abort {
-        /// The middle.
+        /// The revision of the transition.
         revision: u64,
-        /// Why, for people.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A participant has heard from the coordinator that the change is in force.
+    /// A participant has learned from the coordinator that the change is committed.
     Committed {
         /// The change.
         id: ChangeId,
     },
-    /// A participant has heard from the coordinator that the change is not in force.
+    /// A participant has learned from the coordinator that the change is aborted.
     Aborted {
         /// The change.
         id: ChangeId,
     },
-    /// The coordinator has heard from a participant that it has logged the commit.
+    /// The coordinator has received a participant's acknowledgement of the commit.
     Acknowledged {
         /// The change.
         id: ChangeId,
         /// The participant.
         region: Region,
     },
-    /// A proxy that may act without a lease begins.
+    /// Registers a proxy that may serve without a lease.
     Register {
-        /// Which.
+        /// The proxy process.
         identity: Identity,
-        /// What it does then.
+        /// What it does when its lease has expired.
         #[serde(rename = "cut_off")]
         on_lease_loss: OnLeaseLoss,
     },
-    /// Such proxies act under this revision and none older.
+    /// Records that registered proxies serve under this revision and none older.
     #[serde(rename = "Acting")]
     RecordActive {
         /// The revision.
         revision: u64,
-        /// Which.
+        /// The proxies.
         proxies: BTreeSet<Identity>,
     },
-    /// A proxy has ended by itself.
+    /// A proxy process has shut down.
     #[serde(rename = "Retire")]
     Unregister {
-        /// Which.
+        /// The proxy process.
         identity: Identity,
     },
-    /// An operator vouches that a proxy does not run any more.
+    /// An operator asserts that a proxy process no longer runs.
     Evict {
-        /// Which.
+        /// The proxy process.
         identity: Identity,
     },
 }
 
-/// Why a command had no effect.
+/// Why a command was rejected. It had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
-    /// A change of this region is under way.
+    /// A change of this region is pending.
     #[serde(rename = "UnderWay")]
     ChangePending(Generation),
-    /// A change of all regions is under way here, or is in force and not acknowledged by all regions.
+    /// A cross-region change is pending, or committed and not acknowledged by all regions.
     #[serde(rename = "AcrossRegions")]
     CrossRegionPending {
         /// Its generation in this region.
         generation: Generation,
-        /// Its identifier.
+        /// Its identifier among the regions.
         id: ChangeId,
-        /// The regions whose word is missing. Empty: this region itself is not prepared yet.
+        /// The regions whose vote, decision or acknowledgement is missing. Empty: this region is not prepared yet.
         #[serde(rename = "waits_for")]
         awaited_regions: BTreeSet<Region>,
     },
-    /// A change of all regions can't be in force yet: these regions are not prepared.
+    /// A cross-region change cannot be committed yet: these regions have not voted.
     NotPrepared {
         /// The regions.
         regions: BTreeSet<Region>,
@@ -132,10 +134,10 @@
         /// The coordinator.
         coordinator: Region,
     },
-    /// Something else happened in between.
+    /// Another command was applied in between: the revision or the fallback policies are no longer those checked.
     #[serde(rename = "Moved")]
     Conflict,
-    /// This start of the proxy was evicted.
+    /// The proxy process was evicted.
     Evicted,
 }
 
@@ -158,16 +160,16 @@
     }
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The change has this number.
+    /// A change was started, with this generation.
     #[serde(rename = "Begun")]
     Started(Generation),
-    /// Done.
+    /// The command was applied.
     #[serde(rename = "Done")]
     Applied,
-    /// It had no effect.
+    /// The command was rejected.
     #[serde(rename = "Refused")]
     Rejected(Rejection),
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,16 +1,39 @@
-//! A change of policy takes hold everywhere or nowhere: what a client proxy may begin now and under which terms, and
-//! when its control may take the next step. Without I/O, clock or randomness of its own.
+//! Two-phase change of the policy of a fleet, under leases: a new policy comes into force at every proxy or at none.
 //!
-//! Control holds one [`Mode`]: either one generation, or two in their middle. A proxy acts under the mode that control
-//! last lent it, for as long as the lease runs. In the middle it admits only what both generations allow alike
-//! ([`intersect`]). Control leaves the middle for the new generation when no proxy can act under an older mode any more: it
-//! has told so, or its lease has run out. So at any time old stands beside middle, or middle beside new, and old never
-//! beside new. `docs/policy-design.md` weighs this against other ways.
+//! This crate owns the decisions of both sides: which calls a proxy may start now ([`LeaseHolder`]), what the leader of
+//! the control plane grants ([`Leases`]), what its replicas agree on ([`Record`], changed by [`Command`]s of the
+//! replicated log only) and which step comes next ([`next_command`]). It does no I/O and has neither clock nor
+//! randomness of its own; times are passed in by the caller.
 //!
-//! A fleet may have several regions, each with control of its own: [`regions`] says how one change comes into force in all
-//! of them or in none, and `docs/regions-design.md` why so.
+//! The control plane has one [`Mode`] at a time: a single generation, or a transition between two. A proxy serves under
+//! the mode that it was last granted, until the lease expires. In a transition it starts only calls that both
+//! generations allow ([`intersect`]). The transition ends when no proxy can serve under an older mode any more: each
+//! has confirmed it, or its lease has expired. So at any time calls start under the old generation and the transition,
+//! or under the transition and the new generation, never under the old and the new one. `docs/policy-design.md`
+//! compares this with alternatives.
+//!
+//! A fleet may have several regions, each with a control plane of its own: [`regions`] describes how one change comes
+//! into force in all of them or in none, and `docs/regions-design.md` why so.
+//!
+//! ```
+//! use badgerramp_policy::{Command, Generation, Mode, Outcome, Record};
+//!
+//! let mut record = Record::default();
+//! let publish = |record: &Record, text: &str| Command::Publish {
+//!     revision: record.revision(),
+//!     text: text.to_owned(),
+//!     fallback_generations: record.fallback_generations(),
+//!     all_regions: None,
+//! };
+//! // The first policy is in force at once; the second one starts a transition.
+//! assert_eq!(record.apply(&publish(&record, "first")), Outcome::Started(Generation(1)));
+//! assert_eq!(record.apply(&publish(&record, "second")), Outcome::Started(Generation(2)));
+//! assert!(record.mode().is_some_and(Mode::is_transition));
+//! let revision = record.revision();
+//! assert_eq!(record.apply(&Command::Advance { revision }), Outcome::Applied);
+//! assert_eq!(record.mode(), Some(Mode::stable(3, Generation(2))));
+//! ```
 #![forbid(unsafe_code)]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 
 mod change;
 mod command;
@@ -40,5 +63,5 @@
 pub use next_command::{next_command, ChangeTimeouts};
 pub use record::{LeaselessProxy, Record};
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub use badgerramp_decisions::Micros;
--- a/crates/policy/src/next_command.rs
+++ b/crates/policy/src/next_command.rs
@@ -79,7 +79,11 @@
     elapsed: Micros,
     timeouts: ChangeTimeouts,
 ) -> Option<String> {
-    if has_voted(record) {
+    // A participant that has voted can no longer abort by itself.
+    if record
+        .cross_region()
+        .is_some_and(CrossRegionChange::has_voted)
+    {
         return None;
     }
     if let Some((identity, reason)) = leases.rejected_generation(record.transition()?) {
@@ -98,13 +102,6 @@
     None
 }
 
-/// A participant that has voted can no longer abort by itself.
-fn has_voted(record: &Record) -> bool {
-    record
-        .cross_region()
-        .is_some_and(|cross| cross.role == Role::Participant { voted: true })
-}
-
 /// The regions whose votes a coordinator waits for.
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
--- a/crates/policy/src/record/transition.rs
+++ b/crates/policy/src/record/transition.rs
@@ -124,13 +124,9 @@
 
     pub(super) fn abort(&mut self, revision: u64, reason: &str) -> Result<Outcome, Rejection> {
         self.check_transition(revision)?;
-        if let Some(CrossRegionChange {
-            change,
-            role: Role::Participant { voted: true },
-        }) = &self.cross_region
-        {
+        if let Some(cross) = self.cross_region.as_ref().filter(|cross| cross.has_voted()) {
             return Err(Rejection::AwaitsDecision {
-                coordinator: change.coordinator.clone(),
+                coordinator: cross.change.coordinator.clone(),
             });
         }
         self.finish_transition(ChangeStatus::Aborted {
--- a/crates/policy/src/regions/change.rs
+++ b/crates/policy/src/regions/change.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Identifies a change of all regions: a random number, drawn where it is published.
+/// Identifies a cross-region change: a random number, drawn by the replica that it is published at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub u64);
 
@@ -19,10 +19,10 @@
 /// Which regions a change is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// The region where it is published.
+    /// The region that it is published in.
     #[default]
     Region,
-    /// All regions: in force in each of them, or in none.
+    /// All regions: it comes into force in each of them, or in none.
     All,
 }
 
@@ -35,57 +35,62 @@
     }
 }
 
-/// Names a change of all regions in messages and in records.
+/// Refers to a cross-region change in messages and records.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeRef {
-    /// Its identifier.
+    /// The identifier.
     pub id: ChangeId,
     /// The region that coordinates it.
     pub coordinator: Region,
-    /// Its generation in the coordinator's record. It grows from one change of all regions to the next.
+    /// The generation in the coordinator's record. It grows from one cross-region change to the next.
     #[serde(rename = "number")]
     pub generation: Generation,
 }
 
-/// What a publish of all regions says beside the policy.
+/// The part of a publish command that is specific to a cross-region change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AllRegions {
     /// Identifies the change.
     pub id: ChangeId,
-    /// The region that coordinates it: the one whose record takes the command.
+    /// The coordinating region: the one whose log has the command.
     pub coordinator: Region,
     /// The other regions.
     pub participants: BTreeSet<Region>,
 }
 
-/// The part of a region in a change of all regions that is under way.
+/// The role of a region in a cross-region change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// It decides.
+    /// It decides whether the change is committed.
     Coordinator {
         /// The other regions.
         participants: BTreeSet<Region>,
-        /// Those of them that have voted.
+        /// The participants that have voted to be prepared.
         prepared: BTreeSet<Region>,
     },
-    /// It follows the coordinator's decision.
+    /// It follows the decision of the coordinator.
     Participant {
-        /// It has voted that it is prepared, and may not end the change by itself any more.
+        /// Whether it has voted to be prepared. Then only the coordinator can end the change.
         voted: bool,
     },
 }
 
-/// A change of all regions that is under way in a region.
+/// A cross-region change in transition.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrossRegionChange {
     /// The change.
     pub change: ChangeRef,
-    /// This region's part in it.
+    /// The role of this region.
     pub role: Role,
 }
 
 impl CrossRegionChange {
-    /// The regions whose word this region waits for.
+    /// Whether this region is a participant that has voted: only the coordinator can end the change then.
+    pub fn has_voted(&self) -> bool {
+        self.role == Role::Participant { voted: true }
+    }
+
+    /// The regions that this region waits for: for their votes, or for the decision.
     pub fn awaited_regions(&self) -> BTreeSet<Region> {
         match &self.role {
             Role::Coordinator {
@@ -97,8 +102,7 @@
     }
 }
 
-/// A change of all regions that is in force here, and of which the coordinator does not know yet whether all participants
-/// have taken it in.
+/// A committed change that the coordinator has to remember until every participant has acknowledged the commit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UnacknowledgedCommit {
     /// The change.
@@ -107,25 +111,25 @@
     pub regions: BTreeSet<Region>,
 }
 
-/// The last change of all regions in which a region took part under one coordinator.
+/// The last cross-region change of one coordinator that a region took part in.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Participation {
     /// The change.
     pub change: ChangeRef,
-    /// How it stands here.
+    /// The decision, as far as this region knows it.
     pub decision: Decision,
 }
 
-/// What the coordinator has decided about a change of all regions.
+/// The coordinator's decision on a cross-region change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Decision {
-    /// Nothing yet.
+    /// Not decided yet.
     #[serde(rename = "Open")]
     Pending,
-    /// It is in force in all regions.
+    /// The change is in force.
     #[serde(rename = "InForce")]
     Committed,
-    /// It never was in force in any region, and never will be.
+    /// The change never was in force in any region, and never will be.
     #[serde(rename = "NotInForce")]
     Aborted,
 }
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator of a change of all regions: what it sends, logs and answers, as its record stands.
+//! The coordinator of a cross-region change: what it sends, logs and replies, derived from its record.
 
 use super::{
     Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
@@ -6,8 +6,8 @@
 };
 use crate::{Command, Record};
 
-/// What has to go out, again and again at a pace that the caller sets, to each region until its answer makes it
-/// unnecessary. Empty in a region that coordinates nothing.
+/// The requests to send to each region, repeatedly at an interval of the caller's choice until the replies make them
+/// unnecessary. Empty in a region that coordinates no change.
 pub fn requests(record: &Record) -> Vec<(Region, Request)> {
     prepares(record)
         .into_iter()
@@ -52,16 +52,16 @@
         .collect()
 }
 
-/// What to log when `region` has answered. `None`: nothing, as for an answer that is late, doubled or not final.
+/// The command to log on a reply of `region`; `None` for one that is late, duplicated or not final.
 pub fn on_vote(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     match &reply.vote {
         Vote::Preparing => None,
         Vote::Prepared => record_vote(record, region, reply),
-        Vote::Rejected { reason: why } => abort(
+        Vote::Rejected { reason } => abort(
             record,
             region,
             reply,
-            format!("region {region} refuses it: {why}"),
+            format!("region {region} refuses it: {reason}"),
         ),
         Vote::Aborted => abort(
             record,
@@ -73,14 +73,14 @@
     }
 }
 
-/// The revision of the middle that still waits for the vote of `region`.
+/// The revision of the transition that still waits for the vote of `region`.
 fn awaited_revision(record: &Record, region: &Region, reply: &VoteReply) -> Option<u64> {
     let cross = record
         .cross_region()
         .filter(|cross| cross.change.id == reply.id)?;
-    let waits =
+    let is_awaited =
         matches!(cross.role, Role::Coordinator { .. }) && cross.awaited_regions().contains(region);
-    waits.then(|| record.revision())
+    is_awaited.then(|| record.revision())
 }
 
 fn record_vote(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
@@ -91,48 +91,45 @@
     })
 }
 
-fn abort(record: &Record, region: &Region, reply: &VoteReply, why: String) -> Option<Command> {
+fn abort(record: &Record, region: &Region, reply: &VoteReply, reason: String) -> Option<Command> {
     let revision = awaited_revision(record, region, reply)?;
-    Some(Command::Abort {
-        revision,
-        reason: why,
-    })
+    Some(Command::Abort { revision, reason })
 }
 
 fn record_acknowledgement(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     let commit = record
         .unacknowledged_commit()
         .filter(|commit| commit.change.id == reply.id)?;
-    let waits = commit.regions.contains(region);
-    waits.then(|| Command::Acknowledged {
+    let is_awaited = commit.regions.contains(region);
+    is_awaited.then(|| Command::Acknowledged {
         id: reply.id,
         region: region.clone(),
     })
 }
 
-/// What a participant is told that asks for the outcome. The caller has to confirm, after the question came in, that it
-/// still leads with all that was agreed on until then.
+/// The reply to a participant's request for the decision. The caller has confirmed, after the request arrived, that this
+/// replica still leads and has applied every command committed until then.
 ///
-/// Only a region that waits for a commit is told of it. One that has acknowledged it holds it in its log, and a middle
-/// that it might be in has begun by a late message.
-pub fn outcome(record: &Record, asked: &OutcomeRequest) -> OutcomeReply {
+/// Only a region that has not acknowledged the commit is told of it. One that has acknowledged has it in its log; if it
+/// is in a transition of that change, a late message has started it.
+pub fn outcome(record: &Record, request: &OutcomeRequest) -> OutcomeReply {
     OutcomeReply {
-        id: asked.id,
-        decision: decision(record, asked),
+        id: request.id,
+        decision: decision(record, request),
     }
 }
 
-fn decision(record: &Record, asked: &OutcomeRequest) -> Decision {
+fn decision(record: &Record, request: &OutcomeRequest) -> Decision {
     if record
         .cross_region()
-        .is_some_and(|cross| cross.change.id == asked.id)
+        .is_some_and(|cross| cross.change.id == request.id)
     {
         return Decision::Pending;
     }
-    let waits = |commit: &UnacknowledgedCommit| {
-        commit.change.id == asked.id && commit.regions.contains(&asked.region)
+    let is_awaited = |commit: &UnacknowledgedCommit| {
+        commit.change.id == request.id && commit.regions.contains(&request.region)
     };
-    if record.unacknowledged_commit().is_some_and(waits) {
+    if record.unacknowledged_commit().is_some_and(is_awaited) {
         Decision::Committed
     } else {
         Decision::Aborted
--- a/crates/policy/src/regions/messages.rs
+++ b/crates/policy/src/regions/messages.rs
@@ -3,76 +3,76 @@
 use super::{ChangeId, ChangeRef, Decision, Region};
 use serde::{Deserialize, Serialize};
 
-/// From the coordinator to a participant: take part in this change, and tell whether you are prepared.
+/// First phase, from the coordinator: start the transition and report whether it is prepared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Prepare {
     /// The change.
     pub change: ChangeRef,
-    /// The policy, as it stands in the coordinator's record.
+    /// The text of the policy, as in the coordinator's record.
     pub text: String,
 }
 
-/// From the coordinator to a participant: this change is in force; tell when it is so with you.
+/// Second phase, from the coordinator: the change is committed; log it and acknowledge.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Commit {
     /// The change.
     pub change: ChangeRef,
 }
 
-/// What a coordinator sends to a participant. The answer to either is a [`VoteReply`].
+/// A coordinator's request to a participant. The reply to either is a [`VoteReply`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// See [`Prepare`].
+    /// First phase.
     Prepare(Prepare),
-    /// See [`Commit`].
+    /// Second phase.
     Commit(Commit),
 }
 
-/// How a change of all regions stands in a participant.
+/// The state of a cross-region change at a participant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// It is under way, and proxies may still act under an older mode.
+    /// In transition; proxies may still serve under an older mode.
     Preparing,
-    /// It is prepared, and waits for the decision.
+    /// Prepared: the participant waits for the decision.
     Prepared,
-    /// It was not taken in.
+    /// The participant does not take part.
     #[serde(rename = "Refused")]
     Rejected {
-        /// Why, for people.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The commit is in its log. This acknowledges it.
+    /// The commit is logged. This acknowledges it.
     #[serde(rename = "InForce")]
     Committed,
-    /// It has ended here as not in force.
+    /// The participant has aborted the change.
     #[serde(rename = "NotInForce")]
     Aborted,
 }
 
-/// From a participant to the coordinator.
+/// A participant's reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoteReply {
     /// The change.
     pub id: ChangeId,
-    /// How it stands.
+    /// Its state at the participant.
     pub vote: Vote,
 }
 
-/// From a participant to the coordinator: how did this change end? The answer is an [`OutcomeReply`].
+/// A participant asks the coordinator for its decision. The reply is an [`OutcomeReply`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OutcomeRequest {
     /// The change.
     pub id: ChangeId,
-    /// The region that asks.
+    /// The participant.
     pub region: Region,
 }
 
-/// From the coordinator to a participant.
+/// The coordinator's reply to an [`OutcomeRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OutcomeReply {
     /// The change.
     pub id: ChangeId,
-    /// What is decided.
+    /// The decision.
     pub decision: Decision,
 }
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -1,4 +1,4 @@
-//! A participant of a change of all regions: what it answers, logs and asks, as its record stands.
+//! A participant of a cross-region change: what it replies, logs and asks, derived from its record.
 
 use super::{
     ChangeRef, Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Regions,
@@ -10,14 +10,14 @@
 /// What to do with a [`Prepare`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnPrepare {
-    /// Answer this.
+    /// Send this reply.
     Reply(VoteReply),
-    /// Read the policy and check it against these floors of the own record. If it is good, log the command and answer
-    /// [`prepare_reply`] of what became of it; if not, answer [`rejected`].
+    /// Validate the policy, also against the fallback policies of the own record. If it is valid, log the command and
+    /// reply with [`prepare_reply`]; if not, reply with [`rejected`].
     Start {
-        /// The generations whose floors the policy must leave.
+        /// The generations whose fallback policies the new policy must not violate.
         fallback_generations: BTreeSet<Generation>,
-        /// What to log.
+        /// The command to log.
         command: Command,
     },
 }
@@ -25,13 +25,13 @@
 /// What to do with a [`Commit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnCommit {
-    /// Answer this.
+    /// Send this reply.
     Reply(VoteReply),
-    /// Log this, and then answer [`current_status`].
+    /// Log this command, then reply with [`current_status`].
     Log(Command),
 }
 
-/// A [`Prepare`] has come in.
+/// Handles a [`Prepare`].
 pub fn on_prepare(record: &Record, regions: &Regions, prepare: &Prepare) -> OnPrepare {
     let change = &prepare.change;
     if let Some(vote) = known_vote(record, change) {
@@ -40,8 +40,8 @@
     if awaits_older_change(record, change) {
         return OnPrepare::Reply(reply(change, Vote::Preparing));
     }
-    if let Some(why) = rejection_reason(record, regions, change) {
-        return OnPrepare::Reply(rejected(change, why));
+    if let Some(reason) = rejection_reason(record, regions, change) {
+        return OnPrepare::Reply(rejected(change, reason));
     }
     let fallback_generations = record.fallback_generations();
     let command = Command::Prepare {
@@ -56,8 +56,8 @@
     }
 }
 
-/// Is this region still in the middle of an older change of the same coordinator? That one has ended, and the answer to
-/// the next [`outcome_request`] makes room for the new one.
+/// Whether this region is still in the transition of an older change of the same coordinator. That change has ended,
+/// and the reply to the next [`outcome_request`] ends the transition.
 fn awaits_older_change(record: &Record, change: &ChangeRef) -> bool {
     record.cross_region().is_some_and(|cross| {
         cross.change.coordinator == change.coordinator
@@ -65,7 +65,7 @@
     })
 }
 
-/// Why a change that is not known here is not taken in, if it isn't.
+/// Why this region does not take part in a new change; `None` if it does.
 fn rejection_reason(record: &Record, regions: &Regions, change: &ChangeRef) -> Option<String> {
     let (own, coordinator) = (regions.own(), regions.coordinator());
     if &change.coordinator != coordinator || coordinator == own {
@@ -74,11 +74,14 @@
             "it comes from region {found}; for region {own} {coordinator} coordinates"
         ));
     }
-    let middle = record.transition()?;
-    Some(format!("the change to {} is under way there", middle.new))
+    let transition = record.transition()?;
+    Some(format!(
+        "the change to {} is under way there",
+        transition.new
+    ))
 }
 
-/// The answer to a [`Prepare`] whose [`OnPrepare::Start`] was logged and came to this.
+/// The reply to a [`Prepare`] whose [`OnPrepare::Start`] command was applied with this outcome.
 pub fn prepare_reply(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
     match outcome {
         Outcome::Started(_) | Outcome::Applied => reply(change, Vote::Preparing),
@@ -86,17 +89,17 @@
             change,
             format!("the change to {generation} is under way there"),
         ),
-        // Another message may have been faster; the next one finds out.
+        // Another message came first; the next request finds out.
         Outcome::Rejected(_) => reply(change, Vote::Preparing),
     }
 }
 
-/// The answer to a [`Prepare`] whose policy can't come here.
-pub fn rejected(change: &ChangeRef, why: String) -> VoteReply {
-    reply(change, Vote::Rejected { reason: why })
+/// The reply to a [`Prepare`] whose policy is not valid in this region.
+pub fn rejected(change: &ChangeRef, reason: String) -> VoteReply {
+    reply(change, Vote::Rejected { reason })
 }
 
-/// A [`Commit`] has come in.
+/// Handles a [`Commit`].
 pub fn on_commit(record: &Record, commit: &Commit) -> OnCommit {
     match known_vote(record, &commit.change) {
         Some(Vote::Prepared) => OnCommit::Log(Command::Committed {
@@ -106,7 +109,7 @@
     }
 }
 
-/// How a change stands here.
+/// The reply that tells the state of a change in this region.
 pub fn current_status(record: &Record, change: &ChangeRef) -> VoteReply {
     let unknown = || Vote::Rejected {
         reason: "it is not known there".to_owned(),
@@ -114,8 +117,8 @@
     reply(change, known_vote(record, change).unwrap_or_else(unknown))
 }
 
-/// The question for the outcome, to be sent again and again to the coordinator while a change of all regions is under
-/// way here.
+/// The request for the decision and the coordinator to send it to, repeatedly while this region is in the transition of
+/// a cross-region change.
 pub fn outcome_request(
     record: &Record,
     regions: &Regions,
@@ -127,14 +130,14 @@
     else {
         return None;
     };
-    let asked = OutcomeRequest {
+    let request = OutcomeRequest {
         id: change.id,
         region: regions.own().clone(),
     };
-    Some((change.coordinator.clone(), asked))
+    Some((change.coordinator.clone(), request))
 }
 
-/// What to log when the coordinator has answered. `None`: nothing.
+/// The command to log on the coordinator's reply, if any.
 pub fn on_outcome(record: &Record, reply: &OutcomeReply) -> Option<Command> {
     let CrossRegionChange {
         change,
@@ -147,7 +150,7 @@
     match reply.decision {
         _ if id != reply.id => None,
         Decision::Pending => None,
-        // Nothing is committed without this region's vote.
+        // A change is never committed without the vote of this region.
         Decision::Committed => voted.then_some(Command::Committed { id }),
         Decision::Aborted => Some(Command::Aborted { id }),
     }
@@ -160,27 +163,20 @@
     }
 }
 
-/// How a change stands here, if it was ever taken in or a later one of its coordinator was.
+/// The state of a change in this region, if it has taken part in it or in a later one of the same coordinator.
 fn known_vote(record: &Record, change: &ChangeRef) -> Option<Vote> {
-    let last = record.participation(&change.coordinator)?;
-    if last.change.id == change.id {
-        return Some(match last.decision {
-            Decision::Pending if has_voted(record) => Vote::Prepared,
+    let last_participation = record.participation(&change.coordinator)?;
+    if last_participation.change.id == change.id {
+        let has_voted = record
+            .cross_region()
+            .is_some_and(CrossRegionChange::has_voted);
+        return Some(match last_participation.decision {
+            Decision::Pending if has_voted => Vote::Prepared,
             Decision::Pending => Vote::Preparing,
             Decision::Committed => Vote::Committed,
             Decision::Aborted => Vote::Aborted,
         });
     }
-    // The coordinator has begun a later change, so this one has ended, and nobody waits for this answer any more.
-    (change.generation <= last.change.generation).then_some(Vote::Aborted)
-}
-
-fn has_voted(record: &Record) -> bool {
-    matches!(
-        record.cross_region(),
-        Some(CrossRegionChange {
-            role: Role::Participant { voted: true },
-            ..
-        })
-    )
+    // The coordinator has started a later change, so this one has ended and the reply is no longer awaited.
+    (change.generation <= last_participation.change.generation).then_some(Vote::Aborted)
 }
--- a/crates/policy/src/regions/region.rs
+++ b/crates/policy/src/regions/region.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest name of a region, in bytes.
+/// Longest name of a region, in bytes (as of a DNS label, RFC 1035).
 const MAX_REGION_NAME_LEN: usize = 63;
 
 /// The name of a region.
@@ -13,10 +13,10 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Region(String);
 
-/// Why a text is not the name of a region.
+/// A text is not the name of a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRegion {
-    /// What was found.
+    /// The text.
     pub found: String,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Regions for people.
+/// The names of regions, for operators: `region a`, or `regions a, b`.
 pub(crate) fn region_list(regions: &BTreeSet<Region>) -> String {
     let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
     let noun = if names.len() == 1 {
@@ -87,7 +87,7 @@
     format!("{noun} {}", names.join(", "))
 }
 
-/// The regions of a fleet, as one of them sees them.
+/// The regions of a fleet, from the view of one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Regions {
     own: Region,
@@ -95,13 +95,13 @@
 }
 
 impl Regions {
-    /// The own region and the other ones. The own region among `others` is left out of them.
+    /// The own region and the other ones. `others` may contain the own region too.
     pub fn new(own: Region, others: impl IntoIterator<Item = Region>) -> Self {
         let others = others.into_iter().filter(|other| *other != own).collect();
         Regions { own, others }
     }
 
-    /// The region that this is.
+    /// The own region.
     pub fn own(&self) -> &Region {
         &self.own
     }
@@ -111,14 +111,14 @@
         &self.others
     }
 
-    /// The region that coordinates every change of all regions: the first by name.
+    /// The region that coordinates every cross-region change: the first by name.
     pub fn coordinator(&self) -> &Region {
         self.others
             .first()
             .map_or(&self.own, |first| first.min(&self.own))
     }
 
-    /// Does this region coordinate the changes of all regions?
+    /// Whether the own region coordinates cross-region changes.
     pub fn is_coordinator(&self) -> bool {
         self.coordinator() == &self.own
     }
