--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -4,7 +4,7 @@
 use crate::{Generation, Identity, OnLeaseLoss};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use std::fmt;
+use thiserror::Error;
 
 /// One entry of the replicated log. A command that names a revision is rejected at any other revision.
 ///
@@ -108,12 +108,14 @@
 }
 
 /// Why a command was rejected. It had no effect.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 pub enum Rejection {
     /// A change of this region is pending.
+    #[error("the change to {0} is under way")]
     #[serde(rename = "UnderWay")]
     ChangePending(Generation),
     /// A cross-region change is pending, or committed and not acknowledged by all regions.
+    #[error("the change of all regions {id}, here {generation}, is not at its end: it waits for {}", awaited(.awaited_regions))]
     #[serde(rename = "AcrossRegions")]
     CrossRegionPending {
         /// Its generation in this region.
@@ -125,38 +127,32 @@
         awaited_regions: BTreeSet<Region>,
     },
     /// A cross-region change cannot be committed yet: these regions have not voted.
+    #[error("no vote yet of {}", region_list(.regions))]
     NotPrepared {
         /// The regions.
         regions: BTreeSet<Region>,
     },
     /// Only the coordinator of the change can end it now.
+    #[error("this region has voted for a change of all regions: region {coordinator} decides how it ends")]
     AwaitsDecision {
         /// The coordinator.
         coordinator: Region,
     },
     /// Another command was applied in between: the revision or the fallback policies are no longer those checked.
+    #[error("something else came in between: look again")]
     #[serde(rename = "Moved")]
     Conflict,
     /// The proxy process was evicted.
+    #[error("this start of the proxy was evicted: start it anew")]
     Evicted,
 }
 
-impl fmt::Display for Rejection {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Rejection::ChangePending(generation) => write!(f, "the change to {generation} is under way"),
-            Rejection::CrossRegionPending { generation, id, awaited_regions: waits_for } => {
-                write!(f, "the change of all regions {id}, here {generation}, is not at its end: ")?;
-                if waits_for.is_empty() { f.write_str("it waits for proxies of this region") } else { write!(f, "it waits for {}", region_list(waits_for)) }
-            }
-            Rejection::NotPrepared { regions } => write!(f, "no vote yet of {}", region_list(regions)),
-            Rejection::AwaitsDecision { coordinator } => write!(
-                f,
-                "this region has voted for a change of all regions: region {coordinator} decides how it ends"
-            ),
-            Rejection::Conflict => f.write_str("something else came in between: look again"),
-            Rejection::Evicted => f.write_str("this start of the proxy was evicted: start it anew"),
-        }
+/// What a pending cross-region change waits for, for operators.
+fn awaited(regions: &BTreeSet<Region>) -> String {
+    if regions.is_empty() {
+        "proxies of this region".to_owned()
+    } else {
+        region_list(regions)
     }
 }
 
--- a/crates/policy/src/intersection.rs
+++ b/crates/policy/src/intersection.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_route::{Answers, StatusSet};
-use std::fmt;
+use thiserror::Error;
 
 /// Every status code that HTTP allows (RFC 9110, section 15).
 const STATUS_CODES: std::ops::RangeInclusive<u16> = 100..=999;
@@ -64,23 +64,16 @@
 }
 
 /// Why no call can start that both policies allow.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Mismatch {
     /// Only the policy in force accepts the request.
+    #[error("the policy that is to come does not take it")]
     OnlyOld,
     /// Only the pending policy accepts the request.
+    #[error("the policy in force does not take it")]
     OnlyNew,
 }
 
-impl fmt::Display for Mismatch {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Mismatch::OnlyOld => "the policy that is to come does not take it",
-            Mismatch::OnlyNew => "the policy in force does not take it",
-        })
-    }
-}
-
 /// Whether `outer` allows every repeat that `inner` allows.
 fn is_covered_by(inner: Idempotency, outer: Idempotency) -> bool {
     match (inner, outer) {
--- a/crates/policy/src/regions/region.rs
+++ b/crates/policy/src/regions/region.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 
 /// Longest name of a region, in bytes (as of a DNS label, RFC 1035).
 const MAX_REGION_NAME_LEN: usize = 63;
@@ -14,24 +15,15 @@
 pub struct Region(String);
 
 /// A text is not the name of a region.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error(
+    "region {found:?}: allowed are 1 to {MAX_REGION_NAME_LEN} of a-z, 0-9, '-' and '_', the first one a letter"
+)]
 pub struct InvalidRegion {
     /// The text.
     pub found: String,
 }
 
-impl fmt::Display for InvalidRegion {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "region {:?}: allowed are 1 to {MAX_REGION_NAME_LEN} of a-z, 0-9, '-' and '_', the first one a letter",
-            self.found
-        )
-    }
-}
-
-impl std::error::Error for InvalidRegion {}
-
 impl FromStr for Region {
     type Err = InvalidRegion;
 
