--- a/crates/policy/src/invariants/tests.rs
+++ b/crates/policy/src/invariants/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn old_beside_middle_and_middle_beside_new_are_not_mixed() {
+fn compatible_modes_pass_and_older_generations_are_reported() {
     let mut judge = InvariantChecker::default();
     for (old, new) in [
         (1, 1),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn both_ends_of_a_change_bind() {
+fn calls_that_contradict_an_abort_or_a_commit_are_reported() {
     let mut judge = InvariantChecker::default();
     judge.record_start(&begun(1, 2));
     assert!(judge.record_aborted(Generation(2)));
--- a/crates/policy/src/lease_holder/tests.rs
+++ b/crates/policy/src/lease_holder/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_lease_runs_from_the_question() {
+fn lease_duration_counts_from_when_the_request_was_sent() {
     let mut holder = holder(OnLeaseLoss::Reject);
     assert_eq!(holder.admission(0), Admission::Denied(NotAdmitted::NoLease));
     let ask = holder.request(1_000);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_late_older_or_unread_changes_nothing() {
+fn stale_older_and_unloadable_grants_change_nothing() {
     let mut holder = holder(OnLeaseLoss::Reject);
     let first = holder.request(0);
     let second = holder.request(100);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn cut_off_it_does_what_it_was_told_to() {
+fn an_expired_lease_is_handled_as_configured() {
     for (cut_off, then) in [
         (
             OnLeaseLoss::Reject,
--- a/crates/policy/src/leases/tests.rs
+++ b/crates/policy/src/leases/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_leader_that_begins_waits_for_what_others_may_have_lent() {
+fn new_leader_waits_for_leases_of_its_predecessors() {
     let leases = Leases::after_election(TERMS, 1_000);
     let middle = record(2);
     assert_eq!(leases.blockers(1_109, &middle).len(), 1);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_older_mode_is_out_until_it_is_told_or_has_run_out() {
+fn older_lease_blocks_until_confirmation_or_expiry() {
     let mut leases = Leases::after_election(TERMS, 0);
     let (stable, middle) = (record(1), record(2));
     assert!(matches!(
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_older_question_says_nothing() {
+fn out_of_order_requests_are_denied() {
     let mut leases = Leases::after_election(TERMS, 0);
     let middle = record(2);
     leases.grant(200, &middle, &ask(5, 2));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn who_keeps_is_registered_first_and_waited_for() {
+fn leaseless_proxy_registers_first_and_blocks_until_it_confirms() {
     let mut leases = Leases::after_election(TERMS, 0);
     let mut record = record(1);
     let keeps = LeaseRequest {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn who_cannot_read_it_is_named() {
+fn proxy_that_rejects_the_generation_is_named() {
     let mut leases = Leases::after_election(TERMS, 0);
     let middle = record(2);
     let unread = RejectedGeneration {
--- a/crates/policy/src/record/tests.rs
+++ b/crates/policy/src/record/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_first_policy_is_in_force_at_once_and_the_next_has_a_middle() {
+fn first_policy_is_in_force_at_once_and_the_next_needs_a_transition() {
     let mut record = Record::default();
     assert_eq!(record.mode(), None);
     assert_eq!(publish(&mut record), Outcome::Started(Generation(1)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_number_that_came_to_nothing_is_not_given_again() {
+fn generation_of_an_aborted_change_is_not_reused() {
     let mut record = Record::default();
     publish(&mut record);
     publish(&mut record);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_floor_is_held_until_its_proxy_acts_under_a_later_one() {
+fn fallback_generation_is_retained_until_its_proxy_moves_on() {
     let mut record = Record::default();
     publish(&mut record);
     record.apply(&Command::Register {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn who_was_evicted_does_not_register_again() {
+fn evicted_proxy_cannot_register_again() {
     let mut record = Record::default();
     let register = Command::Register {
         identity: identity("n"),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn texts_are_bounded_and_those_of_floors_stay() {
+fn texts_are_bounded_and_those_of_fallback_generations_stay() {
     let mut record = Record::default();
     publish(&mut record);
     record.apply(&Command::Register {
--- a/crates/policy/tests/regions.rs
+++ b/crates/policy/tests/cross_region_changes.rs
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_change_of_all_regions_comes_into_force_in_both() {
+fn cross_region_change_is_committed_in_both_regions() {
     let (mut norte, mut sur) = committed();
     assert_eq!(norte.mode(), Some(Mode::stable(3, Generation(2))));
     assert!(sur.mode().is_some_and(Mode::is_transition));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_first_policy_of_all_regions_is_in_force_in_none_before_the_decision() {
+fn first_cross_region_policy_is_not_in_force_before_the_decision() {
     let (mut norte, mut sur) = (Record::default(), Record::default());
     assert_eq!(publish_all(&mut norte, 1), Outcome::Started(Generation(1)));
     assert_eq!(
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn the_coordinator_does_not_advance_without_all_votes() {
+fn coordinator_does_not_advance_without_all_votes() {
     let (mut norte, _) = begun();
     assert_eq!(lead(&mut norte), None);
     let advance = Command::Advance {
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_participant_that_has_voted_ends_the_change_by_the_decision_alone() {
+fn participant_that_has_voted_follows_only_the_decision() {
     let (norte, mut sur) = voted();
     let revision = sur.revision();
     let awaits = || {
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_participant_votes_when_no_proxy_can_act_under_an_older_mode() {
+fn participant_votes_when_no_proxy_can_serve_under_an_older_mode() {
     let (norte, mut sur) = begun();
     let mut leases = leases();
     leases.grant(NOW, &sur, &ask(None));
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_participant_that_has_not_voted_aborts_by_itself_and_is_not_committed() {
+fn participant_without_a_vote_may_abort_and_is_not_committed() {
     let (mut norte, mut sur) = begun();
     take_prepare(&mut sur, &prepare(&norte));
     assert_eq!(
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_local_change_under_way_refuses_a_change_of_all_regions() {
+fn pending_local_change_rejects_a_cross_region_change() {
     let (mut norte, mut sur) = begun();
     publish_here(&mut sur, "local");
     let reply = take_prepare(&mut sur, &prepare(&norte));
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_prepare_of_a_region_that_does_not_coordinate_is_refused() {
+fn prepare_of_another_coordinator_is_rejected() {
     let change = ChangeRef {
         id: ChangeId(9),
         coordinator: region("oeste"),
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn changes_of_a_region_are_refused_in_a_middle_of_all_and_go_on_when_it_has_ended() {
+fn local_changes_are_rejected_during_a_cross_region_change_and_accepted_after_it() {
     let (mut norte, mut sur) = voted();
     let refused = |waits_for| {
         let waits_for = BTreeSet::from([waits_for]);
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn the_coordinator_gives_up_when_votes_are_missing_in_time() {
+fn coordinator_aborts_when_votes_miss_the_timeout() {
     let (mut norte, _) = begun();
     let begun = NOW - LIMITS.regions;
     assert_eq!(next_command(&norte, &leases(), NOW, begun, LIMITS), None);
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn an_abort_need_not_be_remembered() {
+fn abort_need_not_be_remembered() {
     let (mut norte, mut sur) = voted();
     norte.apply(&Command::Abort {
         revision: norte.revision(),
@@ -483,7 +483,7 @@
 }
 
 #[test]
-fn a_commit_is_remembered_for_whoever_has_not_acknowledged_it() {
+fn commit_is_remembered_until_it_is_acknowledged() {
     let (mut norte, mut sur) = committed();
     for text in 0..40 {
         publish_here(&mut norte, &text.to_string());
@@ -510,7 +510,7 @@
 }
 
 #[test]
-fn a_late_prepare_begins_nothing_again_however_many_changes_came_between() {
+fn late_prepare_does_not_restart_an_ended_change() {
     let (mut norte, mut sur) = committed();
     let (old_prepare, old_commit) = (prepare(&voted().0), commit(&norte));
     let acknowledged = take_commit(&mut sur, &old_commit);
@@ -535,7 +535,7 @@
 }
 
 #[test]
-fn a_new_change_waits_for_the_end_of_an_older_one_that_a_participant_is_in() {
+fn new_change_waits_until_the_participant_has_ended_the_older_one() {
     let (mut norte, mut sur) = voted();
     norte.apply(&Command::Abort {
         revision: norte.revision(),
@@ -563,7 +563,7 @@
 }
 
 #[test]
-fn of_two_publishers_one_is_refused_and_told_what_is_under_way() {
+fn second_publisher_is_rejected_with_the_pending_change() {
     let mut norte = with_policy();
     let (first, second) = (publish(&norte, "a", Some(1)), publish(&norte, "b", Some(2)));
     assert_eq!(norte.apply(&first), Outcome::Started(Generation(2)));
@@ -578,7 +578,7 @@
 }
 
 #[test]
-fn floors_hold_for_a_prepare_as_for_a_publish() {
+fn prepare_is_validated_against_fallback_generations_like_publish() {
     let (norte, mut sur) = begun();
     let identity = Identity {
         name: "n".to_owned(),
@@ -607,7 +607,7 @@
 }
 
 #[test]
-fn the_coordinator_is_the_first_region_by_name() {
+fn coordinator_is_the_first_region_by_name() {
     let regions = Regions::new(sur(), [norte(), sur()]);
     assert_eq!(
         (regions.coordinator(), regions.is_coordinator()),
@@ -619,7 +619,7 @@
 }
 
 #[test]
-fn a_name_of_a_region_is_checked_where_it_comes_from() {
+fn invalid_region_names_are_rejected_when_parsed() {
     for name in ["norte", "eu-west_1", &"a".repeat(63)] {
         assert_eq!(
             name.parse::<Region>().map(String::from),
@@ -634,7 +634,7 @@
 }
 
 #[test]
-fn a_refusal_says_what_is_waited_for() {
+fn rejection_names_what_is_awaited() {
     let across = |waits_for: &[Region]| Rejection::CrossRegionPending {
         generation: Generation(7),
         id: ChangeId(255),
@@ -664,7 +664,7 @@
 }
 
 #[test]
-fn a_restart_between_any_two_steps_loses_nothing() {
+fn restart_between_any_two_steps_loses_nothing() {
     let (mut norte, mut sur) = (with_policy(), with_policy());
     publish_all(&mut norte, 1);
     for _ in 0..12 {
@@ -836,7 +836,7 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn however_messages_and_restarts_fall_every_change_ends_alike(
+    fn every_change_ends_alike_in_any_order_of_messages_and_restarts(
         events in proptest::collection::vec(event(), 0..80),
     ) {
         let mut course = Course { norte: with_policy(), sur: with_policy(), ..Course::default() };
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/intersection.rs
@@ -71,7 +71,7 @@
 
 proptest! {
     #[test]
-    fn what_the_meet_allows_both_allow(old in call(), new in call()) {
+    fn intersection_allows_only_what_both_allow(old in call(), new in call()) {
         let met = intersect(Some(&old), Some(&new)).expect("both take it").expect("both take it");
         let chosen = if met.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
@@ -96,13 +96,13 @@
     }
 
     #[test]
-    fn the_meet_of_one_policy_with_itself_is_that_policy(own in call()) {
+    fn intersection_of_a_policy_with_itself_is_that_policy(own in call()) {
         let met = intersect(Some(&own), Some(&own)).expect("both take it").expect("both take it");
         prop_assert_eq!((met.timeout, met.policy, met.connect_timeout, met.max_body_bytes), (own.timeout, own.policy, own.connect_timeout, own.max_body_bytes));
     }
 
     #[test]
-    fn an_answer_means_what_it_means_to_both_or_may_have_run(old in answers(), new in answers()) {
+    fn response_is_classified_as_by_both_or_may_have_run(old in answers(), new in answers()) {
         let met = intersect_answers(&old, &new);
         let marked = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
         for status in [200, 201, 503, 504] {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_only_one_takes_is_turned_away_with_the_reason() {
+fn request_that_only_one_policy_accepts_is_a_mismatch() {
     let terms = CallPolicy::default();
     let call = ResolvedCall {
         idempotency: Idempotency::Idempotent,
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn keyed_and_unsafe_meet_in_unsafe() {
+fn keyed_and_non_idempotent_intersect_to_non_idempotent() {
     let guarded = Idempotency::Keyed {
         scope: DedupScope::All,
         window: 3,
--- a/crates/policy/tests/exhaustive.rs
+++ b/crates/policy/tests/lease_model/main.rs
@@ -658,7 +658,7 @@
 }
 
 #[test]
-fn in_small_worlds_every_order_keeps_the_properties() {
+fn every_interleaving_of_small_models_keeps_the_properties() {
     // For a longer look: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test exhaustive
     let deeper = std::env::var("POLICY_DEEPER")
         .ok()
@@ -685,7 +685,7 @@
 }
 
 #[test]
-fn each_wrong_way_is_found() {
+fn every_mutant_is_found() {
     for mutant in ALL {
         use OnLeaseLoss::{Keep, Reject};
         let one = World {
--- a/crates/policy/tests/steps.rs
+++ b/crates/policy/tests/next_command.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_change_advances_when_no_proxy_can_act_under_an_older_mode() {
+fn change_advances_when_no_proxy_can_serve_under_an_older_mode() {
     let (record, mut leases) = middle();
     assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
     let advance = Some(Command::Advance { revision: 2 });
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_change_that_is_held_up_for_too_long_is_given_up() {
+fn blocked_change_is_aborted_after_its_timeout() {
     let (record, leases) = middle();
     // It waits for no other region, so the limit for regions is no matter.
     assert_eq!(
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_change_that_a_proxy_cannot_read_is_given_up_at_once() {
+fn change_is_aborted_at_once_when_a_proxy_rejects_it() {
     let (record, mut leases) = middle();
     let unread = Some(RejectedGeneration {
         generation: Generation(2),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_proxies_without_leases_act_under_is_logged_before_the_change_goes_on() {
+fn confirmations_of_leaseless_proxies_are_logged_before_the_advance() {
     let (mut record, mut leases) = (Record::default(), Leases::after_election(TERMS, 0));
     publish(&mut record);
     record.apply(&Command::Register {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn without_a_policy_there_is_nothing_to_do() {
+fn no_command_follows_without_a_policy() {
     assert_eq!(
         next_command(
             &Record::default(),
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn in_small_worlds_every_order_keeps_the_properties() {
+fn every_interleaving_of_small_models_keeps_the_properties() {
     // For a longer look: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
     let deeper: usize = std::env::var("REGIONS_DEEPER")
         .ok()
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn each_wrong_way_is_found() {
+fn every_mutant_is_found() {
     for mutant in mutant::ALL {
         let (world, property) = mutant.world();
         let checker = world
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_older_snapshot_and_the_log_that_led_to_it_come_to_the_same() {
+fn older_snapshot_equals_its_replayed_log() {
     let record: Record = read(RECORD);
     assert_eq!(replayed(), record);
     assert_eq!(
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_older_record_takes_its_change_to_an_end() {
+fn older_record_can_finish_its_change() {
     let mut record: Record = read(RECORD);
     assert_eq!(
         record.apply(&Command::Advance { revision: 6 }),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_record_with_proxies_that_act_without_a_lease_can_be_written_and_read() {
+fn record_with_leaseless_proxies_round_trips() {
     let mut record = replayed();
     for (name, incarnation) in [("p", 1), ("p", u64::MAX), ("a#b", 2), ("", 0)] {
         let identity = Identity {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_damaged_key_of_a_proxy_is_an_error_that_shows_it() {
+fn malformed_proxy_key_is_an_error_that_shows_it() {
     for key in ["p", "p#", "p#g"] {
         let damaged = EMPTY.replace(
             r#""standing":{}"#,
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn floors_of_a_command_are_kept() {
+fn fallback_generations_of_an_older_command_are_read() {
     let Command::Publish {
         fallback_generations: floors,
         all_regions,
