--- a/crates/policy/tests/lease_model/main.rs
+++ b/crates/policy/tests/lease_model/main.rs
@@ -1,445 +1,42 @@
-//! Every order of events in small worlds, on the very decisions of proxies and control: questions and answers that are
-//! lost, late, doubled and reordered, crashes and restarts, leaders that change, clocks that fall behind, publishes,
-//! aborts. Each proxy is taken to begin a call at every moment at which it may. Then the same worlds with the decisions
-//! used in a wrong way: each must be found.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
+//! Model check of leases and transitions in one region, on the decisions of the real crate: every order of events in
+//! small models, with messages that are lost, late, duplicated and reordered, crashes and restarts, leader changes, slow
+//! clocks, publishes and aborts. Each proxy starts a call at every moment at which it may. Then the same models with a
+//! seeded defect: each has to be found.
 
-use badgerramp_policy::{
-    Admission, ChangeStatus, Command, Generation, GrantOutcome, Identity, InvariantChecker, Lease,
-    LeaseConfig, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest, Leases, Mode,
-    OnLeaseLoss, Outcome, Record, StartedCall,
-};
-use stateright::{Checker, Model, Property};
-use std::collections::BTreeSet;
-
-/// A wrong way.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mutant {
-    /// From old to new at one step.
-    NoMiddle,
-    /// A lease counted from when its grant came in.
-    LeaseFromReceipt,
-    /// The middle is left before all have told.
-    AdvanceEarly,
-    /// What disk remembers of a lease stands in for one.
-    DiskIsLicence,
-    /// A new leader counts on nothing that others lent.
-    NoWaitAfterElection,
-    /// A leader answers without asking whether it still is one.
-    DeposedAnswers,
-    /// No allowance for clocks that fall behind.
-    NoDrift,
-    /// An answer to an older question counts for the one that is out.
-    AnyAnswer,
-    /// A proxy tells that it acts under the middle before it does.
-    ToldAhead,
-    /// A change is given up after it was said to be in force.
-    AbortLate,
-    /// A number is used again after its change came to nothing.
-    NumberAgain,
-    /// What one process of a name asks clears what another one of that name was lent.
-    TwinClears,
-    /// A grant is noted only when the proxy has said that it has it.
-    NotedLate,
-    /// Control forgets that a proxy goes on without a lease.
-    KeeperForgotten,
-}
-
-const ALL: [Mutant; 14] = [
-    Mutant::NoMiddle,
-    Mutant::LeaseFromReceipt,
-    Mutant::AdvanceEarly,
-    Mutant::DiskIsLicence,
-    Mutant::NoWaitAfterElection,
-    Mutant::DeposedAnswers,
-    Mutant::NoDrift,
-    Mutant::AnyAnswer,
-    Mutant::ToldAhead,
-    Mutant::AbortLate,
-    Mutant::NumberAgain,
-    Mutant::TwinClears,
-    Mutant::NotedLate,
-    Mutant::KeeperForgotten,
-];
-
-/// What a world allows.
-#[derive(Clone, Debug)]
-struct World {
-    /// What each proxy does when cut off.
-    proxies: Vec<OnLeaseLoss>,
-    lease: u64,
-    questions: u64,
-    publishes: u8,
-    crashes: u8,
-    elections: u8,
-    aborts: u8,
-    until: u64,
-    mutant: Option<Mutant>,
-}
-
-const DRIFT: u64 = 1;
-/// How long a proxy waits for an answer.
-const ANSWER: u64 = 1;
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Step {
-    /// Time passes; the clock of this proxy may miss it.
-    Tick(Option<usize>),
-    Asks(usize),
-    /// A question comes in; it may come in again.
-    Question(usize, u64),
-    Answer(usize),
-    Publishes,
-    Advances,
-    Aborts,
-    Crashes(usize),
-    Elects,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
-    now: u64,
-    record: Record,
-    leases: Leases,
-    /// The leader before, which may not know: what it has lent, and the record as it has it.
-    deposed: Option<(Leases, Record)>,
-    holders: Vec<LeaseHolder>,
-    /// How far each clock has fallen behind, and when it last did.
-    behind: Vec<(u64, u64)>,
-    asked: Vec<u64>,
-    questions: Vec<(usize, LeaseRequest)>,
-    answers: Vec<(usize, LeaseGrant)>,
-    judge: InvariantChecker,
-    left: (u8, u8, u8, u8),
-    /// For mutants: the record as it was.
-    before: Option<Record>,
-    fault: Option<&'static str>,
-}
-
-fn identity(place: usize, incarnation: u64) -> Identity {
-    Identity {
-        name: format!("p{place}"),
-        incarnation,
-    }
-}
-
-impl World {
-    fn holder(&self, place: usize, incarnation: u64) -> LeaseHolder {
-        // Texts are no matter here: all of them are there.
-        let has = (0..4).map(Generation).collect();
-        let terms = LeaseHolderConfig {
-            on_lease_loss: self.proxies[place],
-            request_timeout: ANSWER,
-            retry_delay: 1,
-        };
-        LeaseHolder::new(identity(place, incarnation), terms, has)
-    }
-
-    fn terms(&self) -> LeaseConfig {
-        let drift = if self.mutant == Some(Mutant::NoDrift) {
-            0
-        } else {
-            DRIFT
-        };
-        LeaseConfig {
-            duration: self.lease,
-            max_clock_drift: drift,
-        }
-    }
-
-    fn first(&self) -> State {
-        let mut record = Record::default();
-        let floors = BTreeSet::new();
-        record.apply(&Command::Publish {
-            revision: 0,
-            text: String::new(),
-            fallback_generations: floors,
-            all_regions: None,
-        });
-        for (place, &cut_off) in self.proxies.iter().enumerate() {
-            if cut_off != OnLeaseLoss::Reject {
-                record.apply(&Command::Register {
-                    identity: identity(place, 1),
-                    on_lease_loss: cut_off,
-                });
-            }
-        }
-        let now = self.lease + DRIFT;
-        let mut state = State {
-            now,
-            record,
-            // It has led for long.
-            leases: Leases::after_election(self.terms(), 0),
-            deposed: None,
-            holders: (0..self.proxies.len())
-                .map(|place| self.holder(place, 1))
-                .collect(),
-            behind: vec![(0, 0); self.proxies.len()],
-            asked: vec![0; self.proxies.len()],
-            questions: Vec::new(),
-            answers: Vec::new(),
-            judge: InvariantChecker::default(),
-            left: (self.publishes, self.crashes, self.elections, self.aborts),
-            before: None,
-            fault: None,
-        };
-        // All of them serve when the course begins.
-        for place in 0..self.proxies.len() {
-            let ask = state.holders[place].request(now);
-            state.asked[place] = ask.sequence;
-            self.question(&mut state, place, &ask);
-            let (_, grant) = state.answers.remove(0);
-            self.answer(&mut state, place, grant);
-        }
-        state
-    }
-
-    /// What can have no effect any more is no part of a state.
-    fn plain(&self, state: &mut State) {
-        let asked = &state.asked;
-        if !self.is(Mutant::AnyAnswer) {
-            let out = |p: usize| state.holders[p].request_deadline().is_some();
-            state
-                .answers
-                .retain(|(p, grant)| grant.sequence == asked[*p] && out(*p));
-        }
-        state.leases.expire(state.now);
-        state.holders.iter_mut().for_each(|h| h.request_soon(0));
-    }
-
-    fn is(&self, mutant: Mutant) -> bool {
-        self.mutant == Some(mutant)
-    }
-
-    fn may_advance(&self, state: &State) -> bool {
-        let Some(mode) = state.record.mode().filter(|m| m.is_transition()) else {
-            return false;
-        };
-        let forgotten = |b: &badgerramp_policy::Blocker| {
-            self.is(Mutant::KeeperForgotten)
-                && b.reason == badgerramp_policy::BlockReason::ServesWithoutLease
-        };
-        self.is(Mutant::AdvanceEarly)
-            || (state
-                .leases
-                .blockers(state.now, &state.record)
-                .iter()
-                .all(forgotten)
-                && state.leases.rejected_generation(mode).is_none())
-    }
-
-    fn question(&self, state: &mut State, place: usize, ask: &LeaseRequest) {
-        let mut ask = ask.clone();
-        if self.is(Mutant::ToldAhead) {
-            ask.active_revision = state.record.revision();
-        }
-        if self.is(Mutant::TwinClears) {
-            (0..self.proxies.len())
-                .filter(|&p| p != place)
-                .for_each(|p| state.leases.unregister(&identity(p, 1)));
-        }
-        let deposed = state
-            .deposed
-            .iter_mut()
-            .filter(|_| self.is(Mutant::DeposedAnswers));
-        let leaders = deposed
-            .map(|(l, r)| (l, &*r))
-            .chain([(&mut state.leases, &state.record)]);
-        for (leases, record) in leaders {
-            let before = leases.clone();
-            let GrantOutcome::Granted(grant) = leases.grant(state.now, record, &ask) else {
-                continue;
-            };
-            if self.is(Mutant::NotedLate) && ask.active_revision != grant.mode.revision {
-                *leases = before;
-            }
-            let answer = (place, grant);
-            if !state.answers.contains(&answer) {
-                state.answers.push(answer);
-            }
-        }
-        state
-            .answers
-            .sort_by_key(|(place, grant)| (*place, grant.sequence, grant.mode.revision));
-    }
-
-    fn answer(&self, state: &mut State, place: usize, mut grant: LeaseGrant) {
-        let clock = state.now - state.behind[place].0;
-        let holder = &mut state.holders[place];
-        if self.is(Mutant::AnyAnswer) {
-            grant.sequence = state.asked[place];
-        }
-        if let Some(gives_up) = holder
-            .request_deadline()
-            .filter(|_| self.is(Mutant::LeaseFromReceipt))
-        {
-            grant.duration += clock - (gives_up - ANSWER);
-        }
-        holder.on_grant(clock, grant);
-    }
-
-    fn crash(&self, state: &mut State, place: usize) {
-        let held = state.holders[place].lease();
-        let incarnation = 2 + u64::from(self.crashes - state.left.1);
-        let mut anew = self.holder(place, incarnation);
-        // Its numbers begin anew with it; what is on its way to or from the old one finds nobody.
-        state.asked[place] = 0;
-        state.questions.retain(|(p, _)| *p != place);
-        state.answers.retain(|(p, _)| *p != place);
-        if let Some(Lease { mode, .. }) = held.filter(|_| self.is(Mutant::DiskIsLicence)) {
-            let clock = state.now - state.behind[place].0;
-            let ask = anew.request(clock);
-            state.asked[place] = ask.sequence;
-            anew.on_grant(
-                clock,
-                LeaseGrant {
-                    sequence: ask.sequence,
-                    mode,
-                    duration: self.lease,
-                },
-            );
-        }
-        if self.proxies[place] != OnLeaseLoss::Reject {
-            let identity = identity(place, incarnation);
-            state.record.apply(&Command::Register {
-                identity,
-                on_lease_loss: self.proxies[place],
-            });
-        }
-        state.holders[place] = anew;
-    }
-
-    fn publish(&self, state: &mut State) {
-        if self.is(Mutant::NumberAgain) {
-            state.before = Some(state.record.clone());
-        }
-        let (revision, floors) = (state.record.revision(), state.record.fallback_generations());
-        let published = state.record.apply(&Command::Publish {
-            revision,
-            text: String::new(),
-            fallback_generations: floors,
-            all_regions: None,
-        });
-        if self.is(Mutant::NoMiddle) && matches!(published, Outcome::Started(_)) {
-            self.advance(state);
-        }
-    }
+mod model;
+mod mutant;
 
-    fn advance(&self, state: &mut State) {
-        if self.is(Mutant::AbortLate) {
-            state.before = Some(state.record.clone());
-        }
-        let Some(mode) = state.record.mode() else {
-            return;
-        };
-        if state.record.apply(&Command::Advance {
-            revision: mode.revision,
-        }) == Outcome::Applied
-        {
-            state.judge.record_committed(mode.new);
-        }
-    }
+use badgerramp_policy::{ChangeStatus, Leases, Mode, OnLeaseLoss};
+use model::{LeaseModel, State, Step, CLOCK_DRIFT};
+use mutant::{Mutant, ALL};
+use stateright::{Checker, Model, Property};
 
-    fn abort(&self, state: &mut State) {
-        if let Some(before) = state.before.clone().filter(|_| self.is(Mutant::AbortLate)) {
-            state.record = before;
-        }
-        let Some(mode) = state.record.mode() else {
-            return;
-        };
-        let command = Command::Abort {
-            revision: mode.revision,
-            reason: String::new(),
-        };
-        if state.record.apply(&command) == Outcome::Applied && !state.judge.record_aborted(mode.new)
-        {
-            state.fault = Some("a generation came to nothing under which calls had begun");
-        }
-        if let Some(before) = state
-            .before
-            .clone()
-            .filter(|_| self.is(Mutant::NumberAgain))
-        {
-            state.record = before;
-        }
-    }
+const NEVER_MIXED: &str = "never mixed, everywhere or nowhere";
+const CHANGE_ENDS: &str = "a change ends once faults end";
+const CHANGE_COMMITTED: &str = "a change comes into force";
 
-    /// All that may begin now begins.
-    fn begin(&self, state: &mut State) {
-        for place in 0..state.holders.len() {
-            let clock = state.now - state.behind[place].0;
-            if let Admission::Under(mode) = state.holders[place].admission(clock) {
-                let begun = StartedCall {
-                    identity: identity(place, 0),
-                    mode,
-                };
-                if state.judge.record_start(&begun).is_some() && state.fault.is_none() {
-                    state.fault = Some("a call began that must not");
-                }
-            }
-        }
-    }
+/// Deeper than any state of the models that are searched completely.
+const COMPLETE_DEPTH: usize = 40;
+/// Depth at which every mutant is found.
+const MUTANT_DEPTH: usize = 14;
 
-    /// With no faults any more, and an operator who evicts what is dead, a change ends within a lease and two rounds.
-    fn ends(&self, state: &State) -> bool {
-        let mut state = state.clone();
-        let alive: Vec<Identity> = state
-            .holders
-            .iter_mut()
-            .map(|h| h.request(0).identity)
-            .collect();
-        let dead: Vec<Identity> = state
-            .record
-            .leaseless_proxies()
-            .keys()
-            .filter(|i| !alive.contains(i))
-            .cloned()
-            .collect();
-        for identity in dead {
-            state.record.apply(&Command::Evict { identity });
-        }
-        for _ in 0..=self.lease + DRIFT + 2 {
-            for place in 0..self.proxies.len() {
-                let clock = state.now - state.behind[place].0;
-                let ask = state.holders[place].request(clock);
-                if let GrantOutcome::Granted(grant) =
-                    state.leases.grant(state.now, &state.record, &ask)
-                {
-                    state.holders[place].on_grant(clock, grant);
-                }
-            }
-            if state.record.mode().is_none_or(|m| !m.is_transition()) {
-                return true;
-            }
-            if self.may_advance(&state) {
-                self.advance(&mut state);
-            }
-            state.now += 1;
-        }
-        false
-    }
-}
-
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.first()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.fault.is_some() {
+        if state.violation.is_some() {
             return;
         }
-        let middle = state.record.mode().is_some_and(Mode::is_transition);
+        let in_transition = state.record.mode().is_some_and(Mode::is_transition);
         if state.now < self.until {
             steps.push(Step::Tick(None));
-            // A clock falls behind by no more than is allowed for over one lease.
-            let may = |&p: &usize| state.now >= state.behind[p].1 + self.lease + DRIFT;
+            // A clock lags by no more than the allowance during one lease.
+            let may = |&p: &usize| state.now >= state.clock_lags[p].1 + self.lease + CLOCK_DRIFT;
             steps.extend(
                 (0..self.proxies.len())
                     .filter(may)
@@ -448,75 +45,78 @@
         }
         steps.extend(
             (0..self.proxies.len())
-                .filter(|&p| state.asked[p] < self.questions)
-                .map(Step::Asks),
+                .filter(|&p| state.last_requests[p] < self.max_requests)
+                .map(Step::SendRequest),
         );
         steps.extend(
             state
-                .questions
+                .requests_in_flight
                 .iter()
-                .map(|(p, ask)| Step::Question(*p, ask.sequence)),
+                .map(|(p, request)| Step::DeliverRequest(*p, request.sequence)),
         );
-        steps.extend((0..state.answers.len()).map(Step::Answer));
-        if state.left.0 > 0 && !middle {
-            steps.push(Step::Publishes);
+        steps.extend((0..state.grants_in_flight.len()).map(Step::DeliverGrant));
+        if state.remaining.publishes > 0 && !in_transition {
+            steps.push(Step::Publish);
         }
-        if self.may_advance(state) {
-            steps.push(Step::Advances);
+        if self.can_advance(state) {
+            steps.push(Step::Advance);
         }
-        if state.left.1 > 0 {
-            steps.extend((0..self.proxies.len()).map(Step::Crashes));
+        if state.remaining.crashes > 0 {
+            steps.extend((0..self.proxies.len()).map(Step::Crash));
         }
-        if state.left.2 > 0 {
-            steps.push(Step::Elects);
+        if state.remaining.elections > 0 {
+            steps.push(Step::Elect);
         }
-        if state.left.3 > 0 && (middle || (self.is(Mutant::AbortLate) && state.before.is_some())) {
-            steps.push(Step::Aborts);
+        if state.remaining.aborts > 0
+            && (in_transition
+                || (self.is(Mutant::AbortAfterCommit) && state.previous_record.is_some()))
+        {
+            steps.push(Step::Abort);
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Tick(slow) => {
+            Step::Tick(lagging) => {
                 state.now += 1;
-                if let Some(place) = slow {
-                    state.behind[place] = (state.behind[place].0 + 1, state.now);
+                if let Some(proxy) = lagging {
+                    state.clock_lags[proxy] = (state.clock_lags[proxy].0 + 1, state.now);
                 }
             }
-            Step::Asks(place) => {
-                let ask = state.holders[place].request(state.now - state.behind[place].0);
-                state.asked[place] = ask.sequence;
-                state.questions.push((place, ask));
+            Step::SendRequest(proxy) => {
+                let request = state.holders[proxy].request(state.now - state.clock_lags[proxy].0);
+                state.last_requests[proxy] = request.sequence;
+                state.requests_in_flight.push((proxy, request));
             }
-            Step::Question(place, number) => {
+            Step::DeliverRequest(proxy, number) => {
                 let found = state
-                    .questions
+                    .requests_in_flight
                     .iter()
-                    .find(|(p, ask)| (*p, ask.sequence) == (place, number));
-                let ask = found?.1.clone();
-                self.question(&mut state, place, &ask);
+                    .find(|(p, request)| (*p, request.sequence) == (proxy, number));
+                let request = found?.1.clone();
+                self.deliver_request(&mut state, proxy, &request);
             }
-            Step::Answer(number) => {
-                // It may come again: the proxy itself has to tell.
-                let (place, grant) = state.answers[number];
-                self.answer(&mut state, place, grant);
+            Step::DeliverGrant(number) => {
+                // It may arrive again: the proxy itself has to detect that.
+                let (proxy, grant) = state.grants_in_flight[number];
+                self.deliver_grant(&mut state, proxy, grant);
             }
-            Step::Publishes => {
-                state.left.0 -= 1;
+            Step::Publish => {
+                state.remaining.publishes -= 1;
                 self.publish(&mut state);
             }
-            Step::Advances => self.advance(&mut state),
-            Step::Aborts => {
-                state.left.3 -= 1;
+            Step::Advance => self.advance(&mut state),
+            Step::Abort => {
+                state.remaining.aborts -= 1;
                 self.abort(&mut state);
             }
-            Step::Crashes(place) => {
-                state.left.1 -= 1;
-                self.crash(&mut state, place);
+            Step::Crash(proxy) => {
+                state.remaining.crashes -= 1;
+                self.crash(&mut state, proxy);
             }
-            Step::Elects => {
-                state.left.2 -= 1;
+            Step::Elect => {
+                state.remaining.elections -= 1;
                 let since = if self.is(Mutant::NoWaitAfterElection) {
                     0
                 } else {
@@ -524,25 +124,23 @@
                 };
                 let leases = std::mem::replace(
                     &mut state.leases,
-                    Leases::after_election(self.terms(), since),
+                    Leases::after_election(self.lease_config(), since),
                 );
                 state.deposed = Some((leases, state.record.clone()));
             }
         }
-        self.begin(&mut state);
-        self.plain(&mut state);
+        self.start_calls(&mut state);
+        self.normalize(&mut state);
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never mixed, everywhere or nowhere", |_, s: &State| {
-                s.fault.is_none()
-            }),
-            Property::always("a change ends once faults end", |w: &World, s: &State| {
-                w.mutant.is_some() || s.fault.is_some() || w.ends(s)
+            Property::always(NEVER_MIXED, |_, s: &State| s.violation.is_none()),
+            Property::always(CHANGE_ENDS, |w: &LeaseModel, s: &State| {
+                w.mutant.is_some() || s.violation.is_some() || w.change_ends(s)
             }),
-            Property::sometimes("a change comes into force", |_, s: &State| {
+            Property::sometimes(CHANGE_COMMITTED, |_, s: &State| {
                 s.record
                     .changes()
                     .values()
@@ -554,11 +152,11 @@
     }
 }
 
-fn world(proxies: &[OnLeaseLoss]) -> World {
-    World {
+fn model(proxies: &[OnLeaseLoss]) -> LeaseModel {
+    LeaseModel {
         proxies: proxies.to_vec(),
         lease: 2,
-        questions: 3,
+        max_requests: 3,
         publishes: 1,
         crashes: 0,
         elections: 0,
@@ -568,88 +166,82 @@
     }
 }
 
-/// The worlds that are gone through, and how deep.
-fn worlds() -> Vec<(&'static str, World, usize)> {
+/// A model and how deep it is searched.
+struct Scenario {
+    name: &'static str,
+    model: LeaseModel,
+    depth: usize,
+}
+
+/// Models of one proxy, searched completely.
+fn complete_scenarios() -> Vec<Scenario> {
     use OnLeaseLoss::{Keep, Reject};
-    let two = world(&[Reject, Reject]);
+    let one = model(&[Reject]);
+    let scenario = |name, model| Scenario {
+        name,
+        model,
+        depth: COMPLETE_DEPTH,
+    };
+    let one_proxy = LeaseModel {
+        max_requests: 4,
+        ..one.clone()
+    };
+    let election = LeaseModel {
+        elections: 1,
+        ..one.clone()
+    };
+    let crash = LeaseModel {
+        crashes: 1,
+        ..one.clone()
+    };
+    let leaseless_crash = LeaseModel {
+        crashes: 1,
+        ..model(&[Keep])
+    };
+    let aborted_changes = LeaseModel {
+        publishes: 2,
+        aborts: 1,
+        max_requests: 4,
+        ..one
+    };
     vec![
-        (
-            "one proxy",
-            World {
-                questions: 4,
-                ..world(&[Reject])
-            },
-            40,
-        ),
-        (
-            "one proxy, an election",
-            World {
-                elections: 1,
-                ..world(&[Reject])
-            },
-            40,
-        ),
-        (
-            "one proxy, a crash",
-            World {
-                crashes: 1,
-                ..world(&[Reject])
-            },
-            40,
-        ),
-        (
-            "one that keeps, a crash",
-            World {
-                crashes: 1,
-                ..world(&[Keep])
-            },
-            40,
-        ),
-        (
-            "one proxy, changes given up",
-            World {
-                publishes: 2,
-                aborts: 1,
-                questions: 4,
-                ..world(&[Reject])
-            },
-            40,
-        ),
-        ("two proxies", World { ..two.clone() }, 9),
-        (
-            "an election",
-            World {
-                elections: 1,
-                ..two.clone()
-            },
-            8,
-        ),
-        (
-            "a crash",
-            World {
-                crashes: 1,
-                ..two.clone()
-            },
-            8,
-        ),
-        (
-            "two changes, one given up",
-            World {
-                publishes: 2,
-                aborts: 1,
-                ..two.clone()
-            },
-            8,
-        ),
-        (
-            "one that keeps",
-            World {
-                crashes: 1,
-                ..world(&[Keep, Reject])
-            },
-            8,
-        ),
-        ("three proxies", world(&[Reject, Reject, Reject]), 7),
+        scenario("one proxy", one_proxy),
+        scenario("one proxy, an election", election),
+        scenario("one proxy, a crash", crash),
+        scenario("one leaseless proxy, a crash", leaseless_crash),
+        scenario("one proxy, aborted changes", aborted_changes),
+    ]
+}
+
+/// Models of several proxies, searched to a limited depth.
+fn bounded_scenarios() -> Vec<Scenario> {
+    use OnLeaseLoss::{Keep, Reject};
+    let two = model(&[Reject, Reject]);
+    let scenario = |name, model, depth| Scenario { name, model, depth };
+    let election = LeaseModel {
+        elections: 1,
+        ..two.clone()
+    };
+    let crash = LeaseModel {
+        crashes: 1,
+        ..two.clone()
+    };
+    let aborted_change = LeaseModel {
+        publishes: 2,
+        aborts: 1,
+        ..two.clone()
+    };
+    let leaseless = LeaseModel {
+        crashes: 1,
+        ..model(&[Keep, Reject])
+    };
+    vec![
+        scenario("two proxies", two, 9),
+        scenario("an election", election, 8),
+        scenario("a crash", crash, 8),
+        scenario("two changes, one aborted", aborted_change, 8),
+        scenario("one leaseless proxy", leaseless, 8),
+        scenario("three proxies", model(&[Reject, Reject, Reject]), 7),
     ]
 }
 
@@ -659,14 +251,15 @@
 
 #[test]
 fn every_interleaving_of_small_models_keeps_the_properties() {
-    // For a longer look: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test exhaustive
-    let deeper = std::env::var("POLICY_DEEPER")
+    // For a deeper search: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test lease_model
+    let extra_depth = std::env::var("POLICY_DEEPER")
         .ok()
         .and_then(|d| d.parse().ok())
         .unwrap_or(0);
-    for (name, world, depth) in worlds() {
-        let depth = depth + deeper;
-        let checker = world
+    let scenarios = complete_scenarios().into_iter().chain(bounded_scenarios());
+    for Scenario { name, model, depth } in scenarios {
+        let depth = depth + extra_depth;
+        let checker = model
             .checker()
             .threads(threads())
             .target_max_depth(depth)
@@ -676,10 +269,10 @@
             "{name}: {} states to depth {depth}",
             checker.unique_state_count()
         );
-        checker.assert_no_discovery("never mixed, everywhere or nowhere");
-        checker.assert_no_discovery("a change ends once faults end");
-        if depth >= 40 {
-            checker.assert_any_discovery("a change comes into force");
+        checker.assert_no_discovery(NEVER_MIXED);
+        checker.assert_no_discovery(CHANGE_ENDS);
+        if depth >= COMPLETE_DEPTH {
+            checker.assert_any_discovery(CHANGE_COMMITTED);
         }
     }
 }
@@ -688,41 +281,41 @@
 fn every_mutant_is_found() {
     for mutant in ALL {
         use OnLeaseLoss::{Keep, Reject};
-        let one = World {
+        let one = LeaseModel {
             mutant: Some(mutant),
-            ..world(&[Reject])
+            ..model(&[Reject])
         };
-        let world = match mutant {
-            Mutant::NoWaitAfterElection | Mutant::DeposedAnswers => World {
+        let model = match mutant {
+            Mutant::NoWaitAfterElection | Mutant::DeposedAnswers => LeaseModel {
                 elections: 1,
                 ..one
             },
-            Mutant::DiskIsLicence => World { crashes: 1, ..one },
-            Mutant::AbortLate => World { aborts: 1, ..one },
-            Mutant::NumberAgain => World {
+            Mutant::DiskReplacesLease => LeaseModel { crashes: 1, ..one },
+            Mutant::AbortAfterCommit => LeaseModel { aborts: 1, ..one },
+            Mutant::GenerationReused => LeaseModel {
                 aborts: 1,
                 publishes: 2,
                 ..one
             },
-            Mutant::KeeperForgotten => World {
+            Mutant::LeaselessForgotten => LeaseModel {
                 proxies: vec![Keep],
                 ..one
             },
-            Mutant::TwinClears => World {
+            Mutant::SameNameClearsLease => LeaseModel {
                 proxies: vec![Reject, Reject],
-                questions: 2,
+                max_requests: 2,
                 until: 6,
                 ..one
             },
             _ => one,
         };
-        let checker = world
+        let checker = model
             .checker()
             .threads(threads())
-            .target_max_depth(14)
+            .target_max_depth(MUTANT_DEPTH)
             .spawn_bfs()
             .join();
-        let found = checker.discovery("never mixed, everywhere or nowhere");
+        let found = checker.discovery(NEVER_MIXED);
         let steps = found.map(|path| path.into_actions());
         println!(
             "{mutant:?}: {} states, {:?}",
