--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -1,35 +1,36 @@
-//! Model check of changes of all regions, on the very decisions of control: messages between regions that are lost, late
-//! and doubled, leaders that change and forget what is not logged, leases, time-outs, aborts, changes of one region. Each
-//! proxy is taken to begin a call at every moment at which it may. Then the same worlds with the decisions used in a wrong
-//! way: each must be found, with the property that it breaks.
+//! Model check of cross-region changes, on the decisions of the real crate: messages between regions that are lost, late
+//! and duplicated, elections after which a leader has lost what is not logged, leases, timeouts, aborts and local changes.
+//! Each proxy starts a call at every moment at which it may. Then the same models with a seeded defect: each has to be
+//! found, with the property that it violates.
 #![expect(
     clippy::too_many_lines,
     reason = "a test plays one course of events from its start to its end"
 )]
 
-mod judge;
+mod model;
 mod mutant;
-mod world;
+mod properties;
 
-use judge::Violation;
+use model::{RegionsModel, State, Step};
+use properties::Violation;
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use world::{State, Step, World};
 
 const MIXED: &str = "no call begins under the old policy after one has begun under the new one";
-const UNLIKE: &str = "a change of all regions ends alike in all of them";
-const UNVOTED: &str = "a change is in force only when all participants have logged their votes";
-const TWICE: &str = "a change comes into force once";
+const OUTCOMES_DIFFER: &str = "a change of all regions ends alike in all of them";
+const WITHOUT_VOTES: &str =
+    "a change is in force only when all participants have logged their votes";
+const COMMITTED_TWICE: &str = "a change comes into force once";
 const STUCK: &str = "an end is reachable when messages pass again";
 const COMMITTED: &str = "a change of all regions comes into force";
 const ABORTED: &str = "a change of all regions comes to nothing";
 const BLOCKED: &str = "a region waits for a decision that another one has made";
 
-impl Model for World {
+impl Model for RegionsModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.first()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
@@ -37,151 +38,153 @@
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let state = self.after(last, step);
+        let state = self.state_after(last, step);
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(MIXED, |_, s: &State| !s.faults.contains(&Violation::Mixed)),
-            Property::always(UNLIKE, |_, s: &State| {
-                !s.faults.contains(&Violation::EndsUnlike)
+            Property::always(MIXED, |_, s: &State| {
+                !s.violations.contains(&Violation::MixedGenerations)
             }),
-            Property::always(UNVOTED, |_, s: &State| {
-                !s.faults.contains(&Violation::Unvoted)
+            Property::always(OUTCOMES_DIFFER, |_, s: &State| {
+                !s.violations.contains(&Violation::OutcomesDiffer)
             }),
-            Property::always(TWICE, |_, s: &State| {
-                !s.faults.contains(&Violation::TwiceInForce)
+            Property::always(WITHOUT_VOTES, |_, s: &State| {
+                !s.violations.contains(&Violation::CommittedWithoutVotes)
             }),
-            Property::always(STUCK, |w: &World, s: &State| {
-                !s.faults.is_empty() || w.ends(s)
+            Property::always(COMMITTED_TWICE, |_, s: &State| {
+                !s.violations.contains(&Violation::CommittedTwice)
             }),
-            Property::sometimes(COMMITTED, |_, s: &State| judge::all_ended(s, true)),
-            Property::sometimes(ABORTED, |_, s: &State| judge::all_ended(s, false)),
-            Property::sometimes(BLOCKED, |_, s: &State| judge::waits_in_vain(s)),
+            Property::always(STUCK, |w: &RegionsModel, s: &State| {
+                !s.violations.is_empty() || w.all_changes_end(s)
+            }),
+            Property::sometimes(COMMITTED, |_, s: &State| properties::all_ended(s, true)),
+            Property::sometimes(ABORTED, |_, s: &State| properties::all_ended(s, false)),
+            Property::sometimes(BLOCKED, |_, s: &State| properties::is_blocked(s)),
         ]
     }
 }
 
-/// Threads at the most: a check shares the machine with others.
-const THREADS_MOST: usize = 4;
+/// Most threads of a check, which shares the machine with others.
+const MAX_THREADS: usize = 4;
 
 fn threads() -> usize {
     std::thread::available_parallelism()
         .map_or(1, |n| n.get())
-        .min(THREADS_MOST)
+        .min(MAX_THREADS)
 }
 
-/// Deeper than any state of the worlds that are gone through to their end.
-const WHOLE: usize = 100;
+/// Deeper than any state of the models that are searched completely.
+const COMPLETE_DEPTH: usize = 100;
 
-/// A world that is gone through.
-struct Course {
+/// A model and how deep it is searched.
+struct Scenario {
     name: &'static str,
-    world: World,
+    model: RegionsModel,
     depth: usize,
-    /// There are more states than this.
+    /// The search has to find more states than this.
     states: usize,
 }
 
-fn courses() -> Vec<Course> {
-    let two = World::default();
-    let course = |name, world, depth, states| Course {
+fn scenarios() -> Vec<Scenario> {
+    let two = RegionsModel::default();
+    let scenario = |name, model, depth, states| Scenario {
         name,
-        world,
+        model,
         depth,
         states,
     };
     vec![
-        course("two regions", two.clone(), WHOLE, 6_700),
-        course(
+        scenario("two regions", two.clone(), COMPLETE_DEPTH, 6_700),
+        scenario(
             "a late grant in each",
-            World {
-                late: 1,
-                talks: 1,
+            RegionsModel {
+                late_grants: 1,
+                renewals: 1,
                 ticks: 1,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             42_000,
         ),
-        course(
+        scenario(
             "an election in each",
-            World {
+            RegionsModel {
                 elections: 1,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             129_000,
         ),
-        course(
+        scenario(
             "aborts of operators",
-            World {
+            RegionsModel {
                 aborts: 1,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             17_700,
         ),
-        course(
+        scenario(
             "two changes",
-            World {
+            RegionsModel {
                 publishes: 2,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             139_000,
         ),
-        course(
+        scenario(
             "local changes",
-            World {
+            RegionsModel {
                 local_publishes: 1,
-                talks: 1,
+                renewals: 1,
                 ticks: 1,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             31_000,
         ),
-        course(
+        scenario(
             "slow logs",
-            World {
-                slow_log: true,
+            RegionsModel {
+                delayed_log: true,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             49_500,
         ),
-        course(
+        scenario(
             "no policy yet",
-            World {
+            RegionsModel {
                 has_policy: false,
                 publishes: 2,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             20_300,
         ),
-        course(
+        scenario(
             "three regions",
-            World {
+            RegionsModel {
                 regions: 3,
-                talks: 1,
+                renewals: 1,
                 ticks: 1,
                 ..two.clone()
             },
-            WHOLE,
+            COMPLETE_DEPTH,
             14_700,
         ),
-        course(
+        scenario(
             "all at once",
-            World {
+            RegionsModel {
                 publishes: 2,
                 local_publishes: 1,
                 elections: 1,
                 aborts: 1,
-                late: 1,
-                slow_log: true,
+                late_grants: 1,
+                delayed_log: true,
                 ..two
             },
             7,
@@ -192,21 +195,21 @@
 
 #[test]
 fn every_interleaving_of_small_models_keeps_the_properties() {
-    // For a longer look: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
-    let deeper: usize = std::env::var("REGIONS_DEEPER")
+    // For a deeper search: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
+    let extra_depth: usize = std::env::var("REGIONS_DEEPER")
         .ok()
         .and_then(|d| d.parse().ok())
         .unwrap_or(0);
-    for Course {
+    for Scenario {
         name,
-        world,
+        model,
         depth,
-        states: least,
-    } in courses()
+        states: expected_minimum,
+    } in scenarios()
     {
-        let depth = depth + deeper;
-        let begun = std::time::Instant::now();
-        let checker = world
+        let depth = depth + extra_depth;
+        let started_at = std::time::Instant::now();
+        let checker = model
             .checker()
             .threads(threads())
             .target_max_depth(depth)
@@ -216,16 +219,22 @@
         println!(
             "{name}: {states} states to depth {} in {:?}",
             checker.max_depth(),
-            begun.elapsed()
+            started_at.elapsed()
         );
-        for property in [MIXED, UNLIKE, UNVOTED, TWICE, STUCK] {
+        for property in [
+            MIXED,
+            OUTCOMES_DIFFER,
+            WITHOUT_VOTES,
+            COMMITTED_TWICE,
+            STUCK,
+        ] {
             checker.assert_no_discovery(property);
         }
         assert!(
-            states > least,
-            "{name}: {states} states, expected are more than {least}"
+            states > expected_minimum,
+            "{name}: {states} states, expected are more than {expected_minimum}"
         );
-        if depth >= WHOLE {
+        if depth >= COMPLETE_DEPTH {
             for property in [COMMITTED, ABORTED, BLOCKED] {
                 checker.assert_any_discovery(property);
             }
@@ -236,8 +245,8 @@
 #[test]
 fn every_mutant_is_found() {
     for mutant in mutant::ALL {
-        let (world, property) = mutant.world();
-        let checker = world
+        let (model, property) = mutant.model();
+        let checker = model
             .checker()
             .threads(threads())
             .finish_when(HasDiscoveries::AnyOf([property].into()))
--- a/crates/policy/tests/regions_model/mutant.rs
+++ b/crates/policy/tests/regions_model/mutant.rs
@@ -1,99 +1,99 @@
-//! Wrong ways to use the decisions.
+//! Defects that the model check has to find.
 
-use crate::world::World;
-use crate::{MIXED, STUCK, TWICE, UNLIKE};
+use crate::model::RegionsModel;
+use crate::{COMMITTED_TWICE, MIXED, OUTCOMES_DIFFER, STUCK};
 
-/// A wrong way.
+/// A defect in the use of the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     /// The coordinator advances without the votes of all participants.
     AdvanceWithoutVotes,
     /// A participant aborts on its time-out after it has voted.
     AbortAfterVote,
-    /// A participant votes while proxies may act under an older mode.
+    /// A participant votes while proxies may serve under an older mode.
     VoteBeforePrepared,
-    /// A participant keeps its vote in memory only.
-    VoteInMemory,
+    /// A participant does not log its vote.
+    VoteNotLogged,
     /// A participant that has voted advances without the decision.
     AdvanceAfterVote,
-    /// The coordinator takes a change that it does not know for one in force.
+    /// The coordinator reports a change that it does not know as committed.
     PresumedCommit,
     /// The coordinator forgets a commit before it is acknowledged.
     CommitForgotten,
     /// A participant acknowledges a commit before it is logged.
-    AcknowledgedEarly,
-    /// A late prepare of a change that has ended begins it again, and history answers how it ended.
-    LatePrepareBeginsAgain,
-    /// A change of the region is admitted in a middle for which the region has voted.
+    AcknowledgedBeforeLogged,
+    /// A late prepare restarts a change that has ended, and the retained history tells its outcome.
+    LatePrepareRestartsChange,
+    /// A local change is accepted in a transition that the region has voted for.
     LocalPublishAfterVote,
-    /// A deposed leader answers how a change ended.
-    DeposedAnswers,
-    /// A late vote for an older change counts for the present one.
-    VoteForOlderCounts,
-    /// The coordinator answers that an undecided change is not in force.
-    UndecidedIsNotInForce,
-    /// A participant never asks how a change ended.
-    NeverAsks,
+    /// A deposed leader replies with the outcome of a change.
+    DeposedReplies,
+    /// A late vote for an older change counts for the pending one.
+    StaleVoteCounts,
+    /// The coordinator reports an undecided change as aborted.
+    PendingReportedAborted,
+    /// A participant never asks for the outcome of a change.
+    NeverAsksForOutcome,
 }
 
-/// All of them.
+/// Every defect.
 pub(crate) const ALL: [Mutant; 14] = [
     Mutant::AdvanceWithoutVotes,
     Mutant::AbortAfterVote,
     Mutant::VoteBeforePrepared,
-    Mutant::VoteInMemory,
+    Mutant::VoteNotLogged,
     Mutant::AdvanceAfterVote,
     Mutant::PresumedCommit,
     Mutant::CommitForgotten,
-    Mutant::AcknowledgedEarly,
-    Mutant::LatePrepareBeginsAgain,
+    Mutant::AcknowledgedBeforeLogged,
+    Mutant::LatePrepareRestartsChange,
     Mutant::LocalPublishAfterVote,
-    Mutant::DeposedAnswers,
-    Mutant::VoteForOlderCounts,
-    Mutant::UndecidedIsNotInForce,
-    Mutant::NeverAsks,
+    Mutant::DeposedReplies,
+    Mutant::StaleVoteCounts,
+    Mutant::PendingReportedAborted,
+    Mutant::NeverAsksForOutcome,
 ];
 
 impl Mutant {
-    /// A world in which it does harm, and the property that it breaks there.
-    pub(crate) fn world(self) -> (World, &'static str) {
-        let world = World {
+    /// A model in which it does harm, and the property that it violates there.
+    pub(crate) fn model(self) -> (RegionsModel, &'static str) {
+        let model = RegionsModel {
             mutant: Some(self),
-            ..World::default()
+            ..RegionsModel::default()
         };
         match self {
             Mutant::AdvanceWithoutVotes
             | Mutant::VoteBeforePrepared
             | Mutant::AdvanceAfterVote
-            | Mutant::PresumedCommit => (world, MIXED),
+            | Mutant::PresumedCommit => (model, MIXED),
             Mutant::AbortAfterVote
             | Mutant::CommitForgotten
-            | Mutant::AcknowledgedEarly
-            | Mutant::UndecidedIsNotInForce => (world, UNLIKE),
-            Mutant::VoteInMemory | Mutant::DeposedAnswers => (
-                World {
+            | Mutant::AcknowledgedBeforeLogged
+            | Mutant::PendingReportedAborted => (model, OUTCOMES_DIFFER),
+            Mutant::VoteNotLogged | Mutant::DeposedReplies => (
+                RegionsModel {
                     elections: 1,
-                    ..world
+                    ..model
                 },
-                UNLIKE,
+                OUTCOMES_DIFFER,
             ),
-            Mutant::LatePrepareBeginsAgain => (world, TWICE),
+            Mutant::LatePrepareRestartsChange => (model, COMMITTED_TWICE),
             Mutant::LocalPublishAfterVote => (
-                World {
+                RegionsModel {
                     local_publishes: 1,
-                    ..world
+                    ..model
                 },
-                UNLIKE,
+                OUTCOMES_DIFFER,
             ),
-            Mutant::VoteForOlderCounts => (
-                World {
+            Mutant::StaleVoteCounts => (
+                RegionsModel {
                     publishes: 2,
                     aborts: 1,
-                    ..world
+                    ..model
                 },
                 MIXED,
             ),
-            Mutant::NeverAsks => (world, STUCK),
+            Mutant::NeverAsksForOutcome => (model, STUCK),
         }
     }
 }
