--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -2,10 +2,6 @@
 //! and duplicated, elections after which a leader has lost what is not logged, leases, timeouts, aborts and local changes.
 //! Each proxy starts a call at every moment at which it may. Then the same models with a seeded defect: each has to be
 //! found, with the property that it violates.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
 
 mod model;
 mod mutant;
@@ -87,7 +83,8 @@
     states: usize,
 }
 
-fn scenarios() -> Vec<Scenario> {
+/// Two regions with late grants, elections, aborts or several changes.
+fn fault_scenarios() -> Vec<Scenario> {
     let two = RegionsModel::default();
     let scenario = |name, model, depth, states| Scenario {
         name,
@@ -130,11 +127,38 @@
             "two changes",
             RegionsModel {
                 publishes: 2,
-                ..two.clone()
+                ..two
             },
             COMPLETE_DEPTH,
             139_000,
         ),
+    ]
+}
+
+/// Models with local changes, delayed logs, another number of policies or regions, and all of it together.
+fn configuration_scenarios() -> Vec<Scenario> {
+    let two = RegionsModel::default();
+    let all_at_once = RegionsModel {
+        publishes: 2,
+        local_publishes: 1,
+        elections: 1,
+        aborts: 1,
+        late_grants: 1,
+        delayed_log: true,
+        ..two.clone()
+    };
+    let no_policy = RegionsModel {
+        has_policy: false,
+        publishes: 2,
+        ..two.clone()
+    };
+    let scenario = |name, model, depth, states| Scenario {
+        name,
+        model,
+        depth,
+        states,
+    };
+    vec![
         scenario(
             "local changes",
             RegionsModel {
@@ -155,41 +179,19 @@
             COMPLETE_DEPTH,
             49_500,
         ),
-        scenario(
-            "no policy yet",
-            RegionsModel {
-                has_policy: false,
-                publishes: 2,
-                ..two.clone()
-            },
-            COMPLETE_DEPTH,
-            20_300,
-        ),
+        scenario("no policy yet", no_policy, COMPLETE_DEPTH, 20_300),
         scenario(
             "three regions",
             RegionsModel {
                 regions: 3,
                 renewals: 1,
                 ticks: 1,
-                ..two.clone()
+                ..two
             },
             COMPLETE_DEPTH,
             14_700,
         ),
-        scenario(
-            "all at once",
-            RegionsModel {
-                publishes: 2,
-                local_publishes: 1,
-                elections: 1,
-                aborts: 1,
-                late_grants: 1,
-                delayed_log: true,
-                ..two
-            },
-            7,
-            50_000,
-        ),
+        scenario("all at once", all_at_once, 7, 50_000),
     ]
 }
 
@@ -205,7 +207,9 @@
         model,
         depth,
         states: expected_minimum,
-    } in scenarios()
+    } in fault_scenarios()
+        .into_iter()
+        .chain(configuration_scenarios())
     {
         let depth = depth + extra_depth;
         let started_at = std::time::Instant::now();
