--- a/crates/policy/src/invariants/tests.rs
+++ b/crates/policy/src/invariants/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn begun(old: u64, new: u64) -> StartedCall {
+fn call(old: u64, new: u64) -> StartedCall {
     let mode = Mode {
         revision: 0,
         old: Generation(old),
@@ -19,7 +19,7 @@
 
 #[test]
 fn compatible_modes_pass_and_older_generations_are_reported() {
-    let mut judge = InvariantChecker::default();
+    let mut checker = InvariantChecker::default();
     for (old, new) in [
         (1, 1),
         (1, 2),
@@ -30,33 +30,33 @@
         (2, 3),
         (2, 2),
     ] {
-        assert_eq!(judge.record_start(&begun(old, new)), None, "{old} {new}");
+        assert_eq!(checker.record_start(&call(old, new)), None, "{old} {new}");
     }
     assert!(matches!(
-        judge.record_start(&begun(1, 1)),
+        checker.record_start(&call(1, 1)),
         Some(Violation::MixedGenerations { .. })
     ));
-    assert_eq!(judge.record_start(&begun(3, 3)), None);
+    assert_eq!(checker.record_start(&call(3, 3)), None);
     assert!(matches!(
-        judge.record_start(&begun(1, 2)),
+        checker.record_start(&call(1, 2)),
         Some(Violation::MixedGenerations { .. })
     ));
 }
 
 #[test]
 fn calls_that_contradict_an_abort_or_a_commit_are_reported() {
-    let mut judge = InvariantChecker::default();
-    judge.record_start(&begun(1, 2));
-    assert!(judge.record_aborted(Generation(2)));
+    let mut checker = InvariantChecker::default();
+    checker.record_start(&call(1, 2));
+    assert!(checker.record_aborted(Generation(2)));
     assert!(matches!(
-        judge.record_start(&begun(2, 2)),
+        checker.record_start(&call(2, 2)),
         Some(Violation::AbortedGeneration(_))
     ));
-    assert!(!judge.record_aborted(Generation(2)));
-    judge.record_committed(Generation(3));
+    assert!(!checker.record_aborted(Generation(2)));
+    checker.record_committed(Generation(3));
     assert!(matches!(
-        judge.record_start(&begun(1, 1)),
+        checker.record_start(&call(1, 1)),
         Some(Violation::BehindCommitted { .. })
     ));
-    assert_eq!(judge.record_start(&begun(1, 3)), None);
+    assert_eq!(checker.record_start(&call(1, 3)), None);
 }
--- a/crates/policy/src/lease_holder/tests.rs
+++ b/crates/policy/src/lease_holder/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn holder(cut_off: OnLeaseLoss) -> LeaseHolder {
+fn holder(on_lease_loss: OnLeaseLoss) -> LeaseHolder {
     let identity = Identity {
         name: "p".to_owned(),
         incarnation: 1,
     };
     let terms = LeaseHolderConfig {
-        on_lease_loss: cut_off,
+        on_lease_loss,
         request_timeout: 100,
         retry_delay: 50,
     };
@@ -19,9 +19,9 @@
     )
 }
 
-fn grant(number: u64, mode: Mode) -> LeaseGrant {
+fn grant(sequence: u64, mode: Mode) -> LeaseGrant {
     LeaseGrant {
-        sequence: number,
+        sequence,
         mode,
         duration: 300,
     }
@@ -31,10 +31,10 @@
 fn lease_duration_counts_from_when_the_request_was_sent() {
     let mut holder = holder(OnLeaseLoss::Reject);
     assert_eq!(holder.admission(0), Admission::Denied(NotAdmitted::NoLease));
-    let ask = holder.request(1_000);
+    let request = holder.request(1_000);
     let mode = Mode::stable(1, Generation(1));
     assert_eq!(
-        holder.on_grant(1_090, grant(ask.sequence, mode)),
+        holder.on_grant(1_090, grant(request.sequence, mode)),
         GrantResult::Accepted { renew_now: false }
     );
     assert_eq!(holder.admission(1_299), Admission::Under(mode));
@@ -50,13 +50,13 @@
     let mut holder = holder(OnLeaseLoss::Reject);
     let first = holder.request(0);
     let second = holder.request(100);
-    let middle = Mode {
+    let transition = Mode {
         revision: 5,
         old: Generation(1),
         new: Generation(2),
     };
     assert_eq!(
-        holder.on_grant(110, grant(first.sequence, middle)),
+        holder.on_grant(110, grant(first.sequence, transition)),
         GrantResult::Ignored
     );
     assert_eq!(
@@ -64,7 +64,7 @@
         Admission::Denied(NotAdmitted::NoLease)
     );
     assert_eq!(
-        holder.on_grant(120, grant(second.sequence, middle)),
+        holder.on_grant(120, grant(second.sequence, transition)),
         GrantResult::Accepted { renew_now: true }
     );
     let third = holder.request(130);
@@ -74,18 +74,18 @@
         holder.on_grant(140, grant(third.sequence, older)),
         GrantResult::Ignored
     );
-    assert_eq!(holder.admission(140), Admission::Under(middle));
+    assert_eq!(holder.admission(140), Admission::Under(transition));
     let fourth = holder.request(150);
-    let unread = Mode {
+    let rejected = Mode {
         revision: 7,
         old: Generation(2),
         new: Generation(3),
     };
     assert_eq!(
-        holder.on_grant(160, grant(fourth.sequence, unread)),
+        holder.on_grant(160, grant(fourth.sequence, rejected)),
         GrantResult::MissingGenerations
     );
-    assert_eq!(holder.admission(160), Admission::Under(middle));
+    assert_eq!(holder.admission(160), Admission::Under(transition));
     holder.reject_generation(Generation(3), "a key that it does not know".to_owned());
     assert_eq!(
         holder
@@ -98,7 +98,7 @@
 
 #[test]
 fn an_expired_lease_is_handled_as_configured() {
-    for (cut_off, then) in [
+    for (on_lease_loss, then) in [
         (
             OnLeaseLoss::Reject,
             Admission::Denied(NotAdmitted::LeaseExpired),
@@ -113,15 +113,15 @@
             }),
         ),
     ] {
-        let mut holder = holder(cut_off);
-        let ask = holder.request(0);
-        let middle = Mode {
+        let mut holder = holder(on_lease_loss);
+        let request = holder.request(0);
+        let transition = Mode {
             revision: 5,
             old: Generation(1),
             new: Generation(2),
         };
-        holder.on_grant(1, grant(ask.sequence, middle));
-        assert_eq!(holder.admission(299), Admission::Under(middle));
+        holder.on_grant(1, grant(request.sequence, transition));
+        assert_eq!(holder.admission(299), Admission::Under(transition));
         assert_eq!(holder.admission(300), then);
         holder.evict();
         assert_eq!(
--- a/crates/policy/src/leases/tests.rs
+++ b/crates/policy/src/leases/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{Command, Generation};
 
-const TERMS: LeaseConfig = LeaseConfig {
+const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     duration: 100,
     max_clock_drift: 10,
 };
@@ -11,25 +11,25 @@
 fn record(publishes: u64) -> Record {
     let mut record = Record::default();
     for _ in 0..publishes {
-        let (revision, floors) = (record.revision(), record.fallback_generations());
+        let (revision, fallback_generations) = (record.revision(), record.fallback_generations());
         record.apply(&Command::Publish {
             revision,
             text: String::new(),
-            fallback_generations: floors,
+            fallback_generations,
             all_regions: None,
         });
     }
     record
 }
 
-fn ask(number: u64, acting: u64) -> LeaseRequest {
+fn request(sequence: u64, active_revision: u64) -> LeaseRequest {
     LeaseRequest {
         identity: Identity {
             name: "p".to_owned(),
             incarnation: 1,
         },
-        sequence: number,
-        active_revision: acting,
+        sequence,
+        active_revision,
         loaded_generations: BTreeSet::new(),
         rejected_generation: None,
         on_lease_loss: OnLeaseLoss::Reject,
@@ -38,106 +38,107 @@
 
 #[test]
 fn new_leader_waits_for_leases_of_its_predecessors() {
-    let leases = Leases::after_election(TERMS, 1_000);
-    let middle = record(2);
-    assert_eq!(leases.blockers(1_109, &middle).len(), 1);
-    assert_eq!(leases.blockers(1_110, &middle), []);
-    assert_eq!(leases.next_deadline(1_000, &middle), Some(1_110));
+    let leases = Leases::after_election(LEASE_CONFIG, 1_000);
+    let transition = record(2);
+    assert_eq!(leases.blockers(1_109, &transition).len(), 1);
+    assert_eq!(leases.blockers(1_110, &transition), []);
+    assert_eq!(leases.next_deadline(1_000, &transition), Some(1_110));
 }
 
 #[test]
 fn older_lease_blocks_until_confirmation_or_expiry() {
-    let mut leases = Leases::after_election(TERMS, 0);
-    let (stable, middle) = (record(1), record(2));
+    let mut leases = Leases::after_election(LEASE_CONFIG, 0);
+    let (stable, transition) = (record(1), record(2));
     assert!(matches!(
-        leases.grant(200, &stable, &ask(1, 0)),
+        leases.grant(200, &stable, &request(1, 0)),
         GrantOutcome::Granted(_)
     ));
     assert!(matches!(
-        leases.grant(220, &middle, &ask(2, 1)),
+        leases.grant(220, &transition, &request(2, 1)),
         GrantOutcome::Granted(_)
     ));
     assert_eq!(
-        leases.blockers(230, &middle).len(),
+        leases.blockers(230, &transition).len(),
         1,
-        "the middle has gone out, and may not have come in"
+        "the transition was granted, and the grant may not have arrived"
     );
-    let mut told = leases.clone();
+    let mut confirmed = leases.clone();
     assert!(matches!(
-        told.grant(240, &middle, &ask(3, 2)),
+        confirmed.grant(240, &transition, &request(3, 2)),
         GrantOutcome::Granted(_)
     ));
-    assert_eq!(told.blockers(241, &middle), []);
-    assert_eq!(leases.blockers(309, &middle).len(), 1);
-    assert_eq!(leases.blockers(310, &middle), []);
+    assert_eq!(confirmed.blockers(241, &transition), []);
+    assert_eq!(leases.blockers(309, &transition).len(), 1);
+    assert_eq!(leases.blockers(310, &transition), []);
 }
 
 #[test]
 fn out_of_order_requests_are_denied() {
-    let mut leases = Leases::after_election(TERMS, 0);
-    let middle = record(2);
-    leases.grant(200, &middle, &ask(5, 2));
+    let mut leases = Leases::after_election(LEASE_CONFIG, 0);
+    let transition = record(2);
+    leases.grant(200, &transition, &request(5, 2));
     assert_eq!(
-        leases.grant(201, &middle, &ask(5, 2)),
+        leases.grant(201, &transition, &request(5, 2)),
         GrantOutcome::Denied(LeaseDenial::OutOfOrder)
     );
     assert_eq!(
-        leases.grant(201, &middle, &ask(4, 1)),
+        leases.grant(201, &transition, &request(4, 1)),
         GrantOutcome::Denied(LeaseDenial::OutOfOrder)
     );
     assert_eq!(
-        leases.grant(201, &Record::default(), &ask(6, 2)),
+        leases.grant(201, &Record::default(), &request(6, 2)),
         GrantOutcome::Denied(LeaseDenial::NoPolicy)
     );
 }
 
 #[test]
 fn leaseless_proxy_registers_first_and_blocks_until_it_confirms() {
-    let mut leases = Leases::after_election(TERMS, 0);
+    let mut leases = Leases::after_election(LEASE_CONFIG, 0);
     let mut record = record(1);
-    let keeps = LeaseRequest {
+    let leaseless = LeaseRequest {
         on_lease_loss: OnLeaseLoss::Keep,
-        ..ask(1, 0)
+        ..request(1, 0)
     };
     assert_eq!(
-        leases.grant(200, &record, &keeps),
+        leases.grant(200, &record, &leaseless),
         GrantOutcome::RegisterFirst
     );
     record.apply(&Command::Register {
-        identity: keeps.identity.clone(),
+        identity: leaseless.identity.clone(),
         on_lease_loss: OnLeaseLoss::Keep,
     });
     assert!(matches!(
-        leases.grant(200, &record, &keeps),
+        leases.grant(200, &record, &leaseless),
         GrantOutcome::Granted(_)
     ));
-    let (revision, floors) = (record.revision(), record.fallback_generations());
+    let (revision, fallback_generations) = (record.revision(), record.fallback_generations());
     record.apply(&Command::Publish {
         revision,
         text: String::new(),
-        fallback_generations: floors,
+        fallback_generations,
         all_regions: None,
     });
-    let why = |l: &Leases| {
-        l.blockers(10_000, &record)
+    let reasons = |leases: &Leases| {
+        leases
+            .blockers(10_000, &record)
             .into_iter()
             .map(|b| b.reason)
             .collect::<Vec<_>>()
     };
-    assert_eq!(why(&leases), [BlockReason::ServesWithoutLease]);
-    let told = LeaseRequest {
+    assert_eq!(reasons(&leases), [BlockReason::ServesWithoutLease]);
+    let confirmed = LeaseRequest {
         on_lease_loss: OnLeaseLoss::Keep,
-        ..ask(2, 2)
+        ..request(2, 2)
     };
-    leases.grant(10_000, &record, &told);
-    assert_eq!(why(&leases), []);
+    leases.grant(10_000, &record, &confirmed);
+    assert_eq!(reasons(&leases), []);
     assert_eq!(leases.caught_up_proxies(&record).len(), 1);
     record.apply(&Command::Evict {
-        identity: told.identity.clone(),
+        identity: confirmed.identity.clone(),
     });
     let again = LeaseRequest {
         sequence: 3,
-        ..told
+        ..confirmed
     };
     assert_eq!(
         leases.grant(10_001, &record, &again),
@@ -147,25 +148,25 @@
 
 #[test]
 fn proxy_that_rejects_the_generation_is_named() {
-    let mut leases = Leases::after_election(TERMS, 0);
-    let middle = record(2);
-    let unread = RejectedGeneration {
+    let mut leases = Leases::after_election(LEASE_CONFIG, 0);
+    let transition = record(2);
+    let rejected = RejectedGeneration {
         generation: Generation(2),
         reason: "odd".to_owned(),
     };
     leases.grant(
         0,
-        &middle,
+        &transition,
         &LeaseRequest {
-            rejected_generation: Some(unread),
-            ..ask(1, 1)
+            rejected_generation: Some(rejected),
+            ..request(1, 1)
         },
     );
-    let mode = middle.mode().expect("a policy");
+    let mode = transition.mode().expect("a policy");
     assert_eq!(
         leases
             .rejected_generation(mode)
-            .map(|(i, why)| (i.name.as_str(), why)),
+            .map(|(i, reason)| (i.name.as_str(), reason)),
         Some(("p", "odd"))
     );
 }
--- a/crates/policy/src/record/tests.rs
+++ b/crates/policy/src/record/tests.rs
@@ -89,14 +89,14 @@
         record.fallback_generations(),
         BTreeSet::from([Generation(1), Generation(2)])
     );
-    let one_floor = Command::Publish {
+    let with_newest_only = Command::Publish {
         revision: 3,
         text: String::new(),
         fallback_generations: BTreeSet::from([Generation(2)]),
         all_regions: None,
     };
     assert_eq!(
-        record.apply(&one_floor),
+        record.apply(&with_newest_only),
         Outcome::Rejected(Rejection::Conflict)
     );
     record.apply(&Command::RecordActive {
@@ -107,7 +107,10 @@
         record.fallback_generations(),
         BTreeSet::from([Generation(2)])
     );
-    assert_eq!(record.apply(&one_floor), Outcome::Started(Generation(3)));
+    assert_eq!(
+        record.apply(&with_newest_only),
+        Outcome::Started(Generation(3))
+    );
 }
 
 #[test]
--- a/crates/policy/tests/intersection.rs
+++ b/crates/policy/tests/intersection.rs
@@ -1,4 +1,4 @@
-//! What the meet admits, both admit: for any two calls that two policies could make of one request, and any answer.
+//! The intersection allows only what both policies allow, for any two resolved calls of one request and any response.
 
 use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_policy::{
@@ -8,17 +8,18 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
 
-fn repeat() -> impl Strategy<Value = Idempotency> {
+fn idempotency() -> impl Strategy<Value = Idempotency> {
     let scope = prop_oneof![
         Just(DedupScope::All),
         Just(DedupScope::Zone),
         Just(DedupScope::Cell)
     ];
-    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    let keyed_strategy =
+        (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
     prop_oneof![
         Just(Idempotency::Idempotent),
         Just(Idempotency::NonIdempotent),
-        guarded
+        keyed_strategy
     ]
 }
 
@@ -32,7 +33,7 @@
 
 prop_compose! {
     fn call()(
-        repeat in repeat(),
+        idempotency in idempotency(),
         key in prop_oneof![Just(IdempotencyKey::None), "[ab]".prop_map(IdempotencyKey::Value)],
         time in 1..4u64,
         (attempts, attempt_time, backoff) in (1..4u32, 1..4u64, 0..3u64),
@@ -41,51 +42,52 @@
         (connect, body) in (1..4u64, 0..3usize),
     ) -> ResolvedCall {
         let resend = if any { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
-        let once = matches!(repeat, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
-        let terms = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
-        ResolvedCall { idempotency: repeat, key, timeout: time, policy: terms, connect_timeout: connect, max_body_bytes: body }
+        let once = matches!(idempotency, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
+        let policy = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
+        ResolvedCall { idempotency, key, timeout: time, policy, connect_timeout: connect, max_body_bytes: body }
     }
 }
 
-/// May a call of these terms run again at a host of the same zone (and cell), or of another, `after` its first attempt?
+/// Whether a call may be repeated at an endpoint of the same zone (and cell) or of another, this long after its first
+/// attempt.
 fn runs_again(
-    repeat: Idempotency,
-    terms: &CallPolicy,
+    idempotency: Idempotency,
+    policy: &CallPolicy,
     (zone, cell): (bool, bool),
     after: u64,
 ) -> bool {
-    let class = match repeat {
+    let class = match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::Keyed { scope, window } => {
-            let here = match scope {
+            let in_scope = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => zone,
                 DedupScope::Cell => cell,
             };
-            here && after < window && !terms.non_idempotent
+            in_scope && after < window && !policy.non_idempotent
         }
     };
-    class && !terms.non_idempotent && terms.retry_on == RetryOn::AnyFailure
+    class && !policy.non_idempotent && policy.retry_on == RetryOn::AnyFailure
 }
 
 proptest! {
     #[test]
     fn intersection_allows_only_what_both_allow(old in call(), new in call()) {
-        let met = intersect(Some(&old), Some(&new)).expect("both take it").expect("both take it");
-        let chosen = if met.class == Side::Old { &old } else { &new };
+        let intersection = intersect(Some(&old), Some(&new)).expect("both accept it").expect("both accept it");
+        let chosen = if intersection.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
-            let (terms, its) = (&met.policy, &own.policy);
-            prop_assert!(met.timeout <= own.timeout && met.connect_timeout <= own.connect_timeout && met.max_body_bytes <= own.max_body_bytes);
-            prop_assert!(terms.max_attempts <= its.max_attempts && terms.attempt_timeout <= its.attempt_timeout);
-            prop_assert!(terms.backoff >= its.backoff);
-            prop_assert!(terms.hedge == Hedge::Never || terms.hedge == its.hedge);
-            prop_assert!(terms.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
-            for place in [(true, true), (true, false), (false, true), (false, false)] {
+            let (policy, its) = (&intersection.policy, &own.policy);
+            prop_assert!(intersection.timeout <= own.timeout && intersection.connect_timeout <= own.connect_timeout && intersection.max_body_bytes <= own.max_body_bytes);
+            prop_assert!(policy.max_attempts <= its.max_attempts && policy.attempt_timeout <= its.attempt_timeout);
+            prop_assert!(policy.backoff >= its.backoff);
+            prop_assert!(policy.hedge == Hedge::Never || policy.hedge == its.hedge);
+            prop_assert!(policy.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
+            for location in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
-                    if runs_again(chosen.idempotency, terms, place, after) {
-                        prop_assert!(runs_again(own.idempotency, its, place, after), "{place:?} {after}");
-                        // By the key that it bears, where it goes by one.
+                    if runs_again(chosen.idempotency, policy, location, after) {
+                        prop_assert!(runs_again(own.idempotency, its, location, after), "{location:?} {after}");
+                        // By the key that it carries, if repeats are recognised by one.
                         if matches!(own.idempotency, Idempotency::Keyed { .. }) {
                             prop_assert!(own.key == chosen.key || chosen.idempotency == Idempotency::Idempotent);
                         }
@@ -97,18 +99,18 @@
 
     #[test]
     fn intersection_of_a_policy_with_itself_is_that_policy(own in call()) {
-        let met = intersect(Some(&own), Some(&own)).expect("both take it").expect("both take it");
-        prop_assert_eq!((met.timeout, met.policy, met.connect_timeout, met.max_body_bytes), (own.timeout, own.policy, own.connect_timeout, own.max_body_bytes));
+        let intersection = intersect(Some(&own), Some(&own)).expect("both accept it").expect("both accept it");
+        prop_assert_eq!((intersection.timeout, intersection.policy, intersection.connect_timeout, intersection.max_body_bytes), (own.timeout, own.policy, own.connect_timeout, own.max_body_bytes));
     }
 
     #[test]
     fn response_is_classified_as_by_both_or_may_have_run(old in answers(), new in answers()) {
-        let met = intersect_answers(&old, &new);
+        let intersection = intersect_answers(&old, &new);
         let marked = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
         for status in [200, 201, 503, 504] {
             let status = StatusCode::from_u16(status).expect("a status");
             for headers in [&HeaderMap::new(), &marked] {
-                let verdict = met.verdict(status, headers);
+                let verdict = intersection.verdict(status, headers);
                 if verdict != Verdict::Error {
                     prop_assert_eq!(verdict, old.verdict(status, headers));
                     prop_assert_eq!(verdict, new.verdict(status, headers));
@@ -138,12 +140,12 @@
 
 #[test]
 fn request_that_only_one_policy_accepts_is_a_mismatch() {
-    let terms = CallPolicy::default();
+    let policy = CallPolicy::default();
     let call = ResolvedCall {
         idempotency: Idempotency::Idempotent,
         key: IdempotencyKey::None,
         timeout: 1,
-        policy: terms,
+        policy,
         connect_timeout: 1,
         max_body_bytes: 1,
     };
@@ -154,16 +156,16 @@
 
 #[test]
 fn keyed_and_non_idempotent_intersect_to_non_idempotent() {
-    let guarded = Idempotency::Keyed {
+    let keyed_strategy = Idempotency::Keyed {
         scope: DedupScope::All,
         window: 3,
     };
-    let terms = CallPolicy::default();
+    let policy = CallPolicy::default();
     let keyed = ResolvedCall {
-        idempotency: guarded,
+        idempotency: keyed_strategy,
         key: IdempotencyKey::Value("k".to_owned()),
         timeout: 1,
-        policy: terms,
+        policy,
         connect_timeout: 1,
         max_body_bytes: 1,
     };
--- a/crates/policy/tests/next_command.rs
+++ b/crates/policy/tests/next_command.rs
@@ -1,4 +1,4 @@
-//! The next step of a change of one region, as its leader sees it.
+//! The next command of a leader for a change of one region.
 
 use badgerramp_policy::{
     next_command, ChangeTimeouts, Command, Generation, GrantOutcome, Identity, LeaseConfig,
@@ -6,23 +6,23 @@
 };
 use std::collections::BTreeSet;
 
-const LIMITS: ChangeTimeouts = ChangeTimeouts {
+const TIMEOUTS: ChangeTimeouts = ChangeTimeouts {
     proxies: 1_000,
     regions: 10,
 };
-const TERMS: LeaseConfig = LeaseConfig {
+const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     duration: 100,
     max_clock_drift: 10,
 };
-/// A moment at which no lease of another leader runs.
+/// A time at which no lease of an earlier leader runs.
 const NOW: u64 = 10_000;
 
 fn publish(record: &mut Record) {
-    let (revision, floors) = (record.revision(), record.fallback_generations());
+    let (revision, fallback_generations) = (record.revision(), record.fallback_generations());
     record.apply(&Command::Publish {
         revision,
         text: String::new(),
-        fallback_generations: floors,
+        fallback_generations,
         all_regions: None,
     });
 }
@@ -34,129 +34,150 @@
     }
 }
 
-fn ask(name: &str, number: u64, acting: u64, cut_off: OnLeaseLoss) -> LeaseRequest {
+fn lease_request(
+    name: &str,
+    sequence: u64,
+    active_revision: u64,
+    on_lease_loss: OnLeaseLoss,
+) -> LeaseRequest {
     LeaseRequest {
         identity: identity(name),
-        sequence: number,
-        active_revision: acting,
+        sequence,
+        active_revision,
         loaded_generations: BTreeSet::new(),
         rejected_generation: None,
-        on_lease_loss: cut_off,
+        on_lease_loss,
     }
 }
 
-fn lend(leases: &mut Leases, record: &Record, ask: &LeaseRequest) {
+fn grant(leases: &mut Leases, record: &Record, request: &LeaseRequest) {
     assert!(matches!(
-        leases.grant(NOW, record, ask),
+        leases.grant(NOW, record, request),
         GrantOutcome::Granted(_)
     ));
 }
 
-/// In a middle, with a proxy that was lent the mode before it.
-fn middle() -> (Record, Leases) {
-    let (mut record, mut leases) = (Record::default(), Leases::after_election(TERMS, 0));
+/// A transition, with a proxy that has a lease for the mode before it.
+fn in_transition() -> (Record, Leases) {
+    let (mut record, mut leases) = (Record::default(), Leases::after_election(LEASE_CONFIG, 0));
     publish(&mut record);
-    lend(&mut leases, &record, &ask("p", 1, 0, OnLeaseLoss::Reject));
+    grant(
+        &mut leases,
+        &record,
+        &lease_request("p", 1, 0, OnLeaseLoss::Reject),
+    );
     publish(&mut record);
     (record, leases)
 }
 
 #[test]
 fn change_advances_when_no_proxy_can_serve_under_an_older_mode() {
-    let (record, mut leases) = middle();
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
+    let (record, mut leases) = in_transition();
+    assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), None);
     let advance = Some(Command::Advance { revision: 2 });
-    let lease_over = NOW + TERMS.duration + TERMS.max_clock_drift;
+    let lease_expiry = NOW + LEASE_CONFIG.duration + LEASE_CONFIG.max_clock_drift;
     assert_eq!(
-        next_command(&record, &leases, lease_over - 1, NOW, LIMITS),
+        next_command(&record, &leases, lease_expiry - 1, NOW, TIMEOUTS),
         None
     );
     assert_eq!(
-        next_command(&record, &leases, lease_over, NOW, LIMITS),
+        next_command(&record, &leases, lease_expiry, NOW, TIMEOUTS),
         advance
     );
-    lend(&mut leases, &record, &ask("p", 2, 2, OnLeaseLoss::Reject));
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), advance);
+    grant(
+        &mut leases,
+        &record,
+        &lease_request("p", 2, 2, OnLeaseLoss::Reject),
+    );
+    assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), advance);
 }
 
 #[test]
 fn blocked_change_is_aborted_after_its_timeout() {
-    let (record, leases) = middle();
-    // It waits for no other region, so the limit for regions is no matter.
+    let (record, leases) = in_transition();
+    // The change waits for no other region, so that the timeout for regions does not apply.
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW - LIMITS.proxies, LIMITS),
+        next_command(&record, &leases, NOW, NOW - TIMEOUTS.proxies, TIMEOUTS),
         None
     );
-    let why = "not in force in time; held up by p (0000000000000001)".to_owned();
+    let reason = "not in force in time; held up by p (0000000000000001)".to_owned();
     let abort = Some(Command::Abort {
         revision: 2,
-        reason: why,
+        reason,
     });
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW - LIMITS.proxies - 1, LIMITS),
+        next_command(&record, &leases, NOW, NOW - TIMEOUTS.proxies - 1, TIMEOUTS),
         abort
     );
 }
 
 #[test]
 fn change_is_aborted_at_once_when_a_proxy_rejects_it() {
-    let (record, mut leases) = middle();
-    let unread = Some(RejectedGeneration {
+    let (record, mut leases) = in_transition();
+    let rejected = Some(RejectedGeneration {
         generation: Generation(2),
         reason: "odd".to_owned(),
     });
-    lend(
+    grant(
         &mut leases,
         &record,
         &LeaseRequest {
-            rejected_generation: unread,
-            ..ask("p", 2, 1, OnLeaseLoss::Reject)
+            rejected_generation: rejected,
+            ..lease_request("p", 2, 1, OnLeaseLoss::Reject)
         },
     );
-    let why = "p (0000000000000001) can't read it: odd".to_owned();
+    let reason = "p (0000000000000001) can't read it: odd".to_owned();
     let abort = Some(Command::Abort {
         revision: 2,
-        reason: why,
+        reason,
     });
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), abort);
+    assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), abort);
 }
 
 #[test]
 fn confirmations_of_leaseless_proxies_are_logged_before_the_advance() {
-    let (mut record, mut leases) = (Record::default(), Leases::after_election(TERMS, 0));
+    let (mut record, mut leases) = (Record::default(), Leases::after_election(LEASE_CONFIG, 0));
     publish(&mut record);
     record.apply(&Command::Register {
         identity: identity("k"),
         on_lease_loss: OnLeaseLoss::Keep,
     });
     publish(&mut record);
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
-    lend(&mut leases, &record, &ask("k", 1, 2, OnLeaseLoss::Keep));
-    let acting = Command::RecordActive {
+    assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), None);
+    grant(
+        &mut leases,
+        &record,
+        &lease_request("k", 1, 2, OnLeaseLoss::Keep),
+    );
+    let record_active = Command::RecordActive {
         revision: 2,
         proxies: BTreeSet::from([identity("k")]),
     };
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW, LIMITS),
-        Some(acting.clone())
+        next_command(&record, &leases, NOW, NOW, TIMEOUTS),
+        Some(record_active.clone())
     );
-    record.apply(&acting);
+    record.apply(&record_active);
     let advance = Command::Advance { revision: 2 };
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW, LIMITS),
+        next_command(&record, &leases, NOW, NOW, TIMEOUTS),
         Some(advance.clone())
     );
     record.apply(&advance);
-    // Without a change it is logged when most of them have moved.
-    assert_eq!(next_command(&record, &leases, NOW, NOW, LIMITS), None);
-    lend(&mut leases, &record, &ask("k", 2, 3, OnLeaseLoss::Keep));
-    let acting = Command::RecordActive {
+    // Outside of a transition they are logged once most proxies have confirmed.
+    assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), None);
+    grant(
+        &mut leases,
+        &record,
+        &lease_request("k", 2, 3, OnLeaseLoss::Keep),
+    );
+    let record_active = Command::RecordActive {
         revision: 3,
         proxies: BTreeSet::from([identity("k")]),
     };
     assert_eq!(
-        next_command(&record, &leases, NOW, NOW, LIMITS),
-        Some(acting)
+        next_command(&record, &leases, NOW, NOW, TIMEOUTS),
+        Some(record_active)
     );
 }
 
@@ -165,10 +186,10 @@
     assert_eq!(
         next_command(
             &Record::default(),
-            &Leases::after_election(TERMS, 0),
+            &Leases::after_election(LEASE_CONFIG, 0),
             NOW,
             0,
-            LIMITS
+            TIMEOUTS
         ),
         None
     );
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -1,12 +1,12 @@
-//! What replicas write down can be read again, also as versions without regions wrote it. The fixtures are what the last
-//! such version wrote.
+//! Stored records and commands can be read, also those of versions without regions. The fixtures were written by the
+//! last such version.
 
 use badgerramp_policy::{
     ChangeStatus, Command, Generation, Identity, Mode, OnLeaseLoss, Outcome, Record,
 };
 use std::collections::BTreeSet;
 
-/// The commands of a log, in order, and what became of each.
+/// The commands of a log, in order, and the outcome of each.
 const LOG: [(&str, &str); 9] = [
     (
         r#"{"Publish":{"revision":0,"text":"one","floors":[]}}"#,
