--- a/crates/policy/src/record/transition.rs
+++ b/crates/policy/src/record/transition.rs
@@ -1,5 +1,4 @@
-//! How a transition starts and ends. With the one in [`super::cross_region`], these are the only functions that change
-//! the mode.
+//! How a transition starts and ends. Only these functions change the mode.
 
 use super::{Change, ChangeStatus, Record};
 use crate::regions::{
@@ -158,6 +157,7 @@
             .insert(coordinator, Participation { change, decision });
     }
 
+    /// Sets the status of a retained change.
     fn set_status(&mut self, generation: Generation, status: ChangeStatus) {
         if let Some(change) = self.changes.get_mut(&generation) {
             change.status = status;
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -147,8 +147,10 @@
         return None;
     };
     let id = change.id;
+    if id != reply.id {
+        return None;
+    }
     match reply.decision {
-        _ if id != reply.id => None,
         Decision::Pending => None,
         // A change is never committed without the vote of this region.
         Decision::Committed => voted.then_some(Command::Committed { id }),
--- a/crates/policy/tests/lease_model/main.rs
+++ b/crates/policy/tests/lease_model/main.rs
@@ -13,7 +13,7 @@
 
 const NEVER_MIXED: &str = "never mixed, everywhere or nowhere";
 const CHANGE_ENDS: &str = "a change ends once faults end";
-const CHANGE_COMMITTED: &str = "a change comes into force";
+const CHANGE_COMMITTED: &str = "a change is committed";
 
 /// Deeper than any state of the models that are searched completely.
 const COMPLETE_DEPTH: usize = 40;
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -11,14 +11,14 @@
 use properties::Violation;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const MIXED: &str = "no call begins under the old policy after one has begun under the new one";
-const OUTCOMES_DIFFER: &str = "a change of all regions ends alike in all of them";
+const MIXED: &str = "no call starts under the old policy after one has started under the new one";
+const OUTCOMES_DIFFER: &str = "a cross-region change has the same outcome in every region";
 const WITHOUT_VOTES: &str =
     "a change is in force only when all participants have logged their votes";
-const COMMITTED_TWICE: &str = "a change comes into force once";
+const COMMITTED_TWICE: &str = "a change is committed once";
 const STUCK: &str = "an end is reachable when messages pass again";
-const COMMITTED: &str = "a change of all regions comes into force";
-const ABORTED: &str = "a change of all regions comes to nothing";
+const COMMITTED: &str = "a cross-region change is committed";
+const ABORTED: &str = "a cross-region change is aborted";
 const BLOCKED: &str = "a region waits for a decision that another one has made";
 
 impl Model for RegionsModel {
--- a/crates/policy/tests/regions_model/model/events.rs
+++ b/crates/policy/tests/regions_model/model/events.rs
@@ -40,7 +40,7 @@
         region_state: &RegionState,
         steps: &mut Vec<Step>,
     ) {
-        let middle = region_state.record.transition().is_some();
+        let in_transition = region_state.record.transition().is_some();
         let remaining = region_state.remaining;
         let may = [
             (remaining.renewals > 0, Step::RenewLease(index)),
@@ -53,11 +53,11 @@
                 Step::DeliverGrant(index),
             ),
             (remaining.publishes > 0, Step::PublishLocal(index)),
-            (remaining.aborts > 0 && middle, Step::Abort(index)),
+            (remaining.aborts > 0 && in_transition, Step::Abort(index)),
             (remaining.elections > 0, Step::Elect(index)),
-            (middle, Step::Lead(index)),
+            (in_transition, Step::Lead(index)),
             (
-                middle && self.time_out(state, region_state).is_some(),
+                in_transition && self.time_out(state, region_state).is_some(),
                 Step::TimeOut(index),
             ),
         ];
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -144,7 +144,7 @@
 #[test]
 fn fallback_generations_of_an_older_command_are_read() {
     let Command::Publish {
-        fallback_generations: floors,
+        fallback_generations,
         all_regions,
         ..
     } = read(LOG[8].0)
@@ -152,7 +152,7 @@
         panic!("a publish")
     };
     assert_eq!(
-        (floors, all_regions),
+        (fallback_generations, all_regions),
         (BTreeSet::from([Generation(3)]), None)
     );
 }
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn floors() -> BTreeSet<Generation> {
+fn fallback_generations() -> BTreeSet<Generation> {
     BTreeSet::from([Generation(1), Generation(3)])
 }
 
@@ -56,7 +56,7 @@
     let publish = |all_regions| Command::Publish {
         revision: 4,
         text: "{\"tablet\":\"listen = 1\"}".to_owned(),
-        fallback_generations: floors(),
+        fallback_generations: fallback_generations(),
         all_regions,
     };
     vec![
@@ -66,7 +66,7 @@
             revision: 4,
             change: change(),
             text: "{}".to_owned(),
-            fallback_generations: floors(),
+            fallback_generations: fallback_generations(),
         },
         Command::Vote { revision: 5 },
         Command::Prepared {
@@ -140,7 +140,7 @@
     insta::assert_snapshot!(lines(&outcomes));
 }
 
-/// Applies what goes before the next change of all regions: policies in force and aborted, proxies of each kind.
+/// A record before its next cross-region change, with committed and aborted policies and proxies of each kind.
 fn record_with_history() -> Record {
     let mut record = Record::default();
     let publish = |record: &mut Record, text: &str, all_regions| {
