--- a/crates/gossip/src/peer/interface.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -1,7 +1,7 @@
 //! What a peer is told, what it asks for, and what it reports of itself.
 
 use crate::endpoint_list::{EndpointChange, ListVersion};
-use crate::polling::{Mechanism, PeerId, PollerStatus};
+use crate::polling::{KnownPoller, Mechanism, PeerId};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -183,7 +183,7 @@
     pub converged: bool,
     /// Those that ask, and how long ago something new was heard of each.
     #[serde(rename = "askers")]
-    pub pollers: Vec<(PollerStatus, Micros)>,
+    pub pollers: Vec<KnownPoller>,
     /// Metrics.
     #[serde(rename = "counts")]
     pub metrics: Metrics,
--- a/crates/gossip/src/peer/message/tests.rs
+++ b/crates/gossip/src/peer/message/tests.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_list::{EndpointChange, EndpointEntry, EndpointList, ListVersion};
 use crate::packed_list::PartialList;
 use crate::peer::{Member, Metrics, PeerStatus};
-use crate::polling::{PeerId, PollerStatus};
+use crate::polling::{KnownPoller, PeerId, PollerStatus};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -157,7 +157,10 @@
         endpoints: 12,
         alive: 50,
         converged: true,
-        pollers: vec![(status(), 1_000)],
+        pollers: vec![KnownPoller {
+            status: status(),
+            age: 1_000,
+        }],
         metrics,
     };
     insta::assert_snapshot!(bytes(&status));
--- a/crates/gossip/src/polling/tests.rs
+++ b/crates/gossip/src/polling/tests.rs
@@ -1,4 +1,15 @@
-use super::*;
+//! The election of pollers, and their backoff.
+
+use super::backoff::MAX_BACKOFF;
+use super::known::MAX_KNOWN_POLLERS;
+use super::scheduler::{ISOLATED_AFTER, TAKEOVER_PAUSE};
+use super::status::UNREACHABLE_AFTER_FAILURES;
+use super::takeover::{
+    MAX_ISOLATED_DELAY, MIN_ISOLATED_DELAY, RELAXED_TAKEOVER_SPAN, SEED_TAKEOVER_SPAN,
+    TAKEOVER_SPAN, UNREACHABLE_TAKEOVER_SPAN,
+};
+use super::{PeerId, PollScheduler, PollerStatus, TARGET_POLLERS};
+use crate::Micros;
 
 fn status(id: u64, count: u32, failures: u32) -> PollerStatus {
     PollerStatus {
@@ -17,7 +28,7 @@
             .map(|n| {
                 let mut scheduler = PollScheduler::new(PeerId(n), false);
                 scheduler.record_contact(0);
-                assert!(!scheduler.start_poll(0, false) || scheduler.pending);
+                assert!(!scheduler.start_poll(0, false) || scheduler.in_flight);
                 scheduler.next_deadline().unwrap_or(0)
             })
             .collect();
@@ -52,7 +63,7 @@
     }
     assert_eq!(scheduler.others.len(), MAX_KNOWN_POLLERS);
     assert!(
-        (1..=1_024).all(|n| scheduler.others.contains_key(&PeerId(n))),
+        (1..=1_024).all(|n| scheduler.others.contains(PeerId(n))),
         "who asks is kept"
     );
 }
@@ -130,13 +141,15 @@
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.start_poll(ISOLATED_AFTER, true);
     let due = scheduler.next_deadline().expect("it is cut off");
-    assert!((ISOLATED_AFTER + ISOLATED_DELAY.0..=ISOLATED_AFTER + ISOLATED_DELAY.1).contains(&due));
+    assert!(
+        (ISOLATED_AFTER + MIN_ISOLATED_DELAY..=ISOLATED_AFTER + MAX_ISOLATED_DELAY).contains(&due)
+    );
     scheduler.record_contact(ISOLATED_AFTER + 1);
     scheduler.start_poll(ISOLATED_AFTER + 1, true);
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.start_poll(2 * ISOLATED_AFTER + 1, true);
     assert!(
-        scheduler.start_poll(due + 2 * ISOLATED_AFTER + ISOLATED_DELAY.1, true)
+        scheduler.start_poll(due + 2 * ISOLATED_AFTER + MAX_ISOLATED_DELAY, true)
             && scheduler.is_poller()
     );
 }
@@ -206,7 +219,7 @@
     let mut scheduler = PollScheduler::new(PeerId(1), true);
     scheduler.start_poll(0, false);
     let due = scheduler.next_deadline().unwrap_or(0);
-    assert!(scheduler.start_poll(due, false) || scheduler.pending);
+    assert!(scheduler.start_poll(due, false) || scheduler.in_flight);
     let mut longest = 0;
     for _ in 0..20 {
         scheduler.poll_failed(0, None);
--- a/crates/gossip/src/simulation.rs
+++ b/crates/gossip/src/simulation.rs
@@ -576,7 +576,7 @@
         .collect();
     outcome.pollers = standing
         .iter()
-        .filter(|s| s.pollers.iter().any(|(w, _)| w.id == s.own.id))
+        .filter(|s| s.pollers.iter().any(|poller| poller.status.id == s.own.id))
         .count();
     let alive = || standing.iter().map(|s| s.alive);
     outcome.alive = (alive().min().unwrap_or(0), alive().max().unwrap_or(0));
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -3,6 +3,7 @@
 use crate::net::peers::{look, Told};
 use crate::program::Fault;
 use crate::sidecar::seals;
+use badgerramp_gossip::polling::KnownPoller;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -87,13 +88,13 @@
         }
         .to_owned(),
     );
-    for (word, age) in &standing.pollers {
-        let who = if word.id == standing.own.id {
+    for KnownPoller { status, age } in &standing.pollers {
+        let who = if status.id == standing.own.id {
             " (this one)"
         } else {
             ""
         };
-        let hears = match word.failures {
+        let hears = match status.failures {
             0 => "hears the service".to_owned(),
             u32::MAX => "has not heard the service yet".to_owned(),
             failures => format!("{failures} questions failed"),
@@ -102,7 +103,7 @@
             "asks",
             format!(
                 "{:016x}{who}, {hears}, heard of {} ago",
-                word.id.0,
+                status.id.0,
                 span(*age)
             ),
         );
