--- a/crates/gossip/src/acceptance.rs
+++ b/crates/gossip/src/acceptance.rs
@@ -1,153 +1,178 @@
-//! Which list is believed.
+//! Decides which endpoint list a proxy accepts.
 //!
-//! - A list is never given up for an older one ([`ListVersion`]'s order), whoever tells it.
-//! - What is told of single hosts (a drain, a removal) counts at once.
-//! - A whole list of the service that is older than the one believed (a service that was restored, or answers with an
-//!   old list first), or that misses more than half of the hosts that took calls (a service that has loaded half, or
-//!   nothing), is quarantined: it counts when the service still tells it later ([`OLDER_LIST_QUARANTINE`],
-//!   [`PARTIAL_LIST_QUARANTINE`]). Older ones then begin a new incarnation.
-//! - An incarnation is begun at most once in [`MIN_INCARNATION_INTERVAL`] by one proxy: two services that go on telling different lists can't make
-//!   the fleet swing between them.
+//! - An accepted list is never replaced by an older one (in the order of [`ListVersion`]), whoever sends it.
+//! - Changes of single endpoints (draining, removal) are accepted at once.
+//! - A complete list from the service is quarantined if it is older than the accepted one (the service was restored, or
+//!   answers with a stale list first), or if more than half of the available endpoints are missing from it (the service
+//!   has loaded only a part, or nothing). It is accepted if the service still sends it after
+//!   [`OLDER_LIST_QUARANTINE`] or [`PARTIAL_LIST_QUARANTINE`]. Accepting an older list starts a new incarnation.
+//! - A proxy starts a new incarnation at most once in [`MIN_INCARNATION_INTERVAL`]: two services that keep sending
+//!   different lists can't make the fleet alternate between them.
 
 use crate::endpoint_list::{EndpointChange, EndpointList, ListVersion};
 use crate::Micros;
 
-/// For how long a service must stand by a list that misses half of the hosts: longer than the first answers of one that
-/// has just come back and is still loading. If they have gone, calls to them fail meanwhile, and go elsewhere.
+/// How long the service must keep sending a list from which half of the endpoints are missing: longer than the first
+/// answers of a service that has just started and is still loading. If the endpoints are really gone, calls to them fail
+/// meanwhile and are retried elsewhere.
 pub const PARTIAL_LIST_QUARANTINE: Micros = 2_000_000;
-/// ... by an older list. A service that was restored can wait, as the newer list is still there; one that answers with
-/// an old list first would bring back what was removed.
+
+/// How long the service must keep sending an older list. A restored service can wait, as the newer list is still there;
+/// a service that answers with a stale list first would bring back endpoints that were removed.
 pub const OLDER_LIST_QUARANTINE: Micros = 10_000_000;
-/// Least time between two lives that one proxy begins.
+
+/// Least time between two incarnations that one proxy starts.
 pub const MIN_INCARNATION_INTERVAL: Micros = 60_000_000;
-/// Below so many hosts half of them are one or two: their loss is no sign of a list that is half loaded.
+
+/// With fewer available endpoints half of them are one or two: their loss is no sign of a list that is partly loaded.
 const MIN_ENDPOINTS_FOR_HALF_RULE: usize = 4;
 
-/// The list that is believed.
+/// The incarnation of the first list.
+const FIRST_INCARNATION: u32 = 1;
+
+/// The list that a proxy has accepted.
 #[derive(Clone, Debug)]
 pub struct AcceptedList {
-    /// Which.
+    /// Its version.
     pub version: ListVersion,
     /// Its content.
-    pub hosts: EndpointList,
-    /// Since when.
+    pub endpoints: EndpointList,
+    /// When it was accepted.
     pub since: Micros,
 }
 
-/// What a word came to.
+/// What became of a list, or of changes, that a proxy was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is believed: what changed, against nothing or the list before.
+    /// Accepted: the changes against the list before, or against an empty one.
     Newer(Vec<EndpointChange>),
-    /// It tells nothing new.
+    /// Ignored: it is the accepted list, or an older one.
     Duplicate,
-    /// It is quarantined, or older: the service should be asked for the whole list again.
+    /// Not accepted for now: the service should be polled for the complete list again.
     Quarantined,
-    /// It does not fit: the whole list is wanted.
+    /// Not applicable to the accepted list: the complete list is needed.
     Invalid,
 }
 
-/// What is believed.
+/// A complete list that the service must keep sending before it is accepted.
+#[derive(Clone, Copy, Debug)]
+struct Quarantine {
+    /// The index of the latest list.
+    index: u64,
+    /// When the first list was quarantined.
+    since: Micros,
+}
+
+/// Decides which endpoint list a proxy accepts, and holds it.
+///
+/// ```
+/// use badgerramp_gossip::acceptance::{ListAcceptance, Verdict};
+/// use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry, EndpointList};
+///
+/// let entry = EndpointEntry { status: "up".to_owned(), ..EndpointEntry::default() };
+/// let added = EndpointChange { name: "a".to_owned(), entry: Some(entry) };
+/// let list = EndpointList::new([added.clone()]);
+/// let mut acceptance = ListAcceptance::default();
+/// assert_eq!(acceptance.offer_service_list(0, 7, list.clone()), Verdict::Newer(vec![added]));
+/// assert_eq!(acceptance.offer_service_list(10, 7, list.clone()), Verdict::Duplicate);
+/// assert_eq!(acceptance.offer_service_list(20, 6, list), Verdict::Quarantined);
+/// ```
 #[derive(Clone, Debug, Default)]
 pub struct ListAcceptance {
     accepted: Option<AcceptedList>,
-    /// A whole list that is quarantined (its index and digest), since when.
-    quarantine: Option<(u64, u64, Micros)>,
-    /// When this proxy last began an incarnation.
-    incarnation_at: Option<Micros>,
-    /// Lists that were quarantined, so far.
+    quarantine: Option<Quarantine>,
+    /// When this proxy last started a new incarnation.
+    incarnation_started: Option<Micros>,
+    /// How many lists were quarantined.
     pub quarantined: u64,
 }
 
 impl ListAcceptance {
-    /// The list that is believed.
+    /// The accepted list.
     pub fn accepted(&self) -> Option<&AcceptedList> {
         self.accepted.as_ref()
     }
 
-    /// Its version.
+    /// The version of the accepted list.
     pub fn version(&self) -> Option<ListVersion> {
-        self.accepted.as_ref().map(|h| h.version)
+        self.accepted.as_ref().map(|accepted| accepted.version)
     }
 
-    fn accept(&mut self, now: Micros, version: ListVersion, hosts: EndpointList) -> Verdict {
-        let nothing = EndpointList::default();
-        let changes = hosts.diff_from(self.accepted.as_ref().map_or(&nothing, |h| &h.hosts));
+    fn accept(&mut self, now: Micros, version: ListVersion, endpoints: EndpointList) -> Verdict {
+        let changes = match &self.accepted {
+            Some(accepted) => endpoints.diff_from(&accepted.endpoints),
+            None => endpoints.diff_from(&EndpointList::default()),
+        };
         self.accepted = Some(AcceptedList {
             version,
-            hosts,
+            endpoints,
             since: now,
         });
         self.quarantine = None;
         Verdict::Newer(changes)
     }
 
-    /// The service has told the whole list.
-    pub fn offer_service_list(&mut self, now: Micros, index: u64, hosts: EndpointList) -> Verdict {
-        let digest = hosts.digest();
+    /// The service has sent a complete list.
+    pub fn offer_service_list(
+        &mut self,
+        now: Micros,
+        index: u64,
+        endpoints: EndpointList,
+    ) -> Verdict {
+        let digest = endpoints.digest();
         let Some(accepted) = &self.accepted else {
-            return self.accept(
-                now,
-                ListVersion {
-                    incarnation: 1,
-                    index,
-                    digest,
-                },
-                hosts,
-            );
+            let version = ListVersion {
+                incarnation: FIRST_INCARNATION,
+                index,
+                digest,
+            };
+            return self.accept(now, version, endpoints);
         };
-        let version = accepted.version;
-        if (version.index, version.digest) == (index, digest) {
+        let own = accepted.version;
+        if (own.index, own.digest) == (index, digest) {
             self.quarantine = None;
             return Verdict::Duplicate;
         }
-        // The same version with another content is another service's, or another incarnation's.
-        let older = index <= version.index;
-        let up = accepted.hosts.count_up();
-        let half =
-            up >= MIN_ENDPOINTS_FOR_HALF_RULE && 2 * accepted.hosts.count_missing_from(&hosts) > up;
-        if older || half {
-            let since = match self.quarantine {
-                Some((i, d, since)) if (i, d) == (index, digest) => since,
-                // A service that goes on changing while it is quarantined is no less there: time counts from the first.
-                Some((i, _, since)) if i <= index => since,
-                _ => now,
-            };
-            self.quarantine = Some((index, digest, since));
-            let new_life = older
-                && self
-                    .incarnation_at
-                    .is_some_and(|at| now < at + MIN_INCARNATION_INTERVAL);
-            let quarantine = if older {
-                OLDER_LIST_QUARANTINE
-            } else {
-                PARTIAL_LIST_QUARANTINE
-            };
-            if now < since + quarantine || new_life {
-                self.quarantined += 1;
-                return Verdict::Quarantined;
-            }
+        // The same index with another content comes from another service, or from another incarnation.
+        let is_older = index <= own.index;
+        if (is_older || is_half_missing(&accepted.endpoints, &endpoints))
+            && self.must_wait(now, index, is_older)
+        {
+            self.quarantined += 1;
+            return Verdict::Quarantined;
         }
-        let incarnation = if older {
-            version.incarnation.saturating_add(1)
-        } else {
-            version.incarnation
+        let mut version = ListVersion {
+            incarnation: own.incarnation,
+            index,
+            digest,
         };
-        if older {
-            self.incarnation_at = Some(now);
+        if is_older {
+            version.incarnation = own.incarnation.saturating_add(1);
+            self.incarnation_started = Some(now);
         }
-        self.accept(
-            now,
-            ListVersion {
-                incarnation,
-                index,
-                digest,
-            },
-            hosts,
-        )
+        self.accept(now, version, endpoints)
     }
 
-    /// The service has told what changed up to this version.
+    /// Starts or continues the quarantine of a list; returns whether it goes on.
+    fn must_wait(&mut self, now: Micros, index: u64, is_older: bool) -> bool {
+        // A service whose list keeps changing is quarantined since its first list.
+        let since = match self.quarantine {
+            Some(quarantine) if quarantine.index <= index => quarantine.since,
+            _ => now,
+        };
+        self.quarantine = Some(Quarantine { index, since });
+        let duration = if is_older {
+            OLDER_LIST_QUARANTINE
+        } else {
+            PARTIAL_LIST_QUARANTINE
+        };
+        let had_recent_incarnation = self
+            .incarnation_started
+            .is_some_and(|at| now < at + MIN_INCARNATION_INTERVAL);
+        now < since + duration || (is_older && had_recent_incarnation)
+    }
+
+    /// The service has sent the changes from the accepted list to this index.
     pub fn offer_service_changes(
         &mut self,
         now: Micros,
@@ -158,40 +183,41 @@
             return Verdict::Invalid;
         };
         if index < accepted.version.index {
-            // It does not know of what is believed.
+            // The service does not know the accepted list.
             return Verdict::Quarantined;
         }
         if index == accepted.version.index {
             self.quarantine = None;
             return Verdict::Duplicate;
         }
-        let hosts = accepted.hosts.apply(changes);
+        let endpoints = accepted.endpoints.apply(changes);
         let version = ListVersion {
+            incarnation: accepted.version.incarnation,
             index,
-            digest: hosts.digest(),
-            ..accepted.version
+            digest: endpoints.digest(),
         };
-        self.accept(now, version, hosts)
+        self.accept(now, version, endpoints)
     }
 
-    /// A peer has told a whole list.
+    /// A peer has sent a complete list.
     pub fn offer_peer_list(
         &mut self,
         now: Micros,
         version: ListVersion,
-        hosts: EndpointList,
+        endpoints: EndpointList,
     ) -> Verdict {
         if self.version().is_some_and(|own| version <= own) {
             return Verdict::Duplicate;
         }
-        self.accept(now, version, hosts)
+        self.accept(now, version, endpoints)
     }
 
-    /// A peer has told what leads from one list to the next.
+    /// A peer has sent the changes from the list `from` to the list `to`.
     pub fn offer_peer_changes(
         &mut self,
         now: Micros,
-        (from, to): (ListVersion, ListVersion),
+        from: ListVersion,
+        to: ListVersion,
         changes: &[EndpointChange],
     ) -> Verdict {
         let Some(accepted) = &self.accepted else {
@@ -203,13 +229,19 @@
         if accepted.version != from {
             return Verdict::Invalid;
         }
-        let hosts = accepted.hosts.apply(changes);
-        if hosts.digest() != to.digest {
+        let endpoints = accepted.endpoints.apply(changes);
+        if endpoints.digest() != to.digest {
             return Verdict::Invalid;
         }
-        self.accept(now, to, hosts)
+        self.accept(now, to, endpoints)
     }
 }
 
+/// Whether more than half of the available endpoints are missing from the offered list.
+fn is_half_missing(accepted: &EndpointList, offered: &EndpointList) -> bool {
+    let available = accepted.count_up();
+    available >= MIN_ENDPOINTS_FOR_HALF_RULE && 2 * accepted.count_missing_from(offered) > available
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/gossip/src/acceptance/tests.rs
+++ b/crates/gossip/src/acceptance/tests.rs
@@ -1,3 +1,5 @@
+//! Which lists are accepted, and in which order.
+
 use super::*;
 use crate::endpoint_list::tests::{gone, up};
 use proptest::prelude::*;
@@ -71,7 +73,10 @@
         acceptance.offer_service_changes(30, 44, &[gone("a"), gone("b"), gone("c")]),
         Verdict::Newer(_)
     ));
-    assert_eq!(acceptance.accepted().map(|h| h.hosts.count_up()), Some(2));
+    assert_eq!(
+        acceptance.accepted().map(|list| list.endpoints.count_up()),
+        Some(2)
+    );
     // Three of five, and few are no half.
     let mut acceptance = ListAcceptance::default();
     acceptance.offer_service_list(0, 41, hosts(&ALL));
@@ -102,17 +107,17 @@
         Verdict::Duplicate
     );
     assert_eq!(
-        acceptance.offer_peer_changes(1, (old, to), &[gone("a")]),
+        acceptance.offer_peer_changes(1, old, to, &[gone("a")]),
         Verdict::Invalid,
         "from another list"
     );
     assert_eq!(
-        acceptance.offer_peer_changes(1, (own, to), &[gone("b")]),
+        acceptance.offer_peer_changes(1, own, to, &[gone("b")]),
         Verdict::Invalid,
         "to another list"
     );
     assert_eq!(
-        acceptance.offer_peer_changes(1, (own, to), &[gone("a")]),
+        acceptance.offer_peer_changes(1, own, to, &[gone("a")]),
         Verdict::Newer(vec![gone("a")])
     );
     assert_eq!(acceptance.offer_peer_list(2, to, next), Verdict::Duplicate);
@@ -134,14 +139,14 @@
             let (version, hosts) = made(incarnation, index);
             let verdict = if as_news && index > 0 {
                 let (from, old) = made(incarnation, index - 1);
-                acceptance.offer_peer_changes(at as Micros, (from, version), &hosts.diff_from(&old))
+                acceptance.offer_peer_changes(at as Micros, from, version, &hosts.diff_from(&old))
             } else { acceptance.offer_peer_list(at as Micros, version, hosts) };
             if verdict != Verdict::Invalid {
                 newest = newest.max(Some(version));
             }
             prop_assert_eq!(acceptance.version(), newest);
             if let Some(accepted) = acceptance.accepted() {
-                prop_assert_eq!(&made(accepted.version.incarnation, accepted.version.index).1, &accepted.hosts);
+                prop_assert_eq!(&made(accepted.version.incarnation, accepted.version.index).1, &accepted.endpoints);
             }
         }
     }
--- a/crates/gossip/src/endpoint_list/tests.rs
+++ b/crates/gossip/src/endpoint_list/tests.rs
@@ -1,3 +1,5 @@
+//! Changes between lists, and the order of versions.
+
 use super::*;
 
 pub(crate) fn up(name: &str) -> EndpointChange {
@@ -37,9 +39,9 @@
         ),
         (0, 1, 2)
     );
-    assert_eq!(EndpointList::decode(&new.encode()), Some(new.clone()));
+    assert_eq!(EndpointList::decode(&new.encode()), Ok(new.clone()));
     assert_ne!(new.digest(), old.digest());
-    assert_eq!(EndpointList::decode(&new.encode()[..9]), None);
+    assert!(EndpointList::decode(&new.encode()[..9]).is_err());
 }
 
 #[test]
--- a/crates/gossip/src/packed_list.rs
+++ b/crates/gossip/src/packed_list.rs
@@ -1,103 +1,143 @@
-//! A list in parts that fit into datagrams.
+//! Compressed lists in parts that fit into datagrams.
 
 use crate::endpoint_list::{EndpointList, ListVersion};
+use std::io;
 use std::rc::Rc;
+use thiserror::Error;
 
-/// Bytes of a part.
+/// Size of each part but the last, in bytes.
 pub const PART_SIZE: usize = 1_000;
-/// Most parts of a list, and most bytes of one that is unpacked: as the list service's own answer may have.
+
+/// Most parts of a list.
 const MAX_PARTS: usize = 4_096;
+
+/// Greatest size of a decompressed list, in bytes.
 const MAX_UNPACKED_BYTES: usize = 8 << 20;
 
-/// A list, packed.
+/// Level of the zstd compression.
+const COMPRESSION_LEVEL: i32 = 1;
+
+/// A compressed list.
 #[derive(Clone, Debug)]
 pub struct PackedList {
-    /// Which list.
+    /// Its version.
     pub version: ListVersion,
     bytes: Rc<[u8]>,
 }
 
 impl PackedList {
-    /// Packs a list. `None`: it is too large to pass on. No answer that is read of a list service (4 MiB) makes such a
-    /// one.
+    /// Compresses a list; `None` if it is too large to be sent to peers. No answer that is accepted from a list service
+    /// (up to 4 MiB) makes such a list.
     pub fn pack(version: ListVersion, list: &EndpointList) -> Option<Self> {
-        let bytes = zstd::bulk::compress(&list.encode(), 1).ok()?;
+        let bytes = zstd::bulk::compress(&list.encode(), COMPRESSION_LEVEL).ok()?;
         (bytes.len() <= PART_SIZE * MAX_PARTS).then(|| PackedList {
             version,
             bytes: bytes.into(),
         })
     }
 
-    /// How many parts it has.
+    /// Number of its parts, at least one.
     pub fn parts(&self) -> u16 {
         u16::try_from(self.bytes.len().div_ceil(PART_SIZE))
             .unwrap_or(u16::MAX)
             .max(1)
     }
 
-    /// A part.
+    /// The bytes of a part; `None` if it has not so many.
     pub fn part(&self, number: u16) -> Option<&[u8]> {
-        let from = usize::from(number) * PART_SIZE;
-        (number < self.parts()).then(|| &self.bytes[from..self.bytes.len().min(from + PART_SIZE)])
+        if number >= self.parts() {
+            return None;
+        }
+        let start = usize::from(number) * PART_SIZE;
+        let end = self.bytes.len().min(start + PART_SIZE);
+        Some(&self.bytes[start..end])
     }
 }
 
-/// A list that comes in parts.
+/// Why the parts of a list do not make the list that their version tells.
+#[derive(Debug, Error)]
+pub enum UnpackError {
+    /// The bytes can't be decompressed.
+    #[error("cannot decompress the list")]
+    Decompress(#[from] io::Error),
+    /// The decompressed bytes are no list.
+    #[error("cannot decode the list")]
+    Decode(#[from] postcard::Error),
+    /// The list is another one.
+    #[error("digest of the list is {found:016x}, expected {expected:016x}")]
+    DigestMismatch {
+        /// The digest of the version under which the parts came.
+        expected: u64,
+        /// The digest of the list that they make.
+        found: u64,
+    },
+}
+
+/// A list that is received in parts.
 #[derive(Debug)]
 pub struct PartialList {
-    /// Which list.
+    /// Its version.
     pub version: ListVersion,
     parts: Vec<Option<Vec<u8>>>,
-    left: usize,
+    missing: usize,
 }
 
 impl PartialList {
-    /// One of so many parts; `None`: no list has so many.
+    /// A list of so many parts, all of them missing; `None` if no list has so many.
     pub fn new(version: ListVersion, parts: u16) -> Option<Self> {
         let count = usize::from(parts);
         (1..=MAX_PARTS).contains(&count).then(|| PartialList {
             version,
             parts: vec![None; count],
-            left: count,
+            missing: count,
         })
     }
 
-    /// Adds a part. True: it was missing.
+    /// Adds one of `parts` parts; returns whether it was missing.
     pub fn add(&mut self, number: u16, parts: u16, bytes: &[u8]) -> bool {
-        let fits = usize::from(parts) == self.parts.len() && bytes.len() <= PART_SIZE;
-        match self
-            .parts
-            .get_mut(usize::from(number))
-            .filter(|p| fits && p.is_none())
-        {
-            Some(part) => {
+        if usize::from(parts) != self.parts.len() || bytes.len() > PART_SIZE {
+            return false;
+        }
+        match self.parts.get_mut(usize::from(number)) {
+            Some(part @ None) => {
                 *part = Some(bytes.to_vec());
-                self.left -= 1;
+                self.missing -= 1;
                 true
             }
-            None => false,
+            _ => false,
         }
     }
 
-    /// Parts that are missing, at most `most`.
-    pub fn missing(&self, most: usize) -> Vec<u16> {
-        let missing = self.parts.iter().enumerate().filter(|(_, p)| p.is_none());
-        missing.map(|(n, _)| n as u16).take(most).collect()
+    /// The first missing parts, at most `limit`.
+    pub fn missing(&self, limit: usize) -> Vec<u16> {
+        self.parts
+            .iter()
+            .enumerate()
+            .filter(|(_, part)| part.is_none())
+            .map(|(number, _)| number as u16)
+            .take(limit)
+            .collect()
     }
 
-    /// The list, once all is there. An error: what came is not the list that its version tells.
+    /// The list, once no part is missing.
     ///
     /// # Errors
-    /// See above.
-    pub fn complete(&self) -> Option<Result<EndpointList, ()>> {
-        if self.left > 0 {
-            return None;
+    /// If the parts do not make the list that the version tells.
+    pub fn unpack(&self) -> Option<Result<EndpointList, UnpackError>> {
+        (self.missing == 0).then(|| self.decode())
+    }
+
+    fn decode(&self) -> Result<EndpointList, UnpackError> {
+        let packed: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
+        let bytes = zstd::bulk::decompress(&packed, MAX_UNPACKED_BYTES)?;
+        let list = EndpointList::decode(&bytes)?;
+        let expected = self.version.digest;
+        let found = list.digest();
+        if found == expected {
+            Ok(list)
+        } else {
+            Err(UnpackError::DigestMismatch { expected, found })
         }
-        let bytes: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
-        let list = zstd::bulk::decompress(&bytes, MAX_UNPACKED_BYTES)
-            .ok()
-            .and_then(|b| EndpointList::decode(&b));
-        Some(list.filter(|b| b.digest() == self.version.digest).ok_or(()))
     }
 }
 
--- a/crates/gossip/src/packed_list/tests.rs
+++ b/crates/gossip/src/packed_list/tests.rs
@@ -1,3 +1,5 @@
+//! Lists in parts.
+
 use super::*;
 use crate::endpoint_list::tests::up;
 
@@ -21,12 +23,13 @@
     assert!(parts > 10, "{parts}");
     let mut partial = PartialList::new(version, parts).expect("so many may be");
     for number in (0..parts).rev() {
-        assert!(partial.complete().is_none());
+        assert!(partial.unpack().is_none());
         let bytes = packed.part(number).expect("a part");
-        assert!(!partial.add(number, parts + 1, bytes), "of another packed");
+        assert!(!partial.add(number, parts + 1, bytes), "of another list");
         assert!(partial.add(number, parts, bytes) && !partial.add(number, parts, bytes));
     }
-    assert_eq!(partial.complete(), Some(Ok(list.clone())));
+    let unpacked = partial.unpack().expect("no part is missing");
+    assert_eq!(unpacked.expect("the list"), list);
     assert!(packed.part(parts).is_none() && partial.missing(9).is_empty());
     // Of another list.
     let mut other = PartialList::new(
@@ -38,6 +41,9 @@
     )
     .expect("so many may be");
     (0..parts).for_each(|n| assert!(other.add(n, parts, packed.part(n).expect("a part"))));
-    assert_eq!(other.complete(), Some(Err(())));
+    assert!(matches!(
+        other.unpack(),
+        Some(Err(UnpackError::DigestMismatch { expected: 1, .. }))
+    ));
     assert!(PartialList::new(version, 0).is_none() && PartialList::new(version, 5_000).is_none());
 }
--- a/crates/gossip/src/peer/message/tests.rs
+++ b/crates/gossip/src/peer/message/tests.rs
@@ -186,5 +186,6 @@
     let part: Vec<u8> = (0..PACKED.len()).step_by(2).map(octet).collect();
     let mut partial = PartialList::new(version, 1).expect("one part");
     assert!(partial.add(0, 1, &part));
-    assert_eq!(partial.complete(), Some(Ok(list)));
+    let unpacked = partial.unpack().expect("no part is missing");
+    assert_eq!(unpacked.expect("the list"), list);
 }
--- a/crates/gossip/src/peer/mod.rs
+++ b/crates/gossip/src/peer/mod.rs
@@ -139,7 +139,7 @@
         PeerStatus {
             own: *self.swim.identity(),
             list: held.map(|h| (h.version, now.saturating_sub(h.since), self.source)),
-            endpoints: held.map_or(0, |h| h.hosts.count_up()),
+            endpoints: held.map_or(0, |h| h.endpoints.count_up()),
             alive: self.alive(),
             converged: self.converged.is_some(),
             pollers: self.polling.pollers(now),
@@ -152,7 +152,9 @@
 
     /// The list that it believes.
     pub fn endpoint_list(&self) -> Option<(&ListVersion, &EndpointList)> {
-        self.acceptance.accepted().map(|h| (&h.version, &h.hosts))
+        self.acceptance
+            .accepted()
+            .map(|h| (&h.version, &h.endpoints))
     }
 
     /// Proxies alive, as it knows, itself included.
--- a/crates/gossip/src/peer/receive.rs
+++ b/crates/gossip/src/peer/receive.rs
@@ -55,7 +55,7 @@
                 changes,
             } => {
                 let own = self.acceptance.version();
-                match self.acceptance.offer_peer_changes(now, (old, to), &changes) {
+                match self.acceptance.offer_peer_changes(now, old, to, &changes) {
                     Verdict::Newer(changes) => {
                         self.adopt_list(now, own, (Some(from.address), changes), out);
                     }
--- a/crates/gossip/src/peer/service.rs
+++ b/crates/gossip/src/peer/service.rs
@@ -99,9 +99,9 @@
         };
         let version = held.version;
         self.source = source;
-        self.packed = PackedList::pack(version, &held.hosts);
+        self.packed = PackedList::pack(version, &held.endpoints);
         if from.is_none() {
-            let (endpoints, elapsed) = (held.hosts.count_up(), now - self.began);
+            let (endpoints, elapsed) = (held.endpoints.count_up(), now - self.began);
             out.push(Output::Event(PeerEvent::ListReceived {
                 source,
                 version,
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -139,7 +139,7 @@
             return;
         }
         (*last, *at) = (from.address, now);
-        let Some(complete) = partial.complete() else {
+        let Some(complete) = partial.unpack() else {
             return;
         };
         self.partial = None;
@@ -151,7 +151,7 @@
                     self.adopt_list(now, own, (Some(from.address), changes), out);
                 }
             }
-            Err(()) => self.metrics.checksum_mismatch += 1,
+            Err(_) => self.metrics.checksum_mismatch += 1,
         }
     }
 }
