--- a/crates/gossip/src/peer/interface.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -1,4 +1,4 @@
-//! What a peer is told, what it asks for, and what it reports of itself.
+//! The inputs and outputs of a [`Peer`](super::Peer), and its reports.
 
 use crate::endpoint_list::{EndpointChange, ListVersion};
 use crate::polling::{KnownPoller, Mechanism, PeerId};
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A proxy, as its peers know it.
+/// The identity of a proxy in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it hears.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
-    /// Its number.
+    /// Drawn at random at each start.
     pub id: PeerId,
-    /// Unix time of its start in milliseconds, and one more each time that it was thought dead: of two at one address
-    /// the later one is there.
+    /// Unix time of its start in milliseconds, plus one for each time that it was declared down by mistake: of two
+    /// identities with one address the later one is valid.
     pub started: u64,
 }
 
@@ -37,128 +37,141 @@
     }
 }
 
+/// The configuration of a [`Peer`](super::Peer).
+#[derive(Clone, Debug)]
+pub struct PeerConfig {
+    /// The proxy's identity.
+    pub own: Member,
+    /// The addresses of proxies that are contacted at the start; the own address may be among them.
+    pub seeds: Vec<SocketAddr>,
+    /// A mechanism that is switched off, to measure its effect; `None` outside of simulations.
+    pub disabled: Option<Mechanism>,
+}
+
 /// What happens to a proxy.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A message has come whose seal was good.
+    /// An authenticated message has arrived.
     Message(&'a [u8]),
-    /// [`Peer::next_deadline`](super::Peer::next_deadline) has come.
+    /// [`Peer::next_deadline`](super::Peer::next_deadline) has passed.
     Timer,
-    /// The list service has answered.
+    /// The list service has answered a poll.
     PollAnswered(PollAnswer),
-    /// It has not; `retry_after`: what it said.
+    /// A poll has failed, or was not answered.
     PollFailed {
-        /// How long to stay away.
+        /// How long the service asked the proxy to stay away (`Retry-After`).
         retry_after: Option<Micros>,
     },
-    /// There is another list service; what was asked of the old one is void.
+    /// The list service was replaced by another one; a poll in flight is void.
     SourceChanged,
-    /// The program ends.
+    /// The proxy shuts down.
     Leave,
 }
 
-/// An answer of the list service.
+/// The list service's answer to a poll.
 #[derive(Clone, Debug)]
 pub struct PollAnswer {
-    /// The whole list, and not what changed.
+    /// Whether `changes` is the complete list; else what has changed since the index of the poll.
     pub complete: bool,
-    /// Its version.
+    /// The index of the list.
     pub index: u64,
     /// The entries.
     pub changes: Vec<EndpointChange>,
-    /// How long it took.
+    /// Time from the poll to the answer.
     pub latency: Micros,
-    /// It did not wait for news.
+    /// Whether the service answered without holding the poll back until there was news.
     pub immediate: bool,
 }
 
 /// What a proxy is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message.
+    /// Send a message to this address.
     Send(SocketAddr, Vec<u8>),
-    /// Ask the list service: for the whole list, or for what is newer than a version, which may wait.
+    /// Poll the list service.
     Poll {
-        /// What is known.
+        /// The index of the list that is known: the service answers with what has changed, and may wait for news. `None`:
+        /// it answers with the complete list at once.
         index: Option<u64>,
-        /// How long to wait for news.
+        /// How long the service may hold the poll back until there is news.
         wait: Micros,
     },
-    /// The list has changed, or is there for the first time (`complete`).
+    /// The accepted list has changed.
     ListChanged {
-        /// All of it.
+        /// Whether `changes` is the complete first list.
         complete: bool,
-        /// What changed.
+        /// The changes against the list before.
         changes: Vec<EndpointChange>,
     },
-    /// So many proxies are alive, this one included.
+    /// The number of live proxies has changed to this, this one included.
     AliveCount(usize),
-    /// Something for the log.
+    /// Something has happened that operators should see.
     Event(PeerEvent),
 }
 
-/// Steps of a start, and what is odd.
+/// What operators should see.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent {
-    /// A list is there, so long after the start.
+    /// The first list was accepted.
     ListReceived {
-        /// Whom it is from; `None`: the service itself.
+        /// The peer that it came from; `None`: the list service.
         source: Option<SocketAddr>,
-        /// Which.
+        /// Its version.
         version: ListVersion,
-        /// Hosts that take calls.
+        /// Number of endpoints that take calls.
         endpoints: usize,
-        /// Time since the start.
+        /// Time since the start of the proxy.
         elapsed: Micros,
     },
     /// This proxy has become one of the pollers.
     PollingStarted,
     /// This proxy leaves polling to others.
     PollingStopped,
-    /// The service tells a list that is older than the one believed, or names less than half of its hosts.
+    /// The list service sent a list that is older than the accepted one, or from which more than half of the endpoints
+    /// are missing.
     ListQuarantined {
-        /// The list's index at the service.
+        /// The list's index.
         index: u64,
     },
-    /// The service was restored, or another one tells other lists: a new incarnation.
+    /// An older list was accepted: the list service was restored, or replaced by another one.
     IncarnationStarted {
-        /// The new one.
+        /// The new incarnation.
         incarnation: u32,
     },
-    /// The start is over: there is a list from a service that is heard, and no new proxies come up.
+    /// The start is complete: there is a list and a healthy poller, and no new proxies appear.
     Converged {
-        /// Proxies alive, this one included.
+        /// Number of live proxies, this one included.
         alive: usize,
     },
-    /// Most proxies have gone: as at a start.
+    /// More than half of the proxies have gone since the fleet converged: the proxy waits for convergence again.
     MembershipLost {
-        /// Proxies still alive, this one included.
+        /// Number of proxies that are still alive, this one included.
         alive: usize,
     },
 }
 
-/// Counters of what came and went.
+/// Counters since the start of the proxy. In JSON they have the names of earlier versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metrics {
     /// Messages sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub sent_bytes: u64,
-    /// Messages that were not sent as there were too many.
+    /// Messages not sent because of the rate limit.
     #[serde(rename = "held_back")]
     pub rate_limited: u64,
-    /// Messages taken.
+    /// Messages accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Messages that are none.
+    /// Messages that could not be decoded.
     pub malformed: u64,
-    /// Lists that were not what their version tells.
+    /// Lists whose parts did not make the list that their version tells.
     #[serde(rename = "torn")]
     pub checksum_mismatch: u64,
-    /// Questions to the list service.
+    /// Polls of the list service.
     #[serde(rename = "questions")]
     pub polls: u64,
-    /// ... that failed.
+    /// Polls that failed.
     #[serde(rename = "failed")]
     pub polls_failed: u64,
     /// Lists of the service that were quarantined.
@@ -166,36 +179,55 @@
     pub quarantined: u64,
 }
 
-/// What a proxy knows, for whoever looks on.
+/// The accepted list of a proxy. Serialized as the triple `(version, age, source)`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "ListStatusTriple", into = "ListStatusTriple")]
+pub struct ListStatus {
+    /// Its version.
+    pub version: ListVersion,
+    /// Time since it was accepted.
+    pub age: Micros,
+    /// The peer that it came from; `None`: the list service.
+    pub source: Option<SocketAddr>,
+}
+
+type ListStatusTriple = (ListVersion, Micros, Option<SocketAddr>);
+
+impl From<ListStatusTriple> for ListStatus {
+    fn from((version, age, source): ListStatusTriple) -> Self {
+        ListStatus {
+            version,
+            age,
+            source,
+        }
+    }
+}
+
+impl From<ListStatus> for ListStatusTriple {
+    fn from(list: ListStatus) -> Self {
+        (list.version, list.age, list.source)
+    }
+}
+
+/// What a proxy knows, for operators. In JSON it has the names of earlier versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Itself.
+    /// The proxy itself.
     pub own: Member,
-    /// Its list, since when it has it, and from whom (`None`: the service).
-    pub list: Option<(ListVersion, Micros, Option<SocketAddr>)>,
-    /// Hosts that take calls.
+    /// The accepted list.
+    pub list: Option<ListStatus>,
+    /// Number of endpoints that take calls.
     #[serde(rename = "hosts")]
     pub endpoints: usize,
-    /// Proxies that are alive, this one included.
+    /// Number of live proxies, this one included.
     pub alive: usize,
-    /// The start is over.
+    /// Whether the start is complete: see [`PeerEvent::Converged`].
     #[serde(rename = "settled")]
     pub converged: bool,
-    /// Those that ask, and how long ago something new was heard of each.
+    /// The active pollers.
     #[serde(rename = "askers")]
     pub pollers: Vec<KnownPoller>,
-    /// Metrics.
+    /// Counters.
     #[serde(rename = "counts")]
     pub metrics: Metrics,
 }
-
-/// What holds for a proxy.
-#[derive(Clone, Debug)]
-pub struct PeerConfig {
-    /// Itself; its number is drawn at its start.
-    pub own: Member,
-    /// Where others may be met.
-    pub seeds: Vec<SocketAddr>,
-    /// What is left out, to measure what it is worth; else `None`.
-    pub disabled: Option<Mechanism>,
-}
--- a/crates/gossip/src/peer/message.rs
+++ b/crates/gossip/src/peer/message.rs
@@ -1,46 +1,69 @@
-//! The messages between peers.
+//! The messages between peers, encoded by [postcard](https://postcard.jamesmunns.com/wire-format).
+//!
+//! Peers of different versions are members of one fleet during an upgrade: the order of fields and variants must not
+//! change.
 
 use super::Member;
 use crate::endpoint_list::{EndpointChange, ListVersion};
 use crate::polling::PollerStatus;
 use serde::{Deserialize, Serialize};
 
+/// A message with its sender.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct Envelope {
+    pub(super) from: Member,
+    pub(super) message: Message,
+}
+
 /// A message between peers.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// A message of SWIM's.
+    /// A message of SWIM, encoded by the `foca` crate.
     Swim(Vec<u8>),
-    /// The version of the sender's list, and the pollers that it knows.
-    Status {
-        version: Option<ListVersion>,
-        statuses: Vec<PollerStatus>,
-    },
-    /// The sender requests a list newer than `version`; of the list `of`, which it has in part, only these parts.
-    ListRequest {
-        version: Option<ListVersion>,
-        of: Option<ListVersion>,
-        parts: Vec<u16>,
-    },
+    /// What the sender knows.
+    Status(StatusMessage),
+    /// The sender requests a newer list.
+    ListRequest(ListRequest),
     /// A part of a list.
-    ListPart {
-        version: ListVersion,
-        number: u16,
-        parts: u16,
-        bytes: Vec<u8>,
-    },
+    ListPart(ListPart),
     /// The changes from one list to the next.
-    ListDelta {
-        from: ListVersion,
-        to: ListVersion,
-        changes: Vec<EndpointChange>,
-    },
+    ListDelta(ListDelta),
 }
 
-/// A message with its sender.
+/// The version of the sender's list, and the pollers that it knows.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Envelope {
-    pub(super) from: Member,
-    pub(super) message: Message,
+pub(super) struct StatusMessage {
+    pub(super) version: Option<ListVersion>,
+    pub(super) statuses: Vec<PollerStatus>,
+}
+
+/// A request for a newer list.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct ListRequest {
+    /// The version of the sender's list.
+    pub(super) version: Option<ListVersion>,
+    /// The list that the sender has received in part.
+    pub(super) of: Option<ListVersion>,
+    /// The parts of that list that are missing.
+    pub(super) parts: Vec<u16>,
+}
+
+/// A part of a list.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct ListPart {
+    pub(super) version: ListVersion,
+    pub(super) number: u16,
+    /// How many parts the list has.
+    pub(super) parts: u16,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// The changes from one list to the next.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct ListDelta {
+    pub(super) from: ListVersion,
+    pub(super) to: ListVersion,
+    pub(super) changes: Vec<EndpointChange>,
 }
 
 #[cfg(test)]
--- a/crates/gossip/src/peer/message/tests.rs
+++ b/crates/gossip/src/peer/message/tests.rs
@@ -1,10 +1,10 @@
 //! The bytes of what peers send each other. Peers of an older and of a newer version are members of one fleet while it is
 //! upgraded, so they may not change.
 
-use super::{Envelope, Message};
+use super::{Envelope, ListDelta, ListPart, ListRequest, Message, StatusMessage};
 use crate::endpoint_list::{EndpointChange, EndpointEntry, EndpointList, ListVersion};
 use crate::packed_list::PartialList;
-use crate::peer::{Member, Metrics, PeerStatus};
+use crate::peer::{ListStatus, Member, Metrics, PeerStatus};
 use crate::polling::{KnownPoller, PeerId, PollerStatus};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -81,35 +81,35 @@
 fn messages_keep_their_bytes() {
     let messages = [
         Message::Swim(vec![1, 2, 3]),
-        Message::Status {
+        Message::Status(StatusMessage {
             version: Some(version(41)),
             statuses: vec![status()],
-        },
-        Message::Status {
+        }),
+        Message::Status(StatusMessage {
             version: None,
             statuses: Vec::new(),
-        },
-        Message::ListRequest {
+        }),
+        Message::ListRequest(ListRequest {
             version: Some(version(40)),
             of: Some(version(41)),
             parts: vec![0, 300],
-        },
-        Message::ListRequest {
+        }),
+        Message::ListRequest(ListRequest {
             version: None,
             of: None,
             parts: Vec::new(),
-        },
-        Message::ListPart {
+        }),
+        Message::ListPart(ListPart {
             version: version(41),
             number: 1,
             parts: 2,
             bytes: vec![9; 5],
-        },
-        Message::ListDelta {
+        }),
+        Message::ListDelta(ListDelta {
             from: version(40),
             to: version(41),
             changes: changes(),
-        },
+        }),
     ];
     let envelopes = messages.map(|message| {
         bytes(&Envelope {
@@ -149,11 +149,11 @@
     };
     let status = PeerStatus {
         own: member(),
-        list: Some((
-            version(41),
-            5_000_000,
-            Some("127.0.0.1:7947".parse().expect("an address")),
-        )),
+        list: Some(ListStatus {
+            version: version(41),
+            age: 5_000_000,
+            source: Some("127.0.0.1:7947".parse().expect("an address")),
+        }),
         endpoints: 12,
         alive: 50,
         converged: true,
--- a/crates/gossip/src/peer/mod.rs
+++ b/crates/gossip/src/peer/mod.rs
@@ -1,147 +1,165 @@
 //! One proxy among its peers.
 //!
-//! Membership (which proxies are alive) is SWIM's, by the `foca` crate. The list of hosts spreads beside it by gossip: a
-//! peer that learns a newer list sends it to some others at once, each of which does the same when it first receives it;
-//! a peer without a list asks those it knows, first the seeds; and each sends its status to two others periodically, so
-//! that lost messages are made up for.
+//! Membership (which proxies are alive) is SWIM, by the `foca` crate. The endpoint list spreads beside it by gossip: a
+//! peer that accepts a newer list sends it to some others at once, each of which does the same when it first accepts it;
+//! a peer without a list requests it from those it knows, first from the seeds; and each sends its status to two others
+//! periodically, so that lost messages are made up for.
 //!
 //! - `interface`: inputs, outputs and reports.
 //! - `message`: the messages between peers.
-//! - `receive`, `send`: messages in and out.
+//! - `receive`, `send`: incoming and outgoing messages; `rate_limiter`: the limit of the latter.
 //! - `transfer`: lists in parts.
-//! - `service`: requests to the list service, and the spread of a new list.
+//! - `poll`: polls of the list service, and the dissemination of a new list.
 //! - `members`: membership.
-//! - `tick`: timers.
+//! - `timers`: timers and the periodic status.
 
 mod interface;
 mod members;
 mod message;
+mod poll;
+mod rate_limiter;
 mod receive;
 mod send;
-mod service;
-mod tick;
+mod timers;
 mod transfer;
 
 pub use interface::{
-    Input, Member, Metrics, Output, PeerConfig, PeerEvent, PeerStatus, PollAnswer,
+    Input, ListStatus, Member, Metrics, Output, PeerConfig, PeerEvent, PeerStatus, PollAnswer,
 };
-pub use send::{MESSAGES_PER_SECOND, MESSAGE_BURST};
+pub use rate_limiter::{MESSAGES_PER_SECOND, MESSAGE_BURST};
 
 use crate::acceptance::ListAcceptance;
 use crate::endpoint_list::{EndpointList, ListVersion};
-use crate::packed_list::{PackedList, PartialList, PART_SIZE};
+use crate::packed_list::{PackedList, PART_SIZE};
 use crate::polling::{Mechanism, PollScheduler};
 use crate::Micros;
 use foca::{AccumulatingRuntime, Foca, PostcardCodec, Timer};
 use members::{swim_config, Swim, MAX_SWIM_MESSAGE};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
+use rate_limiter::RateLimiter;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tick::MIN_TICK;
-use transfer::PART_TIMEOUT;
+use timers::MIN_STATUS_INTERVAL;
+use transfer::Transfer;
 
-/// Most bytes of a message, without its seal: with it and the heads of UDP and IP it fits into any Ethernet frame.
+/// Greatest size of a message in bytes, without its authentication: with that and the headers of UDP and IP it fits into
+/// any Ethernet frame.
 pub const MAX_MESSAGE_SIZE: usize = 1_200;
 
+const _: () = assert!(PART_SIZE < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MAX_MESSAGE_SIZE);
+
+/// Keeps the random numbers of a peer apart from those of its [`PollScheduler`], which has the same seed.
+const RANDOM_STREAM: u64 = 0x9e37_79b9;
+
 /// One proxy among its peers.
+///
+/// The caller passes what happens to [`Peer::handle`], carries out the outputs, and passes [`Input::Timer`] when
+/// [`Peer::next_deadline`] has passed. All times are in microseconds of the caller's clock, which must not go back.
 pub struct Peer {
     own: Member,
     seeds: Vec<SocketAddr>,
-    began: Micros,
+    started_at: Micros,
+    disabled: Option<Mechanism>,
+    random: Pcg32,
+    metrics: Metrics,
+
     acceptance: ListAcceptance,
     /// The peer that the list came from; `None`: the service.
     source: Option<SocketAddr>,
-    /// The list, ready to be sent in parts.
+    /// The accepted list, ready to be sent in parts.
     packed: Option<PackedList>,
-    /// A newer list that has come in part, the sender of its last part, and when that came.
-    partial: Option<(PartialList, SocketAddr, Micros)>,
+    /// A newer list that has arrived in part.
+    transfer: Option<Transfer>,
+
     polling: PollScheduler,
-    disabled: Option<Mechanism>,
-    /// The next request to the service is for the request_full_list list.
-    request_full_list: bool,
+    /// The next poll asks for the complete list.
+    needs_complete_list: bool,
+
     swim: Swim,
     runtime: AccumulatingRuntime<Member>,
+    /// Timers of SWIM, by time and by the order in which they were scheduled.
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
-    timers_set: u64,
-    random: Pcg32,
-    tick_at: Micros,
-    tick: Micros,
-    seeds_at: Micros,
-    /// When news of pollers was last passed on.
-    passed_on: Micros,
-    /// The last senders, for use while members are few.
-    heard: VecDeque<SocketAddr>,
-    tokens: f64,
-    tokens_at: Micros,
-    told_alive: usize,
-    steady: u32,
-    /// Proxies alive at the highest, since the start was over.
-    converged: Option<usize>,
-    metrics: Metrics,
+    timers_scheduled: u64,
+    /// The number of live proxies that was last reported.
+    reported_alive: usize,
+    /// Periodic statuses since the last new member.
+    steady_statuses: u32,
+    /// Greatest number of live proxies since the fleet has converged; `None` until then.
+    peak_alive: Option<usize>,
+
+    next_status_at: Micros,
+    status_interval: Micros,
+    next_seed_contact: Micros,
+    /// When statuses of pollers were last forwarded at once.
+    statuses_forwarded_at: Micros,
+    recent_senders: VecDeque<SocketAddr>,
+    rate_limiter: RateLimiter,
 }
 
 impl Peer {
-    /// A proxy that starts now. All chance is drawn from its number.
+    /// A proxy that starts now. Its random numbers are seeded by its [`Member::id`].
     pub fn new(now: Micros, config: PeerConfig) -> Self {
         let own = config.own;
-        let alone = config.seeds.iter().all(|s| *s == own.address);
-        let seed = alone || config.seeds.contains(&own.address);
-        let mut random = Pcg32::seed_from_u64(own.id.0 ^ 0x9e37_79b9);
-        let rng = rand_members::SeedableRng::seed_from_u64(random.gen());
+        let has_no_other_seed = config.seeds.iter().all(|seed| *seed == own.address);
+        let is_seed = has_no_other_seed || config.seeds.contains(&own.address);
+        let mut seeds = config.seeds;
+        seeds.retain(|seed| *seed != own.address);
+        let mut random = Pcg32::seed_from_u64(own.id.0 ^ RANDOM_STREAM);
+        let swim_random = rand_members::SeedableRng::seed_from_u64(random.gen());
         Peer {
             own,
-            seeds: config
-                .seeds
-                .into_iter()
-                .filter(|s| *s != own.address)
-                .collect(),
-            began: now,
+            seeds,
+            started_at: now,
+            disabled: config.disabled,
+            random,
+            metrics: Metrics::default(),
             acceptance: ListAcceptance::default(),
             source: None,
             packed: None,
-            partial: None,
-            polling: PollScheduler::new(own.id, seed).with_disabled(config.disabled),
-            disabled: config.disabled,
-            request_full_list: true,
-            swim: Foca::new(own, swim_config(), rng, PostcardCodec),
+            transfer: None,
+            polling: PollScheduler::new(own.id, is_seed).with_disabled(config.disabled),
+            needs_complete_list: true,
+            swim: Foca::new(own, swim_config(), swim_random, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            timers_set: 0,
-            random,
-            tick_at: now,
-            tick: MIN_TICK,
-            seeds_at: now,
-            passed_on: 0,
-            heard: VecDeque::new(),
-            tokens: MESSAGE_BURST,
-            tokens_at: now,
-            told_alive: 0,
-            steady: 0,
-            converged: None,
-            metrics: Metrics::default(),
+            timers_scheduled: 0,
+            reported_alive: 0,
+            steady_statuses: 0,
+            peak_alive: None,
+            next_status_at: now,
+            status_interval: MIN_STATUS_INTERVAL,
+            next_seed_contact: now,
+            statuses_forwarded_at: 0,
+            recent_senders: VecDeque::new(),
+            rate_limiter: RateLimiter::new(now),
         }
     }
 
     /// When [`Input::Timer`] is due.
     pub fn next_deadline(&self) -> Micros {
-        let swim = self.timers.first_key_value().map(|(key, _)| key.0);
-        let stalled = self.partial.as_ref().map(|(_, _, at)| at + PART_TIMEOUT);
-        [swim, stalled, self.polling.next_deadline()]
+        let swim = self.timers.first_key_value().map(|((at, _), _)| *at);
+        let transfer = self.transfer.as_ref().map(Transfer::deadline);
+        let poll = self.polling.next_deadline();
+        [swim, transfer, poll]
             .into_iter()
             .flatten()
-            .fold(self.tick_at, Micros::min)
+            .fold(self.next_status_at, Micros::min)
     }
 
-    /// What this proxy knows.
+    /// What this proxy knows, for operators.
     pub fn status(&self, now: Micros) -> PeerStatus {
-        let held = self.acceptance.accepted();
+        let accepted = self.acceptance.accepted();
         PeerStatus {
             own: *self.swim.identity(),
-            list: held.map(|h| (h.version, now.saturating_sub(h.since), self.source)),
-            endpoints: held.map_or(0, |h| h.endpoints.count_up()),
+            list: accepted.map(|accepted| ListStatus {
+                version: accepted.version,
+                age: now.saturating_sub(accepted.since),
+                source: self.source,
+            }),
+            endpoints: accepted.map_or(0, |accepted| accepted.endpoints.count_up()),
             alive: self.alive(),
-            converged: self.converged.is_some(),
+            converged: self.peak_alive.is_some(),
             pollers: self.polling.pollers(now),
             metrics: Metrics {
                 quarantined: self.acceptance.quarantined,
@@ -150,35 +168,30 @@
         }
     }
 
-    /// The list that it believes.
+    /// The accepted list and its version.
     pub fn endpoint_list(&self) -> Option<(&ListVersion, &EndpointList)> {
-        self.acceptance
-            .accepted()
-            .map(|h| (&h.version, &h.endpoints))
+        let accepted = self.acceptance.accepted()?;
+        Some((&accepted.version, &accepted.endpoints))
     }
 
-    /// Proxies alive, as it knows, itself included.
+    /// Number of live proxies, as this one knows, itself included.
     pub fn alive(&self) -> usize {
         self.swim.num_members() + 1
     }
 
-    /// Tells what happens; what is to be done comes into `out`.
+    /// Handles what has happened; what is to be done is appended to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Message(bytes) => self.handle_message(now, bytes, out),
             Input::Timer => {}
-            Input::PollAnswered(answer) => self.handle_answer(now, answer, out),
-            Input::PollFailed { retry_after } => {
-                self.metrics.polls_failed += 1;
-                self.request_full_list |= self.acceptance.accepted().is_none();
-                self.polling.poll_failed(now, retry_after);
-                self.send_status_to_some(now, out);
-            }
+            Input::PollAnswered(answer) => self.handle_poll_answer(now, answer, out),
+            Input::PollFailed { retry_after } => self.handle_poll_failure(now, retry_after, out),
             Input::SourceChanged => {
-                self.request_full_list = true;
+                self.needs_complete_list = true;
                 self.polling.source_changed(now);
             }
             Input::Leave => {
+                // If it fails, the others declare this proxy down by themselves.
                 let _ = self.swim.leave_cluster(&mut self.runtime);
                 self.carry_out_swim(now, out);
                 return;
@@ -188,5 +201,3 @@
         self.poll_service(now, out);
     }
 }
-
-const _: () = assert!(PART_SIZE < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MAX_MESSAGE_SIZE);
--- a/crates/gossip/src/peer/receive.rs
+++ b/crates/gossip/src/peer/receive.rs
@@ -1,14 +1,12 @@
 //! Received messages.
 
-use super::message::{Envelope, Message};
-use super::send::FANOUT;
-use super::tick::MIN_TICK;
-use super::transfer::PART_TIMEOUT;
-use super::{Member, Output, Peer};
+use super::message::{Envelope, ListDelta, Message, StatusMessage};
+use super::timers::MIN_STATUS_INTERVAL;
+use super::{Output, Peer};
 use crate::acceptance::Verdict;
-use crate::endpoint_list::ListVersion;
 use crate::polling::{Mechanism, PollerStatus};
 use crate::Micros;
+use std::net::SocketAddr;
 
 impl Peer {
     /// Decodes and handles a message.
@@ -17,85 +15,87 @@
             self.metrics.malformed += 1;
             return;
         };
-        if from.address == self.own.address {
+        let sender = from.address;
+        if sender == self.own.address {
             return;
         }
         self.metrics.accepted += 1;
         self.polling.record_contact(now);
-        if self.heard.len() >= 2 * FANOUT {
-            self.heard.pop_front();
+        self.record_sender(sender);
+        match message {
+            Message::Swim(bytes) => self.handle_swim(now, &bytes, out),
+            Message::Status(status) => self.handle_status(now, sender, &status, out),
+            Message::ListRequest(request) => self.handle_list_request(now, sender, &request, out),
+            Message::ListPart(part) => self.handle_list_part(now, sender, &part, out),
+            Message::ListDelta(delta) => self.handle_list_delta(now, sender, &delta, out),
         }
-        if !self.heard.contains(&from.address) {
-            self.heard.push_back(from.address);
+    }
+
+    fn handle_swim(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
+        if self.swim.handle_data(bytes, &mut self.runtime).is_err() {
+            self.metrics.malformed += 1;
         }
-        match message {
-            Message::Swim(bytes) => {
-                if self.swim.handle_data(&bytes, &mut self.runtime).is_err() {
-                    self.metrics.malformed += 1;
-                }
-                self.carry_out_swim(now, out);
-            }
-            Message::Status { version, statuses } => {
-                self.handle_status(now, from, (version, &statuses), out);
-            }
-            Message::ListRequest { version, of, parts } => {
-                self.handle_list_request(now, from, (version, of, &parts), out);
-            }
-            Message::ListPart {
-                version,
-                number,
-                parts,
-                bytes,
-            } => {
-                self.handle_part(now, from, (version, number, parts), &bytes, out);
-            }
-            Message::ListDelta {
-                from: old,
-                to,
-                changes,
-            } => {
-                let own = self.acceptance.version();
-                match self.acceptance.offer_peer_changes(now, old, to, &changes) {
-                    Verdict::Newer(changes) => {
-                        self.adopt_list(now, own, (Some(from.address), changes), out);
-                    }
-                    Verdict::Invalid => self.request_list(now, from.address, out),
-                    Verdict::Duplicate | Verdict::Quarantined => {}
-                }
+        self.carry_out_swim(now, out);
+    }
+
+    fn handle_status(
+        &mut self,
+        now: Micros,
+        sender: SocketAddr,
+        status: &StatusMessage,
+        out: &mut Vec<Output>,
+    ) {
+        self.handle_poller_statuses(now, &status.statuses, out);
+        let own = self.acceptance.version();
+        if status.version > own {
+            let is_on_its_way = self
+                .transfer
+                .as_ref()
+                .is_some_and(|t| status.version <= Some(t.list.version) && !t.is_stalled(now));
+            if !is_on_its_way {
+                self.request_list(now, sender, out);
             }
+        } else if status.version < own {
+            self.send_list(now, sender, out);
         }
     }
 
-    /// A peer has sent its status.
-    pub(super) fn handle_status(
+    fn handle_poller_statuses(
         &mut self,
         now: Micros,
-        from: Member,
-        (version, statuses): (Option<ListVersion>, &[PollerStatus]),
+        statuses: &[PollerStatus],
         out: &mut Vec<Output>,
     ) {
-        if self.polling.handle_statuses(now, statuses) {
-            self.advance_tick(now);
-            // Further news within a tick goes with the next status: the statuses of pollers must never become a message
-            // storm.
-            if self.passed_on + MIN_TICK <= now
-                && self.disabled != Some(Mechanism::StatusForwarding)
-            {
-                self.passed_on = now;
-                self.send_status_to_some(now, out);
-            }
+        if !self.polling.handle_statuses(now, statuses) {
+            return;
         }
-        let own = self.acceptance.version();
-        if version > own {
-            let coming = self
-                .partial
-                .as_ref()
-                .is_some_and(|(a, _, at)| version <= Some(a.version) && now < at + PART_TIMEOUT);
-            if !coming {
-                self.request_list(now, from.address, out);
+        self.expedite_status(now);
+        // Further news within the interval goes with the next status: statuses of pollers must never become a message
+        // storm.
+        let may_forward = self.statuses_forwarded_at + MIN_STATUS_INTERVAL <= now;
+        if may_forward && self.disabled != Some(Mechanism::StatusForwarding) {
+            self.statuses_forwarded_at = now;
+            self.send_status_to_some(now, out);
+        }
+    }
+
+    fn handle_list_delta(
+        &mut self,
+        now: Micros,
+        sender: SocketAddr,
+        delta: &ListDelta,
+        out: &mut Vec<Output>,
+    ) {
+        let previous = self.acceptance.version();
+        let verdict = self
+            .acceptance
+            .offer_peer_changes(now, delta.from, delta.to, &delta.changes);
+        match verdict {
+            Verdict::Newer(changes) => {
+                self.publish_list(now, previous, Some(sender), changes, out);
             }
-        } else if version < own {
-            self.send_list(now, from.address, out);
+            Verdict::Invalid => self.request_list(now, sender, out),
+            Verdict::Duplicate | Verdict::Quarantined => {}
         }
     }
 }
--- a/crates/gossip/src/peer/send.rs
+++ b/crates/gossip/src/peer/send.rs
@@ -1,57 +1,46 @@
-//! Sending: messages to other peers, within a rate limit.
+//! Outgoing messages, and the choice of their receivers.
 
-use super::message::{Envelope, Message};
-use super::tick::MIN_TICK;
+use super::message::{Envelope, Message, StatusMessage};
+use super::timers::MIN_STATUS_INTERVAL;
 use super::{Output, Peer};
 use crate::Micros;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Messages a second that a proxy sends at the most, and how many at once.
-pub const MESSAGES_PER_SECOND: f64 = 400.0;
-
-/// See [`MESSAGES_PER_SECOND`].
-pub const MESSAGE_BURST: f64 = 400.0;
-
-/// How many peers get each periodic status.
+/// Number of peers that each periodic status is sent to.
 pub(super) const STATUS_FANOUT: usize = 2;
 
-/// How many peers news go to at once.
+/// Number of peers that news is sent to at once.
 pub(super) const FANOUT: usize = 4;
 
+/// While fewer members are known, seeds and recent senders are candidates for messages as well.
+const MIN_CANDIDATES: usize = 2 * FANOUT;
+
+/// Number of recent senders that are remembered.
+const MAX_RECENT_SENDERS: usize = 2 * FANOUT;
+
 impl Peer {
-    /// A message with its sender, encoded.
+    /// Encodes a message with its sender.
     pub(super) fn encode(&self, message: Message) -> Option<Vec<u8>> {
-        postcard::to_stdvec(&Envelope {
+        let envelope = Envelope {
             from: *self.swim.identity(),
             message,
-        })
-        .ok()
+        };
+        postcard::to_stdvec(&envelope).ok()
     }
 
     /// Sends an encoded message, unless the rate limit is reached.
-    pub(super) fn send_encoded(
-        &mut self,
-        now: Micros,
-        to: SocketAddr,
-        bytes: Option<Vec<u8>>,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(bytes) = bytes else { return };
-        self.tokens = (self.tokens
-            + now.saturating_sub(self.tokens_at) as f64 / 1e6 * MESSAGES_PER_SECOND)
-            .min(MESSAGE_BURST);
-        self.tokens_at = now;
-        if self.tokens < 1.0 {
+    fn send_encoded(&mut self, now: Micros, to: SocketAddr, bytes: Vec<u8>, out: &mut Vec<Output>) {
+        if !self.rate_limiter.try_acquire(now) {
             self.metrics.rate_limited += 1;
             return;
         }
-        self.tokens -= 1.0;
         self.metrics.sent += 1;
         self.metrics.sent_bytes += bytes.len() as u64;
         out.push(Output::Send(to, bytes));
     }
 
+    /// Sends a message to one peer.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -59,38 +48,73 @@
         message: Message,
         out: &mut Vec<Output>,
     ) {
-        let bytes = self.encode(message);
-        self.send_encoded(now, to, bytes, out);
+        if let Some(bytes) = self.encode(message) {
+            self.send_encoded(now, to, bytes, out);
+        }
     }
 
-    /// Some peers at random, without `but`. While few members are known, seeds and the last senders count too.
+    /// Sends an encoded message to several peers.
+    pub(super) fn send_to_all(
+        &mut self,
+        now: Micros,
+        receivers: Vec<SocketAddr>,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) {
+        for to in receivers {
+            self.send_encoded(now, to, bytes.to_vec(), out);
+        }
+    }
+
+    /// Some peers at random, without `excluded`. While few members are known, seeds and recent senders are candidates as
+    /// well.
     pub(super) fn random_peers(
         &mut self,
         count: usize,
-        but: Option<SocketAddr>,
+        excluded: Option<SocketAddr>,
     ) -> Vec<SocketAddr> {
-        let mut all: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
-        if all.len() < 2 * FANOUT {
-            all.extend(self.seeds.iter().chain(&self.heard));
-            all.sort_unstable();
-            all.dedup();
+        let mut candidates = self.member_addresses();
+        if candidates.len() < MIN_CANDIDATES {
+            candidates.extend(self.seeds.iter().chain(&self.recent_senders));
+            candidates.sort_unstable();
+            candidates.dedup();
+        }
+        let own = self.own.address;
+        candidates.retain(|address| Some(*address) != excluded && *address != own);
+        let (chosen, _) = candidates.partial_shuffle(&mut self.random, count);
+        chosen.to_vec()
+    }
+
+    /// Remembers the sender of a message.
+    pub(super) fn record_sender(&mut self, sender: SocketAddr) {
+        if self.recent_senders.len() >= MAX_RECENT_SENDERS {
+            self.recent_senders.pop_front();
+        }
+        if !self.recent_senders.contains(&sender) {
+            self.recent_senders.push_back(sender);
         }
-        all.retain(|a| Some(*a) != but && *a != self.own.address);
-        all.partial_shuffle(&mut self.random, count).0.to_vec()
     }
 
-    /// Sends the status of this proxy to some peers at once: its list version, and the pollers that it knows.
+    /// The status message of this proxy; `announce`: its own status as a poller gets a new version.
+    pub(super) fn status_message(&mut self, now: Micros, announce: bool) -> Message {
+        Message::Status(StatusMessage {
+            version: self.acceptance.version(),
+            statuses: self.polling.statuses(now, announce),
+        })
+    }
+
+    /// Sends the status of this proxy to some peers at once.
     pub(super) fn send_status_to_some(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let (version, statuses) = (self.acceptance.version(), self.polling.statuses(now, false));
-        let bytes = self.encode(Message::Status { version, statuses });
-        for to in self.random_peers(FANOUT, None) {
-            self.send_encoded(now, to, bytes.clone(), out);
+        let message = self.status_message(now, false);
+        let receivers = self.random_peers(FANOUT, None);
+        if let Some(bytes) = self.encode(message) {
+            self.send_to_all(now, receivers, &bytes, out);
         }
     }
 
-    /// Something is new: the next periodic status is sent soon.
-    pub(super) fn advance_tick(&mut self, now: Micros) {
-        self.tick = MIN_TICK;
-        self.tick_at = self.tick_at.min(now + MIN_TICK);
+    /// There is news: the next periodic status is sent soon.
+    pub(super) fn expedite_status(&mut self, now: Micros) {
+        self.status_interval = MIN_STATUS_INTERVAL;
+        self.next_status_at = self.next_status_at.min(now + MIN_STATUS_INTERVAL);
     }
 }
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -1,7 +1,7 @@
 //! The transfer of lists in parts.
 
-use super::message::Message;
-use super::{Member, Output, Peer};
+use super::message::{ListPart, ListRequest, Message, StatusMessage};
+use super::{Output, Peer};
 use crate::acceptance::Verdict;
 use crate::endpoint_list::ListVersion;
 use crate::packed_list::{PackedList, PartialList};
@@ -9,52 +9,102 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Most parts of a list that are sent for one request.
-pub(super) const MAX_PARTS_SENT: usize = 48;
+/// Most parts of a list that are sent, or requested, at once.
+const MAX_PARTS_PER_REQUEST: usize = 48;
 
-/// After this time without a part the missing ones are requested again.
-pub(super) const PART_TIMEOUT: Micros = 80_000;
+/// When no part has arrived for this time the missing ones are requested again.
+const PART_TIMEOUT: Micros = 80_000;
+
+/// Probability that missing parts are requested from the last sender again, and not from another peer.
+const RETRY_SAME_SENDER: f64 = 0.5;
+
+/// A newer list that has arrived in part.
+#[derive(Debug)]
+pub(super) struct Transfer {
+    pub(super) list: PartialList,
+    /// The sender of the last part.
+    sender: SocketAddr,
+    /// When the last part arrived, or was requested again.
+    last_activity: Micros,
+}
+
+impl Transfer {
+    /// When the missing parts are to be requested again.
+    pub(super) fn deadline(&self) -> Micros {
+        self.last_activity + PART_TIMEOUT
+    }
+
+    /// Whether no part has arrived for [`PART_TIMEOUT`].
+    pub(super) fn is_stalled(&self, now: Micros) -> bool {
+        self.deadline() <= now
+    }
+}
 
 impl Peer {
     /// The message with a part of the own list.
     pub(super) fn part_message(&self, number: u16) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         let bytes = packed.part(number)?.to_vec();
-        Some(Message::ListPart {
+        Some(Message::ListPart(ListPart {
             version: packed.version,
             number,
             parts: packed.parts(),
             bytes,
-        })
+        }))
+    }
+
+    /// The message with the whole own list, if it has only one part.
+    pub(super) fn single_part_message(&self) -> Option<Message> {
+        let packed = self.packed.as_ref()?;
+        if packed.parts() == 1 {
+            self.part_message(0)
+        } else {
+            None
+        }
     }
 
-    /// Requests a newer list.
+    /// Requests a newer list, or the missing parts of one that has arrived in part.
     pub(super) fn request_list(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<Output>) {
-        let (of, parts) = match &self.partial {
-            Some((partial, ..)) => (Some(partial.version), partial.missing(MAX_PARTS_SENT)),
+        let (of, parts) = match &self.transfer {
+            Some(transfer) => (
+                Some(transfer.list.version),
+                transfer.list.missing(MAX_PARTS_PER_REQUEST),
+            ),
             None => (None, Vec::new()),
         };
-        self.send(
-            now,
-            from,
-            Message::ListRequest {
-                version: self.acceptance.version(),
-                of,
-                parts,
-            },
-            out,
-        );
+        let request = ListRequest {
+            version: self.acceptance.version(),
+            of,
+            parts,
+        };
+        self.send(now, from, Message::ListRequest(request), out);
+    }
+
+    /// Requests missing parts again, if none has arrived for a while: from the last sender, or from another peer that
+    /// may have the list.
+    pub(super) fn retry_transfer(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let Some(transfer) = self.transfer.as_mut() else {
+            return;
+        };
+        if !transfer.is_stalled(now) {
+            return;
+        }
+        transfer.last_activity = now;
+        let sender = transfer.sender;
+        let receiver = if self.random.gen_bool(RETRY_SAME_SENDER) {
+            sender
+        } else {
+            let others = self.random_peers(1, Some(sender));
+            others.first().copied().unwrap_or(sender)
+        };
+        self.request_list(now, receiver, out);
     }
 
-    /// Sends the list if it has one part, else its version.
+    /// Sends the list if it has one part, else the status with its version.
     pub(super) fn send_list(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Output>) {
-        let single = self.packed.as_ref().is_some_and(|p| p.parts() == 1);
-        let message = match self.part_message(0).filter(|_| single) {
+        let message = match self.single_part_message() {
             Some(part) => part,
-            None => Message::Status {
-                version: self.acceptance.version(),
-                statuses: self.polling.statuses(now, false),
-            },
+            None => self.status_message(now, false),
         };
         self.send(now, to, message, out);
     }
@@ -63,95 +113,101 @@
     pub(super) fn handle_list_request(
         &mut self,
         now: Micros,
-        from: Member,
-        (version, of, parts): (Option<ListVersion>, Option<ListVersion>, &[u16]),
+        sender: SocketAddr,
+        request: &ListRequest,
         out: &mut Vec<Output>,
     ) {
         let own = self.acceptance.version();
-        if own <= version {
-            // Nothing newer; but perhaps it does not know the pollers.
+        if own <= request.version {
+            // There is nothing newer; but perhaps the sender does not know the pollers.
             let statuses = self.polling.statuses(now, false);
-            if !statuses.is_empty() || own < version {
-                self.send(
-                    now,
-                    from.address,
-                    Message::Status {
-                        version: own,
-                        statuses,
-                    },
-                    out,
-                );
+            if !statuses.is_empty() || own < request.version {
+                let status = StatusMessage {
+                    version: own,
+                    statuses,
+                };
+                self.send(now, sender, Message::Status(status), out);
             }
             return;
         }
-        let all = self.packed.as_ref().map_or(0, PackedList::parts);
-        let some: Vec<u16> = if of == own && !parts.is_empty() {
-            parts
-                .iter()
-                .copied()
-                .filter(|n| *n < all)
-                .take(MAX_PARTS_SENT)
-                .collect()
-        } else {
-            let first = self.random.gen_range(0..all.max(1));
-            (0..all)
-                .map(|n| (n + first) % all)
-                .take(MAX_PARTS_SENT)
-                .collect()
-        };
-        for number in some {
+        for number in self.parts_to_send(own, request) {
             if let Some(part) = self.part_message(number) {
-                self.send(now, from.address, part, out);
+                self.send(now, sender, part, out);
             }
         }
     }
 
-    /// A part of a list has come.
-    pub(super) fn handle_part(
+    /// The parts that a request is answered with: the requested ones, or all from a random one on, so that several
+    /// senders of a long list begin with different parts.
+    fn parts_to_send(&mut self, own: Option<ListVersion>, request: &ListRequest) -> Vec<u16> {
+        let count = self.packed.as_ref().map_or(0, PackedList::parts);
+        if request.of == own && !request.parts.is_empty() {
+            let requested = request.parts.iter().copied();
+            return requested
+                .filter(|number| *number < count)
+                .take(MAX_PARTS_PER_REQUEST)
+                .collect();
+        }
+        let first = self.random.gen_range(0..count.max(1));
+        (0..count)
+            .map(|number| (number + first) % count)
+            .take(MAX_PARTS_PER_REQUEST)
+            .collect()
+    }
+
+    /// A part of a list has arrived.
+    pub(super) fn handle_list_part(
         &mut self,
         now: Micros,
-        from: Member,
-        (version, number, parts): (ListVersion, u16, u16),
-        bytes: &[u8],
+        sender: SocketAddr,
+        part: &ListPart,
         out: &mut Vec<Output>,
     ) {
-        let own = self.acceptance.version();
-        if Some(version) <= own {
+        let previous = self.acceptance.version();
+        if Some(part.version) <= previous {
             return;
         }
-        if self
-            .partial
-            .as_ref()
-            .is_none_or(|(a, ..)| a.version < version)
-        {
-            let Some(fresh) = PartialList::new(version, parts) else {
-                self.metrics.malformed += 1;
-                return;
-            };
-            self.partial = Some((fresh, from.address, now));
+        if !self.begin_transfer(now, sender, part) {
+            self.metrics.malformed += 1;
+            return;
         }
-        let Some((partial, last, at)) =
-            self.partial.as_mut().filter(|(a, ..)| a.version == version)
-        else {
+        let transfer = self.transfer.as_mut();
+        let Some(transfer) = transfer.filter(|t| t.list.version == part.version) else {
             return;
         };
-        if !partial.add(number, parts, bytes) {
+        if !transfer.list.add(part.number, part.parts, &part.bytes) {
             return;
         }
-        (*last, *at) = (from.address, now);
-        let Some(complete) = partial.unpack() else {
+        transfer.sender = sender;
+        transfer.last_activity = now;
+        let Some(unpacked) = transfer.list.unpack() else {
             return;
         };
-        self.partial = None;
-        match complete {
-            Ok(hosts) => {
-                if let Verdict::Newer(changes) =
-                    self.acceptance.offer_peer_list(now, version, hosts)
-                {
-                    self.adopt_list(now, own, (Some(from.address), changes), out);
-                }
-            }
-            Err(_) => self.metrics.checksum_mismatch += 1,
+        self.transfer = None;
+        let Ok(list) = unpacked else {
+            self.metrics.checksum_mismatch += 1;
+            return;
+        };
+        if let Verdict::Newer(changes) = self.acceptance.offer_peer_list(now, part.version, list) {
+            self.publish_list(now, previous, Some(sender), changes, out);
         }
     }
+
+    /// Begins to receive the list of this part, unless it, or a newer one, is being received. Returns `false` if no list
+    /// has so many parts.
+    fn begin_transfer(&mut self, now: Micros, sender: SocketAddr, part: &ListPart) -> bool {
+        let current = self.transfer.as_ref().map(|t| t.list.version);
+        if current >= Some(part.version) {
+            return true;
+        }
+        let Some(list) = PartialList::new(part.version, part.parts) else {
+            return false;
+        };
+        self.transfer = Some(Transfer {
+            list,
+            sender,
+            last_activity: now,
+        });
+        true
+    }
 }
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -63,17 +63,19 @@
     );
     let list = match &standing.list {
         None => "none yet".to_owned(),
-        Some((version, since, from)) => {
-            let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let life = if version.incarnation > 1 {
-                format!(" (life {})", version.incarnation)
+        Some(list) => {
+            let from = list
+                .source
+                .map_or_else(|| "the list service".to_owned(), |a| a.to_string());
+            let life = if list.version.incarnation > 1 {
+                format!(" (life {})", list.version.incarnation)
             } else {
                 String::new()
             };
             format!(
                 "{}{life} of {from}, {} ago; {} hosts take calls",
-                version.index,
-                span(*since),
+                list.version.index,
+                span(list.age),
                 standing.endpoints
             )
         }
