--- a/crates/gossip/src/endpoint_list/tests.rs
+++ b/crates/gossip/src/endpoint_list/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-pub(crate) fn gone(name: &str) -> EndpointChange {
+pub(crate) fn removed(name: &str) -> EndpointChange {
     EndpointChange {
         name: name.to_owned(),
         entry: None,
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn changes_lead_from_one_list_to_the_other() {
+fn diff_applied_to_the_older_list_gives_the_newer_one() {
     let (old, new) = (
         EndpointList::new([up("a"), up("bb")]),
-        EndpointList::new([up("bb"), up("ccc"), gone("d")]),
+        EndpointList::new([up("bb"), up("ccc"), removed("d")]),
     );
     let changes = new.diff_from(&old);
-    assert_eq!(changes, vec![gone("a"), up("ccc")]);
+    assert_eq!(changes, vec![removed("a"), up("ccc")]);
     assert_eq!(old.apply(&changes), new);
     assert_eq!(
         (
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_new_life_is_newer_than_any_version_of_the_old_one() {
+fn newer_incarnation_orders_after_any_index_of_the_older_one() {
     let version = |incarnation, index, digest| ListVersion {
         incarnation,
         index,
--- a/crates/gossip/src/packed_list/tests.rs
+++ b/crates/gossip/src/packed_list/tests.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list::tests::up;
 
 #[test]
-fn parts_in_any_order_make_the_list_and_others_do_not() {
+fn parts_in_any_order_unpack_to_the_list_and_foreign_parts_are_rejected() {
     let many = (0..3_000u64).map(|n| {
         let mut change = up(&format!("s-{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         if let Some(entry) = &mut change.entry {
@@ -18,10 +18,10 @@
         index: 7,
         digest: list.digest(),
     };
-    let packed = PackedList::pack(version, &list).expect("it can be passed on");
+    let packed = PackedList::pack(version, &list).expect("it is small enough");
     let parts = packed.parts();
     assert!(parts > 10, "{parts}");
-    let mut partial = PartialList::new(version, parts).expect("so many may be");
+    let mut partial = PartialList::new(version, parts).expect("a valid number of parts");
     for number in (0..parts).rev() {
         assert!(partial.unpack().is_none());
         let bytes = packed.part(number).expect("a part");
@@ -31,7 +31,7 @@
     let unpacked = partial.unpack().expect("no part is missing");
     assert_eq!(unpacked.expect("the list"), list);
     assert!(packed.part(parts).is_none() && partial.missing(9).is_empty());
-    // Of another list.
+    // The parts of another list.
     let mut other = PartialList::new(
         ListVersion {
             digest: 1,
@@ -39,7 +39,7 @@
         },
         parts,
     )
-    .expect("so many may be");
+    .expect("a valid number of parts");
     (0..parts).for_each(|n| assert!(other.add(n, parts, packed.part(n).expect("a part"))));
     assert!(matches!(
         other.unpack(),
--- a/crates/gossip/src/polling/tests.rs
+++ b/crates/gossip/src/polling/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn of_many_that_hear_nobody_few_begin_early() {
+fn few_proxies_take_over_early_whatever_the_fleet_size() {
     for proxies in [5, 300, 2_000, 10_000] {
         let mut firsts: Vec<Micros> = (0..proxies)
             .map(|n| {
@@ -33,7 +33,7 @@
             })
             .collect();
         firsts.sort_unstable();
-        // Within a tenth of the span after the first one there are never many, however many there are.
+        // Within a tenth of the span after the first takeover there are few others.
         let early = firsts
             .iter()
             .filter(|t| **t <= firsts[0] + TAKEOVER_SPAN / 10)
@@ -43,9 +43,9 @@
     }
 }
 
-/// Sixty-four were remembered, of fleets of hundreds.
+/// A table of 64 entries was too small for fleets of hundreds.
 #[test]
-fn a_thousand_that_ask_are_told_apart_and_beyond_the_room_those_go_that_do_not() {
+fn thousand_active_pollers_are_remembered_and_inactive_ones_are_evicted_first() {
     let mut scheduler = PollScheduler::new(PeerId(0), false);
     for n in 1..=1_024 {
         scheduler.handle_statuses(n, &[status(n, 1, 0)]);
@@ -64,12 +64,12 @@
     assert_eq!(scheduler.others.len(), MAX_KNOWN_POLLERS);
     assert!(
         (1..=1_024).all(|n| scheduler.others.contains(PeerId(n))),
-        "who asks is kept"
+        "active pollers are kept"
     );
 }
 
 #[test]
-fn one_that_hears_of_enough_does_not_ask_and_one_that_hears_of_fewer_does() {
+fn proxy_polls_only_while_it_knows_fewer_pollers_than_the_target() {
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     assert!(!scheduler.start_poll(0, false));
     assert!(scheduler.handle_statuses(
@@ -86,27 +86,32 @@
             && !scheduler.start_poll(5_000_000, false)
             && scheduler.knows_healthy_poller()
     );
-    // One dies, and the others go on.
+    // One poller crashes, and the others go on.
     scheduler.peer_down(5_000_000, PeerId(3));
-    let due = scheduler.next_deadline().expect("it would stand in");
+    let due = scheduler.next_deadline().expect("it would take over");
     assert!(due <= 5_000_000 + RELAXED_TAKEOVER_SPAN);
     scheduler.record_contact(due);
     assert!(scheduler.start_poll(due, true) && scheduler.is_poller());
-    // An old status does not bring the dead one back.
+    // An old status does not revive the crashed one.
     scheduler.handle_statuses(due, &[status(3, 1, 0)]);
     assert_eq!(scheduler.pollers(due).len(), 3);
 }
 
 #[test]
-fn who_tries_in_vain_keeps_others_from_trying_and_is_relieved_in_the_end() {
+fn failing_poller_holds_others_back_until_it_counts_as_unreachable() {
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     scheduler.handle_statuses(0, &[status(1, 1, 2)]);
-    assert!(!scheduler.start_poll(2_900_000, false), "somebody tries");
+    assert!(
+        !scheduler.start_poll(2_900_000, false),
+        "another poller is retrying"
+    );
     scheduler.handle_statuses(3_000_000, &[status(1, 2, UNREACHABLE_AFTER_FAILURES)]);
-    let due = scheduler.next_deadline().expect("it may be cut off");
+    let due = scheduler
+        .next_deadline()
+        .expect("the other poller may be unreachable");
     scheduler.handle_statuses(due - 1, &[status(1, 3, UNREACHABLE_AFTER_FAILURES)]);
     assert!(due <= 3_000_000 + UNREACHABLE_TAKEOVER_SPAN && scheduler.start_poll(due, false));
-    // In vain here as well: with enough others that try it rests.
+    // Its polls fail as well: with enough others that retry it steps down.
     let mut now = due;
     for _ in 0..UNREACHABLE_AFTER_FAILURES {
         scheduler.handle_statuses(
@@ -118,7 +123,7 @@
             ],
         );
         scheduler.poll_failed(now, Some(700_000));
-        let due = scheduler.next_deadline().expect("again");
+        let due = scheduler.next_deadline().expect("a retry");
         assert!(due >= now + 700_000);
         now = due;
         if scheduler.is_poller() && scheduler.start_poll(now, false) {
@@ -133,14 +138,14 @@
 }
 
 #[test]
-fn one_that_hears_no_peer_any_more_asks_for_itself_and_leaves_it_to_them_when_it_does() {
+fn isolated_proxy_schedules_a_poll_and_cancels_it_on_contact() {
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     scheduler.record_contact(0);
     scheduler.handle_statuses(0, &[status(1, 1, 0), status(2, 1, 0), status(3, 1, 0)]);
     scheduler.start_poll(ISOLATED_AFTER - 1, true);
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.start_poll(ISOLATED_AFTER, true);
-    let due = scheduler.next_deadline().expect("it is cut off");
+    let due = scheduler.next_deadline().expect("it is isolated");
     assert!(
         (ISOLATED_AFTER + MIN_ISOLATED_DELAY..=ISOLATED_AFTER + MAX_ISOLATED_DELAY).contains(&due)
     );
@@ -155,11 +160,11 @@
 }
 
 #[test]
-fn a_time_that_was_drawn_stays_whatever_is_heard_meanwhile() {
+fn drawn_takeover_time_is_kept_when_statuses_arrive() {
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     scheduler.record_contact(0);
     scheduler.start_poll(0, true);
-    let due = scheduler.next_deadline().expect("nobody asks");
+    let due = scheduler.next_deadline().expect("nobody polls");
     for at in 1..100 {
         scheduler.handle_statuses(
             at,
@@ -173,9 +178,9 @@
     }
 }
 
-/// The service goes down, and all that ask it fail at once, each with the status that the others hear it.
+/// The service goes down, and the polls of all fail at once, while each still knows the others as healthy.
 #[test]
-fn those_that_fail_together_do_not_stop_together() {
+fn pollers_that_fail_together_do_not_step_down_at_the_first_failure() {
     let mut scheduler = PollScheduler::new(PeerId(9), true);
     scheduler.start_poll(0, false);
     assert!(scheduler.is_poller() || scheduler.start_poll(SEED_TAKEOVER_SPAN, false));
@@ -189,13 +194,13 @@
     assert!(scheduler.is_poller());
     scheduler.poll_failed(SEED_TAKEOVER_SPAN, None);
     scheduler.start_poll(SEED_TAKEOVER_SPAN, true);
-    assert!(!scheduler.is_poller(), "the others hear it still");
+    assert!(!scheduler.is_poller(), "the others are still healthy");
 }
 
 #[test]
-fn of_more_than_are_wanted_those_of_the_lowest_rank_stop() {
+fn excess_pollers_of_lowest_rank_step_down() {
     let ids: Vec<u64> = (1..=8).collect();
-    let stays = |own: u64| {
+    let remains_poller = |own: u64| {
         let mut scheduler = PollScheduler::new(PeerId(own), false);
         scheduler.start_poll(0, false);
         let due = scheduler.next_deadline().unwrap_or(0);
@@ -210,12 +215,12 @@
         scheduler.start_poll(due, true);
         scheduler.is_poller()
     };
-    let staying = ids.iter().filter(|n| stays(**n)).count();
-    assert_eq!(staying, TARGET_POLLERS);
+    let remaining = ids.iter().filter(|n| remains_poller(**n)).count();
+    assert_eq!(remaining, TARGET_POLLERS);
 }
 
 #[test]
-fn pauses_grow_with_failures_and_with_what_an_answer_takes() {
+fn backoff_grows_with_failures_and_with_the_latency_of_the_service() {
     let mut scheduler = PollScheduler::new(PeerId(1), true);
     scheduler.start_poll(0, false);
     let due = scheduler.next_deadline().unwrap_or(0);
--- a/crates/gossip/src/replay/tests.rs
+++ b/crates/gossip/src/replay/tests.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 
 #[test]
-fn what_is_too_old_is_not_taken_and_the_oldest_sender_is_forgotten() {
+fn messages_before_the_window_are_rejected_and_the_least_recent_sender_is_forgotten() {
     let mut filter = ReplayFilter::default();
     assert!(filter.accept(1, 5_000) && filter.accept(1, 3_977) && !filter.accept(1, 3_976));
     for sender in 2..=MAX_SENDERS as u64 {
@@ -14,18 +14,18 @@
     assert!(!filter.accept(1, 5_000));
     assert!(
         filter.accept(9_999, 1) && filter.accept(2, 1),
-        "the one not heard for longest"
+        "the least recent sender was forgotten"
     );
     assert_eq!(filter.windows.len(), MAX_SENDERS);
 }
 
 proptest! {
     #[test]
-    fn each_message_is_taken_once_in_any_order(mut counts in prop::collection::vec(1..1_000u64, 1..200)) {
-        let (mut filter, mut taken) = (ReplayFilter::default(), HashSet::new());
-        counts.push(1_500);
-        for count in counts {
-            prop_assert_eq!(filter.accept(7, count), taken.insert(count));
+    fn each_message_is_accepted_once_in_any_order(mut sequences in prop::collection::vec(1..1_000u64, 1..200)) {
+        let (mut filter, mut accepted) = (ReplayFilter::default(), HashSet::new());
+        sequences.push(1_500);
+        for sequence in sequences {
+            prop_assert_eq!(filter.accept(7, sequence), accepted.insert(sequence));
         }
     }
 }
--- a/crates/gossip/src/simulation/tests.rs
+++ b/crates/gossip/src/simulation/tests.rs
@@ -6,14 +6,14 @@
 use rand_pcg::Pcg32;
 
 #[test]
-fn the_same_seed_gives_the_same_course() {
+fn same_seed_gives_the_same_outcome() {
     let config = random_config(20, 3);
     assert_eq!(simulate(&config, 3), simulate(&config, 3));
     assert_ne!(simulate(&config, 3), simulate(&config, 4));
 }
 
 #[test]
-fn hundreds_that_start_together_have_the_list_soon_for_a_few_questions() {
+fn hundreds_of_proxies_starting_together_get_the_list_within_a_second_with_few_polls() {
     let outcome = simulate(&SimConfig::default(), 1);
     let waits = outcome.list_latencies();
     let longest = waits.last().copied().flatten().expect("all have a list");
@@ -28,9 +28,9 @@
     );
 }
 
-/// Nobody meets anybody: each asks for itself, and the service bears it though nobody knows how many there are.
+/// No proxy has contact with any other: each polls for itself, and the service is not overloaded.
 #[test]
-fn seeds_that_are_all_down_keep_nobody_from_the_list() {
+fn proxies_get_the_list_while_all_seeds_are_down() {
     let dead = Fault {
         kind: FaultKind::Crash(vec![0, 1, 2]),
         from: 0,
@@ -56,10 +56,10 @@
     );
 }
 
-/// While the service is down the sum of polls does not grow with the proxies; when it is back all have the list
-/// soon.
+/// While the service is down the number of polls does not grow with the fleet; when it is back all proxies have the
+/// list soon.
 #[test]
-fn a_service_that_comes_last_is_not_met_by_a_crowd() {
+fn polls_to_a_service_that_is_down_do_not_grow_with_the_fleet() {
     for proxies in [20, 200] {
         let down = Fault {
             kind: FaultKind::ServiceDown,
@@ -88,9 +88,9 @@
     }
 }
 
-/// Those that tried in vain are killed, some before the others had met them: nobody waits for the dead for long.
+/// Pollers whose polls failed are killed, some before the others had contact with them: nobody waits for them for long.
 #[test]
-fn the_dead_are_not_waited_for() {
+fn crashed_pollers_are_replaced_soon() {
     let mut random = Pcg32::seed_from_u64(1);
     for seed in 0..12 {
         let dead = (0..50).filter(|_| random.gen_bool(0.7)).collect();
@@ -123,10 +123,10 @@
     }
 }
 
-/// Whatever is loss, duplication and delay_share, whoever dies, is cut off or hears an old list: in the end all hold the newest
-/// list, a handful asks, somebody does at any time, and the service gives no question up. The lab plays more of them.
+/// Under loss, duplication, delays, crashes, partitions and stale answers all proxies end with the newest list, a few
+/// poll, somebody does at any time, and no poll times out at the service. The simulator runs more of these.
 #[test]
-fn in_the_end_all_hold_the_newest_list_and_a_handful_asks() {
+fn all_proxies_end_with_the_newest_list_and_few_pollers_under_random_faults() {
     for seed in (0..24).chain([2_913]) {
         let config = random_config(30, seed);
         let outcome = simulate(&config, seed);
--- a/crates/gossip/src/simulation/traffic.rs
+++ b/crates/gossip/src/simulation/traffic.rs
@@ -8,13 +8,13 @@
 pub enum MessageKind {
     /// Pings of SWIM, direct and indirect, and their acknowledgements.
     Probe,
-    /// SWIM's periodic messages that only carry news of members.
+    /// Periodic messages of SWIM that only carry updates of members.
     Gossip,
     /// A member asks another one for members, and the answer.
     Announce,
-    /// What the sender has, and who asks the list service.
+    /// The sender's list version, and the pollers that it knows.
     Status,
-    /// Lists: questions for them, their parts, and what changed.
+    /// Lists: requests, parts and changes.
     List,
     /// None of these.
     Other,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Messages and their bytes, without seal.
+/// Messages and their bytes, without authentication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Messages.
