--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -13,7 +13,7 @@
 use badgerramp_control_protocol::{digest, Purpose, Secret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
-    Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
+    Command, Generation, GrantOutcome, Identity, LeaseDenial, LeaseGrant, Mode, Outcome, Rejection,
 };
 use openraft::{BasicNode, Config, Raft, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -115,24 +115,29 @@
         if let Some(refused) = self.of_other_region(&asked.region) {
             return Ok(refused);
         }
-        let has = ask.has.clone();
+        let has = ask.loaded_generations.clone();
         Ok(match self.leader.lend(ask).await? {
-            Lent::Grant(grant) => self.grant(grant, &has, &asked.application),
-            Lent::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
-            Lent::Stale(Stale::Older) => {
+            GrantOutcome::Granted(grant) => self.grant(grant, &has, &asked.application),
+            GrantOutcome::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
+            GrantOutcome::Denied(LeaseDenial::OutOfOrder) => {
                 refuse(refusal::Code::Stale, "a later question has been answered")
             }
-            Lent::Stale(Stale::NoPolicy) => {
+            GrantOutcome::Denied(LeaseDenial::NoPolicy) => {
                 refuse(refusal::Code::NoPolicy, "there is no policy yet")
             }
-            Lent::Stale(Stale::Evicted) => refuse(
+            GrantOutcome::Denied(LeaseDenial::Evicted) => refuse(
                 refusal::Code::Evicted,
                 "this start of the proxy was evicted: start it anew",
             ),
         })
     }
 
-    fn grant(&self, grant: Grant, has: &BTreeSet<Generation>, application: &str) -> reply::What {
+    fn grant(
+        &self,
+        grant: LeaseGrant,
+        has: &BTreeSet<Generation>,
+        application: &str,
+    ) -> reply::What {
         let Mode { old, new, .. } = grant.mode;
         let mut texts = Vec::new();
         let mut digests = HashMap::new();
@@ -154,9 +159,9 @@
             }
         }
         reply::What::Grant(wire::Grant {
-            number: grant.number,
+            number: grant.sequence,
             mode: Some(grant.mode.into()),
-            lease: grant.lease,
+            lease: grant.duration,
             texts,
             digests,
         })
@@ -195,7 +200,7 @@
             let text = "something has changed since this was looked at: look again";
             return Ok(refuse(refusal::Code::Moved, text));
         }
-        let floors = record.floors();
+        let floors = record.fallback_generations();
         let good =
             check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
         let text = match good {
@@ -205,15 +210,15 @@
         let command = Command::Publish {
             revision: policy.revision,
             text,
-            floors,
+            fallback_generations: floors,
             all_regions,
         };
         Ok(match self.leader.agree(command).await? {
-            Outcome::Begun(generation) => reply::What::Begun(wire::Begun {
+            Outcome::Started(generation) => reply::What::Begun(wire::Begun {
                 generation: generation.0,
             }),
-            Outcome::Refused(refused) => not_logged(&refused),
-            Outcome::Done => refuse(
+            Outcome::Rejected(refused) => not_logged(&refused),
+            Outcome::Applied => refuse(
                 refusal::Code::Moved,
                 "something else came in between: look again",
             ),
@@ -223,8 +228,8 @@
     async fn abort(&self, abort: wire::Abort) -> Result<reply::What, NotLeader> {
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.why).await? {
-            Some(Outcome::Done) => reply::What::Done(wire::Done {}),
-            Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => {
+            Some(Outcome::Applied) => reply::What::Done(wire::Done {}),
+            Some(Outcome::Rejected(refused @ Rejection::AwaitsDecision { .. })) => {
                 not_logged(&refused)
             }
             _ => refuse(
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -14,12 +14,12 @@
         core.sharing_proxies = settings.balancers;
         if let Some(view) = &mut core.subset {
             view.settings = settings.clone();
-            settings.balancers = view.subset.sharing();
+            settings.balancers = view.subset.sharing_proxies();
         }
         drop(core);
         self.event(Event::Reconfigure {
             settings: Box::new(settings),
-            fresh,
+            redefined_classes: fresh,
         });
     }
 
@@ -40,7 +40,7 @@
         drop(core);
         self.event(Event::Reconfigure {
             settings,
-            fresh: Vec::new(),
+            redefined_classes: Vec::new(),
         });
     }
 }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -5,8 +5,8 @@
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
 use badgerramp_control_protocol::{Secret, TAG};
-use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_endpoint_watch::FETCH;
+use badgerramp_decisions::{ListUpdateKind, Micros};
+use badgerramp_endpoint_watch::FETCH_TIMEOUT;
 use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use badgerramp_gossip::peer::{
     Input, Member, Output, Peer, PeerConfig, PeerEvent, PeerStatus, PollAnswer, MAX_MESSAGE_SIZE,
@@ -324,9 +324,9 @@
                 }
                 Output::ListChanged { complete, changes } => {
                     let kind = if complete {
-                        ListKind::Full
+                        ListUpdateKind::Full
                     } else {
-                        ListKind::Delta
+                        ListUpdateKind::Delta
                     };
                     let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
                     self.driver.members(kind, &list);
@@ -347,7 +347,7 @@
             let patience = if index.is_some() {
                 wait + SILENCE
             } else {
-                Duration::from_micros(FETCH)
+                Duration::from_micros(FETCH_TIMEOUT)
             };
             let asking = discovery::ask(&mut link, &*network, address, (index, wait));
             let answer = match tokio::time::timeout(patience, asking).await {
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -93,7 +93,7 @@
     pub(crate) fn add(&mut self, config: &Config, numbers: Vec<ClassId>) {
         let own = config.settings();
         let limits = &mut self.settings.limits;
-        limits.second_copies |= own.limits.second_copies;
+        limits.hedging |= own.limits.hedging;
         limits.max_attempts = limits.max_attempts.max(own.limits.max_attempts);
         self.open_calls = config.limits.open_calls.min(self.open_calls);
         // Of both the newer: it concerns only those that are refused.
@@ -120,7 +120,7 @@
 
 /// The rules of a mode; `None` if its policies are no sidecar's.
 pub(crate) fn mode_rules(mode: Mode, old: Rc<Rules>, new: Rc<Rules>) -> Option<Rc<Rules>> {
-    if !mode.is_middle() {
+    if !mode.is_transition() {
         Some(old)
     } else {
         TransitionRules::between(old, new)
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -14,10 +14,10 @@
 use badgerramp_config::{
     clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
 };
-use badgerramp_decisions::settings::Facts;
-use badgerramp_decisions::{ListKind, Micros};
-use badgerramp_endpoint_watch::{Budget, Source, Terms, Watch};
-use badgerramp_subset::{Poll, Subset};
+use badgerramp_decisions::settings::PlatformSettings;
+use badgerramp_decisions::{ListUpdateKind, Micros};
+use badgerramp_endpoint_watch::{PollSchedule, Source, TimeoutConfig, Timeouts, Watch};
+use badgerramp_subset::Subset;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 pub struct Setup {
     pub listen: SocketAddr,
     pub seed: u64,
-    pub facts: Facts,
+    pub facts: PlatformSettings,
     pub descriptors: usize,
     pub memory: usize,
     pub members: Members,
@@ -219,7 +219,7 @@
         Rc::clone(&network),
         clock,
     );
-    let source = if setup.facts.settings.ask {
+    let source = if setup.facts.settings.poll_endpoint_list {
         Source::Service
     } else {
         Source::Agent
@@ -236,12 +236,14 @@
         clock,
         Rc::clone(&hosts),
     );
-    let budget = Budget::of(Terms {
+    let timeouts = Timeouts::derive(TimeoutConfig {
         source,
-        grace,
+        drain_grace: grace,
         wait: setup.watch_wait,
     });
-    let poll = setup.list.map(|terms| Poll::new(terms.poll, setup.seed));
+    let poll = setup
+        .list
+        .map(|terms| PollSchedule::new(terms.poll, setup.seed));
     let idle_after = setup.list.map_or(Micros::MAX, |terms| terms.idle_after);
     driver.start();
     let (address, index) = match setup.members {
@@ -250,11 +252,11 @@
             known,
             index,
         } => {
-            driver.members(ListKind::Cached, &known);
+            driver.members(ListUpdateKind::Cached, &known);
             (Some(address), index)
         }
         Members::Fixed(list) => {
-            driver.members(ListKind::Full, &list);
+            driver.members(ListUpdateKind::Full, &list);
             (None, None)
         }
     };
@@ -273,7 +275,7 @@
                 peers::run(driver_of_watch, network, moves, among, left).await;
             }
             (Some(_), None) => {
-                let asking = (budget, Watch::new(budget, index, poll, setup.seed));
+                let asking = (timeouts, Watch::new(timeouts, index, poll, setup.seed));
                 discovery::run(driver_of_watch, network, moves, asking, idle_after).await;
             }
             (None, _) => std::future::pending().await,
