--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -1,8 +1,8 @@
 //! `peers`: what a running proxy knows of the others.
 
-use crate::net::peers::{look, Told};
+use crate::net::peers::{query_status, StatusReport};
 use crate::program::Fault;
-use crate::sidecar::seals;
+use crate::sidecar::codec;
 use badgerramp_gossip::polling::KnownPoller;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
         );
         return Err(Fault::Other(fault));
     }
-    let told = look(address, &seals(terms)?, WAIT)?;
+    let told =
+        query_status(address, &codec(terms)?, WAIT).map_err(|e| Fault::Other(e.to_string()))?;
     if json {
         let text = serde_json::to_string(&told).map_err(|e| Fault::Other(e.to_string()))?;
         println!("{text}");
@@ -46,10 +47,10 @@
     }
 }
 
-fn text(told: &Told) -> String {
-    let Told {
-        standing,
-        strangers,
+fn text(told: &StatusReport) -> String {
+    let StatusReport {
+        status: standing,
+        rejected,
     } = told;
     let mut text = String::new();
     // Writing to a String does not fail.
@@ -126,10 +127,10 @@
         ),
     );
     let strange = [
-        (strangers.form + counts.malformed, "of another form"),
-        (strangers.seal, "under another secret or fleet"),
-        (strangers.again, "taken before"),
-        (strangers.unsent, "not sent"),
+        (rejected.malformed + counts.malformed, "of another form"),
+        (rejected.unauthenticated, "under another secret or fleet"),
+        (rejected.replayed, "taken before"),
+        (rejected.send_failed, "not sent"),
     ];
     let strange: Vec<String> = strange
         .iter()
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -1,19 +1,30 @@
-//! The other proxies of the fleet: datagrams, each under a seal, and the questions to the list service that
-//! [`badgerramp_gossip`] wants asked. What is decided is decided there.
+//! Gossip with the other proxies of the fleet: authenticated datagrams, and polls of the list service.
+//!
+//! This task does the I/O; every decision is made by [`badgerramp_gossip`].
+//!
+//! - `datagram`: the layout and the authentication of datagrams.
+//! - `convert`: endpoints as entries of the gossiped list.
+//! - `events`: what the log tells.
+//! - `query`: the status of a running proxy, for operators.
+
+mod convert;
+mod datagram;
+mod events;
+mod query;
+
+pub use datagram::{DatagramCodec, RejectedDatagrams};
+pub use query::{query_status, QueryError, StatusReport};
 
 use super::discovery::{self, changed, Link};
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
-use badgerramp_control_protocol::{Secret, TAG};
 use badgerramp_decisions::{ListUpdateKind, Micros};
 use badgerramp_endpoint_watch::FETCH_TIMEOUT;
-use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
-use badgerramp_gossip::peer::{
-    Input, Member, Output, Peer, PeerConfig, PeerEvent, PeerStatus, PollAnswer, MAX_MESSAGE_SIZE,
-};
+use badgerramp_gossip::endpoint_list::EndpointChange;
+use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
 use badgerramp_gossip::polling::PeerId;
 use badgerramp_gossip::replay::ReplayFilter;
-use serde::{Deserialize, Serialize};
+use datagram::{received_kind, Datagram, DatagramKind, DecodeError, MAX_DATAGRAM_SIZE};
 use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
@@ -24,337 +35,294 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// The version of the datagrams; one of another version is counted as strange.
-const VERSION: u8 = 1;
-/// Version, what it is, seal, sender, the sender's count.
-const HEAD: usize = 2 + TAG + 16;
-/// Most bytes of a datagram: a longer one is cut when it is read, and so is strange.
-const MOST: usize = HEAD + MAX_MESSAGE_SIZE;
-/// Datagrams that are read before anything else gets its turn; the rest waits for the next one, and none is left out.
-const AT_ONCE: usize = 64;
-/// An answer that is so much later than its wait does not come: [`badgerramp_gossip`] decides what follows.
-const SILENCE: Duration = Duration::from_secs(2);
-/// The answer to a look is larger than any message.
-const LOOK_MOST: usize = 60_000;
-
-/// What a datagram is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
-    /// From one proxy to another.
-    Letter = 0,
-    /// Somebody with the secret wants to know what this proxy knows.
-    Look = 1,
-    /// ... and is told.
-    Told = 2,
-}
-
-/// Seals datagrams and opens them.
-#[derive(Clone, Debug)]
-pub struct Seals {
-    secret: Secret,
-    fleet: String,
-}
-
-/// Why a datagram is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Strange {
-    /// Of another form or version, or too long.
-    Form,
-    /// Under another secret, of another fleet, or not what was sent.
-    Seal,
-}
-
-impl Seals {
-    /// Those of a fleet.
-    pub fn new(secret: Secret, fleet: String) -> Self {
-        Seals { secret, fleet }
-    }
-
-    fn seal(&self, kind: Kind, (sender, count): (u64, u64), body: &[u8]) -> Vec<u8> {
-        let head = [VERSION, kind as u8];
-        let numbers = [sender.to_le_bytes(), count.to_le_bytes()].concat();
-        let tag = self.secret.tag(
-            "badgerramp peers",
-            &[self.fleet.as_bytes(), &head, &numbers, body],
-        );
-        [&head[..], &tag, &numbers, body].concat()
-    }
-
-    fn open<'a>(&self, kind: Kind, datagram: &'a [u8]) -> Result<(u64, u64, &'a [u8]), Strange> {
-        let (head, rest) = datagram.split_at_checked(2).ok_or(Strange::Form)?;
-        let (tag, rest) = rest.split_at_checked(TAG).ok_or(Strange::Form)?;
-        let (numbers, body) = rest.split_at_checked(16).ok_or(Strange::Form)?;
-        if head != [VERSION, kind as u8] {
-            return Err(Strange::Form);
-        }
-        if !self.secret.tagged(
-            "badgerramp peers",
-            &[self.fleet.as_bytes(), head, numbers, body],
-            tag,
-        ) {
-            return Err(Strange::Seal);
-        }
-        let number = |from: usize| {
-            let mut bytes = [0; 8];
-            bytes.copy_from_slice(&numbers[from..from + 8]);
-            u64::from_le_bytes(bytes)
-        };
-        Ok((number(0), number(8), body))
-    }
-}
+/// Datagrams that are read before other tasks get their turn. None is left out: the rest is read in the next turn.
+const MAX_READS_PER_TURN: usize = 64;
 
-/// Datagrams that were not taken, and what went wrong with sending.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Strangers {
-    /// Of another form or version, or too long.
-    pub form: u64,
-    /// Under another secret, or of another fleet.
-    pub seal: u64,
-    /// Taken before, or too old to tell.
-    pub again: u64,
-    /// That the system would not send.
-    pub unsent: u64,
-}
+/// A poll fails when its answer is so much later than the service was allowed to wait for news.
+const POLL_GRACE: Duration = Duration::from_secs(2);
 
-/// What a running proxy tells of its peers.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
-    /// What it knows.
-    pub standing: PeerStatus,
-    /// What it did not take.
-    pub strangers: Strangers,
-}
-
-/// All that a proxy needs to be among its peers.
-pub struct Setup {
-    /// Where it hears; bound already, so that a start fails if that can't be.
+/// What a proxy needs to take part in the gossip.
+pub struct GossipConfig {
+    /// The socket for messages; bound already, so that the start fails if that is not possible.
     pub socket: StdSocket,
-    /// Where others reach it.
+    /// The address at which other proxies reach it.
     pub advertise: SocketAddr,
-    /// Where others may be met.
+    /// Addresses of proxies that are contacted at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Of its fleet.
-    pub seals: Seals,
-    /// Its number, drawn anew at each start.
+    /// The codec of the fleet.
+    pub codec: DatagramCodec,
+    /// Drawn at random at each start.
     pub id: u64,
 }
 
-type Question = Pin<Box<dyn Future<Output = Asked>>>;
-
-struct Asked {
+/// How a poll of the list service ended, and the connection that it leaves open.
+struct PollResult {
     link: Option<Link>,
+    /// An error tells how long the service asked the proxy to stay away.
     answer: Result<PollAnswer, Option<Duration>>,
 }
 
-struct Here {
+type PendingPoll = Pin<Box<dyn Future<Output = PollResult>>>;
+
+/// The task that carries out what a [`Peer`] requests.
+struct GossipTask {
     driver: Driver,
     network: Rc<dyn Network>,
     socket: UdpSocket,
-    seals: Rc<Seals>,
+    codec: Rc<DatagramCodec>,
     id: u64,
     peer: Peer,
-    replays: ReplayFilter,
-    strangers: Strangers,
-    count: u64,
-    address: SocketAddr,
+    replay_filter: ReplayFilter,
+    rejected: RejectedDatagrams,
+    /// Sequence number of the last datagram sent.
+    sequence: u64,
+    /// The address of the list service.
+    service: SocketAddr,
+    /// A connection to the list service that is not in use.
     link: Option<Link>,
-    question: Option<Question>,
+    pending_poll: Option<PendingPoll>,
 }
 
-/// Keeps the list up to date by what the fleet knows, for as long as the program runs, until `leave`.
+/// Keeps the endpoint list up to date by gossip, for as long as the program runs, until `leave`. `service`: the address of
+/// the list service, which may change.
 pub async fn run(
     driver: Driver,
     network: Rc<dyn Network>,
-    address: watch::Receiver<SocketAddr>,
-    setup: Setup,
+    service: watch::Receiver<SocketAddr>,
+    config: GossipConfig,
     leave: Rc<Notify>,
 ) {
-    if let Err(fault) = serve(driver, network, address, setup, &leave).await {
-        tracing::error!("peers: {fault}");
+    if let Err(error) = serve(driver, network, service, config, &leave).await {
+        tracing::error!("peers: {error}");
     }
 }
 
 async fn serve(
     driver: Driver,
     network: Rc<dyn Network>,
-    mut address: watch::Receiver<SocketAddr>,
-    setup: Setup,
+    mut service: watch::Receiver<SocketAddr>,
+    config: GossipConfig,
     leave: &Notify,
 ) -> io::Result<()> {
-    let now = driver.clock().now();
-    let own = Member {
-        address: setup.advertise,
-        id: PeerId(setup.id),
-        started: now / 1_000,
-    };
-    setup.socket.set_nonblocking(true)?;
-    let at = *address.borrow_and_update();
-    let mut here = Here {
-        network,
-        socket: UdpSocket::from_std(setup.socket)?,
-        seals: Rc::new(setup.seals),
-        id: setup.id,
-        peer: Peer::new(
-            now,
-            PeerConfig {
-                own,
-                seeds: setup.seeds,
-                disabled: None,
-            },
-        ),
-        replays: ReplayFilter::default(),
-        strangers: Strangers::default(),
-        count: 0,
-        address: at,
-        link: None,
-        question: None,
-        driver,
-    };
-    tracing::info!("peers: this proxy is {} to others", own.address);
-    here.tell(Input::Timer);
-    let mut buffer = vec![0; MOST + 1];
+    let address = *service.borrow_and_update();
+    let mut task = GossipTask::new(driver, network, address, config)?;
+    task.handle(Input::Timer);
+    let mut buffer = vec![0; MAX_DATAGRAM_SIZE + 1];
     loop {
-        let due = here.driver.clock().instant(here.peer.next_deadline());
+        let deadline = task.driver.clock().instant(task.peer.next_deadline());
         tokio::select! {
             () = leave.notified() => {
-                here.tell(Input::Leave);
+                task.handle(Input::Leave);
                 return Ok(());
             }
-            () = changed(&mut address) => {
-                here.address = *address.borrow_and_update();
-                (here.link, here.question) = (None, None);
-                here.tell(Input::SourceChanged);
+            () = changed(&mut service) => {
+                let address = *service.borrow_and_update();
+                task.replace_service(address);
             }
-            ready = here.socket.readable() => {
+            ready = task.socket.readable() => {
                 ready?;
-                here.read(&mut buffer);
+                task.read_datagrams(&mut buffer);
             }
-            asked = answered(&mut here.question) => here.asked(asked),
-            () = tokio::time::sleep_until(due) => here.tell(Input::Timer),
+            result = poll_result(&mut task.pending_poll) => task.finish_poll(result),
+            () = tokio::time::sleep_until(deadline) => task.handle(Input::Timer),
         }
     }
 }
 
-/// Resolves with the answer; never while no question is out.
-async fn answered(question: &mut Option<Question>) -> Asked {
-    match question {
-        Some(out) => {
-            let asked = out.as_mut().await;
-            *question = None;
-            asked
+/// Resolves when the pending poll has ended; never while there is none.
+async fn poll_result(pending: &mut Option<PendingPoll>) -> PollResult {
+    match pending {
+        Some(poll) => {
+            let result = poll.as_mut().await;
+            *pending = None;
+            result
         }
         None => std::future::pending().await,
     }
 }
 
-impl Here {
+impl GossipTask {
+    fn new(
+        driver: Driver,
+        network: Rc<dyn Network>,
+        service: SocketAddr,
+        config: GossipConfig,
+    ) -> io::Result<Self> {
+        let now = driver.clock().now();
+        let own = Member {
+            address: config.advertise,
+            id: PeerId(config.id),
+            started: now / 1_000,
+        };
+        config.socket.set_nonblocking(true)?;
+        let peer_config = PeerConfig {
+            own,
+            seeds: config.seeds,
+            disabled: None,
+        };
+        let socket = UdpSocket::from_std(config.socket)?;
+        tracing::info!("peers: this proxy is {} to others", own.address);
+        Ok(GossipTask {
+            driver,
+            network,
+            socket,
+            codec: Rc::new(config.codec),
+            id: config.id,
+            peer: Peer::new(now, peer_config),
+            replay_filter: ReplayFilter::default(),
+            rejected: RejectedDatagrams::default(),
+            sequence: 0,
+            service,
+            link: None,
+            pending_poll: None,
+        })
+    }
+
     fn now(&self) -> Micros {
         self.driver.clock().now()
     }
 
-    fn read(&mut self, buffer: &mut [u8]) {
-        for _ in 0..AT_ONCE {
+    /// The list service has another address: a pending poll is void.
+    fn replace_service(&mut self, address: SocketAddr) {
+        self.service = address;
+        self.link = None;
+        self.pending_poll = None;
+        self.handle(Input::SourceChanged);
+    }
+
+    fn read_datagrams(&mut self, buffer: &mut [u8]) {
+        for _ in 0..MAX_READS_PER_TURN {
             match self.socket.try_recv_from(buffer) {
-                Ok((count, from)) => self.datagram(&buffer[..count], from),
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => return,
-                // Of an earlier datagram, which found nobody.
+                Ok((size, from)) => self.handle_datagram(&buffer[..size], from),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                // Of an earlier datagram, whose receiver was not there.
                 Err(_) => {}
             }
         }
     }
 
-    fn datagram(&mut self, datagram: &[u8], from: SocketAddr) {
-        if datagram.len() > MOST {
-            self.strangers.form += 1;
+    fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
+        if bytes.len() > MAX_DATAGRAM_SIZE {
+            self.rejected.malformed += 1;
             return;
         }
-        let kind = if datagram.get(1) == Some(&(Kind::Look as u8)) {
-            Kind::Look
-        } else {
-            Kind::Letter
-        };
-        let seals = Rc::clone(&self.seals);
-        match seals.open(kind, datagram) {
-            Err(Strange::Form) => self.strangers.form += 1,
-            Err(Strange::Seal) => self.strangers.seal += 1,
-            Ok((sender, count, _)) if !self.replays.accept(sender, count) => {
-                self.strangers.again += 1;
+        let kind = received_kind(bytes);
+        let codec = Rc::clone(&self.codec);
+        let datagram = match codec.decode(kind, bytes) {
+            Ok(datagram) => datagram,
+            Err(DecodeError::Malformed) => {
+                self.rejected.malformed += 1;
+                return;
             }
-            Ok((_, _, body)) if kind == Kind::Letter => self.tell(Input::Message(body)),
-            Ok((sender, count, _)) => {
-                let told = Told {
-                    standing: self.peer.status(self.now()),
-                    strangers: self.strangers,
-                };
-                if let Ok(body) = postcard::to_stdvec(&told) {
-                    let bytes = self.seals.seal(Kind::Told, (sender, count), &body);
-                    self.strangers.unsent +=
-                        u64::from(self.socket.try_send_to(&bytes, from).is_err());
-                }
+            Err(DecodeError::Unauthenticated) => {
+                self.rejected.unauthenticated += 1;
+                return;
             }
+        };
+        if !self
+            .replay_filter
+            .accept(datagram.sender, datagram.sequence)
+        {
+            self.rejected.replayed += 1;
+        } else if kind == DatagramKind::Message {
+            self.handle(Input::Message(datagram.body));
+        } else {
+            self.reply_status(&datagram, from);
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        self.link = asked.link;
-        match asked.answer {
-            Ok(answer) => self.tell(Input::PollAnswered(answer)),
-            Err(after) => {
-                let retry_after =
-                    after.map(|a| Micros::try_from(a.as_micros()).unwrap_or(Micros::MAX));
-                self.tell(Input::PollFailed { retry_after });
+    fn reply_status(&mut self, request: &Datagram<'_>, to: SocketAddr) {
+        let report = StatusReport {
+            status: self.peer.status(self.now()),
+            rejected: self.rejected,
+        };
+        if let Ok(body) = postcard::to_stdvec(&report) {
+            let reply = Datagram {
+                body: &body,
+                ..*request
+            };
+            self.send(DatagramKind::StatusReply, &reply, to);
+        }
+    }
+
+    /// Sends a datagram. One that the system does not take is like one that is lost on the way.
+    fn send(&mut self, kind: DatagramKind, datagram: &Datagram<'_>, to: SocketAddr) {
+        let bytes = self.codec.encode(kind, datagram);
+        if self.socket.try_send_to(&bytes, to).is_err() {
+            self.rejected.send_failed += 1;
+        }
+    }
+
+    fn finish_poll(&mut self, result: PollResult) {
+        self.link = result.link;
+        match result.answer {
+            Ok(answer) => self.handle(Input::PollAnswered(answer)),
+            Err(retry_after) => {
+                let retry_after = retry_after.map(saturating_micros);
+                self.handle(Input::PollFailed { retry_after });
             }
         }
     }
 
-    fn tell(&mut self, input: Input<'_>) {
+    /// Passes an input to the peer, and carries out what it requests.
+    fn handle(&mut self, input: Input<'_>) {
         let mut out = Vec::new();
         self.peer.handle(self.now(), input, &mut out);
         for output in out {
-            match output {
-                Output::Send(to, body) => {
-                    self.count += 1;
-                    let bytes = self.seals.seal(Kind::Letter, (self.id, self.count), &body);
-                    // What is not sent is as good as lost on the way.
-                    self.strangers.unsent +=
-                        u64::from(self.socket.try_send_to(&bytes, to).is_err());
-                }
-                Output::Poll { index, wait } => {
-                    self.question = Some(self.ask(index, Duration::from_micros(wait)));
-                }
-                Output::ListChanged { complete, changes } => {
-                    let kind = if complete {
-                        ListUpdateKind::Full
-                    } else {
-                        ListUpdateKind::Delta
-                    };
-                    let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
-                    self.driver.members(kind, &list);
-                }
-                Output::AliveCount(proxies) => self
-                    .driver
-                    .alive(u32::try_from(proxies).unwrap_or(u32::MAX)),
-                Output::Event(note) => log(&note),
+            self.carry_out(output);
+        }
+    }
+
+    fn carry_out(&mut self, output: Output) {
+        match output {
+            Output::Send(to, body) => {
+                self.sequence += 1;
+                let message = Datagram {
+                    sender: self.id,
+                    sequence: self.sequence,
+                    body: &body,
+                };
+                self.send(DatagramKind::Message, &message, to);
+            }
+            Output::Poll { index, wait } => {
+                let poll = self.poll_service(index, Duration::from_micros(wait));
+                self.pending_poll = Some(poll);
+            }
+            Output::ListChanged { complete, changes } => {
+                let kind = if complete {
+                    ListUpdateKind::Full
+                } else {
+                    ListUpdateKind::Delta
+                };
+                let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
+                self.driver.members(kind, &list);
             }
+            Output::AliveCount(proxies) => {
+                let proxies = u32::try_from(proxies).unwrap_or(u32::MAX);
+                self.driver.alive(proxies);
+            }
+            Output::Event(event) => events::log(&event),
         }
     }
 
-    fn ask(&mut self, index: Option<u64>, wait: Duration) -> Question {
-        let (network, address, mut link) =
-            (Rc::clone(&self.network), self.address, self.link.take());
+    /// Polls the list service: for what has changed since `index`, or for the complete list.
+    fn poll_service(&mut self, index: Option<u64>, wait: Duration) -> PendingPoll {
+        let network = Rc::clone(&self.network);
+        let service = self.service;
+        let mut link = self.link.take();
         Box::pin(async move {
-            let asked = Instant::now();
-            let patience = if index.is_some() {
-                wait + SILENCE
+            let sent_at = Instant::now();
+            let timeout = if index.is_some() {
+                wait + POLL_GRACE
             } else {
                 Duration::from_micros(FETCH_TIMEOUT)
             };
-            let asking = discovery::ask(&mut link, &*network, address, (index, wait));
-            let answer = match tokio::time::timeout(patience, asking).await {
-                Ok(Ok(list)) => Ok(answer(list, index, asked.elapsed())),
-                Ok(Err(fault)) => {
-                    tracing::warn!("discovery: {}", fault.why);
-                    Err(fault.retry_after)
+            let request = discovery::ask(&mut link, &*network, service, (index, wait));
+            let answer = match tokio::time::timeout(timeout, request).await {
+                Ok(Ok(list)) => Ok(poll_answer(list, index, sent_at.elapsed())),
+                Ok(Err(unanswered)) => {
+                    tracing::warn!("discovery: {}", unanswered.why);
+                    Err(unanswered.retry_after)
                 }
                 Err(_) => {
                     tracing::warn!("discovery: no answer");
@@ -362,12 +330,12 @@
                     Err(None)
                 }
             };
-            Asked { link, answer }
+            PollResult { link, answer }
         })
     }
 }
 
-fn answer(list: List, index: Option<u64>, took: Duration) -> PollAnswer {
+fn poll_answer(list: List, polled_index: Option<u64>, latency: Duration) -> PollAnswer {
     PollAnswer {
         complete: list.snapshot,
         index: list.index,
@@ -376,138 +344,13 @@
             .into_iter()
             .map(EndpointChange::from)
             .collect(),
-        latency: Micros::try_from(took.as_micros()).unwrap_or(Micros::MAX),
-        immediate: index.is_none(),
-    }
-}
-
-impl From<Endpoint> for EndpointChange {
-    fn from(e: Endpoint) -> Self {
-        let Endpoint {
-            name,
-            address,
-            zone,
-            kind,
-            group,
-            status,
-            weight,
-            since_ms,
-        } = e;
-        let gone = status == "removed";
-        let entry = EndpointEntry {
-            address,
-            zone,
-            kind,
-            group,
-            status,
-            weight,
-            since_ms,
-        };
-        EndpointChange {
-            name,
-            entry: (!gone).then_some(entry),
-        }
-    }
-}
-
-impl From<EndpointChange> for Endpoint {
-    fn from(EndpointChange { name, entry }: EndpointChange) -> Self {
-        let gone = || EndpointEntry {
-            status: "removed".to_owned(),
-            ..EndpointEntry::default()
-        };
-        let EndpointEntry {
-            address,
-            zone,
-            kind,
-            group,
-            status,
-            weight,
-            since_ms,
-        } = entry.unwrap_or_else(gone);
-        Endpoint {
-            name,
-            address,
-            zone,
-            kind,
-            group,
-            status,
-            weight,
-            since_ms,
-        }
+        latency: saturating_micros(latency),
+        immediate: polled_index.is_none(),
     }
 }
 
-fn log(note: &PeerEvent) {
-    match note {
-        PeerEvent::ListReceived {
-            source,
-            version,
-            endpoints,
-            elapsed,
-        } => {
-            let from = source.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let ms = elapsed / 1_000;
-            tracing::info!(
-                "peers: list {} of {from} with {endpoints} hosts, {ms} ms after the start",
-                version.index
-            );
-        }
-        PeerEvent::PollingStarted => {
-            tracing::info!("peers: this proxy asks the list service for others")
-        }
-        PeerEvent::PollingStopped => tracing::info!("peers: others ask the list service"),
-        PeerEvent::ListQuarantined { index } => {
-            tracing::warn!(
-                "peers: list {index} of the service is doubted: older than the one held, or half of it"
-            );
-        }
-        PeerEvent::IncarnationStarted { incarnation } => {
-            tracing::warn!("peers: the list service was restored or changed: life {incarnation}");
-        }
-        PeerEvent::Converged { alive } => {
-            tracing::info!("peers: the start is over, {alive} proxies")
-        }
-        PeerEvent::MembershipLost { alive } => {
-            tracing::warn!("peers: most proxies have gone, {alive} are left")
-        }
-    }
-}
-
-/// Asks the proxy that hears at `address` what it knows.
-///
-/// # Errors
-/// In words, if it does not answer.
-pub fn look(address: SocketAddr, seals: &Seals, wait: Duration) -> Result<Told, String> {
-    let any: SocketAddr = if address.is_ipv4() {
-        ([0, 0, 0, 0], 0).into()
-    } else {
-        ([0u16; 8], 0).into()
-    };
-    let fault = |e: io::Error| format!("{address}: {e}");
-    let socket = StdSocket::bind(any).map_err(fault)?;
-    socket.connect(address).map_err(fault)?;
-    socket.set_read_timeout(Some(wait)).map_err(fault)?;
-    let sender = rand::random();
-    socket
-        .send(&seals.seal(Kind::Look, (sender, 1), &[]))
-        .map_err(fault)?;
-    let mut buffer = vec![0; LOOK_MOST];
-    let count = socket.recv(&mut buffer).map_err(|e| match e.kind() {
-        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => {
-            format!(
-                "{address}: no answer within {} s: another secret or fleet, or no proxy",
-                wait.as_secs()
-            )
-        }
-        _ => fault(e),
-    })?;
-    match seals.open(Kind::Told, &buffer[..count]) {
-        Ok((who, _, body)) if who == sender => {
-            postcard::from_bytes(body).map_err(|e| format!("{address}: an odd answer: {e}"))
-        }
-        _ => Err(format!("{address}: an answer under another seal")),
-    }
+fn saturating_micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/proxy/src/net/peers/datagram.rs
@@ -0,0 +1,143 @@
+//! Authenticated datagrams between peers.
+//!
+//! Layout: version (1 byte), kind (1 byte), message authentication code, sender (8 bytes), sequence number (8 bytes),
+//! body. Numbers are little-endian. The code covers the fleet's name and all other bytes.
+
+use badgerramp_control_protocol::{Secret, TAG};
+use badgerramp_gossip::peer::MAX_MESSAGE_SIZE;
+use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+/// Version of the layout.
+const VERSION: u8 = 1;
+
+/// Version and kind.
+const PREFIX_LEN: usize = 2;
+
+/// Sender and sequence number.
+const NUMBERS_LEN: usize = 16;
+
+/// Bytes before the body.
+pub(super) const HEADER_LEN: usize = PREFIX_LEN + TAG + NUMBERS_LEN;
+
+/// Greatest size of a datagram between proxies, in bytes: a longer one is truncated when it is read.
+pub(super) const MAX_DATAGRAM_SIZE: usize = HEADER_LEN + MAX_MESSAGE_SIZE;
+
+/// Separates the authentication codes of datagrams from others under the same secret.
+const PURPOSE: &str = "badgerramp peers";
+
+/// What a datagram is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DatagramKind {
+    /// A gossip message from one proxy to another.
+    Message = 0,
+    /// An operator's tool requests the status of a proxy.
+    StatusRequest = 1,
+    /// The answer to a status request.
+    StatusReply = 2,
+}
+
+/// Why a datagram is not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum DecodeError {
+    /// It is too short or too long, or has another version or kind.
+    #[error("malformed datagram")]
+    Malformed,
+    /// It was sent under another secret or by another fleet, or was altered.
+    #[error("datagram with a wrong authentication code")]
+    Unauthenticated,
+}
+
+/// An accepted datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Datagram<'a> {
+    /// The id that the sender has drawn at its start.
+    pub(super) sender: u64,
+    /// Increases with each datagram of the sender; a reply has the number of its request.
+    pub(super) sequence: u64,
+    pub(super) body: &'a [u8],
+}
+
+/// Encodes and authenticates the datagrams of one fleet.
+#[derive(Clone, Debug)]
+pub struct DatagramCodec {
+    secret: Secret,
+    fleet: String,
+}
+
+impl DatagramCodec {
+    /// The codec of a fleet, by its name and the secret that all its proxies share.
+    pub fn new(secret: Secret, fleet: String) -> Self {
+        DatagramCodec { secret, fleet }
+    }
+
+    /// Encodes a datagram.
+    pub(super) fn encode(&self, kind: DatagramKind, datagram: &Datagram<'_>) -> Vec<u8> {
+        let prefix = [VERSION, kind as u8];
+        let sender = datagram.sender.to_le_bytes();
+        let sequence = datagram.sequence.to_le_bytes();
+        let numbers = [sender, sequence].concat();
+        let code = self.secret.tag(
+            PURPOSE,
+            &[self.fleet.as_bytes(), &prefix, &numbers, datagram.body],
+        );
+        [&prefix[..], &code, &numbers, datagram.body].concat()
+    }
+
+    /// Decodes a datagram of this kind.
+    pub(super) fn decode<'a>(
+        &self,
+        kind: DatagramKind,
+        bytes: &'a [u8],
+    ) -> Result<Datagram<'a>, DecodeError> {
+        let split = |bytes: &'a [u8], at| bytes.split_at_checked(at).ok_or(DecodeError::Malformed);
+        let (prefix, rest) = split(bytes, PREFIX_LEN)?;
+        let (code, rest) = split(rest, TAG)?;
+        let (numbers, body) = split(rest, NUMBERS_LEN)?;
+        if prefix != [VERSION, kind as u8] {
+            return Err(DecodeError::Malformed);
+        }
+        let authenticated = [self.fleet.as_bytes(), prefix, numbers, body];
+        if !self.secret.tagged(PURPOSE, &authenticated, code) {
+            return Err(DecodeError::Unauthenticated);
+        }
+        let (sender, sequence) = numbers.split_at(NUMBERS_LEN / 2);
+        Ok(Datagram {
+            sender: read_u64(sender),
+            sequence: read_u64(sequence),
+            body,
+        })
+    }
+}
+
+/// The kind of a received datagram: a status request, or else, as far as can be told before it is decoded, a message.
+pub(super) fn received_kind(bytes: &[u8]) -> DatagramKind {
+    if bytes.get(1) == Some(&(DatagramKind::StatusRequest as u8)) {
+        DatagramKind::StatusRequest
+    } else {
+        DatagramKind::Message
+    }
+}
+
+fn read_u64(bytes: &[u8]) -> u64 {
+    let mut number = [0; 8];
+    number.copy_from_slice(bytes);
+    u64::from_le_bytes(number)
+}
+
+/// Counters of datagrams that were not accepted or not sent. In JSON they have the names of earlier versions.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RejectedDatagrams {
+    /// Too short or too long, or of another version or kind.
+    #[serde(rename = "form")]
+    pub malformed: u64,
+    /// Under another secret, or of another fleet.
+    #[serde(rename = "seal")]
+    pub unauthenticated: u64,
+    /// Accepted before, or too old to tell.
+    #[serde(rename = "again")]
+    pub replayed: u64,
+    /// Not sent, because the operating system refused.
+    #[serde(rename = "unsent")]
+    pub send_failed: u64,
+}
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -1,9 +1,15 @@
 //! Datagrams between peers, and entries of the list on their way to them.
 
-use super::*;
+use super::datagram::{Datagram, DatagramKind, DecodeError, HEADER_LEN};
+use super::{DatagramCodec, RejectedDatagrams, StatusReport};
+use crate::net::driver::Endpoint;
+use badgerramp_control_protocol::Secret;
+use badgerramp_gossip::endpoint_list::EndpointChange;
+use badgerramp_gossip::peer::{Input, Member, Peer, PeerConfig, PollAnswer};
+use badgerramp_gossip::polling::PeerId;
 
-fn seals(secret: &str, fleet: &str) -> Seals {
-    Seals::new(
+fn codec(secret: &str, fleet: &str) -> DatagramCodec {
+    DatagramCodec::new(
         Secret::new(secret.as_bytes()).expect("a secret"),
         fleet.to_owned(),
     )
@@ -11,26 +17,45 @@
 
 #[test]
 fn strange_datagrams_are_told_apart() {
-    let own = seals("0123456789abcdef", "north");
-    let sealed = own.seal(Kind::Letter, (7, 9), b"body");
-    assert_eq!(own.open(Kind::Letter, &sealed), Ok((7, 9, &b"body"[..])));
+    let own = codec("0123456789abcdef", "north");
+    let sent = Datagram {
+        sender: 7,
+        sequence: 9,
+        body: b"body",
+    };
+    let datagram = own.encode(DatagramKind::Message, &sent);
+    assert_eq!(own.decode(DatagramKind::Message, &datagram), Ok(sent));
     for other in [
-        seals("0123456789abcdeF", "north"),
-        seals("0123456789abcdef", "south"),
+        codec("0123456789abcdeF", "north"),
+        codec("0123456789abcdef", "south"),
     ] {
-        assert_eq!(other.open(Kind::Letter, &sealed), Err(Strange::Seal));
+        assert_eq!(
+            other.decode(DatagramKind::Message, &datagram),
+            Err(DecodeError::Unauthenticated)
+        );
     }
-    for place in 2..sealed.len() {
-        let mut torn = sealed.clone();
-        torn[place] ^= 1;
-        assert_eq!(own.open(Kind::Letter, &torn), Err(Strange::Seal));
+    for place in 2..datagram.len() {
+        let mut altered = datagram.clone();
+        altered[place] ^= 1;
+        assert_eq!(
+            own.decode(DatagramKind::Message, &altered),
+            Err(DecodeError::Unauthenticated)
+        );
     }
-    assert_eq!(own.open(Kind::Look, &sealed), Err(Strange::Form));
     assert_eq!(
-        own.open(Kind::Letter, &[&[2], &sealed[1..]].concat()),
-        Err(Strange::Form)
+        own.decode(DatagramKind::StatusRequest, &datagram),
+        Err(DecodeError::Malformed)
+    );
+    assert_eq!(
+        own.decode(DatagramKind::Message, &[&[2], &datagram[1..]].concat()),
+        Err(DecodeError::Malformed)
     );
-    (0..HEAD).for_each(|n| assert_eq!(own.open(Kind::Letter, &sealed[..n]), Err(Strange::Form)));
+    (0..HEADER_LEN).for_each(|n| {
+        assert_eq!(
+            own.decode(DatagramKind::Message, &datagram[..n]),
+            Err(DecodeError::Malformed)
+        )
+    });
 }
 
 #[test]
@@ -48,14 +73,21 @@
 
 #[test]
 fn datagrams_keep_their_bytes() {
-    let own = seals("0123456789abcdef", "north");
+    let own = codec("0123456789abcdef", "north");
     let kinds = [
-        ("message", Kind::Letter),
-        ("status request", Kind::Look),
-        ("status", Kind::Told),
+        ("message", DatagramKind::Message),
+        ("status request", DatagramKind::StatusRequest),
+        ("status", DatagramKind::StatusReply),
     ];
     let lines = kinds.map(|(name, kind)| {
-        let datagram = own.seal(kind, (0x1122_3344_5566_7788, 9), b"body");
+        let datagram = own.encode(
+            kind,
+            &Datagram {
+                sender: 0x1122_3344_5566_7788,
+                sequence: 9,
+                body: b"body",
+            },
+        );
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name}: {hex}")
     });
@@ -64,11 +96,11 @@
 
 #[test]
 fn the_counts_of_rejected_datagrams_keep_their_bytes() {
-    let counts = Strangers {
-        form: 1,
-        seal: 2,
-        again: 3,
-        unsent: 4,
+    let counts = RejectedDatagrams {
+        malformed: 1,
+        unauthenticated: 2,
+        replayed: 3,
+        send_failed: 4,
     };
     assert_eq!(postcard::to_stdvec(&counts), Ok(vec![1, 2, 3, 4]));
 }
@@ -99,10 +131,10 @@
     peer.handle(0, Input::Timer, &mut out);
     peer.handle(20_000_000, Input::Timer, &mut out);
     peer.handle(20_000_000, Input::PollAnswered(answer), &mut out);
-    let told = Told {
-        standing: peer.status(20_000_000),
-        strangers: Strangers::default(),
+    let report = StatusReport {
+        status: peer.status(20_000_000),
+        rejected: RejectedDatagrams::default(),
     };
-    let text = serde_json::to_string(&told).expect("it can be written");
+    let text = serde_json::to_string(&report).expect("it can be written");
     insta::assert_snapshot!(text);
 }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -83,7 +83,7 @@
     /// How the list service is asked where many do.
     pub list: Option<ListTerms>,
     /// The other proxies of the fleet, where they pass the list on.
-    pub peers: Option<peers::Setup>,
+    pub peers: Option<peers::GossipConfig>,
     pub rules: Rules,
     /// Where the policy is the fleet's: what may begin, and by which rules. They stand in for `rules`.
     pub gate: Option<Rc<AdmissionGate>>,
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -140,26 +140,26 @@
     }
 }
 
-/// The seals of a fleet.
-pub(crate) fn seals(terms: &PeersTerms) -> Result<peers::Seals, String> {
+/// The codec of a fleet's datagrams.
+pub(crate) fn codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
     let secret = Secret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
-    Ok(peers::Seals::new(secret, terms.fleet.clone()))
+    Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
 
 /// Opens the way to the others.
-fn peers_of(terms: &PeersTerms) -> Result<peers::Setup, String> {
-    let seals = seals(terms)?;
+fn peers_of(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
+    let codec = codec(terms)?;
     let fault = |e| format!("peers.listen: {}: {e}", terms.listen);
     let socket = std::net::UdpSocket::bind(terms.listen).map_err(fault)?;
     let here = socket.local_addr().map_err(fault)?;
     tracing::info!("peers: hearing on {here}");
     let advertise = terms.advertise.unwrap_or(here);
-    Ok(peers::Setup {
+    Ok(peers::GossipConfig {
         socket,
         advertise,
         seeds: terms.seeds.clone(),
-        seals,
+        codec,
         id: seed(),
     })
 }
