--- a/crates/fault-injection/src/scale/verdict.rs
+++ b/crates/fault-injection/src/scale/verdict.rs
@@ -103,7 +103,7 @@
         let told = |(at, line): &&LogLine| *at >= from && *at < until && line.contains(words);
         log.iter().find(told).map(|(at, _)| *at)
     };
-    Some(first("peers: list ")?.max(first("\"policy: ")?))
+    Some(first("endpoint list received")?.max(first("\"policy: ")?))
 }
 
 /// What the hollow proxies admitted: as calls that began at the first and at the last look at each.
--- a/crates/fault-injection/src/start/mod.rs
+++ b/crates/fault-injection/src/start/mod.rs
@@ -416,11 +416,11 @@
         for (place, proxy) in self.proxies.iter().enumerate() {
             let log = proxy.process.lock().await.log();
             let last = log.iter().rev().find(|(_, l)| {
-                l.contains("asks the list service for others")
-                    || l.contains("others ask the list service")
+                l.contains("became poller")
+                    || l.contains("stopped polling")
                     || l.contains("listening on")
             });
-            if last.is_some_and(|(_, l)| l.contains("for others")) {
+            if last.is_some_and(|(_, l)| l.contains("became poller")) {
                 asking.push(place);
             }
         }
--- a/crates/fault-injection/src/start/report.rs
+++ b/crates/fault-injection/src/start/report.rs
@@ -18,7 +18,7 @@
     let mut waiting = None;
     for (at, line) in log {
         // The list may be told before the listener is.
-        if line.contains("peers: list ") || line.contains("discovery: list ") {
+        if line.contains("endpoint list received") || line.contains("discovery: list ") {
             match lives.last_mut().filter(|l| l.1.is_none()) {
                 Some(life) => life.1 = Some(*at),
                 None => waiting = Some(*at),
@@ -334,9 +334,15 @@
         let line = |at: Micros, text: &str| (at, text.to_owned());
         let log = [
             line(1, "listening on 127.0.0.1:1"),
-            line(5, "peers: list 3 of 127.0.0.1:2 with 4 hosts"),
+            line(
+                5,
+                "endpoint list received index=3 source=127.0.0.1:2 endpoints=4",
+            ),
             line(7, "listening on 127.0.0.1:1"),
-            line(8, "peers: list 3 of 127.0.0.1:2 with 4 hosts"),
+            line(
+                8,
+                "endpoint list received index=3 source=127.0.0.1:2 endpoints=4",
+            ),
             line(9, "listening on 127.0.0.1:1"),
         ];
         assert_eq!(lives(&log), vec![(1, Some(5)), (7, Some(8)), (9, None)]);
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -118,14 +118,8 @@
     let line = |at: Micros, text: &str| (at, format!("{{\"message\":\"{text}\"}}"));
     let log = [
         line(10, "policy: generation 1"),
-        line(
-            11,
-            "peers: list 1 of the list service with 4 hosts, 3 ms after the start",
-        ),
-        line(
-            5_000,
-            "peers: list 1 of 127.0.0.1:1 with 4 hosts, 3 ms after the start",
-        ),
+        line(11, "endpoint list received"),
+        line(5_000, "endpoint list received"),
         line(9_000, "policy: generation 1"),
     ];
     let down = |proxy, until| Down {
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -93,7 +93,7 @@
     leave: Rc<Notify>,
 ) {
     if let Err(error) = serve(driver, network, service, config, &leave).await {
-        tracing::error!("peers: {error}");
+        tracing::error!(%error, "gossip failed");
     }
 }
 
@@ -161,7 +161,7 @@
             disabled: None,
         };
         let socket = UdpSocket::from_std(config.socket)?;
-        tracing::info!("peers: this proxy is {} to others", own.address);
+        tracing::info!(address = %own.address, "gossip started");
         Ok(GossipTask {
             driver,
             network,
@@ -321,11 +321,11 @@
             let answer = match tokio::time::timeout(timeout, request).await {
                 Ok(Ok(list)) => Ok(poll_answer(list, index, sent_at.elapsed())),
                 Ok(Err(unanswered)) => {
-                    tracing::warn!("discovery: {}", unanswered.why);
+                    tracing::warn!(error = %unanswered.why, "endpoint poll failed");
                     Err(unanswered.retry_after)
                 }
                 Err(_) => {
-                    tracing::warn!("discovery: no answer");
+                    tracing::warn!("endpoint poll timed out");
                     link = None;
                     Err(None)
                 }
--- a/crates/proxy/src/net/peers/events.rs
+++ b/crates/proxy/src/net/peers/events.rs
@@ -11,30 +11,26 @@
             endpoints,
             elapsed,
         } => {
-            let from = source.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let ms = elapsed / 1_000;
+            let source = source.map(tracing::field::display);
             tracing::info!(
-                "peers: list {} of {from} with {endpoints} hosts, {ms} ms after the start",
-                version.index
+                index = version.index,
+                source,
+                endpoints,
+                elapsed_ms = elapsed / 1_000,
+                "endpoint list received"
             );
         }
-        PeerEvent::PollingStarted => {
-            tracing::info!("peers: this proxy asks the list service for others");
-        }
-        PeerEvent::PollingStopped => tracing::info!("peers: others ask the list service"),
+        PeerEvent::PollingStarted => tracing::info!("became poller"),
+        PeerEvent::PollingStopped => tracing::info!("stopped polling"),
         PeerEvent::ListQuarantined { index } => {
-            tracing::warn!(
-                "peers: list {index} of the service is doubted: older than the one held, or half of it"
-            );
+            tracing::warn!(index, "endpoint list quarantined");
         }
         PeerEvent::IncarnationStarted { incarnation } => {
-            tracing::warn!("peers: the list service was restored or changed: life {incarnation}");
-        }
-        PeerEvent::Converged { alive } => {
-            tracing::info!("peers: the start is over, {alive} proxies");
+            tracing::warn!(incarnation, "endpoint list incarnation started");
         }
+        PeerEvent::Converged { alive } => tracing::info!(alive, "gossip converged"),
         PeerEvent::MembershipLost { alive } => {
-            tracing::warn!("peers: most proxies have gone, {alive} are left");
+            tracing::warn!(alive, "gossip membership lost");
         }
     }
 }
