--- a/crates/endpoint-watch/src/backoff.rs
+++ b/crates/endpoint-watch/src/backoff.rs
@@ -23,20 +23,20 @@
     }
 
     /// The next one. Where both bounds are the same nobody else asks, and nothing is left to chance.
-    pub(crate) fn next(&mut self) -> Micros {
-        let (least, most) = self.bounds;
-        let pause = (least << self.doublings).min(most);
-        if pause < most {
+    pub(crate) fn next_delay(&mut self) -> Micros {
+        let (min, max) = self.bounds;
+        let delay = (min << self.doublings).min(max);
+        if delay < max {
             self.doublings += 1;
         }
-        if least == most {
-            return pause;
+        if min == max {
+            return delay;
         }
-        pause / 2 + self.random.gen_range(0..=pause / 2)
+        delay / 2 + self.random.gen_range(0..=delay / 2)
     }
 
     /// A question was answered, or the source is another one.
-    pub(crate) fn over(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.doublings = 0;
     }
 }
--- a/crates/endpoint-watch/src/poll_schedule.rs
+++ b/crates/endpoint-watch/src/poll_schedule.rs
@@ -6,13 +6,13 @@
 use rand_pcg::Pcg32;
 
 /// Doublings of the pause after failures.
-const DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 /// First pause after a failure, if the service could bear all proxies at once.
-const PAUSE_LEAST: Micros = 200_000;
+const MIN_RETRY_DELAY: Micros = 200_000;
 /// Questions of a proxy that has no list: for the list, and for what changes of it.
-const QUESTIONS: u32 = 2;
+const POLLS_AT_START: u32 = 2;
 /// Share of what the service bears that a round of all proxies takes.
-const BUSY_MOST: f64 = 0.8;
+const MAX_UTILIZATION: f64 = 0.8;
 
 /// What holds for a proxy's questions.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,8 +35,9 @@
 
     /// Time in which all proxies can have the list and begin their watch without crowding the service.
     pub fn spread_window(&self) -> Micros {
-        (f64::from(QUESTIONS * self.proxies) / (self.polls_per_second.max(0.001) * BUSY_MOST) * 1e6)
-            as Micros
+        (f64::from(POLLS_AT_START * self.proxies)
+            / (self.polls_per_second.max(0.001) * MAX_UTILIZATION)
+            * 1e6) as Micros
     }
 }
 
@@ -61,17 +62,17 @@
     /// The pause before the first question: a turn anywhere in a round. To hurry would gain nothing, also for a
     /// proxy that has no list yet: the service answers no faster, and works on questions that have been given up.
     pub fn initial_delay(&mut self) -> Micros {
-        self.within(self.config.spread_window())
+        self.random_up_to(self.config.spread_window())
     }
 
     /// The pause after a question that failed: half a round, twice as long each time up to two, and up to as much
     /// again at random.
     pub fn retry_delay(&mut self) -> Micros {
-        let doublings = self.failures.min(DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        let pause =
-            (PAUSE_LEAST << doublings).max((self.config.spread_window() / 2) << doublings.min(2));
-        pause / 2 + self.within(pause / 2)
+        let delay = (MIN_RETRY_DELAY << doublings)
+            .max((self.config.spread_window() / 2) << doublings.min(2));
+        delay / 2 + self.random_up_to(delay / 2)
     }
 
     /// A question was answered.
@@ -83,7 +84,7 @@
     /// again together. The list has an index, so nothing is lost meanwhile; it is only heard later.
     pub fn delay_after_update(&mut self) -> Micros {
         self.failures = 0;
-        self.within(self.config.spread_window() / u64::from(QUESTIONS))
+        self.random_up_to(self.config.spread_window() / u64::from(POLLS_AT_START))
     }
 
     /// How long the next question may wait for news. A little less at random: watches that began together must not
@@ -94,14 +95,14 @@
         } else {
             self.config.wait
         };
-        wait - self.within(wait / 8)
+        wait - self.random_up_to(wait / 8)
     }
 
-    fn within(&mut self, most: Micros) -> Micros {
-        if most == 0 {
+    fn random_up_to(&mut self, max: Micros) -> Micros {
+        if max == 0 {
             return 0;
         }
-        self.random.gen_range(0..=most)
+        self.random.gen_range(0..=max)
     }
 }
 
--- a/crates/endpoint-watch/src/poll_schedule/tests.rs
+++ b/crates/endpoint-watch/src/poll_schedule/tests.rs
@@ -61,10 +61,15 @@
         idle_wait: 60_000_000,
     };
     let mut poll = PollSchedule::new(terms, 1);
-    let pauses: Vec<Micros> = (0..20).map(|_| poll.retry_delay()).collect();
-    assert!(pauses[0] <= PAUSE_LEAST && pauses.iter().all(|&p| p <= PAUSE_LEAST << DOUBLINGS));
+    let delays: Vec<Micros> = (0..20).map(|_| poll.retry_delay()).collect();
+    assert!(
+        delays[0] <= MIN_RETRY_DELAY
+            && delays
+                .iter()
+                .all(|&p| p <= MIN_RETRY_DELAY << MAX_DOUBLINGS)
+    );
     poll.reset_backoff();
-    assert!(poll.retry_delay() <= PAUSE_LEAST);
+    assert!(poll.retry_delay() <= MIN_RETRY_DELAY);
     let waits: BTreeSet<Micros> = (0..10).map(|_| poll.next_wait(true)).collect();
     assert!(
         waits.len() > 5
--- a/crates/endpoint-watch/src/stall_detector/tests.rs
+++ b/crates/endpoint-watch/src/stall_detector/tests.rs
@@ -10,10 +10,10 @@
         [None; 3]
     );
     // Before the late beat, whatever runs first; and after it for a while.
-    assert_eq!(stall.catch_up_time(5_000_000), Some(CATCH_UP));
+    assert_eq!(stall.catch_up_time(5_000_000), Some(CATCH_UP_TIME));
     stall.tick(5_000_000, 250_000);
-    assert_eq!(stall.catch_up_time(5_005_000), Some(CATCH_UP - 5_000));
-    assert_eq!(stall.catch_up_time(5_000_000 + CATCH_UP), None);
+    assert_eq!(stall.catch_up_time(5_005_000), Some(CATCH_UP_TIME - 5_000));
+    assert_eq!(stall.catch_up_time(5_000_000 + CATCH_UP_TIME), None);
     // Beats in time change nothing.
     stall.tick(5_300_000, 1_000_000);
     assert_eq!(
