--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -13,6 +13,7 @@
 mod timeouts;
 mod watch;
 
+pub use backoff::BackoffBounds;
 pub use event::{Input, Output, PollId, ProtocolViolation};
 pub use poll_schedule::{PollConfig, PollSchedule};
 pub use stall_detector::StallDetector;
--- a/crates/endpoint-watch/tests/timeouts.rs
+++ b/crates/endpoint-watch/tests/timeouts.rs
@@ -15,9 +15,9 @@
         let silence = (service.wait as f64 * into_wait) as Micros;
         prop_assert!(service.latest_receipt() <= service.earliest_notification(silence) + grace / 2, "{service:?}");
         prop_assert!(service.wait >= 1_500_000, "{service:?}");
-        let refused_twice = 2 * service.backoff.1 + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
+        let refused_twice = 2 * service.backoff.max + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
         prop_assert!(refused_twice <= NOTIFIED_AFTER_SILENCE + grace / 2, "{service:?}");
-        prop_assert!(service.backoff.0 <= service.backoff.1, "{service:?}");
+        prop_assert!(service.backoff.min <= service.backoff.max, "{service:?}");
         let agent = Timeouts::derive(TimeoutConfig { source: Source::Agent, drain_grace: grace, wait: None });
         prop_assert!(agent.wait + agent.response_slack < grace, "{agent:?}");
     }
