--- a/crates/endpoint-watch/src/event.rs
+++ b/crates/endpoint-watch/src/event.rs
@@ -1,84 +1,110 @@
-//! What the watch is told, and what it wants done.
+//! Inputs and outputs of the [`Watch`](crate::Watch).
 
 use crate::Micros;
 
-/// A question, by its number since the start.
+/// Identifies a poll: its sequence number since the watch was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PollId(pub u64);
 
-/// What happens.
+/// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The decisions want the list to be watched. Means nothing while it is, or is about to be.
+    /// The list is to be watched. Ignored while a poll is in flight or scheduled.
     Start,
-    /// An answer that can be read: its index, and whether it is the whole list.
+    /// A response that could be parsed.
     Response {
-        /// To which question.
+        /// The poll that it belongs to.
         poll: PollId,
-        /// The list's version.
+        /// Index of the list in the response.
         index: u64,
-        /// The whole list, or what changed.
+        /// Whether it holds the complete list; otherwise it holds what changed since the requested index.
         complete: bool,
     },
-    /// A question failed: no connection, a reset, an answer that can't be read.
+    /// A poll failed: the connection was refused or reset, or the response could not be parsed.
     Failed {
-        /// Which.
+        /// The poll that failed.
         poll: PollId,
     },
-    /// The source refused a question: it is there, and has more callers than it can answer in time.
+    /// The service rejected a poll because it has more callers than it can respond to in time.
     Rejected {
-        /// Which.
+        /// The poll that was rejected.
         poll: PollId,
     },
-    /// The source is another one now.
+    /// Lists come from another address from now on, where the current index means nothing.
     SourceChanged,
-    /// [`Watch::next_deadline`](crate::Watch::next_deadline) is over.
+    /// The time of [`Watch::next_deadline`](crate::Watch::next_deadline) has come.
     Timer,
 }
 
-/// What is wrong with an answer that could be read.
+/// A response that could be parsed but breaks the protocol of the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolViolation {
-    /// Changes, where the whole list was asked for.
+    /// Changes in response to a poll for the complete list. The response is discarded.
     ChangesInsteadOfList,
-    /// Changes up to an index before the one asked from: they are those of another life of the service.
+    /// Changes up to an index lower than the requested one, so those of another incarnation of the service. The response
+    /// is discarded and the complete list is fetched.
     IndexWentBack {
-        /// Asked from.
+        /// Index that the poll asked for changes after.
         requested: u64,
-        /// Told.
+        /// Index in the response.
         received: u64,
     },
-    /// The whole list, with an index before the one asked from: it holds, as another life of the service.
+    /// The complete list with an index lower than the requested one: another incarnation of the service. The list is
+    /// accepted.
     NewIncarnation {
-        /// Asked from.
+        /// Index that the poll asked for changes after.
         requested: u64,
-        /// Told.
+        /// Index in the response.
         received: u64,
     },
 }
 
-/// What is to be done.
+impl ProtocolViolation {
+    /// Compares a response with the index that its poll requested changes after; `None` for the complete list.
+    pub(crate) fn detect(requested: Option<u64>, received: u64, complete: bool) -> Option<Self> {
+        let Some(requested) = requested else {
+            return (!complete).then_some(Self::ChangesInsteadOfList);
+        };
+        if received >= requested {
+            return None;
+        }
+        let violation = if complete {
+            Self::NewIncarnation {
+                requested,
+                received,
+            }
+        } else {
+            Self::IndexWentBack {
+                requested,
+                received,
+            }
+        };
+        Some(violation)
+    }
+}
+
+/// What the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Ask.
+    /// Send a poll.
     Send {
-        /// Its number.
+        /// Its identifier, which comes back with [`Input::Response`], [`Input::Failed`] or [`Input::Rejected`].
         poll: PollId,
-        /// For what is newer than this; `None`: for the whole list.
+        /// Request changes after this index; `None` requests the complete list.
         index: Option<u64>,
-        /// How long it may wait at the source for news, in microseconds.
+        /// How long the source may hold the poll until there is a change, in microseconds.
         wait: Micros,
-        /// On a connection of its own, as what is there may be silent.
+        /// Whether to use a new connection, as the current one may be dead without having been closed.
         fresh_connection: bool,
     },
-    /// Nobody waits for this question any more: its connection is closed.
+    /// Close the connection of this poll; its response is not needed any more.
     Cancel(PollId),
-    /// The answer that came just now holds.
+    /// Apply the list of the response that was just handled.
     Accept,
-    /// The answer that came just now is odd.
+    /// Report that the response that was just handled breaks the protocol.
     Violation(ProtocolViolation),
-    /// A watch is doubted: its answer is late.
+    /// Report that the response to this poll is overdue.
     Overdue(PollId),
-    /// Asking has failed; the list that is there stands.
+    /// Report that polling has failed for now. The current list stays in use and a retry is scheduled.
     Failed,
 }
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod backoff;
 mod event;
+mod pacing;
 mod poll_schedule;
 mod stall_detector;
 mod timeouts;
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -1,63 +1,75 @@
-//! The watch: one question at a time, a second one beside it when its answer is late, and one answer that holds.
+//! The state machine of the watch: one poll at a time, a second one beside it when its response is overdue, and at most
+//! one of the two responses accepted.
 
 use crate::backoff::Backoff;
 use crate::event::{Input, Output, PollId, ProtocolViolation};
+use crate::pacing::Pacing;
 use crate::poll_schedule::PollSchedule;
 use crate::stall_detector::READ_PENDING_TIME;
 use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
 
-/// An answer that came sooner and told nothing new is followed by a pause of as long: it stays within the 200 ms in which
-/// the next question goes on with the watch, and keeps a confused service from being asked without end.
+/// Delay after a response that came sooner than this and held no change. A faulty service is thus not polled in a tight
+/// loop, and the delay stays within the 200 ms in which the next poll continues the watch.
 const EMPTY_RESPONSE_DELAY: Micros = 50_000;
-/// A timer that comes so late was held up with the whole process: it proves nothing of the other side, whose answer may
-/// have come meanwhile.
+/// A timer that fires later than this was held up together with the whole process. It proves nothing about the source,
+/// whose response may have arrived meanwhile.
 const TIMER_DELAY_TOLERANCE: Micros = 100_000;
-/// Questions that are out at the same time: the watch, and the one beside it.
+/// Polls in flight at the same time: the watch, and the one beside it.
 const MAX_IN_FLIGHT: usize = 2;
 
+/// A poll without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct InFlightPoll {
     id: PollId,
     sent_at: Micros,
+    /// Changes after this index were requested; `None`: the complete list.
     index: Option<u64>,
     wait: Micros,
-    /// How long it may stand in the source's queue before the wait begins.
+    /// How long it may stay in the queue of the source before its wait begins.
     queue_time: Micros,
     overdue: bool,
 }
 
-/// When the list is asked for.
+/// Decides when the endpoint list is polled and which response is accepted.
+///
+/// It does no I/O and reads no clock: the caller passes each [`Input`] with the current time and carries out each
+/// [`Output`]. All times are in microseconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Watch {
     timeouts: Timeouts,
+    /// Index of the current list.
     index: Option<u64>,
     /// The oldest first.
     in_flight: Vec<InFlightPoll>,
     next_id: u64,
-    /// When to ask, if nothing else is heard before. Of what is open then all is doubted.
+    /// When the next poll is sent, unless something happens before.
     next_poll_at: Option<Micros>,
-    /// Nothing is doubted before: the process stood still, and what came in is read first.
+    /// No poll becomes overdue before this time: the process was stalled, and what arrived meanwhile is read first.
     overdue_not_before: Micros,
-    /// The connection that is there has been idle for longer than a watch goes on: it may have fallen silent unseen.
+    /// The current connection was without a poll for longer than a watch lasts, so it may have died unnoticed.
     connection_suspect: bool,
-    /// The last question was refused: the next one is to stand in the source's queue, and a second one beside it would
-    /// take its place there.
+    /// The last poll was rejected. The next one shall wait in the service's queue, and a second one beside it would take
+    /// its place there.
     service_overloaded: bool,
-    schedule: Option<PollSchedule>,
-    /// The pauses after questions that failed, where no turns are taken.
-    backoff: Backoff,
+    pacing: Pacing,
 }
 
 impl Watch {
-    /// One that knows the list of this version. `schedule` gives the turns, where an operator has many proxies ask one
-    /// service. `seed` differs from proxy to proxy, so that those whose questions fail together don't ask together again.
+    /// Creates a watch of the list whose index is `index`, or `None` if there is no list yet.
+    ///
+    /// `schedule` spreads the polls where many proxies share one list service. `seed` must differ from proxy to proxy, so
+    /// that proxies whose polls fail together do not retry together.
     pub fn new(
         timeouts: Timeouts,
         index: Option<u64>,
         schedule: Option<PollSchedule>,
         seed: u64,
     ) -> Self {
+        let pacing = match schedule {
+            Some(schedule) => Pacing::Fleet(schedule),
+            None => Pacing::Single(Backoff::new(timeouts.backoff, seed)),
+        };
         Watch {
             timeouts,
             index,
@@ -67,77 +79,60 @@
             overdue_not_before: 0,
             connection_suspect: false,
             service_overloaded: false,
-            schedule,
-            backoff: Backoff::new(timeouts.backoff, seed),
+            pacing,
         }
     }
 
-    /// The version of the list that is there.
+    /// Index of the current list; `None` if there is none, or none of the current source.
     pub fn index(&self) -> Option<u64> {
         self.index
     }
 
-    /// Questions that are out.
+    /// Polls that have no response yet, the oldest first.
     pub fn in_flight(&self) -> impl Iterator<Item = PollId> + '_ {
-        self.in_flight.iter().map(|q| q.id)
+        self.in_flight.iter().map(|poll| poll.id)
     }
 
-    /// When [`Input::Timer`] is due; `None`: not before something else happens.
+    /// When to pass [`Input::Timer`]; `None` if nothing is due before another input.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let doubts = self
+        let response_deadlines = self
             .in_flight
             .iter()
-            .filter(|q| !q.overdue)
-            .map(|q| self.response_deadline(q));
-        self.next_poll_at.into_iter().chain(doubts).min()
+            .filter(|poll| !poll.overdue)
+            .map(|poll| self.response_deadline(poll));
+        self.next_poll_at
+            .into_iter()
+            .chain(response_deadlines)
+            .min()
     }
 
-    /// Takes one input at `now` and appends what is to be done. `idle`: no call has come for long, so that a longer wait
-    /// serves, where an operator has set one.
+    /// Handles `input` at time `now` and appends what has to be done to `out`. `idle` tells that the proxy has received no
+    /// calls for long, so that the longer wait of [`PollConfig::idle_wait`](crate::PollConfig::idle_wait) applies.
     pub fn handle(&mut self, now: Micros, input: Input, idle: bool, out: &mut Vec<Output>) {
         match input {
-            Input::Start if self.in_flight.is_empty() && self.next_poll_at.is_none() => {
-                self.next_poll_at = Some(
-                    now + self
-                        .schedule
-                        .as_mut()
-                        .map_or(0, PollSchedule::initial_delay),
-                );
-            }
-            Input::Start => {}
+            Input::Start => self.on_start(now),
             Input::Response {
                 poll,
                 index,
                 complete,
             } => {
-                if let Some(position) = self.in_flight.iter().position(|q| q.id == poll) {
-                    self.on_response(now, position, (index, complete), out);
+                if let Some(poll) = self.remove_in_flight(poll) {
+                    self.on_response(now, poll, index, complete, out);
                 }
             }
-            Input::Failed { poll } => self.on_failure(now, poll, out),
-            Input::Rejected { poll } => {
-                self.service_overloaded |= self.in_flight.iter().any(|q| q.id == poll);
-                self.on_failure(now, poll, out);
-            }
-            Input::SourceChanged => {
-                self.cancel_all(out);
-                self.index = None;
-                self.service_overloaded = false;
-                self.backoff.reset();
-                self.next_poll_at = Some(
-                    now + self
-                        .schedule
-                        .as_mut()
-                        .map_or(0, PollSchedule::initial_delay),
-                );
+            Input::Failed { poll } => {
+                if self.remove_in_flight(poll).is_some() {
+                    self.on_failure(now, out);
+                }
             }
-            // An agent costs nothing to ask, so that it is asked beside at once.
-            Input::Timer
-                if self.timeouts.source == Source::Service && self.timer_was_delayed(now) =>
-            {
-                self.overdue_not_before = now + READ_PENDING_TIME;
+            Input::Rejected { poll } => {
+                if self.remove_in_flight(poll).is_some() {
+                    self.service_overloaded = true;
+                    self.on_failure(now, out);
+                }
             }
-            Input::Timer => self.on_timeout(now, idle, out),
+            Input::SourceChanged => self.on_source_changed(now, out),
+            Input::Timer => self.on_timer(now, idle, out),
         }
         if self.next_poll_at.is_some_and(|at| at <= now) {
             let fresh_connection = std::mem::take(&mut self.connection_suspect);
@@ -145,12 +140,24 @@
         }
     }
 
-    /// A question came to nothing. Of the others one that is doubted proves nothing; it may still be answered.
-    fn on_failure(&mut self, now: Micros, poll: PollId, out: &mut Vec<Output>) {
-        let before = self.in_flight.len();
-        self.in_flight.retain(|q| q.id != poll);
-        let overdue = self.in_flight.iter().all(|q| q.overdue);
-        if self.in_flight.len() < before && overdue && self.next_poll_at.is_none() {
+    fn on_start(&mut self, now: Micros) {
+        if self.in_flight.is_empty() && self.next_poll_at.is_none() {
+            self.next_poll_at = Some(now + self.pacing.initial_delay());
+        }
+    }
+
+    fn on_source_changed(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.cancel_all(out);
+        self.index = None;
+        self.service_overloaded = false;
+        self.pacing.on_source_changed();
+        self.next_poll_at = Some(now + self.pacing.initial_delay());
+    }
+
+    /// A poll failed. Another one in flight that is overdue may still get its response, but is not relied on.
+    fn on_failure(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let all_overdue = self.in_flight.iter().all(|poll| poll.overdue);
+        if all_overdue && self.next_poll_at.is_none() {
             self.schedule_retry(now, out);
         }
     }
@@ -158,76 +165,71 @@
     fn on_response(
         &mut self,
         now: Micros,
-        position: usize,
-        (index, complete): (u64, bool),
+        poll: InFlightPoll,
+        index: u64,
+        complete: bool,
         out: &mut Vec<Output>,
     ) {
-        // It settles whatever else is out: an answer that comes later is to an older question, or tells nothing more.
-        let poll = self.in_flight.remove(position);
-        // Read so late that this process must have stood still.
+        // A response that is read this late was held up by a stall of this process.
         self.connection_suspect = now > self.response_deadline(&poll) + TIMER_DELAY_TOLERANCE;
+        // A later response is to an older poll, or holds nothing more.
         self.cancel_all(out);
-        let violation = match poll.index {
-            None if !complete => Some(ProtocolViolation::ChangesInsteadOfList),
-            Some(requested) if index < requested && complete => {
-                Some(ProtocolViolation::NewIncarnation {
-                    requested,
-                    received: index,
-                })
-            }
-            Some(requested) if index < requested => Some(ProtocolViolation::IndexWentBack {
-                requested,
-                received: index,
-            }),
-            _ => None,
-        };
+        let violation = ProtocolViolation::detect(poll.index, index, complete);
         out.extend(violation.map(Output::Violation));
         match violation {
-            // Nothing is to be made of it; the whole list shows what holds.
-            Some(ProtocolViolation::ChangesInsteadOfList) => return self.schedule_retry(now, out),
+            Some(ProtocolViolation::ChangesInsteadOfList) => self.schedule_retry(now, out),
             Some(ProtocolViolation::IndexWentBack { .. }) => {
                 self.index = None;
                 self.next_poll_at = Some(now);
-                return;
             }
-            Some(ProtocolViolation::NewIncarnation { .. }) | None => out.push(Output::Accept),
+            Some(ProtocolViolation::NewIncarnation { .. }) | None => {
+                out.push(Output::Accept);
+                self.on_accepted(now, poll.sent_at, index);
+            }
         }
-        self.backoff.reset();
+    }
+
+    /// A list with `index` was accepted as the response to a poll sent at `sent_at`.
+    fn on_accepted(&mut self, now: Micros, sent_at: Micros, index: u64) {
         self.service_overloaded = false;
         let updated = self.index.replace(index) != Some(index);
-        let calm = !updated && now.saturating_sub(poll.sent_at) < EMPTY_RESPONSE_DELAY;
-        let delay = self.schedule.as_mut().map_or(0, |schedule| {
-            schedule.reset_backoff();
-            if updated {
-                schedule.delay_after_update()
-            } else {
-                0
-            }
-        });
-        self.next_poll_at = Some(now + delay.max(if calm { EMPTY_RESPONSE_DELAY } else { 0 }));
+        let mut delay = self.pacing.delay_after_response(updated);
+        if !updated && now.saturating_sub(sent_at) < EMPTY_RESPONSE_DELAY {
+            delay = delay.max(EMPTY_RESPONSE_DELAY);
+        }
+        self.next_poll_at = Some(now + delay);
     }
 
-    /// The newest question is late.
-    fn on_timeout(&mut self, now: Micros, idle: bool, out: &mut Vec<Output>) {
-        let Some(newest) = self
-            .in_flight
-            .last()
-            .copied()
-            .filter(|q| !q.overdue && self.response_deadline(q) <= now)
-        else {
+    fn on_timer(&mut self, now: Micros, idle: bool, out: &mut Vec<Output>) {
+        // An agent costs nothing to poll, so a second poll goes out even where the process may have been stalled.
+        if self.timeouts.source == Source::Service && self.timer_was_delayed(now) {
+            self.overdue_not_before = now + READ_PENDING_TIME;
             return;
-        };
-        self.in_flight.iter_mut().for_each(|q| q.overdue = true);
-        out.push(Output::Overdue(newest.id));
+        }
+        let newest = self.in_flight.last().copied();
+        if let Some(poll) = newest {
+            if !poll.overdue && self.response_deadline(&poll) <= now {
+                self.on_overdue(now, poll.id, idle, out);
+            }
+        }
+    }
+
+    /// The response to the newest poll is overdue.
+    fn on_overdue(&mut self, now: Micros, newest: PollId, idle: bool, out: &mut Vec<Output>) {
+        for poll in &mut self.in_flight {
+            poll.overdue = true;
+        }
+        out.push(Output::Overdue(newest));
         if self.in_flight.len() == MAX_IN_FLIGHT {
-            // The newer one stays: its connection may have come up late, and its answer waits in turn.
+            // The newer one stays: its connection may have been established late, and its response waits its turn.
             let oldest = self.in_flight.remove(0);
             out.push(Output::Cancel(oldest.id));
             if self.timeouts.source == Source::Service {
-                return self.schedule_retry(now, out);
+                self.schedule_retry(now, out);
+                return;
             }
         }
-        // What an agent has counts as told the moment it answers again.
+        // A proxy counts as notified of what its agent has as soon as the agent responds again: no delay.
         self.send_poll(now, idle, true, out);
     }
 
@@ -239,17 +241,18 @@
         out: &mut Vec<Output>,
     ) {
         self.next_poll_at = None;
-        let (wait, queue_time) = match &mut self.schedule {
-            Some(schedule) => (schedule.next_wait(idle), 0),
-            None if self.service_overloaded => {
+        let (wait, queue_time) = match &mut self.pacing {
+            Pacing::Fleet(schedule) => (schedule.next_wait(idle), 0),
+            // The time in the queue comes before the wait.
+            Pacing::Single(_) if self.service_overloaded => {
                 (self.timeouts.response_slack, SERVICE_RESPONSE_TIMEOUT)
             }
-            None => (self.timeouts.wait, 0),
+            Pacing::Single(_) => (self.timeouts.wait, 0),
         };
-        let poll = PollId(self.next_id);
+        let id = PollId(self.next_id);
         self.next_id += 1;
         self.in_flight.push(InFlightPoll {
-            id: poll,
+            id,
             sent_at: now,
             index: self.index,
             wait,
@@ -257,43 +260,47 @@
             overdue: false,
         });
         out.push(Output::Send {
-            poll,
+            poll: id,
             index: self.index,
             wait,
             fresh_connection,
         });
     }
 
-    /// Is the timer so late that this process must have stood still? Once for each question, or a proxy with almost no
-    /// processor time would never doubt.
+    /// Whether a timer that fires at `now` is so late that this process must have been stalled. True once for each poll,
+    /// or a proxy with almost no processor time would never find a poll overdue.
     fn timer_was_delayed(&self, now: Micros) -> bool {
-        let anew = self
+        let first_time = self
             .in_flight
             .last()
-            .is_some_and(|q| self.overdue_not_before <= q.sent_at);
-        anew && self
-            .next_deadline()
-            .is_some_and(|due| due + TIMER_DELAY_TOLERANCE < now)
+            .is_some_and(|poll| self.overdue_not_before <= poll.sent_at);
+        first_time
+            && self
+                .next_deadline()
+                .is_some_and(|deadline| deadline + TIMER_DELAY_TOLERANCE < now)
     }
 
+    /// When the response to `poll` is overdue.
     fn response_deadline(&self, poll: &InFlightPoll) -> Micros {
-        // A question for the whole list is answered in its turn, and has as long: its connection may be silent as well.
+        // A poll for the complete list gets its response in turn and has as long, as its connection may be dead as well.
         let wait = poll.index.map_or(self.timeouts.wait, |_| poll.wait);
-        (poll.sent_at + poll.queue_time + wait + self.timeouts.response_slack)
-            .max(self.overdue_not_before)
+        let deadline = poll.sent_at + poll.queue_time + wait + self.timeouts.response_slack;
+        deadline.max(self.overdue_not_before)
+    }
+
+    fn remove_in_flight(&mut self, id: PollId) -> Option<InFlightPoll> {
+        let position = self.in_flight.iter().position(|poll| poll.id == id)?;
+        Some(self.in_flight.remove(position))
     }
 
     fn cancel_all(&mut self, out: &mut Vec<Output>) {
-        out.extend(self.in_flight.drain(..).map(|q| Output::Cancel(q.id)));
+        let cancelled = self.in_flight.drain(..).map(|poll| Output::Cancel(poll.id));
+        out.extend(cancelled);
         self.next_poll_at = None;
     }
 
     fn schedule_retry(&mut self, now: Micros, out: &mut Vec<Output>) {
         out.push(Output::Failed);
-        let delay = match &mut self.schedule {
-            Some(schedule) => schedule.retry_delay(),
-            None => self.backoff.next_delay(),
-        };
-        self.next_poll_at = Some(now + delay);
+        self.next_poll_at = Some(now + self.pacing.retry_delay());
     }
 }
