--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -1,9 +1,40 @@
-//! When the list of hosts is asked for, when silence is doubted, and which answer holds. No I/O and no clock: the time
-//! comes with each input.
+//! The long-poll watch on the endpoint list: when the list is polled, when silence is suspicious, and which response is
+//! accepted.
 //!
-//! A drain counts as told to a proxy whether or not it hears of it. [`Timeouts`] derives from the protocol's clocks how
-//! long a watch may wait so that a proxy that is told has heard; [`Watch`] asks by it, bears the silence of a watch, and
-//! takes an answer at most once.
+//! A proxy counts as notified of a draining endpoint some time after the change, whether or not its watch has received
+//! it. The crate's purpose is that a proxy which counts as notified has received the change:
+//!
+//! - [`Timeouts`] derives from the protocol's deadlines how long a poll may wait at the source.
+//! - [`Watch`] is the state machine. It sends one poll at a time, a second one over a new connection when the response is
+//!   overdue, and accepts at most one response.
+//! - [`PollSchedule`] spreads the polls of a large fleet of proxies that share one list service.
+//! - [`StallDetector`] notices that the process was stopped, so that it reads what arrived before it sends requests.
+//!
+//! The crate owns the state of one watch. It never does I/O, reads no clock and does not keep the list itself: the caller
+//! passes each event with the current time, and carries out what comes back.
+//!
+//! ```
+//! use badgerramp_endpoint_watch::{Input, Output, Source, TimeoutConfig, Timeouts, Watch};
+//!
+//! let timeouts = Timeouts::derive(TimeoutConfig {
+//!     source: Source::Service,
+//!     drain_grace: 1_000_000,
+//!     wait: None,
+//! });
+//! let (current_index, seed) = (Some(41), 7);
+//! let mut watch = Watch::new(timeouts, current_index, None, seed);
+//! let mut outputs = Vec::new();
+//! watch.handle(0, Input::Start, false, &mut outputs);
+//! let Some(Output::Send { poll, index: Some(41), .. }) = outputs.pop() else {
+//!     panic!("the watch begins with a poll for changes after the current index");
+//! };
+//!
+//! // The response arrives 0.7 s later: it is accepted, and the watch continues with the next poll.
+//! let response = Input::Response { poll, index: 42, complete: false };
+//! watch.handle(700_000, response, false, &mut outputs);
+//! assert_eq!(outputs[0], Output::Accept);
+//! assert!(matches!(outputs[1], Output::Send { index: Some(42), .. }));
+//! ```
 #![forbid(unsafe_code)]
 
 mod backoff;
@@ -24,5 +55,5 @@
 };
 pub use watch::Watch;
 
-/// Microseconds.
+/// A time, or a length of time, in microseconds.
 pub type Micros = u64;
--- a/crates/endpoint-watch/src/poll_schedule/tests.rs
+++ b/crates/endpoint-watch/src/poll_schedule/tests.rs
@@ -1,80 +1,99 @@
 //! Delays of one proxy, and a fleet that starts at the same moment.
 
 use super::*;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Plays so many proxies that start at once against a service that takes one question at a time and gives those up
-/// that waited for longer than `patience`. Tells when the last had its list, and questions a second at the worst.
-fn common_start(proxies: u32, spread: bool) -> (Micros, u64) {
-    let (service, patience) = (10_000, 3_000_000);
-    let terms = PollConfig {
+/// What a service sees of a fleet that starts at the same moment.
+struct FleetStart {
+    /// When the last proxy has its list.
+    completed_at: Micros,
+    /// Most polls in one second.
+    max_polls_per_second: u64,
+}
+
+/// Simulates `proxies` that start at the same moment against a service that works on one poll at a time and drops those
+/// that waited for longer than `QUEUE_TIMEOUT`.
+fn simulate_fleet_start(proxies: u32, spread: bool) -> FleetStart {
+    const SERVICE_TIME: Micros = 10_000;
+    const QUEUE_TIMEOUT: Micros = 3_000_000;
+    let config = PollConfig {
         proxies: if spread { proxies } else { 0 },
         polls_per_second: 100.0,
         wait: 10_000_000,
         idle_wait: 60_000_000,
     };
-    let mut polls: Vec<PollSchedule> = (0..proxies)
-        .map(|n| PollSchedule::new(terms, u64::from(n)))
+    let mut schedules: Vec<PollSchedule> = (0..proxies)
+        .map(|number| PollSchedule::new(config, u64::from(number)))
         .collect();
-    let mut due: BTreeSet<(Micros, usize)> = polls
+    let mut due: BTreeSet<(Micros, usize)> = schedules
         .iter_mut()
         .enumerate()
-        .map(|(n, p)| (p.initial_delay(), n))
+        .map(|(number, schedule)| (schedule.initial_delay(), number))
         .collect();
-    let (mut free_at, mut last, mut seconds) = (0, 0, std::collections::BTreeMap::new());
-    while let Some((now, n)) = due.pop_first() {
-        *seconds.entry(now / 1_000_000).or_insert(0) += 1;
+    let mut free_at = 0;
+    let mut completed_at = 0;
+    let mut polls_by_second = BTreeMap::new();
+    while let Some((now, number)) = due.pop_first() {
+        *polls_by_second.entry(now / 1_000_000).or_insert(0) += 1;
         assert!(now < 600_000_000, "{} without a list", due.len());
         let begins = now.max(free_at);
-        if begins > now + patience {
-            // It works on what nobody waits for any more.
-            free_at += service / 2;
-            due.insert((now + patience + polls[n].retry_delay(), n));
+        if begins > now + QUEUE_TIMEOUT {
+            // The service also works on polls that were given up.
+            free_at += SERVICE_TIME / 2;
+            due.insert((
+                now + QUEUE_TIMEOUT + schedules[number].retry_delay(),
+                number,
+            ));
         } else {
-            free_at = begins + service;
-            last = free_at;
-            polls[n].reset_backoff();
+            free_at = begins + SERVICE_TIME;
+            completed_at = free_at;
+            schedules[number].reset_backoff();
         }
     }
-    (last, seconds.into_values().max().unwrap_or(0))
+    FleetStart {
+        completed_at,
+        max_polls_per_second: polls_by_second.into_values().max().unwrap_or(0),
+    }
 }
 
 #[test]
-fn a_common_start_is_served_in_about_the_time_that_the_service_needs() {
-    let (last, worst) = common_start(2_000, true);
-    // 20 s of work.
-    assert!(last < 60_000_000, "{last}");
-    assert!(worst < 600, "{worst}");
-    let (_, crowd) = common_start(2_000, false);
+fn fleet_start_completes_near_service_capacity() {
+    // The service needs 20 s for all of them.
+    let spread = simulate_fleet_start(2_000, true);
+    let completed_at = spread.completed_at;
+    assert!(completed_at < 60_000_000, "{completed_at}");
+    let max_rate = spread.max_polls_per_second;
+    assert!(max_rate < 600, "{max_rate}");
+    let max_rate_without = simulate_fleet_start(2_000, false).max_polls_per_second;
     assert!(
-        crowd > 2 * worst,
-        "{crowd} without a spread, {worst} with it"
+        max_rate_without > 2 * max_rate,
+        "{max_rate_without} without a spread, {max_rate} with it"
     );
 }
 
 #[test]
-fn pauses_grow_and_end_and_an_answer_ends_them() {
-    let terms = PollConfig {
+fn retry_delays_are_bounded_and_reset_by_response() {
+    let config = PollConfig {
         proxies: 10,
         polls_per_second: 100.0,
         wait: 10_000_000,
         idle_wait: 60_000_000,
     };
-    let mut poll = PollSchedule::new(terms, 1);
-    let delays: Vec<Micros> = (0..20).map(|_| poll.retry_delay()).collect();
+    let mut schedule = PollSchedule::new(config, 1);
+    let delays: Vec<Micros> = (0..20).map(|_| schedule.retry_delay()).collect();
     assert!(
         delays[0] <= MIN_RETRY_DELAY
             && delays
                 .iter()
-                .all(|&p| p <= MIN_RETRY_DELAY << MAX_DOUBLINGS)
+                .all(|&delay| delay <= MIN_RETRY_DELAY << MAX_DOUBLINGS)
     );
-    poll.reset_backoff();
-    assert!(poll.retry_delay() <= MIN_RETRY_DELAY);
-    let waits: BTreeSet<Micros> = (0..10).map(|_| poll.next_wait(true)).collect();
+    schedule.reset_backoff();
+    assert!(schedule.retry_delay() <= MIN_RETRY_DELAY);
+    let waits: BTreeSet<Micros> = (0..10).map(|_| schedule.next_wait(true)).collect();
     assert!(
         waits.len() > 5
             && waits
                 .iter()
-                .all(|&w| (52_500_000..=60_000_000).contains(&w))
+                .all(|&wait| (52_500_000..=60_000_000).contains(&wait))
     );
 }
--- a/crates/endpoint-watch/tests/notification_deadline.rs
+++ b/crates/endpoint-watch/tests/notification_deadline.rs
@@ -1,9 +1,9 @@
-//! Drawn courses in virtual time: watches fall silent, connections hang, answers come late or are reset, the service
-//! is down for a while and refuses once more at its return. No change is heard later than it counts as told and the grace;
-//! questions stay within their bound.
+//! Random scenarios in virtual time: watches go silent_since, connections hang, responses are late or reset, the service is down
+//! for a while and rejects once more when it recovers. Every change is received before the drain grace period ends, which
+//! begins when the proxy counts as notified; the number of polls stays bounded.
 #![expect(
     clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
+    reason = "a test plays one scenario of events from its start to its end"
 )]
 
 use badgerramp_endpoint_watch::{
@@ -13,88 +13,88 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// A question on its way.
+/// A poll in flight.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct SimulatedPoll {
     asked: Micros,
     index: Option<u64>,
     wait: Micros,
-    /// When the service has it: a fresh connection may hang.
-    there: Micros,
-    /// How long its answer waits in turn, where it has something to tell or begins a watch.
-    turn: Micros,
-    /// When its watch fell silent.
-    silent: Option<Micros>,
-    /// When it fails, if nothing answers it before.
-    fails: Option<Micros>,
-    /// It fails by a refusal of the service.
-    refused: bool,
+    /// When the service has received it: a fresh connection may hang.
+    received_at: Micros,
+    /// How long its response waits its response_delay, where it holds a change or begins a watch.
+    response_delay: Micros,
+    /// When its connection went silent_since.
+    silent_since: Option<Micros>,
+    /// When it fails_at, unless a response comes before.
+    fails_at: Option<Micros>,
+    /// Whether it fails because the service rejects it.
+    rejected: bool,
 }
 
-/// How questions fare while the service is down.
+/// What happens to polls while the service is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Down {
-    /// They are refused or reset at once.
-    Refuses,
-    /// Nothing comes back, and no connection comes up.
+    /// They are rejected or reset immediately.
+    Refusing,
+    /// There is no response, and no connection is established.
     Silent,
 }
 
-/// The service is down.
+/// An outage of the service.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: Micros,
     until: Micros,
     down: Down,
-    /// It refuses the first question after its return, as too many come.
-    refuses_once: bool,
+    /// Whether it rejects the first poll after it recovers, as too many arrive.
+    rejects_once: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Course {
+struct Scenario {
     seed: u64,
     outages: Vec<Outage>,
-    grace: Micros,
+    drain_grace: Micros,
     wait: Option<Micros>,
-    /// When hosts are announced as leaving.
+    /// When endpoints start_at to drain.
     changes: Vec<Micros>,
-    /// When all open watches fall silent.
+    /// When all polls in flight go silent.
     silences: Vec<Micros>,
-    /// When all open connections are reset.
+    /// When the oldest connection with a poll is reset.
     resets: Vec<Micros>,
-    /// Shares of the connection's and the answer's most time, in turn.
+    /// Shares of the longest time for a connection and for a response, used in turn.
     lags: Vec<(f64, f64)>,
 }
 
-/// What came of a course.
+/// Result of a scenario.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Most that a change was heard after it counted as told, in microseconds.
-    latest: Micros,
-    questions: u64,
-    open_most: usize,
+    /// Longest time from when the proxy counted as notified of a change until it received it, in microseconds.
+    max_delay: Micros,
+    polls: u64,
+    max_in_flight: usize,
 }
 
-fn play(course: &Course, until: Micros) -> Outcome {
+fn simulate(scenario: &Scenario, until: Micros) -> Outcome {
     let terms = TimeoutConfig {
         source: Source::Service,
-        drain_grace: course.grace,
-        wait: course.wait,
+        drain_grace: scenario.drain_grace,
+        wait: scenario.wait,
     };
-    let mut watch = Watch::new(Timeouts::derive(terms), Some(0), None, course.seed);
+    let mut watch = Watch::new(Timeouts::derive(terms), Some(0), None, scenario.seed);
     let mut out = Vec::new();
     watch.handle(0, Input::Start, false, &mut out);
-    let mut ways: BTreeMap<PollId, Way> = BTreeMap::new();
-    let mut lags = course.lags.iter().cycle();
-    let (mut outcome, mut now, mut begin) = (Outcome::default(), 0, None);
-    let mut cut = false;
-    let mut refused: Vec<bool> = course
+    let mut in_flight: BTreeMap<PollId, SimulatedPoll> = BTreeMap::new();
+    let mut lags = scenario.lags.iter().cycle();
+    let (mut outcome, mut now, mut start_at) = (Outcome::default(), 0, None);
+    let mut connection_lost = false;
+    let mut rejected: Vec<bool> = scenario
         .outages
         .iter()
-        .map(|outage| !outage.refuses_once)
+        .map(|outage| !outage.rejects_once)
         .collect();
-    // Told, and not heard yet: when each change counts as told.
-    let mut told: BTreeMap<u64, Micros> = BTreeMap::new();
+    // When the proxy counts as notified of each change that it has not received.
+    let mut notified_at: BTreeMap<u64, Micros> = BTreeMap::new();
     loop {
         for output in std::mem::take(&mut out) {
             match output {
@@ -105,189 +105,202 @@
                     fresh_connection,
                 } => {
                     let &(connect, answer) = lags.next().expect("a cycle");
-                    // After a failure there is no connection to go on with.
-                    let fresh_connection = fresh_connection || std::mem::take(&mut cut);
+                    // After a failure there is no connection to reuse.
+                    let fresh_connection = fresh_connection || std::mem::take(&mut connection_lost);
                     let part = |share: f64, most: Micros| (share * most as f64) as Micros;
-                    let there = now
+                    let received_at = now
                         + if fresh_connection {
                             part(connect, CONNECT_TIMEOUT)
                         } else {
                             0
                         };
-                    let turn = if fresh_connection {
+                    let response_delay = if fresh_connection {
                         part(answer, SERVICE_RESPONSE_TIMEOUT)
                     } else {
                         0
                     };
-                    let mut way = Way {
+                    let mut poll_state = SimulatedPoll {
                         asked: now,
                         index,
                         wait,
-                        there,
-                        turn,
-                        silent: None,
-                        fails: None,
-                        refused: false,
+                        received_at,
+                        response_delay,
+                        silent_since: None,
+                        fails_at: None,
+                        rejected: false,
                     };
-                    for (outage, refused) in course.outages.iter().zip(&mut refused) {
+                    for (outage, rejected) in scenario.outages.iter().zip(&mut rejected) {
                         if (outage.from..outage.until).contains(&now) {
                             match outage.down {
-                                Down::Refuses => {
-                                    (way.fails, way.refused) = (Some(now + 1_000), true);
+                                Down::Refusing => {
+                                    (poll_state.fails_at, poll_state.rejected) =
+                                        (Some(now + 1_000), true);
                                 }
-                                // A connection that is there stays silent; another one is given up.
+                                // An existing connection stays silent; a new one times out.
                                 Down::Silent if fresh_connection => {
-                                    way.fails = Some(now + CONNECT_TIMEOUT)
+                                    poll_state.fails_at = Some(now + CONNECT_TIMEOUT)
                                 }
-                                Down::Silent => way.silent = Some(now),
+                                Down::Silent => poll_state.silent_since = Some(now),
                             }
-                        } else if now >= outage.until && !std::mem::replace(refused, true) {
-                            (way.fails, way.refused) = (Some(now + 1_000), true);
+                        } else if now >= outage.until && !std::mem::replace(rejected, true) {
+                            (poll_state.fails_at, poll_state.rejected) = (Some(now + 1_000), true);
                         }
                     }
-                    ways.insert(poll, way);
-                    outcome.questions += 1;
+                    in_flight.insert(poll, poll_state);
+                    outcome.polls += 1;
                 }
                 Output::Cancel(poll) => {
-                    ways.remove(&poll);
+                    in_flight.remove(&poll);
                 }
                 Output::Failed => {
-                    // The decisions wish for it as well, which changes nothing.
-                    begin = Some(now + 1);
-                    cut = true;
+                    // The caller passes a start as well, which has no effect.
+                    start_at = Some(now + 1);
+                    connection_lost = true;
                 }
                 _ => {}
             }
         }
-        outcome.open_most = outcome.open_most.max(ways.len());
-        // When each answer comes.
-        let answer = |way: &Way| {
-            let news = course
+        outcome.max_in_flight = outcome.max_in_flight.max(in_flight.len());
+        // When each response arrives.
+        let answer = |poll_state: &SimulatedPoll| {
+            let news = scenario
                 .changes
                 .iter()
                 .enumerate()
-                .find(|(n, _)| *n as u64 >= way.index.unwrap_or(0));
-            let ready = news.map_or(Micros::MAX, |(_, &at)| at.max(way.there) + way.turn);
-            let at = ready.min(way.there + way.wait);
-            let in_time = way.silent.is_none_or(|silent| at <= silent)
-                && way.fails.is_none_or(|fails| at < fails);
+                .find(|(n, _)| *n as u64 >= poll_state.index.unwrap_or(0));
+            let ready = news.map_or(Micros::MAX, |(_, &at)| {
+                at.max(poll_state.received_at) + poll_state.response_delay
+            });
+            let at = ready.min(poll_state.received_at + poll_state.wait);
+            let in_time = poll_state.silent_since.is_none_or(|silent| at <= silent)
+                && poll_state.fails_at.is_none_or(|fails| at < fails);
             in_time.then_some(at)
         };
-        let fails = ways
+        let fails_at = in_flight
             .iter()
-            .filter_map(|(q, way)| Some((way.fails?.max(now), *q)))
+            .filter_map(|(q, poll_state)| Some((poll_state.fails_at?.max(now), *q)))
             .min();
-        let next_answer = ways
+        let next_answer = in_flight
             .iter()
-            .filter_map(|(q, way)| Some((answer(way)?.max(now), *q)))
+            .filter_map(|(q, poll_state)| Some((answer(poll_state)?.max(now), *q)))
             .min();
         let later = |times: &[Micros]| times.iter().copied().find(|&t| t > now);
         let moments = [
             next_answer.map(|a| a.0),
-            fails.map(|f| f.0),
-            course.outages.iter().map(|o| o.from).find(|&t| t > now),
+            fails_at.map(|failure| failure.0),
+            scenario.outages.iter().map(|o| o.from).find(|&t| t > now),
             watch.next_deadline(),
-            begin,
-            later(&course.silences),
-            later(&course.resets),
-            later(&course.changes),
+            start_at,
+            later(&scenario.silences),
+            later(&scenario.resets),
+            later(&scenario.changes),
         ];
         let Some(next) = moments.into_iter().flatten().min().filter(|&t| t <= until) else {
             break;
         };
         now = now.max(next);
-        for (n, &at) in course
+        for (n, &at) in scenario
             .changes
             .iter()
             .enumerate()
             .filter(|(_, &at)| at == now)
         {
-            // With a silent watch open it counts as told later, whether or not it arrives.
-            // One that goes down before the news is out could not be reached for it.
-            let down = course
+            // With a silent poll in flight the proxy counts as notified later, whether or not the change arrives.
+            // A service that goes down before the change is sent can not be polled for it.
+            let down = scenario
                 .outages
                 .iter()
                 .find(|o| o.from < at + 6_000_000 && at < o.until);
-            let silent = ways
+            let silent_since = in_flight
                 .values()
-                .filter_map(|w| Some((w.silent?, w.asked + w.wait)))
+                .filter_map(|w| Some((w.silent_since?, w.asked + w.wait)))
                 .min();
-            let counts = silent.map_or(Micros::MAX, |(silent, end)| {
-                (silent + 6_000_000).max(end + 2_000_000)
+            let notified = silent_since.map_or(Micros::MAX, |(silent_since, end)| {
+                (silent_since + 6_000_000).max(end + 2_000_000)
             });
-            // Whatever failed: so long after the service had it and could be reached.
-            let counts = match down {
+            // After an outage: a fixed time after the service had the change and was reachable.
+            let notified = match down {
                 Some(outage) => outage.until + 6_000_000,
-                None if !course.outages.is_empty() => at + 6_000_000,
-                None => counts,
+                None if !scenario.outages.is_empty() => at + 6_000_000,
+                None => notified,
             };
             if (n as u64) >= watch.index().unwrap_or(0) {
-                told.insert(n as u64 + 1, counts.max(at));
+                notified_at.insert(n as u64 + 1, notified.max(at));
             }
         }
-        if course.silences.contains(&now) {
-            ways.values_mut()
-                .filter(|w| w.there <= now)
-                .for_each(|w| w.silent = w.silent.or(Some(now)));
+        if scenario.silences.contains(&now) {
+            in_flight
+                .values_mut()
+                .filter(|w| w.received_at <= now)
+                .for_each(|w| w.silent_since = w.silent_since.or(Some(now)));
         }
-        for outage in course.outages.iter().filter(|o| o.from == now) {
-            // What is open then is reset, or falls silent.
-            for way in ways.values_mut() {
+        for outage in scenario.outages.iter().filter(|o| o.from == now) {
+            // Polls in flight are reset, or go silent.
+            for poll_state in in_flight.values_mut() {
                 match outage.down {
-                    Down::Refuses => way.fails = Some(now),
-                    Down::Silent => way.silent = way.silent.or(Some(now)),
+                    Down::Refusing => poll_state.fails_at = Some(now),
+                    Down::Silent => poll_state.silent_since = poll_state.silent_since.or(Some(now)),
                 }
             }
         }
-        let failed = ways
+        let failed = in_flight
             .iter()
-            .find(|(_, way)| way.fails.is_some_and(|at| at <= now))
+            .find(|(_, poll_state)| poll_state.fails_at.is_some_and(|at| at <= now))
             .map(|(q, _)| *q);
         let input = if let Some(poll) = failed {
-            let refused = ways.remove(&poll).is_some_and(|way| way.refused);
-            if refused {
+            let rejected = in_flight
+                .remove(&poll)
+                .is_some_and(|poll_state| poll_state.rejected);
+            if rejected {
                 Input::Rejected { poll }
             } else {
                 Input::Failed { poll }
             }
-        } else if course.resets.contains(&now) && ways.values().any(|w| w.there < now) {
-            let (&poll, _) = ways.iter().find(|(_, w)| w.there < now).expect("just seen");
-            ways.remove(&poll);
+        } else if scenario.resets.contains(&now) && in_flight.values().any(|w| w.received_at < now)
+        {
+            let (&poll, _) = in_flight
+                .iter()
+                .find(|(_, w)| w.received_at < now)
+                .expect("just seen");
+            in_flight.remove(&poll);
             Input::Failed { poll }
-        } else if begin.is_some_and(|at| at <= now) {
-            begin = None;
+        } else if start_at.is_some_and(|at| at <= now) {
+            start_at = None;
             Input::Start
         } else if let Some((_, poll)) = next_answer.filter(|a| a.0 <= now) {
-            let way = ways.remove(&poll).expect("it is out");
-            let index = course.changes.iter().filter(|&&at| at <= now).count() as u64;
+            let poll_state = in_flight.remove(&poll).expect("it is in flight");
+            let index = scenario.changes.iter().filter(|&&at| at <= now).count() as u64;
             Input::Response {
                 poll,
-                index: index.max(way.index.unwrap_or(0)),
+                index: index.max(poll_state.index.unwrap_or(0)),
                 complete: false,
             }
         } else {
             Input::Timer
         };
         watch.handle(now, input, false, &mut out);
-        let heard = watch.index().unwrap_or(0);
-        while let Some(entry) = told.first_entry().filter(|e| *e.key() <= heard) {
-            outcome.latest = outcome.latest.max(now.saturating_sub(entry.remove()));
+        let received_index = watch.index().unwrap_or(0);
+        while let Some(entry) = notified_at
+            .first_entry()
+            .filter(|e| *e.key() <= received_index)
+        {
+            outcome.max_delay = outcome.max_delay.max(now.saturating_sub(entry.remove()));
         }
     }
-    // What was never heard.
-    let unheard = told
+    // Changes that were never received.
+    let unreceived = notified_at
         .values()
         .map(|&at| until.saturating_sub(at))
         .max()
         .unwrap_or(0);
-    outcome.latest = outcome.latest.max(unheard);
+    outcome.max_delay = outcome.max_delay.max(unreceived);
     outcome
 }
 
-fn course() -> impl Strategy<Value = Course> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let times = |most| prop::collection::btree_set(1_000u64..40_000_000, 0..most);
     let lags = prop::collection::vec((0.0f64..1.0, 0.0f64..1.0), 1..9);
-    // Silence a second time before the first is mended would be another fault: they are far apart.
+    // A second silence before recovery from the first would be another fault: they are far apart.
     (
         300_000u64..2_000_000,
         times(4),
@@ -295,10 +308,10 @@
         times(3),
         lags,
     )
-        .prop_map(|(grace, changes, silence, resets, lags)| Course {
+        .prop_map(|(drain_grace, changes, silence, resets, lags)| Scenario {
             seed: silence,
             outages: Vec::new(),
-            grace,
+            drain_grace,
             wait: None,
             changes: changes.into_iter().collect(),
             silences: vec![silence, silence + 20_000_000],
@@ -307,7 +320,7 @@
         })
 }
 
-/// The service is down twice, for up to a quarter of a minute.
+/// One or two outages of up to 15 s.
 fn outages() -> impl Strategy<Value = Vec<Outage>> {
     let one = (
         1_000_000u64..9_000_000,
@@ -317,15 +330,15 @@
     );
     prop::collection::vec(one, 1..3).prop_map(|drawn| {
         let mut at = 0;
-        let outage = |(after, long, silent, refuses_once)| {
+        let outage = |(after, long, silent, rejects_once)| {
             let from = at + after;
             at = from + long + 15_000_000;
-            let down = if silent { Down::Silent } else { Down::Refuses };
+            let down = if silent { Down::Silent } else { Down::Refusing };
             Outage {
                 from,
                 until: from + long,
                 down,
-                refuses_once,
+                rejects_once,
             }
         };
         drawn.into_iter().map(outage).collect()
@@ -336,56 +349,56 @@
     #![proptest_config(ProptestConfig { cases: 4_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_change_is_heard_later_than_told_and_the_grace(course in course()) {
-        // A reset beside a silence leaves no budget for a second connection that hangs.
-        let course = Course { resets: Vec::new(), ..course };
-        let outcome = play(&course, 60_000_000);
-        prop_assert!(outcome.latest <= course.grace, "{outcome:?}");
+    fn change_is_received_before_drain_grace_ends_when_watches_go_silent(scenario in scenario()) {
+        // A reset beside a silence leaves no time for a second connection that hangs.
+        let scenario = Scenario { resets: Vec::new(), ..scenario };
+        let outcome = simulate(&scenario, 60_000_000);
+        prop_assert!(outcome.max_delay <= scenario.drain_grace, "{outcome:?}");
     }
 
-    /// Whatever failed before: refused, reset, given up as silent, again and again, and once more at the return.
+    /// For any kind of failure before: rejected, reset, timed out, repeatedly, and once more after recovery.
     #[test]
-    fn after_a_failure_no_change_is_heard_later_than_told_and_the_grace(course in course(), outages in outages()) {
-        let course = Course { silences: Vec::new(), resets: Vec::new(), outages, ..course };
-        let outcome = play(&course, 90_000_000);
-        prop_assert!(outcome.latest <= course.grace, "{outcome:?}");
-        // While it is down each proxy asks about once a second: no storm meets the service at its return.
-        let down: Micros = course.outages.iter().map(|o| o.until - o.from).sum();
-        let bound = 2 * 90_000_000 / 1_500_000 + 4 * down / 1_000_000 + 8 * course.outages.len() as u64;
-        prop_assert!(outcome.questions <= bound + 2 * course.changes.len() as u64, "{outcome:?} of {bound}");
+    fn change_is_received_before_drain_grace_ends_after_outages(scenario in scenario(), outages in outages()) {
+        let scenario = Scenario { silences: Vec::new(), resets: Vec::new(), outages, ..scenario };
+        let outcome = simulate(&scenario, 90_000_000);
+        prop_assert!(outcome.max_delay <= scenario.drain_grace, "{outcome:?}");
+        // During an outage each proxy polls about once a second, so that the service is not flooded when it recovers.
+        let down: Micros = scenario.outages.iter().map(|o| o.until - o.from).sum();
+        let bound = 2 * 90_000_000 / 1_500_000 + 4 * down / 1_000_000 + 8 * scenario.outages.len() as u64;
+        prop_assert!(outcome.polls <= bound + 2 * scenario.changes.len() as u64, "{outcome:?} of {bound}");
     }
 
     #[test]
-    fn questions_stay_within_their_bound(course in course()) {
-        let outcome = play(&course, 60_000_000);
-        prop_assert!(outcome.open_most <= 2);
-        // One for each wait of 1.5 s at the least, one beside each, one for each change and each reset.
-        let bound = 2 * 60_000_000 / 1_500_000 + 2 * (course.changes.len() + course.resets.len()) as u64 + 4;
-        prop_assert!(outcome.questions <= bound, "{outcome:?}");
+    fn poll_count_stays_bounded(scenario in scenario()) {
+        let outcome = simulate(&scenario, 60_000_000);
+        prop_assert!(outcome.max_in_flight <= 2);
+        // One for each wait of at least 1.5 s, one beside each, one for each change and each reset.
+        let bound = 2 * 60_000_000 / 1_500_000 + 2 * (scenario.changes.len() + scenario.resets.len()) as u64 + 4;
+        prop_assert!(outcome.polls <= bound, "{outcome:?}");
     }
 }
 
-/// What the first property would say of the ten seconds that a watch waited before.
+/// With the wait of ten seconds that was used before, the first property does not hold.
 #[test]
-fn a_watch_of_ten_seconds_hears_too_late() {
-    let course = Course {
+fn ten_second_wait_receives_change_too_late() {
+    let scenario = Scenario {
         seed: 1,
         outages: Vec::new(),
-        grace: 1_000_000,
+        drain_grace: 1_000_000,
         wait: Some(10_000_000),
         changes: vec![1_700_000],
         silences: vec![1_000_000],
         resets: Vec::new(),
         lags: vec![(0.9, 0.9)],
     };
-    let long = play(&course, 60_000_000);
-    assert!(long.latest > course.grace, "{long:?}");
-    let short = play(
-        &Course {
+    let long = simulate(&scenario, 60_000_000);
+    assert!(long.max_delay > scenario.drain_grace, "{long:?}");
+    let short = simulate(
+        &Scenario {
             wait: None,
-            ..course.clone()
+            ..scenario.clone()
         },
         60_000_000,
     );
-    assert!(short.latest <= course.grace, "{short:?}");
+    assert!(short.max_delay <= scenario.drain_grace, "{short:?}");
 }
--- a/crates/endpoint-watch/tests/timeouts.rs
+++ b/crates/endpoint-watch/tests/timeouts.rs
@@ -7,44 +7,44 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever the grace, and whenever silence begins: who is told has heard, with a part of the grace left. At an
-    /// agent the return of the service is heard within the grace.
+    /// For any drain grace period and any time at which a watch goes silent: a proxy that counts as notified has received
+    /// the change, with part of the grace period left. At an agent, a change is received within the grace period.
     #[test]
-    fn who_is_told_has_heard(grace in 300_000u64..5_000_000, into_wait in 0.0f64..=1.0) {
-        let service = Timeouts::derive(TimeoutConfig { source: Source::Service, drain_grace: grace, wait: None });
+    fn notified_proxy_has_received_change(drain_grace in 300_000u64..5_000_000, into_wait in 0.0f64..=1.0) {
+        let service = Timeouts::derive(TimeoutConfig { source: Source::Service, drain_grace, wait: None });
         let silence = (service.wait as f64 * into_wait) as Micros;
-        prop_assert!(service.latest_receipt() <= service.earliest_notification(silence) + grace / 2, "{service:?}");
+        prop_assert!(service.latest_receipt() <= service.earliest_notification(silence) + drain_grace / 2, "{service:?}");
         prop_assert!(service.wait >= 1_500_000, "{service:?}");
-        let refused_twice = 2 * service.backoff.max + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
-        prop_assert!(refused_twice <= NOTIFIED_AFTER_SILENCE + grace / 2, "{service:?}");
+        let rejected_twice = 2 * service.backoff.max + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
+        prop_assert!(rejected_twice <= NOTIFIED_AFTER_SILENCE + drain_grace / 2, "{service:?}");
         prop_assert!(service.backoff.min <= service.backoff.max, "{service:?}");
-        let agent = Timeouts::derive(TimeoutConfig { source: Source::Agent, drain_grace: grace, wait: None });
-        prop_assert!(agent.wait + agent.response_slack < grace, "{agent:?}");
+        let agent = Timeouts::derive(TimeoutConfig { source: Source::Agent, drain_grace, wait: None });
+        prop_assert!(agent.wait + agent.response_slack < drain_grace, "{agent:?}");
     }
 }
 
-/// The figures that the pages name, so that they can't drift apart.
+/// The values that the documentation states.
 #[test]
-fn the_times_of_usual_graces() {
-    let of = |source, grace| {
-        let b = Timeouts::derive(TimeoutConfig {
+fn derived_timeouts_match_documented_values() {
+    let derive = |source, grace| {
+        let timeouts = Timeouts::derive(TimeoutConfig {
             source,
             drain_grace: grace,
             wait: None,
         });
-        (b.wait, b.response_slack)
+        (timeouts.wait, timeouts.response_slack)
     };
-    assert_eq!(of(Source::Service, 1_000_000), (2_000_000, 500_000));
-    assert_eq!(of(Source::Service, 500_000), (2_000_000, 250_000));
-    assert_eq!(of(Source::Agent, 1_000_000), (500_000, 250_000));
-    assert_eq!(of(Source::Agent, 500_000), (250_000, 125_000));
-    let long = Timeouts::derive(TimeoutConfig {
+    assert_eq!(derive(Source::Service, 1_000_000), (2_000_000, 500_000));
+    assert_eq!(derive(Source::Service, 500_000), (2_000_000, 250_000));
+    assert_eq!(derive(Source::Agent, 1_000_000), (500_000, 250_000));
+    assert_eq!(derive(Source::Agent, 500_000), (250_000, 125_000));
+    let long_wait = Timeouts::derive(TimeoutConfig {
         source: Source::Service,
         drain_grace: 1_000_000,
         wait: Some(10_000_000),
     });
     assert!(
-        long.latest_receipt() > long.earliest_notification(0) + 1_000_000,
-        "ten seconds are too long: it is heard too late"
+        long_wait.latest_receipt() > long_wait.earliest_notification(0) + 1_000_000,
+        "with a wait of ten seconds a change is received too late"
     );
 }
