--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -10,13 +10,18 @@
 //! microseconds that its owner gives.
 #![forbid(unsafe_code)]
 
+mod config;
+mod membership;
 mod partition;
 mod resource_bounds;
+mod ring;
 mod subset;
 
+pub use config::{Instance, SubsetConfig};
+pub use membership::{Health, MembershipChange};
 pub use partition::{Partition, Team};
-pub use resource_bounds::{Instance, ResourceBounds, SubsetConfig};
-pub use subset::{Health, MembershipChange, Subset, SubsetStatus};
+pub use resource_bounds::ResourceBounds;
+pub use subset::{Subset, SubsetStatus};
 
 /// Moments and spans are in microseconds.
 pub type Micros = u64;
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,37 +1,12 @@
 //! The subset of one proxy as the fleet, its own traffic and its members' health change.
 
-use crate::partition::{place, Partition, Team};
-use crate::resource_bounds::{Instance, SubsetConfig};
+use crate::config::{Instance, SubsetConfig};
+use crate::membership::{join, Health, MembershipChange};
+use crate::partition::place;
+use crate::ring::Circle;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How its members fare, as its owner sees it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    /// Members that take calls: listed, not set aside.
-    pub usable: usize,
-    /// Calls in flight at them.
-    pub in_flight: usize,
-    /// Calls that wait because all of them are full.
-    pub queued: usize,
-}
-
-/// What has changed of the subset. The two share no endpoint.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MembershipChange {
-    /// Endpoints that belong to it from now on.
-    pub added: Vec<u32>,
-    /// Those that do not any more: what is out there may end, nothing new goes there.
-    pub removed: Vec<u32>,
-}
-
-impl MembershipChange {
-    /// Has nothing changed?
-    pub fn is_empty(&self) -> bool {
-        self.added.is_empty() && self.removed.is_empty()
-    }
-}
-
 /// A subset's size, for whoever looks on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetStatus {
@@ -43,36 +18,6 @@
     pub doublings: u32,
 }
 
-/// Endpoints on a circle by their place for this proxy's team, and the part of it that is this proxy's.
-#[derive(Clone, Debug, Default)]
-struct Circle {
-    places: BTreeSet<(u64, u32)>,
-    deal: Partition,
-    /// Doublings of the part; `None`: nothing of this circle is wanted.
-    doublings: Option<u32>,
-}
-
-impl Circle {
-    fn part(&self, number: u32, doublings: u32) -> (Team, (u64, u64)) {
-        let team = self.deal.team(number);
-        (team, self.deal.part(team, doublings))
-    }
-
-    fn within(&self, number: u32, doublings: u32) -> impl Iterator<Item = u32> + '_ {
-        let (_, (from, to)) = self.part(number, doublings);
-        self.places
-            .range((from, 0)..=(to, u32::MAX))
-            .map(|&(_, id)| id)
-    }
-
-    fn wants(&self, number: u32, place: u64) -> bool {
-        self.doublings.is_some_and(|doublings| {
-            let (_, (from, to)) = self.part(number, doublings);
-            (from..=to).contains(&place)
-        })
-    }
-}
-
 /// What is known of an endpoint.
 #[derive(Clone, Debug)]
 struct Known {
@@ -359,23 +304,3 @@
         }
     }
 }
-
-/// One after the other, as one.
-fn join(first: MembershipChange, then: MembershipChange) -> MembershipChange {
-    let joined: BTreeSet<u32> = first
-        .added
-        .into_iter()
-        .chain(then.added.iter().copied())
-        .collect();
-    let left: BTreeSet<u32> = first
-        .removed
-        .into_iter()
-        .chain(then.removed.iter().copied())
-        .collect();
-    let gone: BTreeSet<u32> = then.removed.into_iter().collect();
-    let back: BTreeSet<u32> = then.added.into_iter().collect();
-    MembershipChange {
-        added: joined.into_iter().filter(|e| !gone.contains(e)).collect(),
-        removed: left.into_iter().filter(|e| !back.contains(e)).collect(),
-    }
-}
