--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -32,7 +32,7 @@
         (
             core.subset
                 .as_ref()
-                .map_or(all, |view| view.subset.status().members),
+                .map_or(all, |view| view.subset.member_count()),
             all,
         )
     }
--- a/crates/subset/src/config.rs
+++ b/crates/subset/src/config.rs
@@ -1,47 +1,53 @@
-//! What an operator asks for.
+//! What an operator configures.
 
 use crate::Micros;
 
-/// Which proxy this is.
+/// Default of [`SubsetConfig::max_load_per_member`].
+const DEFAULT_MAX_LOAD_PER_MEMBER: f64 = 2.0;
+/// Default of [`SubsetConfig::growth_interval`].
+const DEFAULT_GROWTH_INTERVAL: Micros = 200_000;
+/// Default of [`SubsetConfig::shrink_delay`].
+const DEFAULT_SHRINK_DELAY: Micros = 30_000_000;
+
+/// Which proxy this is among all that share the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its number among all that share the fleet, from 0. Each has one of its own; gaps do no harm.
+    /// Its number, from 0. No two proxies may have the same; gaps do no harm.
     pub number: u32,
-    /// How many there are.
+    /// How many proxies there are.
     pub count: u32,
 }
 
-/// What a subset is to be.
+/// Size of a subset, and when it changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetConfig {
-    /// Endpoints wanted at rest.
+    /// Endpoints wanted while there is no reason for more.
     pub target_size: usize,
-    /// Fewer than that are never kept while the fleet has more.
+    /// The subset is never smaller than this while the fleet is larger.
     pub min_size: usize,
-    /// It never grows beyond that, whatever its members do.
+    /// The subset never grows beyond this, however its members fare.
     pub max_size: usize,
-    /// Endpoints of the own zone come first, others only when it has too few that are of use.
+    /// Whether endpoints of the proxy's own zone come first, and others only when too few of those are usable.
     pub prefer_own_zone: bool,
-    /// Calls in flight for each member from which on more members are wanted.
+    /// Calls in flight per usable member above which the subset grows.
     pub max_load_per_member: f64,
-    /// Time between two doublings, unless there is nobody left to send to.
+    /// Shortest time between two doublings, in microseconds; not observed while no member is usable.
     pub growth_interval: Micros,
-    /// Time without a reason to be larger after which it halves.
+    /// Time without a reason to be larger after which the subset halves, in microseconds.
     pub shrink_delay: Micros,
 }
 
 impl SubsetConfig {
-    /// A subset of this size, with what else is usual.
-    pub fn with_size(size: usize) -> Self {
-        let (pause, calm) = (200_000, 30_000_000);
+    /// A subset of this size, with the defaults of everything else.
+    pub fn with_size(target_size: usize) -> Self {
         SubsetConfig {
-            target_size: size,
-            min_size: (size / 2).max(2),
-            max_size: size * 4,
+            target_size,
+            min_size: (target_size / 2).max(2),
+            max_size: target_size * 4,
             prefer_own_zone: false,
-            max_load_per_member: 2.0,
-            growth_interval: pause,
-            shrink_delay: calm,
+            max_load_per_member: DEFAULT_MAX_LOAD_PER_MEMBER,
+            growth_interval: DEFAULT_GROWTH_INTERVAL,
+            shrink_delay: DEFAULT_SHRINK_DELAY,
         }
     }
 }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,13 +1,35 @@
-//! A proxy of little traffic has no use for a connection to each of thousands of endpoints. It keeps to a subset: its
-//! own part of the fleet, which it finds by its number among all proxies and each endpoint's name alone, so that all
-//! proxies together spread evenly without a word between them.
+//! Deterministic subsetting: which endpoints of a large fleet one proxy keeps connections to.
 //!
-//! Proxies count in teams. Within a team the endpoints are dealt out: each goes to one member, by a hash of its name
-//! and the team's number. So each endpoint has as many proxies as there are teams, and when one comes or goes, it
-//! alone moves. What is decided here is which endpoints count as there; which of them gets a call is the balancer's.
+//! A proxy with few calls has no use for a connection to each of thousands of endpoints. It keeps to a subset, which
+//! follows from its own number and the names of the endpoints, so that all proxies together spread evenly over the fleet
+//! without any communication.
 //!
-//! Nothing here does I/O or reads a clock: [`Subset`] is told of the list and of how its members fare, at moments in
-//! microseconds that its owner gives.
+//! Proxies are divided into rounds of consecutive numbers. Within a round, each endpoint belongs to exactly one proxy, by a
+//! hash of its name and the number of the round. Each endpoint thus has as many proxies as there are rounds, and one that
+//! comes or goes moves no other endpoint. A subset grows when its members fail or are overloaded, and shrinks again later.
+//!
+//! The crate owns the subset of one proxy. It does not choose the endpoint of a call, which is the load balancer's task. It
+//! never does I/O and reads no clock: the caller tells [`Subset`] how the list and the health of the members change, and
+//! gives the time.
+//!
+//! ```
+//! use badgerramp_subset::{Health, Instance, Subset, SubsetConfig};
+//!
+//! let instance = Instance { number: 17, count: 500 };
+//! let mut subset = Subset::new(SubsetConfig::with_size(20), instance);
+//! let fleet: Vec<u32> = (0..1_000).collect();
+//! for &endpoint in &fleet {
+//!     subset.add(endpoint, &format!("endpoint-{endpoint}"), true);
+//! }
+//! let change = subset.apply_list_change(0, &fleet);
+//! assert_eq!(change.added.len(), subset.member_count());
+//! assert!(subset.member_count() < 80);
+//!
+//! // No member is usable: the subset grows.
+//! let health = Health { usable: 0, in_flight: 0, queued: 3 };
+//! let change = subset.adjust_size(1_000_000, health);
+//! assert!(!change.added.is_empty() && change.removed.is_empty());
+//! ```
 #![forbid(unsafe_code)]
 
 mod config;
@@ -19,9 +41,8 @@
 
 pub use config::{Instance, SubsetConfig};
 pub use membership::{Health, MembershipChange};
-pub use partition::{Partition, Team};
 pub use resource_bounds::ResourceBounds;
-pub use subset::{Subset, SubsetStatus};
+pub use subset::Subset;
 
-/// Moments and spans are in microseconds.
+/// A time, or a length of time, in microseconds.
 pub type Micros = u64;
--- a/crates/subset/src/partition/tests.rs
+++ b/crates/subset/src/partition/tests.rs
@@ -3,50 +3,55 @@
 use super::*;
 
 #[test]
-fn a_team_deals_every_place_to_exactly_one_member() {
+fn round_assigns_every_hash_to_exactly_one_proxy() {
     for splits in 0..8 {
-        let deal = Partition { splits };
-        let mut parts: Vec<(u64, u64)> = (0..deal.members())
-            .map(|p| deal.part(deal.team(p), 0))
+        let partition = Partition { splits };
+        let mut ranges: Vec<HashRange> = (0..partition.subset_count())
+            .map(|proxy| partition.hash_range(partition.assignment(proxy), 0))
             .collect();
-        parts.sort_unstable();
-        assert_eq!((parts[0].0, parts[parts.len() - 1].1), (0, u64::MAX));
-        assert!(parts.windows(2).all(|w| w[0].1 + 1 == w[1].0), "{parts:?}");
+        ranges.sort_unstable_by_key(|range| (range.first, range.last));
+        let (first, last) = (ranges[0].first, ranges[ranges.len() - 1].last);
+        assert_eq!((first, last), (0, u64::MAX));
+        let adjacent = |pair: &[HashRange]| pair[0].last + 1 == pair[1].first;
+        assert!(ranges.windows(2).all(adjacent), "{ranges:?}");
     }
 }
 
 #[test]
-fn a_wider_part_holds_the_narrower_and_the_widest_is_all() {
-    let deal = Partition { splits: 6 };
+fn doubled_range_contains_previous_one_and_ends_as_full_ring() {
+    let partition = Partition { splits: 6 };
     for proxy in 0..200 {
-        let team = deal.team(proxy);
-        for doublings in 0..deal.doublings() {
-            let ((a, b), (c, d)) = (deal.part(team, doublings), deal.part(team, doublings + 1));
-            assert!(c <= a && b <= d && (b - a) < (d - c));
+        let assignment = partition.assignment(proxy);
+        for doublings in 0..partition.max_doublings() {
+            let narrow = partition.hash_range(assignment, doublings);
+            let wide = partition.hash_range(assignment, doublings + 1);
+            assert!(wide.first <= narrow.first && narrow.last <= wide.last);
+            assert!(narrow.last - narrow.first < wide.last - wide.first);
         }
-        assert_eq!(deal.part(team, deal.doublings()), (0, u64::MAX));
+        let widest = partition.hash_range(assignment, partition.max_doublings());
+        assert_eq!((widest.first, widest.last), (0, u64::MAX));
     }
 }
 
 #[test]
-fn a_fleet_that_breathes_is_not_dealt_anew() {
-    let deal = Partition::default().for_fleet(1_000, 20);
-    assert_eq!(deal.members(), 64);
-    assert!((801..2_048).all(|n| deal.for_fleet(n, 20) == deal));
-    assert_eq!(deal.for_fleet(5_000, 20).members(), 256);
+fn small_changes_of_fleet_size_keep_partition() {
+    let partition = Partition::default().for_fleet(1_000, 20);
+    assert_eq!(partition.subset_count(), 64);
+    assert!((801..2_048).all(|endpoints| partition.for_fleet(endpoints, 20) == partition));
+    assert_eq!(partition.for_fleet(5_000, 20).subset_count(), 256);
     assert_eq!(
-        deal.for_fleet(10, 20).members(),
+        partition.for_fleet(10, 20).subset_count(),
         1,
-        "fewer than are asked for: all"
+        "a fleet smaller than the target size is one subset"
     );
 }
 
-/// Proxies of another version must deal alike.
+/// Proxies of different versions must agree.
 #[test]
-fn places_are_the_same_in_every_version() {
+fn ring_hash_is_xxh3_in_every_version() {
     assert_eq!(
-        place("", 0),
+        ring_hash("", 0),
         0x2d06_8005_38d3_94c2,
-        "the published value of XXH3-64 of nothing"
+        "the published value of XXH3-64 for no input"
     );
 }
--- a/crates/subset/src/resource_bounds.rs
+++ b/crates/subset/src/resource_bounds.rs
@@ -1,44 +1,48 @@
-//! What an operator asks for, and what follows from it: formulas that the page states and the check at load uses.
+//! Formulas for what a fleet of proxies with subsets uses at most. The configuration is checked against them.
 
 use crate::config::SubsetConfig;
 use crate::partition::Partition;
 
-/// What all proxies together hold and ask at the most.
+/// The size of a deployment, from which its resource usage follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceBounds {
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: u32,
-    /// Endpoints of the fleet.
+    /// Number of endpoints in the fleet.
     pub endpoints: usize,
     /// Idle connections that a proxy keeps to one endpoint.
     pub idle_connections: usize,
 }
 
 impl ResourceBounds {
-    /// Proxies that keep to one endpoint, at rest: one of each team, the last of which may be incomplete.
-    pub fn proxies_per_endpoint(&self, need: &SubsetConfig) -> u32 {
-        let members = Partition::default()
-            .for_fleet(self.endpoints, need.target_size)
-            .members();
-        self.proxies.div_ceil(members)
+    /// Proxies that have one endpoint in their subset while all subsets have their target size: one of each round, the
+    /// last of which may be incomplete.
+    pub fn proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
+        self.proxies.div_ceil(self.partition(config).subset_count())
     }
 
-    /// ... and when every subset has grown as far as it may: each doubling lets as many again have it.
-    pub fn max_proxies_per_endpoint(&self, need: &SubsetConfig) -> u32 {
-        let deal = Partition::default().for_fleet(self.endpoints, need.target_size);
-        let part = (self.endpoints as f64 / f64::from(deal.members())).max(1.0);
-        let doublings = (need.max_size as f64 / part).max(1.0).log2().ceil() as u32;
-        let members = deal.members() >> doublings.min(deal.doublings());
-        self.proxies.div_ceil(members)
+    /// The same while all subsets have grown to their maximum size. Each doubling of the ranges halves the number of
+    /// proxies among which a round divides the endpoints.
+    pub fn max_proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
+        let partition = self.partition(config);
+        let subset_count = partition.subset_count();
+        let subset_size = (self.endpoints as f64 / f64::from(subset_count)).max(1.0);
+        let growth = (config.max_size as f64 / subset_size).max(1.0);
+        let doublings = (growth.log2().ceil() as u32).min(partition.max_doublings());
+        self.proxies.div_ceil(subset_count >> doublings)
     }
 
-    /// Idle connections to one endpoint from all proxies, at the most.
-    pub fn max_connections_per_endpoint(&self, need: &SubsetConfig) -> u64 {
-        u64::from(self.max_proxies_per_endpoint(need)) * self.idle_connections as u64
+    /// Idle connections to one endpoint from all proxies, at most.
+    pub fn max_connections_per_endpoint(&self, config: &SubsetConfig) -> u64 {
+        u64::from(self.max_proxies_per_endpoint(config)) * self.idle_connections as u64
     }
 
-    /// Idle connections of one proxy, at the most.
-    pub fn max_connections_per_proxy(&self, need: &SubsetConfig) -> usize {
-        need.max_size.min(self.endpoints) * self.idle_connections
+    /// Idle connections of one proxy, at most.
+    pub fn max_connections_per_proxy(&self, config: &SubsetConfig) -> usize {
+        config.max_size.min(self.endpoints) * self.idle_connections
+    }
+
+    fn partition(&self, config: &SubsetConfig) -> Partition {
+        Partition::default().for_fleet(self.endpoints, config.target_size)
     }
 }
--- a/crates/subset/src/ring.rs
+++ b/crates/subset/src/ring.rs
@@ -1,34 +1,116 @@
-//! The endpoints by their hash, and the part that is this proxy's.
+//! Endpoints on a hash ring, and the range of it that one proxy has selected.
 
-use crate::partition::{Partition, Team};
+use crate::partition::{ring_hash, HashRange, Partition};
 use std::collections::BTreeSet;
 
-/// Endpoints on a circle by their place for this proxy's team, and the part of it that is this proxy's.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Circle {
-    pub(crate) places: BTreeSet<(u64, u32)>,
-    pub(crate) deal: Partition,
-    /// Doublings of the part; `None`: nothing of this circle is wanted.
-    pub(crate) doublings: Option<u32>,
+/// The hash ring of one proxy's round.
+#[derive(Clone, Debug)]
+pub(crate) struct HashRing {
+    /// Number of the proxy.
+    proxy: u32,
+    /// Hash and number of each endpoint.
+    endpoints: BTreeSet<(u64, u32)>,
+    partition: Partition,
+    /// How often the proxy has doubled its range; `None`: nothing of this ring is selected.
+    doublings: Option<u32>,
 }
 
-impl Circle {
-    fn part(&self, number: u32, doublings: u32) -> (Team, (u64, u64)) {
-        let team = self.deal.team(number);
-        (team, self.deal.part(team, doublings))
+impl HashRing {
+    /// An empty ring of the proxy with this number. Nothing of it is selected.
+    pub(crate) fn new(proxy: u32) -> Self {
+        HashRing {
+            proxy,
+            endpoints: BTreeSet::new(),
+            partition: Partition::default(),
+            doublings: None,
+        }
     }
 
-    pub(crate) fn within(&self, number: u32, doublings: u32) -> impl Iterator<Item = u32> + '_ {
-        let (_, (from, to)) = self.part(number, doublings);
-        self.places
-            .range((from, 0)..=(to, u32::MAX))
-            .map(|&(_, id)| id)
+    /// Adds an endpoint and returns its hash.
+    pub(crate) fn insert(&mut self, endpoint: u32, name: &str) -> u64 {
+        let hash = ring_hash(name, self.round());
+        self.endpoints.insert((hash, endpoint));
+        hash
     }
 
-    pub(crate) fn wants(&self, number: u32, place: u64) -> bool {
-        self.doublings.is_some_and(|doublings| {
-            let (_, (from, to)) = self.part(number, doublings);
-            (from..=to).contains(&place)
+    pub(crate) fn remove(&mut self, endpoint: u32, hash: u64) {
+        self.endpoints.remove(&(hash, endpoint));
+    }
+
+    /// How often the selected range was doubled; `None` if nothing is selected.
+    pub(crate) fn doublings(&self) -> Option<u32> {
+        self.doublings
+    }
+
+    /// Selects the range that was doubled this often, or nothing.
+    pub(crate) fn select(&mut self, doublings: Option<u32>) {
+        self.doublings = doublings;
+    }
+
+    /// Doubles the selected range. Returns false if nothing is selected or it is the whole ring already.
+    pub(crate) fn double(&mut self) -> bool {
+        let max_doublings = self.partition.max_doublings();
+        match &mut self.doublings {
+            Some(doublings) if *doublings < max_doublings => {
+                *doublings += 1;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Whether an endpoint with this hash is in the selected range.
+    pub(crate) fn selects(&self, hash: u64) -> bool {
+        self.doublings
+            .is_some_and(|doublings| self.range(doublings).contains(hash))
+    }
+
+    /// Endpoints in the selected range: those of the narrowest range first, then those of each wider one, which repeat
+    /// the narrower ones.
+    pub(crate) fn selected(&self) -> impl Iterator<Item = u32> + '_ {
+        let widths = self.doublings.into_iter().flat_map(|widest| 0..=widest);
+        widths.flat_map(|doublings| {
+            let HashRange { first, last } = self.range(doublings);
+            let in_range = self.endpoints.range((first, 0)..=(last, u32::MAX));
+            in_range.map(|&(_, endpoint)| endpoint)
         })
     }
+
+    /// Partitions the ring again if its endpoints have become too many or too few for ranges of `target_size`. Returns
+    /// whether it was.
+    ///
+    /// The proxy may be in another round then, whose ring orders the endpoints differently: `rehash` is called with each
+    /// endpoint and the number of that round, and returns the endpoint's hash there.
+    pub(crate) fn repartition(
+        &mut self,
+        target_size: usize,
+        mut rehash: impl FnMut(u32, u32) -> Option<u64>,
+    ) -> bool {
+        let partition = self.partition.for_fleet(self.endpoints.len(), target_size);
+        if partition == self.partition {
+            return false;
+        }
+        let old_round = self.round();
+        self.partition = partition;
+        self.doublings = self
+            .doublings
+            .map(|doublings| doublings.min(partition.max_doublings()));
+        let round = self.round();
+        if round != old_round {
+            self.endpoints = std::mem::take(&mut self.endpoints)
+                .into_iter()
+                .filter_map(|(_, endpoint)| Some((rehash(endpoint, round)?, endpoint)))
+                .collect();
+        }
+        true
+    }
+
+    fn round(&self) -> u32 {
+        self.partition.assignment(self.proxy).round
+    }
+
+    fn range(&self, doublings: u32) -> HashRange {
+        let assignment = self.partition.assignment(self.proxy);
+        self.partition.hash_range(assignment, doublings)
+    }
 }
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,67 +1,71 @@
-//! The subset of one proxy as the fleet, its own traffic and its members' health change.
+//! The subset of one proxy, as the fleet, the proxy's calls and the health of its members change.
 
 use crate::config::{Instance, SubsetConfig};
-use crate::membership::{join, Health, MembershipChange};
-use crate::partition::place;
-use crate::ring::Circle;
+use crate::membership::{Health, MembershipChange};
+use crate::partition::ring_hash;
+use crate::ring::HashRing;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A subset's size, for whoever looks on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SubsetStatus {
-    /// Members.
-    pub members: usize,
-    /// Endpoints of the fleet.
-    pub endpoints: usize,
-    /// How often it has doubled.
-    pub doublings: u32,
-}
-
-/// What is known of an endpoint.
+/// An endpoint of the fleet that takes calls.
 #[derive(Clone, Debug)]
-struct Known {
+struct Endpoint {
     name: Box<str>,
-    near: bool,
-    places: [u64; 2],
+    in_own_zone: bool,
+    /// Its hash on the ring of the own zone; `None` if it is not on that ring.
+    own_zone_hash: Option<u64>,
+    /// Its hash on the ring of the fleet.
+    fleet_hash: u64,
+}
+
+/// Endpoints in the selected ranges.
+struct Selection {
+    endpoints: BTreeSet<u32>,
+    /// Whether some were left out, as there are more than the maximum size.
+    truncated: bool,
 }
 
 /// The endpoints that one proxy keeps to.
+///
+/// Times are in microseconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Subset {
-    need: SubsetConfig,
+    config: SubsetConfig,
     instance: Instance,
-    known: BTreeMap<u32, Known>,
-    /// Endpoints of the own zone, if they come first; and all.
-    near: Circle,
-    all: Circle,
+    endpoints: BTreeMap<u32, Endpoint>,
+    /// Endpoints of the own zone, where they come first.
+    own_zone_ring: HashRing,
+    /// All endpoints.
+    fleet_ring: HashRing,
     members: BTreeSet<u32>,
-    /// Some that lie in its part are left out, as it has as many as it may.
-    cut: bool,
-    grown: Micros,
-    wanted: Micros,
+    /// Whether endpoints in the selected ranges are left out, as there are more than the maximum size.
+    truncated: bool,
+    /// When the ranges were last doubled or halved; 0 if never.
+    resized_at: Micros,
+    /// When there was last a reason to be larger; 0 if never.
+    demand_at: Micros,
 }
 
 impl Subset {
-    /// An empty one.
-    pub fn new(need: SubsetConfig, instance: Instance) -> Self {
-        let (mut near, mut all) = (Circle::default(), Circle::default());
-        (near.doublings, all.doublings) = if need.prefer_own_zone {
-            (Some(0), None)
+    /// Creates the empty subset of a proxy.
+    pub fn new(config: SubsetConfig, instance: Instance) -> Self {
+        let mut own_zone_ring = HashRing::new(instance.number);
+        let mut fleet_ring = HashRing::new(instance.number);
+        if config.prefer_own_zone {
+            own_zone_ring.select(Some(0));
         } else {
-            (None, Some(0))
-        };
-        let (known, members) = (BTreeMap::new(), BTreeSet::new());
+            fleet_ring.select(Some(0));
+        }
         Subset {
-            need,
+            config,
             instance,
-            known,
-            near,
-            all,
-            members,
-            cut: false,
-            grown: 0,
-            wanted: 0,
+            endpoints: BTreeMap::new(),
+            own_zone_ring,
+            fleet_ring,
+            members: BTreeSet::new(),
+            truncated: false,
+            resized_at: 0,
+            demand_at: 0,
         }
     }
 
@@ -70,237 +74,252 @@
         self.members.iter().copied()
     }
 
-    /// Is this endpoint a member?
-    pub fn contains(&self, endpoint: u32) -> bool {
-        self.members.contains(&endpoint)
+    /// Number of members.
+    pub fn member_count(&self) -> usize {
+        self.members.len()
     }
 
-    /// Its size.
-    pub fn status(&self) -> SubsetStatus {
-        let doublings = self.all.doublings.or(self.near.doublings).unwrap_or(0);
-        SubsetStatus {
-            members: self.members.len(),
-            endpoints: self.known.len(),
-            doublings,
-        }
+    /// Whether this endpoint is a member.
+    pub fn contains(&self, endpoint: u32) -> bool {
+        self.members.contains(&endpoint)
     }
 
-    /// Proxies that keep to each of its members, this one included, as far as can be told.
+    /// Estimated number of proxies, this one included, that have each of its members in their subset.
     pub fn sharing_proxies(&self) -> u32 {
-        let part = self.members.len() as f64 / self.known.len().max(1) as f64;
-        ((f64::from(self.instance.count) * part).ceil() as u32).clamp(1, self.instance.count.max(1))
+        let share = self.members.len() as f64 / self.endpoints.len().max(1) as f64;
+        let sharing = (f64::from(self.instance.count) * share).ceil() as u32;
+        sharing.clamp(1, self.instance.count.max(1))
     }
 
-    /// An endpoint takes calls: it is new, or has changed its name or zone, or is back.
-    pub fn add(&mut self, endpoint: u32, name: &str, near: bool) {
-        if self
-            .known
+    /// Adds an endpoint to the fleet, or updates its name or zone. Takes effect with [`Self::apply_list_change`].
+    pub fn add(&mut self, endpoint: u32, name: &str, in_own_zone: bool) {
+        let unchanged = self
+            .endpoints
             .get(&endpoint)
-            .is_some_and(|k| &*k.name == name && k.near == near)
-        {
+            .is_some_and(|known| &*known.name == name && known.in_own_zone == in_own_zone);
+        if unchanged {
             return;
         }
         self.remove(endpoint);
-        let number = self.instance.number;
-        let team = |circle: &Circle| circle.deal.team(number).number;
-        let places = [place(name, team(&self.near)), place(name, team(&self.all))];
-        if near && self.need.prefer_own_zone {
-            self.near.places.insert((places[0], endpoint));
-        }
-        self.all.places.insert((places[1], endpoint));
-        self.known.insert(
+        let on_own_zone_ring = in_own_zone && self.config.prefer_own_zone;
+        let own_zone_hash = on_own_zone_ring.then(|| self.own_zone_ring.insert(endpoint, name));
+        let fleet_hash = self.fleet_ring.insert(endpoint, name);
+        self.endpoints.insert(
             endpoint,
-            Known {
+            Endpoint {
                 name: name.into(),
-                near,
-                places,
+                in_own_zone,
+                own_zone_hash,
+                fleet_hash,
             },
         );
     }
 
-    /// An endpoint drains or is gone.
+    /// Removes an endpoint that drains or is gone from the fleet. Takes effect with [`Self::apply_list_change`].
     pub fn remove(&mut self, endpoint: u32) {
-        if let Some(known) = self.known.remove(&endpoint) {
-            self.near.places.remove(&(known.places[0], endpoint));
-            self.all.places.remove(&(known.places[1], endpoint));
+        let Some(known) = self.endpoints.remove(&endpoint) else {
+            return;
+        };
+        if let Some(hash) = known.own_zone_hash {
+            self.own_zone_ring.remove(endpoint, hash);
         }
+        self.fleet_ring.remove(endpoint, known.fleet_hash);
     }
 
-    /// The list has changed: who belongs to the subset now? Costs what changed, unless the fleet is dealt anew.
-    pub fn apply_list_change(&mut self, now: Micros, touched: &[u32]) -> MembershipChange {
-        let dealt = self.deal_anew();
-        let mut changes = MembershipChange::default();
-        if dealt || self.cut {
-            changes = self.settle();
+    /// Updates the members after calls of [`Self::add`] and [`Self::remove`] for the endpoints in `changed`. The cost
+    /// grows with their number, unless the fleet has to be partitioned again.
+    pub fn apply_list_change(&mut self, now: Micros, changed: &[u32]) -> MembershipChange {
+        let repartitioned = self.repartition();
+        let mut change = if repartitioned || self.truncated {
+            self.update_members()
         } else {
-            for &endpoint in touched {
-                let wanted = self.known.get(&endpoint).is_some_and(|k| self.wants(k));
-                if wanted && self.members.insert(endpoint) {
-                    changes.added.push(endpoint);
-                } else if !wanted && self.members.remove(&endpoint) {
-                    changes.removed.push(endpoint);
-                }
-            }
-        }
-        // Never more than allowed, and never fewer than wanted for want of looking further.
-        if self.members.len() > self.need.max_size {
-            changes = join(changes, self.settle());
+            self.update_changed_members(changed)
+        };
+        if self.members.len() > self.config.max_size {
+            change = change.then(&self.update_members());
         }
-        while self.members.len() < self.least() && self.widen(now) {
-            changes = join(changes, self.settle());
+        while self.members.len() < self.min_size() && self.widen(now) {
+            change = change.then(&self.update_members());
         }
-        changes
+        change
     }
 
-    /// How the members fare: it grows at once when they can't bear this proxy's calls, and shrinks when that is over
-    /// for long.
+    /// Resizes the subset: it grows without delay when its members can't take this proxy's calls, and shrinks when they
+    /// could for long. To be called at regular intervals and when the health changes.
     pub fn adjust_size(&mut self, now: Micros, health: Health) -> MembershipChange {
-        let members = self.members.len();
-        let failing = health.usable * 2 < members || health.usable == 0;
-        let full = health.queued > 0;
-        let busy = health.in_flight as f64 > self.need.max_load_per_member * health.usable as f64;
-        if failing || full || busy {
-            self.wanted = now;
-            let paused =
-                self.grown > 0 && now < self.grown.saturating_add(self.need.growth_interval);
-            // With nobody left to send to, the pause would be paid by calls.
-            if (health.usable == 0 || !paused) && self.widen(now) {
-                return self.settle();
-            }
+        if self.is_insufficient(health) {
+            self.demand_at = now;
+            self.grow(now, health)
+        } else if self.may_shrink(now, health) {
+            self.shrink(now)
+        } else {
+            MembershipChange::default()
+        }
+    }
+
+    /// Whether this proxy's calls are too many for the members that are usable.
+    fn is_insufficient(&self, health: Health) -> bool {
+        let failing = health.usable == 0 || health.usable * 2 < self.members.len();
+        let overloaded = health.in_flight as f64 > self.max_load(health);
+        failing || overloaded || health.queued > 0
+    }
+
+    /// Calls in flight above which the usable members are too few.
+    fn max_load(&self, health: Health) -> f64 {
+        self.config.max_load_per_member * health.usable as f64
+    }
+
+    fn grow(&mut self, now: Micros, health: Health) -> MembershipChange {
+        let next_growth_at = self.resized_at.saturating_add(self.config.growth_interval);
+        let too_soon = self.resized_at > 0 && now < next_growth_at;
+        // Without a usable member, calls would fail while it waits.
+        if too_soon && health.usable > 0 {
             return MembershipChange::default();
         }
-        let calm = self
-            .wanted
-            .max(self.grown)
-            .saturating_add(self.need.shrink_delay);
-        let light =
-            (health.in_flight * 4) as f64 <= self.need.max_load_per_member * health.usable as f64;
-        let wide = self.all.doublings.or(self.near.doublings).unwrap_or(0) > 0
-            || self.need.prefer_own_zone && self.all.doublings.is_some();
-        if now >= calm && light && wide {
-            self.grown = now;
-            let before = (self.near.doublings, self.all.doublings);
-            self.narrow();
-            if self.wanted_now().0.len() < self.least() {
-                (self.near.doublings, self.all.doublings) = before;
-                return MembershipChange::default();
-            }
-            return self.settle();
+        if self.widen(now) {
+            self.update_members()
+        } else {
+            MembershipChange::default()
         }
-        MembershipChange::default()
     }
 
-    fn least(&self) -> usize {
-        self.need.min_size.min(self.known.len())
+    fn may_shrink(&self, now: Micros, health: Health) -> bool {
+        let sufficient_since = self.demand_at.max(self.resized_at);
+        let delay_over = now >= sufficient_since.saturating_add(self.config.shrink_delay);
+        let half_would_suffice = (health.in_flight * 4) as f64 <= self.max_load(health);
+        delay_over && half_would_suffice && self.is_widened()
     }
 
-    fn wants(&self, known: &Known) -> bool {
-        let number = self.instance.number;
-        known.near && self.near.wants(number, known.places[0])
-            || self.all.wants(number, known.places[1])
+    /// Whether more is selected than at first.
+    fn is_widened(&self) -> bool {
+        let doublings = self
+            .fleet_ring
+            .doublings()
+            .or(self.own_zone_ring.doublings());
+        let beyond_own_zone = self.config.prefer_own_zone && self.fleet_ring.doublings().is_some();
+        doublings.unwrap_or(0) > 0 || beyond_own_zone
     }
 
-    /// Members if the circles are as they are now, and whether some were cut off: those of the widest parts.
-    fn wanted_now(&self) -> (BTreeSet<u32>, bool) {
-        let number = self.instance.number;
-        let mut wanted = BTreeSet::new();
-        for circle in [&self.near, &self.all] {
-            for doublings in circle.doublings.into_iter().flat_map(|d| 0..=d) {
-                for endpoint in circle.within(number, doublings) {
-                    if wanted.len() >= self.need.max_size && !wanted.contains(&endpoint) {
-                        return (wanted, true);
-                    }
-                    wanted.insert(endpoint);
-                }
-            }
+    fn shrink(&mut self, now: Micros) -> MembershipChange {
+        self.resized_at = now;
+        let own_zone_doublings = self.own_zone_ring.doublings();
+        let fleet_doublings = self.fleet_ring.doublings();
+        self.narrow();
+        if self.selection().endpoints.len() < self.min_size() {
+            self.own_zone_ring.select(own_zone_doublings);
+            self.fleet_ring.select(fleet_doublings);
+            return MembershipChange::default();
         }
-        (wanted, false)
+        self.update_members()
+    }
+
+    /// The minimum size, or the size of the fleet if that is smaller.
+    fn min_size(&self) -> usize {
+        self.config.min_size.min(self.endpoints.len())
     }
 
-    /// Takes twice the part, first of the own zone and then of all; false if there is no more or no more is allowed.
+    /// Doubles the selected range: first that of the own zone, then that of the fleet. Returns false if there is no more,
+    /// or no more is allowed.
     fn widen(&mut self, now: Micros) -> bool {
-        if self.members.len() >= self.need.max_size {
+        if self.members.len() >= self.config.max_size {
             return false;
         }
-        let next = |circle: &Circle| {
-            circle
-                .doublings
-                .filter(|&d| d < circle.deal.doublings())
-                .map(|d| d + 1)
-        };
-        if let (true, Some(wider)) = (
-            self.need.prefer_own_zone && self.all.doublings.is_none(),
-            next(&self.near),
-        ) {
-            self.near.doublings = Some(wider);
-        } else if self.all.doublings.is_none() {
-            self.all.doublings = Some(0);
-        } else if let Some(wider) = next(&self.all) {
-            self.all.doublings = Some(wider);
+        let within_own_zone = self.config.prefer_own_zone && self.fleet_ring.doublings().is_none();
+        let widened = if within_own_zone && self.own_zone_ring.double() {
+            true
+        } else if self.fleet_ring.doublings().is_none() {
+            self.fleet_ring.select(Some(0));
+            true
         } else {
-            return false;
+            self.fleet_ring.double()
+        };
+        if widened {
+            self.resized_at = now.max(1);
         }
-        self.grown = now.max(1);
-        true
+        widened
     }
 
-    /// The other way.
-    fn narrow(&mut self) -> bool {
-        let own_zone = self.need.prefer_own_zone;
-        match (self.all.doublings, self.near.doublings) {
-            (Some(0), _) if own_zone => self.all.doublings = None,
-            (Some(wide @ 1..), _) => self.all.doublings = Some(wide - 1),
-            (None, Some(wide @ 1..)) => self.near.doublings = Some(wide - 1),
-            _ => return false,
+    /// Undoes one step of [`Self::widen`].
+    fn narrow(&mut self) {
+        match (self.fleet_ring.doublings(), self.own_zone_ring.doublings()) {
+            (Some(0), _) if self.config.prefer_own_zone => self.fleet_ring.select(None),
+            (Some(doublings @ 1..), _) => self.fleet_ring.select(Some(doublings - 1)),
+            (None, Some(doublings @ 1..)) => self.own_zone_ring.select(Some(doublings - 1)),
+            _ => {}
         }
-        true
     }
 
-    /// Deals the fleet anew if it has outgrown its parts. True if it was.
-    fn deal_anew(&mut self) -> bool {
-        let (number, size) = (self.instance.number, self.need.target_size);
-        let mut dealt = false;
-        for (which, circle) in [&mut self.near, &mut self.all].into_iter().enumerate() {
-            let deal = circle.deal.for_fleet(circle.places.len(), size);
-            if deal == circle.deal {
-                continue;
-            }
-            let (old, new) = (circle.deal.team(number).number, deal.team(number).number);
-            circle.deal = deal;
-            circle.doublings = circle.doublings.map(|d| d.min(deal.doublings()));
-            dealt = true;
-            if old == new {
-                continue;
-            }
-            let ids: Vec<u32> = circle.places.iter().map(|&(_, id)| id).collect();
-            circle.places.clear();
-            for id in ids {
-                let Some(known) = self.known.get_mut(&id) else {
-                    continue;
+    /// Partitions the rings again if the fleet has become too large or too small. Returns whether one was.
+    fn repartition(&mut self) -> bool {
+        let target_size = self.config.target_size;
+        let endpoints = &mut self.endpoints;
+        let own_zone_changed = self.own_zone_ring.repartition(target_size, |id, round| {
+            let endpoint = endpoints.get_mut(&id)?;
+            let hash = ring_hash(&endpoint.name, round);
+            endpoint.own_zone_hash = Some(hash);
+            Some(hash)
+        });
+        let fleet_changed = self.fleet_ring.repartition(target_size, |id, round| {
+            let endpoint = endpoints.get_mut(&id)?;
+            endpoint.fleet_hash = ring_hash(&endpoint.name, round);
+            Some(endpoint.fleet_hash)
+        });
+        own_zone_changed || fleet_changed
+    }
+
+    /// Endpoints in the selected ranges, up to the maximum size: the own zone and narrow ranges first.
+    fn selection(&self) -> Selection {
+        let mut endpoints = BTreeSet::new();
+        let selected = self.own_zone_ring.selected();
+        for endpoint in selected.chain(self.fleet_ring.selected()) {
+            if endpoints.len() >= self.config.max_size && !endpoints.contains(&endpoint) {
+                return Selection {
+                    endpoints,
+                    truncated: true,
                 };
-                known.places[which] = place(&known.name, new);
-                circle.places.insert((known.places[which], id));
             }
+            endpoints.insert(endpoint);
         }
-        if dealt {
-            // An endpoint may lie on one circle only: its place on the other is needed once it does.
-            for known in self.known.values_mut() {
-                known.places[0] = place(&known.name, self.near.deal.team(number).number);
-            }
+        Selection {
+            endpoints,
+            truncated: false,
         }
-        dealt
     }
 
-    /// Makes the members what is wanted now.
-    fn settle(&mut self) -> MembershipChange {
-        let (wanted, cut) = self.wanted_now();
-        self.cut = cut;
-        let joined = wanted.difference(&self.members).copied().collect();
-        let left = self.members.difference(&wanted).copied().collect();
-        self.members = wanted;
-        MembershipChange {
-            added: joined,
-            removed: left,
+    fn is_selected(&self, endpoint: &Endpoint) -> bool {
+        let in_own_zone_range = endpoint
+            .own_zone_hash
+            .is_some_and(|hash| self.own_zone_ring.selects(hash));
+        in_own_zone_range || self.fleet_ring.selects(endpoint.fleet_hash)
+    }
+
+    /// Makes the selected endpoints the members.
+    fn update_members(&mut self) -> MembershipChange {
+        let Selection {
+            endpoints,
+            truncated,
+        } = self.selection();
+        self.truncated = truncated;
+        let added = endpoints.difference(&self.members).copied().collect();
+        let removed = self.members.difference(&endpoints).copied().collect();
+        self.members = endpoints;
+        MembershipChange { added, removed }
+    }
+
+    /// The same where only the endpoints in `changed` may have joined or left. Ignores the maximum size.
+    fn update_changed_members(&mut self, changed: &[u32]) -> MembershipChange {
+        let mut change = MembershipChange::default();
+        for &id in changed {
+            let selected = self
+                .endpoints
+                .get(&id)
+                .is_some_and(|endpoint| self.is_selected(endpoint));
+            if selected && self.members.insert(id) {
+                change.added.push(id);
+            } else if !selected && self.members.remove(&id) {
+                change.removed.push(id);
+            }
         }
+        change
     }
 }
