--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -1,5 +1,5 @@
-//! How evenly ways to choose subsets spread proxies over endpoints, and how much moves when the fleet changes:
-//! `cargo run --release -p badgerramp-subset --example spread`. The table stands in `docs/large-fleets.md`.
+//! How evenly subsetting algorithms spread proxies over endpoints, and how many connections they move when the fleet
+//! changes: `cargo run --release -p badgerramp-subset --example spread`. The table stands in `docs/large-fleets.md`.
 
 use badgerramp_subset::{Instance, Subset, SubsetConfig};
 use rand::seq::SliceRandom;
@@ -8,7 +8,8 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-type Choice = fn(&[u32], u32, u32, usize) -> BTreeSet<u32>;
+/// Subset of a fleet for one proxy of so many, of about a size.
+type Algorithm = fn(&[u32], u32, u32, usize) -> BTreeSet<u32>;
 
 /// Each proxy takes the endpoints with the greatest hash of both names (D. Thaler and C. Ravishankar, 1998).
 fn rendezvous(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
@@ -75,34 +76,39 @@
         let fleet: Vec<u32> = (0..endpoints).collect();
         let more: Vec<u32> = (0..=endpoints).collect();
         let fewer: Vec<u32> = (0..endpoints).filter(|&e| e != endpoints / 2).collect();
-        let ways: [(&str, Choice); 4] = [
+        let algorithms: [(&str, Algorithm); 4] = [
             ("ours", ours),
             ("rendezvous", rendezvous),
             ("shuffled", shuffled),
             ("aperture", aperture),
         ];
-        for (name, way) in ways {
-            let mut held = vec![0_u32; endpoints as usize];
+        for (name, algorithm) in algorithms {
+            let mut proxies_per_endpoint = vec![0_u32; endpoints as usize];
             let (mut least, mut most, mut came, mut went) = (usize::MAX, 0, 0, 0);
             // All of them for the spread; for what moves, a tenth stands for all.
             for proxy in 0..proxies {
-                let before = way(&fleet, proxy, proxies, size);
+                let before = algorithm(&fleet, proxy, proxies, size);
                 (least, most) = (least.min(before.len()), most.max(before.len()));
-                before.iter().for_each(|&e| held[e as usize] += 1);
+                before
+                    .iter()
+                    .for_each(|&e| proxies_per_endpoint[e as usize] += 1);
                 if proxy % 10 == 3 {
-                    came += way(&more, proxy, proxies, size).difference(&before).count() * 10;
-                    went += way(&fewer, proxy, proxies, size)
+                    came += algorithm(&more, proxy, proxies, size)
+                        .difference(&before)
+                        .count()
+                        * 10;
+                    went += algorithm(&fewer, proxy, proxies, size)
                         .difference(&before)
                         .count()
                         * 10;
                 }
             }
-            let mean = f64::from(held.iter().sum::<u32>()) / f64::from(endpoints);
-            let part = |n: Option<&u32>| n.map_or(0.0, |&n| f64::from(n) / mean);
+            let mean = f64::from(proxies_per_endpoint.iter().sum::<u32>()) / f64::from(endpoints);
+            let ratio = |n: Option<&u32>| n.map_or(0.0, |&n| f64::from(n) / mean);
             println!(
                 "{endpoints:>9}  {name:<10} {:>9.2} {:>9.2} {:>10}..{most:<5} {came:>13} {went:>12} {mean:>7.0}",
-                part(held.iter().max()),
-                part(held.iter().min()),
+                ratio(proxies_per_endpoint.iter().max()),
+                ratio(proxies_per_endpoint.iter().min()),
                 least
             );
         }
--- a/crates/subset/tests/resource_bounds.rs
+++ b/crates/subset/tests/resource_bounds.rs
@@ -3,26 +3,26 @@
 use badgerramp_subset::{ResourceBounds, SubsetConfig};
 
 #[test]
-fn the_figures_of_the_page_follow_from_the_formulas() {
+fn bounds_match_documented_values() {
     let bounds = ResourceBounds {
         proxies: 2_000,
         endpoints: 1_000,
         idle_connections: 1,
     };
-    let need = SubsetConfig::with_size(20);
-    // 64 parts of 15.6 endpoints: 31.25 teams.
-    assert_eq!(bounds.proxies_per_endpoint(&need), 32);
+    let config = SubsetConfig::with_size(20);
+    // 64 ranges of 15.6 endpoints: 31.25 rounds.
+    assert_eq!(bounds.proxies_per_endpoint(&config), 32);
     // Three doublings from 15.6 reach beyond 80.
-    assert_eq!(bounds.max_proxies_per_endpoint(&need), 250);
-    assert_eq!(bounds.max_connections_per_proxy(&need), 80);
+    assert_eq!(bounds.max_proxies_per_endpoint(&config), 250);
+    assert_eq!(bounds.max_connections_per_proxy(&config), 80);
     let small = ResourceBounds {
         endpoints: 5,
         ..bounds
     };
     assert_eq!(
         (
-            small.proxies_per_endpoint(&need),
-            small.max_connections_per_proxy(&need)
+            small.proxies_per_endpoint(&config),
+            small.max_connections_per_proxy(&config)
         ),
         (2_000, 5)
     );
--- a/crates/subset/tests/subset.rs
+++ b/crates/subset/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The subset through changes of list, traffic and health.
+//! How the subset changes with the list, the calls and the health of its members.
 
 use badgerramp_subset::{Health, Instance, MembershipChange, Subset, SubsetConfig};
 use proptest::prelude::*;
@@ -6,8 +6,8 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn filled(need: SubsetConfig, instance: Instance, endpoints: u32) -> Subset {
-    let mut subset = Subset::new(need, instance);
+fn subset_of_fleet(config: SubsetConfig, instance: Instance, endpoints: u32) -> Subset {
+    let mut subset = Subset::new(config, instance);
     let all: Vec<u32> = (0..endpoints).collect();
     all.iter()
         .for_each(|&n| subset.add(n, &format!("e{n}"), n % 3 == 0));
@@ -19,7 +19,7 @@
     subset.members().collect()
 }
 
-fn well(subset: &Subset) -> Health {
+fn healthy(subset: &Subset) -> Health {
     Health {
         usable: members(subset).len(),
         in_flight: 1,
@@ -28,28 +28,28 @@
 }
 
 #[test]
-fn each_endpoint_has_as_many_proxies_as_there_are_teams() {
-    let mut held = vec![0_u32; 1_000];
+fn each_endpoint_belongs_to_one_proxy_of_every_round() {
+    let mut proxies_per_endpoint = vec![0_u32; 1_000];
     for number in 0..64 * 10 {
-        let need = SubsetConfig {
+        let config = SubsetConfig {
             min_size: 1,
             ..SubsetConfig::with_size(20)
         };
-        let subset = filled(need, Instance { number, count: 640 }, 1_000);
+        let subset = subset_of_fleet(config, Instance { number, count: 640 }, 1_000);
         members(&subset)
             .into_iter()
-            .for_each(|e| held[e as usize] += 1);
+            .for_each(|endpoint| proxies_per_endpoint[endpoint as usize] += 1);
     }
     assert!(
-        held.iter().all(|&n| n == 10),
-        "64 members a team, ten teams: {held:?}"
+        proxies_per_endpoint.iter().all(|&proxies| proxies == 10),
+        "64 proxies a round, ten rounds: {proxies_per_endpoint:?}"
     );
 }
 
 #[test]
-fn an_endpoint_that_goes_takes_nobody_else_along_and_a_new_one_moves_nothing() {
+fn removed_or_added_endpoint_moves_no_other() {
     for number in 0..100 {
-        let mut subset = filled(
+        let mut subset = subset_of_fleet(
             SubsetConfig {
                 min_size: 1,
                 ..SubsetConfig::with_size(20)
@@ -58,14 +58,14 @@
             1_000,
         );
         let before = members(&subset);
-        let gone = *before.iter().next().expect("some");
-        subset.remove(gone);
-        let changes = subset.apply_list_change(SECOND, &[gone]);
+        let removed = *before.iter().next().expect("some");
+        subset.remove(removed);
+        let changes = subset.apply_list_change(SECOND, &[removed]);
         assert_eq!(
             changes,
             MembershipChange {
                 added: vec![],
-                removed: vec![gone]
+                removed: vec![removed]
             }
         );
         subset.add(5_000, "new", true);
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn members_that_all_fail_at_once_are_made_up_for_at_once() {
-    let mut subset = filled(
+fn subset_grows_immediately_when_no_member_is_usable() {
+    let mut subset = subset_of_fleet(
         SubsetConfig::with_size(10),
         Instance {
             number: 5,
@@ -94,7 +94,7 @@
         },
     );
     assert!(changes.removed.is_empty() && changes.added.iter().all(|e| !first.contains(e)));
-    // Nobody is left still: no pause.
+    // Still no member is usable: the growth interval is not observed.
     let more = subset.adjust_size(
         SECOND,
         Health {
@@ -107,12 +107,15 @@
     for _ in 0..20 {
         subset.adjust_size(SECOND, Health::default());
     }
-    assert!(members(&subset).len() <= 40, "never beyond the most");
+    assert!(
+        members(&subset).len() <= 40,
+        "never beyond the maximum size"
+    );
 }
 
 #[test]
-fn a_quiet_proxy_that_turns_busy_grows_step_by_step_and_goes_back_when_that_is_over() {
-    let mut subset = filled(
+fn overload_grows_subset_in_steps_and_calm_shrinks_it_back() {
+    let mut subset = subset_of_fleet(
         SubsetConfig::with_size(10),
         Instance {
             number: 7,
@@ -121,40 +124,40 @@
         1_000,
     );
     let first = members(&subset);
-    let full = |s: &Subset| Health {
-        usable: members(s).len(),
+    let overloaded = |subset: &Subset| Health {
+        usable: members(subset).len(),
         in_flight: 90,
         queued: 5,
     };
-    let grown = subset.adjust_size(SECOND, full(&subset));
+    let grown = subset.adjust_size(SECOND, overloaded(&subset));
     assert!(grown.added.len() >= first.len() / 2);
-    let health = full(&subset);
+    let health = overloaded(&subset);
     assert!(
         subset.adjust_size(SECOND + 1_000, health).is_empty(),
-        "what the step does must show first"
+        "the effect of the step must show first"
     );
     let now = 3 * SECOND;
-    let health = full(&subset);
+    let health = overloaded(&subset);
     assert!(!subset.adjust_size(now, health).is_empty());
-    let health = well(&subset);
+    let health = healthy(&subset);
     assert!(subset.adjust_size(now + 29 * SECOND, health).is_empty());
     let mut at = now + 31 * SECOND;
     for _ in 0..4 {
-        let health = well(&subset);
+        let health = healthy(&subset);
         assert!(subset.adjust_size(at, health).added.is_empty());
         at += 31 * SECOND;
     }
-    assert_eq!(members(&subset), first, "the part that is its own");
+    assert_eq!(members(&subset), first, "the range that is its own");
 }
 
 #[test]
-fn the_own_zone_comes_first_and_others_only_when_it_fails() {
-    let need = SubsetConfig {
+fn own_zone_is_preferred_until_too_few_members_are_usable() {
+    let config = SubsetConfig {
         prefer_own_zone: true,
         ..SubsetConfig::with_size(10)
     };
-    let mut subset = filled(
-        need,
+    let mut subset = subset_of_fleet(
+        config,
         Instance {
             number: 3,
             count: 200,
@@ -167,9 +170,9 @@
     }
     let all = members(&subset);
     assert!(all.len() <= 40 && !all.is_empty());
-    // A zone of two endpoints is fewer than the least: others make up for it.
+    // A zone of two endpoints is smaller than the minimum size: others are added.
     let mut subset = Subset::new(
-        need,
+        config,
         Instance {
             number: 3,
             count: 200,
@@ -185,10 +188,10 @@
 }
 
 #[test]
-fn with_fewer_endpoints_than_are_asked_for_it_is_all_of_them() {
+fn fleet_smaller_than_target_is_selected_completely() {
     for number in 0..50 {
         assert_eq!(
-            members(&filled(
+            members(&subset_of_fleet(
                 SubsetConfig::with_size(20),
                 Instance { number, count: 50 },
                 7
@@ -200,9 +203,9 @@
 }
 
 #[test]
-fn half_of_the_fleet_replaced_leaves_every_proxy_with_enough() {
+fn replacing_half_of_the_fleet_keeps_minimum_size() {
     for number in 0..200 {
-        let mut subset = filled(
+        let mut subset = subset_of_fleet(
             SubsetConfig::with_size(20),
             Instance { number, count: 200 },
             1_000,
@@ -222,48 +225,84 @@
     }
 }
 
+/// One event in the life of a subset.
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Add {
+        endpoint: u32,
+        in_own_zone: bool,
+    },
+    Remove {
+        endpoint: u32,
+    },
+    AdjustSize(Health),
+    /// A time without calls that is long enough to shrink.
+    Calm,
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let endpoint = 0_u32..80;
+    let add = (endpoint.clone(), any::<bool>());
+    let health = (0_usize..4, any::<bool>());
+    prop_oneof![
+        2 => add.prop_map(|(endpoint, in_own_zone)| Step::Add { endpoint, in_own_zone }),
+        1 => endpoint.prop_map(|endpoint| Step::Remove { endpoint }),
+        1 => health.prop_map(|(usable, queued)| Step::AdjustSize(Health {
+            usable,
+            in_flight: 3,
+            queued: usize::from(queued),
+        })),
+        1 => Just(Step::Calm),
+    ]
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Through any course of changes: its members are listed ones, never too few nor too many, and what it says has
-    /// changed makes of the old members the new ones.
+    /// For any sequence of changes: the members are listed endpoints, neither too few nor too many, and each reported change
+    /// turns the old members into the new ones.
     #[test]
-    fn what_it_tells_and_what_it_holds_agree(
+    fn reported_changes_match_members_within_size_limits(
         number in 0_u32..300,
         size in 2_usize..12,
-        own_zone: bool,
-        steps in proptest::collection::vec((0_u8..5, 0_u32..80, any::<bool>()), 1..250),
+        prefer_own_zone: bool,
+        steps in proptest::collection::vec(step(), 1..250),
     ) {
-        let need = SubsetConfig { prefer_own_zone: own_zone, ..SubsetConfig::with_size(size) };
-        let mut subset = Subset::new(need, Instance { number, count: 300 });
-        let (mut told, mut listed, mut now) = (BTreeSet::new(), BTreeSet::new(), 0);
-        for (what, endpoint, flag) in steps {
-            now += 100_000;
-            let changes = match what {
-                0 | 1 => {
-                    subset.add(endpoint, &format!("e{endpoint}"), flag);
+        let config = SubsetConfig { prefer_own_zone, ..SubsetConfig::with_size(size) };
+        let mut subset = Subset::new(config, Instance { number, count: 300 });
+        let mut reported = BTreeSet::new();
+        let mut listed = BTreeSet::new();
+        let mut now = 0;
+        for step in steps {
+            now += SECOND / 10;
+            let change = match step {
+                Step::Add { endpoint, in_own_zone } => {
+                    subset.add(endpoint, &format!("e{endpoint}"), in_own_zone);
                     listed.insert(endpoint);
                     subset.apply_list_change(now, &[endpoint])
                 }
-                2 => {
+                Step::Remove { endpoint } => {
                     subset.remove(endpoint);
                     listed.remove(&endpoint);
                     subset.apply_list_change(now, &[endpoint])
                 }
-                3 => subset.adjust_size(now, Health { usable: endpoint as usize % 4, in_flight: 3, queued: usize::from(flag) }),
-                _ => {
-                    now += 40_000_000;
-                    let usable = subset.members().count();
-                    subset.adjust_size(now, Health { usable, in_flight: 0, queued: 0 })
+                Step::AdjustSize(health) => subset.adjust_size(now, health),
+                Step::Calm => {
+                    now += 40 * SECOND;
+                    let health = Health { usable: subset.member_count(), in_flight: 0, queued: 0 };
+                    subset.adjust_size(now, health)
                 }
             };
-            changes.removed.iter().for_each(|e| { told.remove(e); });
-            told.extend(changes.added.iter().copied());
-            let held: BTreeSet<u32> = subset.members().collect();
-            prop_assert_eq!(&told, &held);
-            prop_assert!(held.is_subset(&listed));
-            prop_assert!(held.len() >= need.min_size.min(listed.len()), "{} of {}", held.len(), listed.len());
-            prop_assert!(held.len() <= need.max_size, "{}", held.len());
+            for endpoint in &change.removed {
+                reported.remove(endpoint);
+            }
+            reported.extend(change.added);
+            let current = members(&subset);
+            prop_assert_eq!(&reported, &current);
+            prop_assert!(current.is_subset(&listed));
+            let min_size = config.min_size.min(listed.len());
+            prop_assert!(current.len() >= min_size, "{} of {}", current.len(), listed.len());
+            prop_assert!(current.len() <= config.max_size, "{}", current.len());
         }
     }
 }
