--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -7,9 +7,11 @@
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
-use badgerramp_decisions::settings::{Facts, Transport};
+use badgerramp_decisions::settings::{PlatformSettings, Transport};
 use badgerramp_decisions::Settings as Decided;
-use badgerramp_policy::{CutOff, Generation, Grant, Holder, HolderTerms, Identity, Mode};
+use badgerramp_policy::{
+    Generation, Identity, LeaseGrant, LeaseHolder, LeaseHolderConfig, Mode, OnLeaseLoss,
+};
 use hyper::header::HeaderMap;
 use std::collections::HashMap;
 use std::io::Write;
@@ -104,20 +106,20 @@
         name: "bench".to_owned(),
         incarnation: 1,
     };
-    let terms = HolderTerms {
-        cut_off: CutOff::Refuse,
-        answer_within: 1,
-        pause: 1,
+    let terms = LeaseHolderConfig {
+        on_lease_loss: OnLeaseLoss::Reject,
+        request_timeout: 1,
+        retry_delay: 1,
     };
-    let mut holder = Holder::new(identity, terms, [Generation(1)].into());
-    let mode = Mode::settled(1, Generation(1));
-    let asked = holder.ask(clock::now());
-    holder.answered(
+    let mut holder = LeaseHolder::new(identity, terms, [Generation(1)].into());
+    let mode = Mode::stable(1, Generation(1));
+    let asked = holder.request(clock::now());
+    holder.on_grant(
         clock::now(),
-        Grant {
-            number: asked.number,
+        LeaseGrant {
+            sequence: asked.sequence,
             mode,
-            lease: 3_600_000_000,
+            duration: 3_600_000_000,
         },
     );
     let gate = AdmissionGate::new(holder);
@@ -127,7 +129,7 @@
         connect_timeout: 1,
     };
     let (settings, classes, tenants) = (Decided::default(), Vec::new(), Vec::new());
-    let facts = Facts {
+    let facts = PlatformSettings {
         settings,
         classes,
         tenants,
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -7,8 +7,8 @@
 use badgerramp_control_protocol::clock;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{
-    next_command, Ask, Blocker, Command, Generation, Identity, LeaseTerms, Leases, Lent, Limits,
-    Micros, Mode, Outcome, Record,
+    next_command, Blocker, ChangeTimeouts, Command, Generation, GrantOutcome, Identity,
+    LeaseConfig, LeaseRequest, Leases, Micros, Mode, Outcome, Record,
 };
 use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
 use openraft::{BasicNode, Raft, ServerState};
@@ -40,7 +40,10 @@
 }
 
 /// A question for a lease, and where its answer goes.
-pub(crate) type Question = (Ask, oneshot::Sender<Result<Lent, NotLeader>>);
+pub(crate) type Question = (
+    LeaseRequest,
+    oneshot::Sender<Result<GrantOutcome, NotLeader>>,
+);
 /// Those that wait.
 pub(crate) type Questions = mpsc::Receiver<Question>;
 
@@ -48,8 +51,8 @@
 pub(crate) struct Leader {
     raft: Raft<Types>,
     store: Store,
-    terms: LeaseTerms,
-    limits: Limits,
+    terms: LeaseConfig,
+    limits: ChangeTimeouts,
     /// The other regions.
     others: BTreeSet<Region>,
     held: Mutex<Option<Held>>,
@@ -80,9 +83,9 @@
     /// The part of this replica. [`Leader::run`] must run beside it.
     pub(crate) fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
-        let terms = LeaseTerms {
-            lease: micros(settings.lease),
-            drift: micros(settings.drift),
+        let terms = LeaseConfig {
+            duration: micros(settings.lease),
+            max_clock_drift: micros(settings.drift),
         };
         let others = settings
             .regions
@@ -93,9 +96,9 @@
             .regions
             .as_ref()
             .map_or(settings.wait, |regions| regions.wait);
-        let limits = Limits {
-            wait: micros(settings.wait),
-            regions_wait: micros(regions_wait),
+        let limits = ChangeTimeouts {
+            proxies: micros(settings.wait),
+            regions: micros(regions_wait),
         };
         let leader = Leader {
             raft,
@@ -128,7 +131,7 @@
                 info!("replica leads in term {term}");
                 *held = Some(Held {
                     term,
-                    leases: Leases::elected(self.terms, clock::now()),
+                    leases: Leases::after_election(self.terms, clock::now()),
                     since: None,
                 });
             }
@@ -178,7 +181,7 @@
     }
 
     /// Asks for a mode.
-    pub(crate) async fn lend(&self, ask: Ask) -> Result<Lent, NotLeader> {
+    pub(crate) async fn lend(&self, ask: LeaseRequest) -> Result<GrantOutcome, NotLeader> {
         let (sender, answer) = oneshot::channel();
         let busy = || NotLeader {
             leader: None,
@@ -204,7 +207,7 @@
         }
     }
 
-    async fn lend_one(&self, ask: Ask) -> Result<Lent, NotLeader> {
+    async fn lend_one(&self, ask: LeaseRequest) -> Result<GrantOutcome, NotLeader> {
         let lend = || {
             let mut held = self.held();
             // The clock is read after the leases are this term's.
@@ -215,22 +218,22 @@
                 });
             }
             let now = clock::now();
-            let lent = |h: &mut Held| self.store.with(|record| h.leases.lend(now, record, &ask));
-            Ok(held.as_mut().map_or(Lent::RegisterFirst, lent))
+            let lent = |h: &mut Held| self.store.with(|record| h.leases.grant(now, record, &ask));
+            Ok(held.as_mut().map_or(GrantOutcome::RegisterFirst, lent))
         };
         let lent = lend()?;
-        if lent != Lent::RegisterFirst {
+        if lent != GrantOutcome::RegisterFirst {
             return Ok(lent);
         }
-        let Ask {
+        let LeaseRequest {
             ref identity,
-            cut_off,
+            on_lease_loss: cut_off,
             ..
         } = ask;
         info!("{identity} may act without a lease: it is written down");
         self.agree(Command::Register {
             identity: identity.clone(),
-            cut_off,
+            on_lease_loss: cut_off,
         })
         .await?;
         lend()
@@ -241,15 +244,15 @@
         self.confirmed().await?;
         if self
             .store
-            .with(|record| record.standing().contains_key(&identity))
+            .with(|record| record.leaseless_proxies().contains_key(&identity))
         {
-            self.agree(Command::Retire {
+            self.agree(Command::Unregister {
                 identity: identity.clone(),
             })
             .await?;
         }
         if let Some(held) = self.held().as_mut() {
-            held.leases.leaves(&identity);
+            held.leases.unregister(&identity);
         }
         self.stir.notify_one();
         Ok(())
@@ -262,7 +265,7 @@
         let Some(held) = held.as_ref() else {
             return Default::default();
         };
-        let blockers = |record: &Record| match record.middle() {
+        let blockers = |record: &Record| match record.transition() {
             Some(_) => held.leases.blockers(clock::now(), record),
             None => Vec::new(),
         };
@@ -282,7 +285,7 @@
         }
         let held = held.as_mut()?;
         let now = clock::now();
-        held.leases.sweep(now);
+        held.leases.expire(now);
         let record = self.store.record();
         let revision = record.revision();
         let begun = match held.since {
@@ -322,7 +325,7 @@
         self.confirmed().await?;
         let middle = self
             .store
-            .with(Record::middle)
+            .with(Record::transition)
             .filter(|middle| middle.new == generation);
         let Some(Mode { revision, .. }) = middle else {
             return Ok(None);
@@ -333,6 +336,11 @@
         {
             return self.agree(command).await.map(Some);
         }
-        self.agree(Command::Abort { revision, why }).await.map(Some)
+        self.agree(Command::Abort {
+            revision,
+            reason: why,
+        })
+        .await
+        .map(Some)
     }
 }
--- a/crates/policy/tests/meet.rs
+++ b/crates/policy/tests/meet.rs
@@ -1,15 +1,25 @@
 //! What the meet admits, both admit: for any two calls that two policies could make of one request, and any answer.
 
-use badgerramp_decisions::{Hedge, Repeat, Resend, Scope, Terms};
-use badgerramp_policy::{meet, meet_answers, Call, Key, Side, Unlike};
+use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
+use badgerramp_policy::{
+    intersect, intersect_answers, IdempotencyKey, Mismatch, ResolvedCall, Side,
+};
 use badgerramp_route::{Answers, Proof, StatusSet, Verdict};
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
 
-fn repeat() -> impl Strategy<Value = Repeat> {
-    let scope = prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Cell)];
-    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Repeat::Guarded { scope, window });
-    prop_oneof![Just(Repeat::Free), Just(Repeat::SingleShot), guarded]
+fn repeat() -> impl Strategy<Value = Idempotency> {
+    let scope = prop_oneof![
+        Just(DedupScope::All),
+        Just(DedupScope::Zone),
+        Just(DedupScope::Cell)
+    ];
+    let guarded = (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    prop_oneof![
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        guarded
+    ]
 }
 
 fn hedge() -> impl Strategy<Value = Hedge> {
@@ -23,56 +33,61 @@
 prop_compose! {
     fn call()(
         repeat in repeat(),
-        key in prop_oneof![Just(Key::None), "[ab]".prop_map(Key::Value)],
+        key in prop_oneof![Just(IdempotencyKey::None), "[ab]".prop_map(IdempotencyKey::Value)],
         time in 1..4u64,
         (attempts, attempt_time, backoff) in (1..4u32, 1..4u64, 0..3u64),
         hedge in hedge(),
         any in any::<bool>(),
         (connect, body) in (1..4u64, 0..3usize),
-    ) -> Call {
-        let resend = if any { Resend::Any } else { Resend::NeverRan };
-        let once = matches!(repeat, Repeat::Guarded { .. }) && key == Key::None;
-        let terms = Terms { attempts, attempt_time, backoff, hedge, resend, once };
-        Call { repeat, key, time, terms, connect, body }
+    ) -> ResolvedCall {
+        let resend = if any { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
+        let once = matches!(repeat, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
+        let terms = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
+        ResolvedCall { idempotency: repeat, key, timeout: time, policy: terms, connect_timeout: connect, max_body_bytes: body }
     }
 }
 
 /// May a call of these terms run again at a host of the same zone (and cell), or of another, `after` its first attempt?
-fn runs_again(repeat: Repeat, terms: &Terms, (zone, cell): (bool, bool), after: u64) -> bool {
+fn runs_again(
+    repeat: Idempotency,
+    terms: &CallPolicy,
+    (zone, cell): (bool, bool),
+    after: u64,
+) -> bool {
     let class = match repeat {
-        Repeat::Free => true,
-        Repeat::SingleShot => false,
-        Repeat::Guarded { scope, window } => {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::Keyed { scope, window } => {
             let here = match scope {
-                Scope::All => true,
-                Scope::Zone => zone,
-                Scope::Cell => cell,
+                DedupScope::All => true,
+                DedupScope::Zone => zone,
+                DedupScope::Cell => cell,
             };
-            here && after < window && !terms.once
+            here && after < window && !terms.non_idempotent
         }
     };
-    class && !terms.once && terms.resend == Resend::Any
+    class && !terms.non_idempotent && terms.retry_on == RetryOn::AnyFailure
 }
 
 proptest! {
     #[test]
     fn what_the_meet_allows_both_allow(old in call(), new in call()) {
-        let met = meet(Some(&old), Some(&new)).expect("both take it").expect("both take it");
+        let met = intersect(Some(&old), Some(&new)).expect("both take it").expect("both take it");
         let chosen = if met.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
-            let (terms, its) = (&met.terms, &own.terms);
-            prop_assert!(met.time <= own.time && met.connect <= own.connect && met.body <= own.body);
-            prop_assert!(terms.attempts <= its.attempts && terms.attempt_time <= its.attempt_time);
+            let (terms, its) = (&met.policy, &own.policy);
+            prop_assert!(met.timeout <= own.timeout && met.connect_timeout <= own.connect_timeout && met.max_body_bytes <= own.max_body_bytes);
+            prop_assert!(terms.max_attempts <= its.max_attempts && terms.attempt_timeout <= its.attempt_timeout);
             prop_assert!(terms.backoff >= its.backoff);
             prop_assert!(terms.hedge == Hedge::Never || terms.hedge == its.hedge);
-            prop_assert!(terms.resend == Resend::NeverRan || its.resend == Resend::Any);
+            prop_assert!(terms.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
             for place in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
-                    if runs_again(chosen.repeat, terms, place, after) {
-                        prop_assert!(runs_again(own.repeat, its, place, after), "{place:?} {after}");
+                    if runs_again(chosen.idempotency, terms, place, after) {
+                        prop_assert!(runs_again(own.idempotency, its, place, after), "{place:?} {after}");
                         // By the key that it bears, where it goes by one.
-                        if matches!(own.repeat, Repeat::Guarded { .. }) {
-                            prop_assert!(own.key == chosen.key || chosen.repeat == Repeat::Free);
+                        if matches!(own.idempotency, Idempotency::Keyed { .. }) {
+                            prop_assert!(own.key == chosen.key || chosen.idempotency == Idempotency::Idempotent);
                         }
                     }
                 }
@@ -82,13 +97,13 @@
 
     #[test]
     fn the_meet_of_one_policy_with_itself_is_that_policy(own in call()) {
-        let met = meet(Some(&own), Some(&own)).expect("both take it").expect("both take it");
-        prop_assert_eq!((met.time, met.terms, met.connect, met.body), (own.time, own.terms, own.connect, own.body));
+        let met = intersect(Some(&own), Some(&own)).expect("both take it").expect("both take it");
+        prop_assert_eq!((met.timeout, met.policy, met.connect_timeout, met.max_body_bytes), (own.timeout, own.policy, own.connect_timeout, own.max_body_bytes));
     }
 
     #[test]
     fn an_answer_means_what_it_means_to_both_or_may_have_run(old in answers(), new in answers()) {
-        let met = meet_answers(&old, &new);
+        let met = intersect_answers(&old, &new);
         let marked = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
         for status in [200, 201, 503, 504] {
             let status = StatusCode::from_u16(status).expect("a status");
@@ -123,41 +138,45 @@
 
 #[test]
 fn what_only_one_takes_is_turned_away_with_the_reason() {
-    let terms = Terms::default();
-    let call = Call {
-        repeat: Repeat::Free,
-        key: Key::None,
-        time: 1,
-        terms,
-        connect: 1,
-        body: 1,
+    let terms = CallPolicy::default();
+    let call = ResolvedCall {
+        idempotency: Idempotency::Idempotent,
+        key: IdempotencyKey::None,
+        timeout: 1,
+        policy: terms,
+        connect_timeout: 1,
+        max_body_bytes: 1,
     };
-    assert_eq!(meet(Some(&call), None), Err(Unlike::OnlyOld));
-    assert_eq!(meet(None, Some(&call)), Err(Unlike::OnlyNew));
-    assert_eq!(meet(None, None), Ok(None));
+    assert_eq!(intersect(Some(&call), None), Err(Mismatch::OnlyOld));
+    assert_eq!(intersect(None, Some(&call)), Err(Mismatch::OnlyNew));
+    assert_eq!(intersect(None, None), Ok(None));
 }
 
 #[test]
 fn keyed_and_unsafe_meet_in_unsafe() {
-    let guarded = Repeat::Guarded {
-        scope: Scope::All,
+    let guarded = Idempotency::Keyed {
+        scope: DedupScope::All,
         window: 3,
     };
-    let terms = Terms::default();
-    let keyed = Call {
-        repeat: guarded,
-        key: Key::Value("k".to_owned()),
-        time: 1,
-        terms,
-        connect: 1,
-        body: 1,
+    let terms = CallPolicy::default();
+    let keyed = ResolvedCall {
+        idempotency: guarded,
+        key: IdempotencyKey::Value("k".to_owned()),
+        timeout: 1,
+        policy: terms,
+        connect_timeout: 1,
+        max_body_bytes: 1,
     };
-    let unsafe_ = Call {
-        repeat: Repeat::SingleShot,
-        key: Key::None,
+    let unsafe_ = ResolvedCall {
+        idempotency: Idempotency::NonIdempotent,
+        key: IdempotencyKey::None,
         ..keyed.clone()
     };
-    let side = |old, new| meet(Some(old), Some(new)).expect("both").map(|m| m.class);
+    let side = |old, new| {
+        intersect(Some(old), Some(new))
+            .expect("both")
+            .map(|m| m.class)
+    };
     assert_eq!(side(&keyed, &unsafe_), Some(Side::New));
     assert_eq!(side(&unsafe_, &keyed), Some(Side::Old));
 }
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::driver::{Driver, List};
 use super::socket::{Network, Socket};
-use badgerramp_decisions::{ListKind, Micros};
+use badgerramp_decisions::{ListUpdateKind, Micros};
 use badgerramp_endpoint_watch::{
     Input, Output, PollId, ProtocolViolation, Source, Timeouts, Watch, CONNECT_TIMEOUT,
     NOTIFIED_AFTER_SILENCE, SERVICE_RESPONSE_TIMEOUT,
@@ -178,9 +178,9 @@
                         );
                     }
                     let kind = if list.snapshot {
-                        ListKind::Full
+                        ListUpdateKind::Full
                     } else {
-                        ListKind::Delta
+                        ListUpdateKind::Delta
                     };
                     self.driver.members(kind, &list.endpoints);
                 }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -4,8 +4,8 @@
 use super::{reject, Admitted, Rejection};
 use crate::net::exchange::Manner;
 use badgerramp_config::{Config, ANSWER_ROOM};
-use badgerramp_decisions::{ClassId, Repeat};
-use badgerramp_policy::{Call, Key};
+use badgerramp_decisions::{ClassId, Idempotency};
+use badgerramp_policy::{IdempotencyKey, ResolvedCall};
 use badgerramp_route::Route;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -120,7 +120,7 @@
             ));
         }
         // Without its key no host could recognise the repeat of a keyed call.
-        let guarded = matches!(class.repeat, Repeat::Guarded { .. });
+        let guarded = matches!(class.idempotency, Idempotency::Keyed { .. });
         let key = || {
             self.config
                 .routes
@@ -148,8 +148,8 @@
         };
         Ok(Evaluation {
             admitted,
-            repeat: class.repeat,
-            key: key.map_or(Key::None, Key::Value),
+            repeat: class.idempotency,
+            key: key.map_or(IdempotencyKey::None, IdempotencyKey::Value),
         })
     }
 
@@ -176,19 +176,19 @@
 /// What a policy determines of a request, with the key by which hosts recognise a repeat.
 pub(super) struct Evaluation {
     pub(super) admitted: Admitted,
-    repeat: Repeat,
-    key: Key,
+    repeat: Idempotency,
+    key: IdempotencyKey,
 }
 
 impl Evaluation {
-    pub(super) fn call(&self) -> Call {
-        Call {
-            repeat: self.repeat,
+    pub(super) fn call(&self) -> ResolvedCall {
+        ResolvedCall {
+            idempotency: self.repeat,
             key: self.key.clone(),
-            time: self.admitted.time,
-            terms: self.admitted.terms,
-            connect: self.admitted.manner.connect,
-            body: self.admitted.body_most,
+            timeout: self.admitted.time,
+            policy: self.admitted.terms,
+            connect_timeout: self.admitted.manner.connect,
+            max_body_bytes: self.admitted.body_most,
         }
     }
 }
