--- a/crates/config-tool/src/commands.rs
+++ b/crates/config-tool/src/commands.rs
@@ -7,7 +7,7 @@
 use crate::rollout;
 use crate::set::{Application, Described, Set};
 use badgerramp_config::read_upstream;
-use badgerramp_toml_diagnostics::{document, Notes, Section};
+use badgerramp_toml_diagnostics::{parse_document, DiagnosticSink, Section};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
@@ -102,7 +102,7 @@
         key: format!("app.{}.upstream", app.name),
         reason: "this upstream is used but not described".to_owned(),
         found: format!("{:?}", facts.upstream.value),
-        allowed: badgerramp_toml_diagnostics::known_names(&facts.upstream.value, &known),
+        allowed: badgerramp_toml_diagnostics::suggest_names(&facts.upstream.value, &known),
         place: Place::new(app.place.file, &facts.upstream.span),
         related: Vec::new(),
         apps: [app.name.clone()].into(),
@@ -119,9 +119,9 @@
             manifest::figures(upstream)
         );
     }
-    let mut notes = Notes::default();
-    let table = document(&mut notes, &text);
-    let top = Section::new(&mut notes, &table, ("", 0..0), &["upstream"]);
+    let mut notes = DiagnosticSink::default();
+    let table = parse_document(&mut notes, &text);
+    let top = Section::new(&mut notes, &table, "", 0..0, &["upstream"]);
     let names: Vec<&str> = description
         .upstreams
         .iter()
@@ -129,12 +129,12 @@
         .collect();
     let parent = top.section(&mut notes, "upstream", &names);
     for upstream in &description.upstreams {
-        let before = notes.0.len();
+        let before = notes.len();
         let figures = parent
             .as_ref()
             .and_then(|p| read_upstream(&mut notes, p, &upstream.name));
         // A mistake in it shows in each file too; one that nobody uses shows here alone.
-        for mistake in &notes.0[before..] {
+        for mistake in &notes.diagnostics()[before..] {
             let mut finding = Finding::of_mistake(file, mistake, None);
             let key = mistake.key.rsplit('.').next().unwrap_or_default();
             let raw = upstream.keys.iter().find(|k| key.starts_with(&k.key));
@@ -145,7 +145,7 @@
             finding.related.clear();
             report.findings.push(finding);
         }
-        if let Some(figures) = figures.filter(|_| notes.0.len() == before) {
+        if let Some(figures) = figures.filter(|_| notes.len() == before) {
             let (name, place, facts) = (
                 upstream.name.clone(),
                 upstream.place.clone(),
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -5,7 +5,9 @@
 use crate::facts;
 use crate::finding::{Finding, Place, Report};
 use crate::set::folded;
-use badgerramp_toml_diagnostics::{document, known_names, DeTable, DeValue, Notes, Section, Span};
+use badgerramp_toml_diagnostics::{
+    parse_document, suggest_names, DeTable, DeValue, DiagnosticSink, Section, Span,
+};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
@@ -156,10 +158,10 @@
 impl Loader {
     fn includes(&mut self, file: usize) {
         let text = self.report.files[file].1.clone();
-        let mut notes = Notes::default();
-        let table = document(&mut notes, &text);
+        let mut notes = DiagnosticSink::default();
+        let table = parse_document(&mut notes, &text);
         let mut wanted = Vec::new();
-        if notes.0.is_empty() {
+        if notes.is_empty() {
             if let Some(value) = table.get("include") {
                 match value.get_ref() {
                     DeValue::Array(list) => {
@@ -169,9 +171,12 @@
                 }
             }
         }
-        self.report
-            .findings
-            .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+        self.report.findings.extend(
+            notes
+                .diagnostics()
+                .iter()
+                .map(|m| Finding::of_mistake(file, m, None)),
+        );
         for (name, span) in wanted {
             self.include(file, name, &span);
         }
@@ -353,10 +358,10 @@
 
 impl Reader {
     fn file(&mut self, file: usize, text: &str) {
-        let mut notes = Notes::default();
-        let table = document(&mut notes, text);
-        if notes.0.is_empty() {
-            let top = Section::new(&mut notes, &table, ("", 0..0), &FILE);
+        let mut notes = DiagnosticSink::default();
+        let table = parse_document(&mut notes, text);
+        if notes.is_empty() {
+            let top = Section::new(&mut notes, &table, "", 0..0, &FILE);
             for (key, part, section) in tables(&mut notes, &top, "class") {
                 self.class(&mut notes, file, text, (key, part), &section);
             }
@@ -367,13 +372,17 @@
                 self.app(&mut notes, file, text, (key, part), &section);
             }
         }
-        self.findings
-            .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+        self.findings.extend(
+            notes
+                .diagnostics()
+                .iter()
+                .map(|m| Finding::of_mistake(file, m, None)),
+        );
     }
 
     fn class(
         &mut self,
-        notes: &mut Notes,
+        notes: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
@@ -391,7 +400,8 @@
         if self.classes.contains_key(name) {
             let key = format!("class.{name}");
             notes.add(
-                (&key, &section.span),
+                &key,
+                &section.span,
                 "a class of this name stands in another file too",
                 format!("{name:?}"),
                 "each class once",
@@ -437,7 +447,7 @@
                     refuse(
                         "no class has this name",
                         format!("{parent:?}"),
-                        known_names(parent, &known),
+                        suggest_names(parent, &known),
                     );
                     break;
                 }
@@ -463,7 +473,7 @@
 
     fn upstream(
         &mut self,
-        notes: &mut Notes,
+        notes: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
@@ -475,7 +485,8 @@
             let reason = "this is not the upstream's to say";
             let allowed = "`proxies` is reckoned from the instances; `zone` is an application's";
             notes.add(
-                (&section.of(own), &span),
+                &section.key_path(own),
+                &span,
                 reason,
                 format!("`{own}`"),
                 allowed,
@@ -498,16 +509,16 @@
 
     fn app(
         &mut self,
-        notes: &mut Notes,
+        notes: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
         section: &Section<'_>,
     ) {
         let known: Vec<&str> = [&facts::APP[..], &LIMITS[..], &APP[..]].concat();
-        let section = Section::new(notes, table, (&section.key, section.span.clone()), &known);
-        section.want(notes, "listen", "an address and a port");
-        section.want(notes, "send", "a list of what it sends: [[app.NAME.send]]");
+        let section = Section::new(notes, table, &section.key, section.span.clone(), &known);
+        section.require(notes, "listen", "an address and a port");
+        section.require(notes, "send", "a list of what it sends: [[app.NAME.send]]");
         let facts = facts::App::read(notes, &section);
         let all = raw(file, text, table, &[]);
         let pick = |names: &[&str]| {
@@ -522,9 +533,10 @@
             .unwrap_or_default()
         {
             let Some(part) = value.get_ref().as_table() else {
-                let found = badgerramp_toml_diagnostics::show(value.get_ref());
+                let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no route",
                     found,
                     "a table: [[app.NAME.send]]",
@@ -562,18 +574,19 @@
 
 /// The tables in a table, each with its name.
 fn tables<'t>(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     parent: &Section<'t>,
     name: &str,
 ) -> Vec<(&'t str, &'t DeTable<'t>, Section<'t>)> {
     let Some(value) = parent.get(name) else {
         return Vec::new();
     };
-    let key = parent.of(name);
+    let key = parent.key_path(name);
     let Some(table) = value.get_ref().as_table() else {
-        let found = badgerramp_toml_diagnostics::show(value.get_ref());
+        let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
         notes.add(
-            (&key, &value.span()),
+            &key,
+            &value.span(),
             "this is not a table",
             found,
             format!("a table for each: [{key}.NAME]"),
@@ -584,9 +597,10 @@
     for (name, part) in table {
         let path = format!("{key}.{}", name.get_ref());
         let Some(inner) = part.get_ref().as_table() else {
-            let found = badgerramp_toml_diagnostics::show(part.get_ref());
+            let found = badgerramp_toml_diagnostics::display_value(part.get_ref());
             notes.add(
-                (&path, &part.span()),
+                &path,
+                &part.span(),
                 "this is not a table",
                 found,
                 format!("a table: [{path}]"),
@@ -597,7 +611,7 @@
         parts.push((
             &**name.get_ref(),
             inner,
-            Section::new(notes, inner, (&path, name.span()), &every),
+            Section::new(notes, inner, &path, name.span(), &every),
         ));
     }
     parts
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -4,7 +4,7 @@
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
 use badgerramp_expr::{Builder, Wanted};
 use badgerramp_route::{normalize, Head, PathPattern, Route, Source, Timing};
-use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::units::format_duration;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use serde::Serialize;
 use std::fmt::Write;
@@ -109,7 +109,7 @@
         Idempotency::Keyed { window, .. } => {
             format!(
                 "keyed: it may go again within its group, for {}",
-                show_duration(window)
+                format_duration(window)
             )
         }
     }
@@ -304,7 +304,7 @@
         let known: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
         return Err(format!(
             "no class {name:?}: {}",
-            badgerramp_toml_diagnostics::known_names(name, &known)
+            badgerramp_toml_diagnostics::suggest_names(name, &known)
         ));
     };
     let class = &config.classes[place];
@@ -355,7 +355,7 @@
             at,
             format!(
                 "attempt {number} goes out{condition}; its connection is up within {}",
-                show_duration(timing.connect)
+                format_duration(timing.connect)
             ),
         );
         if number == 1 {
@@ -392,7 +392,7 @@
         deadline,
         format!(
             "the client gives up; {} were kept for the answer's way",
-            show_duration(ANSWER_ROOM)
+            format_duration(ANSWER_ROOM)
         ),
     );
     steps
@@ -406,7 +406,7 @@
             None => "by the class itself\n".to_owned(),
         };
         for step in &self.steps {
-            let _ = writeln!(text, "  {:>14}  {}", show_duration(step.at_us), step.what);
+            let _ = writeln!(text, "  {:>14}  {}", format_duration(step.at_us), step.what);
         }
         text
     }
--- a/crates/config-tool/src/facts.rs
+++ b/crates/config-tool/src/facts.rs
@@ -3,8 +3,8 @@
 
 use badgerramp_decisions::{DedupScope, Micros};
 use badgerramp_route::normalize;
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{Notes, Section, Set, Span};
+use badgerramp_toml_diagnostics::units::format_duration;
+use badgerramp_toml_diagnostics::{DiagnosticSink, Located, Section, Span};
 use http::HeaderName;
 use std::fmt::Write;
 
@@ -37,13 +37,13 @@
     /// Where it runs: two on one machine can't share a listener.
     pub machine: String,
     /// The name of its upstream, and where that stands.
-    pub upstream: Set<String>,
+    pub upstream: Located<String>,
     /// How many of it there are, each with a sidecar of its own.
     pub instances: u32,
     /// How long its client waits for an answer, and where that stands.
-    pub waits: Set<Micros>,
+    pub waits: Located<Micros>,
     /// How often its client tries again.
-    pub retries: Set<u64>,
+    pub retries: Located<u64>,
     /// After what.
     pub retry_on: RetryOn,
     /// The longest pause of its client between two tries.
@@ -71,9 +71,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Upstream {
     /// Connections that one endpoint holds.
-    pub connections: Option<Set<u64>>,
+    pub connections: Option<Located<u64>>,
     /// Requests a second that one warm endpoint bears.
-    pub rate: Option<Set<f64>>,
+    pub rate: Option<Located<f64>>,
     /// Paths (each with all below it) on which nothing may run twice.
     pub once: Vec<(String, Span)>,
     /// Paths on which repeats are dropped.
@@ -85,15 +85,15 @@
 
 impl App {
     /// Reads what `section` tells. `wants` says whether what is missing is noted.
-    pub fn read(notes: &mut Notes, section: &Section<'_>) -> Option<Self> {
-        section.want(notes, "upstream", "the name of an upstream");
-        section.want(notes, "waits", "how long its client waits, like \"1200ms\"");
-        section.want(notes, "rate", "requests a second of one instance");
+    pub fn read(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Self> {
+        section.require(notes, "upstream", "the name of an upstream");
+        section.require(notes, "waits", "how long its client waits, like \"1200ms\"");
+        section.require(notes, "rate", "requests a second of one instance");
         let words = [("refused", RetryOn::Refused), ("failed", RetryOn::Failed)];
-        let plain = || Set {
+        let plain = || Located {
             value: 0,
             span: section.span.clone(),
-            key: section.of("retries"),
+            key: section.key_path("retries"),
         };
         let retries = section.integer(notes, "retries", 0..=100);
         let machine = section
@@ -103,7 +103,7 @@
             .integer(notes, "instances", 1..=100_000)
             .map_or(1, |n| n.value as u32);
         let retry_on = section
-            .word(notes, "retry_on", &words)
+            .keyword(notes, "retry_on", &words)
             .map_or(RetryOn::Refused, |w| w.value);
         let pause = section
             .duration(notes, "pause", 0..=600_000_000)
@@ -132,10 +132,10 @@
         let _ = writeln!(text, "machine = {:?}", self.machine);
         let _ = writeln!(text, "upstream = {:?}", self.upstream.value);
         let _ = writeln!(text, "instances = {}", self.instances);
-        let _ = writeln!(text, "waits = {:?}", show_duration(self.waits.value));
+        let _ = writeln!(text, "waits = {:?}", format_duration(self.waits.value));
         let _ = writeln!(text, "retries = {}", self.retries.value);
         let _ = writeln!(text, "retry_on = {retry_on:?}");
-        let _ = writeln!(text, "pause = {:?}", show_duration(self.pause));
+        let _ = writeln!(text, "pause = {:?}", format_duration(self.pause));
         let _ = writeln!(text, "rate = {:?}", self.rate);
     }
 }
@@ -150,7 +150,7 @@
 }
 
 /// A path prefix in its normal form, without a slash at its end.
-fn prefix(notes: &mut Notes, (key, span): (&str, &Span), text: &str) -> Option<String> {
+fn prefix(notes: &mut DiagnosticSink, (key, span): (&str, &Span), text: &str) -> Option<String> {
     let normal = normalize(text)
         .ok()
         .filter(|n| n.len() == text.len() && n.as_ref() == text);
@@ -158,7 +158,8 @@
     if whole.is_none() {
         let allowed = "a path like \"/cobro-mensual\": it and all below it";
         notes.add(
-            (key, span),
+            key,
+            span,
             "this is no path in normal form",
             format!("{text:?}"),
             allowed,
@@ -169,7 +170,7 @@
 
 impl Upstream {
     /// Reads what `section` tells.
-    pub fn read(notes: &mut Notes, section: &Section<'_>) -> Self {
+    pub fn read(notes: &mut DiagnosticSink, section: &Section<'_>) -> Self {
         let mut upstream = Upstream {
             connections: section.integer(notes, "connections", 1..=1_000_000),
             rate: section.number(notes, "rate", 0.001..=1e7),
@@ -186,16 +187,19 @@
         for (key, value) in section.list(notes, "keyed", form).unwrap_or_default() {
             let Some(table) = value.get_ref().as_table() else {
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no table",
-                    badgerramp_toml_diagnostics::show(value.get_ref()),
+                    badgerramp_toml_diagnostics::display_value(value.get_ref()),
                     form,
                 );
                 continue;
             };
             let known = ["prefix", "group", "window", "header"];
-            let part = Section::new(notes, table, (&key, value.span()), &known);
-            known.iter().for_each(|name| part.want(notes, name, form));
+            let part = Section::new(notes, table, &key, value.span(), &known);
+            known
+                .iter()
+                .for_each(|name| part.require(notes, name, form));
             let words = [
                 ("all", DedupScope::All),
                 ("zone", DedupScope::Zone),
@@ -204,12 +208,13 @@
             let path = part
                 .text(notes, "prefix")
                 .and_then(|p| prefix(notes, (&p.key, &p.span), &p.value));
-            let group = part.word(notes, "group", &words);
+            let group = part.keyword(notes, "group", &words);
             let window = part.duration(notes, "window", 1_000..=3_600_000_000);
             let header = part.read(
                 notes,
                 "header",
-                ("this is no header name", "letters, digits and '-'"),
+                "this is no header name",
+                "letters, digits and '-'",
                 |v| {
                     v.as_str()
                         .and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
@@ -252,7 +257,7 @@
                 "    {{ prefix = {:?}, group = {:?}, window = {:?}, header = {:?} }},",
                 keyed.prefix,
                 show_scope(keyed.group),
-                show_duration(keyed.window),
+                format_duration(keyed.window),
                 keyed.header.as_str()
             );
         }
--- a/crates/config-tool/src/finding.rs
+++ b/crates/config-tool/src/finding.rs
@@ -1,7 +1,7 @@
 //! What is wrong in a set of files, with all places that have to do with it, and how that is told.
 
-use badgerramp_toml_diagnostics::{Mistake, Span};
-use codespan_reporting::diagnostic::{Diagnostic, Label};
+use badgerramp_toml_diagnostics::{Diagnostic, Span};
+use codespan_reporting::diagnostic::{Diagnostic as CodespanDiagnostic, Label};
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term::{self, Chars};
 use serde::Serialize;
@@ -53,7 +53,7 @@
 
 impl Finding {
     /// A mistake of a single file.
-    pub fn of_mistake(file: usize, mistake: &Mistake, app: Option<&str>) -> Self {
+    pub fn of_mistake(file: usize, mistake: &Diagnostic, app: Option<&str>) -> Self {
         Finding {
             code: "file",
             key: mistake.key.clone(),
@@ -64,7 +64,7 @@
             related: mistake
                 .related
                 .iter()
-                .map(|(span, text)| (Place::new(file, span), text.clone()))
+                .map(|other| (Place::new(file, &other.span), other.message.clone()))
                 .collect(),
             apps: app.map(str::to_owned).into_iter().collect(),
         }
@@ -185,7 +185,7 @@
             if !finding.apps.is_empty() {
                 notes.push(format!("reaches: {}", names(&finding.apps)));
             }
-            let diagnostic = Diagnostic::error()
+            let diagnostic = CodespanDiagnostic::error()
                 .with_code(finding.code)
                 .with_message(format!("{}: {}", finding.key, finding.reason))
                 .with_labels(labels)
--- a/crates/config-tool/src/manifest.rs
+++ b/crates/config-tool/src/manifest.rs
@@ -5,7 +5,7 @@
 use crate::finding::{Finding, Place, Report};
 use crate::set::{Application, Described, Set};
 use badgerramp_config::read_upstream;
-use badgerramp_toml_diagnostics::{document, Notes, Section};
+use badgerramp_toml_diagnostics::{parse_document, DiagnosticSink, Section};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -70,8 +70,8 @@
     let Ok(text) = std::fs::read_to_string(folder.join(NAME)) else {
         return BTreeMap::new();
     };
-    let mut notes = Notes::default();
-    let table = document(&mut notes, &text);
+    let mut notes = DiagnosticSink::default();
+    let table = parse_document(&mut notes, &text);
     let apps = table.get("app").and_then(|a| a.get_ref().as_table());
     let entry = |app: &badgerramp_toml_diagnostics::DeTable<'_>| {
         let text = |name: &str| {
@@ -104,19 +104,22 @@
         }
     };
     let file = report.file(shown, text.clone());
-    let mut notes = Notes::default();
-    let table = document(&mut notes, &text);
+    let mut notes = DiagnosticSink::default();
+    let table = parse_document(&mut notes, &text);
     let mut set = Set::default();
-    if notes.0.is_empty() {
+    if notes.is_empty() {
         let known = ["version", "app", "contract", "upstream"];
-        let top = Section::new(&mut notes, &table, ("", 0..0), &known);
-        top.want(&mut notes, "version", "1");
+        let top = Section::new(&mut notes, &table, "", 0..0, &known);
+        top.require(&mut notes, "version", "1");
         top.integer(&mut notes, "version", VERSION..=VERSION);
         set = read(report, &mut notes, file, folder, &top);
     }
-    report
-        .findings
-        .extend(notes.0.iter().map(|m| Finding::of_mistake(file, m, None)));
+    report.findings.extend(
+        notes
+            .diagnostics()
+            .iter()
+            .map(|m| Finding::of_mistake(file, m, None)),
+    );
     set
 }
 
@@ -135,7 +138,7 @@
 
 fn read(
     report: &mut Report,
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     file: usize,
     folder: &Path,
     top: &Section<'_>,
@@ -148,8 +151,8 @@
         "app",
         &[&["file", "digest"][..], &facts::APP[..]].concat(),
     ) {
-        section.want(notes, "file", "the name of its file");
-        section.want(notes, "digest", "the digest of its file");
+        section.require(notes, "file", "the name of its file");
+        section.require(notes, "digest", "the digest of its file");
         let facts = facts::App::read(notes, &section);
         set.broken |= facts.is_none();
         let (Some(own), Some(sum)) = (section.text(notes, "file"), section.text(notes, "digest"))
@@ -159,7 +162,8 @@
         if own.value.contains(['/', '\\']) {
             let allowed = "a file in the manifest's folder";
             notes.add(
-                (&own.key, &own.span),
+                &own.key,
+                &own.span,
                 "this is no name of a file",
                 format!("{:?}", own.value),
                 allowed,
@@ -211,7 +215,8 @@
                 let Some(facts) = contracts.remove(name) else {
                     let key = format!("contract.{name}");
                     notes.add(
-                        (&key, &span),
+                        &key,
+                        &span,
                         "this upstream has no contract",
                         "nothing",
                         format!("[{key}]"),
@@ -281,7 +286,7 @@
 
 /// The tables in a table of the manifest.
 fn parts<'t>(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     top: &Section<'t>,
     name: &str,
     known: &[&str],
--- a/crates/config-tool/src/render.rs
+++ b/crates/config-tool/src/render.rs
@@ -3,7 +3,7 @@
 use crate::description::{App, Class, Description, Raw, Upstream};
 use crate::finding::{Finding, Place, Report};
 use badgerramp_config::ANSWER_ROOM;
-use badgerramp_toml_diagnostics::values::{duration, show_duration};
+use badgerramp_toml_diagnostics::units::{format_duration, parse_duration};
 
 /// A file that was written.
 #[derive(Clone, Debug)]
@@ -97,7 +97,7 @@
 /// The value of a key that is a time.
 fn time(keys: &[Raw], name: &str) -> Option<u64> {
     let raw = keys.iter().find(|r| r.key == name)?;
-    duration(raw.text.trim_matches(['"', '\'']))
+    parse_duration(raw.text.trim_matches(['"', '\'']))
 }
 
 /// A class with an application's own timing laid over it.
@@ -173,11 +173,11 @@
         if let (Some(deadline), Some(waits)) = (time(&keys, "deadline"), waits) {
             if waits.value < deadline && !keys.iter().any(|k| k.key == "total") {
                 let place = Place::new(app.place.file, &waits.span);
-                let total = show_duration(waits.value.saturating_sub(ANSWER_ROOM));
+                let total = format_duration(waits.value.saturating_sub(ANSWER_ROOM));
                 let from = writer.sources.shown(&place);
                 let text = format!(
                     "total = {total:?}  # its client waits {} ({from})",
-                    show_duration(waits.value)
+                    format_duration(waits.value)
                 );
                 writer.line(&text, Some(&place));
             }
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -5,7 +5,7 @@
 use badgerramp_config::Config;
 use badgerramp_decisions::Idempotency;
 use badgerramp_route::{PathPattern, Route};
-use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::units::format_duration;
 use http::{HeaderMap, HeaderValue, Method};
 
 /// Compares; what must not be is a finding, what changes is a note.
@@ -165,19 +165,19 @@
             if b < a {
                 let reason = "while both run, the old one would send again what the hosts may have forgotten";
                 let path = ["class", name, "window"];
-                let allowed = format!("{} or more", show_duration(a));
+                let allowed = format!("{} or more", format_duration(a));
                 change.refuse(
                     "window-shrinks",
                     (key("window"), &path),
                     reason,
-                    show_duration(b),
+                    format_duration(b),
                     allowed,
                 );
             } else if b > a {
                 change.note(format!(
                     "class {name}: window {} -> {}",
-                    show_duration(a),
-                    show_duration(b)
+                    format_duration(a),
+                    format_duration(b)
                 ));
             }
         }
@@ -188,8 +188,8 @@
             if a != b {
                 change.note(format!(
                     "class {name}: {what} {} -> {}",
-                    show_duration(a),
-                    show_duration(b)
+                    format_duration(a),
+                    format_duration(b)
                 ));
             }
         }
--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -6,7 +6,7 @@
 use badgerramp_config::{connections_kept, Config, Upstream, ANSWER_ROOM};
 use badgerramp_decisions::{DedupScope, Idempotency, Micros};
 use badgerramp_route::{PathPattern, Route, Source};
-use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::units::format_duration;
 use std::collections::{BTreeMap, HashMap};
 use unicode_normalization::UnicodeNormalization;
 
@@ -56,7 +56,7 @@
             format!(
                 "keyed, group {:?}, window {}",
                 show_scope(scope),
-                show_duration(window)
+                format_duration(window)
             )
         }
     }
@@ -139,7 +139,7 @@
                 );
                 finding.found = format!("{:?}", facts.upstream.value);
                 finding.allowed =
-                    badgerramp_toml_diagnostics::known_names(&facts.upstream.value, &known);
+                    badgerramp_toml_diagnostics::suggest_names(&facts.upstream.value, &known);
                 report.findings.push(finding);
                 continue;
             };
@@ -210,8 +210,8 @@
                     ),
                     (
                         "deadline",
-                        show_duration(own.deadline),
-                        show_duration(theirs.deadline),
+                        format_duration(own.deadline),
+                        format_duration(theirs.deadline),
                     ),
                 ];
                 for (key, own, theirs) in pairs.into_iter().filter(|(_, own, theirs)| own != theirs)
@@ -533,14 +533,14 @@
                 (key, at),
                 "the client gives up before the sidecar's final answer",
             );
-            finding.found = format!("up to {}", show_duration(route.timing.total));
+            finding.found = format!("up to {}", format_duration(route.timing.total));
             finding.allowed = format!(
                 "at most {}",
-                show_duration(waits.saturating_sub(ANSWER_ROOM))
+                format_duration(waits.saturating_sub(ANSWER_ROOM))
             );
             finding
                 .related
-                .push((client(), format!("it waits {}", show_duration(waits))));
+                .push((client(), format!("it waits {}", format_duration(waits))));
             report.findings.push(finding);
         }
     }
@@ -593,11 +593,11 @@
                 if scope == DedupScope::All && longest >= window {
                     let reason =
                         "the client's last retry comes after the hosts have forgotten its key";
-                    let found = format!("{} after the first try", show_duration(longest));
+                    let found = format!("{} after the first try", format_duration(longest));
                     add(
                         reason,
                         found,
-                        &format!("less than the window, {}", show_duration(window)),
+                        &format!("less than the window, {}", format_duration(window)),
                     );
                 }
             }
@@ -645,7 +645,7 @@
                 let allowed = format!(
                     "unsafe, or keyed with group {:?}, a window of at most {} and the key in {}",
                     show_scope(keyed.group),
-                    show_duration(keyed.window),
+                    format_duration(keyed.window),
                     keyed.header
                 );
                 lax(
@@ -685,7 +685,7 @@
     }
 }
 
-/// Notes a route that can take a request under `prefix` by a class that is too lax for it; unless a route before it
+/// DiagnosticSink a route that can take a request under `prefix` by a class that is too lax for it; unless a route before it
 /// takes all of those.
 fn lax(
     report: &mut Report,
--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -3,7 +3,7 @@
 
 use badgerramp_expr::{both, Builder, Head, Id, Program, Wanted, BUDGET};
 use badgerramp_route::{Expression, PathPattern, Route, Table};
-use badgerramp_toml_diagnostics::{DeValue, Notes, Section, Span, Value};
+use badgerramp_toml_diagnostics::{DeValue, DiagnosticSink, Section, Span, Value};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
 /// Pairs of routes that are held against one another at the most.
@@ -44,7 +44,7 @@
     /// Reads the expression of a key.
     pub(crate) fn read(
         &mut self,
-        notes: &mut Notes,
+        notes: &mut DiagnosticSink,
         section: &Section<'_>,
         name: &str,
         text: &str,
@@ -71,7 +71,7 @@
                         .get(mistake.span.clone())
                         .filter(|t| !t.is_empty())
                         .unwrap_or("nothing");
-                    notes.add((&own.key, &span), mistake.reason, found, mistake.allowed);
+                    notes.add(&own.key, &span, mistake.reason, found, mistake.allowed);
                 }
                 None
             }
@@ -79,7 +79,7 @@
     }
 
     /// The program of all; what they cost together is held against the budget.
-    pub(crate) fn program(self, notes: &mut Notes) -> Program {
+    pub(crate) fn program(self, notes: &mut DiagnosticSink) -> Program {
         let all: Vec<Id> = self.places.iter().map(|p| p.0).collect();
         let cost = self.builder.cost(&all);
         if cost > BUDGET {
@@ -93,7 +93,8 @@
                     "{BUDGET} steps: fewer patterns, splits and searches, or the same ones in all routes"
                 );
                 notes.add(
-                    (key, span),
+                    key,
+                    span,
                     "all expressions together cost too much for one request",
                     found,
                     allowed,
@@ -126,16 +127,22 @@
 }
 
 /// Holds the table against the requests that the file expects.
-pub(crate) fn expect(notes: &mut Notes, top: &Section<'_>, table: &Table, classes: &[&str]) {
+pub(crate) fn expect(
+    notes: &mut DiagnosticSink,
+    top: &Section<'_>,
+    table: &Table,
+    classes: &[&str],
+) {
     const KNOWN: [&str; 6] = ["request", "headers", "client", "route", "class", "key"];
     for (key, value) in top
         .list(notes, "expect", "requests: [[expect]]")
         .unwrap_or_default()
     {
         let DeValue::Table(own) = value.get_ref() else {
-            let found = badgerramp_toml_diagnostics::show(value.get_ref());
+            let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
             notes.add(
-                (&key, &value.span()),
+                &key,
+                &value.span(),
                 "this is no request",
                 found,
                 "a table: [[expect]]",
@@ -143,9 +150,9 @@
             continue;
         };
         let start = value.span().start;
-        let section = Section::new(notes, own, (&key, start..start), &KNOWN);
-        section.want(notes, "request", "a method and a path, like \"POST /x\"");
-        section.want(notes, "class", "the name of a class, or \"none\"");
+        let section = Section::new(notes, own, &key, start..start, &KNOWN);
+        section.require(notes, "request", "a method and a path, like \"POST /x\"");
+        section.require(notes, "class", "the name of a class, or \"none\"");
         let (Some(request), Some(class)) = (words(notes, &section), section.text(notes, "class"))
         else {
             continue;
@@ -158,7 +165,8 @@
                 format!("class {name:?}, by route {:?}", r.name)
             });
             notes.add(
-                (&class.key, &class.span),
+                &class.key,
+                &class.span,
                 "the request is not of this class",
                 by,
                 format!("{:?} is expected", class.value),
@@ -169,7 +177,8 @@
             if by != route.value {
                 let allowed = format!("{:?} is expected", route.value);
                 notes.add(
-                    (&route.key, &route.span),
+                    &route.key,
+                    &route.span,
                     "the request is not taken by this route",
                     format!("{by:?}"),
                     allowed,
@@ -180,7 +189,8 @@
         let wanted = section.read(
             notes,
             "key",
-            ("this is not a text", "a text in quotes; empty: no key"),
+            "this is not a text",
+            "a text in quotes; empty: no key",
             |v| v.as_str().map(str::to_owned),
         );
         if let Some(wanted) = wanted {
@@ -191,7 +201,8 @@
                 let found = own.map_or("no key".to_owned(), |k| format!("{k:?}"));
                 let allowed = format!("{:?} is expected", wanted.value);
                 notes.add(
-                    (&wanted.key, &wanted.span),
+                    &wanted.key,
+                    &wanted.span,
                     "the request has another key",
                     found,
                     allowed,
@@ -201,12 +212,10 @@
     }
 }
 
-fn words(notes: &mut Notes, section: &Section<'_>) -> Option<Words> {
-    let form = (
-        "this is no request",
-        "a method and a path, like \"POST /x?q=1\"",
-    );
-    let request = section.read(notes, "request", form, |v| {
+fn words(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Words> {
+    let reason = "this is no request";
+    let allowed = "a method and a path, like \"POST /x?q=1\"";
+    let request = section.read(notes, "request", reason, allowed, |v| {
         let (method, target) = v.as_str()?.split_once(' ')?;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let good = path.starts_with('/');
@@ -219,7 +228,8 @@
     let client = section.read(
         notes,
         "client",
-        ("this is no address", "an IP address"),
+        "this is no address",
+        "an IP address",
         |v| v.as_str()?.parse().ok(),
     );
     let mut headers = HeaderMap::new();
@@ -234,10 +244,11 @@
             match header.zip(text) {
                 Some((header, text)) => drop(headers.append(header, text)),
                 None => {
-                    let key = section.of("headers");
-                    let found = badgerramp_toml_diagnostics::show(value.get_ref());
+                    let key = section.key_path("headers");
+                    let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
                     notes.add(
-                        (&key, &value.span()),
+                        &key,
+                        &value.span(),
                         "this is no header",
                         found,
                         "{ \"x-branch\" = \"CR-7\" }",
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -14,9 +14,10 @@
     normalize, pattern, Answers, HeaderPattern, PathPattern, Route, Source, Table, Timing,
     PATTERN_BYTES,
 };
-use badgerramp_toml_diagnostics::values::{show_duration, show_size};
+use badgerramp_toml_diagnostics::units::{format_duration, format_size};
 use badgerramp_toml_diagnostics::{
-    document, known_names, show, DeTable, DeValue, Mistakes, Notes, Section, Set, Span, Value,
+    display_value, parse_document, suggest_names, DeTable, DeValue, DiagnosticSink, Diagnostics,
+    Located, Section, Span, Value,
 };
 use http::{HeaderName, HeaderValue, Method};
 use std::collections::HashMap;
@@ -221,8 +222,8 @@
 
     /// Where the value of a key stands: names of tables and of the key, numbers for places in a list.
     pub fn place(&self, path: &[&str]) -> Option<Span> {
-        let mut notes = Notes::default();
-        let table = document(&mut notes, &self.source.text);
+        let mut notes = DiagnosticSink::default();
+        let table = parse_document(&mut notes, &self.source.text);
         let (first, rest) = path.split_first()?;
         let mut value = table.get(*first)?;
         for name in rest {
@@ -336,8 +337,8 @@
 struct ClassDraft {
     name: String,
     span: Span,
-    aim: Option<Set<Micros>>,
-    deadline: Option<Set<Micros>>,
+    aim: Option<Located<Micros>>,
+    deadline: Option<Located<Micros>>,
     worth: f64,
     late_worth: f64,
     repeat: Option<Idempotency>,
@@ -356,30 +357,31 @@
     }
 }
 
-pub(crate) fn parse(name: &str, text: &str) -> Result<Config, Mistakes> {
-    let mut notes = Notes::default();
-    let table = document(&mut notes, text);
-    if !notes.0.is_empty() {
-        return Err(Mistakes::new(name, text, notes.0));
+pub(crate) fn parse(name: &str, text: &str) -> Result<Config, Diagnostics> {
+    let mut notes = DiagnosticSink::default();
+    let table = parse_document(&mut notes, text);
+    if !notes.is_empty() {
+        return Err(notes.into_diagnostics(name, text));
     }
     let config = Reading { notes: &mut notes }.file(name, text, &table);
     match config {
-        Some(config) if notes.0.is_empty() => Ok(config),
-        _ => Err(Mistakes::new(name, text, notes.0)),
+        Some(config) if notes.is_empty() => Ok(config),
+        _ => Err(notes.into_diagnostics(name, text)),
     }
 }
 
 struct Reading<'n> {
-    notes: &'n mut Notes,
+    notes: &'n mut DiagnosticSink,
 }
 
 impl Reading<'_> {
     fn file(&mut self, name: &str, text: &str, table: &DeTable<'_>) -> Option<Config> {
-        let top = Section::new(self.notes, table, ("", 0..0), &FILE);
+        let top = Section::new(self.notes, table, "", 0..0, &FILE);
         let platform = top.read(
             self.notes,
             "platform",
-            ("this is not a flag", "true or false"),
+            "this is not a flag",
+            "true or false",
             DeValue::as_bool,
         );
         let usage = if platform.is_some_and(|p| p.value) {
@@ -397,7 +399,8 @@
                 if let Some((_, span, _)) = top.iter().find(|(n, ..)| *n == name) {
                     let reason = "the platform sets this: beside its settings a file only narrows";
                     self.notes.add(
-                        (name, &span),
+                        name,
+                        &span,
                         reason,
                         format!("`{name}`"),
                         "log, defaults, classes and routes",
@@ -405,14 +408,14 @@
                 }
             }
         } else {
-            top.want(
+            top.require(
                 self.notes,
                 "listen",
                 "an address and a port, like \"127.0.0.1:8080\"",
             );
-            top.want(self.notes, "upstream", "a table: [upstream]");
-            top.want(self.notes, "class", "a table for each class: [class.NAME]");
-            top.want(self.notes, "route", "a list of routes: [[route]]");
+            top.require(self.notes, "upstream", "a table: [upstream]");
+            top.require(self.notes, "class", "a table for each class: [class.NAME]");
+            top.require(self.notes, "route", "a list of routes: [[route]]");
         }
         let listen = address(self.notes, &top, "listen");
         let limits = self.limits(&top);
@@ -443,7 +446,7 @@
         let program = Arc::new(expressions.program(self.notes));
         let built = self.table(&top, routes, &route_drafts, program);
         let mut warnings = Vec::new();
-        if let Some(table) = built.as_ref().filter(|_| self.notes.0.is_empty()) {
+        if let Some(table) = built.as_ref().filter(|_| self.notes.is_empty()) {
             let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
             expressions::expect(self.notes, &top, table, &names);
             warnings = expressions::overlaps(table, &names);
@@ -530,13 +533,14 @@
                 let reason = "a body may not take more than a sixteenth of the memory";
                 let allowed = format!(
                     "at most {} with a memory of {}",
-                    show_size(body_most),
-                    show_size(limits.memory as u64)
+                    format_size(body_most),
+                    format_size(limits.memory as u64)
                 );
                 notes.add(
-                    (&body.key, &body.span),
+                    &body.key,
+                    &body.span,
                     reason,
-                    show_size(body.value),
+                    format_size(body.value),
                     allowed,
                 );
             }
@@ -552,7 +556,8 @@
                 let reason = "the descriptors do not bear so many open calls";
                 let allowed = format!("at most {borne} with {} descriptors", limits.descriptors);
                 notes.add(
-                    (&open.key, &open.span),
+                    &open.key,
+                    &open.span,
                     reason,
                     open.value.to_string(),
                     allowed,
@@ -571,7 +576,8 @@
             (false, false) => {
                 let allowed = "`endpoints`, or the address of a list service in `discovery`";
                 notes.add(
-                    (&section.key, &section.span),
+                    &section.key,
+                    &section.span,
                     "no call could go anywhere",
                     "neither",
                     allowed,
@@ -583,7 +589,8 @@
                     .map_or(section.span.clone(), |v| v.span());
                 let reason = "endpoints come from the file or from the list service, not from both";
                 notes.add(
-                    (&section.of("discovery"), &span),
+                    &section.key_path("discovery"),
+                    &span,
                     reason,
                     "both",
                     "either `endpoints` or `discovery`",
@@ -635,7 +642,8 @@
             let found = format!("{} endpoints", list.len());
             let allowed = format!("from 1 to {ENDPOINTS_MOST}");
             notes.add(
-                (&section.of("endpoints"), &span),
+                &section.key_path("endpoints"),
+                &span,
                 "no call could go anywhere",
                 found,
                 allowed,
@@ -647,15 +655,16 @@
             let DeValue::Table(table) = value.get_ref() else {
                 let allowed = "{ name = \"s-1\", address = \"10.0.0.7:9000\" }";
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no endpoint",
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
                 continue;
             };
-            let part = Section::new(notes, table, (&key, value.span()), &ENDPOINT);
-            part.want(notes, "address", "an address and a port");
+            let part = Section::new(notes, table, &key, value.span(), &ENDPOINT);
+            part.require(notes, "address", "an address and a port");
             let at = address(notes, &part, "address");
             let name = part.text(notes, "name");
             let place = part.get("address").map_or(part.span.clone(), |v| v.span());
@@ -663,7 +672,7 @@
                 twice(
                     notes,
                     &mut addresses,
-                    (&part.of("address"), &place),
+                    (&part.key_path("address"), &place),
                     at.to_string(),
                     "address",
                 );
@@ -710,9 +719,10 @@
             return Vec::new();
         };
         let DeValue::Table(table) = value.get_ref() else {
-            let found = show(value.get_ref());
+            let found = display_value(value.get_ref());
             self.notes.add(
-                ("class", &value.span()),
+                "class",
+                &value.span(),
                 "this is not a table",
                 found,
                 "a table for each class: [class.NAME]",
@@ -728,16 +738,17 @@
             let (name, span) = (name.get_ref().to_string(), name.span());
             let key = format!("class.{name}");
             let DeValue::Table(body) = part.get_ref() else {
-                let found = show(part.get_ref());
+                let found = display_value(part.get_ref());
                 self.notes.add(
-                    (&key, &part.span()),
+                    &key,
+                    &part.span(),
                     "this is not a class",
                     found,
                     format!("a table: [{key}]"),
                 );
                 continue;
             };
-            let section = Section::new(self.notes, body, (&key, span.clone()), &known);
+            let section = Section::new(self.notes, body, &key, span.clone(), &known);
             classes.push(self.class(&section, name, span, defaults, usage));
         }
         classes
@@ -764,17 +775,17 @@
             draft,
         };
         if usage == Use::Alone {
-            section.want(
+            section.require(
                 notes,
                 "aim",
                 "the time within which an answer is wanted, like \"500ms\"",
             );
-            section.want(
+            section.require(
                 notes,
                 "deadline",
                 "the time for which a client waits, like \"1200ms\"",
             );
-            section.want(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
+            section.require(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
             class.aim = section.duration(notes, "aim", 1_000..=DEADLINE_MOST);
             class.deadline = section.duration(notes, "deadline", 10_000..=DEADLINE_MOST);
             class.worth = section
@@ -787,12 +798,13 @@
             if let (Some(aim), Some(deadline)) = (&class.aim, &class.deadline) {
                 if aim.value > deadline.value {
                     let allowed =
-                        format!("at most the deadline, {}", show_duration(deadline.value));
+                        format!("at most the deadline, {}", format_duration(deadline.value));
                     let reason = "an answer is wanted later than the client waits";
                     notes.add(
-                        (&aim.key, &aim.span),
+                        &aim.key,
+                        &aim.span,
                         reason,
-                        show_duration(aim.value),
+                        format_duration(aim.value),
                         allowed,
                     );
                 }
@@ -817,7 +829,8 @@
             let span = top.get("route").map_or(0..0, |v| v.span());
             let found = format!("{} routes", list.len());
             self.notes.add(
-                ("route", &span),
+                "route",
+                &span,
                 "too many routes",
                 found,
                 format!("at most {ROUTES_MOST}"),
@@ -839,20 +852,21 @@
         let (mut routes, mut drafts) = (Vec::new(), Vec::new());
         for (key, value) in list {
             let DeValue::Table(table) = value.get_ref() else {
-                let found = show(value.get_ref());
+                let found = display_value(value.get_ref());
                 self.notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no route",
                     found,
                     "a table: [[route]]",
                 );
                 continue;
             };
-            let mut section = Section::new(self.notes, table, (&key, value.span()), &known);
+            let mut section = Section::new(self.notes, table, &key, value.span(), &known);
             section.span = first_line(value);
             let notes = &mut *self.notes;
-            section.want(notes, "class", "the name of a class");
-            section.want(notes, "name", "a name of its own");
+            section.require(notes, "class", "the name of a class");
+            section.require(notes, "name", "a name of its own");
             let name = section.text(notes, "name");
             if let Some(name) = &name {
                 twice(
@@ -876,10 +890,11 @@
                         let (reason, found) =
                             ("no class has this name", format!("{:?}", class.value));
                         notes.add(
-                            (&class.key, &class.span),
+                            &class.key,
+                            &class.span,
                             reason,
                             found,
-                            known_names(&class.value, &class_names),
+                            suggest_names(&class.value, &class_names),
                         );
                         None
                     }
@@ -912,7 +927,8 @@
                 let found = format!("a key for {:?}", class.name);
                 let reason = "only a keyed class goes by a key";
                 notes.add(
-                    (&section.of("key"), &span),
+                    &section.key_path("key"),
+                    &span,
                     reason,
                     found,
                     "a class with effect = \"keyed\", or no key",
@@ -963,7 +979,7 @@
                 let allowed =
                     "fewer or smaller patterns; exact paths and prefixes have no such bound";
                 self.notes
-                    .add(("route", &span), fault.to_string(), "more", allowed);
+                    .add("route", &span, fault.to_string(), "more", allowed);
                 return None;
             }
         };
@@ -979,15 +995,13 @@
             let allowed = "the narrower route first, or one of the two";
             let key = format!("route[{}]", shadow.later);
             let mistake = self.notes.add(
-                (&key, &drafts[shadow.later].0),
+                &key,
+                &drafts[shadow.later].0,
                 reason,
                 format!("{:?}", later.name),
                 allowed,
             );
-            mistake.related.push((
-                drafts[shadow.earlier].0.clone(),
-                "this one takes all".to_owned(),
-            ));
+            mistake.add_related(drafts[shadow.earlier].0.clone(), "this one takes all");
         }
         Some(table)
     }
@@ -1006,7 +1020,8 @@
             let reason = "to a client this status says to try again, which would never help";
             let allowed = "a status from 400 to 599 but 429 and 503";
             notes.add(
-                (&status.key, &status.span),
+                &status.key,
+                &status.span,
                 reason,
                 status.value.to_string(),
                 allowed,
@@ -1041,7 +1056,8 @@
                 let key = format!("class.{}.group", class.name);
                 let found = format!("endpoint {:?} without a {what}", bare.name);
                 self.notes.add(
-                    (&key, &class.span),
+                    &key,
+                    &class.span,
                     reason,
                     found,
                     format!("a `{what}` for each endpoint"),
@@ -1052,7 +1068,11 @@
 }
 
 /// Reads the table of an upstream on its own, as it stands in other files too.
-pub fn read_upstream(notes: &mut Notes, parent: &Section<'_>, name: &str) -> Option<Upstream> {
+pub fn read_upstream(
+    notes: &mut DiagnosticSink,
+    parent: &Section<'_>,
+    name: &str,
+) -> Option<Upstream> {
     let section = parent.section(notes, name, &UPSTREAM)?;
     Some(Reading { notes }.upstream(&section))
 }
@@ -1081,9 +1101,9 @@
     }
 }
 
-/// Notes a second use of what must be one's own.
+/// DiagnosticSink a second use of what must be one's own.
 fn twice(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     seen: &mut HashMap<String, Span>,
     (key, span): (&str, &Span),
     value: String,
@@ -1092,24 +1112,23 @@
     let found = format!("{value:?} again");
     if let Some(first) = seen.get(&value) {
         let reason = format!("this {what} stands for two");
-        let mistake = notes.add((key, span), reason, found, format!("a {what} of its own"));
-        mistake
-            .related
-            .push((first.clone(), "first here".to_owned()));
+        let mistake = notes.add(key, span, reason, found, format!("a {what} of its own"));
+        mistake.add_related(first.clone(), "first here");
     } else {
         seen.insert(value, span.clone());
     }
 }
 
-fn address(notes: &mut Notes, section: &Section<'_>, name: &str) -> Option<SocketAddr> {
+fn address(notes: &mut DiagnosticSink, section: &Section<'_>, name: &str) -> Option<SocketAddr> {
     let allowed =
         "an IP address and a port, like \"127.0.0.1:8080\" or \"[::1]:8080\"; names are not looked up";
-    let read = section.read(notes, name, ("this is no address", allowed), |v| {
+    let read = section.read(notes, name, "this is no address", allowed, |v| {
         v.as_str()?.parse::<SocketAddr>().ok()
     })?;
     if name != "listen" && read.value.port() == 0 {
         notes.add(
-            (&read.key, &read.span),
+            &read.key,
+            &read.span,
             "nothing listens at port 0",
             read.value.to_string(),
             "a port from 1 to 65535",
@@ -1119,7 +1138,7 @@
     Some(read.value)
 }
 
-fn repeat(notes: &mut Notes, section: &Section<'_>) -> Option<Idempotency> {
+fn repeat(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Idempotency> {
     #[derive(Clone, Copy, PartialEq)]
     enum Effect {
         Safe,
@@ -1131,8 +1150,8 @@
         ("keyed", Effect::Keyed),
         ("unsafe", Effect::Unsafe),
     ];
-    let effect = section.word(notes, "effect", &words)?.value;
-    let scope = section.word(
+    let effect = section.keyword(notes, "effect", &words)?.value;
+    let scope = section.keyword(
         notes,
         "group",
         &[
@@ -1148,9 +1167,10 @@
                 let reason = "only a keyed class has this";
                 let allowed = "effect = \"keyed\", or none of `group` and `window`";
                 notes.add(
-                    (&section.of(name), &value.span()),
+                    &section.key_path(name),
+                    &value.span(),
                     reason,
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
             }
@@ -1160,12 +1180,12 @@
         Effect::Safe => Some(Idempotency::Idempotent),
         Effect::Unsafe => Some(Idempotency::NonIdempotent),
         Effect::Keyed => {
-            section.want(
+            section.require(
                 notes,
                 "group",
                 "who drops repeats: \"all\", \"zone\" or \"group\"",
             );
-            section.want(
+            section.require(
                 notes,
                 "window",
                 "for how long repeats are dropped, like \"1200ms\"",
@@ -1178,7 +1198,7 @@
     }
 }
 
-fn path(notes: &mut Notes, section: &Section<'_>) -> Option<PathPattern> {
+fn path(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<PathPattern> {
     let given: Vec<&str> = ["path", "prefix", "regex"]
         .into_iter()
         .filter(|k| section.has(k))
@@ -1191,7 +1211,8 @@
             given.join(" and ")
         };
         notes.add(
-            (&section.key, &section.span),
+            &section.key,
+            &section.span,
             reason,
             found,
             "one of `path`, `prefix` and `regex`",
@@ -1203,9 +1224,10 @@
         return match pattern(&text.value) {
             Ok(regex) => Some(PathPattern::Regex(regex)),
             Err(fault) => {
-                let allowed = format!("a regular expression without look-around or back references, up to {} compiled, that matches the whole path", show_size(PATTERN_BYTES as u64));
+                let allowed = format!("a regular expression without look-around or back references, up to {} compiled, that matches the whole path", format_size(PATTERN_BYTES as u64));
                 notes.add(
-                    (&text.key, &text.span),
+                    &text.key,
+                    &text.span,
                     format!("this is no pattern: {fault}"),
                     format!("{:?}", text.value),
                     allowed,
@@ -1228,7 +1250,8 @@
             };
             let reason = "this path is not in its normal form and would never match";
             notes.add(
-                (&text.key, &text.span),
+                &text.key,
+                &text.span,
                 reason,
                 format!("{:?}", text.value),
                 allowed,
@@ -1238,7 +1261,7 @@
     }
 }
 
-fn methods(notes: &mut Notes, section: &Section<'_>) -> Vec<Method> {
+fn methods(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<Method> {
     let Some(list) = section.list(notes, "methods", "methods, like [\"GET\", \"POST\"]") else {
         return Vec::new();
     };
@@ -1246,7 +1269,8 @@
     if list.is_empty() {
         let span = section.get("methods").map_or(0..0, |v| v.span());
         notes.add(
-            (&section.of("methods"), &span),
+            &section.key_path("methods"),
+            &span,
             "no request would match",
             "an empty list",
             allowed,
@@ -1263,9 +1287,10 @@
             }
             _ => {
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no method",
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
             }
@@ -1274,7 +1299,7 @@
     methods
 }
 
-fn headers(notes: &mut Notes, section: &Section<'_>) -> Vec<HeaderPattern> {
+fn headers(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<HeaderPattern> {
     let Some(value) = section.get("headers") else {
         return Vec::new();
     };
@@ -1282,19 +1307,21 @@
         "{ \"content-type\" = \"application/json\", \"x-branch\" = true }, where true means any value";
     let DeValue::Table(table) = value.get_ref() else {
         notes.add(
-            (&section.of("headers"), &value.span()),
+            &section.key_path("headers"),
+            &value.span(),
             "these are no headers",
-            show(value.get_ref()),
+            display_value(value.get_ref()),
             allowed,
         );
         return Vec::new();
     };
     let mut patterns = Vec::new();
     for (name, value) in table {
-        let key = format!("{}.{:?}", section.of("headers"), name.get_ref());
+        let key = format!("{}.{:?}", section.key_path("headers"), name.get_ref());
         let Ok(header) = HeaderName::from_bytes(name.get_ref().as_bytes()) else {
             notes.add(
-                (&key, &name.span()),
+                &key,
+                &name.span(),
                 "this is no header name",
                 format!("{:?}", name.get_ref()),
                 allowed,
@@ -1313,9 +1340,10 @@
             }),
             None => {
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is no header value",
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
             }
@@ -1325,7 +1353,7 @@
 }
 
 fn source(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     section: &Section<'_>,
     name: &str,
     text: &str,
@@ -1349,7 +1377,8 @@
             let found = if both { "both" } else { "neither" };
             let allowed = "{ header = \"NAME\" } or { cookie = \"NAME\" }";
             notes.add(
-                (&part.key, &part.span),
+                &part.key,
+                &part.span,
                 "a value comes from one place",
                 found,
                 allowed,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
 
 pub use timing::Figure;
 
-pub use badgerramp_toml_diagnostics::{Mistake, Mistakes};
+pub use badgerramp_toml_diagnostics::{Diagnostic, Diagnostics};
 pub use file::{read_upstream, Class, Config, Endpoint, Limits, NoRoute, Upstream, Use};
 pub use log::{Format, Level, Log};
 pub use peers::PeersTerms;
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// All that is wrong with it.
-pub fn parse(name: &str, text: &str) -> Result<Config, Mistakes> {
+pub fn parse(name: &str, text: &str) -> Result<Config, Diagnostics> {
     file::parse(name, text)
 }
 
@@ -70,16 +70,16 @@
 ///
 /// # Errors
 /// All that is wrong with it, or that it can't be read.
-pub fn load(path: &Path) -> Result<Config, Mistakes> {
+pub fn load(path: &Path) -> Result<Config, Diagnostics> {
     let name = path.display().to_string();
     match std::fs::read(path) {
         Ok(bytes) => match String::from_utf8(bytes) {
             Ok(text) => parse(&name, &text),
-            Err(fault) => Err(Mistakes::unreadable(
+            Err(fault) => Err(Diagnostics::unreadable(
                 &name,
                 &format!("it is not UTF-8: {fault}"),
             )),
         },
-        Err(fault) => Err(Mistakes::unreadable(&name, &fault.to_string())),
+        Err(fault) => Err(Diagnostics::unreadable(&name, &fault.to_string())),
     }
 }
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,6 +1,6 @@
 //! `[log]`: what the program writes of what it does.
 
-use badgerramp_toml_diagnostics::{show, Notes, Section};
+use badgerramp_toml_diagnostics::{display_value, DiagnosticSink, Section};
 
 pub(crate) const KEYS: [&str; 4] = ["format", "level", "targets", "rate"];
 const LEVELS: [(&str, Level); 5] = [
@@ -64,17 +64,17 @@
 }
 
 /// Reads the table; what it does not set is as by default.
-pub(crate) fn read(notes: &mut Notes, top: &Section<'_>) -> Log {
+pub(crate) fn read(notes: &mut DiagnosticSink, top: &Section<'_>) -> Log {
     let plain = Log::default();
     let Some(section) = top.section(notes, "log", &KEYS) else {
         return plain;
     };
     let formats = [("text", Format::Text), ("json", Format::Json)];
     let format = section
-        .word(notes, "format", &formats)
+        .keyword(notes, "format", &formats)
         .map_or(plain.format, |w| w.value);
     let level = section
-        .word(notes, "level", &LEVELS)
+        .keyword(notes, "level", &LEVELS)
         .map_or(plain.level, |w| w.value);
     let rate = section
         .integer(notes, "rate", RATE)
@@ -87,15 +87,16 @@
     }
 }
 
-fn targets(notes: &mut Notes, section: &Section<'_>) -> Vec<(String, Level)> {
+fn targets(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<(String, Level)> {
     let Some(value) = section.get("targets") else {
         return Vec::new();
     };
     let Some(table) = value.get_ref().as_table() else {
-        let found = show(value.get_ref());
+        let found = display_value(value.get_ref());
         let allowed = "a table, like { \"badgerramp::calls\" = \"debug\" }";
         notes.add(
-            (&section.of("targets"), &value.span()),
+            &section.key_path("targets"),
+            &value.span(),
             "this is not a table",
             found,
             allowed,
@@ -103,9 +104,15 @@
         return Vec::new();
     };
     let names: Vec<&str> = table.iter().map(|(name, _)| &**name.get_ref()).collect();
-    let inner = Section::new(notes, table, (&section.of("targets"), value.span()), &names);
+    let inner = Section::new(
+        notes,
+        table,
+        &section.key_path("targets"),
+        value.span(),
+        &names,
+    );
     let read = names.iter().filter_map(|name| {
-        let level = inner.word(notes, name, &LEVELS)?;
+        let level = inner.keyword(notes, name, &LEVELS)?;
         Some(((*name).to_owned(), level.value))
     });
     read.collect()
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -1,6 +1,6 @@
 //! `[peers]`: where this proxy hears the others of its fleet, and where others may be met.
 
-use badgerramp_toml_diagnostics::{show, Notes, Section, Set};
+use badgerramp_toml_diagnostics::{display_value, DiagnosticSink, Located, Section};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -25,28 +25,33 @@
 }
 
 /// Reads the table; `asks`: there is a list service, if there is an upstream at all.
-pub(crate) fn read(notes: &mut Notes, top: &Section<'_>, asks: Option<bool>) -> Option<PeersTerms> {
+pub(crate) fn read(
+    notes: &mut DiagnosticSink,
+    top: &Section<'_>,
+    asks: Option<bool>,
+) -> Option<PeersTerms> {
     let section = top.section(notes, "peers", &KEYS)?;
-    section.want(
+    section.require(
         notes,
         "listen",
         "an address and a UDP port, like \"10.0.0.4:7946\"",
     );
-    section.want(
+    section.require(
         notes,
         "seeds",
         "addresses of some proxies of the fleet, like [\"10.0.0.4:7946\"]",
     );
-    section.want(
+    section.require(
         notes,
         "secret",
         "the path of a file that only its owner may read",
     );
-    section.want(notes, "fleet", "the name of the fleet, like \"cordillera\"");
+    section.require(notes, "fleet", "the name of the fleet, like \"cordillera\"");
     if asks == Some(false) {
         let allowed = "upstream.discovery, or no [peers]";
         notes.add(
-            (&section.key, &section.span),
+            &section.key,
+            &section.span,
             "there is no list to pass on",
             "`endpoints`",
             allowed,
@@ -55,7 +60,8 @@
     if let Some((_, span, _)) = top.iter().find(|(name, ..)| *name == "list") {
         let reason = "with [peers] a few proxies ask for all, and no turns are taken";
         notes.add(
-            ("list", &span),
+            "list",
+            &span,
             reason,
             "both [list] and [peers]",
             "one of them",
@@ -63,14 +69,16 @@
     }
     let listen = address(notes, &section, "listen");
     let advertise = address(notes, &section, "advertise");
-    let reached = |notes: &mut Notes, set: &Set<SocketAddr>, reason: &str, allowed: &str| {
-        notes.add(
-            (&set.key, &set.span),
-            reason,
-            format!("\"{}\"", set.value),
-            allowed,
-        );
-    };
+    let reached =
+        |notes: &mut DiagnosticSink, set: &Located<SocketAddr>, reason: &str, allowed: &str| {
+            notes.add(
+                &set.key,
+                &set.span,
+                reason,
+                format!("\"{}\"", set.value),
+                allowed,
+            );
+        };
     match (&listen, &advertise) {
         (_, Some(told)) if told.value.ip().is_unspecified() || told.value.port() == 0 => {
             reached(
@@ -109,7 +117,8 @@
     {
         let allowed = format!("1 to {FLEET} bytes");
         notes.add(
-            (&name.key, &name.span),
+            &name.key,
+            &name.span,
             "no name",
             format!("{} bytes", name.value.len()),
             allowed,
@@ -124,15 +133,19 @@
     })
 }
 
-fn address(notes: &mut Notes, section: &Section<'_>, key: &str) -> Option<Set<SocketAddr>> {
+fn address(
+    notes: &mut DiagnosticSink,
+    section: &Section<'_>,
+    key: &str,
+) -> Option<Located<SocketAddr>> {
     let allowed = "an address and a port, like \"10.0.0.4:7946\"";
-    section.read(notes, key, ("this is no address", allowed), |v| {
+    section.read(notes, key, "this is no address", allowed, |v| {
         v.as_str()?.parse().ok()
     })
 }
 
 fn seeds(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     section: &Section<'_>,
     family: Option<bool>,
 ) -> Option<Vec<SocketAddr>> {
@@ -160,7 +173,13 @@
         };
         match (wrong, found) {
             (Some((reason, allowed)), _) => {
-                notes.add((key, &value.span()), reason, show(value.get_ref()), allowed);
+                notes.add(
+                    key,
+                    &value.span(),
+                    reason,
+                    display_value(value.get_ref()),
+                    allowed,
+                );
             }
             (None, found) => all.extend(found),
         }
@@ -171,7 +190,8 @@
             .map_or(section.span.clone(), |v| v.span());
         let allowed = format!("1 to {SEEDS} addresses");
         notes.add(
-            (&section.of("seeds"), &span),
+            &section.key_path("seeds"),
+            &span,
             "so many seeds can't be",
             list.len().to_string(),
             allowed,
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -6,15 +6,18 @@
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::Hedge;
 use badgerramp_route::{Table, Timing};
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{known_names, Mistakes, Notes, Span};
+use badgerramp_toml_diagnostics::units::format_duration;
+use badgerramp_toml_diagnostics::{suggest_names, DiagnosticSink, Diagnostics, Span};
 
 /// The timing of each class of the platform, in its order, and the routes with the platform's classes.
 ///
 /// # Errors
 /// All that the file would widen, and classes that the platform does not have.
-pub fn narrow(config: &Config, facts: &PlatformSettings) -> Result<(Vec<Timing>, Table), Mistakes> {
-    let mut notes = Notes::default();
+pub fn narrow(
+    config: &Config,
+    facts: &PlatformSettings,
+) -> Result<(Vec<Timing>, Table), Diagnostics> {
+    let mut notes = DiagnosticSink::default();
     let mut timings = vec![Timing::UNLIMITED; facts.classes.len()];
     let known: Vec<&str> = facts.classes.iter().map(String::as_str).collect();
     let mut places = Vec::new();
@@ -29,10 +32,11 @@
                 format!("{:?}", class.name),
             );
             notes.add(
-                (&key, span),
+                &key,
+                span,
                 reason,
                 found,
-                known_names(&class.name, &known),
+                suggest_names(&class.name, &known),
             );
         }
         places.push(place);
@@ -47,27 +51,24 @@
         route.timing = narrowed(&mut notes, facts, place, (&route.name, span), draft);
         routes.push(route);
     }
-    if !notes.0.is_empty() {
-        return Err(Mistakes::new(
-            &config.source.name,
-            &config.source.text,
-            notes.0,
-        ));
+    if !notes.is_empty() {
+        return Err(notes.into_diagnostics(&config.source.name, &config.source.text));
     }
     let table = Table::with(routes, config.routes.program().clone()).map_err(|fault| {
         notes.add(
-            ("route", &(0..0)),
+            "route",
+            &(0..0),
             fault.to_string(),
             "more",
             "fewer patterns",
         );
-        Mistakes::new(&config.source.name, &config.source.text, notes.0)
+        notes.into_diagnostics(&config.source.name, &config.source.text)
     })?;
     Ok((timings, table))
 }
 
 fn narrowed(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     facts: &PlatformSettings,
     place: usize,
     (name, span): (&str, &Span),
@@ -77,19 +78,22 @@
     let mut timing = Timing::UNLIMITED;
     let mut wider = |key: &str, at: &Span, found: String, allowed: String| {
         let reason = format!("this would widen what the platform sets for {name:?}");
-        let mistake = notes.add((key, at), reason, found, allowed);
-        mistake.related.push((span.clone(), "for this".to_owned()));
+        let mistake = notes.add(key, at, reason, found, allowed);
+        mistake.add_related(span.clone(), "for this");
     };
     let most = class.deadline.saturating_sub(ANSWER_ROOM);
     timing.connect = facts.transport.connect_timeout;
     if let Some(connect) = &draft.connect {
         timing.connect = connect.value;
         if connect.value > facts.transport.connect_timeout {
-            let allowed = format!("at most {}", show_duration(facts.transport.connect_timeout));
+            let allowed = format!(
+                "at most {}",
+                format_duration(facts.transport.connect_timeout)
+            );
             wider(
                 &connect.key,
                 &connect.span,
-                show_duration(connect.value),
+                format_duration(connect.value),
                 allowed,
             );
         }
@@ -97,8 +101,13 @@
     if let Some(total) = &draft.total {
         timing.total = total.value;
         if total.value > most {
-            let allowed = format!("at most {}", show_duration(most));
-            wider(&total.key, &total.span, show_duration(total.value), allowed);
+            let allowed = format!("at most {}", format_duration(most));
+            wider(
+                &total.key,
+                &total.span,
+                format_duration(total.value),
+                allowed,
+            );
         }
     }
     if let Some(attempts) = &draft.attempts {
@@ -143,11 +152,12 @@
         let longest = Timing { attempts, ..timing }.longest();
         if longest > total {
             let reason = format!("all attempts and pauses do not fit the total for {name:?}");
-            let allowed = format!("at most {} together", show_duration(total));
+            let allowed = format!("at most {} together", format_duration(total));
             notes.add(
-                (&attempt.key, &attempt.span),
+                &attempt.key,
+                &attempt.span,
                 reason,
-                show_duration(longest),
+                format_duration(longest),
                 allowed,
             );
         }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -3,7 +3,7 @@
 
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::OnLeaseLoss;
-use badgerramp_toml_diagnostics::{show, Notes, Section};
+use badgerramp_toml_diagnostics::{display_value, DiagnosticSink, Section};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -44,19 +44,23 @@
 }
 
 /// Reads the table. `classes` are the names of the file's classes.
-pub(crate) fn read(notes: &mut Notes, top: &Section<'_>, classes: &[&str]) -> Option<PolicyTerms> {
+pub(crate) fn read(
+    notes: &mut DiagnosticSink,
+    top: &Section<'_>,
+    classes: &[&str],
+) -> Option<PolicyTerms> {
     let section = top.section(notes, "policy", &KEYS)?;
-    section.want(
+    section.require(
         notes,
         "control",
         "a list of one, three or five addresses, like [\"127.0.0.1:7400\"]",
     );
-    section.want(
+    section.require(
         notes,
         "secret",
         "the path of a file that only its owner may read",
     );
-    section.want(
+    section.require(
         notes,
         "application",
         "the name of the application, as its file is called in the policy",
@@ -71,7 +75,7 @@
         ("narrow", OnLeaseLoss::Fallback),
         ("keep", OnLeaseLoss::Keep),
     ];
-    let cut_off = section.word(notes, "cut_off", &words);
+    let cut_off = section.keyword(notes, "cut_off", &words);
     let state = section.text(notes, "state").map(|s| PathBuf::from(s.value));
     let mut floor = Vec::new();
     for (key, value) in section
@@ -83,9 +87,10 @@
             None => {
                 let allowed = format!("one of {}", classes.join(", "));
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "no class of this file",
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
             }
@@ -98,7 +103,8 @@
         let reason = "cut off, this proxy would begin nothing at all";
         let allowed = "classes in policy.floor, or \"refuse\"";
         notes.add(
-            (&narrow.key, &narrow.span),
+            &narrow.key,
+            &narrow.span,
             reason,
             "\"narrow\" without a floor",
             allowed,
@@ -116,15 +122,15 @@
     })
 }
 
-fn region(notes: &mut Notes, section: &Section<'_>) -> Option<Region> {
-    let wording = ("this is no name of a region", REGION_NAMES);
-    let name = section.read(notes, "region", wording, |value| {
+fn region(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Region> {
+    let reason = "this is no name of a region";
+    let name = section.read(notes, "region", reason, REGION_NAMES, |value| {
         value.as_str().and_then(|n| n.parse().ok())
     });
     name.map(|set| set.value)
 }
 
-fn addresses(notes: &mut Notes, section: &Section<'_>) -> Option<Vec<SocketAddr>> {
+fn addresses(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Vec<SocketAddr>> {
     let list = section.list(notes, "control", "addresses, like \"127.0.0.1:7400\"")?;
     let mut all = Vec::new();
     for (key, value) in &list {
@@ -139,18 +145,20 @@
             Some(_) => {
                 let reason = "this replica stands here twice";
                 notes.add(
-                    (key, &value.span()),
+                    key,
+                    &value.span(),
                     reason,
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     "each address once",
                 );
             }
             None => {
                 let allowed = "an address and a port, like \"127.0.0.1:7400\"";
                 notes.add(
-                    (key, &value.span()),
+                    key,
+                    &value.span(),
                     "this is no address",
-                    show(value.get_ref()),
+                    display_value(value.get_ref()),
                     allowed,
                 );
             }
@@ -162,7 +170,8 @@
             .map_or(section.span.clone(), |v| v.span());
         let allowed = format!("1 to {REPLICAS} addresses");
         notes.add(
-            (&section.of("control"), &span),
+            &section.key_path("control"),
+            &span,
             "so many replicas can't be",
             list.len().to_string(),
             allowed,
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -5,8 +5,8 @@
 use badgerramp_decisions::Micros;
 use badgerramp_endpoint_watch::PollConfig;
 use badgerramp_subset::{Instance, ResourceBounds, SubsetConfig};
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{Notes, Section};
+use badgerramp_toml_diagnostics::units::format_duration;
+use badgerramp_toml_diagnostics::{DiagnosticSink, Section};
 
 pub(crate) const SUBSET: [&str; 12] = [
     "instance",
@@ -69,18 +69,18 @@
 
 /// Reads `[subset]` and holds what follows from it against what the file allows.
 pub(crate) fn subset(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
     limits: Option<&Limits>,
 ) -> Option<SubsetTerms> {
     let section = top.section(notes, "subset", &SUBSET)?;
-    section.want(
+    section.require(
         notes,
         "instance",
         "the number of this proxy among all, from 0",
     );
-    section.want(notes, "size", "endpoints to keep to");
+    section.require(notes, "size", "endpoints to keep to");
     let count = upstream.map_or(1, |u| u.proxies);
     let number = section.integer(notes, "instance", 0..=u64::from(count.saturating_sub(1)));
     let size = section.integer(notes, "size", SIZE);
@@ -95,7 +95,8 @@
     let own_zone = section.read(
         notes,
         "own_zone",
-        ("this is not a flag", "true or false"),
+        "this is not a flag",
+        "true or false",
         |v| v.as_bool(),
     );
     need.prefer_own_zone = own_zone.is_some_and(|o| o.value);
@@ -105,7 +106,8 @@
     {
         let allowed = "the proxy's zone in upstream.zone";
         notes.add(
-            (&section.of("own_zone"), &section.span),
+            &section.key_path("own_zone"),
+            &section.span,
             "this proxy has no zone",
             format!("{zone:?}"),
             allowed,
@@ -155,7 +157,8 @@
             let allowed =
                 format!("at most {room} of limits.descriptors: a smaller `most` or `kept`");
             notes.add(
-                (&section.of("most"), &section.span),
+                &section.key_path("most"),
+                &section.span,
                 reason,
                 held.to_string(),
                 allowed,
@@ -164,12 +167,12 @@
     }
     let most = section.integer(notes, "connections_per_endpoint", 1..=10_000_000);
     if let Some(most) = most {
-        let key = section.of("connections_per_endpoint");
+        let key = section.key_path("connections_per_endpoint");
         match upstream.and_then(|u| terms.bounds(u)) {
             None => {
                 let reason = "this can't be checked without the size of the fleet";
                 let allowed = "subset.endpoints: how many the list service names";
-                notes.add((&key, &most.span), reason, "no `endpoints`", allowed);
+                notes.add(&key, &most.span, reason, "no `endpoints`", allowed);
             }
             Some(bounds) => {
                 let held = bounds.max_connections_per_endpoint(&terms.need);
@@ -181,7 +184,7 @@
                         terms.kept
                     );
                     let allowed = format!("at least {held}, or a smaller `most` or `kept`");
-                    notes.add((&key, &most.span), reason, most.value.to_string(), allowed);
+                    notes.add(&key, &most.span, reason, most.value.to_string(), allowed);
                 }
             }
         }
@@ -191,12 +194,12 @@
 
 /// Reads `[list]`.
 pub(crate) fn list(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
 ) -> Option<ListTerms> {
     let section = top.section(notes, "list", &LIST)?;
-    section.want(
+    section.require(
         notes,
         "rate",
         "questions a second that the list service bears",
@@ -204,7 +207,8 @@
     if upstream.is_some_and(|u| u.discovery.is_none()) {
         let allowed = "upstream.discovery, or no [list]";
         notes.add(
-            (&section.key, &section.span),
+            &section.key,
+            &section.span,
             "there is no list service to ask",
             "`endpoints`",
             allowed,
@@ -231,11 +235,12 @@
     if asked > rate.value {
         let reason = format!(
             "{proxies} proxies that each ask every {} make {asked:.1} questions a second",
-            show_duration(wait)
+            format_duration(wait)
         );
         let allowed = "more, or a longer `wait`";
         notes.add(
-            (&section.of("rate"), &rate.span),
+            &section.key_path("rate"),
+            &rate.span,
             reason,
             rate.value.to_string(),
             allowed,
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -4,8 +4,10 @@
 use crate::{values, ANSWER_ROOM};
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
 use badgerramp_route::{Answers, Proof, StatusSet, Timing};
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{show, DeValue, Mistake, Notes, Section, Set, Span};
+use badgerramp_toml_diagnostics::units::format_duration;
+use badgerramp_toml_diagnostics::{
+    display_value, DeValue, Diagnostic, DiagnosticSink, Located, Section, Span,
+};
 use http::{HeaderName, HeaderValue};
 
 /// Keys that may stand in all three places.
@@ -35,15 +37,15 @@
 /// What a file says in one place.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Draft {
-    pub(crate) connect: Option<Set<Micros>>,
-    pub(crate) attempt: Option<Set<Micros>>,
-    pub(crate) total: Option<Set<Micros>>,
-    pub(crate) attempts: Option<Set<u64>>,
-    pub(crate) backoff: Option<Set<Micros>>,
-    pub(crate) second_copy: Option<Set<Hedge>>,
-    pub(crate) retry: Option<Set<RetryOn>>,
-    pub(crate) served: Option<Set<StatusSet>>,
-    pub(crate) never_ran: Option<Set<Vec<Proof>>>,
+    pub(crate) connect: Option<Located<Micros>>,
+    pub(crate) attempt: Option<Located<Micros>>,
+    pub(crate) total: Option<Located<Micros>>,
+    pub(crate) attempts: Option<Located<u64>>,
+    pub(crate) backoff: Option<Located<Micros>>,
+    pub(crate) second_copy: Option<Located<Hedge>>,
+    pub(crate) retry: Option<Located<RetryOn>>,
+    pub(crate) served: Option<Located<StatusSet>>,
+    pub(crate) never_ran: Option<Located<Vec<Proof>>>,
 }
 
 /// A class as far as its timing goes.
@@ -67,7 +69,7 @@
 }
 
 impl Draft {
-    pub(crate) fn read(notes: &mut Notes, section: &Section<'_>) -> Self {
+    pub(crate) fn read(notes: &mut DiagnosticSink, section: &Section<'_>) -> Self {
         Draft {
             connect: section.duration(notes, "connect", 1_000..=60_000_000),
             attempt: section.duration(notes, "attempt", 1_000..=LONGEST),
@@ -77,10 +79,11 @@
             second_copy: section.read(
                 notes,
                 "second_copy",
-                ("this is no second copy", SECOND_COPIES),
+                "this is no second copy",
+                SECOND_COPIES,
                 |v| v.as_str().and_then(values::second_copy),
             ),
-            retry: section.word(
+            retry: section.keyword(
                 notes,
                 "retry",
                 &[
@@ -121,7 +124,10 @@
 
     /// What holds where this is laid over `under`.
     pub(crate) fn over(&self, under: &Draft) -> Draft {
-        fn first<T: Clone>(over: &Option<Set<T>>, under: &Option<Set<T>>) -> Option<Set<T>> {
+        fn first<T: Clone>(
+            over: &Option<Located<T>>,
+            under: &Option<Located<T>>,
+        ) -> Option<Located<T>> {
             over.clone().or_else(|| under.clone())
         }
         Draft {
@@ -139,7 +145,7 @@
 
     /// The timing of a class or route of a file that stands alone, with all defaults.
     pub(crate) fn timing(&self, facts: &Facts<'_>) -> Timing {
-        let value = |set: &Option<Set<Micros>>| set.as_ref().map(|s| s.value);
+        let value = |set: &Option<Located<Micros>>| set.as_ref().map(|s| s.value);
         let most = facts
             .deadline
             .unwrap_or(LONGEST)
@@ -168,15 +174,15 @@
 
     /// The figures of a timing and where each was set.
     pub(crate) fn figures(&self, timing: &Timing) -> Vec<Figure> {
-        fn at<T>(set: &Option<Set<T>>) -> Option<(String, Span)> {
+        fn at<T>(set: &Option<Located<T>>) -> Option<(String, Span)> {
             set.as_ref().map(|s| (s.key.clone(), s.span.clone()))
         }
-        let time = |name, value, set: &Option<Set<Micros>>| Figure {
+        let time = |name, value, set: &Option<Located<Micros>>| Figure {
             name,
             value: if value == Micros::MAX {
                 "no limit".to_owned()
             } else {
-                show_duration(value)
+                format_duration(value)
             },
             set: at(set),
         };
@@ -223,7 +229,7 @@
     }
 
     /// Holds what applies to a class or route against the rules.
-    pub(crate) fn check(&self, notes: &mut Notes, facts: &Facts<'_>) {
+    pub(crate) fn check(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
         self.check_times(notes, facts);
         match facts.repeat {
             Some(Idempotency::NonIdempotent) => self.check_unsafe(notes, facts),
@@ -246,14 +252,12 @@
                     found,
                     "statuses that are not in `served`",
                 );
-                mistake
-                    .related
-                    .push((served.span.clone(), "served here".to_owned()));
+                mistake.add_related(served.span.clone(), "served here");
             }
         }
     }
 
-    fn check_times(&self, notes: &mut Notes, facts: &Facts<'_>) {
+    fn check_times(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
         let timing = self.timing(facts);
         if let (Some(total), Some(deadline)) = (&self.total, facts.deadline) {
             let most = deadline.saturating_sub(ANSWER_ROOM);
@@ -265,21 +269,21 @@
                 };
                 let allowed = format!(
                     "at most {}: the deadline less {}",
-                    show_duration(most),
-                    show_duration(ANSWER_ROOM)
+                    format_duration(most),
+                    format_duration(ANSWER_ROOM)
                 );
                 add(
                     notes,
                     facts,
                     total,
                     reason,
-                    show_duration(total.value),
+                    format_duration(total.value),
                     &allowed,
                 );
                 return;
             }
         }
-        let total = show_duration(timing.total);
+        let total = format_duration(timing.total);
         if let Some(attempt) = self.attempt.as_ref().filter(|a| a.value > timing.total) {
             let reason = "one attempt may take longer than the whole call";
             add(
@@ -287,7 +291,7 @@
                 facts,
                 attempt,
                 reason,
-                show_duration(attempt.value),
+                format_duration(attempt.value),
                 &format!("at most the total, {total}"),
             );
             return;
@@ -295,7 +299,8 @@
         // One that comes from further out gives way to a shorter attempt.
         let same =
             |a: &str, b: &str| a.rsplit_once('.').map(|k| k.0) == b.rsplit_once('.').map(|k| k.0);
-        let beside = |c: &&Set<Micros>| self.attempt.as_ref().is_some_and(|a| same(&a.key, &c.key));
+        let beside =
+            |c: &&Located<Micros>| self.attempt.as_ref().is_some_and(|a| same(&a.key, &c.key));
         if let Some(connect) = self
             .connect
             .as_ref()
@@ -303,13 +308,13 @@
             .filter(beside)
         {
             let reason = "the connect may take longer than the attempt it is part of";
-            let allowed = format!("at most {}", show_duration(timing.attempt));
+            let allowed = format!("at most {}", format_duration(timing.attempt));
             add(
                 notes,
                 facts,
                 connect,
                 reason,
-                show_duration(connect.value),
+                format_duration(connect.value),
                 &allowed,
             );
         }
@@ -324,23 +329,22 @@
                 let each = self
                     .attempt
                     .as_ref()
-                    .map(|a| format!(" of {}", show_duration(a.value)));
+                    .map(|a| format!(" of {}", format_duration(a.value)));
                 let found = format!(
                     "{} attempts{} with pauses of {}: {}",
                     timing.attempts,
                     each.unwrap_or_default(),
-                    show_duration(timing.backoff),
-                    show_duration(longest)
+                    format_duration(timing.backoff),
+                    format_duration(longest)
                 );
                 let mistake = notes.add(
-                    (key, span),
+                    key,
+                    span,
                     "all attempts and pauses do not fit the total",
                     found,
                     format!("at most {total} together"),
                 );
-                mistake
-                    .related
-                    .push((facts.span.clone(), format!("for {}", facts.name)));
+                mistake.add_related(facts.span.clone(), format!("for {}", facts.name));
             }
         }
         if let Some(copy) = self
@@ -361,14 +365,14 @@
             } else if let Hedge::After(wait) = copy.value {
                 if wait >= timing.attempt {
                     let reason = "the first attempt has ended by then";
-                    let allowed = format!("less than {}", show_duration(timing.attempt));
+                    let allowed = format!("less than {}", format_duration(timing.attempt));
                     add(notes, facts, copy, reason, show_hedge(copy.value), &allowed);
                 }
             }
         }
     }
 
-    fn check_unsafe(&self, notes: &mut Notes, facts: &Facts<'_>) {
+    fn check_unsafe(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
         if let Some(copy) = self
             .second_copy
             .as_ref()
@@ -402,9 +406,9 @@
         self.check_proofs(notes, facts);
     }
 
-    fn check_keyed(&self, notes: &mut Notes, facts: &Facts<'_>, window: Micros) {
+    fn check_keyed(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>, window: Micros) {
         let timing = self.timing(facts);
-        let allowed = format!("less than the window, {}", show_duration(window));
+        let allowed = format!("less than the window, {}", format_duration(window));
         if let Some(attempt) = self
             .attempt
             .as_ref()
@@ -412,7 +416,7 @@
         {
             let last = timing.last_start();
             if last >= window {
-                let found = format!("a last attempt {} after the first", show_duration(last));
+                let found = format!("a last attempt {} after the first", format_duration(last));
                 let reason =
                     "a resend outside the window is not dropped by the hosts and would run again";
                 add(notes, facts, attempt, reason, found, &allowed);
@@ -430,7 +434,7 @@
     }
 
     /// A status alone is no proof: any software on the way may word it, also after the call has run.
-    fn check_proofs(&self, notes: &mut Notes, facts: &Facts<'_>) {
+    fn check_proofs(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
         let Some(proofs) = &self.never_ran else {
             return;
         };
@@ -443,17 +447,15 @@
 }
 
 fn add<'n, T>(
-    notes: &'n mut Notes,
+    notes: &'n mut DiagnosticSink,
     facts: &Facts<'_>,
-    set: &Set<T>,
+    set: &Located<T>,
     reason: &str,
     found: String,
     allowed: &str,
-) -> &'n mut Mistake {
-    let mistake = notes.add((&set.key, &set.span), reason, found, allowed);
-    mistake
-        .related
-        .push((facts.span.clone(), format!("for {}", facts.name)));
+) -> &'n mut Diagnostic {
+    let mistake = notes.add(&set.key, &set.span, reason, found, allowed);
+    mistake.add_related(facts.span.clone(), format!("for {}", facts.name));
     mistake
 }
 
@@ -461,12 +463,12 @@
     match hedge {
         Hedge::Auto => "\"auto\"".to_owned(),
         Hedge::Never => "\"off\"".to_owned(),
-        Hedge::After(wait) => format!("\"after {}\"", show_duration(wait)),
+        Hedge::After(wait) => format!("\"after {}\"", format_duration(wait)),
         Hedge::Quantile(share) => format!("\"at {}%\"", (share * 1_000.0).round() / 10.0),
     }
 }
 
-fn served(notes: &mut Notes, section: &Section<'_>) -> Option<Set<StatusSet>> {
+fn served(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Located<StatusSet>> {
     let list = section.list(notes, "served", "statuses")?;
     let mut set = StatusSet::default();
     for (key, value) in &list {
@@ -476,19 +478,15 @@
             _ => String::new(),
         };
         if values::statuses(&text, &mut set).is_none() {
-            let found = show(value.get_ref());
-            notes.add(
-                (key, &value.span()),
-                "these are no statuses",
-                found,
-                STATUSES,
-            );
+            let found = display_value(value.get_ref());
+            notes.add(key, &value.span(), "these are no statuses", found, STATUSES);
         }
     }
     let span = section.get("served")?.span();
     if list.is_empty() {
         notes.add(
-            (&section.of("served"), &span),
+            &section.key_path("served"),
+            &span,
             "nothing would ever be served",
             "an empty list",
             STATUSES,
@@ -500,45 +498,48 @@
             let found = format!("status {status}");
             let reason = "to a client this status is a refusal: it would try again what has run";
             notes.add(
-                (&section.of("served"), &span),
+                &section.key_path("served"),
+                &span,
                 reason,
                 found,
                 "statuses but 429 and 503",
             );
         }
     }
-    Some(Set {
+    Some(Located {
         value: set,
         span,
-        key: section.of("served"),
+        key: section.key_path("served"),
     })
 }
 
-fn never_ran(notes: &mut Notes, section: &Section<'_>) -> Option<Set<Vec<Proof>>> {
+fn never_ran(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Located<Vec<Proof>>> {
     const FORM: &str = "tables like { status = 503, header = \"X-Not-Processed\", value = \"1\" }";
     let list = section.list(notes, "never_ran", FORM)?;
     let mut proofs = Vec::new();
     for (key, value) in &list {
         let DeValue::Table(table) = value.get_ref() else {
-            let found = show(value.get_ref());
-            notes.add((key, &value.span()), "this is no proof", found, FORM);
+            let found = display_value(value.get_ref());
+            notes.add(key, &value.span(), "this is no proof", found, FORM);
             continue;
         };
         let proof = Section::new(
             notes,
             table,
-            (key, value.span()),
+            key,
+            value.span(),
             &["status", "header", "value"],
         );
-        proof.want(notes, "status", "a status from 400 to 599");
+        proof.require(notes, "status", "a status from 400 to 599");
         let status = proof.integer(notes, "status", 400..=599);
         let name = header_name(notes, &proof, "header");
-        let text = proof.read(notes, "value", ("this is no header value", "a text"), |v| {
+        let text = proof.read(notes, "value", "this is no header value", "a text", |v| {
             v.as_str().and_then(|t| HeaderValue::from_str(t).ok())
         });
         if proof.has("value") && !proof.has("header") {
             notes.add(
-                (&proof.of("value"), &proof.span),
+                &proof.key_path("value"),
+                &proof.span,
                 "a value without its header",
                 "no `header`",
                 FORM,
@@ -553,22 +554,23 @@
         }
     }
     let span = section.get("never_ran")?.span();
-    Some(Set {
+    Some(Located {
         value: proofs,
         span,
-        key: section.of("never_ran"),
+        key: section.key_path("never_ran"),
     })
 }
 
 pub(crate) fn header_name(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     section: &Section<'_>,
     name: &str,
-) -> Option<Set<HeaderName>> {
+) -> Option<Located<HeaderName>> {
     section.read(
         notes,
         name,
-        ("this is no header name", "letters, digits and '-'"),
+        "this is no header name",
+        "letters, digits and '-'",
         |v| {
             v.as_str()
                 .and_then(|t| HeaderName::from_bytes(t.as_bytes()).ok())
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -2,7 +2,7 @@
 
 use badgerramp_decisions::Hedge;
 use badgerramp_route::StatusSet;
-use badgerramp_toml_diagnostics::values::duration;
+use badgerramp_toml_diagnostics::units::parse_duration;
 
 /// `200`, `2xx` or `200-204`.
 pub(crate) fn statuses(text: &str, into: &mut StatusSet) -> Option<()> {
@@ -35,7 +35,7 @@
         other => {
             let (word, rest) = other.split_once(' ')?;
             match word {
-                "after" => duration(rest).filter(|&d| d > 0).map(Hedge::After),
+                "after" => parse_duration(rest).filter(|&d| d > 0).map(Hedge::After),
                 "at" => {
                     let share = rest.trim().strip_suffix('%')?.parse::<f64>().ok()?;
                     (50.0..=99.9)
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -13,7 +13,8 @@
         let text = std::fs::read_to_string(path).expect("a file");
         let mistakes = parse(name, &text).expect_err(name);
         for mistake in mistakes.iter() {
-            let (line, column) = mistakes.place(mistake);
+            let position = mistakes.position(mistake);
+            let (line, column) = (position.line, position.column);
             assert!(
                 mistakes
                     .to_string()
@@ -26,7 +27,7 @@
                     && !mistake.allowed.is_empty()
             );
         }
-        assert_eq!(mistakes.line().lines().count(), 1, "{name}");
+        assert_eq!(mistakes.to_single_line().lines().count(), 1, "{name}");
         count += 1;
         insta::assert_snapshot!(mistakes.to_string());
     });
@@ -98,7 +99,7 @@
 fn a_file_that_cannot_be_read_is_a_mistake_too() {
     let mistakes =
         badgerramp_config::load(Path::new("/nowhere/at/all.toml")).expect_err("it is not there");
-    assert!(mistakes.line().contains("/nowhere/at/all.toml") && mistakes.count() == 1);
+    assert!(mistakes.to_single_line().contains("/nowhere/at/all.toml") && mistakes.count() == 1);
 }
 
 mod platform {
--- a/crates/config/tests/policy.rs
+++ b/crates/config/tests/policy.rs
@@ -1,8 +1,8 @@
 //! `[policy]`: the region of a proxy's control.
 
-use badgerramp_config::{parse, Config, Mistakes};
+use badgerramp_config::{parse, Config, Diagnostics};
 
-fn file(policy: &str) -> Result<Config, Mistakes> {
+fn file(policy: &str) -> Result<Config, Diagnostics> {
     let text = format!(
         "listen = \"127.0.0.1:0\"\n[upstream]\nendpoints = [{{ address = \"127.0.0.1:9001\" }}]\n\
          [class.safe]\naim = \"500ms\"\ndeadline = \"1s\"\neffect = \"safe\"\n\
@@ -42,7 +42,7 @@
     ] {
         let mistakes = file(&format!("region = {found}\n")).expect_err(found);
         assert_eq!(mistakes.count(), 1, "{mistakes}");
-        let told = mistakes.line();
+        let told = mistakes.to_single_line();
         let allowed = "allowed: 1 to 63 of a-z, 0-9, '-' and '_', the first one a letter";
         let place = "proxy.toml:12:10: policy.region: this is no name of a region";
         assert!(
--- a/crates/config/tests/subset.rs
+++ b/crates/config/tests/subset.rs
@@ -1,8 +1,8 @@
 //! `[subset]` and `[list]`: what is refused, and with what words.
 
-use badgerramp_config::{parse, Config, Mistakes};
+use badgerramp_config::{parse, Config, Diagnostics};
 
-fn file(upstream: &str, more: &str) -> Result<Config, Mistakes> {
+fn file(upstream: &str, more: &str) -> Result<Config, Diagnostics> {
     let text = format!(
         "listen = \"127.0.0.1:0\"\n{more}\n[upstream]\nproxies = 2000\nzone = \"a\"\n{upstream}\n[class.safe]\naim = \"1s\"\n\
          deadline = \"2s\"\neffect = \"safe\"\n[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nmethods = [\"GET\"]\n\
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::{platform, program, sidecar};
-use badgerramp_config::{Config, Mistakes, Use};
+use badgerramp_config::{Config, Diagnostics, Use};
 use clap::{Parser, Subcommand};
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(program::Fault::Mistakes(mistakes)) => {
+        Err(program::Fault::Diagnostics(mistakes)) => {
             eprint!("{mistakes}");
             eprintln!("badgerramp: {}", count(&mistakes));
             ExitCode::FAILURE
@@ -85,7 +85,7 @@
     }
 }
 
-fn count(mistakes: &Mistakes) -> String {
+fn count(mistakes: &Diagnostics) -> String {
     match mistakes.count() {
         1 => "1 mistake".to_owned(),
         more => format!("{more} mistakes"),
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -119,7 +119,7 @@
         let (config, _) = read(&path)?;
         if operator.is_some() {
             let rules = rules(&settled, operator.as_deref()).map_err(|fault| match fault {
-                Fault::Mistakes(mistakes) => mistakes.line(),
+                Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
                 Fault::Other(fault) => fault,
             })?;
             *running.front.rules.borrow_mut() = Rc::new(rules);
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -378,7 +378,8 @@
 
 /// Reads an application's file of a policy beside the proxy's own.
 fn parse(text: &str, local: &Config) -> Result<Config, String> {
-    let config = badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.line())?;
+    let config =
+        badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
     if config.usage != Use::Alone {
         return Err("`platform = true` is for no sidecar".to_owned());
     }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -12,7 +12,7 @@
 use crate::net::socket::{Listener, Network, Tcp};
 use crate::net::{Descriptors, Room};
 use badgerramp_config::{
-    clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
+    clients_borne, connections_kept, Diagnostics, ListTerms, SubsetTerms, DESCRIPTORS_RESERVED,
 };
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ListUpdateKind, Micros};
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub enum Fault {
     /// An operator's file is not good.
-    Mistakes(Mistakes),
+    Diagnostics(Diagnostics),
     /// Anything else.
     Other(String),
 }
@@ -50,9 +50,9 @@
     }
 }
 
-impl From<Mistakes> for Fault {
-    fn from(mistakes: Mistakes) -> Self {
-        Fault::Mistakes(mistakes)
+impl From<Diagnostics> for Fault {
+    fn from(mistakes: Diagnostics) -> Self {
+        Fault::Diagnostics(mistakes)
     }
 }
 
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -276,7 +276,7 @@
 
 fn reread(path: &Path) -> Result<Config, String> {
     load(path).map_err(|fault| match fault {
-        Fault::Mistakes(mistakes) => mistakes.line(),
+        Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
         Fault::Other(fault) => fault,
     })
 }
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -272,7 +272,7 @@
 
 /// Only the first proxy's counts: all files say the same of it.
 fn start_log(path: &Path) -> Result<(), String> {
-    let config = badgerramp_config::load(path).map_err(|mistakes| mistakes.line())?;
+    let config = badgerramp_config::load(path).map_err(|mistakes| mistakes.to_single_line())?;
     badgerramp::log::start(&config.log);
     Ok(())
 }
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -1,9 +1,9 @@
 //! The operator's file of a scenario: what its proxies go by, in either play. It is made as text and read by the same
 //! reader as any operator's, so that routes and timing under test are those of the program.
 
-use badgerramp_config::{Config, Mistakes};
+use badgerramp_config::{Config, Diagnostics};
 use badgerramp_sim_model::{Effect, Group, Scenario, SecondCopy};
-use badgerramp_toml_diagnostics::values::show_duration;
+use badgerramp_toml_diagnostics::units::format_duration;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 ) -> String {
     let limits = format!("[limits]\nmemory = \"{MEMORY_MIB}MiB\"\ndescriptors = {DESCRIPTORS}\n");
     let mut out = format!("listen = \"{listen}\"\n\n{limits}\n[upstream]\n");
-    let time = |micros: u64| format!("\"{}\"", show_duration(micros));
+    let time = |micros: u64| format!("\"{}\"", format_duration(micros));
     let cold = scenario.hosts.iter().find_map(|h| h.cold);
     // Writing to a String does not fail.
     let _ = write!(
@@ -87,7 +87,7 @@
             SecondCopy::Off => {}
             SecondCopy::Auto => out.push_str("second_copy = \"auto\"\n"),
             SecondCopy::After(after) => {
-                let _ = writeln!(out, "second_copy = \"after {}\"", show_duration(after));
+                let _ = writeln!(out, "second_copy = \"after {}\"", format_duration(after));
             }
         }
     }
@@ -110,7 +110,7 @@
 /// # Errors
 /// All mistakes of the file that the scenario makes: what it asks for is not allowed, such as an unsafe class with a
 /// second copy.
-pub fn read(scenario: &Scenario) -> Result<Config, Mistakes> {
+pub fn read(scenario: &Scenario) -> Result<Config, Diagnostics> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let name = format!("the operator's file of {:?}", scenario.name);
     badgerramp_config::parse(
--- a/crates/simulator/src/play/mod.rs
+++ b/crates/simulator/src/play/mod.rs
@@ -9,7 +9,7 @@
 pub use virtually::play as virtually;
 
 use crate::course::Course;
-use badgerramp_config::Mistakes;
+use badgerramp_config::Diagnostics;
 use badgerramp_sim_model::{Judge, Micros, OpId, Rule, Scenario};
 use std::fmt;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub enum Fault {
     /// The operator's file that it makes is not good.
-    Operator(Mistakes),
+    Operator(Diagnostics),
     /// Anything else.
     Other(String),
 }
@@ -94,8 +94,8 @@
 
 impl std::error::Error for Fault {}
 
-impl From<Mistakes> for Fault {
-    fn from(mistakes: Mistakes) -> Self {
+impl From<Diagnostics> for Fault {
+    fn from(mistakes: Diagnostics) -> Self {
         Fault::Operator(mistakes)
     }
 }
--- a/crates/simulator/src/scenario_file.rs
+++ b/crates/simulator/src/scenario_file.rs
@@ -4,8 +4,10 @@
     Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
     Micros, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
 };
-use badgerramp_toml_diagnostics::values::show_duration;
-use badgerramp_toml_diagnostics::{document, known_names, DeTable, Mistakes, Notes, Section, Set};
+use badgerramp_toml_diagnostics::units::format_duration;
+use badgerramp_toml_diagnostics::{
+    parse_document, suggest_names, DeTable, DiagnosticSink, Diagnostics, Located, Section,
+};
 use std::fmt::Write;
 use std::path::Path;
 
@@ -111,10 +113,10 @@
 ///
 /// # Errors
 /// All mistakes, with their places.
-pub fn load(path: &Path) -> Result<Scenario, Mistakes> {
+pub fn load(path: &Path) -> Result<Scenario, Diagnostics> {
     let name = path.display().to_string();
-    let text =
-        std::fs::read_to_string(path).map_err(|e| Mistakes::unreadable(&name, &e.to_string()))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| Diagnostics::unreadable(&name, &e.to_string()))?;
     parse(&name, &text)
 }
 
@@ -122,23 +124,23 @@
 ///
 /// # Errors
 /// All mistakes, with their places.
-pub fn parse(name: &str, text: &str) -> Result<Scenario, Mistakes> {
-    let mut notes = Notes::default();
-    let table = document(&mut notes, text);
-    if !notes.0.is_empty() {
-        return Err(Mistakes::new(name, text, notes.0));
+pub fn parse(name: &str, text: &str) -> Result<Scenario, Diagnostics> {
+    let mut notes = DiagnosticSink::default();
+    let table = parse_document(&mut notes, text);
+    if !notes.is_empty() {
+        return Err(notes.into_diagnostics(name, text));
     }
     let scenario = scenario(&mut notes, &table);
     match scenario {
-        Some(scenario) if notes.0.is_empty() => Ok(scenario),
-        _ => Err(Mistakes::new(name, text, notes.0)),
+        Some(scenario) if notes.is_empty() => Ok(scenario),
+        _ => Err(notes.into_diagnostics(name, text)),
     }
 }
 
 /// Reads single keys of one table, with what holds where they are left out.
 struct Keys<'s, 't> {
     section: &'s Section<'t>,
-    notes: &'s mut Notes,
+    notes: &'s mut DiagnosticSink,
 }
 
 impl Keys<'_, '_> {
@@ -149,7 +151,7 @@
 
     fn wanted_time(&mut self, name: &str) -> Micros {
         self.section
-            .want(self.notes, name, "a time with its unit, like \"250ms\"");
+            .require(self.notes, name, "a time with its unit, like \"250ms\"");
         self.time(name, 1)
     }
 
@@ -168,7 +170,7 @@
 
     fn set<T>(
         &mut self,
-        read: impl FnOnce(&Section<'_>, &mut Notes) -> Option<Set<T>>,
+        read: impl FnOnce(&Section<'_>, &mut DiagnosticSink) -> Option<Located<T>>,
     ) -> Option<T> {
         read(self.section, self.notes).map(|s| s.value)
     }
@@ -178,11 +180,11 @@
     }
 }
 
-fn scenario(notes: &mut Notes, table: &DeTable<'_>) -> Option<Scenario> {
-    let file = Section::new(notes, table, ("", 0..0), &FILE);
-    file.want(notes, "duration", "a time with its unit, like \"30s\"");
-    file.want(notes, "class", "[class.NAME]: a kind of calls");
-    file.want(notes, "host", "[[host]]: hosts");
+fn scenario(notes: &mut DiagnosticSink, table: &DeTable<'_>) -> Option<Scenario> {
+    let file = Section::new(notes, table, "", 0..0, &FILE);
+    file.require(notes, "duration", "a time with its unit, like \"30s\"");
+    file.require(notes, "class", "[class.NAME]: a kind of calls");
+    file.require(notes, "host", "[[host]]: hosts");
     let mut keys = Keys {
         section: &file,
         notes,
@@ -198,9 +200,9 @@
     let hosts = hosts(keys.notes, &file);
     let empty = DeTable::new();
     // A table that is left out is one in which nothing is set.
-    let part = |notes: &mut Notes, name: &str, known: &[&str]| {
+    let part = |notes: &mut DiagnosticSink, name: &str, known: &[&str]| {
         let found = file.section(notes, name, known);
-        found.unwrap_or_else(|| Section::new(notes, &empty, (name, 0..0), known))
+        found.unwrap_or_else(|| Section::new(notes, &empty, name, 0..0, known))
     };
     let notes = keys.notes;
     let (section, of) = (
@@ -232,7 +234,7 @@
     })
 }
 
-fn clients(notes: &mut Notes, section: &Section<'_>) -> ClientsSpec {
+fn clients(notes: &mut DiagnosticSink, section: &Section<'_>) -> ClientsSpec {
     let mut keys = Keys { section, notes };
     ClientsSpec {
         rate: keys.number("rate", 0.0..=10_000_000.0, 100.0),
@@ -249,7 +251,7 @@
     }
 }
 
-fn network(notes: &mut Notes, section: &Section<'_>) -> NetworkSpec {
+fn network(notes: &mut DiagnosticSink, section: &Section<'_>) -> NetworkSpec {
     let mut keys = Keys { section, notes };
     let mut pair = |least: &str, most: &str, plain: (Micros, Micros)| {
         let low = keys.time(least, plain.0);
@@ -266,7 +268,7 @@
     }
 }
 
-fn list(notes: &mut Notes, section: &Section<'_>) -> ListSpec {
+fn list(notes: &mut DiagnosticSink, section: &Section<'_>) -> ListSpec {
     let mut keys = Keys { section, notes };
     ListSpec {
         lag: keys.time("lag", 1_000_000),
@@ -275,7 +277,7 @@
     }
 }
 
-fn judged(notes: &mut Notes, section: &Section<'_>) -> Judged {
+fn judged(notes: &mut DiagnosticSink, section: &Section<'_>) -> Judged {
     let mut keys = Keys { section, notes };
     let recovers = keys.has("recovers").then(|| keys.time("recovers", 0));
     Judged {
@@ -285,7 +287,7 @@
     }
 }
 
-fn classes(notes: &mut Notes, file: &Section<'_>) -> Vec<Class> {
+fn classes(notes: &mut DiagnosticSink, file: &Section<'_>) -> Vec<Class> {
     let Some(Ok(table)) = file.get("class").map(|v| v.get_ref().as_table().ok_or(())) else {
         return Vec::new();
     };
@@ -294,14 +296,15 @@
         let key = format!("class.{}", name.get_ref());
         let Some(of) = value.get_ref().as_table() else {
             notes.add(
-                (&key, &value.span()),
+                &key,
+                &value.span(),
                 "this is not a table",
                 "something else",
                 format!("a table: [{key}]"),
             );
             continue;
         };
-        let section = Section::new(notes, of, (&key, name.span()), &CLASS);
+        let section = Section::new(notes, of, &key, name.span(), &CLASS);
         let mut keys = Keys {
             section: &section,
             notes,
@@ -329,21 +332,21 @@
     classes
 }
 
-fn effect(notes: &mut Notes, section: &Section<'_>) -> Effect {
-    section.want(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
-    let word = section.word(notes, "effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)]);
+fn effect(notes: &mut DiagnosticSink, section: &Section<'_>) -> Effect {
+    section.require(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
+    let word = section.keyword(notes, "effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)]);
     match word.map_or(2, |w| w.value) {
         0 => Effect::Safe,
         1 => {
-            section.want(notes, "group", "\"all\", \"zone\" or \"group\"");
-            section.want(notes, "window", "a time with its unit");
+            section.require(notes, "group", "\"all\", \"zone\" or \"group\"");
+            section.require(notes, "window", "a time with its unit");
             let words = [
                 ("all", Group::All),
                 ("zone", Group::Zone),
                 ("group", Group::Group),
             ];
             let group = section
-                .word(notes, "group", &words)
+                .keyword(notes, "group", &words)
                 .map_or(Group::Group, |w| w.value);
             let window = section
                 .duration(notes, "window", 1..=DAY)
@@ -354,23 +357,25 @@
     }
 }
 
-fn second_copy(notes: &mut Notes, section: &Section<'_>) -> SecondCopy {
-    let allowed = (
-        "this is no second copy",
-        "\"off\", \"auto\" or \"after 120ms\"",
-    );
-    let read = section.read(notes, "second_copy", allowed, |v| match v.as_str()? {
-        "off" => Some(SecondCopy::Off),
-        "auto" => Some(SecondCopy::Auto),
-        text => badgerramp_toml_diagnostics::values::duration(text.strip_prefix("after ")?)
-            .map(SecondCopy::After),
+fn second_copy(notes: &mut DiagnosticSink, section: &Section<'_>) -> SecondCopy {
+    let reason = "this is no second copy";
+    let allowed = "\"off\", \"auto\" or \"after 120ms\"";
+    let read = section.read(notes, "second_copy", reason, allowed, |v| {
+        match v.as_str()? {
+            "off" => Some(SecondCopy::Off),
+            "auto" => Some(SecondCopy::Auto),
+            text => {
+                badgerramp_toml_diagnostics::units::parse_duration(text.strip_prefix("after ")?)
+                    .map(SecondCopy::After)
+            }
+        }
     });
     read.map_or(SecondCopy::Off, |r| r.value)
 }
 
 /// The tables of a list of tables.
 fn tables<'t>(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     file: &Section<'t>,
     name: &str,
     known: &[&str],
@@ -382,7 +387,8 @@
     if list.len() > LIST_MOST {
         let found = format!("{} of them", list.len());
         notes.add(
-            (name, &file.span),
+            name,
+            &file.span,
             "these are too many",
             found,
             format!("at most {LIST_MOST}"),
@@ -391,11 +397,12 @@
     }
     for (key, value) in list {
         match value.get_ref().as_table() {
-            Some(table) => sections.push(Section::new(notes, table, (&key, value.span()), known)),
+            Some(table) => sections.push(Section::new(notes, table, &key, value.span(), known)),
             None => {
-                let found = badgerramp_toml_diagnostics::show(value.get_ref());
+                let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
                 notes.add(
-                    (&key, &value.span()),
+                    &key,
+                    &value.span(),
                     "this is not a table",
                     found,
                     format!("a table: [[{name}]]"),
@@ -406,7 +413,7 @@
     sections
 }
 
-fn hosts(notes: &mut Notes, file: &Section<'_>) -> Vec<HostSpec> {
+fn hosts(notes: &mut DiagnosticSink, file: &Section<'_>) -> Vec<HostSpec> {
     let mut hosts: Vec<HostSpec> = Vec::new();
     for section in tables(notes, file, "host", &HOST) {
         let mut keys = Keys {
@@ -458,7 +465,8 @@
         };
         if hosts.len() + count as usize > HOSTS_MOST {
             keys.notes.add(
-                (&section.of("count"), &section.span),
+                &section.key_path("count"),
+                &section.span,
                 "these are too many hosts",
                 format!("{} in all", hosts.len() + count as usize),
                 format!("at most {HOSTS_MOST}"),
@@ -472,9 +480,10 @@
                 format!("{name}-{}", n + 1)
             };
             if hosts.iter().rev().take(4_096).any(|h| h.name == name) {
-                let key = section.of("name");
+                let key = section.key_path("name");
                 keys.notes.add(
-                    (&key, &section.span),
+                    &key,
+                    &section.span,
                     "two hosts have this name",
                     format!("{name:?}"),
                     "a name of its own",
@@ -489,8 +498,8 @@
     hosts
 }
 
-fn place(notes: &mut Notes, section: &Section<'_>, key: &str, names: &[&str]) -> usize {
-    section.want(notes, key, &format!("the name of a {key}"));
+fn place(notes: &mut DiagnosticSink, section: &Section<'_>, key: &str, names: &[&str]) -> usize {
+    section.require(notes, key, &format!("the name of a {key}"));
     let Some(set) = section.text(notes, key) else {
         return 0;
     };
@@ -498,9 +507,10 @@
         .iter()
         .position(|n| *n == set.value)
         .unwrap_or_else(|| {
-            let allowed = known_names(&set.value, names);
+            let allowed = suggest_names(&set.value, names);
             notes.add(
-                (&set.key, &set.span),
+                &set.key,
+                &set.span,
                 format!("there is no such {key}"),
                 format!("{:?}", set.value),
                 allowed,
@@ -510,7 +520,7 @@
 }
 
 fn faults(
-    notes: &mut Notes,
+    notes: &mut DiagnosticSink,
     file: &Section<'_>,
     hosts: &[HostSpec],
     classes: &[&str],
@@ -519,9 +529,9 @@
     let names: Vec<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
     let mut faults = Vec::new();
     for section in tables(notes, file, "fault", &FAULT) {
-        section.want(notes, "trouble", &TROUBLES.join(", "));
+        section.require(notes, "trouble", &TROUBLES.join(", "));
         let words: Vec<(&str, &str)> = TROUBLES.iter().map(|t| (*t, *t)).collect();
-        let word = section.word(notes, "trouble", &words).map(|w| w.value);
+        let word = section.keyword(notes, "trouble", &words).map(|w| w.value);
         let mut keys = Keys {
             section: &section,
             notes,
@@ -529,10 +539,11 @@
         let from = keys.time("from", 0);
         let until = keys.time("until", DAY);
         if until < from {
-            let (key, found) = (section.of("until"), show_duration(until));
-            let allowed = format!("not before from, {}", show_duration(from));
+            let (key, found) = (section.key_path("until"), format_duration(until));
+            let allowed = format!("not before from, {}", format_duration(from));
             keys.notes.add(
-                (&key, &section.span),
+                &key,
+                &section.span,
                 "it ends before it begins",
                 found,
                 allowed,
@@ -607,7 +618,12 @@
     faults
 }
 
-fn requests(notes: &mut Notes, file: &Section<'_>, classes: &[&str], proxies: u32) -> Vec<Request> {
+fn requests(
+    notes: &mut DiagnosticSink,
+    file: &Section<'_>,
+    classes: &[&str],
+    proxies: u32,
+) -> Vec<Request> {
     let mut requests = Vec::new();
     for (n, section) in tables(notes, file, "request", &REQUEST)
         .into_iter()
@@ -705,7 +721,7 @@
     }
 
     fn time(&mut self, key: &str, value: Micros) {
-        let _ = writeln!(self.0, "{key} = \"{}\"", show_duration(value));
+        let _ = writeln!(self.0, "{key} = \"{}\"", format_duration(value));
     }
 
     fn table(&mut self, head: &str) {
@@ -743,7 +759,7 @@
         SecondCopy::Off => out.text("second_copy", "off"),
         SecondCopy::Auto => out.text("second_copy", "auto"),
         SecondCopy::After(after) => {
-            out.text("second_copy", &format!("after {}", show_duration(after)));
+            out.text("second_copy", &format!("after {}", format_duration(after)));
         }
     }
     out.time("work_least", class.work.0);
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -293,7 +293,7 @@
     let mistakes = scenario_file::parse("bad.toml", text).expect_err("it is not good");
     let places: Vec<(String, usize)> = mistakes
         .iter()
-        .map(|m| (m.key.clone(), mistakes.place(m).0))
+        .map(|m| (m.key.clone(), mistakes.position(m).line))
         .collect();
     for wanted in [
         ("duration", 1),
--- a/crates/toml-diagnostics/src/lib.rs
+++ b/crates/toml-diagnostics/src/lib.rs
@@ -1,36 +1,37 @@
-//! Reading of TOML files key by key. What is wrong is noted with its place, and reading goes on, so that all mistakes
-//! are told at once.
+//! Reads TOML files key by key, and reports everything that is wrong with them together with its place in the text.
+//!
+//! Reading goes on after a mistake, so that all mistakes of a file are reported at once. [`parse_document`] parses the text,
+//! [`Section`] reads the keys of one table, and both add what is wrong to a [`DiagnosticSink`]. [`Diagnostics`] is the error
+//! that a caller returns in the end; it shows each mistake with the line of the file that it is in.
+//!
+//! The crate knows nothing about the keys of a particular file. It neither opens files nor prints anything.
+//!
+//! ```
+//! use badgerramp_toml_diagnostics::{parse_document, DiagnosticSink, Section};
+//!
+//! let text = "timeout = \"5 parsecs\"\nretries = 3\n";
+//! let mut sink = DiagnosticSink::default();
+//! let table = parse_document(&mut sink, text);
+//! let file = Section::new(&mut sink, &table, "", 0..0, &["timeout", "retries"]);
+//!
+//! let timeout = file.duration(&mut sink, "timeout", 1_000..=60_000_000);
+//! let retries = file.integer(&mut sink, "retries", 0..=10);
+//! assert!(timeout.is_none());
+//! assert_eq!(retries.map(|located| located.value), Some(3));
+//!
+//! let diagnostics = sink.into_diagnostics("example.toml", text);
+//! assert!(diagnostics.to_single_line().starts_with("example.toml:1:11: timeout: this is not a time"));
+//! ```
 #![forbid(unsafe_code)]
 
-mod mistake;
+mod diagnostic;
+mod document;
 mod section;
-pub mod values;
+mod suggestion;
+pub mod units;
 
-pub use mistake::{Mistake, Mistakes};
-pub use section::{known_names, nearest, show, Notes, Section, Set, Span, Value};
+pub use diagnostic::{Diagnostic, DiagnosticSink, Diagnostics, Position, RelatedSpan, Span};
+pub use document::parse_document;
+pub use section::{display_value, Located, Section, Value};
+pub use suggestion::{closest_name, suggest_names};
 pub use toml::de::{DeTable, DeValue};
-
-/// Parses a text. Mistakes of form are noted; what follows on one is guesswork, so that nothing else should be read
-/// then.
-pub fn document<'t>(notes: &mut Notes, text: &'t str) -> DeTable<'t> {
-    let (file, faults) = DeTable::parse_recoverable(text);
-    for fault in &faults {
-        let span = fault.span().unwrap_or(0..0);
-        let line = text
-            .get(span.clone())
-            .filter(|t| !t.trim().is_empty())
-            .unwrap_or("this place");
-        let found = line.lines().next().unwrap_or_default().trim().to_owned();
-        let allowed = match fault.message() {
-            "duplicate key" => "each key once in its table, and each table once",
-            _ => "TOML",
-        };
-        notes.add(
-            ("the file", &span),
-            fault.message().replace('\n', ", "),
-            found,
-            allowed,
-        );
-    }
-    file.into_inner()
-}
--- a/crates/toml-diagnostics/src/section.rs
+++ b/crates/toml-diagnostics/src/section.rs
@@ -1,69 +1,41 @@
-//! Single keys out of the parsed text.
+//! Reads the keys of one table.
 
-use crate::mistake::Mistake;
-use crate::values;
-use std::ops::{Range, RangeInclusive};
+use crate::diagnostic::{DiagnosticSink, Span};
+use crate::suggestion::suggest_names;
+use crate::units::{format_duration, format_size, parse_duration, parse_size};
+use std::ops::RangeInclusive;
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A place in the text, in bytes.
-pub type Span = Range<usize>;
-
-/// A value and where it was set.
+/// A value that was read, and where it is in the file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// Its place in the text.
     pub span: Span,
-    /// The whole key.
+    /// Its key with the tables that it is in.
     pub key: String,
 }
 
-/// Notes mistakes.
-#[derive(Debug, Default)]
-pub struct Notes(
-    /// So far.
-    pub Vec<Mistake>,
-);
-
-impl Notes {
-    /// Notes a mistake; what else it has to do with can be added to what this returns.
-    pub fn add(
-        &mut self,
-        (key, span): (&str, &Span),
-        reason: impl Into<String>,
-        found: impl Into<String>,
-        allowed: impl Into<String>,
-    ) -> &mut Mistake {
-        self.0.push(Mistake {
-            span: span.clone(),
-            key: key.to_owned(),
-            reason: reason.into(),
-            found: found.into(),
-            allowed: allowed.into(),
-            related: Vec::new(),
-        });
-        let last = self.0.len() - 1;
-        &mut self.0[last]
-    }
-}
-
 /// One table of the file.
+///
+/// The methods that read a key return `None` if it is absent, or if its value is not allowed; the latter is added to the
+/// sink.
 #[derive(Clone, Debug)]
 pub struct Section<'t> {
     table: &'t DeTable<'t>,
-    /// The key of the table itself; empty for the file.
+    /// Key of the table itself; empty for the whole file.
     pub key: String,
     /// Where the table is named.
     pub span: Span,
 }
 
-/// A value and its place.
+/// A value with its place in the text.
 pub type Value<'t> = Spanned<DeValue<'t>>;
 
-/// A value as its writer sees it.
-pub fn show(value: &DeValue<'_>) -> String {
+/// Shows a value as it is written in the file.
+pub fn display_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{text:?}"),
         DeValue::Integer(number) => number.to_string(),
@@ -75,37 +47,13 @@
     }
 }
 
-/// The known name that is nearest to one that is not known.
-pub fn nearest<'n>(name: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
-    let scored = known
-        .into_iter()
-        .map(|k| (strsim::jaro_winkler(name, k), k));
-    scored
-        .filter(|(score, _)| *score > 0.8)
-        .max_by(|a, b| a.0.total_cmp(&b.0))
-        .map(|(_, k)| k)
-}
-
-/// `did you mean "x"? known: a, b, x`.
-pub fn known_names(name: &str, known: &[&str]) -> String {
-    let list = if known.len() > 24 {
-        format!("one of {} names", known.len())
-    } else {
-        known.join(", ")
-    };
-    match nearest(name, known.iter().copied()) {
-        Some(near) => format!("did you mean {near:?}? known: {list}"),
-        None if known.is_empty() => "none is defined".to_owned(),
-        None => list,
-    }
-}
-
 impl<'t> Section<'t> {
-    /// A table that was read; keys that are not known are noted.
+    /// The table with this key, which is named at `span`. Keys of the table that are not in `known` are added to the sink.
     pub fn new(
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         table: &'t DeTable<'t>,
-        (key, span): (&str, Span),
+        key: &str,
+        span: Span,
         known: &[&str],
     ) -> Self {
         let section = Section {
@@ -113,23 +61,21 @@
             key: key.to_owned(),
             span,
         };
-        for (name, _) in table
-            .iter()
-            .filter(|(name, _)| !known.contains(&&**name.get_ref()))
-        {
-            let place = (section.of(name.get_ref()), name.span());
-            notes.add(
-                (&place.0, &place.1),
+        let unknown = section.iter().filter(|(name, _, _)| !known.contains(name));
+        for (name, span, _) in unknown {
+            sink.add(
+                &section.key_path(name),
+                &span,
                 "this key is not known",
-                format!("{:?}", name.get_ref()),
-                known_names(name.get_ref(), known),
+                format!("{name:?}"),
+                suggest_names(name, known),
             );
         }
         section
     }
 
-    /// The whole key of one in this table.
-    pub fn of(&self, name: &str) -> String {
+    /// Key of an entry of this table, with the tables that it is in.
+    pub fn key_path(&self, name: &str) -> String {
         let plain = !name.is_empty()
             && name
                 .chars()
@@ -146,28 +92,29 @@
         }
     }
 
-    /// Is this key there?
+    /// Whether the table has this key.
     pub fn has(&self, name: &str) -> bool {
         self.table.contains_key(name)
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if it is absent.
     pub fn get(&self, name: &str) -> Option<&'t Value<'t>> {
         self.table.get(name)
     }
 
-    /// All keys, their places and values, in their order.
+    /// All keys with their places and values, in the order of the table.
     pub fn iter(&self) -> impl Iterator<Item = (&'t str, Span, &'t Value<'t>)> {
         self.table
             .iter()
             .map(|(name, value)| (&**name.get_ref(), name.span(), value))
     }
 
-    /// Notes that a key is wanted and not there.
-    pub fn want(&self, notes: &mut Notes, name: &str, allowed: &str) {
+    /// Adds a diagnostic if the key is absent. `allowed` says what it should be.
+    pub fn require(&self, sink: &mut DiagnosticSink, name: &str, allowed: &str) {
         if !self.has(name) {
-            notes.add(
-                (&self.of(name), &self.span),
+            sink.add(
+                &self.key_path(name),
+                &self.span,
                 "this key is wanted",
                 "nothing",
                 allowed,
@@ -175,131 +122,124 @@
         }
     }
 
-    /// Reads a key by `take`, which tells the value or None; then `allowed` is what it may be.
+    /// Reads a key by `convert`. If that returns `None`, a diagnostic with `reason` and `allowed` is added.
     pub fn read<T>(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
-        (reason, allowed): (&str, &str),
-        take: impl FnOnce(&DeValue<'t>) -> Option<T>,
-    ) -> Option<Set<T>> {
+        reason: &str,
+        allowed: &str,
+        convert: impl FnOnce(&DeValue<'t>) -> Option<T>,
+    ) -> Option<Located<T>> {
         let value = self.get(name)?;
-        let key = self.of(name);
-        let Some(taken) = take(value.get_ref()) else {
-            notes.add(
-                (&key, &value.span()),
+        let key = self.key_path(name);
+        let Some(converted) = convert(value.get_ref()) else {
+            sink.add(
+                &key,
+                &value.span(),
                 reason,
-                show(value.get_ref()),
+                display_value(value.get_ref()),
                 allowed,
             );
             return None;
         };
-        Some(Set {
-            value: taken,
+        Some(Located {
+            value: converted,
             span: value.span(),
             key,
         })
     }
 
-    /// A text that is not empty.
-    pub fn text(&self, notes: &mut Notes, name: &str) -> Option<Set<String>> {
-        self.read(
-            notes,
-            name,
-            ("this is not a text", "a text in quotes"),
-            |v| v.as_str().filter(|t| !t.is_empty()).map(str::to_owned),
-        )
+    /// Reads a text that is not empty.
+    pub fn text(&self, sink: &mut DiagnosticSink, name: &str) -> Option<Located<String>> {
+        self.read(sink, name, "this is not a text", "a text in quotes", |v| {
+            v.as_str().filter(|t| !t.is_empty()).map(str::to_owned)
+        })
     }
 
-    /// A span of time within a range, in microseconds.
+    /// Reads a duration within a range, in microseconds.
     pub fn duration(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
         range: RangeInclusive<u64>,
-    ) -> Option<Set<u64>> {
+    ) -> Option<Located<u64>> {
         let allowed = format!(
             "a time with its unit, like \"250ms\" or \"1s 500ms\", from {} to {}",
-            values::show_duration(*range.start()),
-            values::show_duration(*range.end())
+            format_duration(*range.start()),
+            format_duration(*range.end())
         );
-        let read = self.read(notes, name, ("this is not a time", &allowed), |v| {
-            v.as_str().and_then(values::duration)
+        let read = self.read(sink, name, "this is not a time", &allowed, |v| {
+            v.as_str().and_then(parse_duration)
         })?;
-        self.within(notes, read, &range, &allowed)
+        self.check_range(sink, read, &range, &allowed)
     }
 
-    /// A number of bytes within a range.
+    /// Reads a size within a range, in bytes.
     pub fn size(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
         range: RangeInclusive<u64>,
-    ) -> Option<Set<u64>> {
+    ) -> Option<Located<u64>> {
         let allowed = format!(
             "a size with its unit, like \"64KiB\", from {} to {}",
-            values::show_size(*range.start()),
-            values::show_size(*range.end())
+            format_size(*range.start()),
+            format_size(*range.end())
         );
-        let read = self.read(notes, name, ("this is not a size", &allowed), |v| {
-            v.as_str().and_then(values::size)
+        let read = self.read(sink, name, "this is not a size", &allowed, |v| {
+            v.as_str().and_then(parse_size)
         })?;
-        self.within(notes, read, &range, &allowed)
+        self.check_range(sink, read, &range, &allowed)
     }
 
-    /// A whole number within a range.
+    /// Reads a whole number within a range.
     pub fn integer(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
         range: RangeInclusive<u64>,
-    ) -> Option<Set<u64>> {
+    ) -> Option<Located<u64>> {
         let allowed = format!("a whole number from {} to {}", range.start(), range.end());
-        let read = self.read(notes, name, ("this is not a whole number", &allowed), |v| {
+        let read = self.read(sink, name, "this is not a whole number", &allowed, |v| {
             v.as_integer()
                 .and_then(|n| u64::from_str_radix(n.as_str(), n.radix()).ok())
         })?;
-        self.within(notes, read, &range, &allowed)
+        self.check_range(sink, read, &range, &allowed)
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     pub fn number(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
         range: RangeInclusive<f64>,
-    ) -> Option<Set<f64>> {
+    ) -> Option<Located<f64>> {
         let allowed = format!("a number from {} to {}", range.start(), range.end());
-        let read = self.read(
-            notes,
-            name,
-            ("this is not a number", &allowed),
-            |v| match v {
-                DeValue::Float(number) => {
-                    number.as_str().parse().ok().filter(|n: &f64| n.is_finite())
-                }
-                DeValue::Integer(number) => number.to_string().parse().ok(),
-                _ => None,
-            },
-        )?;
-        self.within(notes, read, &range, &allowed)
+        let read = self.read(sink, name, "this is not a number", &allowed, |v| match v {
+            DeValue::Float(number) => number.as_str().parse().ok().filter(|n: &f64| n.is_finite()),
+            DeValue::Integer(number) => number.to_string().parse().ok(),
+            _ => None,
+        })?;
+        self.check_range(sink, read, &range, &allowed)
     }
 
-    fn within<T: PartialOrd>(
+    fn check_range<T: PartialOrd>(
         &self,
-        notes: &mut Notes,
-        read: Set<T>,
+        sink: &mut DiagnosticSink,
+        read: Located<T>,
         range: &RangeInclusive<T>,
         allowed: &str,
-    ) -> Option<Set<T>> {
+    ) -> Option<Located<T>> {
         if range.contains(&read.value) {
             return Some(read);
         }
         let found = self
             .get(read.key.rsplit('.').next()?)
-            .map_or_else(String::new, |v| show(v.get_ref()));
-        notes.add(
-            (&read.key, &read.span),
+            .map_or_else(String::new, |value| display_value(value.get_ref()));
+        sink.add(
+            &read.key,
+            &read.span,
             "this is out of range",
             found,
             allowed,
@@ -307,36 +247,45 @@
         None
     }
 
-    /// One of a few words.
-    pub fn word<T: Copy>(
+    /// Reads one of the given keywords.
+    pub fn keyword<T: Copy>(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
-        words: &[(&str, T)],
-    ) -> Option<Set<T>> {
-        let known: Vec<&str> = words.iter().map(|w| w.0).collect();
+        keywords: &[(&str, T)],
+    ) -> Option<Located<T>> {
+        let known: Vec<&str> = keywords.iter().map(|keyword| keyword.0).collect();
         let value = self.get(name)?;
         let allowed = match value.get_ref().as_str() {
-            Some(text) => known_names(text, &known),
+            Some(text) => suggest_names(text, &known),
             None => known.join(", "),
         };
-        self.read(notes, name, ("this word is not known", &allowed), |v| {
+        self.read(sink, name, "this word is not known", &allowed, |v| {
             let text = v.as_str()?;
-            words.iter().find(|w| w.0 == text).map(|w| w.1)
+            keywords
+                .iter()
+                .find(|keyword| keyword.0 == text)
+                .map(|keyword| keyword.1)
         })
     }
 
-    /// A table in this one.
-    pub fn section(&self, notes: &mut Notes, name: &str, known: &[&str]) -> Option<Section<'t>> {
+    /// A table in this one, whose keys must be in `known`.
+    pub fn section(
+        &self,
+        sink: &mut DiagnosticSink,
+        name: &str,
+        known: &[&str],
+    ) -> Option<Section<'t>> {
         let (key, value) = self.table.get_key_value(name)?;
-        let path = self.of(name);
+        let path = self.key_path(name);
         match value.get_ref() {
-            DeValue::Table(table) => Some(Section::new(notes, table, (&path, key.span()), known)),
+            DeValue::Table(table) => Some(Section::new(sink, table, &path, key.span(), known)),
             other => {
-                notes.add(
-                    (&path, &value.span()),
+                sink.add(
+                    &path,
+                    &value.span(),
                     "this is not a table",
-                    show(other),
+                    display_value(other),
                     format!("a table: [{path}]"),
                 );
                 None
@@ -344,15 +293,15 @@
         }
     }
 
-    /// A list in this one; its parts with their keys.
+    /// The elements of a list with their keys, like `route[0]`. `of` says what they should be.
     pub fn list(
         &self,
-        notes: &mut Notes,
+        sink: &mut DiagnosticSink,
         name: &str,
         of: &str,
     ) -> Option<Vec<(String, &'t Value<'t>)>> {
         let value = self.get(name)?;
-        let path = self.of(name);
+        let path = self.key_path(name);
         match value.get_ref() {
             DeValue::Array(list) => Some(
                 list.iter()
@@ -361,10 +310,11 @@
                     .collect(),
             ),
             other => {
-                notes.add(
-                    (&path, &value.span()),
+                sink.add(
+                    &path,
+                    &value.span(),
                     "this is not a list",
-                    show(other),
+                    display_value(other),
                     format!("a list of {of}"),
                 );
                 None
