--- a/crates/decisions/src/crowd.rs
+++ b/crates/decisions/src/crowd.rs
@@ -4,58 +4,65 @@
 use crate::api::Micros;
 
 /// Time over which a word of a server's load fades: servers tell it anew about as often.
-const FADES: f64 = 1_000_000.0;
+const DECAY_TIME: f64 = 1_000_000.0;
 /// Weight of a word at the least, where many come within that time: about twenty are remembered.
-const WEIGHT_LEAST: f64 = 0.05;
+const MIN_WEIGHT: f64 = 0.05;
 /// Crowding (requests waiting for each in work) from which calls are turned back, and at which all are. As many
 /// waiting as in work is what counts as strain elsewhere too; half of that is where an even rise to it begins.
-const FROM: f64 = 0.5;
-const ALL: f64 = 1.5;
+const SHED_FROM: f64 = 0.5;
+const SHED_ALL: f64 = 1.5;
 /// The crowding of a server that tells nothing: the most that a report is taken for.
-pub(crate) const MOST: f64 = 4.0;
+pub(crate) const MAX_CONGESTION: f64 = 4.0;
 
 /// A server's last word of how crowded it is.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Word {
-    crowding: f64,
-    at: Micros,
+pub(crate) struct CongestionSample {
+    congestion: f64,
+    received_at: Micros,
 }
 
 /// The crowding of late of all servers that this balancer has heard of, as one.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Crowd {
-    level: f64,
-    heard: Micros,
+pub(crate) struct LoadFeedback {
+    congestion: f64,
+    updated_at: Micros,
 }
 
-impl Crowd {
+impl LoadFeedback {
     /// A server told of this crowding. What was heard longer ago counts less, so a balancer of few calls goes by
     /// its last word, and one of many by all of the last second.
-    pub(crate) fn told(&mut self, now: Micros, word: &mut Word, crowding: f64) {
-        *word = Word { crowding, at: now };
-        let passed = now.saturating_sub(std::mem::replace(&mut self.heard, now)) as f64;
-        let weight = (1.0 - (-passed / FADES).exp()).max(WEIGHT_LEAST);
-        self.level += (crowding - self.level) * weight;
+    pub(crate) fn record(&mut self, now: Micros, sample: &mut CongestionSample, congestion: f64) {
+        *sample = CongestionSample {
+            congestion,
+            received_at: now,
+        };
+        let passed = now.saturating_sub(std::mem::replace(&mut self.updated_at, now)) as f64;
+        let weight = (1.0 - (-passed / DECAY_TIME).exp()).max(MIN_WEIGHT);
+        self.congestion += (congestion - self.congestion) * weight;
     }
 
     /// A server answered nothing in time, or turned a call away: what is crowded most tells nothing.
-    pub(crate) fn silent(&mut self, now: Micros, word: &mut Word) {
-        self.told(now, word, MOST);
+    pub(crate) fn record_overload(&mut self, now: Micros, sample: &mut CongestionSample) {
+        self.record(now, sample, MAX_CONGESTION);
     }
 
     /// The crowding to expect of a server with this word: its own while that is fresh, later all servers', and none
     /// where nothing was heard for long.
-    pub(crate) fn expected(&self, now: Micros, word: Word) -> f64 {
-        let fresh = |at: Micros| (-(now.saturating_sub(at) as f64) / FADES).exp();
-        let known = if word.at == 0 { 0.0 } else { fresh(word.at) };
-        word.crowding * known + self.level * fresh(self.heard) * (1.0 - known)
+    pub(crate) fn expected_congestion(&self, now: Micros, sample: CongestionSample) -> f64 {
+        let fresh = |at: Micros| (-(now.saturating_sub(at) as f64) / DECAY_TIME).exp();
+        let known = if sample.received_at == 0 {
+            0.0
+        } else {
+            fresh(sample.received_at)
+        };
+        sample.congestion * known + self.congestion * fresh(self.updated_at) * (1.0 - known)
     }
 }
 
 /// The share of calls to turn back where this crowding is expected. It rises evenly: all balancers hear the same at
 /// about the same time, and a step would empty and fill the servers in turn.
-pub(crate) fn turned_back(crowding: f64) -> f64 {
-    ((crowding - FROM) / (ALL - FROM)).clamp(0.0, 1.0)
+pub(crate) fn shed_probability(congestion: f64) -> f64 {
+    ((congestion - SHED_FROM) / (SHED_ALL - SHED_FROM)).clamp(0.0, 1.0)
 }
 
 #[cfg(test)]
@@ -66,10 +73,14 @@
 
     #[test]
     fn a_servers_own_word_counts_while_it_is_fresh_and_all_servers_later() {
-        let (mut crowd, mut own, mut other) = (Crowd::default(), Word::default(), Word::default());
-        crowd.told(9 * S, &mut own, 0.0);
-        (0..200).for_each(|n| crowd.told(9 * S + n, &mut other, 3.0));
-        let at = |now, word: &Word| crowd.expected(now, *word);
+        let (mut load, mut own, mut other) = (
+            LoadFeedback::default(),
+            CongestionSample::default(),
+            CongestionSample::default(),
+        );
+        load.record(9 * S, &mut own, 0.0);
+        (0..200).for_each(|n| load.record(9 * S + n, &mut other, 3.0));
+        let at = |now, sample: &CongestionSample| load.expected_congestion(now, *sample);
         assert!(at(9 * S + 200, &own) < 0.1 && at(9 * S + 200, &other) > 2.9);
         assert!(
             (0.5..1.0).contains(&at(10 * S, &own)),
@@ -80,7 +91,7 @@
             at(20 * S, &own) < 0.01 && at(20 * S, &other) < 0.01,
             "what is long ago says nothing"
         );
-        let met_by_none = Word::default();
+        let met_by_none = CongestionSample::default();
         assert!(
             at(9 * S + 200, &met_by_none) > 2.5,
             "it is like those that are known"
@@ -89,20 +100,26 @@
 
     #[test]
     fn one_word_of_a_balancer_of_few_calls_weighs_as_much_as_many_of_another() {
-        let (mut quiet, mut busy, mut word) = (Crowd::default(), Crowd::default(), Word::default());
-        quiet.told(10 * S, &mut word, 2.0);
-        (1..=100).for_each(|n| busy.told(9 * S + n * 10_000, &mut word, 2.0));
+        let (mut quiet, mut busy, mut sample) = (
+            LoadFeedback::default(),
+            LoadFeedback::default(),
+            CongestionSample::default(),
+        );
+        quiet.record(10 * S, &mut sample, 2.0);
+        (1..=100).for_each(|n| busy.record(9 * S + n * 10_000, &mut sample, 2.0));
         assert!(
-            quiet.level > 1.9 && busy.level > 1.2,
+            quiet.congestion > 1.9 && busy.congestion > 1.2,
             "{} {}",
-            quiet.level,
-            busy.level
+            quiet.congestion,
+            busy.congestion
         );
     }
 
     #[test]
     fn the_share_turned_back_rises_evenly_from_none_to_all() {
-        let shares: Vec<f64> = (0..50).map(|n| turned_back(f64::from(n) * 0.05)).collect();
+        let shares: Vec<f64> = (0..50)
+            .map(|n| shed_probability(f64::from(n) * 0.05))
+            .collect();
         assert!(
             shares
                 .windows(2)
