--- a/crates/adapter/tests/deploy_file.rs
+++ b/crates/adapter/tests/deploy_file.rs
@@ -38,3 +38,41 @@
         }
     }
 }
+
+/// The platform reads the decisions' sources by the key `policy`: each module of the balancer has to be there.
+#[test]
+fn every_deploy_file_with_a_policy_names_each_module_of_the_balancer() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let folder = "crates/decisions/src/balancer";
+    let mut modules: Vec<String> = file_names(&root.join(folder))
+        .iter()
+        .map(|name| format!("{folder}/{name}"))
+        .collect();
+    modules.sort_unstable();
+    assert!(modules.len() > 10, "{modules:?}");
+    let mut with_policy = 0;
+    for name in file_names(&root.join("deploy")) {
+        if !name.ends_with(".toml") {
+            continue;
+        }
+        let text = std::fs::read_to_string(root.join("deploy").join(&name)).expect("a deploy file");
+        let table: toml::Table = text.parse().expect("TOML");
+        if !table.contains_key("policy") {
+            continue;
+        }
+        with_policy += 1;
+        let mut listed = paths(&table, "policy");
+        listed.sort_unstable();
+        assert_eq!(listed, modules, "{name}");
+    }
+    assert!(with_policy >= 5, "{with_policy} deploy files with a policy");
+}
+
+fn file_names(folder: &Path) -> Vec<String> {
+    std::fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry"))
+        .filter(|entry| entry.path().is_file())
+        .map(|entry| entry.file_name().into_string().expect("UTF-8"))
+        .collect()
+}
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -1,5 +1,5 @@
 //! The servers of the list and what of them is kept ready for a pick, so that none walks over all of them. What
-//! counts as up, full or due is decided in `src/balance.rs`, which files each server's [`EndpointState`] here.
+//! counts as up, full or due is decided in `src/balancer`, which files each server's [`EndpointState`] here.
 
 use crate::api::*;
 use crate::state::Endpoint;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -44,7 +44,7 @@
 )]
 
 mod api;
-mod balance;
+mod balancer;
 mod crowd;
 mod fleet;
 pub mod settings;
@@ -52,7 +52,7 @@
 mod weighted;
 
 pub use api::*;
-pub use balance::Balancer;
+pub use balancer::Balancer;
 
 /// The README's example is compiled as a test too.
 #[cfg(doctest)]
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers: records only. Every decision on them is in `src/balance.rs`.
+//! What a balancer remembers: records only. Every decision on them is in `src/balancer`.
 
 use crate::api::*;
 use crate::crowd::CongestionSample;
--- a/crates/decisions/tests/tree.rs
+++ b/crates/decisions/tests/tree.rs
@@ -5,7 +5,7 @@
 const LINES_MOST: usize = 500;
 const COLUMNS_MOST: usize = 117;
 /// Files that are still to be split by concern.
-const TO_BE_SPLIT: [&str; 3] = ["api.rs", "balance.rs", "fleet.rs"];
+const TO_BE_SPLIT: [&str; 2] = ["api.rs", "fleet.rs"];
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -25,10 +25,17 @@
     pub edits: &'static [Edit],
 }
 
-const MODULE: &str = "crates/decisions/src/balance.rs";
+const ADMISSION: &str = "crates/decisions/src/balancer/admission.rs";
+const API: &str = "crates/decisions/src/api.rs";
+const ATTEMPTS: &str = "crates/decisions/src/balancer/attempts.rs";
+const BALANCER: &str = "crates/decisions/src/balancer/mod.rs";
+const FEEDBACK: &str = "crates/decisions/src/balancer/feedback.rs";
 const FLEET: &str = "crates/decisions/src/fleet.rs";
+const MEMBERSHIP: &str = "crates/decisions/src/balancer/membership.rs";
+const RETRY: &str = "crates/decisions/src/balancer/retry.rs";
 const STATE: &str = "crates/decisions/src/state.rs";
-const API: &str = "crates/decisions/src/api.rs";
+const TIMERS: &str = "crates/decisions/src/balancer/timers.rs";
+const WAIT_QUEUE: &str = "crates/decisions/src/balancer/wait_queue.rs";
 const DRIVER: &str = "crates/proxy/src/net/driver/mod.rs";
 const DRIVER_CALLS: &str = "crates/proxy/src/net/driver/calls.rs";
 const DRIVER_TIMERS: &str = "crates/proxy/src/net/driver/timers.rs";
@@ -43,16 +50,16 @@
         what: "an unsafe call goes again without proof",
         play: "virtual",
         edits: &[
-            (MODULE, "(Some(_), Idempotency::NonIdempotent) => None", "(Some(_), Idempotency::NonIdempotent) => Some(AllowedEndpoints::All)"),
+            (RETRY, "(Some(_), Idempotency::NonIdempotent) => None", "(Some(_), Idempotency::NonIdempotent) => Some(AllowedEndpoints::All)"),
             // The file's own word stands guard as well.
-            (MODULE, "call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();", "true;"),
+            (RETRY, "call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();", "true;"),
         ],
     },
     Defect {
         name: "resend-outside-group",
         what: "a keyed call goes again outside its group",
         play: "virtual",
-        edits: &[(MODULE, "let slot = (scope, first.zone, first.cell);", "let slot = (DedupScope::All, first.zone, first.cell);")],
+        edits: &[(RETRY, "let slot = (scope, first.zone, first.cell);", "let slot = (DedupScope::All, first.zone, first.cell);")],
     },
     Defect {
         name: "zone-for-cell",
@@ -76,13 +83,13 @@
         name: "error-is-proof",
         what: "an error is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(MODULE, "tried.execution = if outcome.proves_not_executed() {", "tried.execution = if outcome.proves_not_executed() || outcome == Outcome::Error {")],
+        edits: &[(FEEDBACK, "tried.execution = if outcome.proves_not_executed() {", "tried.execution = if outcome.proves_not_executed() || outcome == Outcome::Error {")],
     },
     Defect {
         name: "refuse-what-may-have-run",
         what: "what may have run is refused, which says that trying again is harmless",
         play: "virtual",
-        edits: &[(MODULE, "harmless || self.first_maybe_executed().is_none()", "harmless || self.attempts_in_flight() == 0")],
+        edits: &[(ADMISSION, "harmless || self.first_maybe_executed().is_none()", "harmless || self.attempts_in_flight() == 0")],
     },
     Defect {
         name: "answer-twice",
@@ -90,24 +97,24 @@
         play: "virtual",
         edits: &[
             (
-                MODULE,
+                RETRY,
                 "} else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.queued && !c.backing_off && c.attempts_in_flight() == 0) {",
                 "} else if self.calls.get(&id).is_some_and(|c| !c.queued && !c.backing_off && c.attempts_in_flight() == 0) {",
             ),
-            (MODULE, "if closed || outcome == Outcome::Served {", "if outcome == Outcome::Served {"),
+            (RETRY, "if closed || outcome == Outcome::Served {", "if outcome == Outcome::Served {"),
         ],
     },
     Defect {
         name: "drain-ignored",
         what: "a host that drains still counts as ready",
         play: "virtual",
-        edits: &[(MODULE, "self.set_listed(now, slot, entry.status == EndpointStatus::Ready);", "self.set_listed(now, slot, entry.status != EndpointStatus::Removed);")],
+        edits: &[(MEMBERSHIP, "self.set_listed(now, slot, entry.status == EndpointStatus::Ready);", "self.set_listed(now, slot, entry.status != EndpointStatus::Removed);")],
     },
     Defect {
         name: "gone-stays",
         what: "what a whole list leaves out stays listed",
         play: "virtual",
-        edits: &[(MODULE, "for slot in self.endpoints.not_in_full_list() {", "for slot in self.endpoints.not_in_full_list().into_iter().take(0) {")],
+        edits: &[(MEMBERSHIP, "for slot in self.endpoints.not_in_full_list() {", "for slot in self.endpoints.not_in_full_list().into_iter().take(0) {")],
     },
     Defect {
         name: "cold-as-warm",
@@ -119,97 +126,97 @@
         name: "restart-unseen",
         what: "a restart under the same name keeps what was learned",
         play: "virtual",
-        edits: &[(MODULE, "found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);", "found;")],
+        edits: &[(MEMBERSHIP, "found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);", "found;")],
     },
     Defect {
         name: "slot-leaked",
         what: "an attempt that was called off keeps its place",
         play: "virtual",
-        edits: &[(MODULE, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "if outcome != Outcome::Cancelled { endpoint.in_flight = endpoint.in_flight.saturating_sub(1); }")],
+        edits: &[(FEEDBACK, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "if outcome != Outcome::Cancelled { endpoint.in_flight = endpoint.in_flight.saturating_sub(1); }")],
     },
     Defect {
         name: "slot-freed-twice",
         what: "a time-out frees two places",
         play: "virtual",
-        edits: &[(MODULE, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "endpoint.in_flight = endpoint.in_flight.saturating_sub(1 + u32::from(outcome == Outcome::TimedOut));")],
+        edits: &[(FEEDBACK, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "endpoint.in_flight = endpoint.in_flight.saturating_sub(1 + u32::from(outcome == Outcome::TimedOut));")],
     },
     Defect {
         name: "place-lost-on-restart",
         what: "a restart forgets what is in flight",
         play: "virtual",
-        edits: &[(MODULE, "(endpoint.in_flight, endpoint.limit.trial_in_flight) = (old.in_flight, old.limit.trial_in_flight);", "endpoint.limit.trial_in_flight = old.limit.trial_in_flight;")],
+        edits: &[(MEMBERSHIP, "(endpoint.in_flight, endpoint.limit.trial_in_flight) = (old.in_flight, old.limit.trial_in_flight);", "endpoint.limit.trial_in_flight = old.limit.trial_in_flight;")],
     },
     Defect {
         name: "trial-never-back",
         what: "a trial that was called off or never sent is out for good",
         play: "virtual",
-        edits: &[(MODULE, "endpoint.limit.trial_in_flight &= !trial;\n                return;", "return;")],
+        edits: &[(FEEDBACK, "endpoint.limit.trial_in_flight &= !trial;\n                return;", "return;")],
     },
     Defect {
         name: "lost-wake-up",
         what: "no timer is asked for while calls are held",
         play: "virtual",
-        edits: &[(MODULE, "if next < self.timer_at {", "if next < self.timer_at && self.wait_queue.is_empty() {")],
+        edits: &[(TIMERS, "if next < self.timer_at {", "if next < self.timer_at && self.wait_queue.is_empty() {")],
     },
     Defect {
         name: "timer-edge",
         what: "a held call is woken at its deadline, in place of one step before",
         play: "virtual",
-        edits: &[(MODULE, "let last = self.calls[&id].deadline.saturating_sub(self.settings.tick).max(now);", "let last = self.calls[&id].deadline.saturating_add(self.settings.tick).max(now);")],
+        edits: &[(WAIT_QUEUE, "let last = self.calls[&id].deadline.saturating_sub(self.settings.tick).max(now);", "let last = self.calls[&id].deadline.saturating_add(self.settings.tick).max(now);")],
     },
     Defect {
         name: "one-attempt-more",
         what: "a call has one attempt more than its file allows",
         play: "virtual",
-        edits: &[(MODULE, "(self.attempts.len() as u32) < self.policy.max_attempts", "(self.attempts.len() as u32) <= self.policy.max_attempts")],
+        edits: &[(RETRY, "(self.attempts.len() as u32) < self.policy.max_attempts", "(self.attempts.len() as u32) <= self.policy.max_attempts")],
     },
     Defect {
         name: "copies-for-all",
         what: "a second copy goes out whatever the file says",
         play: "virtual",
-        edits: &[(MODULE, "let hedge = if limits.hedging { policy.hedge } else { Hedge::Never };", "let hedge = if limits.hedging { Hedge::Auto } else { Hedge::Auto };")],
+        edits: &[(ADMISSION, "let hedge = if limits.hedging { policy.hedge } else { Hedge::Never };", "let hedge = if limits.hedging { Hedge::Auto } else { Hedge::Auto };")],
     },
     Defect {
         name: "send-after-answer",
         what: "a call that was answered stays in the hold",
         play: "virtual",
-        edits: &[(MODULE, "if std::mem::take(&mut call.queued) {", "if std::mem::take(&mut call.queued) && call.attempts.len() > 1 {")],
+        edits: &[(ATTEMPTS, "if std::mem::take(&mut call.queued) {", "if std::mem::take(&mut call.queued) && call.attempts.len() > 1 {")],
     },
     Defect {
         name: "call-forgotten",
         what: "a call whose second copy ends first is forgotten",
         play: "virtual",
-        edits: &[(MODULE, "if self.calls.get(&id).is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {", "if self.calls.get(&id).is_some_and(|c| c.ended || c.attempts.len() > 1 && c.attempts_in_flight() == 0) {")],
+        edits: &[(ATTEMPTS, "if self.calls.get(&id).is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {", "if self.calls.get(&id).is_some_and(|c| c.ended || c.attempts.len() > 1 && c.attempts_in_flight() == 0) {")],
     },
     Defect {
         name: "call-never-forgotten",
         what: "calls that were answered while an attempt was out are kept for good",
         play: "virtual",
-        edits: &[(MODULE, "            self.cancel_attempts(id, None, actions);\n        } else if", "            self.cancel_attempts(id, None, actions);\n            return;\n        } else if")],
+        edits: &[(RETRY, "            self.cancel_attempts(id, None, actions);\n        } else if", "            self.cancel_attempts(id, None, actions);\n            return;\n        } else if")],
     },
     Defect {
         name: "window-doubled",
         what: "a keyed call goes again until twice its window",
         play: "virtual",
-        edits: &[(MODULE, "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window) =>", "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window * 2) =>")],
+        edits: &[(RETRY, "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window) =>", "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window * 2) =>")],
     },
     Defect {
         name: "list-asked-once",
         what: "after a failure the list is not asked for again",
         play: "virtual",
-        edits: &[(MODULE, "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list {", "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list && self.list_poll_failures == 0 {")],
+        edits: &[(MEMBERSHIP, "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list {", "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list && self.list_poll_failures == 0 {")],
     },
     Defect {
         name: "hold-skipped",
         what: "what comes in goes to the hold and nobody looks at it until something else happens",
         play: "virtual",
-        edits: &[(MODULE, "self.run_call_timers(now, actions);\n        self.dispatch_queue(now, actions);", "self.run_call_timers(now, actions);\n        if !self.calls.len().is_multiple_of(3) { self.dispatch_queue(now, actions); }")],
+        edits: &[(BALANCER, "self.run_call_timers(now, actions);\n        self.dispatch_queue(now, actions);", "self.run_call_timers(now, actions);\n        if !self.calls.len().is_multiple_of(3) { self.dispatch_queue(now, actions); }")],
     },
     Defect {
         name: "set-aside-for-good",
         what: "a host that was set aside is never tried again",
         play: "virtual",
-        edits: &[(MODULE, "recovery_at: self.limit.backoff_until.max(self.paused_until).max(warm_at)", "recovery_at: Micros::MAX")],
+        edits: &[(MEMBERSHIP, "recovery_at: self.limit.backoff_until.max(self.paused_until).max(warm_at)", "recovery_at: Micros::MAX")],
     },
     Defect {
         name: "start-unasked",
