--- a/crates/decisions/src/balancer/concurrency_limit.rs
+++ b/crates/decisions/src/balancer/concurrency_limit.rs
@@ -69,3 +69,15 @@
         ((self.longest_objective() * FIRST_BACKOFF_SHARE) as Micros).max(1_000)
     }
 }
+
+/// Per-server in-flight budget: steps x concurrency, grown one served trial at a time under a shared backoff.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ConcurrencyLimit {
+    pub(crate) steps: u32,
+    pub(crate) concurrency: f64,
+    /// The budget that cuts leave at the least.
+    pub(crate) min_limit: f64,
+    pub(crate) trial_in_flight: bool,
+    pub(crate) backoff_doublings: u32,
+    pub(crate) backoff_until: Micros,
+}
--- a/crates/decisions/src/balancer/feedback.rs
+++ b/crates/decisions/src/balancer/feedback.rs
@@ -63,7 +63,7 @@
             _ => return,
         };
         let congestion = if congestion.is_finite() {
-            congestion.clamp(0.0, crowd::MAX_CONGESTION)
+            congestion.clamp(0.0, load_feedback::MAX_CONGESTION)
         } else {
             0.0
         };
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -3,7 +3,7 @@
 
 mod admission;
 mod attempts;
-mod concurrency_limit;
+pub(crate) mod concurrency_limit;
 mod feedback;
 mod hedging;
 mod load_probe;
@@ -16,11 +16,13 @@
 mod wait_queue;
 
 use crate::api::*;
-use crate::crowd::{self, shed_probability, LoadFeedback};
-use crate::fleet::{AllowedEndpoints, CandidateSet, EndpointIndex, EndpointState};
-use crate::state::*;
+use crate::call::{Attempt, Call, Execution};
+use crate::endpoint::Endpoint;
+use crate::endpoint_index::{AllowedEndpoints, CandidateSet, EndpointIndex, EndpointState};
+use crate::latency::{ClassLatency, EndpointGroup};
+use crate::load_feedback::{self, shed_probability, LoadFeedback};
 use concurrency_limit::{
-    INITIAL_CONCURRENCY, MAX_BACKOFF_DOUBLINGS, MAX_DECREASE, REJECTION_DECREASE,
+    ConcurrencyLimit, INITIAL_CONCURRENCY, MAX_BACKOFF_DOUBLINGS, MAX_DECREASE, REJECTION_DECREASE,
 };
 use hedging::LATENCY_MARGIN;
 use load_probe::MAX_PROBES;
@@ -32,6 +34,7 @@
 use rustc_hash::FxHashMap;
 use selection::Route;
 use std::collections::{BTreeMap, VecDeque};
+use timers::CallTimers;
 
 /// Weight of a new answer in what is learned of a server or a group: about ten are remembered.
 const SMOOTHING: f64 = 0.1;
--- a/crates/decisions/src/balancer/timers.rs
+++ b/crates/decisions/src/balancer/timers.rs
@@ -1,6 +1,7 @@
 //! Timers.
 
 use super::*;
+use std::collections::BTreeSet;
 
 impl Balancer {
     pub(super) fn run_call_timers(&mut self, now: Micros, actions: &mut Actions) {
@@ -42,3 +43,35 @@
         }
     }
 }
+
+/// When which call is due; each has one time at the most.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CallTimers {
+    by_time: BTreeSet<(Micros, CallId)>,
+    by_call: BTreeMap<CallId, Micros>,
+}
+
+impl CallTimers {
+    /// Sets a call's time, or takes it off.
+    pub(crate) fn set(&mut self, id: CallId, at: Option<Micros>) {
+        if let Some(old) = self.by_call.remove(&id) {
+            self.by_time.remove(&(old, id));
+        }
+        if let Some(at) = at {
+            self.by_time.insert((at, id));
+            self.by_call.insert(id, at);
+        }
+    }
+
+    /// The earliest time.
+    pub(crate) fn next(&self) -> Option<Micros> {
+        self.by_time.first().map(|d| d.0)
+    }
+
+    /// Takes off a call that is due by now.
+    pub(crate) fn pop(&mut self, now: Micros) -> Option<CallId> {
+        let &(_, id) = self.by_time.first().filter(|d| d.0 <= now)?;
+        self.set(id, None);
+        Some(id)
+    }
+}
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -1,114 +1,23 @@
 //! The servers of the list and what of them is kept ready for a pick, so that none walks over all of them. What
 //! counts as up, full or due is decided in `src/balancer`, which files each server's [`EndpointState`] here.
 
+mod slot_groups;
+mod state;
+
 use crate::api::*;
-use crate::state::Endpoint;
-use crate::weighted::{self, WeightedSet};
+use crate::endpoint::Endpoint;
+use crate::weighted_set::{self, WeightedSet};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rustc_hash::FxHashMap;
-use smallvec::SmallVec;
+use slot_groups::SlotGroups;
+pub(crate) use state::{AllowedEndpoints, CandidateSet, Candidates, EndpointState};
 use std::collections::BTreeSet;
 
 /// Blind draws before the servers of a set are looked at one by one, and the most that are looked at then.
 const BLIND_DRAWS: usize = 16;
 const MAX_SCANNED: usize = 256;
 
-/// Where a server stands: all that a pick asks of it, as of the last change to it.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct EndpointState {
-    pub(crate) listed: bool,
-    /// It takes calls: up, warm, not paused.
-    pub(crate) available: bool,
-    /// ... and its budget has room.
-    pub(crate) has_capacity: bool,
-    /// ... or is full, but one trial may pass it.
-    pub(crate) trial_allowed: bool,
-    /// It is set aside or fails most of its calls.
-    pub(crate) is_outlier: bool,
-    /// It is set aside, and whether a trial that may bring it back is out there.
-    pub(crate) ejected: bool,
-    pub(crate) recovery_trial_out: bool,
-    /// From when it may be tried, if it is set aside.
-    pub(crate) recovery_at: Micros,
-    /// Listed and cold; it warms up since then.
-    pub(crate) slow_start_since: Option<Micros>,
-    /// When time alone changes this; `Micros::MAX`: never.
-    pub(crate) next_change: Micros,
-}
-
-/// Which servers to draw from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CandidateSet {
-    /// Those that are up and warm.
-    Available,
-    /// Of these, those with room.
-    WithCapacity,
-    /// Of these, those that are full and may be passed by a trial.
-    TrialAllowed,
-    /// Cold ones, whatever else they are.
-    SlowStart,
-}
-
-/// What a call may go to.
-#[derive(Clone, Debug)]
-pub(crate) enum AllowedEndpoints {
-    /// Any server.
-    All,
-    /// Only these: what ran there is dropped there.
-    Only(Vec<usize>),
-}
-
-impl AllowedEndpoints {
-    /// Is this server one of them?
-    pub(crate) fn contains(&self, slot: usize) -> bool {
-        match self {
-            AllowedEndpoints::All => true,
-            AllowedEndpoints::Only(slots) => slots.contains(&slot),
-        }
-    }
-}
-
-/// Slots drawn for one call.
-pub(crate) type Candidates = SmallVec<[usize; 4]>;
-
-/// Slots that share a zone or a cell, in no order.
-#[derive(Clone, Debug, Default)]
-struct SlotGroups {
-    slots_by_key: FxHashMap<u32, Vec<u32>>,
-    /// Where each slot stands in its list.
-    positions: Vec<u32>,
-}
-
-impl SlotGroups {
-    fn add(&mut self, key: u32, slot: usize) {
-        let list = self.slots_by_key.entry(key).or_default();
-        if self.positions.len() <= slot {
-            self.positions.resize(slot + 1, 0);
-        }
-        self.positions[slot] = list.len() as u32;
-        list.push(slot as u32);
-    }
-
-    fn remove(&mut self, key: u32, slot: usize) {
-        let Some(list) = self.slots_by_key.get_mut(&key) else {
-            return;
-        };
-        let slot = self.positions[slot] as usize;
-        list.swap_remove(slot);
-        if let Some(&moved) = list.get(slot) {
-            self.positions[moved as usize] = slot as u32;
-        }
-        if list.is_empty() {
-            self.slots_by_key.remove(&key);
-        }
-    }
-
-    fn get(&self, key: u32) -> &[u32] {
-        self.slots_by_key.get(&key).map_or(&[], Vec::as_slice)
-    }
-}
-
 /// All servers, each in a slot that it keeps, and the sets that the pick draws from.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointIndex {
@@ -188,7 +97,7 @@
 
     /// Sum of the sizes of all that are listed.
     pub(crate) fn total_size(&self) -> f64 {
-        weighted::size(self.listed_weight)
+        weighted_set::size(self.listed_weight)
     }
 
     /// What all cold servers can do at the least, as the rules say that they warm up.
@@ -198,12 +107,12 @@
             (u128::from(now) * u128::from(weight)).saturating_sub(self.slow_start_moment) as f64;
         let grown =
             age / rules.slow_start_duration.max(1) as f64 * (1.0 - rules.slow_start_min_capacity);
-        (grown + rules.slow_start_min_capacity * weight as f64) * weighted::size(1)
+        (grown + rules.slow_start_min_capacity * weight as f64) * weighted_set::size(1)
     }
 
     /// Sum of the sizes of all cold servers.
     pub(crate) fn slow_start_full_size(&self) -> f64 {
-        weighted::size(self.slow_start.total())
+        weighted_set::size(self.slow_start.total())
     }
 
     pub(crate) fn count(&self, set: CandidateSet) -> usize {
@@ -326,7 +235,7 @@
             preference: rank,
             ..
         } = self.endpoints[slot];
-        let (weight, key) = (weighted::weight(size), slot as u32);
+        let (weight, key) = (weighted_set::weight(size), slot as u32);
         let part = |is: bool| if is { weight } else { 0 };
         if old.available != new.available {
             self.available.set(slot, part(new.available));
@@ -475,7 +384,7 @@
         let start = random.gen_range(0..set.total().max(1));
         let (mut chosen, mut total) = (None, 0);
         for slot in set.from(start).take(MAX_SCANNED).filter(passes) {
-            let weight = weighted::weight(self.endpoints[slot].size);
+            let weight = weighted_set::weight(self.endpoints[slot].size);
             total += weight;
             if random.gen_range(0..total) < weight {
                 chosen = Some(slot);
--- /dev/null
+++ b/crates/decisions/src/endpoint_index/slot_groups.rs
@@ -0,0 +1,40 @@
+//! Slots by zone or by cell.
+
+use rustc_hash::FxHashMap;
+
+/// Slots that share a zone or a cell, in no order.
+#[derive(Clone, Debug, Default)]
+pub(super) struct SlotGroups {
+    slots_by_key: FxHashMap<u32, Vec<u32>>,
+    /// Where each slot stands in its list.
+    positions: Vec<u32>,
+}
+
+impl SlotGroups {
+    pub(super) fn add(&mut self, key: u32, slot: usize) {
+        let list = self.slots_by_key.entry(key).or_default();
+        if self.positions.len() <= slot {
+            self.positions.resize(slot + 1, 0);
+        }
+        self.positions[slot] = list.len() as u32;
+        list.push(slot as u32);
+    }
+
+    pub(super) fn remove(&mut self, key: u32, slot: usize) {
+        let Some(list) = self.slots_by_key.get_mut(&key) else {
+            return;
+        };
+        let slot = self.positions[slot] as usize;
+        list.swap_remove(slot);
+        if let Some(&moved) = list.get(slot) {
+            self.positions[moved as usize] = slot as u32;
+        }
+        if list.is_empty() {
+            self.slots_by_key.remove(&key);
+        }
+    }
+
+    pub(super) fn get(&self, key: u32) -> &[u32] {
+        self.slots_by_key.get(&key).map_or(&[], Vec::as_slice)
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/latency.rs
@@ -0,0 +1,113 @@
+//! Latency statistics of classes of calls and of groups of endpoints.
+
+use crate::api::{Class, Micros};
+
+/// Weight of a new answer in a class's mean: about twenty are remembered.
+const LATENCY_WEIGHT: f64 = 0.05;
+/// Time over which a class's unloaded answer time may drift up to its present mean.
+const UNLOADED_DRIFT_TIME: f64 = 120e6;
+/// The shortest time that is told from others, and the steps above it: up to half a minute.
+const HISTOGRAM_MIN: f64 = 256.0;
+const HISTOGRAM_BUCKETS: usize = 68;
+/// Counts at which they are halved, and those below which a share says nothing.
+const HISTOGRAM_MAX_SAMPLES: u16 = 512;
+const HISTOGRAM_MIN_SAMPLES: u16 = 20;
+
+/// Answer times of a class: the present mean and the least it has been, which stands for an unloaded server.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClassLatency {
+    pub(crate) mean: f64,
+    pub(crate) unloaded: f64,
+    pub(crate) samples: u32,
+    pub(crate) updated_at: Micros,
+    pub(crate) requests: f64,
+    /// The longest that clients wait for one try, and calls turned back whose clients may try again.
+    pub(crate) longest_timeout: Micros,
+    pub(crate) unserved: u32,
+    histogram: LatencyHistogram,
+}
+
+/// How a class's answer times spread: counts by quarters of a doubling, halved when there are many, so that old ones
+/// fade.
+#[derive(Clone, Debug)]
+struct LatencyHistogram {
+    counts: [u16; HISTOGRAM_BUCKETS],
+    total: u16,
+}
+
+impl Default for LatencyHistogram {
+    fn default() -> Self {
+        LatencyHistogram {
+            counts: [0; HISTOGRAM_BUCKETS],
+            total: 0,
+        }
+    }
+}
+
+impl LatencyHistogram {
+    fn record(&mut self, elapsed: f64) {
+        let step = ((elapsed / HISTOGRAM_MIN).max(1.0).log2() * 4.0) as usize;
+        self.counts[step.min(HISTOGRAM_BUCKETS - 1)] += 1;
+        self.total += 1;
+        if self.total >= HISTOGRAM_MAX_SAMPLES {
+            self.counts.iter_mut().for_each(|c| *c /= 2);
+            self.total = self.counts.iter().sum();
+        }
+    }
+
+    /// The time within which this share came, to the end of its step.
+    fn quantile(&self, share: f64) -> Option<f64> {
+        let wanted = f64::from(self.total) * share.clamp(0.0, 1.0);
+        let mut seen = 0.0;
+        let step = self.counts.iter().position(|&c| {
+            seen += f64::from(c);
+            c > 0 && seen >= wanted
+        });
+        step.filter(|_| self.total >= HISTOGRAM_MIN_SAMPLES)
+            .map(|s| HISTOGRAM_MIN * ((s + 1) as f64 / 4.0).exp2())
+    }
+}
+
+/// The servers of one machine kind in one zone, as one: a balancer of little traffic learns of no single one.
+#[derive(Clone, Debug)]
+pub(crate) struct EndpointGroup {
+    pub(crate) latency_ratio: f64,
+    /// Their budget where it is under one call each: the chance that a call may go there.
+    pub(crate) admitted_share: f64,
+}
+
+impl ClassLatency {
+    /// The pace of a class of which nothing is known yet.
+    pub(crate) fn unknown(class: &Class) -> Self {
+        ClassLatency {
+            mean: class.latency_objective as f64 / 4.0,
+            unloaded: class.latency_objective as f64 / 4.0,
+            ..ClassLatency::default()
+        }
+    }
+
+    /// The time within which this share of the answers comes; None while there were too few.
+    pub(crate) fn quantile(&self, share: f64) -> Option<f64> {
+        self.histogram.quantile(share)
+    }
+
+    /// Takes an answer in; the least drifts up to the mean, as fleets and work change.
+    pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
+        self.samples = self.samples.saturating_add(1);
+        self.histogram.record(elapsed);
+        let sample = if self.samples > 8 {
+            elapsed.min(8.0 * self.unloaded)
+        } else {
+            elapsed
+        };
+        self.mean += (sample - self.mean) * (1.0 / f64::from(self.samples)).max(LATENCY_WEIGHT);
+        let drift = (now.saturating_sub(self.updated_at) as f64 / UNLOADED_DRIFT_TIME).min(1.0);
+        self.updated_at = now;
+        let drifted = if self.samples <= 8 {
+            self.mean
+        } else {
+            self.unloaded + (self.mean - self.unloaded) * drift
+        };
+        self.unloaded = self.mean.min(drifted).max(1.0);
+    }
+}
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -45,11 +45,13 @@
 
 mod api;
 mod balancer;
-mod crowd;
-mod fleet;
+mod call;
+mod endpoint;
+mod endpoint_index;
+mod latency;
+mod load_feedback;
 pub mod settings;
-mod state;
-mod weighted;
+mod weighted_set;
 
 pub use api::*;
 pub use balancer::Balancer;
--- a/crates/decisions/tests/tree.rs
+++ b/crates/decisions/tests/tree.rs
@@ -4,8 +4,6 @@
 
 const LINES_MOST: usize = 500;
 const COLUMNS_MOST: usize = 117;
-/// Files that are still to be split by concern.
-const TO_BE_SPLIT: [&str; 2] = ["api.rs", "fleet.rs"];
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
@@ -28,9 +26,8 @@
     assert!(files.len() > 3, "{files:?}");
     for file in files {
         let text = std::fs::read_to_string(&file).expect("a source file");
-        let to_be_split = TO_BE_SPLIT.iter().any(|name| file.ends_with(name));
         let lines = text.lines().count();
-        assert_eq!(lines > LINES_MOST, to_be_split, "{file:?}: {lines} lines");
+        assert!(lines <= LINES_MOST, "{file:?}: {lines} lines");
         let wide = text
             .lines()
             .find(|line| line.chars().count() > COLUMNS_MOST);
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -26,14 +26,15 @@
 }
 
 const ADMISSION: &str = "crates/decisions/src/balancer/admission.rs";
-const API: &str = "crates/decisions/src/api.rs";
+const API_EVENT: &str = "crates/decisions/src/api/event.rs";
 const ATTEMPTS: &str = "crates/decisions/src/balancer/attempts.rs";
 const BALANCER: &str = "crates/decisions/src/balancer/mod.rs";
+const CALL: &str = "crates/decisions/src/call.rs";
+const ENDPOINT: &str = "crates/decisions/src/endpoint.rs";
+const ENDPOINT_INDEX: &str = "crates/decisions/src/endpoint_index/mod.rs";
 const FEEDBACK: &str = "crates/decisions/src/balancer/feedback.rs";
-const FLEET: &str = "crates/decisions/src/fleet.rs";
 const MEMBERSHIP: &str = "crates/decisions/src/balancer/membership.rs";
 const RETRY: &str = "crates/decisions/src/balancer/retry.rs";
-const STATE: &str = "crates/decisions/src/state.rs";
 const TIMERS: &str = "crates/decisions/src/balancer/timers.rs";
 const WAIT_QUEUE: &str = "crates/decisions/src/balancer/wait_queue.rs";
 const DRIVER: &str = "crates/proxy/src/net/driver/mod.rs";
@@ -65,19 +66,19 @@
         name: "zone-for-cell",
         what: "the group of a keyed call is taken for its zone",
         play: "virtual",
-        edits: &[(FLEET, "DedupScope::Cell => self.cells.get(cell.0)", "DedupScope::Cell => self.zones.get(zone.0)")],
+        edits: &[(ENDPOINT_INDEX, "DedupScope::Cell => self.cells.get(cell.0)", "DedupScope::Cell => self.zones.get(zone.0)")],
     },
     Defect {
         name: "last-outcome-alone",
         what: "proof is looked for in the last attempt alone",
         play: "virtual",
-        edits: &[(STATE, "self.attempts.iter().find(|a| a.execution != Execution::NotExecuted)", "self.attempts.last().filter(|a| a.execution != Execution::NotExecuted)")],
+        edits: &[(CALL, "self.attempts.iter().find(|a| a.execution != Execution::NotExecuted)", "self.attempts.last().filter(|a| a.execution != Execution::NotExecuted)")],
     },
     Defect {
         name: "reset-is-proof",
         what: "a broken connection is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(API, "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)", "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Reset)")],
+        edits: &[(API_EVENT, "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)", "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Reset)")],
     },
     Defect {
         name: "error-is-proof",
@@ -120,7 +121,7 @@
         name: "cold-as-warm",
         what: "a cold host is taken for a warm one",
         play: "virtual",
-        edits: &[(STATE, "if self.started_at == 0 || age >= rules.slow_start_duration {", "if self.started_at == 0 || age >= rules.slow_start_duration / 100 {")],
+        edits: &[(ENDPOINT, "if self.started_at == 0 || age >= rules.slow_start_duration {", "if self.started_at == 0 || age >= rules.slow_start_duration / 100 {")],
     },
     Defect {
         name: "restart-unseen",
