--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -13,8 +13,9 @@
         endpoint: EndpointId,
         /// When the attempt times out (a moment); `None`: with the client's patience.
         attempt_deadline: Option<Micros>,
-        /// When its first byte must be on its way (a moment): from then on the servers may have forgotten the call's
-        /// key, and an attempt that still waits for its connection must not start. `None`: no such moment.
+        /// When its first byte must be on its way (a moment): from then on the servers may have
+        /// forgotten the call's key, and an attempt that still waits for its connection must not
+        /// start. `None`: no such moment.
         start_by: Option<Micros>,
     },
     /// End the call unserved; it may safely come again.
--- a/crates/decisions/src/api/call_class.rs
+++ b/crates/decisions/src/api/call_class.rs
@@ -45,8 +45,8 @@
     pub idempotency: Idempotency,
 }
 
-/// When a second copy of a call may go out while its first attempt is still out. Whether it may at all is up to
-/// the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
+/// When a second copy of a call may go out while its first attempt is still out. Whether it may at
+/// all is up to the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedge {
     /// As late as can still be in time.
@@ -56,7 +56,8 @@
     Never,
     /// This long after the first attempt.
     After(Micros),
-    /// After the time within which this share (0 to 1) of the class's answers come; as `Auto` until it is learned.
+    /// After the time within which this share (0 to 1) of the class's answers come; as `Auto` until
+    /// it is learned.
     Quantile(f64),
 }
 
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -118,7 +118,8 @@
     },
     /// Other settings hold from now on. Calls that are open end under those that they came under.
     Reconfigure {
-        /// All of them. A class keeps its place; one that has gone leaves its place to a copy of another.
+        /// All of them. A class keeps its place; one that has gone leaves its place to a copy of
+        /// another.
         settings: Box<Settings>,
         /// Classes whose places meant something else before: nothing learned of those holds.
         redefined_classes: Vec<ClassId>,
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -143,7 +143,8 @@
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
+    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never
+    /// repeated.
     fn default() -> Self {
         let idempotency = Idempotency::NonIdempotent;
         Settings {
--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -1,16 +1,35 @@
-//! Admission of calls and load shedding.
+//! Admission: what a new call is taken for, whether it may join the wait queue, and how a call that
+//! is not served ends.
 
-use super::*;
+use super::hedging::LATENCY_MARGIN;
+use super::retry::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_CALL};
+use super::{Actions, Balancer, SMOOTHING};
+use crate::api::{
+    Action, CallId, CallPolicy, Class, ClassId, DedupScope, Hedge, Idempotency, Limits, Micros,
+};
+use crate::call::Call;
 
-/// Wait in the hold beyond which new calls are refused, as a share of their aim.
-pub(super) const QUEUE_WAIT_SHARE: f64 = 0.1;
-/// Times of the shortest aim that count at the most: patient calls must not fill the hold before brief ones.
-pub(super) const QUEUE_WAIT_OBJECTIVES: f64 = 2.0;
-/// Share of the longest wait for a try that is taken for the same patience.
-pub(super) const SAME_TIMEOUT_SHARE: f64 = 0.95;
+/// Wait in the queue beyond which new calls are shed, as a share of their objective.
+const QUEUE_WAIT_SHARE: f64 = 0.1;
+/// Multiple of the shortest objective that counts at the most: patient calls must not fill the
+/// queue before brief ones.
+const QUEUE_WAIT_OBJECTIVES: f64 = 2.0;
+/// Share of the longest time that clients wait for one try which is taken for the same time.
+const SAME_TIMEOUT_SHARE: f64 = 0.95;
+
+/// A call as its client makes it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct NewCall {
+    pub(super) id: CallId,
+    pub(super) class: ClassId,
+    pub(super) time_left: Micros,
+    pub(super) is_retry: bool,
+    pub(super) policy: CallPolicy,
+}
 
 impl Call {
-    pub(super) fn may_be_rejected(&self) -> bool {
+    /// May its client be told that it can safely try again?
+    fn may_be_rejected(&self) -> bool {
         let harmless = matches!(
             self.class.idempotency,
             Idempotency::Idempotent
@@ -23,105 +42,98 @@
     }
 }
 
+/// The policy of a call within what the site allows.
+fn allowed_policy(policy: CallPolicy, limits: &Limits) -> CallPolicy {
+    let hedge = if limits.hedging {
+        policy.hedge
+    } else {
+        Hedge::Never
+    };
+    CallPolicy {
+        max_attempts: policy.max_attempts.min(limits.max_attempts),
+        hedge,
+        ..policy
+    }
+}
+
 impl Balancer {
-    pub(super) fn on_request(
-        &mut self,
-        now: Micros,
-        id: CallId,
-        (class, left, lot): (ClassId, Micros, bool),
-        policy: CallPolicy,
-        actions: &mut Actions,
-    ) {
-        // A class that the settings do not name is unsafe.
-        let unknown = Class {
-            latency_objective: left,
-            deadline: left,
-            ..Class::default()
-        };
-        let mut spec = self
-            .settings
-            .classes
-            .get(class.0)
-            .copied()
-            .unwrap_or(unknown);
-        if policy.non_idempotent {
-            spec.idempotency = Idempotency::NonIdempotent;
-        }
-        // Settings may change while it is open: what they allow now is its own from here on.
-        let limits = &self.settings.limits;
-        let hedge = if limits.hedging {
-            policy.hedge
-        } else {
-            Hedge::Never
-        };
-        let policy = CallPolicy {
-            max_attempts: policy.max_attempts.min(limits.max_attempts),
-            hedge,
-            ..policy
-        };
+    /// A call has come in: it joins the queue, or is shed where the queue's wait is too long for
+    /// it.
+    pub(super) fn on_request(&mut self, now: Micros, new: NewCall, actions: &mut Actions) {
+        let (id, ClassId(class_id)) = (new.id, new.class);
+        let class = self.class_of(&new);
+        let first_tried_at = now.saturating_sub(self.time_already_spent(&new, &class));
         let call = Call {
-            class: spec,
-            class_id: class.0,
-            policy,
+            class,
+            class_id,
+            // Settings may change while it is open: what they allow now is its own from here on.
+            policy: allowed_policy(new.policy, &self.settings.limits),
             arrived_at: now,
-            first_tried_at: now.saturating_sub(self.time_already_spent(class.0, &spec, left)),
-            deadline: now.saturating_add(left),
-            may_draw_slow_start: lot,
+            first_tried_at,
+            deadline: now.saturating_add(new.time_left),
+            may_draw_slow_start: !new.is_retry,
             admission_draw: self.random_unit(),
             ..Call::default()
         };
         self.calls.insert(id, call);
         self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_CALL).min(MAX_RETRY_TOKENS);
-        self.class_latencies
-            .iter_mut()
-            .skip(class.0)
-            .take(1)
-            .for_each(|p| p.requests += 1.0);
-        let waited = self
-            .wait_queue
-            .front()
-            .map_or(0, |head| now.saturating_sub(self.calls[head].arrived_at));
+        if let Some(latency) = self.class_latencies.get_mut(class_id) {
+            latency.requests += 1.0;
+        }
+        let waited = self.current_queue_wait(now);
         if waited > self.max_queue_wait(id) {
-            self.give_up(id, waited, actions);
+            self.end_unserved(id, waited, actions);
         } else {
-            self.enqueue(now, id, false);
+            self.enqueue(now, id);
+        }
+    }
+
+    /// A call's class; one that the settings do not name is unsafe to repeat.
+    fn class_of(&self, new: &NewCall) -> Class {
+        let unknown = Class {
+            latency_objective: new.time_left,
+            deadline: new.time_left,
+            ..Class::default()
+        };
+        let known = self.settings.classes.get(new.class.0);
+        let mut class = known.copied().unwrap_or(unknown);
+        if new.policy.non_idempotent {
+            class.idempotency = Idempotency::NonIdempotent;
         }
+        class
     }
 
-    /// How long ago did the client first ask? One that waits less for this try than others do has used up the
-    /// rest. Only as many are taken to have tried before as were turned back: patience may be unequal.
-    pub(super) fn time_already_spent(
-        &mut self,
-        class_id: usize,
-        class: &Class,
-        left: Micros,
-    ) -> Micros {
-        let Some(latency) = self.class_latencies.get_mut(class_id) else {
+    /// How long ago did the client first try? One that waits less for this try than others do has
+    /// used up the rest. Only as many are taken to have tried before as were ended unserved:
+    /// clients may wait unequally long.
+    fn time_already_spent(&mut self, new: &NewCall, class: &Class) -> Micros {
+        let Some(latency) = self.class_latencies.get_mut(new.class.0) else {
             return 0;
         };
-        latency.longest_timeout = latency.longest_timeout.max(left);
-        if left as f64 >= latency.longest_timeout as f64 * SAME_TIMEOUT_SHARE
-            || latency.unserved == 0
-        {
+        latency.longest_timeout = latency.longest_timeout.max(new.time_left);
+        let same_timeout = latency.longest_timeout as f64 * SAME_TIMEOUT_SHARE;
+        if new.time_left as f64 >= same_timeout || latency.unserved == 0 {
             return 0;
         }
         latency.unserved -= 1;
-        class.deadline.saturating_sub(left)
+        class.deadline.saturating_sub(new.time_left)
+    }
+
+    /// How long the first call of the queue has waited.
+    fn current_queue_wait(&self, now: Micros) -> Micros {
+        let first = self.wait_queue.front();
+        first.map_or(0, |id| now.saturating_sub(self.calls[id].arrived_at))
     }
 
-    /// How long may the hold's head have waited for this call to join? Without a bound all would be served
-    /// late. Classes of much worth for their work wait longest.
+    /// How long may the first of the queue have waited for this call to join? Without a bound all
+    /// would be served late. Classes of much priority weight for their work wait longest.
     pub(super) fn max_queue_wait(&self, id: CallId) -> Micros {
         let call = &self.calls[&id];
         let expected = self.expected_latency(call.class_id, call.class.latency_objective);
         let objective = call.objective_deadline().saturating_sub(call.arrived_at) as f64;
-        let shortest = self
-            .settings
-            .classes
-            .iter()
-            .map(|c| c.latency_objective)
-            .min()
-            .unwrap_or(0) as f64;
+        let classes = self.settings.classes.iter();
+        let shortest = classes.map(|class| class.latency_objective).min();
+        let shortest = shortest.unwrap_or(0) as f64;
         let limit = objective.min(QUEUE_WAIT_OBJECTIVES * shortest) * QUEUE_WAIT_SHARE;
         let protected = if self.is_protected(call) {
             objective - LATENCY_MARGIN * expected
@@ -131,32 +143,29 @@
         limit.max(protected).min(objective - expected).max(0.0) as Micros
     }
 
-    pub(super) fn is_protected(&self, call: &Call) -> bool {
-        let all = self.class_latencies.iter().zip(&self.settings.classes);
-        let (worth, work) = all.fold((0.0, 0.0), |(w, t), (p, c)| {
-            (
-                w + p.requests * c.priority_weight,
-                t + p.requests * p.unloaded,
-            )
-        });
-        let base = self
-            .class_latencies
-            .get(call.class_id)
-            .map_or(f64::MAX, |p| p.unloaded);
-        let density = call.class.priority_weight / base * work / worth.max(f64::MIN_POSITIVE);
+    /// Does the score lose more by this call than by others, for the work that it takes?
+    fn is_protected(&self, call: &Call) -> bool {
+        let classes = self.class_latencies.iter().zip(&self.settings.classes);
+        let (mut weight, mut work) = (0.0, 0.0);
+        for (latency, class) in classes {
+            weight += latency.requests * class.priority_weight;
+            work += latency.requests * latency.unloaded;
+        }
+        let latency = self.class_latencies.get(call.class_id);
+        let unloaded = latency.map_or(f64::MAX, |latency| latency.unloaded);
+        let density = call.class.priority_weight / unloaded * work / weight.max(f64::MIN_POSITIVE);
         let goal = &self.settings.goal;
         goal.overall * density > goal.overall + goal.worst_class
     }
 
-    pub(super) fn give_up(&mut self, id: CallId, retry_after: Micros, actions: &mut Actions) {
-        let class_id = self.calls[&id].class_id;
-        self.class_latencies
-            .iter_mut()
-            .skip(class_id)
-            .take(1)
-            .for_each(|p| p.unserved += 1);
+    /// Ends a call unserved: rejected where its client may safely try again, failed else.
+    pub(super) fn end_unserved(&mut self, id: CallId, retry_after: Micros, actions: &mut Actions) {
+        let call = &self.calls[&id];
+        if let Some(latency) = self.class_latencies.get_mut(call.class_id) {
+            latency.unserved += 1;
+        }
         self.goodput -= self.goodput * SMOOTHING;
-        if self.calls[&id].may_be_rejected() {
+        if call.may_be_rejected() {
             let retry_after = retry_after.min(self.settings.limits.max_retry_after);
             actions.push(Action::Reject {
                 call: id,
--- a/crates/decisions/src/balancer/attempts.rs
+++ b/crates/decisions/src/balancer/attempts.rs
@@ -1,42 +1,12 @@
-//! Attempts of a call.
+//! Attempts of a call: sending one, cancelling those that lost, and the end of the call.
 
-use super::*;
+use super::{Actions, Balancer};
+use crate::api::{Action, CallId, Idempotency, Micros};
+use crate::call::{Attempt, Call, Execution};
+use crate::endpoint::Endpoint;
 
 impl Balancer {
-    pub(super) fn finish(&mut self, id: CallId) {
-        self.timers.set(id, None);
-        let Some(call) = self.calls.get_mut(&id) else {
-            return;
-        };
-        call.ended = true;
-        call.probed_endpoints.clear();
-        if std::mem::take(&mut call.queued) {
-            if let Some(index) = self.wait_queue.iter().position(|&held| held == id) {
-                self.wait_queue.remove(index);
-            }
-        }
-    }
-
-    pub(super) fn cancel_attempts(&mut self, id: CallId, but: Option<u32>, actions: &mut Actions) {
-        let Some(call) = self.calls.get(&id).filter(|_| self.settings.limits.cancel) else {
-            return;
-        };
-        let out = (0..)
-            .zip(&call.attempts)
-            .filter(|(n, a)| a.execution == Execution::InFlight && Some(*n) != but);
-        actions.extend(out.map(|(attempt, _)| Action::Cancel { call: id, attempt }));
-    }
-
-    pub(super) fn remove_if_finished(&mut self, id: CallId) {
-        if self
-            .calls
-            .get(&id)
-            .is_some_and(|c| c.ended && c.attempts_in_flight() == 0)
-        {
-            self.calls.remove(&id);
-        }
-    }
-
+    /// Sends a call to an endpoint; a trial may pass the endpoint's limit.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -45,16 +15,8 @@
         trial: bool,
         actions: &mut Actions,
     ) {
-        let fresh_for = self.probe_timeout(&self.calls[&id]);
+        let load_at_send = self.load_at_send(now, &self.calls[&id], slot);
         let endpoint = &mut self.endpoints[slot];
-        let fresh = endpoint.probed_at != 0
-            && endpoint.reported_in_flight < f64::MAX
-            && endpoint.probed_at + fresh_for > now;
-        let load = if fresh {
-            endpoint.projected_load(now, &self.settings.rules)
-        } else {
-            0.0
-        };
         endpoint.in_flight += 1;
         endpoint.reported_in_flight += 1.0;
         endpoint.limit.trial_in_flight |= trial;
@@ -62,64 +24,114 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
+        let start_by = start_by(call);
         let &Endpoint {
             id: endpoint,
             zone,
             cell,
             ..
         } = &self.endpoints[slot];
-        let effect = Execution::InFlight;
-        let start_by = match (call.first_maybe_executed(), call.class.idempotency) {
-            (Some(first), Idempotency::Keyed { window, .. }) => {
-                Some(first.sent_at.saturating_add(window))
-            }
-            _ => None,
-        };
         call.attempts.push(Attempt {
             endpoint,
             zone,
             cell,
             sent_at: now,
             is_trial: trial,
-            load_at_send: load,
-            execution: effect,
+            load_at_send,
+            execution: Execution::InFlight,
         });
-        let (attempt_count, class_id, policy) = (call.attempts.len(), call.class_id, call.policy);
-        // An answer after the aim is worth little: its server is better used by others.
-        let (objective, arrived) = (call.objective_deadline(), call.arrived_at);
-        let (deadline, expected) = (
-            call.deadline,
-            self.expected_latency(class_id, self.calls[&id].class.latency_objective),
-        );
-        let until =
-            (objective < deadline && objective as f64 > now as f64 + expected).then_some(objective);
-        let most = Some(now.saturating_add(policy.attempt_timeout)).filter(|&at| at < deadline);
-        let until = until.into_iter().chain(most).min();
+        let call = &self.calls[&id];
         actions.push(Action::Send {
             call: id,
             endpoint,
-            attempt_deadline: until,
+            attempt_deadline: self.attempt_deadline(now, call),
             start_by,
         });
-        // A second copy as late as can be in time, but not before the first is slow.
-        let copy_at =
-            (objective as f64 - LATENCY_MARGIN * expected).max(arrived as f64 + 1.5 * expected);
-        let auto = (!self.is_sparse() && copy_at + expected <= objective as f64)
-            .then_some(copy_at as Micros);
-        let share = |share| {
-            self.class_latencies
-                .get(class_id)
-                .and_then(|p| p.quantile(share))
+        let hedge_at = self.hedge_at(now, call).map(|at| at.max(now + 1));
+        self.timers.set(id, hedge_at);
+    }
+
+    /// The load that a fresh probe has shown of an endpoint; 0 where there is none.
+    fn load_at_send(&self, now: Micros, call: &Call, slot: usize) -> f64 {
+        let endpoint = &self.endpoints[slot];
+        let fresh_for = self.probe_timeout(call);
+        let is_fresh = endpoint.probed_at != 0
+            && endpoint.reported_in_flight < f64::MAX
+            && endpoint.probed_at + fresh_for > now;
+        if is_fresh {
+            endpoint.projected_load(now, &self.settings.rules)
+        } else {
+            0.0
+        }
+    }
+
+    /// When an attempt that goes out now times out, if that is before its client gives up. An
+    /// answer after the objective is worth little: its endpoint is better used by others.
+    fn attempt_deadline(&self, now: Micros, call: &Call) -> Option<Micros> {
+        let (objective, deadline) = (call.objective_deadline(), call.deadline);
+        let expected = self.expected_latency(call.class_id, call.class.latency_objective);
+        let is_reachable = objective < deadline && objective as f64 > now as f64 + expected;
+        let by_objective = is_reachable.then_some(objective);
+        let by_policy =
+            Some(now.saturating_add(call.policy.attempt_timeout)).filter(|&at| at < deadline);
+        by_objective.into_iter().chain(by_policy).min()
+    }
+
+    /// Ends a call; it is removed once no attempt is in flight.
+    pub(super) fn finish(&mut self, id: CallId) {
+        self.timers.set(id, None);
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
         };
-        let copy_at = match policy.hedge {
-            Hedge::Never => None,
-            Hedge::Auto => auto,
-            Hedge::After(wait) => Some(now.saturating_add(wait)),
-            Hedge::Quantile(part) => {
-                share(part).map_or(auto, |wait| Some(now.saturating_add(wait as Micros)))
+        call.ended = true;
+        call.probed_endpoints.clear();
+        if std::mem::take(&mut call.queued) {
+            if let Some(index) = self.wait_queue.iter().position(|&queued| queued == id) {
+                self.wait_queue.remove(index);
             }
+        }
+    }
+
+    /// Cancels a call's attempts in flight, but for the one that answers it, where the site allows
+    /// that.
+    pub(super) fn cancel_attempts(
+        &mut self,
+        id: CallId,
+        except: Option<u32>,
+        actions: &mut Actions,
+    ) {
+        if !self.settings.limits.cancel {
+            return;
+        }
+        let Some(call) = self.calls.get(&id) else {
+            return;
         };
-        let copy = copy_at.filter(|&at| attempt_count == 1 && at < deadline);
-        self.timers.set(id, copy.map(|at| at.max(now + 1)));
+        for (number, attempt) in (0..).zip(&call.attempts) {
+            if attempt.execution == Execution::InFlight && Some(number) != except {
+                actions.push(Action::Cancel {
+                    call: id,
+                    attempt: number,
+                });
+            }
+        }
+    }
+
+    /// Forgets a call that has ended and has no attempt in flight.
+    pub(super) fn remove_if_finished(&mut self, id: CallId) {
+        let call = self.calls.get(&id);
+        if call.is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {
+            self.calls.remove(&id);
+        }
+    }
+}
+
+/// When the next attempt of a keyed call must have started: from then on the endpoints may have
+/// forgotten its key.
+fn start_by(call: &Call) -> Option<Micros> {
+    match (call.first_maybe_executed(), call.class.idempotency) {
+        (Some(first), Idempotency::Keyed { window, .. }) => {
+            Some(first.sent_at.saturating_add(window))
+        }
+        _ => None,
     }
 }
--- a/crates/decisions/src/balancer/feedback.rs
+++ b/crates/decisions/src/balancer/feedback.rs
@@ -1,38 +1,125 @@
-//! What the outcome of an attempt teaches.
+//! What the end of an attempt teaches: of its endpoint, of the endpoints of the same kind and zone,
+//! and of its class.
 
-use super::*;
+use super::concurrency_limit::SEVERE_LATENCY_RATIO;
+use super::{Actions, Balancer, SMOOTHING};
+use crate::api::{Action, CallId, LoadReport, Micros, Outcome};
+use crate::call::{Attempt, Execution};
+use crate::endpoint::Endpoint;
+use crate::latency::EndpointGroup;
+use crate::load_feedback;
 
-/// An answer is strained beyond this many times its class's unloaded time: about two calls a core.
-pub(super) const LATENCY_LIMIT_FACTOR: f64 = 3.0;
-/// ... or beyond this share of its aim, whichever is shorter.
-pub(super) const LATENCY_LIMIT_SHARE: f64 = 0.33;
-/// Reported share of busy cores that is as much: above it waiting grows steeply.
-pub(super) const CPU_UTILIZATION_LIMIT: f64 = 0.9;
-/// Strain at which a group is used less: answers take about half their aim.
-pub(super) const SEVERE_LATENCY_RATIO: f64 = 1.5;
+/// An answer is slow beyond this many times its class's unloaded latency: about two calls a core.
+const LATENCY_LIMIT_FACTOR: f64 = 3.0;
+/// ... or beyond this share of its latency objective, whichever is shorter.
+const LATENCY_LIMIT_SHARE: f64 = 0.33;
+/// Reported CPU utilization that counts as much as an answer at its limit: above it waiting grows
+/// steeply.
+const CPU_UTILIZATION_LIMIT: f64 = 0.9;
+/// Latency ratio of a time-out while the endpoint answers others, at the least.
+const TIMED_OUT_LATENCY_RATIO: f64 = 2.0;
+/// The most that a latency ratio is taken for.
+const MAX_LATENCY_RATIO: f64 = 4.0;
+
+/// An attempt that has ended, and what its end shows.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EndedAttempt {
+    pub(super) attempt: Attempt,
+    pub(super) class_id: usize,
+    pub(super) outcome: Outcome,
+}
+
+/// What an attempt's end is judged by, as it was before the end is counted.
+#[derive(Clone, Copy, Debug)]
+struct Baseline {
+    first_backoff: Micros,
+    expected_latency: f64,
+    longest_objective: f64,
+    may_eject: bool,
+    sparse: bool,
+    /// Latency, in microseconds, that counts as a latency ratio of 1.
+    latency_limit: f64,
+}
+
+impl EndedAttempt {
+    /// Timed out while the endpoint answered others: it is slow, not gone, and is sent less, not
+    /// nothing.
+    fn is_late(&self, endpoint: &Endpoint) -> bool {
+        self.outcome == Outcome::TimedOut && endpoint.last_served_at > self.attempt.sent_at
+    }
+
+    fn never_finished(&self) -> bool {
+        matches!(self.outcome, Outcome::Cancelled | Outcome::NotSent)
+    }
+}
+
+impl EndpointGroup {
+    /// Counts an answer's latency ratio; the admitted share follows it like a concurrency limit
+    /// under one call.
+    fn record(&mut self, latency_ratio: f64) {
+        self.latency_ratio += (latency_ratio - self.latency_ratio) * SMOOTHING;
+        let change = (SEVERE_LATENCY_RATIO - latency_ratio).max(-SEVERE_LATENCY_RATIO) * SMOOTHING;
+        self.admitted_share = (self.admitted_share * change.exp()).clamp(SMOOTHING / 2.0, 1.0);
+    }
+}
+
+impl Endpoint {
+    /// Counts an answer's latency ratio, or the congestion that came with it if that is more.
+    fn record_latency_ratio(&mut self, latency_ratio: f64, weight: f64) {
+        let seen = latency_ratio.max(self.reported_congestion);
+        self.latency_ratio += (seen - self.latency_ratio) * weight;
+        self.answers_since_change += 1;
+    }
+}
+
+/// Requests waiting for each one in work, or busy cores over their limit: 1 is as much as an answer
+/// at its limit.
+fn congestion_of(load: LoadReport) -> Option<f64> {
+    let congestion = match load {
+        LoadReport {
+            in_flight: Some(in_flight),
+            queued: Some(queued),
+            ..
+        } => queued / (in_flight - queued).max(1.0),
+        LoadReport {
+            cpu_utilization: Some(utilization),
+            ..
+        } => utilization / CPU_UTILIZATION_LIMIT,
+        _ => return None,
+    };
+    if congestion.is_finite() {
+        Some(congestion.clamp(0.0, load_feedback::MAX_CONGESTION))
+    } else {
+        Some(0.0)
+    }
+}
 
 impl Balancer {
-    /// Notes an attempt's end; late, double and unknown ones change nothing.
+    /// Notes an attempt's end; late, repeated and unknown ones change nothing.
     pub(super) fn record_outcome(
         &mut self,
         id: CallId,
         attempt: u32,
         outcome: Outcome,
-    ) -> Option<(Attempt, usize)> {
+    ) -> Option<EndedAttempt> {
         let call = self.calls.get_mut(&id)?;
         let tried = call
             .attempts
             .get_mut(attempt as usize)
-            .filter(|a| a.execution == Execution::InFlight)?;
+            .filter(|attempt| attempt.execution == Execution::InFlight)?;
         tried.execution = if outcome.proves_not_executed() {
             Execution::NotExecuted
         } else {
             Execution::MaybeExecuted
         };
-        Some((*tried, call.class_id))
+        Some(EndedAttempt {
+            attempt: *tried,
+            class_id: call.class_id,
+            outcome,
+        })
     }
 
-    /// As many waiting as in work, or nearly all cores busy, is as much as an answer at its limit.
+    /// Takes in the load that an endpoint reported with the answer to this attempt.
     pub(super) fn record_load_report(
         &mut self,
         now: Micros,
@@ -40,208 +127,137 @@
         attempt: u32,
         load: LoadReport,
     ) {
-        let Some(tried) = self
-            .calls
-            .get(&id)
-            .and_then(|c| c.attempts.get(attempt as usize))
-        else {
+        let attempts = self.calls.get(&id).map(|call| &call.attempts);
+        let Some(tried) = attempts.and_then(|attempts| attempts.get(attempt as usize)) else {
             return;
         };
         let Some(slot) = self.endpoints.slot(tried.endpoint) else {
             return;
         };
-        let congestion = match load {
-            LoadReport {
-                in_flight: Some(all),
-                queued: Some(waiting),
-                ..
-            } => waiting / (all - waiting).max(1.0),
-            LoadReport {
-                cpu_utilization: Some(busy),
-                ..
-            } => busy / CPU_UTILIZATION_LIMIT,
-            _ => return,
-        };
-        let congestion = if congestion.is_finite() {
-            congestion.clamp(0.0, load_feedback::MAX_CONGESTION)
-        } else {
-            0.0
+        let Some(congestion) = congestion_of(load) else {
+            return;
         };
         self.endpoints[slot].reported_congestion = congestion;
-        // How busy cores are tells of no crowd: they are all busy long before one waits.
+        // CPU utilization tells of no overload of the fleet: all cores are busy long before one
+        // request waits.
         if load.queued.is_some() && self.is_sparse() {
-            self.load_feedback
-                .record(now, &mut self.endpoints[slot].last_sample, congestion);
+            let sample = &mut self.endpoints[slot].last_sample;
+            self.load_feedback.record(now, sample, congestion);
         }
     }
 
-    /// What a server's answer, or its absence, teaches.
+    /// What an endpoint's answer, or its absence, teaches.
     pub(super) fn learn_from_attempt(
         &mut self,
         now: Micros,
-        tried: Attempt,
-        class_id: usize,
-        outcome: Outcome,
+        ended: EndedAttempt,
         actions: &mut Actions,
     ) {
-        let Attempt {
-            endpoint: id,
-            sent_at: sent,
-            is_trial: trial,
-            ..
-        } = tried;
-        let elapsed = now.saturating_sub(sent);
-        let (first, longest, longest_aim) = (
-            self.first_backoff(),
-            self.longest_expected_latency(),
-            self.longest_objective(),
-        );
-        let (may_set_aside, sparse) = (self.may_eject(), self.is_sparse());
-        let Some(slot) = self.endpoints.slot(id) else {
+        let baseline = self.baseline(ended.class_id);
+        let Some(slot) = self.endpoints.slot(ended.attempt.endpoint) else {
             return;
         };
-        let latency = self.class_latencies.get_mut(class_id);
-        let objective = self
-            .settings
-            .classes
-            .get(class_id)
-            .map_or(f64::MAX, |c| c.latency_objective as f64);
-        let limit = latency.as_ref().map_or(f64::MAX, |p| {
-            (p.unloaded * LATENCY_LIMIT_FACTOR)
-                .min(objective * LATENCY_LIMIT_SHARE)
-                .max(p.unloaded)
-        });
+        let (outcome, is_trial) = (ended.outcome, ended.attempt.is_trial);
+        let elapsed = now.saturating_sub(ended.attempt.sent_at);
         let endpoint = &mut self.endpoints[slot];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        let late = if outcome == Outcome::TimedOut && endpoint.last_served_at > sent {
-            2.0
-        } else {
-            0.0
-        };
-        let mut latency_ratio = (elapsed as f64 / limit).clamp(late, 4.0);
-        let failed = match outcome {
-            Outcome::Served => false,
-            // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
-            Outcome::TimedOut if endpoint.last_served_at > sent => false,
-            Outcome::Cancelled | Outcome::NotSent => {
-                // A loser called off was at least this slow.
-                endpoint.latency_ratio +=
-                    (latency_ratio - endpoint.latency_ratio).max(0.0) * SMOOTHING;
-                endpoint.limit.trial_in_flight &= !trial;
-                return;
-            }
-            _ => true,
-        };
-        // A time-out proves less than an error: a crowded server may owe a lone call for that long. So does a
-        // reset, which tells of one connection: those of a server that is gone come in numbers.
-        let unclear = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-        let weight = if unclear {
-            FAILURE_WEIGHT / 2.0
-        } else {
-            FAILURE_WEIGHT
-        };
-        endpoint.failure_rate += (f64::from(u8::from(failed)) - endpoint.failure_rate) * weight;
-        let endpoint_group =
-            self.groups
-                .entry((endpoint.zone, endpoint.kind))
-                .or_insert(EndpointGroup {
-                    latency_ratio,
-                    admitted_share: 1.0,
-                });
-        let seen = if failed {
-            SEVERE_LATENCY_RATIO * 2.0
-        } else {
-            latency_ratio
-        };
-        endpoint_group.latency_ratio += (seen - endpoint_group.latency_ratio) * SMOOTHING;
-        let change = (SEVERE_LATENCY_RATIO - seen).max(-SEVERE_LATENCY_RATIO) * SMOOTHING;
-        endpoint_group.admitted_share =
-            (endpoint_group.admitted_share * change.exp()).clamp(SMOOTHING / 2.0, 1.0);
-        // Few answers a second must not make the strain a memory of long ago.
-        let gap = now.saturating_sub(endpoint.last_ended_at) as f64 / longest_aim;
-        let weight = SMOOTHING.max(1.0 - (-gap).exp());
-        endpoint.last_ended_at = now;
-        if !failed {
-            latency_ratio = latency_ratio.max(endpoint.reported_congestion);
-            endpoint.latency_ratio += (latency_ratio - endpoint.latency_ratio) * weight;
-            endpoint.answers_since_change += 1;
-        }
-        // Answers alone would make the mean that of the lucky: late ones count for what was waited.
-        if let Some(latency) = latency.filter(|_| !failed) {
-            latency.record(now, elapsed as f64);
-        }
-        if tried.load_at_send > 0.0 && matches!(outcome, Outcome::Served | Outcome::TimedOut) {
-            let faded = 1.0 - SMOOTHING / 2.0;
-            self.answer_totals = (
-                self.answer_totals.0 * faded + elapsed as f64,
-                self.answer_totals.1 * faded + tried.load_at_send,
-            );
+        let late = ended.is_late(endpoint);
+        let min_ratio = if late { TIMED_OUT_LATENCY_RATIO } else { 0.0 };
+        let latency_ratio =
+            (elapsed as f64 / baseline.latency_limit).clamp(min_ratio, MAX_LATENCY_RATIO);
+        if ended.never_finished() {
+            // A hedged request that lost and was cancelled was at least this slow.
+            endpoint.latency_ratio += (latency_ratio - endpoint.latency_ratio).max(0.0) * SMOOTHING;
+            endpoint.limit.trial_in_flight &= !is_trial;
+            return;
         }
+        let failed = outcome != Outcome::Served && !late;
+        endpoint.record_failure_rate(outcome, failed);
+        self.record_latency(now, slot, ended, latency_ratio, failed, baseline);
+        let endpoint = &mut self.endpoints[slot];
         if outcome == Outcome::Served {
             endpoint.last_served_at = now;
         }
-        // What is crowded most tells nothing: it answers nothing in time, or turns away unseen.
-        if sparse && matches!(outcome, Outcome::TimedOut | Outcome::Rejected) {
+        // What is congested most tells nothing: it answers nothing in time, or rejects unseen.
+        if baseline.sparse && matches!(outcome, Outcome::TimedOut | Outcome::Rejected) {
             self.load_feedback
                 .record_overload(now, &mut endpoint.last_sample);
         }
-        // Latency well above an unloaded server's is the sign, beside refusals, of too much in flight.
-        if outcome == Outcome::Rejected {
-            endpoint.limit.decrease(REJECTION_DECREASE, 0.0);
-            // Fast refusals leave it looking idle: without a pause it would draw in call after call.
-            endpoint.paused_until = endpoint.paused_until.max(now + longest as Micros);
-        } else if endpoint.latency_ratio > 1.0 && endpoint.has_enough_answers(now, longest) {
-            let floor = endpoint.limit.min_limit
-                * if endpoint.latency_ratio > SEVERE_LATENCY_RATIO {
-                    MAX_DECREASE / 2.0
-                } else {
-                    1.0
-                };
-            endpoint.limit.decrease(1.0 / endpoint.latency_ratio, floor);
-            // The cut answers for part of it: else one jam would be cut for again and again.
-            endpoint.latency_ratio = endpoint.latency_ratio.sqrt();
-            (endpoint.answers_since_change, endpoint.limit_changed_at) = (0, now);
-        }
-        let was_up = endpoint.limit.steps > 0;
-        // A broken connection is not the end of a server that answers: its failures are counted.
-        let (refused, broke) = (outcome == Outcome::ConnectFailed, outcome == Outcome::Reset);
-        if refused || broke {
-            let in_row =
-                endpoint.last_served_at <= std::mem::replace(&mut endpoint.last_broken_at, now);
-            let last = may_set_aside && in_row && (refused || endpoint.last_served_at == 0);
-            if (refused || in_row) && (endpoint.limit.steps > 1 || last) {
-                endpoint.limit.steps = endpoint.limit.steps.saturating_sub(1);
-            }
+        endpoint.adapt_limit(now, outcome, baseline.expected_latency);
+        let was_ejected = endpoint.limit.steps == 0;
+        endpoint.record_connection_failure(now, outcome, baseline.may_eject);
+        endpoint.limit.trial_in_flight &= !is_trial;
+        let (id, first_backoff) = (endpoint.id.0, baseline.first_backoff);
+        if is_trial && endpoint.record_trial(now, outcome, was_ejected, first_backoff) {
+            let text = format!("server {id} taken back");
+            actions.push(Action::Log { text });
         }
-        endpoint.limit.trial_in_flight &= !trial;
-        if trial {
-            if outcome != Outcome::Served {
-                endpoint.limit.start_backoff(now, first);
-            } else if was_up && endpoint.latency_ratio > 1.0 {
-                endpoint.limit.backoff_until = now + first;
-            } else if was_up || endpoint.failure_rate < FAILURE_RATE_LIMIT / 2.0 {
-                endpoint.limit.record_served_trial();
-                (endpoint.answers_since_change, endpoint.limit_changed_at) = (0, now);
-                if !was_up {
-                    actions.push(Action::Log {
-                        text: format!("server {} taken back", endpoint.id.0),
-                    });
-                }
-            } else {
-                // One good answer of a server that fails most does not bring it back: several in a row do.
-                endpoint.limit.backoff_doublings = 0;
-            }
+        if !was_ejected && endpoint.eject_if_outlier(now, baseline.may_eject, first_backoff) {
+            let text = format!("server {id} set aside");
+            actions.push(Action::Log { text });
         }
-        // Fast errors and refusals make a server look idle.
-        if was_up && endpoint.failure_rate > FAILURE_RATE_LIMIT && may_set_aside {
-            endpoint.limit.steps = 0;
+    }
+
+    fn baseline(&self, class_id: usize) -> Baseline {
+        let class = self.settings.classes.get(class_id);
+        let objective = class.map_or(f64::MAX, |class| class.latency_objective as f64);
+        let latency = self.class_latencies.get(class_id);
+        let latency_limit = latency.map_or(f64::MAX, |latency| {
+            (latency.unloaded * LATENCY_LIMIT_FACTOR)
+                .min(objective * LATENCY_LIMIT_SHARE)
+                .max(latency.unloaded)
+        });
+        Baseline {
+            first_backoff: self.first_backoff(),
+            expected_latency: self.longest_expected_latency(),
+            longest_objective: self.longest_objective(),
+            may_eject: self.may_eject(),
+            sparse: self.is_sparse(),
+            latency_limit,
         }
-        if was_up && endpoint.limit.steps == 0 {
-            endpoint.limit.start_backoff(now, first);
-            endpoint.latency_ratio = 1.0;
-            actions.push(Action::Log {
-                text: format!("server {} set aside", endpoint.id.0),
+    }
+
+    /// Counts the latency of an ended attempt for its group, its endpoint, its class, and all
+    /// endpoints together.
+    fn record_latency(
+        &mut self,
+        now: Micros,
+        slot: usize,
+        ended: EndedAttempt,
+        latency_ratio: f64,
+        failed: bool,
+        baseline: Baseline,
+    ) {
+        let elapsed = now.saturating_sub(ended.attempt.sent_at) as f64;
+        let endpoint = &mut self.endpoints[slot];
+        let group = self
+            .groups
+            .entry((endpoint.zone, endpoint.kind))
+            .or_insert(EndpointGroup {
+                latency_ratio,
+                admitted_share: 1.0,
             });
+        let group_ratio = if failed {
+            SEVERE_LATENCY_RATIO * 2.0
+        } else {
+            latency_ratio
+        };
+        group.record(group_ratio);
+        // Few answers a second must not make the latency ratio a memory of long ago.
+        let gap = now.saturating_sub(endpoint.last_ended_at) as f64 / baseline.longest_objective;
+        let weight = SMOOTHING.max(1.0 - (-gap).exp());
+        endpoint.last_ended_at = now;
+        if !failed {
+            endpoint.record_latency_ratio(latency_ratio, weight);
+            // Answers alone would make the mean that of the lucky: late ones count for what was
+            // waited.
+            if let Some(latency) = self.class_latencies.get_mut(ended.class_id) {
+                latency.record(now, elapsed);
+            }
+        }
+        let load = ended.attempt.load_at_send;
+        if load > 0.0 && matches!(ended.outcome, Outcome::Served | Outcome::TimedOut) {
+            self.probed_answers.record(elapsed, load);
         }
     }
 }
--- a/crates/decisions/src/balancer/load_probe.rs
+++ b/crates/decisions/src/balancer/load_probe.rs
@@ -1,87 +1,119 @@
-//! Load probes.
+//! Load probes: a call asks a few endpoints for their load and goes to the least loaded of those
+//! that answer in time (Prequal: Wydrowski and others, "Load is not what you should balance", NSDI
+//! 2024). It is for balancers that have fewer calls in flight than there are endpoints: their own
+//! counts tell little of an endpoint's load.
 
-use super::*;
+use super::concurrency_limit::{INITIAL_CONCURRENCY, MAX_BACKOFF_DOUBLINGS};
+use super::{Actions, Balancer, SMOOTHING};
+use crate::api::{Action, CallId, EndpointId, LoadReport, Micros, Outcome, ReportMode};
+use crate::call::Call;
+use crate::endpoint_index::{AllowedEndpoints, CandidateSet};
 
-/// Points of the result that asking servers for their load may cost, and the most servers asked for a call.
-pub(super) const PROBE_COST_LIMIT: f64 = 0.02;
+/// Points of the score that the probes of one call may cost.
+const PROBE_COST_LIMIT: f64 = 0.02;
+/// Most endpoints probed for a call.
 pub(super) const MAX_PROBES: usize = 4;
-/// Share of its aim that a call waits for the answers.
-pub(super) const PROBE_TIMEOUT_SHARE: f64 = 0.05;
-/// Share of its aim that a call may be expected to take where it goes: more in hand there is a full budget.
-pub(super) const LOAD_LIMIT_SHARE: f64 = 0.3;
+/// Share of its objective that a call waits for the answers.
+const PROBE_TIMEOUT_SHARE: f64 = 0.05;
+/// Share of its objective that a call may be expected to take where it goes: more load there is a
+/// full endpoint.
+const LOAD_LIMIT_SHARE: f64 = 0.3;
+
+/// Latencies of probed endpoints' answers and the loads that the endpoints had, as fading sums of
+/// all together.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ProbedAnswers {
+    latency: f64,
+    load: f64,
+}
+
+impl ProbedAnswers {
+    /// Counts an answer; about twenty are remembered.
+    pub(super) fn record(&mut self, latency: f64, load: f64) {
+        let faded = 1.0 - SMOOTHING / 2.0;
+        self.latency = self.latency * faded + latency;
+        self.load = self.load * faded + load;
+    }
+}
 
 impl Balancer {
-    /// Servers to ask before this call goes: a balancer of little traffic knows nothing fresh of nearly all.
+    /// Endpoints to probe before this call goes; `None`: it goes without, and none: it waits until
+    /// it may probe again.
     pub(super) fn endpoints_to_probe(
         &mut self,
         now: Micros,
         id: CallId,
-        room: &[usize],
+        with_capacity: &[usize],
     ) -> Option<Vec<usize>> {
-        let (limits, reports) = (self.settings.limits, self.settings.load_reporting);
-        let told =
-            limits.probes && reports.mode == ReportMode::OnProbe && reports.includes_in_flight;
-        let most = (PROBE_COST_LIMIT / self.settings.costs.probe.max(f64::MIN_POSITIVE)) as usize;
         let call = &self.calls[&id];
-        let expected = self.expected_latency(call.class_id, call.class.latency_objective);
-        let in_time =
-            (now + self.probe_timeout(call)) as f64 + expected < call.objective_deadline() as f64;
-        if !told || !self.is_sparse() || most < 2 || !in_time {
-            // What has found all full does not go blindly in the end.
+        let affordable =
+            (PROBE_COST_LIMIT / self.settings.costs.probe.max(f64::MIN_POSITIVE)) as usize;
+        if !self.may_probe() || affordable < 2 || !self.probes_in_time(now, call) {
+            // What has found all endpoints full does not go blindly in the end.
             return (call.full_probe_rounds > 0).then(Vec::new);
         }
-        // Half full, all calls ask. An idle fleet needs less; some ask all the same, to learn when that ends.
-        if call.full_probe_rounds == 0
-            && call.admission_draw > (self.probe_pressure * 2.0).powi(2).max(SMOOTHING)
-        {
+        // From half of the capacity on all calls probe. An idle fleet needs less; some probe all
+        // the same, to learn when that ends.
+        let probe_share = (self.probe_pressure * 2.0).powi(2).max(SMOOTHING);
+        if call.full_probe_rounds == 0 && call.admission_draw > probe_share {
             return None;
         }
-        Some(self.draw(
-            room,
-            if call.next_probe_at > now {
-                0
-            } else {
-                most.min(MAX_PROBES)
-            },
-        ))
+        let count = if call.next_probe_at > now {
+            0
+        } else {
+            affordable.min(MAX_PROBES)
+        };
+        Some(self.draw(with_capacity, count))
     }
 
-    /// Is an even part of a server's calls under one? Then own calls in flight tell little.
+    /// Do endpoints answer probes with their load, and does this balancer need that?
+    fn may_probe(&self) -> bool {
+        let reporting = self.settings.load_reporting;
+        self.settings.limits.probes
+            && reporting.mode == ReportMode::OnProbe
+            && reporting.includes_in_flight
+            && self.is_sparse()
+    }
+
+    /// Can an answer still be expected by the objective after a round of probes?
+    fn probes_in_time(&self, now: Micros, call: &Call) -> bool {
+        let expected = self.expected_latency(call.class_id, call.class.latency_objective);
+        (now + self.probe_timeout(call)) as f64 + expected < call.objective_deadline() as f64
+    }
+
+    /// Is an even share of an endpoint's calls under one? Then own calls in flight tell little.
     pub(super) fn is_sparse(&self) -> bool {
         let balancers = f64::from(self.settings.balancers);
         balancers > INITIAL_CONCURRENCY && balancers > self.endpoints.listed_count() as f64
     }
 
+    /// How long a call waits for the answers to its probes.
     pub(super) fn probe_timeout(&self, call: &Call) -> Micros {
         ((call.class.latency_objective as f64 * PROBE_TIMEOUT_SHARE) as Micros)
             .max(self.settings.tick)
     }
 
+    /// Probes these endpoints; the call waits for their answers.
     pub(super) fn start_probing(
         &mut self,
         now: Micros,
         id: CallId,
-        candidates: &[usize],
+        slots: &[usize],
         actions: &mut Actions,
     ) {
-        let wake = now + self.probe_timeout(&self.calls[&id]);
+        let timeout_at = now + self.probe_timeout(&self.calls[&id]);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        (call.probed_endpoints, call.probes_sent_at) = (
-            candidates.iter().map(|&i| self.endpoints[i].id).collect(),
-            now,
-        );
-        actions.extend(
-            call.probed_endpoints
-                .iter()
-                .map(|&endpoint| Action::Probe { endpoint }),
-        );
+        call.probed_endpoints = slots.iter().map(|&slot| self.endpoints[slot].id).collect();
+        call.probes_sent_at = now;
+        let probes = call.probed_endpoints.iter();
+        actions.extend(probes.map(|&endpoint| Action::Probe { endpoint }));
         self.probing_calls.push(id);
-        self.timers.set(id, Some(wake));
+        self.timers.set(id, Some(timeout_at));
     }
 
-    /// A server told its load, or did not answer: then it is taken for the most loaded.
+    /// An endpoint has told its load, or did not answer: then it is taken for the most loaded.
     pub(super) fn on_probe_completed(
         &mut self,
         now: Micros,
@@ -93,103 +125,108 @@
         let Some(slot) = self.endpoints.slot(id) else {
             return;
         };
-        let told = load
+        let reported = load
             .in_flight
-            .filter(|l| outcome == Outcome::Served && l.is_finite());
+            .filter(|in_flight| outcome == Outcome::Served && in_flight.is_finite());
         let endpoint = &mut self.endpoints[slot];
-        (endpoint.reported_in_flight, endpoint.probed_at) =
-            (told.map_or(f64::MAX, |l| l.max(0.0)), now);
-        for call in std::mem::take(&mut self.probing_calls) {
-            let Some(c) = self
-                .calls
-                .get(&call)
-                .filter(|c| !c.probed_endpoints.is_empty())
-            else {
-                continue;
-            };
-            let waits = |&id: &EndpointId| {
-                self.endpoints
-                    .slot(id)
-                    .is_some_and(|p| self.endpoints[p].probed_at < c.probes_sent_at)
-            };
-            if c.probed_endpoints.iter().any(waits) {
-                self.probing_calls.push(call);
-            } else {
-                self.finish_probing(now, call, actions);
+        endpoint.reported_in_flight = reported.map_or(f64::MAX, |in_flight| in_flight.max(0.0));
+        endpoint.probed_at = now;
+        for call_id in std::mem::take(&mut self.probing_calls) {
+            match self.calls.get(&call_id) {
+                Some(call) if call.probed_endpoints.is_empty() => {}
+                Some(call) if self.awaits_probe(call) => self.probing_calls.push(call_id),
+                Some(_) => self.finish_probing(now, call_id, actions),
+                None => {}
             }
         }
     }
 
-    /// The servers asked have told their load, or time is up: the call goes to the less loaded.
+    /// Has an endpoint that this call probed not answered yet?
+    fn awaits_probe(&self, call: &Call) -> bool {
+        call.probed_endpoints.iter().any(|&id| {
+            let slot = self.endpoints.slot(id);
+            slot.is_some_and(|slot| self.endpoints[slot].probed_at < call.probes_sent_at)
+        })
+    }
+
+    /// The probed endpoints have told their load, or time is up: the call goes to the least loaded
+    /// with capacity.
     pub(super) fn finish_probing(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let (asked, since) = (
-            std::mem::take(&mut call.probed_endpoints),
-            call.probes_sent_at,
-        );
-        let (rules, most, allowed) = (
-            self.settings.rules,
-            self.load_limit(id),
-            self.allowed_endpoints(now, id),
-        );
-        // One that has started anew meanwhile is cold: it gets lots, and no more.
-        let cold_only =
+        let probed = std::mem::take(&mut call.probed_endpoints);
+        let probes_sent_at = call.probes_sent_at;
+        let load_limit = self.load_limit(id);
+        let allowed = self.allowed_endpoints(now, id);
+        // One that has started anew meanwhile is in slow start: it gets its draws, and no more.
+        let slow_start_only =
             self.endpoints.count(CandidateSet::SlowStart) == self.endpoints.listed_count();
-        let mut slots = Vec::new();
-        for endpoint in asked {
+        let mut candidates = Vec::new();
+        for endpoint in probed {
             let Some(slot) = self.endpoints.slot(endpoint) else {
                 continue;
             };
             let endpoint = &mut self.endpoints[slot];
-            if endpoint.probed_at < since {
-                (endpoint.reported_in_flight, endpoint.probed_at) = (f64::MAX, now);
+            if endpoint.probed_at < probes_sent_at {
+                endpoint.reported_in_flight = f64::MAX;
+                endpoint.probed_at = now;
             }
-            let (endpoint, load) = (
-                &self.endpoints[slot],
-                self.endpoints[slot].projected_load(now, &rules),
-            );
-            let held = endpoint.reported_in_flight / (endpoint.reported_in_flight + 1.0);
-            self.probe_pressure +=
-                ((held * load / most).min(1.0) - self.probe_pressure) * SMOOTHING;
-            // What all balancers hold there counts against the budget of all: else each adds its one call.
-            let room = !endpoint.at_limit(now, &rules)
-                && (load <= most || endpoint.reported_in_flight < 1.0);
-            let warm = cold_only || endpoint.slow_start_capacity(now, &rules) >= 1.0;
-            if warm
-                && room
-                && endpoint.is_usable(now)
-                && allowed.as_ref().is_some_and(|d| d.contains(slot))
+            let has_capacity = self.record_probed_load(now, slot, load_limit);
+            let is_allowed = |allowed: &AllowedEndpoints| allowed.contains(slot);
+            if has_capacity
+                && self.is_candidate_after_probe(now, slot, slow_start_only)
+                && allowed.as_ref().is_some_and(is_allowed)
             {
-                slots.push(slot);
+                candidates.push(slot);
             }
         }
-        match self.least_loaded(now, &slots) {
-            Some(endpoint) => self.send(now, id, endpoint, false, actions),
+        match self.least_loaded(now, &candidates) {
+            Some(slot) => self.send(now, id, slot, false, actions),
             None if self.calls[&id].attempts_in_flight() > 0 => {}
-            None => {
-                let wait = self.probe_timeout(&self.calls[&id]);
-                if let Some(call) = self.calls.get_mut(&id) {
-                    call.next_probe_at =
-                        now + (wait << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS));
-                    call.full_probe_rounds += 1;
-                }
-                self.enqueue(now, id, true);
-            }
+            None => self.wait_for_next_probes(now, id),
+        }
+    }
+
+    /// Counts a probed endpoint's load in the pressure. Returns whether it has capacity: the calls
+    /// of all balancers there count against the limit of all, else each would add its one call.
+    fn record_probed_load(&mut self, now: Micros, slot: usize, load_limit: f64) -> bool {
+        let rules = self.settings.rules;
+        let endpoint = &self.endpoints[slot];
+        let load = endpoint.projected_load(now, &rules);
+        let in_flight = endpoint.reported_in_flight;
+        let occupied = in_flight / (in_flight + 1.0);
+        self.probe_pressure +=
+            ((occupied * load / load_limit).min(1.0) - self.probe_pressure) * SMOOTHING;
+        !endpoint.at_limit(now, &rules) && (load <= load_limit || in_flight < 1.0)
+    }
+
+    fn is_candidate_after_probe(&self, now: Micros, slot: usize, slow_start_only: bool) -> bool {
+        let endpoint = &self.endpoints[slot];
+        let is_warm = endpoint.slow_start_capacity(now, &self.settings.rules) >= 1.0;
+        (slow_start_only || is_warm) && endpoint.is_usable(now)
+    }
+
+    /// All probed endpoints were full: the call waits at the front of the queue, longer with each
+    /// such round.
+    fn wait_for_next_probes(&mut self, now: Micros, id: CallId) {
+        let wait = self.probe_timeout(&self.calls[&id]);
+        if let Some(call) = self.calls.get_mut(&id) {
+            call.next_probe_at = now + (wait << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS));
+            call.full_probe_rounds += 1;
         }
+        self.enqueue_again(now, id);
     }
 
-    /// Calls in hand for a server's size at which this call would take too long, learned from all servers'
-    /// answers as one. It starts as if some had shown the start figure: all come before it is learned.
-    pub(super) fn load_limit(&self, id: CallId) -> f64 {
-        let start = INITIAL_CONCURRENCY * self.endpoints.listed_count() as f64
+    /// Load at an endpoint, in calls for its size, at which this call would take too long, learned
+    /// from the answers of all endpoints as one. It starts as if some had shown the initial
+    /// concurrency: all probe before it is learned.
+    fn load_limit(&self, id: CallId) -> f64 {
+        let initial_load = INITIAL_CONCURRENCY * self.endpoints.listed_count() as f64
             / self.endpoints.total_size().max(f64::MIN_POSITIVE);
-        let objective = self.calls[&id].class.latency_objective as f64 * LOAD_LIMIT_SHARE;
-        let (time, load) = (
-            self.answer_totals.0 + objective / SMOOTHING,
-            self.answer_totals.1 + start / SMOOTHING,
-        );
-        objective * load / time.max(1.0)
+        let target = self.calls[&id].class.latency_objective as f64 * LOAD_LIMIT_SHARE;
+        let latency = self.probed_answers.latency + target / SMOOTHING;
+        let load = self.probed_answers.load + initial_load / SMOOTHING;
+        target * load / latency.max(1.0)
     }
 }
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -1,9 +1,17 @@
-//! Retries.
+//! Retries: whether a call may have another attempt, after what pause, and on which endpoints.
+//!
+//! A call goes again where that is harmless by its class and by proof over all its attempts, and
+//! where a retry token pays for it: each call earns a part of one, so that retries stay a share of
+//! the calls however many fail.
 
-use super::*;
+use super::{Actions, Balancer, SMOOTHING};
+use crate::api::{CallId, Idempotency, Micros, Outcome, RetryOn};
+use crate::call::Call;
+use crate::endpoint_index::{AllowedEndpoints, CandidateSet};
 
-/// Further attempts and second copies that each call earns, and the most that may be saved up.
+/// Retry tokens that each call earns; a retry and a hedged request cost one each.
 pub(super) const RETRY_TOKENS_PER_CALL: f64 = 0.2;
+/// The most tokens that may be saved up.
 pub(super) const MAX_RETRY_TOKENS: f64 = 20.0;
 
 impl Call {
@@ -14,7 +22,8 @@
 }
 
 impl Balancer {
-    /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
+    /// After an attempt's end: the call's end, another attempt, or nothing while a hedged request
+    /// is in flight.
     pub(super) fn after_attempt(
         &mut self,
         now: Micros,
@@ -32,54 +41,61 @@
             .get(&id)
             .is_some_and(|c| !c.ended && !c.queued && !c.backing_off && c.attempts_in_flight() == 0)
         {
-            self.retry_or_give_up(now, id, outcome, actions);
+            self.retry_or_end(now, id, outcome, actions);
         }
         self.remove_if_finished(id);
     }
 
-    /// After an attempt that did not serve: again, or the end.
-    pub(super) fn retry_or_give_up(
-        &mut self,
-        now: Micros,
-        id: CallId,
-        outcome: Outcome,
-        actions: &mut Actions,
-    ) {
-        let next = now.saturating_add(self.calls[&id].policy.backoff);
-        let some = match self.allowed_endpoints(next, id) {
+    /// After an attempt that did not serve the call: another one, or the call's end.
+    fn retry_or_end(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
+        let next_attempt_at = now.saturating_add(self.calls[&id].policy.backoff);
+        if !self.may_retry(next_attempt_at, id, outcome) {
+            self.end_unserved(id, 0, actions);
+            return;
+        }
+        self.retry_tokens = (self.retry_tokens - 1.0).max(0.0);
+        match self.calls.get_mut(&id) {
+            Some(call) if call.policy.backoff > 0 => {
+                call.backing_off = true;
+                self.timers.set(id, Some(next_attempt_at));
+            }
+            _ => self.enqueue_again(now, id),
+        }
+    }
+
+    /// May a call go again at this moment: with an endpoint for it, in time, by its policy, and
+    /// paid for?
+    fn may_retry(&mut self, next_attempt_at: Micros, id: CallId, outcome: Outcome) -> bool {
+        let has_endpoint = match self.allowed_endpoints(next_attempt_at, id) {
             Some(AllowedEndpoints::All) => self.endpoints.listed_count() > 0,
             Some(AllowedEndpoints::Only(slots)) => !slots.is_empty(),
             None => false,
         };
         let call = &self.calls[&id];
-        let in_time = next as f64
-            + self.expected_latency(call.class_id, call.class.latency_objective)
-            < call.objective_deadline() as f64;
+        let expected = self.expected_latency(call.class_id, call.class.latency_objective);
+        let in_time = next_attempt_at as f64 + expected < call.objective_deadline() as f64;
         let allowed =
             call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();
+        // A failed connection has cost the endpoints nothing.
         let paid = self.retry_tokens >= 1.0 || outcome == Outcome::ConnectFailed;
-        if !(in_time
-            && some
+        in_time
+            && has_endpoint
             && allowed
             && call.may_have_another_attempt()
             && paid
-            && !call.streaming)
-        {
-            self.give_up(id, 0, actions);
-            return;
-        }
-        self.retry_tokens = (self.retry_tokens - 1.0).max(0.0);
-        match self.calls.get_mut(&id) {
-            Some(call) if call.policy.backoff > 0 => {
-                call.backing_off = true;
-                self.timers.set(id, Some(next));
-            }
-            _ => self.enqueue(now, id, true),
+            && !call.streaming
+    }
+
+    /// The pause before another attempt is over.
+    pub(super) fn end_backoff(&mut self, now: Micros, id: CallId) {
+        if let Some(call) = self.calls.get_mut(&id) {
+            call.backing_off = false;
         }
+        self.enqueue_again(now, id);
     }
 
-    /// Where a call may go by what it has run: anywhere, to those that drop its repeats, or nowhere. Proof
-    /// over all its attempts decides, never the last outcome alone.
+    /// Where a call may go by what it has run: anywhere, to those that drop its repeats, or
+    /// nowhere. Proof over all its attempts decides, never the last outcome alone.
     pub(super) fn allowed_endpoints(
         &mut self,
         now: Micros,
@@ -93,14 +109,17 @@
                 if now.saturating_add(self.settings.tick)
                     < first.sent_at.saturating_add(window) =>
             {
-                let slot = (scope, first.zone, first.cell);
-                Some(self.endpoints.sharing_dedup_scope(&mut self.random, slot))
+                let dedup_group = (scope, first.zone, first.cell);
+                let allowed = self
+                    .endpoints
+                    .sharing_dedup_scope(&mut self.random, dedup_group);
+                Some(allowed)
             }
             _ => None,
         }
     }
 
-    /// Are there servers among these that none of the call's attempts went to?
+    /// Are there endpoints in this set that none of the call's attempts went to?
     pub(super) fn has_untried_endpoint(
         &self,
         call: &Call,
@@ -114,12 +133,17 @@
         match allowed {
             AllowedEndpoints::Only(slots) => slots
                 .iter()
-                .any(|&p| in_set(p) && call.has_not_tried(&self.endpoints[p])),
+                .any(|&slot| in_set(slot) && call.has_not_tried(&self.endpoints[slot])),
             AllowedEndpoints::All => {
-                let tried = call.attempts.iter().enumerate().filter(|(n, a)| {
-                    let first = call.attempts[..*n].iter().all(|b| b.endpoint != a.endpoint);
-                    first && self.endpoints.slot(a.endpoint).is_some_and(in_set)
-                });
+                let tried = call
+                    .attempts
+                    .iter()
+                    .enumerate()
+                    .filter(|(number, attempt)| {
+                        let earlier = &call.attempts[..*number];
+                        let first_there = earlier.iter().all(|e| e.endpoint != attempt.endpoint);
+                        first_there && self.endpoints.slot(attempt.endpoint).is_some_and(in_set)
+                    });
                 tried.count() < self.endpoints.count(set)
             }
         }
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -1,34 +1,71 @@
-//! Endpoint selection.
+//! Endpoint selection: the less loaded of two random endpoints with capacity ("The power of two
+//! choices", Mitzenmacher, 2001), drawn by their sizes.
 
-use super::*;
+use super::concurrency_limit::MAX_BACKOFF_DOUBLINGS;
+use super::load_probe::MAX_PROBES;
+use super::Balancer;
+use crate::api::{CallId, EndpointRules, Micros};
+use crate::call::Call;
+use crate::endpoint::Endpoint;
+use crate::endpoint_index::{AllowedEndpoints, CandidateSet, Candidates};
+use crate::latency::EndpointGroups;
+use crate::load_feedback::shed_probability;
+use rand::seq::SliceRandom;
 
-/// Servers that a balancer keeps to: enough for two rounds of asking.
-pub(super) const PREFERRED_ENDPOINTS: usize = 2 * MAX_PROBES;
-/// Longest aims after which a server's own times count less than those of its kind.
-pub(super) const OWN_LATENCY_MEMORY: f64 = 8.0;
+/// Endpoints that a balancer of few calls keeps to: enough for two rounds of probes.
+const PREFERRED_ENDPOINTS: usize = 2 * MAX_PROBES;
+/// Longest objectives after which an endpoint's own latencies count less than those of its group.
+const OWN_LATENCY_MEMORY: f64 = 8.0;
 
 /// Where a call goes.
+#[derive(Clone, Debug)]
 pub(super) enum Route {
-    Send {
-        endpoint: usize,
-        trial: bool,
-    },
-    Probe {
-        candidates: Vec<usize>,
-    },
+    /// To this endpoint; a trial passes its limit.
+    Send { slot: usize, trial: bool },
+    /// To one of these, by what they tell of their load.
+    Probe { slots: Vec<usize> },
+    /// Nowhere yet: it waits.
     Queue,
-    Reject {
-        retry_after: Micros,
-    },
-    /// Refused, as the servers are crowded.
-    Shed {
-        retry_after: Micros,
-    },
+    /// It is rejected, as every endpoint is ejected.
+    Reject { retry_after: Micros },
+    /// It is rejected, as the endpoints are congested.
+    Shed { retry_after: Micros },
+}
+
+/// What one selection goes by.
+#[derive(Debug)]
+struct Selection {
+    now: Micros,
+    rules: EndpointRules,
+    id: CallId,
+    allowed: AllowedEndpoints,
+    /// The sets that it draws from: endpoints that are available, and those of them with capacity.
+    available: CandidateSet,
+    with_capacity: CandidateSet,
+    /// Endpoints that the call has tried are left out, as there are others.
+    untried_only: bool,
+}
+
+impl Selection {
+    fn is_eligible(&self, call: &Call, endpoint: &Endpoint) -> bool {
+        endpoint.is_usable(self.now) && (!self.untried_only || call.has_not_tried(endpoint))
+    }
+
+    fn has_capacity(&self, endpoint: &Endpoint) -> bool {
+        !endpoint.at_limit(self.now, &self.rules)
+    }
+}
+
+/// Does the endpoint's group take this call? A group that answers late takes a share of them.
+fn group_admits(groups: &EndpointGroups, call: &Call, endpoint: &Endpoint) -> bool {
+    groups
+        .get(&(endpoint.zone, endpoint.kind))
+        .is_none_or(|group| group.admitted_share >= call.admission_draw)
 }
 
 impl Balancer {
+    /// Where a call goes now.
     pub(super) fn route(&mut self, now: Micros, id: CallId) -> Route {
-        let rules = self.settings.rules;
         let listed = self.endpoints.listed_count();
         if listed > 0 && self.endpoints.ejected_count() == listed {
             let wait = self.endpoints.first_recovery_at().saturating_sub(now);
@@ -42,23 +79,108 @@
         if open == 0 {
             return Route::Queue;
         }
-        if let Some(endpoint) = self.draw_slow_start(now, id) {
-            return Route::Send {
-                endpoint,
-                trial: false,
-            };
+        if let Some(slot) = self.draw_slow_start(now, id) {
+            return Route::Send { slot, trial: false };
         }
         let Some(allowed) = self.allowed_endpoints(now, id) else {
             return Route::Queue;
         };
-        // Cold ones only if no other is listed. That the others fail or are full for now is no reason: all
-        // proxies find so together, and what the whole fleet bears would go to the few that bear least.
-        let (up, room) = match self.endpoints.count(CandidateSet::SlowStart) {
-            cold if cold == listed => (CandidateSet::SlowStart, CandidateSet::SlowStart),
-            _ => (CandidateSet::Available, CandidateSet::WithCapacity),
+        let selection = self.selection(now, id, allowed);
+        if self.is_sparse() {
+            self.select_preferred(&selection)
+        } else {
+            self.select_of_all(&selection)
+        }
+    }
+
+    fn selection(&self, now: Micros, id: CallId, allowed: AllowedEndpoints) -> Selection {
+        // Endpoints in slow start only if no other is listed. That the others fail or are full for
+        // now is no reason: all proxies find so together, and what all endpoints bear would go to
+        // the few that bear least.
+        let slow_start_only =
+            self.endpoints.count(CandidateSet::SlowStart) == self.endpoints.listed_count();
+        let (available, with_capacity) = if slow_start_only {
+            (CandidateSet::SlowStart, CandidateSet::SlowStart)
+        } else {
+            (CandidateSet::Available, CandidateSet::WithCapacity)
         };
-        let fresh = self.has_untried_endpoint(&self.calls[&id], up, &allowed);
-        let sparse = self.is_sparse();
+        let untried_only = self.has_untried_endpoint(&self.calls[&id], available, &allowed);
+        Selection {
+            now,
+            rules: self.settings.rules,
+            id,
+            allowed,
+            available,
+            with_capacity,
+            untried_only,
+        }
+    }
+
+    /// Two of all that are available; one that is full is drawn again among those with capacity.
+    fn select_of_all(&mut self, selection: &Selection) -> Route {
+        let eligible = self.draw_two(selection, selection.available, |call, endpoint| {
+            selection.is_eligible(call, endpoint)
+        });
+        let mut selected = self
+            .least_loaded(selection.now, &eligible)
+            .filter(|&slot| selection.has_capacity(&self.endpoints[slot]));
+        if selected.is_none() {
+            let eligible = self.draw_two(selection, selection.with_capacity, |call, endpoint| {
+                selection.is_eligible(call, endpoint) && selection.has_capacity(endpoint)
+            });
+            selected = self.least_loaded(selection.now, &eligible);
+        }
+        match selected {
+            Some(slot) => Route::Send { slot, trial: false },
+            None => self.select_trial(selection, |_, _, _| true),
+        }
+    }
+
+    /// Of a stable few, by what they tell of their load; more of them when they were full. The few
+    /// bound the number of connections, and what they show is fresh.
+    fn select_preferred(&mut self, selection: &Selection) -> Route {
+        let &Selection { now, id, .. } = selection;
+        let call = &self.calls[&id];
+        let count = PREFERRED_ENDPOINTS << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS);
+        // Not the own zone first: what a zone's proxies ask for is no measure of what its endpoints
+        // bear, no proxy sees the others', and full endpoints cost more than crossing does.
+        let set = (selection.with_capacity, &selection.allowed);
+        let preferred = self.endpoints.by_own_preference(set, count, |endpoint| {
+            selection.is_eligible(call, endpoint)
+                && group_admits(&self.groups, call, endpoint)
+                && selection.has_capacity(endpoint)
+        });
+        if !preferred.is_empty() {
+            match self.endpoints_to_probe(now, id, &preferred) {
+                Some(slots) if slots.is_empty() => return Route::Queue,
+                Some(slots) => return Route::Probe { slots },
+                None => {}
+            }
+        }
+        let pair = self.draw(&preferred, 2);
+        match self.least_loaded(now, &pair) {
+            Some(slot) if self.is_shed(now, id, slot) => Route::Shed {
+                retry_after: self.first_backoff(),
+            },
+            Some(slot) => Route::Send { slot, trial: false },
+            None => self.select_trial(selection, group_admits),
+        }
+    }
+
+    /// Is a new call shed, by the congestion to expect of the endpoint that it would go to?
+    fn is_shed(&self, now: Micros, id: CallId, slot: usize) -> bool {
+        let call = &self.calls[&id];
+        let sample = self.endpoints[slot].last_sample;
+        let congestion = self.load_feedback.expected_congestion(now, sample);
+        call.attempts.is_empty() && call.admission_draw < shed_probability(congestion)
+    }
+
+    /// A full endpoint that the call may pass as its one trial, or else the wait for capacity.
+    fn select_trial(
+        &mut self,
+        selection: &Selection,
+        admits: impl Fn(&EndpointGroups, &Call, &Endpoint) -> bool,
+    ) -> Route {
         let Balancer {
             endpoints,
             calls,
@@ -66,143 +188,70 @@
             random,
             ..
         } = self;
-        let call = &calls[&id];
-        let fits = |s: &Endpoint| {
-            let endpoint_group = || {
-                groups
-                    .get(&(s.zone, s.kind))
-                    .is_none_or(|g| g.admitted_share >= call.admission_draw)
-            };
-            s.is_usable(now) && (!fresh || call.has_not_tried(s)) && (!sparse || endpoint_group())
-        };
-        let with_room = |s: &Endpoint| fits(s) && !s.at_limit(now, &rules);
-        // A stable few, more when they were full: they bound connections, and what they show is fresh.
-        let few = PREFERRED_ENDPOINTS << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS);
-        // Not the own zone first: what a zone's proxies ask for is no measure of what its servers bear, no
-        // proxy sees the others', and full servers cost more than crossing does.
-        let stable = if sparse {
-            endpoints.by_own_preference((room, &allowed), few, with_room)
-        } else {
-            Vec::new()
-        };
-        let first = if sparse {
-            if let Some(candidates) = (!stable.is_empty())
-                .then(|| self.endpoints_to_probe(now, id, &stable))
-                .flatten()
-            {
-                return if candidates.is_empty() {
-                    Route::Queue
-                } else {
-                    Route::Probe { candidates }
-                };
-            }
-            self.two_choices(now, &stable)
-        } else {
-            // Two of all that are up; one that is full is redrawn among those with room.
-            let pair = endpoints.draw(random, (up, &allowed), 2, fits);
-            let first = self
-                .least_loaded(now, &pair)
-                .filter(|&endpoint| !self.endpoints[endpoint].at_limit(now, &rules));
-            first.or_else(|| {
-                let Balancer {
-                    endpoints,
-                    calls,
-                    random,
-                    ..
-                } = self;
-                let call = &calls[&id];
-                let fits = |s: &Endpoint| {
-                    s.is_usable(now)
-                        && (!fresh || call.has_not_tried(s))
-                        && !s.at_limit(now, &rules)
-                };
-                let pair = endpoints.draw(random, (room, &allowed), 2, fits);
-                self.least_loaded(now, &pair)
-            })
-        };
-        if let Some(endpoint) = first {
-            let (slot, call) = (&self.endpoints[endpoint], &self.calls[&id]);
-            let congestion = self
-                .load_feedback
-                .expected_congestion(now, slot.last_sample);
-            if sparse
-                && call.attempts.is_empty()
-                && call.admission_draw < shed_probability(congestion)
-            {
-                return Route::Shed {
-                    retry_after: self.first_backoff(),
-                };
-            }
-            return Route::Send {
-                endpoint,
-                trial: false,
-            };
+        let call = &calls[&selection.id];
+        let set = (CandidateSet::TrialAllowed, &selection.allowed);
+        let pair = endpoints.draw(random, set, 2, |endpoint| {
+            (!selection.untried_only || call.has_not_tried(endpoint))
+                && admits(groups, call, endpoint)
+        });
+        match self.least_loaded(selection.now, &pair) {
+            Some(slot) => Route::Send { slot, trial: true },
+            None => Route::Queue,
         }
+    }
+
+    fn draw_two(
+        &mut self,
+        selection: &Selection,
+        set: CandidateSet,
+        passes: impl Fn(&Call, &Endpoint) -> bool,
+    ) -> Candidates {
         let Balancer {
             endpoints,
             calls,
-            groups,
             random,
             ..
         } = self;
-        let call = &calls[&id];
-        let fits = |s: &Endpoint| {
-            let endpoint_group = || {
-                groups
-                    .get(&(s.zone, s.kind))
-                    .is_none_or(|g| g.admitted_share >= call.admission_draw)
-            };
-            (!fresh || call.has_not_tried(s)) && (!sparse || endpoint_group())
-        };
-        let pair = endpoints.draw(random, (CandidateSet::TrialAllowed, &allowed), 2, fits);
-        self.least_loaded(now, &pair)
-            .map_or(Route::Queue, |endpoint| Route::Send {
-                endpoint,
-                trial: true,
-            })
-    }
-
-    pub(super) fn two_choices(&mut self, now: Micros, set: &[usize]) -> Option<usize> {
-        let pair = self.draw(set, 2);
-        self.least_loaded(now, &pair)
+        let call = &calls[&selection.id];
+        endpoints.draw(random, (set, &selection.allowed), 2, |endpoint| {
+            passes(call, endpoint)
+        })
     }
 
-    /// Random servers, each with a chance in proportion to its size.
-    pub(super) fn draw(&mut self, set: &[usize], count: usize) -> Vec<usize> {
+    /// Random endpoints of these, each with a chance in proportion to its size.
+    pub(super) fn draw(&mut self, slots: &[usize], count: usize) -> Vec<usize> {
         let Balancer {
             endpoints, random, ..
         } = self;
-        let drawn = set.choose_multiple_weighted(random, count, |&i| endpoints[i].size);
+        let drawn = slots.choose_multiple_weighted(random, count, |&slot| endpoints[slot].size);
         drawn
             .map(|slots| slots.copied().collect())
             .unwrap_or_default()
     }
 
-    /// The less loaded by own calls in flight; what servers told, then the strain expected break ties.
-    pub(super) fn least_loaded(&self, now: Micros, set: &[usize]) -> Option<usize> {
-        let rules = &self.settings.rules;
-        let load = |i: usize| {
-            let endpoint = &self.endpoints[i];
+    /// The least loaded by own calls in flight; what endpoints told, then the latency ratio
+    /// expected, break ties.
+    pub(super) fn least_loaded(&self, now: Micros, slots: &[usize]) -> Option<usize> {
+        let load = |slot: usize| {
+            let endpoint = &self.endpoints[slot];
             (
                 endpoint.in_flight,
-                endpoint.projected_load(now, rules),
+                endpoint.projected_load(now, &self.settings.rules),
                 self.expected_latency_ratio(now, endpoint),
             )
         };
-        set.iter()
+        slots
+            .iter()
             .copied()
             .reduce(|a, b| if load(b) < load(a) { b } else { a })
     }
 
-    /// The strain to expect: a server's own of late, its group's the longer ago that was.
-    pub(super) fn expected_latency_ratio(&self, now: Micros, endpoint: &Endpoint) -> f64 {
-        let known = (-(now.saturating_sub(endpoint.last_ended_at) as f64)
-            / (OWN_LATENCY_MEMORY * self.longest_objective()))
-        .exp();
-        let endpoint_group = self
-            .groups
-            .get(&(endpoint.zone, endpoint.kind))
-            .map_or(0.0, |g| g.latency_ratio);
-        endpoint.latency_ratio * known + endpoint_group * (1.0 - known)
+    /// The latency ratio to expect: an endpoint's own of late, its group's the longer ago that was.
+    fn expected_latency_ratio(&self, now: Micros, endpoint: &Endpoint) -> f64 {
+        let silence = now.saturating_sub(endpoint.last_ended_at) as f64;
+        let known = (-silence / (OWN_LATENCY_MEMORY * self.longest_objective())).exp();
+        let group = self.groups.get(&(endpoint.zone, endpoint.kind));
+        let group_ratio = group.map_or(0.0, |group| group.latency_ratio);
+        endpoint.latency_ratio * known + group_ratio * (1.0 - known)
     }
 }
--- a/crates/decisions/src/balancer/timers.rs
+++ b/crates/decisions/src/balancer/timers.rs
@@ -1,39 +1,72 @@
-//! Timers.
+//! Timers: the one timer of each call, and the wake-up that the proxy is asked for.
 
-use super::*;
-use std::collections::BTreeSet;
+use super::{Actions, Balancer};
+use crate::api::{Action, CallId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// When which call is due; each call has one timer at the most.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CallTimers {
+    by_time: BTreeSet<(Micros, CallId)>,
+    by_call: BTreeMap<CallId, Micros>,
+}
+
+impl CallTimers {
+    /// Sets a call's timer, or removes it.
+    pub(super) fn set(&mut self, id: CallId, at: Option<Micros>) {
+        if let Some(old) = self.by_call.remove(&id) {
+            self.by_time.remove(&(old, id));
+        }
+        if let Some(at) = at {
+            self.by_time.insert((at, id));
+            self.by_call.insert(id, at);
+        }
+    }
+
+    /// The earliest timer.
+    fn next(&self) -> Option<Micros> {
+        self.by_time.first().map(|&(at, _)| at)
+    }
+
+    /// Removes the timer of a call that is due by now.
+    fn pop(&mut self, now: Micros) -> Option<CallId> {
+        let &(_, id) = self.by_time.first().filter(|&&(at, _)| at <= now)?;
+        self.set(id, None);
+        Some(id)
+    }
+}
 
 impl Balancer {
+    /// Does what is due for calls by now; what a timer means is told by what its call waits for.
     pub(super) fn run_call_timers(&mut self, now: Micros, actions: &mut Actions) {
         while let Some(id) = self.timers.pop(now) {
-            if self.calls[&id].queued {
-                self.give_up(id, 0, actions);
-            } else if !self.calls[&id].probed_endpoints.is_empty() {
+            let call = &self.calls[&id];
+            if call.queued {
+                self.end_unserved(id, 0, actions);
+            } else if !call.probed_endpoints.is_empty() {
                 self.finish_probing(now, id, actions);
-            } else if self
-                .calls
-                .get_mut(&id)
-                .is_some_and(|c| std::mem::take(&mut c.backing_off))
-            {
-                self.enqueue(now, id, true);
+            } else if call.backing_off {
+                self.end_backoff(now, id);
             } else {
                 self.hedge(now, id, actions);
             }
         }
     }
 
+    /// Asks for a wake-up at the next time at which something is due, unless an earlier one has
+    /// been asked for.
     pub(super) fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let mut next = self
             .next_list_poll_at
             .min(self.timers.next().unwrap_or(Micros::MAX));
         if !self.wait_queue.is_empty() {
-            let due = self.endpoints.next_state_change().into_iter();
-            let asks = self
+            let state_change = self.endpoints.next_state_change().into_iter();
+            let next_probe = self
                 .wait_queue
                 .front()
                 .map(|id| self.calls[id].next_probe_at)
                 .filter(|&at| at > now);
-            next = due.chain(asks).fold(next, Micros::min);
+            next = state_change.chain(next_probe).fold(next, Micros::min);
         }
         if next < self.timer_at {
             self.timer_at = next;
@@ -43,35 +76,3 @@
         }
     }
 }
-
-/// When which call is due; each has one time at the most.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct CallTimers {
-    by_time: BTreeSet<(Micros, CallId)>,
-    by_call: BTreeMap<CallId, Micros>,
-}
-
-impl CallTimers {
-    /// Sets a call's time, or takes it off.
-    pub(crate) fn set(&mut self, id: CallId, at: Option<Micros>) {
-        if let Some(old) = self.by_call.remove(&id) {
-            self.by_time.remove(&(old, id));
-        }
-        if let Some(at) = at {
-            self.by_time.insert((at, id));
-            self.by_call.insert(id, at);
-        }
-    }
-
-    /// The earliest time.
-    pub(crate) fn next(&self) -> Option<Micros> {
-        self.by_time.first().map(|d| d.0)
-    }
-
-    /// Takes off a call that is due by now.
-    pub(crate) fn pop(&mut self, now: Micros) -> Option<CallId> {
-        let &(_, id) = self.by_time.first().filter(|d| d.0 <= now)?;
-        self.set(id, None);
-        Some(id)
-    }
-}
--- a/crates/decisions/src/endpoint.rs
+++ b/crates/decisions/src/endpoint.rs
@@ -81,16 +81,6 @@
         }
     }
 
-    /// Share of its capacity that a server has at the least, by the rules' cold share and time.
-    pub(crate) fn slow_start_capacity(&self, now: Micros, rules: &EndpointRules) -> f64 {
-        let age = now.saturating_sub(self.started_at);
-        if self.started_at == 0 || age >= rules.slow_start_duration {
-            return 1.0;
-        }
-        rules.slow_start_min_capacity
-            + (1.0 - rules.slow_start_min_capacity) * age as f64 / rules.slow_start_duration as f64
-    }
-
     /// Calls of all balancers there after one more, for its present size.
     pub(crate) fn projected_load(&self, now: Micros, rules: &EndpointRules) -> f64 {
         if self.probed_at == 0 {
--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -1,5 +1,6 @@
-//! The servers of the list and what of them is kept ready for a pick, so that none walks over all of them. What
-//! counts as up, full or due is decided in `src/balancer`, which files each server's [`EndpointState`] here.
+//! The servers of the list and what of them is kept ready for a pick, so that none walks over all
+//! of them. What counts as up, full or due is decided in `src/balancer`, which files each server's
+//! [`EndpointState`] here.
 
 mod slot_groups;
 mod state;
@@ -14,7 +15,8 @@
 pub(crate) use state::{AllowedEndpoints, CandidateSet, Candidates, EndpointState};
 use std::collections::BTreeSet;
 
-/// Blind draws before the servers of a set are looked at one by one, and the most that are looked at then.
+/// Blind draws before the servers of a set are looked at one by one, and the most that are looked
+/// at then.
 const BLIND_DRAWS: usize = 16;
 const MAX_SCANNED: usize = 256;
 
@@ -29,7 +31,8 @@
     with_capacity: WeightedSet,
     trial_allowed: WeightedSet,
     slow_start: WeightedSet,
-    /// Weights of all that are listed, and of the cold ones also times the moment since when they warm up.
+    /// Weights of all that are listed, and of the cold ones also times the moment since when they
+    /// warm up.
     listed_weight: u64,
     slow_start_moment: u128,
     listed: usize,
@@ -324,7 +327,8 @@
 
     // Draws.
 
-    /// The servers that drop repeats of what one of this place has run; of very many, some from a random one on.
+    /// The servers that drop repeats of what one of this place has run; of very many, some from a
+    /// random one on.
     pub(crate) fn sharing_dedup_scope(
         &self,
         random: &mut impl Rng,
@@ -344,8 +348,9 @@
         AllowedEndpoints::Only(slots.map(|&slot| slot as usize).collect())
     }
 
-    /// Random servers, each with a chance in proportion to its size, none twice. Drawing until one passes has the
-    /// same law as drawing among those that pass; where few do, they are looked for one by one, up to a bound.
+    /// Random servers, each with a chance in proportion to its size, none twice. Drawing until one
+    /// passes has the same law as drawing among those that pass; where few do, they are looked for
+    /// one by one, up to a bound.
     pub(crate) fn draw(
         &self,
         random: &mut impl Rng,
--- a/crates/decisions/src/latency.rs
+++ b/crates/decisions/src/latency.rs
@@ -1,6 +1,7 @@
 //! Latency statistics of classes of calls and of groups of endpoints.
 
-use crate::api::{Class, Micros};
+use crate::api::{Class, KindId, Micros, ZoneId};
+use std::collections::BTreeMap;
 
 /// Weight of a new answer in a class's mean: about twenty are remembered.
 const LATENCY_WEIGHT: f64 = 0.05;
@@ -13,7 +14,8 @@
 const HISTOGRAM_MAX_SAMPLES: u16 = 512;
 const HISTOGRAM_MIN_SAMPLES: u16 = 20;
 
-/// Answer times of a class: the present mean and the least it has been, which stands for an unloaded server.
+/// Answer times of a class: the present mean and the least it has been, which stands for an
+/// unloaded server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassLatency {
     pub(crate) mean: f64,
@@ -21,14 +23,15 @@
     pub(crate) samples: u32,
     pub(crate) updated_at: Micros,
     pub(crate) requests: f64,
-    /// The longest that clients wait for one try, and calls turned back whose clients may try again.
+    /// The longest that clients wait for one try, and calls turned back whose clients may try
+    /// again.
     pub(crate) longest_timeout: Micros,
     pub(crate) unserved: u32,
     histogram: LatencyHistogram,
 }
 
-/// How a class's answer times spread: counts by quarters of a doubling, halved when there are many, so that old ones
-/// fade.
+/// How a class's answer times spread: counts by quarters of a doubling, halved when there are many,
+/// so that old ones fade.
 #[derive(Clone, Debug)]
 struct LatencyHistogram {
     counts: [u16; HISTOGRAM_BUCKETS],
@@ -68,7 +71,11 @@
     }
 }
 
-/// The servers of one machine kind in one zone, as one: a balancer of little traffic learns of no single one.
+/// The endpoints of each machine kind in each zone.
+pub(crate) type EndpointGroups = BTreeMap<(ZoneId, KindId), EndpointGroup>;
+
+/// The servers of one machine kind in one zone, as one: a balancer of little traffic learns of no
+/// single one.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointGroup {
     pub(crate) latency_ratio: f64,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,5 +1,5 @@
-//! badgerramp makes the decisions of a client-side load balancer: which server
-//! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! badgerramp makes the decisions of a client-side load balancer: which server gets a call, when a
+//! call waits, goes again, is refused or fails. It does no I/O and reads no clock.
 //!
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,6 +1,7 @@
-//! The reader of the settings object, shared by the adapter (its first message) and the program (its
-//! configuration). Unknown keys are ignored, absent ones get harmless values: what is not granted is taken to be
-//! forbidden, an effect that is not known to be run once, and lists to be pushed.
+//! The reader of the settings object, shared by the adapter (its first message) and the program
+//! (its configuration). Unknown keys are ignored, absent ones get harmless values: what is not
+//! granted is taken to be forbidden, an effect that is not known to be run once, and lists to be
+//! pushed.
 
 use crate::api::*;
 use serde::Deserialize;
--- a/crates/decisions/src/weighted_set.rs
+++ b/crates/decisions/src/weighted_set.rs
@@ -1,5 +1,6 @@
-//! A set of slots from which one is drawn with a chance in proportion to its weight. Every operation takes the
-//! logarithm of the number of slots, so a draw costs much the same in a fleet of ten and of ten thousand.
+//! A set of slots from which one is drawn with a chance in proportion to its weight. Every
+//! operation takes the logarithm of the number of slots, so a draw costs much the same in a fleet
+//! of ten and of ten thousand.
 
 use rand::Rng;
 
@@ -18,11 +19,13 @@
     weights as f64 / UNIT
 }
 
-/// A binary indexed tree (P. Fenwick, 1994) over the weights of slots; a slot of weight 0 is not in the set.
+/// A binary indexed tree (P. Fenwick, 1994) over the weights of slots; a slot of weight 0 is not in
+/// the set.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WeightedSet {
     weights: Vec<u64>,
-    /// `tree[i]` holds the weights of the slots that end at `i`, as many as the lowest bit of `i + 1` says.
+    /// `tree[i]` holds the weights of the slots that end at `i`, as many as the lowest bit of `i +
+    /// 1` says.
     tree: Vec<u64>,
     total: u64,
     len: usize,
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Room for this many slots at least: a power of two, so that growing costs little for each slot.
+    /// Room for this many slots at least: a power of two, so that growing costs little for each
+    /// slot.
     fn grow(&mut self, slots: usize) {
         let slots = slots.next_power_of_two().max(16);
         self.weights.resize(slots, 0);
@@ -78,8 +82,8 @@
         }
     }
 
-    /// The slot at a mark from 0 to under the total, slots laid end to end by their weights, and the mark at which
-    /// the next one begins.
+    /// The slot at a mark from 0 to under the total, slots laid end to end by their weights, and
+    /// the mark at which the next one begins.
     pub(crate) fn at(&self, mark: u64) -> Option<(usize, u64)> {
         if mark >= self.total {
             return None;
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -1,5 +1,6 @@
-//! Cold servers under the sum of what many proxies send, in virtual time: drawn deployments, with servers of which the list
-//! says nothing, proxies of several times the mean traffic, and most of the fleet cold at once.
+//! Cold servers under the sum of what many proxies send, in virtual time: drawn deployments, with
+//! servers of which the list says nothing, proxies of several times the mean traffic, and most of
+//! the fleet cold at once.
 #![expect(
     clippy::too_many_lines,
     reason = "a test plays one course of events from its start to its end"
@@ -377,8 +378,8 @@
         }
     }
 
-    /// The most that any cold server was sent within the span, over what it may be sent: its budget N and what chance
-    /// makes of it, 2 x root of N and 2.
+    /// The most that any cold server was sent within the span, over what it may be sent: its budget
+    /// N and what chance makes of it, 2 x root of N and 2.
     fn worst(mut self) -> (f64, f64) {
         while let Some(Reverse((at, _, next))) = self.queue.pop() {
             if at >= STARTS + WATCHED {
@@ -462,7 +463,8 @@
                 while machine.sent[first] + rules.overload_duration <= at {
                     first += 1;
                 }
-                // The capacity in the middle of the span; at the start the span has not passed, and the whole of it counts.
+                // The capacity in the middle of the span; at the start the span has not passed, and
+                // the whole of it counts.
                 let middle = at.saturating_sub(rules.overload_duration / 2).max(STARTS);
                 let budget = rules.overload_multiple
                     * machine.capacity(middle, &rules)
@@ -475,7 +477,8 @@
     }
 }
 
-/// Plays so many drawn deployments. Tells the worst of them, with its figure, and the mean share served.
+/// Plays so many drawn deployments. Tells the worst of them, with its figure, and the mean share
+/// served.
 fn worst_of(proxies: usize, trouble: bool, seeds: std::ops::Range<u64>) -> (f64, Deployment, f64) {
     let plays = (seeds.end - seeds.start) as f64;
     let deployments = seeds.map(|seed| Deployment {
@@ -504,8 +507,9 @@
     }
 }
 
-/// Clients whose repeats are not marked ask again and again, and each asking drew a lot: 1.5 times what a cold server may
-/// be sent. Where the warm ones failed all calls went to the cold ones: 12 times.
+/// Clients whose repeats are not marked ask again and again, and each asking drew a lot: 1.5 times
+/// what a cold server may be sent. Where the warm ones failed all calls went to the cold ones: 12
+/// times.
 #[test]
 fn cold_servers_stay_within_budget_and_chance_under_one_and_under_some_proxies() {
     hold(1, 0..20);
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/law.rs
@@ -1,5 +1,6 @@
-//! The pick draws from sets that are kept as servers change. Its law is that of a plain walk over all servers: each
-//! test counts where calls go over many seeds and holds that against the shares that such a walk gives.
+//! The pick draws from sets that are kept as servers change. Its law is that of a plain walk over
+//! all servers: each test counts where calls go over many seeds and holds that against the shares
+//! that such a walk gives.
 
 mod common;
 use badgerramp_decisions::*;
@@ -14,8 +15,8 @@
     full: bool,
 }
 
-/// The chance of each server to be picked: the less loaded of two drawn by size without putting back, of all that are
-/// up; if it is full, of those with room.
+/// The chance of each server to be picked: the less loaded of two drawn by size without putting
+/// back, of all that are up; if it is full, of those with room.
 fn walk(servers: &BTreeMap<EndpointId, Seen>) -> BTreeMap<EndpointId, f64> {
     let mut chances = BTreeMap::new();
     let all: Vec<(EndpointId, Seen)> = servers.iter().map(|(&id, &s)| (id, s)).collect();
@@ -105,7 +106,8 @@
     servers
 }
 
-/// Where the next call goes in many copies of one proxy that differ in what they draw from now on, against the walk.
+/// Where the next call goes in many copies of one proxy that differ in what they draw from now on,
+/// against the walk.
 fn next_call(settings: &Settings, entries: &[EndpointEntry], prepare: impl Fn(&mut Proxy)) -> f64 {
     let mut counted: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let mut chances: BTreeMap<EndpointId, f64> = BTreeMap::new();
@@ -118,7 +120,8 @@
             .into_iter()
             .for_each(|(id, chance)| *chances.entry(id).or_insert(0.0) += chance / states as f64);
         for _ in 0..calls {
-            // The call leaves no trace: it is withdrawn at once, so that the next finds the same state.
+            // The call leaves no trace: it is withdrawn at once, so that the next finds the same
+            // state.
             let (call, actions) = proxy.call();
             let &[(_, server)] = &sent(&actions)[..] else {
                 panic!("not sent: {actions:?}")
@@ -193,7 +196,8 @@
     assert!(distance < NOISE, "{distance}");
 }
 
-/// Cold servers are drawn with the chance of what they can do now, times 1.2; none of the rest of the calls goes there.
+/// Cold servers are drawn with the chance of what they can do now, times 1.2; none of the rest of
+/// the calls goes there.
 #[test]
 fn cold_servers_get_the_share_of_what_they_can_do_now() {
     let settings = weighted(1);
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -9,7 +9,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
+/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call
+/// out.
 fn full_server(repeat: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(repeat), 1);
     let (first, actions) = proxy.call();
@@ -38,8 +39,8 @@
         "an attempt that was never made has no outcome"
     );
     let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
-    // what it does.
+    // Two steps of one call each, one in use: the first that waits goes, and no trial before the
+    // step has shown what it does.
     assert_eq!(sent(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end(a, 0, Outcome::Served, 100 * MS);
@@ -159,7 +160,8 @@
 
 #[test]
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
-    // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
+    // One of twenty has room: two random choices alone would rarely meet it, and a trial would be
+    // needed.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let servers: std::collections::BTreeSet<EndpointId> =
         (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
@@ -170,8 +172,8 @@
     );
 }
 
-/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it served but for
-/// one that ended so.
+/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it
+/// served but for one that ended so.
 fn room_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
@@ -212,7 +214,8 @@
     );
 }
 
-/// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
+/// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at
+/// once.
 fn fill(proxy: &mut Proxy) -> usize {
     let mut calls = vec![proxy.call()];
     while !sent(&calls[calls.len() - 1].1).is_empty() {
@@ -289,8 +292,8 @@
     assert_eq!(used.len(), 2, "taken back");
 }
 
-/// Connections break here and there also where all is well; a host that goes on answering is not set aside for it,
-/// and one that does not is.
+/// Connections break here and there also where all is well; a host that goes on answering is not
+/// set aside for it, and one that does not is.
 #[test]
 fn a_server_that_has_answered_is_not_set_aside_for_one_reset() {
     let set_aside = |actions: &[Action]| {
@@ -342,7 +345,8 @@
 #[test]
 fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
+    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken
+    // one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, and the failures that were met: each test fails without the code that answers it.
+//! The four rules, and the failures that were met: each test fails without the code that answers
+//! it.
 
 mod common;
 use badgerramp_decisions::*;
@@ -221,7 +222,8 @@
 
 // Safe fail-back.
 
-/// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
+/// Sends within six seconds to a server beside two or three warm ones, when it started just now and
+/// ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -263,7 +265,8 @@
     ] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
-            // A warm server's part of 600 calls is 150 to 300; this one has a tenth to a third of its capacity.
+            // A warm server's part of 600 calls is 150 to 300; this one has a tenth to a third of
+            // its capacity.
             assert!((1..=90).contains(&count), "{outcome:?} {restart}: {count}");
         }
     }
@@ -506,7 +509,8 @@
     assert_eq!(aside, 0, "slow, not gone");
 }
 
-/// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
+/// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as
+/// a trial?
 fn trial_after(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
--- a/crates/decisions/tests/settings_keys.rs
+++ b/crates/decisions/tests/settings_keys.rs
@@ -1,5 +1,5 @@
-//! Every key of the platform's settings object that is read. Unknown keys are ignored, so each key is shown to be read by
-//! what another value of it changes.
+//! Every key of the platform's settings object that is read. Unknown keys are ignored, so each key
+//! is shown to be read by what another value of it changes.
 
 use badgerramp_decisions::settings;
 use serde_json::{json, Value};
--- a/crates/decisions/tests/sparse.rs
+++ b/crates/decisions/tests/sparse.rs
@@ -1,4 +1,5 @@
-//! What acts where balancers outnumber servers, and each balancer sees little: asking, groups, zones, cold lots.
+//! What acts where balancers outnumber servers, and each balancer sees little: asking, groups,
+//! zones, cold lots.
 #![expect(
     clippy::too_many_lines,
     reason = "a test plays one course of events from its start to its end"
@@ -91,8 +92,8 @@
     }
 }
 
-/// Between question and answer a server starts anew: the call that asked the warm one is no lot for the cold one, which
-/// answers that it has nothing in hand.
+/// Between question and answer a server starts anew: the call that asked the warm one is no lot for
+/// the cold one, which answers that it has nothing in hand.
 #[test]
 fn a_server_that_starts_anew_while_it_is_asked_gets_no_call_for_it() {
     let rules = EndpointRules {
@@ -264,8 +265,9 @@
     );
 }
 
-/// What each does is harmless: it keeps to its own zone while that has room. Together the proxies of a zone that
-/// asks for more than its share pushed its servers past what they bear, beside others that stood idle.
+/// What each does is harmless: it keeps to its own zone while that has room. Together the proxies
+/// of a zone that asks for more than its share pushed its servers past what they bear, beside
+/// others that stood idle.
 #[test]
 fn proxies_of_one_zone_spread_their_calls_over_the_servers_of_all() {
     let zone = |i: u32| ZoneId(i % 3 + 1);
@@ -295,7 +297,8 @@
         let served = (0..20).filter_map(|_| proxy.serve(40 * MS));
         served.for_each(|server| went[(zone(server.0).0 - 1) as usize] += 1);
     }
-    // An even part of 6,000 calls is 2,000; each proxy keeps to about eight servers, so parts vary by some 3%.
+    // An even part of 6,000 calls is 2,000; each proxy keeps to about eight servers, so parts vary
+    // by some 3%.
     assert!(went.iter().all(|n| (1_800..2_200).contains(n)), "{went:?}");
 }
 
@@ -390,8 +393,8 @@
     assert_eq!(went.len(), 40, "a hot balancer starves at no subset");
 }
 
-/// Each of hundreds of balancers has one call at a server, within its budget; together they held the servers past
-/// what they bear until nearly all answers came too late.
+/// Each of hundreds of balancers has one call at a server, within its budget; together they held
+/// the servers past what they bear until nearly all answers came too late.
 #[test]
 fn calls_are_turned_back_as_servers_tell_of_a_crowd_and_not_where_few_balancers_share_them() {
     let went = |settings: Settings, crowding: f64, pause: Micros| {
--- a/crates/decisions/tests/terms.rs
+++ b/crates/decisions/tests/terms.rs
@@ -370,7 +370,8 @@
     assert_eq!(sent(&actions).len(), 1, "which may go again");
 }
 
-/// A connection may take longer to open than the servers remember the key: what goes again tells until when it may start.
+/// A connection may take longer to open than the servers remember the key: what goes again tells
+/// until when it may start.
 #[test]
 fn a_keyed_call_that_goes_again_must_start_within_its_window() {
     let start_by = |actions: &[Action]| {
--- a/crates/decisions/tests/tree.rs
+++ b/crates/decisions/tests/tree.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 const LINES_MOST: usize = 500;
-const COLUMNS_MOST: usize = 117;
+const COLUMNS_MOST: usize = 100;
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -30,11 +30,11 @@
 const ATTEMPTS: &str = "crates/decisions/src/balancer/attempts.rs";
 const BALANCER: &str = "crates/decisions/src/balancer/mod.rs";
 const CALL: &str = "crates/decisions/src/call.rs";
-const ENDPOINT: &str = "crates/decisions/src/endpoint.rs";
 const ENDPOINT_INDEX: &str = "crates/decisions/src/endpoint_index/mod.rs";
 const FEEDBACK: &str = "crates/decisions/src/balancer/feedback.rs";
 const MEMBERSHIP: &str = "crates/decisions/src/balancer/membership.rs";
 const RETRY: &str = "crates/decisions/src/balancer/retry.rs";
+const SLOW_START: &str = "crates/decisions/src/balancer/slow_start.rs";
 const TIMERS: &str = "crates/decisions/src/balancer/timers.rs";
 const WAIT_QUEUE: &str = "crates/decisions/src/balancer/wait_queue.rs";
 const DRIVER: &str = "crates/proxy/src/net/driver/mod.rs";
@@ -60,7 +60,7 @@
         name: "resend-outside-group",
         what: "a keyed call goes again outside its group",
         play: "virtual",
-        edits: &[(RETRY, "let slot = (scope, first.zone, first.cell);", "let slot = (DedupScope::All, first.zone, first.cell);")],
+        edits: &[(RETRY, "let dedup_group = (scope, first.zone, first.cell);", "let dedup_group = (DedupScope::All, first.zone, first.cell);")],
     },
     Defect {
         name: "zone-for-cell",
@@ -121,7 +121,7 @@
         name: "cold-as-warm",
         what: "a cold host is taken for a warm one",
         play: "virtual",
-        edits: &[(ENDPOINT, "if self.started_at == 0 || age >= rules.slow_start_duration {", "if self.started_at == 0 || age >= rules.slow_start_duration / 100 {")],
+        edits: &[(SLOW_START, "if self.started_at == 0 || age >= rules.slow_start_duration {", "if self.started_at == 0 || age >= rules.slow_start_duration / 100 {")],
     },
     Defect {
         name: "restart-unseen",
@@ -145,13 +145,13 @@
         name: "place-lost-on-restart",
         what: "a restart forgets what is in flight",
         play: "virtual",
-        edits: &[(MEMBERSHIP, "(endpoint.in_flight, endpoint.limit.trial_in_flight) = (old.in_flight, old.limit.trial_in_flight);", "endpoint.limit.trial_in_flight = old.limit.trial_in_flight;")],
+        edits: &[(MEMBERSHIP, "endpoint.in_flight = old.in_flight;\n        endpoint.limit.trial_in_flight", "endpoint.limit.trial_in_flight")],
     },
     Defect {
         name: "trial-never-back",
         what: "a trial that was called off or never sent is out for good",
         play: "virtual",
-        edits: &[(FEEDBACK, "endpoint.limit.trial_in_flight &= !trial;\n                return;", "return;")],
+        edits: &[(FEEDBACK, "endpoint.limit.trial_in_flight &= !is_trial;\n            return;", "return;")],
     },
     Defect {
         name: "lost-wake-up",
@@ -163,7 +163,7 @@
         name: "timer-edge",
         what: "a held call is woken at its deadline, in place of one step before",
         play: "virtual",
-        edits: &[(WAIT_QUEUE, "let last = self.calls[&id].deadline.saturating_sub(self.settings.tick).max(now);", "let last = self.calls[&id].deadline.saturating_add(self.settings.tick).max(now);")],
+        edits: &[(WAIT_QUEUE, "let last = call.deadline.saturating_sub(self.settings.tick).max(now);", "let last = call.deadline.saturating_add(self.settings.tick).max(now);")],
     },
     Defect {
         name: "one-attempt-more",
@@ -187,7 +187,7 @@
         name: "call-forgotten",
         what: "a call whose second copy ends first is forgotten",
         play: "virtual",
-        edits: &[(ATTEMPTS, "if self.calls.get(&id).is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {", "if self.calls.get(&id).is_some_and(|c| c.ended || c.attempts.len() > 1 && c.attempts_in_flight() == 0) {")],
+        edits: &[(ATTEMPTS, "if call.is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {", "if call.is_some_and(|c| c.ended || c.attempts.len() > 1 && c.attempts_in_flight() == 0) {")],
     },
     Defect {
         name: "call-never-forgotten",
@@ -217,7 +217,7 @@
         name: "set-aside-for-good",
         what: "a host that was set aside is never tried again",
         play: "virtual",
-        edits: &[(MEMBERSHIP, "recovery_at: self.limit.backoff_until.max(self.paused_until).max(warm_at)", "recovery_at: Micros::MAX")],
+        edits: &[(MEMBERSHIP, "recovery_at: self.limit.backoff_until.max(self.paused_until).max(slow_start_end)", "recovery_at: Micros::MAX")],
     },
     Defect {
         name: "start-unasked",
