--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -1,11 +1,13 @@
-//! The servers of the list and what of them is kept ready for a pick, so that none walks over all
-//! of them. What counts as up, full or due is decided in `src/balancer`, which files each server's
+//! The index of all endpoints: each in a slot of its own, with the sets that a selection draws
+//! from, so that none walks over all of them.
+//!
+//! What counts as available, full or due is decided in `src/balancer`, which files each endpoint's
 //! [`EndpointState`] here.
 
 mod slot_groups;
 mod state;
 
-use crate::api::*;
+use crate::api::{CellId, DedupScope, EndpointId, EndpointRules, Micros, ZoneId};
 use crate::endpoint::Endpoint;
 use crate::weighted_set::{self, WeightedSet};
 use rand::seq::SliceRandom;
@@ -15,12 +17,12 @@
 pub(crate) use state::{AllowedEndpoints, CandidateSet, Candidates, EndpointState};
 use std::collections::BTreeSet;
 
-/// Blind draws before the servers of a set are looked at one by one, and the most that are looked
-/// at then.
+/// Random draws before the endpoints of a set are scanned one by one.
 const BLIND_DRAWS: usize = 16;
+/// Most endpoints that one scan looks at.
 const MAX_SCANNED: usize = 256;
 
-/// All servers, each in a slot that it keeps, and the sets that the pick draws from.
+/// All endpoints, each in a slot that it keeps, and the sets that a selection draws from.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointIndex {
     endpoints: Vec<Endpoint>,
@@ -31,25 +33,28 @@
     with_capacity: WeightedSet,
     trial_allowed: WeightedSet,
     slow_start: WeightedSet,
-    /// Weights of all that are listed, and of the cold ones also times the moment since when they
-    /// warm up.
+    /// Sum of the weights of all that are listed.
     listed_weight: u64,
+    /// Sum of weight times start of all in slow start: it gives their ages' sum at any time.
     slow_start_moment: u128,
     listed: usize,
     ejected: usize,
     outliers: usize,
+    /// Ejected endpoints with a trial in flight.
     recovery_trials: usize,
-    /// When each standing changes by time alone, and from when those set aside may be tried.
+    /// When each state changes by time alone.
     state_changes: BTreeSet<(Micros, u32)>,
+    /// From when each ejected endpoint may be tried.
     recoveries: BTreeSet<(Micros, u32)>,
-    /// Servers with room, and cold ones, in this balancer's own order of preference.
+    /// Endpoints with capacity or in slow start, in this balancer's own order of preference.
     by_preference: BTreeSet<(u32, u32)>,
     zones: SlotGroups,
     cells: SlotGroups,
-    /// No longer listed, but something is still out there.
+    /// No longer listed, but attempts may still be in flight there.
     departing: BTreeSet<EndpointId>,
     /// Grows with each full list: those that it did not name have gone.
     list_epoch: u32,
+    /// The list epoch in which each slot was last named.
     listed_epochs: Vec<u32>,
 }
 
@@ -62,14 +67,14 @@
 }
 
 impl std::ops::IndexMut<usize> for EndpointIndex {
-    /// Whoever changes what a [`EndpointState`] is made of files it again.
+    /// Whoever changes what an [`EndpointState`] is made of files it again.
     fn index_mut(&mut self, slot: usize) -> &mut Endpoint {
         &mut self.endpoints[slot]
     }
 }
 
 impl EndpointIndex {
-    /// The slot of a server, if it is known.
+    /// The slot of an endpoint, if it is known.
     pub(crate) fn slot(&self, id: EndpointId) -> Option<usize> {
         self.slots_by_id.get(&id).map(|&slot| slot as usize)
     }
@@ -85,15 +90,17 @@
         slots
     }
 
+    /// How many are listed as ready.
     pub(crate) fn listed_count(&self) -> usize {
         self.listed
     }
 
+    /// How many of these are ejected.
     pub(crate) fn ejected_count(&self) -> usize {
         self.ejected
     }
 
-    /// How many that are listed are set aside or fail.
+    /// How many that are listed are ejected or failing.
     pub(crate) fn outlier_count(&self) -> usize {
         self.outliers
     }
@@ -103,7 +110,8 @@
         weighted_set::size(self.listed_weight)
     }
 
-    /// What all cold servers can do at the least, as the rules say that they warm up.
+    /// What all endpoints in slow start can do at the least, by the rules: the sum of their
+    /// capacities now.
     pub(crate) fn slow_start_size(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let weight = self.slow_start.total();
         let age =
@@ -113,15 +121,17 @@
         (grown + rules.slow_start_min_capacity * weight as f64) * weighted_set::size(1)
     }
 
-    /// Sum of the sizes of all cold servers.
+    /// Sum of the sizes of all endpoints in slow start, as if they were warm.
     pub(crate) fn slow_start_full_size(&self) -> f64 {
         weighted_set::size(self.slow_start.total())
     }
 
+    /// How many endpoints are in a set.
     pub(crate) fn count(&self, set: CandidateSet) -> usize {
         self.set(set).len()
     }
 
+    /// Whether an endpoint is in a set.
     pub(crate) fn contains(&self, set: CandidateSet, slot: usize) -> bool {
         self.set(set).contains(slot)
     }
@@ -135,14 +145,12 @@
         }
     }
 
-    // The list.
-
     /// A full list begins: those that it does not name by its end have gone.
     pub(crate) fn begin_full_list(&mut self) {
         self.list_epoch = self.list_epoch.wrapping_add(1);
     }
 
-    /// The list names this server.
+    /// The list names this endpoint.
     pub(crate) fn mark_listed(&mut self, slot: usize) {
         self.listed_epochs[slot] = self.list_epoch;
     }
@@ -154,16 +162,10 @@
         (0..self.endpoints.len()).filter(old).collect()
     }
 
-    /// Takes in a server, or another process under the number of one that is known.
+    /// Takes in an endpoint, or another process under the number of one that is known.
     pub(crate) fn insert(&mut self, endpoint: Endpoint) -> usize {
         if let Some(slot) = self.slot(endpoint.id) {
-            self.set_state(
-                slot,
-                EndpointState {
-                    next_change: Micros::MAX,
-                    ..EndpointState::default()
-                },
-            );
+            self.set_state(slot, EndpointState::UNLISTED);
             self.endpoints[slot] = endpoint;
             return slot;
         }
@@ -171,10 +173,7 @@
         self.slots_by_id.insert(endpoint.id, slot as u32);
         if slot == self.endpoints.len() {
             self.endpoints.push(endpoint);
-            self.states.push(EndpointState {
-                next_change: Micros::MAX,
-                ..EndpointState::default()
-            });
+            self.states.push(EndpointState::UNLISTED);
             self.listed_epochs.push(self.list_epoch);
         } else {
             self.endpoints[slot] = endpoint;
@@ -182,10 +181,10 @@
         slot
     }
 
-    /// Forgets the servers that are no longer listed once nothing is out there.
+    /// Forgets the endpoints that are no longer listed once nothing is in flight there.
     pub(crate) fn remove_departed(&mut self) {
-        let leaving = std::mem::take(&mut self.departing);
-        for id in leaving {
+        let departing = std::mem::take(&mut self.departing);
+        for id in departing {
             let Some(slot) = self.slot(id) else { continue };
             if self.states[slot].listed {
                 continue;
@@ -200,108 +199,137 @@
         }
     }
 
-    /// Notes that a server is not listed: it is forgotten when nothing is out there any more.
+    /// Notes that an endpoint is not listed: it is forgotten when nothing is in flight there any
+    /// more.
     pub(crate) fn mark_departing(&mut self, slot: usize) {
         self.departing.insert(self.endpoints[slot].id);
     }
 
-    /// Zone and cell of a listed server are as the list says now.
+    /// Zone and cell of a listed endpoint are as the list says now.
     pub(crate) fn relocate(&mut self, slot: usize, zone: ZoneId, cell: CellId) {
         let (old_zone, old_cell) = (self.endpoints[slot].zone, self.endpoints[slot].cell);
         if (old_zone, old_cell) == (zone, cell) {
             return;
         }
         let state = self.states[slot];
-        self.set_state(
-            slot,
-            EndpointState {
-                next_change: Micros::MAX,
-                ..EndpointState::default()
-            },
-        );
+        self.set_state(slot, EndpointState::UNLISTED);
         (self.endpoints[slot].zone, self.endpoints[slot].cell) = (zone, cell);
         self.set_state(slot, state);
     }
 
-    // Standings.
-
-    /// Files where a server stands. Costs nothing but a comparison where it stands as before.
+    /// Files where an endpoint stands. It costs nothing but a comparison where nothing has changed.
     pub(crate) fn set_state(&mut self, slot: usize, new: EndpointState) {
         let old = std::mem::replace(&mut self.states[slot], new);
         if old == new {
             return;
         }
-        let Endpoint {
-            zone,
-            cell,
-            size,
-            preference: rank,
-            ..
-        } = self.endpoints[slot];
-        let (weight, key) = (weighted_set::weight(size), slot as u32);
-        let part = |is: bool| if is { weight } else { 0 };
+        let weight = weighted_set::weight(self.endpoints[slot].size);
+        self.file_in_sets(slot, weight, old, new);
+        self.file_by_preference(slot, old, new);
+        self.file_slow_start(slot, weight, old, new);
+        self.file_listed(slot, weight, old, new);
+        self.file_ejection(slot, old, new);
+        self.file_next_change(slot, old, new);
+    }
+
+    fn file_in_sets(&mut self, slot: usize, weight: u64, old: EndpointState, new: EndpointState) {
+        let weight_if = |is_member: bool| if is_member { weight } else { 0 };
         if old.available != new.available {
-            self.available.set(slot, part(new.available));
+            self.available.set(slot, weight_if(new.available));
         }
         if old.trial_allowed != new.trial_allowed {
-            self.trial_allowed.set(slot, part(new.trial_allowed));
+            self.trial_allowed.set(slot, weight_if(new.trial_allowed));
         }
         if old.has_capacity != new.has_capacity {
-            self.with_capacity.set(slot, part(new.has_capacity));
+            self.with_capacity.set(slot, weight_if(new.has_capacity));
         }
-        let ranked = |s: EndpointState| s.has_capacity || s.slow_start_since.is_some();
-        if ranked(old) != ranked(new) {
-            if ranked(new) {
-                self.by_preference.insert((rank, key));
-            } else {
-                self.by_preference.remove(&(rank, key));
-            }
+    }
+
+    fn file_by_preference(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
+        let is_ranked = |s: EndpointState| s.has_capacity || s.slow_start_since.is_some();
+        if is_ranked(old) == is_ranked(new) {
+            return;
         }
-        if old.slow_start_since != new.slow_start_since {
-            let moment =
-                |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
-            self.slow_start_moment = self.slow_start_moment - moment(old.slow_start_since)
-                + moment(new.slow_start_since);
-            self.slow_start
-                .set(slot, part(new.slow_start_since.is_some()));
+        let entry = (self.endpoints[slot].preference, slot as u32);
+        if is_ranked(new) {
+            self.by_preference.insert(entry);
+        } else {
+            self.by_preference.remove(&entry);
         }
-        if old.listed != new.listed {
-            if new.listed {
-                self.listed += 1;
-                self.listed_weight += weight;
-                self.zones.add(zone.0, slot);
-                self.cells.add(cell.0, slot);
-            } else {
-                self.listed -= 1;
-                self.listed_weight -= weight;
-                self.zones.remove(zone.0, slot);
-                self.cells.remove(cell.0, slot);
-            }
+    }
+
+    fn file_slow_start(
+        &mut self,
+        slot: usize,
+        weight: u64,
+        old: EndpointState,
+        new: EndpointState,
+    ) {
+        let (old, new) = (old.slow_start_since, new.slow_start_since);
+        if old == new {
+            return;
+        }
+        let moment = |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
+        self.slow_start_moment = self.slow_start_moment - moment(old) + moment(new);
+        self.slow_start
+            .set(slot, if new.is_some() { weight } else { 0 });
+    }
+
+    fn file_listed(&mut self, slot: usize, weight: u64, old: EndpointState, new: EndpointState) {
+        if old.listed == new.listed {
+            return;
+        }
+        let &Endpoint { zone, cell, .. } = &self.endpoints[slot];
+        if new.listed {
+            self.listed += 1;
+            self.listed_weight += weight;
+            self.zones.add(zone.0, slot);
+            self.cells.add(cell.0, slot);
+        } else {
+            self.listed -= 1;
+            self.listed_weight -= weight;
+            self.zones.remove(zone.0, slot);
+            self.cells.remove(cell.0, slot);
         }
+    }
+
+    fn file_ejection(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
         self.ejected = self.ejected + usize::from(new.ejected) - usize::from(old.ejected);
         self.outliers = self.outliers + usize::from(new.is_outlier) - usize::from(old.is_outlier);
-        let tested = |s: EndpointState| usize::from(s.ejected && s.recovery_trial_out);
-        self.recovery_trials = self.recovery_trials + tested(new) - tested(old);
-        let back =
-            |s: EndpointState| (s.ejected && !s.recovery_trial_out).then_some((s.recovery_at, key));
-        if back(old) != back(new) {
-            back(old).map(|entry| self.recoveries.remove(&entry));
-            back(new).map(|entry| self.recoveries.insert(entry));
+        let trials = |s: EndpointState| usize::from(s.ejected && s.recovery_trial_out);
+        self.recovery_trials = self.recovery_trials + trials(new) - trials(old);
+        let recovery = |s: EndpointState| {
+            (s.ejected && !s.recovery_trial_out).then_some((s.recovery_at, slot as u32))
+        };
+        if recovery(old) == recovery(new) {
+            return;
         }
-        if old.next_change != new.next_change {
-            (old.next_change < Micros::MAX)
-                .then(|| self.state_changes.remove(&(old.next_change, key)));
-            (new.next_change < Micros::MAX)
-                .then(|| self.state_changes.insert((new.next_change, key)));
+        if let Some(entry) = recovery(old) {
+            self.recoveries.remove(&entry);
+        }
+        if let Some(entry) = recovery(new) {
+            self.recoveries.insert(entry);
+        }
+    }
+
+    fn file_next_change(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
+        if old.next_change == new.next_change {
+            return;
+        }
+        if old.next_change < Micros::MAX {
+            self.state_changes.remove(&(old.next_change, slot as u32));
+        }
+        if new.next_change < Micros::MAX {
+            self.state_changes.insert((new.next_change, slot as u32));
         }
     }
 
-    /// When time alone next changes a standing.
+    /// When time alone next changes a state.
     pub(crate) fn next_state_change(&self) -> Option<Micros> {
         self.state_changes.first().map(|d| d.0)
     }
 
-    /// A server whose standing time has changed by now.
+    /// An endpoint whose state time has changed by now.
     pub(crate) fn overdue_state(&self, now: Micros) -> Option<usize> {
         self.state_changes
             .first()
@@ -309,7 +337,7 @@
             .map(|&(_, slot)| slot as usize)
     }
 
-    /// One that is set aside and due for the call that tries it.
+    /// An ejected endpoint whose backoff is over and that has no trial in flight.
     pub(crate) fn recovery_due(&self, now: Micros) -> Option<usize> {
         self.recoveries
             .first()
@@ -317,7 +345,7 @@
             .map(|&(_, slot)| slot as usize)
     }
 
-    /// When the first that is set aside may be tried; 0 while one is being tried.
+    /// When the first ejected endpoint may be tried; 0 while one is being tried.
     pub(crate) fn first_recovery_at(&self) -> Micros {
         if self.recovery_trials > 0 {
             return 0;
@@ -325,10 +353,8 @@
         self.recoveries.first().map_or(0, |b| b.0)
     }
 
-    // Draws.
-
-    /// The servers that drop repeats of what one of this place has run; of very many, some from a
-    /// random one on.
+    /// The endpoints that drop repeats of what one of this zone and cell has run; of very many,
+    /// some from a random one on.
     pub(crate) fn sharing_dedup_scope(
         &self,
         random: &mut impl Rng,
@@ -348,20 +374,20 @@
         AllowedEndpoints::Only(slots.map(|&slot| slot as usize).collect())
     }
 
-    /// Random servers, each with a chance in proportion to its size, none twice. Drawing until one
-    /// passes has the same law as drawing among those that pass; where few do, they are looked for
-    /// one by one, up to a bound.
+    /// Random endpoints, each with a chance in proportion to its size, none twice. Drawing until
+    /// one passes has the same distribution as drawing among those that pass; where few do, they
+    /// are scanned one by one, up to a bound.
     pub(crate) fn draw(
         &self,
         random: &mut impl Rng,
         (set, allowed): (CandidateSet, &AllowedEndpoints),
         count: usize,
-        pass: impl Fn(&Endpoint) -> bool,
+        passes: impl Fn(&Endpoint) -> bool,
     ) -> Candidates {
         let set = self.set(set);
         let mut drawn = Candidates::new();
         if let AllowedEndpoints::Only(slots) = allowed {
-            let fits = |&&slot: &&usize| set.contains(slot) && pass(&self.endpoints[slot]);
+            let fits = |&&slot: &&usize| set.contains(slot) && passes(&self.endpoints[slot]);
             let fitting: Vec<usize> = slots.iter().filter(fits).copied().collect();
             let chosen =
                 fitting.choose_multiple_weighted(random, count, |&slot| self.endpoints[slot].size);
@@ -369,9 +395,9 @@
             return drawn;
         }
         while drawn.len() < count.min(set.len()) {
-            let passes = |slot: &usize| !drawn.contains(slot) && pass(&self.endpoints[*slot]);
-            let blind = (0..BLIND_DRAWS).find_map(|_| set.draw(random).filter(passes));
-            let Some(slot) = blind.or_else(|| self.scan(random, set, passes)) else {
+            let is_new = |slot: &usize| !drawn.contains(slot) && passes(&self.endpoints[*slot]);
+            let blind = (0..BLIND_DRAWS).find_map(|_| set.draw(random).filter(is_new));
+            let Some(slot) = blind.or_else(|| self.scan(random, set, is_new)) else {
                 break;
             };
             drawn.push(slot);
@@ -379,7 +405,8 @@
         drawn
     }
 
-    /// One among those that pass, looked for from a random place on.
+    /// One among those that pass, scanned for from a random place on: a weighted reservoir sample
+    /// of one.
     fn scan(
         &self,
         random: &mut impl Rng,
@@ -398,7 +425,7 @@
         chosen
     }
 
-    /// A cold server, with a chance in proportion to what it can do now.
+    /// An endpoint in slow start, with a chance in proportion to what it can do now.
     pub(crate) fn draw_slow_start(
         &self,
         random: &mut impl Rng,
@@ -420,9 +447,9 @@
         &self,
         (set, allowed): (CandidateSet, &AllowedEndpoints),
         count: usize,
-        pass: impl Fn(&Endpoint) -> bool,
+        passes: impl Fn(&Endpoint) -> bool,
     ) -> Vec<usize> {
-        let fits = |slot: &usize| self.set(set).contains(*slot) && pass(&self.endpoints[*slot]);
+        let fits = |slot: &usize| self.set(set).contains(*slot) && passes(&self.endpoints[*slot]);
         if let AllowedEndpoints::Only(slots) = allowed {
             let mut slots: Vec<usize> = slots.iter().copied().filter(fits).collect();
             slots.sort_unstable_by_key(|&slot| (self.endpoints[slot].preference, slot));
--- a/crates/decisions/src/endpoint_index/slot_groups.rs
+++ b/crates/decisions/src/endpoint_index/slot_groups.rs
@@ -1,4 +1,4 @@
-//! Slots by zone or by cell.
+//! Groups of slots: those of one zone, or of one cell.
 
 use rustc_hash::FxHashMap;
 
@@ -11,6 +11,7 @@
 }
 
 impl SlotGroups {
+    /// Adds a slot that is in no group yet.
     pub(super) fn add(&mut self, key: u32, slot: usize) {
         let list = self.slots_by_key.entry(key).or_default();
         if self.positions.len() <= slot {
@@ -20,20 +21,22 @@
         list.push(slot as u32);
     }
 
+    /// Removes a slot from its group, in constant time.
     pub(super) fn remove(&mut self, key: u32, slot: usize) {
         let Some(list) = self.slots_by_key.get_mut(&key) else {
             return;
         };
-        let slot = self.positions[slot] as usize;
-        list.swap_remove(slot);
-        if let Some(&moved) = list.get(slot) {
-            self.positions[moved as usize] = slot as u32;
+        let position = self.positions[slot] as usize;
+        list.swap_remove(position);
+        if let Some(&moved) = list.get(position) {
+            self.positions[moved as usize] = position as u32;
         }
         if list.is_empty() {
             self.slots_by_key.remove(&key);
         }
     }
 
+    /// The slots of a group.
     pub(super) fn get(&self, key: u32) -> &[u32] {
         self.slots_by_key.get(&key).map_or(&[], Vec::as_slice)
     }
--- a/crates/decisions/src/endpoint_index/state.rs
+++ b/crates/decisions/src/endpoint_index/state.rs
@@ -6,53 +6,69 @@
 /// Slots drawn for one call.
 pub(crate) type Candidates = SmallVec<[usize; 4]>;
 
-/// Where a server stands: all that a pick asks of it, as of the last change to it.
+/// Where an endpoint stands: all that a selection asks of it, as of the last change to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EndpointState {
     pub(crate) listed: bool,
-    /// It takes calls: up, warm, not paused.
+    /// It takes calls: listed, warm, neither ejected nor paused.
     pub(crate) available: bool,
-    /// ... and its budget has room.
+    /// ... and it is under its limit.
     pub(crate) has_capacity: bool,
-    /// ... or is full, but one trial may pass it.
+    /// ... or it is at its limit, and one trial may pass that.
     pub(crate) trial_allowed: bool,
-    /// It is set aside or fails most of its calls.
+    /// It is ejected or fails most of its calls.
     pub(crate) is_outlier: bool,
-    /// It is set aside, and whether a trial that may bring it back is out there.
     pub(crate) ejected: bool,
+    /// A trial is in flight that may readmit it.
     pub(crate) recovery_trial_out: bool,
-    /// From when it may be tried, if it is set aside.
+    /// From when it may be tried, if it is ejected.
     pub(crate) recovery_at: Micros,
-    /// Listed and cold; it warms up since then.
+    /// When it started, if it is listed and in slow start.
     pub(crate) slow_start_since: Option<Micros>,
     /// When time alone changes this; `Micros::MAX`: never.
     pub(crate) next_change: Micros,
 }
 
-/// Which servers to draw from.
+impl EndpointState {
+    /// An endpoint that takes no calls until that is filed otherwise.
+    pub(crate) const UNLISTED: EndpointState = EndpointState {
+        listed: false,
+        available: false,
+        has_capacity: false,
+        trial_allowed: false,
+        is_outlier: false,
+        ejected: false,
+        recovery_trial_out: false,
+        recovery_at: 0,
+        slow_start_since: None,
+        next_change: Micros::MAX,
+    };
+}
+
+/// Which endpoints to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CandidateSet {
-    /// Those that are up and warm.
+    /// Those that take calls.
     Available,
-    /// Of these, those with room.
+    /// Of these, those under their limit.
     WithCapacity,
-    /// Of these, those that are full and may be passed by a trial.
+    /// Of these, those at their limit that one trial may pass.
     TrialAllowed,
-    /// Cold ones, whatever else they are.
+    /// Those in slow start, whatever else they are.
     SlowStart,
 }
 
-/// What a call may go to.
+/// Which endpoints a call may go to, by what it has run.
 #[derive(Clone, Debug)]
 pub(crate) enum AllowedEndpoints {
-    /// Any server.
+    /// Any endpoint.
     All,
     /// Only these: what ran there is dropped there.
     Only(Vec<usize>),
 }
 
 impl AllowedEndpoints {
-    /// Is this server one of them?
+    /// Is this endpoint one of them?
     pub(crate) fn contains(&self, slot: usize) -> bool {
         match self {
             AllowedEndpoints::All => true,
--- a/crates/decisions/src/latency.rs
+++ b/crates/decisions/src/latency.rs
@@ -5,33 +5,37 @@
 
 /// Weight of a new answer in a class's mean: about twenty are remembered.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// Time over which a class's unloaded answer time may drift up to its present mean.
+/// Time, in microseconds, over which a class's unloaded latency may drift up to its present mean.
 const UNLOADED_DRIFT_TIME: f64 = 120e6;
-/// The shortest time that is told from others, and the steps above it: up to half a minute.
+/// The shortest latency that is told from others, in microseconds.
 const HISTOGRAM_MIN: f64 = 256.0;
+/// Buckets above it: up to half a minute.
 const HISTOGRAM_BUCKETS: usize = 68;
-/// Counts at which they are halved, and those below which a share says nothing.
+/// Samples at which the counts are halved.
 const HISTOGRAM_MAX_SAMPLES: u16 = 512;
+/// Samples below which a quantile says nothing.
 const HISTOGRAM_MIN_SAMPLES: u16 = 20;
 
-/// Answer times of a class: the present mean and the least it has been, which stands for an
-/// unloaded server.
+/// Latencies of a class of calls, in microseconds, and what is known of its clients.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassLatency {
+    /// The present mean.
     pub(crate) mean: f64,
+    /// The least that the mean has been, which stands for an unloaded endpoint.
     pub(crate) unloaded: f64,
-    pub(crate) samples: u32,
-    pub(crate) updated_at: Micros,
+    samples: u32,
+    updated_at: Micros,
+    /// Calls that have come in.
     pub(crate) requests: f64,
-    /// The longest that clients wait for one try, and calls turned back whose clients may try
-    /// again.
+    /// The longest that clients wait for one try.
     pub(crate) longest_timeout: Micros,
+    /// Calls ended unserved whose clients may try again.
     pub(crate) unserved: u32,
     histogram: LatencyHistogram,
 }
 
-/// How a class's answer times spread: counts by quarters of a doubling, halved when there are many,
-/// so that old ones fade.
+/// A histogram of latencies in buckets of a quarter of a doubling; the counts are halved when there
+/// are many, so that old ones fade.
 #[derive(Clone, Debug)]
 struct LatencyHistogram {
     counts: [u16; HISTOGRAM_BUCKETS],
