--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -276,9 +276,9 @@
             proxy,
             enable: true,
         },
-        Action::Log { text } => Command::Trace {
+        Action::Log { event } => Command::Trace {
             proxy,
-            note_text: text,
+            note_text: event.to_string(),
         },
     })
 }
--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -1,6 +1,7 @@
 //! What the balancer tells the proxy to do.
 
 use super::ids::{CallId, EndpointId, Micros};
+use std::fmt;
 
 /// What the balancer tells the proxy to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,9 +50,38 @@
     },
     /// Subscribe to the server list.
     Subscribe,
-    /// A line for whoever is on call.
+    /// Log an event for whoever is on call.
     Log {
-        /// The line.
-        text: String,
+        /// What has happened.
+        event: LogEvent,
     },
 }
+
+/// What the proxy logs for the balancer. Its `Display` is the event's name and the endpoint's number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// An outlier gets no calls but single trials from now on.
+    EndpointEjected {
+        /// Which.
+        endpoint: EndpointId,
+    },
+    /// A trial has shown that an ejected endpoint serves again.
+    EndpointReadmitted {
+        /// Which.
+        endpoint: EndpointId,
+    },
+    /// Every endpoint is ejected: calls are rejected until one is readmitted.
+    AllEndpointsEjected,
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::EndpointEjected { endpoint } => write!(f, "endpoint ejected: {}", endpoint.0),
+            LogEvent::EndpointReadmitted { endpoint } => {
+                write!(f, "endpoint readmitted: {}", endpoint.0)
+            }
+            LogEvent::AllEndpointsEjected => f.write_str("all endpoints ejected, rejecting calls"),
+        }
+    }
+}
--- a/crates/decisions/src/balancer/feedback.rs
+++ b/crates/decisions/src/balancer/feedback.rs
@@ -3,7 +3,7 @@
 
 use super::concurrency_limit::SEVERE_LATENCY_RATIO;
 use super::{Actions, Balancer, SMOOTHING};
-use crate::api::{Action, CallId, LoadReport, Micros, Outcome};
+use crate::api::{Action, CallId, LoadReport, LogEvent, Micros, Outcome};
 use crate::call::{Attempt, Execution};
 use crate::endpoint::Endpoint;
 use crate::latency::EndpointGroup;
@@ -187,14 +187,14 @@
         let was_ejected = endpoint.limit.steps == 0;
         endpoint.record_connection_failure(now, outcome, baseline.may_eject);
         endpoint.limit.trial_in_flight &= !is_trial;
-        let (id, first_backoff) = (endpoint.id.0, baseline.first_backoff);
+        let (id, first_backoff) = (endpoint.id, baseline.first_backoff);
         if is_trial && endpoint.record_trial(now, outcome, was_ejected, first_backoff) {
-            let text = format!("server {id} taken back");
-            actions.push(Action::Log { text });
+            let event = LogEvent::EndpointReadmitted { endpoint: id };
+            actions.push(Action::Log { event });
         }
         if !was_ejected && endpoint.eject_if_outlier(now, baseline.may_eject, first_backoff) {
-            let text = format!("server {id} set aside");
-            actions.push(Action::Log { text });
+            let event = LogEvent::EndpointEjected { endpoint: id };
+            actions.push(Action::Log { event });
         }
     }
 
--- a/crates/decisions/src/balancer/wait_queue.rs
+++ b/crates/decisions/src/balancer/wait_queue.rs
@@ -2,7 +2,7 @@
 
 use super::selection::Route;
 use super::{Actions, Balancer};
-use crate::api::{Action, CallId, Micros};
+use crate::api::{Action, CallId, LogEvent, Micros};
 
 /// Queued calls looked at beyond the first at an event: it bounds the CPU that a long queue costs.
 const QUEUE_SCAN: usize = 16;
@@ -98,7 +98,7 @@
     fn log_all_ejected(&mut self, actions: &mut Actions) {
         if !std::mem::replace(&mut self.rejecting_all, true) {
             actions.push(Action::Log {
-                text: "no server is up: refusing".to_owned(),
+                event: LogEvent::AllEndpointsEjected,
             });
         }
     }
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -297,9 +297,14 @@
 #[test]
 fn a_server_that_has_answered_is_not_set_aside_for_one_reset() {
     let set_aside = |actions: &[Action]| {
-        actions
-            .iter()
-            .any(|a| matches!(a, Action::Log { text } if text.ends_with("set aside")))
+        actions.iter().any(|a| {
+            matches!(
+                a,
+                Action::Log {
+                    event: LogEvent::EndpointEjected { .. }
+                }
+            )
+        })
     };
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     let mut resets = 0;
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -504,7 +504,14 @@
     assert!(failures > 20, "too few timed out to tell: {failures}");
     let aside = log
         .iter()
-        .filter(|a| matches!(a, Action::Log { text } if text.contains("set aside")))
+        .filter(|a| {
+            matches!(
+                a,
+                Action::Log {
+                    event: LogEvent::EndpointEjected { .. }
+                }
+            )
+        })
         .count();
     assert_eq!(aside, 0, "slow, not gone");
 }
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -237,15 +237,15 @@
     let Some(view) = view else { return };
     let EndpointView {
         in_flight,
-        concurrency_limit: concurrency,
-        latency_ratio: strain,
-        failure_rate: failing,
-        slow_start_capacity: warmth,
-        ejected: set_aside,
+        concurrency_limit,
+        latency_ratio,
+        failure_rate,
+        slow_start_capacity,
+        ejected,
         ..
     } = view;
-    debug!(target: CALLS, call = call.0, attempt, host, left, in_flight, concurrency, strain,
-        failing, warmth, set_aside, "sent");
+    debug!(target: CALLS, call = call.0, attempt, host, left, in_flight, concurrency_limit,
+        latency_ratio, failure_rate, slow_start_capacity, ejected, "sent");
 }
 
 /// Reports the outcome of an attempt when its task ends, however that comes about.
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -26,7 +26,7 @@
 use super::hosts::Hosts;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{
-    Action, Balancer, CallId, EndpointId, Event, LoadReport, Micros, Outcome, Settings,
+    Action, Balancer, CallId, EndpointId, Event, LoadReport, LogEvent, Micros, Outcome, Settings,
 };
 use badgerramp_endpoint_watch::Stall;
 use badgerramp_subset::Subset;
@@ -206,16 +206,28 @@
                 elapsed: 0,
                 load: LoadReport::default(),
             }),
-            Action::Log { text } => tracing::info!("{}", core.with_host_names(&text)),
+            Action::Log { event } => core.log(event),
         }
     }
 }
 
 impl Core {
-    /// A text of the balancer in which the ids of hosts are replaced by their names.
-    fn with_host_names(&self, text: &str) -> String {
-        let name = |id: &str| Some(&*self.hosts.get(&EndpointId(id.parse().ok()?))?.name);
-        let words = text.split(' ').map(|word| name(word).unwrap_or(word));
-        words.collect::<Vec<_>>().join(" ")
+    /// Logs an event of the balancer, with the endpoint's name.
+    fn log(&self, event: LogEvent) {
+        let name = |endpoint: EndpointId| match self.hosts.get(&endpoint) {
+            Some(host) => host.name.to_string(),
+            None => endpoint.0.to_string(),
+        };
+        match event {
+            LogEvent::EndpointEjected { endpoint } => {
+                tracing::info!(endpoint = name(endpoint), "endpoint ejected");
+            }
+            LogEvent::EndpointReadmitted { endpoint } => {
+                tracing::info!(endpoint = name(endpoint), "endpoint readmitted");
+            }
+            LogEvent::AllEndpointsEjected => {
+                tracing::info!("all endpoints ejected, rejecting calls");
+            }
+        }
     }
 }
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -787,13 +787,13 @@
                 .view(self.now, EndpointId(host as u32));
             let knew = view.map_or_else(String::new, |v| {
                 format!(
-                    "; known: {} in flight of {:.1}, strain {:.2}, failing {:.2}, warmth {:.2}{}",
+                    "; known: {} in flight of {:.1}, latency ratio {:.2}, failure rate {:.2}, capacity {:.2}{}",
                     v.in_flight,
                     v.concurrency_limit,
                     v.latency_ratio,
                     v.failure_rate,
                     v.slow_start_capacity,
-                    if v.ejected { ", set aside" } else { "" }
+                    if v.ejected { ", ejected" } else { "" }
                 )
             });
             let line = format!("attempt {attempt} to {name} until {until}{knew}");
