--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -199,7 +199,7 @@
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::ClientGone { call }
+                        Event::ClientDisconnected { call }
                     }
                 }
             }
--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -6,24 +6,24 @@
 /// What the balancer tells the proxy to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Pass the call to a server; the first pass is attempt 0, the next 1, and so on.
+    /// Send the call to an endpoint; the first time is attempt 0, the next 1, and so on.
     Send {
         /// Which call.
         call: CallId,
-        /// To which server.
+        /// To which endpoint.
         endpoint: EndpointId,
-        /// When the attempt times out (a moment); `None`: with the client's patience.
+        /// When the attempt times out (a moment); `None`: when its client gives up.
         attempt_deadline: Option<Micros>,
-        /// When its first byte must be on its way (a moment): from then on the servers may have
+        /// When its first byte must be on its way (a moment): from then on the endpoints may have
         /// forgotten the call's key, and an attempt that still waits for its connection must not
         /// start. `None`: no such moment.
         start_by: Option<Micros>,
     },
-    /// End the call unserved; it may safely come again.
+    /// Reject the call: its client may safely try again.
     Reject {
         /// Which call.
         call: CallId,
-        /// Advice when.
+        /// Retry-After, in microseconds.
         retry_after: Micros,
     },
     /// End the call with an error that promises nothing.
@@ -31,24 +31,24 @@
         /// Which call.
         call: CallId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// Of which call.
         call: CallId,
         /// Which attempt.
         attempt: u32,
     },
-    /// Send a health check.
+    /// Send a load probe; it ends with [`Event::ProbeCompleted`](super::Event::ProbeCompleted).
     Probe {
-        /// To which server.
+        /// To which endpoint.
         endpoint: EndpointId,
     },
-    /// Send [`Event::Timer`] after this time.
+    /// Send [`Event::Timer`](super::Event::Timer) after this time.
     Wake {
-        /// How long from now.
+        /// How long from now, in microseconds.
         after: Micros,
     },
-    /// Subscribe to the server list.
+    /// Poll the endpoint list, or subscribe to it.
     Subscribe,
     /// Log an event for whoever is on call.
     Log {
@@ -57,7 +57,8 @@
     },
 }
 
-/// What the proxy logs for the balancer. Its `Display` is the event's name and the endpoint's number.
+/// What the proxy logs for the balancer. Its `Display` is the event's name and the endpoint's
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// An outlier gets no calls but single trials from now on.
--- a/crates/decisions/src/api/call_class.rs
+++ b/crates/decisions/src/api/call_class.rs
@@ -2,7 +2,7 @@
 
 use super::ids::Micros;
 
-/// Which servers drop repeats of a guarded call.
+/// Which endpoints recognise and drop a repeat of a keyed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All of them.
@@ -13,61 +13,61 @@
     Cell,
 }
 
-/// Whether a call of a class may run again.
+/// Whether a call of a class may be executed again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Harmless.
+    /// A repeat is harmless.
     Idempotent,
-    /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
+    /// Calls carry an idempotency key: a repeat is harmless on the endpoints of `scope`, within
+    /// `window` of the first attempt that may have run.
     Keyed {
-        /// Who drops repeats.
+        /// The endpoints that share their keys.
         scope: DedupScope,
-        /// For how long.
+        /// How long they keep a key, in microseconds.
         window: Micros,
     },
-    /// Never.
+    /// A repeat may do harm.
     #[default]
     NonIdempotent,
 }
 
-/// What is asked of a class of calls.
+/// What is asked of the calls of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time counts in full.
     pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// What an answer in time counts for in the score.
     pub priority_weight: f64,
-    /// Share of the worth for an answer between aim and deadline.
+    /// Share of this weight, 0 to 1, for an answer between objective and deadline.
     pub late_value: f64,
-    /// Whether it may run again.
+    /// Whether a call may be executed again.
     pub idempotency: Idempotency,
 }
 
-/// When a second copy of a call may go out while its first attempt is still out. Whether it may at
-/// all is up to the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
+/// When a hedged request may be sent: a second attempt while the first is in flight. Whether it may
+/// at all is up to the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedge {
     /// As late as can still be in time.
     #[default]
     Auto,
-    /// Never.
+    /// No hedged request.
     Never,
-    /// This long after the first attempt.
+    /// This long after the first attempt, in microseconds.
     After(Micros),
-    /// After the time within which this share (0 to 1) of the class's answers come; as `Auto` until
-    /// it is learned.
+    /// After this quantile (0 to 1) of the class's latencies; as `Auto` until it is learned.
     Quantile(f64),
 }
 
-/// After which outcomes a call may go again, where its class lets it.
+/// After which outcomes a call may be retried, where its class allows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryOn {
-    /// After any.
+    /// After any failure.
     #[default]
     AnyFailure,
-    /// Only while every attempt provably never ran.
+    /// Only while every attempt is proved not to have been executed.
     NotExecuted,
 }
 
@@ -76,15 +76,15 @@
 pub struct CallPolicy {
     /// Most attempts.
     pub max_attempts: u32,
-    /// Longest time of one attempt.
+    /// Longest time of one attempt, in microseconds.
     pub attempt_timeout: Micros,
-    /// Pause between the end of one attempt and the next.
+    /// Pause between the end of one attempt and the next, in microseconds.
     pub backoff: Micros,
-    /// Second copies.
+    /// Hedged requests.
     pub hedge: Hedge,
-    /// What may be sent again.
+    /// What may be retried.
     pub retry_on: RetryOn,
-    /// It is unsafe to repeat whatever its class says: what the class goes by is missing.
+    /// It is not idempotent whatever its class says, as its idempotency key is missing.
     pub non_idempotent: bool,
 }
 
--- a/crates/decisions/src/api/endpoint_list.rs
+++ b/crates/decisions/src/api/endpoint_list.rs
@@ -2,24 +2,24 @@
 
 use super::ids::{CellId, EndpointId, KindId, Micros, ZoneId};
 
-/// What the list says of a server.
+/// What the list says of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// It takes calls.
     #[default]
     Ready,
-    /// It finishes its work and takes no more.
+    /// It shuts down gracefully: it finishes its calls and takes no more.
     Draining,
     /// It has been removed.
     Removed,
 }
 
-/// An entry of the server list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which server.
+    /// Which endpoint.
     pub endpoint: EndpointId,
-    /// What it does.
+    /// Whether it takes calls.
     pub status: EndpointStatus,
     /// Its zone.
     pub zone: ZoneId,
@@ -27,13 +27,14 @@
     pub cell: CellId,
     /// Its machine kind.
     pub kind: KindId,
-    /// A figure to compare servers by, see [`WeightSource`]; 0 or less: not told.
+    /// A figure to compare endpoints by, see [`WeightSource`](super::WeightSource); 0 or less: not
+    /// known.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// When its process last started, in microseconds of the balancer's clock; 0: long ago.
     pub started: Micros,
 }
 
-/// How much of the list a piece of news holds.
+/// How much of the list an update holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
     /// Changed entries only.
@@ -42,25 +43,46 @@
     Full,
     /// The whole list as the proxy last had it, maybe old.
     Cached,
-    /// None: asking failed or the subscription broke.
+    /// None: the poll failed or the subscription broke.
     Failed,
 }
 
-/// What a balancer knows of a server at a moment, for whoever looks on.
+/// How many endpoints a balancer knows.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Endpoints that the list names ready.
+    pub listed: usize,
+    /// Those of them that are outliers: ejected or failing. Never more than half are ejected, so
+    /// that alone would not tell of a fleet that fails as a whole.
+    pub outliers: usize,
+}
+
+/// How many calls a balancer holds, and what it may spend on them.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct CallTotals {
+    /// Calls that have not ended, or still have an attempt in flight.
+    pub open: usize,
+    /// Those of them in the wait queue.
+    pub queued: usize,
+    /// Retry tokens saved up: each pays for a retry or a hedged request.
+    pub retry_tokens: f64,
+}
+
+/// What a balancer knows of an endpoint at a moment, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointView {
     /// It takes calls, by the list.
     pub listed: bool,
-    /// Attempts of this balancer's that are out there.
+    /// Attempts of this balancer in flight there.
     pub in_flight: u32,
-    /// Attempts that it may have out there when it is warm.
+    /// Attempts that it may have in flight there after slow start.
     pub concurrency_limit: f64,
-    /// Answer times over what they may be; 1 is the limit.
+    /// Latency over what its classes allow; 1 is the limit.
     pub latency_ratio: f64,
-    /// Recent share of failures, 0 to 1.
+    /// Smoothed share of attempts that failed, 0 to 1.
     pub failure_rate: f64,
     /// Share of its capacity that it has at the least.
     pub slow_start_capacity: f64,
-    /// It is sent nothing but a trial.
+    /// It is sent nothing but single trials.
     pub ejected: bool,
 }
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -10,17 +10,17 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The server answered with an error.
+    /// The endpoint answered with an error.
     Error,
-    /// Turned away unseen: full or draining.
+    /// Rejected without being looked at: the endpoint is full or draining.
     Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection could be made.
     ConnectFailed,
-    /// The connection broke while the attempt was out.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Called off by this balancer.
+    /// Cancelled by this balancer.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -29,7 +29,7 @@
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether this proves that the attempt was not executed, so that a repeat is harmless.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -38,14 +38,14 @@
     }
 }
 
-/// A server's word on its load; what it does not report is absent.
+/// An endpoint's report of its load; what it does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests that it has, queued ones included.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests that wait there.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy.
+    /// Share of its cores that is busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
     /// Errors a second.
     pub error_rate: Option<f64>,
@@ -54,9 +54,9 @@
 /// What the proxy tells the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The proxy comes up. Its saved list, if any, comes next.
+    /// The proxy starts. Its cached list, if any, comes next.
     Start,
-    /// News of the server list.
+    /// An update of the endpoint list.
     EndpointList {
         /// How much of it.
         kind: ListUpdateKind,
@@ -71,14 +71,14 @@
         class: ClassId,
         /// Whose it is.
         tenant: Option<TenantId>,
-        /// How long the client still waits.
+        /// How long the client still waits, in microseconds.
         time_left: Micros,
-        /// The client says that it has tried before.
+        /// The client marks it as a retry.
         is_retry: bool,
         /// What the operator set for it.
         policy: CallPolicy,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome {
         /// Of which call.
         call: CallId,
@@ -86,11 +86,11 @@
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long it took, in microseconds.
         elapsed: Micros,
-        /// Nothing more is owed for the call.
+        /// The client has had its answer, or is gone: nothing more is owed for the call.
         closed: bool,
-        /// The server's report.
+        /// The endpoint's load report.
         load: LoadReport,
     },
     /// The answer of an attempt has begun to flow; the call is bound to it.
@@ -100,19 +100,19 @@
         /// Which attempt.
         attempt: u32,
     },
-    /// A probe was answered.
+    /// A load probe has ended.
     ProbeCompleted {
-        /// By which server.
+        /// Of which endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long it took, in microseconds.
         elapsed: Micros,
-        /// The server's report.
+        /// The endpoint's load report.
         load: LoadReport,
     },
-    /// Nobody waits for this call any more.
-    ClientGone {
+    /// The client of this call has gone.
+    ClientDisconnected {
         /// Which.
         call: CallId,
     },
@@ -124,6 +124,6 @@
         /// Classes whose places meant something else before: nothing learned of those holds.
         redefined_classes: Vec<ClassId>,
     },
-    /// A time asked for by [`Action::Wake`] has come.
+    /// A time asked for by [`Action::Wake`](super::Action::Wake) has come.
     Timer,
 }
--- a/crates/decisions/src/api/ids.rs
+++ b/crates/decisions/src/api/ids.rs
@@ -3,19 +3,19 @@
 /// A moment or a span, in microseconds.
 pub type Micros = u64;
 
-/// A call (one try of a client), as the proxy numbers it; no number returns.
+/// A call (one try of a client), as the proxy numbers it; no number is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A server (a process's place); it keeps its number when the process restarts.
+/// An endpoint (the place of a process); it keeps its number when the process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
@@ -27,6 +27,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A cell of servers that drop each other's repeats.
+/// A cell of endpoints that drop each other's repeats of a keyed call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: settings, events, actions. Times are whole microseconds.
+//! The interface of the balancer: settings, events and actions. Times are whole microseconds.
 
 mod action;
 mod call_class;
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -8,17 +8,17 @@
 pub struct Tenant {
     /// Share of the service, 0 to 1.
     pub share: f64,
-    /// Calls a second over all balancers that are within its share; 0: not told.
+    /// Calls a second over all balancers that are within its share; 0: not known.
     pub quota: f64,
 }
 
-/// What [`EndpointEntry::weight`] means.
+/// What [`EndpointEntry::weight`](super::EndpointEntry::weight) means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     /// Nothing.
     #[default]
     Off,
-    /// The registered size of the server.
+    /// The registered size of the endpoint.
     Nominal,
     /// Its approximate size.
     Rough,
@@ -26,7 +26,7 @@
     Live,
 }
 
-/// Where servers report their load.
+/// Where endpoints report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportMode {
     /// Nowhere.
@@ -38,16 +38,16 @@
     OnProbe,
 }
 
-/// What a server reports of its load, and where.
+/// What an endpoint reports of its load, and where.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReporting {
     /// Where.
     pub mode: ReportMode,
-    /// Whether [`LoadReport::in_flight`] is among the figures.
+    /// Whether [`LoadReport::in_flight`](super::LoadReport::in_flight) is among the figures.
     pub includes_in_flight: bool,
 }
 
-/// Points that are taken off the result, for each unit a call.
+/// Points that are taken off the score, for each unit a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
     /// An attempt that crosses zones.
@@ -56,47 +56,47 @@
     pub probe: f64,
     /// A new connection.
     pub handshake: f64,
-    /// Server work that gave no answer, as much as was asked for.
+    /// Work of an endpoint that gave no answer in use, as much as one call takes.
     pub wasted_work: f64,
-    /// All worth failing only after its aim.
+    /// A call that fails only after its latency objective.
     pub late_failure: f64,
 }
 
 /// What the site allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Endpoints may be probed for their load.
     pub probes: bool,
-    /// A call may have two attempts out at once.
+    /// A call may have two attempts in flight at once.
     pub hedging: bool,
     /// Most attempts for a call.
     pub max_attempts: u32,
-    /// Longest advice that a client heeds; 0 where clients are given none.
+    /// Longest Retry-After that a client heeds, in microseconds; 0 where clients are given none.
     pub max_retry_after: Micros,
-    /// Attempts that one connection carries at a time; 0: not told.
+    /// Attempts that one connection carries at a time; 0: not known.
     pub max_streams: u32,
 }
 
-/// Figures of the rules that must hold.
+/// Figures of the rules that hold for endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointRules {
-    /// A server starts at this share of its capacity or more.
+    /// An endpoint starts at this share of its capacity or more.
     pub slow_start_min_capacity: f64,
-    /// And is warm after this at the latest.
+    /// It has all of its capacity after this time at the latest.
     pub slow_start_duration: Micros,
-    /// Sent more than this multiple of what it can then do ...
+    /// Sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... over this span, a cold server falls over.
+    /// ... over this time, an endpoint in slow start fails.
     pub overload_duration: Micros,
-    /// Latest that calls may still go to a server after word that it drains or is gone.
+    /// Longest that calls may still go to an endpoint after it is listed as draining or removed.
     pub drain_grace: Micros,
-    /// Longest that a proxy may go without asking for the list.
+    /// Longest that a proxy may go without polling the endpoint list.
     pub list_poll_interval: Micros,
 }
 
-/// Weights of the parts of the goal.
+/// Weights of the parts of the score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreGoal {
     /// All calls together.
@@ -105,20 +105,21 @@
     pub worst_class: f64,
     /// The worst-served tenant, within its share.
     pub worst_tenant: f64,
-    /// The worst stretch of time.
+    /// The worst window of time.
     pub worst_window: f64,
 }
 
-/// What a balancer is told at start, and by [`Event::Reconfigure`].
+/// What a balancer is told at start, and by
+/// [`Event::Reconfigure`](super::Event::Reconfigure).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many balancers send to these servers, this one included.
+    /// How many balancers send to these endpoints, this one included.
     pub balancers: u32,
     /// The zone of this balancer.
     pub zone: ZoneId,
     /// Smallest step of the proxy's clock.
     pub tick: Micros,
-    /// Whether news of the server list must be asked for.
+    /// Whether the endpoint list must be polled; else it is pushed.
     pub poll_endpoint_list: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
@@ -128,23 +129,23 @@
     pub limits: Limits,
     /// Figures of the rules.
     pub rules: EndpointRules,
-    /// Weights of the goal.
+    /// Weights of the score.
     pub goal: ScoreGoal,
     /// What costs points.
     pub costs: Costs,
-    /// What servers report.
+    /// What endpoints report.
     pub load_reporting: LoadReporting,
     /// What the list's weights mean.
     pub weight_source: WeightSource,
-    /// What a call is worth beyond its tenant's share, against one within.
+    /// What a call beyond its tenant's share counts for, against one within.
     pub over_share_weight: f64,
-    /// Clients say which calls are repeats of theirs.
+    /// Clients mark the calls that are retries of theirs.
     pub clients_mark_retries: bool,
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never
-    /// repeated.
+    /// One balancer, a pushed list, and one class of calls that are not idempotent, with an
+    /// objective of half a second.
     fn default() -> Self {
         let idempotency = Idempotency::NonIdempotent;
         Settings {
--- a/crates/decisions/src/balancer/load_probe.rs
+++ b/crates/decisions/src/balancer/load_probe.rs
@@ -113,7 +113,7 @@
         self.timers.set(id, Some(timeout_at));
     }
 
-    /// An endpoint has told its load, or did not answer: then it is taken for the most loaded.
+    /// An endpoint has reported its load, or did not answer: then it is taken for the most loaded.
     pub(super) fn on_probe_completed(
         &mut self,
         now: Micros,
@@ -149,8 +149,8 @@
         })
     }
 
-    /// The probed endpoints have told their load, or time is up: the call goes to the least loaded
-    /// with capacity.
+    /// The probed endpoints have reported their load, or time is up: the call goes to the least
+    /// loaded with capacity.
     pub(super) fn finish_probing(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -22,11 +22,12 @@
 mod wait_queue;
 
 use crate::api::{
-    Action, CallId, EndpointId, EndpointView, Event, LoadReport, Micros, Outcome, Settings,
+    Action, CallId, CallTotals, EndpointCounts, EndpointId, EndpointView, Event, LoadReport,
+    Micros, Outcome, Settings,
 };
 use crate::call::Call;
 use crate::endpoint_index::EndpointIndex;
-use crate::latency::{ClassLatency, EndpointGroups};
+use crate::latency::{ClassLatency, EndpointGroups, EXPECTED_OBJECTIVE_SHARE};
 use crate::load_feedback::LoadFeedback;
 use admission::NewCall;
 use load_probe::ProbedAnswers;
@@ -55,7 +56,8 @@
     probing_calls: Vec<CallId>,
     /// What answers of probed endpoints showed of latency under load.
     probed_answers: ProbedAnswers,
-    /// Loads told of late over what endpoints bear, 0 to 1: probing pays where this is high.
+    /// Smoothed load of probed endpoints over what they bear, 0 to 1: probing pays where this is
+    /// high.
     probe_pressure: f64,
     /// Latency ratios of late of each machine kind in each zone.
     groups: EndpointGroups,
@@ -181,11 +183,7 @@
                 self.on_attempt_end(now, end, actions);
             }
             Event::Streaming { call, attempt } => self.on_streaming(call, attempt, actions),
-            Event::ClientGone { call } => {
-                self.finish(call);
-                self.cancel_attempts(call, None, actions);
-                self.remove_if_finished(call);
-            }
+            Event::ClientDisconnected { call } => self.on_client_disconnected(call, actions),
             Event::Reconfigure {
                 settings,
                 redefined_classes,
@@ -219,6 +217,12 @@
         self.timers.set(id, None);
     }
 
+    fn on_client_disconnected(&mut self, id: CallId, actions: &mut Actions) {
+        self.finish(id);
+        self.cancel_attempts(id, None, actions);
+        self.remove_if_finished(id);
+    }
+
     /// What is known of an endpoint; `None`: nothing.
     #[must_use]
     pub fn view(&self, now: Micros, endpoint: EndpointId) -> Option<EndpointView> {
@@ -235,21 +239,23 @@
         })
     }
 
-    /// Endpoints that the list names ready, and how many of these are outliers: ejected or failing.
-    /// Never more than half are ejected, so that alone would not tell of a fleet that fails as a
-    /// whole.
+    /// How many endpoints are listed, and how many of these are outliers.
     #[must_use]
-    pub fn listed(&self) -> (usize, usize) {
-        (
-            self.endpoints.listed_count(),
-            self.endpoints.outlier_count(),
-        )
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        EndpointCounts {
+            listed: self.endpoints.listed_count(),
+            outliers: self.endpoints.outlier_count(),
+        }
     }
 
-    /// Calls that are known, those that are queued, and the retry tokens saved up.
+    /// How many calls are known and queued, and the retry tokens saved up.
     #[must_use]
-    pub fn totals(&self) -> (usize, usize, f64) {
-        (self.calls.len(), self.wait_queue.len(), self.retry_tokens)
+    pub fn call_totals(&self) -> CallTotals {
+        CallTotals {
+            open: self.calls.len(),
+            queued: self.wait_queue.len(),
+            retry_tokens: self.retry_tokens,
+        }
     }
 
     /// The longest latency objective of all classes, in microseconds.
@@ -268,7 +274,9 @@
     /// The latency to expect of a call of this class, in microseconds.
     fn expected_latency(&self, class_id: usize, objective: Micros) -> f64 {
         let latency = self.class_latencies.get(class_id);
-        latency.map_or(objective as f64 / 4.0, |latency| latency.mean)
+        latency.map_or(objective as f64 * EXPECTED_OBJECTIVE_SHARE, |latency| {
+            latency.mean
+        })
     }
 
     /// A random number from 0 to 1.
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -229,7 +229,7 @@
             .unwrap_or_default()
     }
 
-    /// The least loaded by own calls in flight; what endpoints told, then the latency ratio
+    /// The least loaded by own calls in flight; what endpoints reported, then the latency ratio
     /// expected, break ties.
     pub(super) fn least_loaded(&self, now: Micros, slots: &[usize]) -> Option<usize> {
         let load = |slot: usize| {
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -43,7 +43,7 @@
     /// storms. Where they are not marked, or balancers are many, the share of calls that are served
     /// bounds it: all together serve no more than all endpoints can do, so that the draws of all
     /// balancers stay within the endpoint's part of that, however often clients ask
-    /// (`tests/cold.rs`).
+    /// (`tests/slow_start.rs`).
     pub(super) fn draw_slow_start(&mut self, now: Micros, id: CallId) -> Option<usize> {
         let call = self
             .calls
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,5 +1,9 @@
-//! badgerramp makes the decisions of a client-side load balancer: which server gets a call, when a
-//! call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! The decisions of a client-side load balancer: which endpoint gets a call, when a call waits, is
+//! retried, hedged, rejected or fails, and which endpoints are ejected.
+//!
+//! The crate owns what one client proxy has learned of its endpoints and the state of its open
+//! calls. It does no I/O, reads no clock and starts no task: the same seed, settings and events
+//! give the same actions. Connections, timers and the endpoint list are the proxy's.
 //!
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
@@ -37,11 +41,6 @@
 //! }
 //! ```
 #![forbid(unsafe_code)]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
-#![expect(
-    clippy::too_many_lines,
-    reason = "long functions are still to be split"
-)]
 
 mod api;
 mod balancer;
--- a/crates/decisions/src/load_feedback/tests.rs
+++ b/crates/decisions/src/load_feedback/tests.rs
@@ -5,7 +5,7 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn a_servers_own_word_counts_while_it_is_fresh_and_all_servers_later() {
+fn an_endpoints_own_report_counts_while_it_is_fresh_and_those_of_all_later() {
     let (mut load, mut own, mut other) = (
         LoadFeedback::default(),
         CongestionSample::default(),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn one_word_of_a_balancer_of_few_calls_weighs_as_much_as_many_of_another() {
+fn one_report_to_a_balancer_of_few_calls_weighs_as_much_as_many_to_another() {
     let (mut quiet, mut busy, mut sample) = (
         LoadFeedback::default(),
         LoadFeedback::default(),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_share_turned_back_rises_evenly_from_none_to_all() {
+fn the_shed_probability_rises_evenly_from_none_to_all() {
     let shares: Vec<f64> = (0..50)
         .map(|n| shed_probability(f64::from(n) * 0.05))
         .collect();
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,8 +1,9 @@
 //! The reader of the platform's settings object, shared by the adapter (its first message) and the
 //! proxy (its configuration).
 //!
-//! Unknown keys are ignored, and absent ones get harmless values: what is not granted is taken to be
-//! forbidden, a call that is not known to be idempotent to be not, and the endpoint list to be pushed.
+//! Unknown keys are ignored, and absent ones get harmless values: what is not granted is taken to
+//! be forbidden, a call that is not known to be idempotent to be not, and the endpoint list to be
+//! pushed.
 //!
 //! ```
 //! use badgerramp_decisions::settings;
--- a/crates/decisions/src/settings/raw.rs
+++ b/crates/decisions/src/settings/raw.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object as it is written: the keys are the platform's, and absent ones get
-//! harmless values.
+//! The platform's settings object as it is written: the keys are the platform's, and absent ones
+//! get harmless values.
 
 use super::{zone_id, SettingsError};
 use crate::api::{
@@ -36,7 +36,8 @@
     pub(super) report: RawLoadReporting,
     #[serde(default)]
     pub(super) weight_source: String,
-    pub(super) over_share_worth: Option<f64>,
+    #[serde(rename = "over_share_worth")]
+    pub(super) over_share_weight: Option<f64>,
     #[serde(default)]
     pub(super) client_habits: RawClientHabits,
 }
@@ -70,7 +71,8 @@
     pub(super) objective_us: u64,
     pub(super) deadline_us: u64,
     #[serde(default)]
-    pub(super) worth: f64,
+    #[serde(rename = "worth")]
+    pub(super) priority_weight: f64,
     #[serde(default)]
     pub(super) late_value: f64,
     pub(super) idempotency: String,
@@ -173,13 +175,13 @@
             costs: self.charges.costs(),
             load_reporting: self.report.load_reporting(),
             weight_source: self.weight_source(),
-            over_share_weight: self.over_share_worth.unwrap_or(default.over_share_weight),
+            over_share_weight: self.over_share_weight.unwrap_or(default.over_share_weight),
             clients_mark_retries: self.client_habits.marks_retry,
         })
     }
 
-    /// Whether the list must be polled. Taken for the wrong one, it would be polled too often by all,
-    /// or too late: another word is an error.
+    /// Whether the list must be polled. Taken for the wrong one, it would be polled too often by
+    /// all, or too late: another word is an error.
     fn polls_endpoint_list(&self) -> Result<bool, SettingsError> {
         match self.discovery.as_str() {
             DISCOVERY_BY_POLLING => Ok(true),
@@ -205,7 +207,7 @@
         Class {
             latency_objective: self.objective_us,
             deadline: self.deadline_us,
-            priority_weight: self.worth,
+            priority_weight: self.priority_weight,
             late_value: self.late_value,
             idempotency: self.idempotency(),
         }
--- a/crates/decisions/src/weighted_set.rs
+++ b/crates/decisions/src/weighted_set.rs
@@ -7,11 +7,11 @@
 /// Weights are whole numbers, so that sums never drift: this many stand for a size of 1.
 const UNIT: f64 = (1 << 20) as f64;
 /// Largest weight: thousands of them still fit their sum.
-const MOST: f64 = (1_u64 << 44) as f64;
+const MAX_WEIGHT: f64 = (1_u64 << 44) as f64;
 
-/// The weight of a server of this size; never nothing, as nothing means that it is not in a set.
+/// The weight of an endpoint of this size; never nothing, as nothing means that it is not in a set.
 pub(crate) fn weight(size: f64) -> u64 {
-    (size * UNIT).clamp(1.0, MOST) as u64
+    (size * UNIT).clamp(1.0, MAX_WEIGHT) as u64
 }
 
 /// The size that a sum of weights stands for.
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Room for this many slots at least: a power of two, so that growing costs little for each
-    /// slot.
+    /// Makes space for this many slots at least: a power of two, so that growing costs little for
+    /// each slot.
     fn grow(&mut self, slots: usize) {
         let slots = slots.next_power_of_two().max(16);
         self.weights.resize(slots, 0);
--- a/crates/decisions/src/weighted_set/tests.rs
+++ b/crates/decisions/src/weighted_set/tests.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg32;
 
 #[test]
-fn it_agrees_with_a_plain_list_through_any_changes() {
+fn the_weighted_set_agrees_with_a_plain_list_through_any_changes() {
     let mut random = Pcg32::seed_from_u64(3);
     let (mut set, mut plain) = (WeightedSet::default(), vec![0_u64; 300]);
     for _ in 0..20_000 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn sizes_keep_their_ratio_and_none_is_nothing() {
+fn weights_keep_the_ratio_of_sizes_and_none_is_zero() {
     assert_eq!(weight(0.0), 1);
     assert_eq!(weight(3.0), 3 * weight(1.0));
     assert!((size(weight(0.37)) - 0.37).abs() < 1e-5);
--- a/crates/proxy/src/net/driver/audit.rs
+++ b/crates/proxy/src/net/driver/audit.rs
@@ -30,7 +30,7 @@
                 ));
             }
         }
-        let known = core.balancer.totals().0;
+        let known = core.balancer.call_totals().open;
         if known > core.calls.len() {
             differences.push(format!(
                 "{known} calls known to the decisions, {} there",
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -147,7 +147,7 @@
             return;
         }
         self.core.borrow_mut().finish_call(call, None);
-        self.event(Event::ClientGone { call });
+        self.event(Event::ClientDisconnected { call });
         self.cancel_attempts(call);
     }
 
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -83,12 +83,12 @@
     /// Grows or shrinks the subset by the health of its members.
     pub(super) fn resize_subset(&mut self, now: Micros) {
         let Some(view) = &mut self.subset else { return };
-        let ((listed, troubled), (calls, waiting, _)) =
-            (self.balancer.listed(), self.balancer.totals());
+        let endpoints = self.balancer.endpoint_counts();
+        let calls = self.balancer.call_totals();
         let health = Health {
-            usable: listed - troubled,
-            in_flight: calls - waiting,
-            waiting,
+            usable: endpoints.listed - endpoints.outliers,
+            in_flight: calls.open - calls.queued,
+            waiting: calls.queued,
         };
         let changes = view.subset.pulse(now, health);
         if !changes.is_empty() {
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -162,7 +162,7 @@
         let text = format!("[{}]", names.iter().map(one).collect::<Vec<_>>().join(","));
         serde_json::from_str(&text).expect("a list")
     };
-    let told = || driver.core.borrow().balancer.listed().0;
+    let told = || driver.core.borrow().balancer.endpoint_counts().listed;
     let members = || {
         driver
             .core
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -81,7 +81,7 @@
     fn end_overdue(&mut self, call: CallId) {
         if self.calls.get(&call).is_some_and(|c| c.is_open()) {
             self.finish_call(call, Some(Answer::Overdue));
-            self.events.push_back(Event::ClientGone { call });
+            self.events.push_back(Event::ClientDisconnected { call });
         }
     }
 }
--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -375,7 +375,7 @@
                 self.calls[place].answered = true;
                 self.tell(
                     world,
-                    Event::ClientGone {
+                    Event::ClientDisconnected {
                         call: CallId(place as u64),
                     },
                 )?;
@@ -480,7 +480,7 @@
         let open = open
             .filter(|c| !c.answered || c.tried.iter().any(|t| t.over.is_none()))
             .count();
-        match self.balancer.totals().0 {
+        match self.balancer.call_totals().open {
             known if known > open => Err(format!("{known} calls known, {open} there")),
             _ => Ok(()),
         }
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -276,7 +276,8 @@
                     ),
                 ));
             }
-            let (known, held, _) = proxy.balancer.totals();
+            let totals = proxy.balancer.call_totals();
+            let (known, held) = (totals.open, totals.queued);
             if last && known > 0 {
                 found.push((
                     Rule::Leaked,
@@ -373,7 +374,7 @@
                 let forgotten = shell.calls.get(&call).is_some_and(|c| !c.answered);
                 if shell.up && shell.epoch == epoch && forgotten {
                     self.answer(proxy, call, Answered::Overdue, None);
-                    self.tell(proxy, Event::ClientGone { call });
+                    self.tell(proxy, Event::ClientDisconnected { call });
                 }
             }
             Ev::ListAsked(question) => {
@@ -693,7 +694,7 @@
         self.course.note(self.options.trace, ask.op, self.now, || {
             "its client leaves".to_owned()
         });
-        self.tell(proxy, Event::ClientGone { call });
+        self.tell(proxy, Event::ClientDisconnected { call });
         let count = self.proxies[proxy as usize]
             .calls
             .get(&call)
@@ -1531,7 +1532,7 @@
         let (mut open, mut held) = (0, 0);
         for proxy in self.proxies.iter().filter(|p| p.up) {
             open += proxy.open as u64;
-            held += proxy.balancer.totals().1 as u64;
+            held += proxy.balancer.call_totals().queued as u64;
         }
         self.judge.pass(self.now);
         self.look_for_leaks(false);
