--- a/crates/decisions/tests/terms.rs
+++ b/crates/decisions/tests/call_policy.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn attempts_are_as_many_as_the_call_is_given() {
+fn a_call_has_as_many_attempts_as_its_policy_allows() {
     for most in 1..=4 {
         let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 6);
         let (call, actions) = call_with(
@@ -84,7 +84,7 @@
 
 /// The site's own limit holds whatever a call is given.
 #[test]
-fn a_call_widens_nothing() {
+fn a_call_policy_widens_no_limit_of_the_site() {
     let limits = Limits {
         max_attempts: 1,
         hedging: false,
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_attempt_ends_in_its_own_time_or_the_aims() {
+fn an_attempt_times_out_at_its_own_timeout_or_the_objective() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (_, actions) = call_with(
         &mut proxy,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_backoff_is_kept_and_the_call_goes_on_after_it() {
+fn a_retry_waits_for_its_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = call_with(
         &mut proxy,
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_a_pause() {
+fn a_client_that_disconnects_ends_a_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = call_with(
         &mut proxy,
@@ -177,12 +177,12 @@
         },
     );
     proxy.end(call, 0, Outcome::Error, 1);
-    proxy.event(Event::ClientGone { call });
+    proxy.event(Event::ClientDisconnected { call });
     assert!(sent(&proxy.wait(100 * MS)).is_empty());
 }
 
 #[test]
-fn a_second_copy_goes_when_it_is_set_to_and_never_for_what_may_not_repeat() {
+fn a_hedged_request_is_sent_at_the_set_time_and_never_for_a_call_that_is_not_idempotent() {
     for (repeat, copies) in [
         (Idempotency::Idempotent, 1),
         (Idempotency::NonIdempotent, 0),
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_second_copy_follows_the_usual_answer_times() {
+fn a_hedged_request_follows_the_latency_quantile() {
     let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
     for n in 0..100 {
         // Nine of ten answers come in 20 ms, the others in 100.
@@ -231,7 +231,7 @@
             assert!(proxy.now < asked + 500 * MS, "no second copy");
         }
         let after = proxy.now - asked;
-        proxy.event(Event::ClientGone { call });
+        proxy.event(Event::ClientDisconnected { call });
         after
     };
     let (common, rare) = (after(0, 0.8), after(1, 0.99));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_kept_back_where_only_the_rest_may_go_again() {
+fn a_call_that_may_have_been_executed_is_not_retried_where_only_proof_allows_it() {
     let terms = CallPolicy {
         retry_on: RetryOn::NotExecuted,
         ..CallPolicy::default()
@@ -256,7 +256,7 @@
 
 /// The key that a guarded class goes by is missing: no host could tell its repeat.
 #[test]
-fn a_call_without_its_key_is_unsafe_whatever_its_class() {
+fn a_call_without_its_key_is_not_idempotent_whatever_its_class() {
     let guarded = Idempotency::Keyed {
         scope: DedupScope::All,
         window: 400 * MS,
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn open_calls_end_under_the_settings_they_came_under() {
+fn open_calls_end_under_the_settings_they_arrived_under() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let (call, _) = proxy.call();
     let mut changed = settings(Idempotency::NonIdempotent);
@@ -304,7 +304,7 @@
 
 /// Nor does a site that allows less from now on take anything from them.
 #[test]
-fn open_calls_keep_the_attempts_and_copies_they_came_with() {
+fn open_calls_keep_the_attempts_and_hedging_they_arrived_with() {
     let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
     let (tried, _) = call_with(
         &mut proxy,
@@ -354,7 +354,7 @@
 
 /// Calls that wait in the hold when their class goes are answered all the same.
 #[test]
-fn held_calls_outlive_their_class() {
+fn queued_calls_outlive_their_class() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     let (call, _) = proxy.call();
     let mut changed = settings(Idempotency::NonIdempotent);
@@ -373,7 +373,7 @@
 /// A connection may take longer to open than the servers remember the key: what goes again tells
 /// until when it may start.
 #[test]
-fn a_keyed_call_that_goes_again_must_start_within_its_window() {
+fn a_retried_keyed_call_must_start_within_its_window() {
     let start_by = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::Send { start_by, .. } = a {
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/call_rules.rs
@@ -23,7 +23,7 @@
 // No lost request.
 
 #[test]
-fn held_calls_are_ended_before_their_client_gives_up() {
+fn queued_calls_are_ended_before_their_client_gives_up() {
     for repeat in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
         let mut proxy = Proxy::new(settings(repeat), 0);
         let (call, actions) = proxy.call();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_deadlines_own_no_answer_ends_the_call() {
+fn a_timeout_at_the_deadline_ends_the_call() {
     for (repeat, may_refuse) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
@@ -72,7 +72,7 @@
 ];
 
 #[test]
-fn each_outcome_against_each_kind_of_call() {
+fn each_outcome_is_retried_only_where_the_idempotency_allows_it() {
     let guarded = |scope| Idempotency::Keyed {
         scope,
         window: 400 * MS,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_guarded_call_does_not_go_again_after_its_window() {
+fn a_keyed_call_is_not_retried_after_its_window() {
     let mut proxy = Proxy::new(
         settings(Idempotency::Keyed {
             scope: DedupScope::Cell,
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
+fn hedged_requests_are_sent_only_where_allowed_and_the_losers_are_cancelled() {
     for (repeat, allowed, copies) in [
         (Idempotency::Idempotent, true, 1),
         (Idempotency::Idempotent, false, 0),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_stream_is_bound_to_its_attempt() {
+fn a_streaming_call_is_bound_to_its_attempt() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
@@ -189,7 +189,7 @@
 // Safe drain.
 
 #[test]
-fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
+fn no_call_is_sent_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
     for kind in [ListUpdateKind::Delta, ListUpdateKind::Full] {
         for state in [EndpointStatus::Draining, EndpointStatus::Removed] {
             let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
@@ -256,7 +256,8 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
+fn an_endpoint_in_slow_start_gets_its_share_also_when_it_rejects_or_fails_fast_and_after_a_restart()
+{
     for outcome in [
         Outcome::Served,
         Outcome::Rejected,
@@ -275,7 +276,7 @@
 // Failures that were met.
 
 #[test]
-fn fast_errors_set_a_server_aside_though_it_looks_idle() {
+fn fast_errors_eject_an_endpoint_though_it_looks_idle() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     let mut errors = 0;
     for _ in 0..200 {
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
+fn one_good_answer_does_not_readmit_an_endpoint_that_fails_most() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_bad = 0;
     for round in 0..400 {
@@ -325,7 +326,7 @@
 }
 
 #[test]
-fn most_of_the_fleet_is_never_set_aside() {
+fn at_most_half_of_the_endpoints_are_ejected() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
@@ -340,7 +341,7 @@
 }
 
 #[test]
-fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
+fn the_wait_queue_is_bounded_by_time_so_that_not_all_calls_are_served_late() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut early = 0;
     for _ in 0..60 {
@@ -355,7 +356,7 @@
 }
 
 #[test]
-fn calls_of_a_long_aim_do_not_fill_the_hold_before_those_of_a_short_one() {
+fn calls_of_a_long_objective_do_not_fill_the_queue_before_those_of_a_short_one() {
     let refused_behind = |shorter: Micros| {
         let plain = settings(Idempotency::NonIdempotent);
         let long = Class {
@@ -389,7 +390,7 @@
 }
 
 #[test]
-fn a_lost_subscription_is_asked_for_again_with_a_pause() {
+fn a_lost_subscription_is_renewed_with_backoff() {
     let mut proxy = Proxy::new(
         Settings {
             poll_endpoint_list: true,
@@ -425,7 +426,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
+fn an_endpoint_that_rejects_a_call_is_paused_for_the_expected_latency() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
@@ -456,7 +457,7 @@
 }
 
 #[test]
-fn a_strained_server_gets_no_trials() {
+fn an_endpoint_with_a_high_latency_ratio_gets_no_trials() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
@@ -473,7 +474,7 @@
 }
 
 #[test]
-fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
+fn timeouts_of_an_endpoint_that_answers_others_do_not_eject_it() {
     let mut proxy = Proxy::new(
         Settings {
             balancers: 1,
@@ -547,7 +548,7 @@
 }
 
 #[test]
-fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
+fn reported_queues_and_cpu_utilization_count_as_latency_of_a_fast_endpoint() {
     let busy = |b| LoadReport {
         cpu_utilization: Some(b),
         ..LoadReport::default()
@@ -589,7 +590,7 @@
 }
 
 #[test]
-fn a_later_try_past_its_aim_does_not_wait_where_others_do() {
+fn a_retry_of_a_client_past_its_objective_is_not_queued_where_others_are() {
     let mut proxy = crowded();
     let (call, actions) = patient(&mut proxy, 1_010, 300 * MS);
     assert!(
@@ -616,7 +617,8 @@
 }
 
 #[test]
-fn a_later_try_that_cannot_make_its_aim_is_served_with_room_and_not_timed_out_at_it() {
+fn a_retry_of_a_client_past_its_objective_is_served_where_there_is_capacity_and_not_timed_out_at_it(
+) {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     patient(&mut proxy, 1_001, 1_200 * MS);
     proxy.end(CallId(1_001), 0, Outcome::Error, MS);
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
+fn a_call_at_a_full_limit_goes_as_the_one_trial_and_the_next_is_queued() {
     let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
     assert_eq!(sent(&actions), [(trial, EndpointId(1))]);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_served_trial_adds_one_step() {
+fn a_served_trial_adds_one_step_to_the_limit() {
     let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn waiting_calls_go_out_in_the_order_of_arrival() {
+fn queued_calls_are_sent_in_the_order_of_arrival() {
     let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_is_chosen() {
+fn the_less_loaded_of_two_endpoints_is_selected() {
     let mut proxy = Proxy::new(
         Settings {
             balancers: 1,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn ties_go_to_the_server_with_the_shorter_recent_times() {
+fn ties_go_to_the_endpoint_with_the_lower_latency_ratio() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
+fn a_selected_endpoint_at_its_limit_is_redrawn_among_those_with_capacity() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be
     // needed.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_refusal_as_full_lowers_the_concurrency() {
+fn a_rejection_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
     assert_eq!(
         room_after(Outcome::Rejected),
@@ -226,13 +226,13 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::ClientGone { call: waiting });
+    proxy.event(Event::ClientDisconnected { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
 
 #[test]
-fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
+fn steps_are_capped_so_that_as_many_connection_failures_take_them() {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -265,8 +265,7 @@
 }
 
 #[test]
-fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call(
-) {
+fn connection_failures_eject_the_endpoint_until_one_call_tries_it_after_the_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -295,7 +294,7 @@
 /// Connections break here and there also where all is well; a host that goes on answering is not
 /// set aside for it, and one that does not is.
 #[test]
-fn a_server_that_has_answered_is_not_set_aside_for_one_reset() {
+fn an_endpoint_that_has_answered_is_not_ejected_for_one_reset() {
     let set_aside = |actions: &[Action]| {
         actions.iter().any(|a| {
             matches!(
@@ -348,7 +347,7 @@
 }
 
 #[test]
-fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
+fn with_every_endpoint_ejected_calls_are_rejected_with_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     // A reset takes a step each; half of two may be set aside, so the list is cut to the broken
     // one.
--- a/crates/decisions/tests/sparse.rs
+++ b/crates/decisions/tests/many_balancers.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_call_goes_to_the_server_that_tells_of_less_in_hand() {
+fn a_call_goes_to_the_probed_endpoint_with_fewer_requests_in_flight() {
     for lighter in [0, 1] {
         let mut proxy = Proxy::new(many(true), 6);
         let (call, actions) = proxy.call();
@@ -95,7 +95,7 @@
 /// Between question and answer a server starts anew: the call that asked the warm one is no lot for
 /// the cold one, which answers that it has nothing in hand.
 #[test]
-fn a_server_that_starts_anew_while_it_is_asked_gets_no_call_for_it() {
+fn an_endpoint_that_restarts_while_it_is_probed_gets_no_call_for_it() {
     let rules = EndpointRules {
         slow_start_min_capacity: 0.5,
         ..many(true).rules
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn nothing_is_asked_where_servers_outnumber_balancers_or_tell_nothing() {
+fn no_probe_is_sent_where_endpoints_outnumber_balancers_or_report_nothing() {
     let few = Settings {
         balancers: 3,
         ..many(true)
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_server_that_does_not_tell_in_time_is_taken_for_the_most_loaded() {
+fn an_endpoint_that_does_not_answer_a_probe_in_time_is_taken_for_the_most_loaded() {
     let mut proxy = Proxy::new(many(true), 6);
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn with_all_that_were_asked_full_a_call_is_held_asks_again_and_is_ended_in_time() {
+fn a_call_whose_probed_endpoints_are_all_full_is_queued_probes_again_and_is_ended_in_time() {
     let mut proxy = Proxy::new(many(true), 6);
     let (call, mut actions) = proxy.call();
     let end = proxy.now + 1_200 * MS;
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn absurd_reports_and_probes_of_unknown_servers_change_nothing() {
+fn invalid_reports_and_probes_of_unknown_endpoints_change_nothing() {
     let mut proxy = Proxy::new(many(true), 6);
     tell(&mut proxy, EndpointId(99), Some(1.0));
     let (call, actions) = proxy.call();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_jam_is_shed_by_what_a_whole_group_showed_and_its_end_is_noticed() {
+fn congestion_of_a_whole_group_sheds_load_until_it_ends() {
     let mut proxy = Proxy::new(many(false), 60);
     let round = |proxy: &mut Proxy, outcome, elapsed| {
         let mut served = 0;
@@ -221,7 +221,7 @@
             for attempt in 1..5 {
                 proxy.end(call, attempt, outcome, elapsed);
             }
-            proxy.event(Event::ClientGone { call });
+            proxy.event(Event::ClientDisconnected { call });
         }
         served
     };
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn ties_between_servers_never_met_go_to_the_kind_that_answers_sooner() {
+fn ties_between_unknown_endpoints_go_to_the_kind_with_the_lower_latency() {
     let mut proxy = Proxy::new(many(false), 0);
     let kind = |i: u32| KindId(i % 2);
     proxy.list(
@@ -269,7 +269,7 @@
 /// of a zone that asks for more than its share pushed its servers past what they bear, beside
 /// others that stood idle.
 #[test]
-fn proxies_of_one_zone_spread_their_calls_over_the_servers_of_all() {
+fn proxies_of_one_zone_spread_their_calls_over_the_endpoints_of_all_zones() {
     let zone = |i: u32| ZoneId(i % 3 + 1);
     let mut went = [0; 3];
     for seed in 0..300 {
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_thousand_balancers_that_hear_of_a_cold_server_together_do_not_rush_to_it() {
+fn a_thousand_balancers_that_learn_of_a_new_endpoint_together_do_not_overload_it() {
     let mut cold = 0;
     for seed in 0..1_000 {
         let mut balancer = Balancer::new(seed, many(false));
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn repeats_of_clients_draw_no_cold_server() {
+fn retries_of_clients_draw_no_endpoint_in_slow_start() {
     for (resent, expected) in [(false, true), (true, false)] {
         let mut proxy = Proxy::new(many(false), 0);
         let mut entries: Vec<EndpointEntry> = (1..=4).map(ready).collect();
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_balancer_keeps_to_a_few_servers_and_two_balancers_to_different_ones() {
+fn a_balancer_prefers_a_few_endpoints_and_two_balancers_different_ones() {
     let few = |seed: u64| {
         let mut proxy = Proxy::new(many(false), 0);
         proxy.balancer = Balancer::new(seed, many(false));
@@ -396,7 +396,7 @@
 /// Each of hundreds of balancers has one call at a server, within its budget; together they held
 /// the servers past what they bear until nearly all answers came too late.
 #[test]
-fn calls_are_turned_back_as_servers_tell_of_a_crowd_and_not_where_few_balancers_share_them() {
+fn calls_are_shed_on_reported_congestion_and_not_where_few_balancers_share_the_endpoints() {
     let went = |settings: Settings, crowding: f64, pause: Micros| {
         let mut proxy = Proxy::new(settings, 30);
         let answer = |proxy: &mut Proxy, actions: &[Action], call| {
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn a_call_that_may_have_run_is_not_turned_back() {
+fn a_call_that_may_have_been_executed_is_not_shed() {
     let mut proxy = Proxy::new(many(false), 30);
     for _ in 0..12 {
         let (call, actions) = proxy.call();
--- a/crates/decisions/tests/random.rs
+++ b/crates/decisions/tests/random_events.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn rules_hold_on_every_action_of_random_days() {
+fn the_rules_of_retries_and_limits_hold_on_every_action_of_random_events() {
     for seed in 0..12 {
         day(seed);
     }
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn odd_input_is_survived() {
+fn unexpected_events_change_nothing_and_do_not_panic() {
     let mut odd = settings(Idempotency::Idempotent);
     odd.balancers = 0;
     odd.limits.max_attempts = 0;
@@ -337,7 +337,7 @@
             }
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
-        proxy.event(Event::ClientGone { call: CallId(99) });
+        proxy.event(Event::ClientDisconnected { call: CallId(99) });
         proxy.event(Event::Streaming {
             call: CallId(99),
             attempt: 3,
@@ -364,6 +364,6 @@
         );
         let (call, _) = proxy.call();
         proxy.wait(5);
-        proxy.event(Event::ClientGone { call });
+        proxy.event(Event::ClientDisconnected { call });
     }
 }
--- a/crates/decisions/tests/law.rs
+++ b/crates/decisions/tests/selection_distribution.rs
@@ -127,7 +127,7 @@
                 panic!("not sent: {actions:?}")
             };
             *counted.entry(server).or_default() += 1;
-            proxy.event(Event::ClientGone { call });
+            proxy.event(Event::ClientDisconnected { call });
             proxy.end(call, 0, Outcome::Cancelled, 0);
         }
     }
@@ -146,13 +146,13 @@
 const NOISE: f64 = 0.05;
 
 #[test]
-fn an_idle_fleet_of_unequal_sizes_is_drawn_as_by_a_walk() {
+fn an_idle_fleet_of_unequal_sizes_is_drawn_with_the_chances_of_a_full_scan() {
     let distance = next_call(&weighted(7), &sized(100), |_| {});
     assert!(distance < NOISE, "{distance}");
 }
 
 #[test]
-fn a_fleet_with_full_and_busy_servers_is_drawn_as_by_a_walk() {
+fn a_fleet_with_full_and_busy_endpoints_is_drawn_with_the_chances_of_a_full_scan() {
     // One balancer: seven calls each. The calls that are out leave all numbers from none to full.
     let distance = next_call(&weighted(1), &sized(100), |proxy| {
         for _ in 0..480 {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_nearly_full_is_drawn_as_by_a_walk() {
+fn a_nearly_full_fleet_is_drawn_with_the_chances_of_a_full_scan() {
     let distance = next_call(&weighted(7), &sized(100), |proxy| {
         for _ in 0..95 {
             proxy.call();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_fleet_of_which_half_drains_or_is_new_is_drawn_as_by_a_walk() {
+fn a_fleet_of_which_half_drains_or_starts_is_drawn_with_the_chances_of_a_full_scan() {
     let mut entries = sized(100);
     entries
         .iter_mut()
@@ -199,7 +199,7 @@
 /// Cold servers are drawn with the chance of what they can do now, times 1.2; none of the rest of
 /// the calls goes there.
 #[test]
-fn cold_servers_get_the_share_of_what_they_can_do_now() {
+fn endpoints_in_slow_start_get_calls_by_their_present_capacity() {
     let settings = weighted(1);
     let (age, rules) = (5_000_000, settings.rules);
     let mut entries = sized(100);
@@ -222,7 +222,7 @@
     for _ in 0..calls {
         let (call, actions) = proxy.call();
         *counted.entry(sent(&actions)[0].1).or_insert(0) += 1;
-        proxy.event(Event::ClientGone { call });
+        proxy.event(Event::ClientDisconnected { call });
         proxy.end(call, 0, Outcome::Cancelled, 0);
     }
     let chance = cold / all * 1.2;
@@ -243,7 +243,7 @@
 
 /// Two random draws would hardly meet it.
 #[test]
-fn a_call_finds_the_one_server_of_thousands_that_has_room() {
+fn a_call_finds_the_one_endpoint_of_thousands_with_capacity() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2_000);
     let out: Vec<(CallId, EndpointId)> = (0..2_000).map(|_| sent(&proxy.call().1)[0]).collect();
     let distinct: std::collections::BTreeSet<EndpointId> = out.iter().map(|o| o.1).collect();
@@ -259,7 +259,7 @@
 
 /// Two hundred that are due to be tried took every call for some time.
 #[test]
-fn with_half_a_large_fleet_set_aside_most_calls_go_to_the_rest() {
+fn with_half_a_large_fleet_ejected_most_calls_go_to_the_rest() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 400);
     let broken = |id: EndpointId| id.0.is_multiple_of(2);
     for _ in 0..12_000 {
@@ -280,7 +280,7 @@
             );
             attempt += 1;
         }
-        proxy.event(Event::ClientGone { call });
+        proxy.event(Event::ClientDisconnected { call });
     }
     let aside = (1..=400).filter(|&n| {
         proxy
@@ -301,7 +301,7 @@
         let (call, actions) = proxy.call();
         let server = sent(&actions)[0].1;
         tried += u32::from(aside.contains(&server.0));
-        proxy.event(Event::ClientGone { call });
+        proxy.event(Event::ClientDisconnected { call });
         proxy.end(call, 0, Outcome::Cancelled, 0);
     }
     assert!((20..100).contains(&tried), "{tried}");
--- a/crates/decisions/tests/settings_keys.rs
+++ b/crates/decisions/tests/settings_keys.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn every_word_of_the_settings_means_something_of_its_own() {
+fn every_word_of_the_settings_has_a_meaning_of_its_own() {
     for (path, words) in [
         (
             "/classes/0/idempotency",
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -511,7 +511,7 @@
 /// what a cold server may be sent. Where the warm ones failed all calls went to the cold ones: 12
 /// times.
 #[test]
-fn cold_servers_stay_within_budget_and_chance_under_one_and_under_some_proxies() {
+fn endpoints_in_slow_start_are_not_overloaded_under_one_and_under_some_proxies() {
     hold(1, 0..20);
     hold(20, 30..50);
     hold(30, 50..62);
@@ -519,6 +519,6 @@
 
 /// The same by 350: 2.4 times.
 #[test]
-fn cold_servers_stay_within_budget_and_chance_under_hundreds_of_proxies() {
+fn endpoints_in_slow_start_are_not_overloaded_under_hundreds_of_proxies() {
     hold(350, 0..2);
 }
