--- a/crates/policy/src/meet.rs
+++ b/crates/policy/src/intersection.rs
@@ -8,7 +8,7 @@
 
 /// By what hosts know a call again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Key {
+pub enum IdempotencyKey {
     /// By nothing.
     None,
     /// By this value.
@@ -17,19 +17,19 @@
 
 /// What one policy makes of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct ResolvedCall {
     /// Whether it may run again.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// Its key, where `repeat` goes by one.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// From its last byte to its final answer.
-    pub time: Micros,
+    pub timeout: Micros,
     /// Its terms.
-    pub terms: CallPolicy,
+    pub policy: CallPolicy,
     /// Longest time for a connection.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Bytes of its body at the most.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Which of two.
@@ -43,33 +43,33 @@
 
 /// What both allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Met {
+pub struct Intersection {
     /// Whose class it goes by: that with the stricter effect.
     pub class: Side,
     /// From its last byte to its final answer.
-    pub time: Micros,
+    pub timeout: Micros,
     /// Its terms. They say `once` where neither effect lies within the other.
-    pub terms: CallPolicy,
+    pub policy: CallPolicy,
     /// Longest time for a connection.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Bytes of its body at the most.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 /// Why nothing can be begun that both allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unlike {
+pub enum Mismatch {
     /// Only the policy in force takes it.
     OnlyOld,
     /// Only the one that is to come takes it.
     OnlyNew,
 }
 
-impl fmt::Display for Unlike {
+impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unlike::OnlyOld => "the policy that is to come does not take it",
-            Unlike::OnlyNew => "the policy in force does not take it",
+            Mismatch::OnlyOld => "the policy that is to come does not take it",
+            Mismatch::OnlyNew => "the policy in force does not take it",
         })
     }
 }
@@ -105,24 +105,28 @@
 ///
 /// # Errors
 /// If only one of them takes it. Turned away by both it is no matter of the change: `Ok(None)`.
-pub fn meet(old: Option<&Call>, new: Option<&Call>) -> Result<Option<Met>, Unlike> {
+pub fn intersect(
+    old: Option<&ResolvedCall>,
+    new: Option<&ResolvedCall>,
+) -> Result<Option<Intersection>, Mismatch> {
     let (old, new) = match (old, new) {
         (None, None) => return Ok(None),
-        (Some(_), None) => return Err(Unlike::OnlyOld),
-        (None, Some(_)) => return Err(Unlike::OnlyNew),
+        (Some(_), None) => return Err(Mismatch::OnlyOld),
+        (None, Some(_)) => return Err(Mismatch::OnlyNew),
         (Some(old), Some(new)) => (old, new),
     };
-    let class = if within(old.repeat, new.repeat) {
+    let class = if within(old.idempotency, new.idempotency) {
         Side::Old
     } else {
         Side::New
     };
     let chosen = if class == Side::Old { old } else { new };
     // A host that knows it by another key would not know the repeat.
-    let keyed = |call: &Call| matches!(call.repeat, Idempotency::Keyed { .. });
+    let keyed = |call: &ResolvedCall| matches!(call.idempotency, Idempotency::Keyed { .. });
     let other_key = keyed(old) && keyed(new) && old.key != new.key;
-    let neither = !within(old.repeat, new.repeat) && !within(new.repeat, old.repeat);
-    let (a, b) = (&old.terms, &new.terms);
+    let neither =
+        !within(old.idempotency, new.idempotency) && !within(new.idempotency, old.idempotency);
+    let (a, b) = (&old.policy, &new.policy);
     let never_ran = [a.retry_on, b.retry_on].contains(&RetryOn::NotExecuted);
     let terms = CallPolicy {
         max_attempts: a.max_attempts.min(b.max_attempts),
@@ -138,19 +142,19 @@
             || b.non_idempotent
             || other_key
             || neither
-            || (keyed(chosen) && chosen.key == Key::None),
+            || (keyed(chosen) && chosen.key == IdempotencyKey::None),
     };
-    Ok(Some(Met {
+    Ok(Some(Intersection {
         class,
-        time: old.time.min(new.time),
-        terms,
-        connect: old.connect.min(new.connect),
-        body: old.body.min(new.body),
+        timeout: old.timeout.min(new.timeout),
+        policy: terms,
+        connect_timeout: old.connect_timeout.min(new.connect_timeout),
+        max_body_bytes: old.max_body_bytes.min(new.max_body_bytes),
     }))
 }
 
 /// What an answer means where both read it alike; else it is an error that may have run.
-pub fn meet_answers(old: &Answers, new: &Answers) -> Answers {
+pub fn intersect_answers(old: &Answers, new: &Answers) -> Answers {
     if old == new {
         return old.clone();
     }
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -4,7 +4,7 @@
 use badgerramp_decisions::{
     EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Micros, Settings,
 };
-use badgerramp_subset::{Changes, Health, Subset};
+use badgerramp_subset::{Health, MembershipChange, Subset};
 
 /// The subset that the balancer is told of, and the settings that it was last told.
 pub(super) struct SubsetView {
@@ -18,7 +18,7 @@
     pub fn pulse(&self, next: Micros) {
         let mut core = self.core.borrow_mut();
         let now = self.clock.now();
-        core.stall.beat(now, next);
+        core.stall.tick(now, next);
         core.resize_subset(now);
         self.run_with(&mut core);
     }
@@ -34,7 +34,7 @@
         (
             core.subset
                 .as_ref()
-                .map_or(all, |view| view.subset.standing().members),
+                .map_or(all, |view| view.subset.status().members),
             all,
         )
     }
@@ -56,25 +56,28 @@
     /// The list has changed: the balancer is told what that makes of the subset.
     pub(super) fn list_changed(&mut self, now: Micros, kind: ListUpdateKind, touched: &[u32]) {
         let Some(view) = &mut self.subset else { return };
-        let changes = view.subset.listed(now, touched);
+        let changes = view.subset.apply_list_change(now, touched);
         if kind == ListUpdateKind::Delta {
             // A member may have changed and stayed one.
-            let stay = touched.iter().copied().filter(|&id| view.subset.holds(id));
-            let joined = changes.joined.iter().copied().chain(stay).collect();
+            let stay = touched
+                .iter()
+                .copied()
+                .filter(|&id| view.subset.contains(id));
+            let joined = changes.added.iter().copied().chain(stay).collect();
             self.announce(
                 kind,
-                &Changes {
-                    joined,
-                    left: changes.left,
+                &MembershipChange {
+                    added: joined,
+                    removed: changes.removed,
                 },
             );
         } else {
             let joined = view.subset.members().collect();
             self.announce(
                 kind,
-                &Changes {
-                    joined,
-                    left: Vec::new(),
+                &MembershipChange {
+                    added: joined,
+                    removed: Vec::new(),
                 },
             );
         }
@@ -88,9 +91,9 @@
         let health = Health {
             usable: endpoints.listed - endpoints.outliers,
             in_flight: calls.open - calls.queued,
-            waiting: calls.queued,
+            queued: calls.queued,
         };
-        let changes = view.subset.pulse(now, health);
+        let changes = view.subset.adjust_size(now, health);
         if !changes.is_empty() {
             self.announce(ListUpdateKind::Delta, &changes);
         }
@@ -98,7 +101,7 @@
 
     /// Tells the balancer of changes to the subset, and of how many proxies share its members where that has changed
     /// notably.
-    fn announce(&mut self, kind: ListUpdateKind, changes: &Changes) {
+    fn announce(&mut self, kind: ListUpdateKind, changes: &MembershipChange) {
         let gone = |&id: &u32| {
             let entry = self
                 .hosts
@@ -112,12 +115,12 @@
             })
         };
         let joined = changes
-            .joined
+            .added
             .iter()
             .filter_map(|id| self.hosts.get(&EndpointId(*id))?.entry);
-        let entries = changes.left.iter().map(gone).chain(joined).collect();
+        let entries = changes.removed.iter().map(gone).chain(joined).collect();
         if let Some(view) = &mut self.subset {
-            let (sharing, told) = (view.subset.sharing(), view.settings.balancers);
+            let (sharing, told) = (view.subset.sharing_proxies(), view.settings.balancers);
             if differs_notably(sharing, told) {
                 view.settings.balancers = sharing;
                 let settings = Box::new(view.settings.clone());
