--- a/crates/decisions/src/weighted.rs
+++ b/crates/decisions/src/weighted_set.rs
@@ -1,16 +1,17 @@
-//! A set of slots from which one is drawn with a chance in proportion to its weight. Every operation takes the
-//! logarithm of the number of slots, so a draw costs much the same in a fleet of ten and of ten thousand.
+//! A set of slots from which one is drawn with a chance in proportion to its weight. Every
+//! operation takes the logarithm of the number of slots, so a draw costs much the same in a fleet
+//! of ten and of ten thousand.
 
 use rand::Rng;
 
 /// Weights are whole numbers, so that sums never drift: this many stand for a size of 1.
 const UNIT: f64 = (1 << 20) as f64;
 /// Largest weight: thousands of them still fit their sum.
-const MOST: f64 = (1_u64 << 44) as f64;
+const MAX_WEIGHT: f64 = (1_u64 << 44) as f64;
 
-/// The weight of a server of this size; never nothing, as nothing means that it is not in a set.
+/// The weight of an endpoint of this size; never nothing, as nothing means that it is not in a set.
 pub(crate) fn weight(size: f64) -> u64 {
-    (size * UNIT).clamp(1.0, MOST) as u64
+    (size * UNIT).clamp(1.0, MAX_WEIGHT) as u64
 }
 
 /// The size that a sum of weights stands for.
@@ -18,11 +19,13 @@
     weights as f64 / UNIT
 }
 
-/// A binary indexed tree (P. Fenwick, 1994) over the weights of slots; a slot of weight 0 is not in the set.
+/// A binary indexed tree (P. Fenwick, 1994) over the weights of slots; a slot of weight 0 is not in
+/// the set.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WeightedSet {
     weights: Vec<u64>,
-    /// `tree[i]` holds the weights of the slots that end at `i`, as many as the lowest bit of `i + 1` says.
+    /// `tree[i]` holds the weights of the slots that end at `i`, as many as the lowest bit of `i +
+    /// 1` says.
     tree: Vec<u64>,
     total: u64,
     len: usize,
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Room for this many slots at least: a power of two, so that growing costs little for each slot.
+    /// Makes space for this many slots at least: a power of two, so that growing costs little for
+    /// each slot.
     fn grow(&mut self, slots: usize) {
         let slots = slots.next_power_of_two().max(16);
         self.weights.resize(slots, 0);
@@ -78,8 +82,8 @@
         }
     }
 
-    /// The slot at a mark from 0 to under the total, slots laid end to end by their weights, and the mark at which
-    /// the next one begins.
+    /// The slot at a mark from 0 to under the total, slots laid end to end by their weights, and
+    /// the mark at which the next one begins.
     pub(crate) fn at(&self, mark: u64) -> Option<(usize, u64)> {
         if mark >= self.total {
             return None;
@@ -124,51 +128,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::SeedableRng;
-    use rand_pcg::Pcg32;
-
-    #[test]
-    fn it_agrees_with_a_plain_list_through_any_changes() {
-        let mut random = Pcg32::seed_from_u64(3);
-        let (mut set, mut plain) = (WeightedSet::default(), vec![0_u64; 300]);
-        for _ in 0..20_000 {
-            let slot = random.gen_range(0..plain.len());
-            let weight = if random.gen() {
-                0
-            } else {
-                random.gen_range(0..5)
-            };
-            set.set(slot, weight);
-            plain[slot] = weight;
-            let total: u64 = plain.iter().sum();
-            assert_eq!(
-                (set.total(), set.len()),
-                (total, plain.iter().filter(|&&w| w > 0).count())
-            );
-            if total > 0 {
-                let mark = random.gen_range(0..total);
-                let mut end = 0;
-                let wanted = plain.iter().position(|w| {
-                    end += w;
-                    mark < end
-                });
-                assert_eq!(set.at(mark), wanted.map(|slot| (slot, end)));
-            }
-            assert_eq!(set.at(total), None);
-        }
-        let members: Vec<usize> = (0..plain.len()).filter(|&s| plain[s] > 0).collect();
-        let mut walked: Vec<usize> = set.from(set.total() / 2).collect();
-        walked.sort_unstable();
-        assert_eq!(walked, members, "each once, wherever the walk starts");
-    }
-
-    #[test]
-    fn sizes_keep_their_ratio_and_none_is_nothing() {
-        assert_eq!(weight(0.0), 1);
-        assert_eq!(weight(3.0), 3 * weight(1.0));
-        assert!((size(weight(0.37)) - 0.37).abs() < 1e-5);
-        assert!(weight(f64::INFINITY) < u64::MAX / 10_000);
-    }
-}
+mod tests;
