--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -4,14 +4,14 @@
 //! on no second differs much from that window.
 
 use crate::Fault;
-use badgerramp_control_protocol::TAG;
+use badgerramp_control_protocol::MAC_LEN;
 use badgerramp_gossip::play::traffic::{Count, MessageKind, Traffic};
 use badgerramp_gossip::play::{play, Played, World};
 use clap::Args;
 use statrs::statistics::Statistics;
 
 /// Bytes that a sealed datagram has before its message: version and kind, seal, sender and count.
-const SEAL_BYTES: u64 = 2 + TAG as u64 + 16;
+const SEAL_BYTES: u64 = 2 + MAC_LEN as u64 + 16;
 /// Bytes of the heads of IPv4 and UDP.
 const HEAD_BYTES: u64 = 20 + 8;
 /// Spans of so many seconds are compared with the calm window: what every proxy does every five or ten seconds falls
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -46,7 +46,7 @@
             replicas: [(1, address)].into(),
             listen: address,
             store: folder.join("store"),
-            secret: badgerramp_control_protocol::Secret::read(&secret)?,
+            secret: badgerramp_control_protocol::SharedSecret::read(&secret)?,
             lease: Duration::from_secs(10),
             drift: Duration::from_millis(21),
             wait: Duration::from_secs(60),
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
 use badgerramp_control_protocol::wire::{self, change::Ended, refusal, reply, request};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -387,7 +387,7 @@
 /// The way to control.
 pub struct Control {
     client: Client,
-    secret: Secret,
+    secret: SharedSecret,
     time: Duration,
 }
 
@@ -400,7 +400,7 @@
     /// If the secret is none.
     pub fn new(at: &At) -> Result<Self, String> {
         let secret =
-            Secret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
+            SharedSecret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
         let client = Client::new(at.control.clone(), secret.clone(), QUESTION);
         Ok(Control {
             client,
@@ -409,17 +409,17 @@
         })
     }
 
-    async fn asked(&mut self, what: request::What) -> Result<reply::What, Fault> {
-        self.client.ask_until(&what, self.time).await
+    async fn asked(&mut self, what: request::What) -> Result<reply::What, ClientError> {
+        self.client.call_with_retry(&what, self.time).await
     }
 
-    async fn raw_status(&mut self) -> Result<wire::Status, Fault> {
+    async fn raw_status(&mut self) -> Result<wire::Status, ClientError> {
         match self
             .asked(request::What::Status(wire::StatusAsked {}))
             .await?
         {
             reply::What::Status(status) => Ok(status),
-            _ => Err(Fault::Odd("no status".to_owned())),
+            _ => Err(ClientError::UnexpectedReply("no status".to_owned())),
         }
     }
 
@@ -427,7 +427,7 @@
     ///
     /// # Errors
     /// If control can't be asked.
-    pub async fn standing(&mut self) -> Result<Standing, Fault> {
+    pub async fn standing(&mut self) -> Result<Standing, ClientError> {
         Ok(Standing::of(&self.raw_status().await?))
     }
 
@@ -464,14 +464,14 @@
     ///
     /// # Errors
     /// If control can't be asked, or has them no more.
-    pub async fn files(&mut self, generation: u64) -> Result<Files, Fault> {
+    pub async fn files(&mut self, generation: u64) -> Result<Files, ClientError> {
         let text = wire::Text {
             generation,
             files: HashMap::new(),
         };
         match self.asked(request::What::Text(text)).await? {
             reply::What::Text(text) => Ok(text.files),
-            _ => Err(Fault::Odd("no files".to_owned())),
+            _ => Err(ClientError::UnexpectedReply("no files".to_owned())),
         }
     }
 
@@ -582,18 +582,18 @@
         // Asked again it changes nothing more: it names the revision that it stands beside.
         let mut lost = false;
         loop {
-            let fault = match self.client.ask(&what).await {
+            let fault = match self.client.call(&what).await {
                 Ok(reply::What::Begun(number)) => {
                     done.generation = Some(number.generation);
                     break;
                 }
-                Ok(_) => Fault::Odd("no number of a generation".to_owned()),
+                Ok(_) => ClientError::UnexpectedReply("no number of a generation".to_owned()),
                 Err(fault) => fault,
             };
             done.why = fault.to_string();
             match fault {
-                Fault::Refused(refusal) if refusal.code() == refusal::Code::NotLeader => {}
-                Fault::Refused(refusal)
+                ClientError::Rejected(refusal) if refusal.code() == refusal::Code::NotLeader => {}
+                ClientError::Rejected(refusal)
                     if lost
                         && [refusal::Code::UnderWay, refusal::Code::Moved]
                             .contains(&refusal.code()) =>
@@ -610,12 +610,12 @@
                         Err(fault) => done.why = fault.to_string(),
                     }
                 }
-                Fault::Refused(_) => {
+                ClientError::Rejected(_) => {
                     done.took_ms = took();
                     return done;
                 }
                 // It may have got there.
-                Fault::Away(_) | Fault::Odd(_) => lost = true,
+                ClientError::Unavailable(_) | ClientError::UnexpectedReply(_) => lost = true,
             }
             if Instant::now() >= end {
                 done.outcome = Outcome::NotKnown;
@@ -629,7 +629,7 @@
         while Instant::now() < end {
             if let Ok(status) = self
                 .client
-                .ask(&request::What::Status(wire::StatusAsked {}))
+                .call(&request::What::Status(wire::StatusAsked {}))
                 .await
             {
                 let reply::What::Status(status) = status else {
@@ -674,7 +674,7 @@
     }
 
     /// The change that came of these files beside this revision, if one did.
-    async fn own(&mut self, files: &Files, revision: u64) -> Result<Option<u64>, Fault> {
+    async fn own(&mut self, files: &Files, revision: u64) -> Result<Option<u64>, ClientError> {
         let status = self.raw_status().await?;
         if status.revision == revision {
             return Ok(None);
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -2,7 +2,7 @@
 
 use crate::store::{Id, Types};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
-use badgerramp_control_protocol::{Purpose, Secret};
+use badgerramp_control_protocol::{Purpose, SharedSecret};
 use openraft::error::{
     InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
 };
@@ -19,7 +19,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Most bytes of a message between replicas.
-pub(crate) const MESSAGE_MOST: usize = badgerramp_control_protocol::BODY_MOST + 1024;
+pub(crate) const MAX_MESSAGE_BYTES: usize = badgerramp_control_protocol::MAX_BODY_BYTES + 1024;
 
 /// A question of one replica to another.
 #[derive(Serialize, Deserialize)]
@@ -31,12 +31,12 @@
 
 /// Opens ways to other replicas.
 pub(crate) struct Network {
-    pub secret: Secret,
+    pub secret: SharedSecret,
 }
 
 /// The way to one.
 pub(crate) struct Way {
-    secret: Secret,
+    secret: SharedSecret,
     target: Id,
     client: ControlClient<Channel>,
 }
@@ -50,8 +50,8 @@
             .tcp_nodelay(true)
             .connect_timeout(std::time::Duration::from_millis(500));
         let client = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MESSAGE_MOST)
-            .max_encoding_message_size(MESSAGE_MOST);
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES);
         Way {
             secret: self.secret.clone(),
             target,
@@ -68,7 +68,9 @@
     ) -> Result<T, RPCError<Id, BasicNode, RaftError<Id, E>>> {
         let odd = |fault: String| RPCError::Network(NetworkError::new(&io::Error::other(fault)));
         let body = serde_json::to_vec(&asked).map_err(|e| odd(e.to_string()))?;
-        let sealed = self.secret.seal_bytes(Purpose::ReplicaRequest, body);
+        let sealed = self
+            .secret
+            .authenticate_bytes(Purpose::ReplicaRequest, body);
         let answer = tokio::time::timeout(option.hard_ttl(), self.client.replica(sealed)).await;
         let answer = match answer {
             Ok(Ok(answer)) => answer.into_inner(),
@@ -80,7 +82,7 @@
         };
         let body = self
             .secret
-            .open_bytes(Purpose::ReplicaReply, answer)
+            .verify_bytes(Purpose::ReplicaReply, answer)
             .map_err(|e| odd(e.to_string()))?;
         let answer: Result<T, RaftError<Id, E>> =
             serde_json::from_slice(&body).map_err(|e| odd(e.to_string()))?;
--- a/crates/control-plane/src/refusals.rs
+++ b/crates/control-plane/src/refusals.rs
@@ -2,7 +2,7 @@
 
 use crate::leader::NotLeader;
 use badgerramp_control_protocol::wire::{refusal, reply, Refusal};
-use badgerramp_control_protocol::SealFault;
+use badgerramp_control_protocol::MessageError;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::Refused;
 use std::net::SocketAddr;
@@ -28,11 +28,11 @@
 }
 
 /// What is told of a message whose seal does not pass.
-pub(crate) fn denied(fault: &SealFault) -> Status {
+pub(crate) fn denied(fault: &MessageError) -> Status {
     let code = match fault {
-        SealFault::Version(_) => Code::FailedPrecondition,
-        SealFault::Forged => Code::PermissionDenied,
-        SealFault::TooLarge(_) | SealFault::Malformed(_) => Code::InvalidArgument,
+        MessageError::UnsupportedVersion(_) => Code::FailedPrecondition,
+        MessageError::BadMac => Code::PermissionDenied,
+        MessageError::TooLarge(_) | MessageError::Malformed(_) => Code::InvalidArgument,
     };
     Status::new(code, fault.to_string())
 }
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use badgerramp_control_protocol::regions::{to_coordinator, to_participant};
 use badgerramp_control_protocol::wire::{self, refusal, reply, request};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
     coordinator, participant, Commit, Prepare, Region, Regions, VoteReply,
@@ -37,7 +37,7 @@
     /// The own record.
     pub store: Store,
     /// What seals the messages.
-    pub secret: Secret,
+    pub secret: SharedSecret,
 }
 
 impl Carrier {
@@ -69,7 +69,7 @@
                 tokio::time::sleep(LOOK).await;
                 continue;
             };
-            let step = match client.ask(&message).await {
+            let step = match client.call(&message).await {
                 Ok(answer) => {
                     if !told.is_empty() {
                         info!("region {region} answers again");
@@ -149,8 +149,8 @@
 }
 
 /// An election on the other side is nothing to tell of.
-fn worth_telling(fault: &Fault) -> bool {
-    !matches!(fault, Fault::Refused(refusal) if refusal.code() == refusal::Code::NotLeader)
+fn worth_telling(fault: &ClientError) -> bool {
+    !matches!(fault, ClientError::Rejected(refusal) if refusal.code() == refusal::Code::NotLeader)
 }
 
 /// Answers the other regions.
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::check;
 use crate::leader::{Leader, NotLeader};
-use crate::network::{self, Network, MESSAGE_MOST};
+use crate::network::{self, Network, MAX_MESSAGE_BYTES};
 use crate::refusals::{denied, elsewhere, not_coordinator, not_logged, refuse};
 use crate::regions::{Carrier, Responder};
 use crate::settings::{RegionSettings, Settings};
@@ -10,7 +10,7 @@
 use crate::store::{Store, Types};
 use badgerramp_control_protocol::wire::control_server::{Control, ControlServer};
 use badgerramp_control_protocol::wire::{self, refusal, reply, request, Reply, Request, Sealed};
-use badgerramp_control_protocol::{digest, Purpose, Secret};
+use badgerramp_control_protocol::{digest, Purpose, SharedSecret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
     Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
@@ -30,7 +30,7 @@
 /// Entries of the log after which a snapshot is taken.
 const SNAPSHOT_AFTER: u64 = 500;
 struct Service {
-    secret: Secret,
+    secret: SharedSecret,
     store: Store,
     raft: Raft<Types>,
     leader: Arc<Leader>,
@@ -252,7 +252,7 @@
 #[tonic::async_trait]
 impl Control for Service {
     async fn call(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
-        let opened = self.secret.open(Purpose::Request, sealed.into_inner());
+        let opened = self.secret.verify(Purpose::Request, sealed.into_inner());
         let Request { nonce, what } = opened.map_err(|fault| {
             warn!("a question is refused: {fault}");
             denied(&fault)
@@ -264,7 +264,7 @@
                 "an empty question, or one that this version does not know",
             ),
         };
-        Ok(Response::new(self.secret.seal(
+        Ok(Response::new(self.secret.authenticate(
             Purpose::Reply,
             &Reply {
                 nonce,
@@ -279,12 +279,12 @@
         &self,
         sealed: tonic::Request<Sealed>,
     ) -> Result<Response<Self::NewsStream>, Status> {
-        let opened: Result<Request, _> = self.secret.open(Purpose::Request, sealed.into_inner());
+        let opened: Result<Request, _> = self.secret.verify(Purpose::Request, sealed.into_inner());
         let nonce = opened.map_err(|fault| denied(&fault))?.nonce;
         let secret = self.secret.clone();
         let words = WatchStream::new(self.store.moved()).map(move |revision| {
             let what = Some(reply::What::Word(wire::Word { revision }));
-            Ok(secret.seal(Purpose::Reply, &Reply { nonce, what }))
+            Ok(secret.authenticate(Purpose::Reply, &Reply { nonce, what }))
         });
         Ok(Response::new(Box::pin(words)))
     }
@@ -292,20 +292,21 @@
     async fn replica(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
         let opened = self
             .secret
-            .open_bytes(Purpose::ReplicaRequest, sealed.into_inner());
+            .verify_bytes(Purpose::ReplicaRequest, sealed.into_inner());
         let body = opened.map_err(|fault| denied(&fault))?;
         let answer = network::answer(&self.raft, &body)
             .await
             .map_err(Status::invalid_argument)?;
         Ok(Response::new(
-            self.secret.seal_bytes(Purpose::ReplicaReply, answer),
+            self.secret
+                .authenticate_bytes(Purpose::ReplicaReply, answer),
         ))
     }
 
     async fn region(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
         let opened = self
             .secret
-            .open(Purpose::RegionRequest, sealed.into_inner());
+            .verify(Purpose::RegionRequest, sealed.into_inner());
         let Request { nonce, what } = opened.map_err(|fault| {
             warn!("a message of another region is refused: {fault}");
             denied(&fault)
@@ -321,7 +322,7 @@
                 "this control has no region: see its file",
             ),
         };
-        Ok(Response::new(self.secret.seal(
+        Ok(Response::new(self.secret.authenticate(
             Purpose::RegionReply,
             &Reply {
                 nonce,
@@ -406,8 +407,8 @@
         responder,
     };
     let service = ControlServer::new(service)
-        .max_decoding_message_size(MESSAGE_MOST)
-        .max_encoding_message_size(MESSAGE_MOST);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     info!("replica {} listening on {listen}", settings.replica);
     let server = tonic::transport::Server::builder()
         .tcp_nodelay(true)
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -1,6 +1,6 @@
 //! The file of a replica.
 
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     /// Its store.
     pub store: PathBuf,
     /// What the fleet shares.
-    pub secret: Secret,
+    pub secret: SharedSecret,
     /// How long a mode is lent.
     pub lease: Duration,
     /// How much longer it is counted.
@@ -145,7 +145,7 @@
             _ => other,
         };
         let secret = beside(draft.secret);
-        let secret = Secret::read(&secret)
+        let secret = SharedSecret::read(&secret)
             .map_err(|e| format!("{file}: secret: {}: {e}", secret.display()))?;
         let lease = range(&file, "lease_ms", draft.lease_ms, 200..=600_000)?;
         let drift = range(&file, "drift_ppm", draft.drift_ppm, 100..=100_000)?;
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -7,7 +7,7 @@
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, refusal, reply, request};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::{Link, Pass};
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_policy::regions::Region;
@@ -206,7 +206,7 @@
     }
 
     fn client(&self, place: usize) -> Client {
-        let secret = Secret::read(&self.folder.path().join("secret")).expect("a secret");
+        let secret = SharedSecret::read(&self.folder.path().join("secret")).expect("a secret");
         Client::new(self.addresses(place), secret, Duration::from_secs(5))
     }
 
@@ -304,7 +304,7 @@
     /// Asks for a lease, for a proxy that goes on without one.
     async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::Grant {
         let what = request::What::Ask(ask(number, acting, CutOff::Keep));
-        match self.client(place).ask_until(&what, LONG).await {
+        match self.client(place).call_with_retry(&what, LONG).await {
             Ok(reply::What::Grant(grant)) => grant,
             other => panic!("{other:?}"),
         }
@@ -312,8 +312,8 @@
 
     /// Sends a message to a region, and takes its refusal.
     async fn refused(&self, place: usize, what: request::What) -> wire::Refusal {
-        match self.client(place).ask_until(&what, LONG).await {
-            Err(Fault::Refused(refusal)) => refusal,
+        match self.client(place).call_with_retry(&what, LONG).await {
+            Err(ClientError::Rejected(refusal)) => refusal,
             other => panic!("{other:?}"),
         }
     }
@@ -611,7 +611,7 @@
     );
     let lent = world
         .client(SUR)
-        .ask_until(&request::What::Ask(strayed), LONG)
+        .call_with_retry(&request::What::Ask(strayed), LONG)
         .await;
     assert!(matches!(lent, Ok(reply::What::Grant(_))), "{lent:?}");
     // A message between regions under the seal of a proxy.
@@ -631,11 +631,11 @@
         .await;
     assert_eq!(refusal.code(), refusal::Code::Bad);
     // One for another region than the one that it has come to, under the right seal.
-    let secret = Secret::read(&world.folder.path().join("secret")).expect("a secret");
+    let secret = SharedSecret::read(&world.folder.path().join("secret")).expect("a secret");
     let norte = world.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
     let fault = leader
-        .ask(&request::What::Prepare(prepare.clone()))
+        .call(&request::What::Prepare(prepare.clone()))
         .await
         .expect_err("misdirected");
     assert!(
@@ -644,14 +644,16 @@
     );
     // And a question of a proxy under the seal of a region.
     let asked = leader
-        .ask(&request::What::Status(wire::StatusAsked {}))
+        .call(&request::What::Status(wire::StatusAsked {}))
         .await;
-    assert!(matches!(asked, Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Bad));
+    assert!(
+        matches!(asked, Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::Bad)
+    );
     // A change that the coordinator does not know begins, and ends by the coordinator's word.
     let sur = world.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
-        leader.ask(&request::What::Prepare(prepare)).await,
+        leader.call(&request::What::Prepare(prepare)).await,
         Ok(reply::What::Vote(_))
     ));
     let standing = world
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -3,7 +3,7 @@
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control_plane::store::{self, Store};
 use badgerramp_control_protocol::wire::{refusal, reply, request, Publish, StatusAsked};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use openraft::storage::RaftLogStorage;
@@ -94,7 +94,7 @@
     }
 
     fn client(&self) -> Client {
-        let secret = Secret::read(&self.folder.path().join("secret")).expect("a secret");
+        let secret = SharedSecret::read(&self.folder.path().join("secret")).expect("a secret");
         Client::new(self.addresses(), secret, Duration::from_secs(5))
     }
 }
@@ -217,7 +217,7 @@
             revision: answered,
         });
         let mut client = replicas.client();
-        match tokio::time::timeout(Duration::from_secs(10), client.ask(&publish)).await {
+        match tokio::time::timeout(Duration::from_secs(10), client.call(&publish)).await {
             Ok(Ok(reply::What::Begun(_))) => {
                 // The next is published beside what has come of this one.
                 let mut control = replicas.control();
@@ -314,8 +314,8 @@
     let replicas = Replicas::start("bad", 1).await;
     let refused = async |files: HashMap<String, String>, revision: u64| {
         let publish = request::What::Publish(Publish { files, revision });
-        match replicas.client().ask_until(&publish, LONG).await {
-            Err(Fault::Refused(refusal)) => (refusal.code(), refusal.text),
+        match replicas.client().call_with_retry(&publish, LONG).await {
+            Err(ClientError::Rejected(refusal)) => (refusal.code(), refusal.text),
             other => panic!("{other:?}"),
         }
     };
@@ -340,17 +340,18 @@
         .folder
         .write("other", "another secret, as long", true)
         .expect("a file");
-    let other = Secret::read(&replicas.folder.path().join("other")).expect("a secret");
+    let other = SharedSecret::read(&replicas.folder.path().join("other")).expect("a secret");
     let mut stranger = Client::new(replicas.addresses(), other, Duration::from_secs(5));
     let publish = request::What::Publish(Publish {
         files: files(2),
         revision: 0,
     });
-    let fault = stranger.ask(&publish).await.expect_err("no admittance");
+    let fault = stranger.call(&publish).await.expect_err("no admittance");
     assert!(fault.to_string().contains("another secret"), "{fault}");
 
     let status = request::What::Status(StatusAsked {});
-    let Ok(reply::What::Status(status)) = replicas.client().ask_until(&status, LONG).await else {
+    let Ok(reply::What::Status(status)) = replicas.client().call_with_retry(&status, LONG).await
+    else {
         panic!("no status")
     };
     assert_eq!(
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -1,6 +1,6 @@
 //! Asks control: the replica that leads, wherever it is.
 
-use crate::seal::{Purpose, SealFault, Secret};
+use crate::seal::{MessageError, Purpose, SharedSecret};
 use crate::wire::control_client::ControlClient;
 use crate::wire::{refusal, reply, request, Refusal, Reply, Request, Sealed, StatusAsked};
 use std::collections::HashMap;
@@ -10,55 +10,58 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Most bytes of one message, with what is around its body.
-pub(crate) const MESSAGE_MOST: usize = crate::BODY_MOST + 1024;
+pub(crate) const MAX_MESSAGE_BYTES: usize = crate::MAX_BODY_BYTES + 1024;
 
 /// Why there is no answer.
 #[derive(Clone, Debug)]
-pub enum Fault {
+pub enum ClientError {
     /// No replica that leads could be reached in time; the last reason.
-    Away(String),
+    Unavailable(String),
     /// It answered, and the answer can't be trusted or read.
-    Odd(String),
+    UnexpectedReply(String),
     /// It refuses.
-    Refused(Refusal),
+    Rejected(Refusal),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Away(why) => write!(f, "control can't be reached: {why}"),
-            Fault::Odd(why) => write!(f, "control answers oddly: {why}"),
-            Fault::Refused(refusal) => f.write_str(&refusal.text),
+            ClientError::Unavailable(why) => write!(f, "control can't be reached: {why}"),
+            ClientError::UnexpectedReply(why) => write!(f, "control answers oddly: {why}"),
+            ClientError::Rejected(refusal) => f.write_str(&refusal.text),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ClientError {}
 
-impl From<SealFault> for Fault {
-    fn from(fault: SealFault) -> Self {
-        Fault::Odd(fault.to_string())
+impl From<MessageError> for ClientError {
+    fn from(fault: MessageError) -> Self {
+        ClientError::UnexpectedReply(fault.to_string())
     }
 }
 
 /// A stream of control's words that its revision has moved.
-pub struct News(tonic::Streaming<Sealed>, Secret);
+pub struct RevisionWatch(tonic::Streaming<Sealed>, SharedSecret);
 
-impl News {
+impl RevisionWatch {
     /// The next revision.
     ///
     /// # Errors
     /// If the stream has ended or is not control's.
-    pub async fn next(&mut self) -> Result<u64, Fault> {
+    pub async fn next(&mut self) -> Result<u64, ClientError> {
         let sealed = self
             .0
             .message()
             .await
-            .map_err(|s| Fault::Away(s.message().to_owned()))?;
-        let sealed = sealed.ok_or_else(|| Fault::Away("the stream of news ended".to_owned()))?;
-        match self.1.open::<Reply>(Purpose::Reply, sealed)?.what {
+            .map_err(|s| ClientError::Unavailable(s.message().to_owned()))?;
+        let sealed = sealed
+            .ok_or_else(|| ClientError::Unavailable("the stream of news ended".to_owned()))?;
+        match self.1.verify::<Reply>(Purpose::Reply, sealed)?.what {
             Some(reply::What::Word(word)) => Ok(word.revision),
-            _ => Err(Fault::Odd("no word of a revision".to_owned())),
+            _ => Err(ClientError::UnexpectedReply(
+                "no word of a revision".to_owned(),
+            )),
         }
     }
 }
@@ -75,7 +78,7 @@
 /// Replicas of control, and the one that was last seen to lead.
 pub struct Client {
     replicas: Vec<SocketAddr>,
-    secret: Secret,
+    secret: SharedSecret,
     within: Duration,
     audience: Audience,
     place: usize,
@@ -84,7 +87,7 @@
 
 impl Client {
     /// Asks these replicas, each question within this time.
-    pub fn new(replicas: Vec<SocketAddr>, secret: Secret, within: Duration) -> Self {
+    pub fn new(replicas: Vec<SocketAddr>, secret: SharedSecret, within: Duration) -> Self {
         Client {
             replicas,
             secret,
@@ -96,26 +99,30 @@
     }
 
     /// Asks these replicas of another region for the leader of this one.
-    pub fn between_regions(replicas: Vec<SocketAddr>, secret: Secret, within: Duration) -> Self {
+    pub fn between_regions(
+        replicas: Vec<SocketAddr>,
+        secret: SharedSecret,
+        within: Duration,
+    ) -> Self {
         Client {
             audience: Audience::Regions,
             ..Client::new(replicas, secret, within)
         }
     }
 
-    fn to(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, Fault> {
+    fn to(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, ClientError> {
         if let Some(client) = self.open.get(&address) {
             return Ok(client.clone());
         }
         let endpoint = Endpoint::from_shared(format!("http://{address}"))
-            .map_err(|e| Fault::Away(e.to_string()))?
+            .map_err(|e| ClientError::Unavailable(e.to_string()))?
             .connect_timeout(self.within)
             .tcp_nodelay(true)
             .http2_keep_alive_interval(Duration::from_secs(5))
             .keep_alive_timeout(Duration::from_secs(3));
         let client = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MESSAGE_MOST)
-            .max_encoding_message_size(MESSAGE_MOST);
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES);
         self.open.insert(address, client.clone());
         Ok(client)
     }
@@ -124,7 +131,7 @@
         &mut self,
         address: SocketAddr,
         what: &request::What,
-    ) -> Result<reply::What, Fault> {
+    ) -> Result<reply::What, ClientError> {
         let mut client = self.to(address)?;
         let nonce = rand::random();
         let request = Request {
@@ -135,7 +142,7 @@
             Audience::Fleet => (Purpose::Request, Purpose::Reply),
             Audience::Regions => (Purpose::RegionRequest, Purpose::RegionReply),
         };
-        let sealed = self.secret.seal(asked, &request);
+        let sealed = self.secret.authenticate(asked, &request);
         let call = async {
             match self.audience {
                 Audience::Fleet => client.call(sealed).await,
@@ -146,23 +153,32 @@
         let answer = match answer {
             Ok(Ok(answer)) => answer.into_inner(),
             Ok(Err(status)) if status.code() == tonic::Code::PermissionDenied => {
-                return Err(Fault::Odd(status.message().to_owned()));
+                return Err(ClientError::UnexpectedReply(status.message().to_owned()));
+            }
+            Ok(Err(status)) => {
+                return Err(ClientError::Unavailable(format!(
+                    "{address}: {}",
+                    status.message()
+                )))
             }
-            Ok(Err(status)) => return Err(Fault::Away(format!("{address}: {}", status.message()))),
             Err(_) => {
                 // What is stuck stays so: a fresh connection may find another way.
                 self.open.remove(&address);
-                return Err(Fault::Away(format!("{address}: no answer in time")));
+                return Err(ClientError::Unavailable(format!(
+                    "{address}: no answer in time"
+                )));
             }
         };
-        let reply: Reply = self.secret.open(answered, answer)?;
+        let reply: Reply = self.secret.verify(answered, answer)?;
         if reply.nonce != nonce {
-            return Err(Fault::Odd("the answer is to another question".to_owned()));
+            return Err(ClientError::UnexpectedReply(
+                "the answer is to another question".to_owned(),
+            ));
         }
         match reply.what {
-            Some(reply::What::Refusal(refusal)) => Err(Fault::Refused(refusal)),
+            Some(reply::What::Refusal(refusal)) => Err(ClientError::Rejected(refusal)),
             Some(what) => Ok(what),
-            None => Err(Fault::Odd("an empty answer".to_owned())),
+            None => Err(ClientError::UnexpectedReply("an empty answer".to_owned())),
         }
     }
 
@@ -170,20 +186,20 @@
     /// goes elsewhere.
     ///
     /// # Errors
-    /// See [`Fault`].
-    pub async fn ask(&mut self, what: &request::What) -> Result<reply::What, Fault> {
+    /// See [`ClientError`].
+    pub async fn call(&mut self, what: &request::What) -> Result<reply::What, ClientError> {
         let Some(&address) = self.replicas.get(self.place % self.replicas.len().max(1)) else {
-            return Err(Fault::Away("no replica is named".to_owned()));
+            return Err(ClientError::Unavailable("no replica is named".to_owned()));
         };
         let answer = self.once(address, what).await;
         match &answer {
-            Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::NotLeader => {
+            Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::NotLeader => {
                 let named = refusal.leader.parse().ok();
                 let known =
                     named.and_then(|n: SocketAddr| self.replicas.iter().position(|&r| r == n));
                 self.place = known.unwrap_or(self.place + 1);
             }
-            Err(Fault::Away(_) | Fault::Odd(_)) => self.place += 1,
+            Err(ClientError::Unavailable(_) | ClientError::UnexpectedReply(_)) => self.place += 1,
             _ => {}
         }
         answer
@@ -193,18 +209,18 @@
     /// twice.
     ///
     /// # Errors
-    /// See [`Fault`].
-    pub async fn ask_until(
+    /// See [`ClientError`].
+    pub async fn call_with_retry(
         &mut self,
         what: &request::What,
         time: Duration,
-    ) -> Result<reply::What, Fault> {
+    ) -> Result<reply::What, ClientError> {
         let end = tokio::time::Instant::now() + time;
         loop {
-            let answer = self.ask(what).await;
+            let answer = self.call(what).await;
             let again = match &answer {
-                Err(Fault::Away(_)) => true,
-                Err(Fault::Refused(refusal)) => refusal.code() == refusal::Code::NotLeader,
+                Err(ClientError::Unavailable(_)) => true,
+                Err(ClientError::Rejected(refusal)) => refusal.code() == refusal::Code::NotLeader,
                 _ => false,
             };
             if !again || tokio::time::Instant::now() >= end {
@@ -215,7 +231,7 @@
     }
 
     /// The next question goes to another replica.
-    pub fn elsewhere(&mut self) {
+    pub fn try_next_replica(&mut self) {
         self.place += 1;
     }
 
@@ -223,13 +239,13 @@
     ///
     /// # Errors
     /// If it can't be reached.
-    pub async fn news(&mut self) -> Result<News, Fault> {
+    pub async fn watch_revisions(&mut self) -> Result<RevisionWatch, ClientError> {
         let Some(&address) = self.replicas.get(self.place % self.replicas.len().max(1)) else {
-            return Err(Fault::Away("no replica is named".to_owned()));
+            return Err(ClientError::Unavailable("no replica is named".to_owned()));
         };
         let mut client = self.to(address)?;
         let what = Some(request::What::Status(StatusAsked {}));
-        let sealed = self.secret.seal(
+        let sealed = self.secret.authenticate(
             Purpose::Request,
             &Request {
                 nonce: rand::random(),
@@ -238,9 +254,11 @@
         );
         let opened = tokio::time::timeout(self.within, client.news(sealed)).await;
         match opened {
-            Ok(Ok(stream)) => Ok(News(stream.into_inner(), self.secret.clone())),
-            Ok(Err(status)) => Err(Fault::Away(status.message().to_owned())),
-            Err(_) => Err(Fault::Away(format!("{address}: no answer in time"))),
+            Ok(Ok(stream)) => Ok(RevisionWatch(stream.into_inner(), self.secret.clone())),
+            Ok(Err(status)) => Err(ClientError::Unavailable(status.message().to_owned())),
+            Err(_) => Err(ClientError::Unavailable(format!(
+                "{address}: no answer in time"
+            ))),
         }
     }
 }
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -8,8 +8,10 @@
 pub mod regions;
 mod seal;
 
-pub use client::{Client, Fault, News};
-pub use seal::{Purpose, SealFault, Secret, SecretFault, BODY_MOST, TAG, VERSION};
+pub use client::{Client, ClientError, RevisionWatch};
+pub use seal::{
+    MessageError, Purpose, SecretError, SharedSecret, MAC_LEN, MAX_BODY_BYTES, PROTOCOL_VERSION,
+};
 
 /// The SHA-256 of a text.
 pub fn digest(text: &str) -> Vec<u8> {
--- a/crates/control-protocol/src/seal.rs
+++ b/crates/control-protocol/src/seal.rs
@@ -10,14 +10,14 @@
 use std::path::Path;
 
 /// The version of the messages. One of another version is refused by name.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// Most bytes of a message's body.
-pub const BODY_MOST: usize = 3 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 3 * 1024 * 1024;
 /// Bytes of the short seal of a datagram.
-pub const TAG: usize = 16;
+pub const MAC_LEN: usize = 16;
 /// Least and most bytes of a secret.
-const SECRET_LEAST: usize = 16;
-const SECRET_MOST: u64 = 4096;
+const MIN_SECRET_BYTES: usize = 16;
+const MAX_SECRET_BYTES: u64 = 4096;
 
 /// What a message is for: one for another purpose, or sent back, does not pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,109 +51,116 @@
 
 /// The secret that a fleet shares.
 #[derive(Clone)]
-pub struct Secret(Vec<u8>);
+pub struct SharedSecret(Vec<u8>);
 
-impl fmt::Debug for Secret {
+impl fmt::Debug for SharedSecret {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Secret(..)")
+        f.write_str("SharedSecret(..)")
     }
 }
 
 /// Why a file holds no secret.
 #[derive(Debug)]
-pub enum SecretFault {
+pub enum SecretError {
     /// It can't be read.
     Unreadable(std::io::Error),
     /// Others than its owner may read it: its mode.
-    Open(u32),
+    Permissions(u32),
     /// So many bytes are too few or too many.
     Length(usize),
 }
 
-impl fmt::Display for SecretFault {
+impl fmt::Display for SecretError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SecretFault::Unreadable(fault) => write!(f, "{fault}"),
-            SecretFault::Open(mode) => {
+            SecretError::Unreadable(fault) => write!(f, "{fault}"),
+            SecretError::Permissions(mode) => {
                 write!(
                     f,
                     "found permissions {:03o}, allowed are none for group and others, like 600",
                     mode & 0o777
                 )
             }
-            SecretFault::Length(found) => {
+            SecretError::Length(found) => {
                 write!(
                     f,
-                    "found {found} bytes, allowed are {SECRET_LEAST} to {SECRET_MOST}"
+                    "found {found} bytes, allowed are {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES}"
                 )
             }
         }
     }
 }
 
-impl std::error::Error for SecretFault {}
+impl std::error::Error for SecretError {}
 
 /// Why a message does not pass.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SealFault {
+pub enum MessageError {
     /// Another version.
-    Version(u32),
+    UnsupportedVersion(u32),
     /// The seal was made with another secret, for another purpose, or over another body.
-    Forged,
+    BadMac,
     /// More bytes than may be.
     TooLarge(usize),
     /// The body is no such message.
     Malformed(String),
 }
 
-impl fmt::Display for SealFault {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SealFault::Version(found) => {
-                write!(f, "message version: found {found}, allowed is {VERSION}")
+            MessageError::UnsupportedVersion(found) => {
+                write!(
+                    f,
+                    "message version: found {found}, allowed is {PROTOCOL_VERSION}"
+                )
             }
-            SealFault::Forged => f.write_str("the seal does not fit: this side has another secret"),
-            SealFault::TooLarge(found) => write!(f, "found {found} bytes, allowed are {BODY_MOST}"),
-            SealFault::Malformed(why) => write!(f, "malformed message: {why}"),
+            MessageError::BadMac => {
+                f.write_str("the seal does not fit: this side has another secret")
+            }
+            MessageError::TooLarge(found) => {
+                write!(f, "found {found} bytes, allowed are {MAX_BODY_BYTES}")
+            }
+            MessageError::Malformed(why) => write!(f, "malformed message: {why}"),
         }
     }
 }
 
-impl std::error::Error for SealFault {}
+impl std::error::Error for MessageError {}
 
-impl Secret {
+impl SharedSecret {
     /// Reads a secret; white space around it is no part of it.
     ///
     /// # Errors
     /// If the file can't be read, if others than its owner may read it, or if it is too short or too long.
-    pub fn read(path: &Path) -> Result<Self, SecretFault> {
-        let mut file = std::fs::File::open(path).map_err(SecretFault::Unreadable)?;
+    pub fn read(path: &Path) -> Result<Self, SecretError> {
+        let mut file = std::fs::File::open(path).map_err(SecretError::Unreadable)?;
         let mode = file
             .metadata()
-            .map_err(SecretFault::Unreadable)?
+            .map_err(SecretError::Unreadable)?
             .permissions()
             .mode();
         if mode & 0o077 != 0 {
-            return Err(SecretFault::Open(mode));
+            return Err(SecretError::Permissions(mode));
         }
         let mut bytes = Vec::new();
         file.by_ref()
-            .take(SECRET_MOST + 1)
+            .take(MAX_SECRET_BYTES + 1)
             .read_to_end(&mut bytes)
-            .map_err(SecretFault::Unreadable)?;
-        Secret::new(bytes.trim_ascii())
+            .map_err(SecretError::Unreadable)?;
+        SharedSecret::new(bytes.trim_ascii())
     }
 
     /// A secret of these bytes.
     ///
     /// # Errors
     /// If they are too few or too many.
-    pub fn new(bytes: &[u8]) -> Result<Self, SecretFault> {
+    pub fn new(bytes: &[u8]) -> Result<Self, SecretError> {
         match bytes.len() {
-            length if length < SECRET_LEAST || length as u64 > SECRET_MOST => {
-                Err(SecretFault::Length(length))
+            length if length < MIN_SECRET_BYTES || length as u64 > MAX_SECRET_BYTES => {
+                Err(SecretError::Length(length))
             }
-            _ => Ok(Secret(bytes.to_vec())),
+            _ => Ok(SharedSecret(bytes.to_vec())),
         }
     }
 
@@ -178,32 +185,32 @@
     }
 
     /// A short seal over these parts, for datagrams: the first half of an HMAC with SHA-256 (RFC 2104, section 5).
-    pub fn tag(&self, label: &str, parts: &[&[u8]]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
+    pub fn datagram_mac(&self, label: &str, parts: &[&[u8]]) -> [u8; MAC_LEN] {
+        let mut tag = [0; MAC_LEN];
         if let Some(mac) = self.mac_of(label, parts) {
-            tag.copy_from_slice(&mac.finalize().into_bytes()[..TAG]);
+            tag.copy_from_slice(&mac.finalize().into_bytes()[..MAC_LEN]);
         }
         tag
     }
 
     /// Is this the seal over these parts? Compared in constant time.
-    pub fn tagged(&self, label: &str, parts: &[&[u8]], tag: &[u8]) -> bool {
-        let mac = self.mac_of(label, parts).filter(|_| tag.len() == TAG);
+    pub fn verify_datagram_mac(&self, label: &str, parts: &[&[u8]], tag: &[u8]) -> bool {
+        let mac = self.mac_of(label, parts).filter(|_| tag.len() == MAC_LEN);
         mac.is_some_and(|mac| mac.verify_truncated_left(tag).is_ok())
     }
 
     /// Seals a message.
-    pub fn seal(&self, purpose: Purpose, message: &impl Message) -> Sealed {
-        self.seal_bytes(purpose, message.encode_to_vec())
+    pub fn authenticate(&self, purpose: Purpose, message: &impl Message) -> Sealed {
+        self.authenticate_bytes(purpose, message.encode_to_vec())
     }
 
     /// Seals bytes.
-    pub fn seal_bytes(&self, purpose: Purpose, body: Vec<u8>) -> Sealed {
+    pub fn authenticate_bytes(&self, purpose: Purpose, body: Vec<u8>) -> Sealed {
         let mac = self
-            .mac(purpose, VERSION, &body)
+            .mac(purpose, PROTOCOL_VERSION, &body)
             .map(|m| m.finalize().into_bytes().to_vec());
         Sealed {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             body,
             mac: mac.unwrap_or_default(),
         }
@@ -213,30 +220,32 @@
     ///
     /// # Errors
     /// If the seal does not fit, the version is another one, or there are too many bytes.
-    pub fn open_bytes(&self, purpose: Purpose, sealed: Sealed) -> Result<Vec<u8>, SealFault> {
+    pub fn verify_bytes(&self, purpose: Purpose, sealed: Sealed) -> Result<Vec<u8>, MessageError> {
         let Sealed { version, body, mac } = sealed;
-        if body.len() > BODY_MOST {
-            return Err(SealFault::TooLarge(body.len()));
+        if body.len() > MAX_BODY_BYTES {
+            return Err(MessageError::TooLarge(body.len()));
         }
-        if version != VERSION {
-            return Err(SealFault::Version(version));
+        if version != PROTOCOL_VERSION {
+            return Err(MessageError::UnsupportedVersion(version));
         }
-        let own = self.mac(purpose, version, &body).ok_or(SealFault::Forged)?;
-        own.verify_slice(&mac).map_err(|_| SealFault::Forged)?;
+        let own = self
+            .mac(purpose, version, &body)
+            .ok_or(MessageError::BadMac)?;
+        own.verify_slice(&mac).map_err(|_| MessageError::BadMac)?;
         Ok(body)
     }
 
     /// The message under a seal.
     ///
     /// # Errors
-    /// As [`Secret::open_bytes`], and if the body is no such message.
-    pub fn open<M: Message + Default>(
+    /// As [`SharedSecret::verify_bytes`], and if the body is no such message.
+    pub fn verify<M: Message + Default>(
         &self,
         purpose: Purpose,
         sealed: Sealed,
-    ) -> Result<M, SealFault> {
-        let body = self.open_bytes(purpose, sealed)?;
-        M::decode(body.as_slice()).map_err(|fault| SealFault::Malformed(fault.to_string()))
+    ) -> Result<M, MessageError> {
+        let body = self.verify_bytes(purpose, sealed)?;
+        M::decode(body.as_slice()).map_err(|fault| MessageError::Malformed(fault.to_string()))
     }
 }
 
@@ -246,41 +255,41 @@
     use crate::wire::{Request, Word};
     use proptest::prelude::*;
 
-    fn secret(text: &str) -> Secret {
-        Secret::new(text.as_bytes()).expect("a secret")
+    fn secret(text: &str) -> SharedSecret {
+        SharedSecret::new(text.as_bytes()).expect("a secret")
     }
 
     #[test]
     fn a_seal_fits_one_secret_purpose_version_and_body() {
         let (own, other) = (secret("0123456789abcdef"), secret("0123456789abcdeF"));
         let word = Word { revision: 7 };
-        let sealed = own.seal(Purpose::Request, &word);
-        assert_eq!(own.open(Purpose::Request, sealed.clone()), Ok(word));
+        let sealed = own.authenticate(Purpose::Request, &word);
+        assert_eq!(own.verify(Purpose::Request, sealed.clone()), Ok(word));
         assert_eq!(
-            other.open::<Word>(Purpose::Request, sealed.clone()),
-            Err(SealFault::Forged)
+            other.verify::<Word>(Purpose::Request, sealed.clone()),
+            Err(MessageError::BadMac)
         );
         assert_eq!(
-            own.open::<Word>(Purpose::Reply, sealed.clone()),
-            Err(SealFault::Forged)
+            own.verify::<Word>(Purpose::Reply, sealed.clone()),
+            Err(MessageError::BadMac)
         );
         let newer = Sealed {
             version: 2,
             ..sealed.clone()
         };
         assert_eq!(
-            own.open::<Word>(Purpose::Request, newer),
-            Err(SealFault::Version(2))
+            own.verify::<Word>(Purpose::Request, newer),
+            Err(MessageError::UnsupportedVersion(2))
         );
-        let large = own.seal_bytes(Purpose::Request, vec![0; BODY_MOST + 1]);
+        let large = own.authenticate_bytes(Purpose::Request, vec![0; MAX_BODY_BYTES + 1]);
         assert_eq!(
-            own.open::<Word>(Purpose::Request, large),
-            Err(SealFault::TooLarge(BODY_MOST + 1))
+            own.verify::<Word>(Purpose::Request, large),
+            Err(MessageError::TooLarge(MAX_BODY_BYTES + 1))
         );
-        let odd = own.seal_bytes(Purpose::Request, vec![0xff; 9]);
+        let odd = own.authenticate_bytes(Purpose::Request, vec![0xff; 9]);
         assert!(matches!(
-            own.open::<Request>(Purpose::Request, odd),
-            Err(SealFault::Malformed(_))
+            own.verify::<Request>(Purpose::Request, odd),
+            Err(MessageError::Malformed(_))
         ));
     }
 
@@ -288,25 +297,29 @@
         #[test]
         fn one_flipped_bit_is_seen(body in prop::collection::vec(any::<u8>(), 1..64), place in any::<prop::sample::Index>(), bit in 0..8u8) {
             let own = secret("0123456789abcdef");
-            let mut sealed = own.seal_bytes(Purpose::Reply, body);
+            let mut sealed = own.authenticate_bytes(Purpose::Reply, body);
             let length = sealed.body.len() + sealed.mac.len();
             let place = place.index(length);
             let own_body = sealed.body.len();
             if place < own_body { sealed.body[place] ^= 1 << bit } else { sealed.mac[place - own_body] ^= 1 << bit }
-            prop_assert_eq!(own.open_bytes(Purpose::Reply, sealed), Err(SealFault::Forged));
+            prop_assert_eq!(own.verify_bytes(Purpose::Reply, sealed), Err(MessageError::BadMac));
         }
     }
 
     #[test]
     fn a_short_seal_fits_one_label_and_these_parts() {
         let own = secret("0123456789abcdef");
-        let tag = own.tag("a", &[b"bc", b"d"]);
-        assert!(own.tagged("a", &[b"bc", b"d"], &tag));
-        assert!(!own.tagged("a", &[b"b", b"cd"], &tag) && !own.tagged("b", &[b"bc", b"d"], &tag));
+        let tag = own.datagram_mac("a", &[b"bc", b"d"]);
+        assert!(own.verify_datagram_mac("a", &[b"bc", b"d"], &tag));
         assert!(
-            !own.tagged("a", &[b"bc", b"d"], &tag[..15]) && !own.tagged("a", &[b"bc", b"d"], &[])
+            !own.verify_datagram_mac("a", &[b"b", b"cd"], &tag)
+                && !own.verify_datagram_mac("b", &[b"bc", b"d"], &tag)
         );
-        assert!(!secret("0123456789abcdeF").tagged("a", &[b"bc", b"d"], &tag));
+        assert!(
+            !own.verify_datagram_mac("a", &[b"bc", b"d"], &tag[..15])
+                && !own.verify_datagram_mac("a", &[b"bc", b"d"], &[])
+        );
+        assert!(!secret("0123456789abcdeF").verify_datagram_mac("a", &[b"bc", b"d"], &tag));
     }
 
     #[test]
@@ -317,18 +330,24 @@
             std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set");
         };
         set(0o640);
-        assert!(matches!(Secret::read(&path), Err(SecretFault::Open(_))));
+        assert!(matches!(
+            SharedSecret::read(&path),
+            Err(SecretError::Permissions(_))
+        ));
         set(0o600);
         assert_eq!(
-            Secret::read(&path).expect("a secret").0,
+            SharedSecret::read(&path).expect("a secret").0,
             b"0123456789abcdef"
         );
         std::fs::write(&path, "short").expect("a temporary file");
-        assert!(matches!(Secret::read(&path), Err(SecretFault::Length(5))));
+        assert!(matches!(
+            SharedSecret::read(&path),
+            Err(SecretError::Length(5))
+        ));
         std::fs::remove_file(&path).expect("a temporary file");
         assert!(matches!(
-            Secret::read(&path),
-            Err(SecretFault::Unreadable(_))
+            SharedSecret::read(&path),
+            Err(SecretError::Unreadable(_))
         ));
     }
 }
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -12,7 +12,7 @@
 use badgerramp_control_protocol::wire::{
     self, change, control_server, outcome_reply, refusal, reply, request, vote_reply, CutOff,
 };
-use badgerramp_control_protocol::{digest, Purpose, Secret};
+use badgerramp_control_protocol::{digest, Purpose, SharedSecret};
 use prost::Message;
 use std::collections::HashMap;
 use std::fmt::{Debug, Write};
@@ -272,7 +272,7 @@
 
 #[test]
 fn the_mac_of_every_purpose_keeps_its_bytes() {
-    let secret = Secret::new(b"0123456789abcdef").expect("a secret");
+    let secret = SharedSecret::new(b"0123456789abcdef").expect("a secret");
     let mut pinned = Pinned::default();
     for (name, purpose) in [
         ("request", Purpose::Request),
@@ -282,14 +282,14 @@
         ("region request", Purpose::RegionRequest),
         ("region reply", Purpose::RegionReply),
     ] {
-        let sealed = secret.seal_bytes(purpose, b"body".to_vec());
+        let sealed = secret.authenticate_bytes(purpose, b"body".to_vec());
         assert_eq!(
-            secret.open_bytes(purpose, sealed.clone()),
+            secret.verify_bytes(purpose, sealed.clone()),
             Ok(b"body".to_vec())
         );
         pinned.add(name, sealed);
     }
-    let tag = secret.tag("badgerramp peers", &[b"north", b"body"]);
+    let tag = secret.datagram_mac("badgerramp peers", &[b"north", b"body"]);
     writeln!(pinned.0, "datagram: {}", hex(&tag)).expect("written to memory");
     insta::assert_snapshot!(pinned.0);
 }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -4,7 +4,7 @@
 use super::discovery::{self, changed, Link};
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
-use badgerramp_control_protocol::{Secret, TAG};
+use badgerramp_control_protocol::{SharedSecret, MAC_LEN};
 use badgerramp_decisions::{ListKind, Micros};
 use badgerramp_endpoint_watch::FETCH;
 use badgerramp_gossip::list::{Change, Entry};
@@ -27,7 +27,7 @@
 /// The version of the datagrams; one of another version is counted as strange.
 const VERSION: u8 = 1;
 /// Version, what it is, seal, sender, the sender's count.
-const HEAD: usize = 2 + TAG + 16;
+const HEAD: usize = 2 + MAC_LEN + 16;
 /// Most bytes of a datagram: a longer one is cut when it is read, and so is strange.
 const MOST: usize = HEAD + MESSAGE_MOST;
 /// Datagrams that are read before anything else gets its turn; the rest waits for the next one, and none is left out.
@@ -51,7 +51,7 @@
 /// Seals datagrams and opens them.
 #[derive(Clone, Debug)]
 pub struct Seals {
-    secret: Secret,
+    secret: SharedSecret,
     fleet: String,
 }
 
@@ -66,14 +66,14 @@
 
 impl Seals {
     /// Those of a fleet.
-    pub fn new(secret: Secret, fleet: String) -> Self {
+    pub fn new(secret: SharedSecret, fleet: String) -> Self {
         Seals { secret, fleet }
     }
 
     fn seal(&self, kind: Kind, (sender, count): (u64, u64), body: &[u8]) -> Vec<u8> {
         let head = [VERSION, kind as u8];
         let numbers = [sender.to_le_bytes(), count.to_le_bytes()].concat();
-        let tag = self.secret.tag(
+        let tag = self.secret.datagram_mac(
             "badgerramp peers",
             &[self.fleet.as_bytes(), &head, &numbers, body],
         );
@@ -82,12 +82,12 @@
 
     fn open<'a>(&self, kind: Kind, datagram: &'a [u8]) -> Result<(u64, u64, &'a [u8]), Strange> {
         let (head, rest) = datagram.split_at_checked(2).ok_or(Strange::Form)?;
-        let (tag, rest) = rest.split_at_checked(TAG).ok_or(Strange::Form)?;
+        let (tag, rest) = rest.split_at_checked(MAC_LEN).ok_or(Strange::Form)?;
         let (numbers, body) = rest.split_at_checked(16).ok_or(Strange::Form)?;
         if head != [VERSION, kind as u8] {
             return Err(Strange::Form);
         }
-        if !self.secret.tagged(
+        if !self.secret.verify_datagram_mac(
             "badgerramp peers",
             &[self.fleet.as_bytes(), head, numbers, body],
             tag,
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -4,7 +4,7 @@
 
 fn seals(secret: &str, fleet: &str) -> Seals {
     Seals::new(
-        Secret::new(secret.as_bytes()).expect("a secret"),
+        SharedSecret::new(secret.as_bytes()).expect("a secret"),
         fleet.to_owned(),
     )
 }
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -10,7 +10,7 @@
 use crate::program::Running;
 use badgerramp_config::{Config, PolicyTerms, Use};
 use badgerramp_control_protocol::wire::{self, refusal, reply, request};
-use badgerramp_control_protocol::{clock, digest, Client, Fault, Secret};
+use badgerramp_control_protocol::{clock, digest, Client, ClientError, SharedSecret};
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{Answered, CutOff, Generation, Holder, HolderTerms, Identity, Mode};
 use std::cell::{Cell, RefCell};
@@ -35,7 +35,7 @@
     gate: Rc<AdmissionGate>,
     identity: Identity,
     terms: PolicyTerms,
-    secret: Secret,
+    secret: SharedSecret,
     /// The proxy's own file.
     local: RefCell<Config>,
     places: RefCell<ClassIds>,
@@ -57,7 +57,7 @@
     /// If there is no `[policy]`, or its secret is none.
     pub(crate) fn new(local: Config, places: ClassIds) -> Result<Rc<Self>, String> {
         let terms = local.policy.clone().ok_or("no [policy]")?;
-        let secret = Secret::read(&terms.secret)
+        let secret = SharedSecret::read(&terms.secret)
             .map_err(|e| format!("policy.secret: {}: {e}", terms.secret.display()))?;
         let host = || {
             rustix::system::uname()
@@ -136,7 +136,7 @@
             .for_each(|task| task.abort());
         if self.set.get().is_some() {
             let leave = request::What::Leave(self.identity.clone().into());
-            let _ = tokio::time::timeout(LEAVE, self.client().ask_until(&leave, LEAVE)).await;
+            let _ = tokio::time::timeout(LEAVE, self.client().call_with_retry(&leave, LEAVE)).await;
         }
     }
 
@@ -144,13 +144,13 @@
     async fn hear(&self) {
         let mut client = self.client();
         loop {
-            if let Ok(mut news) = client.news().await {
+            if let Ok(mut news) = client.watch_revisions().await {
                 while let Ok(revision) = news.next().await {
                     debug!("control is at revision {revision}");
                     self.news.notify_one();
                 }
             }
-            client.elsewhere();
+            client.try_next_replica();
             tokio::time::sleep(PAUSE).await;
         }
     }
@@ -175,10 +175,10 @@
             let ask =
                 wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
             let ask = request::What::Ask(ask);
-            let fault = match client.ask(&ask).await {
+            let fault = match client.call(&ask).await {
                 Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &front).err(),
                 Ok(_) => Some("control answers oddly: no grant".to_owned()),
-                Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Evicted => {
+                Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::Evicted => {
                     self.gate.holder().borrow_mut().evict();
                     warn!("{}", refusal.text);
                     continue;
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -8,7 +8,7 @@
 use crate::policy_client::PolicyClient;
 use crate::program::{self, Fault, Members, Running, Setup};
 use badgerramp_config::{Config, PeersTerms, Use};
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_decisions::settings::{Facts, Transport};
 use badgerramp_decisions::ListKind;
 use std::collections::HashMap;
@@ -142,7 +142,7 @@
 
 /// The seals of a fleet.
 pub(crate) fn seals(terms: &PeersTerms) -> Result<peers::Seals, String> {
-    let secret = Secret::read(&terms.secret)
+    let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::Seals::new(secret, terms.fleet.clone()))
 }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -3,7 +3,7 @@
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_fault_injection::process::Folder;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
             replicas: [(1, address)].into(),
             listen: address,
             store,
-            secret: Secret::read(&folder.path().join("secret")).expect("a secret"),
+            secret: SharedSecret::read(&folder.path().join("secret")).expect("a secret"),
             lease: Duration::from_millis(500),
             drift: Duration::from_millis(10),
             wait: Duration::from_secs(5),
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -3,7 +3,7 @@
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_fault_injection::process::Folder;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use std::collections::HashMap;
@@ -105,7 +105,7 @@
     let secret = folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
-    Secret::read(&secret).expect("a secret");
+    SharedSecret::read(&secret).expect("a secret");
     let (path, host) = (folder.path(), Host::serving("ok"));
     let (norte, sur) = (
         Region::start(path, "norte", "sur"),
