--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
-use badgerramp_control_protocol::wire::{self, change::Ended, refusal, reply, request};
+use badgerramp_control_protocol::wire::{self, change::Status as Ended, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -259,18 +259,18 @@
             .as_ref()
             .map(|i| format!("{} ({:016x})", i.name, i.incarnation)),
         region: Some(b.region.clone()).filter(|region| !region.is_empty()),
-        why: b.why.clone(),
-        left_ms: (b.left > 0).then_some(b.left / 1_000),
+        why: b.reason.clone(),
+        left_ms: (b.remaining > 0).then_some(b.remaining / 1_000),
     };
     blockers.iter().map(one).collect()
 }
 
 impl Standing {
     fn of(status: &wire::Status) -> Self {
-        let cut_off = |p: &wire::Proxy| match p.cut_off() {
-            wire::CutOff::Narrow => "narrow",
-            wire::CutOff::Keep => "keep",
-            wire::CutOff::Refuse | wire::CutOff::Unspecified => "refuse",
+        let cut_off = |p: &wire::Proxy| match p.on_lease_loss() {
+            wire::OnLeaseLoss::Narrow => "narrow",
+            wire::OnLeaseLoss::Keep => "keep",
+            wire::OnLeaseLoss::Refuse | wire::OnLeaseLoss::Unspecified => "refuse",
         };
         let proxy = |p: &wire::Proxy| {
             let identity = p.identity.clone().unwrap_or_default();
@@ -278,22 +278,22 @@
             Proxy {
                 name: identity.name,
                 incarnation,
-                acting: p.acting,
+                acting: p.active_revision,
                 cut_off: cut_off(p),
             }
         };
         let change = |c: &wire::Change| {
-            let outcome = match c.ended() {
+            let outcome = match c.status() {
                 Ended::InForce => "in force",
                 Ended::NotInForce => "not in force",
                 Ended::Open | Ended::Unspecified => UNDER_WAY,
             };
-            let all_regions = (c.all_regions != 0).then(|| change_id(c.all_regions));
+            let all_regions = (c.cross_region_id != 0).then(|| change_id(c.cross_region_id));
             Change {
                 generation: c.generation,
-                from: c.from,
+                from: c.previous_generation,
                 outcome,
-                why: c.why.clone(),
+                why: c.reason.clone(),
                 all_regions,
             }
         };
@@ -409,16 +409,16 @@
         })
     }
 
-    async fn asked(&mut self, what: request::What) -> Result<reply::What, ClientError> {
+    async fn asked(&mut self, what: request::Kind) -> Result<reply::Kind, ClientError> {
         self.client.call_with_retry(&what, self.time).await
     }
 
     async fn raw_status(&mut self) -> Result<wire::Status, ClientError> {
         match self
-            .asked(request::What::Status(wire::StatusAsked {}))
+            .asked(request::Kind::Status(wire::StatusRequest {}))
             .await?
         {
-            reply::What::Status(status) => Ok(status),
+            reply::Kind::Status(status) => Ok(status),
             _ => Err(ClientError::UnexpectedReply("no status".to_owned())),
         }
     }
@@ -465,12 +465,12 @@
     /// # Errors
     /// If control can't be asked, or has them no more.
     pub async fn files(&mut self, generation: u64) -> Result<Files, ClientError> {
-        let text = wire::Text {
+        let text = wire::PolicyFiles {
             generation,
             files: HashMap::new(),
         };
-        match self.asked(request::What::Text(text)).await? {
-            reply::What::Text(text) => Ok(text.files),
+        match self.asked(request::Kind::PolicyFiles(text)).await? {
+            reply::Kind::PolicyFiles(text) => Ok(text.files),
             _ => Err(ClientError::UnexpectedReply("no files".to_owned())),
         }
     }
@@ -507,7 +507,7 @@
             name: name.to_owned(),
             incarnation,
         };
-        self.asked(request::What::Evict(identity))
+        self.asked(request::Kind::Evict(identity))
             .await
             .map(|_| ())
             .map_err(|e| e.to_string())
@@ -533,9 +533,9 @@
             .ok_or("no change is under way")?;
         let abort = wire::Abort {
             generation,
-            why: why.to_owned(),
+            reason: why.to_owned(),
         };
-        self.asked(request::What::Abort(abort))
+        self.asked(request::Kind::Abort(abort))
             .await
             .map_err(|e| e.to_string())?;
         Ok(generation)
@@ -576,14 +576,14 @@
             revision,
         };
         let what = match scope {
-            Scope::Region => request::What::Publish(policy),
-            Scope::All => request::What::PublishAll(policy),
+            Scope::Region => request::Kind::Publish(policy),
+            Scope::All => request::Kind::PublishAllRegions(policy),
         };
         // Asked again it changes nothing more: it names the revision that it stands beside.
         let mut lost = false;
         loop {
             let fault = match self.client.call(&what).await {
-                Ok(reply::What::Begun(number)) => {
+                Ok(reply::Kind::ChangeStarted(number)) => {
                     done.generation = Some(number.generation);
                     break;
                 }
@@ -592,11 +592,15 @@
             };
             done.why = fault.to_string();
             match fault {
-                ClientError::Rejected(refusal) if refusal.code() == refusal::Code::NotLeader => {}
-                ClientError::Rejected(refusal)
+                ClientError::Rejected(rejection)
+                    if rejection.code() == rejection::Code::NotLeader => {}
+                ClientError::Rejected(rejection)
                     if lost
-                        && [refusal::Code::UnderWay, refusal::Code::Moved]
-                            .contains(&refusal.code()) =>
+                        && [
+                            rejection::Code::ChangeInProgress,
+                            rejection::Code::RevisionChanged,
+                        ]
+                        .contains(&rejection.code()) =>
                 {
                     match self.own(files, revision).await {
                         Ok(Some(generation)) => {
@@ -629,17 +633,17 @@
         while Instant::now() < end {
             if let Ok(status) = self
                 .client
-                .call(&request::What::Status(wire::StatusAsked {}))
+                .call(&request::Kind::Status(wire::StatusRequest {}))
                 .await
             {
-                let reply::What::Status(status) = status else {
+                let reply::Kind::Status(status) = status else {
                     continue;
                 };
                 let change = status
                     .changes
                     .iter()
                     .find(|c| Some(c.generation) == done.generation);
-                let ended = change.map(|c| (c.ended(), c.why.clone()));
+                let ended = change.map(|c| (c.status(), c.reason.clone()));
                 match ended {
                     Some((Ended::InForce, _)) => {
                         (done.outcome, done.why) = (Outcome::InForce, String::new());
--- a/crates/control-plane/src/refusals.rs
+++ b/crates/control-plane/src/refusals.rs
@@ -1,7 +1,7 @@
 //! What control answers to a question that it does not take.
 
 use crate::leader::NotLeader;
-use badgerramp_control_protocol::wire::{refusal, reply, Refusal};
+use badgerramp_control_protocol::wire::{rejection, reply, Rejection};
 use badgerramp_control_protocol::MessageError;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::Refused;
@@ -9,21 +9,21 @@
 use tonic::{Code, Status};
 
 /// A refusal with this code.
-pub(crate) fn refuse(code: refusal::Code, text: impl Into<String>) -> reply::What {
-    reply::What::Refusal(Refusal {
+pub(crate) fn refuse(code: rejection::Code, text: impl Into<String>) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
         code: code.into(),
-        text: text.into(),
-        ..Refusal::default()
+        message: text.into(),
+        ..Rejection::default()
     })
 }
 
 /// Another replica may lead, and this one does not.
-pub(crate) fn elsewhere(fault: NotLeader) -> reply::What {
-    reply::What::Refusal(Refusal {
-        code: refusal::Code::NotLeader.into(),
-        text: fault.why,
+pub(crate) fn elsewhere(fault: NotLeader) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
+        code: rejection::Code::NotLeader.into(),
+        message: fault.why,
         leader: fault.leader.unwrap_or_default(),
-        ..Refusal::default()
+        ..Rejection::default()
     })
 }
 
@@ -38,23 +38,23 @@
 }
 
 /// What is told of a command that had no effect.
-pub(crate) fn not_logged(refused: &Refused) -> reply::What {
+pub(crate) fn not_logged(refused: &Refused) -> reply::Kind {
     let code = match refused {
         Refused::UnderWay(_) | Refused::AcrossRegions { .. } | Refused::AwaitsDecision { .. } => {
-            refusal::Code::UnderWay
+            rejection::Code::ChangeInProgress
         }
-        Refused::Evicted => refusal::Code::Evicted,
-        Refused::NotPrepared { .. } | Refused::Moved => refusal::Code::Moved,
+        Refused::Evicted => rejection::Code::Evicted,
+        Refused::NotPrepared { .. } | Refused::Moved => rejection::Code::RevisionChanged,
     };
     refuse(code, refused.to_string())
 }
 
 /// Only the coordinator takes a change of all regions: where it is.
-pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::What {
-    reply::What::Refusal(Refusal {
-        code: refusal::Code::NotCoordinator.into(),
-        text: format!("region {coordinator} coordinates changes of all regions: publish there"),
+pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
+        code: rejection::Code::NotCoordinator.into(),
+        message: format!("region {coordinator} coordinates changes of all regions: publish there"),
         replicas: replicas.iter().map(ToString::to_string).collect(),
-        ..Refusal::default()
+        ..Rejection::default()
     })
 }
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -7,7 +7,7 @@
 use crate::settings::RegionSettings;
 use crate::store::Store;
 use badgerramp_control_protocol::regions::{to_coordinator, to_participant};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request};
+use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
@@ -100,7 +100,7 @@
     }
 
     /// What there is to tell a region now.
-    fn message(&self, region: &Region) -> Option<request::What> {
+    fn message(&self, region: &Region) -> Option<request::Kind> {
         if !self.leader.leads() {
             return None;
         }
@@ -115,7 +115,7 @@
     }
 
     /// Logs what follows from an answer. False: nothing does.
-    async fn answered(&self, region: &Region, answer: reply::What) -> bool {
+    async fn answered(&self, region: &Region, answer: reply::Kind) -> bool {
         let Some(command) = self.follows(region, answer) else {
             return false;
         };
@@ -131,14 +131,14 @@
         }
     }
 
-    fn follows(&self, region: &Region, answer: reply::What) -> Option<Command> {
+    fn follows(&self, region: &Region, answer: reply::Kind) -> Option<Command> {
         match answer {
-            reply::What::Vote(vote) => {
+            reply::Kind::Vote(vote) => {
                 let vote = vote.read()?;
                 self.store
                     .with(|record| coordinator::on_vote(record, region, &vote))
             }
-            reply::What::Outcome(outcome) => {
+            reply::Kind::Outcome(outcome) => {
                 let outcome = outcome.read()?;
                 self.store
                     .with(|record| participant::on_outcome(record, &outcome))
@@ -150,7 +150,7 @@
 
 /// An election on the other side is nothing to tell of.
 fn worth_telling(fault: &ClientError) -> bool {
-    !matches!(fault, ClientError::Rejected(refusal) if refusal.code() == refusal::Code::NotLeader)
+    !matches!(fault, ClientError::Rejected(refusal) if refusal.code() == rejection::Code::NotLeader)
 }
 
 /// Answers the other regions.
@@ -168,19 +168,19 @@
     ///
     /// # Errors
     /// If this replica does not lead.
-    pub(crate) async fn answer(&self, what: request::What) -> Result<reply::What, NotLeader> {
+    pub(crate) async fn answer(&self, what: request::Kind) -> Result<reply::Kind, NotLeader> {
         match what {
-            request::What::Prepare(prepare) => {
+            request::Kind::Prepare(prepare) => {
                 let to = prepare.region.clone();
                 self.vote(&to, prepare.read(), |prepare| self.prepare(prepare))
                     .await
             }
-            request::What::Commit(commit) => {
+            request::Kind::Commit(commit) => {
                 let to = commit.region.clone();
                 self.vote(&to, commit.read(), |commit| self.commit(commit))
                     .await
             }
-            request::What::Outcome(asked) => self.outcome(asked).await,
+            request::Kind::Outcome(asked) => self.outcome(asked).await,
             _ => Ok(malformed()),
         }
     }
@@ -191,7 +191,7 @@
         to: &str,
         message: Option<M>,
         answer: impl FnOnce(M) -> F,
-    ) -> Result<reply::What, NotLeader>
+    ) -> Result<reply::Kind, NotLeader>
     where
         F: Future<Output = Result<VoteReply, NotLeader>>,
     {
@@ -202,7 +202,7 @@
             return Ok(malformed());
         };
         self.leader.confirmed().await?;
-        Ok(reply::What::Vote(answer(message).await?.into()))
+        Ok(reply::Kind::Vote(answer(message).await?.into()))
     }
 
     async fn prepare(&self, prepare: Prepare) -> Result<VoteReply, NotLeader> {
@@ -234,7 +234,7 @@
         }
     }
 
-    async fn outcome(&self, asked: wire::OutcomeAsked) -> Result<reply::What, NotLeader> {
+    async fn outcome(&self, asked: wire::OutcomeRequest) -> Result<reply::Kind, NotLeader> {
         if let Some(refused) = self.misdirected(&asked.coordinator) {
             return Ok(refused);
         }
@@ -243,7 +243,7 @@
         };
         // A leader that was replaced may not know of a change that its successor has begun.
         self.leader.confirmed().await?;
-        Ok(reply::What::Outcome(
+        Ok(reply::Kind::Outcome(
             self.store
                 .with(|record| coordinator::outcome(record, &asked))
                 .into(),
@@ -251,7 +251,7 @@
     }
 
     /// A message for another region comes here if the sender's file gives it these addresses.
-    fn misdirected(&self, to: &str) -> Option<reply::What> {
+    fn misdirected(&self, to: &str) -> Option<reply::Kind> {
         let own = self.regions.own();
         if to == own.as_str() {
             return None;
@@ -259,13 +259,13 @@
         let text = format!(
             "this is a message for region {to:?}, and this replica is of region \"{own}\": see [regions]"
         );
-        Some(refuse(refusal::Code::OtherRegion, text))
+        Some(refuse(rejection::Code::OtherRegion, text))
     }
 }
 
-fn malformed() -> reply::What {
+fn malformed() -> reply::Kind {
     refuse(
-        refusal::Code::Bad,
+        rejection::Code::Invalid,
         "no message between regions that this version knows",
     )
 }
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -9,7 +9,9 @@
 use crate::status::View;
 use crate::store::{Store, Types};
 use badgerramp_control_protocol::wire::control_server::{Control, ControlServer};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request, Reply, Request, Sealed};
+use badgerramp_control_protocol::wire::{
+    self, rejection, reply, request, AuthenticatedMessage, Reply, Request,
+};
 use badgerramp_control_protocol::{digest, Purpose, SharedSecret};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
@@ -41,49 +43,52 @@
 }
 
 impl Service {
-    async fn answer(&self, what: request::What) -> reply::What {
+    async fn answer(&self, what: request::Kind) -> reply::Kind {
         match self.respond(what).await {
             Ok(what) => what,
             Err(fault) => elsewhere(fault),
         }
     }
 
-    async fn respond(&self, what: request::What) -> Result<reply::What, NotLeader> {
+    async fn respond(&self, what: request::Kind) -> Result<reply::Kind, NotLeader> {
         Ok(match what {
-            request::What::Ask(asked) => self.ask(&asked).await?,
-            request::What::Leave(identity) => {
+            request::Kind::Lease(asked) => self.ask(&asked).await?,
+            request::Kind::Unregister(identity) => {
                 self.leader.leaves(identity.into()).await?;
-                reply::What::Done(wire::Done {})
+                reply::Kind::Done(wire::Done {})
             }
-            request::What::Publish(policy) => self.publish(policy, None).await?,
-            request::What::PublishAll(policy) => self.publish_all(policy).await?,
-            request::What::Status(_) => self.status().await?,
-            request::What::Abort(abort) => self.abort(abort).await?,
-            request::What::Evict(identity) => {
+            request::Kind::Publish(policy) => self.publish(policy, None).await?,
+            request::Kind::PublishAllRegions(policy) => self.publish_all(policy).await?,
+            request::Kind::Status(_) => self.status().await?,
+            request::Kind::Abort(abort) => self.abort(abort).await?,
+            request::Kind::Evict(identity) => {
                 self.leader.confirmed().await?;
                 let identity = Identity::from(identity);
                 info!("{identity} is evicted");
                 self.leader.agree(Command::Evict { identity }).await?;
-                reply::What::Done(wire::Done {})
+                reply::Kind::Done(wire::Done {})
             }
-            request::What::Text(text) => self.text(Generation(text.generation)).await?,
-            request::What::Prepare(_) | request::What::Commit(_) | request::What::Outcome(_) => {
-                refuse(refusal::Code::Bad, "this passes between regions alone")
+            request::Kind::PolicyFiles(text) => self.text(Generation(text.generation)).await?,
+            request::Kind::Prepare(_) | request::Kind::Commit(_) | request::Kind::Outcome(_) => {
+                refuse(
+                    rejection::Code::Invalid,
+                    "this passes between regions alone",
+                )
             }
         })
     }
 
-    async fn text(&self, generation: Generation) -> Result<reply::What, NotLeader> {
+    async fn text(&self, generation: Generation) -> Result<reply::Kind, NotLeader> {
         self.leader.confirmed().await?;
         Ok(
             match self.store.with(|r| r.text(generation).map(check::files_of)) {
-                Some(Ok(files)) => reply::What::Text(wire::Text {
+                Some(Ok(files)) => reply::Kind::PolicyFiles(wire::PolicyFiles {
                     generation: generation.0,
                     files: files.into_iter().collect(),
                 }),
-                Some(Err(fault)) => refuse(refusal::Code::Bad, fault),
+                Some(Err(fault)) => refuse(rejection::Code::Invalid, fault),
                 None => refuse(
-                    refusal::Code::Bad,
+                    rejection::Code::Invalid,
                     format!("{generation}: there is none, or it is kept no more"),
                 ),
             },
@@ -91,7 +96,7 @@
     }
 
     /// Why a proxy of this region gets nothing here, if it doesn't.
-    fn of_other_region(&self, named: &str) -> Option<reply::What> {
+    fn of_other_region(&self, named: &str) -> Option<reply::Kind> {
         let own = self.regions.as_ref().map(|settings| settings.regions.own());
         if named.is_empty() || own.is_some_and(|own| own.as_str() == named) {
             return None;
@@ -102,13 +107,13 @@
         let text = format!(
             "policy.region of this proxy is {named:?}, and the control that it asks {here}"
         );
-        Some(refuse(refusal::Code::OtherRegion, text))
+        Some(refuse(rejection::Code::OtherRegion, text))
     }
 
-    async fn ask(&self, asked: &wire::Ask) -> Result<reply::What, NotLeader> {
+    async fn ask(&self, asked: &wire::LeaseRequest) -> Result<reply::Kind, NotLeader> {
         let Some(ask) = asked.read() else {
             return Ok(refuse(
-                refusal::Code::Bad,
+                rejection::Code::Invalid,
                 "the question names no proxy, or no way to act when cut off",
             ));
         };
@@ -118,21 +123,21 @@
         let has = ask.has.clone();
         Ok(match self.leader.lend(ask).await? {
             Lent::Grant(grant) => self.grant(grant, &has, &asked.application),
-            Lent::RegisterFirst => refuse(refusal::Code::Moved, "ask again"),
+            Lent::RegisterFirst => refuse(rejection::Code::RevisionChanged, "ask again"),
             Lent::Stale(Stale::Older) => {
-                refuse(refusal::Code::Stale, "a later question has been answered")
+                refuse(rejection::Code::Stale, "a later question has been answered")
             }
             Lent::Stale(Stale::NoPolicy) => {
-                refuse(refusal::Code::NoPolicy, "there is no policy yet")
+                refuse(rejection::Code::NoPolicy, "there is no policy yet")
             }
             Lent::Stale(Stale::Evicted) => refuse(
-                refusal::Code::Evicted,
+                rejection::Code::Evicted,
                 "this start of the proxy was evicted: start it anew",
             ),
         })
     }
 
-    fn grant(&self, grant: Grant, has: &BTreeSet<Generation>, application: &str) -> reply::What {
+    fn grant(&self, grant: Grant, has: &BTreeSet<Generation>, application: &str) -> reply::Kind {
         let Mode { old, new, .. } = grant.mode;
         let mut texts = Vec::new();
         let mut digests = HashMap::new();
@@ -147,26 +152,26 @@
                     .map(|text| (generation.0, digest(text))),
             );
             if !has.contains(&generation) {
-                texts.push(wire::Text {
+                texts.push(wire::PolicyFiles {
                     generation: generation.0,
                     files: files.into_iter().collect(),
                 });
             }
         }
-        reply::What::Grant(wire::Grant {
-            number: grant.number,
+        reply::Kind::Lease(wire::LeaseGrant {
+            sequence: grant.number,
             mode: Some(grant.mode.into()),
             lease: grant.lease,
-            texts,
+            policies: texts,
             digests,
         })
     }
 
     /// A change of all regions: only its coordinator takes it.
-    async fn publish_all(&self, policy: wire::Publish) -> Result<reply::What, NotLeader> {
+    async fn publish_all(&self, policy: wire::Publish) -> Result<reply::Kind, NotLeader> {
         let Some(settings) = &self.regions else {
             let text = "control has no regions: publish with the scope \"region\"";
-            return Ok(refuse(refusal::Code::OtherRegion, text));
+            return Ok(refuse(rejection::Code::OtherRegion, text));
         };
         if let Some(replicas) = settings.coordinator_replicas() {
             return Ok(not_coordinator(settings.regions.coordinator(), replicas));
@@ -183,24 +188,24 @@
         &self,
         policy: wire::Publish,
         all_regions: Option<AllRegions>,
-    ) -> Result<reply::What, NotLeader> {
+    ) -> Result<reply::Kind, NotLeader> {
         self.leader.confirmed().await?;
         let files: BTreeMap<String, String> = policy.files.into_iter().collect();
         let read = match check::read(&files) {
             Ok(read) => read,
-            Err(mistakes) => return Ok(refuse(refusal::Code::Bad, mistakes)),
+            Err(mistakes) => return Ok(refuse(rejection::Code::Invalid, mistakes)),
         };
         let record = self.store.record();
         if record.revision() != policy.revision {
             let text = "something has changed since this was looked at: look again";
-            return Ok(refuse(refusal::Code::Moved, text));
+            return Ok(refuse(rejection::Code::RevisionChanged, text));
         }
         let floors = record.floors();
         let good =
             check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
         let text = match good {
             Ok(text) => text,
-            Err(why) => return Ok(refuse(refusal::Code::Bad, why)),
+            Err(why) => return Ok(refuse(rejection::Code::Invalid, why)),
         };
         let command = Command::Publish {
             revision: policy.revision,
@@ -209,32 +214,32 @@
             all_regions,
         };
         Ok(match self.leader.agree(command).await? {
-            Outcome::Begun(generation) => reply::What::Begun(wire::Begun {
+            Outcome::Begun(generation) => reply::Kind::ChangeStarted(wire::ChangeStarted {
                 generation: generation.0,
             }),
             Outcome::Refused(refused) => not_logged(&refused),
             Outcome::Done => refuse(
-                refusal::Code::Moved,
+                rejection::Code::RevisionChanged,
                 "something else came in between: look again",
             ),
         })
     }
 
-    async fn abort(&self, abort: wire::Abort) -> Result<reply::What, NotLeader> {
+    async fn abort(&self, abort: wire::Abort) -> Result<reply::Kind, NotLeader> {
         let generation = Generation(abort.generation);
-        Ok(match self.leader.abort(generation, abort.why).await? {
-            Some(Outcome::Done) => reply::What::Done(wire::Done {}),
+        Ok(match self.leader.abort(generation, abort.reason).await? {
+            Some(Outcome::Done) => reply::Kind::Done(wire::Done {}),
             Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => {
                 not_logged(&refused)
             }
             _ => refuse(
-                refusal::Code::Moved,
+                rejection::Code::RevisionChanged,
                 format!("no change to {generation} is under way"),
             ),
         })
     }
 
-    async fn status(&self) -> Result<reply::What, NotLeader> {
+    async fn status(&self) -> Result<reply::Kind, NotLeader> {
         self.leader.confirmed().await?;
         let (blockers, sessions) = self.leader.view();
         let view = View {
@@ -245,22 +250,25 @@
             address: &self.address,
             now: badgerramp_control_protocol::clock::now(),
         };
-        Ok(reply::What::Status(view.status()))
+        Ok(reply::Kind::Status(view.status()))
     }
 }
 
 #[tonic::async_trait]
 impl Control for Service {
-    async fn call(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
+    async fn call(
+        &self,
+        sealed: tonic::Request<AuthenticatedMessage>,
+    ) -> Result<Response<AuthenticatedMessage>, Status> {
         let opened = self.secret.verify(Purpose::Request, sealed.into_inner());
-        let Request { nonce, what } = opened.map_err(|fault| {
+        let Request { nonce, kind: what } = opened.map_err(|fault| {
             warn!("a question is refused: {fault}");
             denied(&fault)
         })?;
         let what = match what {
             Some(what) => self.answer(what).await,
             None => refuse(
-                refusal::Code::Bad,
+                rejection::Code::Invalid,
                 "an empty question, or one that this version does not know",
             ),
         };
@@ -268,28 +276,33 @@
             Purpose::Reply,
             &Reply {
                 nonce,
-                what: Some(what),
+                kind: Some(what),
             },
         )))
     }
 
-    type NewsStream = Pin<Box<dyn Stream<Item = Result<Sealed, Status>> + Send>>;
+    type NewsStream = Pin<Box<dyn Stream<Item = Result<AuthenticatedMessage, Status>> + Send>>;
 
     async fn news(
         &self,
-        sealed: tonic::Request<Sealed>,
+        sealed: tonic::Request<AuthenticatedMessage>,
     ) -> Result<Response<Self::NewsStream>, Status> {
         let opened: Result<Request, _> = self.secret.verify(Purpose::Request, sealed.into_inner());
         let nonce = opened.map_err(|fault| denied(&fault))?.nonce;
         let secret = self.secret.clone();
         let words = WatchStream::new(self.store.moved()).map(move |revision| {
-            let what = Some(reply::What::Word(wire::Word { revision }));
-            Ok(secret.authenticate(Purpose::Reply, &Reply { nonce, what }))
+            let kind = Some(reply::Kind::RevisionChanged(wire::RevisionChanged {
+                revision,
+            }));
+            Ok(secret.authenticate(Purpose::Reply, &Reply { nonce, kind }))
         });
         Ok(Response::new(Box::pin(words)))
     }
 
-    async fn replica(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
+    async fn replica(
+        &self,
+        sealed: tonic::Request<AuthenticatedMessage>,
+    ) -> Result<Response<AuthenticatedMessage>, Status> {
         let opened = self
             .secret
             .verify_bytes(Purpose::ReplicaRequest, sealed.into_inner());
@@ -303,22 +316,25 @@
         ))
     }
 
-    async fn region(&self, sealed: tonic::Request<Sealed>) -> Result<Response<Sealed>, Status> {
+    async fn region(
+        &self,
+        sealed: tonic::Request<AuthenticatedMessage>,
+    ) -> Result<Response<AuthenticatedMessage>, Status> {
         let opened = self
             .secret
             .verify(Purpose::RegionRequest, sealed.into_inner());
-        let Request { nonce, what } = opened.map_err(|fault| {
+        let Request { nonce, kind: what } = opened.map_err(|fault| {
             warn!("a message of another region is refused: {fault}");
             denied(&fault)
         })?;
         let what = match (&self.responder, what) {
             (Some(responder), Some(what)) => responder.answer(what).await.unwrap_or_else(elsewhere),
             (Some(_), None) => refuse(
-                refusal::Code::Bad,
+                rejection::Code::Invalid,
                 "an empty message, or one that this version does not know",
             ),
             (None, _) => refuse(
-                refusal::Code::OtherRegion,
+                rejection::Code::OtherRegion,
                 "this control has no region: see its file",
             ),
         };
@@ -326,7 +342,7 @@
             Purpose::RegionReply,
             &Reply {
                 nonce,
-                what: Some(what),
+                kind: Some(what),
             },
         )))
     }
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -58,7 +58,7 @@
 }
 
 fn proxy_blocker(blocker: Blocker, now: Micros) -> wire::Blocker {
-    let (why, left) = match blocker.why {
+    let (reason, remaining) = match blocker.why {
         Why::Lease(until) if blocker.identity.is_none() => (
             "a leader before this one may have lent to any proxy".to_owned(),
             until.saturating_sub(now),
@@ -76,8 +76,8 @@
     let region = String::new();
     wire::Blocker {
         identity: blocker.identity.map(Into::into),
-        why,
-        left,
+        reason,
+        remaining,
         region,
     }
 }
@@ -93,24 +93,24 @@
     };
     let held = |region: Region| wire::Blocker {
         region: region.into(),
-        why: why.to_owned(),
+        reason: why.to_owned(),
         ..Default::default()
     };
     cross.waits_for().into_iter().map(held).collect()
 }
 
 fn change(generation: Generation, change: &Change) -> wire::Change {
-    let (ended, why) = match &change.ended {
-        Ended::Open => (change::Ended::Open, String::new()),
-        Ended::InForce => (change::Ended::InForce, String::new()),
-        Ended::NotInForce { why } => (change::Ended::NotInForce, why.clone()),
+    let (status, reason) = match &change.ended {
+        Ended::Open => (change::Status::Open, String::new()),
+        Ended::InForce => (change::Status::InForce, String::new()),
+        Ended::NotInForce { why } => (change::Status::NotInForce, why.clone()),
     };
     wire::Change {
         generation: generation.0,
-        from: change.from.0,
-        ended: ended.into(),
-        why,
-        all_regions: change.id.map_or(0, |id| id.0),
+        previous_generation: change.from.0,
+        status: status.into(),
+        reason,
+        cross_region_id: change.id.map_or(0, |id| id.0),
     }
 }
 
@@ -128,8 +128,8 @@
         .into_iter()
         .map(|(identity, (cut_off, acting))| wire::Proxy {
             identity: Some(identity.into()),
-            acting,
-            cut_off: wire::CutOff::from(cut_off).into(),
+            active_revision: acting,
+            on_lease_loss: wire::OnLeaseLoss::from(cut_off).into(),
         });
     told.collect()
 }
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -6,7 +6,7 @@
 )]
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request};
+use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::{Link, Pass};
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
@@ -302,18 +302,18 @@
     }
 
     /// Asks for a lease, for a proxy that goes on without one.
-    async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::Grant {
-        let what = request::What::Ask(ask(number, acting, CutOff::Keep));
+    async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::LeaseGrant {
+        let what = request::Kind::Lease(ask(number, acting, CutOff::Keep));
         match self.client(place).call_with_retry(&what, LONG).await {
-            Ok(reply::What::Grant(grant)) => grant,
+            Ok(reply::Kind::Lease(grant)) => grant,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Sends a message to a region, and takes its refusal.
-    async fn refused(&self, place: usize, what: request::What) -> wire::Refusal {
+    /// Sends a message to a region, and takes its rejection.
+    async fn refused(&self, place: usize, what: request::Kind) -> wire::Rejection {
         match self.client(place).call_with_retry(&what, LONG).await {
-            Err(ClientError::Rejected(refusal)) => refusal,
+            Err(ClientError::Rejected(rejection)) => rejection,
             other => panic!("{other:?}"),
         }
     }
@@ -336,7 +336,7 @@
     HashMap::from([("caja".to_owned(), format!("{POLICY}\n# {number}\n"))])
 }
 
-fn ask(number: u64, acting: u64, cut_off: CutOff) -> wire::Ask {
+fn ask(number: u64, acting: u64, cut_off: CutOff) -> wire::LeaseRequest {
     let identity = Identity {
         name: "proxy".to_owned(),
         incarnation: 7,
@@ -349,7 +349,7 @@
         unread: None,
         cut_off,
     };
-    wire::Ask::of(ask, "caja")
+    wire::LeaseRequest::of(ask, "caja")
 }
 
 /// The change of all regions that a region tells of.
@@ -482,17 +482,17 @@
     let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
     assert!(stays(&world.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
-    let refusal = world
+    let rejection = world
         .refused(
             SUR,
             publish_request(files(3), world.standing(SUR).await.revision),
         )
         .await;
-    assert_eq!(refusal.code(), refusal::Code::UnderWay);
+    assert_eq!(rejection.code(), rejection::Code::ChangeInProgress);
     assert!(
-        refusal.text.contains("waits for region norte"),
+        rejection.message.contains("waits for region norte"),
         "{}",
-        refusal.text
+        rejection.message
     );
     let fault = world
         .control(SUR)
@@ -529,8 +529,8 @@
     );
 }
 
-fn publish_request(files: HashMap<String, String>, revision: u64) -> request::What {
-    request::What::Publish(wire::Publish { files, revision })
+fn publish_request(files: HashMap<String, String>, revision: u64) -> request::Kind {
+    request::Kind::Publish(wire::Publish { files, revision })
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -542,16 +542,16 @@
     assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
     assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
     // Until the other region has it, no further change of all begins.
-    let all = request::What::PublishAll(wire::Publish {
+    let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(3),
         revision: norte.revision,
     });
-    let refusal = world.refused(NORTE, all).await;
-    assert_eq!(refusal.code(), refusal::Code::UnderWay);
+    let rejection = world.refused(NORTE, all).await;
+    assert_eq!(rejection.code(), rejection::Code::ChangeInProgress);
     assert!(
-        refusal.text.contains("waits for region sur"),
+        rejection.message.contains("waits for region sur"),
         "{}",
-        refusal.text
+        rejection.message
     );
     world.mend();
     let sur = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
@@ -587,55 +587,55 @@
 async fn messages_for_another_region_are_refused_and_change_nothing() {
     let world = World::with_policy("messages", 10_000).await;
     let revision = world.standing(SUR).await.revision;
-    let all = request::What::PublishAll(wire::Publish {
+    let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(2),
         revision,
     });
-    let refusal = world.refused(SUR, all).await;
-    assert_eq!(refusal.code(), refusal::Code::NotCoordinator);
+    let rejection = world.refused(SUR, all).await;
+    assert_eq!(rejection.code(), rejection::Code::NotCoordinator);
     assert_eq!(
-        refusal.replicas,
+        rejection.replicas,
         [world.regions[NORTE][0].between.address.to_string()]
     );
     // A proxy that means the control of another region gets no lease.
     let sur: Region = "sur".parse().expect("a name");
     let strayed = ask(1, 0, CutOff::Refuse).in_region(Some(&sur));
-    let refusal = world
-        .refused(NORTE, request::What::Ask(strayed.clone()))
+    let rejection = world
+        .refused(NORTE, request::Kind::Lease(strayed.clone()))
         .await;
-    assert_eq!(refusal.code(), refusal::Code::OtherRegion);
+    assert_eq!(rejection.code(), rejection::Code::OtherRegion);
     assert!(
-        refusal.text.contains("\"sur\"") && refusal.text.contains("\"norte\""),
+        rejection.message.contains("\"sur\"") && rejection.message.contains("\"norte\""),
         "{}",
-        refusal.text
+        rejection.message
     );
     let lent = world
         .client(SUR)
-        .call_with_retry(&request::What::Ask(strayed), LONG)
+        .call_with_retry(&request::Kind::Lease(strayed), LONG)
         .await;
-    assert!(matches!(lent, Ok(reply::What::Grant(_))), "{lent:?}");
+    assert!(matches!(lent, Ok(reply::Kind::Lease(_))), "{lent:?}");
     // A message between regions under the seal of a proxy.
     let named = wire::ChangeRef {
         id: 9,
         coordinator: "norte".to_owned(),
-        number: 9,
+        generation: 9,
     };
     let text = serde_json::to_string(&files(9)).expect("JSON");
     let prepare = wire::Prepare {
         change: Some(named),
         region: "sur".to_owned(),
-        text,
+        policy: text,
     };
-    let refusal = world
-        .refused(SUR, request::What::Prepare(prepare.clone()))
+    let rejection = world
+        .refused(SUR, request::Kind::Prepare(prepare.clone()))
         .await;
-    assert_eq!(refusal.code(), refusal::Code::Bad);
+    assert_eq!(rejection.code(), rejection::Code::Invalid);
     // One for another region than the one that it has come to, under the right seal.
     let secret = SharedSecret::read(&world.folder.path().join("secret")).expect("a secret");
     let norte = world.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
     let fault = leader
-        .call(&request::What::Prepare(prepare.clone()))
+        .call(&request::Kind::Prepare(prepare.clone()))
         .await
         .expect_err("misdirected");
     assert!(
@@ -644,17 +644,17 @@
     );
     // And a question of a proxy under the seal of a region.
     let asked = leader
-        .call(&request::What::Status(wire::StatusAsked {}))
+        .call(&request::Kind::Status(wire::StatusRequest {}))
         .await;
     assert!(
-        matches!(asked, Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::Bad)
+        matches!(asked, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
     );
     // A change that the coordinator does not know begins, and ends by the coordinator's word.
     let sur = world.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
-        leader.call(&request::What::Prepare(prepare)).await,
-        Ok(reply::What::Vote(_))
+        leader.call(&request::Kind::Prepare(prepare)).await,
+        Ok(reply::Kind::Vote(_))
     ));
     let standing = world
         .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -2,7 +2,7 @@
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control_plane::store::{self, Store};
-use badgerramp_control_protocol::wire::{refusal, reply, request, Publish, StatusAsked};
+use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
@@ -212,13 +212,13 @@
         }
         let large = format!("{POLICY}\n# {answered}\n{}", "# room\n".repeat(20_000));
         let files = HashMap::from([("caja".to_owned(), large)]);
-        let publish = request::What::Publish(Publish {
+        let publish = request::Kind::Publish(Publish {
             files,
             revision: answered,
         });
         let mut client = replicas.client();
         match tokio::time::timeout(Duration::from_secs(10), client.call(&publish)).await {
-            Ok(Ok(reply::What::Begun(_))) => {
+            Ok(Ok(reply::Kind::ChangeStarted(_))) => {
                 // The next is published beside what has come of this one.
                 let mut control = replicas.control();
                 match tokio::time::timeout(Duration::from_secs(10), control.standing()).await {
@@ -313,28 +313,31 @@
 async fn what_can_not_be_used_is_refused_and_changes_nothing() {
     let replicas = Replicas::start("bad", 1).await;
     let refused = async |files: HashMap<String, String>, revision: u64| {
-        let publish = request::What::Publish(Publish { files, revision });
+        let publish = request::Kind::Publish(Publish { files, revision });
         match replicas.client().call_with_retry(&publish, LONG).await {
-            Err(ClientError::Rejected(refusal)) => (refusal.code(), refusal.text),
+            Err(ClientError::Rejected(rejection)) => (rejection.code(), rejection.message),
             other => panic!("{other:?}"),
         }
     };
     let none = POLICY.replace("attempts = 3", "attempts = 0");
     let (code, text) = refused(HashMap::from([("caja".to_owned(), none)]), 0).await;
-    assert_eq!(code, refusal::Code::Bad);
+    assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("caja.toml") && text.contains("attempts") && text.contains("found 0"),
         "{text}"
     );
     let (code, text) = refused(HashMap::from([("a".to_owned(), "#".repeat(1 << 21))]), 0).await;
-    assert_eq!(code, refusal::Code::Bad);
+    assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("allowed are 1 to 4096 of 1048576 bytes"),
         "{text}"
     );
-    assert_eq!(refused(HashMap::new(), 0).await.0, refusal::Code::Bad);
+    assert_eq!(refused(HashMap::new(), 0).await.0, rejection::Code::Invalid);
     // Looked at beside what is no more.
-    assert_eq!(refused(files(2), 7).await.0, refusal::Code::Moved);
+    assert_eq!(
+        refused(files(2), 7).await.0,
+        rejection::Code::RevisionChanged
+    );
 
     replicas
         .folder
@@ -342,15 +345,15 @@
         .expect("a file");
     let other = SharedSecret::read(&replicas.folder.path().join("other")).expect("a secret");
     let mut stranger = Client::new(replicas.addresses(), other, Duration::from_secs(5));
-    let publish = request::What::Publish(Publish {
+    let publish = request::Kind::Publish(Publish {
         files: files(2),
         revision: 0,
     });
     let fault = stranger.call(&publish).await.expect_err("no admittance");
     assert!(fault.to_string().contains("another secret"), "{fault}");
 
-    let status = request::What::Status(StatusAsked {});
-    let Ok(reply::What::Status(status)) = replicas.client().call_with_retry(&status, LONG).await
+    let status = request::Kind::Status(StatusRequest {});
+    let Ok(reply::Kind::Status(status)) = replicas.client().call_with_retry(&status, LONG).await
     else {
         panic!("no status")
     };
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -2,7 +2,9 @@
 
 use crate::seal::{MessageError, Purpose, SharedSecret};
 use crate::wire::control_client::ControlClient;
-use crate::wire::{refusal, reply, request, Refusal, Reply, Request, Sealed, StatusAsked};
+use crate::wire::{
+    rejection, reply, request, AuthenticatedMessage, Rejection, Reply, Request, StatusRequest,
+};
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,7 +22,7 @@
     /// It answered, and the answer can't be trusted or read.
     UnexpectedReply(String),
     /// It refuses.
-    Rejected(Refusal),
+    Rejected(Rejection),
 }
 
 impl fmt::Display for ClientError {
@@ -28,7 +30,7 @@
         match self {
             ClientError::Unavailable(why) => write!(f, "control can't be reached: {why}"),
             ClientError::UnexpectedReply(why) => write!(f, "control answers oddly: {why}"),
-            ClientError::Rejected(refusal) => f.write_str(&refusal.text),
+            ClientError::Rejected(rejection) => f.write_str(&rejection.message),
         }
     }
 }
@@ -42,7 +44,7 @@
 }
 
 /// A stream of control's words that its revision has moved.
-pub struct RevisionWatch(tonic::Streaming<Sealed>, SharedSecret);
+pub struct RevisionWatch(tonic::Streaming<AuthenticatedMessage>, SharedSecret);
 
 impl RevisionWatch {
     /// The next revision.
@@ -57,8 +59,8 @@
             .map_err(|s| ClientError::Unavailable(s.message().to_owned()))?;
         let sealed = sealed
             .ok_or_else(|| ClientError::Unavailable("the stream of news ended".to_owned()))?;
-        match self.1.verify::<Reply>(Purpose::Reply, sealed)?.what {
-            Some(reply::What::Word(word)) => Ok(word.revision),
+        match self.1.verify::<Reply>(Purpose::Reply, sealed)?.kind {
+            Some(reply::Kind::RevisionChanged(word)) => Ok(word.revision),
             _ => Err(ClientError::UnexpectedReply(
                 "no word of a revision".to_owned(),
             )),
@@ -130,13 +132,13 @@
     async fn once(
         &mut self,
         address: SocketAddr,
-        what: &request::What,
-    ) -> Result<reply::What, ClientError> {
+        what: &request::Kind,
+    ) -> Result<reply::Kind, ClientError> {
         let mut client = self.to(address)?;
         let nonce = rand::random();
         let request = Request {
             nonce,
-            what: Some(what.clone()),
+            kind: Some(what.clone()),
         };
         let (asked, answered) = match self.audience {
             Audience::Fleet => (Purpose::Request, Purpose::Reply),
@@ -175,8 +177,8 @@
                 "the answer is to another question".to_owned(),
             ));
         }
-        match reply.what {
-            Some(reply::What::Refusal(refusal)) => Err(ClientError::Rejected(refusal)),
+        match reply.kind {
+            Some(reply::Kind::Rejection(rejection)) => Err(ClientError::Rejected(rejection)),
             Some(what) => Ok(what),
             None => Err(ClientError::UnexpectedReply("an empty answer".to_owned())),
         }
@@ -187,14 +189,16 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub async fn call(&mut self, what: &request::What) -> Result<reply::What, ClientError> {
+    pub async fn call(&mut self, what: &request::Kind) -> Result<reply::Kind, ClientError> {
         let Some(&address) = self.replicas.get(self.place % self.replicas.len().max(1)) else {
             return Err(ClientError::Unavailable("no replica is named".to_owned()));
         };
         let answer = self.once(address, what).await;
         match &answer {
-            Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::NotLeader => {
-                let named = refusal.leader.parse().ok();
+            Err(ClientError::Rejected(rejection))
+                if rejection.code() == rejection::Code::NotLeader =>
+            {
+                let named = rejection.leader.parse().ok();
                 let known =
                     named.and_then(|n: SocketAddr| self.replicas.iter().position(|&r| r == n));
                 self.place = known.unwrap_or(self.place + 1);
@@ -212,15 +216,17 @@
     /// See [`ClientError`].
     pub async fn call_with_retry(
         &mut self,
-        what: &request::What,
+        what: &request::Kind,
         time: Duration,
-    ) -> Result<reply::What, ClientError> {
+    ) -> Result<reply::Kind, ClientError> {
         let end = tokio::time::Instant::now() + time;
         loop {
             let answer = self.call(what).await;
             let again = match &answer {
                 Err(ClientError::Unavailable(_)) => true,
-                Err(ClientError::Rejected(refusal)) => refusal.code() == refusal::Code::NotLeader,
+                Err(ClientError::Rejected(rejection)) => {
+                    rejection.code() == rejection::Code::NotLeader
+                }
                 _ => false,
             };
             if !again || tokio::time::Instant::now() >= end {
@@ -244,12 +250,12 @@
             return Err(ClientError::Unavailable("no replica is named".to_owned()));
         };
         let mut client = self.to(address)?;
-        let what = Some(request::What::Status(StatusAsked {}));
+        let kind = Some(request::Kind::Status(StatusRequest {}));
         let sealed = self.secret.authenticate(
             Purpose::Request,
             &Request {
                 nonce: rand::random(),
-                what,
+                kind,
             },
         );
         let opened = tokio::time::timeout(self.within, client.news(sealed)).await;
--- a/crates/control-protocol/src/convert.rs
+++ b/crates/control-protocol/src/convert.rs
@@ -42,29 +42,29 @@
     }
 }
 
-impl From<CutOff> for wire::CutOff {
+impl From<CutOff> for wire::OnLeaseLoss {
     fn from(own: CutOff) -> Self {
         match own {
-            CutOff::Refuse => wire::CutOff::Refuse,
-            CutOff::Narrow => wire::CutOff::Narrow,
-            CutOff::Keep => wire::CutOff::Keep,
+            CutOff::Refuse => wire::OnLeaseLoss::Refuse,
+            CutOff::Narrow => wire::OnLeaseLoss::Narrow,
+            CutOff::Keep => wire::OnLeaseLoss::Keep,
         }
     }
 }
 
-impl wire::Ask {
+impl wire::LeaseRequest {
     /// The question of a proxy that takes this application's file.
     pub fn of(own: Ask, application: &str) -> Self {
-        wire::Ask {
+        wire::LeaseRequest {
             identity: Some(own.identity.into()),
-            number: own.number,
-            acting: own.acting,
-            has: own.has.into_iter().map(|g| g.0).collect(),
-            unread: own.unread.map(|u| wire::Unread {
+            sequence: own.number,
+            active_revision: own.acting,
+            loaded_generations: own.has.into_iter().map(|g| g.0).collect(),
+            rejected_generation: own.unread.map(|u| wire::RejectedGeneration {
                 generation: u.generation.0,
                 reason: u.reason,
             }),
-            cut_off: wire::CutOff::from(own.cut_off).into(),
+            on_lease_loss: wire::OnLeaseLoss::from(own.cut_off).into(),
             application: application.to_owned(),
             region: String::new(),
         }
@@ -73,7 +73,7 @@
     /// The same question, for the control of this region only.
     #[must_use]
     pub fn in_region(self, region: Option<&Region>) -> Self {
-        wire::Ask {
+        wire::LeaseRequest {
             region: region.map(Region::to_string).unwrap_or_default(),
             ..self
         }
@@ -81,33 +81,37 @@
 
     /// What the decisions take; `None` if a part is missing or out of its range.
     pub fn read(&self) -> Option<Ask> {
-        let cut_off = match self.cut_off() {
-            wire::CutOff::Unspecified => return None,
-            wire::CutOff::Refuse => CutOff::Refuse,
-            wire::CutOff::Narrow => CutOff::Narrow,
-            wire::CutOff::Keep => CutOff::Keep,
+        let cut_off = match self.on_lease_loss() {
+            wire::OnLeaseLoss::Unspecified => return None,
+            wire::OnLeaseLoss::Refuse => CutOff::Refuse,
+            wire::OnLeaseLoss::Narrow => CutOff::Narrow,
+            wire::OnLeaseLoss::Keep => CutOff::Keep,
         };
-        let unread = self.unread.as_ref().map(|u| Unread {
+        let unread = self.rejected_generation.as_ref().map(|u| Unread {
             generation: Generation(u.generation),
             reason: u.reason.clone(),
         });
         Some(Ask {
             identity: self.identity.clone().filter(|i| !i.name.is_empty())?.into(),
-            number: self.number,
-            acting: self.acting,
-            has: self.has.iter().map(|&g| Generation(g)).collect(),
+            number: self.sequence,
+            acting: self.active_revision,
+            has: self
+                .loaded_generations
+                .iter()
+                .map(|&g| Generation(g))
+                .collect(),
             unread,
             cut_off,
         })
     }
 }
 
-impl wire::Grant {
+impl wire::LeaseGrant {
     /// What the decisions take; `None` if it names no mode.
     pub fn read(&self) -> Option<Grant> {
         let mode = Mode::from(self.mode?);
         (mode.old <= mode.new).then_some(Grant {
-            number: self.number,
+            number: self.sequence,
             mode,
             lease: self.lease,
         })
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -12,7 +12,7 @@
         wire::ChangeRef {
             id: own.id.0,
             coordinator: own.coordinator.into(),
-            number: own.number.0,
+            generation: own.number.0,
         }
     }
 }
@@ -23,21 +23,21 @@
         Some(ChangeRef {
             id: ChangeId(self.id),
             coordinator: self.coordinator.parse().ok()?,
-            number: Generation(self.number),
+            number: Generation(self.generation),
         })
     }
 }
 
 /// A coordinator's message to this participant.
-pub fn to_participant(region: &Region, request: Request) -> request::What {
+pub fn to_participant(region: &Region, request: Request) -> request::Kind {
     let region = region.to_string();
     match request {
-        Request::Prepare(Prepare { change, text }) => request::What::Prepare(wire::Prepare {
+        Request::Prepare(Prepare { change, text }) => request::Kind::Prepare(wire::Prepare {
             change: Some(change.into()),
             region,
-            text,
+            policy: text,
         }),
-        Request::Commit(Commit { change }) => request::What::Commit(wire::Commit {
+        Request::Commit(Commit { change }) => request::Kind::Commit(wire::Commit {
             change: Some(change.into()),
             region,
         }),
@@ -45,8 +45,8 @@
 }
 
 /// A participant's question to this coordinator.
-pub fn to_coordinator(coordinator: &Region, asked: OutcomeAsked) -> request::What {
-    request::What::Outcome(wire::OutcomeAsked {
+pub fn to_coordinator(coordinator: &Region, asked: OutcomeAsked) -> request::Kind {
+    request::Kind::Outcome(wire::OutcomeRequest {
         id: asked.id.0,
         region: asked.region.into(),
         coordinator: coordinator.to_string(),
@@ -58,7 +58,7 @@
     pub fn read(self) -> Option<Prepare> {
         Some(Prepare {
             change: self.change?.read()?,
-            text: self.text,
+            text: self.policy,
         })
     }
 }
@@ -72,7 +72,7 @@
     }
 }
 
-impl wire::OutcomeAsked {
+impl wire::OutcomeRequest {
     /// What the decisions take; `None` if it names no region.
     pub fn read(self) -> Option<OutcomeAsked> {
         Some(OutcomeAsked {
@@ -85,17 +85,17 @@
 impl From<VoteReply> for wire::VoteReply {
     fn from(own: VoteReply) -> Self {
         use vote_reply::Vote as On;
-        let (vote, why) = match own.vote {
+        let (vote, reason) = match own.vote {
             Vote::Preparing => (On::Preparing, String::new()),
             Vote::Prepared => (On::Prepared, String::new()),
-            Vote::Refused { why } => (On::Refused, why),
+            Vote::Refused { why } => (On::Rejected, why),
             Vote::InForce => (On::InForce, String::new()),
             Vote::NotInForce => (On::NotInForce, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
             vote: vote.into(),
-            why,
+            reason,
         }
     }
 }
@@ -108,7 +108,7 @@
             On::Unspecified => return None,
             On::Preparing => Vote::Preparing,
             On::Prepared => Vote::Prepared,
-            On::Refused => Vote::Refused { why: self.why },
+            On::Rejected => Vote::Refused { why: self.reason },
             On::InForce => Vote::InForce,
             On::NotInForce => Vote::NotInForce,
         };
--- a/crates/control-protocol/src/seal.rs
+++ b/crates/control-protocol/src/seal.rs
@@ -1,6 +1,6 @@
 //! Seals: who does not have the secret can neither ask nor answer.
 
-use crate::wire::Sealed;
+use crate::wire::AuthenticatedMessage;
 use hmac::{Hmac, Mac};
 use prost::Message;
 use sha2::Sha256;
@@ -200,16 +200,16 @@
     }
 
     /// Seals a message.
-    pub fn authenticate(&self, purpose: Purpose, message: &impl Message) -> Sealed {
+    pub fn authenticate(&self, purpose: Purpose, message: &impl Message) -> AuthenticatedMessage {
         self.authenticate_bytes(purpose, message.encode_to_vec())
     }
 
     /// Seals bytes.
-    pub fn authenticate_bytes(&self, purpose: Purpose, body: Vec<u8>) -> Sealed {
+    pub fn authenticate_bytes(&self, purpose: Purpose, body: Vec<u8>) -> AuthenticatedMessage {
         let mac = self
             .mac(purpose, PROTOCOL_VERSION, &body)
             .map(|m| m.finalize().into_bytes().to_vec());
-        Sealed {
+        AuthenticatedMessage {
             version: PROTOCOL_VERSION,
             body,
             mac: mac.unwrap_or_default(),
@@ -220,8 +220,12 @@
     ///
     /// # Errors
     /// If the seal does not fit, the version is another one, or there are too many bytes.
-    pub fn verify_bytes(&self, purpose: Purpose, sealed: Sealed) -> Result<Vec<u8>, MessageError> {
-        let Sealed { version, body, mac } = sealed;
+    pub fn verify_bytes(
+        &self,
+        purpose: Purpose,
+        sealed: AuthenticatedMessage,
+    ) -> Result<Vec<u8>, MessageError> {
+        let AuthenticatedMessage { version, body, mac } = sealed;
         if body.len() > MAX_BODY_BYTES {
             return Err(MessageError::TooLarge(body.len()));
         }
@@ -242,7 +246,7 @@
     pub fn verify<M: Message + Default>(
         &self,
         purpose: Purpose,
-        sealed: Sealed,
+        sealed: AuthenticatedMessage,
     ) -> Result<M, MessageError> {
         let body = self.verify_bytes(purpose, sealed)?;
         M::decode(body.as_slice()).map_err(|fault| MessageError::Malformed(fault.to_string()))
@@ -252,7 +256,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::wire::{Request, Word};
+    use crate::wire::{Request, RevisionChanged};
     use proptest::prelude::*;
 
     fn secret(text: &str) -> SharedSecret {
@@ -262,28 +266,28 @@
     #[test]
     fn a_seal_fits_one_secret_purpose_version_and_body() {
         let (own, other) = (secret("0123456789abcdef"), secret("0123456789abcdeF"));
-        let word = Word { revision: 7 };
+        let word = RevisionChanged { revision: 7 };
         let sealed = own.authenticate(Purpose::Request, &word);
         assert_eq!(own.verify(Purpose::Request, sealed.clone()), Ok(word));
         assert_eq!(
-            other.verify::<Word>(Purpose::Request, sealed.clone()),
+            other.verify::<RevisionChanged>(Purpose::Request, sealed.clone()),
             Err(MessageError::BadMac)
         );
         assert_eq!(
-            own.verify::<Word>(Purpose::Reply, sealed.clone()),
+            own.verify::<RevisionChanged>(Purpose::Reply, sealed.clone()),
             Err(MessageError::BadMac)
         );
-        let newer = Sealed {
+        let newer = AuthenticatedMessage {
             version: 2,
             ..sealed.clone()
         };
         assert_eq!(
-            own.verify::<Word>(Purpose::Request, newer),
+            own.verify::<RevisionChanged>(Purpose::Request, newer),
             Err(MessageError::UnsupportedVersion(2))
         );
         let large = own.authenticate_bytes(Purpose::Request, vec![0; MAX_BODY_BYTES + 1]);
         assert_eq!(
-            own.verify::<Word>(Purpose::Request, large),
+            own.verify::<RevisionChanged>(Purpose::Request, large),
             Err(MessageError::TooLarge(MAX_BODY_BYTES + 1))
         );
         let odd = own.authenticate_bytes(Purpose::Request, vec![0xff; 9]);
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -10,7 +10,7 @@
 )]
 
 use badgerramp_control_protocol::wire::{
-    self, change, control_server, outcome_reply, refusal, reply, request, vote_reply, CutOff,
+    self, change, control_server, outcome_reply, rejection, reply, request, vote_reply, OnLeaseLoss,
 };
 use badgerramp_control_protocol::{digest, Purpose, SharedSecret};
 use prost::Message;
@@ -28,22 +28,22 @@
         writeln!(self.0, "{name}: {}", hex(&bytes)).expect("written to memory");
     }
 
-    fn request(&mut self, name: &str, what: request::What) {
+    fn request(&mut self, name: &str, what: request::Kind) {
         self.add(
             name,
             wire::Request {
                 nonce: 0x0102_0304_0506_0708,
-                what: Some(what),
+                kind: Some(what),
             },
         );
     }
 
-    fn reply(&mut self, name: &str, what: reply::What) {
+    fn reply(&mut self, name: &str, what: reply::Kind) {
         self.add(
             name,
             wire::Reply {
                 nonce: 0x1112_1314_1516_1718,
-                what: Some(what),
+                kind: Some(what),
             },
         );
     }
@@ -72,8 +72,8 @@
     }
 }
 
-fn text() -> wire::Text {
-    wire::Text {
+fn text() -> wire::PolicyFiles {
+    wire::PolicyFiles {
         generation: 5,
         files: files(),
     }
@@ -83,7 +83,7 @@
     wire::ChangeRef {
         id: 0x2122_2324_2526_2728,
         coordinator: "norte".to_owned(),
-        number: 9,
+        generation: 9,
     }
 }
 
@@ -91,92 +91,98 @@
 fn requests_keep_their_bytes() {
     let mut pinned = Pinned::default();
     for (name, cut_off) in [
-        ("ask, cut off unspecified", CutOff::Unspecified),
-        ("ask, cut off refuse", CutOff::Refuse),
-        ("ask, cut off narrow", CutOff::Narrow),
-        ("ask, cut off keep", CutOff::Keep),
+        ("ask, cut off unspecified", OnLeaseLoss::Unspecified),
+        ("ask, cut off refuse", OnLeaseLoss::Refuse),
+        ("ask, cut off narrow", OnLeaseLoss::Narrow),
+        ("ask, cut off keep", OnLeaseLoss::Keep),
     ] {
-        let ask = wire::Ask {
+        let ask = wire::LeaseRequest {
             identity: Some(identity()),
-            number: 7,
-            acting: 299,
-            has: vec![3, 4],
-            unread: Some(wire::Unread {
+            sequence: 7,
+            active_revision: 299,
+            loaded_generations: vec![3, 4],
+            rejected_generation: Some(wire::RejectedGeneration {
                 generation: 6,
                 reason: "line 3".to_owned(),
             }),
-            cut_off: cut_off.into(),
+            on_lease_loss: cut_off.into(),
             application: "tablet".to_owned(),
             region: "sur".to_owned(),
         };
-        pinned.request(name, request::What::Ask(ask));
+        pinned.request(name, request::Kind::Lease(ask));
     }
-    pinned.request("leave", request::What::Leave(identity()));
+    pinned.request("leave", request::Kind::Unregister(identity()));
     let publish = || wire::Publish {
         files: files(),
         revision: 300,
     };
-    pinned.request("publish", request::What::Publish(publish()));
-    pinned.request("publish all", request::What::PublishAll(publish()));
-    pinned.request("status", request::What::Status(wire::StatusAsked {}));
+    pinned.request("publish", request::Kind::Publish(publish()));
+    pinned.request("publish all", request::Kind::PublishAllRegions(publish()));
+    pinned.request("status", request::Kind::Status(wire::StatusRequest {}));
     pinned.request(
         "abort",
-        request::What::Abort(wire::Abort {
+        request::Kind::Abort(wire::Abort {
             generation: 5,
-            why: "too slow".to_owned(),
+            reason: "too slow".to_owned(),
         }),
     );
-    pinned.request("evict", request::What::Evict(identity()));
-    pinned.request("text", request::What::Text(text()));
+    pinned.request("evict", request::Kind::Evict(identity()));
+    pinned.request("text", request::Kind::PolicyFiles(text()));
     let prepare = wire::Prepare {
         change: Some(change_ref()),
         region: "sur".to_owned(),
-        text: r#"{"tablet":"listen = 1"}"#.to_owned(),
+        policy: r#"{"tablet":"listen = 1"}"#.to_owned(),
     };
-    pinned.request("prepare", request::What::Prepare(prepare));
+    pinned.request("prepare", request::Kind::Prepare(prepare));
     let commit = wire::Commit {
         change: Some(change_ref()),
         region: "sur".to_owned(),
     };
-    pinned.request("commit", request::What::Commit(commit));
-    let outcome = wire::OutcomeAsked {
+    pinned.request("commit", request::Kind::Commit(commit));
+    let outcome = wire::OutcomeRequest {
         id: 77,
         region: "sur".to_owned(),
         coordinator: "norte".to_owned(),
     };
-    pinned.request("outcome", request::What::Outcome(outcome));
+    pinned.request("outcome", request::Kind::Outcome(outcome));
     insta::assert_snapshot!(pinned.0);
 }
 
 #[test]
 fn replies_keep_their_bytes() {
     let mut pinned = Pinned::default();
-    let grant = wire::Grant {
-        number: 7,
+    let grant = wire::LeaseGrant {
+        sequence: 7,
         mode: Some(mode()),
         lease: 10_000_000,
-        texts: vec![text()],
+        policies: vec![text()],
         digests: HashMap::from([(5, digest("listen = 1"))]),
     };
-    pinned.reply("grant", reply::What::Grant(grant));
-    pinned.reply("done", reply::What::Done(wire::Done {}));
-    pinned.reply("begun", reply::What::Begun(wire::Begun { generation: 5 }));
-    pinned.reply("text", reply::What::Text(text()));
-    pinned.reply("word", reply::What::Word(wire::Word { revision: 300 }));
+    pinned.reply("grant", reply::Kind::Lease(grant));
+    pinned.reply("done", reply::Kind::Done(wire::Done {}));
+    pinned.reply(
+        "begun",
+        reply::Kind::ChangeStarted(wire::ChangeStarted { generation: 5 }),
+    );
+    pinned.reply("text", reply::Kind::PolicyFiles(text()));
+    pinned.reply(
+        "word",
+        reply::Kind::RevisionChanged(wire::RevisionChanged { revision: 300 }),
+    );
     for (name, vote) in [
         ("vote unspecified", vote_reply::Vote::Unspecified),
         ("vote preparing", vote_reply::Vote::Preparing),
         ("vote prepared", vote_reply::Vote::Prepared),
-        ("vote refused", vote_reply::Vote::Refused),
+        ("vote refused", vote_reply::Vote::Rejected),
         ("vote in force", vote_reply::Vote::InForce),
         ("vote not in force", vote_reply::Vote::NotInForce),
     ] {
         let vote = wire::VoteReply {
             id: 77,
             vote: vote.into(),
-            why: "moved".to_owned(),
+            reason: "moved".to_owned(),
         };
-        pinned.reply(name, reply::What::Vote(vote));
+        pinned.reply(name, reply::Kind::Vote(vote));
     }
     for (name, decision) in [
         ("decision unspecified", outcome_reply::Decision::Unspecified),
@@ -188,27 +194,27 @@
             id: 77,
             decision: decision.into(),
         };
-        pinned.reply(name, reply::What::Outcome(outcome));
+        pinned.reply(name, reply::Kind::Outcome(outcome));
     }
     for (name, code) in [
-        ("refusal unspecified", refusal::Code::Unspecified),
-        ("refusal not leader", refusal::Code::NotLeader),
-        ("refusal no policy", refusal::Code::NoPolicy),
-        ("refusal stale", refusal::Code::Stale),
-        ("refusal evicted", refusal::Code::Evicted),
-        ("refusal under way", refusal::Code::UnderWay),
-        ("refusal moved", refusal::Code::Moved),
-        ("refusal bad", refusal::Code::Bad),
-        ("refusal other region", refusal::Code::OtherRegion),
-        ("refusal not coordinator", refusal::Code::NotCoordinator),
+        ("refusal unspecified", rejection::Code::Unspecified),
+        ("refusal not leader", rejection::Code::NotLeader),
+        ("refusal no policy", rejection::Code::NoPolicy),
+        ("refusal stale", rejection::Code::Stale),
+        ("refusal evicted", rejection::Code::Evicted),
+        ("refusal under way", rejection::Code::ChangeInProgress),
+        ("refusal moved", rejection::Code::RevisionChanged),
+        ("refusal bad", rejection::Code::Invalid),
+        ("refusal other region", rejection::Code::OtherRegion),
+        ("refusal not coordinator", rejection::Code::NotCoordinator),
     ] {
-        let refusal = wire::Refusal {
+        let refusal = wire::Rejection {
             code: code.into(),
-            text: "another replica leads".to_owned(),
+            message: "another replica leads".to_owned(),
             leader: "127.0.0.1:7400".to_owned(),
             replicas: vec!["127.0.0.1:7401".to_owned(), "127.0.0.1:7402".to_owned()],
         };
-        pinned.reply(name, reply::What::Refusal(refusal));
+        pinned.reply(name, reply::Kind::Rejection(refusal));
     }
     insta::assert_snapshot!(pinned.0);
 }
@@ -216,20 +222,20 @@
 #[test]
 fn the_status_keeps_its_bytes() {
     let ended = [
-        change::Ended::Unspecified,
-        change::Ended::Open,
-        change::Ended::InForce,
-        change::Ended::NotInForce,
+        change::Status::Unspecified,
+        change::Status::Open,
+        change::Status::InForce,
+        change::Status::NotInForce,
     ];
     let changes = ended
         .into_iter()
         .zip(1..)
         .map(|(ended, generation)| wire::Change {
             generation,
-            from: generation - 1,
-            ended: ended.into(),
-            why: "unread".to_owned(),
-            all_regions: 0x3132_3334_3536_3738,
+            previous_generation: generation - 1,
+            status: ended.into(),
+            reason: "unread".to_owned(),
+            cross_region_id: 0x3132_3334_3536_3738,
         });
     let cross_region = wire::CrossRegion {
         id: 0x2122_2324_2526_2728,
@@ -247,14 +253,14 @@
         changes: changes.collect(),
         blockers: vec![wire::Blocker {
             identity: Some(identity()),
-            why: "its lease runs".to_owned(),
-            left: 1_500_000,
+            reason: "its lease runs".to_owned(),
+            remaining: 1_500_000,
             region: "sur".to_owned(),
         }],
         proxies: vec![wire::Proxy {
             identity: Some(identity()),
-            acting: 299,
-            cut_off: CutOff::Keep.into(),
+            active_revision: 299,
+            on_lease_loss: OnLeaseLoss::Keep.into(),
         }],
         leader: "127.0.0.1:7400".to_owned(),
         revision: 300,
@@ -266,7 +272,7 @@
         }),
     };
     let mut pinned = Pinned::default();
-    pinned.reply("status", reply::What::Status(status));
+    pinned.reply("status", reply::Kind::Status(status));
     insta::assert_snapshot!(pinned.0);
 }
 
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -9,7 +9,7 @@
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
 use badgerramp_config::{Config, PolicyTerms, Use};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request};
+use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{clock, digest, Client, ClientError, SharedSecret};
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{Answered, CutOff, Generation, Holder, HolderTerms, Identity, Mode};
@@ -135,7 +135,7 @@
             .drain(..)
             .for_each(|task| task.abort());
         if self.set.get().is_some() {
-            let leave = request::What::Leave(self.identity.clone().into());
+            let leave = request::Kind::Unregister(self.identity.clone().into());
             let _ = tokio::time::timeout(LEAVE, self.client().call_with_retry(&leave, LEAVE)).await;
         }
     }
@@ -172,15 +172,17 @@
                 continue;
             }
             let ask = self.gate.holder().borrow_mut().ask(clock::now());
-            let ask =
-                wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
-            let ask = request::What::Ask(ask);
+            let ask = wire::LeaseRequest::of(ask, &self.terms.application)
+                .in_region(self.terms.region.as_ref());
+            let ask = request::Kind::Lease(ask);
             let fault = match client.call(&ask).await {
-                Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &front).err(),
+                Ok(reply::Kind::Lease(grant)) => self.granted(&grant, &driver, &front).err(),
                 Ok(_) => Some("control answers oddly: no grant".to_owned()),
-                Err(ClientError::Rejected(refusal)) if refusal.code() == refusal::Code::Evicted => {
+                Err(ClientError::Rejected(rejection))
+                    if rejection.code() == rejection::Code::Evicted =>
+                {
                     self.gate.holder().borrow_mut().evict();
-                    warn!("{}", refusal.text);
+                    warn!("{}", rejection.message);
                     continue;
                 }
                 Err(fault) => Some(fault.to_string()),
@@ -207,13 +209,18 @@
     }
 
     /// Takes what control lends. What fails leaves all as it is.
-    fn granted(&self, wire: &wire::Grant, driver: &Driver, front: &Front) -> Result<(), String> {
+    fn granted(
+        &self,
+        wire: &wire::LeaseGrant,
+        driver: &Driver,
+        front: &Front,
+    ) -> Result<(), String> {
         let grant = wire
             .read()
             .ok_or("control answers oddly: a grant without a mode")?;
         let mut holder = self.gate.holder().borrow_mut();
         let mut fresh = false;
-        for text in &wire.texts {
+        for text in &wire.policies {
             let generation = Generation(text.generation);
             match self.take(generation, text) {
                 Ok(()) => {
@@ -250,7 +257,7 @@
     }
 
     /// Reads a text.
-    fn take(&self, generation: Generation, text: &wire::Text) -> Result<(), String> {
+    fn take(&self, generation: Generation, text: &wire::PolicyFiles) -> Result<(), String> {
         let application = &self.terms.application;
         let text = text.files.get(application);
         let text = text.ok_or_else(|| format!("it has no file for application {application:?}"))?;
