--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -1,6 +1,7 @@
 //! Asks control: the replica that leads, wherever it is.
 
-use crate::seal::{MessageError, Purpose, SharedSecret};
+use crate::authentication::{MessageError, Purpose};
+use crate::secret::SharedSecret;
 use crate::wire::control_client::ControlClient;
 use crate::wire::{
     rejection, reply, request, AuthenticatedMessage, Rejection, Reply, Request, StatusRequest,
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -2,16 +2,16 @@
 //! that is made with a secret which all of them share.
 #![forbid(unsafe_code)]
 
+mod authentication;
 mod client;
 pub mod clock;
-mod convert;
+mod lease;
 pub mod regions;
-mod seal;
+mod secret;
 
+pub use authentication::{MessageError, Purpose, MAC_LEN, MAX_BODY_BYTES, PROTOCOL_VERSION};
 pub use client::{Client, ClientError, RevisionWatch};
-pub use seal::{
-    MessageError, Purpose, SecretError, SharedSecret, MAC_LEN, MAX_BODY_BYTES, PROTOCOL_VERSION,
-};
+pub use secret::{SecretError, SharedSecret};
 
 /// The SHA-256 of a text.
 pub fn digest(text: &str) -> Vec<u8> {
--- /dev/null
+++ b/crates/control-protocol/src/secret/tests.rs
@@ -0,0 +1,32 @@
+//! Which files hold a usable secret.
+
+use super::*;
+
+#[test]
+fn a_secret_that_others_may_read_is_refused() {
+    let path = std::env::temp_dir().join(format!("badgerramp-secret-{}", std::process::id()));
+    std::fs::write(&path, "0123456789abcdef\n").expect("a temporary file");
+    let set = |mode| {
+        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set");
+    };
+    set(0o640);
+    assert!(matches!(
+        SharedSecret::read(&path),
+        Err(SecretError::Permissions(_))
+    ));
+    set(0o600);
+    assert_eq!(
+        SharedSecret::read(&path).expect("a secret").0,
+        b"0123456789abcdef"
+    );
+    std::fs::write(&path, "short").expect("a temporary file");
+    assert!(matches!(
+        SharedSecret::read(&path),
+        Err(SecretError::Length(5))
+    ));
+    std::fs::remove_file(&path).expect("a temporary file");
+    assert!(matches!(
+        SharedSecret::read(&path),
+        Err(SecretError::Unreadable(_))
+    ));
+}
