--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
 use badgerramp_control_protocol::wire::{self, change::Status as Ended, rejection, reply, request};
-use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret, UnexpectedReply};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -419,7 +419,7 @@
             .await?
         {
             reply::Kind::Status(status) => Ok(status),
-            _ => Err(ClientError::UnexpectedReply("no status".to_owned())),
+            _ => Err(UnexpectedReply::Not("status").into()),
         }
     }
 
@@ -471,7 +471,7 @@
         };
         match self.asked(request::Kind::PolicyFiles(text)).await? {
             reply::Kind::PolicyFiles(text) => Ok(text.files),
-            _ => Err(ClientError::UnexpectedReply("no files".to_owned())),
+            _ => Err(UnexpectedReply::Not("files").into()),
         }
     }
 
@@ -587,7 +587,7 @@
                     done.generation = Some(number.generation);
                     break;
                 }
-                Ok(_) => ClientError::UnexpectedReply("no number of a generation".to_owned()),
+                Ok(_) => UnexpectedReply::Not("number of a generation").into(),
                 Err(fault) => fault,
             };
             done.why = fault.to_string();
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -2,7 +2,7 @@
 
 use crate::store::{Id, Types};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
-use badgerramp_control_protocol::{Purpose, SharedSecret};
+use badgerramp_control_protocol::{Purpose, SharedSecret, MAX_MESSAGE_BYTES};
 use openraft::error::{
     InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
 };
@@ -18,9 +18,6 @@
 use std::io;
 use tonic::transport::{Channel, Endpoint};
 
-/// Most bytes of a message between replicas.
-pub(crate) const MAX_MESSAGE_BYTES: usize = badgerramp_control_protocol::MAX_BODY_BYTES + 1024;
-
 /// A question of one replica to another.
 #[derive(Serialize, Deserialize)]
 enum Asked {
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -6,12 +6,13 @@
 use crate::refusals::refuse;
 use crate::settings::RegionSettings;
 use crate::store::Store;
-use badgerramp_control_protocol::regions::{to_coordinator, to_participant};
+use badgerramp_control_protocol::regions::{coordinator_request, participant_request};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
-use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
+use badgerramp_control_protocol::{Client, ClientError, InvalidMessage, SharedSecret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    coordinator, participant, Commit, Prepare, Region, Regions, VoteReply,
+    coordinator, participant, Commit, OutcomeAsked, OutcomeReply, Prepare, Region, Regions,
+    VoteReply,
 };
 use badgerramp_policy::Command;
 use std::future::Future;
@@ -107,10 +108,10 @@
         self.store.with(|record| {
             let requests = coordinator::requests(record);
             if let Some((_, request)) = requests.into_iter().find(|(to, _)| to == region) {
-                return Some(to_participant(region, request));
+                return Some(participant_request(region, request));
             }
             let (to, asked) = participant::inquiry(record, &self.settings.regions)?;
-            (to == *region).then(|| to_coordinator(region, asked))
+            (to == *region).then(|| coordinator_request(region, asked))
         })
     }
 
@@ -134,12 +135,12 @@
     fn follows(&self, region: &Region, answer: reply::Kind) -> Option<Command> {
         match answer {
             reply::Kind::Vote(vote) => {
-                let vote = vote.read()?;
+                let vote = VoteReply::try_from(vote).ok()?;
                 self.store
                     .with(|record| coordinator::on_vote(record, region, &vote))
             }
             reply::Kind::Outcome(outcome) => {
-                let outcome = outcome.read()?;
+                let outcome = OutcomeReply::try_from(outcome).ok()?;
                 self.store
                     .with(|record| participant::on_outcome(record, &outcome))
             }
@@ -172,12 +173,12 @@
         match what {
             request::Kind::Prepare(prepare) => {
                 let to = prepare.region.clone();
-                self.vote(&to, prepare.read(), |prepare| self.prepare(prepare))
+                self.vote(&to, prepare.try_into(), |prepare| self.prepare(prepare))
                     .await
             }
             request::Kind::Commit(commit) => {
                 let to = commit.region.clone();
-                self.vote(&to, commit.read(), |commit| self.commit(commit))
+                self.vote(&to, commit.try_into(), |commit| self.commit(commit))
                     .await
             }
             request::Kind::Outcome(asked) => self.outcome(asked).await,
@@ -189,7 +190,7 @@
     async fn vote<M, F>(
         &self,
         to: &str,
-        message: Option<M>,
+        message: Result<M, InvalidMessage>,
         answer: impl FnOnce(M) -> F,
     ) -> Result<reply::Kind, NotLeader>
     where
@@ -198,7 +199,7 @@
         if let Some(refused) = self.misdirected(to) {
             return Ok(refused);
         }
-        let Some(message) = message else {
+        let Ok(message) = message else {
             return Ok(malformed());
         };
         self.leader.confirmed().await?;
@@ -238,7 +239,7 @@
         if let Some(refused) = self.misdirected(&asked.coordinator) {
             return Ok(refused);
         }
-        let Some(asked) = asked.read() else {
+        let Ok(asked) = OutcomeAsked::try_from(asked) else {
             return Ok(malformed());
         };
         // A leader that was replaced may not know of a change that its successor has begun.
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::check;
 use crate::leader::{Leader, NotLeader};
-use crate::network::{self, Network, MAX_MESSAGE_BYTES};
+use crate::network::{self, Network};
 use crate::refusals::{denied, elsewhere, not_coordinator, not_logged, refuse};
 use crate::regions::{Carrier, Responder};
 use crate::settings::{RegionSettings, Settings};
@@ -12,10 +12,10 @@
 use badgerramp_control_protocol::wire::{
     self, rejection, reply, request, AuthenticatedMessage, Reply, Request,
 };
-use badgerramp_control_protocol::{digest, Purpose, SharedSecret};
+use badgerramp_control_protocol::{digest, Purpose, SharedSecret, MAX_MESSAGE_BYTES};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
-    Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
+    Ask, Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
 };
 use openraft::{BasicNode, Config, Raft, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -111,7 +111,7 @@
     }
 
     async fn ask(&self, asked: &wire::LeaseRequest) -> Result<reply::Kind, NotLeader> {
-        let Some(ask) = asked.read() else {
+        let Ok(ask) = Ask::try_from(asked) else {
             return Ok(refuse(
                 rejection::Code::Invalid,
                 "the question names no proxy, or no way to act when cut off",
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -349,7 +349,7 @@
         unread: None,
         cut_off,
     };
-    wire::LeaseRequest::of(ask, "caja")
+    wire::LeaseRequest::new(ask, "caja")
 }
 
 /// The change of all regions that a region tells of.
--- a/crates/control-protocol/src/authentication.rs
+++ b/crates/control-protocol/src/authentication.rs
@@ -1,37 +1,45 @@
-//! Seals: who does not have the secret can neither ask nor answer.
+//! Message authentication: without the shared secret nobody can send a request or a reply that is taken.
+//!
+//! Messages over gRPC carry an HMAC-SHA256 (RFC 2104) over their [`Purpose`], version and body. Datagrams, which have
+//! little room, carry the first [`MAC_LEN`] bytes of one.
 
 use crate::secret::SharedSecret;
 use crate::wire::AuthenticatedMessage;
+use hmac::digest::InvalidLength;
 use hmac::{Hmac, Mac};
-use prost::Message;
+use prost::{DecodeError, Message};
 use sha2::Sha256;
-use std::fmt;
+use thiserror::Error;
 
-/// The version of the messages. One of another version is refused by name.
+/// The version of the messages. Messages of another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Most bytes of a message's body.
 pub const MAX_BODY_BYTES: usize = 3 * 1024 * 1024;
-/// Bytes of the short seal of a datagram.
+/// Most bytes of a message with the fields around its body, as gRPC limits it.
+pub const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 1024;
+/// Bytes of the truncated MAC of a datagram (RFC 2104, section 5).
 pub const MAC_LEN: usize = 16;
 
-/// What a message is for: one for another purpose, or sent back, does not pass.
+/// What a message is for. It is part of what is authenticated, so a message can't be replayed for another purpose or
+/// reflected to its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A question to control.
+    /// From a proxy or a publisher to control.
     Request,
-    /// An answer of control.
+    /// From control to a proxy or a publisher.
     Reply,
-    /// A question between replicas.
+    /// From one replica of control to another.
     ReplicaRequest,
-    /// Its answer.
+    /// The reply to a [`Purpose::ReplicaRequest`].
     ReplicaReply,
-    /// A question of one region's leader to another's.
+    /// From the leader of one region to that of another.
     RegionRequest,
-    /// Its answer.
+    /// The reply to a [`Purpose::RegionRequest`].
     RegionReply,
 }
 
 impl Purpose {
+    /// What goes into the MAC.
     fn label(self) -> &'static [u8] {
         match self {
             Purpose::Request => b"badgerramp control request",
@@ -44,87 +52,75 @@
     }
 }
 
-/// Why a message does not pass.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a message is rejected before anybody looks at its contents.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// Another version.
+    /// It has another version than [`PROTOCOL_VERSION`]: the one found.
+    #[error("message version: found {0}, allowed is {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
-    /// The seal was made with another secret, for another purpose, or over another body.
+    /// Its MAC was made with another secret, for another purpose, or over another body.
+    #[error("the message authentication code does not match: this side has another secret")]
     BadMac,
-    /// More bytes than may be.
+    /// Its body has more than [`MAX_BODY_BYTES`]: the number found.
+    #[error("found {0} bytes, allowed are {MAX_BODY_BYTES}")]
     TooLarge(usize),
-    /// The body is no such message.
-    Malformed(String),
+    /// Its body does not decode as the expected message.
+    #[error("malformed message: {0}")]
+    Malformed(#[from] DecodeError),
 }
 
-impl fmt::Display for MessageError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            MessageError::UnsupportedVersion(found) => {
-                write!(
-                    f,
-                    "message version: found {found}, allowed is {PROTOCOL_VERSION}"
-                )
-            }
-            MessageError::BadMac => {
-                f.write_str("the seal does not fit: this side has another secret")
-            }
-            MessageError::TooLarge(found) => {
-                write!(f, "found {found} bytes, allowed are {MAX_BODY_BYTES}")
-            }
-            MessageError::Malformed(why) => write!(f, "malformed message: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for MessageError {}
+type HmacSha256 = Hmac<Sha256>;
 
 impl SharedSecret {
-    fn mac(&self, purpose: Purpose, version: u32, body: &[u8]) -> Option<Hmac<Sha256>> {
-        // Keys of any length will do.
-        let mut mac = Hmac::<Sha256>::new_from_slice(self.as_bytes()).ok()?;
-        let label = purpose.label();
-        mac.update(&(label.len() as u64).to_le_bytes());
-        mac.update(label);
-        mac.update(&version.to_le_bytes());
-        mac.update(body);
-        Some(mac)
+    fn hmac(&self) -> Result<HmacSha256, InvalidLength> {
+        HmacSha256::new_from_slice(self.as_bytes())
     }
 
-    fn mac_of(&self, label: &str, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(self.as_bytes()).ok()?;
-        for part in [label.as_bytes()].iter().chain(parts) {
-            mac.update(&(part.len() as u64).to_le_bytes());
-            mac.update(part);
+    /// The MAC over a message. HMAC takes keys of any length, so there is one.
+    fn message_hmac(&self, purpose: Purpose, version: u32, body: &[u8]) -> Option<HmacSha256> {
+        let mut hmac = self.hmac().ok()?;
+        update_with_length(&mut hmac, purpose.label());
+        hmac.update(&version.to_le_bytes());
+        hmac.update(body);
+        Some(hmac)
+    }
+
+    fn datagram_hmac(&self, label: &str, parts: &[&[u8]]) -> Option<HmacSha256> {
+        let mut hmac = self.hmac().ok()?;
+        update_with_length(&mut hmac, label.as_bytes());
+        for part in parts {
+            update_with_length(&mut hmac, part);
         }
-        Some(mac)
+        Some(hmac)
     }
 
-    /// A short seal over these parts, for datagrams: the first half of an HMAC with SHA-256 (RFC 2104, section 5).
+    /// The truncated MAC over the parts of a datagram. `label` tells datagrams of different kinds apart.
     pub fn datagram_mac(&self, label: &str, parts: &[&[u8]]) -> [u8; MAC_LEN] {
-        let mut tag = [0; MAC_LEN];
-        if let Some(mac) = self.mac_of(label, parts) {
-            tag.copy_from_slice(&mac.finalize().into_bytes()[..MAC_LEN]);
+        let mut mac = [0; MAC_LEN];
+        if let Some(hmac) = self.datagram_hmac(label, parts) {
+            mac.copy_from_slice(&hmac.finalize().into_bytes()[..MAC_LEN]);
         }
-        tag
+        mac
     }
 
-    /// Is this the seal over these parts? Compared in constant time.
-    pub fn verify_datagram_mac(&self, label: &str, parts: &[&[u8]], tag: &[u8]) -> bool {
-        let mac = self.mac_of(label, parts).filter(|_| tag.len() == MAC_LEN);
-        mac.is_some_and(|mac| mac.verify_truncated_left(tag).is_ok())
+    /// Whether `mac` is that of [`SharedSecret::datagram_mac`] for these parts. Compares in constant time.
+    pub fn verify_datagram_mac(&self, label: &str, parts: &[&[u8]], mac: &[u8]) -> bool {
+        if mac.len() != MAC_LEN {
+            return false;
+        }
+        self.datagram_hmac(label, parts)
+            .is_some_and(|hmac| hmac.verify_truncated_left(mac).is_ok())
     }
 
-    /// Seals a message.
+    /// Encodes a message and adds its MAC.
     pub fn authenticate(&self, purpose: Purpose, message: &impl Message) -> AuthenticatedMessage {
         self.authenticate_bytes(purpose, message.encode_to_vec())
     }
 
-    /// Seals bytes.
+    /// Adds a MAC to an encoded message.
     pub fn authenticate_bytes(&self, purpose: Purpose, body: Vec<u8>) -> AuthenticatedMessage {
-        let mac = self
-            .mac(purpose, PROTOCOL_VERSION, &body)
-            .map(|m| m.finalize().into_bytes().to_vec());
+        let hmac = self.message_hmac(purpose, PROTOCOL_VERSION, &body);
+        let mac = hmac.map(|hmac| hmac.finalize().into_bytes().to_vec());
         AuthenticatedMessage {
             version: PROTOCOL_VERSION,
             body,
@@ -132,42 +128,48 @@
         }
     }
 
-    /// The bytes under a seal.
+    /// The body of a message whose MAC is right.
     ///
     /// # Errors
-    /// If the seal does not fit, the version is another one, or there are too many bytes.
+    /// If the MAC does not match, the version is another one, or the body is too large.
     pub fn verify_bytes(
         &self,
         purpose: Purpose,
-        sealed: AuthenticatedMessage,
+        message: AuthenticatedMessage,
     ) -> Result<Vec<u8>, MessageError> {
-        let AuthenticatedMessage { version, body, mac } = sealed;
+        let AuthenticatedMessage { version, body, mac } = message;
         if body.len() > MAX_BODY_BYTES {
             return Err(MessageError::TooLarge(body.len()));
         }
         if version != PROTOCOL_VERSION {
             return Err(MessageError::UnsupportedVersion(version));
         }
-        let own = self
-            .mac(purpose, version, &body)
-            .ok_or(MessageError::BadMac)?;
-        own.verify_slice(&mac).map_err(|_| MessageError::BadMac)?;
+        self.message_hmac(purpose, version, &body)
+            .ok_or(MessageError::BadMac)?
+            .verify_slice(&mac)
+            .map_err(|_| MessageError::BadMac)?;
         Ok(body)
     }
 
-    /// The message under a seal.
+    /// Decodes a message whose MAC is right.
     ///
     /// # Errors
-    /// As [`SharedSecret::verify_bytes`], and if the body is no such message.
+    /// As [`SharedSecret::verify_bytes`], and if the body does not decode as an `M`.
     pub fn verify<M: Message + Default>(
         &self,
         purpose: Purpose,
-        sealed: AuthenticatedMessage,
+        message: AuthenticatedMessage,
     ) -> Result<M, MessageError> {
-        let body = self.verify_bytes(purpose, sealed)?;
-        M::decode(body.as_slice()).map_err(|fault| MessageError::Malformed(fault.to_string()))
+        let body = self.verify_bytes(purpose, message)?;
+        Ok(M::decode(body.as_slice())?)
     }
 }
 
+/// Adds bytes after their length, so that no two sequences of parts give the same MAC.
+fn update_with_length(hmac: &mut HmacSha256, bytes: &[u8]) {
+    hmac.update(&(bytes.len() as u64).to_le_bytes());
+    hmac.update(bytes);
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/control-protocol/src/authentication/tests.rs
+++ b/crates/control-protocol/src/authentication/tests.rs
@@ -1,6 +1,8 @@
 //! Which messages pass verification.
 
-use super::*;
+use super::{MessageError, Purpose, MAX_BODY_BYTES};
+use crate::secret::SharedSecret;
+use crate::wire::AuthenticatedMessage;
 use crate::wire::{Request, RevisionChanged};
 use proptest::prelude::*;
 
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -1,271 +1,253 @@
-//! Asks control: the replica that leads, wherever it is.
+//! A client of control. It calls the replica that was last seen to lead, and goes on to another one when that fails.
 
-use crate::authentication::{MessageError, Purpose};
+mod error;
+
+pub use error::{ClientError, Unavailable, UnexpectedReply};
+
+use crate::authentication::{Purpose, MAX_MESSAGE_BYTES};
 use crate::secret::SharedSecret;
 use crate::wire::control_client::ControlClient;
-use crate::wire::{
-    rejection, reply, request, AuthenticatedMessage, Rejection, Reply, Request, StatusRequest,
-};
+use crate::wire::{rejection, reply, request, AuthenticatedMessage, Reply, Request, StatusRequest};
 use std::collections::HashMap;
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tokio::time::{timeout, Instant};
 use tonic::transport::{Channel, Endpoint};
-
-/// Most bytes of one message, with what is around its body.
-pub(crate) const MAX_MESSAGE_BYTES: usize = crate::MAX_BODY_BYTES + 1024;
-
-/// Why there is no answer.
-#[derive(Clone, Debug)]
-pub enum ClientError {
-    /// No replica that leads could be reached in time; the last reason.
-    Unavailable(String),
-    /// It answered, and the answer can't be trusted or read.
-    UnexpectedReply(String),
-    /// It refuses.
-    Rejected(Rejection),
-}
-
-impl fmt::Display for ClientError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ClientError::Unavailable(why) => write!(f, "control can't be reached: {why}"),
-            ClientError::UnexpectedReply(why) => write!(f, "control answers oddly: {why}"),
-            ClientError::Rejected(rejection) => f.write_str(&rejection.message),
-        }
-    }
-}
-
-impl std::error::Error for ClientError {}
-
-impl From<MessageError> for ClientError {
-    fn from(fault: MessageError) -> Self {
-        ClientError::UnexpectedReply(fault.to_string())
-    }
+use tonic::{Code, Response, Status, Streaming};
+
+/// How often HTTP/2 pings go out on a connection.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// A connection whose ping is not answered within this is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before [`Client::call_with_retry`] calls again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A stream that tells of each new revision of control.
+pub struct RevisionWatch {
+    stream: Streaming<AuthenticatedMessage>,
+    secret: SharedSecret,
 }
 
-/// A stream of control's words that its revision has moved.
-pub struct RevisionWatch(tonic::Streaming<AuthenticatedMessage>, SharedSecret);
-
 impl RevisionWatch {
-    /// The next revision.
+    /// Waits for the next revision.
     ///
     /// # Errors
-    /// If the stream has ended or is not control's.
+    /// If the stream has ended, or its message is not one of control's.
     pub async fn next(&mut self) -> Result<u64, ClientError> {
-        let sealed = self
-            .0
-            .message()
-            .await
-            .map_err(|s| ClientError::Unavailable(s.message().to_owned()))?;
-        let sealed = sealed
-            .ok_or_else(|| ClientError::Unavailable("the stream of news ended".to_owned()))?;
-        match self.1.verify::<Reply>(Purpose::Reply, sealed)?.kind {
-            Some(reply::Kind::RevisionChanged(word)) => Ok(word.revision),
-            _ => Err(ClientError::UnexpectedReply(
-                "no word of a revision".to_owned(),
-            )),
+        let message = self.stream.message().await;
+        let message = message.map_err(|status| Unavailable::Stream(status.message().to_owned()))?;
+        let message = message.ok_or(Unavailable::StreamEnded)?;
+        match self.secret.verify::<Reply>(Purpose::Reply, message)?.kind {
+            Some(reply::Kind::RevisionChanged(changed)) => Ok(changed.revision),
+            _ => Err(UnexpectedReply::Not("revision").into()),
         }
     }
 }
 
-/// Whom a client speaks for: the seal of each is for another purpose.
+/// Who a client speaks for. It decides the method that is called and the purpose of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Audience {
-    /// A proxy or a publisher, to control.
+enum Sender {
+    /// A proxy or a publisher.
     Fleet,
-    /// The leader of a region, to another region's.
-    Regions,
+    /// The leader of another region.
+    Region,
 }
 
-/// Replicas of control, and the one that was last seen to lead.
+/// A client of the replicas of control, with a connection to each that it has called.
+///
+/// Every call names its own nonce, and only the reply that carries it back is taken.
 pub struct Client {
     replicas: Vec<SocketAddr>,
     secret: SharedSecret,
-    within: Duration,
-    audience: Audience,
-    place: usize,
-    open: HashMap<SocketAddr, ControlClient<Channel>>,
+    call_timeout: Duration,
+    sender: Sender,
+    /// Counts the replicas that were tried: modulo their number it is the one to call.
+    current: usize,
+    connections: HashMap<SocketAddr, ControlClient<Channel>>,
 }
 
 impl Client {
-    /// Asks these replicas, each question within this time.
-    pub fn new(replicas: Vec<SocketAddr>, secret: SharedSecret, within: Duration) -> Self {
+    /// A client for proxies and publishers. Each single call fails after `call_timeout`.
+    pub fn new(replicas: Vec<SocketAddr>, secret: SharedSecret, call_timeout: Duration) -> Self {
         Client {
             replicas,
             secret,
-            within,
-            audience: Audience::Fleet,
-            place: 0,
-            open: HashMap::new(),
+            call_timeout,
+            sender: Sender::Fleet,
+            current: 0,
+            connections: HashMap::new(),
         }
     }
 
-    /// Asks these replicas of another region for the leader of this one.
+    /// A client for the leader of one region, which calls the `replicas` of another one.
     pub fn between_regions(
         replicas: Vec<SocketAddr>,
         secret: SharedSecret,
-        within: Duration,
+        call_timeout: Duration,
     ) -> Self {
         Client {
-            audience: Audience::Regions,
-            ..Client::new(replicas, secret, within)
+            sender: Sender::Region,
+            ..Client::new(replicas, secret, call_timeout)
         }
     }
 
-    fn to(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, ClientError> {
-        if let Some(client) = self.open.get(&address) {
-            return Ok(client.clone());
-        }
-        let endpoint = Endpoint::from_shared(format!("http://{address}"))
-            .map_err(|e| ClientError::Unavailable(e.to_string()))?
-            .connect_timeout(self.within)
-            .tcp_nodelay(true)
-            .http2_keep_alive_interval(Duration::from_secs(5))
-            .keep_alive_timeout(Duration::from_secs(3));
-        let client = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MAX_MESSAGE_BYTES)
-            .max_encoding_message_size(MAX_MESSAGE_BYTES);
-        self.open.insert(address, client.clone());
-        Ok(client)
-    }
-
-    async fn once(
-        &mut self,
-        address: SocketAddr,
-        what: &request::Kind,
-    ) -> Result<reply::Kind, ClientError> {
-        let mut client = self.to(address)?;
-        let nonce = rand::random();
-        let request = Request {
-            nonce,
-            kind: Some(what.clone()),
-        };
-        let (asked, answered) = match self.audience {
-            Audience::Fleet => (Purpose::Request, Purpose::Reply),
-            Audience::Regions => (Purpose::RegionRequest, Purpose::RegionReply),
-        };
-        let sealed = self.secret.authenticate(asked, &request);
-        let call = async {
-            match self.audience {
-                Audience::Fleet => client.call(sealed).await,
-                Audience::Regions => client.region(sealed).await,
-            }
-        };
-        let answer = tokio::time::timeout(self.within, call).await;
-        let answer = match answer {
-            Ok(Ok(answer)) => answer.into_inner(),
-            Ok(Err(status)) if status.code() == tonic::Code::PermissionDenied => {
-                return Err(ClientError::UnexpectedReply(status.message().to_owned()));
-            }
-            Ok(Err(status)) => {
-                return Err(ClientError::Unavailable(format!(
-                    "{address}: {}",
-                    status.message()
-                )))
-            }
-            Err(_) => {
-                // What is stuck stays so: a fresh connection may find another way.
-                self.open.remove(&address);
-                return Err(ClientError::Unavailable(format!(
-                    "{address}: no answer in time"
-                )));
-            }
-        };
-        let reply: Reply = self.secret.verify(answered, answer)?;
-        if reply.nonce != nonce {
-            return Err(ClientError::UnexpectedReply(
-                "the answer is to another question".to_owned(),
-            ));
-        }
-        match reply.kind {
-            Some(reply::Kind::Rejection(rejection)) => Err(ClientError::Rejected(rejection)),
-            Some(what) => Ok(what),
-            None => Err(ClientError::UnexpectedReply("an empty answer".to_owned())),
-        }
-    }
-
-    /// Asks once, at the replica that is taken to lead. After an answer of one that does not, or none, the next question
-    /// goes elsewhere.
+    /// Calls the replica that is taken to lead, once. If it does not lead or does not answer, the next call goes to
+    /// another one.
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub async fn call(&mut self, what: &request::Kind) -> Result<reply::Kind, ClientError> {
-        let Some(&address) = self.replicas.get(self.place % self.replicas.len().max(1)) else {
-            return Err(ClientError::Unavailable("no replica is named".to_owned()));
-        };
-        let answer = self.once(address, what).await;
-        match &answer {
+    pub async fn call(&mut self, kind: &request::Kind) -> Result<reply::Kind, ClientError> {
+        let address = self.current_replica()?;
+        let reply = self.call_replica(address, kind).await;
+        match &reply {
             Err(ClientError::Rejected(rejection))
                 if rejection.code() == rejection::Code::NotLeader =>
             {
-                let named = rejection.leader.parse().ok();
-                let known =
-                    named.and_then(|n: SocketAddr| self.replicas.iter().position(|&r| r == n));
-                self.place = known.unwrap_or(self.place + 1);
+                self.follow_leader(&rejection.leader);
+            }
+            Err(ClientError::Unavailable(_) | ClientError::UnexpectedReply(_)) => {
+                self.try_next_replica();
             }
-            Err(ClientError::Unavailable(_) | ClientError::UnexpectedReply(_)) => self.place += 1,
-            _ => {}
+            Ok(_) | Err(ClientError::Rejected(_)) => {}
         }
-        answer
+        reply
     }
 
-    /// Asks until a replica that leads has answered, or this much time has passed. Only for questions that may be asked
-    /// twice.
+    /// Calls until a leader has answered or `time` has passed. Only for idempotent requests.
     ///
     /// # Errors
-    /// See [`ClientError`].
+    /// That of the last call, see [`ClientError`].
     pub async fn call_with_retry(
         &mut self,
-        what: &request::Kind,
+        kind: &request::Kind,
         time: Duration,
     ) -> Result<reply::Kind, ClientError> {
-        let end = tokio::time::Instant::now() + time;
+        let deadline = Instant::now() + time;
         loop {
-            let answer = self.call(what).await;
-            let again = match &answer {
-                Err(ClientError::Unavailable(_)) => true,
-                Err(ClientError::Rejected(rejection)) => {
-                    rejection.code() == rejection::Code::NotLeader
-                }
-                _ => false,
-            };
-            if !again || tokio::time::Instant::now() >= end {
-                return answer;
+            let reply = self.call(kind).await;
+            let is_final = !matches!(&reply, Err(error) if error.is_retryable());
+            if is_final || Instant::now() >= deadline {
+                return reply;
             }
-            tokio::time::sleep(Duration::from_millis(100)).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// The next question goes to another replica.
+    /// Makes the next call go to another replica.
     pub fn try_next_replica(&mut self) {
-        self.place += 1;
+        self.current += 1;
     }
 
-    /// The news of the replica that was last asked.
+    /// Watches the revision of the replica that is taken to lead.
     ///
     /// # Errors
     /// If it can't be reached.
     pub async fn watch_revisions(&mut self) -> Result<RevisionWatch, ClientError> {
-        let Some(&address) = self.replicas.get(self.place % self.replicas.len().max(1)) else {
-            return Err(ClientError::Unavailable("no replica is named".to_owned()));
+        let address = self.current_replica()?;
+        let mut connection = self.connect(address)?;
+        let request = Request {
+            nonce: rand::random(),
+            kind: Some(request::Kind::Status(StatusRequest {})),
+        };
+        let message = self.secret.authenticate(Purpose::Request, &request);
+        let response = timeout(self.call_timeout, connection.news(message)).await;
+        let stream = response
+            .map_err(|_| Unavailable::Timeout(address))?
+            .map_err(|status| Unavailable::Stream(status.message().to_owned()))?
+            .into_inner();
+        Ok(RevisionWatch {
+            stream,
+            secret: self.secret.clone(),
+        })
+    }
+
+    fn current_replica(&self) -> Result<SocketAddr, Unavailable> {
+        let replicas = self.replicas.len().max(1);
+        self.replicas
+            .get(self.current % replicas)
+            .copied()
+            .ok_or(Unavailable::NoReplicas)
+    }
+
+    /// Makes the next call go to the leader that a replica has named, or to the next replica if that is not known.
+    fn follow_leader(&mut self, leader: &str) {
+        let named: Option<SocketAddr> = leader.parse().ok();
+        let known = named.and_then(|leader| self.replicas.iter().position(|&a| a == leader));
+        self.current = known.unwrap_or(self.current + 1);
+    }
+
+    /// The connection to a replica. It is made when it is first used, and again after it was lost.
+    fn connect(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, Unavailable> {
+        if let Some(connection) = self.connections.get(&address) {
+            return Ok(connection.clone());
+        }
+        let endpoint = Endpoint::from_shared(format!("http://{address}"))
+            .map_err(|error| Unavailable::Address(error.to_string()))?
+            .connect_timeout(self.call_timeout)
+            .tcp_nodelay(true)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT);
+        let connection = ControlClient::new(endpoint.connect_lazy())
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES);
+        self.connections.insert(address, connection.clone());
+        Ok(connection)
+    }
+
+    async fn call_replica(
+        &mut self,
+        address: SocketAddr,
+        kind: &request::Kind,
+    ) -> Result<reply::Kind, ClientError> {
+        let (request_purpose, reply_purpose) = match self.sender {
+            Sender::Fleet => (Purpose::Request, Purpose::Reply),
+            Sender::Region => (Purpose::RegionRequest, Purpose::RegionReply),
+        };
+        let request = Request {
+            nonce: rand::random(),
+            kind: Some(kind.clone()),
         };
-        let mut client = self.to(address)?;
-        let kind = Some(request::Kind::Status(StatusRequest {}));
-        let sealed = self.secret.authenticate(
-            Purpose::Request,
-            &Request {
-                nonce: rand::random(),
-                kind,
-            },
-        );
-        let opened = tokio::time::timeout(self.within, client.news(sealed)).await;
-        match opened {
-            Ok(Ok(stream)) => Ok(RevisionWatch(stream.into_inner(), self.secret.clone())),
-            Ok(Err(status)) => Err(ClientError::Unavailable(status.message().to_owned())),
-            Err(_) => Err(ClientError::Unavailable(format!(
-                "{address}: no answer in time"
-            ))),
+        let message = self.secret.authenticate(request_purpose, &request);
+        let message = self.exchange(address, message).await?;
+        let reply: Reply = self.secret.verify(reply_purpose, message)?;
+        if reply.nonce != request.nonce {
+            return Err(UnexpectedReply::Nonce.into());
         }
+        match reply.kind {
+            Some(reply::Kind::Rejection(rejection)) => Err(ClientError::Rejected(rejection)),
+            Some(kind) => Ok(kind),
+            None => Err(UnexpectedReply::Empty.into()),
+        }
+    }
+
+    /// Sends a message to a replica and waits for its answer.
+    async fn exchange(
+        &mut self,
+        address: SocketAddr,
+        message: AuthenticatedMessage,
+    ) -> Result<AuthenticatedMessage, ClientError> {
+        let mut connection = self.connect(address)?;
+        let call = async {
+            match self.sender {
+                Sender::Fleet => connection.call(message).await,
+                Sender::Region => connection.region(message).await,
+            }
+        };
+        let Ok(response) = timeout(self.call_timeout, call).await else {
+            // A connection that hangs may do so for long: a new one can take another route.
+            self.connections.remove(&address);
+            return Err(Unavailable::Timeout(address).into());
+        };
+        response
+            .map(Response::into_inner)
+            .map_err(|status| call_error(address, &status))
+    }
+}
+
+fn call_error(replica: SocketAddr, status: &Status) -> ClientError {
+    let message = status.message().to_owned();
+    match status.code() {
+        Code::PermissionDenied => UnexpectedReply::Denied(message).into(),
+        _ => Unavailable::Call { replica, message }.into(),
     }
 }
--- a/crates/control-protocol/src/clock.rs
+++ b/crates/control-protocol/src/clock.rs
@@ -3,11 +3,16 @@
 use badgerramp_policy::Micros;
 use rustix::time::{clock_gettime, ClockId};
 
-/// Microseconds since the machine started, with those that it slept. Nobody can set it.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1_000;
+
+/// Microseconds since the machine started, including the time that it was suspended (`CLOCK_BOOTTIME`). Nobody can set
+/// this clock.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
-    let whole = u64::try_from(time.tv_sec)
-        .unwrap_or(0)
-        .saturating_mul(1_000_000);
-    whole.saturating_add(u64::try_from(time.tv_nsec).unwrap_or(0) / 1_000)
+    let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
+    let nanos = u64::try_from(time.tv_nsec).unwrap_or(0);
+    seconds
+        .saturating_mul(MICROS_PER_SECOND)
+        .saturating_add(nanos / NANOS_PER_MICRO)
 }
--- a/crates/control-protocol/src/lease.rs
+++ b/crates/control-protocol/src/lease.rs
@@ -1,6 +1,7 @@
-//! Between what travels and what the decisions know.
+//! Conversions between the lease messages of the schema and those of [`badgerramp_policy`].
 
 use crate::wire;
+use crate::InvalidMessage;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{Ask, CutOff, Generation, Grant, Identity, Mode, Unread};
 
@@ -53,8 +54,8 @@
 }
 
 impl wire::LeaseRequest {
-    /// The question of a proxy that takes this application's file.
-    pub fn of(own: Ask, application: &str) -> Self {
+    /// The request of a proxy that runs this application.
+    pub fn new(own: Ask, application: &str) -> Self {
         wire::LeaseRequest {
             identity: Some(own.identity.into()),
             sequence: own.number,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The same question, for the control of this region only.
+    /// The same request, to be answered by the control of this region only; `None`: by that of any.
     #[must_use]
     pub fn in_region(self, region: Option<&Region>) -> Self {
         wire::LeaseRequest {
@@ -78,27 +79,34 @@
             ..self
         }
     }
+}
+
+impl TryFrom<&wire::LeaseRequest> for Ask {
+    type Error = InvalidMessage;
 
-    /// What the decisions take; `None` if a part is missing or out of its range.
-    pub fn read(&self) -> Option<Ask> {
-        let cut_off = match self.on_lease_loss() {
-            wire::OnLeaseLoss::Unspecified => return None,
+    fn try_from(wire: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
+        let identity = wire.identity.clone().filter(|i| !i.name.is_empty());
+        let cut_off = match wire.on_lease_loss() {
+            wire::OnLeaseLoss::Unspecified => {
+                return Err(InvalidMessage::UnknownValue("on_lease_loss"))
+            }
             wire::OnLeaseLoss::Refuse => CutOff::Refuse,
             wire::OnLeaseLoss::Narrow => CutOff::Narrow,
             wire::OnLeaseLoss::Keep => CutOff::Keep,
         };
-        let unread = self.rejected_generation.as_ref().map(|u| Unread {
-            generation: Generation(u.generation),
-            reason: u.reason.clone(),
+        let unread = wire.rejected_generation.as_ref().map(|rejected| Unread {
+            generation: Generation(rejected.generation),
+            reason: rejected.reason.clone(),
         });
-        Some(Ask {
-            identity: self.identity.clone().filter(|i| !i.name.is_empty())?.into(),
-            number: self.sequence,
-            acting: self.active_revision,
-            has: self
+        Ok(Ask {
+            identity: identity.ok_or(InvalidMessage::Missing("identity"))?.into(),
+            number: wire.sequence,
+            acting: wire.active_revision,
+            has: wire
                 .loaded_generations
                 .iter()
-                .map(|&g| Generation(g))
+                .copied()
+                .map(Generation)
                 .collect(),
             unread,
             cut_off,
@@ -106,14 +114,21 @@
     }
 }
 
-impl wire::LeaseGrant {
-    /// What the decisions take; `None` if it names no mode.
-    pub fn read(&self) -> Option<Grant> {
-        let mode = Mode::from(self.mode?);
-        (mode.old <= mode.new).then_some(Grant {
-            number: self.sequence,
+impl TryFrom<&wire::LeaseGrant> for Grant {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: &wire::LeaseGrant) -> Result<Self, InvalidMessage> {
+        let mode = Mode::from(wire.mode.ok_or(InvalidMessage::Missing("mode"))?);
+        if mode.old > mode.new {
+            return Err(InvalidMessage::BackwardMode {
+                old: mode.old.0,
+                new: mode.new.0,
+            });
+        }
+        Ok(Grant {
+            number: wire.sequence,
             mode,
-            lease: self.lease,
+            lease: wire.lease,
         })
     }
 }
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -1,6 +1,8 @@
-//! Between the messages of two regions as they travel and as the decisions know them.
+//! Conversions between the messages that pass between regions, as the schema and as [`badgerramp_policy::regions`] have
+//! them.
 
 use crate::wire::{self, outcome_reply, request, vote_reply};
+use crate::InvalidMessage;
 use badgerramp_policy::regions::{
     ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request,
     Vote, VoteReply,
@@ -17,19 +19,24 @@
     }
 }
 
-impl wire::ChangeRef {
-    /// What the decisions take; `None` if it names no region.
-    pub fn read(&self) -> Option<ChangeRef> {
-        Some(ChangeRef {
-            id: ChangeId(self.id),
-            coordinator: self.coordinator.parse().ok()?,
-            number: Generation(self.generation),
+impl TryFrom<wire::ChangeRef> for ChangeRef {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::ChangeRef) -> Result<Self, InvalidMessage> {
+        Ok(ChangeRef {
+            id: ChangeId(wire.id),
+            coordinator: wire.coordinator.parse()?,
+            number: Generation(wire.generation),
         })
     }
 }
 
-/// A coordinator's message to this participant.
-pub fn to_participant(region: &Region, request: Request) -> request::Kind {
+fn required_change(change: Option<wire::ChangeRef>) -> Result<ChangeRef, InvalidMessage> {
+    change.ok_or(InvalidMessage::Missing("change"))?.try_into()
+}
+
+/// The request that carries a coordinator's message to this participant.
+pub fn participant_request(region: &Region, request: Request) -> request::Kind {
     let region = region.to_string();
     match request {
         Request::Prepare(Prepare { change, text }) => request::Kind::Prepare(wire::Prepare {
@@ -44,8 +51,8 @@
     }
 }
 
-/// A participant's question to this coordinator.
-pub fn to_coordinator(coordinator: &Region, asked: OutcomeAsked) -> request::Kind {
+/// The request that carries a participant's question about an outcome to this coordinator.
+pub fn coordinator_request(coordinator: &Region, asked: OutcomeAsked) -> request::Kind {
     request::Kind::Outcome(wire::OutcomeRequest {
         id: asked.id.0,
         region: asked.region.into(),
@@ -53,44 +60,46 @@
     })
 }
 
-impl wire::Prepare {
-    /// What the decisions take; `None` if it names no change.
-    pub fn read(self) -> Option<Prepare> {
-        Some(Prepare {
-            change: self.change?.read()?,
-            text: self.policy,
+impl TryFrom<wire::Prepare> for Prepare {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::Prepare) -> Result<Self, InvalidMessage> {
+        Ok(Prepare {
+            change: required_change(wire.change)?,
+            text: wire.policy,
         })
     }
 }
 
-impl wire::Commit {
-    /// What the decisions take; `None` if it names no change.
-    pub fn read(self) -> Option<Commit> {
-        Some(Commit {
-            change: self.change?.read()?,
+impl TryFrom<wire::Commit> for Commit {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::Commit) -> Result<Self, InvalidMessage> {
+        Ok(Commit {
+            change: required_change(wire.change)?,
         })
     }
 }
 
-impl wire::OutcomeRequest {
-    /// What the decisions take; `None` if it names no region.
-    pub fn read(self) -> Option<OutcomeAsked> {
-        Some(OutcomeAsked {
-            id: ChangeId(self.id),
-            region: self.region.parse().ok()?,
+impl TryFrom<wire::OutcomeRequest> for OutcomeAsked {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::OutcomeRequest) -> Result<Self, InvalidMessage> {
+        Ok(OutcomeAsked {
+            id: ChangeId(wire.id),
+            region: wire.region.parse()?,
         })
     }
 }
 
 impl From<VoteReply> for wire::VoteReply {
     fn from(own: VoteReply) -> Self {
-        use vote_reply::Vote as On;
         let (vote, reason) = match own.vote {
-            Vote::Preparing => (On::Preparing, String::new()),
-            Vote::Prepared => (On::Prepared, String::new()),
-            Vote::Refused { why } => (On::Rejected, why),
-            Vote::InForce => (On::InForce, String::new()),
-            Vote::NotInForce => (On::NotInForce, String::new()),
+            Vote::Preparing => (vote_reply::Vote::Preparing, String::new()),
+            Vote::Prepared => (vote_reply::Vote::Prepared, String::new()),
+            Vote::Refused { why } => (vote_reply::Vote::Rejected, why),
+            Vote::InForce => (vote_reply::Vote::InForce, String::new()),
+            Vote::NotInForce => (vote_reply::Vote::NotInForce, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
@@ -100,20 +109,20 @@
     }
 }
 
-impl wire::VoteReply {
-    /// What the decisions take; `None` if it holds no vote that this version knows.
-    pub fn read(self) -> Option<VoteReply> {
-        use vote_reply::Vote as On;
-        let vote = match self.vote() {
-            On::Unspecified => return None,
-            On::Preparing => Vote::Preparing,
-            On::Prepared => Vote::Prepared,
-            On::Rejected => Vote::Refused { why: self.reason },
-            On::InForce => Vote::InForce,
-            On::NotInForce => Vote::NotInForce,
+impl TryFrom<wire::VoteReply> for VoteReply {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::VoteReply) -> Result<Self, InvalidMessage> {
+        let vote = match wire.vote() {
+            vote_reply::Vote::Unspecified => return Err(InvalidMessage::UnknownValue("vote")),
+            vote_reply::Vote::Preparing => Vote::Preparing,
+            vote_reply::Vote::Prepared => Vote::Prepared,
+            vote_reply::Vote::Rejected => Vote::Refused { why: wire.reason },
+            vote_reply::Vote::InForce => Vote::InForce,
+            vote_reply::Vote::NotInForce => Vote::NotInForce,
         };
-        Some(VoteReply {
-            id: ChangeId(self.id),
+        Ok(VoteReply {
+            id: ChangeId(wire.id),
             vote,
         })
     }
@@ -121,11 +130,10 @@
 
 impl From<OutcomeReply> for wire::OutcomeReply {
     fn from(own: OutcomeReply) -> Self {
-        use outcome_reply::Decision as On;
         let decision = match own.decision {
-            Decision::Open => On::Open,
-            Decision::InForce => On::InForce,
-            Decision::NotInForce => On::NotInForce,
+            Decision::Open => outcome_reply::Decision::Open,
+            Decision::InForce => outcome_reply::Decision::InForce,
+            Decision::NotInForce => outcome_reply::Decision::NotInForce,
         };
         wire::OutcomeReply {
             id: own.id.0,
@@ -134,18 +142,20 @@
     }
 }
 
-impl wire::OutcomeReply {
-    /// What the decisions take; `None` if it holds no decision that this version knows.
-    pub fn read(self) -> Option<OutcomeReply> {
-        use outcome_reply::Decision as On;
-        let decision = match self.decision() {
-            On::Unspecified => return None,
-            On::Open => Decision::Open,
-            On::InForce => Decision::InForce,
-            On::NotInForce => Decision::NotInForce,
+impl TryFrom<wire::OutcomeReply> for OutcomeReply {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::OutcomeReply) -> Result<Self, InvalidMessage> {
+        let decision = match wire.decision() {
+            outcome_reply::Decision::Unspecified => {
+                return Err(InvalidMessage::UnknownValue("decision"))
+            }
+            outcome_reply::Decision::Open => Decision::Open,
+            outcome_reply::Decision::InForce => Decision::InForce,
+            outcome_reply::Decision::NotInForce => Decision::NotInForce,
         };
-        Some(OutcomeReply {
-            id: ChangeId(self.id),
+        Ok(OutcomeReply {
+            id: ChangeId(wire.id),
             decision,
         })
     }
--- a/crates/control-protocol/src/secret/tests.rs
+++ b/crates/control-protocol/src/secret/tests.rs
@@ -1,6 +1,7 @@
 //! Which files hold a usable secret.
 
-use super::*;
+use super::{SecretError, SharedSecret};
+use std::os::unix::fs::PermissionsExt;
 
 #[test]
 fn a_secret_that_others_may_read_is_refused() {
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -12,7 +12,7 @@
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{clock, digest, Client, ClientError, SharedSecret};
 use badgerramp_decisions::ClassId;
-use badgerramp_policy::{Answered, CutOff, Generation, Holder, HolderTerms, Identity, Mode};
+use badgerramp_policy::{Answered, CutOff, Generation, Grant, Holder, HolderTerms, Identity, Mode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -172,7 +172,7 @@
                 continue;
             }
             let ask = self.gate.holder().borrow_mut().ask(clock::now());
-            let ask = wire::LeaseRequest::of(ask, &self.terms.application)
+            let ask = wire::LeaseRequest::new(ask, &self.terms.application)
                 .in_region(self.terms.region.as_ref());
             let ask = request::Kind::Lease(ask);
             let fault = match client.call(&ask).await {
@@ -215,9 +215,8 @@
         driver: &Driver,
         front: &Front,
     ) -> Result<(), String> {
-        let grant = wire
-            .read()
-            .ok_or("control answers oddly: a grant without a mode")?;
+        let grant = Grant::try_from(wire)
+            .map_err(|error| format!("control answers oddly: invalid grant: {error}"))?;
         let mut holder = self.gate.holder().borrow_mut();
         let mut fresh = false;
         for text in &wire.policies {
