--- a/crates/control-protocol/build.rs
+++ b/crates/control-protocol/build.rs
@@ -1,4 +1,4 @@
-//! Messages and service from the schema, compiled without a program from outside.
+//! Generates the messages and the service from the schema. It is compiled in Rust, so no `protoc` is needed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/control.proto");
--- a/crates/control-protocol/src/authentication/tests.rs
+++ b/crates/control-protocol/src/authentication/tests.rs
@@ -11,64 +11,67 @@
 }
 
 #[test]
-fn a_seal_fits_one_secret_purpose_version_and_body() {
-    let (own, other) = (secret("0123456789abcdef"), secret("0123456789abcdeF"));
-    let word = RevisionChanged { revision: 7 };
-    let sealed = own.authenticate(Purpose::Request, &word);
-    assert_eq!(own.verify(Purpose::Request, sealed.clone()), Ok(word));
+fn message_passes_only_with_its_secret_purpose_version_and_size() {
+    let (right_secret, other_secret) = (secret("0123456789abcdef"), secret("0123456789abcdeF"));
+    let content = RevisionChanged { revision: 7 };
+    let message = right_secret.authenticate(Purpose::Request, &content);
     assert_eq!(
-        other.verify::<RevisionChanged>(Purpose::Request, sealed.clone()),
+        right_secret.verify(Purpose::Request, message.clone()),
+        Ok(content)
+    );
+    assert_eq!(
+        other_secret.verify::<RevisionChanged>(Purpose::Request, message.clone()),
         Err(MessageError::BadMac)
     );
     assert_eq!(
-        own.verify::<RevisionChanged>(Purpose::Reply, sealed.clone()),
+        right_secret.verify::<RevisionChanged>(Purpose::Reply, message.clone()),
         Err(MessageError::BadMac)
     );
     let newer = AuthenticatedMessage {
         version: 2,
-        ..sealed.clone()
+        ..message.clone()
     };
     assert_eq!(
-        own.verify::<RevisionChanged>(Purpose::Request, newer),
+        right_secret.verify::<RevisionChanged>(Purpose::Request, newer),
         Err(MessageError::UnsupportedVersion(2))
     );
-    let large = own.authenticate_bytes(Purpose::Request, vec![0; MAX_BODY_BYTES + 1]);
+    let large = right_secret.authenticate_bytes(Purpose::Request, vec![0; MAX_BODY_BYTES + 1]);
     assert_eq!(
-        own.verify::<RevisionChanged>(Purpose::Request, large),
+        right_secret.verify::<RevisionChanged>(Purpose::Request, large),
         Err(MessageError::TooLarge(MAX_BODY_BYTES + 1))
     );
-    let odd = own.authenticate_bytes(Purpose::Request, vec![0xff; 9]);
+    let undecodable = right_secret.authenticate_bytes(Purpose::Request, vec![0xff; 9]);
     assert!(matches!(
-        own.verify::<Request>(Purpose::Request, odd),
+        right_secret.verify::<Request>(Purpose::Request, undecodable),
         Err(MessageError::Malformed(_))
     ));
 }
 
 proptest! {
     #[test]
-    fn one_flipped_bit_is_seen(body in prop::collection::vec(any::<u8>(), 1..64), place in any::<prop::sample::Index>(), bit in 0..8u8) {
-        let own = secret("0123456789abcdef");
-        let mut sealed = own.authenticate_bytes(Purpose::Reply, body);
-        let length = sealed.body.len() + sealed.mac.len();
-        let place = place.index(length);
-        let own_body = sealed.body.len();
-        if place < own_body { sealed.body[place] ^= 1 << bit } else { sealed.mac[place - own_body] ^= 1 << bit }
-        prop_assert_eq!(own.verify_bytes(Purpose::Reply, sealed), Err(MessageError::BadMac));
+    fn one_flipped_bit_fails_verification(body in prop::collection::vec(any::<u8>(), 1..64), position in any::<prop::sample::Index>(), bit in 0..8u8) {
+        let right_secret = secret("0123456789abcdef");
+        let mut message = right_secret.authenticate_bytes(Purpose::Reply, body);
+        let length = message.body.len() + message.mac.len();
+        let position = position.index(length);
+        let own_body = message.body.len();
+        if position < own_body { message.body[position] ^= 1 << bit } else { message.mac[position - own_body] ^= 1 << bit }
+        prop_assert_eq!(right_secret.verify_bytes(Purpose::Reply, message), Err(MessageError::BadMac));
     }
 }
 
 #[test]
-fn a_short_seal_fits_one_label_and_these_parts() {
-    let own = secret("0123456789abcdef");
-    let tag = own.datagram_mac("a", &[b"bc", b"d"]);
-    assert!(own.verify_datagram_mac("a", &[b"bc", b"d"], &tag));
+fn datagram_mac_matches_only_its_label_and_parts() {
+    let right_secret = secret("0123456789abcdef");
+    let mac = right_secret.datagram_mac("a", &[b"bc", b"d"]);
+    assert!(right_secret.verify_datagram_mac("a", &[b"bc", b"d"], &mac));
     assert!(
-        !own.verify_datagram_mac("a", &[b"b", b"cd"], &tag)
-            && !own.verify_datagram_mac("b", &[b"bc", b"d"], &tag)
+        !right_secret.verify_datagram_mac("a", &[b"b", b"cd"], &mac)
+            && !right_secret.verify_datagram_mac("b", &[b"bc", b"d"], &mac)
     );
     assert!(
-        !own.verify_datagram_mac("a", &[b"bc", b"d"], &tag[..15])
-            && !own.verify_datagram_mac("a", &[b"bc", b"d"], &[])
+        !right_secret.verify_datagram_mac("a", &[b"bc", b"d"], &mac[..15])
+            && !right_secret.verify_datagram_mac("a", &[b"bc", b"d"], &[])
     );
-    assert!(!secret("0123456789abcdeF").verify_datagram_mac("a", &[b"bc", b"d"], &tag));
+    assert!(!secret("0123456789abcdeF").verify_datagram_mac("a", &[b"bc", b"d"], &mac));
 }
--- a/crates/control-protocol/src/secret/tests.rs
+++ b/crates/control-protocol/src/secret/tests.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::PermissionsExt;
 
 #[test]
-fn a_secret_that_others_may_read_is_refused() {
+fn file_readable_by_others_or_of_wrong_length_is_rejected() {
     let path = std::env::temp_dir().join(format!("badgerramp-secret-{}", std::process::id()));
     std::fs::write(&path, "0123456789abcdef\n").expect("a temporary file");
     let set = |mode| {
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -288,15 +288,15 @@
         ("region request", Purpose::RegionRequest),
         ("region reply", Purpose::RegionReply),
     ] {
-        let sealed = secret.authenticate_bytes(purpose, b"body".to_vec());
+        let message = secret.authenticate_bytes(purpose, b"body".to_vec());
         assert_eq!(
-            secret.verify_bytes(purpose, sealed.clone()),
+            secret.verify_bytes(purpose, message.clone()),
             Ok(b"body".to_vec())
         );
-        pinned.add(name, sealed);
+        pinned.add(name, message);
     }
-    let tag = secret.datagram_mac("badgerramp peers", &[b"north", b"body"]);
-    writeln!(pinned.0, "datagram: {}", hex(&tag)).expect("written to memory");
+    let mac = secret.datagram_mac("badgerramp peers", &[b"north", b"body"]);
+    writeln!(pinned.0, "datagram: {}", hex(&mac)).expect("written to memory");
     insta::assert_snapshot!(pinned.0);
 }
 
