--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -58,7 +58,7 @@
                 .enable_all()
                 .build();
             let served = runtime.map_err(|e| e.to_string()).and_then(|r| {
-                r.block_on(badgerramp_control_plane::serve::run(
+                r.block_on(badgerramp_control_plane::server::run(
                     settings,
                     std::future::pending(),
                 ))
--- a/crates/control-plane/src/check.rs
+++ b/crates/control-plane/src/check.rs
@@ -1,6 +1,6 @@
 //! Checks of a policy before it is logged: its size, its files, the floors that it has to leave as they are.
 
-use crate::floor::{self, Files};
+use crate::fallback::{self, Files};
 use badgerramp_policy::{Generation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,7 +40,7 @@
             "{found}, allowed are 1 to {FILES_MOST} of {POLICY_MOST} bytes together"
         ));
     }
-    floor::read(files)
+    fallback::parse(files)
 }
 
 /// Checks that a policy leaves these floors of the record as they are.
@@ -55,8 +55,8 @@
     let mut changes = Vec::new();
     for &generation in floors {
         let old = record.text(generation).map(files_of).and_then(Result::ok);
-        match old.and_then(|files| floor::read(&files).ok()) {
-            Some(old) => changes.extend(floor::left(&old, new)),
+        match old.and_then(|files| fallback::parse(&files).ok()) {
+            Some(old) => changes.extend(fallback::violations(&old, new)),
             None => changes.push(format!("the floor of {generation} can't be read any more")),
         }
     }
--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line of `badgerramp-control`.
 
-use crate::serve;
+use crate::server;
 use crate::settings::Settings;
 use crate::store::Store;
 use clap::{Parser, Subcommand};
@@ -82,7 +82,7 @@
         .build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-        serve::run(settings, async move {
+        server::run(settings, async move {
             term.recv().await;
         })
         .await
--- a/crates/control-plane/src/floor.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 
 /// The files of a policy by application, read.
-pub type Files = BTreeMap<String, Config>;
+pub(crate) type Files = BTreeMap<String, Config>;
 
 /// Reads the files of a policy.
 ///
 /// # Errors
 /// All mistakes, as text that names file, line and key.
-pub fn read(files: &BTreeMap<String, String>) -> Result<Files, String> {
+pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, String> {
     let mut read = Files::new();
     let mut mistakes = Vec::new();
     for (name, text) in files {
@@ -33,7 +33,7 @@
 ///
 /// A class keeps its floor if it is the same and the routes down to its last one are the same: a route before it could
 /// take its requests away. That refuses some changes that would do no harm, and none that would.
-pub fn left(old: &Files, new: &Files) -> Vec<String> {
+pub(crate) fn violations(old: &Files, new: &Files) -> Vec<String> {
     let mut all = Vec::new();
     for (name, old) in old {
         for class in old.policy.iter().flat_map(|p| &p.floor) {
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -1,9 +1,9 @@
 //! What the leader does: lends modes, and takes a change from step to step.
 
+use crate::decommission;
 use crate::progress::{self, Before};
-use crate::removed;
 use crate::settings::Settings;
-use crate::store::{Id, Store, Types};
+use crate::store::{NodeId, RaftTypes, Store};
 use badgerramp_control_protocol::clock;
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{
@@ -46,7 +46,7 @@
 
 /// The leader's part of a replica.
 pub(crate) struct Leader {
-    raft: Raft<Types>,
+    raft: Raft<RaftTypes>,
     store: Store,
     terms: LeaseTerms,
     limits: Limits,
@@ -62,7 +62,7 @@
     Micros::try_from(time.as_micros()).unwrap_or(Micros::MAX)
 }
 
-fn forward<E>(fault: &RaftError<Id, E>, named: impl Fn(&E) -> Option<&BasicNode>) -> NotLeader
+fn forward<E>(fault: &RaftError<NodeId, E>, named: impl Fn(&E) -> Option<&BasicNode>) -> NotLeader
 where
     E: std::error::Error,
 {
@@ -78,7 +78,11 @@
 
 impl Leader {
     /// The part of this replica. [`Leader::run`] must run beside it.
-    pub(crate) fn new(raft: Raft<Types>, store: Store, settings: &Settings) -> (Self, Questions) {
+    pub(crate) fn new(
+        raft: Raft<RaftTypes>,
+        store: Store,
+        settings: &Settings,
+    ) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
         let terms = LeaseTerms {
             lease: micros(settings.lease),
@@ -290,7 +294,7 @@
             _ => now,
         };
         held.since = Some((revision, begun));
-        if let Some(command) = removed::acknowledgement(&record, &self.others) {
+        if let Some(command) = decommission::acknowledgement(&record, &self.others) {
             warn!(
                 "a region that this file does not name is not waited for any more, as if it had acknowledged"
             );
@@ -329,7 +333,7 @@
         };
         if let Some(command) = self
             .store
-            .with(|record| removed::abort(record, &self.others))
+            .with(|record| decommission::abort(record, &self.others))
         {
             return self.agree(command).await.map(Some);
         }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -9,14 +9,14 @@
 
 mod check;
 pub mod cli;
-pub mod floor;
+mod decommission;
+mod fallback;
 mod leader;
 mod network;
 mod progress;
-mod refusals;
 mod regions;
-mod removed;
-pub mod serve;
+mod rejections;
+pub mod server;
 pub mod settings;
 mod status;
 pub mod store;
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -1,6 +1,6 @@
 //! Between replicas: the consensus library's messages as JSON under a seal.
 
-use crate::store::{Id, Types};
+use crate::store::{NodeId, RaftTypes};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
 use badgerramp_control_protocol::{Purpose, SharedSecret, MAX_MESSAGE_BYTES};
 use openraft::error::{
@@ -20,10 +20,10 @@
 
 /// A question of one replica to another.
 #[derive(Serialize, Deserialize)]
-enum Asked {
-    Append(AppendEntriesRequest<Types>),
-    Vote(VoteRequest<Id>),
-    Snapshot(InstallSnapshotRequest<Types>),
+enum RaftRequest {
+    Append(AppendEntriesRequest<RaftTypes>),
+    Vote(VoteRequest<NodeId>),
+    Snapshot(InstallSnapshotRequest<RaftTypes>),
 }
 
 /// Opens ways to other replicas.
@@ -32,16 +32,16 @@
 }
 
 /// The way to one.
-pub(crate) struct Way {
+pub(crate) struct Connection {
     secret: SharedSecret,
-    target: Id,
+    target: NodeId,
     client: ControlClient<Channel>,
 }
 
-impl RaftNetworkFactory<Types> for Network {
-    type Network = Way;
+impl RaftNetworkFactory<RaftTypes> for Network {
+    type Network = Connection;
 
-    async fn new_client(&mut self, target: Id, node: &BasicNode) -> Way {
+    async fn new_client(&mut self, target: NodeId, node: &BasicNode) -> Connection {
         let endpoint = Endpoint::from_shared(format!("http://{}", node.addr))
             .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:9"))
             .tcp_nodelay(true)
@@ -49,7 +49,7 @@
         let client = ControlClient::new(endpoint.connect_lazy())
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES);
-        Way {
+        Connection {
             secret: self.secret.clone(),
             target,
             client,
@@ -57,12 +57,12 @@
     }
 }
 
-impl Way {
+impl Connection {
     async fn ask<T: DeserializeOwned, E: Error + DeserializeOwned>(
         &mut self,
-        asked: Asked,
+        asked: RaftRequest,
         option: RPCOption,
-    ) -> Result<T, RPCError<Id, BasicNode, RaftError<Id, E>>> {
+    ) -> Result<T, RPCError<NodeId, BasicNode, RaftError<NodeId, E>>> {
         let odd = |fault: String| RPCError::Network(NetworkError::new(&io::Error::other(fault)));
         let body = serde_json::to_vec(&asked).map_err(|e| odd(e.to_string()))?;
         let sealed = self
@@ -81,38 +81,38 @@
             .secret
             .verify_bytes(Purpose::ReplicaReply, answer)
             .map_err(|e| odd(e.to_string()))?;
-        let answer: Result<T, RaftError<Id, E>> =
+        let answer: Result<T, RaftError<NodeId, E>> =
             serde_json::from_slice(&body).map_err(|e| odd(e.to_string()))?;
         answer.map_err(|fault| RPCError::RemoteError(RemoteError::new(self.target, fault)))
     }
 }
 
-impl RaftNetwork<Types> for Way {
+impl RaftNetwork<RaftTypes> for Connection {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Types>,
+        rpc: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<Id>, RPCError<Id, BasicNode, RaftError<Id>>> {
-        self.ask(Asked::Append(rpc), option).await
+    ) -> Result<AppendEntriesResponse<NodeId>, RPCError<NodeId, BasicNode, RaftError<NodeId>>> {
+        self.ask(RaftRequest::Append(rpc), option).await
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Types>,
+        rpc: InstallSnapshotRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<
-        InstallSnapshotResponse<Id>,
-        RPCError<Id, BasicNode, RaftError<Id, InstallSnapshotError>>,
+        InstallSnapshotResponse<NodeId>,
+        RPCError<NodeId, BasicNode, RaftError<NodeId, InstallSnapshotError>>,
     > {
-        self.ask(Asked::Snapshot(rpc), option).await
+        self.ask(RaftRequest::Snapshot(rpc), option).await
     }
 
     async fn vote(
         &mut self,
-        rpc: VoteRequest<Id>,
+        rpc: VoteRequest<NodeId>,
         option: RPCOption,
-    ) -> Result<VoteResponse<Id>, RPCError<Id, BasicNode, RaftError<Id>>> {
-        self.ask(Asked::Vote(rpc), option).await
+    ) -> Result<VoteResponse<NodeId>, RPCError<NodeId, BasicNode, RaftError<NodeId>>> {
+        self.ask(RaftRequest::Vote(rpc), option).await
     }
 }
 
@@ -120,12 +120,12 @@
 ///
 /// # Errors
 /// If it is no question.
-pub(crate) async fn answer(raft: &Raft<Types>, body: &[u8]) -> Result<Vec<u8>, String> {
+pub(crate) async fn answer(raft: &Raft<RaftTypes>, body: &[u8]) -> Result<Vec<u8>, String> {
     let asked = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let answer = match asked {
-        Asked::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
-        Asked::Vote(rpc) => serde_json::to_vec(&raft.vote(rpc).await),
-        Asked::Snapshot(rpc) => serde_json::to_vec(&raft.install_snapshot(rpc).await),
+        RaftRequest::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
+        RaftRequest::Vote(rpc) => serde_json::to_vec(&raft.vote(rpc).await),
+        RaftRequest::Snapshot(rpc) => serde_json::to_vec(&raft.install_snapshot(rpc).await),
     };
     answer.map_err(|e| e.to_string())
 }
--- a/crates/control-plane/src/network/tests.rs
+++ b/crates/control-plane/src/network/tests.rs
@@ -1,8 +1,8 @@
 //! The JSON of what replicas send each other. Replicas of an older and of a newer version are members of one group while
 //! it is upgraded, so it may not change.
 
-use super::Asked;
-use crate::store::{Id, Types};
+use super::RaftRequest;
+use crate::store::{NodeId, RaftTypes};
 use badgerramp_policy::{Command, CutOff, Identity};
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
@@ -17,11 +17,11 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn log_id(index: u64) -> LogId<Id> {
+fn log_id(index: u64) -> LogId<NodeId> {
     LogId::new(CommittedLeaderId::new(3, 1), index)
 }
 
-fn membership() -> Membership<Id, BasicNode> {
+fn membership() -> Membership<NodeId, BasicNode> {
     let node = |id| (id, BasicNode::new(format!("127.0.0.1:740{id}")));
     Membership::new(
         vec![BTreeSet::from([1, 2, 3])],
@@ -55,7 +55,7 @@
         EntryPayload::Membership(membership()),
     ];
     let entries = payloads.into_iter().zip(5..);
-    let append = AppendEntriesRequest::<Types> {
+    let append = AppendEntriesRequest::<RaftTypes> {
         vote: Vote::new_committed(3, 1),
         prev_log_id: Some(log_id(4)),
         entries: entries
@@ -66,7 +66,7 @@
             .collect(),
         leader_commit: Some(log_id(3)),
     };
-    let snapshot = InstallSnapshotRequest::<Types> {
+    let snapshot = InstallSnapshotRequest::<RaftTypes> {
         vote: Vote::new_committed(3, 1),
         meta: SnapshotMeta {
             last_log_id: Some(log_id(9)),
@@ -78,18 +78,19 @@
         done: true,
     };
     let requests = [
-        Asked::Append(append),
-        Asked::Vote(VoteRequest::new(Vote::new(4, 2), Some(log_id(9)))),
-        Asked::Snapshot(snapshot),
+        RaftRequest::Append(append),
+        RaftRequest::Vote(VoteRequest::new(Vote::new(4, 2), Some(log_id(9)))),
+        RaftRequest::Snapshot(snapshot),
     ];
     insta::assert_snapshot!(requests.each_ref().map(json).join("\n"));
 }
 
 #[test]
 fn replies_between_replicas_keep_their_json() {
-    type Appended = Result<AppendEntriesResponse<Id>, RaftError<Id>>;
-    type Voted = Result<VoteResponse<Id>, RaftError<Id>>;
-    type Installed = Result<InstallSnapshotResponse<Id>, RaftError<Id, InstallSnapshotError>>;
+    type Appended = Result<AppendEntriesResponse<NodeId>, RaftError<NodeId>>;
+    type Voted = Result<VoteResponse<NodeId>, RaftError<NodeId>>;
+    type Installed =
+        Result<InstallSnapshotResponse<NodeId>, RaftError<NodeId, InstallSnapshotError>>;
     let mismatch = SnapshotMismatch {
         expect: SnapshotSegmentId {
             id: "3-1-9".to_owned(),
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -3,7 +3,7 @@
 
 use crate::check;
 use crate::leader::{Leader, NotLeader};
-use crate::refusals::refuse;
+use crate::rejections::refuse;
 use crate::settings::RegionSettings;
 use crate::store::Store;
 use badgerramp_control_protocol::regions::{coordinator_request, participant_request};
@@ -30,7 +30,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Carries what the own leader has to tell the others. It runs in every replica and is silent while that does not lead.
-pub(crate) struct Carrier {
+pub(crate) struct CrossRegionClient {
     /// The regions, and where they are.
     pub settings: RegionSettings,
     /// The own leader.
@@ -41,7 +41,7 @@
     pub secret: SharedSecret,
 }
 
-impl Carrier {
+impl CrossRegionClient {
     /// Carries messages to all other regions, as long as this replica runs.
     pub(crate) async fn run(self) {
         let mut carriers = JoinSet::new();
@@ -155,7 +155,7 @@
 }
 
 /// Answers the other regions.
-pub(crate) struct Responder {
+pub(crate) struct CrossRegionServer {
     /// The regions.
     pub regions: Regions,
     /// The own leader.
@@ -164,7 +164,7 @@
     pub store: Store,
 }
 
-impl Responder {
+impl CrossRegionServer {
     /// Answers a message of another region.
     ///
     /// # Errors
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/server.rs
@@ -3,11 +3,11 @@
 use crate::check;
 use crate::leader::{Leader, NotLeader};
 use crate::network::{self, Network};
-use crate::refusals::{denied, elsewhere, not_coordinator, not_logged, refuse};
-use crate::regions::{Carrier, Responder};
+use crate::regions::{CrossRegionClient, CrossRegionServer};
+use crate::rejections::{denied, elsewhere, not_coordinator, not_logged, refuse};
 use crate::settings::{RegionSettings, Settings};
 use crate::status::View;
-use crate::store::{Store, Types};
+use crate::store::{RaftTypes, Store};
 use badgerramp_control_protocol::wire::control_server::{Control, ControlServer};
 use badgerramp_control_protocol::wire::{
     self, rejection, reply, request, AuthenticatedMessage, Reply, Request,
@@ -34,12 +34,12 @@
 struct Service {
     secret: SharedSecret,
     store: Store,
-    raft: Raft<Types>,
+    raft: Raft<RaftTypes>,
     leader: Arc<Leader>,
     address: String,
     /// The regions, and what answers the other ones; `None`: there are none.
     regions: Option<RegionSettings>,
-    responder: Option<Responder>,
+    responder: Option<CrossRegionServer>,
 }
 
 impl Service {
@@ -402,12 +402,12 @@
     }
     let (leader, asked) = Leader::new(raft.clone(), store.clone(), &settings);
     let leader = Arc::new(leader);
-    let responder = settings.regions.as_ref().map(|regions| Responder {
+    let responder = settings.regions.as_ref().map(|regions| CrossRegionServer {
         regions: regions.regions.clone(),
         leader: Arc::clone(&leader),
         store: store.clone(),
     });
-    let carrier = settings.regions.clone().map(|regions| Carrier {
+    let carrier = settings.regions.clone().map(|regions| CrossRegionClient {
         settings: regions,
         leader: Arc::clone(&leader),
         store: store.clone(),
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -14,7 +14,7 @@
 /// What a file says.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Draft {
+struct RawSettings {
     replica: u64,
     replicas: BTreeMap<String, SocketAddr>,
     listen: Option<SocketAddr>,
@@ -30,14 +30,14 @@
     election_ms: u64,
     region: Option<String>,
     #[serde(default)]
-    regions: BTreeMap<String, RegionDraft>,
+    regions: BTreeMap<String, RawRegion>,
     regions_wait_ms: Option<u64>,
 }
 
 /// What a file says of another region.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RegionDraft {
+struct RawRegion {
     replicas: Vec<SocketAddr>,
 }
 
@@ -111,7 +111,7 @@
     pub fn load(path: &Path) -> Result<Self, String> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-        let draft: Draft =
+        let raw: RawSettings =
             toml::from_str(&text).map_err(|e| format!("{file}: {}", e.to_string().trim_end()))?;
         let number = |name: &String| {
             name.parse::<u64>().ok().filter(|&n| n > 0).ok_or_else(|| {
@@ -119,7 +119,7 @@
             })
         };
         let mut replicas = BTreeMap::new();
-        for (name, address) in &draft.replicas {
+        for (name, address) in &raw.replicas {
             if let Some(other) = replicas.iter().find(|(_, a)| *a == address).map(|(n, _)| n) {
                 return Err(format!(
                     "{file}: replicas.{name}: found {address}, which is that of {other} already"
@@ -133,29 +133,29 @@
                 replicas.len()
             ));
         }
-        let Some(&reached) = replicas.get(&draft.replica) else {
+        let Some(&reached) = replicas.get(&raw.replica) else {
             return Err(format!(
                 "{file}: replica: found {}, allowed is a number out of replicas",
-                draft.replica
+                raw.replica
             ));
         };
-        let regions = RegionSettings::of(&file, &draft, &replicas)?;
+        let regions = RegionSettings::of(&file, &raw, &replicas)?;
         let beside = |other: PathBuf| match path.parent() {
             Some(folder) if other.is_relative() => folder.join(other),
             _ => other,
         };
-        let secret = beside(draft.secret);
+        let secret = beside(raw.secret);
         let secret = SharedSecret::read(&secret)
             .map_err(|e| format!("{file}: secret: {}: {e}", secret.display()))?;
-        let lease = range(&file, "lease_ms", draft.lease_ms, 200..=600_000)?;
-        let drift = range(&file, "drift_ppm", draft.drift_ppm, 100..=100_000)?;
-        let wait = range(&file, "wait_ms", draft.wait_ms, lease..=86_400_000)?;
-        let election = range(&file, "election_ms", draft.election_ms, 100..=60_000)?;
+        let lease = range(&file, "lease_ms", raw.lease_ms, 200..=600_000)?;
+        let drift = range(&file, "drift_ppm", raw.drift_ppm, 100..=100_000)?;
+        let wait = range(&file, "wait_ms", raw.wait_ms, lease..=86_400_000)?;
+        let election = range(&file, "election_ms", raw.election_ms, 100..=60_000)?;
         Ok(Settings {
-            replica: draft.replica,
+            replica: raw.replica,
             replicas,
-            listen: draft.listen.unwrap_or(reached),
-            store: beside(draft.store),
+            listen: raw.listen.unwrap_or(reached),
+            store: beside(raw.store),
             secret,
             lease: Duration::from_millis(lease),
             // Clocks are read in whole microseconds, and not at one moment: a millisecond beside the share.
--- a/crates/control-plane/src/settings/regions.rs
+++ b/crates/control-plane/src/settings/regions.rs
@@ -1,6 +1,6 @@
 //! What the file of a replica says of regions.
 
-use super::{range, Draft, REPLICA_COUNTS};
+use super::{range, RawSettings, REPLICA_COUNTS};
 use badgerramp_policy::regions::{Region, Regions};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
     /// Reads the keys of regions; `None` if the file has none of them. `own` is where the own replicas are reached.
     pub(super) fn of(
         file: &str,
-        draft: &Draft,
+        raw: &RawSettings,
         own: &BTreeMap<u64, SocketAddr>,
     ) -> Result<Option<Self>, String> {
-        let Some(name) = &draft.region else {
-            return without_region(file, draft).map(|()| None);
+        let Some(name) = &raw.region else {
+            return without_region(file, raw).map(|()| None);
         };
         let region = region_name(file, "region", name)?;
-        if draft.regions.is_empty() {
+        if raw.regions.is_empty() {
             return Err(format!(
                 "{file}: regions: found none, allowed is a table [regions.NAME] for each other region"
             ));
@@ -41,7 +41,7 @@
             .map(|(number, address)| (*address, format!("replicas.{number}")))
             .collect();
         let mut replicas = BTreeMap::new();
-        for (name, other) in &draft.regions {
+        for (name, other) in &raw.regions {
             let key = format!("regions.{name}");
             let other_region = region_name(file, &key, name)?;
             if other_region == region {
@@ -52,7 +52,7 @@
             replicas_of_region(file, &key, &other.replicas, &mut taken)?;
             replicas.insert(other_region, other.replicas.clone());
         }
-        let wait = draft.regions_wait_ms.unwrap_or(REGIONS_WAIT_MS);
+        let wait = raw.regions_wait_ms.unwrap_or(REGIONS_WAIT_MS);
         let wait = range(file, "regions_wait_ms", wait, 200..=86_400_000)?;
         Ok(Some(RegionSettings {
             regions: Regions::new(region, replicas.keys().cloned()),
@@ -70,12 +70,12 @@
 }
 
 /// Without a name for its own region a replica has no use for the other keys.
-fn without_region(file: &str, draft: &Draft) -> Result<(), String> {
+fn without_region(file: &str, raw: &RawSettings) -> Result<(), String> {
     let allowed = "allowed only beside `region`, the name of this replica's region";
-    if let Some(name) = draft.regions.keys().next() {
+    if let Some(name) = raw.regions.keys().next() {
         return Err(format!("{file}: regions.{name}: found a region, {allowed}"));
     }
-    match draft.regions_wait_ms {
+    match raw.regions_wait_ms {
         Some(found) => Err(format!("{file}: regions_wait_ms: found {found}, {allowed}")),
         None => Ok(()),
     }
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -22,7 +22,7 @@
 
 openraft::declare_raft_types!(
     /// What the replicas agree on.
-    pub Types:
+    pub RaftTypes:
         D = Command,
         R = Outcome,
         NodeId = u64,
@@ -30,8 +30,8 @@
 );
 
 /// A replica's number.
-pub type Id = u64;
-type Failed = StorageError<Id>;
+pub type NodeId = u64;
+type Failed = StorageError<NodeId>;
 
 const META: TableDefinition<'static, &str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<'static, u64, &[u8]> = TableDefinition::new("log");
@@ -47,36 +47,36 @@
 
 /// Why a store can't be used.
 #[derive(Debug)]
-pub enum Fault {
+pub enum StoreError {
     /// There is none, and none was to be made.
     Missing,
     /// There is one already.
-    Present,
+    AlreadyExists,
     /// It is another replica's.
-    Foreign(Id),
+    OtherReplica(NodeId),
     /// It can't be read, or it is damaged: where, and what.
     Damaged(String),
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Missing => f.write_str(
+            StoreError::Missing => f.write_str(
                 "there is no store. If this replica has never run, make one with `badgerramp-control create`. If its \
                  disk was lost, don't: it may have promised what it has forgotten. The others go on while they are a \
                  majority",
             ),
-            Fault::Present => f.write_str("there is a store already; it is left as it is"),
-            Fault::Foreign(id) => write!(f, "it is the store of replica {id}"),
-            Fault::Damaged(what) => write!(f, "it can't be used: {what}"),
+            StoreError::AlreadyExists => f.write_str("there is a store already; it is left as it is"),
+            StoreError::OtherReplica(id) => write!(f, "it is the store of replica {id}"),
+            StoreError::Damaged(what) => write!(f, "it can't be used: {what}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StoreError {}
 
-fn damaged(fault: impl std::fmt::Display) -> Fault {
-    Fault::Damaged(fault.to_string())
+fn damaged(fault: impl std::fmt::Display) -> StoreError {
+    StoreError::Damaged(fault.to_string())
 }
 
 fn sum(bytes: &[u8]) -> [u8; SUM] {
@@ -103,22 +103,22 @@
 
 /// What the log led to.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Machine {
+pub struct StateMachine {
     /// What control knows for good.
     pub record: Record,
-    applied: Option<LogId<Id>>,
-    membership: StoredMembership<Id, BasicNode>,
+    applied: Option<LogId<NodeId>>,
+    membership: StoredMembership<NodeId, BasicNode>,
 }
 
 /// The store of one replica.
 #[derive(Clone, Debug)]
 pub struct Store {
     base: Arc<Database>,
-    machine: Arc<Mutex<Machine>>,
+    state_machine: Arc<Mutex<StateMachine>>,
     moved: Arc<watch::Sender<u64>>,
 }
 
-fn subject(what: ErrorSubject<Id>, verb: ErrorVerb) -> impl Fn(String) -> Failed {
+fn subject(what: ErrorSubject<NodeId>, verb: ErrorVerb) -> impl Fn(String) -> Failed {
     move |fault| StorageError::from_io_error(what.clone(), verb, std::io::Error::other(fault))
 }
 
@@ -128,13 +128,13 @@
 
 /// Looks at each page of a store, on a copy in memory: the library mends what it finds, and what is damaged is to stay as
 /// it is until somebody has seen it.
-fn verified(path: &Path) -> Result<(), Fault> {
+fn verified(path: &Path) -> Result<(), StoreError> {
     let bytes = std::fs::read(path).map_err(damaged)?;
     if bytes.is_empty() {
         return Err(damaged("it is empty"));
     }
     // It may panic over what no writer of its own would have left.
-    let look = std::panic::AssertUnwindSafe(|| -> Result<bool, Fault> {
+    let look = std::panic::AssertUnwindSafe(|| -> Result<bool, StoreError> {
         let copy = InMemoryBackend::new();
         copy.set_len(bytes.len() as u64).map_err(damaged)?;
         copy.write(0, &bytes).map_err(damaged)?;
@@ -152,16 +152,16 @@
 }
 
 /// A snapshot that is good: as it is written, and read.
-type Good = (Vec<u8>, Machine);
+type Good = (Vec<u8>, StateMachine);
 
 impl Store {
     /// Makes a store for a replica that has never run.
     ///
     /// # Errors
     /// If there is one, or it can't be written.
-    pub fn create(path: &Path, id: Id) -> Result<(), Fault> {
+    pub fn create(path: &Path, id: NodeId) -> Result<(), StoreError> {
         if path.exists() {
-            return Err(Fault::Present);
+            return Err(StoreError::AlreadyExists);
         }
         let base = Database::create(path).map_err(damaged)?;
         std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600))
@@ -178,45 +178,45 @@
             drop(meta);
             change.commit().map_err(text)
         };
-        write().map_err(Fault::Damaged)
+        write().map_err(StoreError::Damaged)
     }
 
     /// Opens the store of this replica and looks at all that is in it.
     ///
     /// # Errors
-    /// See [`Fault`].
-    pub fn open(path: &Path, id: Id) -> Result<Self, Fault> {
+    /// See [`StoreError`].
+    pub fn open(path: &Path, id: NodeId) -> Result<Self, StoreError> {
         if !path.exists() {
-            return Err(Fault::Missing);
+            return Err(StoreError::Missing);
         }
         verified(path)?;
         let base = Database::open(path).map_err(damaged)?;
         let store = Store {
             base: Arc::new(base),
-            machine: Arc::default(),
+            state_machine: Arc::default(),
             moved: Arc::new(watch::channel(0).0),
         };
         store.look(id)?;
         Ok(store)
     }
 
-    fn look(&self, id: Id) -> Result<(), Fault> {
-        let format: Option<String> = self.meta("format").map_err(Fault::Damaged)?;
+    fn look(&self, id: NodeId) -> Result<(), StoreError> {
+        let format: Option<String> = self.meta("format").map_err(StoreError::Damaged)?;
         if format.as_deref() != Some(FORMAT) {
             return Err(damaged(format!(
                 "format: found {format:?}, allowed is {FORMAT:?}"
             )));
         }
-        match self.meta("replica").map_err(Fault::Damaged)? {
+        match self.meta("replica").map_err(StoreError::Damaged)? {
             Some(own) if own == id => {}
-            Some(other) => return Err(Fault::Foreign(other)),
+            Some(other) => return Err(StoreError::OtherReplica(other)),
             None => return Err(damaged("it names no replica")),
         }
-        self.meta::<Vote<Id>>("vote")
+        self.meta::<Vote<NodeId>>("vote")
             .map_err(|e| damaged(format!("vote: {e}")))?;
-        self.meta::<Option<LogId<Id>>>("committed")
+        self.meta::<Option<LogId<NodeId>>>("committed")
             .map_err(|e| damaged(format!("committed: {e}")))?;
-        let purged: Option<LogId<Id>> = self
+        let purged: Option<LogId<NodeId>> = self
             .meta("purged")
             .map_err(|e| damaged(format!("purged: {e}")))?;
         let last = self.entries(..).map_err(|e| damaged(format!("log: {e}")))?;
@@ -237,9 +237,9 @@
                 )));
             }
         }
-        let (snapshot, faults) = self.snapshot().map_err(Fault::Damaged)?;
-        if let Some((_, machine)) = snapshot {
-            *self.lock() = machine;
+        let (snapshot, faults) = self.snapshot().map_err(StoreError::Damaged)?;
+        if let Some((_, state_machine)) = snapshot {
+            *self.lock() = state_machine;
         }
         // What was let go of the log must be in a snapshot that can be read.
         let applied = self.lock().applied;
@@ -256,8 +256,10 @@
         Ok(())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Machine> {
-        self.machine.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, StateMachine> {
+        self.state_machine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What is agreed on, as far as this replica knows.
@@ -290,14 +292,14 @@
         change.commit().map_err(text)
     }
 
-    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, String> {
+    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<RaftTypes>>, String> {
         let view = self.base.begin_read().map_err(text)?;
         let log = view.open_table(LOG).map_err(text)?;
         let mut all = Vec::new();
         for entry in log.range::<u64>(range).map_err(text)? {
             let (index, value) = entry.map_err(text)?;
             let index = index.value();
-            let entry: Entry<Types> =
+            let entry: Entry<RaftTypes> =
                 unpack(value.value()).map_err(|e| format!("entry {index}: {e}"))?;
             if entry.log_id.index != index {
                 return Err(format!(
@@ -318,7 +320,9 @@
         for entry in table.iter().map_err(text)?.rev() {
             let (index, value) = entry.map_err(text)?;
             match unpacked(value.value()) {
-                Ok(machine) => return Ok((Some((value.value().to_vec(), machine)), faults)),
+                Ok(state_machine) => {
+                    return Ok((Some((value.value().to_vec(), state_machine)), faults))
+                }
                 Err(fault) => faults.push(format!("snapshot {}: {fault}", index.value())),
             }
         }
@@ -338,51 +342,51 @@
 }
 
 /// Packed for a snapshot: compressed, with a checksum.
-fn packed(machine: &Machine) -> Result<Vec<u8>, String> {
-    let body = serde_json::to_vec(machine).map_err(text)?;
+fn packed(state_machine: &StateMachine) -> Result<Vec<u8>, String> {
+    let body = serde_json::to_vec(state_machine).map_err(text)?;
     let body = zstd::bulk::compress(&body, 3).map_err(text)?;
     Ok([&sum(&body)[..], &body].concat())
 }
 
-fn unpacked(bytes: &[u8]) -> Result<Machine, String> {
+fn unpacked(bytes: &[u8]) -> Result<StateMachine, String> {
     let body = zstd::bulk::decompress(checked(bytes)?, SNAPSHOT_MOST).map_err(text)?;
     serde_json::from_slice(&body).map_err(text)
 }
 
-fn meta_of(machine: &Machine) -> SnapshotMeta<Id, BasicNode> {
-    let applied = machine.applied;
+fn meta_of(state_machine: &StateMachine) -> SnapshotMeta<NodeId, BasicNode> {
+    let applied = state_machine.applied;
     let snapshot_id = applied.map_or_else(
         || "none".to_owned(),
         |a| format!("{}-{}", a.leader_id, a.index),
     );
     SnapshotMeta {
         last_log_id: applied,
-        last_membership: machine.membership.clone(),
+        last_membership: state_machine.membership.clone(),
         snapshot_id,
     }
 }
 
-impl RaftLogReader<Types> for Store {
+impl RaftLogReader<RaftTypes> for Store {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
-    ) -> Result<Vec<Entry<Types>>, Failed> {
+    ) -> Result<Vec<Entry<RaftTypes>>, Failed> {
         self.entries(range)
             .map_err(subject(ErrorSubject::Logs, ErrorVerb::Read))
     }
 }
 
-impl RaftLogStorage<Types> for Store {
+impl RaftLogStorage<RaftTypes> for Store {
     type LogReader = Self;
 
-    async fn get_log_state(&mut self) -> Result<LogState<Types>, Failed> {
+    async fn get_log_state(&mut self) -> Result<LogState<RaftTypes>, Failed> {
         let read = || -> Result<_, String> {
-            let purged: Option<LogId<Id>> = self.meta("purged")?;
+            let purged: Option<LogId<NodeId>> = self.meta("purged")?;
             let view = self.base.begin_read().map_err(text)?;
             let log = view.open_table(LOG).map_err(text)?;
             let last = log.last().map_err(text)?;
             let last = last
-                .map(|(_, v)| unpack::<Entry<Types>>(v.value()))
+                .map(|(_, v)| unpack::<Entry<RaftTypes>>(v.value()))
                 .transpose()?;
             Ok(LogState {
                 last_purged_log_id: purged,
@@ -396,30 +400,30 @@
         self.clone()
     }
 
-    async fn save_vote(&mut self, vote: &Vote<Id>) -> Result<(), Failed> {
+    async fn save_vote(&mut self, vote: &Vote<NodeId>) -> Result<(), Failed> {
         self.set("vote", vote)
             .map_err(subject(ErrorSubject::Vote, ErrorVerb::Write))
     }
 
-    async fn read_vote(&mut self) -> Result<Option<Vote<Id>>, Failed> {
+    async fn read_vote(&mut self) -> Result<Option<Vote<NodeId>>, Failed> {
         self.meta("vote")
             .map_err(subject(ErrorSubject::Vote, ErrorVerb::Read))
     }
 
-    async fn save_committed(&mut self, committed: Option<LogId<Id>>) -> Result<(), Failed> {
+    async fn save_committed(&mut self, committed: Option<LogId<NodeId>>) -> Result<(), Failed> {
         self.set("committed", &committed)
             .map_err(subject(ErrorSubject::Store, ErrorVerb::Write))
     }
 
-    async fn read_committed(&mut self) -> Result<Option<LogId<Id>>, Failed> {
-        let read = self.meta::<Option<LogId<Id>>>("committed");
+    async fn read_committed(&mut self) -> Result<Option<LogId<NodeId>>, Failed> {
+        let read = self.meta::<Option<LogId<NodeId>>>("committed");
         read.map(Option::flatten)
             .map_err(subject(ErrorSubject::Store, ErrorVerb::Read))
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), Failed>
+    async fn append<I>(&mut self, entries: I, callback: LogFlushed<RaftTypes>) -> Result<(), Failed>
     where
-        I: IntoIterator<Item = Entry<Types>> + OptionalSend,
+        I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let write = || -> Result<(), String> {
@@ -437,7 +441,7 @@
         written.map_err(subject(ErrorSubject::Logs, ErrorVerb::Write))
     }
 
-    async fn truncate(&mut self, log_id: LogId<Id>) -> Result<(), Failed> {
+    async fn truncate(&mut self, log_id: LogId<NodeId>) -> Result<(), Failed> {
         let write = || -> Result<(), String> {
             let change = self.base.begin_write().map_err(text)?;
             let mut log = change.open_table(LOG).map_err(text)?;
@@ -448,7 +452,7 @@
         write().map_err(subject(ErrorSubject::Logs, ErrorVerb::Delete))
     }
 
-    async fn purge(&mut self, log_id: LogId<Id>) -> Result<(), Failed> {
+    async fn purge(&mut self, log_id: LogId<NodeId>) -> Result<(), Failed> {
         let write = || -> Result<(), String> {
             let change = self.base.begin_write().map_err(text)?;
             let mut meta = change.open_table(META).map_err(text)?;
@@ -464,13 +468,13 @@
     }
 }
 
-impl RaftSnapshotBuilder<Types> for Store {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, Failed> {
-        let machine = self.lock().clone();
-        let meta = meta_of(&machine);
+impl RaftSnapshotBuilder<RaftTypes> for Store {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<RaftTypes>, Failed> {
+        let state_machine = self.lock().clone();
+        let meta = meta_of(&state_machine);
         let build = || -> Result<Vec<u8>, String> {
-            let bytes = packed(&machine)?;
-            self.keep(machine.applied.map_or(0, |a| a.index), &bytes)?;
+            let bytes = packed(&state_machine)?;
+            self.keep(state_machine.applied.map_or(0, |a| a.index), &bytes)?;
             Ok(bytes)
         };
         let bytes = build().map_err(subject(ErrorSubject::Snapshot(None), ErrorVerb::Write))?;
@@ -481,36 +485,37 @@
     }
 }
 
-impl RaftStateMachine<Types> for Store {
+impl RaftStateMachine<RaftTypes> for Store {
     type SnapshotBuilder = Self;
 
     async fn applied_state(
         &mut self,
-    ) -> Result<(Option<LogId<Id>>, StoredMembership<Id, BasicNode>), Failed> {
-        let machine = self.lock();
-        Ok((machine.applied, machine.membership.clone()))
+    ) -> Result<(Option<LogId<NodeId>>, StoredMembership<NodeId, BasicNode>), Failed> {
+        let state_machine = self.lock();
+        Ok((state_machine.applied, state_machine.membership.clone()))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Outcome>, Failed>
     where
-        I: IntoIterator<Item = Entry<Types>> + OptionalSend,
+        I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let mut machine = self.lock();
+        let mut state_machine = self.lock();
         let mut outcomes = Vec::new();
         for entry in entries {
-            machine.applied = Some(entry.log_id);
+            state_machine.applied = Some(entry.log_id);
             outcomes.push(match entry.payload {
                 EntryPayload::Blank => Outcome::Done,
-                EntryPayload::Normal(command) => machine.record.apply(&command),
+                EntryPayload::Normal(command) => state_machine.record.apply(&command),
                 EntryPayload::Membership(membership) => {
-                    machine.membership = StoredMembership::new(Some(entry.log_id), membership);
+                    state_machine.membership =
+                        StoredMembership::new(Some(entry.log_id), membership);
                     Outcome::Done
                 }
             });
         }
-        let revision = machine.record.revision();
-        drop(machine);
+        let revision = state_machine.record.revision();
+        drop(state_machine);
         self.moved
             .send_if_modified(|old| std::mem::replace(old, revision) != revision);
         Ok(outcomes)
@@ -526,17 +531,17 @@
 
     async fn install_snapshot(
         &mut self,
-        meta: &SnapshotMeta<Id, BasicNode>,
+        meta: &SnapshotMeta<NodeId, BasicNode>,
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), Failed> {
         let bytes = snapshot.into_inner();
         let install = || -> Result<(), String> {
-            let machine = unpacked(&bytes)?;
-            if machine.applied != meta.last_log_id {
+            let state_machine = unpacked(&bytes)?;
+            if state_machine.applied != meta.last_log_id {
                 return Err("it is another one than its head says".to_owned());
             }
-            self.keep(machine.applied.map_or(0, |a| a.index), &bytes)?;
-            *self.lock() = machine;
+            self.keep(state_machine.applied.map_or(0, |a| a.index), &bytes)?;
+            *self.lock() = state_machine;
             Ok(())
         };
         install().map_err(subject(
@@ -549,12 +554,12 @@
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, Failed> {
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<RaftTypes>>, Failed> {
         let (found, _) = self
             .snapshot()
             .map_err(subject(ErrorSubject::Snapshot(None), ErrorVerb::Read))?;
-        Ok(found.map(|(bytes, machine)| Snapshot {
-            meta: meta_of(&machine),
+        Ok(found.map(|(bytes, state_machine)| Snapshot {
+            meta: meta_of(&state_machine),
             snapshot: Box::new(Cursor::new(bytes)),
         }))
     }
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,7 +1,7 @@
 //! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
-use badgerramp_control_plane::store::{self, Store};
+use badgerramp_control_plane::store::{Store, StoreError};
 use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
@@ -242,16 +242,16 @@
     );
 }
 
-async fn state(path: &Path) -> Result<String, store::Fault> {
+async fn state(path: &Path) -> Result<String, StoreError> {
     let mut store = Store::open(path, 1)?;
     let log = store
         .get_log_state()
         .await
-        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
+        .map_err(|e| StoreError::Damaged(e.to_string()))?;
     let vote = store
         .read_vote()
         .await
-        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
+        .map_err(|e| StoreError::Damaged(e.to_string()))?;
     Ok(format!("{log:?} {vote:?} {:?}", store.record()))
 }
 
@@ -277,11 +277,11 @@
     let bytes = std::fs::read(&path).expect("a file");
     assert!(matches!(
         Store::open(&path, 2),
-        Err(store::Fault::Foreign(1))
+        Err(StoreError::OtherReplica(1))
     ));
     assert!(matches!(
         Store::create(&path, 1),
-        Err(store::Fault::Present)
+        Err(StoreError::AlreadyExists)
     ));
     let copy = replicas.folder.path().join("copy");
     let (mut refused, mut same) = (0, 0);
@@ -306,7 +306,7 @@
     }
     assert!(refused > 0 && same > 0, "{refused} {same}");
     std::fs::remove_file(&copy).expect("a file");
-    assert!(matches!(state(&copy).await, Err(store::Fault::Missing)));
+    assert!(matches!(state(&copy).await, Err(StoreError::Missing)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/control-plane/tests/stored_state.rs
+++ b/crates/control-plane/tests/stored_state.rs
@@ -1,7 +1,7 @@
 //! A replica's store as this format's writer left it: policies in force, aborted and under way, proxies registered and
 //! evicted, a change of all regions, a snapshot and the log after it. Each version opens it and finds the same.
 
-use badgerramp_control_plane::store::{Id, Store, Types};
+use badgerramp_control_plane::store::{NodeId, RaftTypes, Store};
 use badgerramp_policy::regions::{AllRegions, ChangeId, Region};
 use badgerramp_policy::{Command, CutOff, Generation, Identity};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
@@ -16,7 +16,7 @@
 /// Compressed; see [`write_store`] for what led to it.
 const STORE: &[u8] = include_bytes!("fixtures/store-with-regions.zst");
 const STORE_BYTES_MOST: usize = 8 << 20;
-const REPLICA: Id = 2;
+const REPLICA: NodeId = 2;
 
 struct Folder(PathBuf);
 
@@ -34,11 +34,11 @@
     }
 }
 
-fn log_id(index: u64) -> LogId<Id> {
+fn log_id(index: u64) -> LogId<NodeId> {
     LogId::new(CommittedLeaderId::new(3, 1), index)
 }
 
-fn entries(from: u64, payloads: Vec<EntryPayload<Types>>) -> Vec<Entry<Types>> {
+fn entries(from: u64, payloads: Vec<EntryPayload<RaftTypes>>) -> Vec<Entry<RaftTypes>> {
     let entry = |(index, payload)| Entry {
         log_id: log_id(index),
         payload,
@@ -68,11 +68,11 @@
 }
 
 /// What the snapshot holds.
-fn before_the_snapshot() -> Vec<EntryPayload<Types>> {
-    let nodes: BTreeMap<Id, BasicNode> = (1..=3)
+fn before_the_snapshot() -> Vec<EntryPayload<RaftTypes>> {
+    let nodes: BTreeMap<NodeId, BasicNode> = (1..=3)
         .map(|id| (id, BasicNode::new(format!("127.0.0.1:740{id}"))))
         .collect();
-    let voters: BTreeSet<Id> = nodes.keys().copied().collect();
+    let voters: BTreeSet<NodeId> = nodes.keys().copied().collect();
     let membership = Membership::new(vec![voters], nodes);
     let commands = [
         publish(0, r#"{"caja":"one"}"#, &[], None),
@@ -109,7 +109,7 @@
 }
 
 /// What only the log holds: a change of all regions that waits for one of two votes.
-fn after_the_snapshot() -> Vec<EntryPayload<Types>> {
+fn after_the_snapshot() -> Vec<EntryPayload<RaftTypes>> {
     let all_regions = AllRegions {
         id: ChangeId(0x1122_3344_5566_7788),
         coordinator: region("norte"),
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -45,7 +45,7 @@
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
                 .build();
-            let served = badgerramp_control_plane::serve::run(settings, async move {
+            let served = badgerramp_control_plane::server::run(settings, async move {
                 let _ = stopped.await;
             });
             runtime
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -42,7 +42,7 @@
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
                 .build();
-            let served = badgerramp_control_plane::serve::run(settings, std::future::pending());
+            let served = badgerramp_control_plane::server::run(settings, std::future::pending());
             runtime.expect("a runtime").block_on(served)
         });
         Region { name, address }
