--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -161,7 +161,7 @@
 
     /// Has the replicas agree on a command.
     pub(crate) async fn agree(&self, command: Command) -> Result<Outcome, NotLeader> {
-        let before = self.store.with(Before::of);
+        let before = self.store.read(Before::of);
         let written = self.raft.client_write(command.clone()).await;
         let outcome = written.map(|w| w.data).map_err(|fault| {
             forward(&fault, |e| match e {
@@ -172,7 +172,7 @@
         if let Ok(outcome) = &outcome {
             if let Some(line) = self
                 .store
-                .with(|after| progress::line(&before, &command, outcome, after))
+                .read(|after| progress::line(&before, &command, outcome, after))
             {
                 info!("{line}");
             }
@@ -219,7 +219,7 @@
                 });
             }
             let now = clock::now();
-            let lent = |h: &mut Held| self.store.with(|record| h.leases.lend(now, record, &ask));
+            let lent = |h: &mut Held| self.store.read(|record| h.leases.lend(now, record, &ask));
             Ok(held.as_mut().map_or(Lent::RegisterFirst, lent))
         };
         let lent = lend()?;
@@ -245,7 +245,7 @@
         self.confirmed().await?;
         if self
             .store
-            .with(|record| record.standing().contains_key(&identity))
+            .read(|record| record.standing().contains_key(&identity))
         {
             self.agree(Command::Retire {
                 identity: identity.clone(),
@@ -275,7 +275,7 @@
             .sessions()
             .map(|(i, acting, _)| (i.clone(), acting))
             .collect();
-        (self.store.with(blockers), sessions)
+        (self.store.read(blockers), sessions)
     }
 
     /// The next step of the change under way, if it can be taken.
@@ -326,14 +326,14 @@
         self.confirmed().await?;
         let middle = self
             .store
-            .with(Record::middle)
+            .read(Record::middle)
             .filter(|middle| middle.new == generation);
         let Some(Mode { revision, .. }) = middle else {
             return Ok(None);
         };
         if let Some(command) = self
             .store
-            .with(|record| decommission::abort(record, &self.others))
+            .read(|record| decommission::abort(record, &self.others))
         {
             return self.agree(command).await.map(Some);
         }
--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -96,7 +96,7 @@
 
     /// Waits this long, or until the own record moves.
     async fn wait(&self, pause: Duration) {
-        let mut moved = self.store.moved();
+        let mut moved = self.store.revision_changes();
         let _ = tokio::time::timeout(pause, moved.changed()).await;
     }
 
@@ -105,7 +105,7 @@
         if !self.leader.leads() {
             return None;
         }
-        self.store.with(|record| {
+        self.store.read(|record| {
             let requests = coordinator::requests(record);
             if let Some((_, request)) = requests.into_iter().find(|(to, _)| to == region) {
                 return Some(participant_request(region, request));
@@ -137,12 +137,12 @@
             reply::Kind::Vote(vote) => {
                 let vote = VoteReply::try_from(vote).ok()?;
                 self.store
-                    .with(|record| coordinator::on_vote(record, region, &vote))
+                    .read(|record| coordinator::on_vote(record, region, &vote))
             }
             reply::Kind::Outcome(outcome) => {
                 let outcome = OutcomeReply::try_from(outcome).ok()?;
                 self.store
-                    .with(|record| participant::on_outcome(record, &outcome))
+                    .read(|record| participant::on_outcome(record, &outcome))
             }
             _ => None,
         }
@@ -223,14 +223,14 @@
     async fn commit(&self, commit: Commit) -> Result<VoteReply, NotLeader> {
         match self
             .store
-            .with(|record| participant::on_commit(record, &commit))
+            .read(|record| participant::on_commit(record, &commit))
         {
             OnCommit::Reply(reply) => Ok(reply),
             OnCommit::Log(command) => {
                 self.leader.agree(command).await?;
                 Ok(self
                     .store
-                    .with(|record| participant::standing(record, &commit.change)))
+                    .read(|record| participant::standing(record, &commit.change)))
             }
         }
     }
@@ -246,7 +246,7 @@
         self.leader.confirmed().await?;
         Ok(reply::Kind::Outcome(
             self.store
-                .with(|record| coordinator::outcome(record, &asked))
+                .read(|record| coordinator::outcome(record, &asked))
                 .into(),
         ))
     }
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -81,7 +81,7 @@
     async fn text(&self, generation: Generation) -> Result<reply::Kind, NotLeader> {
         self.leader.confirmed().await?;
         Ok(
-            match self.store.with(|r| r.text(generation).map(check::files_of)) {
+            match self.store.read(|r| r.text(generation).map(check::files_of)) {
                 Some(Ok(files)) => reply::Kind::PolicyFiles(wire::PolicyFiles {
                     generation: generation.0,
                     files: files.into_iter().collect(),
@@ -142,7 +142,7 @@
         let mut texts = Vec::new();
         let mut digests = HashMap::new();
         for generation in BTreeSet::from([old, new]) {
-            let files = self.store.with(|r| r.text(generation).map(check::files_of));
+            let files = self.store.read(|r| r.text(generation).map(check::files_of));
             let mut files = files.and_then(Result::ok).unwrap_or_default();
             // Without its file the proxy says that it can't read it.
             files.retain(|name, _| name == application);
@@ -290,7 +290,7 @@
         let opened: Result<Request, _> = self.secret.verify(Purpose::Request, sealed.into_inner());
         let nonce = opened.map_err(|fault| denied(&fault))?.nonce;
         let secret = self.secret.clone();
-        let words = WatchStream::new(self.store.moved()).map(move |revision| {
+        let words = WatchStream::new(self.store.revision_changes()).map(move |revision| {
             let kind = Some(reply::Kind::RevisionChanged(wire::RevisionChanged {
                 revision,
             }));
--- /dev/null
+++ b/crates/control-plane/src/store/codec.rs
@@ -0,0 +1,70 @@
+//! How values are stored: as JSON behind a checksum of their own, so that what a disk has changed is never taken for what
+//! was written.
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use sha2::{Digest, Sha256};
+use std::io;
+use thiserror::Error;
+
+/// Bytes of a checksum: the first ones of a SHA-256.
+const CHECKSUM_LEN: usize = 16;
+/// Most bytes of a decompressed snapshot.
+const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
+/// How strongly snapshots are compressed by Zstandard.
+const COMPRESSION_LEVEL: i32 = 3;
+
+/// Why a value can't be decoded, or not be encoded.
+#[derive(Debug, Error)]
+pub enum DecodeError {
+    /// Its checksum is another one than that of its bytes.
+    #[error("its checksum does not match")]
+    Checksum,
+    /// It is not the JSON of such a value.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It can't be compressed or decompressed.
+    #[error(transparent)]
+    Compression(#[from] io::Error),
+}
+
+fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_LEN] {
+    let mut checksum = [0; CHECKSUM_LEN];
+    checksum.copy_from_slice(&Sha256::digest(bytes)[..CHECKSUM_LEN]);
+    checksum
+}
+
+fn with_checksum(body: &[u8]) -> Vec<u8> {
+    [&checksum(body)[..], body].concat()
+}
+
+fn without_checksum(bytes: &[u8]) -> Result<&[u8], DecodeError> {
+    match bytes.split_at_checked(CHECKSUM_LEN) {
+        Some((found, body)) if found == checksum(body) => Ok(body),
+        _ => Err(DecodeError::Checksum),
+    }
+}
+
+/// Encodes a value.
+pub(super) fn encode(value: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
+    Ok(with_checksum(&serde_json::to_vec(value)?))
+}
+
+/// Decodes what [`encode`] gave.
+pub(super) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    Ok(serde_json::from_slice(without_checksum(bytes)?)?)
+}
+
+/// Encodes a large value, compressed.
+pub(super) fn encode_compressed(value: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
+    let json = serde_json::to_vec(value)?;
+    let compressed = zstd::bulk::compress(&json, COMPRESSION_LEVEL)?;
+    Ok(with_checksum(&compressed))
+}
+
+/// Decodes what [`encode_compressed`] gave.
+pub(super) fn decode_compressed<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    let compressed = without_checksum(bytes)?;
+    let json = zstd::bulk::decompress(compressed, MAX_SNAPSHOT_BYTES)?;
+    Ok(serde_json::from_slice(&json)?)
+}
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -242,16 +242,10 @@
     );
 }
 
-async fn state(path: &Path) -> Result<String, StoreError> {
+async fn state(path: &Path) -> Result<String, Box<dyn std::error::Error>> {
     let mut store = Store::open(path, 1)?;
-    let log = store
-        .get_log_state()
-        .await
-        .map_err(|e| StoreError::Damaged(e.to_string()))?;
-    let vote = store
-        .read_vote()
-        .await
-        .map_err(|e| StoreError::Damaged(e.to_string()))?;
+    let log = store.get_log_state().await?;
+    let vote = store.read_vote().await?;
     Ok(format!("{log:?} {vote:?} {:?}", store.record()))
 }
 
@@ -306,7 +300,8 @@
     }
     assert!(refused > 0 && same > 0, "{refused} {same}");
     std::fs::remove_file(&copy).expect("a file");
-    assert!(matches!(state(&copy).await, Err(StoreError::Missing)));
+    let missing = state(&copy).await.expect_err("it was removed");
+    assert!(matches!(missing.downcast_ref(), Some(StoreError::Missing)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
