--- a/crates/control-plane/src/regions.rs
+++ b/crates/control-plane/src/regions.rs
@@ -11,7 +11,7 @@
 use badgerramp_control_protocol::{Client, ClientError, InvalidMessage, SharedSecret};
 use badgerramp_policy::regions::participant::{OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
-    coordinator, participant, Commit, OutcomeAsked, OutcomeReply, Prepare, Region, Regions,
+    coordinator, participant, Commit, OutcomeReply, OutcomeRequest, Prepare, Region, Regions,
     VoteReply,
 };
 use badgerramp_policy::Command;
@@ -110,7 +110,7 @@
             if let Some((_, request)) = requests.into_iter().find(|(to, _)| to == region) {
                 return Some(participant_request(region, request));
             }
-            let (to, asked) = participant::inquiry(record, &self.settings.regions)?;
+            let (to, asked) = participant::outcome_request(record, &self.settings.regions)?;
             (to == *region).then(|| coordinator_request(region, asked))
         })
     }
@@ -210,12 +210,15 @@
         let record = self.store.record();
         match participant::on_prepare(&record, &self.regions, &prepare) {
             OnPrepare::Reply(reply) => Ok(reply),
-            OnPrepare::Begin { floors, command } => {
+            OnPrepare::Start {
+                fallback_generations: floors,
+                command,
+            } => {
                 if let Err(why) = check::of_other_region(&record, &floors, &prepare.text) {
-                    return Ok(participant::refused(&prepare.change, why));
+                    return Ok(participant::rejected(&prepare.change, why));
                 }
                 let outcome = self.leader.agree(command).await?;
-                Ok(participant::begun(&prepare.change, &outcome))
+                Ok(participant::prepare_reply(&prepare.change, &outcome))
             }
         }
     }
@@ -230,7 +233,7 @@
                 self.leader.agree(command).await?;
                 Ok(self
                     .store
-                    .read(|record| participant::standing(record, &commit.change)))
+                    .read(|record| participant::current_status(record, &commit.change)))
             }
         }
     }
@@ -239,7 +242,7 @@
         if let Some(refused) = self.misdirected(&asked.coordinator) {
             return Ok(refused);
         }
-        let Ok(asked) = OutcomeAsked::try_from(asked) else {
+        let Ok(asked) = OutcomeRequest::try_from(asked) else {
             return Ok(malformed());
         };
         // A leader that was replaced may not know of a change that its successor has begun.
--- a/crates/control-plane/src/rejections.rs
+++ b/crates/control-plane/src/rejections.rs
@@ -4,7 +4,7 @@
 use badgerramp_control_protocol::wire::{rejection, reply, Rejection};
 use badgerramp_control_protocol::MessageError;
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::Refused;
+use badgerramp_policy::Rejection as CommandRejection;
 use std::net::SocketAddr;
 use tonic::{Code, Status};
 
@@ -38,13 +38,15 @@
 }
 
 /// What is told of a command that had no effect.
-pub(crate) fn not_logged(refused: &Refused) -> reply::Kind {
+pub(crate) fn not_logged(refused: &CommandRejection) -> reply::Kind {
     let code = match refused {
-        Refused::UnderWay(_) | Refused::AcrossRegions { .. } | Refused::AwaitsDecision { .. } => {
-            rejection::Code::ChangeInProgress
+        CommandRejection::ChangePending(_)
+        | CommandRejection::CrossRegionPending { .. }
+        | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangeInProgress,
+        CommandRejection::Evicted => rejection::Code::Evicted,
+        CommandRejection::NotPrepared { .. } | CommandRejection::Conflict => {
+            rejection::Code::RevisionChanged
         }
-        Refused::Evicted => rejection::Code::Evicted,
-        Refused::NotPrepared { .. } | Refused::Moved => rejection::Code::RevisionChanged,
     };
     refuse(code, refused.to_string())
 }
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -15,7 +15,8 @@
 use badgerramp_control_protocol::{digest, Purpose, SharedSecret, MAX_MESSAGE_BYTES};
 use badgerramp_policy::regions::{AllRegions, ChangeId};
 use badgerramp_policy::{
-    Ask, Command, Generation, Grant, Identity, Lent, Mode, Outcome, Refused, Stale,
+    Command, Generation, GrantOutcome, Identity, LeaseDenial, LeaseGrant, LeaseRequest, Mode,
+    Outcome, Rejection,
 };
 use openraft::{BasicNode, Config, Raft, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -111,7 +112,7 @@
     }
 
     async fn ask(&self, asked: &wire::LeaseRequest) -> Result<reply::Kind, NotLeader> {
-        let Ok(ask) = Ask::try_from(asked) else {
+        let Ok(ask) = LeaseRequest::try_from(asked) else {
             return Ok(refuse(
                 rejection::Code::Invalid,
                 "the question names no proxy, or no way to act when cut off",
@@ -120,24 +121,29 @@
         if let Some(refused) = self.of_other_region(&asked.region) {
             return Ok(refused);
         }
-        let has = ask.has.clone();
+        let has = ask.loaded_generations.clone();
         Ok(match self.leader.lend(ask).await? {
-            Lent::Grant(grant) => self.grant(grant, &has, &asked.application),
-            Lent::RegisterFirst => refuse(rejection::Code::RevisionChanged, "ask again"),
-            Lent::Stale(Stale::Older) => {
+            GrantOutcome::Granted(grant) => self.grant(grant, &has, &asked.application),
+            GrantOutcome::RegisterFirst => refuse(rejection::Code::RevisionChanged, "ask again"),
+            GrantOutcome::Denied(LeaseDenial::OutOfOrder) => {
                 refuse(rejection::Code::Stale, "a later question has been answered")
             }
-            Lent::Stale(Stale::NoPolicy) => {
+            GrantOutcome::Denied(LeaseDenial::NoPolicy) => {
                 refuse(rejection::Code::NoPolicy, "there is no policy yet")
             }
-            Lent::Stale(Stale::Evicted) => refuse(
+            GrantOutcome::Denied(LeaseDenial::Evicted) => refuse(
                 rejection::Code::Evicted,
                 "this start of the proxy was evicted: start it anew",
             ),
         })
     }
 
-    fn grant(&self, grant: Grant, has: &BTreeSet<Generation>, application: &str) -> reply::Kind {
+    fn grant(
+        &self,
+        grant: LeaseGrant,
+        has: &BTreeSet<Generation>,
+        application: &str,
+    ) -> reply::Kind {
         let Mode { old, new, .. } = grant.mode;
         let mut texts = Vec::new();
         let mut digests = HashMap::new();
@@ -159,9 +165,9 @@
             }
         }
         reply::Kind::Lease(wire::LeaseGrant {
-            sequence: grant.number,
+            sequence: grant.sequence,
             mode: Some(grant.mode.into()),
-            lease: grant.lease,
+            lease: grant.duration,
             policies: texts,
             digests,
         })
@@ -200,7 +206,7 @@
             let text = "something has changed since this was looked at: look again";
             return Ok(refuse(rejection::Code::RevisionChanged, text));
         }
-        let floors = record.floors();
+        let floors = record.fallback_generations();
         let good =
             check::leaves_floors(&record, &floors, &read).and_then(|()| check::text_of(&files));
         let text = match good {
@@ -210,15 +216,15 @@
         let command = Command::Publish {
             revision: policy.revision,
             text,
-            floors,
+            fallback_generations: floors,
             all_regions,
         };
         Ok(match self.leader.agree(command).await? {
-            Outcome::Begun(generation) => reply::Kind::ChangeStarted(wire::ChangeStarted {
+            Outcome::Started(generation) => reply::Kind::ChangeStarted(wire::ChangeStarted {
                 generation: generation.0,
             }),
-            Outcome::Refused(refused) => not_logged(&refused),
-            Outcome::Done => refuse(
+            Outcome::Rejected(refused) => not_logged(&refused),
+            Outcome::Applied => refuse(
                 rejection::Code::RevisionChanged,
                 "something else came in between: look again",
             ),
@@ -228,8 +234,8 @@
     async fn abort(&self, abort: wire::Abort) -> Result<reply::Kind, NotLeader> {
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.reason).await? {
-            Some(Outcome::Done) => reply::Kind::Done(wire::Done {}),
-            Some(Outcome::Refused(refused @ Refused::AwaitsDecision { .. })) => {
+            Some(Outcome::Applied) => reply::Kind::Done(wire::Done {}),
+            Some(Outcome::Rejected(refused @ Rejection::AwaitsDecision { .. })) => {
                 not_logged(&refused)
             }
             _ => refuse(
--- a/crates/control-plane/src/store/state_machine.rs
+++ b/crates/control-plane/src/store/state_machine.rs
@@ -27,11 +27,11 @@
     fn apply(&mut self, entry: Entry<RaftTypes>) -> Outcome {
         self.applied = Some(entry.log_id);
         match entry.payload {
-            EntryPayload::Blank => Outcome::Done,
+            EntryPayload::Blank => Outcome::Applied,
             EntryPayload::Normal(command) => self.record.apply(&command),
             EntryPayload::Membership(membership) => {
                 self.membership = StoredMembership::new(Some(entry.log_id), membership);
-                Outcome::Done
+                Outcome::Applied
             }
         }
     }
--- a/crates/control-protocol/src/lease.rs
+++ b/crates/control-protocol/src/lease.rs
@@ -3,7 +3,9 @@
 use crate::wire;
 use crate::InvalidMessage;
 use badgerramp_policy::regions::Region;
-use badgerramp_policy::{Ask, CutOff, Generation, Grant, Identity, Mode, Unread};
+use badgerramp_policy::{
+    Generation, Identity, LeaseGrant, LeaseRequest, Mode, OnLeaseLoss, RejectedGeneration,
+};
 
 impl From<Identity> for wire::Identity {
     fn from(own: Identity) -> Self {
@@ -43,29 +45,29 @@
     }
 }
 
-impl From<CutOff> for wire::OnLeaseLoss {
-    fn from(own: CutOff) -> Self {
+impl From<OnLeaseLoss> for wire::OnLeaseLoss {
+    fn from(own: OnLeaseLoss) -> Self {
         match own {
-            CutOff::Refuse => wire::OnLeaseLoss::Refuse,
-            CutOff::Narrow => wire::OnLeaseLoss::Narrow,
-            CutOff::Keep => wire::OnLeaseLoss::Keep,
+            OnLeaseLoss::Reject => wire::OnLeaseLoss::Refuse,
+            OnLeaseLoss::Fallback => wire::OnLeaseLoss::Narrow,
+            OnLeaseLoss::Keep => wire::OnLeaseLoss::Keep,
         }
     }
 }
 
 impl wire::LeaseRequest {
     /// The request of a proxy that runs this application.
-    pub fn new(own: Ask, application: &str) -> Self {
+    pub fn new(own: LeaseRequest, application: &str) -> Self {
         wire::LeaseRequest {
             identity: Some(own.identity.into()),
-            sequence: own.number,
-            active_revision: own.acting,
-            loaded_generations: own.has.into_iter().map(|g| g.0).collect(),
-            rejected_generation: own.unread.map(|u| wire::RejectedGeneration {
+            sequence: own.sequence,
+            active_revision: own.active_revision,
+            loaded_generations: own.loaded_generations.into_iter().map(|g| g.0).collect(),
+            rejected_generation: own.rejected_generation.map(|u| wire::RejectedGeneration {
                 generation: u.generation.0,
                 reason: u.reason,
             }),
-            on_lease_loss: wire::OnLeaseLoss::from(own.cut_off).into(),
+            on_lease_loss: wire::OnLeaseLoss::from(own.on_lease_loss).into(),
             application: application.to_owned(),
             region: String::new(),
         }
@@ -81,40 +83,43 @@
     }
 }
 
-impl TryFrom<&wire::LeaseRequest> for Ask {
+impl TryFrom<&wire::LeaseRequest> for LeaseRequest {
     type Error = InvalidMessage;
 
     fn try_from(wire: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
         let identity = wire.identity.clone().filter(|i| !i.name.is_empty());
-        let cut_off = match wire.on_lease_loss() {
+        let on_lease_loss = match wire.on_lease_loss() {
             wire::OnLeaseLoss::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("on_lease_loss"))
             }
-            wire::OnLeaseLoss::Refuse => CutOff::Refuse,
-            wire::OnLeaseLoss::Narrow => CutOff::Narrow,
-            wire::OnLeaseLoss::Keep => CutOff::Keep,
+            wire::OnLeaseLoss::Refuse => OnLeaseLoss::Reject,
+            wire::OnLeaseLoss::Narrow => OnLeaseLoss::Fallback,
+            wire::OnLeaseLoss::Keep => OnLeaseLoss::Keep,
         };
-        let unread = wire.rejected_generation.as_ref().map(|rejected| Unread {
-            generation: Generation(rejected.generation),
-            reason: rejected.reason.clone(),
-        });
-        Ok(Ask {
+        let rejected_generation =
+            wire.rejected_generation
+                .as_ref()
+                .map(|rejected| RejectedGeneration {
+                    generation: Generation(rejected.generation),
+                    reason: rejected.reason.clone(),
+                });
+        Ok(LeaseRequest {
             identity: identity.ok_or(InvalidMessage::Missing("identity"))?.into(),
-            number: wire.sequence,
-            acting: wire.active_revision,
-            has: wire
+            sequence: wire.sequence,
+            active_revision: wire.active_revision,
+            loaded_generations: wire
                 .loaded_generations
                 .iter()
                 .copied()
                 .map(Generation)
                 .collect(),
-            unread,
-            cut_off,
+            rejected_generation,
+            on_lease_loss,
         })
     }
 }
 
-impl TryFrom<&wire::LeaseGrant> for Grant {
+impl TryFrom<&wire::LeaseGrant> for LeaseGrant {
     type Error = InvalidMessage;
 
     fn try_from(wire: &wire::LeaseGrant) -> Result<Self, InvalidMessage> {
@@ -125,10 +130,10 @@
                 new: mode.new.0,
             });
         }
-        Ok(Grant {
-            number: wire.sequence,
+        Ok(LeaseGrant {
+            sequence: wire.sequence,
             mode,
-            lease: wire.lease,
+            duration: wire.lease,
         })
     }
 }
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -4,7 +4,7 @@
 use crate::wire::{self, outcome_reply, request, vote_reply};
 use crate::InvalidMessage;
 use badgerramp_policy::regions::{
-    ChangeId, ChangeRef, Commit, Decision, OutcomeAsked, OutcomeReply, Prepare, Region, Request,
+    ChangeId, ChangeRef, Commit, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
     Vote, VoteReply,
 };
 use badgerramp_policy::Generation;
@@ -14,7 +14,7 @@
         wire::ChangeRef {
             id: own.id.0,
             coordinator: own.coordinator.into(),
-            generation: own.number.0,
+            generation: own.generation.0,
         }
     }
 }
@@ -26,7 +26,7 @@
         Ok(ChangeRef {
             id: ChangeId(wire.id),
             coordinator: wire.coordinator.parse()?,
-            number: Generation(wire.generation),
+            generation: Generation(wire.generation),
         })
     }
 }
@@ -52,7 +52,7 @@
 }
 
 /// The request that carries a participant's question about an outcome to this coordinator.
-pub fn coordinator_request(coordinator: &Region, asked: OutcomeAsked) -> request::Kind {
+pub fn coordinator_request(coordinator: &Region, asked: OutcomeRequest) -> request::Kind {
     request::Kind::Outcome(wire::OutcomeRequest {
         id: asked.id.0,
         region: asked.region.into(),
@@ -81,11 +81,11 @@
     }
 }
 
-impl TryFrom<wire::OutcomeRequest> for OutcomeAsked {
+impl TryFrom<wire::OutcomeRequest> for OutcomeRequest {
     type Error = InvalidMessage;
 
     fn try_from(wire: wire::OutcomeRequest) -> Result<Self, InvalidMessage> {
-        Ok(OutcomeAsked {
+        Ok(OutcomeRequest {
             id: ChangeId(wire.id),
             region: wire.region.parse()?,
         })
@@ -97,9 +97,9 @@
         let (vote, reason) = match own.vote {
             Vote::Preparing => (vote_reply::Vote::Preparing, String::new()),
             Vote::Prepared => (vote_reply::Vote::Prepared, String::new()),
-            Vote::Refused { why } => (vote_reply::Vote::Rejected, why),
-            Vote::InForce => (vote_reply::Vote::InForce, String::new()),
-            Vote::NotInForce => (vote_reply::Vote::NotInForce, String::new()),
+            Vote::Rejected { reason } => (vote_reply::Vote::Rejected, reason),
+            Vote::Committed => (vote_reply::Vote::InForce, String::new()),
+            Vote::Aborted => (vote_reply::Vote::NotInForce, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
@@ -117,9 +117,11 @@
             vote_reply::Vote::Unspecified => return Err(InvalidMessage::UnknownValue("vote")),
             vote_reply::Vote::Preparing => Vote::Preparing,
             vote_reply::Vote::Prepared => Vote::Prepared,
-            vote_reply::Vote::Rejected => Vote::Refused { why: wire.reason },
-            vote_reply::Vote::InForce => Vote::InForce,
-            vote_reply::Vote::NotInForce => Vote::NotInForce,
+            vote_reply::Vote::Rejected => Vote::Rejected {
+                reason: wire.reason,
+            },
+            vote_reply::Vote::InForce => Vote::Committed,
+            vote_reply::Vote::NotInForce => Vote::Aborted,
         };
         Ok(VoteReply {
             id: ChangeId(wire.id),
@@ -131,9 +133,9 @@
 impl From<OutcomeReply> for wire::OutcomeReply {
     fn from(own: OutcomeReply) -> Self {
         let decision = match own.decision {
-            Decision::Open => outcome_reply::Decision::Open,
-            Decision::InForce => outcome_reply::Decision::InForce,
-            Decision::NotInForce => outcome_reply::Decision::NotInForce,
+            Decision::Pending => outcome_reply::Decision::Open,
+            Decision::Committed => outcome_reply::Decision::InForce,
+            Decision::Aborted => outcome_reply::Decision::NotInForce,
         };
         wire::OutcomeReply {
             id: own.id.0,
@@ -150,9 +152,9 @@
             outcome_reply::Decision::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("decision"))
             }
-            outcome_reply::Decision::Open => Decision::Open,
-            outcome_reply::Decision::InForce => Decision::InForce,
-            outcome_reply::Decision::NotInForce => Decision::NotInForce,
+            outcome_reply::Decision::Open => Decision::Pending,
+            outcome_reply::Decision::InForce => Decision::Committed,
+            outcome_reply::Decision::NotInForce => Decision::Aborted,
         };
         Ok(OutcomeReply {
             id: ChangeId(wire.id),
--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -3,7 +3,7 @@
 
 use super::rules::Rules;
 use badgerramp_control_protocol::clock;
-use badgerramp_policy::{Admission, Closed, Generation, Holder, Mode};
+use badgerramp_policy::{Admission, Generation, LeaseHolder, Mode, NotAdmitted};
 use hyper::header::HeaderMap;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,13 +32,13 @@
 
 /// Admits requests under the lease that the proxy holds.
 pub struct AdmissionGate {
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     installed: RefCell<InstalledRules>,
 }
 
 impl AdmissionGate {
     /// The gate of a proxy that has just started.
-    pub fn new(holder: Holder) -> Rc<Self> {
+    pub fn new(holder: LeaseHolder) -> Rc<Self> {
         Rc::new(AdmissionGate {
             holder: RefCell::new(holder),
             installed: RefCell::default(),
@@ -46,7 +46,7 @@
     }
 
     /// The holder of the lease. It must not stay borrowed over an await.
-    pub fn holder(&self) -> &RefCell<Holder> {
+    pub fn holder(&self) -> &RefCell<LeaseHolder> {
         &self.holder
     }
 
@@ -63,19 +63,19 @@
     ///
     /// # Errors
     /// If no call may start.
-    pub fn admit(&self) -> Result<(Rc<Rules>, Ticket), Closed> {
+    pub fn admit(&self) -> Result<(Rc<Rules>, Ticket), NotAdmitted> {
         let admission = self.holder.borrow().admission(clock::now());
         let installed = self.installed.borrow();
         let rules = match admission {
-            Admission::Closed(closed) => return Err(closed),
+            Admission::Denied(closed) => return Err(closed),
             Admission::Under(mode) => installed
                 .mode
                 .as_ref()
                 .filter(|(m, _)| *m == mode)
                 .map(|(_, r)| r),
-            Admission::Floor(generation) => installed.fallbacks.get(&generation),
+            Admission::Fallback(generation) => installed.fallbacks.get(&generation),
         };
-        let rules = rules.ok_or(Closed::NoLease)?;
+        let rules = rules.ok_or(NotAdmitted::NoLease)?;
         Ok((
             Rc::clone(rules),
             Ticket {
@@ -94,8 +94,8 @@
         }
         let (floor, old, new) = match admission {
             Admission::Under(mode) => (false, mode.old, mode.new),
-            Admission::Floor(generation) => (true, generation, generation),
-            Admission::Closed(_) => return false,
+            Admission::Fallback(generation) => (true, generation, generation),
+            Admission::Denied(_) => return false,
         };
         let id = || {
             headers
@@ -111,12 +111,12 @@
     pub fn health(&self) -> Result<String, String> {
         match self.holder.borrow().admission(clock::now()) {
             Admission::Under(mode) => Ok(format!("ok, {mode}")),
-            Admission::Floor(generation) => {
+            Admission::Fallback(generation) => {
                 Ok(format!("cut off from control, the floor of {generation}"))
             }
-            Admission::Closed(Closed::NoLease) => Err("no policy from control yet".to_owned()),
-            Admission::Closed(Closed::RunOut) => Err("cut off from control".to_owned()),
-            Admission::Closed(Closed::Evicted) => {
+            Admission::Denied(NotAdmitted::NoLease) => Err("no policy from control yet".to_owned()),
+            Admission::Denied(NotAdmitted::LeaseExpired) => Err("cut off from control".to_owned()),
+            Admission::Denied(NotAdmitted::Evicted) => {
                 Err("evicted by control: start it anew".to_owned())
             }
         }
