--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,6 +1,8 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
-use badgerramp_control_protocol::wire::{self, change::Status as Ended, rejection, reply, request};
+use badgerramp_control_protocol::wire::{
+    self, change::Status as ChangeStatus, rejection, reply, request,
+};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret, UnexpectedReply};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -268,9 +270,9 @@
 impl Standing {
     fn of(status: &wire::Status) -> Self {
         let cut_off = |p: &wire::Proxy| match p.on_lease_loss() {
-            wire::OnLeaseLoss::Narrow => "narrow",
+            wire::OnLeaseLoss::Fallback => "narrow",
             wire::OnLeaseLoss::Keep => "keep",
-            wire::OnLeaseLoss::Refuse | wire::OnLeaseLoss::Unspecified => "refuse",
+            wire::OnLeaseLoss::Reject | wire::OnLeaseLoss::Unspecified => "refuse",
         };
         let proxy = |p: &wire::Proxy| {
             let identity = p.identity.clone().unwrap_or_default();
@@ -284,9 +286,9 @@
         };
         let change = |c: &wire::Change| {
             let outcome = match c.status() {
-                Ended::InForce => "in force",
-                Ended::NotInForce => "not in force",
-                Ended::Open | Ended::Unspecified => UNDER_WAY,
+                ChangeStatus::Committed => "in force",
+                ChangeStatus::Aborted => "not in force",
+                ChangeStatus::Pending | ChangeStatus::Unspecified => UNDER_WAY,
             };
             let all_regions = (c.cross_region_id != 0).then(|| change_id(c.cross_region_id));
             Change {
@@ -596,11 +598,8 @@
                     if rejection.code() == rejection::Code::NotLeader => {}
                 ClientError::Rejected(rejection)
                     if lost
-                        && [
-                            rejection::Code::ChangeInProgress,
-                            rejection::Code::RevisionChanged,
-                        ]
-                        .contains(&rejection.code()) =>
+                        && [rejection::Code::ChangePending, rejection::Code::Conflict]
+                            .contains(&rejection.code()) =>
                 {
                     match self.own(files, revision).await {
                         Ok(Some(generation)) => {
@@ -645,10 +644,10 @@
                     .find(|c| Some(c.generation) == done.generation);
                 let ended = change.map(|c| (c.status(), c.reason.clone()));
                 match ended {
-                    Some((Ended::InForce, _)) => {
+                    Some((ChangeStatus::Committed, _)) => {
                         (done.outcome, done.why) = (Outcome::InForce, String::new());
                     }
-                    Some((Ended::NotInForce, why)) => {
+                    Some((ChangeStatus::Aborted, why)) => {
                         (done.outcome, done.why) = (Outcome::NotInForce, why);
                     }
                     Some(_) => {}
--- a/crates/control-plane/src/rejections.rs
+++ b/crates/control-plane/src/rejections.rs
@@ -42,10 +42,10 @@
     let code = match refused {
         CommandRejection::ChangePending(_)
         | CommandRejection::CrossRegionPending { .. }
-        | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangeInProgress,
+        | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangePending,
         CommandRejection::Evicted => rejection::Code::Evicted,
         CommandRejection::NotPrepared { .. } | CommandRejection::Conflict => {
-            rejection::Code::RevisionChanged
+            rejection::Code::Conflict
         }
     };
     refuse(code, refused.to_string())
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -124,7 +124,7 @@
         let has = ask.loaded_generations.clone();
         Ok(match self.leader.lend(ask).await? {
             GrantOutcome::Granted(grant) => self.grant(grant, &has, &asked.application),
-            GrantOutcome::RegisterFirst => refuse(rejection::Code::RevisionChanged, "ask again"),
+            GrantOutcome::RegisterFirst => refuse(rejection::Code::Conflict, "ask again"),
             GrantOutcome::Denied(LeaseDenial::OutOfOrder) => {
                 refuse(rejection::Code::Stale, "a later question has been answered")
             }
@@ -167,7 +167,7 @@
         reply::Kind::Lease(wire::LeaseGrant {
             sequence: grant.sequence,
             mode: Some(grant.mode.into()),
-            lease: grant.duration,
+            duration: grant.duration,
             policies: texts,
             digests,
         })
@@ -204,7 +204,7 @@
         let record = self.store.record();
         if record.revision() != policy.revision {
             let text = "something has changed since this was looked at: look again";
-            return Ok(refuse(rejection::Code::RevisionChanged, text));
+            return Ok(refuse(rejection::Code::Conflict, text));
         }
         let floors = record.fallback_generations();
         let good =
@@ -225,7 +225,7 @@
             }),
             Outcome::Rejected(refused) => not_logged(&refused),
             Outcome::Applied => refuse(
-                rejection::Code::RevisionChanged,
+                rejection::Code::Conflict,
                 "something else came in between: look again",
             ),
         })
@@ -239,7 +239,7 @@
                 not_logged(&refused)
             }
             _ => refuse(
-                rejection::Code::RevisionChanged,
+                rejection::Code::Conflict,
                 format!("no change to {generation} is under way"),
             ),
         })
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -101,9 +101,9 @@
 
 fn change(generation: Generation, change: &Change) -> wire::Change {
     let (status, reason) = match &change.status {
-        ChangeStatus::Pending => (change::Status::Open, String::new()),
-        ChangeStatus::Committed => (change::Status::InForce, String::new()),
-        ChangeStatus::Aborted { reason } => (change::Status::NotInForce, reason.clone()),
+        ChangeStatus::Pending => (change::Status::Pending, String::new()),
+        ChangeStatus::Committed => (change::Status::Committed, String::new()),
+        ChangeStatus::Aborted { reason } => (change::Status::Aborted, reason.clone()),
     };
     wire::Change {
         generation: generation.0,
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -488,7 +488,7 @@
             publish_request(files(3), world.standing(SUR).await.revision),
         )
         .await;
-    assert_eq!(rejection.code(), rejection::Code::ChangeInProgress);
+    assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
         rejection.message.contains("waits for region norte"),
         "{}",
@@ -547,7 +547,7 @@
         revision: norte.revision,
     });
     let rejection = world.refused(NORTE, all).await;
-    assert_eq!(rejection.code(), rejection::Code::ChangeInProgress);
+    assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
         rejection.message.contains("waits for region sur"),
         "{}",
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -329,10 +329,7 @@
     );
     assert_eq!(refused(HashMap::new(), 0).await.0, rejection::Code::Invalid);
     // Looked at beside what is no more.
-    assert_eq!(
-        refused(files(2), 7).await.0,
-        rejection::Code::RevisionChanged
-    );
+    assert_eq!(refused(files(2), 7).await.0, rejection::Code::Conflict);
 
     replicas
         .folder
--- a/crates/control-protocol/src/lease.rs
+++ b/crates/control-protocol/src/lease.rs
@@ -48,8 +48,8 @@
 impl From<OnLeaseLoss> for wire::OnLeaseLoss {
     fn from(own: OnLeaseLoss) -> Self {
         match own {
-            OnLeaseLoss::Reject => wire::OnLeaseLoss::Refuse,
-            OnLeaseLoss::Fallback => wire::OnLeaseLoss::Narrow,
+            OnLeaseLoss::Reject => wire::OnLeaseLoss::Reject,
+            OnLeaseLoss::Fallback => wire::OnLeaseLoss::Fallback,
             OnLeaseLoss::Keep => wire::OnLeaseLoss::Keep,
         }
     }
@@ -92,8 +92,8 @@
             wire::OnLeaseLoss::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("on_lease_loss"))
             }
-            wire::OnLeaseLoss::Refuse => OnLeaseLoss::Reject,
-            wire::OnLeaseLoss::Narrow => OnLeaseLoss::Fallback,
+            wire::OnLeaseLoss::Reject => OnLeaseLoss::Reject,
+            wire::OnLeaseLoss::Fallback => OnLeaseLoss::Fallback,
             wire::OnLeaseLoss::Keep => OnLeaseLoss::Keep,
         };
         let rejected_generation =
@@ -133,7 +133,7 @@
         Ok(LeaseGrant {
             sequence: wire.sequence,
             mode,
-            duration: wire.lease,
+            duration: wire.duration,
         })
     }
 }
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -98,8 +98,8 @@
             Vote::Preparing => (vote_reply::Vote::Preparing, String::new()),
             Vote::Prepared => (vote_reply::Vote::Prepared, String::new()),
             Vote::Rejected { reason } => (vote_reply::Vote::Rejected, reason),
-            Vote::Committed => (vote_reply::Vote::InForce, String::new()),
-            Vote::Aborted => (vote_reply::Vote::NotInForce, String::new()),
+            Vote::Committed => (vote_reply::Vote::Committed, String::new()),
+            Vote::Aborted => (vote_reply::Vote::Aborted, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
@@ -120,8 +120,8 @@
             vote_reply::Vote::Rejected => Vote::Rejected {
                 reason: wire.reason,
             },
-            vote_reply::Vote::InForce => Vote::Committed,
-            vote_reply::Vote::NotInForce => Vote::Aborted,
+            vote_reply::Vote::Committed => Vote::Committed,
+            vote_reply::Vote::Aborted => Vote::Aborted,
         };
         Ok(VoteReply {
             id: ChangeId(wire.id),
@@ -133,9 +133,9 @@
 impl From<OutcomeReply> for wire::OutcomeReply {
     fn from(own: OutcomeReply) -> Self {
         let decision = match own.decision {
-            Decision::Pending => outcome_reply::Decision::Open,
-            Decision::Committed => outcome_reply::Decision::InForce,
-            Decision::Aborted => outcome_reply::Decision::NotInForce,
+            Decision::Pending => outcome_reply::Decision::Pending,
+            Decision::Committed => outcome_reply::Decision::Committed,
+            Decision::Aborted => outcome_reply::Decision::Aborted,
         };
         wire::OutcomeReply {
             id: own.id.0,
@@ -152,9 +152,9 @@
             outcome_reply::Decision::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("decision"))
             }
-            outcome_reply::Decision::Open => Decision::Pending,
-            outcome_reply::Decision::InForce => Decision::Committed,
-            outcome_reply::Decision::NotInForce => Decision::Aborted,
+            outcome_reply::Decision::Pending => Decision::Pending,
+            outcome_reply::Decision::Committed => Decision::Committed,
+            outcome_reply::Decision::Aborted => Decision::Aborted,
         };
         Ok(OutcomeReply {
             id: ChangeId(wire.id),
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -92,8 +92,8 @@
     let mut pinned = Pinned::default();
     for (name, cut_off) in [
         ("ask, cut off unspecified", OnLeaseLoss::Unspecified),
-        ("ask, cut off refuse", OnLeaseLoss::Refuse),
-        ("ask, cut off narrow", OnLeaseLoss::Narrow),
+        ("ask, cut off refuse", OnLeaseLoss::Reject),
+        ("ask, cut off narrow", OnLeaseLoss::Fallback),
         ("ask, cut off keep", OnLeaseLoss::Keep),
     ] {
         let ask = wire::LeaseRequest {
@@ -154,7 +154,7 @@
     let grant = wire::LeaseGrant {
         sequence: 7,
         mode: Some(mode()),
-        lease: 10_000_000,
+        duration: 10_000_000,
         policies: vec![text()],
         digests: HashMap::from([(5, digest("listen = 1"))]),
     };
@@ -174,8 +174,8 @@
         ("vote preparing", vote_reply::Vote::Preparing),
         ("vote prepared", vote_reply::Vote::Prepared),
         ("vote refused", vote_reply::Vote::Rejected),
-        ("vote in force", vote_reply::Vote::InForce),
-        ("vote not in force", vote_reply::Vote::NotInForce),
+        ("vote in force", vote_reply::Vote::Committed),
+        ("vote not in force", vote_reply::Vote::Aborted),
     ] {
         let vote = wire::VoteReply {
             id: 77,
@@ -186,9 +186,9 @@
     }
     for (name, decision) in [
         ("decision unspecified", outcome_reply::Decision::Unspecified),
-        ("decision open", outcome_reply::Decision::Open),
-        ("decision in force", outcome_reply::Decision::InForce),
-        ("decision not in force", outcome_reply::Decision::NotInForce),
+        ("decision open", outcome_reply::Decision::Pending),
+        ("decision in force", outcome_reply::Decision::Committed),
+        ("decision not in force", outcome_reply::Decision::Aborted),
     ] {
         let outcome = wire::OutcomeReply {
             id: 77,
@@ -202,8 +202,8 @@
         ("refusal no policy", rejection::Code::NoPolicy),
         ("refusal stale", rejection::Code::Stale),
         ("refusal evicted", rejection::Code::Evicted),
-        ("refusal under way", rejection::Code::ChangeInProgress),
-        ("refusal moved", rejection::Code::RevisionChanged),
+        ("refusal under way", rejection::Code::ChangePending),
+        ("refusal moved", rejection::Code::Conflict),
         ("refusal bad", rejection::Code::Invalid),
         ("refusal other region", rejection::Code::OtherRegion),
         ("refusal not coordinator", rejection::Code::NotCoordinator),
@@ -223,9 +223,9 @@
 fn the_status_keeps_its_bytes() {
     let ended = [
         change::Status::Unspecified,
-        change::Status::Open,
-        change::Status::InForce,
-        change::Status::NotInForce,
+        change::Status::Pending,
+        change::Status::Committed,
+        change::Status::Aborted,
     ];
     let changes = ended
         .into_iter()
