--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -49,10 +49,10 @@
             listen: address,
             store: folder.join("store"),
             secret: badgerramp_control_protocol::SharedSecret::read(&secret)?,
-            lease: Duration::from_secs(10),
-            drift: Duration::from_millis(21),
-            wait: Duration::from_secs(60),
-            election: Duration::from_millis(500),
+            lease_duration: Duration::from_secs(10),
+            max_clock_drift: Duration::from_millis(21),
+            change_timeout: Duration::from_secs(60),
+            election_timeout: Duration::from_millis(500),
             regions: None,
         };
         std::thread::spawn(move || {
--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli.rs
@@ -41,9 +41,9 @@
         }
     };
     let done = match cli.command {
-        Command::Check { file } => {
-            Settings::load(&file).map(|_| println!("{}: good", file.display()))
-        }
+        Command::Check { file } => Settings::load(&file)
+            .map_err(|e| e.to_string())
+            .map(|_| println!("{}: good", file.display())),
         Command::Create { file } => create(&file),
         Command::Serve { file } => run(&file),
     };
@@ -57,7 +57,7 @@
 }
 
 fn create(file: &Path) -> Result<(), String> {
-    let settings = Settings::load(file)?;
+    let settings = Settings::load(file).map_err(|e| e.to_string())?;
     let shown = settings.store.display();
     Store::create(&settings.store, settings.replica).map_err(|e| format!("store {shown}: {e}"))?;
     println!("{shown}: made, for replica {}", settings.replica);
@@ -65,7 +65,7 @@
 }
 
 fn run(file: &Path) -> Result<(), String> {
-    let settings = Settings::load(file)?;
+    let settings = Settings::load(file).map_err(|e| e.to_string())?;
     // The consensus library tells much more than an operator wants to know.
     let own = |m: &tracing::Metadata<'_>| {
         m.target().starts_with("badgerramp") || *m.level() <= tracing::Level::ERROR
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -88,8 +88,8 @@
     ) -> (Self, Questions) {
         let (questions, asked) = mpsc::channel(4 * TOGETHER);
         let terms = LeaseConfig {
-            duration: micros(settings.lease),
-            max_clock_drift: micros(settings.drift),
+            duration: micros(settings.lease_duration),
+            max_clock_drift: micros(settings.max_clock_drift),
         };
         let others = settings
             .regions
@@ -99,9 +99,9 @@
         let regions_wait = settings
             .regions
             .as_ref()
-            .map_or(settings.wait, |regions| regions.wait);
+            .map_or(settings.change_timeout, |regions| regions.vote_timeout);
         let limits = ChangeTimeouts {
-            proxies: micros(settings.wait),
+            proxies: micros(settings.change_timeout),
             regions: micros(regions_wait),
         };
         let leader = Leader {
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -370,7 +370,7 @@
     let bind = |e| format!("listen on {listen}: {e}");
     let listener = TcpListener::bind(listen).await.map_err(bind)?;
     let listen = listener.local_addr().map_err(bind)?;
-    let election = millis(settings.election);
+    let election = millis(settings.election_timeout);
     let config = Config {
         cluster_name: "badgerramp".to_owned(),
         heartbeat_interval: (election / 5).max(20),
--- a/crates/control-plane/src/settings/regions.rs
+++ b/crates/control-plane/src/settings/regions.rs
@@ -1,67 +1,53 @@
-//! What the file of a replica says of regions.
+//! The settings of a control plane that is one of several regions.
 
-use super::{range, RawSettings, REPLICA_COUNTS};
+use super::raw::RawSettings;
+use super::{check_replica_count, in_range, SettingsProblem, MAX_CHANGE_TIMEOUT_MS};
 use badgerramp_policy::regions::{Region, Regions};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for the votes of the other regions, if the file does not say.
-const REGIONS_WAIT_MS: u64 = 10_000;
+/// For how long the votes of the other regions are waited for, if the file does not say.
+const DEFAULT_REGIONS_WAIT_MS: u64 = 10_000;
+/// The shortest wait for the votes of the other regions.
+const MIN_REGIONS_WAIT_MS: u64 = 200;
 
-/// Control as one of several regions.
+/// The regions, as the control plane of one of them knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionSettings {
     /// Their names.
     pub regions: Regions,
     /// Where the replicas of each other region are reached.
     pub replicas: BTreeMap<Region, Vec<SocketAddr>>,
-    /// A change of all regions that lacks a region's vote by then comes to nothing.
-    pub wait: Duration,
+    /// A change of all regions that lacks a region's vote by then is aborted.
+    pub vote_timeout: Duration,
 }
 
 impl RegionSettings {
     /// Reads the keys of regions; `None` if the file has none of them. `own` is where the own replicas are reached.
-    pub(super) fn of(
-        file: &str,
+    pub(super) fn from_raw(
         raw: &RawSettings,
         own: &BTreeMap<u64, SocketAddr>,
-    ) -> Result<Option<Self>, String> {
+    ) -> Result<Option<Self>, SettingsProblem> {
         let Some(name) = &raw.region else {
-            return without_region(file, raw).map(|()| None);
+            return check_no_regions(raw).map(|()| None);
         };
-        let region = region_name(file, "region", name)?;
+        let region = region_name("region", name)?;
         if raw.regions.is_empty() {
-            return Err(format!(
-                "{file}: regions: found none, allowed is a table [regions.NAME] for each other region"
-            ));
+            return Err(SettingsProblem::NoOtherRegion);
         }
-        let mut taken: BTreeMap<SocketAddr, String> = own
-            .iter()
-            .map(|(number, address)| (*address, format!("replicas.{number}")))
-            .collect();
-        let mut replicas = BTreeMap::new();
-        for (name, other) in &raw.regions {
-            let key = format!("regions.{name}");
-            let other_region = region_name(file, &key, name)?;
-            if other_region == region {
-                return Err(format!(
-                    "{file}: {key}: found {name:?}, allowed are names of regions other than `region`"
-                ));
-            }
-            replicas_of_region(file, &key, &other.replicas, &mut taken)?;
-            replicas.insert(other_region, other.replicas.clone());
-        }
-        let wait = raw.regions_wait_ms.unwrap_or(REGIONS_WAIT_MS);
-        let wait = range(file, "regions_wait_ms", wait, 200..=86_400_000)?;
+        let replicas = other_regions(raw, &region, own)?;
+        let wait = raw.regions_wait_ms.unwrap_or(DEFAULT_REGIONS_WAIT_MS);
+        let allowed = MIN_REGIONS_WAIT_MS..=MAX_CHANGE_TIMEOUT_MS;
+        let wait = in_range("regions_wait_ms", wait, allowed)?;
         Ok(Some(RegionSettings {
             regions: Regions::new(region, replicas.keys().cloned()),
             replicas,
-            wait: Duration::from_millis(wait),
+            vote_timeout: Duration::from_millis(wait),
         }))
     }
 
-    /// Where the region is that coordinates changes of all regions; `None`: it is this one.
+    /// Where the region is reached that coordinates changes of all regions; `None`: it is this one.
     pub fn coordinator_replicas(&self) -> Option<&[SocketAddr]> {
         self.replicas
             .get(self.regions.coordinator())
@@ -69,42 +55,70 @@
     }
 }
 
-/// Without a name for its own region a replica has no use for the other keys.
-fn without_region(file: &str, raw: &RawSettings) -> Result<(), String> {
-    let allowed = "allowed only beside `region`, the name of this replica's region";
+/// Where the replicas of each other region are reached. No address may be used twice.
+fn other_regions(
+    raw: &RawSettings,
+    region: &Region,
+    own: &BTreeMap<u64, SocketAddr>,
+) -> Result<BTreeMap<Region, Vec<SocketAddr>>, SettingsProblem> {
+    let mut key_by_address: BTreeMap<SocketAddr, String> = own
+        .iter()
+        .map(|(number, address)| (*address, format!("replicas.{number}")))
+        .collect();
+    let mut replicas = BTreeMap::new();
+    for (name, other) in &raw.regions {
+        let key = format!("regions.{name}");
+        let other_region = region_name(&key, name)?;
+        if other_region == *region {
+            let name = name.clone();
+            return Err(SettingsProblem::OwnRegion { key, name });
+        }
+        let replicas_key = format!("{key}.replicas");
+        check_replica_count(&replicas_key, other.replicas.len())?;
+        check_addresses(&replicas_key, &other.replicas, &mut key_by_address)?;
+        replicas.insert(other_region, other.replicas.clone());
+    }
+    Ok(replicas)
+}
+
+/// Without a name for its own region a replica has no use for the other keys of regions.
+fn check_no_regions(raw: &RawSettings) -> Result<(), SettingsProblem> {
     if let Some(name) = raw.regions.keys().next() {
-        return Err(format!("{file}: regions.{name}: found a region, {allowed}"));
+        return Err(SettingsProblem::RegionMissing {
+            key: format!("regions.{name}"),
+            found: "a region".to_owned(),
+        });
     }
     match raw.regions_wait_ms {
-        Some(found) => Err(format!("{file}: regions_wait_ms: found {found}, {allowed}")),
+        Some(found) => Err(SettingsProblem::RegionMissing {
+            key: "regions_wait_ms".to_owned(),
+            found: found.to_string(),
+        }),
         None => Ok(()),
     }
 }
 
-fn region_name(file: &str, key: &str, name: &str) -> Result<Region, String> {
-    name.parse()
-        .map_err(|fault| format!("{file}: {key}: found {fault}"))
+fn region_name(key: &str, name: &str) -> Result<Region, SettingsProblem> {
+    name.parse().map_err(|source| SettingsProblem::RegionName {
+        key: key.to_owned(),
+        source,
+    })
 }
 
-/// Checks where the replicas of another region are reached. `taken` are the addresses of all others, with their keys.
-fn replicas_of_region(
-    file: &str,
+/// Checks that none of these addresses is another replica's, and notes the key of each.
+fn check_addresses(
     key: &str,
-    replicas: &[SocketAddr],
-    taken: &mut BTreeMap<SocketAddr, String>,
-) -> Result<(), String> {
-    if !REPLICA_COUNTS.contains(&replicas.len()) {
-        return Err(format!(
-            "{file}: {key}.replicas: found {}, allowed are 1, 3 or 5",
-            replicas.len()
-        ));
-    }
-    for (place, address) in replicas.iter().enumerate() {
-        let key = format!("{key}.replicas[{place}]");
-        if let Some(other) = taken.insert(*address, key.clone()) {
-            return Err(format!(
-                "{file}: {key}: found {address}, which is that of {other} already"
-            ));
+    addresses: &[SocketAddr],
+    key_by_address: &mut BTreeMap<SocketAddr, String>,
+) -> Result<(), SettingsProblem> {
+    for (index, &address) in addresses.iter().enumerate() {
+        let key = format!("{key}[{index}]");
+        if let Some(other) = key_by_address.insert(address, key.clone()) {
+            return Err(SettingsProblem::DuplicateAddress {
+                key,
+                address,
+                other,
+            });
         }
     }
     Ok(())
--- a/crates/control-plane/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -4,7 +4,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_control_plane::settings::{RegionSettings, Settings};
+use badgerramp_control_plane::settings::{RegionSettings, Settings, SettingsError};
 use badgerramp_fault_injection::process::Folder;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         File(folder)
     }
 
-    fn load(&self, more: &str) -> Result<Settings, String> {
+    fn load(&self, more: &str) -> Result<Settings, SettingsError> {
         let path = self
             .0
             .write("control.toml", &format!("{GOOD}{more}"), false)
@@ -45,11 +45,11 @@
 fn the_first_region_by_name_coordinates_for_all() {
     let file = File::new("coordinator");
     let norte = file.regions(SUR).expect("regions");
-    assert_eq!(norte.wait, Duration::from_secs(10));
+    assert_eq!(norte.vote_timeout, Duration::from_secs(10));
     assert!(norte.regions.is_coordinator() && norte.coordinator_replicas().is_none());
     let sur = "region = \"sur\"\nregions_wait_ms = 3000\n[regions.norte]\nreplicas = [\"127.0.0.1:7601\"]\n";
     let sur = file.regions(sur).expect("regions");
-    assert_eq!(sur.wait, Duration::from_secs(3));
+    assert_eq!(sur.vote_timeout, Duration::from_secs(3));
     assert_eq!(sur.regions.coordinator().as_str(), "norte");
     assert_eq!(
         sur.coordinator_replicas(),
@@ -124,11 +124,11 @@
             vec!["regions_wait_ms: found 10", "allowed is 200 to 86400000"],
         ),
     ] {
-        let fault = file.load(&more).expect_err(&more);
-        assert!(fault.contains("control.toml"), "{fault}");
+        let error = file.load(&more).expect_err(&more).to_string();
+        assert!(error.contains("control.toml"), "{error}");
         words
             .iter()
-            .for_each(|word| assert!(fault.contains(word), "{word:?} is not in: {fault}"));
+            .for_each(|word| assert!(error.contains(word), "{word:?} is not in: {error}"));
     }
 }
 
@@ -137,7 +137,10 @@
 fn the_file_of_a_replica_takes_the_keys_it_took() {
     let file = File::new("keys");
     let known = |more: &str| {
-        let message = file.load(more).expect_err("there is an unknown key");
+        let message = file
+            .load(more)
+            .expect_err("there is an unknown key")
+            .to_string();
         let line = message
             .lines()
             .find(|line| line.starts_with("unknown field"))
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -34,10 +34,10 @@
             listen: address,
             store,
             secret: SharedSecret::read(&folder.path().join("secret")).expect("a secret"),
-            lease: Duration::from_millis(500),
-            drift: Duration::from_millis(10),
-            wait: Duration::from_secs(5),
-            election: Duration::from_millis(200),
+            lease_duration: Duration::from_millis(500),
+            max_clock_drift: Duration::from_millis(10),
+            change_timeout: Duration::from_secs(5),
+            election_timeout: Duration::from_millis(200),
             regions: None,
         };
         let (stop, stopped) = oneshot::channel::<()>();
