--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -64,6 +64,7 @@
                     settings,
                     std::future::pending(),
                 ))
+                .map_err(|e| e.to_string())
             });
             if let Err(fault) = served {
                 eprintln!("control: {fault}");
--- a/crates/control-plane/src/check.rs
+++ b/crates/control-plane/src/check.rs
@@ -1,84 +1,123 @@
-//! Checks of a policy before it is logged: its size, its files, the floors that it has to leave as they are.
+//! Checks of a policy before it is logged: its size, its files, and the fallback policies that it may not change.
 
-use crate::fallback::{self, Files};
+use crate::fallback::{self, Files, Violation};
+use badgerramp_config::Mistakes;
 use badgerramp_policy::{Generation, Record};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
-/// Most bytes of all files of a policy together.
-const POLICY_MOST: usize = 1 << 20;
-/// Most files of one: one for each application.
-const FILES_MOST: usize = 4_096;
+/// Most bytes of all files of a policy together, with their names.
+const MAX_POLICY_BYTES: usize = 1 << 20;
+/// Most files of a policy: one for each application.
+const MAX_FILES: usize = 4_096;
 
-/// The files of a generation, as they stand in the record.
+/// What a publisher can do about violations of a fallback.
+const FALLBACK_ADVICE: &str =
+    "Proxies that are cut off go by it. Make it in two steps: publish the policy in force with the \
+                 class taken out of policy.floor; when all proxies act under that, publish this one";
+
+/// Why a policy is not taken.
+#[derive(Debug, Error)]
+pub(crate) enum PolicyError {
+    /// It has no files, too many, or too many bytes.
+    #[error(
+        "found {files} files of {bytes} bytes, allowed are 1 to {MAX_FILES} of {MAX_POLICY_BYTES} bytes together"
+    )]
+    Size {
+        /// The number of its files.
+        files: usize,
+        /// Their bytes with their names.
+        bytes: usize,
+    },
+    /// Files of it are invalid.
+    #[error("{}", joined(.0, ""))]
+    Invalid(Vec<Mistakes>),
+    /// It would change fallback policies that proxies may act under.
+    #[error("{}\n{FALLBACK_ADVICE}", joined(.0, "\n"))]
+    Fallback(Vec<Violation>),
+    /// Its files can't be decoded from a record.
+    #[error("the files of a generation can't be read: {0}")]
+    Decode(#[source] serde_json::Error),
+    /// Its files can't be encoded for a record.
+    #[error("the files can't be written down: {0}")]
+    Encode(#[source] serde_json::Error),
+}
+
+fn joined<T: ToString>(parts: &[T], separator: &str) -> String {
+    let texts: Vec<String> = parts.iter().map(T::to_string).collect();
+    texts.join(separator)
+}
+
+/// Decodes the files of a generation from its text in the record.
 ///
 /// # Errors
-/// If the text is not what [`text_of`] writes.
-pub(crate) fn files_of(text: &str) -> Result<BTreeMap<String, String>, String> {
-    serde_json::from_str(text).map_err(|e| format!("the files of a generation can't be read: {e}"))
+/// If the text is not what [`encode_files`] writes.
+pub(crate) fn decode_files(text: &str) -> Result<BTreeMap<String, String>, PolicyError> {
+    serde_json::from_str(text).map_err(PolicyError::Decode)
 }
 
-/// The files of a policy, as they stand in the record.
+/// Encodes the files of a policy as its text in the record.
 ///
 /// # Errors
-/// If they can't be written down.
-pub(crate) fn text_of(files: &BTreeMap<String, String>) -> Result<String, String> {
-    serde_json::to_string(files).map_err(|e| format!("the files can't be written down: {e}"))
+/// If they can't be encoded.
+pub(crate) fn encode_files(files: &BTreeMap<String, String>) -> Result<String, PolicyError> {
+    serde_json::to_string(files).map_err(PolicyError::Encode)
 }
 
-/// Reads the files of a policy that is to come.
+/// Parses the files of a policy that is to be published.
 ///
 /// # Errors
-/// If they are too many or too large, and all mistakes in them, as text that names file, line and key.
-pub(crate) fn read(files: &BTreeMap<String, String>) -> Result<Files, String> {
+/// If they are too many or too large, or some are invalid.
+pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, PolicyError> {
     let bytes: usize = files
         .iter()
         .map(|(name, text)| name.len() + text.len())
         .sum();
-    if files.is_empty() || files.len() > FILES_MOST || bytes > POLICY_MOST {
-        let found = format!("found {} files of {bytes} bytes", files.len());
-        return Err(format!(
-            "{found}, allowed are 1 to {FILES_MOST} of {POLICY_MOST} bytes together"
-        ));
+    if files.is_empty() || files.len() > MAX_FILES || bytes > MAX_POLICY_BYTES {
+        let files = files.len();
+        return Err(PolicyError::Size { files, bytes });
     }
-    fallback::parse(files)
+    fallback::parse(files).map_err(PolicyError::Invalid)
 }
 
-/// Checks that a policy leaves these floors of the record as they are.
+/// Checks that a policy does not change the fallback policies of these generations of the record.
 ///
 /// # Errors
-/// All that it would change, and how to go about it.
-pub(crate) fn leaves_floors(
+/// All that it would change.
+pub(crate) fn check_fallbacks(
     record: &Record,
-    floors: &BTreeSet<Generation>,
+    generations: &BTreeSet<Generation>,
     new: &Files,
-) -> Result<(), String> {
-    let mut changes = Vec::new();
-    for &generation in floors {
-        let old = record.text(generation).map(files_of).and_then(Result::ok);
-        match old.and_then(|files| fallback::parse(&files).ok()) {
-            Some(old) => changes.extend(fallback::violations(&old, new)),
-            None => changes.push(format!("the floor of {generation} can't be read any more")),
+) -> Result<(), PolicyError> {
+    let mut violations = Vec::new();
+    for &generation in generations {
+        match parsed_generation(record, generation) {
+            Some(old) => violations.extend(fallback::violations(&old, new)),
+            None => violations.push(Violation::Unreadable(generation)),
         }
     }
-    if changes.is_empty() {
+    if violations.is_empty() {
         return Ok(());
     }
-    changes.sort();
-    changes.dedup();
-    let steps =
-        "Proxies that are cut off go by it. Make it in two steps: publish the policy in force with the \
-                 class taken out of policy.floor; when all proxies act under that, publish this one";
-    Err(format!("{}\n{steps}", changes.join("\n")))
+    violations.sort_by_cached_key(ToString::to_string);
+    violations.dedup();
+    Err(PolicyError::Fallback(violations))
+}
+
+fn parsed_generation(record: &Record, generation: Generation) -> Option<Files> {
+    let files = decode_files(record.text(generation)?).ok()?;
+    fallback::parse(&files).ok()
 }
 
-/// Checks a policy that another region has published, as it stands in that region's record.
+/// Checks a policy that another region has published, from its text in that region's record.
 ///
 /// # Errors
-/// Why it can't come here.
-pub(crate) fn of_other_region(
+/// If it can't be published here.
+pub(crate) fn check_other_region(
     record: &Record,
-    floors: &BTreeSet<Generation>,
+    fallbacks: &BTreeSet<Generation>,
     text: &str,
-) -> Result<(), String> {
-    leaves_floors(record, floors, &read(&files_of(text)?)?)
+) -> Result<(), PolicyError> {
+    let files = parse(&decode_files(text)?)?;
+    check_fallbacks(record, fallbacks, &files)
 }
--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli.rs
@@ -1,15 +1,24 @@
 //! The command line of `badgerramp-control`.
 
-use crate::server;
-use crate::settings::Settings;
-use crate::store::Store;
+use crate::server::{self, ServerError};
+use crate::settings::{Settings, SettingsError};
+use crate::store::{Store, StoreError};
 use clap::{Parser, Subcommand};
 use std::ffi::OsString;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 use tokio::signal::unix::{signal, SignalKind};
+use tracing::{Level, Metadata};
+use tracing_subscriber::filter::filter_fn;
 use tracing_subscriber::prelude::*;
 
+/// Exit code for bad usage.
+const BAD_USAGE: u8 = 2;
+/// Threads that serve requests.
+const WORKER_THREADS: usize = 2;
+
 /// Control of the policy of a fleet of client proxies: one replica, three or five.
 ///
 /// Exits 0 when it is told to stop (SIGTERM), 1 with what is wrong, 2 for bad usage.
@@ -30,61 +39,87 @@
     Serve { file: PathBuf },
 }
 
+/// Why a command has failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("store {}: {source}", path.display())]
+    Store { path: PathBuf, source: StoreError },
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    #[error(transparent)]
+    Runtime(#[from] io::Error),
+}
+
 /// Runs the program with these arguments, its own name first.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
-        Err(told) => {
-            // Help and version are told in this way too.
-            let _ = told.print();
-            return ExitCode::from(u8::try_from(told.exit_code()).unwrap_or(2));
+        Err(message) => {
+            // Help and version come this way too.
+            let _ = message.print();
+            return ExitCode::from(u8::try_from(message.exit_code()).unwrap_or(BAD_USAGE));
         }
     };
-    let done = match cli.command {
-        Command::Check { file } => Settings::load(&file)
-            .map_err(|e| e.to_string())
-            .map(|_| println!("{}: good", file.display())),
+    let result = match cli.command {
+        Command::Check { file } => check(&file),
         Command::Create { file } => create(&file),
-        Command::Serve { file } => run(&file),
+        Command::Serve { file } => serve(&file),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("badgerramp-control: {fault}");
+        Err(error) => {
+            eprintln!("badgerramp-control: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn create(file: &Path) -> Result<(), String> {
-    let settings = Settings::load(file).map_err(|e| e.to_string())?;
-    let shown = settings.store.display();
-    Store::create(&settings.store, settings.replica).map_err(|e| format!("store {shown}: {e}"))?;
-    println!("{shown}: made, for replica {}", settings.replica);
+fn check(file: &Path) -> Result<(), CommandError> {
+    Settings::load(file)?;
+    println!("{}: good", file.display());
     Ok(())
 }
 
-fn run(file: &Path) -> Result<(), String> {
-    let settings = Settings::load(file).map_err(|e| e.to_string())?;
-    // The consensus library tells much more than an operator wants to know.
-    let own = |m: &tracing::Metadata<'_>| {
-        m.target().starts_with("badgerramp") || *m.level() <= tracing::Level::ERROR
-    };
-    let lines = tracing_subscriber::fmt::layer()
-        .with_writer(std::io::stderr)
-        .with_ansi(false)
-        .with_target(false);
-    let lines = lines.with_filter(tracing_subscriber::filter::filter_fn(own));
-    tracing_subscriber::registry().with(lines).init();
+fn create(file: &Path) -> Result<(), CommandError> {
+    let Settings { store, replica, .. } = Settings::load(file)?;
+    if let Err(source) = Store::create(&store, replica) {
+        return Err(CommandError::Store {
+            path: store,
+            source,
+        });
+    }
+    println!("{}: made, for replica {replica}", store.display());
+    Ok(())
+}
+
+fn serve(file: &Path) -> Result<(), CommandError> {
+    let settings = Settings::load(file)?;
+    start_log();
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(2)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
-        .build();
-    runtime.map_err(|e| e.to_string())?.block_on(async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-        server::run(settings, async move {
-            term.recv().await;
-        })
-        .await
+        .build()?;
+    runtime.block_on(async {
+        let mut terminate = signal(SignalKind::terminate())?;
+        let stop = async move {
+            terminate.recv().await;
+        };
+        Ok(server::run(settings, stop).await?)
     })
 }
+
+fn start_log() {
+    let events = tracing_subscriber::fmt::layer()
+        .with_writer(io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .with_filter(filter_fn(is_of_interest));
+    tracing_subscriber::registry().with(events).init();
+}
+
+/// The consensus library logs much more than an operator wants to know.
+fn is_of_interest(metadata: &Metadata<'_>) -> bool {
+    metadata.target().starts_with("badgerramp") || *metadata.level() <= Level::ERROR
+}
--- a/crates/control-plane/src/decommission.rs
+++ b/crates/control-plane/src/decommission.rs
@@ -1,21 +1,26 @@
-//! Regions that were taken out of the replicas' files. With that an operator vouches that none of their proxies runs any
-//! more: nobody waits for the word of such a region.
+//! Regions that were taken out of the replicas' settings. By that an operator states that none of their proxies runs any
+//! more, so nobody waits for such a region.
 
 use badgerramp_policy::regions::{CrossRegionChange, Region, Role};
 use badgerramp_policy::{Command, Record};
 use std::collections::BTreeSet;
 
-/// Stands for the acknowledgement that a removed region can't give. `others` are the other regions that there are.
-pub(crate) fn acknowledgement(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
+/// A decommissioned region and the command that stands for the acknowledgement that it can't give. `others` are the
+/// other regions of the settings.
+pub(crate) fn acknowledgement(
+    record: &Record,
+    others: &BTreeSet<Region>,
+) -> Option<(Region, Command)> {
     let commit = record.unacknowledged_commit()?;
-    let removed = commit.regions.difference(others).next()?;
-    Some(Command::Acknowledged {
+    let region = commit.regions.difference(others).next()?;
+    let command = Command::Acknowledged {
         id: commit.change.id,
-        region: removed.clone(),
-    })
+        region: region.clone(),
+    };
+    Some((region.clone(), command))
 }
 
-/// Ends a change that only a removed region could decide.
+/// The command that ends a change which only a decommissioned region could decide.
 pub(crate) fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
     let CrossRegionChange {
         change,
--- a/crates/control-plane/src/fallback.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -1,66 +1,116 @@
-//! Floors: what proxies that are cut off go on with. A policy declares classes (`[policy] floor`); a later one may not
-//! change what becomes of their calls while a proxy may still act under it.
+//! Fallback policies: what proxies that have lost their lease go on with. A policy declares classes for that (key
+//! `floor` of `[policy]`); a later policy may not change what becomes of their calls while a proxy may still act under
+//! the earlier one.
 
-use badgerramp_config::Config;
+use badgerramp_config::{Config, Mistakes};
+use badgerramp_policy::Generation;
 use std::collections::BTreeMap;
+use thiserror::Error;
 
-/// The files of a policy by application, read.
+/// The files of a policy by application, parsed.
 pub(crate) type Files = BTreeMap<String, Config>;
 
-/// Reads the files of a policy.
+/// Parses the files of a policy.
 ///
 /// # Errors
-/// All mistakes, as text that names file, line and key.
-pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, String> {
-    let mut read = Files::new();
+/// All mistakes of each file that has some, with file, line and key.
+pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, Vec<Mistakes>> {
+    let mut parsed = Files::new();
     let mut mistakes = Vec::new();
     for (name, text) in files {
         match badgerramp_config::parse(&format!("{name}.toml"), text) {
             Ok(config) => {
-                read.insert(name.clone(), config);
+                parsed.insert(name.clone(), config);
             }
-            Err(found) => mistakes.push(found.to_string()),
+            Err(found) => mistakes.push(found),
         }
     }
     if mistakes.is_empty() {
-        Ok(read)
+        Ok(parsed)
     } else {
-        Err(mistakes.concat())
+        Err(mistakes)
     }
 }
 
-/// What of the floor of `old` becomes something else under `new`, in words; empty: nothing.
+/// What a policy would change of an earlier one's fallback.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub(crate) enum Violation {
+    /// A class would no longer be handled as before.
+    #[error("{application}: class {class:?} of the floor in force: {difference}")]
+    Class {
+        /// The application.
+        application: String,
+        /// The class.
+        class: String,
+        /// What would be different.
+        difference: Difference,
+    },
+    /// The earlier policy can't be compared with.
+    #[error("the floor of {0} can't be read any more")]
+    Unreadable(Generation),
+}
+
+/// How a class of a fallback differs between two policies.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub(crate) enum Difference {
+    /// There is no file of the application any more.
+    #[error("its application goes")]
+    ApplicationRemoved,
+    /// There is no such class any more.
+    #[error("it goes")]
+    ClassRemoved,
+    /// The settings of the class are others.
+    #[error("its terms change")]
+    ClassChanged,
+    /// Its routes, or routes that are tried before them, are others.
+    #[error("a route changes that it stands on, or one before it")]
+    RouteChanged,
+}
+
+/// What of the fallback of `old` would be different under `new`.
 ///
-/// A class keeps its floor if it is the same and the routes down to its last one are the same: a route before it could
-/// take its requests away. That refuses some changes that would do no harm, and none that would.
-pub(crate) fn violations(old: &Files, new: &Files) -> Vec<String> {
-    let mut all = Vec::new();
-    for (name, old) in old {
-        for class in old.policy.iter().flat_map(|p| &p.floor) {
-            let say = |what: &str| format!("{name}: class {class:?} of the floor in force: {what}");
-            let Some(new) = new.get(name) else {
-                all.push(say("its application goes"));
-                continue;
+/// A class keeps its fallback if it is the same and the routes down to its last one are the same: a route before it
+/// could take its requests away. That rejects some changes that would do no harm, and none that would.
+pub(crate) fn violations(old: &Files, new: &Files) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for (application, old) in old {
+        for class in old.policy.iter().flat_map(|policy| &policy.floor) {
+            let differences = match new.get(application) {
+                Some(new) => class_differences(class, old, new),
+                None => vec![Difference::ApplicationRemoved],
             };
-            let find = |c: &Config| c.classes.iter().position(|k| &k.name == class);
-            let (Some(a), Some(b)) = (find(old), find(new)) else {
-                all.push(say("it goes"));
-                continue;
-            };
-            if old.classes[a].class != new.classes[b].class {
-                all.push(say("its terms change"));
-            }
-            let (theirs, own) = (old.routes.routes(), new.routes.routes());
-            let down_to = theirs
-                .iter()
-                .rposition(|r| r.class == a)
-                .map_or(0, |last| last + 1);
-            let same =
-                own.len() >= down_to && (0..down_to).all(|place| old.same_route(place, new, place));
-            if !same {
-                all.push(say("a route changes that it stands on, or one before it"));
-            }
+            violations.extend(differences.into_iter().map(|difference| Violation::Class {
+                application: application.clone(),
+                class: class.clone(),
+                difference,
+            }));
         }
     }
-    all
+    violations
+}
+
+fn class_differences(class: &str, old: &Config, new: &Config) -> Vec<Difference> {
+    let index_of = |config: &Config| config.classes.iter().position(|known| known.name == class);
+    let (Some(old_index), Some(new_index)) = (index_of(old), index_of(new)) else {
+        return vec![Difference::ClassRemoved];
+    };
+    let mut differences = Vec::new();
+    if old.classes[old_index].class != new.classes[new_index].class {
+        differences.push(Difference::ClassChanged);
+    }
+    if !same_routes_up_to_last(old_index, old, new) {
+        differences.push(Difference::RouteChanged);
+    }
+    differences
+}
+
+/// Whether the routes down to the last one of this class in `old` are the same in `new`.
+fn same_routes_up_to_last(class: usize, old: &Config, new: &Config) -> bool {
+    let last = old
+        .routes
+        .routes()
+        .iter()
+        .rposition(|route| route.class == class);
+    let count = last.map_or(0, |last| last + 1);
+    new.routes.routes().len() >= count && (0..count).all(|index| old.same_route(index, new, index))
 }
--- /dev/null
+++ b/crates/control-plane/src/leader/changes.rs
@@ -0,0 +1,67 @@
+//! The steps of a change, from its publication to its end.
+
+use super::{Leader, NotLeader};
+use crate::decommission;
+use badgerramp_control_protocol::clock;
+use badgerramp_policy::{next_command, Command, Generation, Mode, Outcome, Record};
+use std::time::Duration;
+use tracing::warn;
+
+/// How often it is checked whether a change can take its next step, if nothing wakes the leader before. Leases expire
+/// without an event.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+impl Leader {
+    /// Drives changes as long as this replica runs.
+    pub(crate) async fn run_changes(&self) {
+        loop {
+            let Some(command) = self.check_progress() else {
+                let _ = tokio::time::timeout(CHECK_INTERVAL, self.wake.notified()).await;
+                continue;
+            };
+            if let Err(error) = self.propose(command).await {
+                warn!(%error, "change step failed");
+                tokio::time::sleep(CHECK_INTERVAL).await;
+            }
+        }
+    }
+
+    /// The next step of the change under way, if it can be taken.
+    fn check_progress(&self) -> Option<Command> {
+        let mut state = self.state();
+        let state = self.refresh(&mut state)?;
+        let now = clock::now();
+        state.leases.expire(now);
+        let record = self.store.record();
+        let revision = record.revision();
+        let since = match state.revision_since {
+            Some((known, since)) if known == revision => since,
+            _ => now,
+        };
+        state.revision_since = Some((revision, since));
+        if let Some((region, command)) = decommission::acknowledgement(&record, &self.other_regions)
+        {
+            warn!(%region, "acknowledging commit for a region that is not in the settings");
+            return Some(command);
+        }
+        next_command(&record, &state.leases, now, since, self.timeouts)
+    }
+
+    /// Aborts the change to this generation. `None`: no such change is under way.
+    pub(crate) async fn abort(
+        &self,
+        generation: Generation,
+        reason: String,
+    ) -> Result<Option<Outcome>, NotLeader> {
+        self.confirm().await?;
+        let transition = self.store.read(Record::transition);
+        let Some(Mode { revision, .. }) = transition.filter(|mode| mode.new == generation) else {
+            return Ok(None);
+        };
+        let command = self
+            .store
+            .read(|record| decommission::abort(record, &self.other_regions))
+            .unwrap_or(Command::Abort { revision, reason });
+        self.propose(command).await.map(Some)
+    }
+}
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -1,4 +1,4 @@
-//! Between replicas: the consensus library's messages as JSON under a seal.
+//! Messages between the replicas of one control plane: those of the consensus library as JSON, authenticated.
 
 use crate::store::{NodeId, RaftTypes};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
@@ -16,9 +16,15 @@
 use serde::{Deserialize, Serialize};
 use std::error::Error;
 use std::io;
+use std::time::Duration;
 use tonic::transport::{Channel, Endpoint};
 
-/// A question of one replica to another.
+/// How long a connection to another replica may take to be made.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Stands for an address that can't be connected to: the discard port, where nobody listens.
+const NOWHERE: &str = "http://127.0.0.1:9";
+
+/// A request of one replica to another. The names of its variants travel.
 #[derive(Serialize, Deserialize)]
 enum RaftRequest {
     Append(AppendEntriesRequest<RaftTypes>),
@@ -26,12 +32,13 @@
     Snapshot(InstallSnapshotRequest<RaftTypes>),
 }
 
-/// Opens ways to other replicas.
+/// Makes connections to the other replicas.
 pub(crate) struct Network {
-    pub secret: SharedSecret,
+    /// The secret that messages are authenticated with.
+    pub(crate) secret: SharedSecret,
 }
 
-/// The way to one.
+/// A connection to one replica.
 pub(crate) struct Connection {
     secret: SharedSecret,
     target: NodeId,
@@ -43,9 +50,9 @@
 
     async fn new_client(&mut self, target: NodeId, node: &BasicNode) -> Connection {
         let endpoint = Endpoint::from_shared(format!("http://{}", node.addr))
-            .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:9"))
+            .unwrap_or_else(|_| Endpoint::from_static(NOWHERE))
             .tcp_nodelay(true)
-            .connect_timeout(std::time::Duration::from_millis(500));
+            .connect_timeout(CONNECT_TIMEOUT);
         let client = ControlClient::new(endpoint.connect_lazy())
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES);
@@ -57,33 +64,42 @@
     }
 }
 
+/// Why a call to another replica has no result; `E` is what that replica may say itself.
+type CallError<E> = RPCError<NodeId, BasicNode, E>;
+
+fn network_error<E: Error>(error: &(impl Error + 'static)) -> CallError<E> {
+    RPCError::Network(NetworkError::new(error))
+}
+
 impl Connection {
-    async fn ask<T: DeserializeOwned, E: Error + DeserializeOwned>(
+    async fn call<T, E>(
         &mut self,
-        asked: RaftRequest,
+        request: RaftRequest,
         option: RPCOption,
-    ) -> Result<T, RPCError<NodeId, BasicNode, RaftError<NodeId, E>>> {
-        let odd = |fault: String| RPCError::Network(NetworkError::new(&io::Error::other(fault)));
-        let body = serde_json::to_vec(&asked).map_err(|e| odd(e.to_string()))?;
-        let sealed = self
+    ) -> Result<T, CallError<RaftError<NodeId, E>>>
+    where
+        T: DeserializeOwned,
+        E: Error + DeserializeOwned,
+    {
+        let body = serde_json::to_vec(&request).map_err(|error| network_error(&error))?;
+        let message = self
             .secret
             .authenticate_bytes(Purpose::ReplicaRequest, body);
-        let answer = tokio::time::timeout(option.hard_ttl(), self.client.replica(sealed)).await;
-        let answer = match answer {
-            Ok(Ok(answer)) => answer.into_inner(),
-            Ok(Err(status)) => {
-                let fault = io::Error::other(status.message().to_owned());
-                return Err(RPCError::Unreachable(Unreachable::new(&fault)));
-            }
-            Err(_) => return Err(odd("no answer in time".to_owned())),
+        let response = tokio::time::timeout(option.hard_ttl(), self.client.replica(message)).await;
+        let Ok(response) = response else {
+            let error = io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
+            return Err(network_error(&error));
         };
+        let message = response
+            .map_err(|status| RPCError::Unreachable(Unreachable::new(&status)))?
+            .into_inner();
         let body = self
             .secret
-            .verify_bytes(Purpose::ReplicaReply, answer)
-            .map_err(|e| odd(e.to_string()))?;
-        let answer: Result<T, RaftError<NodeId, E>> =
-            serde_json::from_slice(&body).map_err(|e| odd(e.to_string()))?;
-        answer.map_err(|fault| RPCError::RemoteError(RemoteError::new(self.target, fault)))
+            .verify_bytes(Purpose::ReplicaReply, message)
+            .map_err(|error| network_error(&error))?;
+        let reply: Result<T, RaftError<NodeId, E>> =
+            serde_json::from_slice(&body).map_err(|error| network_error(&error))?;
+        reply.map_err(|error| RPCError::RemoteError(RemoteError::new(self.target, error)))
     }
 }
 
@@ -92,42 +108,41 @@
         &mut self,
         rpc: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<NodeId>, RPCError<NodeId, BasicNode, RaftError<NodeId>>> {
-        self.ask(RaftRequest::Append(rpc), option).await
+    ) -> Result<AppendEntriesResponse<NodeId>, CallError<RaftError<NodeId>>> {
+        self.call(RaftRequest::Append(rpc), option).await
     }
 
     async fn install_snapshot(
         &mut self,
         rpc: InstallSnapshotRequest<RaftTypes>,
         option: RPCOption,
-    ) -> Result<
-        InstallSnapshotResponse<NodeId>,
-        RPCError<NodeId, BasicNode, RaftError<NodeId, InstallSnapshotError>>,
-    > {
-        self.ask(RaftRequest::Snapshot(rpc), option).await
+    ) -> Result<InstallSnapshotResponse<NodeId>, CallError<RaftError<NodeId, InstallSnapshotError>>>
+    {
+        self.call(RaftRequest::Snapshot(rpc), option).await
     }
 
     async fn vote(
         &mut self,
         rpc: VoteRequest<NodeId>,
         option: RPCOption,
-    ) -> Result<VoteResponse<NodeId>, RPCError<NodeId, BasicNode, RaftError<NodeId>>> {
-        self.ask(RaftRequest::Vote(rpc), option).await
+    ) -> Result<VoteResponse<NodeId>, CallError<RaftError<NodeId>>> {
+        self.call(RaftRequest::Vote(rpc), option).await
     }
 }
 
-/// Answers another replica. `body` has passed its seal.
+/// Answers a request of another replica. `body` has passed verification.
 ///
 /// # Errors
-/// If it is no question.
-pub(crate) async fn answer(raft: &Raft<RaftTypes>, body: &[u8]) -> Result<Vec<u8>, String> {
-    let asked = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let answer = match asked {
+/// If it is no request that this version knows.
+pub(crate) async fn answer(
+    raft: &Raft<RaftTypes>,
+    body: &[u8],
+) -> Result<Vec<u8>, serde_json::Error> {
+    match serde_json::from_slice(body)? {
         RaftRequest::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
         RaftRequest::Vote(rpc) => serde_json::to_vec(&raft.vote(rpc).await),
         RaftRequest::Snapshot(rpc) => serde_json::to_vec(&raft.install_snapshot(rpc).await),
-    };
-    answer.map_err(|e| e.to_string())
+    }
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/progress.rs
+++ b/crates/control-plane/src/progress.rs
@@ -1,98 +1,75 @@
-//! What the log of a replica says of each step of a change.
+//! Log events of the steps of a change.
 
 use badgerramp_policy::regions::{CrossRegionChange, Role};
-use badgerramp_policy::{Command, Generation, Mode, Outcome, Record};
-use std::fmt::Display;
+use badgerramp_policy::{Command, Generation, Outcome, Record};
+use tracing::field::display;
+use tracing::info;
 
-/// The change under way before a command.
-pub(crate) struct Before {
-    middle: Option<Mode>,
+/// The change under way before a command was applied.
+pub(crate) struct ChangeBefore {
+    /// The generation that the change leads to.
+    generation: Option<Generation>,
     cross_region: Option<CrossRegionChange>,
 }
 
-impl Before {
-    /// That of this record.
-    pub(crate) fn of(record: &Record) -> Self {
-        Before {
-            middle: record.transition(),
+impl ChangeBefore {
+    /// The change under way in this record.
+    pub(crate) fn new(record: &Record) -> Self {
+        ChangeBefore {
+            generation: record.transition().map(|mode| mode.new),
             cross_region: record.cross_region().cloned(),
         }
     }
 }
 
-/// The line for a command that came to this outcome, if it is a step of a change.
-pub(crate) fn line(
-    before: &Before,
+/// Logs a command that has come to this outcome, if it is a step of a change.
+pub(crate) fn log_step(
+    before: &ChangeBefore,
     command: &Command,
     outcome: &Outcome,
     after: &Record,
-) -> Option<String> {
+) {
+    let generation = before.generation.map(|generation| generation.0);
+    let cross_region = before.cross_region.as_ref();
+    let change = cross_region.map(|cross| display(cross.change.id));
     match (command, outcome) {
-        (_, Outcome::Rejected(_)) => None,
-        (_, Outcome::Started(generation)) => Some(begun(*generation, after)),
+        (_, Outcome::Rejected(_)) => {}
+        (_, Outcome::Started(generation)) => log_start(*generation, after),
         (Command::Vote { .. }, _) => {
-            let cross = before.cross_region.as_ref()?;
-            let coordinator = &cross.change.coordinator;
-            Some(of_all(
-                cross,
-                format!("voted that this region is prepared; region {coordinator} decides"),
-            ))
+            let coordinator = cross_region.map(|cross| display(&cross.change.coordinator));
+            info!(change, coordinator, "voted prepared");
+        }
+        (Command::Prepared { region, .. }, _) => info!(change, %region, "region prepared"),
+        (Command::Acknowledged { id, region }, _) => {
+            info!(change = %id, %region, "region acknowledged commit");
         }
-        (Command::Prepared { region, .. }, _) => Some(of_all(
-            before.cross_region.as_ref()?,
-            format!("region {region} is prepared"),
-        )),
-        (Command::Acknowledged { id, region }, _) => Some(format!(
-            "change of all regions {id}: region {region} acknowledged the commit"
-        )),
         (Command::Advance { .. } | Command::Committed { .. }, _) => {
-            Some(ended(before, format!("{} is in force", before.middle?.new)))
+            info!(generation, change, "change committed");
+        }
+        (Command::Abort { reason, .. }, _) => {
+            info!(generation, change, reason, "change aborted");
         }
-        (Command::Abort { reason: why, .. }, _) => Some(match &before.cross_region {
-            None => format!("the change comes to nothing: {why}"),
-            Some(cross) => of_all(
-                cross,
-                format!("decided: {} is not in force: {why}", before.middle?.new),
-            ),
-        }),
-        (Command::Aborted { .. }, _) => Some(ended(
-            before,
-            format!("{} is not in force", before.middle?.new),
-        )),
-        _ => None,
+        (Command::Aborted { .. }, _) => info!(generation, change, "change aborted"),
+        _ => {}
     }
 }
 
-fn of_all(cross: &CrossRegionChange, step: impl Display) -> String {
-    format!("change of all regions {}: {step}", cross.change.id)
-}
-
-fn begun(generation: Generation, after: &Record) -> String {
+fn log_start(generation: Generation, after: &Record) {
+    let generation = generation.0;
     let Some(cross) = after.cross_region() else {
-        return format!("{generation} is to come into force");
+        info!(generation, "change started");
+        return;
     };
-    let coordinator = &cross.change.coordinator;
+    let change = cross.change.id;
     match &cross.role {
         Role::Coordinator { participants, .. } => {
             let names: Vec<&str> = participants.iter().map(|region| region.as_str()).collect();
-            of_all(
-                cross,
-                format!(
-                    "begun as {generation} here, with region {}",
-                    names.join(", ")
-                ),
-            )
+            let participants = names.join(", ");
+            info!(generation, %change, participants, "cross-region change started");
+        }
+        Role::Participant { .. } => {
+            let coordinator = &cross.change.coordinator;
+            info!(generation, %change, %coordinator, "cross-region change started");
         }
-        Role::Participant { .. } => of_all(
-            cross,
-            format!("begun as {generation} here, for region {coordinator}"),
-        ),
-    }
-}
-
-fn ended(before: &Before, how: String) -> String {
-    match &before.cross_region {
-        None => how,
-        Some(cross) => of_all(cross, format!("decided: {how}")),
     }
 }
--- a/crates/control-plane/src/rejections.rs
+++ b/crates/control-plane/src/rejections.rs
@@ -1,4 +1,4 @@
-//! What control answers to a question that it does not take.
+//! Replies to requests that are not carried out.
 
 use crate::leader::NotLeader;
 use badgerramp_control_protocol::wire::{rejection, reply, Rejection};
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use tonic::{Code, Status};
 
-/// A refusal with this code.
-pub(crate) fn refuse(code: rejection::Code, text: impl Into<String>) -> reply::Kind {
+/// A rejection with this code.
+pub(crate) fn reject(code: rejection::Code, text: impl Into<String>) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: code.into(),
         message: text.into(),
@@ -17,29 +17,29 @@
     })
 }
 
-/// Another replica may lead, and this one does not.
-pub(crate) fn elsewhere(fault: NotLeader) -> reply::Kind {
+/// The rejection of a replica that does not lead.
+pub(crate) fn not_leader(error: NotLeader) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: rejection::Code::NotLeader.into(),
-        message: fault.why,
-        leader: fault.leader.unwrap_or_default(),
+        message: error.reason.to_string(),
+        leader: error.leader.unwrap_or_default(),
         ..Rejection::default()
     })
 }
 
-/// What is told of a message whose seal does not pass.
-pub(crate) fn denied(fault: &MessageError) -> Status {
-    let code = match fault {
+/// The gRPC status of a message that does not pass verification.
+pub(crate) fn unverified(error: &MessageError) -> Status {
+    let code = match error {
         MessageError::UnsupportedVersion(_) => Code::FailedPrecondition,
         MessageError::BadMac => Code::PermissionDenied,
         MessageError::TooLarge(_) | MessageError::Malformed(_) => Code::InvalidArgument,
     };
-    Status::new(code, fault.to_string())
+    Status::new(code, error.to_string())
 }
 
-/// What is told of a command that had no effect.
-pub(crate) fn not_logged(refused: &CommandRejection) -> reply::Kind {
-    let code = match refused {
+/// The rejection of a command that had no effect.
+pub(crate) fn command_rejected(rejected: &CommandRejection) -> reply::Kind {
+    let code = match rejected {
         CommandRejection::ChangePending(_)
         | CommandRejection::CrossRegionPending { .. }
         | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangePending,
@@ -48,10 +48,10 @@
             rejection::Code::Conflict
         }
     };
-    refuse(code, refused.to_string())
+    reject(code, rejected.to_string())
 }
 
-/// Only the coordinator takes a change of all regions: where it is.
+/// The rejection of a change of all regions by a region that does not coordinate them.
 pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: rejection::Code::NotCoordinator.into(),
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -1,5 +1,6 @@
-//! How control stands, as it tells operators.
+//! The status that operators see.
 
+use crate::leader::ProxyView;
 use crate::settings::RegionSettings;
 use badgerramp_control_protocol::wire::{self, change};
 use badgerramp_policy::regions::{CrossRegionChange, Region, Role};
@@ -9,31 +10,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a status is made of.
+/// What a status is made from.
 pub(crate) struct View<'r> {
-    /// What is agreed on.
-    pub record: &'r Record,
-    /// Which proxies hold the change under way up.
-    pub blockers: Vec<Blocker>,
-    /// The revision under which each proxy with a lease acts.
-    pub sessions: BTreeMap<Identity, u64>,
+    /// What the replicas have agreed on.
+    pub(crate) record: &'r Record,
+    /// What the leader knows of the proxies.
+    pub(crate) proxies: ProxyView,
     /// The regions, if there are any.
-    pub regions: Option<&'r RegionSettings>,
+    pub(crate) regions: Option<&'r RegionSettings>,
     /// Where the replica that answers is reached.
-    pub address: &'r str,
-    /// The time.
-    pub now: Micros,
+    pub(crate) address: &'r str,
+    /// The present time.
+    pub(crate) now: Micros,
 }
 
 impl View<'_> {
-    /// As it travels.
+    /// The message that is sent.
     pub(crate) fn status(self) -> wire::Status {
-        let proxies = proxies(self.record, self.sessions);
-        let held_by_proxies = self
-            .blockers
+        let ProxyView { blockers, sessions } = self.proxies;
+        let proxies = proxies(self.record, sessions);
+        let proxy_blockers = blockers
             .into_iter()
-            .map(|b| proxy_blocker(b, self.now));
-        let held_by_regions = self
+            .map(|blocker| proxy_blocker(blocker, self.now));
+        let region_blockers = self
             .record
             .cross_region()
             .map(region_blockers)
@@ -44,9 +43,9 @@
                 .record
                 .changes()
                 .iter()
-                .map(|(g, c)| change(*g, c))
+                .map(|(generation, entry)| change(*generation, entry))
                 .collect(),
-            blockers: held_by_proxies.chain(held_by_regions).collect(),
+            blockers: proxy_blockers.chain(region_blockers).collect(),
             proxies,
             leader: self.address.to_owned(),
             revision: self.record.revision(),
@@ -73,30 +72,29 @@
         ),
         BlockReason::GenerationRejected(reason) => (format!("it can't read it: {reason}"), 0),
     };
-    let region = String::new();
     wire::Blocker {
         identity: blocker.identity.map(Into::into),
         reason,
         remaining,
-        region,
+        region: String::new(),
     }
 }
 
-/// The regions whose word a change of all regions waits for.
+/// The regions that a change of all regions waits for.
 fn region_blockers(cross: &CrossRegionChange) -> Vec<wire::Blocker> {
-    let why = match cross.role {
+    let reason = match cross.role {
         Role::Coordinator { .. } => "it has not voted that it is prepared",
         Role::Participant { voted: true } => {
             "this region has voted, and that one has not told its decision"
         }
         Role::Participant { voted: false } => return Vec::new(),
     };
-    let held = |region: Region| wire::Blocker {
+    let blocker = |region: Region| wire::Blocker {
         region: region.into(),
-        reason: why.to_owned(),
+        reason: reason.to_owned(),
         ..Default::default()
     };
-    cross.awaited_regions().into_iter().map(held).collect()
+    cross.awaited_regions().into_iter().map(blocker).collect()
 }
 
 fn change(generation: Generation, change: &Change) -> wire::Change {
@@ -114,26 +112,31 @@
     }
 }
 
+/// Proxies that may act without a lease, and those that have one, with the latest revision known of each.
 fn proxies(record: &Record, sessions: BTreeMap<Identity, u64>) -> Vec<wire::Proxy> {
-    let standing = record
+    let mut proxies: BTreeMap<Identity, wire::Proxy> = record
         .leaseless_proxies()
         .iter()
-        .map(|(i, s)| (i.clone(), (s.on_lease_loss, s.revision)));
-    let mut proxies: BTreeMap<Identity, (OnLeaseLoss, u64)> = standing.collect();
-    for (identity, acting) in sessions {
-        let known = proxies
-            .entry(identity)
-            .or_insert((OnLeaseLoss::Reject, acting));
-        known.1 = known.1.max(acting);
+        .map(|(identity, proxy)| {
+            let message = proxy_message(identity, proxy.revision, proxy.on_lease_loss);
+            (identity.clone(), message)
+        })
+        .collect();
+    for (identity, revision) in sessions {
+        let proxy = proxies
+            .entry(identity.clone())
+            .or_insert_with(|| proxy_message(&identity, revision, OnLeaseLoss::Reject));
+        proxy.active_revision = proxy.active_revision.max(revision);
+    }
+    proxies.into_values().collect()
+}
+
+fn proxy_message(identity: &Identity, revision: u64, on_lease_loss: OnLeaseLoss) -> wire::Proxy {
+    wire::Proxy {
+        identity: Some(identity.clone().into()),
+        active_revision: revision,
+        on_lease_loss: wire::OnLeaseLoss::from(on_lease_loss).into(),
     }
-    let told = proxies
-        .into_iter()
-        .map(|(identity, (cut_off, acting))| wire::Proxy {
-            identity: Some(identity.into()),
-            active_revision: acting,
-            on_lease_loss: wire::OnLeaseLoss::from(cut_off).into(),
-        });
-    told.collect()
 }
 
 fn region_status(record: &Record, settings: &RegionSettings) -> wire::RegionStatus {
@@ -164,7 +167,7 @@
     };
     Some(wire::CrossRegion {
         id: change.id.0,
-        generation: record.transition().map_or(0, |middle| middle.new.0),
+        generation: record.transition().map_or(0, |mode| mode.new.0),
         coordinator: change.coordinator.to_string(),
         voted,
         participants,
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -722,7 +722,8 @@
     world.kill(SUR).await;
     world.remove_other(NORTE);
     world.restart(NORTE).await;
-    let acknowledged = |line: &String| line.contains("region sur acknowledged the commit");
+    let acknowledged =
+        |line: &String| line.contains("region acknowledged commit") && line.contains("region=sur");
     let end = Instant::now() + LONG;
     while !world.log(NORTE).iter().any(acknowledged) {
         assert!(Instant::now() < end, "{:?}", world.log(NORTE));
