--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli.rs
@@ -45,7 +45,10 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("store {}: {source}", path.display())]
-    Store { path: PathBuf, source: StoreError },
+    Store {
+        path: PathBuf,
+        source: Box<StoreError>,
+    },
     #[error(transparent)]
     Server(#[from] ServerError),
     #[error(transparent)]
@@ -87,7 +90,7 @@
     if let Err(source) = Store::create(&store, replica) {
         return Err(CommandError::Store {
             path: store,
-            source,
+            source: Box::new(source),
         });
     }
     println!("{}: made, for replica {replica}", store.display());
--- a/crates/control-plane/src/cross_region/client.rs
+++ b/crates/control-plane/src/cross_region/client.rs
@@ -70,8 +70,8 @@
     pub(crate) async fn run(self) {
         let mut tasks = JoinSet::new();
         let shared = Arc::new(self);
-        for region in shared.settings.replicas.keys().cloned() {
-            let client = Arc::clone(&shared);
+        for region in shared.settings.replicas.keys() {
+            let (client, region) = (Arc::clone(&shared), region.clone());
             tasks.spawn(async move { client.serve_region(&region).await });
         }
         while tasks.join_next().await.is_some() {}
--- a/crates/control-plane/src/leader/not_leader.rs
+++ b/crates/control-plane/src/leader/not_leader.rs
@@ -1,7 +1,7 @@
 //! Why a replica has not done what only a leader does.
 
 use crate::store::NodeId;
-use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
+use openraft::error::{CheckIsLeaderError, ClientWriteError, ForwardToLeader, RaftError};
 use openraft::BasicNode;
 use thiserror::Error;
 
@@ -26,36 +26,33 @@
     LostLeadership,
     /// A quorum could not be reached in time, or another replica leads.
     #[error("{0}")]
-    Quorum(RaftError<NodeId, CheckIsLeaderError<NodeId, BasicNode>>),
+    Quorum(Box<RaftError<NodeId, CheckIsLeaderError<NodeId, BasicNode>>>),
     /// A command could not be logged.
     #[error("{0}")]
-    Write(RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>),
+    Write(Box<RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>>),
 }
 
 impl From<NotLeaderReason> for NotLeader {
     fn from(reason: NotLeaderReason) -> Self {
         let forward = match &reason {
-            NotLeaderReason::Quorum(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(
-                forward,
-            )))
-            | NotLeaderReason::Write(RaftError::APIError(ClientWriteError::ForwardToLeader(
-                forward,
-            ))) => forward.leader_node.as_ref(),
-            _ => None,
+            NotLeaderReason::Quorum(error) => error.forward_to_leader(),
+            NotLeaderReason::Write(error) => error.forward_to_leader(),
+            NotLeaderReason::Overloaded | NotLeaderReason::LostLeadership => None,
         };
-        let leader = forward.map(|node| node.addr.clone());
+        let node = forward.and_then(|forward: &ForwardToLeader<_, _>| forward.leader_node.as_ref());
+        let leader = node.map(|node| node.addr.clone());
         NotLeader { leader, reason }
     }
 }
 
 impl From<RaftError<NodeId, CheckIsLeaderError<NodeId, BasicNode>>> for NotLeader {
     fn from(error: RaftError<NodeId, CheckIsLeaderError<NodeId, BasicNode>>) -> Self {
-        NotLeaderReason::Quorum(error).into()
+        NotLeaderReason::Quorum(Box::new(error)).into()
     }
 }
 
 impl From<RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>> for NotLeader {
     fn from(error: RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>) -> Self {
-        NotLeaderReason::Write(error).into()
+        NotLeaderReason::Write(Box::new(error)).into()
     }
 }
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -45,6 +45,7 @@
 pub async fn run(settings: Settings, stop: impl Future<Output = ()>) -> Result<(), ServerError> {
     let store = Store::open(&settings.store, settings.replica).map_err(|source| {
         let path = settings.store.clone();
+        let source = Box::new(source);
         ServerError::Store { path, source }
     })?;
     let (listener, address) = listen(settings.listen).await?;
@@ -57,14 +58,14 @@
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
     info!(replica = settings.replica, "listening on {address}");
-    let server = tonic::transport::Server::builder()
+    let serving = tonic::transport::Server::builder()
         .tcp_nodelay(true)
         .add_service(service)
         .serve_with_incoming(TcpListenerStream::new(listener));
     let result = tokio::select! {
         () = stop => Ok(()),
-        served = server => served.map_err(|source| ServerError::Serve { address, source }),
-        error = raft_failure(&raft) => Err(ServerError::Stopped(error)),
+        served = serving => served.map_err(|source| ServerError::Serve { address, source }),
+        error = raft_failure(&raft) => Err(ServerError::Stopped(Box::new(error))),
     };
     tasks.abort_all();
     let _ = raft.shutdown().await;
@@ -82,7 +83,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn raft_config(election_timeout: Duration) -> Result<Config, ConfigError> {
+fn raft_config(election_timeout: Duration) -> Result<Config, Box<ConfigError>> {
     let election = millis(election_timeout);
     let config = Config {
         cluster_name: "badgerramp".to_owned(),
@@ -95,7 +96,7 @@
         snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES,
         ..Config::default()
     };
-    config.validate()
+    Ok(config.validate()?)
 }
 
 async fn start_raft(settings: &Settings, store: &Store) -> Result<Raft<RaftTypes>, ServerError> {
@@ -108,6 +109,7 @@
         .await
         .map_err(|source| {
             let path = settings.store.clone();
+            let source = Box::new(source);
             ServerError::StartRaft { path, source }
         })
 }
@@ -115,7 +117,7 @@
 /// Tells a replica that has never run which replicas there are. For one that has, its store says so.
 async fn initialize(settings: &Settings, raft: &Raft<RaftTypes>) -> Result<(), ServerError> {
     let initialized = raft.is_initialized().await;
-    if initialized.map_err(ServerError::Uninitialized)? {
+    if initialized.map_err(|error| ServerError::Uninitialized(Box::new(error)))? {
         return Ok(());
     }
     let members: BTreeMap<NodeId, BasicNode> = settings
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -17,7 +17,7 @@
         /// The file of the store.
         path: PathBuf,
         /// What is wrong with it.
-        source: StoreError,
+        source: Box<StoreError>,
     },
     /// The consensus library can't start from its store.
     #[error("store {}: {source}", path.display())]
@@ -25,7 +25,7 @@
         /// The file of the store.
         path: PathBuf,
         /// Why it can't.
-        source: Fatal<NodeId>,
+        source: Box<Fatal<NodeId>>,
     },
     /// It can't listen.
     #[error("listen on {address}: {source}")]
@@ -45,11 +45,11 @@
     },
     /// The consensus library does not take its settings.
     #[error(transparent)]
-    Config(#[from] ConfigError),
+    Config(#[from] Box<ConfigError>),
     /// The consensus library does not say whether this replica has run before.
     #[error(transparent)]
-    Uninitialized(Fatal<NodeId>),
+    Uninitialized(Box<Fatal<NodeId>>),
     /// The consensus library has stopped, for example because the disk is full.
     #[error("this replica can't go on: {0}")]
-    Stopped(Fatal<NodeId>),
+    Stopped(Box<Fatal<NodeId>>),
 }
