--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,9 +1,5 @@
 //! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
 //! ways between them are cut at any of its steps.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
@@ -362,7 +358,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_of_all_is_in_force_in_both_and_one_of_a_region_in_that_alone() {
+async fn change_of_all_regions_commits_in_both_and_change_of_one_region_only_there() {
     let world = World::with_policy("both", 10_000).await;
     // By way of the region that does not coordinate.
     let done = world.publish(SUR, Scope::All, 2).await;
@@ -420,7 +416,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_before_the_vote_ends_the_change_and_changes_of_one_region_go_on() {
+async fn partition_before_the_vote_aborts_the_change_and_changes_of_one_region_go_on() {
     let world = World::with_policy("cut", 1_000).await;
     world.cut();
     let done = world.publish(NORTE, Scope::All, 2).await;
@@ -469,7 +465,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_voted_waits_for_the_decision_and_takes_it_by_itself() {
+async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
     let mut world = World::with_policy("voted", 1_500).await;
     // The prepare comes through; neither its answer nor any question for the outcome does.
     world.pass_to(SUR, Pass::Free, Pass::Cut);
@@ -534,7 +530,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_decision_of_the_cut_is_kept_until_the_other_region_has_it() {
+async fn decision_made_during_a_partition_is_retried_until_it_is_acknowledged() {
     let mut world = cut_after_the_decision("commit").await;
     world.restart(SUR).await;
     world.restart(NORTE).await;
@@ -563,7 +559,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_can_not_take_it_refuses_it_for_all() {
+async fn region_that_rejects_a_change_aborts_it_in_all_regions() {
     let world = World::with_policy("refused", 10_000).await;
     // A proxy that has not told holds a change of this region up.
     world.lease(SUR, 1, 0).await;
@@ -584,7 +580,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_for_another_region_are_refused_and_change_nothing() {
+async fn messages_for_another_region_are_rejected_and_change_nothing() {
     let world = World::with_policy("messages", 10_000).await;
     let revision = world.standing(SUR).await.revision;
     let all = request::Kind::PublishAllRegions(wire::Publish {
@@ -597,7 +593,11 @@
         rejection.replicas,
         [world.regions[NORTE][0].between.address.to_string()]
     );
-    // A proxy that means the control of another region gets no lease.
+    rejects_lease_requests_for_another_region(&world).await;
+    rejects_misdirected_or_wrongly_authenticated_messages(&world).await;
+}
+
+async fn rejects_lease_requests_for_another_region(world: &World) {
     let sur: Region = "sur".parse().expect("a name");
     let strayed = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
     let rejection = world
@@ -614,7 +614,10 @@
         .call_with_retry(&request::Kind::Lease(strayed), LONG)
         .await;
     assert!(matches!(lent, Ok(reply::Kind::Lease(_))), "{lent:?}");
-    // A message between regions under the seal of a proxy.
+}
+
+async fn rejects_misdirected_or_wrongly_authenticated_messages(world: &World) {
+    // A message between regions, authenticated as that of a proxy.
     let named = wire::ChangeRef {
         id: 9,
         coordinator: "norte".to_owned(),
@@ -630,7 +633,7 @@
         .refused(SUR, request::Kind::Prepare(prepare.clone()))
         .await;
     assert_eq!(rejection.code(), rejection::Code::Invalid);
-    // One for another region than the one that it has come to, under the right seal.
+    // One for another region than the one that it has come to, authenticated for its purpose.
     let secret = SharedSecret::read(&world.folder.path().join("secret")).expect("a secret");
     let norte = world.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
@@ -642,14 +645,14 @@
         fault.to_string().contains("\"sur\"") && fault.to_string().contains("\"norte\""),
         "{fault}"
     );
-    // And a question of a proxy under the seal of a region.
+    // And a request of a proxy, authenticated as a message between regions.
     let asked = leader
         .call(&request::Kind::Status(wire::StatusRequest {}))
         .await;
     assert!(
         matches!(asked, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
     );
-    // A change that the coordinator does not know begins, and ends by the coordinator's word.
+    // A change that the coordinator does not know begins, and the coordinator's outcome aborts it.
     let sur = world.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
@@ -691,7 +694,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaders_that_die_between_the_steps_leave_the_change_to_the_next_ones() {
+async fn new_leaders_finish_a_change_whose_leaders_died_between_its_steps() {
     let mut world = World::of_replicas("leaders", 3, 10_000).await;
     let (publishing, middle) = waits_for_a_proxy(&world).await;
     world.kill_leader(NORTE).await;
@@ -717,7 +720,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_is_lost_for_good_is_taken_out_of_the_files() {
+async fn commit_is_acknowledged_for_a_lost_region_once_it_is_decommissioned() {
     let mut world = cut_after_the_decision("lost-sur").await;
     world.kill(SUR).await;
     world.remove_other(NORTE);
@@ -737,7 +740,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_whose_coordinator_is_lost_for_good_is_given_up_by_hand() {
+async fn change_of_a_lost_coordinator_is_aborted_by_an_operator() {
     let mut world = cut_after_the_decision("lost-norte").await;
     world
         .control(SUR)
@@ -769,7 +772,7 @@
 const STORE_BYTES_MOST: usize = 1 << 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_of_a_version_without_regions_goes_on_as_that_of_a_region() {
+async fn store_of_a_version_without_regions_continues_as_that_of_a_region() {
     let folder = Folder::new("regions-older").expect("a folder");
     let store = zstd::bulk::decompress(STORE_WITHOUT_REGIONS, STORE_BYTES_MOST).expect("a store");
     std::fs::write(folder.path().join("store-norte-1"), store).expect("a file");
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_that_dies_takes_nothing_with_it() {
+async fn committed_changes_survive_the_death_of_the_leader() {
     let mut replicas = Replicas::start("leader", 3).await;
     for number in 1..=3 {
         let revision = replicas
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_was_answered_holds_over_kills_at_any_moment() {
+async fn acknowledged_changes_survive_kills_at_any_moment() {
     let mut replicas = Replicas::start("kills", 1).await;
     let mut answered = 0;
     for round in 0..12_u64 {
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_disk_is_told_and_loses_nothing_that_was_answered() {
+async fn full_disk_is_reported_and_loses_no_acknowledged_change() {
     let mut replicas = Replicas::start("full", 1).await;
     let store = replicas.folder.path().join("store-1");
     replicas.all[0].kill().await;
@@ -250,7 +250,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_was_cut_or_flipped_is_the_same_or_none() {
+async fn truncated_or_corrupted_store_opens_unchanged_or_is_rejected() {
     let mut replicas = Replicas::start("store", 1).await;
     for number in 1..=3 {
         let revision = replicas
@@ -305,7 +305,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_can_not_be_used_is_refused_and_changes_nothing() {
+async fn invalid_requests_are_rejected_and_change_nothing() {
     let replicas = Replicas::start("bad", 1).await;
     let refused = async |files: HashMap<String, String>, revision: u64| {
         let publish = request::Kind::Publish(Publish { files, revision });
--- a/crates/control-plane/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -1,8 +1,4 @@
 //! A replica's file: what it says of regions, and what is refused.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
 
 use badgerramp_control_plane::settings::{RegionSettings, Settings, SettingsError};
 use badgerramp_fault_injection::process::Folder;
@@ -37,12 +33,12 @@
 }
 
 #[test]
-fn regions_are_off_unless_the_file_names_one() {
+fn regions_are_absent_unless_the_file_names_one() {
     assert_eq!(File::new("off").regions(""), None);
 }
 
 #[test]
-fn the_first_region_by_name_coordinates_for_all() {
+fn first_region_by_name_is_the_coordinator() {
     let file = File::new("coordinator");
     let norte = file.regions(SUR).expect("regions");
     assert_eq!(norte.vote_timeout, Duration::from_secs(10));
@@ -57,81 +53,98 @@
     );
 }
 
-#[test]
-fn bad_regions_are_refused_with_file_key_what_was_found_and_what_is_allowed() {
-    let file = File::new("bad");
-    let table = "[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\n";
-    for (more, words) in [
-        (
-            "region = \"norte\"\n".to_owned(),
-            vec!["regions: found none", "[regions.NAME]"],
-        ),
-        (
-            table.to_owned(),
-            vec![
-                "regions.sur: found a region",
-                "allowed only beside `region`",
-            ],
-        ),
-        (
-            "regions_wait_ms = 5000\n".to_owned(),
-            vec!["regions_wait_ms: found 5000", "beside `region`"],
-        ),
-        (
-            SUR.replace("\"norte\"", "\"El Norte\""),
-            vec!["region: found", "\"El Norte\"", "allowed are 1 to 63"],
-        ),
-        (
-            SUR.replace("\"norte\"", "7"),
-            vec!["invalid type", "region = 7", "expected a string"],
-        ),
-        (
-            SUR.replace("regions.sur", "regions.norte"),
-            vec!["regions.norte: found \"norte\"", "other than `region`"],
-        ),
-        (
-            SUR.replace("regions.sur", "regions.SUR"),
-            vec!["regions.SUR: found", "allowed are 1 to 63"],
-        ),
-        (
-            SUR.replace("[\"127.0.0.1:7501\"]", "[]"),
-            vec!["regions.sur.replicas: found 0", "allowed are 1, 3 or 5"],
-        ),
-        (
-            SUR.replace("7501", "7401"),
-            vec![
-                "regions.sur.replicas[0]: found 127.0.0.1:7401",
-                "that of replicas.1 already",
-            ],
-        ),
-        (
-            SUR.replace("127.0.0.1:7501", "nowhere"),
-            vec!["nowhere", "invalid socket address"],
-        ),
-        (
-            SUR.replace("replicas = [", "replcas = ["),
-            vec!["unknown field `replcas`", "expected `replicas`"],
-        ),
-        (
-            format!("{SUR}[regions.oeste]\nreplicas = [\"127.0.0.1:7501\"]\n"),
-            vec![
-                "regions.sur.replicas[0]: found 127.0.0.1:7501",
-                "that of regions.oeste.replicas[0] already",
-            ],
-        ),
-        (
-            SUR.replace("[regions.sur]", "regions_wait_ms = 10\n[regions.sur]"),
-            vec!["regions_wait_ms: found 10", "allowed is 200 to 86400000"],
-        ),
-    ] {
-        let error = file.load(&more).expect_err(&more).to_string();
+/// Checks that a file with these keys more is rejected with a text that has all of these words and the file's name.
+fn assert_rejected(name: &str, cases: &[(String, &[&str])]) {
+    let file = File::new(name);
+    for (more, words) in cases {
+        let error = file.load(more).expect_err(more).to_string();
         assert!(error.contains("control.toml"), "{error}");
-        words
-            .iter()
-            .for_each(|word| assert!(error.contains(word), "{word:?} is not in: {error}"));
+        for word in *words {
+            assert!(error.contains(word), "{word:?} is not in: {error}");
+        }
     }
 }
 
+#[test]
+fn invalid_region_keys_and_names_are_rejected_with_what_was_found_and_is_allowed() {
+    let table = "[regions.sur]\nreplicas = [\"127.0.0.1:7501\"]\n";
+    assert_rejected(
+        "names",
+        &[
+            (
+                "region = \"norte\"\n".to_owned(),
+                &["regions: found none", "[regions.NAME]"],
+            ),
+            (
+                table.to_owned(),
+                &[
+                    "regions.sur: found a region",
+                    "allowed only beside `region`",
+                ],
+            ),
+            (
+                "regions_wait_ms = 5000\n".to_owned(),
+                &["regions_wait_ms: found 5000", "beside `region`"],
+            ),
+            (
+                SUR.replace("\"norte\"", "\"El Norte\""),
+                &["region: found", "\"El Norte\"", "allowed are 1 to 63"],
+            ),
+            (
+                SUR.replace("\"norte\"", "7"),
+                &["invalid type", "region = 7", "expected a string"],
+            ),
+            (
+                SUR.replace("regions.sur", "regions.norte"),
+                &["regions.norte: found \"norte\"", "other than `region`"],
+            ),
+            (
+                SUR.replace("regions.sur", "regions.SUR"),
+                &["regions.SUR: found", "allowed are 1 to 63"],
+            ),
+        ],
+    );
+}
+
+#[test]
+fn invalid_replicas_and_timeouts_of_regions_are_rejected_with_what_was_found_and_is_allowed() {
+    assert_rejected(
+        "addresses",
+        &[
+            (
+                SUR.replace("[\"127.0.0.1:7501\"]", "[]"),
+                &["regions.sur.replicas: found 0", "allowed are 1, 3 or 5"],
+            ),
+            (
+                SUR.replace("7501", "7401"),
+                &[
+                    "regions.sur.replicas[0]: found 127.0.0.1:7401",
+                    "that of replicas.1 already",
+                ],
+            ),
+            (
+                SUR.replace("127.0.0.1:7501", "nowhere"),
+                &["nowhere", "invalid socket address"],
+            ),
+            (
+                SUR.replace("replicas = [", "replcas = ["),
+                &["unknown field `replcas`", "expected `replicas`"],
+            ),
+            (
+                format!("{SUR}[regions.oeste]\nreplicas = [\"127.0.0.1:7501\"]\n"),
+                &[
+                    "regions.sur.replicas[0]: found 127.0.0.1:7501",
+                    "that of regions.oeste.replicas[0] already",
+                ],
+            ),
+            (
+                SUR.replace("[regions.sur]", "regions_wait_ms = 10\n[regions.sur]"),
+                &["regions_wait_ms: found 10", "allowed is 200 to 86400000"],
+            ),
+        ],
+    );
+}
+
 /// An unknown key is refused with the list of the known ones.
 #[test]
 fn the_file_of_a_replica_takes_the_keys_it_took() {
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -1,13 +1,5 @@
 //! The bytes of every message of the control protocol, and the names of its service. Processes of an older and of a newer
 //! version talk to each other while a fleet is upgraded, so neither may change.
-#![expect(
-    clippy::needless_pass_by_value,
-    reason = "signatures are still to be narrowed"
-)]
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
 
 use badgerramp_control_protocol::wire::{
     self, change, control_server, outcome_reply, rejection, reply, request, vote_reply, OnLeaseLoss,
@@ -22,16 +14,16 @@
 struct Pinned(String);
 
 impl Pinned {
-    fn add<M: Message + Default + PartialEq + Debug>(&mut self, name: &str, message: M) {
+    fn add<M: Message + Default + PartialEq + Debug>(&mut self, name: &str, message: &M) {
         let bytes = message.encode_to_vec();
-        assert_eq!(M::decode(bytes.as_slice()).as_ref(), Ok(&message), "{name}");
+        assert_eq!(M::decode(bytes.as_slice()).as_ref(), Ok(message), "{name}");
         writeln!(self.0, "{name}: {}", hex(&bytes)).expect("written to memory");
     }
 
     fn request(&mut self, name: &str, what: request::Kind) {
         self.add(
             name,
-            wire::Request {
+            &wire::Request {
                 nonce: 0x0102_0304_0506_0708,
                 kind: Some(what),
             },
@@ -41,7 +33,7 @@
     fn reply(&mut self, name: &str, what: reply::Kind) {
         self.add(
             name,
-            wire::Reply {
+            &wire::Reply {
                 nonce: 0x1112_1314_1516_1718,
                 kind: Some(what),
             },
@@ -169,6 +161,31 @@
         "word",
         reply::Kind::RevisionChanged(wire::RevisionChanged { revision: 300 }),
     );
+    pin_votes_and_decisions(&mut pinned);
+    for (name, code) in [
+        ("refusal unspecified", rejection::Code::Unspecified),
+        ("refusal not leader", rejection::Code::NotLeader),
+        ("refusal no policy", rejection::Code::NoPolicy),
+        ("refusal stale", rejection::Code::Stale),
+        ("refusal evicted", rejection::Code::Evicted),
+        ("refusal under way", rejection::Code::ChangePending),
+        ("refusal moved", rejection::Code::Conflict),
+        ("refusal bad", rejection::Code::Invalid),
+        ("refusal other region", rejection::Code::OtherRegion),
+        ("refusal not coordinator", rejection::Code::NotCoordinator),
+    ] {
+        let refusal = wire::Rejection {
+            code: code.into(),
+            message: "another replica leads".to_owned(),
+            leader: "127.0.0.1:7400".to_owned(),
+            replicas: vec!["127.0.0.1:7401".to_owned(), "127.0.0.1:7402".to_owned()],
+        };
+        pinned.reply(name, reply::Kind::Rejection(refusal));
+    }
+    insta::assert_snapshot!(pinned.0);
+}
+
+fn pin_votes_and_decisions(pinned: &mut Pinned) {
     for (name, vote) in [
         ("vote unspecified", vote_reply::Vote::Unspecified),
         ("vote preparing", vote_reply::Vote::Preparing),
@@ -196,27 +213,6 @@
         };
         pinned.reply(name, reply::Kind::Outcome(outcome));
     }
-    for (name, code) in [
-        ("refusal unspecified", rejection::Code::Unspecified),
-        ("refusal not leader", rejection::Code::NotLeader),
-        ("refusal no policy", rejection::Code::NoPolicy),
-        ("refusal stale", rejection::Code::Stale),
-        ("refusal evicted", rejection::Code::Evicted),
-        ("refusal under way", rejection::Code::ChangePending),
-        ("refusal moved", rejection::Code::Conflict),
-        ("refusal bad", rejection::Code::Invalid),
-        ("refusal other region", rejection::Code::OtherRegion),
-        ("refusal not coordinator", rejection::Code::NotCoordinator),
-    ] {
-        let refusal = wire::Rejection {
-            code: code.into(),
-            message: "another replica leads".to_owned(),
-            leader: "127.0.0.1:7400".to_owned(),
-            replicas: vec!["127.0.0.1:7401".to_owned(), "127.0.0.1:7402".to_owned()],
-        };
-        pinned.reply(name, reply::Kind::Rejection(refusal));
-    }
-    insta::assert_snapshot!(pinned.0);
 }
 
 #[test]
@@ -293,7 +289,7 @@
             secret.verify_bytes(purpose, message.clone()),
             Ok(b"body".to_vec())
         );
-        pinned.add(name, message);
+        pinned.add(name, &message);
     }
     let mac = secret.datagram_mac("badgerramp peers", &[b"north", b"body"]);
     writeln!(pinned.0, "datagram: {}", hex(&mac)).expect("written to memory");
