--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -2,7 +2,7 @@
 
 use crate::store::{NodeId, RaftTypes};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
-use badgerramp_control_protocol::{Purpose, SharedSecret, MAX_MESSAGE_BYTES};
+use badgerramp_control_protocol::{connect_lazy, Purpose, SharedSecret};
 use openraft::error::{
     InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
 };
@@ -53,13 +53,10 @@
             .unwrap_or_else(|_| Endpoint::from_static(NOWHERE))
             .tcp_nodelay(true)
             .connect_timeout(CONNECT_TIMEOUT);
-        let client = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MAX_MESSAGE_BYTES)
-            .max_encoding_message_size(MAX_MESSAGE_BYTES);
         Connection {
             secret: self.secret.clone(),
             target,
-            client,
+            client: connect_lazy(&endpoint),
         }
     }
 }
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -187,9 +187,7 @@
             .tcp_nodelay(true)
             .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
             .keep_alive_timeout(KEEP_ALIVE_TIMEOUT);
-        let connection = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MAX_MESSAGE_BYTES)
-            .max_encoding_message_size(MAX_MESSAGE_BYTES);
+        let connection = connect_lazy(&endpoint);
         self.connections.insert(address, connection.clone());
         Ok(connection)
     }
@@ -244,6 +242,13 @@
     }
 }
 
+/// A connection with the message sizes of this protocol. It is made when it is first used.
+pub fn connect_lazy(endpoint: &Endpoint) -> ControlClient<Channel> {
+    ControlClient::new(endpoint.connect_lazy())
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES)
+}
+
 fn call_error(replica: SocketAddr, status: &Status) -> ClientError {
     let message = status.message().to_owned();
     match status.code() {
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -35,7 +35,7 @@
 pub use authentication::{
     MessageError, Purpose, MAC_LEN, MAX_BODY_BYTES, MAX_MESSAGE_BYTES, PROTOCOL_VERSION,
 };
-pub use client::{Client, ClientError, RevisionWatch, Unavailable, UnexpectedReply};
+pub use client::{connect_lazy, Client, ClientError, RevisionWatch, Unavailable, UnexpectedReply};
 pub use invalid_message::InvalidMessage;
 pub use secret::{SecretError, SharedSecret};
 
