--- /dev/null
+++ b/crates/control-plane/src/rejections.rs
@@ -0,0 +1,62 @@
+//! Replies to requests that are not carried out.
+
+use crate::leader::NotLeader;
+use badgerramp_control_protocol::wire::{rejection, reply, Rejection};
+use badgerramp_control_protocol::MessageError;
+use badgerramp_policy::regions::Region;
+use badgerramp_policy::Rejection as CommandRejection;
+use std::net::SocketAddr;
+use tonic::{Code, Status};
+
+/// A rejection with this code.
+pub(crate) fn reject(code: rejection::Code, text: impl Into<String>) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
+        code: code.into(),
+        message: text.into(),
+        ..Rejection::default()
+    })
+}
+
+/// The rejection of a replica that does not lead.
+pub(crate) fn not_leader(error: NotLeader) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
+        code: rejection::Code::NotLeader.into(),
+        message: error.reason.to_string(),
+        leader: error.leader.unwrap_or_default(),
+        ..Rejection::default()
+    })
+}
+
+/// The gRPC status of a message that does not pass verification.
+pub(crate) fn unverified(error: &MessageError) -> Status {
+    let code = match error {
+        MessageError::UnsupportedVersion(_) => Code::FailedPrecondition,
+        MessageError::BadMac => Code::PermissionDenied,
+        MessageError::TooLarge(_) | MessageError::Malformed(_) => Code::InvalidArgument,
+    };
+    Status::new(code, error.to_string())
+}
+
+/// The rejection of a command that had no effect.
+pub(crate) fn command_rejected(rejected: &CommandRejection) -> reply::Kind {
+    let code = match rejected {
+        CommandRejection::ChangePending(_)
+        | CommandRejection::CrossRegionPending { .. }
+        | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangePending,
+        CommandRejection::Evicted => rejection::Code::Evicted,
+        CommandRejection::NotPrepared { .. } | CommandRejection::Conflict => {
+            rejection::Code::Conflict
+        }
+    };
+    reject(code, rejected.to_string())
+}
+
+/// The rejection of a change of all regions by a region that does not coordinate them.
+pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::Kind {
+    reply::Kind::Rejection(Rejection {
+        code: rejection::Code::NotCoordinator.into(),
+        message: format!("region {coordinator} coordinates changes of all regions: publish there"),
+        replicas: replicas.iter().map(ToString::to_string).collect(),
+        ..Rejection::default()
+    })
+}
--- /dev/null
+++ b/crates/control-protocol/src/lease.rs
@@ -0,0 +1,139 @@
+//! Conversions between the lease messages of the schema and those of [`badgerramp_policy`].
+
+use crate::wire;
+use crate::InvalidMessage;
+use badgerramp_policy::regions::Region;
+use badgerramp_policy::{
+    Generation, Identity, LeaseGrant, LeaseRequest, Mode, OnLeaseLoss, RejectedGeneration,
+};
+
+impl From<Identity> for wire::Identity {
+    fn from(own: Identity) -> Self {
+        wire::Identity {
+            name: own.name,
+            incarnation: own.incarnation,
+        }
+    }
+}
+
+impl From<wire::Identity> for Identity {
+    fn from(wire: wire::Identity) -> Self {
+        Identity {
+            name: wire.name,
+            incarnation: wire.incarnation,
+        }
+    }
+}
+
+impl From<Mode> for wire::Mode {
+    fn from(own: Mode) -> Self {
+        wire::Mode {
+            revision: own.revision,
+            old: own.old.0,
+            new: own.new.0,
+        }
+    }
+}
+
+impl From<wire::Mode> for Mode {
+    fn from(wire: wire::Mode) -> Self {
+        Mode {
+            revision: wire.revision,
+            old: Generation(wire.old),
+            new: Generation(wire.new),
+        }
+    }
+}
+
+impl From<OnLeaseLoss> for wire::OnLeaseLoss {
+    fn from(own: OnLeaseLoss) -> Self {
+        match own {
+            OnLeaseLoss::Reject => wire::OnLeaseLoss::Reject,
+            OnLeaseLoss::Fallback => wire::OnLeaseLoss::Fallback,
+            OnLeaseLoss::Keep => wire::OnLeaseLoss::Keep,
+        }
+    }
+}
+
+impl wire::LeaseRequest {
+    /// The request of a proxy that runs this application.
+    pub fn new(own: LeaseRequest, application: &str) -> Self {
+        wire::LeaseRequest {
+            identity: Some(own.identity.into()),
+            sequence: own.sequence,
+            active_revision: own.active_revision,
+            loaded_generations: own.loaded_generations.into_iter().map(|g| g.0).collect(),
+            rejected_generation: own.rejected_generation.map(|u| wire::RejectedGeneration {
+                generation: u.generation.0,
+                reason: u.reason,
+            }),
+            on_lease_loss: wire::OnLeaseLoss::from(own.on_lease_loss).into(),
+            application: application.to_owned(),
+            region: String::new(),
+        }
+    }
+
+    /// The same request, to be answered by the control of this region only; `None`: by that of any.
+    #[must_use]
+    pub fn in_region(self, region: Option<&Region>) -> Self {
+        wire::LeaseRequest {
+            region: region.map(Region::to_string).unwrap_or_default(),
+            ..self
+        }
+    }
+}
+
+impl TryFrom<&wire::LeaseRequest> for LeaseRequest {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
+        let identity = wire.identity.clone().filter(|i| !i.name.is_empty());
+        let on_lease_loss = match wire.on_lease_loss() {
+            wire::OnLeaseLoss::Unspecified => {
+                return Err(InvalidMessage::UnknownValue("on_lease_loss"))
+            }
+            wire::OnLeaseLoss::Reject => OnLeaseLoss::Reject,
+            wire::OnLeaseLoss::Fallback => OnLeaseLoss::Fallback,
+            wire::OnLeaseLoss::Keep => OnLeaseLoss::Keep,
+        };
+        let rejected_generation =
+            wire.rejected_generation
+                .as_ref()
+                .map(|rejected| RejectedGeneration {
+                    generation: Generation(rejected.generation),
+                    reason: rejected.reason.clone(),
+                });
+        Ok(LeaseRequest {
+            identity: identity.ok_or(InvalidMessage::Missing("identity"))?.into(),
+            sequence: wire.sequence,
+            active_revision: wire.active_revision,
+            loaded_generations: wire
+                .loaded_generations
+                .iter()
+                .copied()
+                .map(Generation)
+                .collect(),
+            rejected_generation,
+            on_lease_loss,
+        })
+    }
+}
+
+impl TryFrom<&wire::LeaseGrant> for LeaseGrant {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: &wire::LeaseGrant) -> Result<Self, InvalidMessage> {
+        let mode = Mode::from(wire.mode.ok_or(InvalidMessage::Missing("mode"))?);
+        if mode.old > mode.new {
+            return Err(InvalidMessage::BackwardMode {
+                old: mode.old.0,
+                new: mode.new.0,
+            });
+        }
+        Ok(LeaseGrant {
+            sequence: wire.sequence,
+            mode,
+            duration: wire.duration,
+        })
+    }
+}
--- a/crates/proxy/src/net/peers/datagram.rs
+++ b/crates/proxy/src/net/peers/datagram.rs
@@ -3,7 +3,7 @@
 //! Layout: version (1 byte), kind (1 byte), message authentication code, sender (8 bytes), sequence number (8 bytes),
 //! body. Numbers are little-endian. The code covers the fleet's name and all other bytes.
 
-use badgerramp_control_protocol::{Secret, TAG};
+use badgerramp_control_protocol::{SharedSecret, MAC_LEN};
 use badgerramp_gossip::peer::MAX_MESSAGE_SIZE;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -18,7 +18,7 @@
 const NUMBERS_LEN: usize = 16;
 
 /// Bytes before the body.
-pub(super) const HEADER_LEN: usize = PREFIX_LEN + TAG + NUMBERS_LEN;
+pub(super) const HEADER_LEN: usize = PREFIX_LEN + MAC_LEN + NUMBERS_LEN;
 
 /// Greatest size of a datagram between proxies, in bytes: a longer one is truncated when it is read.
 pub(super) const MAX_DATAGRAM_SIZE: usize = HEADER_LEN + MAX_MESSAGE_SIZE;
@@ -61,13 +61,13 @@
 /// Encodes and authenticates the datagrams of one fleet.
 #[derive(Clone, Debug)]
 pub struct DatagramCodec {
-    secret: Secret,
+    secret: SharedSecret,
     fleet: String,
 }
 
 impl DatagramCodec {
     /// The codec of a fleet, by its name and the secret that all its proxies share.
-    pub fn new(secret: Secret, fleet: String) -> Self {
+    pub fn new(secret: SharedSecret, fleet: String) -> Self {
         DatagramCodec { secret, fleet }
     }
 
@@ -77,7 +77,7 @@
         let sender = datagram.sender.to_le_bytes();
         let sequence = datagram.sequence.to_le_bytes();
         let numbers = [sender, sequence].concat();
-        let code = self.secret.tag(
+        let code = self.secret.datagram_mac(
             PURPOSE,
             &[self.fleet.as_bytes(), &prefix, &numbers, datagram.body],
         );
@@ -92,13 +92,16 @@
     ) -> Result<Datagram<'a>, DecodeError> {
         let split = |bytes: &'a [u8], at| bytes.split_at_checked(at).ok_or(DecodeError::Malformed);
         let (prefix, rest) = split(bytes, PREFIX_LEN)?;
-        let (code, rest) = split(rest, TAG)?;
+        let (code, rest) = split(rest, MAC_LEN)?;
         let (numbers, body) = split(rest, NUMBERS_LEN)?;
         if prefix != [VERSION, kind as u8] {
             return Err(DecodeError::Malformed);
         }
         let authenticated = [self.fleet.as_bytes(), prefix, numbers, body];
-        if !self.secret.tagged(PURPOSE, &authenticated, code) {
+        if !self
+            .secret
+            .verify_datagram_mac(PURPOSE, &authenticated, code)
+        {
             return Err(DecodeError::Unauthenticated);
         }
         let (sender, sequence) = numbers.split_at(NUMBERS_LEN / 2);
