--- a/crates/bench/src/peers_calm.rs
+++ b/crates/bench/src/peers_calm.rs
@@ -4,14 +4,14 @@
 //! on no second differs much from that window.
 
 use crate::Fault;
-use badgerramp_control_protocol::TAG;
+use badgerramp_control_protocol::MAC_LEN;
 use badgerramp_gossip::simulation::traffic::{Count, MessageKind, Traffic};
 use badgerramp_gossip::simulation::{simulate, Outcome, SimConfig};
 use clap::Args;
 use statrs::statistics::Statistics;
 
 /// Bytes that a sealed datagram has before its message: version and kind, seal, sender and count.
-const SEAL_BYTES: u64 = 2 + TAG as u64 + 16;
+const SEAL_BYTES: u64 = 2 + MAC_LEN as u64 + 16;
 /// Bytes of the heads of IPv4 and UDP.
 const HEAD_BYTES: u64 = 20 + 8;
 /// Spans of so many seconds are compared with the calm window: what every proxy does every five or ten seconds falls
@@ -91,10 +91,15 @@
     let world = SimConfig {
         proxies,
         hosts: plan.hosts as usize,
-        until,
+        duration: until,
         ..SimConfig::default()
     };
-    let Outcome { sent, alive, .. } = simulate(&world, seed);
+    let Outcome {
+        sent,
+        min_alive,
+        max_alive,
+        ..
+    } = simulate(&world, seed);
     let (from, window) = (plan.from as usize, plan.window as usize);
     let calm_seconds = sent
         .get(from..from + window)
@@ -125,7 +130,7 @@
             .iter()
             .rposition(busy)
             .map_or(0, |last| (last + 1) * SPAN_SECONDS),
-        alive,
+        alive: (min_alive, max_alive),
     })
 }
 
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,7 +1,9 @@
 //! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
 
-use badgerramp_control_protocol::wire::{self, change::Ended, refusal, reply, request};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::wire::{
+    self, change::Status as ChangeStatus, rejection, reply, request,
+};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret, UnexpectedReply};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -259,18 +261,18 @@
             .as_ref()
             .map(|i| format!("{} ({:016x})", i.name, i.incarnation)),
         region: Some(b.region.clone()).filter(|region| !region.is_empty()),
-        why: b.why.clone(),
-        left_ms: (b.left > 0).then_some(b.left / 1_000),
+        why: b.reason.clone(),
+        left_ms: (b.remaining > 0).then_some(b.remaining / 1_000),
     };
     blockers.iter().map(one).collect()
 }
 
 impl Standing {
     fn of(status: &wire::Status) -> Self {
-        let cut_off = |p: &wire::Proxy| match p.cut_off() {
-            wire::CutOff::Narrow => "narrow",
-            wire::CutOff::Keep => "keep",
-            wire::CutOff::Refuse | wire::CutOff::Unspecified => "refuse",
+        let cut_off = |p: &wire::Proxy| match p.on_lease_loss() {
+            wire::OnLeaseLoss::Fallback => "narrow",
+            wire::OnLeaseLoss::Keep => "keep",
+            wire::OnLeaseLoss::Reject | wire::OnLeaseLoss::Unspecified => "refuse",
         };
         let proxy = |p: &wire::Proxy| {
             let identity = p.identity.clone().unwrap_or_default();
@@ -278,22 +280,22 @@
             Proxy {
                 name: identity.name,
                 incarnation,
-                acting: p.acting,
+                acting: p.active_revision,
                 cut_off: cut_off(p),
             }
         };
         let change = |c: &wire::Change| {
-            let outcome = match c.ended() {
-                Ended::InForce => "in force",
-                Ended::NotInForce => "not in force",
-                Ended::Open | Ended::Unspecified => UNDER_WAY,
+            let outcome = match c.status() {
+                ChangeStatus::Committed => "in force",
+                ChangeStatus::Aborted => "not in force",
+                ChangeStatus::Pending | ChangeStatus::Unspecified => UNDER_WAY,
             };
-            let all_regions = (c.all_regions != 0).then(|| change_id(c.all_regions));
+            let all_regions = (c.cross_region_id != 0).then(|| change_id(c.cross_region_id));
             Change {
                 generation: c.generation,
-                from: c.from,
+                from: c.previous_generation,
                 outcome,
-                why: c.why.clone(),
+                why: c.reason.clone(),
                 all_regions,
             }
         };
@@ -387,7 +389,7 @@
 /// The way to control.
 pub struct Control {
     client: Client,
-    secret: Secret,
+    secret: SharedSecret,
     time: Duration,
 }
 
@@ -400,7 +402,7 @@
     /// If the secret is none.
     pub fn new(at: &At) -> Result<Self, String> {
         let secret =
-            Secret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
+            SharedSecret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
         let client = Client::new(at.control.clone(), secret.clone(), QUESTION);
         Ok(Control {
             client,
@@ -409,17 +411,17 @@
         })
     }
 
-    async fn asked(&mut self, what: request::What) -> Result<reply::What, Fault> {
-        self.client.ask_until(&what, self.time).await
+    async fn asked(&mut self, what: request::Kind) -> Result<reply::Kind, ClientError> {
+        self.client.call_with_retry(&what, self.time).await
     }
 
-    async fn raw_status(&mut self) -> Result<wire::Status, Fault> {
+    async fn raw_status(&mut self) -> Result<wire::Status, ClientError> {
         match self
-            .asked(request::What::Status(wire::StatusAsked {}))
+            .asked(request::Kind::Status(wire::StatusRequest {}))
             .await?
         {
-            reply::What::Status(status) => Ok(status),
-            _ => Err(Fault::Odd("no status".to_owned())),
+            reply::Kind::Status(status) => Ok(status),
+            _ => Err(UnexpectedReply::Not("status").into()),
         }
     }
 
@@ -427,7 +429,7 @@
     ///
     /// # Errors
     /// If control can't be asked.
-    pub async fn standing(&mut self) -> Result<Standing, Fault> {
+    pub async fn standing(&mut self) -> Result<Standing, ClientError> {
         Ok(Standing::of(&self.raw_status().await?))
     }
 
@@ -464,14 +466,14 @@
     ///
     /// # Errors
     /// If control can't be asked, or has them no more.
-    pub async fn files(&mut self, generation: u64) -> Result<Files, Fault> {
-        let text = wire::Text {
+    pub async fn files(&mut self, generation: u64) -> Result<Files, ClientError> {
+        let text = wire::PolicyFiles {
             generation,
             files: HashMap::new(),
         };
-        match self.asked(request::What::Text(text)).await? {
-            reply::What::Text(text) => Ok(text.files),
-            _ => Err(Fault::Odd("no files".to_owned())),
+        match self.asked(request::Kind::PolicyFiles(text)).await? {
+            reply::Kind::PolicyFiles(text) => Ok(text.files),
+            _ => Err(UnexpectedReply::Not("files").into()),
         }
     }
 
@@ -507,7 +509,7 @@
             name: name.to_owned(),
             incarnation,
         };
-        self.asked(request::What::Evict(identity))
+        self.asked(request::Kind::Evict(identity))
             .await
             .map(|_| ())
             .map_err(|e| e.to_string())
@@ -533,9 +535,9 @@
             .ok_or("no change is under way")?;
         let abort = wire::Abort {
             generation,
-            why: why.to_owned(),
+            reason: why.to_owned(),
         };
-        self.asked(request::What::Abort(abort))
+        self.asked(request::Kind::Abort(abort))
             .await
             .map_err(|e| e.to_string())?;
         Ok(generation)
@@ -576,27 +578,28 @@
             revision,
         };
         let what = match scope {
-            Scope::Region => request::What::Publish(policy),
-            Scope::All => request::What::PublishAll(policy),
+            Scope::Region => request::Kind::Publish(policy),
+            Scope::All => request::Kind::PublishAllRegions(policy),
         };
         // Asked again it changes nothing more: it names the revision that it stands beside.
         let mut lost = false;
         loop {
-            let fault = match self.client.ask(&what).await {
-                Ok(reply::What::Begun(number)) => {
+            let fault = match self.client.call(&what).await {
+                Ok(reply::Kind::ChangeStarted(number)) => {
                     done.generation = Some(number.generation);
                     break;
                 }
-                Ok(_) => Fault::Odd("no number of a generation".to_owned()),
+                Ok(_) => UnexpectedReply::Not("number of a generation").into(),
                 Err(fault) => fault,
             };
             done.why = fault.to_string();
             match fault {
-                Fault::Refused(refusal) if refusal.code() == refusal::Code::NotLeader => {}
-                Fault::Refused(refusal)
+                ClientError::Rejected(rejection)
+                    if rejection.code() == rejection::Code::NotLeader => {}
+                ClientError::Rejected(rejection)
                     if lost
-                        && [refusal::Code::UnderWay, refusal::Code::Moved]
-                            .contains(&refusal.code()) =>
+                        && [rejection::Code::ChangePending, rejection::Code::Conflict]
+                            .contains(&rejection.code()) =>
                 {
                     match self.own(files, revision).await {
                         Ok(Some(generation)) => {
@@ -610,12 +613,12 @@
                         Err(fault) => done.why = fault.to_string(),
                     }
                 }
-                Fault::Refused(_) => {
+                ClientError::Rejected(_) => {
                     done.took_ms = took();
                     return done;
                 }
                 // It may have got there.
-                Fault::Away(_) | Fault::Odd(_) => lost = true,
+                ClientError::Unavailable(_) | ClientError::UnexpectedReply(_) => lost = true,
             }
             if Instant::now() >= end {
                 done.outcome = Outcome::NotKnown;
@@ -629,22 +632,22 @@
         while Instant::now() < end {
             if let Ok(status) = self
                 .client
-                .ask(&request::What::Status(wire::StatusAsked {}))
+                .call(&request::Kind::Status(wire::StatusRequest {}))
                 .await
             {
-                let reply::What::Status(status) = status else {
+                let reply::Kind::Status(status) = status else {
                     continue;
                 };
                 let change = status
                     .changes
                     .iter()
                     .find(|c| Some(c.generation) == done.generation);
-                let ended = change.map(|c| (c.ended(), c.why.clone()));
+                let ended = change.map(|c| (c.status(), c.reason.clone()));
                 match ended {
-                    Some((Ended::InForce, _)) => {
+                    Some((ChangeStatus::Committed, _)) => {
                         (done.outcome, done.why) = (Outcome::InForce, String::new());
                     }
-                    Some((Ended::NotInForce, why)) => {
+                    Some((ChangeStatus::Aborted, why)) => {
                         (done.outcome, done.why) = (Outcome::NotInForce, why);
                     }
                     Some(_) => {}
@@ -674,7 +677,7 @@
     }
 
     /// The change that came of these files beside this revision, if one did.
-    async fn own(&mut self, files: &Files, revision: u64) -> Result<Option<u64>, Fault> {
+    async fn own(&mut self, files: &Files, revision: u64) -> Result<Option<u64>, ClientError> {
         let status = self.raw_status().await?;
         if status.revision == revision {
             return Ok(None);
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -1,8 +1,8 @@
-//! Between replicas: the consensus library's messages as JSON under a seal.
+//! Messages between the replicas of one control plane: those of the consensus library as JSON, authenticated.
 
-use crate::store::{Id, Types};
+use crate::store::{NodeId, RaftTypes};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
-use badgerramp_control_protocol::{Purpose, Secret};
+use badgerramp_control_protocol::{connect_lazy, Purpose, SharedSecret};
 use openraft::error::{
     InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable,
 };
@@ -16,119 +16,130 @@
 use serde::{Deserialize, Serialize};
 use std::error::Error;
 use std::io;
+use std::time::Duration;
 use tonic::transport::{Channel, Endpoint};
 
-/// Most bytes of a message between replicas.
-pub(crate) const MESSAGE_MOST: usize = badgerramp_control_protocol::BODY_MOST + 1024;
+/// How long a connection to another replica may take to be made.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Stands for an address that can't be connected to: the discard port, where nobody listens.
+const NOWHERE: &str = "http://127.0.0.1:9";
 
-/// A question of one replica to another.
+/// A request of one replica to another. The names of its variants travel.
 #[derive(Serialize, Deserialize)]
-enum Asked {
-    Append(AppendEntriesRequest<Types>),
-    Vote(VoteRequest<Id>),
-    Snapshot(InstallSnapshotRequest<Types>),
+enum RaftRequest {
+    Append(AppendEntriesRequest<RaftTypes>),
+    Vote(VoteRequest<NodeId>),
+    Snapshot(InstallSnapshotRequest<RaftTypes>),
 }
 
-/// Opens ways to other replicas.
+/// Makes connections to the other replicas.
 pub(crate) struct Network {
-    pub secret: Secret,
+    /// The secret that messages are authenticated with.
+    pub(crate) secret: SharedSecret,
 }
 
-/// The way to one.
-pub(crate) struct Way {
-    secret: Secret,
-    target: Id,
+/// A connection to one replica.
+pub(crate) struct Connection {
+    secret: SharedSecret,
+    target: NodeId,
     client: ControlClient<Channel>,
 }
 
-impl RaftNetworkFactory<Types> for Network {
-    type Network = Way;
+impl RaftNetworkFactory<RaftTypes> for Network {
+    type Network = Connection;
 
-    async fn new_client(&mut self, target: Id, node: &BasicNode) -> Way {
+    async fn new_client(&mut self, target: NodeId, node: &BasicNode) -> Connection {
         let endpoint = Endpoint::from_shared(format!("http://{}", node.addr))
-            .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:9"))
+            .unwrap_or_else(|_| Endpoint::from_static(NOWHERE))
             .tcp_nodelay(true)
-            .connect_timeout(std::time::Duration::from_millis(500));
-        let client = ControlClient::new(endpoint.connect_lazy())
-            .max_decoding_message_size(MESSAGE_MOST)
-            .max_encoding_message_size(MESSAGE_MOST);
-        Way {
+            .connect_timeout(CONNECT_TIMEOUT);
+        Connection {
             secret: self.secret.clone(),
             target,
-            client,
+            client: connect_lazy(&endpoint),
         }
     }
 }
 
-impl Way {
-    async fn ask<T: DeserializeOwned, E: Error + DeserializeOwned>(
+/// Why a call to another replica has no result; `E` is what that replica may say itself.
+type CallError<E> = RPCError<NodeId, BasicNode, E>;
+
+fn network_error<E: Error>(error: &(impl Error + 'static)) -> CallError<E> {
+    RPCError::Network(NetworkError::new(error))
+}
+
+impl Connection {
+    async fn call<T, E>(
         &mut self,
-        asked: Asked,
+        request: RaftRequest,
         option: RPCOption,
-    ) -> Result<T, RPCError<Id, BasicNode, RaftError<Id, E>>> {
-        let odd = |fault: String| RPCError::Network(NetworkError::new(&io::Error::other(fault)));
-        let body = serde_json::to_vec(&asked).map_err(|e| odd(e.to_string()))?;
-        let sealed = self.secret.seal_bytes(Purpose::ReplicaRequest, body);
-        let answer = tokio::time::timeout(option.hard_ttl(), self.client.replica(sealed)).await;
-        let answer = match answer {
-            Ok(Ok(answer)) => answer.into_inner(),
-            Ok(Err(status)) => {
-                let fault = io::Error::other(status.message().to_owned());
-                return Err(RPCError::Unreachable(Unreachable::new(&fault)));
-            }
-            Err(_) => return Err(odd("no answer in time".to_owned())),
+    ) -> Result<T, CallError<RaftError<NodeId, E>>>
+    where
+        T: DeserializeOwned,
+        E: Error + DeserializeOwned,
+    {
+        let body = serde_json::to_vec(&request).map_err(|error| network_error(&error))?;
+        let message = self
+            .secret
+            .authenticate_bytes(Purpose::ReplicaRequest, body);
+        let response = tokio::time::timeout(option.hard_ttl(), self.client.replica(message)).await;
+        let Ok(response) = response else {
+            let error = io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
+            return Err(network_error(&error));
         };
+        let message = response
+            .map_err(|status| RPCError::Unreachable(Unreachable::new(&status)))?
+            .into_inner();
         let body = self
             .secret
-            .open_bytes(Purpose::ReplicaReply, answer)
-            .map_err(|e| odd(e.to_string()))?;
-        let answer: Result<T, RaftError<Id, E>> =
-            serde_json::from_slice(&body).map_err(|e| odd(e.to_string()))?;
-        answer.map_err(|fault| RPCError::RemoteError(RemoteError::new(self.target, fault)))
+            .verify_bytes(Purpose::ReplicaReply, message)
+            .map_err(|error| network_error(&error))?;
+        let reply: Result<T, RaftError<NodeId, E>> =
+            serde_json::from_slice(&body).map_err(|error| network_error(&error))?;
+        reply.map_err(|error| RPCError::RemoteError(RemoteError::new(self.target, error)))
     }
 }
 
-impl RaftNetwork<Types> for Way {
+impl RaftNetwork<RaftTypes> for Connection {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Types>,
+        rpc: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<Id>, RPCError<Id, BasicNode, RaftError<Id>>> {
-        self.ask(Asked::Append(rpc), option).await
+    ) -> Result<AppendEntriesResponse<NodeId>, CallError<RaftError<NodeId>>> {
+        self.call(RaftRequest::Append(rpc), option).await
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Types>,
+        rpc: InstallSnapshotRequest<RaftTypes>,
         option: RPCOption,
-    ) -> Result<
-        InstallSnapshotResponse<Id>,
-        RPCError<Id, BasicNode, RaftError<Id, InstallSnapshotError>>,
-    > {
-        self.ask(Asked::Snapshot(rpc), option).await
+    ) -> Result<InstallSnapshotResponse<NodeId>, CallError<RaftError<NodeId, InstallSnapshotError>>>
+    {
+        self.call(RaftRequest::Snapshot(rpc), option).await
     }
 
     async fn vote(
         &mut self,
-        rpc: VoteRequest<Id>,
+        rpc: VoteRequest<NodeId>,
         option: RPCOption,
-    ) -> Result<VoteResponse<Id>, RPCError<Id, BasicNode, RaftError<Id>>> {
-        self.ask(Asked::Vote(rpc), option).await
+    ) -> Result<VoteResponse<NodeId>, CallError<RaftError<NodeId>>> {
+        self.call(RaftRequest::Vote(rpc), option).await
     }
 }
 
-/// Answers another replica. `body` has passed its seal.
+/// Answers a request of another replica. `body` has passed verification.
 ///
 /// # Errors
-/// If it is no question.
-pub(crate) async fn answer(raft: &Raft<Types>, body: &[u8]) -> Result<Vec<u8>, String> {
-    let asked = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let answer = match asked {
-        Asked::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
-        Asked::Vote(rpc) => serde_json::to_vec(&raft.vote(rpc).await),
-        Asked::Snapshot(rpc) => serde_json::to_vec(&raft.install_snapshot(rpc).await),
-    };
-    answer.map_err(|e| e.to_string())
+/// If it is no request that this version knows.
+pub(crate) async fn answer(
+    raft: &Raft<RaftTypes>,
+    body: &[u8],
+) -> Result<Vec<u8>, serde_json::Error> {
+    match serde_json::from_slice(body)? {
+        RaftRequest::Append(rpc) => serde_json::to_vec(&raft.append_entries(rpc).await),
+        RaftRequest::Vote(rpc) => serde_json::to_vec(&raft.vote(rpc).await),
+        RaftRequest::Snapshot(rpc) => serde_json::to_vec(&raft.install_snapshot(rpc).await),
+    }
 }
 
 #[cfg(test)]
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,13 +1,9 @@
 //! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
 //! ways between them are cut at any of its steps.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_protocol::wire::{self, rejection, reply, request};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::{Link, Pass};
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_policy::regions::Region;
@@ -206,7 +202,7 @@
     }
 
     fn client(&self, place: usize) -> Client {
-        let secret = Secret::read(&self.folder.path().join("secret")).expect("a secret");
+        let secret = SharedSecret::read(&self.folder.path().join("secret")).expect("a secret");
         Client::new(self.addresses(place), secret, Duration::from_secs(5))
     }
 
@@ -302,18 +298,18 @@
     }
 
     /// Asks for a lease, for a proxy that goes on without one.
-    async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::Grant {
-        let what = request::What::Ask(ask(number, acting, OnLeaseLoss::Keep));
-        match self.client(place).ask_until(&what, LONG).await {
-            Ok(reply::What::Grant(grant)) => grant,
+    async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::LeaseGrant {
+        let what = request::Kind::Lease(ask(number, acting, OnLeaseLoss::Keep));
+        match self.client(place).call_with_retry(&what, LONG).await {
+            Ok(reply::Kind::Lease(grant)) => grant,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Sends a message to a region, and takes its refusal.
-    async fn refused(&self, place: usize, what: request::What) -> wire::Refusal {
-        match self.client(place).ask_until(&what, LONG).await {
-            Err(Fault::Refused(refusal)) => refusal,
+    /// Sends a message to a region, and takes its rejection.
+    async fn refused(&self, place: usize, what: request::Kind) -> wire::Rejection {
+        match self.client(place).call_with_retry(&what, LONG).await {
+            Err(ClientError::Rejected(rejection)) => rejection,
             other => panic!("{other:?}"),
         }
     }
@@ -336,7 +332,7 @@
     HashMap::from([("caja".to_owned(), format!("{POLICY}\n# {number}\n"))])
 }
 
-fn ask(number: u64, acting: u64, cut_off: OnLeaseLoss) -> wire::Ask {
+fn ask(number: u64, acting: u64, cut_off: OnLeaseLoss) -> wire::LeaseRequest {
     let identity = Identity {
         name: "proxy".to_owned(),
         incarnation: 7,
@@ -349,7 +345,7 @@
         rejected_generation: None,
         on_lease_loss: cut_off,
     };
-    wire::Ask::of(ask, "caja")
+    wire::LeaseRequest::new(ask, "caja")
 }
 
 /// The change of all regions that a region tells of.
@@ -362,7 +358,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_of_all_is_in_force_in_both_and_one_of_a_region_in_that_alone() {
+async fn change_of_all_regions_commits_in_both_and_change_of_one_region_only_there() {
     let world = World::with_policy("both", 10_000).await;
     // By way of the region that does not coordinate.
     let done = world.publish(SUR, Scope::All, 2).await;
@@ -420,7 +416,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_before_the_vote_ends_the_change_and_changes_of_one_region_go_on() {
+async fn partition_before_the_vote_aborts_the_change_and_changes_of_one_region_go_on() {
     let world = World::with_policy("cut", 1_000).await;
     world.cut();
     let done = world.publish(NORTE, Scope::All, 2).await;
@@ -469,7 +465,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_voted_waits_for_the_decision_and_takes_it_by_itself() {
+async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
     let mut world = World::with_policy("voted", 1_500).await;
     // The prepare comes through; neither its answer nor any question for the outcome does.
     world.pass_to(SUR, Pass::Free, Pass::Cut);
@@ -482,17 +478,17 @@
     let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
     assert!(stays(&world.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
-    let refusal = world
+    let rejection = world
         .refused(
             SUR,
             publish_request(files(3), world.standing(SUR).await.revision),
         )
         .await;
-    assert_eq!(refusal.code(), refusal::Code::UnderWay);
+    assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
-        refusal.text.contains("waits for region norte"),
+        rejection.message.contains("waits for region norte"),
         "{}",
-        refusal.text
+        rejection.message
     );
     let fault = world
         .control(SUR)
@@ -529,12 +525,12 @@
     );
 }
 
-fn publish_request(files: HashMap<String, String>, revision: u64) -> request::What {
-    request::What::Publish(wire::Publish { files, revision })
+fn publish_request(files: HashMap<String, String>, revision: u64) -> request::Kind {
+    request::Kind::Publish(wire::Publish { files, revision })
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_decision_of_the_cut_is_kept_until_the_other_region_has_it() {
+async fn decision_made_during_a_partition_is_retried_until_it_is_acknowledged() {
     let mut world = cut_after_the_decision("commit").await;
     world.restart(SUR).await;
     world.restart(NORTE).await;
@@ -542,16 +538,16 @@
     assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
     assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
     // Until the other region has it, no further change of all begins.
-    let all = request::What::PublishAll(wire::Publish {
+    let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(3),
         revision: norte.revision,
     });
-    let refusal = world.refused(NORTE, all).await;
-    assert_eq!(refusal.code(), refusal::Code::UnderWay);
+    let rejection = world.refused(NORTE, all).await;
+    assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
-        refusal.text.contains("waits for region sur"),
+        rejection.message.contains("waits for region sur"),
         "{}",
-        refusal.text
+        rejection.message
     );
     world.mend();
     let sur = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
@@ -563,7 +559,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_can_not_take_it_refuses_it_for_all() {
+async fn region_that_rejects_a_change_aborts_it_in_all_regions() {
     let world = World::with_policy("refused", 10_000).await;
     // A proxy that has not told holds a change of this region up.
     world.lease(SUR, 1, 0).await;
@@ -584,75 +580,84 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_for_another_region_are_refused_and_change_nothing() {
+async fn messages_for_another_region_are_rejected_and_change_nothing() {
     let world = World::with_policy("messages", 10_000).await;
     let revision = world.standing(SUR).await.revision;
-    let all = request::What::PublishAll(wire::Publish {
+    let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(2),
         revision,
     });
-    let refusal = world.refused(SUR, all).await;
-    assert_eq!(refusal.code(), refusal::Code::NotCoordinator);
+    let rejection = world.refused(SUR, all).await;
+    assert_eq!(rejection.code(), rejection::Code::NotCoordinator);
     assert_eq!(
-        refusal.replicas,
+        rejection.replicas,
         [world.regions[NORTE][0].between.address.to_string()]
     );
-    // A proxy that means the control of another region gets no lease.
+    rejects_lease_requests_for_another_region(&world).await;
+    rejects_misdirected_or_wrongly_authenticated_messages(&world).await;
+}
+
+async fn rejects_lease_requests_for_another_region(world: &World) {
     let sur: Region = "sur".parse().expect("a name");
     let strayed = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
-    let refusal = world
-        .refused(NORTE, request::What::Ask(strayed.clone()))
+    let rejection = world
+        .refused(NORTE, request::Kind::Lease(strayed.clone()))
         .await;
-    assert_eq!(refusal.code(), refusal::Code::OtherRegion);
+    assert_eq!(rejection.code(), rejection::Code::OtherRegion);
     assert!(
-        refusal.text.contains("\"sur\"") && refusal.text.contains("\"norte\""),
+        rejection.message.contains("\"sur\"") && rejection.message.contains("\"norte\""),
         "{}",
-        refusal.text
+        rejection.message
     );
     let lent = world
         .client(SUR)
-        .ask_until(&request::What::Ask(strayed), LONG)
+        .call_with_retry(&request::Kind::Lease(strayed), LONG)
         .await;
-    assert!(matches!(lent, Ok(reply::What::Grant(_))), "{lent:?}");
-    // A message between regions under the seal of a proxy.
+    assert!(matches!(lent, Ok(reply::Kind::Lease(_))), "{lent:?}");
+}
+
+async fn rejects_misdirected_or_wrongly_authenticated_messages(world: &World) {
+    // A message between regions, authenticated as that of a proxy.
     let named = wire::ChangeRef {
         id: 9,
         coordinator: "norte".to_owned(),
-        number: 9,
+        generation: 9,
     };
     let text = serde_json::to_string(&files(9)).expect("JSON");
     let prepare = wire::Prepare {
         change: Some(named),
         region: "sur".to_owned(),
-        text,
+        policy: text,
     };
-    let refusal = world
-        .refused(SUR, request::What::Prepare(prepare.clone()))
+    let rejection = world
+        .refused(SUR, request::Kind::Prepare(prepare.clone()))
         .await;
-    assert_eq!(refusal.code(), refusal::Code::Bad);
-    // One for another region than the one that it has come to, under the right seal.
-    let secret = Secret::read(&world.folder.path().join("secret")).expect("a secret");
+    assert_eq!(rejection.code(), rejection::Code::Invalid);
+    // One for another region than the one that it has come to, authenticated for its purpose.
+    let secret = SharedSecret::read(&world.folder.path().join("secret")).expect("a secret");
     let norte = world.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
     let fault = leader
-        .ask(&request::What::Prepare(prepare.clone()))
+        .call(&request::Kind::Prepare(prepare.clone()))
         .await
         .expect_err("misdirected");
     assert!(
         fault.to_string().contains("\"sur\"") && fault.to_string().contains("\"norte\""),
         "{fault}"
     );
-    // And a question of a proxy under the seal of a region.
+    // And a request of a proxy, authenticated as a message between regions.
     let asked = leader
-        .ask(&request::What::Status(wire::StatusAsked {}))
+        .call(&request::Kind::Status(wire::StatusRequest {}))
         .await;
-    assert!(matches!(asked, Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Bad));
-    // A change that the coordinator does not know begins, and ends by the coordinator's word.
+    assert!(
+        matches!(asked, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
+    );
+    // A change that the coordinator does not know begins, and the coordinator's outcome aborts it.
     let sur = world.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
-        leader.ask(&request::What::Prepare(prepare)).await,
-        Ok(reply::What::Vote(_))
+        leader.call(&request::Kind::Prepare(prepare)).await,
+        Ok(reply::Kind::Vote(_))
     ));
     let standing = world
         .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
@@ -689,7 +694,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaders_that_die_between_the_steps_leave_the_change_to_the_next_ones() {
+async fn new_leaders_finish_a_change_whose_leaders_died_between_its_steps() {
     let mut world = World::of_replicas("leaders", 3, 10_000).await;
     let (publishing, middle) = waits_for_a_proxy(&world).await;
     world.kill_leader(NORTE).await;
@@ -715,12 +720,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_that_is_lost_for_good_is_taken_out_of_the_files() {
+async fn commit_is_acknowledged_for_a_lost_region_once_it_is_decommissioned() {
     let mut world = cut_after_the_decision("lost-sur").await;
     world.kill(SUR).await;
     world.remove_other(NORTE);
     world.restart(NORTE).await;
-    let acknowledged = |line: &String| line.contains("region sur acknowledged the commit");
+    let acknowledged =
+        |line: &String| line.contains("region acknowledged commit") && line.contains("region=sur");
     let end = Instant::now() + LONG;
     while !world.log(NORTE).iter().any(acknowledged) {
         assert!(Instant::now() < end, "{:?}", world.log(NORTE));
@@ -734,7 +740,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_whose_coordinator_is_lost_for_good_is_given_up_by_hand() {
+async fn change_of_a_lost_coordinator_is_aborted_by_an_operator() {
     let mut world = cut_after_the_decision("lost-norte").await;
     world
         .control(SUR)
@@ -766,7 +772,7 @@
 const STORE_BYTES_MOST: usize = 1 << 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_of_a_version_without_regions_goes_on_as_that_of_a_region() {
+async fn store_of_a_version_without_regions_continues_as_that_of_a_region() {
     let folder = Folder::new("regions-older").expect("a folder");
     let store = zstd::bulk::decompress(STORE_WITHOUT_REGIONS, STORE_BYTES_MOST).expect("a store");
     std::fs::write(folder.path().join("store-norte-1"), store).expect("a file");
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -1,6 +1,8 @@
-//! Between the messages of two regions as they travel and as the decisions know them.
+//! Conversions between the messages that pass between regions, as the schema and as [`badgerramp_policy::regions`] have
+//! them.
 
 use crate::wire::{self, outcome_reply, request, vote_reply};
+use crate::InvalidMessage;
 use badgerramp_policy::regions::{
     ChangeId, ChangeRef, Commit, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
     Vote, VoteReply,
@@ -12,108 +14,117 @@
         wire::ChangeRef {
             id: own.id.0,
             coordinator: own.coordinator.into(),
-            number: own.generation.0,
+            generation: own.generation.0,
         }
     }
 }
 
-impl wire::ChangeRef {
-    /// What the decisions take; `None` if it names no region.
-    pub fn read(&self) -> Option<ChangeRef> {
-        Some(ChangeRef {
-            id: ChangeId(self.id),
-            coordinator: self.coordinator.parse().ok()?,
-            generation: Generation(self.number),
+impl TryFrom<wire::ChangeRef> for ChangeRef {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::ChangeRef) -> Result<Self, InvalidMessage> {
+        Ok(ChangeRef {
+            id: ChangeId(wire.id),
+            coordinator: wire.coordinator.parse()?,
+            generation: Generation(wire.generation),
         })
     }
 }
 
-/// A coordinator's message to this participant.
-pub fn to_participant(region: &Region, request: Request) -> request::What {
+fn required_change(change: Option<wire::ChangeRef>) -> Result<ChangeRef, InvalidMessage> {
+    change.ok_or(InvalidMessage::Missing("change"))?.try_into()
+}
+
+/// The request that carries a coordinator's message to this participant.
+pub fn participant_request(region: &Region, request: Request) -> request::Kind {
     let region = region.to_string();
     match request {
-        Request::Prepare(Prepare { change, text }) => request::What::Prepare(wire::Prepare {
+        Request::Prepare(Prepare { change, text }) => request::Kind::Prepare(wire::Prepare {
             change: Some(change.into()),
             region,
-            text,
+            policy: text,
         }),
-        Request::Commit(Commit { change }) => request::What::Commit(wire::Commit {
+        Request::Commit(Commit { change }) => request::Kind::Commit(wire::Commit {
             change: Some(change.into()),
             region,
         }),
     }
 }
 
-/// A participant's question to this coordinator.
-pub fn to_coordinator(coordinator: &Region, asked: OutcomeRequest) -> request::What {
-    request::What::Outcome(wire::OutcomeAsked {
+/// The request that carries a participant's question about an outcome to this coordinator.
+pub fn coordinator_request(coordinator: &Region, asked: OutcomeRequest) -> request::Kind {
+    request::Kind::Outcome(wire::OutcomeRequest {
         id: asked.id.0,
         region: asked.region.into(),
         coordinator: coordinator.to_string(),
     })
 }
 
-impl wire::Prepare {
-    /// What the decisions take; `None` if it names no change.
-    pub fn read(self) -> Option<Prepare> {
-        Some(Prepare {
-            change: self.change?.read()?,
-            text: self.text,
+impl TryFrom<wire::Prepare> for Prepare {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::Prepare) -> Result<Self, InvalidMessage> {
+        Ok(Prepare {
+            change: required_change(wire.change)?,
+            text: wire.policy,
         })
     }
 }
 
-impl wire::Commit {
-    /// What the decisions take; `None` if it names no change.
-    pub fn read(self) -> Option<Commit> {
-        Some(Commit {
-            change: self.change?.read()?,
+impl TryFrom<wire::Commit> for Commit {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::Commit) -> Result<Self, InvalidMessage> {
+        Ok(Commit {
+            change: required_change(wire.change)?,
         })
     }
 }
 
-impl wire::OutcomeAsked {
-    /// What the decisions take; `None` if it names no region.
-    pub fn read(self) -> Option<OutcomeRequest> {
-        Some(OutcomeRequest {
-            id: ChangeId(self.id),
-            region: self.region.parse().ok()?,
+impl TryFrom<wire::OutcomeRequest> for OutcomeRequest {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::OutcomeRequest) -> Result<Self, InvalidMessage> {
+        Ok(OutcomeRequest {
+            id: ChangeId(wire.id),
+            region: wire.region.parse()?,
         })
     }
 }
 
 impl From<VoteReply> for wire::VoteReply {
     fn from(own: VoteReply) -> Self {
-        use vote_reply::Vote as On;
-        let (vote, why) = match own.vote {
-            Vote::Preparing => (On::Preparing, String::new()),
-            Vote::Prepared => (On::Prepared, String::new()),
-            Vote::Rejected { reason: why } => (On::Refused, why),
-            Vote::Committed => (On::InForce, String::new()),
-            Vote::Aborted => (On::NotInForce, String::new()),
+        let (vote, reason) = match own.vote {
+            Vote::Preparing => (vote_reply::Vote::Preparing, String::new()),
+            Vote::Prepared => (vote_reply::Vote::Prepared, String::new()),
+            Vote::Rejected { reason } => (vote_reply::Vote::Rejected, reason),
+            Vote::Committed => (vote_reply::Vote::Committed, String::new()),
+            Vote::Aborted => (vote_reply::Vote::Aborted, String::new()),
         };
         wire::VoteReply {
             id: own.id.0,
             vote: vote.into(),
-            why,
+            reason,
         }
     }
 }
 
-impl wire::VoteReply {
-    /// What the decisions take; `None` if it holds no vote that this version knows.
-    pub fn read(self) -> Option<VoteReply> {
-        use vote_reply::Vote as On;
-        let vote = match self.vote() {
-            On::Unspecified => return None,
-            On::Preparing => Vote::Preparing,
-            On::Prepared => Vote::Prepared,
-            On::Refused => Vote::Rejected { reason: self.why },
-            On::InForce => Vote::Committed,
-            On::NotInForce => Vote::Aborted,
+impl TryFrom<wire::VoteReply> for VoteReply {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::VoteReply) -> Result<Self, InvalidMessage> {
+        let vote = match wire.vote() {
+            vote_reply::Vote::Unspecified => return Err(InvalidMessage::UnknownValue("vote")),
+            vote_reply::Vote::Preparing => Vote::Preparing,
+            vote_reply::Vote::Prepared => Vote::Prepared,
+            vote_reply::Vote::Rejected => Vote::Rejected {
+                reason: wire.reason,
+            },
+            vote_reply::Vote::Committed => Vote::Committed,
+            vote_reply::Vote::Aborted => Vote::Aborted,
         };
-        Some(VoteReply {
-            id: ChangeId(self.id),
+        Ok(VoteReply {
+            id: ChangeId(wire.id),
             vote,
         })
     }
@@ -121,11 +132,10 @@
 
 impl From<OutcomeReply> for wire::OutcomeReply {
     fn from(own: OutcomeReply) -> Self {
-        use outcome_reply::Decision as On;
         let decision = match own.decision {
-            Decision::Pending => On::Open,
-            Decision::Committed => On::InForce,
-            Decision::Aborted => On::NotInForce,
+            Decision::Pending => outcome_reply::Decision::Pending,
+            Decision::Committed => outcome_reply::Decision::Committed,
+            Decision::Aborted => outcome_reply::Decision::Aborted,
         };
         wire::OutcomeReply {
             id: own.id.0,
@@ -134,18 +144,20 @@
     }
 }
 
-impl wire::OutcomeReply {
-    /// What the decisions take; `None` if it holds no decision that this version knows.
-    pub fn read(self) -> Option<OutcomeReply> {
-        use outcome_reply::Decision as On;
-        let decision = match self.decision() {
-            On::Unspecified => return None,
-            On::Open => Decision::Pending,
-            On::InForce => Decision::Committed,
-            On::NotInForce => Decision::Aborted,
+impl TryFrom<wire::OutcomeReply> for OutcomeReply {
+    type Error = InvalidMessage;
+
+    fn try_from(wire: wire::OutcomeReply) -> Result<Self, InvalidMessage> {
+        let decision = match wire.decision() {
+            outcome_reply::Decision::Unspecified => {
+                return Err(InvalidMessage::UnknownValue("decision"))
+            }
+            outcome_reply::Decision::Pending => Decision::Pending,
+            outcome_reply::Decision::Committed => Decision::Committed,
+            outcome_reply::Decision::Aborted => Decision::Aborted,
         };
-        Some(OutcomeReply {
-            id: ChangeId(self.id),
+        Ok(OutcomeReply {
+            id: ChangeId(wire.id),
             decision,
         })
     }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -3,7 +3,7 @@
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_fault_injection::process::Folder;
 use badgerramp_testkit::{Host, Message, Proxy, LONG};
 use std::collections::HashMap;
@@ -33,11 +33,11 @@
             replicas: [(1, address)].into(),
             listen: address,
             store,
-            secret: Secret::read(&folder.path().join("secret")).expect("a secret"),
-            lease: Duration::from_millis(500),
-            drift: Duration::from_millis(10),
-            wait: Duration::from_secs(5),
-            election: Duration::from_millis(200),
+            secret: SharedSecret::read(&folder.path().join("secret")).expect("a secret"),
+            lease_duration: Duration::from_millis(500),
+            max_clock_drift: Duration::from_millis(10),
+            change_timeout: Duration::from_secs(5),
+            election_timeout: Duration::from_millis(200),
             regions: None,
         };
         let (stop, stopped) = oneshot::channel::<()>();
@@ -45,7 +45,7 @@
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
                 .build();
-            let served = badgerramp_control_plane::serve::run(settings, async move {
+            let served = badgerramp_control_plane::server::run(settings, async move {
                 let _ = stopped.await;
             });
             runtime
