--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -55,7 +55,7 @@
     ) {
         self.balancer.handle(now, event, actions);
         for action in actions.drain(..) {
-            commands.extend(self.command(action));
+            commands.extend(self.command(&action));
         }
     }
 
@@ -154,9 +154,9 @@
     }
 
     /// The wire's form of an action. `None`: it is of a call that is forgotten already.
-    fn command(&mut self, action: Action) -> Option<Command> {
+    fn command(&mut self, action: &Action) -> Option<Command> {
         let proxy = self.proxy;
-        Some(match action {
+        Some(match *action {
             Action::Send {
                 call,
                 endpoint: EndpointId(host),
@@ -195,7 +195,7 @@
                 proxy,
                 enable: true,
             },
-            Action::Log { event } => Command::Trace {
+            Action::Log { ref event } => Command::Trace {
                 proxy,
                 note_text: event.to_string(),
             },
