--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -30,7 +30,7 @@
     },
     /// The settings of a new instance are malformed.
     #[error("facts: {0}")]
-    Settings(String),
+    Settings(#[source] badgerramp_decisions::settings::SettingsError),
     /// An endpoint list update is of no known kind.
     #[error("MEMBERS with unknown scope {0}")]
     UnknownScope(i64),
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -92,8 +92,7 @@
     let facts = input.facts.take();
     let facts = input.need(facts, "facts")?;
     let seed = input.need(input.seed, "seed")?;
-    let platform =
-        settings::read(&facts).map_err(|error| AdapterError::Settings(error.to_string()))?;
+    let platform = settings::read(&facts).map_err(AdapterError::Settings)?;
     Ok(Instance::new(proxy, seed, platform))
 }
 
--- a/crates/decisions/src/api/call_class.rs
+++ b/crates/decisions/src/api/call_class.rs
@@ -47,7 +47,8 @@
 }
 
 /// When a hedged request may be sent: a second attempt while the first is in flight. Whether it may
-/// at all is up to the class ([`Idempotency`]) and the site ([`Limits::hedging`]).
+/// at all is up to the class ([`Idempotency`]) and the site
+/// ([`Limits::hedging`](super::Limits::hedging)).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedge {
     /// As late as can still be in time.
