--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -685,7 +685,7 @@
     }
 }
 
-/// DiagnosticSink a route that can take a request under `prefix` by a class that is too lax for it; unless a route before it
+/// Notes a route that can take a request under `prefix` by a class that is too lax for it; unless a route before it
 /// takes all of those.
 fn lax(
     report: &mut Report,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1101,7 +1101,7 @@
     }
 }
 
-/// DiagnosticSink a second use of what must be one's own.
+/// Notes a second use of what must be one's own.
 fn twice(
     notes: &mut DiagnosticSink,
     seen: &mut HashMap<String, Span>,
