--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/judge.rs
@@ -151,7 +151,7 @@
         match fault {
             Violation::MixedGenerations { .. } => verdict.begun_mixed += 1,
             Violation::AbortedGeneration(_) | Violation::BehindCommitted { .. } => {
-                verdict.begun_wrong += 1
+                verdict.begun_wrong += 1;
             }
         }
         first.get_or_insert_with(|| format!("{} at {}: {fault:?}", line.request, line.at));
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -47,7 +47,7 @@
         match entry.status {
             EndpointStatus::Ready => {
                 view.subset
-                    .add(entry.endpoint.0, name, entry.zone == view.settings.zone)
+                    .add(entry.endpoint.0, name, entry.zone == view.settings.zone);
             }
             _ => view.subset.remove(entry.endpoint.0),
         }
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -54,7 +54,7 @@
         assert_eq!(
             own.decode(DatagramKind::Message, &datagram[..n]),
             Err(DecodeError::Malformed)
-        )
+        );
     });
 }
 
--- a/crates/proxy/src/net/upstream/pool.rs
+++ b/crates/proxy/src/net/upstream/pool.rs
@@ -106,7 +106,7 @@
         let max_idle_time = self.max_idle_time();
         let mut idle = self.idle.borrow_mut();
         idle.values_mut().for_each(|connections| {
-            connections.retain(|connection| connection.idle_since + max_idle_time > now)
+            connections.retain(|connection| connection.idle_since + max_idle_time > now);
         });
         idle.retain(|_, connections| !connections.is_empty());
     }
