--- a/crates/gossip/src/packed_list.rs
+++ b/crates/gossip/src/packed_list.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Why the parts of a list do not make the list that their version tells.
+/// Why the parts of a list do not make the list that their version names.
 #[derive(Debug, Error)]
 pub enum UnpackError {
     /// The bytes can't be decompressed.
@@ -122,7 +122,7 @@
     /// The list, once no part is missing.
     ///
     /// # Errors
-    /// If the parts do not make the list that the version tells.
+    /// If the parts do not make the list that the version names.
     pub fn unpack(&self) -> Option<Result<EndpointList, UnpackError>> {
         (self.missing == 0).then(|| self.decode())
     }
--- a/crates/gossip/src/peer/interface.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -165,7 +165,7 @@
     pub accepted: u64,
     /// Messages that could not be decoded.
     pub malformed: u64,
-    /// Lists whose parts did not make the list that their version tells.
+    /// Lists whose parts did not make the list that their version names.
     #[serde(rename = "torn")]
     pub checksum_mismatch: u64,
     /// Polls of the list service.
--- a/crates/gossip/src/peer/poll.rs
+++ b/crates/gossip/src/peer/poll.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The message that tells peers of a new list: what changed, else the list, else its version, whichever fits first.
+    /// The message that tells peers of a new list: what has changed, else the list, else its version: the first that fits.
     fn encode_news(
         &mut self,
         now: Micros,
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -53,7 +53,7 @@
         }))
     }
 
-    /// The message with the whole own list, if it has only one part.
+    /// The message with the complete own list, if it has only one part.
     pub(super) fn single_part_message(&self) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         if packed.parts() == 1 {
--- a/crates/gossip/src/polling/scheduler.rs
+++ b/crates/gossip/src/polling/scheduler.rs
@@ -19,10 +19,10 @@
 /// A proxy that stopped polling because all its polls failed does not take over again for this time.
 pub(super) const TAKEOVER_PAUSE: Micros = 30_000_000;
 
-/// Greatest number of consecutive failures that a status tells.
+/// Greatest number of consecutive failures that a status reports.
 const MAX_FAILURES: u32 = 1_000;
 
-/// Greatest latency of the service that a status tells, in milliseconds.
+/// Greatest latency of the service that a status reports, in milliseconds.
 const MAX_LATENCY_MS: Micros = 60_000;
 
 /// Decides when one proxy polls the list service.
--- a/crates/gossip/src/polling/status.rs
+++ b/crates/gossip/src/polling/status.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Most statuses in one message: further pollers need not be told apart.
+/// Most statuses in one message: further pollers make no difference.
 pub const MAX_STATUSES: usize = 8;
 
 /// Consecutive failures after which a poller counts as unreachable: partitioned from the service.
--- a/crates/gossip/src/simulation/service.rs
+++ b/crates/gossip/src/simulation/service.rs
@@ -28,7 +28,7 @@
         self.index += 1;
     }
 
-    /// The index that the service tells, which is an older one while it is stale.
+    /// The index that the service reports, which is an older one while it is stale.
     pub(super) fn index(&self, now: Micros, config: &SimConfig) -> u64 {
         self.index.saturating_sub(config.stale_versions(now)).max(1)
     }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -4,7 +4,7 @@
 //!
 //! - `datagram`: the layout and the authentication of datagrams.
 //! - `convert`: endpoints as entries of the gossiped list.
-//! - `events`: what the log tells.
+//! - `events`: the log events.
 //! - `query`: the status of a running proxy, for operators.
 
 mod convert;
@@ -58,7 +58,7 @@
 /// How a poll of the list service ended, and the connection that it leaves open.
 struct PollResult {
     link: Option<Link>,
-    /// An error tells how long the service asked the proxy to stay away.
+    /// The error is how long the service asked the proxy to stay away (`Retry-After`).
     answer: Result<PollAnswer, Option<Duration>>,
 }
 
--- a/crates/proxy/src/net/peers/datagram.rs
+++ b/crates/proxy/src/net/peers/datagram.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// The kind of a received datagram: a status request, or else, as far as can be told before it is decoded, a message.
+/// The kind of a received datagram: a status request, or else, until it is decoded, a message.
 pub(super) fn received_kind(bytes: &[u8]) -> DatagramKind {
     if bytes.get(1) == Some(&(DatagramKind::StatusRequest as u8)) {
         DatagramKind::StatusRequest
--- a/crates/proxy/src/net/peers/events.rs
+++ b/crates/proxy/src/net/peers/events.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a peer.
+//! The log events of a peer.
 
 use badgerramp_gossip::peer::PeerEvent;
 
--- a/crates/proxy/src/net/peers/query.rs
+++ b/crates/proxy/src/net/peers/query.rs
@@ -11,7 +11,7 @@
 /// Greatest size of a reply in bytes: it is larger than any message between proxies.
 const MAX_REPLY_SIZE: usize = 60_000;
 
-/// What a running proxy tells of its peers.
+/// The report of a running proxy on its peers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReport {
     /// What it knows.
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn strange_datagrams_are_told_apart() {
+fn altered_and_foreign_datagrams_are_rejected() {
     let own = codec("0123456789abcdef", "north");
     let sent = Datagram {
         sender: 7,
@@ -50,16 +50,16 @@
         own.decode(DatagramKind::Message, &[&[2], &datagram[1..]].concat()),
         Err(DecodeError::Malformed)
     );
-    (0..HEADER_LEN).for_each(|n| {
+    for length in 0..HEADER_LEN {
         assert_eq!(
-            own.decode(DatagramKind::Message, &datagram[..n]),
+            own.decode(DatagramKind::Message, &datagram[..length]),
             Err(DecodeError::Malformed)
-        )
-    });
+        );
+    }
 }
 
 #[test]
-fn entries_go_there_and_back() {
+fn endpoints_convert_to_entries_and_back() {
     let text = r#"{"name":"s","address":"10.0.0.1:9","zone":"a","type":"m2","group":3,"status":"draining","weight":1.5,"since_ms":7}"#;
     let one: Endpoint = serde_json::from_str(text).expect("an entry");
     let change = EndpointChange::from(one);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_counts_of_rejected_datagrams_keep_their_bytes() {
+fn counters_of_rejected_datagrams_keep_their_bytes() {
     let counts = RejectedDatagrams {
         malformed: 1,
         unauthenticated: 2,
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_report_printed_as_json_keeps_its_keys() {
+fn report_printed_as_json_keeps_its_keys() {
     let own = Member {
         address: "127.0.0.1:7946".parse().expect("an address"),
         id: PeerId(7),
