--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -48,11 +48,11 @@
             replicas: [(1, address)].into(),
             listen: address,
             store: folder.join("store"),
-            secret: badgerramp_control_protocol::Secret::read(&secret)?,
-            lease: Duration::from_secs(10),
-            drift: Duration::from_millis(21),
-            wait: Duration::from_secs(60),
-            election: Duration::from_millis(500),
+            secret: badgerramp_control_protocol::SharedSecret::read(&secret)?,
+            lease_duration: Duration::from_secs(10),
+            max_clock_drift: Duration::from_millis(21),
+            change_timeout: Duration::from_secs(60),
+            election_timeout: Duration::from_millis(500),
             regions: None,
         };
         std::thread::spawn(move || {
@@ -60,10 +60,11 @@
                 .enable_all()
                 .build();
             let served = runtime.map_err(|e| e.to_string()).and_then(|r| {
-                r.block_on(badgerramp_control_plane::serve::run(
+                r.block_on(badgerramp_control_plane::server::run(
                     settings,
                     std::future::pending(),
                 ))
+                .map_err(|e| e.to_string())
             });
             if let Err(fault) = served {
                 eprintln!("control: {fault}");
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,9 +1,9 @@
 //! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
-use badgerramp_control_plane::store::{self, Store};
-use badgerramp_control_protocol::wire::{refusal, reply, request, Publish, StatusAsked};
-use badgerramp_control_protocol::{Client, Fault, Secret};
+use badgerramp_control_plane::store::{Store, StoreError};
+use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
+use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use openraft::storage::RaftLogStorage;
@@ -94,7 +94,7 @@
     }
 
     fn client(&self) -> Client {
-        let secret = Secret::read(&self.folder.path().join("secret")).expect("a secret");
+        let secret = SharedSecret::read(&self.folder.path().join("secret")).expect("a secret");
         Client::new(self.addresses(), secret, Duration::from_secs(5))
     }
 }
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_that_dies_takes_nothing_with_it() {
+async fn committed_changes_survive_the_death_of_the_leader() {
     let mut replicas = Replicas::start("leader", 3).await;
     for number in 1..=3 {
         let revision = replicas
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_was_answered_holds_over_kills_at_any_moment() {
+async fn acknowledged_changes_survive_kills_at_any_moment() {
     let mut replicas = Replicas::start("kills", 1).await;
     let mut answered = 0;
     for round in 0..12_u64 {
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_disk_is_told_and_loses_nothing_that_was_answered() {
+async fn full_disk_is_reported_and_loses_no_acknowledged_change() {
     let mut replicas = Replicas::start("full", 1).await;
     let store = replicas.folder.path().join("store-1");
     replicas.all[0].kill().await;
@@ -212,13 +212,13 @@
         }
         let large = format!("{POLICY}\n# {answered}\n{}", "# room\n".repeat(20_000));
         let files = HashMap::from([("caja".to_owned(), large)]);
-        let publish = request::What::Publish(Publish {
+        let publish = request::Kind::Publish(Publish {
             files,
             revision: answered,
         });
         let mut client = replicas.client();
-        match tokio::time::timeout(Duration::from_secs(10), client.ask(&publish)).await {
-            Ok(Ok(reply::What::Begun(_))) => {
+        match tokio::time::timeout(Duration::from_secs(10), client.call(&publish)).await {
+            Ok(Ok(reply::Kind::ChangeStarted(_))) => {
                 // The next is published beside what has come of this one.
                 let mut control = replicas.control();
                 match tokio::time::timeout(Duration::from_secs(10), control.standing()).await {
@@ -242,21 +242,15 @@
     );
 }
 
-async fn state(path: &Path) -> Result<String, store::Fault> {
+async fn state(path: &Path) -> Result<String, Box<dyn std::error::Error>> {
     let mut store = Store::open(path, 1)?;
-    let log = store
-        .get_log_state()
-        .await
-        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
-    let vote = store
-        .read_vote()
-        .await
-        .map_err(|e| store::Fault::Damaged(e.to_string()))?;
+    let log = store.get_log_state().await?;
+    let vote = store.read_vote().await?;
     Ok(format!("{log:?} {vote:?} {:?}", store.record()))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_was_cut_or_flipped_is_the_same_or_none() {
+async fn truncated_or_corrupted_store_opens_unchanged_or_is_rejected() {
     let mut replicas = Replicas::start("store", 1).await;
     for number in 1..=3 {
         let revision = replicas
@@ -277,11 +271,11 @@
     let bytes = std::fs::read(&path).expect("a file");
     assert!(matches!(
         Store::open(&path, 2),
-        Err(store::Fault::Foreign(1))
+        Err(StoreError::OtherReplica(1))
     ));
     assert!(matches!(
         Store::create(&path, 1),
-        Err(store::Fault::Present)
+        Err(StoreError::AlreadyExists)
     ));
     let copy = replicas.folder.path().join("copy");
     let (mut refused, mut same) = (0, 0);
@@ -306,51 +300,53 @@
     }
     assert!(refused > 0 && same > 0, "{refused} {same}");
     std::fs::remove_file(&copy).expect("a file");
-    assert!(matches!(state(&copy).await, Err(store::Fault::Missing)));
+    let missing = state(&copy).await.expect_err("it was removed");
+    assert!(matches!(missing.downcast_ref(), Some(StoreError::Missing)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_can_not_be_used_is_refused_and_changes_nothing() {
+async fn invalid_requests_are_rejected_and_change_nothing() {
     let replicas = Replicas::start("bad", 1).await;
     let refused = async |files: HashMap<String, String>, revision: u64| {
-        let publish = request::What::Publish(Publish { files, revision });
-        match replicas.client().ask_until(&publish, LONG).await {
-            Err(Fault::Refused(refusal)) => (refusal.code(), refusal.text),
+        let publish = request::Kind::Publish(Publish { files, revision });
+        match replicas.client().call_with_retry(&publish, LONG).await {
+            Err(ClientError::Rejected(rejection)) => (rejection.code(), rejection.message),
             other => panic!("{other:?}"),
         }
     };
     let none = POLICY.replace("attempts = 3", "attempts = 0");
     let (code, text) = refused(HashMap::from([("caja".to_owned(), none)]), 0).await;
-    assert_eq!(code, refusal::Code::Bad);
+    assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("caja.toml") && text.contains("attempts") && text.contains("found 0"),
         "{text}"
     );
     let (code, text) = refused(HashMap::from([("a".to_owned(), "#".repeat(1 << 21))]), 0).await;
-    assert_eq!(code, refusal::Code::Bad);
+    assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("allowed are 1 to 4096 of 1048576 bytes"),
         "{text}"
     );
-    assert_eq!(refused(HashMap::new(), 0).await.0, refusal::Code::Bad);
+    assert_eq!(refused(HashMap::new(), 0).await.0, rejection::Code::Invalid);
     // Looked at beside what is no more.
-    assert_eq!(refused(files(2), 7).await.0, refusal::Code::Moved);
+    assert_eq!(refused(files(2), 7).await.0, rejection::Code::Conflict);
 
     replicas
         .folder
         .write("other", "another secret, as long", true)
         .expect("a file");
-    let other = Secret::read(&replicas.folder.path().join("other")).expect("a secret");
+    let other = SharedSecret::read(&replicas.folder.path().join("other")).expect("a secret");
     let mut stranger = Client::new(replicas.addresses(), other, Duration::from_secs(5));
-    let publish = request::What::Publish(Publish {
+    let publish = request::Kind::Publish(Publish {
         files: files(2),
         revision: 0,
     });
-    let fault = stranger.ask(&publish).await.expect_err("no admittance");
+    let fault = stranger.call(&publish).await.expect_err("no admittance");
     assert!(fault.to_string().contains("another secret"), "{fault}");
 
-    let status = request::What::Status(StatusAsked {});
-    let Ok(reply::What::Status(status)) = replicas.client().ask_until(&status, LONG).await else {
+    let status = request::Kind::Status(StatusRequest {});
+    let Ok(reply::Kind::Status(status)) = replicas.client().call_with_retry(&status, LONG).await
+    else {
         panic!("no status")
     };
     assert_eq!(
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -3,14 +3,14 @@
 use super::datagram::{Datagram, DatagramKind, DecodeError, HEADER_LEN};
 use super::{DatagramCodec, RejectedDatagrams, StatusReport};
 use crate::net::driver::Endpoint;
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_gossip::endpoint_list::EndpointChange;
 use badgerramp_gossip::peer::{Input, Member, Peer, PeerConfig, PollAnswer};
 use badgerramp_gossip::polling::PeerId;
 
 fn codec(secret: &str, fleet: &str) -> DatagramCodec {
     DatagramCodec::new(
-        Secret::new(secret.as_bytes()).expect("a secret"),
+        SharedSecret::new(secret.as_bytes()).expect("a secret"),
         fleet.to_owned(),
     )
 }
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -8,7 +8,7 @@
 use crate::policy_client::PolicyClient;
 use crate::program::{self, Fault, Members, Running, Setup};
 use badgerramp_config::{Config, PeersTerms, Use};
-use badgerramp_control_protocol::Secret;
+use badgerramp_control_protocol::SharedSecret;
 use badgerramp_decisions::settings::{PlatformSettings, Transport};
 use badgerramp_decisions::ListUpdateKind;
 use std::collections::HashMap;
@@ -142,7 +142,7 @@
 
 /// The codec of a fleet's datagrams.
 pub(crate) fn codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
-    let secret = Secret::read(&terms.secret)
+    let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
@@ -188,7 +188,7 @@
     setup.peers = peers;
     let reload = move |running: &Running| {
         let config = reread(&path)?;
-        let old = Rc::clone(&running.front.rules.borrow());
+        let old = Rc::clone(&running.server.rules.borrow());
         let Rules::Sidecar(old) = &*old else {
             return Err("this is no sidecar".to_owned());
         };
@@ -201,8 +201,11 @@
             .driver
             .reconfigure(settings, fresh, config.limits.open_calls);
         follow(&config, &mut known, running);
-        running.front.advice.set(config.limits.retry_after);
-        *running.front.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
+        running
+            .server
+            .default_retry_after
+            .set(config.limits.retry_after);
+        *running.server.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
             config,
             numbers,
             seed(),
@@ -276,7 +279,7 @@
 
 fn reread(path: &Path) -> Result<Config, String> {
     load(path).map_err(|fault| match fault {
-        Fault::Mistakes(mistakes) => mistakes.line(),
+        Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
         Fault::Other(fault) => fault,
     })
 }
