--- a/crates/control-plane/src/leader/leases.rs
+++ b/crates/control-plane/src/leader/leases.rs
@@ -121,7 +121,7 @@
         ProxyView {
             blockers,
             sessions: sessions
-                .map(|(identity, revision, _)| (identity.clone(), revision))
+                .map(|session| (session.identity.clone(), session.active_revision))
                 .collect(),
         }
     }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -75,6 +75,15 @@
     }
 }
 
+/// A proxy that the leader has granted a lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProxySession<'a> {
+    /// The proxy.
+    pub identity: &'a Identity,
+    /// The revision that it has confirmed; it serves under none older.
+    pub active_revision: u64,
+}
+
 /// Why a request is not granted a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDenial {
@@ -260,12 +269,13 @@
         expiries.min()
     }
 
-    /// The proxies that were granted a lease: the proxy, the revision that it serves under, and when its last lease
-    /// expires.
-    pub fn sessions(&self) -> impl Iterator<Item = (&Identity, u64, Option<Micros>)> {
-        self.sessions.iter().map(|(identity, session)| {
-            let expires_at = session.expiries.values().max().copied();
-            (identity, session.active_revision, expires_at)
-        })
+    /// The proxies that this leader has granted a lease.
+    pub fn sessions(&self) -> impl Iterator<Item = ProxySession<'_>> {
+        self.sessions
+            .iter()
+            .map(|(identity, session)| ProxySession {
+                identity,
+                active_revision: session.active_revision,
+            })
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,7 +58,9 @@
     Admission, GrantResult, Lease, LeaseGrant, LeaseHolder, LeaseHolderConfig, LeaseRequest,
     NotAdmitted, OnLeaseLoss, RejectedGeneration,
 };
-pub use leases::{BlockReason, Blocker, GrantOutcome, LeaseConfig, LeaseDenial, Leases};
+pub use leases::{
+    BlockReason, Blocker, GrantOutcome, LeaseConfig, LeaseDenial, Leases, ProxySession,
+};
 pub use mode::{Generation, Mode};
 pub use next_command::{next_command, ChangeTimeouts};
 pub use record::{LeaselessProxy, Record};
