--- a/crates/decisions/tests/call_policy.rs
+++ b/crates/decisions/tests/call_policy.rs
@@ -1,10 +1,10 @@
-//! What an operator sets for one call: attempts, times, second copies, and what may go again.
+//! The policy that an operator sets for one call: attempts, timeouts, hedged requests and retries.
 
 mod common;
 use badgerramp_decisions::*;
 use common::*;
 
-fn with_copies(repeat: Idempotency) -> Settings {
+fn with_hedging(repeat: Idempotency) -> Settings {
     let limits = Limits {
         hedging: true,
         max_attempts: 5,
@@ -16,7 +16,7 @@
     }
 }
 
-fn call_with(proxy: &mut Proxy, number: u64, terms: CallPolicy) -> (CallId, Vec<Action>) {
+fn call_with_policy(proxy: &mut Proxy, number: u64, terms: CallPolicy) -> (CallId, Vec<Action>) {
     let call = CallId(1_000 + number);
     let (class, time_left) = (ClassId(0), 1_200 * MS);
     (
@@ -32,7 +32,7 @@
     )
 }
 
-fn until(actions: &[Action]) -> Option<Micros> {
+fn attempt_deadline(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| {
         if let Action::Send {
             attempt_deadline: until,
@@ -46,7 +46,7 @@
     })
 }
 
-fn wake(actions: &[Action]) -> Micros {
+fn wake_after(actions: &[Action]) -> Micros {
     let after = actions.iter().find_map(|a| {
         if let Action::Wake { after } = a {
             Some(*after)
@@ -61,7 +61,7 @@
 fn a_call_has_as_many_attempts_as_its_policy_allows() {
     for most in 1..=4 {
         let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 6);
-        let (call, actions) = call_with(
+        let (call, actions) = call_with_policy(
             &mut proxy,
             0,
             CallPolicy {
@@ -73,7 +73,7 @@
         let mut count = 1;
         while count <= 5 {
             let actions = proxy.end(call, count - 1, Outcome::Error, 1);
-            if refused(&actions, call) {
+            if rejected(&actions, call) {
                 break;
             }
             count += sent(&actions).len() as u32;
@@ -102,11 +102,11 @@
         hedge: Hedge::After(10 * MS),
         ..CallPolicy::default()
     };
-    let (call, actions) = call_with(&mut proxy, 0, terms);
+    let (call, actions) = call_with_policy(&mut proxy, 0, terms);
     assert_eq!(sent(&actions).len(), 1);
-    assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no second copy");
+    assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no hedged request");
     assert!(
-        refused(&proxy.end(call, 0, Outcome::Error, 1), call),
+        rejected(&proxy.end(call, 0, Outcome::Error, 1), call),
         "no second attempt"
     );
 }
@@ -114,7 +114,7 @@
 #[test]
 fn an_attempt_times_out_at_its_own_timeout_or_the_objective() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    let (_, actions) = call_with(
+    let (_, actions) = call_with_policy(
         &mut proxy,
         0,
         CallPolicy {
@@ -122,8 +122,8 @@
             ..CallPolicy::default()
         },
     );
-    assert_eq!(until(&actions), Some(proxy.now + 70 * MS));
-    let (_, actions) = call_with(
+    assert_eq!(attempt_deadline(&actions), Some(proxy.now + 70 * MS));
+    let (_, actions) = call_with_policy(
         &mut proxy,
         1,
         CallPolicy {
@@ -132,16 +132,16 @@
         },
     );
     assert_eq!(
-        until(&actions),
+        attempt_deadline(&actions),
         Some(proxy.now + 500 * MS),
-        "its aim comes first"
+        "its objective comes first"
     );
 }
 
 #[test]
 fn a_retry_waits_for_its_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    let (call, _) = call_with(
+    let (call, _) = call_with_policy(
         &mut proxy,
         0,
         CallPolicy {
@@ -154,7 +154,7 @@
     assert!(sent(&proxy.wait(39 * MS)).is_empty(), "still");
     assert_eq!(sent(&proxy.wait(MS)).len(), 1);
     // One that could not be served in time after its pause is given up before it.
-    let (late, _) = call_with(
+    let (late, _) = call_with_policy(
         &mut proxy,
         1,
         CallPolicy {
@@ -162,13 +162,13 @@
             ..CallPolicy::default()
         },
     );
-    assert!(refused(&proxy.end(late, 0, Outcome::Error, 1), late));
+    assert!(rejected(&proxy.end(late, 0, Outcome::Error, 1), late));
 }
 
 #[test]
 fn a_client_that_disconnects_ends_a_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    let (call, _) = call_with(
+    let (call, _) = call_with_policy(
         &mut proxy,
         0,
         CallPolicy {
@@ -187,16 +187,16 @@
         (Idempotency::Idempotent, 1),
         (Idempotency::NonIdempotent, 0),
     ] {
-        let mut proxy = Proxy::new(with_copies(repeat), 4);
+        let mut proxy = Proxy::new(with_hedging(repeat), 4);
         let terms = CallPolicy {
             hedge: Hedge::After(60 * MS),
             ..CallPolicy::default()
         };
-        let (_, actions) = call_with(&mut proxy, 0, terms);
-        assert_eq!(wake(&actions), 60 * MS);
+        let (_, actions) = call_with_policy(&mut proxy, 0, terms);
+        assert_eq!(wake_after(&actions), 60 * MS);
         assert!(sent(&proxy.wait(59 * MS)).is_empty());
         assert_eq!(sent(&proxy.wait(MS)).len(), copies, "{repeat:?}");
-        let (_, _) = call_with(
+        let (_, _) = call_with_policy(
             &mut proxy,
             1,
             CallPolicy {
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_hedged_request_follows_the_latency_quantile() {
-    let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
+    let mut proxy = Proxy::new(with_hedging(Idempotency::Idempotent), 4);
     for n in 0..100 {
         // Nine of ten answers come in 20 ms, the others in 100.
         proxy
@@ -218,7 +218,7 @@
             .expect("it is sent");
     }
     let mut after = |number, share| {
-        let (call, _) = call_with(
+        let (call, _) = call_with_policy(
             &mut proxy,
             number,
             CallPolicy {
@@ -228,7 +228,7 @@
         );
         let asked = proxy.now;
         while sent(&proxy.wait(MS)).is_empty() {
-            assert!(proxy.now < asked + 500 * MS, "no second copy");
+            assert!(proxy.now < asked + 500 * MS, "no hedged request");
         }
         let after = proxy.now - asked;
         proxy.event(Event::ClientDisconnected { call });
@@ -246,12 +246,12 @@
         ..CallPolicy::default()
     };
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 6);
-    let (call, _) = call_with(&mut proxy, 0, terms);
+    let (call, _) = call_with_policy(&mut proxy, 0, terms);
     assert_eq!(
         sent(&proxy.end(call, 0, Outcome::ConnectFailed, 1)).len(),
         1
     );
-    assert!(refused(&proxy.end(call, 1, Outcome::Error, 1), call));
+    assert!(rejected(&proxy.end(call, 1, Outcome::Error, 1), call));
 }
 
 /// The key that a guarded class goes by is missing: no host could tell its repeat.
@@ -261,14 +261,14 @@
         scope: DedupScope::All,
         window: 400 * MS,
     };
-    let mut proxy = Proxy::new(with_copies(guarded), 6);
+    let mut proxy = Proxy::new(with_hedging(guarded), 6);
     let terms = CallPolicy {
         non_idempotent: true,
         hedge: Hedge::After(10 * MS),
         ..CallPolicy::default()
     };
-    let (call, _) = call_with(&mut proxy, 0, terms);
-    assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no second copy");
+    let (call, _) = call_with_policy(&mut proxy, 0, terms);
+    assert!(sent(&proxy.wait(100 * MS)).is_empty(), "no hedged request");
     let actions = proxy.end(call, 0, Outcome::Reset, 1);
     assert!(failed(&actions, call) && sent(&actions).is_empty());
 }
@@ -305,8 +305,8 @@
 /// Nor does a site that allows less from now on take anything from them.
 #[test]
 fn open_calls_keep_the_attempts_and_hedging_they_arrived_with() {
-    let mut proxy = Proxy::new(with_copies(Idempotency::Idempotent), 4);
-    let (tried, _) = call_with(
+    let mut proxy = Proxy::new(with_hedging(Idempotency::Idempotent), 4);
+    let (tried, _) = call_with_policy(
         &mut proxy,
         0,
         CallPolicy {
@@ -314,7 +314,7 @@
             ..CallPolicy::default()
         },
     );
-    let (hedged, _) = call_with(
+    let (hedged, _) = call_with_policy(
         &mut proxy,
         1,
         CallPolicy {
@@ -338,7 +338,7 @@
     assert_eq!(sent(&proxy.end(tried, 0, Outcome::Error, 1)).len(), 1);
     let copies = proxy.wait(60 * MS);
     assert_eq!(sent(&copies).iter().filter(|s| s.0 == hedged).count(), 1);
-    let (call, _) = call_with(
+    let (call, _) = call_with_policy(
         &mut proxy,
         2,
         CallPolicy {
@@ -347,12 +347,12 @@
         },
     );
     assert!(
-        refused(&proxy.end(call, 0, Outcome::Error, 1), call),
+        rejected(&proxy.end(call, 0, Outcome::Error, 1), call),
         "a new one is the site's"
     );
 }
 
-/// Calls that wait in the hold when their class goes are answered all the same.
+/// Calls that wait in the wait queue when their class goes are answered all the same.
 #[test]
 fn queued_calls_outlive_their_class() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
@@ -370,7 +370,7 @@
     assert_eq!(sent(&actions).len(), 1, "which may go again");
 }
 
-/// A connection may take longer to open than the servers remember the key: what goes again tells
+/// A connection may take longer to open than the endpoints remember the key: what goes again tells
 /// until when it may start.
 #[test]
 fn a_retried_keyed_call_must_start_within_its_window() {
@@ -391,7 +391,7 @@
         }),
         4,
     );
-    let (call, actions) = call_with(&mut proxy, 0, CallPolicy::default());
+    let (call, actions) = call_with_policy(&mut proxy, 0, CallPolicy::default());
     assert_eq!(start_by(&actions), Some(None), "nothing binds the first");
     let first = proxy.now;
     let actions = proxy.end(call, 0, Outcome::Error, 1);
--- a/crates/decisions/tests/call_rules.rs
+++ b/crates/decisions/tests/call_rules.rs
@@ -1,5 +1,5 @@
-//! The four rules, and the failures that were met: each test fails without the code that answers
-//! it.
+//! The rules of retries, deadlines, slow start and ejection, and regressions of failures that were
+//! met: each test fails without the code that answers it.
 
 mod common;
 use badgerramp_decisions::*;
@@ -36,7 +36,7 @@
             }
         });
         let actions = proxy.wait(after.expect("a timer for the held call"));
-        assert!(refused(&actions, call), "never sent, so refused");
+        assert!(rejected(&actions, call), "never sent, so rejected");
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
     }
 }
@@ -52,7 +52,7 @@
         let (call, _) = proxy.call();
         proxy.now += 1_200 * MS;
         let actions = proxy.end(call, 0, Outcome::TimedOut, 1_200 * MS);
-        assert_eq!(refused(&actions, call), may_refuse);
+        assert_eq!(rejected(&actions, call), may_refuse);
         assert_eq!(failed(&actions, call), !may_refuse);
         assert!(sent(&proxy.call().1).iter().all(|s| s.0 != call));
     }
@@ -123,7 +123,7 @@
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
                 assert_eq!(
-                    refused(&actions, call),
+                    rejected(&actions, call),
                     harmless,
                     "{repeat:?} {first:?} {second:?}"
                 );
@@ -181,7 +181,7 @@
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
     proxy.event(Event::Streaming { call, attempt: 0 });
-    assert!(sent(&proxy.wait(450 * MS)).is_empty(), "no second copy");
+    assert!(sent(&proxy.wait(450 * MS)).is_empty(), "no hedged request");
     let actions = proxy.end(call, 0, Outcome::Reset, 450 * MS);
     assert!(sent(&actions).is_empty());
 }
@@ -222,9 +222,9 @@
 
 // Safe fail-back.
 
-/// Sends within six seconds to a server beside two or three warm ones, when it started just now and
-/// ends attempts with `outcome`.
-fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
+/// Sends within six seconds to an endpoint beside two or three warm ones, when it started just now
+/// and ends attempts with `outcome`.
+fn sends_in_slow_start(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
         proxy.serve(10 * MS);
@@ -265,8 +265,8 @@
         Outcome::ConnectFailed,
     ] {
         for restart in [false, true] {
-            let count = sends_to_cold(outcome, restart);
-            // A warm server's part of 600 calls is 150 to 300; this one has a tenth to a third of
+            let count = sends_in_slow_start(outcome, restart);
+            // A warm endpoint's part of 600 calls is 150 to 300; this one has a tenth to a third of
             // its capacity.
             assert!((1..=90).contains(&count), "{outcome:?} {restart}: {count}");
         }
@@ -347,11 +347,11 @@
     for _ in 0..60 {
         proxy.now += 10 * MS;
         let (call, actions) = proxy.call();
-        early += usize::from(refused(&actions, call));
+        early += usize::from(rejected(&actions, call));
     }
     assert!(
         early > 20,
-        "calls that would wait too long are refused as they come: {early}"
+        "calls that would wait too long are rejected as they come: {early}"
     );
 }
 
@@ -377,11 +377,11 @@
         (0..3).for_each(|_| drop(proxy.call()));
         proxy.now += 30 * MS;
         let (call, actions) = proxy.call();
-        refused(&actions, call)
+        rejected(&actions, call)
     };
     assert!(
         !refused_behind(700 * MS),
-        "30 ms are less than a tenth of the aim"
+        "30 ms are less than a tenth of the objective"
     );
     assert!(
         refused_behind(100 * MS),
@@ -484,7 +484,7 @@
     );
     let mut log = Vec::new();
     for _ in 0..30 {
-        // Of the calls at each server the first is answered and the others time out.
+        // Of the calls at each endpoint the first is answered and the others time out.
         let calls: Vec<(CallId, Vec<Action>)> = (0..9).map(|_| proxy.call()).collect();
         let at = |i: usize| sent(&calls[i].1).first().map(|s| s.1);
         let first = |i: usize| (0..i).all(|j| at(j) != at(i));
@@ -517,7 +517,7 @@
     assert_eq!(aside, 0, "slow, not gone");
 }
 
-/// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as
+/// Answers of 40 ms with the given report; then: does a second call at once pass the full limit as
 /// a trial?
 fn trial_after(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
@@ -541,7 +541,7 @@
         });
         proxy.wait(100 * MS);
     }
-    // What servers told is stale by then: no call is turned back for it.
+    // What endpoints told is stale by then: no call is shed for it.
     proxy.wait(5_000 * MS);
     assert_eq!(sent(&proxy.call().1).len(), 1, "the budget's own call");
     sent(&proxy.call().1).len() == 1
@@ -566,7 +566,7 @@
 }
 
 /// A request whose client waits this long for this try.
-fn patient(proxy: &mut Proxy, id: u64, time_left: Micros) -> (CallId, Vec<Action>) {
+fn call_with_time_left(proxy: &mut Proxy, id: u64, time_left: Micros) -> (CallId, Vec<Action>) {
     let call = CallId(id);
     let event = Event::Request {
         call,
@@ -580,10 +580,10 @@
 }
 
 /// One budget's call and the trial are out, and one call has been waiting for 10 ms.
-fn crowded() -> Proxy {
+fn congested() -> Proxy {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for id in 1_001..=1_003 {
-        patient(&mut proxy, id, 1_200 * MS);
+        call_with_time_left(&mut proxy, id, 1_200 * MS);
     }
     proxy.now += 10 * MS;
     proxy
@@ -591,28 +591,28 @@
 
 #[test]
 fn a_retry_of_a_client_past_its_objective_is_not_queued_where_others_are() {
-    let mut proxy = crowded();
-    let (call, actions) = patient(&mut proxy, 1_010, 300 * MS);
+    let mut proxy = congested();
+    let (call, actions) = call_with_time_left(&mut proxy, 1_010, 300 * MS);
     assert!(
-        !refused(&actions, call),
-        "none has been turned back: this client just waits less"
+        !rejected(&actions, call),
+        "none has been shed: this client just waits less"
     );
     proxy.wait(400 * MS);
     assert!(
-        refused(&proxy.actions, CallId(1_003)),
+        rejected(&proxy.actions, CallId(1_003)),
         "held until it could no longer be in time"
     );
-    let (waiting, _) = patient(&mut proxy, 1_020, 1_200 * MS);
+    let (waiting, _) = call_with_time_left(&mut proxy, 1_020, 1_200 * MS);
     proxy.now += 10 * MS;
-    let (call, actions) = patient(&mut proxy, 1_021, 1_190 * MS);
+    let (call, actions) = call_with_time_left(&mut proxy, 1_021, 1_190 * MS);
     assert!(
-        !refused(&actions, call) && !refused(&actions, waiting),
-        "as patient as the others"
+        !rejected(&actions, call) && !rejected(&actions, waiting),
+        "waits as long as the others"
     );
-    let (call, actions) = patient(&mut proxy, 1_022, 300 * MS);
+    let (call, actions) = call_with_time_left(&mut proxy, 1_022, 300 * MS);
     assert!(
-        refused(&actions, call),
-        "the 900 ms that are gone are more than its aim"
+        rejected(&actions, call),
+        "the 900 ms that are gone are more than its objective"
     );
 }
 
@@ -620,9 +620,9 @@
 fn a_retry_of_a_client_past_its_objective_is_served_where_there_is_capacity_and_not_timed_out_at_it(
 ) {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
-    patient(&mut proxy, 1_001, 1_200 * MS);
+    call_with_time_left(&mut proxy, 1_001, 1_200 * MS);
     proxy.end(CallId(1_001), 0, Outcome::Error, MS);
-    let until = |actions: &[Action]| {
+    let attempt_deadline = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::Send {
                 attempt_deadline: until,
@@ -635,9 +635,9 @@
             }
         })
     };
-    // 400 ms are gone: 100 are left to the aim, less than a usual answer time.
-    let (_, actions) = patient(&mut proxy, 1_010, 800 * MS);
-    assert_eq!(until(&actions), Some(None), "{actions:?}");
-    let (_, actions) = patient(&mut proxy, 1_011, 1_200 * MS);
-    assert_eq!(until(&actions), Some(Some(proxy.now + 500 * MS)));
+    // 400 ms are gone: 100 are left to the objective, less than a usual answer time.
+    let (_, actions) = call_with_time_left(&mut proxy, 1_010, 800 * MS);
+    assert_eq!(attempt_deadline(&actions), Some(None), "{actions:?}");
+    let (_, actions) = call_with_time_left(&mut proxy, 1_011, 1_200 * MS);
+    assert_eq!(attempt_deadline(&actions), Some(Some(proxy.now + 500 * MS)));
 }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -42,7 +42,7 @@
 }
 
 impl Proxy {
-    /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
+    /// A started proxy that knows of `endpoints` ready, warm endpoints, numbered from 1.
     pub(crate) fn new(settings: Settings, servers: u32) -> Proxy {
         let mut proxy = Proxy {
             balancer: Balancer::new(7, settings),
@@ -136,7 +136,7 @@
         .collect()
 }
 
-pub(crate) fn refused(actions: &[Action], id: CallId) -> bool {
+pub(crate) fn rejected(actions: &[Action], id: CallId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { call, .. } if *call == id))
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The mechanism of the design, each part by itself.
+//! Concurrency limits, trials, the wait queue and ejection, each by itself.
 #![expect(
     clippy::many_single_char_names,
     reason = "short names are still to be spelled out"
@@ -9,9 +9,9 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call
-/// out.
-fn full_server(repeat: Idempotency) -> (Proxy, CallId) {
+/// Fills a single endpoint's first budget (1 step x 1 call with seven balancers) and leaves the
+/// call out.
+fn proxy_with_full_endpoint(repeat: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(repeat), 1);
     let (first, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_call_at_a_full_limit_goes_as_the_one_trial_and_the_next_is_queued() {
-    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_with_full_endpoint(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
     assert_eq!(sent(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.call();
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_served_trial_adds_one_step_to_the_limit() {
-    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_with_full_endpoint(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
@@ -56,7 +56,7 @@
 }
 
 /// Lets calls come until one is sent; tells after how long, and which.
-fn until_trial(proxy: &mut Proxy) -> (Micros, CallId) {
+fn next_trial(proxy: &mut Proxy) -> (Micros, CallId) {
     let began = proxy.now;
     loop {
         proxy.now += 5 * MS;
@@ -71,12 +71,12 @@
 
 #[test]
 fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_with_full_endpoint(Idempotency::NonIdempotent);
     let mut trial = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
         proxy.end(trial, 0, Outcome::Error, MS);
-        let (span, next) = until_trial(&mut proxy);
+        let (span, next) = next_trial(&mut proxy);
         spans.push(span / MS);
         trial = next;
     }
@@ -97,15 +97,15 @@
     }
     assert_ne!(
         next, trial,
-        "the last that went, at a full budget, is the next trial"
+        "the last that went, at a full limit, is the next trial"
     );
     proxy.end(next, 0, Outcome::Error, MS);
-    assert!(until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
+    assert!(next_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
 
 #[test]
 fn queued_calls_are_sent_in_the_order_of_arrival() {
-    let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
+    let (mut proxy, first) = proxy_with_full_endpoint(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
@@ -172,9 +172,9 @@
     );
 }
 
-/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it
-/// served but for one that ended so.
-fn room_after(outcome: Outcome) -> usize {
+/// How many calls a fresh endpoint is sent at once, of which the last is a trial, after seven that
+/// it served but for one that ended so.
+fn capacity_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -206,9 +206,9 @@
 
 #[test]
 fn a_rejection_lowers_the_concurrency() {
-    assert_eq!(room_after(Outcome::Served), 8);
+    assert_eq!(capacity_after(Outcome::Served), 8);
     assert_eq!(
-        room_after(Outcome::Rejected),
+        capacity_after(Outcome::Rejected),
         7,
         "four fifths of seven, and a trial"
     );
@@ -288,14 +288,14 @@
     let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
     used.sort();
     used.dedup();
-    assert_eq!(used.len(), 2, "taken back");
+    assert_eq!(used.len(), 2, "readmitted");
 }
 
 /// Connections break here and there also where all is well; a host that goes on answering is not
-/// set aside for it, and one that does not is.
+/// ejected for it, and one that does not is.
 #[test]
 fn an_endpoint_that_has_answered_is_not_ejected_for_one_reset() {
-    let set_aside = |actions: &[Action]| {
+    let ejected = |actions: &[Action]| {
         actions.iter().any(|a| {
             matches!(
                 a,
@@ -324,7 +324,7 @@
             },
             MS,
         );
-        assert!(!set_aside(&actions), "after {resets} resets");
+        assert!(!ejected(&actions), "after {resets} resets");
     }
     assert!(resets > 10);
     let mut ended = false;
@@ -332,7 +332,7 @@
         let (id, actions) = proxy.call();
         let breaks = sent(&actions)[0].1 == EndpointId(1);
         proxy.now += MS;
-        ended |= set_aside(&proxy.end(
+        ended |= ejected(&proxy.end(
             id,
             0,
             if breaks {
@@ -349,7 +349,7 @@
 #[test]
 fn with_every_endpoint_ejected_calls_are_rejected_with_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken
+    // A reset takes a step each; half of two may be ejected, so the list is cut to the broken
     // one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
--- a/crates/decisions/tests/many_balancers.rs
+++ b/crates/decisions/tests/many_balancers.rs
@@ -1,5 +1,5 @@
-//! What acts where balancers outnumber servers, and each balancer sees little: asking, groups,
-//! zones, cold lots.
+//! What acts where balancers outnumber endpoints, and each balancer sees little: load probes,
+//! groups of endpoints, zones, draws of endpoints in slow start, and load shedding.
 #![expect(
     clippy::too_many_lines,
     reason = "a test plays one course of events from its start to its end"
@@ -11,8 +11,8 @@
 
 const HERE: ZoneId = ZoneId(1);
 
-/// A thousand balancers; probes tell what a server holds and cost little.
-fn many(probed: bool) -> Settings {
+/// A thousand balancers; probes tell what an endpoint holds and cost little.
+fn many_balancers(probed: bool) -> Settings {
     let how = if probed {
         ReportMode::OnProbe
     } else {
@@ -51,12 +51,12 @@
         .collect()
 }
 
-fn tell(proxy: &mut Proxy, server: EndpointId, in_hand: Option<f64>) -> Vec<Action> {
+fn answer_probe(proxy: &mut Proxy, server: EndpointId, in_flight: Option<f64>) -> Vec<Action> {
     let load = LoadReport {
-        in_flight: in_hand,
+        in_flight: in_flight,
         ..LoadReport::default()
     };
-    let outcome = if in_hand.is_some() {
+    let outcome = if in_flight.is_some() {
         Outcome::Served
     } else {
         Outcome::TimedOut
@@ -72,7 +72,7 @@
 #[test]
 fn a_call_goes_to_the_probed_endpoint_with_fewer_requests_in_flight() {
     for lighter in [0, 1] {
-        let mut proxy = Proxy::new(many(true), 6);
+        let mut proxy = Proxy::new(many_balancers(true), 6);
         let (call, actions) = proxy.call();
         let asked = probes(&actions);
         assert!(
@@ -82,28 +82,28 @@
         proxy.now += MS;
         let heavier = 1 - lighter;
         assert!(
-            sent(&tell(&mut proxy, asked[heavier], Some(3.0))).is_empty(),
+            sent(&answer_probe(&mut proxy, asked[heavier], Some(3.0))).is_empty(),
             "it waits for the other"
         );
         assert_eq!(
-            sent(&tell(&mut proxy, asked[lighter], Some(1.0))),
+            sent(&answer_probe(&mut proxy, asked[lighter], Some(1.0))),
             [(call, asked[lighter])]
         );
     }
 }
 
-/// Between question and answer a server starts anew: the call that asked the warm one is no lot for
-/// the cold one, which answers that it has nothing in hand.
+/// Between question and answer an endpoint starts anew: the call that asked the warm one is no lot
+/// for the cold one, which answers that it has nothing in flight.
 #[test]
 fn an_endpoint_that_restarts_while_it_is_probed_gets_no_call_for_it() {
     let rules = EndpointRules {
         slow_start_min_capacity: 0.5,
-        ..many(true).rules
+        ..many_balancers(true).rules
     };
     let mut proxy = Proxy::new(
         Settings {
             rules,
-            ..many(true)
+            ..many_balancers(true)
         },
         6,
     );
@@ -115,9 +115,9 @@
     };
     proxy.list(ListUpdateKind::Delta, vec![anew]);
     proxy.now += MS;
-    tell(&mut proxy, asked[0], Some(0.0));
+    answer_probe(&mut proxy, asked[0], Some(0.0));
     assert_eq!(
-        sent(&tell(&mut proxy, asked[1], Some(3.0))),
+        sent(&answer_probe(&mut proxy, asked[1], Some(3.0))),
         [(call, asked[1])]
     );
 }
@@ -126,9 +126,9 @@
 fn no_probe_is_sent_where_endpoints_outnumber_balancers_or_report_nothing() {
     let few = Settings {
         balancers: 3,
-        ..many(true)
+        ..many_balancers(true)
     };
-    for settings in [few, many(false)] {
+    for settings in [few, many_balancers(false)] {
         let mut proxy = Proxy::new(settings, 6);
         let (_, actions) = proxy.call();
         assert!(
@@ -140,33 +140,33 @@
 
 #[test]
 fn an_endpoint_that_does_not_answer_a_probe_in_time_is_taken_for_the_most_loaded() {
-    let mut proxy = Proxy::new(many(true), 6);
+    let mut proxy = Proxy::new(many_balancers(true), 6);
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
     proxy.now += MS;
-    tell(&mut proxy, asked[1], Some(4.0));
+    answer_probe(&mut proxy, asked[1], Some(4.0));
     assert_eq!(
         sent(&proxy.wait(50 * MS)),
         [(call, asked[1])],
-        "not later than a small share of the aim"
+        "not later than a small share of the objective"
     );
-    let mut proxy = Proxy::new(many(true), 6);
+    let mut proxy = Proxy::new(many_balancers(true), 6);
     let (call, actions) = proxy.call();
     let asked = probes(&actions);
-    tell(&mut proxy, asked[0], None);
+    answer_probe(&mut proxy, asked[0], None);
     assert_eq!(
-        sent(&tell(&mut proxy, asked[1], Some(4.0))),
+        sent(&answer_probe(&mut proxy, asked[1], Some(4.0))),
         [(call, asked[1])]
     );
 }
 
 #[test]
 fn a_call_whose_probed_endpoints_are_all_full_is_queued_probes_again_and_is_ended_in_time() {
-    let mut proxy = Proxy::new(many(true), 6);
+    let mut proxy = Proxy::new(many_balancers(true), 6);
     let (call, mut actions) = proxy.call();
     let end = proxy.now + 1_200 * MS;
     let mut rounds = 0;
-    while !refused(&proxy.actions, call) && proxy.now < end {
+    while !rejected(&proxy.actions, call) && proxy.now < end {
         assert!(
             sent(&proxy.actions).is_empty(),
             "{} {:?}",
@@ -175,13 +175,13 @@
         );
         for server in probes(&actions) {
             rounds += 1;
-            tell(&mut proxy, server, Some(1_000.0));
+            answer_probe(&mut proxy, server, Some(1_000.0));
         }
         actions = proxy.wait(5 * MS);
     }
     assert!(
-        refused(&proxy.actions, call),
-        "refused before its client gives up"
+        rejected(&proxy.actions, call),
+        "rejected before its client gives up"
     );
     assert!(
         (4..=40).contains(&rounds),
@@ -191,11 +191,11 @@
 
 #[test]
 fn invalid_reports_and_probes_of_unknown_endpoints_change_nothing() {
-    let mut proxy = Proxy::new(many(true), 6);
-    tell(&mut proxy, EndpointId(99), Some(1.0));
+    let mut proxy = Proxy::new(many_balancers(true), 6);
+    answer_probe(&mut proxy, EndpointId(99), Some(1.0));
     let (call, actions) = proxy.call();
     for (server, told) in probes(&actions).into_iter().zip([f64::NAN, -7.0]) {
-        tell(&mut proxy, server, Some(told));
+        answer_probe(&mut proxy, server, Some(told));
     }
     proxy.wait(50 * MS);
     assert_eq!(
@@ -206,7 +206,7 @@
 
 #[test]
 fn congestion_of_a_whole_group_sheds_load_until_it_ends() {
-    let mut proxy = Proxy::new(many(false), 60);
+    let mut proxy = Proxy::new(many_balancers(false), 60);
     let round = |proxy: &mut Proxy, outcome, elapsed| {
         let mut served = 0;
         for _ in 0..150 {
@@ -238,7 +238,7 @@
 
 #[test]
 fn ties_between_unknown_endpoints_go_to_the_kind_with_the_lower_latency() {
-    let mut proxy = Proxy::new(many(false), 0);
+    let mut proxy = Proxy::new(many_balancers(false), 0);
     let kind = |i: u32| KindId(i % 2);
     proxy.list(
         ListUpdateKind::Full,
@@ -266,7 +266,7 @@
 }
 
 /// What each does is harmless: it keeps to its own zone while that has room. Together the proxies
-/// of a zone that asks for more than its share pushed its servers past what they bear, beside
+/// of a zone that asks for more than its share pushed its endpoints past what they bear, beside
 /// others that stood idle.
 #[test]
 fn proxies_of_one_zone_spread_their_calls_over_the_endpoints_of_all_zones() {
@@ -277,12 +277,12 @@
             cross_zone: 0.1,
             ..Costs::default()
         };
-        let mut proxy = Proxy::new(many(false), 0);
+        let mut proxy = Proxy::new(many_balancers(false), 0);
         proxy.balancer = Balancer::new(
             seed,
             Settings {
                 costs: charges,
-                ..many(false)
+                ..many_balancers(false)
             },
         );
         proxy.list(
@@ -297,8 +297,8 @@
         let served = (0..20).filter_map(|_| proxy.serve(40 * MS));
         served.for_each(|server| went[(zone(server.0).0 - 1) as usize] += 1);
     }
-    // An even part of 6,000 calls is 2,000; each proxy keeps to about eight servers, so parts vary
-    // by some 3%.
+    // An even part of 6,000 calls is 2,000; each proxy keeps to about eight endpoints, so parts
+    // vary by some 3%.
     assert!(went.iter().all(|n| (1_800..2_200).contains(n)), "{went:?}");
 }
 
@@ -306,7 +306,7 @@
 fn a_thousand_balancers_that_learn_of_a_new_endpoint_together_do_not_overload_it() {
     let mut cold = 0;
     for seed in 0..1_000 {
-        let mut balancer = Balancer::new(seed, many(false));
+        let mut balancer = Balancer::new(seed, many_balancers(false));
         let mut actions = Vec::new();
         let mut entries: Vec<EndpointEntry> = (1..=9).map(ready).collect();
         entries.push(EndpointEntry {
@@ -344,7 +344,7 @@
 #[test]
 fn retries_of_clients_draw_no_endpoint_in_slow_start() {
     for (resent, expected) in [(false, true), (true, false)] {
-        let mut proxy = Proxy::new(many(false), 0);
+        let mut proxy = Proxy::new(many_balancers(false), 0);
         let mut entries: Vec<EndpointEntry> = (1..=4).map(ready).collect();
         entries[3].started = proxy.now - MS;
         proxy.list(ListUpdateKind::Full, entries);
@@ -371,8 +371,8 @@
 #[test]
 fn a_balancer_prefers_a_few_endpoints_and_two_balancers_different_ones() {
     let few = |seed: u64| {
-        let mut proxy = Proxy::new(many(false), 0);
-        proxy.balancer = Balancer::new(seed, many(false));
+        let mut proxy = Proxy::new(many_balancers(false), 0);
+        proxy.balancer = Balancer::new(seed, many_balancers(false));
         proxy.list(ListUpdateKind::Full, (1..=60).map(ready).collect());
         let used: Vec<EndpointId> = (0..200).filter_map(|_| proxy.serve(40 * MS)).collect();
         assert_eq!(used.len(), 200);
@@ -385,7 +385,7 @@
     );
     assert_ne!(one, other);
     // Many calls at once find those few at their budgets, and go beyond.
-    let mut proxy = Proxy::new(many(false), 60);
+    let mut proxy = Proxy::new(many_balancers(false), 60);
     let went: std::collections::BTreeSet<EndpointId> = (0..40)
         .flat_map(|_| sent(&proxy.call().1))
         .map(|s| s.1)
@@ -393,8 +393,8 @@
     assert_eq!(went.len(), 40, "a hot balancer starves at no subset");
 }
 
-/// Each of hundreds of balancers has one call at a server, within its budget; together they held
-/// the servers past what they bear until nearly all answers came too late.
+/// Each of hundreds of balancers has one call at an endpoint, within its limit; together they held
+/// the endpoints past what they bear until nearly all answers came too late.
 #[test]
 fn calls_are_shed_on_reported_congestion_and_not_where_few_balancers_share_the_endpoints() {
     let went = |settings: Settings, crowding: f64, pause: Micros| {
@@ -432,20 +432,20 @@
         for _ in 0..20 {
             let (call, actions) = proxy.call();
             went += usize::from(!sent(&actions).is_empty());
-            at_once += usize::from(!sent(&actions).is_empty() || refused(&actions, call));
+            at_once += usize::from(!sent(&actions).is_empty() || rejected(&actions, call));
         }
         assert_eq!(at_once, 20, "none waits to be told");
         went
     };
-    assert_eq!(went(many(false), 0.0, 0), 20);
+    assert_eq!(went(many_balancers(false), 0.0, 0), 20);
     assert!(
-        (2..=18).contains(&went(many(false), 1.0, 0)),
+        (2..=18).contains(&went(many_balancers(false), 1.0, 0)),
         "{}",
-        went(many(false), 1.0, 0)
+        went(many_balancers(false), 1.0, 0)
     );
-    assert!(went(many(false), 3.0, 0) <= 1);
+    assert!(went(many_balancers(false), 3.0, 0) <= 1);
     assert_eq!(
-        went(many(false), 3.0, 5_000 * MS),
+        went(many_balancers(false), 3.0, 5_000 * MS),
         20,
         "it is found out when the crowd has gone"
     );
@@ -453,7 +453,7 @@
         went(
             Settings {
                 balancers: 3,
-                ..many(false)
+                ..many_balancers(false)
             },
             3.0,
             0
@@ -464,7 +464,7 @@
 
 #[test]
 fn a_call_that_may_have_been_executed_is_not_shed() {
-    let mut proxy = Proxy::new(many(false), 30);
+    let mut proxy = Proxy::new(many_balancers(false), 30);
     for _ in 0..12 {
         let (call, actions) = proxy.call();
         if !sent(&actions).is_empty() {
--- a/crates/decisions/tests/random_events.rs
+++ b/crates/decisions/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Long odd-but-legal event sequences; the rules are checked on every action.
+//! Long random sequences of valid events; the rules are checked on every action.
 #![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
     clippy::too_many_lines,
@@ -23,11 +23,11 @@
 #[test]
 fn the_rules_of_retries_and_limits_hold_on_every_action_of_random_events() {
     for seed in 0..12 {
-        day(seed);
+        run_random_day(seed);
     }
 }
 
-fn day(seed: u64) {
+fn run_random_day(seed: u64) {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
@@ -265,7 +265,7 @@
                             ..
                         }
                 );
-                assert!(proven || harmless, "refused though it may have run");
+                assert!(proven || harmless, "rejected though it may have run");
             }
             Action::Fail { call } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
--- a/crates/decisions/tests/selection_distribution.rs
+++ b/crates/decisions/tests/selection_distribution.rs
@@ -1,13 +1,13 @@
-//! The pick draws from sets that are kept as servers change. Its law is that of a plain walk over
-//! all servers: each test counts where calls go over many seeds and holds that against the shares
-//! that such a walk gives.
+//! A selection draws from sets that are kept up to date as endpoints change. Its distribution is
+//! that of a scan of all endpoints: each test counts where calls go over many seeds and compares
+//! that with the shares that such a scan gives.
 
 mod common;
 use badgerramp_decisions::*;
 use common::*;
 use std::collections::BTreeMap;
 
-/// A server as a walk sees it.
+/// An endpoint as a walk sees it.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     size: f64,
@@ -15,28 +15,32 @@
     full: bool,
 }
 
-/// The chance of each server to be picked: the less loaded of two drawn by size without putting
+/// The chance of each endpoint to be picked: the less loaded of two drawn by size without putting
 /// back, of all that are up; if it is full, of those with room.
-fn walk(servers: &BTreeMap<EndpointId, Seen>) -> BTreeMap<EndpointId, f64> {
+fn chances_of_full_scan(servers: &BTreeMap<EndpointId, Seen>) -> BTreeMap<EndpointId, f64> {
     let mut chances = BTreeMap::new();
     let all: Vec<(EndpointId, Seen)> = servers.iter().map(|(&id, &s)| (id, s)).collect();
     let room: Vec<(EndpointId, Seen)> = all.iter().filter(|(_, s)| !s.full).copied().collect();
     let mut redrawn = 0.0;
-    two(&all, 1.0, |id, seen, chance| {
+    each_pair(&all, 1.0, |id, seen, chance| {
         if seen.full {
             redrawn += chance;
         } else {
             *chances.entry(id).or_insert(0.0) += chance;
         }
     });
-    two(&room, redrawn, |id, _, chance| {
+    each_pair(&room, redrawn, |id, _, chance| {
         *chances.entry(id).or_insert(0.0) += chance;
     });
     chances
 }
 
 /// Every ordered pair with its chance, and the better of the two; the first of equals.
-fn two(among: &[(EndpointId, Seen)], whole: f64, mut better: impl FnMut(EndpointId, Seen, f64)) {
+fn each_pair(
+    among: &[(EndpointId, Seen)],
+    whole: f64,
+    mut better: impl FnMut(EndpointId, Seen, f64),
+) {
     let sum: f64 = among.iter().map(|(_, s)| s.size).sum();
     for &(a, first) in among {
         let chance = whole * first.size / sum;
@@ -54,7 +58,7 @@
     }
 }
 
-/// Servers of sizes that differ.
+/// Endpoints of sizes that differ.
 fn sized(count: u32) -> Vec<EndpointEntry> {
     (1..=count)
         .map(|n| EndpointEntry {
@@ -115,7 +119,7 @@
     for seed in 0..states {
         let mut proxy = proxy(seed, settings, entries);
         prepare(&mut proxy);
-        let walked = walk(&seen(&proxy, entries));
+        let walked = chances_of_full_scan(&seen(&proxy, entries));
         walked
             .into_iter()
             .for_each(|(id, chance)| *chances.entry(id).or_insert(0.0) += chance / states as f64);
@@ -142,7 +146,7 @@
     }
 }
 
-/// With 16,000 draws over a hundred servers chance alone makes a distance of about 0.03.
+/// With 16,000 draws over a hundred endpoints chance alone makes a distance of about 0.03.
 const NOISE: f64 = 0.05;
 
 #[test]
@@ -196,8 +200,8 @@
     assert!(distance < NOISE, "{distance}");
 }
 
-/// Cold servers are drawn with the chance of what they can do now, times 1.2; none of the rest of
-/// the calls goes there.
+/// Endpoints in slow start are drawn with the chance of what they can do now, times 1.2; none of
+/// the rest of the calls goes there.
 #[test]
 fn endpoints_in_slow_start_get_calls_by_their_present_capacity() {
     let settings = weighted(1);
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Cold servers under the sum of what many proxies send, in virtual time: drawn deployments, with
-//! servers of which the list says nothing, proxies of several times the mean traffic, and most of
-//! the fleet cold at once.
+//! Endpoints in slow start under the sum of what many proxies send, in virtual time: random
+//! deployments, with endpoints of which the list says nothing, proxies of several times the mean
+//! traffic, and most of the fleet in slow start at once.
 #![expect(
     clippy::too_many_lines,
     reason = "a test plays one course of events from its start to its end"
@@ -29,7 +29,7 @@
     retries: u32,
     marked: bool,
     rules: EndpointRules,
-    /// All warm servers fail for a while when the cold ones have started.
+    /// All warm endpoints fail for a while when the cold ones have started.
     trouble: bool,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Mean work of a call, and cores of a server.
+/// Mean work of a call, and cores of an endpoint.
 const WORK: f64 = 150_000.0;
 const CORES: usize = 4;
 /// When the cold ones start, and how long the play goes on then.
@@ -84,7 +84,7 @@
 }
 
 impl Machine {
-    fn warmth(&self, now: Micros, rules: &EndpointRules) -> f64 {
+    fn slow_start_capacity(&self, now: Micros, rules: &EndpointRules) -> f64 {
         if self.started == 0 {
             return 1.0;
         }
@@ -94,7 +94,7 @@
 
     /// Calls of mean work that it does in a microsecond.
     fn capacity(&self, now: Micros, rules: &EndpointRules) -> f64 {
-        self.speed * CORES as f64 / WORK * self.warmth(now, rules)
+        self.speed * CORES as f64 / WORK * self.slow_start_capacity(now, rules)
     }
 }
 
@@ -122,7 +122,7 @@
     Start,
 }
 
-struct Play {
+struct Simulation {
     deployment: Deployment,
     now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64, Next)>>,
@@ -137,7 +137,7 @@
     served: u64,
 }
 
-impl Play {
+impl Simulation {
     fn new(deployment: Deployment) -> Self {
         let mut random = Pcg32::seed_from_u64(deployment.seed ^ 0x5eed);
         let class = Class {
@@ -172,7 +172,7 @@
         let machines: Vec<Machine> = (0..deployment.servers).map(machine).collect();
         let proxies = (0..deployment.proxies)
             .map(|n| Balancer::new(deployment.seed * 1_000 + n as u64, settings.clone()));
-        let mut play = Play {
+        let mut play = Simulation {
             deployment,
             now: 0,
             queue: BinaryHeap::new(),
@@ -308,7 +308,7 @@
         self.work(server);
     }
 
-    /// Begins what waits at a server, as far as it has cores.
+    /// Begins what waits at an endpoint, as far as it has cores.
     fn work(&mut self, server: usize) {
         while self.machines[server].running < CORES {
             let Some((proxy, call, attempt, sent)) = self.machines[server].waiting.pop_front()
@@ -317,7 +317,8 @@
             };
             let machine = &mut self.machines[server];
             machine.running += 1;
-            let pace = machine.speed * machine.warmth(self.now, &self.deployment.rules);
+            let pace =
+                machine.speed * machine.slow_start_capacity(self.now, &self.deployment.rules);
             let work = WORK * self.random.gen_range(0.5..1.5) / pace;
             self.at(
                 self.now + work as Micros,
@@ -378,8 +379,8 @@
         }
     }
 
-    /// The most that any cold server was sent within the span, over what it may be sent: its budget
-    /// N and what chance makes of it, 2 x root of N and 2.
+    /// The most that any cold endpoint was sent within the span, over what it may be sent: its
+    /// limit N and what chance makes of it, 2 x root of N and 2.
     fn worst(mut self) -> (f64, f64) {
         while let Some(Reverse((at, _, next))) = self.queue.pop() {
             if at >= STARTS + WATCHED {
@@ -479,13 +480,17 @@
 
 /// Plays so many drawn deployments. Tells the worst of them, with its figure, and the mean share
 /// served.
-fn worst_of(proxies: usize, trouble: bool, seeds: std::ops::Range<u64>) -> (f64, Deployment, f64) {
+fn worst_overload(
+    proxies: usize,
+    trouble: bool,
+    seeds: std::ops::Range<u64>,
+) -> (f64, Deployment, f64) {
     let plays = (seeds.end - seeds.start) as f64;
     let deployments = seeds.map(|seed| Deployment {
         trouble,
         ..Deployment::draw(seed * 31 + proxies as u64, proxies)
     });
-    let played = deployments.map(|deployment| (Play::new(deployment).worst(), deployment));
+    let played = deployments.map(|deployment| (Simulation::new(deployment).worst(), deployment));
     let mut worst = (0.0, Deployment::draw(0, proxies), 0.0);
     for ((most, served), deployment) in played {
         worst.2 += served / plays;
@@ -496,29 +501,29 @@
     worst
 }
 
-fn hold(proxies: usize, seeds: std::ops::Range<u64>) {
+fn assert_within_bounds(proxies: usize, seeds: std::ops::Range<u64>) {
     for trouble in [false, true] {
-        let (most, deployment, served) = worst_of(proxies, trouble, seeds.clone());
+        let (most, deployment, served) = worst_overload(proxies, trouble, seeds.clone());
         println!("{proxies} proxies, trouble {trouble}: at most {most:.2} of budget and chance, served {served:.2}");
         assert!(
             most <= 1.0,
-            "{most:.2} of what a cold server may be sent: {deployment:?}"
+            "{most:.2} of what an endpoint in slow start may be sent: {deployment:?}"
         );
     }
 }
 
 /// Clients whose repeats are not marked ask again and again, and each asking drew a lot: 1.5 times
-/// what a cold server may be sent. Where the warm ones failed all calls went to the cold ones: 12
-/// times.
+/// what an endpoint in slow start may be sent. Where the warm ones failed all calls went to the
+/// cold ones: 12 times.
 #[test]
 fn endpoints_in_slow_start_are_not_overloaded_under_one_and_under_some_proxies() {
-    hold(1, 0..20);
-    hold(20, 30..50);
-    hold(30, 50..62);
+    assert_within_bounds(1, 0..20);
+    assert_within_bounds(20, 30..50);
+    assert_within_bounds(30, 50..62);
 }
 
 /// The same by 350: 2.4 times.
 #[test]
 fn endpoints_in_slow_start_are_not_overloaded_under_hundreds_of_proxies() {
-    hold(350, 0..2);
+    assert_within_bounds(350, 0..2);
 }
