--- /dev/null
+++ b/crates/proxy/src/net/client_connection/registry.rs
@@ -0,0 +1,105 @@
+//! All connections of clients, and which of them are closed when descriptors are short.
+
+use super::{ClientConnection, Phase};
+use crate::net::clock::Clock;
+use crate::net::socket::Stream;
+use crate::net::Descriptor;
+use badgerramp_decisions::Micros;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// All connections of clients.
+#[derive(Default)]
+pub struct ClientConnections {
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_id: Cell<u64>,
+    /// How many are evicted and not closed yet.
+    evicted: Cell<usize>,
+    closed: Notify,
+}
+
+impl ClientConnections {
+    /// The number of connections, including those that are about to close.
+    pub fn count(&self) -> usize {
+        self.connections.borrow().len()
+    }
+
+    /// The number of connections that are evicted and not closed yet.
+    pub fn evicting(&self) -> usize {
+        self.evicted.get()
+    }
+
+    /// Whether any response is due, or any connection waits for its client to close it. With `incoming`, requests that are
+    /// still being received, and first ones that may come, count as well.
+    pub fn has_pending(&self, incoming: bool) -> bool {
+        let busy = |connection: &Rc<ClientConnection>| match connection.phase.get() {
+            Phase::Closing => true,
+            Phase::InFlight | Phase::Responding => connection.owes_response(),
+            Phase::ReadingHead | Phase::Idle => {
+                incoming && (connection.owes_response() || connection.awaits_first_request())
+            }
+        };
+        self.connections.borrow().values().any(busy)
+    }
+
+    /// Resolves when a connection has been closed.
+    pub async fn connection_closed(&self) {
+        self.closed.notified().await;
+    }
+
+    /// Adds a connection.
+    pub fn register(
+        &self,
+        stream: Rc<dyn Stream>,
+        descriptor: Option<Descriptor>,
+        clock: Clock,
+    ) -> Rc<ClientConnection> {
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let connection = Rc::new(ClientConnection::new(id, stream, descriptor, clock));
+        self.connections
+            .borrow_mut()
+            .insert(id, Rc::clone(&connection));
+        connection
+    }
+
+    /// Removes a connection and frees its descriptor.
+    pub fn unregister(&self, connection: &ClientConnection) {
+        self.connections.borrow_mut().remove(&connection.id);
+        self.evicted
+            .set(self.evicted.get() - usize::from(connection.is_evicted()));
+        connection.descriptor.take();
+        self.closed.notify_one();
+    }
+
+    /// Evicts the connection that has been idle longest. Returns false if none may be closed.
+    pub fn evict_idle(&self, now: Micros) -> bool {
+        let connections = self.connections.borrow();
+        let longest = connections
+            .values()
+            .filter(|connection| connection.is_evictable(now))
+            .min_by_key(|connection| connection.since.get());
+        longest.inspect(|connection| {
+            connection.evicted.set(true);
+            self.evicted.set(self.evicted.get() + 1);
+            connection.request_close();
+        });
+        longest.is_some()
+    }
+
+    /// Keeps a connection that was evicted and on which something has come in meanwhile.
+    pub fn cancel_eviction(&self, connection: &ClientConnection) {
+        self.evicted
+            .set(self.evicted.get() - usize::from(connection.evicted.replace(false)));
+    }
+
+    /// Closes connections whose time is over.
+    pub fn close_overdue(&self, now: Micros) {
+        self.connections
+            .borrow()
+            .values()
+            .filter(|connection| connection.is_overdue(now))
+            .for_each(|connection| connection.request_close());
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/net/server/response.rs
@@ -0,0 +1,145 @@
+//! Responses to clients.
+
+use super::request_error::RequestError;
+use super::Server;
+use crate::log::CLIENTS;
+use crate::net::driver::Answer;
+use crate::net::rules::Rejection;
+use crate::net::upstream::{self, UpstreamResponse};
+use badgerramp_decisions::Micros;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Body;
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use tokio::sync::oneshot::error::RecvError;
+use tracing::debug;
+
+impl Server {
+    /// The response to a request that got no call.
+    pub(super) fn error_response(&self, error: RequestError) -> Response<Full<Bytes>> {
+        match error {
+            RequestError::Rejected(rejection) => self.rejection(rejection),
+            RequestError::Shed => self.shed(0),
+            error => bad_request(error.status(), error.to_string()),
+        }
+    }
+
+    /// The response for the final answer of a call.
+    pub(super) fn answer_response(
+        &self,
+        answer: Result<Answer, RecvError>,
+    ) -> Response<Full<Bytes>> {
+        match answer {
+            Ok(Answer::Served(response)) => self.forward(response),
+            Ok(Answer::Refused { retry_after }) => self.shed(retry_after),
+            // To a client these two statuses mean that a retry is harmless, which no failure promises.
+            Ok(Answer::Failed(Some(response)))
+                if ![429, 503].contains(&response.status.as_u16()) =>
+            {
+                self.forward(response)
+            }
+            Ok(Answer::Failed(_)) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
+            Ok(Answer::Overdue) | Err(_) => {
+                plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+            }
+        }
+    }
+
+    /// The response of an endpoint, in the client's framing.
+    fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
+        let UpstreamResponse {
+            status,
+            mut headers,
+            body,
+        } = upstream;
+        let mut response = Response::new(Full::new(body));
+        if !self.plain_http {
+            if let Some(content_type) = headers.remove(header::CONTENT_TYPE) {
+                response
+                    .headers_mut()
+                    .insert(header::CONTENT_TYPE, content_type);
+            }
+            return response;
+        }
+        // A response to HEAD has the length that a GET would have; hyper drops it where none is allowed.
+        let length = headers.remove(header::CONTENT_LENGTH);
+        upstream::strip_hop_by_hop_and_listed(&mut headers);
+        if let Some(length) = length.filter(|_| response.body().is_end_stream()) {
+            headers.insert(header::CONTENT_LENGTH, length);
+        }
+        *response.status_mut() = status;
+        *response.headers_mut() = headers;
+        response
+    }
+
+    /// The response to the health check: whether calls start, and under which policy.
+    pub(super) fn health(&self) -> Response<Full<Bytes>> {
+        let health = match &self.gate {
+            None => return plain_response(StatusCode::OK, "ok"),
+            Some(gate) => gate.health(),
+        };
+        let (status, text) = match health {
+            Ok(text) => (StatusCode::OK, text),
+            Err(text) => (StatusCode::SERVICE_UNAVAILABLE, text),
+        };
+        plain_response(status, text)
+    }
+
+    /// The response to a request that the rules do not admit.
+    fn rejection(&self, rejection: Rejection) -> Response<Full<Bytes>> {
+        if rejection.retryable {
+            debug!(target: CLIENTS, why = &*rejection.text, "turned away for now");
+            return self.shed(0);
+        }
+        let mut response = Response::new(Full::from(rejection.text));
+        *response.status_mut() = rejection.status;
+        if rejection.close {
+            set_connection_close(&mut response);
+        }
+        response
+    }
+
+    /// The rejection of a request that is not executed: it may be retried, after the time in `Retry-After`.
+    pub(super) fn shed(&self, retry_after: Micros) -> Response<Full<Bytes>> {
+        let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+        let wait = if retry_after == 0 {
+            self.default_retry_after.get()
+        } else {
+            retry_after
+        };
+        if wait == 0 {
+            // The operator wants no `Retry-After`.
+            return response;
+        }
+        let seconds = if self.plain_http {
+            wait.div_ceil(1_000_000).to_string()
+        } else {
+            format!("{}.{:03}", wait / 1_000_000, wait / 1_000 % 1_000)
+        };
+        if let Ok(value) = HeaderValue::from_str(&seconds) {
+            response.headers_mut().insert(header::RETRY_AFTER, value);
+        }
+        response
+    }
+}
+
+fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
+
+/// A final rejection that closes the connection: the bytes that follow may not be a request.
+fn bad_request(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = plain_response(status, text);
+    set_connection_close(&mut response);
+    response
+}
+
+/// Has the connection closed after this response.
+pub(super) fn set_connection_close(response: &mut Response<Full<Bytes>>) {
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
+}
--- /dev/null
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -0,0 +1,85 @@
+//! Bodies of responses: read only if they are provably complete.
+
+use super::connection::ExchangeError;
+use crate::net::MemoryBudget;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap};
+use std::error::Error;
+use std::io;
+use std::rc::Rc;
+
+/// Reads the body of a response, if it is provably complete: one that is delimited by the end of the connection may
+/// have been truncated, and one with two framings is ambiguous (RFC 9112, 6.3). An unusable body is not read to its
+/// end.
+///
+/// # Errors
+/// If the body is not provably complete, is larger than `max_body_len` or the memory budget, or the connection breaks.
+pub(super) async fn read_complete_body(
+    headers: &HeaderMap,
+    body: Incoming,
+    memory_budget: &Rc<MemoryBudget>,
+    max_body_len: usize,
+) -> Result<Bytes, ExchangeError> {
+    if max_body_len == 0 && body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    let chunked = headers.contains_key(header::TRANSFER_ENCODING);
+    let length = body
+        .size_hint()
+        .exact()
+        .and_then(|length| usize::try_from(length).ok());
+    let expected_len = match length {
+        Some(length) if headers.contains_key(header::CONTENT_LENGTH) && !chunked => length,
+        None if chunked
+            && !headers.contains_key(header::CONTENT_LENGTH)
+            && is_only_chunked(headers) =>
+        {
+            max_body_len
+        }
+        _ => return Err(ExchangeError::InvalidResponse),
+    };
+    if expected_len > max_body_len {
+        return Err(ExchangeError::InvalidResponse);
+    }
+    let _reservation = memory_budget
+        .reserve(expected_len)
+        .ok_or(ExchangeError::InvalidResponse)?;
+    match Limited::new(body, max_body_len).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) => Err(read_error(&*error)),
+    }
+}
+
+/// What an error while reading a body means: besides those of the connection, a body can be too long or malformed.
+fn read_error(error: &(dyn Error + Send + Sync + 'static)) -> ExchangeError {
+    match error.downcast_ref::<hyper::Error>() {
+        Some(error)
+            if error.is_incomplete_message()
+                || error.source().is_some_and(is_connection_failure) =>
+        {
+            ExchangeError::ConnectionLost
+        }
+        _ => ExchangeError::InvalidResponse,
+    }
+}
+
+/// Whether `chunked` is the only transfer coding: a body in any other ends with its connection.
+fn is_only_chunked(headers: &HeaderMap) -> bool {
+    let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
+    let only = codings.next().filter(|_| codings.next().is_none());
+    only.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"))
+}
+
+/// Whether this is an error of the connection, rather than of what was read from it.
+fn is_connection_failure(source: &(dyn Error + 'static)) -> bool {
+    let kinds = [
+        io::ErrorKind::InvalidInput,
+        io::ErrorKind::InvalidData,
+        io::ErrorKind::Other,
+    ];
+    source
+        .downcast_ref::<io::Error>()
+        .is_some_and(|e| !kinds.contains(&e.kind()))
+}
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -4,16 +4,17 @@
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::driver::Driver;
-use crate::net::front::Front;
+use crate::net::server::Server;
 use crate::policy_copy::{self, PolicyCopy};
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
 use badgerramp_config::{Config, PolicyTerms, Use};
-use badgerramp_control_protocol::wire::{self, refusal, reply, request};
-use badgerramp_control_protocol::{clock, digest, Client, Fault, Secret};
+use badgerramp_control_protocol::wire::{self, rejection, reply, request};
+use badgerramp_control_protocol::{clock, digest, Client, ClientError, SharedSecret};
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{
-    Generation, GrantResult, Identity, LeaseHolder, LeaseHolderConfig, Mode, OnLeaseLoss,
+    Generation, GrantResult, Identity, LeaseGrant, LeaseHolder, LeaseHolderConfig, Mode,
+    OnLeaseLoss,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +38,7 @@
     gate: Rc<AdmissionGate>,
     identity: Identity,
     terms: PolicyTerms,
-    secret: Secret,
+    secret: SharedSecret,
     /// The proxy's own file.
     local: RefCell<Config>,
     places: RefCell<ClassIds>,
@@ -59,7 +60,7 @@
     /// If there is no `[policy]`, or its secret is none.
     pub(crate) fn new(local: Config, places: ClassIds) -> Result<Rc<Self>, String> {
         let terms = local.policy.clone().ok_or("no [policy]")?;
-        let secret = Secret::read(&terms.secret)
+        let secret = SharedSecret::read(&terms.secret)
             .map_err(|e| format!("policy.secret: {}: {e}", terms.secret.display()))?;
         let host = || {
             rustix::system::uname()
@@ -121,10 +122,10 @@
 
     /// Begins to ask.
     pub(crate) fn start(self: &Rc<Self>, running: &Running) {
-        let (driver, front) = (running.driver.clone(), Rc::clone(&running.front));
+        let (driver, server) = (running.driver.clone(), Rc::clone(&running.server));
         let (asks, hears) = (Rc::clone(self), Rc::clone(self));
         let tasks = [
-            tokio::task::spawn_local(async move { asks.ask(driver, front).await }).abort_handle(),
+            tokio::task::spawn_local(async move { asks.ask(driver, server).await }).abort_handle(),
             tokio::task::spawn_local(async move { hears.hear().await }).abort_handle(),
         ];
         self.tasks.borrow_mut().extend(tasks);
@@ -137,8 +138,8 @@
             .drain(..)
             .for_each(|task| task.abort());
         if self.set.get().is_some() {
-            let leave = request::What::Leave(self.identity.clone().into());
-            let _ = tokio::time::timeout(LEAVE, self.client().ask_until(&leave, LEAVE)).await;
+            let leave = request::Kind::Unregister(self.identity.clone().into());
+            let _ = tokio::time::timeout(LEAVE, self.client().call_with_retry(&leave, LEAVE)).await;
         }
     }
 
@@ -146,18 +147,18 @@
     async fn hear(&self) {
         let mut client = self.client();
         loop {
-            if let Ok(mut news) = client.news().await {
+            if let Ok(mut news) = client.watch_revisions().await {
                 while let Ok(revision) = news.next().await {
                     debug!("control is at revision {revision}");
                     self.news.notify_one();
                 }
             }
-            client.elsewhere();
+            client.try_next_replica();
             tokio::time::sleep(PAUSE).await;
         }
     }
 
-    async fn ask(&self, driver: Driver, front: Rc<Front>) {
+    async fn ask(&self, driver: Driver, server: Rc<Server>) {
         let mut client = self.client();
         let mut told = String::new();
         loop {
@@ -174,15 +175,17 @@
                 continue;
             }
             let ask = self.gate.holder().borrow_mut().request(clock::now());
-            let ask =
-                wire::Ask::of(ask, &self.terms.application).in_region(self.terms.region.as_ref());
-            let ask = request::What::Ask(ask);
-            let fault = match client.ask(&ask).await {
-                Ok(reply::What::Grant(grant)) => self.granted(&grant, &driver, &front).err(),
+            let ask = wire::LeaseRequest::new(ask, &self.terms.application)
+                .in_region(self.terms.region.as_ref());
+            let ask = request::Kind::Lease(ask);
+            let fault = match client.call(&ask).await {
+                Ok(reply::Kind::Lease(grant)) => self.granted(&grant, &driver, &server).err(),
                 Ok(_) => Some("control answers oddly: no grant".to_owned()),
-                Err(Fault::Refused(refusal)) if refusal.code() == refusal::Code::Evicted => {
+                Err(ClientError::Rejected(rejection))
+                    if rejection.code() == rejection::Code::Evicted =>
+                {
                     self.gate.holder().borrow_mut().evict();
-                    warn!("{}", refusal.text);
+                    warn!("{}", rejection.message);
                     continue;
                 }
                 Err(fault) => Some(fault.to_string()),
@@ -209,13 +212,17 @@
     }
 
     /// Takes what control lends. What fails leaves all as it is.
-    fn granted(&self, wire: &wire::Grant, driver: &Driver, front: &Front) -> Result<(), String> {
-        let grant = wire
-            .read()
-            .ok_or("control answers oddly: a grant without a mode")?;
+    fn granted(
+        &self,
+        wire: &wire::LeaseGrant,
+        driver: &Driver,
+        server: &Server,
+    ) -> Result<(), String> {
+        let grant = LeaseGrant::try_from(wire)
+            .map_err(|error| format!("control answers oddly: invalid grant: {error}"))?;
         let mut holder = self.gate.holder().borrow_mut();
         let mut fresh = false;
-        for text in &wire.texts {
+        for text in &wire.policies {
             let generation = Generation(text.generation);
             match self.take(generation, text) {
                 Ok(()) => {
@@ -242,7 +249,7 @@
         match answered {
             GrantResult::Accepted { .. } => {
                 if fresh || self.set.get() != Some(grant.mode) {
-                    self.set(grant.mode, driver, front);
+                    self.set(grant.mode, driver, server);
                     info!("policy: {}", grant.mode);
                 }
             }
@@ -252,7 +259,7 @@
     }
 
     /// Reads a text.
-    fn take(&self, generation: Generation, text: &wire::Text) -> Result<(), String> {
+    fn take(&self, generation: Generation, text: &wire::PolicyFiles) -> Result<(), String> {
         let application = &self.terms.application;
         let text = text.files.get(application);
         let text = text.ok_or_else(|| format!("it has no file for application {application:?}"))?;
@@ -264,7 +271,7 @@
     }
 
     /// Sets the rules of a mode whose generations were read. From here on nothing fails.
-    fn set(&self, mode: Mode, driver: &Driver, front: &Front) {
+    fn set(&self, mode: Mode, driver: &Driver, server: &Server) {
         let mut read = self.read.borrow_mut();
         read.retain(|&g, _| g == mode.old || g == mode.new);
         let Some(combined) = self.combine(&mut read, driver) else {
@@ -281,7 +288,7 @@
             retry_after,
         } = combined;
         driver.reconfigure(settings, fresh, open_calls);
-        front.advice.set(retry_after);
+        server.default_retry_after.set(retry_after);
         let floor = floor_rules(&old);
         let Some(rules) = mode_rules(mode, old, new) else {
             return;
@@ -365,7 +372,7 @@
         *self.local.borrow_mut() = local;
         *self.read.borrow_mut() = anew;
         if let Some(mode) = self.set.get() {
-            self.set(mode, &running.driver, &running.front);
+            self.set(mode, &running.driver, &running.server);
         }
         Ok(())
     }
@@ -378,7 +385,8 @@
 
 /// Reads an application's file of a policy beside the proxy's own.
 fn parse(text: &str, local: &Config) -> Result<Config, String> {
-    let config = badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.line())?;
+    let config =
+        badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
     if config.usage != Use::Alone {
         return Err("`platform = true` is for no sidecar".to_owned());
     }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -1,18 +1,18 @@
 //! What both uses of the program share: listener, decisions, timers, signals, exit.
 
 use crate::net::admission_gate::AdmissionGate;
-use crate::net::clients::Clients;
+use crate::net::client_connection::ClientConnections;
 use crate::net::clock::Clock;
 use crate::net::discovery;
 use crate::net::driver::{Driver, Endpoint};
-use crate::net::front::Front;
-use crate::net::hosts::Hosts;
 use crate::net::peers;
 use crate::net::rules::Rules;
+use crate::net::server::Server;
 use crate::net::socket::{Listener, Network, Tcp};
-use crate::net::{Descriptors, Room};
+use crate::net::upstream::{ConnectionPool, IdleLimits};
+use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_config::{
-    clients_borne, connections_kept, ListTerms, Mistakes, SubsetTerms, DESCRIPTORS_RESERVED,
+    clients_borne, connections_kept, Diagnostics, ListTerms, SubsetTerms, DESCRIPTORS_RESERVED,
 };
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ListUpdateKind, Micros};
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub enum Fault {
     /// An operator's file is not good.
-    Mistakes(Mistakes),
+    Diagnostics(Diagnostics),
     /// Anything else.
     Other(String),
 }
@@ -50,9 +50,9 @@
     }
 }
 
-impl From<Mistakes> for Fault {
-    fn from(mistakes: Mistakes) -> Self {
-        Fault::Mistakes(mistakes)
+impl From<Diagnostics> for Fault {
+    fn from(mistakes: Diagnostics) -> Self {
+        Fault::Diagnostics(mistakes)
     }
 }
 
@@ -83,7 +83,7 @@
     /// How the list service is asked where many do.
     pub list: Option<ListTerms>,
     /// The other proxies of the fleet, where they pass the list on.
-    pub peers: Option<peers::Setup>,
+    pub peers: Option<peers::GossipConfig>,
     pub rules: Rules,
     /// Where the policy is the fleet's: what may begin, and by which rules. They stand in for `rules`.
     pub gate: Option<Rc<AdmissionGate>>,
@@ -96,7 +96,7 @@
 /// What a reload may change of the running program.
 pub struct Running {
     pub driver: Driver,
-    pub front: Rc<Front>,
+    pub server: Rc<Server>,
     pub clock: Clock,
     discovery: watch::Sender<SocketAddr>,
 }
@@ -203,19 +203,22 @@
         .max(8);
     let descriptors = Descriptors::new(room);
     // The rest is for buffers, which are bounded by the number of connections.
-    let bytes = Room::new(setup.memory / 4);
-    let counted = (Rc::clone(&descriptors), Rc::clone(&bytes));
-    let kept = match setup.subset {
-        Some(terms) => (terms.kept, terms.idle),
-        None => (
-            connections_kept(setup.facts.settings.balancers),
-            Micros::MAX,
-        ),
+    let bytes = MemoryBudget::new(setup.memory / 4);
+    let idle_limits = match setup.subset {
+        Some(terms) => IdleLimits {
+            per_endpoint: terms.kept,
+            time: terms.idle,
+        },
+        None => IdleLimits {
+            per_endpoint: connections_kept(setup.facts.settings.balancers),
+            time: Micros::MAX,
+        },
     };
-    let hosts = Hosts::new(
+    let pool = ConnectionPool::new(
         setup.facts.transport,
-        kept,
-        counted,
+        idle_limits,
+        Rc::clone(&descriptors),
+        Rc::clone(&bytes),
         Rc::clone(&network),
         clock,
     );
@@ -234,7 +237,7 @@
         setup.plain_http,
         subset,
         clock,
-        Rc::clone(&hosts),
+        Rc::clone(&pool),
     );
     let timeouts = Timeouts::derive(TimeoutConfig {
         source,
@@ -281,23 +284,23 @@
             (None, _) => std::future::pending().await,
         }
     }));
-    let front = Rc::new(Front {
+    let server = Rc::new(Server {
         driver: driver.clone(),
-        hosts: Rc::clone(&hosts),
+        pool: Rc::clone(&pool),
         descriptors,
-        clients: Clients::default(),
+        clients: ClientConnections::default(),
         rules: RefCell::new(Rc::new(setup.rules)),
         gate: setup.gate,
         plain_http: setup.plain_http,
-        room: bytes,
-        open: RefCell::default(),
-        advice: Cell::new(setup.advice),
-        most: clients_borne(setup.descriptors),
-        beyond: (setup.descriptors / 40).max(2),
+        memory_budget: bytes,
+        in_flight_ids: RefCell::default(),
+        default_retry_after: Cell::new(setup.advice),
+        max_connections: clients_borne(setup.descriptors),
+        max_excess_connections: (setup.descriptors / 40).max(2),
     });
     let running = Running {
         driver,
-        front: Rc::clone(&front),
+        server: Rc::clone(&server),
         clock,
         discovery: moved,
     };
@@ -312,19 +315,19 @@
     let sweep = async {
         loop {
             // Thousands of quiet proxies on one machine must not keep it awake.
-            let quiet = hosts.none_idle() && front.clients.count() == 0;
+            let quiet = pool.has_no_idle() && server.clients.count() == 0;
             let next = if quiet { SWEEP_QUIET } else { SWEEP };
             running
                 .driver
                 .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
             tokio::time::sleep(next).await;
-            hosts.sweep();
-            front.clients.sweep(clock.now());
+            pool.close_expired();
+            server.clients.close_overdue(clock.now());
         }
     };
     let served = tokio::select! {
         biased;
-        () = Rc::clone(&front).serve(listener, stop) => Ok(()),
+        () = Rc::clone(&server).serve(listener, stop) => Ok(()),
         // Without these calls would stay unanswered: better a crash that is seen.
         ended = &mut timers.0 => Err(format!("the timers ended: {ended:?}")),
         ended = &mut watch.0 => Err(format!("discovery ended: {ended:?}")),
