--- a/crates/decisions/tests/many_balancers.rs
+++ b/crates/decisions/tests/many_balancers.rs
@@ -53,7 +53,7 @@
 
 fn answer_probe(proxy: &mut Proxy, server: EndpointId, in_flight: Option<f64>) -> Vec<Action> {
     let load = LoadReport {
-        in_flight: in_flight,
+        in_flight,
         ..LoadReport::default()
     };
     let outcome = if in_flight.is_some() {
