--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,5 +1,5 @@
 //! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
-//! ways between them are cut at any of its steps.
+//! links between them are cut at any of its steps.
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
@@ -16,9 +16,9 @@
 
 const CONTROL: &str = env!("CARGO_BIN_EXE_badgerramp-control");
 const POLICY: &str = include_str!("../../../deploy/sidecar.example.toml");
-const LONG: Duration = Duration::from_secs(30);
-/// Pause between two looks at what a test waits for.
-const LOOK: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause between two checks of what a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const NORTE: usize = 0;
 const SUR: usize = 1;
 const NAMES: [&str; 2] = ["norte", "sur"];
@@ -33,23 +33,23 @@
     between: Link,
 }
 
-/// The ways to a replica that is not there yet.
-struct Ways {
+/// The links to a replica that has not started yet.
+struct ReplicaLinks {
     at: watch::Sender<Option<SocketAddr>>,
     front: Link,
     between: Link,
 }
 
-impl Ways {
-    async fn new() -> Ways {
+impl ReplicaLinks {
+    async fn new() -> ReplicaLinks {
         let (at, known) = watch::channel(None);
         let front = Link::to(known.clone()).await.expect("a link");
         let between = Link::to(known).await.expect("a link");
-        Ways { at, front, between }
+        ReplicaLinks { at, front, between }
     }
 }
 
-struct World {
+struct Cluster {
     folder: Folder,
     /// By place: the replicas of a region.
     regions: Vec<Vec<Replica>>,
@@ -103,30 +103,32 @@
     }
 }
 
-impl World {
+impl Cluster {
     /// Starts both regions, with so many replicas each and the stores that are in this folder. A change of all regions
     /// that lacks a vote comes to nothing after `wait_ms`.
-    async fn start(folder: Folder, count: usize, wait_ms: u64) -> World {
+    async fn start(folder: Folder, count: usize, wait_ms: u64) -> Cluster {
         folder
             .write("secret", "a secret of the tests", true)
             .expect("a file");
-        let mut ways = Vec::new();
+        let mut links = Vec::new();
         for _ in NAMES {
             let mut region = Vec::new();
             for _ in 0..count {
-                region.push(Ways::new().await);
+                region.push(ReplicaLinks::new().await);
             }
-            ways.push(region);
+            links.push(region);
         }
-        let front = |region: &Vec<Ways>| region.iter().map(|w| w.front.address).collect::<Vec<_>>();
-        let between =
-            |region: &Vec<Ways>| region.iter().map(|w| w.between.address).collect::<Vec<_>>();
-        let fronts: Vec<_> = ways.iter().map(front).collect();
-        let betweens: Vec<_> = ways.iter().map(between).collect();
+        let front =
+            |region: &Vec<ReplicaLinks>| region.iter().map(|w| w.front.address).collect::<Vec<_>>();
+        let between = |region: &Vec<ReplicaLinks>| {
+            region.iter().map(|w| w.between.address).collect::<Vec<_>>()
+        };
+        let fronts: Vec<_> = links.iter().map(front).collect();
+        let betweens: Vec<_> = links.iter().map(between).collect();
         let mut regions = Vec::new();
-        for (place, region) in ways.into_iter().enumerate() {
+        for (place, region) in links.into_iter().enumerate() {
             let mut replicas = Vec::new();
-            for (number, Ways { at, front, between }) in (1..).zip(region) {
+            for (number, ReplicaLinks { at, front, between }) in (1..).zip(region) {
                 let text = settings(
                     place,
                     number,
@@ -145,33 +147,33 @@
             }
             regions.push(replicas);
         }
-        World { folder, regions }
+        Cluster { folder, regions }
     }
 
     /// Starts both regions, of one replica each, with a first policy in force in each.
-    async fn with_policy(name: &str, wait_ms: u64) -> World {
-        World::of_replicas(name, 1, wait_ms).await
+    async fn with_policy(name: &str, wait_ms: u64) -> Cluster {
+        Cluster::of_replicas(name, 1, wait_ms).await
     }
 
-    /// As [`World::with_policy`], with so many replicas in each region.
-    async fn of_replicas(name: &str, count: usize, wait_ms: u64) -> World {
+    /// As [`Cluster::with_policy`], with so many replicas in each region.
+    async fn of_replicas(name: &str, count: usize, wait_ms: u64) -> Cluster {
         let folder = Folder::new(&format!("regions-{name}")).expect("a folder");
-        let world = World::start(folder, count, wait_ms).await;
-        let done = world.publish(NORTE, Scope::All, 1).await;
+        let cluster = Cluster::start(folder, count, wait_ms).await;
+        let done = cluster.publish(NORTE, Scope::All, 1).await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
         for place in [NORTE, SUR] {
-            world
+            cluster
                 .until(place, "the first policy", |s| {
                     s.in_force == Some(1) && s.to_come.is_none()
                 })
                 .await;
         }
-        world
+        cluster
             .until(NORTE, "no commit that is not acknowledged", |s| {
                 change(s).is_none()
             })
             .await;
-        world
+        cluster
     }
 
     fn addresses(&self, place: usize) -> Vec<SocketAddr> {
@@ -196,7 +198,7 @@
         Control::new(&At {
             control,
             secret,
-            timeout: LONG.as_secs(),
+            timeout: TIMEOUT.as_secs(),
         })
         .expect("a secret")
     }
@@ -212,7 +214,7 @@
 
     /// Waits until a region stands so.
     async fn until(&self, place: usize, what: &str, is_so: impl Fn(&Standing) -> bool) -> Standing {
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let standing = self.standing(place).await;
             if is_so(&standing) {
@@ -223,7 +225,7 @@
                 "no {what}: {standing:?} {:?}",
                 self.log(place)
             );
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -236,7 +238,7 @@
         tokio::spawn(publish(self.control(place), scope, number))
     }
 
-    /// Cuts or mends the way to this region from the other one, in both directions.
+    /// Cuts or restores the link to this region from the other one, in both directions.
     fn pass_to(&self, place: usize, forth: Pass, back: Pass) {
         for replica in &self.regions[place] {
             replica
@@ -300,7 +302,7 @@
     /// Asks for a lease, for a proxy that goes on without one.
     async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::LeaseGrant {
         let what = request::Kind::Lease(ask(number, acting, OnLeaseLoss::Keep));
-        match self.client(place).call_with_retry(&what, LONG).await {
+        match self.client(place).call_with_retry(&what, TIMEOUT).await {
             Ok(reply::Kind::Lease(grant)) => grant,
             other => panic!("{other:?}"),
         }
@@ -308,7 +310,7 @@
 
     /// Sends a message to a region, and takes its rejection.
     async fn refused(&self, place: usize, what: request::Kind) -> wire::Rejection {
-        match self.client(place).call_with_retry(&what, LONG).await {
+        match self.client(place).call_with_retry(&what, TIMEOUT).await {
             Err(ClientError::Rejected(rejection)) => rejection,
             other => panic!("{other:?}"),
         }
@@ -359,34 +361,37 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn change_of_all_regions_commits_in_both_and_change_of_one_region_only_there() {
-    let world = World::with_policy("both", 10_000).await;
+    let cluster = Cluster::with_policy("both", 10_000).await;
     // By way of the region that does not coordinate.
-    let done = world.publish(SUR, Scope::All, 2).await;
+    let done = cluster.publish(SUR, Scope::All, 2).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
         "{}",
         done.why
     );
-    world
+    cluster
         .until(SUR, "second policy", |s| s.in_force == Some(2))
         .await;
-    world
+    cluster
         .until(NORTE, "acknowledgement", |s| change(s).is_none())
         .await;
     for place in [NORTE, SUR] {
-        assert_eq!(world.control(place).files(2).await.expect("kept"), files(2));
+        assert_eq!(
+            cluster.control(place).files(2).await.expect("kept"),
+            files(2)
+        );
     }
-    let done = world.publish(SUR, Scope::Region, 3).await;
+    let done = cluster.publish(SUR, Scope::Region, 3).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
         done.why
     );
-    assert_eq!(world.standing(SUR).await.in_force, Some(3));
-    assert_eq!(world.standing(NORTE).await.in_force, Some(2));
-    let done = world.publish(NORTE, Scope::Region, 4).await;
+    assert_eq!(cluster.standing(SUR).await.in_force, Some(3));
+    assert_eq!(cluster.standing(NORTE).await.in_force, Some(2));
+    let done = cluster.publish(NORTE, Scope::Region, 4).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
@@ -394,7 +399,7 @@
         done.why
     );
     // Each has numbers of its own; a change of all is told apart by its identifier.
-    let (norte, sur) = (world.standing(NORTE).await, world.standing(SUR).await);
+    let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
     let ids = |s: &Standing| {
         s.changes
             .iter()
@@ -403,27 +408,27 @@
     };
     assert_eq!(ids(&norte), ids(&sur));
     assert!(matches!(&ids(&norte)[..], [Some(first), Some(second), None] if first != second));
-    let done = world.publish(NORTE, Scope::All, 5).await;
+    let done = cluster.publish(NORTE, Scope::All, 5).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
         done.why
     );
-    world
+    cluster
         .until(SUR, "fourth policy", |s| s.in_force == Some(4))
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn partition_before_the_vote_aborts_the_change_and_changes_of_one_region_go_on() {
-    let world = World::with_policy("cut", 1_000).await;
-    world.cut();
-    let done = world.publish(NORTE, Scope::All, 2).await;
+    let cluster = Cluster::with_policy("cut", 1_000).await;
+    cluster.cut();
+    let done = cluster.publish(NORTE, Scope::All, 2).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(done.why, "not in force in time; no vote of region sur");
     for place in [NORTE, SUR] {
-        let standing = world.standing(place).await;
+        let standing = cluster.standing(place).await;
         assert_eq!(
             (standing.in_force, standing.to_come),
             (Some(1), None),
@@ -433,7 +438,7 @@
         assert!(change(&standing).is_none());
     }
     for (place, generation) in [(NORTE, 3), (SUR, 2)] {
-        let done = world.publish(place, Scope::Region, 3).await;
+        let done = cluster.publish(place, Scope::Region, 3).await;
         assert_eq!(
             (done.outcome, done.generation),
             (Outcome::InForce, Some(generation)),
@@ -441,13 +446,13 @@
             done.why
         );
     }
-    world.mend();
+    cluster.mend();
     // A connection may have to be found dead first.
-    let end = Instant::now() + LONG;
-    while world.publish(NORTE, Scope::All, 4).await.outcome != Outcome::InForce {
-        assert!(Instant::now() < end, "{:?}", world.log(NORTE));
+    let end = Instant::now() + TIMEOUT;
+    while cluster.publish(NORTE, Scope::All, 4).await.outcome != Outcome::InForce {
+        assert!(Instant::now() < end, "{:?}", cluster.log(NORTE));
     }
-    world
+    cluster
         .until(SUR, "the policy of all", |s| {
             s.changes
                 .iter()
@@ -455,9 +460,9 @@
         })
         .await;
     assert_eq!(
-        world
+        cluster
             .control(SUR)
-            .files(world.standing(SUR).await.in_force.expect("one"))
+            .files(cluster.standing(SUR).await.in_force.expect("one"))
             .await
             .expect("kept"),
         files(4)
@@ -466,22 +471,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
-    let mut world = World::with_policy("voted", 1_500).await;
+    let mut cluster = Cluster::with_policy("voted", 1_500).await;
     // The prepare comes through; neither its answer nor any question for the outcome does.
-    world.pass_to(SUR, Pass::Free, Pass::Cut);
-    world.pass_to(NORTE, Pass::Cut, Pass::Cut);
-    let publishing = world.publishing(NORTE, Scope::All, 2);
-    world.until(SUR, "vote", has_voted).await;
+    cluster.pass_to(SUR, Pass::Free, Pass::Cut);
+    cluster.pass_to(NORTE, Pass::Cut, Pass::Cut);
+    let publishing = cluster.publishing(NORTE, Scope::All, 2);
+    cluster.until(SUR, "vote", has_voted).await;
     let done = publishing.await.expect("it ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(done.why, "not in force in time; no vote of region sur");
     let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
-    assert!(stays(&world.standing(SUR).await));
+    assert!(stays(&cluster.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
-    let rejection = world
+    let rejection = cluster
         .refused(
             SUR,
-            publish_request(files(3), world.standing(SUR).await.revision),
+            publish_request(files(3), cluster.standing(SUR).await.revision),
         )
         .await;
     assert_eq!(rejection.code(), rejection::Code::ChangePending);
@@ -490,33 +495,35 @@
         "{}",
         rejection.message
     );
-    let fault = world
+    let error = cluster
         .control(SUR)
         .abort("by hand")
         .await
         .expect_err("not its to end");
     assert!(
-        fault.contains("region norte decides how it ends"),
-        "{fault}"
+        error.contains("region norte decides how it ends"),
+        "{error}"
     );
     // The other region goes on.
-    let done = world.publish(NORTE, Scope::Region, 4).await;
+    let done = cluster.publish(NORTE, Scope::Region, 4).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
         done.why
     );
-    world.restart(SUR).await;
-    assert!(stays(&world.standing(SUR).await), "it is on disk");
-    world.mend();
-    let standing = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
+    cluster.restart(SUR).await;
+    assert!(stays(&cluster.standing(SUR).await), "it is on disk");
+    cluster.mend();
+    let standing = cluster
+        .until(SUR, "decision", |s| s.to_come.is_none())
+        .await;
     assert_eq!(standing.in_force, Some(1));
     assert_eq!(
         standing.changes.last().map(|c| c.outcome),
         Some("not in force")
     );
-    let done = world.publish(SUR, Scope::Region, 5).await;
+    let done = cluster.publish(SUR, Scope::Region, 5).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
@@ -531,10 +538,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn decision_made_during_a_partition_is_retried_until_it_is_acknowledged() {
-    let mut world = cut_after_the_decision("commit").await;
-    world.restart(SUR).await;
-    world.restart(NORTE).await;
-    let (norte, sur) = (world.standing(NORTE).await, world.standing(SUR).await);
+    let mut cluster = cut_after_the_decision("commit").await;
+    cluster.restart(SUR).await;
+    cluster.restart(NORTE).await;
+    let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
     assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
     assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
     // Until the other region has it, no further change of all begins.
@@ -542,66 +549,68 @@
         files: files(3),
         revision: norte.revision,
     });
-    let rejection = world.refused(NORTE, all).await;
+    let rejection = cluster.refused(NORTE, all).await;
     assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
         rejection.message.contains("waits for region sur"),
         "{}",
         rejection.message
     );
-    world.mend();
-    let sur = world.until(SUR, "decision", |s| s.to_come.is_none()).await;
+    cluster.mend();
+    let sur = cluster
+        .until(SUR, "decision", |s| s.to_come.is_none())
+        .await;
     assert_eq!(sur.in_force, Some(2));
-    assert_eq!(world.control(SUR).files(2).await.expect("kept"), files(2));
-    world
+    assert_eq!(cluster.control(SUR).files(2).await.expect("kept"), files(2));
+    cluster
         .until(NORTE, "acknowledgement", |s| change(s).is_none())
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn region_that_rejects_a_change_aborts_it_in_all_regions() {
-    let world = World::with_policy("refused", 10_000).await;
+    let cluster = Cluster::with_policy("refused", 10_000).await;
     // A proxy that has not told holds a change of this region up.
-    world.lease(SUR, 1, 0).await;
-    let publishing = world.publishing(SUR, Scope::Region, 2);
-    world
+    cluster.lease(SUR, 1, 0).await;
+    let publishing = cluster.publishing(SUR, Scope::Region, 2);
+    cluster
         .until(SUR, "change of its own", |s| s.to_come == Some(2))
         .await;
-    let done = world.publish(NORTE, Scope::All, 3).await;
+    let done = cluster.publish(NORTE, Scope::All, 3).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(
         done.why,
         "region sur refuses it: the change to generation 2 is under way there"
     );
-    let revision = world.standing(SUR).await.revision;
-    world.lease(SUR, 2, revision).await;
+    let revision = cluster.standing(SUR).await.revision;
+    cluster.lease(SUR, 2, revision).await;
     assert_eq!(publishing.await.expect("it ends").outcome, Outcome::InForce);
-    assert_eq!(world.standing(NORTE).await.in_force, Some(1));
+    assert_eq!(cluster.standing(NORTE).await.in_force, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn messages_for_another_region_are_rejected_and_change_nothing() {
-    let world = World::with_policy("messages", 10_000).await;
-    let revision = world.standing(SUR).await.revision;
+    let cluster = Cluster::with_policy("messages", 10_000).await;
+    let revision = cluster.standing(SUR).await.revision;
     let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(2),
         revision,
     });
-    let rejection = world.refused(SUR, all).await;
+    let rejection = cluster.refused(SUR, all).await;
     assert_eq!(rejection.code(), rejection::Code::NotCoordinator);
     assert_eq!(
         rejection.replicas,
-        [world.regions[NORTE][0].between.address.to_string()]
+        [cluster.regions[NORTE][0].between.address.to_string()]
     );
-    rejects_lease_requests_for_another_region(&world).await;
-    rejects_misdirected_or_wrongly_authenticated_messages(&world).await;
+    rejects_lease_requests_for_another_region(&cluster).await;
+    rejects_misdirected_or_wrongly_authenticated_messages(&cluster).await;
 }
 
-async fn rejects_lease_requests_for_another_region(world: &World) {
+async fn rejects_lease_requests_for_another_region(cluster: &Cluster) {
     let sur: Region = "sur".parse().expect("a name");
-    let strayed = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
-    let rejection = world
-        .refused(NORTE, request::Kind::Lease(strayed.clone()))
+    let misdirected = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
+    let rejection = cluster
+        .refused(NORTE, request::Kind::Lease(misdirected.clone()))
         .await;
     assert_eq!(rejection.code(), rejection::Code::OtherRegion);
     assert!(
@@ -609,14 +618,14 @@
         "{}",
         rejection.message
     );
-    let lent = world
+    let lent = cluster
         .client(SUR)
-        .call_with_retry(&request::Kind::Lease(strayed), LONG)
+        .call_with_retry(&request::Kind::Lease(misdirected), TIMEOUT)
         .await;
     assert!(matches!(lent, Ok(reply::Kind::Lease(_))), "{lent:?}");
 }
 
-async fn rejects_misdirected_or_wrongly_authenticated_messages(world: &World) {
+async fn rejects_misdirected_or_wrongly_authenticated_messages(cluster: &Cluster) {
     // A message between regions, authenticated as that of a proxy.
     let named = wire::ChangeRef {
         id: 9,
@@ -629,21 +638,21 @@
         region: "sur".to_owned(),
         policy: text,
     };
-    let rejection = world
+    let rejection = cluster
         .refused(SUR, request::Kind::Prepare(prepare.clone()))
         .await;
     assert_eq!(rejection.code(), rejection::Code::Invalid);
     // One for another region than the one that it has come to, authenticated for its purpose.
-    let secret = SharedSecret::read(&world.folder.path().join("secret")).expect("a secret");
-    let norte = world.addresses(NORTE);
+    let secret = SharedSecret::read(&cluster.folder.path().join("secret")).expect("a secret");
+    let norte = cluster.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
-    let fault = leader
+    let error = leader
         .call(&request::Kind::Prepare(prepare.clone()))
         .await
         .expect_err("misdirected");
     assert!(
-        fault.to_string().contains("\"sur\"") && fault.to_string().contains("\"norte\""),
-        "{fault}"
+        error.to_string().contains("\"sur\"") && error.to_string().contains("\"norte\""),
+        "{error}"
     );
     // And a request of a proxy, authenticated as a message between regions.
     let asked = leader
@@ -653,13 +662,13 @@
         matches!(asked, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
     );
     // A change that the coordinator does not know begins, and the coordinator's outcome aborts it.
-    let sur = world.addresses(SUR);
+    let sur = cluster.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
         leader.call(&request::Kind::Prepare(prepare)).await,
         Ok(reply::Kind::Vote(_))
     ));
-    let standing = world
+    let standing = cluster
         .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
         .await;
     assert_eq!(
@@ -669,41 +678,41 @@
 }
 
 /// Publishes a change of all that the other region has voted for, and that waits for a proxy of the coordinator's region
-/// alone. What comes of it, and the coordinator's middle.
-async fn waits_for_a_proxy(world: &World) -> (JoinHandle<Done>, u64) {
-    world.lease(NORTE, 1, 0).await;
-    let publishing = world.publishing(NORTE, Scope::All, 2);
+/// alone. What comes of it, and the revision of the transition in the coordinator.
+async fn waits_for_a_proxy(cluster: &Cluster) -> (JoinHandle<Done>, u64) {
+    cluster.lease(NORTE, 1, 0).await;
+    let publishing = cluster.publishing(NORTE, Scope::All, 2);
     let prepared =
         |s: &Standing| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
-    let middle = world
+    let middle = cluster
         .until(NORTE, "vote of the other region", prepared)
         .await;
     (publishing, middle.revision)
 }
 
-/// The change is in force in the coordinator, and the participant has voted and does not know it: the ways are cut.
-async fn cut_after_the_decision(name: &str) -> World {
-    let world = World::with_policy(name, 10_000).await;
-    let (publishing, middle) = waits_for_a_proxy(&world).await;
-    world.cut();
-    world.lease(NORTE, 2, middle).await;
+/// The change is in force in the coordinator, and the participant has voted and does not know it: the links are cut.
+async fn cut_after_the_decision(name: &str) -> Cluster {
+    let cluster = Cluster::with_policy(name, 10_000).await;
+    let (publishing, middle) = waits_for_a_proxy(&cluster).await;
+    cluster.cut();
+    cluster.lease(NORTE, 2, middle).await;
     let done = publishing.await.expect("it ends");
     assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-    assert!(has_voted(&world.standing(SUR).await));
-    world
+    assert!(has_voted(&cluster.standing(SUR).await));
+    cluster
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn new_leaders_finish_a_change_whose_leaders_died_between_its_steps() {
-    let mut world = World::of_replicas("leaders", 3, 10_000).await;
-    let (publishing, middle) = waits_for_a_proxy(&world).await;
-    world.kill_leader(NORTE).await;
-    world.kill_leader(SUR).await;
+    let mut cluster = Cluster::of_replicas("leaders", 3, 10_000).await;
+    let (publishing, middle) = waits_for_a_proxy(&cluster).await;
+    cluster.kill_leader(NORTE).await;
+    cluster.kill_leader(SUR).await;
     assert!(
-        has_voted(&world.standing(SUR).await),
+        has_voted(&cluster.standing(SUR).await),
         "the next leader knows of the vote"
     );
-    world.lease(NORTE, 2, middle).await;
+    cluster.lease(NORTE, 2, middle).await;
     let done = publishing.await.expect("it ends");
     assert_eq!(
         (done.outcome, done.generation),
@@ -711,28 +720,28 @@
         "{}",
         done.why
     );
-    world
+    cluster
         .until(SUR, "decision", |s| s.in_force == Some(2))
         .await;
-    world
+    cluster
         .until(NORTE, "acknowledgement", |s| change(s).is_none())
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn commit_is_acknowledged_for_a_lost_region_once_it_is_decommissioned() {
-    let mut world = cut_after_the_decision("lost-sur").await;
-    world.kill(SUR).await;
-    world.remove_other(NORTE);
-    world.restart(NORTE).await;
+    let mut cluster = cut_after_the_decision("lost-sur").await;
+    cluster.kill(SUR).await;
+    cluster.remove_other(NORTE);
+    cluster.restart(NORTE).await;
     let acknowledged =
         |line: &String| line.contains("region acknowledged commit") && line.contains("region=sur");
-    let end = Instant::now() + LONG;
-    while !world.log(NORTE).iter().any(acknowledged) {
-        assert!(Instant::now() < end, "{:?}", world.log(NORTE));
-        tokio::time::sleep(LOOK).await;
+    let end = Instant::now() + TIMEOUT;
+    while !cluster.log(NORTE).iter().any(acknowledged) {
+        assert!(Instant::now() < end, "{:?}", cluster.log(NORTE));
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let standing = world.standing(NORTE).await;
+    let standing = cluster.standing(NORTE).await;
     assert_eq!(
         (standing.in_force, standing.region.is_none()),
         (Some(2), true)
@@ -741,24 +750,24 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn change_of_a_lost_coordinator_is_aborted_by_an_operator() {
-    let mut world = cut_after_the_decision("lost-norte").await;
-    world
+    let mut cluster = cut_after_the_decision("lost-norte").await;
+    cluster
         .control(SUR)
         .abort("it is down")
         .await
         .expect_err("it may come back");
-    world.kill(NORTE).await;
-    world.remove_other(SUR);
-    world.restart(SUR).await;
+    cluster.kill(NORTE).await;
+    cluster.remove_other(SUR);
+    cluster.restart(SUR).await;
     assert_eq!(
-        world.standing(SUR).await.to_come,
+        cluster.standing(SUR).await.to_come,
         Some(2),
         "nothing ends by itself"
     );
-    assert_eq!(world.control(SUR).abort("it is lost").await, Ok(2));
-    let standing = world.standing(SUR).await;
+    assert_eq!(cluster.control(SUR).abort("it is lost").await, Ok(2));
+    let standing = cluster.standing(SUR).await;
     assert_eq!((standing.in_force, standing.to_come), (Some(1), None));
-    let done = world.publish(SUR, Scope::Region, 3).await;
+    let done = cluster.publish(SUR, Scope::Region, 3).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
@@ -776,22 +785,22 @@
     let folder = Folder::new("regions-older").expect("a folder");
     let store = zstd::bulk::decompress(STORE_WITHOUT_REGIONS, STORE_BYTES_MOST).expect("a store");
     std::fs::write(folder.path().join("store-norte-1"), store).expect("a file");
-    let world = World::start(folder, 1, 10_000).await;
-    let standing = world.standing(NORTE).await;
+    let cluster = Cluster::start(folder, 1, 10_000).await;
+    let standing = cluster.standing(NORTE).await;
     assert_eq!((standing.in_force, standing.changes.len()), (Some(3), 3));
     assert!(standing
         .changes
         .iter()
         .all(|change| change.all_regions.is_none()));
-    let done = world.publish(SUR, Scope::All, 1).await;
+    let done = cluster.publish(SUR, Scope::All, 1).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
         done.why
     );
-    world
+    cluster
         .until(SUR, "the first policy", |s| s.in_force == Some(1))
         .await;
-    assert_eq!(world.control(SUR).files(1).await.expect("kept"), files(1));
+    assert_eq!(cluster.control(SUR).files(1).await.expect("kept"), files(1));
 }
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -15,7 +15,7 @@
 
 const CONTROL: &str = env!("CARGO_BIN_EXE_badgerramp-control");
 const POLICY: &str = include_str!("../../../deploy/sidecar.example.toml");
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Replicas {
     folder: Folder,
@@ -88,7 +88,7 @@
         Control::new(&At {
             control: self.addresses(),
             secret,
-            timeout: LONG.as_secs(),
+            timeout: TIMEOUT.as_secs(),
         })
         .expect("a secret")
     }
@@ -267,7 +267,7 @@
     }
     replicas.all[0].kill().await;
     let path = replicas.folder.path().join("store-1");
-    let whole = state(&path).await.expect("a kill leaves it good");
+    let intact = state(&path).await.expect("a kill leaves it good");
     let bytes = std::fs::read(&path).expect("a file");
     assert!(matches!(
         Store::open(&path, 2),
@@ -278,27 +278,27 @@
         Err(StoreError::AlreadyExists)
     ));
     let copy = replicas.folder.path().join("copy");
-    let (mut refused, mut same) = (0, 0);
-    let mut looked = async |bytes: &[u8], what: String| {
+    let (mut rejected, mut unchanged) = (0, 0);
+    let mut check = async |bytes: &[u8], what: String| {
         std::fs::write(&copy, bytes).expect("a file");
         match state(&copy).await {
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
             Ok(found) => {
-                assert_eq!(found, whole, "{what}");
-                same += 1;
+                assert_eq!(found, intact, "{what}");
+                unchanged += 1;
             }
         }
     };
     for place in (0..bytes.len()).step_by(bytes.len() / 40) {
-        looked(&bytes[..place], format!("cut at {place}")).await;
+        check(&bytes[..place], format!("cut at {place}")).await;
     }
     // Every byte of the header, and a sample of the rest.
     for place in (0..512).chain((512..bytes.len()).step_by(bytes.len() / 300)) {
         let mut flipped = bytes.clone();
         flipped[place] ^= 1 << (place % 8);
-        looked(&flipped, format!("a bit at {place}")).await;
+        check(&flipped, format!("a bit at {place}")).await;
     }
-    assert!(refused > 0 && same > 0, "{refused} {same}");
+    assert!(rejected > 0 && unchanged > 0, "{rejected} {unchanged}");
     std::fs::remove_file(&copy).expect("a file");
     let missing = state(&copy).await.expect_err("it was removed");
     assert!(matches!(missing.downcast_ref(), Some(StoreError::Missing)));
@@ -309,7 +309,7 @@
     let replicas = Replicas::start("bad", 1).await;
     let refused = async |files: HashMap<String, String>, revision: u64| {
         let publish = request::Kind::Publish(Publish { files, revision });
-        match replicas.client().call_with_retry(&publish, LONG).await {
+        match replicas.client().call_with_retry(&publish, TIMEOUT).await {
             Err(ClientError::Rejected(rejection)) => (rejection.code(), rejection.message),
             other => panic!("{other:?}"),
         }
@@ -341,11 +341,11 @@
         files: files(2),
         revision: 0,
     });
-    let fault = stranger.call(&publish).await.expect_err("no admittance");
-    assert!(fault.to_string().contains("another secret"), "{fault}");
+    let error = stranger.call(&publish).await.expect_err("no admittance");
+    assert!(error.to_string().contains("another secret"), "{error}");
 
     let status = request::Kind::Status(StatusRequest {});
-    let Ok(reply::Kind::Status(status)) = replicas.client().call_with_retry(&status, LONG).await
+    let Ok(reply::Kind::Status(status)) = replicas.client().call_with_retry(&status, TIMEOUT).await
     else {
         panic!("no status")
     };
