--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -120,7 +120,7 @@
         if let Some(named) = self.calls.get_mut(&call) {
             named.ended = true;
         }
-        Event::ClientGone { call }
+        Event::ClientDisconnected { call }
     }
 
     /// Forgets a call once it has ended and none of its attempts is in flight.
@@ -195,9 +195,9 @@
                 proxy,
                 enable: true,
             },
-            Action::Log { text } => Command::Trace {
+            Action::Log { event } => Command::Trace {
                 proxy,
-                note_text: text,
+                note_text: event.to_string(),
             },
         })
     }
--- a/crates/control-plane/src/check.rs
+++ b/crates/control-plane/src/check.rs
@@ -1,7 +1,7 @@
 //! Checks of a policy before it is logged: its size, its files, and the fallback policies that it may not change.
 
 use crate::fallback::{self, Files, Violation};
-use badgerramp_config::Mistakes;
+use badgerramp_config::Diagnostics;
 use badgerramp_policy::{Generation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -31,7 +31,7 @@
     },
     /// Files of it are invalid.
     #[error("{}", joined(.0, ""))]
-    Invalid(Vec<Mistakes>),
+    Invalid(Vec<Diagnostics>),
     /// It would change fallback policies that proxies may act under.
     #[error("{}\n{FALLBACK_ADVICE}", joined(.0, "\n"))]
     Fallback(Vec<Violation>),
--- a/crates/control-plane/src/fallback.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -2,7 +2,7 @@
 //! `floor` of `[policy]`); a later policy may not change what becomes of their calls while a proxy may still act under
 //! the earlier one.
 
-use badgerramp_config::{Config, Mistakes};
+use badgerramp_config::{Config, Diagnostics};
 use badgerramp_policy::Generation;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// All mistakes of each file that has some, with file, line and key.
-pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, Vec<Mistakes>> {
+pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, Vec<Diagnostics>> {
     let mut parsed = Files::new();
     let mut mistakes = Vec::new();
     for (name, text) in files {
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -9,7 +9,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
+/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call
+/// out.
 fn full_server(repeat: Idempotency) -> (Proxy, CallId) {
     let mut proxy = Proxy::new(settings(repeat), 1);
     let (first, actions) = proxy.call();
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
+fn a_call_at_a_full_limit_goes_as_the_one_trial_and_the_next_is_queued() {
     let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.call();
     assert_eq!(sent(&actions), [(trial, EndpointId(1))]);
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_served_trial_adds_one_step() {
+fn a_served_trial_adds_one_step_to_the_limit() {
     let (mut proxy, _) = full_server(Idempotency::NonIdempotent);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
@@ -38,8 +39,8 @@
         "an attempt that was never made has no outcome"
     );
     let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
-    // what it does.
+    // Two steps of one call each, one in use: the first that waits goes, and no trial before the
+    // step has shown what it does.
     assert_eq!(sent(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end(a, 0, Outcome::Served, 100 * MS);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn waiting_calls_go_out_in_the_order_of_arrival() {
+fn queued_calls_are_sent_in_the_order_of_arrival() {
     let (mut proxy, first) = full_server(Idempotency::NonIdempotent);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_is_chosen() {
+fn the_less_loaded_of_two_endpoints_is_selected() {
     let mut proxy = Proxy::new(
         Settings {
             balancers: 1,
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn ties_go_to_the_server_with_the_shorter_recent_times() {
+fn ties_go_to_the_endpoint_with_the_lower_latency_ratio() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     for _ in 0..40 {
         let (call, actions) = proxy.call();
@@ -158,8 +159,9 @@
 }
 
 #[test]
-fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
-    // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
+fn a_selected_endpoint_at_its_limit_is_redrawn_among_those_with_capacity() {
+    // One of twenty has room: two random choices alone would rarely meet it, and a trial would be
+    // needed.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let servers: std::collections::BTreeSet<EndpointId> =
         (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
@@ -170,8 +172,8 @@
     );
 }
 
-/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it served but for
-/// one that ended so.
+/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it
+/// served but for one that ended so.
 fn room_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn a_refusal_as_full_lowers_the_concurrency() {
+fn a_rejection_lowers_the_concurrency() {
     assert_eq!(room_after(Outcome::Served), 8);
     assert_eq!(
         room_after(Outcome::Rejected),
@@ -212,7 +214,8 @@
     );
 }
 
-/// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
+/// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at
+/// once.
 fn fill(proxy: &mut Proxy) -> usize {
     let mut calls = vec![proxy.call()];
     while !sent(&calls[calls.len() - 1].1).is_empty() {
@@ -223,13 +226,13 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::ClientGone { call: waiting });
+    proxy.event(Event::ClientDisconnected { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
 
 #[test]
-fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
+fn steps_are_capped_so_that_as_many_connection_failures_take_them() {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -262,8 +265,7 @@
 }
 
 #[test]
-fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call(
-) {
+fn connection_failures_eject_the_endpoint_until_one_call_tries_it_after_the_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -289,14 +291,19 @@
     assert_eq!(used.len(), 2, "taken back");
 }
 
-/// Connections break here and there also where all is well; a host that goes on answering is not set aside for it,
-/// and one that does not is.
+/// Connections break here and there also where all is well; a host that goes on answering is not
+/// set aside for it, and one that does not is.
 #[test]
-fn a_server_that_has_answered_is_not_set_aside_for_one_reset() {
+fn an_endpoint_that_has_answered_is_not_ejected_for_one_reset() {
     let set_aside = |actions: &[Action]| {
-        actions
-            .iter()
-            .any(|a| matches!(a, Action::Log { text } if text.ends_with("set aside")))
+        actions.iter().any(|a| {
+            matches!(
+                a,
+                Action::Log {
+                    event: LogEvent::EndpointEjected { .. }
+                }
+            )
+        })
     };
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 2);
     let mut resets = 0;
@@ -340,9 +347,10 @@
 }
 
 #[test]
-fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
+fn with_every_endpoint_ejected_calls_are_rejected_with_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
+    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken
+    // one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
--- a/crates/gossip/src/packed_list/tests.rs
+++ b/crates/gossip/src/packed_list/tests.rs
@@ -1,8 +1,10 @@
+//! Lists in parts.
+
 use super::*;
 use crate::endpoint_list::tests::up;
 
 #[test]
-fn parts_in_any_order_make_the_list_and_others_do_not() {
+fn parts_in_any_order_unpack_to_the_list_and_foreign_parts_are_rejected() {
     let many = (0..3_000u64).map(|n| {
         let mut change = up(&format!("s-{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         if let Some(entry) = &mut change.entry {
@@ -16,19 +18,20 @@
         index: 7,
         digest: list.digest(),
     };
-    let packed = PackedList::pack(version, &list).expect("it can be passed on");
+    let packed = PackedList::pack(version, &list).expect("it is small enough");
     let parts = packed.parts();
     assert!(parts > 10, "{parts}");
-    let mut partial = PartialList::new(version, parts).expect("so many may be");
+    let mut partial = PartialList::new(version, parts).expect("a valid number of parts");
     for number in (0..parts).rev() {
-        assert!(partial.complete().is_none());
+        assert!(partial.unpack().is_none());
         let bytes = packed.part(number).expect("a part");
-        assert!(!partial.add(number, parts + 1, bytes), "of another packed");
+        assert!(!partial.add(number, parts + 1, bytes), "of another list");
         assert!(partial.add(number, parts, bytes) && !partial.add(number, parts, bytes));
     }
-    assert_eq!(partial.complete(), Some(Ok(list.clone())));
+    let unpacked = partial.unpack().expect("no part is missing");
+    assert_eq!(unpacked.expect("the list"), list);
     assert!(packed.part(parts).is_none() && partial.missing(9).is_empty());
-    // Of another list.
+    // The parts of another list.
     let mut other = PartialList::new(
         ListVersion {
             digest: 1,
@@ -36,8 +39,11 @@
         },
         parts,
     )
-    .expect("so many may be");
+    .expect("a valid number of parts");
     (0..parts).for_each(|n| assert!(other.add(n, parts, packed.part(n).expect("a part"))));
-    assert_eq!(other.complete(), Some(Err(())));
+    assert!(matches!(
+        other.unpack(),
+        Some(Err(UnpackError::DigestMismatch { expected: 1, .. }))
+    ));
     assert!(PartialList::new(version, 0).is_none() && PartialList::new(version, 5_000).is_none());
 }
--- a/crates/proxy/src/look.rs
+++ b/crates/proxy/src/look.rs
@@ -1,8 +1,9 @@
 //! `peers`: what a running proxy knows of the others.
 
-use crate::net::peers::{look, Told};
+use crate::net::peers::{query_status, StatusReport};
 use crate::program::Fault;
-use crate::sidecar::seals;
+use crate::sidecar::codec;
+use badgerramp_gossip::polling::KnownPoller;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,7 +29,8 @@
         );
         return Err(Fault::Other(fault));
     }
-    let told = look(address, &seals(terms)?, WAIT)?;
+    let told =
+        query_status(address, &codec(terms)?, WAIT).map_err(|e| Fault::Other(e.to_string()))?;
     if json {
         let text = serde_json::to_string(&told).map_err(|e| Fault::Other(e.to_string()))?;
         println!("{text}");
@@ -45,10 +47,10 @@
     }
 }
 
-fn text(told: &Told) -> String {
-    let Told {
-        standing,
-        strangers,
+fn text(told: &StatusReport) -> String {
+    let StatusReport {
+        status: standing,
+        rejected,
     } = told;
     let mut text = String::new();
     // Writing to a String does not fail.
@@ -62,17 +64,19 @@
     );
     let list = match &standing.list {
         None => "none yet".to_owned(),
-        Some((version, since, from)) => {
-            let from = from.map_or_else(|| "the list service".to_owned(), |a| a.to_string());
-            let life = if version.incarnation > 1 {
-                format!(" (life {})", version.incarnation)
+        Some(list) => {
+            let from = list
+                .source
+                .map_or_else(|| "the list service".to_owned(), |a| a.to_string());
+            let life = if list.version.incarnation > 1 {
+                format!(" (life {})", list.version.incarnation)
             } else {
                 String::new()
             };
             format!(
                 "{}{life} of {from}, {} ago; {} hosts take calls",
-                version.index,
-                span(*since),
+                list.version.index,
+                span(list.age),
                 standing.endpoints
             )
         }
@@ -87,13 +91,13 @@
         }
         .to_owned(),
     );
-    for (word, age) in &standing.pollers {
-        let who = if word.id == standing.own.id {
+    for KnownPoller { status, age } in &standing.pollers {
+        let who = if status.id == standing.own.id {
             " (this one)"
         } else {
             ""
         };
-        let hears = match word.failures {
+        let hears = match status.failures {
             0 => "hears the service".to_owned(),
             u32::MAX => "has not heard the service yet".to_owned(),
             failures => format!("{failures} questions failed"),
@@ -102,7 +106,7 @@
             "asks",
             format!(
                 "{:016x}{who}, {hears}, heard of {} ago",
-                word.id.0,
+                status.id.0,
                 span(*age)
             ),
         );
@@ -123,10 +127,10 @@
         ),
     );
     let strange = [
-        (strangers.form + counts.malformed, "of another form"),
-        (strangers.seal, "under another secret or fleet"),
-        (strangers.again, "taken before"),
-        (strangers.unsent, "not sent"),
+        (rejected.malformed + counts.malformed, "of another form"),
+        (rejected.unauthenticated, "under another secret or fleet"),
+        (rejected.replayed, "taken before"),
+        (rejected.send_failed, "not sent"),
     ];
     let strange: Vec<String> = strange
         .iter()
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -23,10 +23,10 @@
 pub use membership::{Endpoint, List};
 
 use super::clock::Clock;
-use super::hosts::Hosts;
+use super::upstream::ConnectionPool;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{
-    Action, Balancer, CallId, EndpointId, Event, LoadReport, Micros, Outcome, Settings,
+    Action, Balancer, CallId, EndpointId, Event, LoadReport, LogEvent, Micros, Outcome, Settings,
 };
 use badgerramp_endpoint_watch::StallDetector;
 use badgerramp_subset::Subset;
@@ -78,7 +78,7 @@
 pub struct Driver {
     core: Rc<RefCell<Core>>,
     clock: Clock,
-    sockets: Rc<Hosts>,
+    pool: Rc<ConnectionPool>,
     timer_moved: Rc<Notify>,
     subscribe: Rc<Notify>,
 }
@@ -90,7 +90,7 @@
         keep_errors: bool,
         subset: Option<Subset>,
         clock: Clock,
-        sockets: Rc<Hosts>,
+        pool: Rc<ConnectionPool>,
     ) -> Self {
         let subset = subset.map(|subset| SubsetView {
             subset,
@@ -123,7 +123,7 @@
         Driver {
             core: Rc::new(RefCell::new(core)),
             clock,
-            sockets,
+            pool,
             timer_moved,
             subscribe,
         }
@@ -206,16 +206,28 @@
                 elapsed: 0,
                 load: LoadReport::default(),
             }),
-            Action::Log { text } => tracing::info!("{}", core.with_host_names(&text)),
+            Action::Log { event } => core.log(event),
         }
     }
 }
 
 impl Core {
-    /// A text of the balancer in which the ids of hosts are replaced by their names.
-    fn with_host_names(&self, text: &str) -> String {
-        let name = |id: &str| Some(&*self.hosts.get(&EndpointId(id.parse().ok()?))?.name);
-        let words = text.split(' ').map(|word| name(word).unwrap_or(word));
-        words.collect::<Vec<_>>().join(" ")
+    /// Logs an event of the balancer, with the endpoint's name.
+    fn log(&self, event: LogEvent) {
+        let name = |endpoint: EndpointId| match self.hosts.get(&endpoint) {
+            Some(host) => host.name.to_string(),
+            None => endpoint.0.to_string(),
+        };
+        match event {
+            LogEvent::EndpointEjected { endpoint } => {
+                tracing::info!(endpoint = name(endpoint), "endpoint ejected");
+            }
+            LogEvent::EndpointReadmitted { endpoint } => {
+                tracing::info!(endpoint = name(endpoint), "endpoint readmitted");
+            }
+            LogEvent::AllEndpointsEjected => {
+                tracing::info!("all endpoints ejected, rejecting calls");
+            }
+        }
     }
 }
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of the driver that look into its state.
 
 use super::*;
-use crate::net::exchange::{Client, Manner, Request};
 use crate::net::socket::Tcp;
-use crate::net::{Descriptors, Room};
+use crate::net::upstream::{AttemptOptions, Client, IdleLimits, Request};
+use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_decisions::settings::Transport;
 use badgerramp_decisions::{CallPolicy, ClassId, ListUpdateKind};
 use hyper::http::{HeaderMap, Method, Uri};
@@ -14,7 +14,7 @@
 struct Waits;
 
 impl Client for Waits {
-    fn connected(&self) -> bool {
+    fn is_connected(&self) -> bool {
         true
     }
 }
@@ -30,10 +30,14 @@
         conn_idle: 60_000_000,
         connect_timeout: 9_000_000,
     };
-    let sockets = Hosts::new(
+    let pool = ConnectionPool::new(
         transport,
-        (16, Micros::MAX),
-        (Descriptors::new(9), Room::new(1 << 20)),
+        IdleLimits {
+            per_endpoint: 16,
+            time: Micros::MAX,
+        },
+        Descriptors::new(9),
+        MemoryBudget::new(1 << 20),
         Rc::new(Tcp),
         clock,
     );
@@ -43,23 +47,23 @@
         tenants: vec![],
         transport,
     };
-    Driver::new(7, facts, false, subset, clock, sockets)
+    Driver::new(7, facts, false, subset, clock, pool)
 }
 
 fn request() -> Request {
     let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
     let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
-    let manner = Rc::new(Manner {
-        connect: 1,
+    let options = Rc::new(AttemptOptions {
+        connect_timeout: 1,
         answers,
-        body_most: 1,
+        max_body_len: 1,
     });
     Request {
         method: Method::GET,
         uri,
         headers,
         body: bytes::Bytes::new(),
-        manner,
+        options,
     }
 }
 
@@ -97,7 +101,7 @@
         (driver.open_calls(), driver.core.borrow().calls.len()),
         (0, 0)
     );
-    driver.gone(call);
+    driver.client_disconnected(call);
     assert_eq!(driver.open_calls(), 0, "a second end changes nothing");
 }
 
@@ -165,7 +169,7 @@
         let text = format!("[{}]", names.iter().map(one).collect::<Vec<_>>().join(","));
         serde_json::from_str(&text).expect("a list")
     };
-    let told = || driver.core.borrow().balancer.listed().0;
+    let told = || driver.core.borrow().balancer.endpoint_counts().listed;
     let members = || {
         driver
             .core
@@ -225,9 +229,9 @@
         terms: CallPolicy::default(),
     };
     let held: Vec<_> = (0..9)
-        .map(|_| driver.request(intake(), request()).expect("room"))
+        .map(|_| driver.start_call(intake(), request()).expect("room"))
         .collect();
-    assert!(driver.request(intake(), request()).is_none());
-    driver.gone(held[3].0);
-    assert!(driver.request(intake(), request()).is_some());
+    assert!(driver.start_call(intake(), request()).is_none());
+    driver.client_disconnected(held[3].0);
+    assert!(driver.start_call(intake(), request()).is_some());
 }
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -4,7 +4,7 @@
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::driver::Driver;
-use crate::net::front::Front;
+use crate::net::server::Server;
 use crate::policy_copy::{self, PolicyCopy};
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
@@ -122,10 +122,10 @@
 
     /// Begins to ask.
     pub(crate) fn start(self: &Rc<Self>, running: &Running) {
-        let (driver, front) = (running.driver.clone(), Rc::clone(&running.front));
+        let (driver, server) = (running.driver.clone(), Rc::clone(&running.server));
         let (asks, hears) = (Rc::clone(self), Rc::clone(self));
         let tasks = [
-            tokio::task::spawn_local(async move { asks.ask(driver, front).await }).abort_handle(),
+            tokio::task::spawn_local(async move { asks.ask(driver, server).await }).abort_handle(),
             tokio::task::spawn_local(async move { hears.hear().await }).abort_handle(),
         ];
         self.tasks.borrow_mut().extend(tasks);
@@ -158,7 +158,7 @@
         }
     }
 
-    async fn ask(&self, driver: Driver, front: Rc<Front>) {
+    async fn ask(&self, driver: Driver, server: Rc<Server>) {
         let mut client = self.client();
         let mut told = String::new();
         loop {
@@ -179,7 +179,7 @@
                 .in_region(self.terms.region.as_ref());
             let ask = request::Kind::Lease(ask);
             let fault = match client.call(&ask).await {
-                Ok(reply::Kind::Lease(grant)) => self.granted(&grant, &driver, &front).err(),
+                Ok(reply::Kind::Lease(grant)) => self.granted(&grant, &driver, &server).err(),
                 Ok(_) => Some("control answers oddly: no grant".to_owned()),
                 Err(ClientError::Rejected(rejection))
                     if rejection.code() == rejection::Code::Evicted =>
@@ -216,7 +216,7 @@
         &self,
         wire: &wire::LeaseGrant,
         driver: &Driver,
-        front: &Front,
+        server: &Server,
     ) -> Result<(), String> {
         let grant = LeaseGrant::try_from(wire)
             .map_err(|error| format!("control answers oddly: invalid grant: {error}"))?;
@@ -249,7 +249,7 @@
         match answered {
             GrantResult::Accepted { .. } => {
                 if fresh || self.set.get() != Some(grant.mode) {
-                    self.set(grant.mode, driver, front);
+                    self.set(grant.mode, driver, server);
                     info!("policy: {}", grant.mode);
                 }
             }
@@ -271,7 +271,7 @@
     }
 
     /// Sets the rules of a mode whose generations were read. From here on nothing fails.
-    fn set(&self, mode: Mode, driver: &Driver, front: &Front) {
+    fn set(&self, mode: Mode, driver: &Driver, server: &Server) {
         let mut read = self.read.borrow_mut();
         read.retain(|&g, _| g == mode.old || g == mode.new);
         let Some(combined) = self.combine(&mut read, driver) else {
@@ -288,7 +288,7 @@
             retry_after,
         } = combined;
         driver.reconfigure(settings, fresh, open_calls);
-        front.advice.set(retry_after);
+        server.default_retry_after.set(retry_after);
         let floor = floor_rules(&old);
         let Some(rules) = mode_rules(mode, old, new) else {
             return;
@@ -372,7 +372,7 @@
         *self.local.borrow_mut() = local;
         *self.read.borrow_mut() = anew;
         if let Some(mode) = self.set.get() {
-            self.set(mode, &running.driver, &running.front);
+            self.set(mode, &running.driver, &running.server);
         }
         Ok(())
     }
@@ -385,7 +385,8 @@
 
 /// Reads an application's file of a policy beside the proxy's own.
 fn parse(text: &str, local: &Config) -> Result<Config, String> {
-    let config = badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.line())?;
+    let config =
+        badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
     if config.usage != Use::Alone {
         return Err("`platform = true` is for no sidecar".to_owned());
     }
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -140,26 +140,26 @@
     }
 }
 
-/// The seals of a fleet.
-pub(crate) fn seals(terms: &PeersTerms) -> Result<peers::Seals, String> {
+/// The codec of a fleet's datagrams.
+pub(crate) fn codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
     let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
-    Ok(peers::Seals::new(secret, terms.fleet.clone()))
+    Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
 
 /// Opens the way to the others.
-fn peers_of(terms: &PeersTerms) -> Result<peers::Setup, String> {
-    let seals = seals(terms)?;
+fn peers_of(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
+    let codec = codec(terms)?;
     let fault = |e| format!("peers.listen: {}: {e}", terms.listen);
     let socket = std::net::UdpSocket::bind(terms.listen).map_err(fault)?;
     let here = socket.local_addr().map_err(fault)?;
     tracing::info!("peers: hearing on {here}");
     let advertise = terms.advertise.unwrap_or(here);
-    Ok(peers::Setup {
+    Ok(peers::GossipConfig {
         socket,
         advertise,
         seeds: terms.seeds.clone(),
-        seals,
+        codec,
         id: seed(),
     })
 }
@@ -188,7 +188,7 @@
     setup.peers = peers;
     let reload = move |running: &Running| {
         let config = reread(&path)?;
-        let old = Rc::clone(&running.front.rules.borrow());
+        let old = Rc::clone(&running.server.rules.borrow());
         let Rules::Sidecar(old) = &*old else {
             return Err("this is no sidecar".to_owned());
         };
@@ -201,8 +201,11 @@
             .driver
             .reconfigure(settings, fresh, config.limits.open_calls);
         follow(&config, &mut known, running);
-        running.front.advice.set(config.limits.retry_after);
-        *running.front.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
+        running
+            .server
+            .default_retry_after
+            .set(config.limits.retry_after);
+        *running.server.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
             config,
             numbers,
             seed(),
@@ -276,7 +279,7 @@
 
 fn reread(path: &Path) -> Result<Config, String> {
     load(path).map_err(|fault| match fault {
-        Fault::Mistakes(mistakes) => mistakes.line(),
+        Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
         Fault::Other(fault) => fault,
     })
 }
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -25,16 +25,26 @@
     pub edits: &'static [Edit],
 }
 
-const MODULE: &str = "crates/decisions/src/balance.rs";
-const FLEET: &str = "crates/decisions/src/fleet.rs";
-const STATE: &str = "crates/decisions/src/state.rs";
-const API: &str = "crates/decisions/src/api.rs";
+const ADMISSION: &str = "crates/decisions/src/balancer/admission.rs";
+const API_EVENT: &str = "crates/decisions/src/api/event.rs";
+const ATTEMPTS: &str = "crates/decisions/src/balancer/attempts.rs";
+const BALANCER: &str = "crates/decisions/src/balancer/mod.rs";
+const CALL: &str = "crates/decisions/src/call.rs";
+const ENDPOINT_INDEX: &str = "crates/decisions/src/endpoint_index/mod.rs";
+const FEEDBACK: &str = "crates/decisions/src/balancer/feedback.rs";
+const MEMBERSHIP: &str = "crates/decisions/src/balancer/membership.rs";
+const RETRY: &str = "crates/decisions/src/balancer/retry.rs";
+const SLOW_START: &str = "crates/decisions/src/balancer/slow_start.rs";
+const TIMERS: &str = "crates/decisions/src/balancer/timers.rs";
+const WAIT_QUEUE: &str = "crates/decisions/src/balancer/wait_queue.rs";
 const DRIVER: &str = "crates/proxy/src/net/driver/mod.rs";
 const DRIVER_CALLS: &str = "crates/proxy/src/net/driver/calls.rs";
 const DRIVER_TIMERS: &str = "crates/proxy/src/net/driver/timers.rs";
-const HOSTS: &str = "crates/proxy/src/net/hosts.rs";
-const CLIENTS: &str = "crates/proxy/src/net/clients.rs";
-const NET: &str = "crates/proxy/src/net/mod.rs";
+const UPSTREAM_ATTEMPT: &str = "crates/proxy/src/net/upstream/attempt.rs";
+const UPSTREAM_BODY: &str = "crates/proxy/src/net/upstream/body.rs";
+const UPSTREAM_POOL: &str = "crates/proxy/src/net/upstream/pool.rs";
+const CLIENT_CONNECTION: &str = "crates/proxy/src/net/client_connection/mod.rs";
+const DESCRIPTORS: &str = "crates/proxy/src/net/descriptors.rs";
 
 /// All defects.
 pub const DEFECTS: &[Defect] = &[
@@ -43,46 +53,46 @@
         what: "an unsafe call goes again without proof",
         play: "virtual",
         edits: &[
-            (MODULE, "(Some(_), Idempotency::NonIdempotent) => None", "(Some(_), Idempotency::NonIdempotent) => Some(Domain::All)"),
+            (RETRY, "(Some(_), Idempotency::NonIdempotent) => None", "(Some(_), Idempotency::NonIdempotent) => Some(AllowedEndpoints::All)"),
             // The file's own word stands guard as well.
-            (MODULE, "call.terms.retry_on == RetryOn::AnyFailure || call.binding().is_none();", "true;"),
+            (RETRY, "call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();", "true;"),
         ],
     },
     Defect {
         name: "resend-outside-group",
         what: "a keyed call goes again outside its group",
         play: "virtual",
-        edits: &[(MODULE, "let place = (scope, first.zone, first.cell);", "let place = (DedupScope::All, first.zone, first.cell);")],
+        edits: &[(RETRY, "let dedup_group = (scope, first.zone, first.cell);", "let dedup_group = (DedupScope::All, first.zone, first.cell);")],
     },
     Defect {
         name: "zone-for-cell",
         what: "the group of a keyed call is taken for its zone",
         play: "virtual",
-        edits: &[(FLEET, "DedupScope::Cell => self.cells.get(cell.0)", "DedupScope::Cell => self.zones.get(zone.0)")],
+        edits: &[(ENDPOINT_INDEX, "DedupScope::Cell => self.cells.get(cell.0)", "DedupScope::Cell => self.zones.get(zone.0)")],
     },
     Defect {
         name: "last-outcome-alone",
         what: "proof is looked for in the last attempt alone",
         play: "virtual",
-        edits: &[(STATE, "self.attempts.iter().find(|a| a.effect != Effect::NeverRan)", "self.attempts.last().filter(|a| a.effect != Effect::NeverRan)")],
+        edits: &[(CALL, "self.attempts.iter().find(|a| a.execution != Execution::NotExecuted)", "self.attempts.last().filter(|a| a.execution != Execution::NotExecuted)")],
     },
     Defect {
         name: "reset-is-proof",
         what: "a broken connection is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(API, "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)", "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Reset)")],
+        edits: &[(API_EVENT, "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)", "matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Reset)")],
     },
     Defect {
         name: "error-is-proof",
         what: "an error is taken as proof that nothing ran",
         play: "virtual",
-        edits: &[(MODULE, "tried.effect = if outcome.proves_not_executed() {", "tried.effect = if outcome.proves_not_executed() || outcome == Outcome::Error {")],
+        edits: &[(FEEDBACK, "tried.execution = if outcome.proves_not_executed() {", "tried.execution = if outcome.proves_not_executed() || outcome == Outcome::Error {")],
     },
     Defect {
         name: "refuse-what-may-have-run",
         what: "what may have run is refused, which says that trying again is harmless",
         play: "virtual",
-        edits: &[(MODULE, "harmless || self.binding().is_none()", "harmless || self.out() == 0")],
+        edits: &[(ADMISSION, "harmless || self.first_maybe_executed().is_none()", "harmless || self.attempts_in_flight() == 0")],
     },
     Defect {
         name: "answer-twice",
@@ -90,133 +100,133 @@
         play: "virtual",
         edits: &[
             (
-                MODULE,
-                "} else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.held && !c.rests && c.out() == 0) {",
-                "} else if self.calls.get(&id).is_some_and(|c| !c.held && !c.rests && c.out() == 0) {",
+                RETRY,
+                "} else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.queued && !c.backing_off && c.attempts_in_flight() == 0) {",
+                "} else if self.calls.get(&id).is_some_and(|c| !c.queued && !c.backing_off && c.attempts_in_flight() == 0) {",
             ),
-            (MODULE, "if closed || outcome == Outcome::Served {", "if outcome == Outcome::Served {"),
+            (RETRY, "if closed || outcome == Outcome::Served {", "if outcome == Outcome::Served {"),
         ],
     },
     Defect {
         name: "drain-ignored",
         what: "a host that drains still counts as ready",
         play: "virtual",
-        edits: &[(MODULE, "self.list(now, place, entry.status == EndpointStatus::Ready);", "self.list(now, place, entry.status != EndpointStatus::Removed);")],
+        edits: &[(MEMBERSHIP, "self.set_listed(now, slot, entry.status == EndpointStatus::Ready);", "self.set_listed(now, slot, entry.status != EndpointStatus::Removed);")],
     },
     Defect {
         name: "gone-stays",
         what: "what a whole list leaves out stays listed",
         play: "virtual",
-        edits: &[(MODULE, "for place in self.fleet.unnamed() {", "for place in self.fleet.unnamed().into_iter().take(0) {")],
+        edits: &[(MEMBERSHIP, "for slot in self.endpoints.not_in_full_list() {", "for slot in self.endpoints.not_in_full_list().into_iter().take(0) {")],
     },
     Defect {
         name: "cold-as-warm",
         what: "a cold host is taken for a warm one",
         play: "virtual",
-        edits: &[(STATE, "if self.started == 0 || age >= rules.slow_start_duration {", "if self.started == 0 || age >= rules.slow_start_duration / 100 {")],
+        edits: &[(SLOW_START, "if self.started_at == 0 || age >= rules.slow_start_duration {", "if self.started_at == 0 || age >= rules.slow_start_duration / 100 {")],
     },
     Defect {
         name: "restart-unseen",
         what: "a restart under the same name keeps what was learned",
         play: "virtual",
-        edits: &[(MODULE, "found.filter(|&place| entry.started <= self.fleet[place].started);", "found;")],
+        edits: &[(MEMBERSHIP, "found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);", "found;")],
     },
     Defect {
         name: "slot-leaked",
         what: "an attempt that was called off keeps its place",
         play: "virtual",
-        edits: &[(MODULE, "server.in_flight = server.in_flight.saturating_sub(1);", "if outcome != Outcome::Cancelled { server.in_flight = server.in_flight.saturating_sub(1); }")],
+        edits: &[(FEEDBACK, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "if outcome != Outcome::Cancelled { endpoint.in_flight = endpoint.in_flight.saturating_sub(1); }")],
     },
     Defect {
         name: "slot-freed-twice",
         what: "a time-out frees two places",
         play: "virtual",
-        edits: &[(MODULE, "server.in_flight = server.in_flight.saturating_sub(1);", "server.in_flight = server.in_flight.saturating_sub(1 + u32::from(outcome == Outcome::TimedOut));")],
+        edits: &[(FEEDBACK, "endpoint.in_flight = endpoint.in_flight.saturating_sub(1);", "endpoint.in_flight = endpoint.in_flight.saturating_sub(1 + u32::from(outcome == Outcome::TimedOut));")],
     },
     Defect {
         name: "place-lost-on-restart",
         what: "a restart forgets what is in flight",
         play: "virtual",
-        edits: &[(MODULE, "(server.in_flight, server.budget.trial_out) = (old.in_flight, old.budget.trial_out);", "server.budget.trial_out = old.budget.trial_out;")],
+        edits: &[(MEMBERSHIP, "endpoint.in_flight = old.in_flight;\n        endpoint.limit.trial_in_flight", "endpoint.limit.trial_in_flight")],
     },
     Defect {
         name: "trial-never-back",
         what: "a trial that was called off or never sent is out for good",
         play: "virtual",
-        edits: &[(MODULE, "server.budget.trial_out &= !trial;\n                return;", "return;")],
+        edits: &[(FEEDBACK, "endpoint.limit.trial_in_flight &= !is_trial;\n            return;", "return;")],
     },
     Defect {
         name: "lost-wake-up",
         what: "no timer is asked for while calls are held",
         play: "virtual",
-        edits: &[(MODULE, "if next < self.timer_at {", "if next < self.timer_at && self.hold.is_empty() {")],
+        edits: &[(TIMERS, "if next < self.timer_at {", "if next < self.timer_at && self.wait_queue.is_empty() {")],
     },
     Defect {
         name: "timer-edge",
         what: "a held call is woken at its deadline, in place of one step before",
         play: "virtual",
-        edits: &[(MODULE, "let last = self.calls[&id].deadline.saturating_sub(self.settings.tick).max(now);", "let last = self.calls[&id].deadline.saturating_add(self.settings.tick).max(now);")],
+        edits: &[(WAIT_QUEUE, "let last = call.deadline.saturating_sub(self.settings.tick).max(now);", "let last = call.deadline.saturating_add(self.settings.tick).max(now);")],
     },
     Defect {
         name: "one-attempt-more",
         what: "a call has one attempt more than its file allows",
         play: "virtual",
-        edits: &[(MODULE, "(self.attempts.len() as u32) < self.terms.max_attempts", "(self.attempts.len() as u32) <= self.terms.max_attempts")],
+        edits: &[(RETRY, "(self.attempts.len() as u32) < self.policy.max_attempts", "(self.attempts.len() as u32) <= self.policy.max_attempts")],
     },
     Defect {
         name: "copies-for-all",
         what: "a second copy goes out whatever the file says",
         play: "virtual",
-        edits: &[(MODULE, "let hedge = if limits.hedging { terms.hedge } else { Hedge::Never };", "let hedge = if limits.hedging { Hedge::Auto } else { Hedge::Auto };")],
+        edits: &[(ADMISSION, "let hedge = if limits.hedging { policy.hedge } else { Hedge::Never };", "let hedge = if limits.hedging { Hedge::Auto } else { Hedge::Auto };")],
     },
     Defect {
         name: "send-after-answer",
         what: "a call that was answered stays in the hold",
         play: "virtual",
-        edits: &[(MODULE, "if std::mem::take(&mut call.held) {", "if std::mem::take(&mut call.held) && call.attempts.len() > 1 {")],
+        edits: &[(ATTEMPTS, "if std::mem::take(&mut call.queued) {", "if std::mem::take(&mut call.queued) && call.attempts.len() > 1 {")],
     },
     Defect {
         name: "call-forgotten",
         what: "a call whose second copy ends first is forgotten",
         play: "virtual",
-        edits: &[(MODULE, "if self.calls.get(&id).is_some_and(|c| c.ended && c.out() == 0) {", "if self.calls.get(&id).is_some_and(|c| c.ended || c.attempts.len() > 1 && c.out() == 0) {")],
+        edits: &[(ATTEMPTS, "if call.is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {", "if call.is_some_and(|c| c.ended || c.attempts.len() > 1 && c.attempts_in_flight() == 0) {")],
     },
     Defect {
         name: "call-never-forgotten",
         what: "calls that were answered while an attempt was out are kept for good",
         play: "virtual",
-        edits: &[(MODULE, "            self.cancel_others(id, None, actions);\n        } else if", "            self.cancel_others(id, None, actions);\n            return;\n        } else if")],
+        edits: &[(RETRY, "            self.cancel_attempts(id, None, actions);\n        } else if", "            self.cancel_attempts(id, None, actions);\n            return;\n        } else if")],
     },
     Defect {
         name: "window-doubled",
         what: "a keyed call goes again until twice its window",
         play: "virtual",
-        edits: &[(MODULE, "if now.saturating_add(self.settings.tick) < first.sent.saturating_add(window) =>", "if now.saturating_add(self.settings.tick) < first.sent.saturating_add(window * 2) =>")],
+        edits: &[(RETRY, "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window) =>", "if now.saturating_add(self.settings.tick) < first.sent_at.saturating_add(window * 2) =>")],
     },
     Defect {
         name: "list-asked-once",
         what: "after a failure the list is not asked for again",
         play: "virtual",
-        edits: &[(MODULE, "self.ask_failures += 1;\n            if self.settings.poll_endpoint_list {", "self.ask_failures += 1;\n            if self.settings.poll_endpoint_list && self.ask_failures == 0 {")],
+        edits: &[(MEMBERSHIP, "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list {", "self.list_poll_failures += 1;\n            if self.settings.poll_endpoint_list && self.list_poll_failures == 0 {")],
     },
     Defect {
         name: "hold-skipped",
         what: "what comes in goes to the hold and nobody looks at it until something else happens",
         play: "virtual",
-        edits: &[(MODULE, "self.wake_calls(now, actions);\n        self.drain_hold(now, actions);", "self.wake_calls(now, actions);\n        if !self.calls.len().is_multiple_of(3) { self.drain_hold(now, actions); }")],
+        edits: &[(BALANCER, "self.run_call_timers(now, actions);\n        self.dispatch_queue(now, actions);", "self.run_call_timers(now, actions);\n        if !self.calls.len().is_multiple_of(3) { self.dispatch_queue(now, actions); }")],
     },
     Defect {
         name: "set-aside-for-good",
         what: "a host that was set aside is never tried again",
         play: "virtual",
-        edits: &[(MODULE, "back_at: self.budget.backoff_end.max(self.not_before).max(warm_at)", "back_at: Micros::MAX")],
+        edits: &[(MEMBERSHIP, "recovery_at: self.limit.backoff_until.max(self.paused_until).max(slow_start_end)", "recovery_at: Micros::MAX")],
     },
     Defect {
         name: "start-unasked",
         what: "a request is written without asking whether it may still start",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !may_start() {", "if !may_start() && hosts.spares > 1_000 {"),
+            (UPSTREAM_ATTEMPT, "if !may_start() {", "if !may_start() && target.generation == u64::MAX {"),
         ],
     },
     Defect {
@@ -224,8 +234,8 @@
         what: "a connection is used again whatever has come in on it",
         play: "sockets",
         edits: &[
-            (HOSTS, "if !current || settled != LinkState::Ready {", "if !current {"),
-            (HOSTS, "&& link.generation == target.generation && self.ready(&mut link).await {", "&& link.generation == target.generation {"),
+            (UPSTREAM_POOL, "if !current || state != ConnectionState::Ready {", "if !current {"),
+            (UPSTREAM_POOL, "&& connection.generation == target.generation && self.is_ready(&mut connection).await {", "&& connection.generation == target.generation {"),
         ],
     },
     Defect {
@@ -241,7 +251,7 @@
         what: "a connection that broke under a request is told as one that never was",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Broken) if link.handed_over.get() => return Outcome::Reset.into()", "Err(Fault::Broken) if link.handed_over.get() => return Outcome::ConnectFailed.into()"),
+            (UPSTREAM_ATTEMPT, "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::Reset.into()", "Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {\n            return Outcome::ConnectFailed.into()"),
         ],
     },
     Defect {
@@ -249,7 +259,7 @@
         what: "an answer that can't be read is told as one of a host that turned the call away",
         play: "sockets",
         edits: &[
-            (HOSTS, "Err(Fault::Spoilt) => return Outcome::Error.into()", "Err(Fault::Spoilt) => return Outcome::Rejected.into()"),
+            (UPSTREAM_ATTEMPT, "Err(ExchangeError::InvalidResponse) => return Outcome::Error.into()", "Err(ExchangeError::InvalidResponse) => return Outcome::Rejected.into()"),
         ],
     },
     Defect {
@@ -257,7 +267,7 @@
         what: "a body that ends with its connection is served",
         play: "sockets",
         edits: &[
-            (HOSTS, "_ => return Err(Fault::Spoilt),\n    };", "_ => body_most,\n    };"),
+            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
         ],
     },
     Defect {
@@ -289,7 +299,7 @@
         what: "sockets are never counted out",
         play: "sockets",
         edits: &[
-            (NET, "self.0.open.set(self.0.open.get() - 1);", "self.0.open.set(self.0.open.get());"),
+            (DESCRIPTORS, "self.0.open.set(self.0.open.get() - 1);", "self.0.open.set(self.0.open.get());"),
         ],
     },
     Defect {
@@ -297,7 +307,7 @@
         what: "a connection is closed on what still comes in after an early answer",
         play: "sockets",
         edits: &[
-            (CLIENTS, "while left > 0 {", "while left > LINGER_MOST {"),
+            (CLIENT_CONNECTION, "while left > 0 {", "while left > MAX_LINGER_LEN {"),
         ],
     },
     Defect {
@@ -305,7 +315,7 @@
         what: "the decisions are not told of a client that has left",
         play: "sockets",
         edits: &[
-            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::ClientGone { call });", "self.core.borrow_mut().finish_call(call, None);"),
+            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::ClientDisconnected { call });", "self.core.borrow_mut().finish_call(call, None);"),
         ],
     },
 ];
