--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,4 +1,4 @@
-//! A replica as a server: starts its parts, and runs them until it is told to stop or can't go on.
+//! A replica as a server: starts its parts, and runs them until it is stopped or fails.
 
 mod error;
 mod requests;
@@ -114,7 +114,7 @@
         })
 }
 
-/// Tells a replica that has never run which replicas there are. For one that has, its store says so.
+/// Gives a replica that has never run the addresses of all replicas. Any other has them in its store.
 async fn initialize(settings: &Settings, raft: &Raft<RaftTypes>) -> Result<(), ServerError> {
     let initialized = raft.is_initialized().await;
     if initialized.map_err(|error| ServerError::Uninitialized(Box::new(error)))? {
--- a/crates/control-plane/src/settings/tests.rs
+++ b/crates/control-plane/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! What is told of a bad file.
+//! The errors of invalid files.
 
 use super::Settings;
 use std::os::unix::fs::PermissionsExt;
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -33,7 +33,7 @@
 /// Permissions of a store's file: the owner's alone.
 const FILE_MODE: u32 = 0o600;
 
-/// What the consensus library is told of a failure.
+/// How a failure is reported to the consensus library.
 type RaftError = StorageError<NodeId>;
 
 /// The store of one replica.
@@ -116,7 +116,7 @@
     }
 }
 
-/// Tells the consensus library which part of the store an error concerns.
+/// Names the part of the store that an error concerns, for the consensus library.
 fn raft_error(
     subject: ErrorSubject<NodeId>,
     verb: ErrorVerb,
--- a/crates/control-plane/src/store/state_machine.rs
+++ b/crates/control-plane/src/store/state_machine.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Tells those who watch the revision, if it has changed.
+    /// Notifies the watchers of the revision, if it has changed.
     fn notify_revision(&self) {
         let revision = self.read(Record::revision);
         self.revision
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -22,7 +22,7 @@
 /// Pause before [`Client::call_with_retry`] calls again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A stream that tells of each new revision of control.
+/// A stream of the new revisions of control.
 pub struct RevisionWatch {
     stream: Streaming<AuthenticatedMessage>,
     secret: SharedSecret,
