--- a/crates/control-plane/src/fallback.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -13,22 +13,22 @@
 /// Parses the files of a policy.
 ///
 /// # Errors
-/// All mistakes of each file that has some, with file, line and key.
+/// All diagnostics of each file that has some, with file, line and key.
 pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, Vec<Diagnostics>> {
     let mut parsed = Files::new();
-    let mut mistakes = Vec::new();
+    let mut diagnostics = Vec::new();
     for (name, text) in files {
         match badgerramp_config::parse(&format!("{name}.toml"), text) {
             Ok(config) => {
                 parsed.insert(name.clone(), config);
             }
-            Err(found) => mistakes.push(found),
+            Err(found) => diagnostics.push(found),
         }
     }
-    if mistakes.is_empty() {
+    if diagnostics.is_empty() {
         Ok(parsed)
     } else {
-        Err(mistakes)
+        Err(diagnostics)
     }
 }
 
