--- a/crates/decisions/src/api/action.rs
+++ b/crates/decisions/src/api/action.rs
@@ -1,77 +1,79 @@
-//! What the balancer tells the proxy to do.
+//! Actions that the balancer requests from the proxy.
 
 use super::ids::{CallId, EndpointId, Micros};
 use std::fmt;
 
-/// What the balancer tells the proxy to do.
+/// An action that the proxy executes for the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the call to an endpoint; the first time is attempt 0, the next 1, and so on.
+    /// Send the call to an endpoint. A call's attempts are numbered from 0 in the order of these
+    /// actions.
     Send {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// To which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// When the attempt times out (a moment); `None`: when its client gives up.
+        /// Time at which the attempt times out; `None` means at the client's deadline.
         attempt_deadline: Option<Micros>,
-        /// When its first byte must be on its way (a moment): from then on the endpoints may have
-        /// forgotten the call's key, and an attempt that still waits for its connection must not
-        /// start. `None`: no such moment.
+        /// Time by which the first byte must have been sent. After it, the endpoints may have
+        /// dropped the call's idempotency key, so an attempt that still waits for a connection must
+        /// not start. `None` means no such limit.
         start_by: Option<Micros>,
     },
-    /// Reject the call: its client may safely try again.
+    /// Reject the call; its client may safely try again.
     Reject {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Retry-After, in microseconds.
+        /// The Retry-After value, in microseconds.
         retry_after: Micros,
     },
-    /// End the call with an error that promises nothing.
+    /// End the call with an error that does not say whether it was executed.
     Fail {
-        /// Which call.
+        /// The call.
         call: CallId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Of which call.
+        /// The call of the attempt.
         call: CallId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Send a load probe; it ends with [`Event::ProbeCompleted`](super::Event::ProbeCompleted).
+    /// Send a load probe. Its result is reported by
+    /// [`Event::ProbeCompleted`](super::Event::ProbeCompleted).
     Probe {
-        /// To which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send [`Event::Timer`](super::Event::Timer) after this time.
+    /// Deliver [`Event::Timer`](super::Event::Timer) after this delay.
     Wake {
-        /// How long from now, in microseconds.
+        /// The delay from now, in microseconds.
         after: Micros,
     },
-    /// Poll the endpoint list, or subscribe to it.
+    /// Poll the endpoint list or subscribe to it.
     Subscribe,
-    /// Log an event for whoever is on call.
+    /// Log an event for operators.
     Log {
-        /// What has happened.
+        /// The event to log.
         event: LogEvent,
     },
 }
 
-/// What the proxy logs for the balancer. Its `Display` is the event's name and the endpoint's
-/// number.
+/// An event that the proxy logs for the balancer. `Display` writes the event's name and the
+/// endpoint's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// An outlier gets no calls but single trials from now on.
+    /// An endpoint was ejected as an outlier. It gets only single trial calls from now on.
     EndpointEjected {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A trial has shown that an ejected endpoint serves again.
+    /// An ejected endpoint was readmitted after a served trial call.
     EndpointReadmitted {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Every endpoint is ejected: calls are rejected until one is readmitted.
+    /// Every endpoint is ejected. Calls are rejected until one is readmitted.
     AllEndpointsEjected,
 }
 
--- a/crates/decisions/src/api/call_class.rs
+++ b/crates/decisions/src/api/call_class.rs
@@ -1,96 +1,99 @@
-//! What is asked of a class of calls, and what an operator sets for one call.
+//! Classes of calls with their objectives, and the policy that an operator sets for a call.
 
 use super::ids::Micros;
 
-/// Which endpoints recognise and drop a repeat of a keyed call.
+/// The set of endpoints that recognise and drop repeats of a keyed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// Whether a call of a class may be executed again.
+/// Whether the calls of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat is harmless.
+    /// Executing a call again is harmless.
     Idempotent,
-    /// Calls carry an idempotency key: a repeat is harmless on the endpoints of `scope`, within
-    /// `window` of the first attempt that may have run.
+    /// Calls carry an idempotency key: executing one again is harmless on the endpoints of `scope`,
+    /// within `window` of the first attempt that may have been executed.
     Keyed {
         /// The endpoints that share their keys.
         scope: DedupScope,
-        /// How long they keep a key, in microseconds.
+        /// How long the endpoints keep a key, in microseconds.
         window: Micros,
     },
-    /// A repeat may do harm.
+    /// Executing a call again may do harm.
     #[default]
     NonIdempotent,
 }
 
-/// What is asked of the calls of one class.
+/// The objectives and properties of a class of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time counts in full.
+    /// An answer within this time has its full value, in microseconds.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// Total time that a client waits for a call, in microseconds.
     pub deadline: Micros,
-    /// What an answer in time counts for in the score.
+    /// Weight of an answer in time in the score.
     pub priority_weight: f64,
-    /// Share of this weight, 0 to 1, for an answer between objective and deadline.
+    /// Share of the weight, 0 to 1, for an answer between the objective and the deadline.
     pub late_value: f64,
-    /// Whether a call may be executed again.
+    /// Whether a call may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// When a hedged request may be sent: a second attempt while the first is in flight. Whether it may
-/// at all is up to the class ([`Idempotency`]) and the site
+/// When a hedged request may be sent: a second attempt while the first is in flight. Whether a call
+/// may be hedged at all depends on its class ([`Idempotency`]) and the limits of the site
 /// ([`Limits::hedging`](super::Limits::hedging)).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedge {
-    /// As late as can still be in time.
+    /// As late as possible while an answer can still be expected within the objective.
     #[default]
     Auto,
-    /// No hedged request.
+    /// Never.
     Never,
-    /// This long after the first attempt, in microseconds.
+    /// This time after the first attempt, in microseconds.
     After(Micros),
-    /// After this quantile (0 to 1) of the class's latencies; as `Auto` until it is learned.
+    /// After this quantile (0 to 1) of the class's latencies. Behaves as `Auto` until enough
+    /// latencies are known.
     Quantile(f64),
 }
 
-/// After which outcomes a call may be retried, where its class allows it.
+/// The outcomes after which a call may be retried, if its class allows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryOn {
-    /// After any failure.
+    /// Any failure.
     #[default]
     AnyFailure,
-    /// Only while every attempt is proved not to have been executed.
+    /// Only if every attempt is proved not to have been executed.
     NotExecuted,
 }
 
-/// What an operator sets for one call. It only narrows what class and site allow.
+/// The policy that an operator sets for a call. It can only restrict what the class and the site
+/// allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallPolicy {
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Longest time of one attempt, in microseconds.
+    /// Timeout of one attempt, in microseconds.
     pub attempt_timeout: Micros,
-    /// Pause between the end of one attempt and the next, in microseconds.
+    /// Delay between the end of an attempt and the next attempt, in microseconds.
     pub backoff: Micros,
-    /// Hedged requests.
+    /// When a hedged request is sent.
     pub hedge: Hedge,
-    /// What may be retried.
+    /// The outcomes after which the call may be retried.
     pub retry_on: RetryOn,
-    /// It is not idempotent whatever its class says, as its idempotency key is missing.
+    /// Treats the call as not idempotent regardless of its class, because its idempotency key is
+    /// missing.
     pub non_idempotent: bool,
 }
 
 impl Default for CallPolicy {
-    /// Nothing is narrowed.
+    /// A policy without restrictions.
     fn default() -> Self {
         CallPolicy {
             max_attempts: u32::MAX,
--- a/crates/decisions/src/api/endpoint_list.rs
+++ b/crates/decisions/src/api/endpoint_list.rs
@@ -1,88 +1,90 @@
-//! The endpoint list, and what a balancer tells of an endpoint.
+//! Endpoint list entries and updates, and the balancer's view of endpoints and calls.
 
 use super::ids::{CellId, EndpointId, KindId, Micros, ZoneId};
 
-/// What the list says of an endpoint.
+/// The status of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes calls.
+    /// The endpoint takes calls.
     #[default]
     Ready,
-    /// It shuts down gracefully: it finishes its calls and takes no more.
+    /// The endpoint is shutting down gracefully: it finishes its calls and takes no new ones.
     Draining,
-    /// It has been removed.
+    /// The endpoint has been removed.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whether it takes calls.
+    /// Whether the endpoint takes calls.
     pub status: EndpointStatus,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The endpoint's cell.
     pub cell: CellId,
-    /// Its machine kind.
+    /// The endpoint's machine kind.
     pub kind: KindId,
-    /// A figure to compare endpoints by, see [`WeightSource`](super::WeightSource); 0 or less: not
-    /// known.
+    /// Relative weight of the endpoint, see [`WeightSource`](super::WeightSource); unknown if 0 or
+    /// less.
     pub weight: f64,
-    /// When its process last started, in microseconds of the balancer's clock; 0: long ago.
+    /// Time at which the process last started, in microseconds of the balancer's clock; 0 if that
+    /// was long ago.
     pub started: Micros,
 }
 
-/// How much of the list an update holds.
+/// The kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// Changed entries only.
+    /// The update contains the changed entries only.
     Delta,
-    /// The whole list.
+    /// The update contains the full list.
     Full,
-    /// The whole list as the proxy last had it, maybe old.
+    /// The update contains the full list from the proxy's cache, which may be outdated.
     Cached,
-    /// None: the poll failed or the subscription broke.
+    /// The update contains no entries: the poll failed or the subscription broke.
     Failed,
 }
 
-/// How many endpoints a balancer knows.
+/// Numbers of endpoints that a balancer knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints that the list names ready.
+    /// Endpoints listed as ready.
     pub listed: usize,
-    /// Those of them that are outliers: ejected or failing. Never more than half are ejected, so
-    /// that alone would not tell of a fleet that fails as a whole.
+    /// Listed endpoints that are outliers: ejected or failing. At most half of the endpoints are
+    /// ever ejected, so the number of ejected endpoints alone would not show a failure of the whole
+    /// fleet.
     pub outliers: usize,
 }
 
-/// How many calls a balancer holds, and what it may spend on them.
+/// Numbers of calls that a balancer holds, and its retry tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallTotals {
-    /// Calls that have not ended, or still have an attempt in flight.
+    /// Calls that have not ended or still have an attempt in flight.
     pub open: usize,
-    /// Those of them in the wait queue.
+    /// Open calls in the wait queue.
     pub queued: usize,
-    /// Retry tokens saved up: each pays for a retry or a hedged request.
+    /// Available retry tokens; each pays for a retry or a hedged request.
     pub retry_tokens: f64,
 }
 
-/// What a balancer knows of an endpoint at a moment, for logs and metrics.
+/// A snapshot of what a balancer knows about an endpoint, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointView {
-    /// It takes calls, by the list.
+    /// Whether the endpoint is listed as taking calls.
     pub listed: bool,
-    /// Attempts of this balancer in flight there.
+    /// This balancer's attempts in flight at the endpoint.
     pub in_flight: u32,
-    /// Attempts that it may have in flight there after slow start.
+    /// This balancer's concurrency limit for the endpoint after slow start.
     pub concurrency_limit: f64,
-    /// Latency over what its classes allow; 1 is the limit.
+    /// Latency relative to the limits of the call classes; 1 is the limit.
     pub latency_ratio: f64,
     /// Smoothed share of attempts that failed, 0 to 1.
     pub failure_rate: f64,
-    /// Share of its capacity that it has at the least.
+    /// Guaranteed share of the endpoint's full capacity, below 1 during slow start.
     pub slow_start_capacity: f64,
-    /// It is sent nothing but single trials.
+    /// Whether the endpoint is ejected and gets only single trial calls.
     pub ejected: bool,
 }
--- a/crates/decisions/src/api/event.rs
+++ b/crates/decisions/src/api/event.rs
@@ -1,35 +1,35 @@
-//! What the proxy tells the balancer.
+//! Events that the proxy reports to the balancer.
 
 use super::call_class::CallPolicy;
 use super::endpoint_list::{EndpointEntry, ListUpdateKind};
 use super::ids::{CallId, ClassId, EndpointId, Micros, TenantId};
 use super::settings::Settings;
 
-/// How an attempt ended.
+/// The outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the call.
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// Rejected without being looked at: the endpoint is full or draining.
+    /// The endpoint rejected the call without executing it, because it is full or draining.
     Rejected,
-    /// No answer in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke while the attempt was in flight.
     Reset,
-    /// Cancelled by this balancer.
+    /// The attempt was cancelled by this balancer.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// Anything else; it may have run.
+    /// Any other outcome; the attempt may have been executed.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt was not executed, so that a repeat is harmless.
+    /// Whether this outcome proves that the attempt was not executed, so that a retry is harmless.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -38,92 +38,92 @@
     }
 }
 
-/// An endpoint's report of its load; what it does not report is absent.
+/// An endpoint's load report. Values that the endpoint does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it has, queued ones included.
+    /// Requests at the endpoint, including queued ones.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests queued at the endpoint.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Share of the endpoint's cores that are busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub error_rate: Option<f64>,
 }
 
-/// What the proxy tells the balancer.
+/// An event that the proxy reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The proxy starts. Its cached list, if any, comes next.
+    /// The proxy has started. The cached endpoint list follows, if there is one.
     Start,
-    /// An update of the endpoint list.
+    /// The endpoint list was updated, or an update failed.
     EndpointList {
-        /// How much of it.
+        /// The kind of update.
         kind: ListUpdateKind,
-        /// The entries.
+        /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// A call has come in.
+    /// A client has made a call.
     Request {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// Its class.
+        /// The class of the call.
         class: ClassId,
-        /// Whose it is.
+        /// The tenant that the call belongs to.
         tenant: Option<TenantId>,
-        /// How long the client still waits, in microseconds.
+        /// Time until the client's deadline, in microseconds.
         time_left: Micros,
-        /// The client marks it as a retry.
+        /// Whether the client marks the call as a retry.
         is_retry: bool,
-        /// What the operator set for it.
+        /// The operator's policy for the call.
         policy: CallPolicy,
     },
     /// An attempt has ended.
     Outcome {
-        /// Of which call.
+        /// The call of the attempt.
         call: CallId,
-        /// Which attempt, from 0.
+        /// The number of the attempt, counted from 0.
         attempt: u32,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// How long it took, in microseconds.
+        /// The duration, in microseconds.
         elapsed: Micros,
-        /// The client has had its answer, or is gone: nothing more is owed for the call.
+        /// Whether the call is finished: the client has received its answer or is gone.
         closed: bool,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// The answer of an attempt has begun to flow; the call is bound to it.
+    /// The response to an attempt has started streaming, which binds the call to that attempt.
     Streaming {
-        /// Which call.
+        /// The call of the attempt.
         call: CallId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
     /// A load probe has ended.
     ProbeCompleted {
-        /// Of which endpoint.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// How long it took, in microseconds.
+        /// The duration, in microseconds.
         elapsed: Micros,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// The client of this call has gone.
+    /// The client of a call has disconnected.
     ClientDisconnected {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// Other settings hold from now on. Calls that are open end under those that they came under.
+    /// The settings have changed. Open calls keep the settings under which they arrived.
     Reconfigure {
-        /// All of them. A class keeps its place; one that has gone leaves its place to a copy of
-        /// another.
+        /// The complete new settings. Each class keeps its index; a removed class is replaced by a
+        /// copy of another class.
         settings: Box<Settings>,
-        /// Classes whose places meant something else before: nothing learned of those holds.
+        /// Indexes that now stand for a different class; their statistics are reset.
         redefined_classes: Vec<ClassId>,
     },
-    /// A time asked for by [`Action::Wake`](super::Action::Wake) has come.
+    /// A time requested by [`Action::Wake`](super::Action::Wake) has come.
     Timer,
 }
--- a/crates/decisions/src/api/ids.rs
+++ b/crates/decisions/src/api/ids.rs
@@ -1,13 +1,13 @@
-//! Numbers of calls, endpoints, classes and places, and the unit of time.
+//! Identifiers of calls, endpoints, classes, tenants and locations, and the unit of time.
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A call (one try of a client), as the proxy numbers it; no number is used twice.
+/// A call (one try of a client), numbered by the proxy. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An endpoint (the place of a process); it keeps its number when the process restarts.
+/// An endpoint, which keeps its id when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone, numbered by the proxy.
+/// A zone; the proxy assigns the id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A machine kind, numbered by the proxy.
+/// A machine kind; the proxy assigns the id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A cell of endpoints that drop each other's repeats of a keyed call.
+/// A cell: a group of endpoints that share idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
--- a/crates/decisions/src/api/mod.rs
+++ b/crates/decisions/src/api/mod.rs
@@ -1,4 +1,5 @@
-//! The interface of the balancer: settings, events and actions. Times are whole microseconds.
+//! The public interface of the balancer: settings, events and actions. All times are integers in
+//! microseconds.
 
 mod action;
 mod call_class;
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/api/settings.rs
@@ -3,149 +3,151 @@
 use super::call_class::{Class, Idempotency};
 use super::ids::{Micros, ZoneId};
 
-/// A tenant's part of the service.
+/// A tenant's share of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
     /// Share of the service, 0 to 1.
     pub share: f64,
-    /// Calls a second over all balancers that are within its share; 0: not known.
+    /// Calls per second, over all balancers, that are within the tenant's share; 0 if unknown.
     pub quota: f64,
 }
 
 /// What [`EndpointEntry::weight`](super::EndpointEntry::weight) means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Nothing.
+    /// The weight has no meaning.
     #[default]
     Off,
     /// The registered size of the endpoint.
     Nominal,
-    /// Its approximate size.
+    /// The approximate size of the endpoint.
     Rough,
-    /// Its size over its load at some recent moment.
+    /// The size of the endpoint divided by its load at some recent time.
     Live,
 }
 
-/// Where endpoints report their load.
+/// When endpoints report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportMode {
-    /// Nowhere.
+    /// Endpoints do not report their load.
     #[default]
     Off,
-    /// In each outcome and in each answer to a probe.
+    /// With each attempt's outcome and in each probe reply.
     Inline,
-    /// In answers to probes only.
+    /// In probe replies only.
     OnProbe,
 }
 
-/// What an endpoint reports of its load, and where.
+/// The load reports that endpoints send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReporting {
-    /// Where.
+    /// When endpoints report their load.
     pub mode: ReportMode,
-    /// Whether [`LoadReport::in_flight`](super::LoadReport::in_flight) is among the figures.
+    /// Whether reports include [`LoadReport::in_flight`](super::LoadReport::in_flight).
     pub includes_in_flight: bool,
 }
 
-/// Points that are taken off the score, for each unit a call.
+/// Score deductions: the points lost for one unit per call of each kind of cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// An attempt that crosses zones.
+    /// An attempt sent to another zone.
     pub cross_zone: f64,
-    /// A probe.
+    /// A load probe.
     pub probe: f64,
     /// A new connection.
     pub handshake: f64,
-    /// Work of an endpoint that gave no answer in use, as much as one call takes.
+    /// Endpoint work that produced no used answer, in units of one call's work.
     pub wasted_work: f64,
-    /// A call that fails only after its latency objective.
+    /// A call that fails after its latency objective has passed.
     pub late_failure: f64,
 }
 
-/// What the site allows.
+/// Limits set by the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be probed for their load.
+    /// Whether endpoints may be probed for their load.
     pub probes: bool,
-    /// A call may have two attempts in flight at once.
+    /// Whether a call may have two attempts in flight at the same time.
     pub hedging: bool,
-    /// Most attempts for a call.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
-    /// Longest Retry-After that a client heeds, in microseconds; 0 where clients are given none.
+    /// Longest Retry-After that clients honour, in microseconds; 0 if clients get none.
     pub max_retry_after: Micros,
-    /// Attempts that one connection carries at a time; 0: not known.
+    /// Maximum number of concurrent attempts on one connection; 0 if unknown.
     pub max_streams: u32,
 }
 
-/// Figures of the rules that hold for endpoints.
+/// Rules that endpoints and proxies adhere to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointRules {
-    /// An endpoint starts at this share of its capacity or more.
+    /// Guaranteed share of an endpoint's full capacity right after its start.
     pub slow_start_min_capacity: f64,
-    /// It has all of its capacity after this time at the latest.
+    /// Time after its start by which an endpoint has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// An endpoint in slow start fails if it is sent more than this multiple of its current
+    /// capacity for `overload_duration`.
     pub overload_multiple: f64,
-    /// ... over this time, an endpoint in slow start fails.
+    /// Duration of an overload after which an endpoint in slow start fails, in microseconds.
     pub overload_duration: Micros,
-    /// Longest that calls may still go to an endpoint after it is listed as draining or removed.
+    /// Time for which calls may still go to an endpoint after it is listed as draining or removed,
+    /// in microseconds.
     pub drain_grace: Micros,
-    /// Longest that a proxy may go without polling the endpoint list.
+    /// Maximum interval between polls of the endpoint list, in microseconds.
     pub list_poll_interval: Micros,
 }
 
-/// Weights of the parts of the score.
+/// Weights of the components of the score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreGoal {
     /// All calls together.
     pub overall: f64,
-    /// The worst-served class.
+    /// The class with the worst result.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share.
+    /// The tenant with the worst result, counting calls within its share.
     pub worst_tenant: f64,
-    /// The worst window of time.
+    /// The time window with the worst result.
     pub worst_window: f64,
 }
 
-/// What a balancer is told at start, and by
+/// The settings of a balancer, given at start and replaced by
 /// [`Event::Reconfigure`](super::Event::Reconfigure).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many balancers send to these endpoints, this one included.
+    /// Number of balancers that send to these endpoints, including this one.
     pub balancers: u32,
     /// The zone of this balancer.
     pub zone: ZoneId,
-    /// Smallest step of the proxy's clock.
+    /// Resolution of the proxy's clock, in microseconds.
     pub tick: Micros,
-    /// Whether the endpoint list must be polled; else it is pushed.
+    /// Whether the endpoint list must be polled; otherwise it is pushed.
     pub poll_endpoint_list: bool,
-    /// Classes of calls.
+    /// Classes of calls, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// Tenants, if there are any.
+    /// Tenants, indexed by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Limits set by the site.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Rules for endpoints and list polling.
     pub rules: EndpointRules,
-    /// Weights of the score.
+    /// Weights of the components of the score.
     pub goal: ScoreGoal,
-    /// What costs points.
+    /// Score deductions.
     pub costs: Costs,
-    /// What endpoints report.
+    /// The load reports that endpoints send.
     pub load_reporting: LoadReporting,
-    /// What the list's weights mean.
+    /// The meaning of the weights in the endpoint list.
     pub weight_source: WeightSource,
-    /// What a call beyond its tenant's share counts for, against one within.
+    /// Weight of a call beyond its tenant's share, relative to one within it.
     pub over_share_weight: f64,
-    /// Clients mark the calls that are retries of theirs.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, and one class of calls that are not idempotent, with an
-    /// objective of half a second.
+    /// One balancer, a pushed list, and one class of calls that are not idempotent, with a latency
+    /// objective of 500 ms.
     fn default() -> Self {
         let idempotency = Idempotency::NonIdempotent;
         Settings {
--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: what a new call is taken for, whether it may join the wait queue, and how a call that
-//! is not served ends.
+//! Admission control: creates the state of a new call, decides whether it may join the wait queue,
+//! and ends calls that are not served.
 
 use super::hedging::LATENCY_MARGIN;
 use super::retry::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_CALL};
@@ -9,15 +9,15 @@
 };
 use crate::call::Call;
 
-/// Wait in the queue beyond which new calls are shed, as a share of their objective.
+/// Queue wait above which new calls are shed, as a share of their latency objective.
 const QUEUE_WAIT_SHARE: f64 = 0.1;
-/// Multiple of the shortest objective that counts at the most: patient calls must not fill the
-/// queue before brief ones.
+/// Caps the objective used for the queue wait limit at this multiple of the shortest one, so that
+/// calls with long objectives cannot fill the queue ahead of calls with short ones.
 const QUEUE_WAIT_OBJECTIVES: f64 = 2.0;
-/// Share of the longest time that clients wait for one try which is taken for the same time.
+/// A client timeout of at least this share of the longest one seen counts as equal to it.
 const SAME_TIMEOUT_SHARE: f64 = 0.95;
 
-/// A call as its client makes it.
+/// A call as requested by its client.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewCall {
     pub(super) id: CallId,
@@ -28,7 +28,7 @@
 }
 
 impl Call {
-    /// May its client be told that it can safely try again?
+    /// Whether the client may be told that it can safely try again.
     fn may_be_rejected(&self) -> bool {
         let harmless = matches!(
             self.class.idempotency,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The policy of a call within what the site allows.
+/// Restricts a call's policy to what the settings allow.
 fn allowed_policy(policy: CallPolicy, limits: &Limits) -> CallPolicy {
     let hedge = if limits.hedging {
         policy.hedge
@@ -57,8 +57,7 @@
 }
 
 impl Balancer {
-    /// A call has come in: it joins the queue, or is shed where the queue's wait is too long for
-    /// it.
+    /// Queues a new call, or sheds it if the current queue wait exceeds the limit for this call.
     pub(super) fn on_request(&mut self, now: Micros, new: NewCall, actions: &mut Actions) {
         let (id, ClassId(class_id)) = (new.id, new.class);
         let class = self.class_of(&new);
@@ -66,7 +65,8 @@
         let call = Call {
             class,
             class_id,
-            // Settings may change while it is open: what they allow now is its own from here on.
+            // The call keeps the limits in force at its arrival, even if the settings change
+            // meanwhile.
             policy: allowed_policy(new.policy, &self.settings.limits),
             arrived_at: now,
             first_tried_at,
@@ -88,7 +88,8 @@
         }
     }
 
-    /// A call's class; one that the settings do not name is unsafe to repeat.
+    /// Returns the class of a call. A class that the settings do not define is treated as not
+    /// idempotent.
     fn class_of(&self, new: &NewCall) -> Class {
         let unknown = Class {
             latency_objective: new.time_left,
@@ -103,9 +104,10 @@
         class
     }
 
-    /// How long ago did the client first try? One that waits less for this try than others do has
-    /// used up the rest. Only as many are taken to have tried before as were ended unserved:
-    /// clients may wait unequally long.
+    /// Estimates how long ago the client first tried. A timeout shorter than that of other clients
+    /// of the class suggests that earlier tries used up the rest of the deadline. Only as many
+    /// calls count as repeated as have ended unserved, because client timeouts may differ for other
+    /// reasons.
     fn time_already_spent(&mut self, new: &NewCall, class: &Class) -> Micros {
         let Some(latency) = self.class_latencies.get_mut(new.class.0) else {
             return 0;
@@ -119,14 +121,15 @@
         class.deadline.saturating_sub(new.time_left)
     }
 
-    /// How long the first call of the queue has waited.
+    /// The time that the call at the front of the queue has waited.
     fn current_queue_wait(&self, now: Micros) -> Micros {
         let first = self.wait_queue.front();
         first.map_or(0, |id| now.saturating_sub(self.calls[id].arrived_at))
     }
 
-    /// How long may the first of the queue have waited for this call to join? Without a bound all
-    /// would be served late. Classes of much priority weight for their work wait longest.
+    /// The longest queue wait at which this call may still join the queue. Without a bound, all
+    /// calls would be served late. Classes with a high priority weight relative to their work may
+    /// wait longest.
     pub(super) fn max_queue_wait(&self, id: CallId) -> Micros {
         let call = &self.calls[&id];
         let expected = self.expected_latency(call.class_id, call.class.latency_objective);
@@ -143,7 +146,8 @@
         limit.max(protected).min(objective - expected).max(0.0) as Micros
     }
 
-    /// Does the score lose more by this call than by others, for the work that it takes?
+    /// Whether losing this call would cost the score more than losing an average call, relative to
+    /// the work that it takes.
     fn is_protected(&self, call: &Call) -> bool {
         let classes = self.class_latencies.iter().zip(&self.settings.classes);
         let (mut weight, mut work) = (0.0, 0.0);
@@ -158,7 +162,7 @@
         goal.overall * density > goal.overall + goal.worst_class
     }
 
-    /// Ends a call unserved: rejected where its client may safely try again, failed else.
+    /// Ends a call unserved. It is rejected if its client may safely try again, otherwise it fails.
     pub(super) fn end_unserved(&mut self, id: CallId, retry_after: Micros, actions: &mut Actions) {
         let call = &self.calls[&id];
         if let Some(latency) = self.class_latencies.get_mut(call.class_id) {
--- a/crates/decisions/src/balancer/attempts.rs
+++ b/crates/decisions/src/balancer/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts of a call: sending one, cancelling those that lost, and the end of the call.
+//! Attempts of a call: sending them, cancelling those that are no longer needed, and ending the
+//! call.
 
 use super::{Actions, Balancer};
 use crate::api::{Action, CallId, Idempotency, Micros};
@@ -6,7 +7,7 @@
 use crate::endpoint::Endpoint;
 
 impl Balancer {
-    /// Sends a call to an endpoint; a trial may pass the endpoint's limit.
+    /// Sends a call to an endpoint. A trial may exceed the endpoint's concurrency limit.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -51,7 +52,7 @@
         self.timers.set(id, hedge_at);
     }
 
-    /// The load that a fresh probe has shown of an endpoint; 0 where there is none.
+    /// The endpoint's projected load if it was probed recently, otherwise 0.
     fn load_at_send(&self, now: Micros, call: &Call, slot: usize) -> f64 {
         let endpoint = &self.endpoints[slot];
         let fresh_for = self.probe_timeout(call);
@@ -65,8 +66,9 @@
         }
     }
 
-    /// When an attempt that goes out now times out, if that is before its client gives up. An
-    /// answer after the objective is worth little: its endpoint is better used by others.
+    /// The timeout of an attempt sent now, if it precedes the client's deadline. An answer after
+    /// the latency objective is worth little, so the endpoint's capacity is better spent on other
+    /// calls.
     fn attempt_deadline(&self, now: Micros, call: &Call) -> Option<Micros> {
         let (objective, deadline) = (call.objective_deadline(), call.deadline);
         let expected = self.expected_latency(call.class_id, call.class.latency_objective);
@@ -77,7 +79,7 @@
         by_objective.into_iter().chain(by_policy).min()
     }
 
-    /// Ends a call; it is removed once no attempt is in flight.
+    /// Marks a call as ended. It is removed once no attempt is in flight.
     pub(super) fn finish(&mut self, id: CallId) {
         self.timers.set(id, None);
         let Some(call) = self.calls.get_mut(&id) else {
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Cancels a call's attempts in flight, but for the one that answers it, where the site allows
-    /// that.
+    /// Cancels a call's attempts in flight except attempt number `except`, provided that the
+    /// settings allow cancellation.
     pub(super) fn cancel_attempts(
         &mut self,
         id: CallId,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Forgets a call that has ended and has no attempt in flight.
+    /// Removes a call that has ended and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: CallId) {
         let call = self.calls.get(&id);
         if call.is_some_and(|c| c.ended && c.attempts_in_flight() == 0) {
@@ -125,8 +127,8 @@
     }
 }
 
-/// When the next attempt of a keyed call must have started: from then on the endpoints may have
-/// forgotten its key.
+/// The time by which the next attempt of a keyed call must have started. After it, the endpoints
+/// may have dropped the call's idempotency key.
 fn start_by(call: &Call) -> Option<Micros> {
     match (call.first_maybe_executed(), call.class.idempotency) {
         (Some(first), Idempotency::Keyed { window, .. }) => {
--- a/crates/decisions/src/balancer/feedback.rs
+++ b/crates/decisions/src/balancer/feedback.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt teaches: of its endpoint, of the endpoints of the same kind and zone,
-//! and of its class.
+//! Learning from ended attempts: updates the statistics of the endpoint, of its group (machine kind
+//! and zone), and of the call's class.
 
 use super::concurrency_limit::SEVERE_LATENCY_RATIO;
 use super::{Actions, Balancer, SMOOTHING};
@@ -9,19 +9,21 @@
 use crate::latency::EndpointGroup;
 use crate::load_feedback;
 
-/// An answer is slow beyond this many times its class's unloaded latency: about two calls a core.
+/// Multiple of the class's unloaded latency above which an answer is slow; corresponds to about two
+/// calls per core.
 const LATENCY_LIMIT_FACTOR: f64 = 3.0;
-/// ... or beyond this share of its latency objective, whichever is shorter.
+/// Share of the latency objective above which an answer is slow. The shorter of the two limits
+/// applies.
 const LATENCY_LIMIT_SHARE: f64 = 0.33;
-/// Reported CPU utilization that counts as much as an answer at its limit: above it waiting grows
+/// Reported CPU utilization equivalent to a latency ratio of 1. Above it, queueing delay rises
 /// steeply.
 const CPU_UTILIZATION_LIMIT: f64 = 0.9;
-/// Latency ratio of a time-out while the endpoint answers others, at the least.
+/// Minimum latency ratio of an attempt that timed out while the endpoint answered others.
 const TIMED_OUT_LATENCY_RATIO: f64 = 2.0;
-/// The most that a latency ratio is taken for.
+/// Upper bound of a latency ratio.
 const MAX_LATENCY_RATIO: f64 = 4.0;
 
-/// An attempt that has ended, and what its end shows.
+/// An attempt that has ended, with its outcome.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedAttempt {
     pub(super) attempt: Attempt,
@@ -29,7 +31,7 @@
     pub(super) outcome: Outcome,
 }
 
-/// What an attempt's end is judged by, as it was before the end is counted.
+/// Reference values for evaluating an ended attempt, taken before its outcome is recorded.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     first_backoff: Micros,
@@ -37,13 +39,13 @@
     longest_objective: f64,
     may_eject: bool,
     sparse: bool,
-    /// Latency, in microseconds, that counts as a latency ratio of 1.
+    /// Latency, in microseconds, that corresponds to a latency ratio of 1.
     latency_limit: f64,
 }
 
 impl EndedAttempt {
-    /// Timed out while the endpoint answered others: it is slow, not gone, and is sent less, not
-    /// nothing.
+    /// Whether the attempt timed out while the endpoint answered others. Such an endpoint is slow
+    /// rather than down, so it gets fewer calls instead of none.
     fn is_late(&self, endpoint: &Endpoint) -> bool {
         self.outcome == Outcome::TimedOut && endpoint.last_served_at > self.attempt.sent_at
     }
@@ -54,8 +56,8 @@
 }
 
 impl EndpointGroup {
-    /// Counts an answer's latency ratio; the admitted share follows it like a concurrency limit
-    /// under one call.
+    /// Records an answer's latency ratio. The admitted share adapts to it like a concurrency limit
+    /// below one call.
     fn record(&mut self, latency_ratio: f64) {
         self.latency_ratio += (latency_ratio - self.latency_ratio) * SMOOTHING;
         let change = (SEVERE_LATENCY_RATIO - latency_ratio).max(-SEVERE_LATENCY_RATIO) * SMOOTHING;
@@ -64,7 +66,7 @@
 }
 
 impl Endpoint {
-    /// Counts an answer's latency ratio, or the congestion that came with it if that is more.
+    /// Records the larger of an answer's latency ratio and the endpoint's reported congestion.
     fn record_latency_ratio(&mut self, latency_ratio: f64, weight: f64) {
         let seen = latency_ratio.max(self.reported_congestion);
         self.latency_ratio += (seen - self.latency_ratio) * weight;
@@ -72,8 +74,8 @@
     }
 }
 
-/// Requests waiting for each one in work, or busy cores over their limit: 1 is as much as an answer
-/// at its limit.
+/// The congestion in a load report: queued requests per executing request, or else CPU utilization
+/// relative to its limit. A value of 1 is equivalent to a latency ratio of 1.
 fn congestion_of(load: LoadReport) -> Option<f64> {
     let congestion = match load {
         LoadReport {
@@ -95,7 +97,8 @@
 }
 
 impl Balancer {
-    /// Notes an attempt's end; late, repeated and unknown ones change nothing.
+    /// Records the end of an attempt. Returns `None` for unknown attempts and for those that have
+    /// ended before.
     pub(super) fn record_outcome(
         &mut self,
         id: CallId,
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Takes in the load that an endpoint reported with the answer to this attempt.
+    /// Records the load that an endpoint reported with the answer to this attempt.
     pub(super) fn record_load_report(
         &mut self,
         now: Micros,
@@ -138,15 +141,15 @@
             return;
         };
         self.endpoints[slot].reported_congestion = congestion;
-        // CPU utilization tells of no overload of the fleet: all cores are busy long before one
-        // request waits.
+        // CPU utilization does not show an overload of the fleet: all cores are busy long before a
+        // request has to wait.
         if load.queued.is_some() && self.is_sparse() {
             let sample = &mut self.endpoints[slot].last_sample;
             self.load_feedback.record(now, sample, congestion);
         }
     }
 
-    /// What an endpoint's answer, or its absence, teaches.
+    /// Updates the statistics and the state of the endpoint after an ended attempt.
     pub(super) fn learn_from_attempt(
         &mut self,
         now: Micros,
@@ -166,7 +169,8 @@
         let latency_ratio =
             (elapsed as f64 / baseline.latency_limit).clamp(min_ratio, MAX_LATENCY_RATIO);
         if ended.never_finished() {
-            // A hedged request that lost and was cancelled was at least this slow.
+            // A cancelled attempt, such as the slower one of a hedged pair, would have taken at
+            // least this long.
             endpoint.latency_ratio += (latency_ratio - endpoint.latency_ratio).max(0.0) * SMOOTHING;
             endpoint.limit.trial_in_flight &= !is_trial;
             return;
@@ -178,7 +182,8 @@
         if outcome == Outcome::Served {
             endpoint.last_served_at = now;
         }
-        // What is congested most tells nothing: it answers nothing in time, or rejects unseen.
+        // The most congested endpoints send no load reports: they time out or reject calls without
+        // processing them.
         if baseline.sparse && matches!(outcome, Outcome::TimedOut | Outcome::Rejected) {
             self.load_feedback
                 .record_overload(now, &mut endpoint.last_sample);
@@ -217,8 +222,8 @@
         }
     }
 
-    /// Counts the latency of an ended attempt for its group, its endpoint, its class, and all
-    /// endpoints together.
+    /// Records the latency of an ended attempt for its group, its endpoint and its class, and for
+    /// the load probes' latency model.
     fn record_latency(
         &mut self,
         now: Micros,
@@ -243,14 +248,15 @@
             latency_ratio
         };
         group.record(group_ratio);
-        // Few answers a second must not make the latency ratio a memory of long ago.
+        // When answers are rare, a new one weighs more, so that the latency ratio does not reflect
+        // outdated samples.
         let gap = now.saturating_sub(endpoint.last_ended_at) as f64 / baseline.longest_objective;
         let weight = SMOOTHING.max(1.0 - (-gap).exp());
         endpoint.last_ended_at = now;
         if !failed {
             endpoint.record_latency_ratio(latency_ratio, weight);
-            // Answers alone would make the mean that of the lucky: late ones count for what was
-            // waited.
+            // Answers alone would bias the mean towards fast calls, so attempts that timed out
+            // count with the time that they took.
             if let Some(latency) = self.class_latencies.get_mut(ended.class_id) {
                 latency.record(now, elapsed);
             }
--- a/crates/decisions/src/balancer/hedging.rs
+++ b/crates/decisions/src/balancer/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt for a call that is late on an endpoint that may have stalled
+//! Hedged requests: a second attempt for a call whose first attempt may be stuck at a slow endpoint
 //! ("The Tail at Scale", Dean and Barroso, 2013). The first answer wins, and the other attempt is
 //! cancelled.
 
@@ -7,15 +7,15 @@
 use crate::api::{CallId, Hedge, Micros};
 use crate::call::Call;
 
-/// Expected latencies that must be left before the objective for a hedged request, and for a
-/// protected call to wait.
+/// Time that must remain before the objective for a hedged request to be sent, or for a protected
+/// call to wait, in multiples of the expected latency.
 pub(super) const LATENCY_MARGIN: f64 = 2.0;
-/// Expected latencies after which a first attempt is slow.
+/// Multiple of the expected latency after which a first attempt counts as slow.
 const SLOW_AFTER: f64 = 1.5;
 
 impl Balancer {
-    /// Sends the hedged request that is due, if a token pays for it and no queued call needs the
-    /// capacity.
+    /// Sends a hedged request that is due, if a retry token pays for it and no queued call needs
+    /// the capacity.
     pub(super) fn hedge(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let call = &self.calls[&id];
         let may_hedge = call.may_have_another_attempt()
@@ -32,7 +32,8 @@
         }
     }
 
-    /// When a hedged request is due for a call whose first attempt goes out now, by its policy.
+    /// The time at which a hedged request is due for a call whose first attempt is sent now,
+    /// according to the call's policy.
     pub(super) fn hedge_at(&self, now: Micros, call: &Call) -> Option<Micros> {
         if call.attempts.len() != 1 {
             return None;
@@ -53,7 +54,8 @@
         at.filter(|&at| at < call.deadline)
     }
 
-    /// As late as a hedged request can still be in time, but not before the first attempt is slow.
+    /// The latest time at which a hedged request can be expected to finish within the objective,
+    /// but not before the first attempt counts as slow.
     fn latest_hedge_at(&self, call: &Call) -> Option<Micros> {
         let expected = self.expected_latency(call.class_id, call.class.latency_objective);
         let objective = call.objective_deadline() as f64;
--- a/crates/decisions/src/balancer/load_probe.rs
+++ b/crates/decisions/src/balancer/load_probe.rs
@@ -1,7 +1,7 @@
-//! Load probes: a call asks a few endpoints for their load and goes to the least loaded of those
-//! that answer in time (Prequal: Wydrowski and others, "Load is not what you should balance", NSDI
-//! 2024). It is for balancers that have fewer calls in flight than there are endpoints: their own
-//! counts tell little of an endpoint's load.
+//! Load probes: a call probes the load of a few endpoints and goes to the least loaded of those
+//! that reply in time (Prequal: Wydrowski et al., "Load is not what you should balance", NSDI
+//! 2024). Balancers that have fewer calls in flight than there are endpoints use probes, because
+//! their own counts of calls say little about an endpoint's load.
 
 use super::concurrency_limit::{INITIAL_CONCURRENCY, MAX_BACKOFF_DOUBLINGS};
 use super::{Actions, Balancer, SMOOTHING};
@@ -9,18 +9,18 @@
 use crate::call::Call;
 use crate::endpoint_index::{AllowedEndpoints, CandidateSet};
 
-/// Points of the score that the probes of one call may cost.
+/// Upper bound of the score cost of one call's probes.
 const PROBE_COST_LIMIT: f64 = 0.02;
-/// Most endpoints probed for a call.
+/// Maximum number of endpoints probed in one round.
 pub(super) const MAX_PROBES: usize = 4;
-/// Share of its objective that a call waits for the answers.
+/// Probe timeout as a share of the call's latency objective.
 const PROBE_TIMEOUT_SHARE: f64 = 0.05;
-/// Share of its objective that a call may be expected to take where it goes: more load there is a
-/// full endpoint.
+/// An endpoint counts as full if its load makes a call take longer than this share of the latency
+/// objective.
 const LOAD_LIMIT_SHARE: f64 = 0.3;
 
-/// Latencies of probed endpoints' answers and the loads that the endpoints had, as fading sums of
-/// all together.
+/// Exponentially decaying sums of the latencies of attempts at probed endpoints and of the loads
+/// reported by those endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ProbedAnswers {
     latency: f64,
@@ -28,7 +28,7 @@
 }
 
 impl ProbedAnswers {
-    /// Counts an answer; about twenty are remembered.
+    /// Adds an answer; roughly the last twenty count.
     pub(super) fn record(&mut self, latency: f64, load: f64) {
         let faded = 1.0 - SMOOTHING / 2.0;
         self.latency = self.latency * faded + latency;
@@ -37,8 +37,8 @@
 }
 
 impl Balancer {
-    /// Endpoints to probe before this call goes; `None`: it goes without, and none: it waits until
-    /// it may probe again.
+    /// The endpoints to probe before this call is sent. `None` means that the call is sent without
+    /// probes, and an empty list that it waits until it may probe again.
     pub(super) fn endpoints_to_probe(
         &mut self,
         now: Micros,
@@ -49,11 +49,11 @@
         let affordable =
             (PROBE_COST_LIMIT / self.settings.costs.probe.max(f64::MIN_POSITIVE)) as usize;
         if !self.may_probe() || affordable < 2 || !self.probes_in_time(now, call) {
-            // What has found all endpoints full does not go blindly in the end.
+            // A call whose probes found all endpoints full is never sent without probes.
             return (call.full_probe_rounds > 0).then(Vec::new);
         }
-        // From half of the capacity on all calls probe. An idle fleet needs less; some probe all
-        // the same, to learn when that ends.
+        // All calls probe once the load reaches half of the capacity. An idle fleet needs fewer
+        // probes, but some calls always probe in order to notice rising load.
         let probe_share = (self.probe_pressure * 2.0).powi(2).max(SMOOTHING);
         if call.full_probe_rounds == 0 && call.admission_draw > probe_share {
             return None;
@@ -66,7 +66,7 @@
         Some(self.draw(with_capacity, count))
     }
 
-    /// Do endpoints answer probes with their load, and does this balancer need that?
+    /// Whether endpoints report their load in probe replies and this balancer needs probes.
     fn may_probe(&self) -> bool {
         let reporting = self.settings.load_reporting;
         self.settings.limits.probes
@@ -75,25 +75,26 @@
             && self.is_sparse()
     }
 
-    /// Can an answer still be expected by the objective after a round of probes?
+    /// Whether an answer can still be expected within the objective after one round of probes.
     fn probes_in_time(&self, now: Micros, call: &Call) -> bool {
         let expected = self.expected_latency(call.class_id, call.class.latency_objective);
         (now + self.probe_timeout(call)) as f64 + expected < call.objective_deadline() as f64
     }
 
-    /// Is an even share of an endpoint's calls under one? Then own calls in flight tell little.
+    /// Whether there are so many balancers that each has, on average, less than one call in flight
+    /// per endpoint. The balancer's own calls in flight then say little about an endpoint's load.
     pub(super) fn is_sparse(&self) -> bool {
         let balancers = f64::from(self.settings.balancers);
         balancers > INITIAL_CONCURRENCY && balancers > self.endpoints.listed_count() as f64
     }
 
-    /// How long a call waits for the answers to its probes.
+    /// The time that a call waits for the replies to its probes.
     pub(super) fn probe_timeout(&self, call: &Call) -> Micros {
         ((call.class.latency_objective as f64 * PROBE_TIMEOUT_SHARE) as Micros)
             .max(self.settings.tick)
     }
 
-    /// Probes these endpoints; the call waits for their answers.
+    /// Sends probes to these endpoints; the call waits for the replies.
     pub(super) fn start_probing(
         &mut self,
         now: Micros,
@@ -113,7 +114,7 @@
         self.timers.set(id, Some(timeout_at));
     }
 
-    /// An endpoint has reported its load, or did not answer: then it is taken for the most loaded.
+    /// Records the result of a probe. An endpoint that does not reply counts as the most loaded.
     pub(super) fn on_probe_completed(
         &mut self,
         now: Micros,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Has an endpoint that this call probed not answered yet?
+    /// Whether a probe of this call is still unanswered.
     fn awaits_probe(&self, call: &Call) -> bool {
         call.probed_endpoints.iter().any(|&id| {
             let slot = self.endpoints.slot(id);
@@ -149,8 +150,8 @@
         })
     }
 
-    /// The probed endpoints have reported their load, or time is up: the call goes to the least
-    /// loaded with capacity.
+    /// Called when all probe replies are in or the probe timeout has expired: sends the call to the
+    /// least loaded probed endpoint with capacity.
     pub(super) fn finish_probing(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -159,7 +160,8 @@
         let probes_sent_at = call.probes_sent_at;
         let load_limit = self.load_limit(id);
         let allowed = self.allowed_endpoints(now, id);
-        // One that has started anew meanwhile is in slow start: it gets its draws, and no more.
+        // An endpoint that has restarted meanwhile is in slow start and only gets the calls that
+        // draw it at random.
         let slow_start_only =
             self.endpoints.count(CandidateSet::SlowStart) == self.endpoints.listed_count();
         let mut candidates = Vec::new();
@@ -188,8 +190,9 @@
         }
     }
 
-    /// Counts a probed endpoint's load in the pressure. Returns whether it has capacity: the calls
-    /// of all balancers there count against the limit of all, else each would add its one call.
+    /// Updates the probe pressure with a probed endpoint's load. Returns whether the endpoint has
+    /// capacity. The reported calls of all balancers count against the limit, otherwise every
+    /// balancer would add one call of its own.
     fn record_probed_load(&mut self, now: Micros, slot: usize, load_limit: f64) -> bool {
         let rules = self.settings.rules;
         let endpoint = &self.endpoints[slot];
@@ -207,8 +210,8 @@
         (slow_start_only || is_warm) && endpoint.is_usable(now)
     }
 
-    /// All probed endpoints were full: the call waits at the front of the queue, longer with each
-    /// such round.
+    /// Returns the call to the front of the queue because all probed endpoints were full. The wait
+    /// doubles with each such round.
     fn wait_for_next_probes(&mut self, now: Micros, id: CallId) {
         let wait = self.probe_timeout(&self.calls[&id]);
         if let Some(call) = self.calls.get_mut(&id) {
@@ -218,9 +221,9 @@
         self.enqueue_again(now, id);
     }
 
-    /// Load at an endpoint, in calls for its size, at which this call would take too long, learned
-    /// from the answers of all endpoints as one. It starts as if some had shown the initial
-    /// concurrency: all probe before it is learned.
+    /// The load, in calls per unit of endpoint size, at which this call would take too long. It is
+    /// learned from the answers of all endpoints together, starting from the assumption that
+    /// endpoints at their initial concurrency just meet the target.
     fn load_limit(&self, id: CallId) -> f64 {
         let initial_load = INITIAL_CONCURRENCY * self.endpoints.listed_count() as f64
             / self.endpoints.total_size().max(f64::MIN_POSITIVE);
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -1,5 +1,5 @@
-//! The endpoint list and the settings: which endpoints take calls, where each stands, and what
-//! holds after a change.
+//! Endpoint membership and reconfiguration: which endpoints take calls, the state of each endpoint,
+//! and how changes of the list or of the settings are applied.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::outlier_detection::FAILURE_RATE_LIMIT;
@@ -12,13 +12,13 @@
 use crate::latency::ClassLatency;
 use rand::Rng;
 
-/// First pause after a failed poll of the list, as a part of the poll interval.
+/// The initial backoff after a failed list poll is the poll interval divided by this.
 const LIST_BACKOFF_PART: Micros = 32;
-/// Doublings of that pause up to its cap.
+/// Number of doublings after which the list poll backoff stops growing.
 const MAX_LIST_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Endpoint {
-    /// Where it stands at `now`, where answers usually take no longer than `expected_latency`.
+    /// The endpoint's state at `now`. `expected_latency` is the usual latency of answers.
     fn state(&self, now: Micros, rules: &EndpointRules, expected_latency: f64) -> EndpointState {
         let slow_start_end = self.slow_start_end(rules);
         let is_warm = now >= slow_start_end;
@@ -37,7 +37,8 @@
             is_outlier: self.listed && (ejected || self.failure_rate > FAILURE_RATE_LIMIT),
             ejected,
             recovery_trial_out: self.limit.trial_in_flight,
-            // All balancers' trials together could push an endpoint in slow start over.
+            // Recovery trials wait for the end of slow start: those of all balancers together could
+            // overload the endpoint.
             recovery_at: self
                 .limit
                 .backoff_until
@@ -48,7 +49,7 @@
         }
     }
 
-    /// When it stands elsewhere though nothing happens to it; `Micros::MAX`: never.
+    /// The time at which the state next changes without any event; `Micros::MAX` if never.
     fn next_state_change(
         &self,
         now: Micros,
@@ -85,7 +86,7 @@
 }
 
 impl Balancer {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoint_list(
         &mut self,
         now: Micros,
@@ -116,8 +117,8 @@
         self.endpoints.remove_departed();
     }
 
-    /// Polls the list again after a pause that doubles with each failure in a row. Jitter keeps
-    /// balancers that lost the list together from polling together again.
+    /// Schedules the next poll of the list with exponential backoff. Jitter keeps balancers that
+    /// lost the list at the same time from polling in step.
     fn back_off_list_poll(&mut self, now: Micros) {
         let first = self.settings.rules.list_poll_interval / LIST_BACKOFF_PART;
         let wait = first << self.list_poll_failures.min(MAX_LIST_BACKOFF_DOUBLINGS);
@@ -127,9 +128,9 @@
         }
     }
 
-    /// The slot of the endpoint that an entry names, which may be new. A restart under the same
-    /// number is a new process in slow start: nothing learned of the old one holds, but what is in
-    /// flight there.
+    /// Returns the slot of a list entry's endpoint, creating it if needed. A restart under the same
+    /// id is a new process in slow start: the learned state is discarded, and only the calls in
+    /// flight carry over.
     fn slot_for(&mut self, entry: &EndpointEntry) -> usize {
         let found = self.endpoints.slot(entry.endpoint);
         let same = found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);
@@ -146,7 +147,7 @@
         self.endpoints.insert(endpoint)
     }
 
-    /// Whether an endpoint takes calls, by the list.
+    /// Sets whether an endpoint takes calls according to the list.
     fn set_listed(&mut self, now: Micros, slot: usize, listed: bool) {
         self.endpoints[slot].listed = listed;
         if !listed {
@@ -155,15 +156,15 @@
         self.update_state(now, slot);
     }
 
-    /// Files where an endpoint stands after a change to it.
+    /// Recomputes an endpoint's state and updates the index.
     pub(super) fn update_state(&mut self, now: Micros, slot: usize) {
         let expected_latency = self.longest_expected_latency();
         let state = self.endpoints[slot].state(now, &self.settings.rules, expected_latency);
         self.endpoints.set_state(slot, state);
     }
 
-    /// Takes in other settings. Classes that stay keep what was learned of them; open calls carry
-    /// their own class and policy with them.
+    /// Applies new settings. Classes that remain keep their statistics. Open calls keep the class
+    /// and the policy that they arrived with.
     pub(super) fn reconfigure(&mut self, now: Micros, settings: Settings, redefined: &[ClassId]) {
         let known = self.class_latencies.len();
         let new_classes = settings.classes.iter().skip(known);
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -1,11 +1,12 @@
-//! Events in, actions out: the balancer's state, and the order in which its decisions are taken at
-//! an event.
+//! The balancer's state, and its event handler: each event yields the actions that the proxy
+//! carries out.
 //!
-//! A new call joins the wait queue. At each event the queue is gone through: a call goes to the
-//! less loaded of two random endpoints under their limit, waits while all are full, may pass one
-//! limit as the trial that can raise it, and is rejected when every endpoint is ejected. Each
-//! decision has a module; the interface is in `src/api`, and the mechanism and the condition of
-//! each departure from its sources are in `docs/design.md`.
+//! Every new call joins the wait queue. Each event scans the queue: a call is sent to the less
+//! loaded of two random endpoints below their concurrency limit and waits while all endpoints are
+//! full. One call at a time may exceed an endpoint's limit as the trial that can raise it, and
+//! calls are rejected while every endpoint is ejected. Each decision has its own module; the public
+//! interface is in `src/api`. `docs/design.md` explains the mechanisms and where they deviate from
+//! the published algorithms.
 
 mod admission;
 mod attempts;
@@ -38,47 +39,48 @@
 use std::collections::VecDeque;
 use timers::CallTimers;
 
-/// Weight of a new answer in what is learned of an endpoint or a group: about ten are remembered.
+/// Smoothing factor of the moving averages per endpoint and per group; roughly the last ten samples
+/// count.
 const SMOOTHING: f64 = 0.1;
 
 type Actions = Vec<Action>;
 
-/// Decides for one client proxy.
+/// The load balancer of one client proxy.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     settings: Settings,
     random: Pcg32,
     endpoints: EndpointIndex,
     calls: FxHashMap<CallId, Call>,
-    /// Calls that wait for an endpoint with capacity, the first to go first.
+    /// Calls waiting for an endpoint with capacity, in dispatch order.
     wait_queue: VecDeque<CallId>,
-    /// Calls that wait for the answers to their load probes.
+    /// Calls waiting for the replies to their load probes.
     probing_calls: Vec<CallId>,
-    /// What answers of probed endpoints showed of latency under load.
+    /// Latency as a function of load, learned from attempts sent after a fresh probe.
     probed_answers: ProbedAnswers,
-    /// Smoothed load of probed endpoints over what they bear, 0 to 1: probing pays where this is
-    /// high.
+    /// Smoothed load of probed endpoints relative to their load limit, 0 to 1. Probing pays off
+    /// when this is high.
     probe_pressure: f64,
-    /// Latency ratios of late of each machine kind in each zone.
+    /// Recent latency ratios by zone and machine kind.
     groups: EndpointGroups,
-    /// Congestion that endpoints reported with their answers.
+    /// Congestion reported by endpoints with their responses.
     load_feedback: LoadFeedback,
     timers: CallTimers,
     class_latencies: Vec<ClassLatency>,
-    /// Share of the calls of late that were served.
+    /// Smoothed share of calls that were served, 0 to 1.
     goodput: f64,
-    /// What pays for retries and hedged requests.
+    /// Tokens that pay for retries and hedged requests.
     retry_tokens: f64,
-    /// When the earliest wake-up comes that was asked for; `Micros::MAX`: none was.
+    /// Time of the earliest requested wake-up; `Micros::MAX` if none was requested.
     timer_at: Micros,
-    /// When the endpoint list is polled again after a failure; `Micros::MAX`: no failure.
+    /// Time of the next endpoint list poll after a failed one; `Micros::MAX` if none has failed.
     next_list_poll_at: Micros,
     list_poll_failures: u32,
-    /// Calls are rejected since every endpoint is ejected, and that has been logged.
+    /// Whether calls are being rejected because every endpoint is ejected; that is logged once.
     rejecting_all: bool,
 }
 
-/// The end of an attempt, as the proxy tells it.
+/// The end of an attempt as reported by the proxy.
 #[derive(Clone, Copy, Debug)]
 struct AttemptEnd {
     call: CallId,
@@ -90,7 +92,7 @@
 }
 
 impl Balancer {
-    /// A balancer that draws all its random numbers from `seed`.
+    /// Creates a balancer whose random number generator is seeded with `seed`.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
@@ -115,13 +117,13 @@
         }
     }
 
-    /// Takes one event at time `now`, in microseconds of any clock that never goes back, and
-    /// appends what is to be done.
+    /// Handles one event at time `now` and appends the resulting actions. `now` is in microseconds
+    /// of any clock that never goes backwards.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         while let Some(slot) = self.endpoints.overdue_state(now) {
             self.update_state(now, slot);
         }
-        self.take_in(now, event, actions);
+        self.process_event(now, event, actions);
         self.run_call_timers(now, actions);
         self.dispatch_queue(now, actions);
         if now >= self.next_list_poll_at {
@@ -131,7 +133,7 @@
         self.set_timer(now, actions);
     }
 
-    fn take_in(&mut self, now: Micros, event: Event, actions: &mut Actions) {
+    fn process_event(&mut self, now: Micros, event: Event, actions: &mut Actions) {
         match event {
             Event::Start => {
                 if self.settings.poll_endpoint_list {
@@ -207,7 +209,7 @@
         self.after_attempt(now, id, outcome, end.closed, actions);
     }
 
-    /// An attempt's answer has begun to flow: its call is bound to it.
+    /// The response to an attempt has started streaming, so the call is bound to this attempt.
     fn on_streaming(&mut self, id: CallId, attempt: u32, actions: &mut Actions) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.ended) else {
             return;
@@ -223,7 +225,7 @@
         self.remove_if_finished(id);
     }
 
-    /// What is known of an endpoint; `None`: nothing.
+    /// Returns what the balancer knows about an endpoint, or `None` if the endpoint is unknown.
     #[must_use]
     pub fn view(&self, now: Micros, endpoint: EndpointId) -> Option<EndpointView> {
         let endpoint = &self.endpoints[self.endpoints.slot(endpoint)?];
@@ -239,7 +241,7 @@
         })
     }
 
-    /// How many endpoints are listed, and how many of these are outliers.
+    /// Returns the number of listed endpoints, and how many of them are outliers.
     #[must_use]
     pub fn endpoint_counts(&self) -> EndpointCounts {
         EndpointCounts {
@@ -248,7 +250,7 @@
         }
     }
 
-    /// How many calls are known and queued, and the retry tokens saved up.
+    /// Returns the numbers of open and queued calls, and the available retry tokens.
     #[must_use]
     pub fn call_totals(&self) -> CallTotals {
         CallTotals {
@@ -258,20 +260,20 @@
         }
     }
 
-    /// The longest latency objective of all classes, in microseconds.
+    /// The longest latency objective over all classes, in microseconds.
     fn longest_objective(&self) -> f64 {
         let classes = self.settings.classes.iter();
         let longest = classes.map(|class| class.latency_objective).max();
         longest.unwrap_or(0).max(1) as f64
     }
 
-    /// The longest mean latency of all classes, in microseconds.
+    /// The longest mean latency over all classes, in microseconds.
     fn longest_expected_latency(&self) -> f64 {
         let latencies = self.class_latencies.iter();
         latencies.map(|latency| latency.mean).fold(1.0, f64::max)
     }
 
-    /// The latency to expect of a call of this class, in microseconds.
+    /// The expected latency of a call of this class, in microseconds.
     fn expected_latency(&self, class_id: usize, objective: Micros) -> f64 {
         let latency = self.class_latencies.get(class_id);
         latency.map_or(objective as f64 * EXPECTED_OBJECTIVE_SHARE, |latency| {
@@ -279,7 +281,7 @@
         })
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number, 0 to 1.
     fn random_unit(&mut self) -> f64 {
         self.random.gen()
     }
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -1,29 +1,29 @@
-//! Retries: whether a call may have another attempt, after what pause, and on which endpoints.
+//! Retries: whether a call may have another attempt, after what backoff, and at which endpoints.
 //!
-//! A call goes again where that is harmless by its class and by proof over all its attempts, and
-//! where a retry token pays for it: each call earns a part of one, so that retries stay a share of
-//! the calls however many fail.
+//! A call is retried if its class, or the proof that no attempt was executed, makes that harmless,
+//! and if a retry token pays for it. Each call earns a fraction of a token, so retries remain a
+//! bounded share of the calls no matter how many fail.
 
 use super::{Actions, Balancer, SMOOTHING};
 use crate::api::{CallId, Idempotency, Micros, Outcome, RetryOn};
 use crate::call::Call;
 use crate::endpoint_index::{AllowedEndpoints, CandidateSet};
 
-/// Retry tokens that each call earns; a retry and a hedged request cost one each.
+/// Retry tokens earned per call. A retry or a hedged request costs one token.
 pub(super) const RETRY_TOKENS_PER_CALL: f64 = 0.2;
-/// The most tokens that may be saved up.
+/// Maximum number of accumulated retry tokens.
 pub(super) const MAX_RETRY_TOKENS: f64 = 20.0;
 
 impl Call {
-    /// May it have another attempt, by their number?
+    /// Whether the maximum number of attempts allows another one.
     pub(super) fn may_have_another_attempt(&self) -> bool {
         (self.attempts.len() as u32) < self.policy.max_attempts
     }
 }
 
 impl Balancer {
-    /// After an attempt's end: the call's end, another attempt, or nothing while a hedged request
-    /// is in flight.
+    /// Handles the end of an attempt: ends the call, retries it, or does nothing while another
+    /// attempt is in flight.
     pub(super) fn after_attempt(
         &mut self,
         now: Micros,
@@ -46,7 +46,7 @@
         self.remove_if_finished(id);
     }
 
-    /// After an attempt that did not serve the call: another one, or the call's end.
+    /// Retries a call after an unsuccessful attempt, or ends it.
     fn retry_or_end(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         let next_attempt_at = now.saturating_add(self.calls[&id].policy.backoff);
         if !self.may_retry(next_attempt_at, id, outcome) {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// May a call go again at this moment: with an endpoint for it, in time, by its policy, and
-    /// paid for?
+    /// Whether a call may be retried at this time: an endpoint is left for it, an answer can be
+    /// expected in time, its policy allows it, and a retry token is available.
     fn may_retry(&mut self, next_attempt_at: Micros, id: CallId, outcome: Outcome) -> bool {
         let has_endpoint = match self.allowed_endpoints(next_attempt_at, id) {
             Some(AllowedEndpoints::All) => self.endpoints.listed_count() > 0,
@@ -76,7 +76,7 @@
         let in_time = next_attempt_at as f64 + expected < call.objective_deadline() as f64;
         let allowed =
             call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();
-        // A failed connection has cost the endpoints nothing.
+        // A failed connection consumed no endpoint capacity, so its retry needs no token.
         let paid = self.retry_tokens >= 1.0 || outcome == Outcome::ConnectFailed;
         in_time
             && has_endpoint
@@ -86,7 +86,7 @@
             && !call.streaming
     }
 
-    /// The pause before another attempt is over.
+    /// Queues the call again after its backoff.
     pub(super) fn end_backoff(&mut self, now: Micros, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.backing_off = false;
@@ -94,8 +94,9 @@
         self.enqueue_again(now, id);
     }
 
-    /// Where a call may go by what it has run: anywhere, to those that drop its repeats, or
-    /// nowhere. Proof over all its attempts decides, never the last outcome alone.
+    /// The endpoints at which the call may be executed safely, given its earlier attempts: all,
+    /// only those that deduplicate it, or none (`None`). All attempts count, not just the last
+    /// outcome.
     pub(super) fn allowed_endpoints(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Are there endpoints in this set that none of the call's attempts went to?
+    /// Whether the set contains an allowed endpoint that the call has not tried yet.
     pub(super) fn has_untried_endpoint(
         &self,
         call: &Call,
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -1,5 +1,5 @@
 //! Endpoint selection: the less loaded of two random endpoints with capacity ("The power of two
-//! choices", Mitzenmacher, 2001), drawn by their sizes.
+//! choices", Mitzenmacher, 2001), drawn with probability proportional to size.
 
 use super::concurrency_limit::MAX_BACKOFF_DOUBLINGS;
 use super::load_probe::MAX_PROBES;
@@ -12,37 +12,39 @@
 use crate::load_feedback::shed_probability;
 use rand::seq::SliceRandom;
 
-/// Endpoints that a balancer of few calls keeps to: enough for two rounds of probes.
+/// Number of preferred endpoints of a balancer with few calls; enough for two rounds of probes.
 const PREFERRED_ENDPOINTS: usize = 2 * MAX_PROBES;
-/// Longest objectives after which an endpoint's own latencies count less than those of its group.
+/// Decay time of the weight of an endpoint's own latency ratio against that of its group, in
+/// multiples of the longest latency objective.
 const OWN_LATENCY_MEMORY: f64 = 8.0;
 
-/// Where a call goes.
+/// The routing decision for a call.
 #[derive(Clone, Debug)]
 pub(super) enum Route {
-    /// To this endpoint; a trial passes its limit.
+    /// Send the call to this endpoint. A trial may exceed its concurrency limit.
     Send { slot: usize, trial: bool },
-    /// To one of these, by what they tell of their load.
+    /// Probe these endpoints and send the call to the least loaded one.
     Probe { slots: Vec<usize> },
-    /// Nowhere yet: it waits.
+    /// Keep the call in the wait queue.
     Queue,
-    /// It is rejected, as every endpoint is ejected.
+    /// Reject the call because every endpoint is ejected.
     Reject { retry_after: Micros },
-    /// It is rejected, as the endpoints are congested.
+    /// Reject the call because the endpoints are congested.
     Shed { retry_after: Micros },
 }
 
-/// What one selection goes by.
+/// The parameters of one endpoint selection.
 #[derive(Debug)]
 struct Selection {
     now: Micros,
     rules: EndpointRules,
     id: CallId,
     allowed: AllowedEndpoints,
-    /// The sets that it draws from: endpoints that are available, and those of them with capacity.
+    /// The sets to draw from: available endpoints, and those of them with capacity.
     available: CandidateSet,
     with_capacity: CandidateSet,
-    /// Endpoints that the call has tried are left out, as there are others.
+    /// Whether endpoints that the call has already tried are excluded; only set if there are
+    /// others.
     untried_only: bool,
 }
 
@@ -56,7 +58,8 @@
     }
 }
 
-/// Does the endpoint's group take this call? A group that answers late takes a share of them.
+/// Whether the endpoint's group admits this call. A group with high latency admits only a share of
+/// the calls.
 fn group_admits(groups: &EndpointGroups, call: &Call, endpoint: &Endpoint) -> bool {
     groups
         .get(&(endpoint.zone, endpoint.kind))
@@ -64,7 +67,7 @@
 }
 
 impl Balancer {
-    /// Where a call goes now.
+    /// Decides where to send a call now, or whether it waits or is rejected.
     pub(super) fn route(&mut self, now: Micros, id: CallId) -> Route {
         let listed = self.endpoints.listed_count();
         if listed > 0 && self.endpoints.ejected_count() == listed {
@@ -94,9 +97,9 @@
     }
 
     fn selection(&self, now: Micros, id: CallId, allowed: AllowedEndpoints) -> Selection {
-        // Endpoints in slow start only if no other is listed. That the others fail or are full for
-        // now is no reason: all proxies find so together, and what all endpoints bear would go to
-        // the few that bear least.
+        // Endpoints in slow start are used only if no other endpoint is listed. It is not enough
+        // that the others are failing or full: all proxies would notice at the same time and send
+        // the load of the whole fleet to the few endpoints with the least capacity.
         let slow_start_only =
             self.endpoints.count(CandidateSet::SlowStart) == self.endpoints.listed_count();
         let (available, with_capacity) = if slow_start_only {
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Two of all that are available; one that is full is drawn again among those with capacity.
+    /// Draws two of the available endpoints. If the less loaded one is full, draws again from those
+    /// with capacity.
     fn select_of_all(&mut self, selection: &Selection) -> Route {
         let eligible = self.draw_two(selection, selection.available, |call, endpoint| {
             selection.is_eligible(call, endpoint)
@@ -136,16 +140,18 @@
         }
     }
 
-    /// Of a stable few, by what they tell of their load; more of them when they were full. The few
-    /// bound the number of connections, and what they show is fresh.
+    /// Selects among a small stable subset of endpoints, using load probes. The subset grows with
+    /// each round of probes that found it full. A small subset limits the number of connections and
+    /// keeps the learned state fresh.
     fn select_preferred(&mut self, selection: &Selection) -> Route {
         let &Selection { now, id, .. } = selection;
         let call = &self.calls[&id];
         let count = PREFERRED_ENDPOINTS << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS);
-        // Not the own zone first: what a zone's proxies ask for is no measure of what its endpoints
-        // bear, no proxy sees the others', and full endpoints cost more than crossing does.
+        // Endpoints of the own zone are not preferred: the demand of a zone's proxies need not
+        // match the capacity of its endpoints, no proxy sees the others' demand, and full endpoints
+        // cost more than cross-zone calls.
         let set = (selection.with_capacity, &selection.allowed);
-        let preferred = self.endpoints.by_own_preference(set, count, |endpoint| {
+        let preferred = self.endpoints.in_preference_order(set, count, |endpoint| {
             selection.is_eligible(call, endpoint)
                 && group_admits(&self.groups, call, endpoint)
                 && selection.has_capacity(endpoint)
@@ -167,7 +173,7 @@
         }
     }
 
-    /// Is a new call shed, by the congestion to expect of the endpoint that it would go to?
+    /// Whether to shed a new call because of the congestion expected at its endpoint.
     fn is_shed(&self, now: Micros, id: CallId, slot: usize) -> bool {
         let call = &self.calls[&id];
         let sample = self.endpoints[slot].last_sample;
@@ -175,7 +181,8 @@
         call.attempts.is_empty() && call.admission_draw < shed_probability(congestion)
     }
 
-    /// A full endpoint that the call may pass as its one trial, or else the wait for capacity.
+    /// Selects a full endpoint whose limit the call may exceed as its single trial; otherwise the
+    /// call stays queued.
     fn select_trial(
         &mut self,
         selection: &Selection,
@@ -204,7 +211,7 @@
         &mut self,
         selection: &Selection,
         set: CandidateSet,
-        passes: impl Fn(&Call, &Endpoint) -> bool,
+        predicate: impl Fn(&Call, &Endpoint) -> bool,
     ) -> Candidates {
         let Balancer {
             endpoints,
@@ -214,11 +221,11 @@
         } = self;
         let call = &calls[&selection.id];
         endpoints.draw(random, (set, &selection.allowed), 2, |endpoint| {
-            passes(call, endpoint)
+            predicate(call, endpoint)
         })
     }
 
-    /// Random endpoints of these, each with a chance in proportion to its size.
+    /// Draws random endpoints from `slots`, with probability proportional to size.
     pub(super) fn draw(&mut self, slots: &[usize], count: usize) -> Vec<usize> {
         let Balancer {
             endpoints, random, ..
@@ -229,8 +236,8 @@
             .unwrap_or_default()
     }
 
-    /// The least loaded by own calls in flight; what endpoints reported, then the latency ratio
-    /// expected, break ties.
+    /// The endpoint with the fewest calls in flight from this balancer. Ties are broken by the
+    /// projected load from probes, then by the expected latency ratio.
     pub(super) fn least_loaded(&self, now: Micros, slots: &[usize]) -> Option<usize> {
         let load = |slot: usize| {
             let endpoint = &self.endpoints[slot];
@@ -246,7 +253,8 @@
             .reduce(|a, b| if load(b) < load(a) { b } else { a })
     }
 
-    /// The latency ratio to expect: an endpoint's own of late, its group's the longer ago that was.
+    /// The expected latency ratio. The weight shifts from the endpoint's own ratio to that of its
+    /// group as the endpoint's last answer ages.
     fn expected_latency_ratio(&self, now: Micros, endpoint: &Endpoint) -> f64 {
         let silence = now.saturating_sub(endpoint.last_ended_at) as f64;
         let known = (-silence / (OWN_LATENCY_MEMORY * self.longest_objective())).exp();
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -1,21 +1,22 @@
-//! Slow start: how much an endpoint bears that has just started, and which calls it gets meanwhile.
+//! Slow start: the capacity of an endpoint that has just started, and which calls are sent to it.
 
 use super::Balancer;
 use crate::api::{CallId, EndpointRules, Micros};
 use crate::endpoint::Endpoint;
 use crate::endpoint_index::CandidateSet;
 
-/// Chance of an endpoint in slow start to be drawn for a call, over its present share of all
-/// capacity.
+/// Factor applied to the probability that a call is sent to an endpoint in slow start, relative to
+/// the endpoint's current share of the total capacity.
 const SLOW_START_DRAW_FACTOR: f64 = 1.2;
-/// Share of calls served that this chance goes by at the least: clients that try four times, at an
-/// offered load of 1.4, then ask an endpoint in slow start for no more than the least multiple that
-/// one is built to bear (1.2 x 1.4 x 4 x 0.2 < 2).
+/// Lower bound of the goodput that scales this probability. With clients that try four times and an
+/// offered load of 1.4, an endpoint in slow start then receives less than twice its current
+/// capacity (1.2 x 1.4 x 4 x 0.2 < 2), the smallest overload multiple that an endpoint has to
+/// withstand.
 const MIN_GOODPUT: f64 = 0.2;
 
 impl Endpoint {
-    /// Share of its capacity that an endpoint has at the least: it rises evenly over the time of
-    /// the slow start.
+    /// The guaranteed share of the endpoint's full capacity at `now`. It rises linearly over the
+    /// slow start.
     pub(crate) fn slow_start_capacity(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let age = now.saturating_sub(self.started_at);
         if self.started_at == 0 || age >= rules.slow_start_duration {
@@ -25,7 +26,7 @@
         min_capacity + (1.0 - min_capacity) * age as f64 / rules.slow_start_duration as f64
     }
 
-    /// When its slow start ends; 0 for one that started long ago.
+    /// The end of the slow start, or 0 for an endpoint that started long ago.
     pub(super) fn slow_start_end(&self, rules: &EndpointRules) -> Micros {
         if self.started_at == 0 {
             0
@@ -36,14 +37,14 @@
 }
 
 impl Balancer {
-    /// Draws an endpoint in slow start for a new call, or none.
+    /// Draws an endpoint in slow start for a new call, or returns `None`.
     ///
-    /// All balancers hear of such an endpoint together, and each finds it idle. It gets calls by
-    /// chance, with its present share of the capacity. Retries of clients draw none: they come in
-    /// storms. Where they are not marked, or balancers are many, the share of calls that are served
-    /// bounds it: all together serve no more than all endpoints can do, so that the draws of all
-    /// balancers stay within the endpoint's part of that, however often clients ask
-    /// (`tests/slow_start.rs`).
+    /// All balancers learn of a new endpoint at the same time, and each finds it idle. It therefore
+    /// gets calls at random, in proportion to its current share of the capacity. Client retries
+    /// never draw one, because they arrive in bursts. If clients do not mark retries, or if there
+    /// are many balancers, the goodput scales the probability: all balancers together cannot serve
+    /// more than the total capacity, so the draws of all balancers stay within the endpoint's share
+    /// of it however often clients retry (see `tests/slow_start.rs`).
     pub(super) fn draw_slow_start(&mut self, now: Micros, id: CallId) -> Option<usize> {
         let call = self
             .calls
@@ -68,8 +69,8 @@
         (endpoint.is_usable(now) && !endpoint.at_limit(now, &rules)).then_some(slot)
     }
 
-    /// The goodput that bounds these draws. Where clients mark their retries, first tries alone
-    /// draw: a few balancers' stay within bounds by that.
+    /// The goodput factor of the draw probability. If clients mark their retries and there are few
+    /// balancers, excluding retries suffices, and the factor is 1.
     fn goodput_of_first_tries(&self) -> f64 {
         if self.settings.clients_mark_retries && !self.is_sparse() {
             1.0
--- a/crates/decisions/src/balancer/timers.rs
+++ b/crates/decisions/src/balancer/timers.rs
@@ -1,10 +1,10 @@
-//! Timers: the one timer of each call, and the wake-up that the proxy is asked for.
+//! Timers: one timer per call, and the wake-up requested from the proxy.
 
 use super::{Actions, Balancer};
 use crate::api::{Action, CallId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When which call is due; each call has one timer at the most.
+/// Call timers ordered by time; each call has at most one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallTimers {
     by_time: BTreeSet<(Micros, CallId)>,
@@ -12,7 +12,7 @@
 }
 
 impl CallTimers {
-    /// Sets a call's timer, or removes it.
+    /// Sets a call's timer, or removes it if `at` is `None`.
     pub(super) fn set(&mut self, id: CallId, at: Option<Micros>) {
         if let Some(old) = self.by_call.remove(&id) {
             self.by_time.remove(&(old, id));
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The earliest timer.
+    /// The time of the earliest timer.
     fn next(&self) -> Option<Micros> {
         self.by_time.first().map(|&(at, _)| at)
     }
 
-    /// Removes the timer of a call that is due by now.
+    /// Removes and returns a call whose timer is due.
     fn pop(&mut self, now: Micros) -> Option<CallId> {
         let &(_, id) = self.by_time.first().filter(|&&(at, _)| at <= now)?;
         self.set(id, None);
@@ -37,7 +37,8 @@
 }
 
 impl Balancer {
-    /// Does what is due for calls by now; what a timer means is told by what its call waits for.
+    /// Runs all call timers that are due. The meaning of a timer follows from the state of its
+    /// call.
     pub(super) fn run_call_timers(&mut self, now: Micros, actions: &mut Actions) {
         while let Some(id) = self.timers.pop(now) {
             let call = &self.calls[&id];
@@ -53,8 +54,7 @@
         }
     }
 
-    /// Asks for a wake-up at the next time at which something is due, unless an earlier one has
-    /// been asked for.
+    /// Requests a wake-up at the next time at which work is due, unless an earlier one is pending.
     pub(super) fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let mut next = self
             .next_list_poll_at
--- a/crates/decisions/src/balancer/wait_queue.rs
+++ b/crates/decisions/src/balancer/wait_queue.rs
@@ -1,28 +1,29 @@
-//! The queue of calls that wait for an endpoint with capacity, in the order of their arrival.
+//! The queue of calls waiting for an endpoint with capacity, in order of arrival.
 
 use super::selection::Route;
 use super::{Actions, Balancer};
 use crate::api::{Action, CallId, LogEvent, Micros};
 
-/// Queued calls looked at beyond the first at an event: it bounds the CPU that a long queue costs.
+/// Maximum number of queued calls scanned beyond the first per event; bounds the CPU cost of a long
+/// queue.
 const QUEUE_SCAN: usize = 16;
 
 impl Balancer {
-    /// Queues a new call behind the others.
+    /// Appends a new call to the queue.
     pub(super) fn enqueue(&mut self, now: Micros, id: CallId) {
         self.prepare_to_wait(now, id);
         self.wait_queue.push_back(id);
     }
 
-    /// Queues a call that has been sent or probed for before: it is older than those waiting and
-    /// goes to the front.
+    /// Returns a call to the front of the queue after an attempt or a round of probes; it is older
+    /// than the calls waiting there.
     pub(super) fn enqueue_again(&mut self, now: Micros, id: CallId) {
         self.prepare_to_wait(now, id);
         self.wait_queue.push_front(id);
     }
 
-    /// Marks a call as queued and sets the timer that ends its wait: when an answer could not be
-    /// expected in time any more, and always before the client gives up.
+    /// Marks a call as queued and sets the timer that ends its wait: when an answer can no longer
+    /// be expected in time, and always before the client's deadline.
     fn prepare_to_wait(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -42,7 +43,7 @@
         self.timers.set(id, Some(give_up_at.min(last)));
     }
 
-    /// Sends, probes for or ends queued calls until the next one has to wait.
+    /// Sends, probes for or ends queued calls until one has to wait.
     pub(super) fn dispatch_queue(&mut self, now: Micros, actions: &mut Actions) {
         self.dispatch_recovery_trials(now, actions);
         let mut index = 0;
@@ -62,8 +63,8 @@
                     self.log_all_ejected(actions);
                     self.end_unserved(id, retry_after, actions);
                 }
-                // In the order of arrival: the first that waits holds back the rest, unless it may
-                // go to some endpoints only.
+                // Calls are served in order of arrival, so a waiting call blocks those behind it,
+                // unless its earlier attempts restrict it to some endpoints.
                 Route::Queue
                     if self.calls[&id].first_maybe_executed().is_some() && index < QUEUE_SCAN =>
                 {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Sends queued calls as trials to ejected endpoints whose backoff is over.
+    /// Sends queued calls as recovery trials to ejected endpoints whose backoff has expired.
     fn dispatch_recovery_trials(&mut self, now: Micros, actions: &mut Actions) {
         while let Some(slot) = self.endpoints.recovery_due(now) {
             let mut first = self.wait_queue.iter().take(QUEUE_SCAN);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Logs once that calls are rejected since no endpoint is available.
+    /// Logs, once per episode, that calls are rejected because every endpoint is ejected.
     fn log_all_ejected(&mut self, actions: &mut Actions) {
         if !std::mem::replace(&mut self.rejecting_all, true) {
             actions.push(Action::Log {
--- a/crates/decisions/src/call.rs
+++ b/crates/decisions/src/call.rs
@@ -1,69 +1,72 @@
-//! Calls and their attempts.
+//! The state of calls and their attempts.
 
 use crate::api::{CallPolicy, CellId, Class, EndpointId, Micros, ZoneId};
 use crate::endpoint::Endpoint;
 
-/// Whether an attempt was executed, as far as its end proves.
+/// Whether an attempt was executed, as far as its outcome proves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Execution {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// Proved not to have run: a repeat is harmless.
+    /// Proved not to have been executed; a retry is harmless.
     NotExecuted,
-    /// It may have run.
+    /// The attempt may have been executed.
     MaybeExecuted,
 }
 
-/// One sending of a call to an endpoint.
+/// One attempt to execute a call at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) sent_at: Micros,
-    /// It may pass its endpoint's limit, or tries an ejected one.
+    /// Whether the attempt may exceed its endpoint's concurrency limit, or is the trial of an
+    /// ejected endpoint.
     pub(crate) is_trial: bool,
-    /// Load that a fresh probe had shown of its endpoint; 0: none had.
+    /// The endpoint's projected load at the time of sending, from a recent probe; 0 if there was
+    /// none.
     pub(crate) load_at_send: f64,
     pub(crate) execution: Execution,
 }
 
-/// A call from its arrival until it has ended and no attempt is in flight.
+/// A call, from its arrival until it has ended and no attempt is in flight.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Call {
     pub(crate) class: Class,
     pub(crate) class_id: usize,
     pub(crate) policy: CallPolicy,
     pub(crate) arrived_at: Micros,
-    /// When its client first tried, as far as can be told.
+    /// Estimated time of the client's first try.
     pub(crate) first_tried_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
-    /// It may still draw an endpoint in slow start.
+    /// Whether the call may still draw an endpoint in slow start.
     pub(crate) may_draw_slow_start: bool,
-    /// A random number from 0 to 1 that decides its admission: it goes to groups of at least this
-    /// admitted share, and is shed below the shed probability.
+    /// A random number, 0 to 1, that decides the call's admission. A group of endpoints admits the
+    /// call if its admitted share is at least this number, and the call is shed if the shed
+    /// probability is above it.
     pub(crate) admission_draw: f64,
-    /// Endpoints probed for their load; the call goes to one of them.
+    /// Endpoints probed for this call; it goes to one of them.
     pub(crate) probed_endpoints: Vec<EndpointId>,
-    /// When these probes went out.
+    /// Time at which these probes were sent.
     pub(crate) probes_sent_at: Micros,
-    /// It probes again from then on.
+    /// Time from which the call may probe again.
     pub(crate) next_probe_at: Micros,
-    /// Rounds of probes that found all endpoints full.
+    /// Number of probe rounds that found all endpoints full.
     pub(crate) full_probe_rounds: u32,
-    /// It is in the wait queue.
+    /// Whether the call is in the wait queue.
     pub(crate) queued: bool,
-    /// It waits out the backoff before its next attempt.
+    /// Whether the call waits for the backoff before its next attempt.
     pub(crate) backing_off: bool,
-    /// Its answer has begun to flow.
+    /// Whether the response has started streaming.
     pub(crate) streaming: bool,
-    /// Nothing more is owed to its client.
+    /// Whether the call has ended for its client.
     pub(crate) ended: bool,
 }
 
 impl Call {
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -71,15 +74,15 @@
             .count()
     }
 
-    /// The first attempt that may have run: a keyed call is bound to the endpoints and the window
-    /// of that one.
+    /// The first attempt that may have been executed. It determines the dedup scope and window of a
+    /// keyed call.
     pub(crate) fn first_maybe_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|a| a.execution != Execution::NotExecuted)
     }
 
-    /// Until when an answer counts for the score.
+    /// Time until which an answer counts for the score.
     pub(crate) fn objective_deadline(&self) -> Micros {
         let objective = if self.class.late_value > 0.0 {
             self.class.deadline
@@ -90,7 +93,7 @@
             .min(self.first_tried_at.saturating_add(objective))
     }
 
-    /// Has none of its attempts gone there?
+    /// Whether none of the call's attempts went to this endpoint.
     pub(crate) fn has_not_tried(&self, endpoint: &Endpoint) -> bool {
         self.attempts.iter().all(|a| a.endpoint != endpoint.id)
     }
--- a/crates/decisions/src/endpoint.rs
+++ b/crates/decisions/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of one endpoint.
+//! The state that a balancer keeps about one endpoint.
 
 use crate::api::{
     CellId, EndpointEntry, EndpointId, EndpointRules, KindId, Micros, WeightSource, ZoneId,
@@ -6,57 +6,57 @@
 use crate::balancer::concurrency_limit::ConcurrencyLimit;
 use crate::load_feedback::CongestionSample;
 
-/// An endpoint as this balancer sees it. Decisions on it are in `src/balancer`.
+/// An endpoint as seen by this balancer. The decisions about it are in `src/balancer`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) kind: KindId,
-    /// This balancer's own order of preference, drawn once: least first.
+    /// Random rank, drawn once per balancer and endpoint; lower ranks are preferred.
     pub(crate) preference: u32,
-    /// Size by the list; 1 where it tells none.
+    /// Size according to the list; 1 if the list does not give one.
     pub(crate) size: f64,
     pub(crate) listed: bool,
-    /// When its process started; 0: long ago.
+    /// Time at which the process started; 0 if that was long ago.
     pub(crate) started_at: Micros,
-    /// Attempts of this balancer in flight there.
+    /// This balancer's attempts in flight.
     pub(crate) in_flight: u32,
     pub(crate) limit: ConcurrencyLimit,
-    /// Latency over what its classes allow, smoothed; 1 is the limit. It also breaks ties of a
-    /// selection.
+    /// Smoothed latency relative to the limits of the call classes; 1 is the limit. It also breaks
+    /// ties in endpoint selection.
     pub(crate) latency_ratio: f64,
-    /// Answers since its limit last changed.
+    /// Number of answers since the limit last changed.
     pub(crate) answers_since_change: u32,
-    /// Congestion by its last load report, on the scale of the latency ratio.
+    /// Congestion according to the last load report, on the scale of the latency ratio.
     pub(crate) reported_congestion: f64,
-    /// The same with its time, for the congestion to expect.
+    /// The last congestion sample with its time, from which the expected congestion is derived.
     pub(crate) last_sample: CongestionSample,
-    /// Calls of all balancers there when it was last probed, and those sent since.
+    /// Calls of all balancers at the last probe, plus this balancer's calls sent since.
     pub(crate) reported_in_flight: f64,
-    /// When it was last probed; 0: never.
+    /// Time of the last completed probe; 0 if never probed.
     pub(crate) probed_at: Micros,
-    /// When its limit last changed; 0: never.
+    /// Time of the last change of the limit; 0 if never changed.
     pub(crate) limit_changed_at: Micros,
-    /// When an attempt there last ended.
+    /// Time at which an attempt last ended.
     pub(crate) last_ended_at: Micros,
-    /// When it last served one.
+    /// Time at which an attempt was last served.
     pub(crate) last_served_at: Micros,
-    /// When a connection there last failed or broke.
+    /// Time at which a connection last failed or broke.
     pub(crate) last_broken_at: Micros,
     /// Smoothed share of attempts that failed.
     pub(crate) failure_rate: f64,
-    /// It is sent nothing before this: it has just rejected a call as full.
+    /// No calls are sent before this time, because the endpoint rejected a call as full.
     pub(crate) paused_until: Micros,
 }
 
 impl Endpoint {
-    /// May calls go there, apart from its limit and slow start?
+    /// Whether the endpoint may get calls, regardless of its concurrency limit and slow start.
     pub(crate) fn is_usable(&self, now: Micros) -> bool {
         self.listed && self.limit.steps > 0 && now >= self.paused_until
     }
 
-    /// An endpoint as the list names it.
+    /// Creates the state of an endpoint from its list entry.
     pub(crate) fn new(
         entry: &EndpointEntry,
         weight_source: WeightSource,
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Calls of all balancers there after one more, for its present capacity; 0 where it was never
-    /// probed.
+    /// The load after one more call: calls of all balancers per unit of current capacity. Returns 0
+    /// if the endpoint was never probed.
     pub(crate) fn projected_load(&self, now: Micros, rules: &EndpointRules) -> f64 {
         if self.probed_at == 0 {
             return 0.0;
--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -1,8 +1,7 @@
-//! The index of all endpoints: each in a slot of its own, with the sets that a selection draws
-//! from, so that none walks over all of them.
+//! The index of all endpoints. Each endpoint has a slot, and the index maintains the sets that
+//! selection draws from, so that no selection iterates over all endpoints.
 //!
-//! What counts as available, full or due is decided in `src/balancer`, which files each endpoint's
-//! [`EndpointState`] here.
+//! `src/balancer` determines the [`EndpointState`] of each endpoint and stores it here.
 
 mod slot_groups;
 mod state;
@@ -17,12 +16,12 @@
 pub(crate) use state::{AllowedEndpoints, CandidateSet, Candidates, EndpointState};
 use std::collections::BTreeSet;
 
-/// Random draws before the endpoints of a set are scanned one by one.
-const BLIND_DRAWS: usize = 16;
-/// Most endpoints that one scan looks at.
+/// Number of random draws before the endpoints of a set are scanned.
+const MAX_RANDOM_DRAWS: usize = 16;
+/// Maximum number of endpoints visited by one scan.
 const MAX_SCANNED: usize = 256;
 
-/// All endpoints, each in a slot that it keeps, and the sets that a selection draws from.
+/// All endpoints, each in a fixed slot, and the sets that selection draws from.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointIndex {
     endpoints: Vec<Endpoint>,
@@ -33,28 +32,30 @@
     with_capacity: WeightedSet,
     trial_allowed: WeightedSet,
     slow_start: WeightedSet,
-    /// Sum of the weights of all that are listed.
+    /// Sum of the weights of all listed endpoints.
     listed_weight: u64,
-    /// Sum of weight times start of all in slow start: it gives their ages' sum at any time.
-    slow_start_moment: u128,
+    /// Sum of weight times start time over all endpoints in slow start, from which the weighted sum
+    /// of their ages follows at any time.
+    slow_start_weighted_starts: u128,
     listed: usize,
     ejected: usize,
     outliers: usize,
-    /// Ejected endpoints with a trial in flight.
+    /// Number of ejected endpoints with a trial in flight.
     recovery_trials: usize,
-    /// When each state changes by time alone.
+    /// Time and slot of each state change that happens without an event.
     state_changes: BTreeSet<(Micros, u32)>,
-    /// From when each ejected endpoint may be tried.
+    /// Time from which each ejected endpoint may get a recovery trial, with its slot.
     recoveries: BTreeSet<(Micros, u32)>,
-    /// Endpoints with capacity or in slow start, in this balancer's own order of preference.
+    /// Endpoints with capacity or in slow start, by preference and slot.
     by_preference: BTreeSet<(u32, u32)>,
     zones: SlotGroups,
     cells: SlotGroups,
-    /// No longer listed, but attempts may still be in flight there.
+    /// Endpoints that are no longer listed but may still have attempts in flight.
     departing: BTreeSet<EndpointId>,
-    /// Grows with each full list: those that it did not name have gone.
+    /// Incremented with each full list. Endpoints not marked with the current epoch are no longer
+    /// listed.
     list_epoch: u32,
-    /// The list epoch in which each slot was last named.
+    /// The epoch in which each slot was last listed.
     listed_epochs: Vec<u32>,
 }
 
@@ -67,19 +68,20 @@
 }
 
 impl std::ops::IndexMut<usize> for EndpointIndex {
-    /// Whoever changes what an [`EndpointState`] is made of files it again.
+    /// A caller that changes the inputs of an [`EndpointState`] must call
+    /// [`EndpointIndex::set_state`].
     fn index_mut(&mut self, slot: usize) -> &mut Endpoint {
         &mut self.endpoints[slot]
     }
 }
 
 impl EndpointIndex {
-    /// The slot of an endpoint, if it is known.
+    /// The slot of an endpoint, if the endpoint is known.
     pub(crate) fn slot(&self, id: EndpointId) -> Option<usize> {
         self.slots_by_id.get(&id).map(|&slot| slot as usize)
     }
 
-    /// Every slot in use.
+    /// All slots in use, in ascending order.
     pub(crate) fn slots(&self) -> Vec<usize> {
         let mut slots: Vec<usize> = self
             .slots_by_id
@@ -90,43 +92,42 @@
         slots
     }
 
-    /// How many are listed as ready.
+    /// Number of endpoints listed as ready.
     pub(crate) fn listed_count(&self) -> usize {
         self.listed
     }
 
-    /// How many of these are ejected.
+    /// Number of listed endpoints that are ejected.
     pub(crate) fn ejected_count(&self) -> usize {
         self.ejected
     }
 
-    /// How many that are listed are ejected or failing.
+    /// Number of listed endpoints that are ejected or failing.
     pub(crate) fn outlier_count(&self) -> usize {
         self.outliers
     }
 
-    /// Sum of the sizes of all that are listed.
+    /// Sum of the sizes of all listed endpoints.
     pub(crate) fn total_size(&self) -> f64 {
         weighted_set::size(self.listed_weight)
     }
 
-    /// What all endpoints in slow start can do at the least, by the rules: the sum of their
-    /// capacities now.
+    /// Sum of the guaranteed current capacities of all endpoints in slow start.
     pub(crate) fn slow_start_size(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let weight = self.slow_start.total();
-        let age =
-            (u128::from(now) * u128::from(weight)).saturating_sub(self.slow_start_moment) as f64;
+        let age = (u128::from(now) * u128::from(weight))
+            .saturating_sub(self.slow_start_weighted_starts) as f64;
         let grown =
             age / rules.slow_start_duration.max(1) as f64 * (1.0 - rules.slow_start_min_capacity);
         (grown + rules.slow_start_min_capacity * weight as f64) * weighted_set::size(1)
     }
 
-    /// Sum of the sizes of all endpoints in slow start, as if they were warm.
+    /// Sum of the full sizes of all endpoints in slow start.
     pub(crate) fn slow_start_full_size(&self) -> f64 {
         weighted_set::size(self.slow_start.total())
     }
 
-    /// How many endpoints are in a set.
+    /// Number of endpoints in a set.
     pub(crate) fn count(&self, set: CandidateSet) -> usize {
         self.set(set).len()
     }
@@ -145,24 +146,25 @@
         }
     }
 
-    /// A full list begins: those that it does not name by its end have gone.
+    /// Starts a full list. Endpoints that are not marked as listed before its end have been
+    /// removed.
     pub(crate) fn begin_full_list(&mut self) {
         self.list_epoch = self.list_epoch.wrapping_add(1);
     }
 
-    /// The list names this endpoint.
+    /// Marks an endpoint as contained in the current list.
     pub(crate) fn mark_listed(&mut self, slot: usize) {
         self.listed_epochs[slot] = self.list_epoch;
     }
 
-    /// The listed ones that a full list did not name.
+    /// The listed endpoints that the current full list does not contain.
     pub(crate) fn not_in_full_list(&self) -> Vec<usize> {
         let old =
             |&slot: &usize| self.states[slot].listed && self.listed_epochs[slot] != self.list_epoch;
         (0..self.endpoints.len()).filter(old).collect()
     }
 
-    /// Takes in an endpoint, or another process under the number of one that is known.
+    /// Inserts an endpoint, or replaces the state of a known one after a restart. Returns its slot.
     pub(crate) fn insert(&mut self, endpoint: Endpoint) -> usize {
         if let Some(slot) = self.slot(endpoint.id) {
             self.set_state(slot, EndpointState::UNLISTED);
@@ -181,7 +183,7 @@
         slot
     }
 
-    /// Forgets the endpoints that are no longer listed once nothing is in flight there.
+    /// Removes endpoints that are no longer listed and have nothing in flight.
     pub(crate) fn remove_departed(&mut self) {
         let departing = std::mem::take(&mut self.departing);
         for id in departing {
@@ -199,13 +201,12 @@
         }
     }
 
-    /// Notes that an endpoint is not listed: it is forgotten when nothing is in flight there any
-    /// more.
+    /// Marks an endpoint as no longer listed. It is removed once it has nothing in flight.
     pub(crate) fn mark_departing(&mut self, slot: usize) {
         self.departing.insert(self.endpoints[slot].id);
     }
 
-    /// Zone and cell of a listed endpoint are as the list says now.
+    /// Updates the zone and the cell of a listed endpoint.
     pub(crate) fn relocate(&mut self, slot: usize, zone: ZoneId, cell: CellId) {
         let (old_zone, old_cell) = (self.endpoints[slot].zone, self.endpoints[slot].cell);
         if (old_zone, old_cell) == (zone, cell) {
@@ -217,22 +218,28 @@
         self.set_state(slot, state);
     }
 
-    /// Files where an endpoint stands. It costs nothing but a comparison where nothing has changed.
+    /// Sets the state of an endpoint and updates all sets. An unchanged state costs one comparison.
     pub(crate) fn set_state(&mut self, slot: usize, new: EndpointState) {
         let old = std::mem::replace(&mut self.states[slot], new);
         if old == new {
             return;
         }
         let weight = weighted_set::weight(self.endpoints[slot].size);
-        self.file_in_sets(slot, weight, old, new);
-        self.file_by_preference(slot, old, new);
-        self.file_slow_start(slot, weight, old, new);
-        self.file_listed(slot, weight, old, new);
-        self.file_ejection(slot, old, new);
-        self.file_next_change(slot, old, new);
+        self.update_candidate_sets(slot, weight, old, new);
+        self.update_preference_order(slot, old, new);
+        self.update_slow_start(slot, weight, old, new);
+        self.update_listed(slot, weight, old, new);
+        self.update_ejection(slot, old, new);
+        self.update_next_change(slot, old, new);
     }
 
-    fn file_in_sets(&mut self, slot: usize, weight: u64, old: EndpointState, new: EndpointState) {
+    fn update_candidate_sets(
+        &mut self,
+        slot: usize,
+        weight: u64,
+        old: EndpointState,
+        new: EndpointState,
+    ) {
         let weight_if = |is_member: bool| if is_member { weight } else { 0 };
         if old.available != new.available {
             self.available.set(slot, weight_if(new.available));
@@ -245,7 +252,7 @@
         }
     }
 
-    fn file_by_preference(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
+    fn update_preference_order(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
         let is_ranked = |s: EndpointState| s.has_capacity || s.slow_start_since.is_some();
         if is_ranked(old) == is_ranked(new) {
             return;
@@ -258,7 +265,7 @@
         }
     }
 
-    fn file_slow_start(
+    fn update_slow_start(
         &mut self,
         slot: usize,
         weight: u64,
@@ -269,13 +276,15 @@
         if old == new {
             return;
         }
-        let moment = |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
-        self.slow_start_moment = self.slow_start_moment - moment(old) + moment(new);
+        let weighted_start =
+            |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
+        self.slow_start_weighted_starts =
+            self.slow_start_weighted_starts - weighted_start(old) + weighted_start(new);
         self.slow_start
             .set(slot, if new.is_some() { weight } else { 0 });
     }
 
-    fn file_listed(&mut self, slot: usize, weight: u64, old: EndpointState, new: EndpointState) {
+    fn update_listed(&mut self, slot: usize, weight: u64, old: EndpointState, new: EndpointState) {
         if old.listed == new.listed {
             return;
         }
@@ -293,7 +302,7 @@
         }
     }
 
-    fn file_ejection(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
+    fn update_ejection(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
         self.ejected = self.ejected + usize::from(new.ejected) - usize::from(old.ejected);
         self.outliers = self.outliers + usize::from(new.is_outlier) - usize::from(old.is_outlier);
         let trials = |s: EndpointState| usize::from(s.ejected && s.recovery_trial_out);
@@ -312,7 +321,7 @@
         }
     }
 
-    fn file_next_change(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
+    fn update_next_change(&mut self, slot: usize, old: EndpointState, new: EndpointState) {
         if old.next_change == new.next_change {
             return;
         }
@@ -324,12 +333,12 @@
         }
     }
 
-    /// When time alone next changes a state.
+    /// Time of the next state change that happens without an event.
     pub(crate) fn next_state_change(&self) -> Option<Micros> {
         self.state_changes.first().map(|d| d.0)
     }
 
-    /// An endpoint whose state time has changed by now.
+    /// An endpoint whose state change is due by `now`.
     pub(crate) fn overdue_state(&self, now: Micros) -> Option<usize> {
         self.state_changes
             .first()
@@ -337,7 +346,7 @@
             .map(|&(_, slot)| slot as usize)
     }
 
-    /// An ejected endpoint whose backoff is over and that has no trial in flight.
+    /// An ejected endpoint whose backoff has expired and that has no trial in flight.
     pub(crate) fn recovery_due(&self, now: Micros) -> Option<usize> {
         self.recoveries
             .first()
@@ -345,7 +354,7 @@
             .map(|&(_, slot)| slot as usize)
     }
 
-    /// When the first ejected endpoint may be tried; 0 while one is being tried.
+    /// Time at which the first ejected endpoint may get a recovery trial; 0 if one is in flight.
     pub(crate) fn first_recovery_at(&self) -> Micros {
         if self.recovery_trials > 0 {
             return 0;
@@ -353,8 +362,8 @@
         self.recoveries.first().map_or(0, |b| b.0)
     }
 
-    /// The endpoints that drop repeats of what one of this zone and cell has run; of very many,
-    /// some from a random one on.
+    /// The endpoints that deduplicate a call executed at an endpoint of this zone and cell. If
+    /// there are very many, a bounded number from a random position on.
     pub(crate) fn sharing_dedup_scope(
         &self,
         random: &mut impl Rng,
@@ -374,30 +383,31 @@
         AllowedEndpoints::Only(slots.map(|&slot| slot as usize).collect())
     }
 
-    /// Random endpoints, each with a chance in proportion to its size, none twice. Drawing until
-    /// one passes has the same distribution as drawing among those that pass; where few do, they
-    /// are scanned one by one, up to a bound.
+    /// Draws up to `count` distinct random endpoints that satisfy the predicate, with probability
+    /// proportional to size. Redrawing until an endpoint satisfies the predicate yields the same
+    /// distribution as drawing among those that do. If few do, a bounded number of endpoints is
+    /// scanned instead.
     pub(crate) fn draw(
         &self,
         random: &mut impl Rng,
         (set, allowed): (CandidateSet, &AllowedEndpoints),
         count: usize,
-        passes: impl Fn(&Endpoint) -> bool,
+        predicate: impl Fn(&Endpoint) -> bool,
     ) -> Candidates {
         let set = self.set(set);
         let mut drawn = Candidates::new();
         if let AllowedEndpoints::Only(slots) = allowed {
-            let fits = |&&slot: &&usize| set.contains(slot) && passes(&self.endpoints[slot]);
-            let fitting: Vec<usize> = slots.iter().filter(fits).copied().collect();
+            let is_match = |&&slot: &&usize| set.contains(slot) && predicate(&self.endpoints[slot]);
+            let matching: Vec<usize> = slots.iter().filter(is_match).copied().collect();
             let chosen =
-                fitting.choose_multiple_weighted(random, count, |&slot| self.endpoints[slot].size);
+                matching.choose_multiple_weighted(random, count, |&slot| self.endpoints[slot].size);
             drawn.extend(chosen.into_iter().flatten().copied());
             return drawn;
         }
         while drawn.len() < count.min(set.len()) {
-            let is_new = |slot: &usize| !drawn.contains(slot) && passes(&self.endpoints[*slot]);
-            let blind = (0..BLIND_DRAWS).find_map(|_| set.draw(random).filter(is_new));
-            let Some(slot) = blind.or_else(|| self.scan(random, set, is_new)) else {
+            let is_new = |slot: &usize| !drawn.contains(slot) && predicate(&self.endpoints[*slot]);
+            let random_match = (0..MAX_RANDOM_DRAWS).find_map(|_| set.draw(random).filter(is_new));
+            let Some(slot) = random_match.or_else(|| self.scan(random, set, is_new)) else {
                 break;
             };
             drawn.push(slot);
@@ -405,17 +415,17 @@
         drawn
     }
 
-    /// One among those that pass, scanned for from a random place on: a weighted reservoir sample
-    /// of one.
+    /// Scans from a random position and selects one endpoint that satisfies the predicate, by
+    /// weighted reservoir sampling.
     fn scan(
         &self,
         random: &mut impl Rng,
         set: &WeightedSet,
-        passes: impl Fn(&usize) -> bool,
+        predicate: impl Fn(&usize) -> bool,
     ) -> Option<usize> {
         let start = random.gen_range(0..set.total().max(1));
         let (mut chosen, mut total) = (None, 0);
-        for slot in set.from(start).take(MAX_SCANNED).filter(passes) {
+        for slot in set.iter_from(start).take(MAX_SCANNED).filter(predicate) {
             let weight = weighted_set::weight(self.endpoints[slot].size);
             total += weight;
             if random.gen_range(0..total) < weight {
@@ -425,14 +435,14 @@
         chosen
     }
 
-    /// An endpoint in slow start, with a chance in proportion to what it can do now.
+    /// Draws an endpoint in slow start, with probability proportional to its current capacity.
     pub(crate) fn draw_slow_start(
         &self,
         random: &mut impl Rng,
         capacity_share: impl Fn(&Endpoint) -> f64,
     ) -> Option<usize> {
         let mut last = None;
-        for _ in 0..4 * BLIND_DRAWS {
+        for _ in 0..4 * MAX_RANDOM_DRAWS {
             last = self.slow_start.draw(random);
             let slot = last?;
             if random.gen::<f64>() < capacity_share(&self.endpoints[slot]) {
@@ -442,16 +452,18 @@
         last
     }
 
-    /// The first that pass in this balancer's own order, at the most so many.
-    pub(crate) fn by_own_preference(
+    /// The first `count` endpoints that satisfy the predicate, in this balancer's order of
+    /// preference.
+    pub(crate) fn in_preference_order(
         &self,
         (set, allowed): (CandidateSet, &AllowedEndpoints),
         count: usize,
-        passes: impl Fn(&Endpoint) -> bool,
+        predicate: impl Fn(&Endpoint) -> bool,
     ) -> Vec<usize> {
-        let fits = |slot: &usize| self.set(set).contains(*slot) && passes(&self.endpoints[*slot]);
+        let is_match =
+            |slot: &usize| self.set(set).contains(*slot) && predicate(&self.endpoints[*slot]);
         if let AllowedEndpoints::Only(slots) = allowed {
-            let mut slots: Vec<usize> = slots.iter().copied().filter(fits).collect();
+            let mut slots: Vec<usize> = slots.iter().copied().filter(is_match).collect();
             slots.sort_unstable_by_key(|&slot| (self.endpoints[slot].preference, slot));
             slots.truncate(count);
             return slots;
@@ -461,6 +473,6 @@
             .iter()
             .take(MAX_SCANNED.max(count))
             .map(|&(_, slot)| slot as usize);
-        slots.filter(fits).take(count).collect()
+        slots.filter(is_match).take(count).collect()
     }
 }
--- a/crates/decisions/src/endpoint_index/slot_groups.rs
+++ b/crates/decisions/src/endpoint_index/slot_groups.rs
@@ -1,17 +1,17 @@
-//! Groups of slots: those of one zone, or of one cell.
+//! Groups of slots by key: those of one zone, or of one cell.
 
 use rustc_hash::FxHashMap;
 
-/// Slots that share a zone or a cell, in no order.
+/// Slots grouped by zone or cell, unordered within a group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotGroups {
     slots_by_key: FxHashMap<u32, Vec<u32>>,
-    /// Where each slot stands in its list.
+    /// The position of each slot in the list of its group.
     positions: Vec<u32>,
 }
 
 impl SlotGroups {
-    /// Adds a slot that is in no group yet.
+    /// Adds a slot that is not in any group yet.
     pub(super) fn add(&mut self, key: u32, slot: usize) {
         let list = self.slots_by_key.entry(key).or_default();
         if self.positions.len() <= slot {
--- a/crates/decisions/src/endpoint_index/state.rs
+++ b/crates/decisions/src/endpoint_index/state.rs
@@ -1,4 +1,4 @@
-//! Where an endpoint stands, and which endpoints a call may go to.
+//! The indexed state of an endpoint, and the candidates of a call.
 
 use crate::api::Micros;
 use smallvec::SmallVec;
@@ -6,31 +6,31 @@
 /// Slots drawn for one call.
 pub(crate) type Candidates = SmallVec<[usize; 4]>;
 
-/// Where an endpoint stands: all that a selection asks of it, as of the last change to it.
+/// The properties of an endpoint on which selection depends, as of the last update.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EndpointState {
     pub(crate) listed: bool,
-    /// It takes calls: listed, warm, neither ejected nor paused.
+    /// Whether it takes calls: it is listed, warm, and neither ejected nor paused.
     pub(crate) available: bool,
-    /// ... and it is under its limit.
+    /// Whether it is available and below its concurrency limit.
     pub(crate) has_capacity: bool,
-    /// ... or it is at its limit, and one trial may pass that.
+    /// Whether it is available and at its limit, and one trial may exceed the limit.
     pub(crate) trial_allowed: bool,
-    /// It is ejected or fails most of its calls.
+    /// Whether it is listed and either ejected or failing most of its calls.
     pub(crate) is_outlier: bool,
     pub(crate) ejected: bool,
-    /// A trial is in flight that may readmit it.
+    /// Whether a trial is in flight that may readmit the endpoint.
     pub(crate) recovery_trial_out: bool,
-    /// From when it may be tried, if it is ejected.
+    /// Time from which a recovery trial may be sent, if the endpoint is ejected.
     pub(crate) recovery_at: Micros,
-    /// When it started, if it is listed and in slow start.
+    /// Time at which it started, if it is listed and in slow start.
     pub(crate) slow_start_since: Option<Micros>,
-    /// When time alone changes this; `Micros::MAX`: never.
+    /// Time at which this state changes without any event; `Micros::MAX` if never.
     pub(crate) next_change: Micros,
 }
 
 impl EndpointState {
-    /// An endpoint that takes no calls until that is filed otherwise.
+    /// The state of an endpoint that is not listed.
     pub(crate) const UNLISTED: EndpointState = EndpointState {
         listed: false,
         available: false,
@@ -45,30 +45,30 @@
     };
 }
 
-/// Which endpoints to draw from.
+/// A set of endpoints to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CandidateSet {
-    /// Those that take calls.
+    /// Endpoints that take calls.
     Available,
-    /// Of these, those under their limit.
+    /// Available endpoints below their concurrency limit.
     WithCapacity,
-    /// Of these, those at their limit that one trial may pass.
+    /// Available endpoints at their concurrency limit that one trial may exceed.
     TrialAllowed,
-    /// Those in slow start, whatever else they are.
+    /// Endpoints in slow start, regardless of their other properties.
     SlowStart,
 }
 
-/// Which endpoints a call may go to, by what it has run.
+/// The endpoints that a call may go to, given where it may have been executed.
 #[derive(Clone, Debug)]
 pub(crate) enum AllowedEndpoints {
     /// Any endpoint.
     All,
-    /// Only these: what ran there is dropped there.
+    /// Only these endpoints, which deduplicate the call.
     Only(Vec<usize>),
 }
 
 impl AllowedEndpoints {
-    /// Is this endpoint one of them?
+    /// Whether the endpoint in this slot is allowed.
     pub(crate) fn contains(&self, slot: usize) -> bool {
         match self {
             AllowedEndpoints::All => true,
--- a/crates/decisions/src/latency.rs
+++ b/crates/decisions/src/latency.rs
@@ -1,49 +1,49 @@
-//! Latency statistics of classes of calls and of groups of endpoints.
+//! Latency statistics of call classes and of groups of endpoints.
 
 use crate::api::{Class, KindId, Micros, ZoneId};
 use std::collections::BTreeMap;
 
-/// Weight of a new answer in a class's mean: about twenty are remembered.
+/// Smoothing factor of a class's mean latency; roughly the last twenty answers count.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// Time, in microseconds, over which a class's unloaded latency may drift up to its present mean.
+/// Time, in microseconds, within which a class's unloaded latency may drift up to its current mean.
 const UNLOADED_DRIFT_TIME: f64 = 120e6;
-/// Share of its objective that a call is expected to take while nothing is known.
+/// Assumed latency of a call as a share of its objective, before any answers are known.
 pub(crate) const EXPECTED_OBJECTIVE_SHARE: f64 = 0.25;
-/// Samples that are taken as they come, before there is a mean to hold others against.
+/// Number of initial samples that are not capped, because there is no reference latency yet.
 const FIRST_SAMPLES: u32 = 8;
-/// Multiple of the unloaded latency that a later sample counts for at the most.
+/// Later samples are capped at this multiple of the unloaded latency.
 const MAX_SAMPLE_FACTOR: f64 = 8.0;
-/// The shortest latency that is told from others, in microseconds.
+/// Lower bound of the histogram, in microseconds; shorter latencies count as this.
 const HISTOGRAM_MIN: f64 = 256.0;
-/// Buckets for each doubling of the latency.
+/// Number of buckets per doubling of the latency.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Buckets above it: up to half a minute.
+/// Number of buckets, which cover latencies up to about 30 s.
 const HISTOGRAM_BUCKETS: usize = 68;
-/// Samples at which the counts are halved.
+/// Number of samples at which the counts are halved.
 const HISTOGRAM_MAX_SAMPLES: u16 = 512;
-/// Samples below which a quantile says nothing.
+/// Minimum number of samples for a quantile.
 const HISTOGRAM_MIN_SAMPLES: u16 = 20;
 
-/// Latencies of a class of calls, in microseconds, and what is known of its clients.
+/// Latencies of a class of calls, in microseconds, and statistics about its clients.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassLatency {
-    /// The present mean.
+    /// The smoothed mean latency.
     pub(crate) mean: f64,
-    /// The least that the mean has been, which stands for an unloaded endpoint.
+    /// The lowest recent mean, taken as the latency of an unloaded endpoint.
     pub(crate) unloaded: f64,
     samples: u32,
     updated_at: Micros,
-    /// Calls that have come in.
+    /// Number of calls received.
     pub(crate) requests: f64,
-    /// The longest that clients wait for one try.
+    /// The longest client timeout seen for a single try.
     pub(crate) longest_timeout: Micros,
-    /// Calls ended unserved whose clients may try again.
+    /// Number of calls that ended unserved and whose clients may try again.
     pub(crate) unserved: u32,
     histogram: LatencyHistogram,
 }
 
-/// A histogram of latencies in buckets of a quarter of a doubling; the counts are halved when there
-/// are many, so that old ones fade.
+/// A latency histogram with logarithmic buckets. The counts are halved periodically, so that old
+/// samples fade.
 #[derive(Clone, Debug)]
 struct LatencyHistogram {
     counts: [u16; HISTOGRAM_BUCKETS],
@@ -70,7 +70,8 @@
         }
     }
 
-    /// The latency within which this share came, to the end of its bucket.
+    /// The upper bound of the bucket that contains this quantile; `None` if there are too few
+    /// samples.
     fn quantile(&self, share: f64) -> Option<f64> {
         let wanted = f64::from(self.total) * share.clamp(0.0, 1.0);
         let mut seen = 0.0;
@@ -84,21 +85,22 @@
     }
 }
 
-/// The endpoints of each machine kind in each zone.
+/// Endpoint groups by zone and machine kind.
 pub(crate) type EndpointGroups = BTreeMap<(ZoneId, KindId), EndpointGroup>;
 
-/// The endpoints of one machine kind in one zone, as one: a balancer of few calls learns of no
-/// single one.
+/// Shared statistics of the endpoints of one machine kind in one zone. They make up for the few
+/// samples that a balancer with few calls has of each endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointGroup {
-    /// Their smoothed latency ratio.
+    /// The smoothed latency ratio of the group.
     pub(crate) latency_ratio: f64,
-    /// Their limit where it is under one call each: the share of calls that may go there.
+    /// The share of calls that may go to the group; it acts as a concurrency limit below one call
+    /// per endpoint.
     pub(crate) admitted_share: f64,
 }
 
 impl ClassLatency {
-    /// The latency of a class of which nothing is known yet.
+    /// Initial statistics of a class without any samples.
     pub(crate) fn unknown(class: &Class) -> Self {
         ClassLatency {
             mean: class.latency_objective as f64 * EXPECTED_OBJECTIVE_SHARE,
@@ -107,12 +109,13 @@
         }
     }
 
-    /// The latency within which this share of the answers comes; `None` while there were too few.
+    /// The latency quantile for this share of the answers; `None` if there are too few.
     pub(crate) fn quantile(&self, share: f64) -> Option<f64> {
         self.histogram.quantile(share)
     }
 
-    /// Counts an answer; the unloaded latency drifts up to the mean, as fleets and work change.
+    /// Records an answer. The unloaded latency drifts up towards the mean, because fleets and
+    /// workloads change.
     pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
         self.samples = self.samples.saturating_add(1);
         self.histogram.record(elapsed);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,11 +1,13 @@
-//! The decisions of a client-side load balancer: which endpoint gets a call, when a call waits, is
-//! retried, hedged, rejected or fails, and which endpoints are ejected.
+//! The decision logic of a client-side load balancer: which endpoint gets a call, when a call
+//! waits, is retried, hedged, rejected or fails, and which endpoints are ejected.
 //!
-//! The crate owns what one client proxy has learned of its endpoints and the state of its open
-//! calls. It does no I/O, reads no clock and starts no task: the same seed, settings and events
-//! give the same actions. Connections, timers and the endpoint list are the proxy's.
+//! The crate holds the state of one client proxy: the statistics of its endpoints and its open
+//! calls. It does no I/O, reads no clock and spawns no tasks, so the same seed, settings and events
+//! always produce the same actions. Connections, timers and fetching the endpoint list are up to
+//! the proxy.
 //!
-//! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
+//! A client proxy creates one [`Balancer`], passes it [`Event`]s and executes the resulting
+//! [`Action`]s:
 //!
 //! ```
 //! use badgerramp_decisions::{
@@ -55,7 +57,7 @@
 pub use api::*;
 pub use balancer::Balancer;
 
-/// The README's example is compiled as a test too.
+/// Compiles the examples in the README as doctests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/decisions/src/load_feedback.rs
+++ b/crates/decisions/src/load_feedback.rs
@@ -1,29 +1,31 @@
-//! Load feedback: how congested the endpoints are by the load reports in their answers, and the
-//! share of calls that a balancer sheds for it. It is for fleets of more balancers than endpoints,
-//! where no balancer's own calls show congestion.
+//! Load feedback: estimates the congestion of the endpoints from the load reports in their answers,
+//! and the share of calls that a balancer sheds because of it. It serves fleets with more balancers
+//! than endpoints, in which no balancer can detect congestion from its own calls.
 
 use crate::api::Micros;
 
-/// Time over which a load report fades, in microseconds: endpoints report anew about as often.
+/// Decay time of a load report, in microseconds; close to the interval at which endpoints report.
 const DECAY_TIME: f64 = 1_000_000.0;
-/// Weight of a report at the least, where many come within that time: about twenty are remembered.
+/// Minimum weight of a report when many arrive within the decay time; roughly the last twenty then
+/// count.
 const MIN_WEIGHT: f64 = 0.05;
-/// Congestion (requests queued for each one executing) from which calls are shed. As many queued as
-/// executing is the limit elsewhere too; half of that is where an even rise to it begins.
+/// Congestion (requests queued per request executing) above which calls are shed. The concurrency
+/// limit treats a congestion of 1 as the limit, and the linear rise to it starts at half of that.
 const SHED_FROM: f64 = 0.5;
-/// Congestion at which all calls are shed.
+/// Congestion from which all calls are shed.
 const SHED_ALL: f64 = 1.5;
-/// The congestion of an endpoint that tells nothing: the most that a report is taken for.
+/// Upper bound of a reported congestion, also assumed for an endpoint that times out or rejects
+/// calls.
 pub(crate) const MAX_CONGESTION: f64 = 4.0;
 
-/// An endpoint's last load report.
+/// The congestion from an endpoint's last load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CongestionSample {
     congestion: f64,
     received_at: Micros,
 }
 
-/// The smoothed congestion of all endpoints that this balancer has heard of, as one.
+/// The smoothed congestion over all endpoints from which this balancer has received reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadFeedback {
     congestion: f64,
@@ -31,8 +33,8 @@
 }
 
 impl LoadFeedback {
-    /// Counts an endpoint's report. Older reports count less, so a balancer of few calls goes by
-    /// its last one, and one of many by all of the last second.
+    /// Records an endpoint's report. Older reports count less, so a balancer with few calls uses
+    /// the last report alone, and one with many calls averages the reports of the last second.
     pub(crate) fn record(&mut self, now: Micros, sample: &mut CongestionSample, congestion: f64) {
         *sample = CongestionSample {
             congestion,
@@ -43,14 +45,15 @@
         self.congestion += (congestion - self.congestion) * weight;
     }
 
-    /// An endpoint answered nothing in time, or rejected a call: what is congested most tells
-    /// nothing.
+    /// Records an attempt that timed out or was rejected. The most congested endpoints send no
+    /// reports, so the maximum congestion is assumed.
     pub(crate) fn record_overload(&mut self, now: Micros, sample: &mut CongestionSample) {
         self.record(now, sample, MAX_CONGESTION);
     }
 
-    /// The congestion to expect of an endpoint with this last report: its own while that is fresh,
-    /// later that of all endpoints, and none where nothing was heard for long.
+    /// The expected congestion of an endpoint with this last report. A fresh report counts fully,
+    /// and with age the average over all endpoints replaces it. The estimate decays to 0 without
+    /// any reports.
     pub(crate) fn expected_congestion(&self, now: Micros, sample: CongestionSample) -> f64 {
         let fresh = |at: Micros| (-(now.saturating_sub(at) as f64) / DECAY_TIME).exp();
         let known = if sample.received_at == 0 {
@@ -62,8 +65,8 @@
     }
 }
 
-/// The share of calls to shed where this congestion is expected. It rises evenly: all balancers
-/// hear the same at about the same time, and a step would empty and fill the endpoints in turn.
+/// The share of calls to shed at this expected congestion. It rises linearly: all balancers receive
+/// similar reports at about the same time, and a threshold would make the load oscillate.
 pub(crate) fn shed_probability(congestion: f64) -> f64 {
     ((congestion - SHED_FROM) / (SHED_ALL - SHED_FROM)).clamp(0.0, 1.0)
 }
--- a/crates/decisions/src/load_feedback/tests.rs
+++ b/crates/decisions/src/load_feedback/tests.rs
@@ -2,54 +2,56 @@
 
 use super::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[test]
-fn an_endpoints_own_report_counts_while_it_is_fresh_and_those_of_all_later() {
-    let (mut load, mut own, mut other) = (
+fn a_fresh_report_outweighs_the_average_and_estimates_decay_to_zero() {
+    let (mut feedback, mut idle, mut congested) = (
         LoadFeedback::default(),
         CongestionSample::default(),
         CongestionSample::default(),
     );
-    load.record(9 * S, &mut own, 0.0);
-    (0..200).for_each(|n| load.record(9 * S + n, &mut other, 3.0));
-    let at = |now, sample: &CongestionSample| load.expected_congestion(now, *sample);
-    assert!(at(9 * S + 200, &own) < 0.1 && at(9 * S + 200, &other) > 2.9);
+    feedback.record(9 * SECOND, &mut idle, 0.0);
+    (0..200).for_each(|n| feedback.record(9 * SECOND + n, &mut congested, 3.0));
+    let expected = |now, sample: &CongestionSample| feedback.expected_congestion(now, *sample);
     assert!(
-        (0.5..1.0).contains(&at(10 * S, &own)),
+        expected(9 * SECOND + 200, &idle) < 0.1 && expected(9 * SECOND + 200, &congested) > 2.9
+    );
+    assert!(
+        (0.5..1.0).contains(&expected(10 * SECOND, &idle)),
         "{}",
-        at(10 * S, &own)
+        expected(10 * SECOND, &idle)
     );
     assert!(
-        at(20 * S, &own) < 0.01 && at(20 * S, &other) < 0.01,
-        "what is long ago says nothing"
+        expected(20 * SECOND, &idle) < 0.01 && expected(20 * SECOND, &congested) < 0.01,
+        "old reports must not count"
     );
-    let met_by_none = CongestionSample::default();
+    let unreported = CongestionSample::default();
     assert!(
-        at(9 * S + 200, &met_by_none) > 2.5,
-        "it is like those that are known"
+        expected(9 * SECOND + 200, &unreported) > 2.5,
+        "an endpoint without reports gets the average"
     );
 }
 
 #[test]
-fn one_report_to_a_balancer_of_few_calls_weighs_as_much_as_many_to_another() {
-    let (mut quiet, mut busy, mut sample) = (
+fn a_single_report_after_a_pause_weighs_as_much_as_many_frequent_reports() {
+    let (mut infrequent, mut frequent, mut sample) = (
         LoadFeedback::default(),
         LoadFeedback::default(),
         CongestionSample::default(),
     );
-    quiet.record(10 * S, &mut sample, 2.0);
-    (1..=100).for_each(|n| busy.record(9 * S + n * 10_000, &mut sample, 2.0));
+    infrequent.record(10 * SECOND, &mut sample, 2.0);
+    (1..=100).for_each(|n| frequent.record(9 * SECOND + n * 10_000, &mut sample, 2.0));
     assert!(
-        quiet.congestion > 1.9 && busy.congestion > 1.2,
+        infrequent.congestion > 1.9 && frequent.congestion > 1.2,
         "{} {}",
-        quiet.congestion,
-        busy.congestion
+        infrequent.congestion,
+        frequent.congestion
     );
 }
 
 #[test]
-fn the_shed_probability_rises_evenly_from_none_to_all() {
+fn the_shed_probability_rises_linearly_from_zero_to_one() {
     let shares: Vec<f64> = (0..50)
         .map(|n| shed_probability(f64::from(n) * 0.05))
         .collect();
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,8 +1,8 @@
-//! The reader of the platform's settings object, shared by the adapter (its first message) and the
-//! proxy (its configuration).
+//! Parser for the platform's settings object, used by the adapter (in its first message) and by the
+//! proxy (in its configuration).
 //!
-//! Unknown keys are ignored, and absent ones get harmless values: what is not granted is taken to
-//! be forbidden, a call that is not known to be idempotent to be not, and the endpoint list to be
+//! Unknown keys are ignored, and missing ones get safe defaults: a permission that is not granted
+//! is denied, a call without a known idempotency is not idempotent, and the endpoint list is
 //! pushed.
 //!
 //! ```
@@ -33,68 +33,69 @@
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Why a settings object can't be read.
+/// An error while reading a settings object.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A key that has to be there is missing, or a value has the wrong type.
+    /// A required key is missing, or a value has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The key `discovery` holds a word that is not known.
+    /// The key `discovery` has an unknown value.
     #[error("discovery: found {found:?}, allowed are \"ask\" and \"push\"")]
     UnknownDiscovery {
-        /// The word.
+        /// The value found.
         found: String,
     },
 }
 
-/// What the settings say of connections; the balancer decides nothing by it.
+/// Connection settings, which the balancer itself does not use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
-    /// Most requests that may be open at once.
+    /// Maximum number of concurrently open requests.
     pub max_open: usize,
-    /// Endpoints close a connection that has been idle for this long.
+    /// Idle time after which endpoints close a connection, in microseconds.
     pub conn_idle: Micros,
-    /// A connection that is not established by then has failed.
+    /// Timeout for establishing a connection, in microseconds.
     pub connect_timeout: Micros,
 }
 
-/// All that is read from the settings object.
+/// The contents of a settings object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// What the balancer is told.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// Names of the classes, in the order of their [`crate::ClassId`]s.
+    /// Names of the classes, indexed by [`crate::ClassId`].
     pub classes: Vec<String>,
-    /// Names of the tenants, in the order of their [`crate::TenantId`]s.
+    /// Names of the tenants, indexed by [`crate::TenantId`].
     pub tenants: Vec<String>,
-    /// What the proxy's connections go by.
+    /// The connection settings of the proxy.
     pub transport: Transport,
 }
 
-/// A number for a name (FNV-1a), the same in every process.
+/// The FNV-1a hash of a name, which is the same in every process.
 fn name_hash(name: &str) -> u32 {
     name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// The number of a zone by its name.
+/// Returns the id of the zone with this name.
 #[must_use]
 pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name_hash(name))
 }
 
-/// The number of a machine kind by its name.
+/// Returns the id of the machine kind with this name.
 #[must_use]
 pub fn kind_id(name: &str) -> KindId {
     KindId(name_hash(name))
 }
 
-/// Reads the settings object.
+/// Reads a settings object.
 ///
 /// # Errors
-/// If a key that has to be there is missing, a value has the wrong type, or the way in which the
-/// endpoint list is had is not known.
+///
+/// Fails if a required key is missing, a value has the wrong type, or the value of `discovery` is
+/// unknown.
 pub fn read(object: &Value) -> Result<PlatformSettings, SettingsError> {
     let raw = RawSettings::deserialize(object)?;
     let settings = raw.settings()?;
--- a/crates/decisions/src/settings/raw.rs
+++ b/crates/decisions/src/settings/raw.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object as it is written: the keys are the platform's, and absent ones
-//! get harmless values.
+//! The platform's settings object in its JSON form. The keys are defined by the platform; missing
+//! ones get safe defaults.
 
 use super::{zone_id, SettingsError};
 use crate::api::{
@@ -8,10 +8,10 @@
 };
 use serde::Deserialize;
 
-/// Names by which the platform says how the endpoint list is had.
+/// Values of the key `discovery`: the endpoint list is polled, or pushed.
 const DISCOVERY_BY_POLLING: &str = "ask";
 const DISCOVERY_BY_PUSH: &str = "push";
-/// The load report's column that holds [`crate::LoadReport::in_flight`].
+/// The load report column that provides [`crate::LoadReport::in_flight`].
 const IN_FLIGHT_COLUMN: &str = "active";
 
 #[derive(Deserialize)]
@@ -159,7 +159,7 @@
 }
 
 impl RawSettings {
-    /// The settings of a balancer.
+    /// Converts the object to the settings of a balancer.
     pub(super) fn settings(&self) -> Result<Settings, SettingsError> {
         let default = Settings::default();
         Ok(Settings {
@@ -180,8 +180,8 @@
         })
     }
 
-    /// Whether the list must be polled. Taken for the wrong one, it would be polled too often by
-    /// all, or too late: another word is an error.
+    /// Whether the endpoint list must be polled. An unknown value is an error: a wrong guess would
+    /// make all proxies poll too often, or get updates too late.
     fn polls_endpoint_list(&self) -> Result<bool, SettingsError> {
         match self.discovery.as_str() {
             DISCOVERY_BY_POLLING => Ok(true),
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A kind or a scope that is not known is taken to allow no repeat.
+    /// An unknown idempotency or dedup scope is treated as not idempotent.
     fn idempotency(&self) -> Idempotency {
         let scope = match self.dedup_scope.as_str() {
             "all" => Some(DedupScope::All),
