--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,19 +1,20 @@
-//! Why a line of the wire cannot be handled.
+//! Errors of the adapter.
 
-/// Why a line of the wire cannot be handled. The program ends with it: the peer and this side no longer agree.
+/// An error in handling a line of input. The program exits on it, because the state of this side may
+/// no longer match that of the peer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// Standard input cannot be read.
-    #[error("unreadable: {0}")]
-    Unreadable(#[source] std::io::Error),
-    /// The line is not a batch of events.
-    #[error("not a batch: {0}")]
-    NotABatch(#[source] serde_json::Error),
-    /// The reply cannot be written as JSON.
-    #[error("no reply: {0}")]
-    Unwritable(#[source] serde_json::Error),
-    /// An event lacks a field that its verb needs.
-    #[error("{verb} without {field}")]
+    /// Standard input could not be read.
+    #[error("cannot read standard input: {0}")]
+    ReadInput(#[source] std::io::Error),
+    /// The line is not a valid batch of events.
+    #[error("malformed batch of events: {0}")]
+    MalformedBatch(#[source] serde_json::Error),
+    /// The reply could not be encoded as JSON.
+    #[error("cannot encode the reply: {0}")]
+    EncodeReply(#[source] serde_json::Error),
+    /// An event lacks a field that its verb requires.
+    #[error("{verb}: missing field {field}")]
     MissingField {
         /// The event's verb.
         verb: String,
@@ -21,31 +22,31 @@
         field: &'static str,
     },
     /// An event names an instance that was never created.
-    #[error("{verb} for unknown proxy {proxy}")]
+    #[error("{verb}: unknown proxy {proxy}")]
     UnknownInstance {
         /// The event's verb.
         verb: String,
-        /// The instance.
+        /// The number of the proxy, as given in the event.
         proxy: i64,
     },
-    /// The settings of a new instance are malformed.
-    #[error("facts: {0}")]
+    /// The settings of a new instance could not be read.
+    #[error("invalid facts: {0}")]
     Settings(#[source] badgerramp_decisions::settings::SettingsError),
-    /// An endpoint list update is of no known kind.
-    #[error("MEMBERS with unknown scope {0}")]
+    /// An endpoint list update has an unknown scope.
+    #[error("MEMBERS: unknown scope {0}")]
     UnknownScope(i64),
-    /// An endpoint list update names a list that was never sent.
-    #[error("MEMBERS of unknown list {0}")]
+    /// An endpoint list update refers to an unknown list.
+    #[error("MEMBERS: unknown list {0}")]
     UnknownList(i64),
-    /// An endpoint has no known status.
-    #[error("host {host} in unknown state {state}")]
+    /// An endpoint has an unknown status.
+    #[error("host {host}: unknown state {state}")]
     UnknownStatus {
         /// The endpoint.
         host: u32,
-        /// The status on the wire.
+        /// The status value on the wire.
         state: u32,
     },
-    /// No event has this verb.
+    /// An event has an unknown verb.
     #[error("unknown verb {0}")]
     UnknownVerb(String),
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! All instances of this process and the endpoint lists that they share.
+//! The balancer instances of this process and the endpoint lists that they share.
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
@@ -7,29 +7,31 @@
 use badgerramp_decisions::{Action, EndpointEntry, EndpointId, Event, ListUpdateKind, Micros};
 use std::collections::HashMap;
 
-/// All instances of this process, by number, and the endpoint lists, by number.
+/// The balancer instances and the endpoint lists, each by number.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: HashMap<i64, Instance>,
     lists: HashMap<i64, Vec<Element>>,
-    /// Kept between events for its capacity alone.
+    /// A buffer that is reused for the actions of each event.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles one line and returns the line that answers it.
+    /// Handles one line of input and returns the line of the reply.
     ///
     /// # Errors
-    /// If the line is not a batch, or an event of it lacks something or names something that is not there.
+    ///
+    /// Fails if the line is not a valid batch, or if an event lacks a field or refers to something
+    /// unknown.
     pub(crate) fn handle_line(&mut self, line: &str) -> Result<String, AdapterError> {
-        let batch: Batch<'_> = serde_json::from_str(line).map_err(AdapterError::NotABatch)?;
+        let batch: Batch<'_> = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
         let mut reply = Reply {
             cmds: Vec::with_capacity(batch.input.len()),
         };
         for input in batch.input {
             self.handle_input(batch.clock_us, input, &mut reply)?;
         }
-        serde_json::to_string(&reply).map_err(AdapterError::Unwritable)
+        serde_json::to_string(&reply).map_err(AdapterError::EncodeReply)
     }
 
     fn handle_input(
@@ -39,11 +41,11 @@
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
         if input.verb == wire::LIST {
-            let list = input.need(input.roster_id, "roster_id")?;
+            let list = input.require(input.roster_id, "roster_id")?;
             self.lists.insert(list, input.elements.unwrap_or_default());
             return Ok(());
         }
-        let proxy = input.need(input.proxy, "proxy")?;
+        let proxy = input.require(input.proxy, "proxy")?;
         if input.verb == wire::CREATE {
             let instance = create(proxy, &mut input)?;
             self.instances.insert(proxy, instance);
@@ -63,7 +65,7 @@
             wire::TIMER => Event::Timer,
             wire::PROBE_COMPLETED => probe_completed(&input)?,
             wire::PEER_MESSAGE => return Ok(()),
-            wire::REQUEST | wire::OUTCOME | wire::STREAMING | wire::CLIENT_GONE => {
+            wire::REQUEST | wire::OUTCOME | wire::STREAMING | wire::CLIENT_DISCONNECTED => {
                 let Some(id) = instance.call(&input)? else {
                     return Ok(());
                 };
@@ -73,16 +75,16 @@
                     wire::OUTCOME => instance.outcome(id, &input)?,
                     wire::STREAMING => Event::Streaming {
                         call: id,
-                        attempt: input.need(input.seq_no, "seq_no")?,
+                        attempt: input.require(input.seq_no, "seq_no")?,
                     },
-                    _ => instance.client_gone(id),
+                    _ => instance.client_disconnected(id),
                 }
             }
             other => return Err(AdapterError::UnknownVerb(other.to_owned())),
         };
         instance.handle(now, event, &mut self.actions, &mut reply.cmds);
         if let Some(id) = call {
-            instance.forget_if_done(id);
+            instance.remove_if_finished(id);
         }
         Ok(())
     }
@@ -90,8 +92,8 @@
 
 fn create(proxy: i64, input: &mut Input<'_>) -> Result<Instance, AdapterError> {
     let facts = input.facts.take();
-    let facts = input.need(facts, "facts")?;
-    let seed = input.need(input.seed, "seed")?;
+    let facts = input.require(facts, "facts")?;
+    let seed = input.require(input.seed, "seed")?;
     let platform = settings::read(&facts).map_err(AdapterError::Settings)?;
     Ok(Instance::new(proxy, seed, platform))
 }
@@ -100,7 +102,7 @@
     lists: &HashMap<i64, Vec<Element>>,
     input: &Input<'_>,
 ) -> Result<Event, AdapterError> {
-    let kind = match input.need(input.scope, "scope")? {
+    let kind = match input.require(input.scope, "scope")? {
         0 => ListUpdateKind::Failed,
         1 => ListUpdateKind::Cached,
         2 => ListUpdateKind::Delta,
@@ -119,15 +121,15 @@
     lists: &HashMap<i64, Vec<Element>>,
     input: &Input<'_>,
 ) -> Result<Vec<EndpointEntry>, AdapterError> {
-    let list = input.need(input.roster_id, "roster_id")?;
+    let list = input.require(input.roster_id, "roster_id")?;
     let elements = lists.get(&list).ok_or(AdapterError::UnknownList(list))?;
     elements.iter().map(Element::entry).collect()
 }
 
 fn probe_completed(input: &Input<'_>) -> Result<Event, AdapterError> {
     Ok(Event::ProbeCompleted {
-        endpoint: EndpointId(input.need(input.host, "host")?),
-        outcome: wire::outcome(input.need(input.result.as_deref(), "result")?),
+        endpoint: EndpointId(input.require(input.host, "host")?),
+        outcome: wire::outcome(input.require(input.result.as_deref(), "result")?),
         elapsed: input.elapsed_us.unwrap_or(0),
         load: input.load(),
     })
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its balancer, and the names that the wire uses for what the balancer numbers.
+//! A balancer instance, and the mapping between names on the wire and the balancer's ids.
 
 use crate::error::AdapterError;
 use crate::wire::{self, Command, Input};
@@ -8,14 +8,14 @@
 };
 use std::collections::HashMap;
 
-/// A call under its name on the wire.
+/// A call with its name on the wire.
 struct NamedCall {
     name: String,
     attempts_in_flight: u32,
     ended: bool,
 }
 
-/// A balancer and the names of its calls, classes and tenants.
+/// A balancer with the names of its calls, classes and tenants.
 pub(crate) struct Instance {
     proxy: i64,
     balancer: Balancer,
@@ -26,13 +26,13 @@
     next_id: u64,
 }
 
-/// The place of a name in a list.
+/// The index of a name in a list.
 fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 impl Instance {
-    /// An instance that has not started yet.
+    /// Creates an instance that has not started yet.
     pub(crate) fn new(proxy: i64, seed: u64, platform: PlatformSettings) -> Self {
         Instance {
             proxy,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Hands an event to the balancer and adds what it wants done to `commands`.
+    /// Passes an event to the balancer and appends the resulting commands to `commands`.
     pub(crate) fn handle(
         &mut self,
         now: Micros,
@@ -59,9 +59,10 @@
         }
     }
 
-    /// The id of the call that an event names. `None`: the event is of a call that is forgotten already.
+    /// Returns the id of the call that an event refers to, assigning one to a new call. Returns
+    /// `None` if the call is unknown or has been removed.
     pub(crate) fn call(&mut self, input: &Input<'_>) -> Result<Option<CallId>, AdapterError> {
-        let name = input.need(input.call.as_deref(), "call")?;
+        let name = input.require(input.call.as_deref(), "call")?;
         let known = self.ids.get(name).copied();
         if known.is_some() || input.verb != wire::REQUEST {
             return Ok(known);
@@ -78,9 +79,9 @@
         Ok(Some(id))
     }
 
-    /// A call has come in.
+    /// The event for a new call.
     pub(crate) fn request(&self, call: CallId, input: &Input<'_>) -> Result<Event, AdapterError> {
-        let class = input.need(input.tier_class.as_deref(), "tier_class")?;
+        let class = input.require(input.tier_class.as_deref(), "tier_class")?;
         let tenant = input.user_group.as_deref();
         Ok(Event::Request {
             call,
@@ -88,26 +89,26 @@
             tenant: tenant
                 .and_then(|name| position(&self.tenants, name))
                 .map(TenantId),
-            time_left: input.need(input.time_budget_us, "time_budget_us")?,
+            time_left: input.require(input.time_budget_us, "time_budget_us")?,
             is_retry: input.resent,
             policy: CallPolicy::default(),
         })
     }
 
-    /// An attempt has ended.
+    /// The event for the end of an attempt.
     pub(crate) fn outcome(
         &mut self,
         call: CallId,
         input: &Input<'_>,
     ) -> Result<Event, AdapterError> {
-        let outcome = wire::outcome(input.need(input.result.as_deref(), "result")?);
+        let outcome = wire::outcome(input.require(input.result.as_deref(), "result")?);
         if let Some(named) = self.calls.get_mut(&call) {
             named.attempts_in_flight = named.attempts_in_flight.saturating_sub(1);
             named.ended |= input.terminal;
         }
         Ok(Event::Outcome {
             call,
-            attempt: input.need(input.seq_no, "seq_no")?,
+            attempt: input.require(input.seq_no, "seq_no")?,
             outcome,
             elapsed: input.elapsed_us.unwrap_or(0),
             closed: input.terminal,
@@ -115,45 +116,46 @@
         })
     }
 
-    /// The client of a call has gone.
-    pub(crate) fn client_gone(&mut self, call: CallId) -> Event {
+    /// The event for a call whose client has disconnected.
+    pub(crate) fn client_disconnected(&mut self, call: CallId) -> Event {
         if let Some(named) = self.calls.get_mut(&call) {
             named.ended = true;
         }
         Event::ClientDisconnected { call }
     }
 
-    /// Forgets a call once it has ended and none of its attempts is in flight.
-    pub(crate) fn forget_if_done(&mut self, id: CallId) {
-        let done = |call: &NamedCall| call.ended && call.attempts_in_flight == 0;
-        if self.calls.get(&id).is_some_and(done) {
+    /// Removes a call that has ended and has no attempt in flight.
+    pub(crate) fn remove_if_finished(&mut self, id: CallId) {
+        let is_finished = |call: &NamedCall| call.ended && call.attempts_in_flight == 0;
+        if self.calls.get(&id).is_some_and(is_finished) {
             if let Some(call) = self.calls.remove(&id) {
                 self.ids.remove(&call.name);
             }
         }
     }
 
-    fn name(&self, call: CallId) -> Option<String> {
+    fn call_name(&self, call: CallId) -> Option<String> {
         self.calls.get(&call).map(|named| named.name.clone())
     }
 
-    /// The name of a call that the balancer ends.
-    fn end(&mut self, call: CallId) -> Option<String> {
+    /// Marks a call as ended by the balancer and returns its name.
+    fn end_call(&mut self, call: CallId) -> Option<String> {
         let named = self.calls.get_mut(&call)?;
         named.ended = true;
         let name = named.name.clone();
-        self.forget_if_done(call);
+        self.remove_if_finished(call);
         Some(name)
     }
 
-    /// The name of a call that gets one more attempt.
+    /// Counts another attempt of a call and returns the call's name.
     fn start_attempt(&mut self, call: CallId) -> Option<String> {
         let named = self.calls.get_mut(&call)?;
         named.attempts_in_flight += 1;
         Some(named.name.clone())
     }
 
-    /// The wire's form of an action. `None`: it is of a call that is forgotten already.
+    /// Converts an action to its command on the wire. Returns `None` if the action refers to a call
+    /// that has been removed.
     fn command(&mut self, action: &Action) -> Option<Command> {
         let proxy = self.proxy;
         Some(match *action {
@@ -170,16 +172,16 @@
             },
             Action::Reject { call, retry_after } => Command::Bounce {
                 proxy,
-                call: self.end(call)?,
+                call: self.end_call(call)?,
                 hold_off_us: retry_after,
             },
             Action::Fail { call } => Command::DropRequest {
                 proxy,
-                call: self.end(call)?,
+                call: self.end_call(call)?,
             },
             Action::Cancel { call, attempt } => Command::DropAttempt {
                 proxy,
-                call: self.name(call)?,
+                call: self.call_name(call)?,
                 seq_no: attempt,
             },
             Action::Probe { endpoint } => Command::Test {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! `badgerramp-adapter`: hosts balancers on the wire of the platform's simulator, one JSON batch of events a line in, one
-//! JSON reply of commands a line out. It translates names and numbers and decides nothing; a line that it cannot handle
-//! ends it with a message that names the line.
+//! `badgerramp-adapter`: runs balancers behind the wire protocol of the platform's simulator. Each
+//! line of input is a JSON batch of events, and each line of output is a JSON reply with commands.
+//! The adapter translates names and ids and makes no decisions. On a line that it cannot handle it
+//! exits with an error that gives the line number.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -18,7 +19,7 @@
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
         let reply = line
-            .map_err(AdapterError::Unreadable)
+            .map_err(AdapterError::ReadInput)
             .and_then(|line| host.handle_line(&line));
         let reply = match reply {
             Ok(reply) => reply,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the wire, as they are read and written. Their names are the platform's.
+//! Messages of the wire protocol. The platform defines their names.
 
 use crate::error::AdapterError;
 use badgerramp_decisions::settings;
@@ -8,30 +8,30 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// An endpoint list, or what changed of one.
+/// Defines an endpoint list, full or with changes only.
 pub(crate) const LIST: &str = "POOL";
-/// An instance starts.
+/// Creates an instance.
 pub(crate) const CREATE: &str = "CREATE";
-/// An instance has gone.
+/// Removes an instance.
 pub(crate) const DETACH: &str = "DETACH";
-/// A list has come to an instance.
+/// Delivers an endpoint list to an instance.
 pub(crate) const LIST_UPDATE: &str = "MEMBERS";
-/// A timer is due.
+/// A timer has expired.
 pub(crate) const TIMER: &str = "ALARM";
-/// A load probe is answered.
+/// A load probe has ended.
 pub(crate) const PROBE_COMPLETED: &str = "PROBED";
-/// A message of another instance; instances here send none.
+/// A message from another instance. It is ignored, as instances send none here.
 pub(crate) const PEER_MESSAGE: &str = "WHISPER";
-/// A call has come in.
+/// A client has made a call.
 pub(crate) const REQUEST: &str = "JOB_IN";
 /// An attempt has ended.
 pub(crate) const OUTCOME: &str = "DONE";
-/// The answer of an attempt has begun to flow.
+/// The response to an attempt has started streaming.
 pub(crate) const STREAMING: &str = "UNDER_WAY";
-/// The client of a call has gone.
-pub(crate) const CLIENT_GONE: &str = "CANCELLED_BY_CLIENT";
+/// The client of a call has disconnected.
+pub(crate) const CLIENT_DISCONNECTED: &str = "CANCELLED_BY_CLIENT";
 
-/// One line of input: events that happen at one moment.
+/// One line of input: the events at one point in time.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
     pub clock_us: u64,
@@ -39,7 +39,7 @@
     pub input: Vec<Input<'a>>,
 }
 
-/// Any event; which fields it has depends on its verb.
+/// An event of any kind; the verb determines which fields are present.
 #[derive(Deserialize)]
 pub(crate) struct Input<'a> {
     #[serde(borrow)]
@@ -70,8 +70,12 @@
 }
 
 impl Input<'_> {
-    /// A field that this event's verb needs.
-    pub(crate) fn need<T>(&self, value: Option<T>, field: &'static str) -> Result<T, AdapterError> {
+    /// Returns a field that this event's verb requires.
+    pub(crate) fn require<T>(
+        &self,
+        value: Option<T>,
+        field: &'static str,
+    ) -> Result<T, AdapterError> {
         value.ok_or_else(|| AdapterError::MissingField {
             verb: self.verb.to_string(),
             field,
@@ -122,7 +126,7 @@
 }
 
 impl Element {
-    /// Its entry, as the decisions take it.
+    /// Converts the element to a list entry of the balancer.
     pub(crate) fn entry(&self) -> Result<EndpointEntry, AdapterError> {
         let status = match self.state {
             0 => EndpointStatus::Draining,
@@ -145,7 +149,8 @@
     }
 }
 
-/// How an attempt or a probe ended. What is not known may have been executed.
+/// The outcome of an attempt or a probe. An unknown code counts as one after which the call may
+/// have been executed.
 pub(crate) fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
@@ -160,13 +165,13 @@
     }
 }
 
-/// One line of output: what is to be done, in this order.
+/// One line of output: commands in the order of execution.
 #[derive(Serialize)]
 pub(crate) struct Reply {
     pub cmds: Vec<Command>,
 }
 
-/// Something that is to be done for an instance.
+/// A command for an instance.
 #[derive(Serialize)]
 #[serde(tag = "verb", rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum Command {
--- a/crates/adapter/tests/deploy_file.rs
+++ b/crates/adapter/tests/deploy_file.rs
@@ -1,4 +1,4 @@
-//! The deploy files keep the keys that the platform reads, and name only what is there.
+//! The deploy files contain the keys that the platform reads, and list only existing files.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_deploy_files_keep_their_keys_and_name_what_is_there() {
+fn deploy_files_have_the_expected_keys_and_list_existing_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     for name in ["balancer.toml", "balancer-operator.toml"] {
         let text = std::fs::read_to_string(root.join("deploy").join(name)).expect("a deploy file");
@@ -39,9 +39,10 @@
     }
 }
 
-/// The platform reads the decisions' sources by the key `policy`: each module of the balancer has to be there.
+/// The platform reads the balancer's sources from the paths under the key `policy`, so every module
+/// must be listed.
 #[test]
-fn every_deploy_file_with_a_policy_names_each_module_of_the_balancer() {
+fn deploy_files_with_a_policy_list_every_balancer_module() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let folder = "crates/decisions/src/balancer";
     let mut modules: Vec<String> = file_names(&root.join(folder))
@@ -50,7 +51,7 @@
         .collect();
     modules.sort_unstable();
     assert!(modules.len() > 10, "{modules:?}");
-    let mut with_policy = 0;
+    let mut policy_file_count = 0;
     for name in file_names(&root.join("deploy")) {
         if !name.ends_with(".toml") {
             continue;
@@ -60,12 +61,15 @@
         if !table.contains_key("policy") {
             continue;
         }
-        with_policy += 1;
+        policy_file_count += 1;
         let mut listed = paths(&table, "policy");
         listed.sort_unstable();
         assert_eq!(listed, modules, "{name}");
     }
-    assert!(with_policy >= 5, "{with_policy} deploy files with a policy");
+    assert!(
+        policy_file_count >= 5,
+        "{policy_file_count} deploy files with a policy"
+    );
 }
 
 fn file_names(folder: &Path) -> Vec<String> {
