--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -9,14 +9,14 @@
 
 /// The balancer instances and the endpoint lists, each by number.
 #[derive(Default)]
-pub(crate) struct Host {
+pub(crate) struct InstanceHost {
     instances: HashMap<i64, Instance>,
     lists: HashMap<i64, Vec<Element>>,
     /// A buffer that is reused for the actions of each event.
     actions: Vec<Action>,
 }
 
-impl Host {
+impl InstanceHost {
     /// Handles one line of input and returns the line of the reply.
     ///
     /// # Errors
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -10,12 +10,12 @@
 mod wire;
 
 use error::AdapterError;
-use host::Host;
+use host::InstanceHost;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let mut host = Host::default();
+    let mut host = InstanceHost::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
         let reply = line
--- a/crates/decisions/src/balancer/load_probe.rs
+++ b/crates/decisions/src/balancer/load_probe.rs
@@ -30,9 +30,9 @@
 impl ProbedAnswers {
     /// Adds an answer; roughly the last twenty count.
     pub(super) fn record(&mut self, latency: f64, load: f64) {
-        let faded = 1.0 - SMOOTHING / 2.0;
-        self.latency = self.latency * faded + latency;
-        self.load = self.load * faded + load;
+        let decay = 1.0 - SMOOTHING / 2.0;
+        self.latency = self.latency * decay + latency;
+        self.load = self.load * decay + load;
     }
 }
 
@@ -81,8 +81,9 @@
         (now + self.probe_timeout(call)) as f64 + expected < call.objective_deadline() as f64
     }
 
-    /// Whether there are so many balancers that each has, on average, less than one call in flight
-    /// per endpoint. The balancer's own calls in flight then say little about an endpoint's load.
+    /// Whether there are so many balancers that an even share of an endpoint's initial concurrency
+    /// is less than one call. The balancer's own calls in flight then say little about an
+    /// endpoint's load.
     pub(super) fn is_sparse(&self) -> bool {
         let balancers = f64::from(self.settings.balancers);
         balancers > INITIAL_CONCURRENCY && balancers > self.endpoints.listed_count() as f64
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -132,14 +132,15 @@
     /// id is a new process in slow start: the learned state is discarded, and only the calls in
     /// flight carry over.
     fn slot_for(&mut self, entry: &EndpointEntry) -> usize {
-        let found = self.endpoints.slot(entry.endpoint);
-        let same = found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);
-        if let Some(slot) = same {
+        let existing = self.endpoints.slot(entry.endpoint);
+        let same_process =
+            existing.filter(|&slot| entry.started <= self.endpoints[slot].started_at);
+        if let Some(slot) = same_process {
             return slot;
         }
         let limit = ConcurrencyLimit::new(self.settings.balancers);
         let mut endpoint = Endpoint::new(entry, self.settings.weight_source, limit);
-        if let Some(old) = found.map(|slot| &self.endpoints[slot]) {
+        if let Some(old) = existing.map(|slot| &self.endpoints[slot]) {
             endpoint.in_flight = old.in_flight;
             endpoint.limit.trial_in_flight = old.limit.trial_in_flight;
         }
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -1,12 +1,12 @@
 //! The balancer's state, and its event handler: each event yields the actions that the proxy
 //! carries out.
 //!
-//! Every new call joins the wait queue. Each event scans the queue: a call is sent to the less
-//! loaded of two random endpoints below their concurrency limit and waits while all endpoints are
-//! full. One call at a time may exceed an endpoint's limit as the trial that can raise it, and
-//! calls are rejected while every endpoint is ejected. Each decision has its own module; the public
-//! interface is in `src/api`. `docs/design.md` explains the mechanisms and where they deviate from
-//! the published algorithms.
+//! A new call joins the wait queue, unless it is shed on arrival. Each event scans the queue: a
+//! call is sent to the less loaded of two random endpoints below their concurrency limit and waits
+//! while all endpoints are full. One call at a time may exceed an endpoint's limit as the trial
+//! that can raise it, and calls are rejected while every endpoint is ejected. Each decision has its
+//! own module; the public interface is in `src/api`. `docs/design.md` explains the mechanisms and
+//! where they deviate from the published algorithms.
 
 mod admission;
 mod attempts;
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -77,12 +77,12 @@
         let allowed =
             call.policy.retry_on == RetryOn::AnyFailure || call.first_maybe_executed().is_none();
         // A failed connection consumed no endpoint capacity, so its retry needs no token.
-        let paid = self.retry_tokens >= 1.0 || outcome == Outcome::ConnectFailed;
+        let can_pay = self.retry_tokens >= 1.0 || outcome == Outcome::ConnectFailed;
         in_time
             && has_endpoint
             && allowed
             && call.may_have_another_attempt()
-            && paid
+            && can_pay
             && !call.streaming
     }
 
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -76,10 +76,10 @@
                 retry_after: wait.max(self.first_backoff()),
             };
         }
-        let open = self.endpoints.count(CandidateSet::WithCapacity)
+        let candidate_count = self.endpoints.count(CandidateSet::WithCapacity)
             + self.endpoints.count(CandidateSet::TrialAllowed)
             + self.endpoints.count(CandidateSet::SlowStart);
-        if open == 0 {
+        if candidate_count == 0 {
             return Route::Queue;
         }
         if let Some(slot) = self.draw_slow_start(now, id) {
@@ -256,10 +256,10 @@
     /// The expected latency ratio. The weight shifts from the endpoint's own ratio to that of its
     /// group as the endpoint's last answer ages.
     fn expected_latency_ratio(&self, now: Micros, endpoint: &Endpoint) -> f64 {
-        let silence = now.saturating_sub(endpoint.last_ended_at) as f64;
-        let known = (-silence / (OWN_LATENCY_MEMORY * self.longest_objective())).exp();
+        let age = now.saturating_sub(endpoint.last_ended_at) as f64;
+        let own_weight = (-age / (OWN_LATENCY_MEMORY * self.longest_objective())).exp();
         let group = self.groups.get(&(endpoint.zone, endpoint.kind));
         let group_ratio = group.map_or(0.0, |group| group.latency_ratio);
-        endpoint.latency_ratio * known + group_ratio * (1.0 - known)
+        endpoint.latency_ratio * own_weight + group_ratio * (1.0 - own_weight)
     }
 }
--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -159,9 +159,9 @@
 
     /// The listed endpoints that the current full list does not contain.
     pub(crate) fn not_in_full_list(&self) -> Vec<usize> {
-        let old =
+        let is_missing =
             |&slot: &usize| self.states[slot].listed && self.listed_epochs[slot] != self.list_epoch;
-        (0..self.endpoints.len()).filter(old).collect()
+        (0..self.endpoints.len()).filter(is_missing).collect()
     }
 
     /// Inserts an endpoint, or replaces the state of a known one after a restart. Returns its slot.
--- a/crates/decisions/src/latency.rs
+++ b/crates/decisions/src/latency.rs
@@ -73,11 +73,11 @@
     /// The upper bound of the bucket that contains this quantile; `None` if there are too few
     /// samples.
     fn quantile(&self, share: f64) -> Option<f64> {
-        let wanted = f64::from(self.total) * share.clamp(0.0, 1.0);
-        let mut seen = 0.0;
+        let target = f64::from(self.total) * share.clamp(0.0, 1.0);
+        let mut cumulative = 0.0;
         let bucket = self.counts.iter().position(|&c| {
-            seen += f64::from(c);
-            c > 0 && seen >= wanted
+            cumulative += f64::from(c);
+            c > 0 && cumulative >= target
         });
         bucket
             .filter(|_| self.total >= HISTOGRAM_MIN_SAMPLES)
--- a/crates/decisions/src/load_feedback.rs
+++ b/crates/decisions/src/load_feedback.rs
@@ -40,8 +40,8 @@
             congestion,
             received_at: now,
         };
-        let passed = now.saturating_sub(std::mem::replace(&mut self.updated_at, now)) as f64;
-        let weight = (1.0 - (-passed / DECAY_TIME).exp()).max(MIN_WEIGHT);
+        let elapsed = now.saturating_sub(std::mem::replace(&mut self.updated_at, now)) as f64;
+        let weight = (1.0 - (-elapsed / DECAY_TIME).exp()).max(MIN_WEIGHT);
         self.congestion += (congestion - self.congestion) * weight;
     }
 
@@ -55,13 +55,14 @@
     /// and with age the average over all endpoints replaces it. The estimate decays to 0 without
     /// any reports.
     pub(crate) fn expected_congestion(&self, now: Micros, sample: CongestionSample) -> f64 {
-        let fresh = |at: Micros| (-(now.saturating_sub(at) as f64) / DECAY_TIME).exp();
-        let known = if sample.received_at == 0 {
+        let decay = |at: Micros| (-(now.saturating_sub(at) as f64) / DECAY_TIME).exp();
+        let own_weight = if sample.received_at == 0 {
             0.0
         } else {
-            fresh(sample.received_at)
+            decay(sample.received_at)
         };
-        sample.congestion * known + self.congestion * fresh(self.updated_at) * (1.0 - known)
+        sample.congestion * own_weight
+            + self.congestion * decay(self.updated_at) * (1.0 - own_weight)
     }
 }
 
--- a/crates/decisions/src/weighted_set.rs
+++ b/crates/decisions/src/weighted_set.rs
@@ -89,19 +89,19 @@
         if offset >= self.total {
             return None;
         }
-        let (mut slot, mut left, mut step) = (0, offset, self.tree.len());
+        let (mut slot, mut remaining, mut step) = (0, offset, self.tree.len());
         while step > 0 {
             if let Some(&below) = self
                 .tree
                 .get(slot + step - 1)
-                .filter(|&&below| below <= left)
+                .filter(|&&below| below <= remaining)
             {
-                left -= below;
+                remaining -= below;
                 slot += step;
             }
             step /= 2;
         }
-        Some((slot, offset - left + self.weights[slot]))
+        Some((slot, offset - remaining + self.weights[slot]))
     }
 
     /// Draws a random slot, with probability proportional to weight.
@@ -115,10 +115,10 @@
     /// Iterates over all slots in order, starting at the slot at `offset` and wrapping around.
     pub(crate) fn iter_from(&self, offset: u64) -> impl Iterator<Item = usize> + '_ {
         let mut next = self.slot_at(offset);
-        let (first, mut left) = (next.map_or(0, |(slot, _)| slot), self.len);
+        let (first, mut remaining) = (next.map_or(0, |(slot, _)| slot), self.len);
         std::iter::from_fn(move || {
-            let (slot, end) = next.filter(|_| left > 0)?;
-            left -= 1;
+            let (slot, end) = next.filter(|_| remaining > 0)?;
+            remaining -= 1;
             next = self
                 .slot_at(end)
                 .or_else(|| self.slot_at(0))
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -129,7 +129,7 @@
         name: "restart-unseen",
         what: "a restart under the same name keeps what was learned",
         play: "virtual",
-        edits: &[(MEMBERSHIP, "found.filter(|&slot| entry.started <= self.endpoints[slot].started_at);", "found;")],
+        edits: &[(MEMBERSHIP, "existing.filter(|&slot| entry.started <= self.endpoints[slot].started_at);", "existing;")],
     },
     Defect {
         name: "slot-leaked",
