--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -60,7 +60,7 @@
     /// Queues a new call, or sheds it if the current queue wait exceeds the limit for this call.
     pub(super) fn on_request(&mut self, now: Micros, new: NewCall, actions: &mut Actions) {
         let (id, ClassId(class_id)) = (new.id, new.class);
-        let class = self.class_of(&new);
+        let class = self.resolve_class(&new);
         let first_tried_at = now.saturating_sub(self.time_already_spent(&new, &class));
         let call = Call {
             class,
@@ -90,7 +90,7 @@
 
     /// Returns the class of a call. A class that the settings do not define is treated as not
     /// idempotent.
-    fn class_of(&self, new: &NewCall) -> Class {
+    fn resolve_class(&self, new: &NewCall) -> Class {
         let unknown = Class {
             latency_objective: new.time_left,
             deadline: new.time_left,
--- a/crates/decisions/src/balancer/feedback.rs
+++ b/crates/decisions/src/balancer/feedback.rs
@@ -50,7 +50,7 @@
         self.outcome == Outcome::TimedOut && endpoint.last_served_at > self.attempt.sent_at
     }
 
-    fn never_finished(&self) -> bool {
+    fn has_no_result(&self) -> bool {
         matches!(self.outcome, Outcome::Cancelled | Outcome::NotSent)
     }
 }
@@ -168,7 +168,7 @@
         let min_ratio = if late { TIMED_OUT_LATENCY_RATIO } else { 0.0 };
         let latency_ratio =
             (elapsed as f64 / baseline.latency_limit).clamp(min_ratio, MAX_LATENCY_RATIO);
-        if ended.never_finished() {
+        if ended.has_no_result() {
             // A cancelled attempt, such as the slower one of a hedged pair, would have taken at
             // least this long.
             endpoint.latency_ratio += (latency_ratio - endpoint.latency_ratio).max(0.0) * SMOOTHING;
--- a/crates/decisions/src/balancer/load_probe.rs
+++ b/crates/decisions/src/balancer/load_probe.rs
@@ -219,7 +219,7 @@
             call.next_probe_at = now + (wait << call.full_probe_rounds.min(MAX_BACKOFF_DOUBLINGS));
             call.full_probe_rounds += 1;
         }
-        self.enqueue_again(now, id);
+        self.requeue(now, id);
     }
 
     /// The load, in calls per unit of endpoint size, at which this call would take too long. It is
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -110,7 +110,7 @@
             self.set_listed(now, slot, entry.status == EndpointStatus::Ready);
         }
         if kind != ListUpdateKind::Delta {
-            for slot in self.endpoints.not_in_full_list() {
+            for slot in self.endpoints.missing_from_full_list() {
                 self.set_listed(now, slot, false);
             }
         }
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -59,7 +59,7 @@
                 call.backing_off = true;
                 self.timers.set(id, Some(next_attempt_at));
             }
-            _ => self.enqueue_again(now, id),
+            _ => self.requeue(now, id),
         }
     }
 
@@ -91,7 +91,7 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.backing_off = false;
         }
-        self.enqueue_again(now, id);
+        self.requeue(now, id);
     }
 
     /// The endpoints at which the call may be executed safely, given its earlier attempts: all,
--- a/crates/decisions/src/balancer/wait_queue.rs
+++ b/crates/decisions/src/balancer/wait_queue.rs
@@ -17,7 +17,7 @@
 
     /// Returns a call to the front of the queue after an attempt or a round of probes; it is older
     /// than the calls waiting there.
-    pub(super) fn enqueue_again(&mut self, now: Micros, id: CallId) {
+    pub(super) fn requeue(&mut self, now: Micros, id: CallId) {
         self.prepare_to_wait(now, id);
         self.wait_queue.push_front(id);
     }
--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -158,7 +158,7 @@
     }
 
     /// The listed endpoints that the current full list does not contain.
-    pub(crate) fn not_in_full_list(&self) -> Vec<usize> {
+    pub(crate) fn missing_from_full_list(&self) -> Vec<usize> {
         let is_missing =
             |&slot: &usize| self.states[slot].listed && self.listed_epochs[slot] != self.list_epoch;
         (0..self.endpoints.len()).filter(is_missing).collect()
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -117,7 +117,7 @@
         name: "gone-stays",
         what: "what a whole list leaves out stays listed",
         play: "virtual",
-        edits: &[(MEMBERSHIP, "for slot in self.endpoints.not_in_full_list() {", "for slot in self.endpoints.not_in_full_list().into_iter().take(0) {")],
+        edits: &[(MEMBERSHIP, "for slot in self.endpoints.missing_from_full_list() {", "for slot in self.endpoints.missing_from_full_list().into_iter().take(0) {")],
     },
     Defect {
         name: "cold-as-warm",
