--- a/crates/decisions/src/endpoint_index/mod.rs
+++ b/crates/decisions/src/endpoint_index/mod.rs
@@ -36,7 +36,7 @@
     listed_weight: u64,
     /// Sum of weight times start time over all endpoints in slow start, from which the weighted sum
     /// of their ages follows at any time.
-    slow_start_weighted_starts: u128,
+    slow_start_moment: u128,
     listed: usize,
     ejected: usize,
     outliers: usize,
@@ -115,8 +115,8 @@
     /// Sum of the guaranteed current capacities of all endpoints in slow start.
     pub(crate) fn slow_start_size(&self, now: Micros, rules: &EndpointRules) -> f64 {
         let weight = self.slow_start.total();
-        let age = (u128::from(now) * u128::from(weight))
-            .saturating_sub(self.slow_start_weighted_starts) as f64;
+        let age =
+            (u128::from(now) * u128::from(weight)).saturating_sub(self.slow_start_moment) as f64;
         let grown =
             age / rules.slow_start_duration.max(1) as f64 * (1.0 - rules.slow_start_min_capacity);
         (grown + rules.slow_start_min_capacity * weight as f64) * weighted_set::size(1)
@@ -278,8 +278,7 @@
         }
         let weighted_start =
             |since: Option<Micros>| u128::from(since.unwrap_or(0)) * u128::from(weight);
-        self.slow_start_weighted_starts =
-            self.slow_start_weighted_starts - weighted_start(old) + weighted_start(new);
+        self.slow_start_moment = self.slow_start_moment - weighted_start(old) + weighted_start(new);
         self.slow_start
             .set(slot, if new.is_some() { weight } else { 0 });
     }
