--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -1,6 +1,6 @@
 //! What a file makes of a request and why, and the longest course that a call of a class may take.
 
-use badgerramp_config::{Config, Figure, ANSWER_ROOM};
+use badgerramp_config::{Config, TimingValue, RESPONSE_RESERVE};
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
 use badgerramp_expr::{Builder, Wanted};
 use badgerramp_route::{normalize, Head, PathPattern, Route, Source, Timing};
@@ -85,8 +85,8 @@
         + 1
 }
 
-fn told(config: &Config, figures: Vec<Figure>) -> Vec<Told> {
-    let from = |figure: &Figure| match &figure.set {
+fn told(config: &Config, figures: Vec<TimingValue>) -> Vec<Told> {
+    let from = |figure: &TimingValue| match &figure.set_by {
         Some((key, span)) => format!("{key}, line {}", line(config, span.start)),
         None => "not set".to_owned(),
     };
@@ -227,7 +227,7 @@
                 Source::Cookie(name) => format!("cookie {name}"),
                 Source::Expression(own) => format!("expression {}", own.text),
             };
-            match config.routes.text(source, &head) {
+            match config.routes.source_value(source, &head) {
                 Some(key) => format!("{key:?}, from {place}"),
                 None => format!("missing or not one alone in {place}: never sent twice"),
             }
@@ -239,7 +239,7 @@
         for own in route.when.iter().chain(key) {
             parts(&own.text, &head, &mut told_of.parts);
         }
-        told_of.timing = told(config, config.route_figures(place));
+        told_of.timing = told(config, config.route_timing_values(place));
     }
     Ok(told_of)
 }
@@ -330,7 +330,8 @@
 fn steps(timing: &Timing, repeat: Idempotency, deadline: Micros) -> Vec<Step> {
     let mut steps = Vec::new();
     let mut add = |at_us: Micros, what: String| steps.push(Step { at_us, what });
-    let only_proven = repeat == Idempotency::NonIdempotent || timing.resend == RetryOn::NotExecuted;
+    let only_proven =
+        repeat == Idempotency::NonIdempotent || timing.retry_on == RetryOn::NotExecuted;
     let mut at = 0;
     for number in 1..=timing.attempts {
         if at >= timing.total {
@@ -392,7 +393,7 @@
         deadline,
         format!(
             "the client gives up; {} were kept for the answer's way",
-            format_duration(ANSWER_ROOM)
+            format_duration(RESPONSE_RESERVE)
         ),
     );
     steps
--- a/crates/config-tool/src/manifest.rs
+++ b/crates/config-tool/src/manifest.rs
@@ -262,7 +262,7 @@
     let shown = path.display().to_string();
     let file = report.file(shown.clone(), text);
     match badgerramp_config::parse(&shown, text) {
-        Ok(config) if config.usage == badgerramp_config::Use::Alone => {
+        Ok(config) if config.deployment == badgerramp_config::Deployment::Standalone => {
             set.applications.push(Application {
                 name: name.to_owned(),
                 file,
--- a/crates/config-tool/src/overlap.rs
+++ b/crates/config-tool/src/overlap.rs
@@ -124,7 +124,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use badgerramp_route::{pattern, Answers, Timing};
+    use badgerramp_route::{compile_pattern, ResponseRules, Timing};
     use std::sync::Arc;
 
     fn route(path: PathPattern) -> Route {
@@ -138,7 +138,7 @@
             tenant: None,
             key: None,
             timing: Timing::UNLIMITED,
-            answers: Arc::new(Answers::standard()),
+            response_rules: Arc::new(ResponseRules::standard()),
         }
     }
 
@@ -146,7 +146,7 @@
     fn what_a_route_can_take_under_a_path() {
         let exact = |p: &str| route(PathPattern::Exact(p.to_owned()));
         let prefix = |p: &str| route(PathPattern::Prefix(p.to_owned()));
-        let regex = |p: &str| route(PathPattern::Regex(pattern(p).expect("a pattern")));
+        let regex = |p: &str| route(PathPattern::Regex(compile_pattern(p).expect("a pattern")));
         for (route, takes) in [
             (exact("/fee"), true),
             (exact("/fee/x"), true),
@@ -184,7 +184,7 @@
             "/.{3}",
             "/fee/.{0,2}z",
         ] {
-            let regex = pattern(text).expect("a pattern");
+            let regex = compile_pattern(text).expect("a pattern");
             let paths = [
                 "/fee",
                 "/fee/",
--- a/crates/config-tool/src/render.rs
+++ b/crates/config-tool/src/render.rs
@@ -2,7 +2,7 @@
 
 use crate::description::{App, Class, Description, Raw, Upstream};
 use crate::finding::{Finding, Place, Report};
-use badgerramp_config::ANSWER_ROOM;
+use badgerramp_config::RESPONSE_RESERVE;
 use badgerramp_toml_diagnostics::units::{format_duration, parse_duration};
 
 /// A file that was written.
@@ -173,7 +173,7 @@
         if let (Some(deadline), Some(waits)) = (time(&keys, "deadline"), waits) {
             if waits.value < deadline && !keys.iter().any(|k| k.key == "total") {
                 let place = Place::new(app.place.file, &waits.span);
-                let total = format_duration(waits.value.saturating_sub(ANSWER_ROOM));
+                let total = format_duration(waits.value.saturating_sub(RESPONSE_RESERVE));
                 let from = writer.sources.shown(&place);
                 let text = format!(
                     "total = {total:?}  # its client waits {} ({from})",
--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -38,7 +38,8 @@
         found: String,
         allowed: String,
     ) {
-        let at = |app: &Application| Place::new(app.file, &app.config.place(path).unwrap_or(0..0));
+        let at =
+            |app: &Application| Place::new(app.file, &app.config.value_span(path).unwrap_or(0..0));
         self.report.findings.push(Finding {
             code,
             key,
@@ -305,9 +306,9 @@
             continue;
         };
         let pairs = before
-            .route_figures(known)
+            .route_timing_values(known)
             .into_iter()
-            .zip(after.route_figures(place));
+            .zip(after.route_timing_values(place));
         for (theirs, own) in pairs.filter(|(a, b)| a.value != b.value) {
             change.note(format!(
                 "route {}: {} {} -> {}",
--- a/crates/config-tool/src/set.rs
+++ b/crates/config-tool/src/set.rs
@@ -3,7 +3,7 @@
 use crate::facts::{self, show_scope, RetryOn};
 use crate::finding::{Finding, Place, Report};
 use crate::overlap::{covers, loose, may_write, takes_under, takes_writes_of, under};
-use badgerramp_config::{connections_kept, Config, Upstream, ANSWER_ROOM};
+use badgerramp_config::{max_idle_connections, Config, Upstream, RESPONSE_RESERVE};
 use badgerramp_decisions::{DedupScope, Idempotency, Micros};
 use badgerramp_route::{PathPattern, Route, Source};
 use badgerramp_toml_diagnostics::units::format_duration;
@@ -86,7 +86,7 @@
         };
         Place::new(
             self.file,
-            &self.config.place(path).or_else(class).unwrap_or(0..0),
+            &self.config.value_span(path).or_else(class).unwrap_or(0..0),
         )
     }
 
@@ -391,7 +391,7 @@
             let kept: u64 = users
                 .iter()
                 .map(|(a, f)| {
-                    u64::from(f.instances) * connections_kept(a.config.upstream.proxies) as u64
+                    u64::from(f.instances) * max_idle_connections(a.config.upstream.proxies) as u64
                 })
                 .sum();
             if kept > connections.value {
@@ -515,12 +515,12 @@
     let client = || Place::new(file, &facts.waits.span);
     for (place, route) in app.config.routes.routes().iter().enumerate() {
         let class = &app.config.classes[route.class];
-        if route.timing.total.saturating_add(ANSWER_ROOM) > waits {
-            let figures = app.config.route_figures(place);
+        if route.timing.total.saturating_add(RESPONSE_RESERVE) > waits {
+            let figures = app.config.route_timing_values(place);
             let set = figures
                 .iter()
                 .find(|f| f.name == "total")
-                .and_then(|f| f.set.clone());
+                .and_then(|f| f.set_by.clone());
             let (key, at) = match set {
                 Some((key, span)) => (key, Place::new(app.file, &span)),
                 None => (
@@ -536,7 +536,7 @@
             finding.found = format!("up to {}", format_duration(route.timing.total));
             finding.allowed = format!(
                 "at most {}",
-                format_duration(waits.saturating_sub(ANSWER_ROOM))
+                format_duration(waits.saturating_sub(RESPONSE_RESERVE))
             );
             finding
                 .related
--- a/crates/config/benches/load.rs
+++ b/crates/config/benches/load.rs
@@ -1,4 +1,4 @@
-//! What it takes to read and check a file, by its routes.
+//! Time to parse and validate a file, by its number of routes.
 #![expect(
     missing_docs,
     reason = "the macro of the benchmark library makes a function without docs"
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 use std::hint::black_box;
 
-/// Of a hundred routes ninety are prefixes, nine exact paths and one is a pattern.
+/// A file with this many routes: of every hundred, one is a pattern, ten are exact paths and the rest are prefixes.
 fn file(count: usize) -> String {
     let mut text =
         "listen = '127.0.0.1:0'\n[upstream]\nendpoints = [{ address = '127.0.0.1:9001' }]\n\
--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -1,29 +1,29 @@
-//! Expressions of routes, each with its mistakes at their places in the file; the requests that the file expects; routes
-//! whose conditions overlap.
+//! Compiles the expressions of routes, with diagnostics at their places in the file. Also checks the requests that
+//! `[[expect]]` lists, and warns of routes whose conditions overlap.
 
 use badgerramp_expr::{both, Builder, Head, Id, Program, Wanted, BUDGET};
 use badgerramp_route::{Expression, PathPattern, Route, Table};
 use badgerramp_toml_diagnostics::{DeValue, DiagnosticSink, Section, Span, Value};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-/// Pairs of routes that are held against one another at the most.
-const PAIRS_MOST: usize = 400;
+/// Maximum number of pairs of routes that are checked for overlap.
+const MAX_ROUTE_PAIRS: usize = 400;
 
-/// All expressions of a file.
+/// The expressions of a file.
 #[derive(Debug, Default)]
 pub(crate) struct Expressions {
     builder: Builder,
-    /// Where each stands.
-    places: Vec<(Id, String, Span)>,
+    /// Id, key and span of each expression.
+    entries: Vec<(Id, String, Span)>,
 }
 
-/// Where the text of a value begins in the file, if each of its bytes stands there as it is.
-fn inner(text: &str, value: &Value<'_>) -> Option<usize> {
+/// Offset in the file at which the text of a string value begins; `None` if escapes make the text differ from the file.
+fn value_text_offset(text: &str, value: &Value<'_>) -> Option<usize> {
     let raw = text.get(value.span())?;
     let quotes = ["\'\'\'", "\"\"\"", "\'", "\""]
         .into_iter()
         .find(|q| raw.starts_with(q))?;
-    // A line break right behind three quotes is none of the text's.
+    // TOML drops a line break that directly follows three quotes.
     let body = &raw[quotes.len()..];
     let skipped = match quotes.len() {
         3 => {
@@ -41,50 +41,59 @@
 }
 
 impl Expressions {
-    /// Reads the expression of a key.
+    /// Reads and compiles the expression of a key.
     pub(crate) fn read(
         &mut self,
-        notes: &mut DiagnosticSink,
+        sink: &mut DiagnosticSink,
         section: &Section<'_>,
         name: &str,
         text: &str,
-        wanted: Wanted,
+        kind: Wanted,
     ) -> Option<Expression> {
-        let own = section.text(notes, name)?;
-        let start = section.get(name).and_then(|v| inner(text, v));
-        match self.builder.add(&own.value, wanted) {
+        let expression = section.text(sink, name)?;
+        let start = section.get(name).and_then(|v| value_text_offset(text, v));
+        match self.builder.add(&expression.value, kind) {
             Ok(id) => {
-                self.places.push((id, own.key, own.span));
+                self.entries.push((id, expression.key, expression.span));
                 Some(Expression {
                     id,
-                    text: own.value.into(),
+                    text: expression.value.into(),
                 })
             }
-            Err(mistakes) => {
-                for mistake in mistakes {
+            Err(diagnostics) => {
+                for diagnostic in diagnostics {
                     let span = match start {
-                        Some(start) => start + mistake.span.start..start + mistake.span.end,
-                        None => own.span.clone(),
+                        Some(start) => start + diagnostic.span.start..start + diagnostic.span.end,
+                        None => expression.span.clone(),
                     };
-                    let found = own
+                    let found = expression
                         .value
-                        .get(mistake.span.clone())
+                        .get(diagnostic.span.clone())
                         .filter(|t| !t.is_empty())
                         .unwrap_or("nothing");
-                    notes.add(&own.key, &span, mistake.reason, found, mistake.allowed);
+                    sink.add(
+                        &expression.key,
+                        &span,
+                        diagnostic.reason,
+                        found,
+                        diagnostic.allowed,
+                    );
                 }
                 None
             }
         }
     }
 
-    /// The program of all; what they cost together is held against the budget.
-    pub(crate) fn program(self, notes: &mut DiagnosticSink) -> Program {
-        let all: Vec<Id> = self.places.iter().map(|p| p.0).collect();
+    /// Builds the program of all expressions. Their total cost must stay within the budget of one request.
+    pub(crate) fn program(self, sink: &mut DiagnosticSink) -> Program {
+        let all: Vec<Id> = self.entries.iter().map(|p| p.0).collect();
         let cost = self.builder.cost(&all);
         if cost > BUDGET {
-            let dearest = self.places.iter().max_by_key(|p| self.builder.cost(&[p.0]));
-            if let Some((id, key, span)) = dearest {
+            let most_expensive = self
+                .entries
+                .iter()
+                .max_by_key(|p| self.builder.cost(&[p.0]));
+            if let Some((id, key, span)) = most_expensive {
                 let found = format!(
                     "up to {cost} steps, {} of them here",
                     self.builder.cost(&[*id])
@@ -92,7 +101,7 @@
                 let allowed = format!(
                     "{BUDGET} steps: fewer patterns, splits and searches, or the same ones in all routes"
                 );
-                notes.add(
+                sink.add(
                     key,
                     span,
                     "all expressions together cost too much for one request",
@@ -105,8 +114,8 @@
     }
 }
 
-/// A request out of a file's words.
-struct Words {
+/// A request that `[[expect]]` describes.
+struct ExpectedRequest {
     method: Method,
     path: String,
     query: String,
@@ -114,7 +123,7 @@
     client: std::net::IpAddr,
 }
 
-impl Words {
+impl ExpectedRequest {
     fn head(&self) -> Head<'_> {
         Head {
             method: &self.method,
@@ -126,34 +135,35 @@
     }
 }
 
-/// Holds the table against the requests that the file expects.
-pub(crate) fn expect(
-    notes: &mut DiagnosticSink,
+/// Checks that the table assigns each request of `[[expect]]` its expected route, class and key.
+pub(crate) fn check_expectations(
+    sink: &mut DiagnosticSink,
     top: &Section<'_>,
     table: &Table,
     classes: &[&str],
 ) {
     const KNOWN: [&str; 6] = ["request", "headers", "client", "route", "class", "key"];
     for (key, value) in top
-        .list(notes, "expect", "requests: [[expect]]")
+        .list(sink, "expect", "requests: [[expect]]")
         .unwrap_or_default()
     {
-        let DeValue::Table(own) = value.get_ref() else {
+        let DeValue::Table(entry) = value.get_ref() else {
             let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
-            notes.add(
+            sink.add(
                 &key,
                 &value.span(),
-                "this is no request",
+                "this is not a request",
                 found,
                 "a table: [[expect]]",
             );
             continue;
         };
         let start = value.span().start;
-        let section = Section::new(notes, own, &key, start..start, &KNOWN);
-        section.require(notes, "request", "a method and a path, like \"POST /x\"");
-        section.require(notes, "class", "the name of a class, or \"none\"");
-        let (Some(request), Some(class)) = (words(notes, &section), section.text(notes, "class"))
+        let section = Section::new(sink, entry, &key, start..start, &KNOWN);
+        section.require(sink, "request", "a method and a path, like \"POST /x\"");
+        section.require(sink, "class", "the name of a class, or \"none\"");
+        let (Some(request), Some(class)) =
+            (read_request(sink, &section), section.text(sink, "class"))
         else {
             continue;
         };
@@ -161,10 +171,10 @@
         let found = table.find_head(&head).ok().flatten();
         let name = found.map_or("none", |(_, route)| classes[route.class]);
         if name != class.value {
-            let by = found.map_or("no route takes it".to_owned(), |(_, r)| {
+            let by = found.map_or("no route matches it".to_owned(), |(_, r)| {
                 format!("class {name:?}, by route {:?}", r.name)
             });
-            notes.add(
+            sink.add(
                 &class.key,
                 &class.span,
                 "the request is not of this class",
@@ -172,37 +182,37 @@
                 format!("{:?} is expected", class.value),
             );
         }
-        if let Some(route) = section.text(notes, "route") {
+        if let Some(route) = section.text(sink, "route") {
             let by = found.map_or("none", |(_, r)| r.name.as_str());
             if by != route.value {
                 let allowed = format!("{:?} is expected", route.value);
-                notes.add(
+                sink.add(
                     &route.key,
                     &route.span,
-                    "the request is not taken by this route",
+                    "the request does not match this route",
                     format!("{by:?}"),
                     allowed,
                 );
             }
         }
-        // An empty text stands for no key.
-        let wanted = section.read(
-            notes,
+        // An empty text means that no key is expected.
+        let expected_key = section.read(
+            sink,
             "key",
             "this is not a text",
-            "a text in quotes; empty: no key",
+            "a text in quotes; an empty one for no key",
             |v| v.as_str().map(str::to_owned),
         );
-        if let Some(wanted) = wanted {
-            let own = found
+        if let Some(expected_key) = expected_key {
+            let actual = found
                 .and_then(|(_, r)| r.key.as_ref())
-                .and_then(|k| table.text(k, &head));
-            if own.as_deref().unwrap_or_default() != wanted.value {
-                let found = own.map_or("no key".to_owned(), |k| format!("{k:?}"));
-                let allowed = format!("{:?} is expected", wanted.value);
-                notes.add(
-                    &wanted.key,
-                    &wanted.span,
+                .and_then(|k| table.source_value(k, &head));
+            if actual.as_deref().unwrap_or_default() != expected_key.value {
+                let found = actual.map_or("no key".to_owned(), |k| format!("{k:?}"));
+                let allowed = format!("{:?} is expected", expected_key.value);
+                sink.add(
+                    &expected_key.key,
+                    &expected_key.span,
                     "the request has another key",
                     found,
                     allowed,
@@ -212,23 +222,23 @@
     }
 }
 
-fn words(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Words> {
-    let reason = "this is no request";
+fn read_request(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<ExpectedRequest> {
+    let reason = "this is not a request";
     let allowed = "a method and a path, like \"POST /x?q=1\"";
-    let request = section.read(notes, "request", reason, allowed, |v| {
+    let request = section.read(sink, "request", reason, allowed, |v| {
         let (method, target) = v.as_str()?.split_once(' ')?;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let good = path.starts_with('/');
-        good.then_some((
+        let is_absolute = path.starts_with('/');
+        is_absolute.then_some((
             method.parse::<Method>().ok()?,
             path.to_owned(),
             query.to_owned(),
         ))
     })?;
     let client = section.read(
-        notes,
+        sink,
         "client",
-        "this is no address",
+        "this is not an address",
         "an IP address",
         |v| v.as_str()?.parse().ok(),
     );
@@ -246,10 +256,10 @@
                 None => {
                     let key = section.key_path("headers");
                     let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
-                    notes.add(
+                    sink.add(
                         &key,
                         &value.span(),
-                        "this is no header",
+                        "this is not a header",
                         found,
                         "{ \"x-branch\" = \"CR-7\" }",
                     );
@@ -258,7 +268,7 @@
         }
     }
     let (method, path, query) = request.value;
-    Some(Words {
+    Some(ExpectedRequest {
         method,
         path,
         query,
@@ -267,8 +277,8 @@
     })
 }
 
-/// Routes of different classes whose conditions some request meets both, with that request.
-pub(crate) fn overlaps(table: &Table, classes: &[&str]) -> Vec<String> {
+/// Warnings about pairs of routes of different classes that both match some request, with that request as an example.
+pub(crate) fn overlap_warnings(table: &Table, classes: &[&str]) -> Vec<String> {
     let mut warnings = Vec::new();
     let conditions: Vec<(usize, &Route, &Expression)> = table
         .routes()
@@ -280,9 +290,9 @@
         .iter()
         .enumerate()
         .flat_map(|(n, a)| conditions[n + 1..].iter().map(move |b| (a, b)));
-    for ((_, a, own), (_, b, other)) in pairs
+    for ((_, a, a_condition), (_, b, b_condition)) in pairs
         .filter(|(a, b)| a.1.class != b.1.class)
-        .take(PAIRS_MOST)
+        .take(MAX_ROUTE_PAIRS)
     {
         let paths: Vec<String> = [a, b]
             .into_iter()
@@ -293,17 +303,22 @@
             .collect();
         let methods = match (a.methods.as_slice(), b.methods.as_slice()) {
             ([], []) => vec![Method::POST, Method::GET],
-            ([], some) | (some, []) => some.to_vec(),
-            (some, others) => some
+            ([], listed) | (listed, []) => listed.to_vec(),
+            (listed, others) => listed
                 .iter()
                 .filter(|m| others.contains(m))
                 .cloned()
                 .collect(),
         };
-        let Some(request) = both(table.program(), (own.id, other.id), &paths, &methods) else {
+        let Some(request) = both(
+            table.program(),
+            (a_condition.id, b_condition.id),
+            &paths,
+            &methods,
+        ) else {
             continue;
         };
-        // Paths and headers have their say too: alone, each must take it.
+        // The request meets both conditions. Each route alone must also match its path, method and headers.
         let head = Head {
             method: &request.method,
             path: &request.path,
@@ -311,13 +326,13 @@
             headers: &request.headers,
             client: [127, 0, 0, 1].into(),
         };
-        let takes = |route: &Route| {
-            let alone = Table::with(vec![(*route).clone()], table.program().clone());
-            alone.is_ok_and(|t| t.find_head(&head).is_ok_and(|found| found.is_some()))
+        let matches = |route: &Route| {
+            let single = Table::with_program(vec![(*route).clone()], table.program().clone());
+            single.is_ok_and(|t| t.find_head(&head).is_ok_and(|found| found.is_some()))
         };
-        if takes(a) && takes(b) {
+        if matches(a) && matches(b) {
             warnings.push(format!(
-                "routes {:?} (class {}) and {:?} (class {}) both take {}: the first wins",
+                "routes {:?} (class {}) and {:?} (class {}) both match {}: the first one is used",
                 a.name,
                 classes[a.class],
                 b.name,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,18 +1,20 @@
-//! The schema of the file, and what is checked over more than one key.
+//! Schema of the file, and the checks that concern more than one key.
 
 use crate::expressions::{self, Expressions};
 use crate::log::{self, Log};
-use crate::subset::{self, ListTerms, SubsetTerms};
-use crate::timing::{self, Draft, Facts, Figure};
-use crate::{clients_borne, peers, policy, PeersTerms, PolicyTerms, ANSWER_ROOM};
+use crate::subset::{self, ListSettings, SubsetSettings};
+use crate::timing::{self, TimingContext, TimingDraft, TimingValue};
+use crate::{
+    max_client_connections, peers, policy, PeersSettings, PolicySettings, RESPONSE_RESERVE,
+};
 use badgerramp_decisions::{
     self as decisions, settings, CellId, DedupScope, EndpointEntry, EndpointId, EndpointStatus,
     Idempotency, Micros,
 };
 use badgerramp_expr::{Program, Wanted};
 use badgerramp_route::{
-    normalize, pattern, Answers, HeaderPattern, PathPattern, Route, Source, Table, Timing,
-    PATTERN_BYTES,
+    compile_pattern, normalize, HeaderPattern, PathPattern, ResponseRules, Route, Source, Table,
+    Timing, MAX_PATTERN_BYTES,
 };
 use badgerramp_toml_diagnostics::units::{format_duration, format_size};
 use badgerramp_toml_diagnostics::{
@@ -24,12 +26,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const FILE: [&str; 14] = [
+const FILE_KEYS: [&str; 14] = [
     "platform", "listen", "limits", "log", "upstream", "subset", "list", "peers", "policy",
     "defaults", "class", "route", "no_route", "expect",
 ];
-const LIMITS: [&str; 5] = ["memory", "descriptors", "open_calls", "body", "retry_after"];
-const UPSTREAM: [&str; 10] = [
+const LIMITS_KEYS: [&str; 5] = ["memory", "descriptors", "open_calls", "body", "retry_after"];
+const UPSTREAM_KEYS: [&str; 10] = [
     "endpoints",
     "discovery",
     "zone",
@@ -41,8 +43,8 @@
     "fall_multiple",
     "fall_time",
 ];
-const ENDPOINT: [&str; 6] = ["name", "address", "zone", "group", "kind", "weight"];
-const CLASS: [&str; 7] = [
+const ENDPOINT_KEYS: [&str; 6] = ["name", "address", "zone", "group", "kind", "weight"];
+const CLASS_KEYS: [&str; 7] = [
     "aim",
     "deadline",
     "worth",
@@ -51,124 +53,128 @@
     "group",
     "window",
 ];
-const ROUTE: [&str; 10] = [
+const ROUTE_KEYS: [&str; 10] = [
     "name", "path", "prefix", "regex", "methods", "headers", "when", "class", "tenant", "key",
 ];
-const NO_ROUTE: [&str; 2] = ["status", "text"];
+const NO_ROUTE_KEYS: [&str; 2] = ["status", "text"];
+
+/// Maximum time that a client may wait, in microseconds.
+const MAX_DEADLINE: Micros = 600_000_000;
+/// Allowed values of `limits.memory`, in bytes.
+const MEMORY_RANGE: std::ops::RangeInclusive<u64> = 32 << 20..=64 << 30;
+const DESCRIPTORS_RANGE: std::ops::RangeInclusive<u64> = 256..=1 << 20;
+const MAX_ENDPOINTS: usize = 10_000;
+const MAX_ROUTES: usize = 100_000;
+/// One body may take at most this fraction (one sixteenth) of the memory.
+const BODY_MEMORY_DIVISOR: u64 = 16;
 
-/// Longest time that a client may wait.
-const DEADLINE_MOST: Micros = 600_000_000;
-const MEMORY: std::ops::RangeInclusive<u64> = 32 << 20..=64 << 30;
-const DESCRIPTORS: std::ops::RangeInclusive<u64> = 256..=1 << 20;
-const ENDPOINTS_MOST: usize = 10_000;
-const ROUTES_MOST: usize = 100_000;
-/// Part of the memory that one body may take.
-const BODY_PART: u64 = 16;
-/// What a file is for.
+/// How the proxy that reads a file is deployed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// A sidecar that stands alone.
-    Alone,
-    /// Beside the platform's settings, which it may only narrow.
+pub enum Deployment {
+    /// As a sidecar whose only settings are this file.
+    Standalone,
+    /// On the platform. The file may only narrow the platform's settings.
     Platform,
 }
 
-/// A file that was read and found good.
+/// A validated file.
 #[derive(Debug)]
 pub struct Config {
-    /// What it is for.
-    pub usage: Use,
-    /// Where clients connect. On the platform it is not set here.
+    /// Deployment that the file is for.
+    pub deployment: Deployment,
+    /// Address on which clients are accepted. A placeholder if the platform sets it.
     pub listen: SocketAddr,
-    /// What the program may take up.
+    /// Limits on the resources of the process.
     pub limits: Limits,
-    /// Where calls go.
+    /// Endpoints that receive the calls.
     pub upstream: Upstream,
-    /// Classes, in the order of the file; routes name them by place.
+    /// Classes, in the order of the file. Routes refer to them by index.
     pub classes: Vec<Class>,
-    /// Routes.
+    /// Table of the routes.
     pub routes: Table,
-    /// The answer where no route takes a request.
+    /// Response to requests that match no route.
     pub no_route: NoRoute,
-    /// The endpoints of a large fleet that the proxy keeps to; `None`: all.
-    pub subset: Option<SubsetTerms>,
-    /// How the list service is asked where many do.
-    pub list: Option<ListTerms>,
-    /// The other proxies that pass the list on; `None`: this one asks for itself.
-    pub peers: Option<PeersTerms>,
-    /// Where the fleet's policy is controlled; `None`: this file is all of it.
-    pub policy: Option<PolicyTerms>,
-    /// What the program writes of what it does.
+    /// Settings of the endpoint subset; `None` if the proxy uses all endpoints.
+    pub subset: Option<SubsetSettings>,
+    /// Settings of polls of the list service in a large fleet.
+    pub list: Option<ListSettings>,
+    /// Settings of gossip, by which proxies share the endpoint list; `None` if this proxy polls the list service
+    /// itself.
+    pub peers: Option<PeersSettings>,
+    /// Settings of the control plane; `None` if this file is the whole policy.
+    pub policy: Option<PolicySettings>,
+    /// Settings of the log.
     pub log: Log,
-    /// What is no mistake and worth a look.
+    /// Warnings about parts of the file that are valid but probably unintended.
     pub warnings: Vec<String>,
-    pub(crate) source: Origin,
+    pub(crate) source: SourceText,
 }
 
-/// The text of the file and where its parts stand, for what can be checked only later.
+/// Text of the file and the spans of its classes and routes, for checks that follow after parsing.
 #[derive(Debug)]
-pub(crate) struct Origin {
+pub(crate) struct SourceText {
     pub(crate) name: String,
     pub(crate) text: String,
-    /// For each class, and for each route: where it is named, and what it sets with all that it inherits.
-    pub(crate) classes: Vec<(Span, Draft)>,
-    pub(crate) routes: Vec<(Span, Draft)>,
+    /// For each class, the span of its name and its timing with inherited values.
+    pub(crate) classes: Vec<(Span, TimingDraft)>,
+    /// For each route, the span of its name and its timing with inherited values.
+    pub(crate) routes: Vec<(Span, TimingDraft)>,
 }
 
-/// What the program may take up.
+/// Limits on the resources of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of memory.
+    /// Maximum memory, in bytes.
     pub memory: usize,
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub descriptors: usize,
-    /// Calls that may be open at once.
+    /// Maximum number of concurrent calls.
     pub open_calls: usize,
-    /// Bytes of one body, either way.
+    /// Maximum size of a request body or response body, in bytes.
     pub body: usize,
-    /// Longest advice when to come back, in microseconds.
+    /// Maximum value of the Retry-After header, in microseconds.
     pub retry_after: Micros,
 }
 
-/// Where calls go.
+/// Endpoints that receive the calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Endpoints that the file names; empty with discovery.
+    /// Endpoints that the file names; empty if there is a list service.
     pub endpoints: Vec<Endpoint>,
-    /// The list service.
+    /// Address of the list service.
     pub discovery: Option<SocketAddr>,
-    /// The zone of this proxy; empty: none.
+    /// Zone of this proxy; empty if it has none.
     pub zone: String,
-    /// How many proxies send to these endpoints, this one included.
+    /// Number of proxies that send to these endpoints, including this one.
     pub proxies: u32,
-    /// Endpoints close a connection that has been idle for this long, in microseconds.
+    /// Time after which endpoints close an idle connection, in microseconds.
     pub idle: Micros,
-    /// Figures of drains and cold starts.
+    /// Parameters of draining, slow start and overload detection.
     pub rules: decisions::EndpointRules,
 }
 
 /// An endpoint that the file names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Its address.
+    /// Socket address.
     pub address: SocketAddr,
-    /// Its zone; empty: none.
+    /// Zone; empty if it has none.
     pub zone: String,
-    /// The group whose members drop each other's repeats.
+    /// Group of endpoints that deduplicate each other's retries; 0 if it has none.
     pub group: u32,
-    /// Its machine kind; empty: none.
+    /// Machine kind; empty if it has none.
     pub kind: String,
-    /// Its size against the others'.
+    /// Capacity relative to the other endpoints.
     pub weight: f64,
 }
 
 impl Endpoint {
-    /// Its entry in the list, for the decisions.
-    pub fn entry(&self, server: EndpointId) -> EndpointEntry {
+    /// The entry of the endpoint list that describes this endpoint.
+    pub fn entry(&self, id: EndpointId) -> EndpointEntry {
         EndpointEntry {
-            endpoint: server,
+            endpoint: id,
             status: EndpointStatus::Ready,
             zone: settings::zone_id(&self.zone),
             cell: CellId(self.group),
@@ -182,48 +188,49 @@
 /// A class of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What the decisions are told of it.
+    /// Parameters of the class for the decisions.
     pub class: decisions::Class,
-    /// Its timing, where a route does not override it.
+    /// Timing of calls whose route does not override it.
     pub timing: Timing,
 }
 
-/// The answer where no route takes a request.
+/// Response to requests that match no route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NoRoute {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its body.
+    /// Body.
     pub text: String,
 }
 
 impl Config {
-    /// The name of the file.
+    /// Name of the file.
     pub fn name(&self) -> &str {
         &self.source.name
     }
 
-    /// The text of the file.
+    /// Text of the file.
     pub fn text(&self) -> &str {
         &self.source.text
     }
 
-    /// Where a class is named.
-    pub fn class_span(&self, place: usize) -> Span {
-        self.source.classes.get(place).map_or(0..0, |c| c.0.clone())
+    /// Span of the name of a class; empty if there is no class with this index.
+    pub fn class_span(&self, index: usize) -> Span {
+        self.source.classes.get(index).map_or(0..0, |c| c.0.clone())
     }
 
-    /// Where a route is named.
-    pub fn route_span(&self, place: usize) -> Span {
-        self.source.routes.get(place).map_or(0..0, |r| r.0.clone())
+    /// Span of the name of a route; empty if there is no route with this index.
+    pub fn route_span(&self, index: usize) -> Span {
+        self.source.routes.get(index).map_or(0..0, |r| r.0.clone())
     }
 
-    /// Where the value of a key stands: names of tables and of the key, numbers for places in a list.
-    pub fn place(&self, path: &[&str]) -> Option<Span> {
-        let mut notes = DiagnosticSink::default();
-        let table = parse_document(&mut notes, &self.source.text);
+    /// Span of the value of a key. `path` holds the names of the tables and of the key; elements of a list are given by
+    /// their index.
+    pub fn value_span(&self, path: &[&str]) -> Option<Span> {
+        let mut sink = DiagnosticSink::default();
+        let table = parse_document(&mut sink, &self.source.text);
         let (first, rest) = path.split_first()?;
         let mut value = table.get(*first)?;
         for name in rest {
@@ -236,11 +243,12 @@
         Some(value.span())
     }
 
-    /// Does this file's route make of a request what that one makes of it, with the same class by name?
-    pub fn same_route(&self, place: usize, other: &Config, its: usize) -> bool {
+    /// Whether the route with this index treats requests like the route `other_index` of `other`, with a class of the
+    /// same name.
+    pub fn same_route(&self, index: usize, other: &Config, other_index: usize) -> bool {
         let (Some(a), Some(b)) = (
-            self.routes.routes().get(place),
-            other.routes.routes().get(its),
+            self.routes.routes().get(index),
+            other.routes.routes().get(other_index),
         ) else {
             return false;
         };
@@ -254,16 +262,16 @@
             config.classes.get(route.class).map(|c| c.name.clone())
         };
         path && (&a.methods, &a.headers, &a.when) == (&b.methods, &b.headers, &b.when)
-            && (&a.tenant, &a.key, &a.timing, &a.answers)
-                == (&b.tenant, &b.key, &b.timing, &b.answers)
+            && (&a.tenant, &a.key, &a.timing, &a.response_rules)
+                == (&b.tenant, &b.key, &b.timing, &b.response_rules)
             && class(self, a) == class(other, b)
     }
 
-    /// This file's part of the policy (classes, routes, what a client is told) beside what `local` says of the machine:
-    /// its listener, limits of memory and descriptors, upstream, log and way to control.
+    /// Combines this file's part of the policy (classes, routes and responses to clients) with the settings of the
+    /// machine in `local`: listener, limits of memory and descriptors, upstream, log and control plane.
     #[must_use]
-    pub fn beside(mut self, local: &Config) -> Self {
-        self.usage = local.usage;
+    pub fn with_local_settings(mut self, local: &Config) -> Self {
+        self.deployment = local.deployment;
         self.listen = local.listen;
         self.limits.memory = local.limits.memory;
         self.limits.descriptors = local.limits.descriptors;
@@ -274,38 +282,45 @@
         self.list = local.list;
         self.peers.clone_from(&local.peers);
         self.log = local.log.clone();
-        let floor = self.policy.take().map(|p| p.floor).unwrap_or_default();
-        self.policy = local.policy.clone().map(|own| PolicyTerms { floor, ..own });
+        let fallback_classes = self
+            .policy
+            .take()
+            .map(|p| p.fallback_classes)
+            .unwrap_or_default();
+        self.policy = local.policy.clone().map(|policy| PolicySettings {
+            fallback_classes,
+            ..policy
+        });
         self
     }
 
-    /// The timing of a class, figure by figure.
-    pub fn class_figures(&self, place: usize) -> Vec<Figure> {
-        let Some(((_, draft), class)) = self.source.classes.get(place).zip(self.classes.get(place))
+    /// Timing of a class, with the place at which each value was set.
+    pub fn class_timing_values(&self, index: usize) -> Vec<TimingValue> {
+        let Some(((_, draft), class)) = self.source.classes.get(index).zip(self.classes.get(index))
         else {
             return Vec::new();
         };
-        draft.figures(&class.timing)
+        draft.timing_values(&class.timing)
     }
 
-    /// The timing of a route, figure by figure.
-    pub fn route_figures(&self, place: usize) -> Vec<Figure> {
+    /// Timing of a route, with the place at which each value was set.
+    pub fn route_timing_values(&self, index: usize) -> Vec<TimingValue> {
         let Some(((_, draft), route)) = self
             .source
             .routes
-            .get(place)
-            .zip(self.routes.routes().get(place))
+            .get(index)
+            .zip(self.routes.routes().get(index))
         else {
             return Vec::new();
         };
-        draft.figures(&route.timing)
+        draft.timing_values(&route.timing)
     }
 
-    /// What the decisions are told of a file that stands alone.
+    /// Settings of the decisions for a standalone deployment.
     pub fn settings(&self) -> decisions::Settings {
         let upstream = &self.upstream;
         let timings = || self.routes.routes().iter().map(|r| &r.timing);
-        let plain = decisions::Settings::default();
+        let defaults = decisions::Settings::default();
         let weighted = upstream.endpoints.iter().any(|e| e.weight != 1.0);
         decisions::Settings {
             balancers: upstream.proxies,
@@ -316,7 +331,7 @@
                 hedging: timings().any(|t| t.hedge != decisions::Hedge::Never),
                 max_attempts: timings().map(|t| t.attempts).max().unwrap_or(1),
                 max_retry_after: self.limits.retry_after,
-                ..plain.limits
+                ..defaults.limits
             },
             rules: upstream.rules,
             load_reporting: decisions::LoadReporting {
@@ -328,68 +343,69 @@
             } else {
                 decisions::WeightSource::Off
             },
-            ..plain
+            ..defaults
         }
     }
 }
 
-/// A class while the file is read.
+/// A class while the file is being parsed.
 struct ClassDraft {
     name: String,
     span: Span,
-    aim: Option<Located<Micros>>,
+    latency_objective: Option<Located<Micros>>,
     deadline: Option<Located<Micros>>,
-    worth: f64,
-    late_worth: f64,
-    repeat: Option<Idempotency>,
-    draft: Draft,
+    priority_weight: f64,
+    late_value: f64,
+    idempotency: Option<Idempotency>,
+    draft: TimingDraft,
 }
 
 impl ClassDraft {
-    fn facts(&self) -> Facts<'_> {
+    fn timing_context(&self) -> TimingContext<'_> {
         let deadline = self.deadline.as_ref().map(|d| d.value);
-        Facts {
+        TimingContext {
             name: &self.name,
             span: &self.span,
             deadline,
-            repeat: self.repeat,
+            idempotency: self.idempotency,
         }
     }
 }
 
 pub(crate) fn parse(name: &str, text: &str) -> Result<Config, Diagnostics> {
-    let mut notes = DiagnosticSink::default();
-    let table = parse_document(&mut notes, text);
-    if !notes.is_empty() {
-        return Err(notes.into_diagnostics(name, text));
+    let mut sink = DiagnosticSink::default();
+    let table = parse_document(&mut sink, text);
+    if !sink.is_empty() {
+        return Err(sink.into_diagnostics(name, text));
     }
-    let config = Reading { notes: &mut notes }.file(name, text, &table);
+    let config = FileParser { sink: &mut sink }.file(name, text, &table);
     match config {
-        Some(config) if notes.is_empty() => Ok(config),
-        _ => Err(notes.into_diagnostics(name, text)),
+        Some(config) if sink.is_empty() => Ok(config),
+        _ => Err(sink.into_diagnostics(name, text)),
     }
 }
 
-struct Reading<'n> {
-    notes: &'n mut DiagnosticSink,
+/// Parses a file and adds its mistakes to a sink.
+struct FileParser<'n> {
+    sink: &'n mut DiagnosticSink,
 }
 
-impl Reading<'_> {
+impl FileParser<'_> {
     fn file(&mut self, name: &str, text: &str, table: &DeTable<'_>) -> Option<Config> {
-        let top = Section::new(self.notes, table, "", 0..0, &FILE);
+        let top = Section::new(self.sink, table, "", 0..0, &FILE_KEYS);
         let platform = top.read(
-            self.notes,
+            self.sink,
             "platform",
             "this is not a flag",
             "true or false",
             DeValue::as_bool,
         );
-        let usage = if platform.is_some_and(|p| p.value) {
-            Use::Platform
+        let deployment = if platform.is_some_and(|p| p.value) {
+            Deployment::Platform
         } else {
-            Use::Alone
+            Deployment::Standalone
         };
-        if usage == Use::Platform {
+        if deployment == Deployment::Platform {
             for name in [
                 "listen", "limits", "upstream", "subset", "list", "peers", "policy", "no_route",
             ]
@@ -397,8 +413,8 @@
             .filter(|n| top.has(n))
             {
                 if let Some((_, span, _)) = top.iter().find(|(n, ..)| *n == name) {
-                    let reason = "the platform sets this: beside its settings a file only narrows";
-                    self.notes.add(
+                    let reason = "the platform sets this: with `platform = true` a file only narrows its settings";
+                    self.sink.add(
                         name,
                         &span,
                         reason,
@@ -409,49 +425,50 @@
             }
         } else {
             top.require(
-                self.notes,
+                self.sink,
                 "listen",
                 "an address and a port, like \"127.0.0.1:8080\"",
             );
-            top.require(self.notes, "upstream", "a table: [upstream]");
-            top.require(self.notes, "class", "a table for each class: [class.NAME]");
-            top.require(self.notes, "route", "a list of routes: [[route]]");
+            top.require(self.sink, "upstream", "a table: [upstream]");
+            top.require(self.sink, "class", "a table for each class: [class.NAME]");
+            top.require(self.sink, "route", "a list of routes: [[route]]");
         }
-        let listen = address(self.notes, &top, "listen");
+        let listen = address(self.sink, &top, "listen");
         let limits = self.limits(&top);
         let upstream = top
-            .section(self.notes, "upstream", &UPSTREAM)
+            .section(self.sink, "upstream", &UPSTREAM_KEYS)
             .map(|section| self.upstream(&section));
-        let subset = subset::subset(self.notes, &top, upstream.as_ref(), limits.as_ref());
-        let list = subset::list(self.notes, &top, upstream.as_ref());
+        let subset = subset::subset(self.sink, &top, upstream.as_ref(), limits.as_ref());
+        let list = subset::list(self.sink, &top, upstream.as_ref());
         let peers = peers::read(
-            self.notes,
+            self.sink,
             &top,
             upstream.as_ref().map(|u| u.discovery.is_some()),
         );
-        let defaults = match top.section(self.notes, "defaults", &timing::KEYS) {
-            Some(section) => Draft::read(self.notes, &section),
-            None => Draft::default(),
+        let defaults = match top.section(self.sink, "defaults", &timing::KEYS) {
+            Some(section) => TimingDraft::read(self.sink, &section),
+            None => TimingDraft::default(),
         };
-        let classes = self.classes(&top, &defaults, usage);
+        let classes = self.classes(&top, &defaults, deployment);
         let mut expressions = Expressions::default();
         let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-        let policy = policy::read(self.notes, &top, &names);
-        let (routes, route_drafts) = self.routes(&top, &classes, usage, text, &mut expressions);
+        let policy = policy::read(self.sink, &top, &names);
+        let (routes, route_drafts) =
+            self.routes(&top, &classes, deployment, text, &mut expressions);
         let no_route = self.no_route(&top);
-        let log = log::read(self.notes, &top);
-        if usage == Use::Alone {
+        let log = log::read(self.sink, &top);
+        if deployment == Deployment::Standalone {
             self.check_groups(&classes, upstream.as_ref());
         }
-        let program = Arc::new(expressions.program(self.notes));
-        let built = self.table(&top, routes, &route_drafts, program);
+        let program = Arc::new(expressions.program(self.sink));
+        let route_table = self.table(&top, routes, &route_drafts, program);
         let mut warnings = Vec::new();
-        if let Some(table) = built.as_ref().filter(|_| self.notes.is_empty()) {
+        if let Some(table) = route_table.as_ref().filter(|_| self.sink.is_empty()) {
             let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-            expressions::expect(self.notes, &top, table, &names);
-            warnings = expressions::overlaps(table, &names);
+            expressions::check_expectations(self.sink, &top, table, &names);
+            warnings = expressions::overlap_warnings(table, &names);
         }
-        let source = Origin {
+        let source = SourceText {
             name: name.to_owned(),
             text: text.to_owned(),
             classes: classes
@@ -461,21 +478,24 @@
             routes: route_drafts,
         };
         let class = |c: ClassDraft| {
-            let (aim, deadline) = match usage {
-                Use::Alone => (c.aim.as_ref()?.value, c.deadline.as_ref()?.value),
-                Use::Platform => (0, 0),
+            let (latency_objective, deadline) = match deployment {
+                Deployment::Standalone => (
+                    c.latency_objective.as_ref()?.value,
+                    c.deadline.as_ref()?.value,
+                ),
+                Deployment::Platform => (0, 0),
             };
-            let repeat = c.repeat.unwrap_or_default();
+            let idempotency = c.idempotency.unwrap_or_default();
             let class = decisions::Class {
-                latency_objective: aim,
+                latency_objective,
                 deadline,
-                priority_weight: c.worth,
-                late_value: c.late_worth,
-                idempotency: repeat,
+                priority_weight: c.priority_weight,
+                late_value: c.late_value,
+                idempotency,
             };
-            let timing = match usage {
-                Use::Alone => c.draft.timing(&c.facts()),
-                Use::Platform => Timing::UNLIMITED,
+            let timing = match deployment {
+                Deployment::Standalone => c.draft.timing(&c.timing_context()),
+                Deployment::Platform => Timing::UNLIMITED,
             };
             Some(Class {
                 name: c.name,
@@ -485,18 +505,18 @@
         };
         let classes = classes.into_iter().map(class).collect::<Option<Vec<_>>>()?;
         Some(Config {
-            usage,
-            listen: match usage {
-                Use::Alone => listen?,
-                Use::Platform => SocketAddr::from(([127, 0, 0, 1], 0)),
+            deployment,
+            listen: match deployment {
+                Deployment::Standalone => listen?,
+                Deployment::Platform => SocketAddr::from(([127, 0, 0, 1], 0)),
             },
             limits: limits?,
-            upstream: match usage {
-                Use::Alone => upstream?,
-                Use::Platform => nowhere(),
+            upstream: match deployment {
+                Deployment::Standalone => upstream?,
+                Deployment::Platform => default_upstream(),
             },
             classes,
-            routes: built?,
+            routes: route_table?,
             no_route,
             subset,
             list,
@@ -509,7 +529,7 @@
     }
 
     fn limits(&mut self, top: &Section<'_>) -> Option<Limits> {
-        let notes = &mut *self.notes;
+        let sink = &mut *self.sink;
         let mut limits = Limits {
             memory: 64 << 20,
             descriptors: 1_024,
@@ -517,26 +537,26 @@
             body: 64 << 10,
             retry_after: 1_000_000,
         };
-        let Some(section) = top.section(notes, "limits", &LIMITS) else {
-            limits.open_calls = clients_borne(limits.descriptors);
+        let Some(section) = top.section(sink, "limits", &LIMITS_KEYS) else {
+            limits.open_calls = max_client_connections(limits.descriptors);
             return Some(limits);
         };
-        if let Some(memory) = section.size(notes, "memory", MEMORY) {
+        if let Some(memory) = section.size(sink, "memory", MEMORY_RANGE) {
             limits.memory = memory.value as usize;
         }
-        if let Some(descriptors) = section.integer(notes, "descriptors", DESCRIPTORS) {
+        if let Some(descriptors) = section.integer(sink, "descriptors", DESCRIPTORS_RANGE) {
             limits.descriptors = descriptors.value as usize;
         }
-        let body_most = limits.memory as u64 / BODY_PART;
-        if let Some(body) = section.size(notes, "body", 1_024..=64 << 20) {
-            if body.value > body_most {
+        let max_body = limits.memory as u64 / BODY_MEMORY_DIVISOR;
+        if let Some(body) = section.size(sink, "body", 1_024..=64 << 20) {
+            if body.value > max_body {
                 let reason = "a body may not take more than a sixteenth of the memory";
                 let allowed = format!(
                     "at most {} with a memory of {}",
-                    format_size(body_most),
+                    format_size(max_body),
                     format_size(limits.memory as u64)
                 );
-                notes.add(
+                sink.add(
                     &body.key,
                     &body.span,
                     reason,
@@ -546,16 +566,19 @@
             }
             limits.body = body.value as usize;
         }
-        if let Some(wait) = section.duration(notes, "retry_after", 0..=60_000_000) {
+        if let Some(wait) = section.duration(sink, "retry_after", 0..=60_000_000) {
             limits.retry_after = wait.value;
         }
-        let borne = clients_borne(limits.descriptors);
-        limits.open_calls = borne;
-        if let Some(open) = section.integer(notes, "open_calls", 1..=1 << 20) {
-            if open.value as usize > borne {
-                let reason = "the descriptors do not bear so many open calls";
-                let allowed = format!("at most {borne} with {} descriptors", limits.descriptors);
-                notes.add(
+        let max_open_calls = max_client_connections(limits.descriptors);
+        limits.open_calls = max_open_calls;
+        if let Some(open) = section.integer(sink, "open_calls", 1..=1 << 20) {
+            if open.value as usize > max_open_calls {
+                let reason = "there are too few descriptors for this many open calls";
+                let allowed = format!(
+                    "at most {max_open_calls} with {} descriptors",
+                    limits.descriptors
+                );
+                sink.add(
                     &open.key,
                     &open.span,
                     reason,
@@ -569,16 +592,16 @@
     }
 
     fn upstream(&mut self, section: &Section<'_>) -> Upstream {
-        let plain = nowhere();
-        let notes = &mut *self.notes;
-        let discovery = address(notes, section, "discovery");
+        let defaults = default_upstream();
+        let sink = &mut *self.sink;
+        let discovery = address(sink, section, "discovery");
         match (section.has("endpoints"), section.has("discovery")) {
             (false, false) => {
                 let allowed = "`endpoints`, or the address of a list service in `discovery`";
-                notes.add(
+                sink.add(
                     &section.key,
                     &section.span,
-                    "no call could go anywhere",
+                    "there are no endpoints to send calls to",
                     "neither",
                     allowed,
                 );
@@ -588,7 +611,7 @@
                     .get("discovery")
                     .map_or(section.span.clone(), |v| v.span());
                 let reason = "endpoints come from the file or from the list service, not from both";
-                notes.add(
+                sink.add(
                     &section.key_path("discovery"),
                     &span,
                     reason,
@@ -598,27 +621,29 @@
             }
             _ => {}
         }
-        let zone = section.text(notes, "zone").map_or(plain.zone, |z| z.value);
+        let zone = section
+            .text(sink, "zone")
+            .map_or(defaults.zone, |z| z.value);
         let proxies = section
-            .integer(notes, "proxies", 1..=100_000)
+            .integer(sink, "proxies", 1..=100_000)
             .map_or(1, |p| p.value as u32);
         let idle = section
-            .duration(notes, "idle", 100_000..=3_600_000_000)
-            .map_or(plain.idle, |d| d.value);
-        let mut rules = plain.rules;
-        if let Some(grace) = section.duration(notes, "drain_grace", 50_000..=60_000_000) {
+            .duration(sink, "idle", 100_000..=3_600_000_000)
+            .map_or(defaults.idle, |d| d.value);
+        let mut rules = defaults.rules;
+        if let Some(grace) = section.duration(sink, "drain_grace", 50_000..=60_000_000) {
             rules.drain_grace = grace.value;
         }
-        if let Some(share) = section.number(notes, "cold_share", 0.01..=1.0) {
+        if let Some(share) = section.number(sink, "cold_share", 0.01..=1.0) {
             rules.slow_start_min_capacity = share.value;
         }
-        if let Some(time) = section.duration(notes, "cold_time", 0..=600_000_000) {
+        if let Some(time) = section.duration(sink, "cold_time", 0..=600_000_000) {
             rules.slow_start_duration = time.value;
         }
-        if let Some(multiple) = section.number(notes, "fall_multiple", 1.0..=100.0) {
+        if let Some(multiple) = section.number(sink, "fall_multiple", 1.0..=100.0) {
             rules.overload_multiple = multiple.value;
         }
-        if let Some(time) = section.duration(notes, "fall_time", 1_000..=600_000_000) {
+        if let Some(time) = section.duration(sink, "fall_time", 1_000..=600_000_000) {
             rules.overload_duration = time.value;
         }
         let endpoints = self.endpoints(section);
@@ -633,18 +658,18 @@
     }
 
     fn endpoints(&mut self, section: &Section<'_>) -> Vec<Endpoint> {
-        let Some(list) = section.list(self.notes, "endpoints", "endpoints") else {
+        let Some(list) = section.list(self.sink, "endpoints", "endpoints") else {
             return Vec::new();
         };
-        let notes = &mut *self.notes;
+        let sink = &mut *self.sink;
         let span = section.get("endpoints").map_or(0..0, |v| v.span());
-        if list.is_empty() || list.len() > ENDPOINTS_MOST {
+        if list.is_empty() || list.len() > MAX_ENDPOINTS {
             let found = format!("{} endpoints", list.len());
-            let allowed = format!("from 1 to {ENDPOINTS_MOST}");
-            notes.add(
+            let allowed = format!("from 1 to {MAX_ENDPOINTS}");
+            sink.add(
                 &section.key_path("endpoints"),
                 &span,
-                "no call could go anywhere",
+                "invalid number of endpoints",
                 found,
                 allowed,
             );
@@ -654,56 +679,58 @@
         for (key, value) in list {
             let DeValue::Table(table) = value.get_ref() else {
                 let allowed = "{ name = \"s-1\", address = \"10.0.0.7:9000\" }";
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
-                    "this is no endpoint",
+                    "this is not an endpoint",
                     display_value(value.get_ref()),
                     allowed,
                 );
                 continue;
             };
-            let part = Section::new(notes, table, &key, value.span(), &ENDPOINT);
-            part.require(notes, "address", "an address and a port");
-            let at = address(notes, &part, "address");
-            let name = part.text(notes, "name");
-            let place = part.get("address").map_or(part.span.clone(), |v| v.span());
-            if let Some(at) = at {
-                twice(
-                    notes,
+            let entry = Section::new(sink, table, &key, value.span(), &ENDPOINT_KEYS);
+            entry.require(sink, "address", "an address and a port");
+            let socket_address = address(sink, &entry, "address");
+            let name = entry.text(sink, "name");
+            let address_span = entry
+                .get("address")
+                .map_or(entry.span.clone(), |v| v.span());
+            if let Some(socket_address) = socket_address {
+                check_unique(
+                    sink,
                     &mut addresses,
-                    (&part.key_path("address"), &place),
-                    at.to_string(),
+                    (&entry.key_path("address"), &address_span),
+                    socket_address.to_string(),
                     "address",
                 );
             }
             if let Some(name) = &name {
-                twice(
-                    notes,
+                check_unique(
+                    sink,
                     &mut names,
                     (&name.key, &name.span),
                     name.value.clone(),
                     "name",
                 );
             }
-            let zone = part
-                .text(notes, "zone")
+            let zone = entry
+                .text(sink, "zone")
                 .map_or_else(String::new, |z| z.value);
-            let kind = part
-                .text(notes, "kind")
+            let kind = entry
+                .text(sink, "kind")
                 .map_or_else(String::new, |z| z.value);
-            // 0 stands for no group: none of a keyed class's repeats may go there.
-            let group = part
-                .integer(notes, "group", 1..=u64::from(u32::MAX))
+            // 0 means no group: retries of a keyed class whose scope is a group must not go to such an endpoint.
+            let group = entry
+                .integer(sink, "group", 1..=u64::from(u32::MAX))
                 .map_or(0, |g| g.value as u32);
-            let weight = part
-                .number(notes, "weight", 0.01..=1_000.0)
+            let weight = entry
+                .number(sink, "weight", 0.01..=1_000.0)
                 .map_or(1.0, |w| w.value);
-            if let Some(at) = at {
-                let name = name.map_or_else(|| at.to_string(), |n| n.value);
+            if let Some(socket_address) = socket_address {
+                let name = name.map_or_else(|| socket_address.to_string(), |n| n.value);
                 endpoints.push(Endpoint {
                     name,
-                    address: at,
+                    address: socket_address,
                     zone,
                     group,
                     kind,
@@ -714,13 +741,18 @@
         endpoints
     }
 
-    fn classes(&mut self, top: &Section<'_>, defaults: &Draft, usage: Use) -> Vec<ClassDraft> {
+    fn classes(
+        &mut self,
+        top: &Section<'_>,
+        defaults: &TimingDraft,
+        deployment: Deployment,
+    ) -> Vec<ClassDraft> {
         let Some(value) = top.get("class") else {
             return Vec::new();
         };
         let DeValue::Table(table) = value.get_ref() else {
             let found = display_value(value.get_ref());
-            self.notes.add(
+            self.sink.add(
                 "class",
                 &value.span(),
                 "this is not a table",
@@ -730,26 +762,26 @@
             return Vec::new();
         };
         let mut known = timing::KEYS.to_vec();
-        if usage == Use::Alone {
-            known.extend(CLASS);
+        if deployment == Deployment::Standalone {
+            known.extend(CLASS_KEYS);
         }
         let mut classes = Vec::new();
-        for (name, part) in table {
+        for (name, entry) in table {
             let (name, span) = (name.get_ref().to_string(), name.span());
             let key = format!("class.{name}");
-            let DeValue::Table(body) = part.get_ref() else {
-                let found = display_value(part.get_ref());
-                self.notes.add(
+            let DeValue::Table(body) = entry.get_ref() else {
+                let found = display_value(entry.get_ref());
+                self.sink.add(
                     &key,
-                    &part.span(),
+                    &entry.span(),
                     "this is not a class",
                     found,
                     format!("a table: [{key}]"),
                 );
                 continue;
             };
-            let section = Section::new(self.notes, body, &key, span.clone(), &known);
-            classes.push(self.class(&section, name, span, defaults, usage));
+            let section = Section::new(self.sink, body, &key, span.clone(), &known);
+            classes.push(self.class(&section, name, span, defaults, deployment));
         }
         classes
     }
@@ -759,58 +791,56 @@
         section: &Section<'_>,
         name: String,
         span: Span,
-        defaults: &Draft,
-        usage: Use,
+        defaults: &TimingDraft,
+        deployment: Deployment,
     ) -> ClassDraft {
-        let notes = &mut *self.notes;
-        let draft = Draft::read(notes, section).over(defaults);
+        let sink = &mut *self.sink;
+        let draft = TimingDraft::read(sink, section).inherit(defaults);
         let mut class = ClassDraft {
             name,
             span,
-            aim: None,
+            latency_objective: None,
             deadline: None,
-            worth: 1.0,
-            late_worth: 1.0,
-            repeat: None,
+            priority_weight: 1.0,
+            late_value: 1.0,
+            idempotency: None,
             draft,
         };
-        if usage == Use::Alone {
-            section.require(
-                notes,
-                "aim",
-                "the time within which an answer is wanted, like \"500ms\"",
-            );
+        if deployment == Deployment::Standalone {
+            section.require(sink, "aim", "the latency objective, like \"500ms\"");
             section.require(
-                notes,
+                sink,
                 "deadline",
-                "the time for which a client waits, like \"1200ms\"",
+                "the time after which a client gives up, like \"1200ms\"",
             );
-            section.require(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
-            class.aim = section.duration(notes, "aim", 1_000..=DEADLINE_MOST);
-            class.deadline = section.duration(notes, "deadline", 10_000..=DEADLINE_MOST);
-            class.worth = section
-                .number(notes, "worth", 0.001..=1e6)
+            section.require(sink, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
+            class.latency_objective = section.duration(sink, "aim", 1_000..=MAX_DEADLINE);
+            class.deadline = section.duration(sink, "deadline", 10_000..=MAX_DEADLINE);
+            class.priority_weight = section
+                .number(sink, "worth", 0.001..=1e6)
                 .map_or(1.0, |w| w.value);
-            class.late_worth = section
-                .number(notes, "late_worth", 0.0..=1.0)
+            class.late_value = section
+                .number(sink, "late_worth", 0.0..=1.0)
                 .map_or(1.0, |w| w.value);
-            class.repeat = repeat(notes, section);
-            if let (Some(aim), Some(deadline)) = (&class.aim, &class.deadline) {
-                if aim.value > deadline.value {
+            class.idempotency = idempotency(sink, section);
+            if let (Some(latency_objective), Some(deadline)) =
+                (&class.latency_objective, &class.deadline)
+            {
+                if latency_objective.value > deadline.value {
                     let allowed =
                         format!("at most the deadline, {}", format_duration(deadline.value));
-                    let reason = "an answer is wanted later than the client waits";
-                    notes.add(
-                        &aim.key,
-                        &aim.span,
+                    let reason = "the latency objective is longer than the deadline";
+                    sink.add(
+                        &latency_objective.key,
+                        &latency_objective.span,
                         reason,
-                        format_duration(aim.value),
+                        format_duration(latency_objective.value),
                         allowed,
                     );
                 }
             }
         }
-        class.draft.check(self.notes, &class.facts());
+        class.draft.check(self.sink, &class.timing_context());
         class
     }
 
@@ -818,78 +848,78 @@
         &mut self,
         top: &Section<'_>,
         classes: &[ClassDraft],
-        usage: Use,
+        deployment: Deployment,
         text: &str,
         expressions: &mut Expressions,
-    ) -> (Vec<Route>, Vec<(Span, Draft)>) {
-        let Some(list) = top.list(self.notes, "route", "routes: [[route]]") else {
+    ) -> (Vec<Route>, Vec<(Span, TimingDraft)>) {
+        let Some(list) = top.list(self.sink, "route", "routes: [[route]]") else {
             return Default::default();
         };
-        if list.len() > ROUTES_MOST {
+        if list.len() > MAX_ROUTES {
             let span = top.get("route").map_or(0..0, |v| v.span());
             let found = format!("{} routes", list.len());
-            self.notes.add(
+            self.sink.add(
                 "route",
                 &span,
                 "too many routes",
                 found,
-                format!("at most {ROUTES_MOST}"),
+                format!("at most {MAX_ROUTES}"),
             );
             return Default::default();
         }
-        let known: Vec<&str> = ROUTE.iter().chain(&timing::KEYS).copied().collect();
+        let known: Vec<&str> = ROUTE_KEYS.iter().chain(&timing::KEYS).copied().collect();
         let class_names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-        let places: HashMap<&str, usize> = class_names
+        let class_indexes: HashMap<&str, usize> = class_names
             .iter()
             .enumerate()
             .map(|(n, &c)| (c, n))
             .collect();
-        let answers: Vec<Arc<Answers>> = classes
+        let response_rules: Vec<Arc<ResponseRules>> = classes
             .iter()
-            .map(|c| Arc::new(c.draft.answers()))
+            .map(|c| Arc::new(c.draft.response_rules()))
             .collect();
         let mut names = HashMap::new();
         let (mut routes, mut drafts) = (Vec::new(), Vec::new());
         for (key, value) in list {
             let DeValue::Table(table) = value.get_ref() else {
                 let found = display_value(value.get_ref());
-                self.notes.add(
+                self.sink.add(
                     &key,
                     &value.span(),
-                    "this is no route",
+                    "this is not a route",
                     found,
                     "a table: [[route]]",
                 );
                 continue;
             };
-            let mut section = Section::new(self.notes, table, &key, value.span(), &known);
-            section.span = first_line(value);
-            let notes = &mut *self.notes;
-            section.require(notes, "class", "the name of a class");
-            section.require(notes, "name", "a name of its own");
-            let name = section.text(notes, "name");
+            let mut section = Section::new(self.sink, table, &key, value.span(), &known);
+            section.span = start_span(value);
+            let sink = &mut *self.sink;
+            section.require(sink, "class", "the name of a class");
+            section.require(sink, "name", "a unique name");
+            let name = section.text(sink, "name");
             if let Some(name) = &name {
-                twice(
-                    notes,
+                check_unique(
+                    sink,
                     &mut names,
                     (&name.key, &name.span),
                     name.value.clone(),
                     "name",
                 );
             }
-            let path = path(notes, &section);
-            let methods = methods(notes, &section);
-            let headers = headers(notes, &section);
-            let when = expressions.read(notes, &section, "when", text, Wanted::Condition);
-            let tenant = source(notes, &section, "tenant", text, expressions);
-            let key = source(notes, &section, "key", text, expressions);
-            let class = section.text(notes, "class").and_then(|class| {
-                match places.get(class.value.as_str()) {
-                    Some(&place) => Some(place),
+            let path = path(sink, &section);
+            let methods = methods(sink, &section);
+            let headers = headers(sink, &section);
+            let when = expressions.read(sink, &section, "when", text, Wanted::Condition);
+            let tenant = source(sink, &section, "tenant", text, expressions);
+            let key = source(sink, &section, "key", text, expressions);
+            let class = section.text(sink, "class").and_then(|class| {
+                match class_indexes.get(class.value.as_str()) {
+                    Some(&index) => Some(index),
                     None => {
                         let (reason, found) =
                             ("no class has this name", format!("{:?}", class.value));
-                        notes.add(
+                        sink.add(
                             &class.key,
                             &class.span,
                             reason,
@@ -900,33 +930,37 @@
                     }
                 }
             });
-            let own = Draft::read(notes, &section);
-            let Some((place, class)) = class.map(|place| (place, &classes[place])) else {
+            let overrides = TimingDraft::read(sink, &section);
+            let Some((index, class)) = class.map(|index| (index, &classes[index])) else {
                 continue;
             };
-            let draft = own.over(&class.draft);
+            let draft = overrides.inherit(&class.draft);
             let span = name
                 .as_ref()
                 .map_or(section.span.clone(), |n| n.span.clone());
-            let shown = name.as_ref().map_or(section.key.clone(), |n| {
+            let display_name = name.as_ref().map_or(section.key.clone(), |n| {
                 format!("route {:?} of {}", n.value, class.name)
             });
-            let facts = Facts {
-                name: &shown,
+            let timing_context = TimingContext {
+                name: &display_name,
                 span: &span,
-                ..class.facts()
+                ..class.timing_context()
             };
-            if own.says() {
-                draft.check(notes, &facts);
+            if overrides.has_values() {
+                draft.check(sink, &timing_context);
             }
-            let guarded = matches!(class.repeat, Some(Idempotency::Keyed { .. }));
-            if section.has("key") && !guarded && usage == Use::Alone && class.repeat.is_some() {
+            let is_keyed = matches!(class.idempotency, Some(Idempotency::Keyed { .. }));
+            if section.has("key")
+                && !is_keyed
+                && deployment == Deployment::Standalone
+                && class.idempotency.is_some()
+            {
                 let span = section
                     .get("key")
                     .map_or(section.span.clone(), |v| v.span());
                 let found = format!("a key for {:?}", class.name);
-                let reason = "only a keyed class goes by a key";
-                notes.add(
+                let reason = "only a keyed class uses an idempotency key";
+                sink.add(
                     &section.key_path("key"),
                     &span,
                     reason,
@@ -934,16 +968,16 @@
                     "a class with effect = \"keyed\", or no key",
                 );
             }
-            let timing = match usage {
-                Use::Alone => draft.timing(&facts),
-                Use::Platform => Timing::UNLIMITED,
+            let timing = match deployment {
+                Deployment::Standalone => draft.timing(&timing_context),
+                Deployment::Platform => Timing::UNLIMITED,
             };
-            let by_default =
-                guarded.then(|| Source::Header(HeaderName::from_static("idempotency-key")));
-            let answers = if own.says() {
-                Arc::new(draft.answers())
+            let default_key =
+                is_keyed.then(|| Source::Header(HeaderName::from_static("idempotency-key")));
+            let response_rules = if overrides.has_values() {
+                Arc::new(draft.response_rules())
             } else {
-                Arc::clone(&answers[place])
+                Arc::clone(&response_rules[index])
             };
             let Some(path) = path else { continue };
             routes.push(Route {
@@ -952,11 +986,11 @@
                 methods,
                 headers,
                 when,
-                class: place,
+                class: index,
                 tenant,
-                key: key.or(by_default),
+                key: key.or(default_key),
                 timing,
-                answers,
+                response_rules,
             });
             drafts.push((span, draft));
         }
@@ -967,19 +1001,19 @@
         &mut self,
         top: &Section<'_>,
         routes: Vec<Route>,
-        drafts: &[(Span, Draft)],
+        drafts: &[(Span, TimingDraft)],
         program: Arc<Program>,
     ) -> Option<Table> {
-        let table = match Table::with(routes, program) {
+        let table = match Table::with_program(routes, program) {
             Ok(table) => table,
-            Err(fault) => {
+            Err(error) => {
                 let span = top
                     .get("route")
                     .map_or(0..0, |v| v.span().start..v.span().start);
                 let allowed =
                     "fewer or smaller patterns; exact paths and prefixes have no such bound";
-                self.notes
-                    .add("route", &span, fault.to_string(), "more", allowed);
+                self.sink
+                    .add("route", &span, error.to_string(), "more", allowed);
                 return None;
             }
         };
@@ -989,37 +1023,38 @@
                 &table.routes()[shadow.earlier],
             );
             let reason = format!(
-                "this route can never match: {:?} before it takes all that it would",
+                "this route can never match: the earlier route {:?} matches all its requests",
                 earlier.name
             );
-            let allowed = "the narrower route first, or one of the two";
+            let allowed = "the more specific route first, or only one of the two";
             let key = format!("route[{}]", shadow.later);
-            let mistake = self.notes.add(
+            let diagnostic = self.sink.add(
                 &key,
                 &drafts[shadow.later].0,
                 reason,
                 format!("{:?}", later.name),
                 allowed,
             );
-            mistake.add_related(drafts[shadow.earlier].0.clone(), "this one takes all");
+            diagnostic.add_related(drafts[shadow.earlier].0.clone(), "the earlier route");
         }
         Some(table)
     }
 
     fn no_route(&mut self, top: &Section<'_>) -> NoRoute {
-        let plain = NoRoute {
+        let defaults = NoRoute {
             status: 404,
             text: "no route takes this request".to_owned(),
         };
-        let notes = &mut *self.notes;
-        let Some(section) = top.section(notes, "no_route", &NO_ROUTE) else {
-            return plain;
+        let sink = &mut *self.sink;
+        let Some(section) = top.section(sink, "no_route", &NO_ROUTE_KEYS) else {
+            return defaults;
         };
-        let status = section.integer(notes, "status", 400..=599);
+        let status = section.integer(sink, "status", 400..=599);
         if let Some(status) = status.as_ref().filter(|s| [429, 503].contains(&s.value)) {
-            let reason = "to a client this status says to try again, which would never help";
+            let reason =
+                "clients retry on this status, but a request without a route never succeeds";
             let allowed = "a status from 400 to 599 but 429 and 503";
-            notes.add(
+            sink.add(
                 &status.key,
                 &status.span,
                 reason,
@@ -1028,21 +1063,23 @@
             );
         }
         NoRoute {
-            status: status.map_or(plain.status, |s| s.value as u16),
-            text: section.text(notes, "text").map_or(plain.text, |t| t.value),
+            status: status.map_or(defaults.status, |s| s.value as u16),
+            text: section
+                .text(sink, "text")
+                .map_or(defaults.text, |t| t.value),
         }
     }
 
-    /// A class whose repeats are dropped by a zone or a group goes by endpoints that tell theirs.
+    /// Checks that all endpoints have a zone or group if a keyed class deduplicates retries within it.
     fn check_groups(&mut self, classes: &[ClassDraft], upstream: Option<&Upstream>) {
         let Some(upstream) = upstream.filter(|u| u.discovery.is_none()) else {
             return;
         };
         for class in classes {
-            let Some(Idempotency::Keyed { scope, .. }) = class.repeat else {
+            let Some(Idempotency::Keyed { scope, .. }) = class.idempotency else {
                 continue;
             };
-            let (what, bare) = match scope {
+            let (scope_key, endpoint_without) = match scope {
                 DedupScope::All => continue,
                 DedupScope::Zone => (
                     "zone",
@@ -1050,40 +1087,42 @@
                 ),
                 DedupScope::Cell => ("group", upstream.endpoints.iter().find(|e| e.group == 0)),
             };
-            if let Some(bare) = bare {
-                let reason =
-                    format!("repeats are dropped within a {what}, but an endpoint tells none");
+            if let Some(endpoint_without) = endpoint_without {
+                let reason = format!(
+                    "retries are deduplicated within a {scope_key}, but an endpoint has none"
+                );
                 let key = format!("class.{}.group", class.name);
-                let found = format!("endpoint {:?} without a {what}", bare.name);
-                self.notes.add(
+                let found = format!("endpoint {:?} without a {scope_key}", endpoint_without.name);
+                self.sink.add(
                     &key,
                     &class.span,
                     reason,
                     found,
-                    format!("a `{what}` for each endpoint"),
+                    format!("a `{scope_key}` for each endpoint"),
                 );
             }
         }
     }
 }
 
-/// Reads the table of an upstream on its own, as it stands in other files too.
+/// Reads the table of an upstream by itself. Other files hold such tables too.
 pub fn read_upstream(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     parent: &Section<'_>,
     name: &str,
 ) -> Option<Upstream> {
-    let section = parent.section(notes, name, &UPSTREAM)?;
-    Some(Reading { notes }.upstream(&section))
+    let section = parent.section(sink, name, &UPSTREAM_KEYS)?;
+    Some(FileParser { sink }.upstream(&section))
 }
 
-/// Where a route is shown that has no name.
-fn first_line(value: &Value<'_>) -> Span {
+/// The empty span at the start of a value, by which diagnostics locate a route without a name.
+fn start_span(value: &Value<'_>) -> Span {
     let span = value.span();
     span.start..span.start
 }
 
-fn nowhere() -> Upstream {
+/// An upstream without endpoints, with the default of each setting.
+fn default_upstream() -> Upstream {
     let rules = decisions::EndpointRules {
         slow_start_min_capacity: 0.3,
         slow_start_duration: 7_500_000,
@@ -1101,35 +1140,35 @@
     }
 }
 
-/// Notes a second use of what must be one's own.
-fn twice(
-    notes: &mut DiagnosticSink,
+/// Adds a diagnostic if a value that must be unique was used before.
+fn check_unique(
+    sink: &mut DiagnosticSink,
     seen: &mut HashMap<String, Span>,
     (key, span): (&str, &Span),
     value: String,
-    what: &str,
+    value_kind: &str,
 ) {
     let found = format!("{value:?} again");
     if let Some(first) = seen.get(&value) {
-        let reason = format!("this {what} stands for two");
-        let mistake = notes.add(key, span, reason, found, format!("a {what} of its own"));
-        mistake.add_related(first.clone(), "first here");
+        let reason = format!("duplicate {value_kind}");
+        let diagnostic = sink.add(key, span, reason, found, format!("a unique {value_kind}"));
+        diagnostic.add_related(first.clone(), "first here");
     } else {
         seen.insert(value, span.clone());
     }
 }
 
-fn address(notes: &mut DiagnosticSink, section: &Section<'_>, name: &str) -> Option<SocketAddr> {
+fn address(sink: &mut DiagnosticSink, section: &Section<'_>, name: &str) -> Option<SocketAddr> {
     let allowed =
         "an IP address and a port, like \"127.0.0.1:8080\" or \"[::1]:8080\"; names are not looked up";
-    let read = section.read(notes, name, "this is no address", allowed, |v| {
+    let read = section.read(sink, name, "this is not an address", allowed, |v| {
         v.as_str()?.parse::<SocketAddr>().ok()
     })?;
     if name != "listen" && read.value.port() == 0 {
-        notes.add(
+        sink.add(
             &read.key,
             &read.span,
-            "nothing listens at port 0",
+            "no endpoint can listen on port 0",
             read.value.to_string(),
             "a port from 1 to 65535",
         );
@@ -1138,21 +1177,21 @@
     Some(read.value)
 }
 
-fn repeat(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Idempotency> {
+fn idempotency(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<Idempotency> {
     #[derive(Clone, Copy, PartialEq)]
     enum Effect {
         Safe,
         Keyed,
         Unsafe,
     }
-    let words = [
+    let keywords = [
         ("safe", Effect::Safe),
         ("keyed", Effect::Keyed),
         ("unsafe", Effect::Unsafe),
     ];
-    let effect = section.keyword(notes, "effect", &words)?.value;
+    let effect = section.keyword(sink, "effect", &keywords)?.value;
     let scope = section.keyword(
-        notes,
+        sink,
         "group",
         &[
             ("all", DedupScope::All),
@@ -1160,13 +1199,13 @@
             ("group", DedupScope::Cell),
         ],
     );
-    let window = section.duration(notes, "window", 1_000..=3_600_000_000);
+    let window = section.duration(sink, "window", 1_000..=3_600_000_000);
     if effect != Effect::Keyed {
         for name in ["group", "window"] {
             if let Some(value) = section.get(name) {
-                let reason = "only a keyed class has this";
+                let reason = "only a keyed class has this key";
                 let allowed = "effect = \"keyed\", or none of `group` and `window`";
-                notes.add(
+                sink.add(
                     &section.key_path(name),
                     &value.span(),
                     reason,
@@ -1181,14 +1220,14 @@
         Effect::Unsafe => Some(Idempotency::NonIdempotent),
         Effect::Keyed => {
             section.require(
-                notes,
+                sink,
                 "group",
-                "who drops repeats: \"all\", \"zone\" or \"group\"",
+                "the scope of deduplication: \"all\", \"zone\" or \"group\"",
             );
             section.require(
-                notes,
+                sink,
                 "window",
-                "for how long repeats are dropped, like \"1200ms\"",
+                "the time for which retries are deduplicated, like \"1200ms\"",
             );
             Some(Idempotency::Keyed {
                 scope: scope?.value,
@@ -1198,19 +1237,19 @@
     }
 }
 
-fn path(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<PathPattern> {
-    let given: Vec<&str> = ["path", "prefix", "regex"]
+fn path(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<PathPattern> {
+    let path_keys: Vec<&str> = ["path", "prefix", "regex"]
         .into_iter()
         .filter(|k| section.has(k))
         .collect();
-    let &[kind] = given.as_slice() else {
-        let reason = "a route has one kind of path";
-        let found = if given.is_empty() {
+    let &[kind] = path_keys.as_slice() else {
+        let reason = "a route has exactly one kind of path";
+        let found = if path_keys.is_empty() {
             "none".to_owned()
         } else {
-            given.join(" and ")
+            path_keys.join(" and ")
         };
-        notes.add(
+        sink.add(
             &section.key,
             &section.span,
             reason,
@@ -1219,16 +1258,16 @@
         );
         return None;
     };
-    let text = section.text(notes, kind)?;
+    let text = section.text(sink, kind)?;
     if kind == "regex" {
-        return match pattern(&text.value) {
+        return match compile_pattern(&text.value) {
             Ok(regex) => Some(PathPattern::Regex(regex)),
-            Err(fault) => {
-                let allowed = format!("a regular expression without look-around or back references, up to {} compiled, that matches the whole path", format_size(PATTERN_BYTES as u64));
-                notes.add(
+            Err(error) => {
+                let allowed = format!("a regular expression without look-around or back references, up to {} compiled, that matches the whole path", format_size(MAX_PATTERN_BYTES as u64));
+                sink.add(
                     &text.key,
                     &text.span,
-                    format!("this is no pattern: {fault}"),
+                    format!("this is not a valid pattern: {error}"),
                     format!("{:?}", text.value),
                     allowed,
                 );
@@ -1236,20 +1275,20 @@
             }
         };
     }
-    let plain = !text.value.contains(['?', '#']);
+    let has_only_path = !text.value.contains(['?', '#']);
     match normalize(&text.value) {
-        Ok(normal) if plain && normal == text.value.as_str() => Some(match kind {
+        Ok(normal) if has_only_path && normal == text.value.as_str() => Some(match kind {
             "path" => PathPattern::Exact(text.value),
             _ => PathPattern::Prefix(text.value),
         }),
         other => {
             let allowed = match other {
-                Ok(normal) if plain => format!("its normal form, {normal:?}"),
+                Ok(normal) if has_only_path => format!("its normal form, {normal:?}"),
                 Ok(_) => "a path without query and fragment".to_owned(),
-                Err(fault) => fault.to_string(),
+                Err(error) => error.to_string(),
             };
             let reason = "this path is not in its normal form and would never match";
-            notes.add(
+            sink.add(
                 &text.key,
                 &text.span,
                 reason,
@@ -1261,14 +1300,14 @@
     }
 }
 
-fn methods(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<Method> {
-    let Some(list) = section.list(notes, "methods", "methods, like [\"GET\", \"POST\"]") else {
+fn methods(sink: &mut DiagnosticSink, section: &Section<'_>) -> Vec<Method> {
+    let Some(list) = section.list(sink, "methods", "methods, like [\"GET\", \"POST\"]") else {
         return Vec::new();
     };
     let allowed = "methods in capital letters, like \"POST\"; not CONNECT";
     if list.is_empty() {
         let span = section.get("methods").map_or(0..0, |v| v.span());
-        notes.add(
+        sink.add(
             &section.key_path("methods"),
             &span,
             "no request would match",
@@ -1286,10 +1325,10 @@
                 methods.push(method);
             }
             _ => {
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
-                    "this is no method",
+                    "this is not a method",
                     display_value(value.get_ref()),
                     allowed,
                 );
@@ -1299,17 +1338,17 @@
     methods
 }
 
-fn headers(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<HeaderPattern> {
+fn headers(sink: &mut DiagnosticSink, section: &Section<'_>) -> Vec<HeaderPattern> {
     let Some(value) = section.get("headers") else {
         return Vec::new();
     };
     let allowed =
         "{ \"content-type\" = \"application/json\", \"x-branch\" = true }, where true means any value";
     let DeValue::Table(table) = value.get_ref() else {
-        notes.add(
+        sink.add(
             &section.key_path("headers"),
             &value.span(),
-            "these are no headers",
+            "this is not a table of headers",
             display_value(value.get_ref()),
             allowed,
         );
@@ -1319,30 +1358,30 @@
     for (name, value) in table {
         let key = format!("{}.{:?}", section.key_path("headers"), name.get_ref());
         let Ok(header) = HeaderName::from_bytes(name.get_ref().as_bytes()) else {
-            notes.add(
+            sink.add(
                 &key,
                 &name.span(),
-                "this is no header name",
+                "this is not a header name",
                 format!("{:?}", name.get_ref()),
                 allowed,
             );
             continue;
         };
-        let wanted = match value.get_ref() {
+        let expected = match value.get_ref() {
             DeValue::Boolean(true) => Some(None),
             DeValue::String(text) => HeaderValue::from_str(text).ok().map(Some),
             _ => None,
         };
-        match wanted {
+        match expected {
             Some(value) => patterns.push(HeaderPattern {
                 name: header,
                 value,
             }),
             None => {
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
-                    "this is no header value",
+                    "this is not a header value",
                     display_value(value.get_ref()),
                     allowed,
                 );
@@ -1353,7 +1392,7 @@
 }
 
 fn source(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     section: &Section<'_>,
     name: &str,
     text: &str,
@@ -1364,22 +1403,22 @@
         .is_some_and(|v| v.get_ref().as_str().is_some())
     {
         return expressions
-            .read(notes, section, name, text, Wanted::Text)
+            .read(sink, section, name, text, Wanted::Text)
             .map(Source::Expression);
     }
-    let part = section.section(notes, name, &["header", "cookie"])?;
-    let header = timing::header_name(notes, &part, "header");
-    let cookie = part.text(notes, "cookie");
-    match (part.has("header"), part.has("cookie")) {
+    let entry = section.section(sink, name, &["header", "cookie"])?;
+    let header = timing::header_name(sink, &entry, "header");
+    let cookie = entry.text(sink, "cookie");
+    match (entry.has("header"), entry.has("cookie")) {
         (true, false) => header.map(|h| Source::Header(h.value)),
         (false, true) => cookie.map(|c| Source::Cookie(c.value)),
         (both, _) => {
             let found = if both { "both" } else { "neither" };
             let allowed = "{ header = \"NAME\" } or { cookie = \"NAME\" }";
-            notes.add(
-                &part.key,
-                &part.span,
-                "a value comes from one place",
+            sink.add(
+                &entry.key,
+                &entry.span,
+                "a value has exactly one source",
                 found,
                 allowed,
             );
@@ -1388,5 +1427,5 @@
     }
 }
 
-/// The room that is kept for the answer is less than the shortest deadline.
-const _: () = assert!(ANSWER_ROOM < 10_000);
+/// The time reserved for the response must be shorter than the shortest deadline that a class may have.
+const _: () = assert!(RESPONSE_RESERVE < 10_000);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operator's file (TOML): its schema, its reading and its checks against the rules, all before anything starts.
-//! Nothing here opens a socket or reads a clock; the only input is the file.
+//! Schema, parser and validation of the operator's file (TOML). A file is validated completely before the proxy starts.
+//! The crate opens no sockets and reads no clock; the file is its only input.
 //!
-//! [`parse`] tells all mistakes at once, each with line, column, key, what was found and what is allowed.
+//! [`parse`] reports all mistakes at once, each with its line, column and key, what was found and what is allowed.
 //!
 //! ```
 //! let text = "listen = 'nowhere'\n[limit]\n";
-//! let mistakes = badgerramp_config::parse("my.toml", text).expect_err("it is not good");
+//! let mistakes = badgerramp_config::parse("my.toml", text).expect_err("the file has mistakes");
 //! assert!(mistakes.iter().any(|m| m.key == "limit" && m.allowed.contains("limits")));
 //! assert!(mistakes.to_string().contains("my.toml:1:10"));
 //! ```
@@ -25,61 +25,66 @@
 mod timing;
 mod values;
 
-pub use timing::Figure;
+pub use timing::TimingValue;
 
 pub use badgerramp_toml_diagnostics::{Diagnostic, Diagnostics};
-pub use file::{read_upstream, Class, Config, Endpoint, Limits, NoRoute, Upstream, Use};
+pub use file::{read_upstream, Class, Config, Deployment, Endpoint, Limits, NoRoute, Upstream};
 pub use log::{Format, Level, Log};
-pub use peers::PeersTerms;
+pub use peers::PeersSettings;
 pub use platform::narrow;
-pub use policy::PolicyTerms;
-pub use subset::{ListTerms, SubsetTerms};
+pub use policy::PolicySettings;
+pub use subset::{ListSettings, SubsetSettings};
 
 use std::path::Path;
 
-/// Time that is kept for the way of the final answer to the client: no call may take longer than its client waits, less
-/// this. In microseconds.
-pub const ANSWER_ROOM: badgerramp_decisions::Micros = 2_000;
-/// Descriptors that are no client's and no host's: standard streams, the runtime's own, the listener, discovery.
-pub const DESCRIPTORS_RESERVED: usize = 48;
+/// Time reserved for sending the final response to the client, in microseconds. A call may last at most as long as its
+/// client waits, less this time.
+pub const RESPONSE_RESERVE: badgerramp_decisions::Micros = 2_000;
+/// File descriptors that are used neither for clients nor for endpoints: standard streams, the async runtime, the
+/// listener and discovery.
+pub const RESERVED_DESCRIPTORS: usize = 48;
 
-/// How many clients' connections so many descriptors bear: the way to the hosts needs the larger part.
-pub fn clients_borne(descriptors: usize) -> usize {
-    let room = descriptors.saturating_sub(DESCRIPTORS_RESERVED).max(8);
-    (descriptors * 3 / 10).min(room / 2)
+/// The number of client connections that fit into this number of file descriptors. The larger part is left for
+/// connections to endpoints.
+pub fn max_client_connections(descriptors: usize) -> usize {
+    let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+    (descriptors * 3 / 10).min(available / 2)
 }
 
-/// Connections that all proxies may keep idle at an endpoint between them, and the bounds of a part.
-const KEPT_OF_ALL: usize = 60;
-const KEPT: (usize, usize) = (4, 16);
+/// Idle connections that all proxies together may keep to one endpoint.
+const MAX_IDLE_CONNECTIONS_PER_ENDPOINT: usize = 60;
+/// Smallest and largest number of idle connections that one proxy keeps to an endpoint.
+const IDLE_CONNECTIONS_PER_PROXY: (usize, usize) = (4, 16);
 
-/// How many idle connections one of so many proxies keeps to an endpoint at the most; those in use come on top.
-pub fn connections_kept(proxies: u32) -> usize {
-    (KEPT_OF_ALL / proxies.max(1) as usize).clamp(KEPT.0, KEPT.1)
+/// The maximum number of idle connections that each of `proxies` proxies keeps to an endpoint. Connections in use are
+/// not counted.
+pub fn max_idle_connections(proxies: u32) -> usize {
+    (MAX_IDLE_CONNECTIONS_PER_ENDPOINT / proxies.max(1) as usize)
+        .clamp(IDLE_CONNECTIONS_PER_PROXY.0, IDLE_CONNECTIONS_PER_PROXY.1)
 }
 
-/// Reads and checks a file's text; `name` is what its mistakes call it.
+/// Parses and validates the text of a file. Diagnostics refer to the file as `name`.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Returns all mistakes in the file.
 pub fn parse(name: &str, text: &str) -> Result<Config, Diagnostics> {
     file::parse(name, text)
 }
 
-/// Reads and checks a file.
+/// Reads, parses and validates a file.
 ///
 /// # Errors
-/// All that is wrong with it, or that it can't be read.
+/// Returns all mistakes in the file, or a diagnostic that says why it can't be read.
 pub fn load(path: &Path) -> Result<Config, Diagnostics> {
     let name = path.display().to_string();
     match std::fs::read(path) {
         Ok(bytes) => match String::from_utf8(bytes) {
             Ok(text) => parse(&name, &text),
-            Err(fault) => Err(Diagnostics::unreadable(
+            Err(error) => Err(Diagnostics::unreadable(
                 &name,
-                &format!("it is not UTF-8: {fault}"),
+                &format!("it is not UTF-8: {error}"),
             )),
         },
-        Err(fault) => Err(Diagnostics::unreadable(&name, &fault.to_string())),
+        Err(error) => Err(Diagnostics::unreadable(&name, &error.to_string())),
     }
 }
--- a/crates/config/src/log.rs
+++ b/crates/config/src/log.rs
@@ -1,4 +1,4 @@
-//! `[log]`: what the program writes of what it does.
+//! `[log]`: format, levels and rate limit of the log.
 
 use badgerramp_toml_diagnostics::{display_value, DiagnosticSink, Section};
 
@@ -10,49 +10,49 @@
     ("debug", Level::Debug),
     ("trace", Level::Trace),
 ];
-/// Lines a second that may be asked for.
-const RATE: std::ops::RangeInclusive<u64> = 1..=100_000;
+/// Allowed values of `rate`, in lines per second.
+const RATE_RANGE: std::ops::RangeInclusive<u64> = 1..=100_000;
 
-/// How much is written.
+/// Severity of a log event, and the threshold below which events are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// What needs somebody.
+    /// Faults that need an operator's attention.
     Error,
-    /// What may.
+    /// Conditions that may need an operator's attention.
     Warn,
-    /// What happens to the program as a whole.
+    /// Events that concern the whole process.
     Info,
-    /// What happens to each call.
+    /// Events of each call.
     Debug,
-    /// All.
+    /// All events.
     Trace,
 }
 
-/// The form of a line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is written, and how.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// The form.
+    /// Format of the lines.
     pub format: Format,
-    /// What is written of all that no target names.
+    /// Level of the targets that `targets` does not name.
     pub level: Level,
-    /// Parts of the program and what is written of each.
+    /// Log targets and the level of each.
     pub targets: Vec<(String, Level)>,
-    /// Lines a second at the most; what is beyond is counted.
+    /// Maximum number of lines per second; further lines are dropped and counted.
     pub rate: u64,
 }
 
 impl Default for Log {
-    /// Text, of the program as a whole, 200 lines a second.
+    /// Text format, level `info`, 200 lines per second.
     fn default() -> Self {
         Log {
             format: Format::Text,
@@ -63,38 +63,38 @@
     }
 }
 
-/// Reads the table; what it does not set is as by default.
-pub(crate) fn read(notes: &mut DiagnosticSink, top: &Section<'_>) -> Log {
-    let plain = Log::default();
-    let Some(section) = top.section(notes, "log", &KEYS) else {
-        return plain;
+/// Reads the table. Absent keys keep their default.
+pub(crate) fn read(sink: &mut DiagnosticSink, top: &Section<'_>) -> Log {
+    let defaults = Log::default();
+    let Some(section) = top.section(sink, "log", &KEYS) else {
+        return defaults;
     };
     let formats = [("text", Format::Text), ("json", Format::Json)];
     let format = section
-        .keyword(notes, "format", &formats)
-        .map_or(plain.format, |w| w.value);
+        .keyword(sink, "format", &formats)
+        .map_or(defaults.format, |w| w.value);
     let level = section
-        .keyword(notes, "level", &LEVELS)
-        .map_or(plain.level, |w| w.value);
+        .keyword(sink, "level", &LEVELS)
+        .map_or(defaults.level, |w| w.value);
     let rate = section
-        .integer(notes, "rate", RATE)
-        .map_or(plain.rate, |r| r.value);
+        .integer(sink, "rate", RATE_RANGE)
+        .map_or(defaults.rate, |r| r.value);
     Log {
         format,
         level,
-        targets: targets(notes, &section),
+        targets: targets(sink, &section),
         rate,
     }
 }
 
-fn targets(notes: &mut DiagnosticSink, section: &Section<'_>) -> Vec<(String, Level)> {
+fn targets(sink: &mut DiagnosticSink, section: &Section<'_>) -> Vec<(String, Level)> {
     let Some(value) = section.get("targets") else {
         return Vec::new();
     };
     let Some(table) = value.get_ref().as_table() else {
         let found = display_value(value.get_ref());
         let allowed = "a table, like { \"badgerramp::calls\" = \"debug\" }";
-        notes.add(
+        sink.add(
             &section.key_path("targets"),
             &value.span(),
             "this is not a table",
@@ -104,16 +104,16 @@
         return Vec::new();
     };
     let names: Vec<&str> = table.iter().map(|(name, _)| &**name.get_ref()).collect();
-    let inner = Section::new(
-        notes,
+    let entries = Section::new(
+        sink,
         table,
         &section.key_path("targets"),
         value.span(),
         &names,
     );
-    let read = names.iter().filter_map(|name| {
-        let level = inner.keyword(notes, name, &LEVELS)?;
+    let levels = names.iter().filter_map(|name| {
+        let level = entries.keyword(sink, name, &LEVELS)?;
         Some(((*name).to_owned(), level.value))
     });
-    read.collect()
+    levels.collect()
 }
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -1,65 +1,68 @@
-//! `[peers]`: where this proxy hears the others of its fleet, and where others may be met.
+//! `[peers]`: the gossip address of this proxy, and the seeds by which it finds the other proxies of its fleet.
 
 use badgerramp_toml_diagnostics::{display_value, DiagnosticSink, Located, Section};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 const KEYS: [&str; 5] = ["listen", "advertise", "seeds", "secret", "fleet"];
-/// A file that names every proxy of a large fleet is allowed: only one of the seeds is spoken to at a time.
-const SEEDS: usize = 4_096;
-const FLEET: usize = 64;
+/// Maximum number of seeds. It admits a file that names every proxy of a large fleet; a proxy contacts only one seed at
+/// a time.
+const MAX_SEEDS: usize = 4_096;
+/// Maximum length of the fleet's name, in bytes.
+const MAX_FLEET_NAME_BYTES: usize = 64;
 
-/// What `[peers]` says.
+/// Settings of `[peers]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeersTerms {
-    /// Where it hears the others (UDP).
+pub struct PeersSettings {
+    /// UDP address on which the proxy receives gossip.
     pub listen: SocketAddr,
-    /// Where the others reach it; `None`: where it hears them.
+    /// Address under which other proxies reach this one; `None` if that is `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Where others may be met. A proxy may find itself among them.
+    /// Addresses of proxies that are contacted to join the fleet. They may include this proxy itself.
     pub seeds: Vec<SocketAddr>,
-    /// The file with the secret that the fleet shares.
+    /// Path of the file with the fleet's shared secret.
     pub secret: PathBuf,
-    /// The fleet's name: proxies of another one are strangers, also with the same secret.
+    /// Name of the fleet. Proxies of different fleets ignore each other, even if they share a secret.
     pub fleet: String,
 }
 
-/// Reads the table; `asks`: there is a list service, if there is an upstream at all.
+/// Reads the table. `has_discovery` says whether the upstream uses a list service; it is `None` if the file has no
+/// upstream.
 pub(crate) fn read(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     top: &Section<'_>,
-    asks: Option<bool>,
-) -> Option<PeersTerms> {
-    let section = top.section(notes, "peers", &KEYS)?;
+    has_discovery: Option<bool>,
+) -> Option<PeersSettings> {
+    let section = top.section(sink, "peers", &KEYS)?;
     section.require(
-        notes,
+        sink,
         "listen",
         "an address and a UDP port, like \"10.0.0.4:7946\"",
     );
     section.require(
-        notes,
+        sink,
         "seeds",
         "addresses of some proxies of the fleet, like [\"10.0.0.4:7946\"]",
     );
     section.require(
-        notes,
+        sink,
         "secret",
         "the path of a file that only its owner may read",
     );
-    section.require(notes, "fleet", "the name of the fleet, like \"cordillera\"");
-    if asks == Some(false) {
+    section.require(sink, "fleet", "the name of the fleet, like \"cordillera\"");
+    if has_discovery == Some(false) {
         let allowed = "upstream.discovery, or no [peers]";
-        notes.add(
+        sink.add(
             &section.key,
             &section.span,
-            "there is no list to pass on",
+            "peers share the endpoint list of a list service, and there is none",
             "`endpoints`",
             allowed,
         );
     }
     if let Some((_, span, _)) = top.iter().find(|(name, ..)| *name == "list") {
-        let reason = "with [peers] a few proxies ask for all, and no turns are taken";
-        notes.add(
+        let reason = "[list] spreads polls over all proxies, but with [peers] a few proxies poll for the whole fleet";
+        sink.add(
             "list",
             &span,
             reason,
@@ -67,11 +70,11 @@
             "one of them",
         );
     }
-    let listen = address(notes, &section, "listen");
-    let advertise = address(notes, &section, "advertise");
-    let reached =
-        |notes: &mut DiagnosticSink, set: &Located<SocketAddr>, reason: &str, allowed: &str| {
-            notes.add(
+    let listen = address(sink, &section, "listen");
+    let advertise = address(sink, &section, "advertise");
+    let report =
+        |sink: &mut DiagnosticSink, set: &Located<SocketAddr>, reason: &str, allowed: &str| {
+            sink.add(
                 &set.key,
                 &set.span,
                 reason,
@@ -80,51 +83,55 @@
             );
         };
     match (&listen, &advertise) {
-        (_, Some(told)) if told.value.ip().is_unspecified() || told.value.port() == 0 => {
-            reached(
-                notes,
-                told,
-                "nobody can be reached there",
-                "the address and port that others reach",
+        (_, Some(advertised))
+            if advertised.value.ip().is_unspecified() || advertised.value.port() == 0 =>
+        {
+            report(
+                sink,
+                advertised,
+                "peers can't reach this address",
+                "the address and port under which peers reach this proxy",
             );
         }
-        (Some(own), None) if own.value.ip().is_unspecified() => {
+        (Some(listen_address), None) if listen_address.value.ip().is_unspecified() => {
             let allowed = "one address of this machine, or peers.advertise with it";
-            reached(
-                notes,
-                own,
-                "others can't be told where this proxy is",
+            report(
+                sink,
+                listen_address,
+                "peers can't reach an unspecified address",
                 allowed,
             );
         }
-        (Some(own), Some(told)) if own.value.is_ipv4() != told.value.is_ipv4() => {
-            reached(
-                notes,
-                told,
-                "not of the family of peers.listen",
+        (Some(listen_address), Some(advertised))
+            if listen_address.value.is_ipv4() != advertised.value.is_ipv4() =>
+        {
+            report(
+                sink,
+                advertised,
+                "the address family differs from that of peers.listen",
                 "both IPv4, or both IPv6",
             );
         }
         _ => {}
     }
-    let family = listen.as_ref().map(|l| l.value.is_ipv4());
-    let seeds = seeds(notes, &section, family);
-    let secret = section.text(notes, "secret");
-    let fleet = section.text(notes, "fleet");
+    let listen_is_ipv4 = listen.as_ref().map(|l| l.value.is_ipv4());
+    let seeds = seeds(sink, &section, listen_is_ipv4);
+    let secret = section.text(sink, "secret");
+    let fleet = section.text(sink, "fleet");
     if let Some(name) = fleet
         .as_ref()
-        .filter(|f| f.value.is_empty() || f.value.len() > FLEET)
+        .filter(|f| f.value.is_empty() || f.value.len() > MAX_FLEET_NAME_BYTES)
     {
-        let allowed = format!("1 to {FLEET} bytes");
-        notes.add(
+        let allowed = format!("1 to {MAX_FLEET_NAME_BYTES} bytes");
+        sink.add(
             &name.key,
             &name.span,
-            "no name",
+            "the name of the fleet has an invalid length",
             format!("{} bytes", name.value.len()),
             allowed,
         );
     }
-    Some(PeersTerms {
+    Some(PeersSettings {
         listen: listen?.value,
         advertise: advertise.map(|a| a.value),
         seeds: seeds?,
@@ -134,46 +141,44 @@
 }
 
 fn address(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     section: &Section<'_>,
     key: &str,
 ) -> Option<Located<SocketAddr>> {
     let allowed = "an address and a port, like \"10.0.0.4:7946\"";
-    section.read(notes, key, "this is no address", allowed, |v| {
+    section.read(sink, key, "this is not an address", allowed, |v| {
         v.as_str()?.parse().ok()
     })
 }
 
 fn seeds(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     section: &Section<'_>,
-    family: Option<bool>,
+    listen_is_ipv4: Option<bool>,
 ) -> Option<Vec<SocketAddr>> {
-    let list = section.list(notes, "seeds", "addresses, like \"10.0.0.4:7946\"")?;
+    let list = section.list(sink, "seeds", "addresses, like \"10.0.0.4:7946\"")?;
     let mut all: Vec<SocketAddr> = Vec::new();
     for (key, value) in &list {
         let found: Option<SocketAddr> = value.get_ref().as_str().and_then(|text| text.parse().ok());
-        let wrong = match found {
+        let problem = match found {
             None => Some((
-                "this is no address",
+                "this is not an address",
                 "an address and a port, like \"10.0.0.4:7946\"",
             )),
             Some(a) if a.ip().is_unspecified() || a.port() == 0 => Some((
-                "nobody can be reached there",
+                "peers can't reach this address",
                 "the address and port of a proxy",
             )),
-            Some(a) if family.is_some_and(|four| four != a.is_ipv4()) => Some((
-                "not of the family of peers.listen",
+            Some(a) if listen_is_ipv4.is_some_and(|is_ipv4| is_ipv4 != a.is_ipv4()) => Some((
+                "the address family differs from that of peers.listen",
                 "both IPv4, or both IPv6",
             )),
-            Some(a) if all.contains(&a) => {
-                Some(("this seed stands here twice", "each address once"))
-            }
+            Some(a) if all.contains(&a) => Some(("duplicate seed", "each address once")),
             Some(_) => None,
         };
-        match (wrong, found) {
+        match (problem, found) {
             (Some((reason, allowed)), _) => {
-                notes.add(
+                sink.add(
                     key,
                     &value.span(),
                     reason,
@@ -184,15 +189,15 @@
             (None, found) => all.extend(found),
         }
     }
-    if list.is_empty() || list.len() > SEEDS {
+    if list.is_empty() || list.len() > MAX_SEEDS {
         let span = section
             .get("seeds")
             .map_or(section.span.clone(), |v| v.span());
-        let allowed = format!("1 to {SEEDS} addresses");
-        notes.add(
+        let allowed = format!("1 to {MAX_SEEDS} addresses");
+        sink.add(
             &section.key_path("seeds"),
             &span,
-            "so many seeds can't be",
+            "invalid number of seeds",
             list.len().to_string(),
             allowed,
         );
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,37 +1,39 @@
-//! A file beside the platform's settings: held against them, it may only narrow.
+//! Applies a file to the platform's settings, which it may only narrow.
 
 use crate::file::Config;
-use crate::timing::{show_hedge, Draft};
-use crate::ANSWER_ROOM;
+use crate::timing::{display_hedge, TimingDraft};
+use crate::RESPONSE_RESERVE;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::Hedge;
 use badgerramp_route::{Table, Timing};
 use badgerramp_toml_diagnostics::units::format_duration;
 use badgerramp_toml_diagnostics::{suggest_names, DiagnosticSink, Diagnostics, Span};
 
-/// The timing of each class of the platform, in its order, and the routes with the platform's classes.
+/// Returns the narrowed timing of each class of the platform, in the platform's order, and the routes with the indexes
+/// of the platform's classes.
 ///
 /// # Errors
-/// All that the file would widen, and classes that the platform does not have.
+/// Returns a diagnostic for each setting that would widen one of the platform's, and for each class that the platform
+/// does not have.
 pub fn narrow(
     config: &Config,
-    facts: &PlatformSettings,
+    platform: &PlatformSettings,
 ) -> Result<(Vec<Timing>, Table), Diagnostics> {
-    let mut notes = DiagnosticSink::default();
-    let mut timings = vec![Timing::UNLIMITED; facts.classes.len()];
-    let known: Vec<&str> = facts.classes.iter().map(String::as_str).collect();
-    let mut places = Vec::new();
+    let mut sink = DiagnosticSink::default();
+    let mut timings = vec![Timing::UNLIMITED; platform.classes.len()];
+    let known: Vec<&str> = platform.classes.iter().map(String::as_str).collect();
+    let mut class_indexes = Vec::new();
     for (class, (span, draft)) in config.classes.iter().zip(&config.source.classes) {
-        let place = facts.classes.iter().position(|name| *name == class.name);
-        if let Some(place) = place {
-            timings[place] = narrowed(&mut notes, facts, place, (&class.name, span), draft);
+        let index = platform.classes.iter().position(|name| *name == class.name);
+        if let Some(index) = index {
+            timings[index] = narrow_timing(&mut sink, platform, index, (&class.name, span), draft);
         } else {
             let key = format!("class.{}", class.name);
             let (reason, found) = (
                 "the platform has no such class",
                 format!("{:?}", class.name),
             );
-            notes.add(
+            sink.add(
                 &key,
                 span,
                 reason,
@@ -39,58 +41,58 @@
                 suggest_names(&class.name, &known),
             );
         }
-        places.push(place);
+        class_indexes.push(index);
     }
     let mut routes = Vec::new();
     for (route, (span, draft)) in config.routes.routes().iter().zip(&config.source.routes) {
-        let Some(place) = places[route.class] else {
+        let Some(index) = class_indexes[route.class] else {
             continue;
         };
         let mut route = route.clone();
-        route.class = place;
-        route.timing = narrowed(&mut notes, facts, place, (&route.name, span), draft);
+        route.class = index;
+        route.timing = narrow_timing(&mut sink, platform, index, (&route.name, span), draft);
         routes.push(route);
     }
-    if !notes.is_empty() {
-        return Err(notes.into_diagnostics(&config.source.name, &config.source.text));
+    if !sink.is_empty() {
+        return Err(sink.into_diagnostics(&config.source.name, &config.source.text));
     }
-    let table = Table::with(routes, config.routes.program().clone()).map_err(|fault| {
-        notes.add(
+    let table = Table::with_program(routes, config.routes.program().clone()).map_err(|error| {
+        sink.add(
             "route",
             &(0..0),
-            fault.to_string(),
+            error.to_string(),
             "more",
             "fewer patterns",
         );
-        notes.into_diagnostics(&config.source.name, &config.source.text)
+        sink.into_diagnostics(&config.source.name, &config.source.text)
     })?;
     Ok((timings, table))
 }
 
-fn narrowed(
-    notes: &mut DiagnosticSink,
-    facts: &PlatformSettings,
-    place: usize,
+fn narrow_timing(
+    sink: &mut DiagnosticSink,
+    platform: &PlatformSettings,
+    index: usize,
     (name, span): (&str, &Span),
-    draft: &Draft,
+    draft: &TimingDraft,
 ) -> Timing {
-    let class = &facts.settings.classes[place];
+    let class = &platform.settings.classes[index];
     let mut timing = Timing::UNLIMITED;
-    let mut wider = |key: &str, at: &Span, found: String, allowed: String| {
+    let mut report_widening = |key: &str, key_span: &Span, found: String, allowed: String| {
         let reason = format!("this would widen what the platform sets for {name:?}");
-        let mistake = notes.add(key, at, reason, found, allowed);
-        mistake.add_related(span.clone(), "for this");
+        let diagnostic = sink.add(key, key_span, reason, found, allowed);
+        diagnostic.add_related(span.clone(), "for this class or route");
     };
-    let most = class.deadline.saturating_sub(ANSWER_ROOM);
-    timing.connect = facts.transport.connect_timeout;
+    let max_total = class.deadline.saturating_sub(RESPONSE_RESERVE);
+    timing.connect = platform.transport.connect_timeout;
     if let Some(connect) = &draft.connect {
         timing.connect = connect.value;
-        if connect.value > facts.transport.connect_timeout {
+        if connect.value > platform.transport.connect_timeout {
             let allowed = format!(
                 "at most {}",
-                format_duration(facts.transport.connect_timeout)
+                format_duration(platform.transport.connect_timeout)
             );
-            wider(
+            report_widening(
                 &connect.key,
                 &connect.span,
                 format_duration(connect.value),
@@ -100,9 +102,9 @@
     }
     if let Some(total) = &draft.total {
         timing.total = total.value;
-        if total.value > most {
-            let allowed = format!("at most {}", format_duration(most));
-            wider(
+        if total.value > max_total {
+            let allowed = format!("at most {}", format_duration(max_total));
+            report_widening(
                 &total.key,
                 &total.span,
                 format_duration(total.value),
@@ -112,9 +114,9 @@
     }
     if let Some(attempts) = &draft.attempts {
         timing.attempts = attempts.value as u32;
-        if timing.attempts > facts.settings.limits.max_attempts {
-            let allowed = format!("at most {}", facts.settings.limits.max_attempts);
-            wider(
+        if timing.attempts > platform.settings.limits.max_attempts {
+            let allowed = format!("at most {}", platform.settings.limits.max_attempts);
+            report_widening(
                 &attempts.key,
                 &attempts.span,
                 attempts.value.to_string(),
@@ -122,11 +124,11 @@
             );
         }
     }
-    if let Some(copy) = &draft.second_copy {
-        timing.hedge = copy.value;
-        if !matches!(copy.value, Hedge::Never | Hedge::Auto) {
-            let allowed = "\"off\", or \"auto\" for what the platform does".to_owned();
-            wider(&copy.key, &copy.span, show_hedge(copy.value), allowed);
+    if let Some(hedge) = &draft.second_copy {
+        timing.hedge = hedge.value;
+        if !matches!(hedge.value, Hedge::Never | Hedge::Auto) {
+            let allowed = "\"off\", or \"auto\" for the platform's setting".to_owned();
+            report_widening(&hedge.key, &hedge.span, display_hedge(hedge.value), allowed);
         }
     }
     for (key, span) in [
@@ -136,28 +138,28 @@
     .into_iter()
     .flatten()
     {
-        wider(
+        report_widening(
             key,
             span,
-            "an own reading of answers".to_owned(),
-            "the platform's".to_owned(),
+            "response rules of its own".to_owned(),
+            "the platform's response rules".to_owned(),
         );
     }
     timing.attempt = draft.attempt.as_ref().map_or(timing.attempt, |s| s.value);
     timing.backoff = draft.backoff.as_ref().map_or(timing.backoff, |s| s.value);
-    timing.resend = draft.retry.as_ref().map_or(timing.resend, |s| s.value);
-    let total = timing.total.min(most);
+    timing.retry_on = draft.retry.as_ref().map_or(timing.retry_on, |s| s.value);
+    let total = timing.total.min(max_total);
     if let Some(attempt) = draft.attempt.as_ref() {
-        let attempts = timing.attempts.min(facts.settings.limits.max_attempts);
-        let longest = Timing { attempts, ..timing }.longest();
-        if longest > total {
-            let reason = format!("all attempts and pauses do not fit the total for {name:?}");
+        let attempts = timing.attempts.min(platform.settings.limits.max_attempts);
+        let max_attempts_duration = Timing { attempts, ..timing }.max_attempts_duration();
+        if max_attempts_duration > total {
+            let reason = format!("all attempts and pauses together exceed the total for {name:?}");
             let allowed = format!("at most {} together", format_duration(total));
-            notes.add(
+            sink.add(
                 &attempt.key,
                 &attempt.span,
                 reason,
-                format_duration(longest),
+                format_duration(max_attempts_duration),
                 allowed,
             );
         }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,5 +1,5 @@
-//! `[policy]`: where the policy of the fleet is controlled, who this proxy is to control, and what it does when it is
-//! cut off from it.
+//! `[policy]`: the control plane of the fleet's policy, the identity of this proxy there, and what the proxy does when
+//! its lease expires.
 
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::OnLeaseLoss;
@@ -17,134 +17,135 @@
     "floor",
     "state",
 ];
-/// What a region may be called, for people. [`Region`] decides.
+/// The names that a region may have, as shown in diagnostics. [`Region`] validates them.
 const REGION_NAMES: &str = "1 to 63 of a-z, 0-9, '-' and '_', the first one a letter";
-/// Replicas of control at the most.
-const REPLICAS: usize = 5;
+/// Maximum number of control plane replicas.
+const MAX_REPLICAS: usize = 5;
 
-/// What `[policy]` says.
+/// Settings of `[policy]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PolicyTerms {
-    /// The replicas of control.
+pub struct PolicySettings {
+    /// Addresses of the control plane's replicas.
     pub control: Vec<SocketAddr>,
-    /// The file with the secret that the fleet shares.
+    /// Path of the file with the fleet's shared secret.
     pub secret: PathBuf,
-    /// Whose file this proxy takes out of a policy.
+    /// Application whose file of the policy this proxy applies.
     pub application: String,
-    /// The proxy's name; `None`: its machine's.
+    /// Name of the proxy; `None` if it is the machine's name.
     pub name: Option<String>,
-    /// The region of its control; `None`: whatever that of `control` is.
+    /// Region of the control plane; `None` accepts the region that the replicas in `control` report.
     pub region: Option<Region>,
-    /// What it does when its lease has run out.
-    pub cut_off: OnLeaseLoss,
-    /// The classes whose calls go on where `cut_off` is `narrow`.
-    pub floor: Vec<String>,
-    /// The folder for the last policy, so that it need not be sent again. It is no licence to serve.
+    /// What the proxy does when its lease has expired (key `cut_off`).
+    pub on_lease_loss: OnLeaseLoss,
+    /// Classes whose calls are still admitted without a lease if `cut_off` is `narrow` (key `floor`).
+    pub fallback_classes: Vec<String>,
+    /// Directory for a copy of the last policy, which saves its transfer after a restart. The copy alone does not
+    /// entitle the proxy to serve: it still needs a lease.
     pub state: Option<PathBuf>,
 }
 
-/// Reads the table. `classes` are the names of the file's classes.
+/// Reads the table. `classes` holds the names of the file's classes.
 pub(crate) fn read(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     top: &Section<'_>,
     classes: &[&str],
-) -> Option<PolicyTerms> {
-    let section = top.section(notes, "policy", &KEYS)?;
+) -> Option<PolicySettings> {
+    let section = top.section(sink, "policy", &KEYS)?;
     section.require(
-        notes,
+        sink,
         "control",
         "a list of one, three or five addresses, like [\"127.0.0.1:7400\"]",
     );
     section.require(
-        notes,
+        sink,
         "secret",
         "the path of a file that only its owner may read",
     );
     section.require(
-        notes,
+        sink,
         "application",
         "the name of the application, as its file is called in the policy",
     );
-    let control = addresses(notes, &section);
-    let secret = section.text(notes, "secret");
-    let application = section.text(notes, "application");
-    let name = section.text(notes, "name").map(|n| n.value);
-    let region = region(notes, &section);
-    let words = [
+    let control = replica_addresses(sink, &section);
+    let secret = section.text(sink, "secret");
+    let application = section.text(sink, "application");
+    let name = section.text(sink, "name").map(|n| n.value);
+    let region = region(sink, &section);
+    let keywords = [
         ("refuse", OnLeaseLoss::Reject),
         ("narrow", OnLeaseLoss::Fallback),
         ("keep", OnLeaseLoss::Keep),
     ];
-    let cut_off = section.keyword(notes, "cut_off", &words);
-    let state = section.text(notes, "state").map(|s| PathBuf::from(s.value));
-    let mut floor = Vec::new();
+    let on_lease_loss = section.keyword(sink, "cut_off", &keywords);
+    let state = section.text(sink, "state").map(|s| PathBuf::from(s.value));
+    let mut fallback_classes = Vec::new();
     for (key, value) in section
-        .list(notes, "floor", "names of classes")
+        .list(sink, "floor", "names of classes")
         .unwrap_or_default()
     {
         match value.get_ref().as_str().filter(|n| classes.contains(n)) {
-            Some(name) => floor.push(name.to_owned()),
+            Some(name) => fallback_classes.push(name.to_owned()),
             None => {
                 let allowed = format!("one of {}", classes.join(", "));
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
-                    "no class of this file",
+                    "the file has no such class",
                     display_value(value.get_ref()),
                     allowed,
                 );
             }
         }
     }
-    if let Some(narrow) = cut_off
+    if let Some(fallback) = on_lease_loss
         .as_ref()
-        .filter(|c| c.value == OnLeaseLoss::Fallback && floor.is_empty())
+        .filter(|c| c.value == OnLeaseLoss::Fallback && fallback_classes.is_empty())
     {
-        let reason = "cut off, this proxy would begin nothing at all";
+        let reason = "without a lease, this proxy would admit no calls at all";
         let allowed = "classes in policy.floor, or \"refuse\"";
-        notes.add(
-            &narrow.key,
-            &narrow.span,
+        sink.add(
+            &fallback.key,
+            &fallback.span,
             reason,
-            "\"narrow\" without a floor",
+            "\"narrow\" without `floor`",
             allowed,
         );
     }
-    Some(PolicyTerms {
+    Some(PolicySettings {
         control: control?,
         secret: PathBuf::from(secret?.value),
         application: application?.value,
         name,
         region,
-        cut_off: cut_off.map_or(OnLeaseLoss::Reject, |c| c.value),
-        floor,
+        on_lease_loss: on_lease_loss.map_or(OnLeaseLoss::Reject, |c| c.value),
+        fallback_classes,
         state,
     })
 }
 
-fn region(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Region> {
-    let reason = "this is no name of a region";
-    let name = section.read(notes, "region", reason, REGION_NAMES, |value| {
+fn region(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<Region> {
+    let reason = "this is not a valid region name";
+    let name = section.read(sink, "region", reason, REGION_NAMES, |value| {
         value.as_str().and_then(|n| n.parse().ok())
     });
     name.map(|set| set.value)
 }
 
-fn addresses(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Vec<SocketAddr>> {
-    let list = section.list(notes, "control", "addresses, like \"127.0.0.1:7400\"")?;
-    let mut all = Vec::new();
+fn replica_addresses(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<Vec<SocketAddr>> {
+    let list = section.list(sink, "control", "addresses, like \"127.0.0.1:7400\"")?;
+    let mut replicas = Vec::new();
     for (key, value) in &list {
         match value
             .get_ref()
             .as_str()
             .and_then(|text| text.parse::<SocketAddr>().ok())
         {
-            Some(address) if !all.contains(&address) => {
-                all.push(address);
+            Some(address) if !replicas.contains(&address) => {
+                replicas.push(address);
             }
             Some(_) => {
-                let reason = "this replica stands here twice";
-                notes.add(
+                let reason = "duplicate replica";
+                sink.add(
                     key,
                     &value.span(),
                     reason,
@@ -154,28 +155,28 @@
             }
             None => {
                 let allowed = "an address and a port, like \"127.0.0.1:7400\"";
-                notes.add(
+                sink.add(
                     key,
                     &value.span(),
-                    "this is no address",
+                    "this is not an address",
                     display_value(value.get_ref()),
                     allowed,
                 );
             }
         }
     }
-    if list.is_empty() || list.len() > REPLICAS {
+    if list.is_empty() || list.len() > MAX_REPLICAS {
         let span = section
             .get("control")
             .map_or(section.span.clone(), |v| v.span());
-        let allowed = format!("1 to {REPLICAS} addresses");
-        notes.add(
+        let allowed = format!("1 to {MAX_REPLICAS} addresses");
+        sink.add(
             &section.key_path("control"),
             &span,
-            "so many replicas can't be",
+            "invalid number of replicas",
             list.len().to_string(),
             allowed,
         );
     }
-    (all.len() == list.len() && !all.is_empty()).then_some(all)
+    (replicas.len() == list.len() && !replicas.is_empty()).then_some(replicas)
 }
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -1,14 +1,14 @@
-//! `[subset]` and `[list]`: what a proxy among many keeps and asks.
+//! `[subset]` and `[list]`: the endpoint subset of a proxy in a large fleet, and its polls of the list service.
 
 use crate::file::{Limits, Upstream};
-use crate::{clients_borne, DESCRIPTORS_RESERVED};
+use crate::{max_client_connections, RESERVED_DESCRIPTORS};
 use badgerramp_decisions::Micros;
 use badgerramp_endpoint_watch::PollConfig;
 use badgerramp_subset::{Instance, ResourceBounds, SubsetConfig};
 use badgerramp_toml_diagnostics::units::format_duration;
 use badgerramp_toml_diagnostics::{DiagnosticSink, Section};
 
-pub(crate) const SUBSET: [&str; 12] = [
+pub(crate) const SUBSET_KEYS: [&str; 12] = [
     "instance",
     "size",
     "least",
@@ -22,90 +22,91 @@
     "endpoints",
     "connections_per_endpoint",
 ];
-pub(crate) const LIST: [&str; 4] = ["rate", "wait", "wait_idle", "idle_after"];
+pub(crate) const LIST_KEYS: [&str; 4] = ["rate", "wait", "wait_idle", "idle_after"];
 
-/// Largest subset that may be asked for.
-const SIZE: std::ops::RangeInclusive<u64> = 2..=10_000;
-/// Longest wait of a question that the protocol of the list service knows.
-const WAIT: std::ops::RangeInclusive<u64> = 1_000_000..=60_000_000;
-const SPAN: std::ops::RangeInclusive<u64> = 10_000..=3_600_000_000;
+/// Allowed values of `size`.
+const SIZE_RANGE: std::ops::RangeInclusive<u64> = 2..=10_000;
+/// Poll waits that the protocol of the list service supports, in microseconds.
+const WAIT_RANGE: std::ops::RangeInclusive<u64> = 1_000_000..=60_000_000;
+/// Allowed durations for `pause`, `calm` and `idle_after`, in microseconds.
+const DURATION_RANGE: std::ops::RangeInclusive<u64> = 10_000..=3_600_000_000;
 
-/// The endpoints that a proxy keeps to.
+/// Settings of the endpoint subset to which a proxy sends its calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SubsetTerms {
-    /// What the subset is to be.
-    pub need: SubsetConfig,
-    /// Which proxy this is.
+pub struct SubsetSettings {
+    /// Size and growth of the subset.
+    pub config: SubsetConfig,
+    /// Number of this proxy among all proxies.
     pub instance: Instance,
-    /// Idle connections kept to an endpoint.
-    pub kept: usize,
-    /// A connection that has been idle for this long is closed, in microseconds.
+    /// Maximum number of idle connections to each endpoint (key `kept`).
+    pub idle_connections: usize,
+    /// Time after which an idle connection is closed, in microseconds.
     pub idle: Micros,
-    /// Endpoints that the fleet is expected to have, if the file says.
+    /// Expected number of endpoints, if the file sets it.
     pub endpoints: Option<usize>,
 }
 
-impl SubsetTerms {
-    /// What all proxies together hold at the most, if the size of the fleet is known.
+impl SubsetSettings {
+    /// Inputs for the resource bounds over all proxies, if the number of endpoints is known.
     pub fn bounds(&self, upstream: &Upstream) -> Option<ResourceBounds> {
-        let named = Some(upstream.endpoints.len()).filter(|&n| n > 0);
-        let endpoints = self.endpoints.or(named)?;
+        let listed = Some(upstream.endpoints.len()).filter(|&n| n > 0);
+        let endpoints = self.endpoints.or(listed)?;
         Some(ResourceBounds {
             proxies: self.instance.count,
             endpoints,
-            idle_connections: self.kept,
+            idle_connections: self.idle_connections,
         })
     }
 }
 
-/// How the list service is asked.
+/// Settings of polls of the list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ListTerms {
-    /// When.
+pub struct ListSettings {
+    /// Rate and waits of the polls.
     pub poll: PollConfig,
-    /// Without a call for this long a proxy is idle, in microseconds.
+    /// A proxy that has had no call for this long is idle, in microseconds.
     pub idle_after: Micros,
 }
 
-/// Reads `[subset]` and holds what follows from it against what the file allows.
+/// Reads `[subset]` and checks that the resources it needs stay within the limits of the file.
 pub(crate) fn subset(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
     limits: Option<&Limits>,
-) -> Option<SubsetTerms> {
-    let section = top.section(notes, "subset", &SUBSET)?;
+) -> Option<SubsetSettings> {
+    let section = top.section(sink, "subset", &SUBSET_KEYS)?;
     section.require(
-        notes,
+        sink,
         "instance",
         "the number of this proxy among all, from 0",
     );
-    section.require(notes, "size", "endpoints to keep to");
+    section.require(sink, "size", "the number of endpoints in the subset");
     let count = upstream.map_or(1, |u| u.proxies);
-    let number = section.integer(notes, "instance", 0..=u64::from(count.saturating_sub(1)));
-    let size = section.integer(notes, "size", SIZE);
-    let mut need = SubsetConfig::with_size(size.as_ref().map_or(2, |s| s.value as usize));
-    if let Some(least) = section.integer(notes, "least", 1..=need.target_size as u64) {
-        need.min_size = least.value as usize;
+    let number = section.integer(sink, "instance", 0..=u64::from(count.saturating_sub(1)));
+    let size = section.integer(sink, "size", SIZE_RANGE);
+    let mut config = SubsetConfig::with_size(size.as_ref().map_or(2, |s| s.value as usize));
+    if let Some(least) = section.integer(sink, "least", 1..=config.target_size as u64) {
+        config.min_size = least.value as usize;
     }
-    // Parts differ in size: one of twice the wanted size must not be cut.
-    if let Some(most) = section.integer(notes, "most", 2 * need.target_size as u64..=100_000) {
-        need.max_size = most.value as usize;
+    // Subsets differ in size: one of twice the target size must not be cut.
+    if let Some(most) = section.integer(sink, "most", 2 * config.target_size as u64..=100_000) {
+        config.max_size = most.value as usize;
     }
     let own_zone = section.read(
-        notes,
+        sink,
         "own_zone",
         "this is not a flag",
         "true or false",
         |v| v.as_bool(),
     );
-    need.prefer_own_zone = own_zone.is_some_and(|o| o.value);
+    config.prefer_own_zone = own_zone.is_some_and(|o| o.value);
     if let Some(zone) = upstream
-        .filter(|u| need.prefer_own_zone && u.zone.is_empty())
+        .filter(|u| config.prefer_own_zone && u.zone.is_empty())
         .map(|u| &u.zone)
     {
         let allowed = "the proxy's zone in upstream.zone";
-        notes.add(
+        sink.add(
             &section.key_path("own_zone"),
             &section.span,
             "this proxy has no zone",
@@ -113,50 +114,50 @@
             allowed,
         );
     }
-    if let Some(load) = section.number(notes, "load", 0.1..=1_000.0) {
-        need.max_load_per_member = load.value;
+    if let Some(load) = section.number(sink, "load", 0.1..=1_000.0) {
+        config.max_load_per_member = load.value;
     }
-    need.growth_interval = section
-        .duration(notes, "pause", SPAN)
-        .map_or(need.growth_interval, |d| d.value);
-    need.shrink_delay = section
-        .duration(notes, "calm", SPAN)
-        .map_or(need.shrink_delay, |d| d.value);
-    let kept = section
-        .integer(notes, "kept", 0..=64)
+    config.growth_interval = section
+        .duration(sink, "pause", DURATION_RANGE)
+        .map_or(config.growth_interval, |d| d.value);
+    config.shrink_delay = section
+        .duration(sink, "calm", DURATION_RANGE)
+        .map_or(config.shrink_delay, |d| d.value);
+    let idle_connections = section
+        .integer(sink, "kept", 0..=64)
         .map_or(1, |k| k.value as usize);
     let idle = section
-        .duration(notes, "idle", 100_000..=3_600_000_000)
+        .duration(sink, "idle", 100_000..=3_600_000_000)
         .map_or(30_000_000, |d| d.value);
     let endpoints = section
-        .integer(notes, "endpoints", 1..=1_000_000)
+        .integer(sink, "endpoints", 1..=1_000_000)
         .map(|e| e.value as usize);
     let instance = Instance {
         number: number?.value as u32,
         count,
     };
-    let terms = SubsetTerms {
-        need,
+    let settings = SubsetSettings {
+        config,
         instance,
-        kept,
+        idle_connections,
         idle,
         endpoints,
     };
     size?;
     if let Some(limits) = limits {
         let fleet = endpoints.unwrap_or(usize::MAX);
-        let held = need.max_size.min(fleet) * kept;
-        let room = limits
+        let held = config.max_size.min(fleet) * idle_connections;
+        let available = limits
             .descriptors
-            .saturating_sub(DESCRIPTORS_RESERVED + clients_borne(limits.descriptors));
-        if held > room {
+            .saturating_sub(RESERVED_DESCRIPTORS + max_client_connections(limits.descriptors));
+        if held > available {
             let reason = format!(
-                "{} endpoints with {kept} idle connections each hold more than there is room for",
-                need.max_size
+                "{} endpoints with {idle_connections} idle connections each need more descriptors than there are",
+                config.max_size
             );
             let allowed =
-                format!("at most {room} of limits.descriptors: a smaller `most` or `kept`");
-            notes.add(
+                format!("at most {available} of limits.descriptors: a smaller `most` or `kept`");
+            sink.add(
                 &section.key_path("most"),
                 &section.span,
                 reason,
@@ -165,48 +166,48 @@
             );
         }
     }
-    let most = section.integer(notes, "connections_per_endpoint", 1..=10_000_000);
+    let most = section.integer(sink, "connections_per_endpoint", 1..=10_000_000);
     if let Some(most) = most {
         let key = section.key_path("connections_per_endpoint");
-        match upstream.and_then(|u| terms.bounds(u)) {
+        match upstream.and_then(|u| settings.bounds(u)) {
             None => {
-                let reason = "this can't be checked without the size of the fleet";
-                let allowed = "subset.endpoints: how many the list service names";
-                notes.add(&key, &most.span, reason, "no `endpoints`", allowed);
+                let reason = "this can't be checked without the number of endpoints";
+                let allowed = "the number of endpoints in subset.endpoints";
+                sink.add(&key, &most.span, reason, "no `endpoints`", allowed);
             }
             Some(bounds) => {
-                let held = bounds.max_connections_per_endpoint(&terms.need);
+                let held = bounds.max_connections_per_endpoint(&settings.config);
                 if held > most.value {
                     let reason = format!(
-                        "{} proxies, {} of which may come to keep to one endpoint with {} each, hold more",
+                        "of {} proxies, up to {} may use one endpoint with {} connections each, which is more",
                         bounds.proxies,
-                        bounds.max_proxies_per_endpoint(&terms.need),
-                        terms.kept
+                        bounds.max_proxies_per_endpoint(&settings.config),
+                        settings.idle_connections
                     );
                     let allowed = format!("at least {held}, or a smaller `most` or `kept`");
-                    notes.add(&key, &most.span, reason, most.value.to_string(), allowed);
+                    sink.add(&key, &most.span, reason, most.value.to_string(), allowed);
                 }
             }
         }
     }
-    Some(terms)
+    Some(settings)
 }
 
 /// Reads `[list]`.
 pub(crate) fn list(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
-) -> Option<ListTerms> {
-    let section = top.section(notes, "list", &LIST)?;
+) -> Option<ListSettings> {
+    let section = top.section(sink, "list", &LIST_KEYS)?;
     section.require(
-        notes,
+        sink,
         "rate",
-        "questions a second that the list service bears",
+        "the polls per second that the list service can serve",
     );
     if upstream.is_some_and(|u| u.discovery.is_none()) {
         let allowed = "upstream.discovery, or no [list]";
-        notes.add(
+        sink.add(
             &section.key,
             &section.span,
             "there is no list service to ask",
@@ -214,15 +215,15 @@
             allowed,
         );
     }
-    let rate = section.number(notes, "rate", 0.1..=1e6)?;
+    let rate = section.number(sink, "rate", 0.1..=1e6)?;
     let wait = section
-        .duration(notes, "wait", WAIT)
+        .duration(sink, "wait", WAIT_RANGE)
         .map_or(10_000_000, |w| w.value);
     let wait_idle = section
-        .duration(notes, "wait_idle", WAIT)
+        .duration(sink, "wait_idle", WAIT_RANGE)
         .map_or(60_000_000.max(wait), |w| w.value);
     let idle_after = section
-        .duration(notes, "idle_after", SPAN)
+        .duration(sink, "idle_after", DURATION_RANGE)
         .map_or(30_000_000, |w| w.value);
     let proxies = upstream.map_or(1, |u| u.proxies);
     let poll = PollConfig {
@@ -231,14 +232,14 @@
         wait,
         idle_wait: wait_idle,
     };
-    let asked = f64::from(proxies) * 1e6 / wait as f64;
-    if asked > rate.value {
+    let poll_rate = f64::from(proxies) * 1e6 / wait as f64;
+    if poll_rate > rate.value {
         let reason = format!(
-            "{proxies} proxies that each ask every {} make {asked:.1} questions a second",
+            "{proxies} proxies that each poll every {} make {poll_rate:.1} polls per second",
             format_duration(wait)
         );
         let allowed = "more, or a longer `wait`";
-        notes.add(
+        sink.add(
             &section.key_path("rate"),
             &rate.span,
             reason,
@@ -246,5 +247,5 @@
             allowed,
         );
     }
-    Some(ListTerms { poll, idle_after })
+    Some(ListSettings { poll, idle_after })
 }
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -1,16 +1,16 @@
-//! Timing and answers as they stand in `[defaults]`, a class and a route: laid over one another, then held against the
-//! rules.
+//! Timing and response rules, which `[defaults]`, a class and a route may set. A class inherits from `[defaults]` and a
+//! route from its class; the result is then validated.
 
-use crate::{values, ANSWER_ROOM};
+use crate::{values, RESPONSE_RESERVE};
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
-use badgerramp_route::{Answers, Proof, StatusSet, Timing};
+use badgerramp_route::{NotExecutedProof, ResponseRules, StatusSet, Timing};
 use badgerramp_toml_diagnostics::units::format_duration;
 use badgerramp_toml_diagnostics::{
     display_value, DeValue, Diagnostic, DiagnosticSink, Located, Section, Span,
 };
 use http::{HeaderName, HeaderValue};
 
-/// Keys that may stand in all three places.
+/// Keys that are allowed in `[defaults]`, in a class and in a route.
 pub(crate) const KEYS: [&str; 9] = [
     "connect",
     "attempt",
@@ -23,20 +23,20 @@
     "never_ran",
 ];
 
-/// Longest time that can be set.
-const LONGEST: Micros = 600_000_000;
-/// Attempts of a call at the most.
-const ATTEMPTS_MOST: u64 = 10;
-/// ... and where the file says nothing.
-const ATTEMPTS: u32 = 3;
-/// Time for a connection where the file says nothing.
-const CONNECT: Micros = 250_000;
-const SECOND_COPIES: &str = "\"off\", \"auto\", \"after 120ms\" or \"at 95%\" (from 50 to 99.9)";
-const STATUSES: &str = "statuses like \"200\", \"2xx\" or \"200-204\", from 200 to 599";
+/// Maximum duration that can be set, in microseconds.
+const MAX_DURATION: Micros = 600_000_000;
+/// Maximum number of attempts of a call that can be set.
+const MAX_ATTEMPTS: u64 = 10;
+/// Number of attempts of a call if the file sets none.
+const DEFAULT_ATTEMPTS: u32 = 3;
+/// Connect timeout if the file sets none, in microseconds.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+const HEDGE_FORMS: &str = "\"off\", \"auto\", \"after 120ms\" or \"at 95%\" (from 50 to 99.9)";
+const STATUS_FORMS: &str = "statuses like \"200\", \"2xx\" or \"200-204\", from 200 to 599";
 
-/// What a file says in one place.
+/// The values that one table of the file sets, with their places.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Draft {
+pub(crate) struct TimingDraft {
     pub(crate) connect: Option<Located<Micros>>,
     pub(crate) attempt: Option<Located<Micros>>,
     pub(crate) total: Option<Located<Micros>>,
@@ -45,60 +45,61 @@
     pub(crate) second_copy: Option<Located<Hedge>>,
     pub(crate) retry: Option<Located<RetryOn>>,
     pub(crate) served: Option<Located<StatusSet>>,
-    pub(crate) never_ran: Option<Located<Vec<Proof>>>,
+    pub(crate) never_ran: Option<Located<Vec<NotExecutedProof>>>,
 }
 
-/// A class as far as its timing goes.
-pub(crate) struct Facts<'f> {
-    /// What the timing is for, and where that is named.
+/// What the timing of a class or route depends on.
+pub(crate) struct TimingContext<'f> {
+    /// The class or route, as diagnostics name it.
     pub(crate) name: &'f str,
+    /// Span of its name.
     pub(crate) span: &'f Span,
     pub(crate) deadline: Option<Micros>,
-    pub(crate) repeat: Option<Idempotency>,
+    pub(crate) idempotency: Option<Idempotency>,
 }
 
-/// One figure of a timing: what it is and where it was set.
+/// One value of a timing, and the place at which it was set.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figure {
-    /// Its key.
+pub struct TimingValue {
+    /// Key of the value.
     pub name: &'static str,
-    /// Its value, as it may be written.
+    /// The value in the notation of the file.
     pub value: String,
-    /// The whole key that set it, and where that stands; None: the file says nothing of it.
-    pub set: Option<(String, Span)>,
+    /// Full path of the key that set the value, and its span; `None` if the value is a default.
+    pub set_by: Option<(String, Span)>,
 }
 
-impl Draft {
-    pub(crate) fn read(notes: &mut DiagnosticSink, section: &Section<'_>) -> Self {
-        Draft {
-            connect: section.duration(notes, "connect", 1_000..=60_000_000),
-            attempt: section.duration(notes, "attempt", 1_000..=LONGEST),
-            total: section.duration(notes, "total", 1_000..=LONGEST),
-            attempts: section.integer(notes, "attempts", 1..=ATTEMPTS_MOST),
-            backoff: section.duration(notes, "backoff", 0..=60_000_000),
+impl TimingDraft {
+    pub(crate) fn read(sink: &mut DiagnosticSink, section: &Section<'_>) -> Self {
+        TimingDraft {
+            connect: section.duration(sink, "connect", 1_000..=60_000_000),
+            attempt: section.duration(sink, "attempt", 1_000..=MAX_DURATION),
+            total: section.duration(sink, "total", 1_000..=MAX_DURATION),
+            attempts: section.integer(sink, "attempts", 1..=MAX_ATTEMPTS),
+            backoff: section.duration(sink, "backoff", 0..=60_000_000),
             second_copy: section.read(
-                notes,
+                sink,
                 "second_copy",
-                "this is no second copy",
-                SECOND_COPIES,
-                |v| v.as_str().and_then(values::second_copy),
+                "this is not a valid second_copy setting",
+                HEDGE_FORMS,
+                |v| v.as_str().and_then(values::parse_hedge),
             ),
             retry: section.keyword(
-                notes,
+                sink,
                 "retry",
                 &[
                     ("never-ran", RetryOn::NotExecuted),
                     ("failed", RetryOn::AnyFailure),
                 ],
             ),
-            served: served(notes, section),
-            never_ran: never_ran(notes, section),
+            served: read_served(sink, section),
+            never_ran: read_never_ran(sink, section),
         }
     }
 
-    /// Does it say anything?
-    pub(crate) fn says(&self) -> bool {
-        let Draft {
+    /// Whether any key is set.
+    pub(crate) fn has_values(&self) -> bool {
+        let TimingDraft {
             connect,
             attempt,
             total,
@@ -122,71 +123,76 @@
         times || others.contains(&true)
     }
 
-    /// What holds where this is laid over `under`.
-    pub(crate) fn over(&self, under: &Draft) -> Draft {
-        fn first<T: Clone>(
-            over: &Option<Located<T>>,
-            under: &Option<Located<T>>,
+    /// These values, with absent ones taken from `inherited`.
+    pub(crate) fn inherit(&self, inherited: &TimingDraft) -> TimingDraft {
+        fn own_or_inherited<T: Clone>(
+            own: &Option<Located<T>>,
+            inherited: &Option<Located<T>>,
         ) -> Option<Located<T>> {
-            over.clone().or_else(|| under.clone())
+            own.clone().or_else(|| inherited.clone())
         }
-        Draft {
-            connect: first(&self.connect, &under.connect),
-            attempt: first(&self.attempt, &under.attempt),
-            total: first(&self.total, &under.total),
-            attempts: first(&self.attempts, &under.attempts),
-            backoff: first(&self.backoff, &under.backoff),
-            second_copy: first(&self.second_copy, &under.second_copy),
-            retry: first(&self.retry, &under.retry),
-            served: first(&self.served, &under.served),
-            never_ran: first(&self.never_ran, &under.never_ran),
+        TimingDraft {
+            connect: own_or_inherited(&self.connect, &inherited.connect),
+            attempt: own_or_inherited(&self.attempt, &inherited.attempt),
+            total: own_or_inherited(&self.total, &inherited.total),
+            attempts: own_or_inherited(&self.attempts, &inherited.attempts),
+            backoff: own_or_inherited(&self.backoff, &inherited.backoff),
+            second_copy: own_or_inherited(&self.second_copy, &inherited.second_copy),
+            retry: own_or_inherited(&self.retry, &inherited.retry),
+            served: own_or_inherited(&self.served, &inherited.served),
+            never_ran: own_or_inherited(&self.never_ran, &inherited.never_ran),
         }
     }
 
-    /// The timing of a class or route of a file that stands alone, with all defaults.
-    pub(crate) fn timing(&self, facts: &Facts<'_>) -> Timing {
+    /// Timing of a class or route in a standalone deployment, with defaults for absent values.
+    pub(crate) fn timing(&self, context: &TimingContext<'_>) -> Timing {
         let value = |set: &Option<Located<Micros>>| set.as_ref().map(|s| s.value);
-        let most = facts
+        let most = context
             .deadline
-            .unwrap_or(LONGEST)
-            .saturating_sub(ANSWER_ROOM)
+            .unwrap_or(MAX_DURATION)
+            .saturating_sub(RESPONSE_RESERVE)
             .max(1);
         let total = value(&self.total).unwrap_or(most).min(most);
         let attempt = value(&self.attempt).unwrap_or(total);
-        let harmless = facts
-            .repeat
+        let safe_to_retry = context
+            .idempotency
             .is_some_and(|r| r != Idempotency::NonIdempotent);
-        let resend = if harmless {
+        let retry_on = if safe_to_retry {
             RetryOn::AnyFailure
         } else {
             RetryOn::NotExecuted
         };
         Timing {
-            connect: value(&self.connect).unwrap_or(CONNECT).min(attempt),
+            connect: value(&self.connect)
+                .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
+                .min(attempt),
             attempt,
             total,
-            attempts: self.attempts.as_ref().map_or(ATTEMPTS, |s| s.value as u32),
+            attempts: self
+                .attempts
+                .as_ref()
+                .map_or(DEFAULT_ATTEMPTS, |s| s.value as u32),
             backoff: value(&self.backoff).unwrap_or(0),
             hedge: self.second_copy.as_ref().map_or(Hedge::Never, |s| s.value),
-            resend: self.retry.as_ref().map_or(resend, |s| s.value),
+            retry_on: self.retry.as_ref().map_or(retry_on, |s| s.value),
         }
     }
 
-    /// The figures of a timing and where each was set.
-    pub(crate) fn figures(&self, timing: &Timing) -> Vec<Figure> {
-        fn at<T>(set: &Option<Located<T>>) -> Option<(String, Span)> {
+    /// The values of a timing and the place at which each was set.
+    pub(crate) fn timing_values(&self, timing: &Timing) -> Vec<TimingValue> {
+        fn set_at<T>(set: &Option<Located<T>>) -> Option<(String, Span)> {
             set.as_ref().map(|s| (s.key.clone(), s.span.clone()))
         }
-        let time = |name, value, set: &Option<Located<Micros>>| Figure {
+        let time = |name, value, set: &Option<Located<Micros>>| TimingValue {
             name,
             value: if value == Micros::MAX {
                 "no limit".to_owned()
             } else {
                 format_duration(value)
             },
-            set: at(set),
+            set_by: set_at(set),
         };
-        let resend = match timing.resend {
+        let retry_on = match timing.retry_on {
             RetryOn::AnyFailure => "\"failed\"",
             RetryOn::NotExecuted => "\"never-ran\"",
         };
@@ -198,42 +204,42 @@
             time("connect", timing.connect, &self.connect),
             time("attempt", timing.attempt, &self.attempt),
             time("total", timing.total, &self.total),
-            Figure {
+            TimingValue {
                 name: "attempts",
                 value: attempts,
-                set: at(&self.attempts),
+                set_by: set_at(&self.attempts),
             },
             time("backoff", timing.backoff, &self.backoff),
-            Figure {
+            TimingValue {
                 name: "second_copy",
-                value: show_hedge(timing.hedge),
-                set: at(&self.second_copy),
+                value: display_hedge(timing.hedge),
+                set_by: set_at(&self.second_copy),
             },
-            Figure {
+            TimingValue {
                 name: "retry",
-                value: resend.to_owned(),
-                set: at(&self.retry),
+                value: retry_on.to_owned(),
+                set_by: set_at(&self.retry),
             },
         ]
     }
 
-    pub(crate) fn answers(&self) -> Answers {
-        let mut answers = Answers::standard();
+    pub(crate) fn response_rules(&self) -> ResponseRules {
+        let mut response_rules = ResponseRules::standard();
         if let Some(served) = &self.served {
-            answers.served = served.value;
+            response_rules.served = served.value;
         }
         if let Some(proofs) = &self.never_ran {
-            answers.never_ran.clone_from(&proofs.value);
+            response_rules.never_ran.clone_from(&proofs.value);
         }
-        answers
+        response_rules
     }
 
-    /// Holds what applies to a class or route against the rules.
-    pub(crate) fn check(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
-        self.check_times(notes, facts);
-        match facts.repeat {
-            Some(Idempotency::NonIdempotent) => self.check_unsafe(notes, facts),
-            Some(Idempotency::Keyed { window, .. }) => self.check_keyed(notes, facts, window),
+    /// Validates the timing and response rules of a class or route.
+    pub(crate) fn check(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>) {
+        self.check_times(sink, context);
+        match context.idempotency {
+            Some(Idempotency::NonIdempotent) => self.check_unsafe(sink, context),
+            Some(Idempotency::Keyed { window, .. }) => self.check_keyed(sink, context, window),
             _ => {}
         }
         if let (Some(served), Some(proofs)) = (&self.served, &self.never_ran) {
@@ -243,38 +249,39 @@
                 .find(|p| served.value.contains(p.status))
             {
                 let found = format!("status {}", proof.status);
-                let reason = "an answer that is served can't prove that the attempt never ran";
-                let mistake = add(
-                    notes,
-                    facts,
+                let reason =
+                    "a status that counts as served can't prove that the attempt never ran";
+                let diagnostic = add_with_context(
+                    sink,
+                    context,
                     proofs,
                     reason,
                     found,
                     "statuses that are not in `served`",
                 );
-                mistake.add_related(served.span.clone(), "served here");
+                diagnostic.add_related(served.span.clone(), "served here");
             }
         }
     }
 
-    fn check_times(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
-        let timing = self.timing(facts);
-        if let (Some(total), Some(deadline)) = (&self.total, facts.deadline) {
-            let most = deadline.saturating_sub(ANSWER_ROOM);
+    fn check_times(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>) {
+        let timing = self.timing(context);
+        if let (Some(total), Some(deadline)) = (&self.total, context.deadline) {
+            let most = deadline.saturating_sub(RESPONSE_RESERVE);
             if total.value > most {
                 let reason = if total.value > deadline {
-                    "the total is longer than the client waits"
+                    "the total is longer than the deadline"
                 } else {
-                    "the total leaves no room for the final answer"
+                    "the total leaves no time for the final response"
                 };
                 let allowed = format!(
-                    "at most {}: the deadline less {}",
+                    "at most {}: the deadline minus {}",
                     format_duration(most),
-                    format_duration(ANSWER_ROOM)
+                    format_duration(RESPONSE_RESERVE)
                 );
-                add(
-                    notes,
-                    facts,
+                add_with_context(
+                    sink,
+                    context,
                     total,
                     reason,
                     format_duration(total.value),
@@ -286,9 +293,9 @@
         let total = format_duration(timing.total);
         if let Some(attempt) = self.attempt.as_ref().filter(|a| a.value > timing.total) {
             let reason = "one attempt may take longer than the whole call";
-            add(
-                notes,
-                facts,
+            add_with_context(
+                sink,
+                context,
                 attempt,
                 reason,
                 format_duration(attempt.value),
@@ -296,32 +303,35 @@
             );
             return;
         }
-        // One that comes from further out gives way to a shorter attempt.
-        let same =
+        // A connect timeout inherited from an outer table is shortened to the attempt without a diagnostic.
+        let in_same_table =
             |a: &str, b: &str| a.rsplit_once('.').map(|k| k.0) == b.rsplit_once('.').map(|k| k.0);
-        let beside =
-            |c: &&Located<Micros>| self.attempt.as_ref().is_some_and(|a| same(&a.key, &c.key));
+        let set_with_attempt = |c: &&Located<Micros>| {
+            self.attempt
+                .as_ref()
+                .is_some_and(|a| in_same_table(&a.key, &c.key))
+        };
         if let Some(connect) = self
             .connect
             .as_ref()
             .filter(|c| c.value > timing.attempt)
-            .filter(beside)
+            .filter(set_with_attempt)
         {
-            let reason = "the connect may take longer than the attempt it is part of";
+            let reason = "the connect timeout is longer than the attempt that includes it";
             let allowed = format!("at most {}", format_duration(timing.attempt));
-            add(
-                notes,
-                facts,
+            add_with_context(
+                sink,
+                context,
                 connect,
                 reason,
                 format_duration(connect.value),
                 &allowed,
             );
         }
-        // Without a time of its own an attempt has what is left of the total.
+        // Without a limit of its own an attempt may take the rest of the total.
         let attempt = self.attempt.as_ref().map_or(0, |a| a.value);
-        let longest = Timing { attempt, ..timing }.longest();
-        if longest > timing.total {
+        let max_attempts_duration = Timing { attempt, ..timing }.max_attempts_duration();
+        if max_attempts_duration > timing.total {
             let set = (self.attempt.as_ref().map(|s| (&s.span, &s.key)))
                 .or(self.backoff.as_ref().map(|s| (&s.span, &s.key)))
                 .or(self.attempts.as_ref().map(|s| (&s.span, &s.key)));
@@ -335,56 +345,63 @@
                     timing.attempts,
                     each.unwrap_or_default(),
                     format_duration(timing.backoff),
-                    format_duration(longest)
+                    format_duration(max_attempts_duration)
                 );
-                let mistake = notes.add(
+                let diagnostic = sink.add(
                     key,
                     span,
-                    "all attempts and pauses do not fit the total",
+                    "all attempts and pauses together exceed the total",
                     found,
                     format!("at most {total} together"),
                 );
-                mistake.add_related(facts.span.clone(), format!("for {}", facts.name));
+                diagnostic.add_related(context.span.clone(), format!("for {}", context.name));
             }
         }
-        if let Some(copy) = self
+        if let Some(hedge) = self
             .second_copy
             .as_ref()
             .filter(|c| c.value != Hedge::Never)
         {
             if timing.attempts < 2 {
                 let reason = "a second copy is an attempt, and only one is allowed";
-                add(
-                    notes,
-                    facts,
-                    copy,
+                add_with_context(
+                    sink,
+                    context,
+                    hedge,
                     reason,
-                    show_hedge(copy.value),
+                    display_hedge(hedge.value),
                     "\"off\", or `attempts` of 2 or more",
                 );
-            } else if let Hedge::After(wait) = copy.value {
-                if wait >= timing.attempt {
-                    let reason = "the first attempt has ended by then";
+            } else if let Hedge::After(delay) = hedge.value {
+                if delay >= timing.attempt {
+                    let reason = "the first attempt has timed out by then";
                     let allowed = format!("less than {}", format_duration(timing.attempt));
-                    add(notes, facts, copy, reason, show_hedge(copy.value), &allowed);
+                    add_with_context(
+                        sink,
+                        context,
+                        hedge,
+                        reason,
+                        display_hedge(hedge.value),
+                        &allowed,
+                    );
                 }
             }
         }
     }
 
-    fn check_unsafe(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
-        if let Some(copy) = self
+    fn check_unsafe(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>) {
+        if let Some(hedge) = self
             .second_copy
             .as_ref()
             .filter(|c| c.value != Hedge::Never)
         {
             let reason = "a second copy of an unsafe call would run it twice";
-            add(
-                notes,
-                facts,
-                copy,
+            add_with_context(
+                sink,
+                context,
+                hedge,
                 reason,
-                show_hedge(copy.value),
+                display_hedge(hedge.value),
                 "\"off\" for an unsafe class",
             );
         }
@@ -394,82 +411,91 @@
             .filter(|r| r.value != RetryOn::NotExecuted)
         {
             let reason = "an unsafe call that failed may have run, and would run twice";
-            add(
-                notes,
-                facts,
+            add_with_context(
+                sink,
+                context,
                 retry,
                 reason,
                 "\"failed\"".to_owned(),
                 "\"never-ran\" for an unsafe class",
             );
         }
-        self.check_proofs(notes, facts);
+        self.check_proofs(sink, context);
     }
 
-    fn check_keyed(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>, window: Micros) {
-        let timing = self.timing(facts);
+    fn check_keyed(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>, window: Micros) {
+        let timing = self.timing(context);
         let allowed = format!("less than the window, {}", format_duration(window));
         if let Some(attempt) = self
             .attempt
             .as_ref()
-            .filter(|_| timing.resend == RetryOn::AnyFailure)
+            .filter(|_| timing.retry_on == RetryOn::AnyFailure)
         {
-            let last = timing.last_start();
+            let last = timing.last_attempt_start();
             if last >= window {
                 let found = format!("a last attempt {} after the first", format_duration(last));
                 let reason =
-                    "a resend outside the window is not dropped by the hosts and would run again";
-                add(notes, facts, attempt, reason, found, &allowed);
+                    "a retry outside the window is not deduplicated by the endpoints and would run again";
+                add_with_context(sink, context, attempt, reason, found, &allowed);
             }
         }
         match self.second_copy.as_ref().map(|c| (c, c.value)) {
-            Some((copy, Hedge::After(wait))) if wait >= window => {
+            Some((hedge, Hedge::After(delay))) if delay >= window => {
                 let reason =
-                    "a second copy outside the window is not dropped by the hosts and would run again";
-                add(notes, facts, copy, reason, show_hedge(copy.value), &allowed);
+                    "a second copy outside the window is not deduplicated by the endpoints and would run again";
+                add_with_context(
+                    sink,
+                    context,
+                    hedge,
+                    reason,
+                    display_hedge(hedge.value),
+                    &allowed,
+                );
             }
             _ => {}
         }
-        self.check_proofs(notes, facts);
+        self.check_proofs(sink, context);
     }
 
-    /// A status alone is no proof: any software on the way may word it, also after the call has run.
-    fn check_proofs(&self, notes: &mut DiagnosticSink, facts: &Facts<'_>) {
+    /// Requires a header for each proof. A status alone proves nothing: any intermediary may send it, even after the
+    /// call has run.
+    fn check_proofs(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>) {
         let Some(proofs) = &self.never_ran else {
             return;
         };
         for proof in proofs.value.iter().filter(|p| p.header.is_none()) {
-            let reason = "a status alone does not prove that an attempt never ran: the call could go again and run twice";
+            let reason = "a status alone does not prove that an attempt never ran: the call could be retried and run twice";
             let found = format!("status {} and no header", proof.status);
-            add(notes, facts, proofs, reason, found, "a header that only the host sets, as in { status = 503, header = \"X-Not-Processed\", value = \"1\" }");
+            add_with_context(sink, context, proofs, reason, found, "a header that only the endpoint sets, as in { status = 503, header = \"X-Not-Processed\", value = \"1\" }");
         }
     }
 }
 
-fn add<'n, T>(
-    notes: &'n mut DiagnosticSink,
-    facts: &Facts<'_>,
+/// Adds a diagnostic about a value, with the class or route that it applies to as a related place.
+fn add_with_context<'n, T>(
+    sink: &'n mut DiagnosticSink,
+    context: &TimingContext<'_>,
     set: &Located<T>,
     reason: &str,
     found: String,
     allowed: &str,
 ) -> &'n mut Diagnostic {
-    let mistake = notes.add(&set.key, &set.span, reason, found, allowed);
-    mistake.add_related(facts.span.clone(), format!("for {}", facts.name));
-    mistake
+    let diagnostic = sink.add(&set.key, &set.span, reason, found, allowed);
+    diagnostic.add_related(context.span.clone(), format!("for {}", context.name));
+    diagnostic
 }
 
-pub(crate) fn show_hedge(hedge: Hedge) -> String {
+pub(crate) fn display_hedge(hedge: Hedge) -> String {
     match hedge {
         Hedge::Auto => "\"auto\"".to_owned(),
         Hedge::Never => "\"off\"".to_owned(),
-        Hedge::After(wait) => format!("\"after {}\"", format_duration(wait)),
+        Hedge::After(delay) => format!("\"after {}\"", format_duration(delay)),
         Hedge::Quantile(share) => format!("\"at {}%\"", (share * 1_000.0).round() / 10.0),
     }
 }
 
-fn served(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Located<StatusSet>> {
-    let list = section.list(notes, "served", "statuses")?;
+fn read_served(sink: &mut DiagnosticSink, section: &Section<'_>) -> Option<Located<StatusSet>> {
+    let list = section.list(sink, "served", "statuses")?;
     let mut set = StatusSet::default();
     for (key, value) in &list {
         let text = match value.get_ref() {
@@ -477,32 +503,39 @@
             DeValue::Integer(number) => number.to_string(),
             _ => String::new(),
         };
-        if values::statuses(&text, &mut set).is_none() {
+        if values::parse_statuses(&text, &mut set).is_none() {
             let found = display_value(value.get_ref());
-            notes.add(key, &value.span(), "these are no statuses", found, STATUSES);
+            sink.add(
+                key,
+                &value.span(),
+                "this is not a status or a range of statuses",
+                found,
+                STATUS_FORMS,
+            );
         }
     }
     let span = section.get("served")?.span();
     if list.is_empty() {
-        notes.add(
+        sink.add(
             &section.key_path("served"),
             &span,
-            "nothing would ever be served",
+            "no response would ever count as served",
             "an empty list",
-            STATUSES,
+            STATUS_FORMS,
         );
     }
-    // To the client these two mean that trying again is harmless, which a served call is not.
+    // Clients take 429 and 503 as permission to retry, but a served call has run.
     for status in [429, 503] {
         if set.contains(status) {
             let found = format!("status {status}");
-            let reason = "to a client this status is a refusal: it would try again what has run";
-            notes.add(
+            let reason =
+                "clients take this status for a rejection and would retry a call that has run";
+            sink.add(
                 &section.key_path("served"),
                 &span,
                 reason,
                 found,
-                "statuses but 429 and 503",
+                "statuses other than 429 and 503",
             );
         }
     }
@@ -513,41 +546,45 @@
     })
 }
 
-fn never_ran(notes: &mut DiagnosticSink, section: &Section<'_>) -> Option<Located<Vec<Proof>>> {
-    const FORM: &str = "tables like { status = 503, header = \"X-Not-Processed\", value = \"1\" }";
-    let list = section.list(notes, "never_ran", FORM)?;
+fn read_never_ran(
+    sink: &mut DiagnosticSink,
+    section: &Section<'_>,
+) -> Option<Located<Vec<NotExecutedProof>>> {
+    const PROOF_FORM: &str =
+        "tables like { status = 503, header = \"X-Not-Processed\", value = \"1\" }";
+    let list = section.list(sink, "never_ran", PROOF_FORM)?;
     let mut proofs = Vec::new();
     for (key, value) in &list {
         let DeValue::Table(table) = value.get_ref() else {
             let found = display_value(value.get_ref());
-            notes.add(key, &value.span(), "this is no proof", found, FORM);
+            sink.add(key, &value.span(), "this is not a proof", found, PROOF_FORM);
             continue;
         };
         let proof = Section::new(
-            notes,
+            sink,
             table,
             key,
             value.span(),
             &["status", "header", "value"],
         );
-        proof.require(notes, "status", "a status from 400 to 599");
-        let status = proof.integer(notes, "status", 400..=599);
-        let name = header_name(notes, &proof, "header");
-        let text = proof.read(notes, "value", "this is no header value", "a text", |v| {
+        proof.require(sink, "status", "a status from 400 to 599");
+        let status = proof.integer(sink, "status", 400..=599);
+        let name = header_name(sink, &proof, "header");
+        let text = proof.read(sink, "value", "this is not a header value", "a text", |v| {
             v.as_str().and_then(|t| HeaderValue::from_str(t).ok())
         });
         if proof.has("value") && !proof.has("header") {
-            notes.add(
+            sink.add(
                 &proof.key_path("value"),
                 &proof.span,
-                "a value without its header",
+                "a value without a header",
                 "no `header`",
-                FORM,
+                PROOF_FORM,
             );
         }
         if let Some(status) = status {
             let header = name.map(|n| (n.value, text.map(|t| t.value)));
-            proofs.push(Proof {
+            proofs.push(NotExecutedProof {
                 status: status.value as u16,
                 header,
             });
@@ -562,14 +599,14 @@
 }
 
 pub(crate) fn header_name(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     section: &Section<'_>,
     name: &str,
 ) -> Option<Located<HeaderName>> {
     section.read(
-        notes,
+        sink,
         name,
-        "this is no header name",
+        "this is not a header name",
         "letters, digits and '-'",
         |v| {
             v.as_str()
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,13 +1,13 @@
-//! Values that are written as text: statuses and second copies.
+//! Parses values that are written as text: status ranges and hedging settings (`second_copy`).
 
 use badgerramp_decisions::Hedge;
 use badgerramp_route::StatusSet;
 use badgerramp_toml_diagnostics::units::parse_duration;
 
-/// `200`, `2xx` or `200-204`.
-pub(crate) fn statuses(text: &str, into: &mut StatusSet) -> Option<()> {
+/// Adds the statuses that a text like `200`, `2xx` or `200-204` names; `None` if the text is invalid.
+pub(crate) fn parse_statuses(text: &str, into: &mut StatusSet) -> Option<()> {
     let text = text.trim();
-    let number = |t: &str| {
+    let status = |t: &str| {
         t.parse::<u16>()
             .ok()
             .filter(|s| (100..=599).contains(s) && t.len() == 3)
@@ -19,22 +19,22 @@
             .filter(|c| (1..=5).contains(c) && class.len() == 1)?;
         (class * 100, class * 100 + 99)
     } else if let Some((from, to)) = text.split_once('-') {
-        (number(from.trim())?, number(to.trim())?)
+        (status(from.trim())?, status(to.trim())?)
     } else {
-        (number(text)?, number(text)?)
+        (status(text)?, status(text)?)
     };
-    // An interim answer ends nothing.
+    // 1xx responses are interim: they do not complete a call.
     (200 <= from && from <= to).then(|| into.insert(from, to))
 }
 
-/// `off`, `auto`, `after 120ms` or `at 95%`.
-pub(crate) fn second_copy(text: &str) -> Option<Hedge> {
+/// Parses a hedging setting: `off`, `auto`, `after 120ms` or `at 95%`.
+pub(crate) fn parse_hedge(text: &str) -> Option<Hedge> {
     match text.trim() {
         "off" => Some(Hedge::Never),
         "auto" => Some(Hedge::Auto),
         other => {
-            let (word, rest) = other.split_once(' ')?;
-            match word {
+            let (keyword, rest) = other.split_once(' ')?;
+            match keyword {
                 "after" => parse_duration(rest).filter(|&d| d > 0).map(Hedge::After),
                 "at" => {
                     let share = rest.trim().strip_suffix('%')?.parse::<f64>().ok()?;
@@ -53,23 +53,24 @@
     use super::*;
 
     #[test]
-    fn values_are_read_or_refused() {
-        let set = |text| {
-            let mut set = StatusSet::default();
-            statuses(text, &mut set).map(|()| (200..=599).filter(|&s| set.contains(s)).count())
+    fn valid_values_are_parsed_and_invalid_ones_are_rejected() {
+        let count = |text| {
+            let mut statuses_set = StatusSet::default();
+            parse_statuses(text, &mut statuses_set)
+                .map(|()| (200..=599).filter(|&s| statuses_set.contains(s)).count())
         };
         assert_eq!(
-            (set("200"), set("2xx"), set("200-204"), set("3xx")),
+            (count("200"), count("2xx"), count("200-204"), count("3xx")),
             (Some(1), Some(100), Some(5), Some(100))
         );
-        for bad in [
+        for invalid in [
             "1xx", "100", "600", "6xx", "xx", "20", "+200", "204-200", "ok", "",
         ] {
-            assert_eq!(set(bad), None, "{bad}");
+            assert_eq!(count(invalid), None, "{invalid}");
         }
-        assert_eq!(second_copy("after 120ms"), Some(Hedge::After(120_000)));
-        assert_eq!(second_copy("at 95%"), Some(Hedge::Quantile(0.95)));
-        for bad in [
+        assert_eq!(parse_hedge("after 120ms"), Some(Hedge::After(120_000)));
+        assert_eq!(parse_hedge("at 95%"), Some(Hedge::Quantile(0.95)));
+        for invalid in [
             "after",
             "after 0ms",
             "at 95",
@@ -78,7 +79,7 @@
             "always",
             "after at 95%",
         ] {
-            assert_eq!(second_copy(bad), None, "{bad}");
+            assert_eq!(parse_hedge(invalid), None, "{invalid}");
         }
     }
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,51 +1,51 @@
-//! Bad files, each with what is said of it, and good ones.
+//! Diagnostics for invalid files, and valid files that must be accepted.
 
-use badgerramp_config::{parse, Use};
+use badgerramp_config::{parse, Deployment};
 use std::path::Path;
 
-/// Every file in `bad` is refused, and what is said names file, line and column. To take new wording over, run with
-/// `INSTA_UPDATE=always`.
+/// Every file in `bad` is rejected with diagnostics that name file, line and column. To accept changed messages, run
+/// with `INSTA_UPDATE=always`.
 #[test]
 fn bad_files_are_refused_with_reasons() {
     let mut count = 0;
     insta::glob!("bad/*.toml", |path| {
         let name = path.file_name().and_then(|n| n.to_str()).expect("a name");
         let text = std::fs::read_to_string(path).expect("a file");
-        let mistakes = parse(name, &text).expect_err(name);
-        for mistake in mistakes.iter() {
-            let position = mistakes.position(mistake);
+        let diagnostics = parse(name, &text).expect_err(name);
+        for diagnostic in diagnostics.iter() {
+            let position = diagnostics.position(diagnostic);
             let (line, column) = (position.line, position.column);
             assert!(
-                mistakes
+                diagnostics
                     .to_string()
                     .contains(&format!("{name}:{line}:{column}")),
-                "{name}: {mistake:?}"
+                "{name}: {diagnostic:?}"
             );
             assert!(
                 line <= text.lines().count()
-                    && !mistake.reason.is_empty()
-                    && !mistake.allowed.is_empty()
+                    && !diagnostic.reason.is_empty()
+                    && !diagnostic.allowed.is_empty()
             );
         }
-        assert_eq!(mistakes.to_single_line().lines().count(), 1, "{name}");
+        assert_eq!(diagnostics.to_single_line().lines().count(), 1, "{name}");
         count += 1;
-        insta::assert_snapshot!(mistakes.to_string());
+        insta::assert_snapshot!(diagnostics.to_string());
     });
     assert!(count >= 40, "{count}");
 }
 
 #[test]
-fn the_examples_are_good() {
+fn example_files_are_accepted_without_warnings() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    for (name, usage) in [
-        ("sidecar.example.toml", Use::Alone),
-        ("peers.example.toml", Use::Alone),
-        ("expressions.example.toml", Use::Alone),
-        ("demo.example.toml", Use::Alone),
-        ("operator.example.toml", Use::Platform),
+    for (name, deployment) in [
+        ("sidecar.example.toml", Deployment::Standalone),
+        ("peers.example.toml", Deployment::Standalone),
+        ("expressions.example.toml", Deployment::Standalone),
+        ("demo.example.toml", Deployment::Standalone),
+        ("operator.example.toml", Deployment::Platform),
     ] {
         let config = badgerramp_config::load(&deploy.join(name)).unwrap_or_else(|m| panic!("{m}"));
-        assert_eq!(config.usage, usage);
+        assert_eq!(config.deployment, deployment);
         assert!(
             config.routes.shadows().is_empty() && config.warnings.is_empty(),
             "{:?}",
@@ -54,9 +54,9 @@
     }
 }
 
-/// Two routes that one request meets both: a warning names it, where it can be found.
+/// If a request matches two routes of different classes, a warning names both routes and the request.
 #[test]
-fn conditions_that_overlap_are_told_with_a_request() {
+fn overlapping_conditions_are_reported_with_an_example_request() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
     let text = text.expect("a file");
@@ -77,36 +77,42 @@
     let json = r#"(header["content-type"] ?? "") == "application/json""#;
     let warnings = with(json, r#"present(header["x-branch"])"#);
     assert_eq!(warnings.len(), 1);
-    let wanted =
-        "both take POST /both, content-type: application/json, x-branch: 1: the first wins";
-    assert!(warnings[0].contains(wanted), "{}", warnings[0]);
+    let expected =
+        "both match POST /both, content-type: application/json, x-branch: 1: the first one is used";
+    assert!(warnings[0].contains(expected), "{}", warnings[0]);
     assert!(with(json, r#"(header["content-type"] ?? "") == "text/plain""#).is_empty());
     assert!(
         with(json, r#"method == "PUT""#).is_empty(),
-        "the other route takes POST alone"
+        "the other route matches only POST"
     );
 }
 
-/// Without it each bad file could be refused for what they all share.
+/// The invalid files are variants of this one. If it were invalid itself, each of them could be rejected for a mistake
+/// that they all share.
 #[test]
-fn the_file_that_the_bad_ones_are_made_of_is_good() {
+fn the_file_that_invalid_files_are_derived_from_is_accepted() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good/base.toml"));
     parse("base.toml", &text.expect("a file")).unwrap_or_else(|m| panic!("{m}"));
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_a_mistake_too() {
-    let mistakes =
-        badgerramp_config::load(Path::new("/nowhere/at/all.toml")).expect_err("it is not there");
-    assert!(mistakes.to_single_line().contains("/nowhere/at/all.toml") && mistakes.count() == 1);
+fn an_unreadable_file_is_reported_as_a_diagnostic() {
+    let diagnostics = badgerramp_config::load(Path::new("/nowhere/at/all.toml"))
+        .expect_err("the file does not exist");
+    assert!(
+        diagnostics
+            .to_single_line()
+            .contains("/nowhere/at/all.toml")
+            && diagnostics.count() == 1
+    );
 }
 
 mod platform {
     use badgerramp_config::{narrow, parse};
     use badgerramp_decisions::{settings, Hedge, Micros};
 
-    fn facts() -> settings::PlatformSettings {
+    fn platform_settings() -> settings::PlatformSettings {
         let class = |name: &str, kind: &str| {
             format!(
                 r#"{{"name":"{name}","objective_us":500000,"deadline_us":1200000,"idempotency":"{kind}"}}"#
@@ -123,12 +129,13 @@
     }
 
     #[test]
-    fn it_narrows() {
+    fn a_file_narrows_the_platforms_settings() {
         let text =
             "platform = true\n[class.charge]\nattempts = 2\ntotal = '800ms'\nsecond_copy = 'off'\n\
             [[route]]\nname = 'late'\nprefix = '/charge/late'\nclass = 'charge'\nattempts = 1\n";
         let config = parse("p.toml", text).unwrap_or_else(|m| panic!("{m}"));
-        let (timings, table) = narrow(&config, &facts()).unwrap_or_else(|m| panic!("{m}"));
+        let (timings, table) =
+            narrow(&config, &platform_settings()).unwrap_or_else(|m| panic!("{m}"));
         assert_eq!(
             (timings[0].attempts, timings[0].total, timings[0].hedge),
             (u32::MAX, Micros::MAX, Hedge::Auto)
@@ -144,20 +151,20 @@
         );
     }
 
-    /// What is written on standard error is no setting of the platform's: single calls must be followed there too.
+    /// The log is not one of the platform's settings: operators must be able to trace single calls on the platform too.
     #[test]
-    fn it_may_set_the_log() {
+    fn a_file_may_set_the_log_on_the_platform() {
         let text = "platform = true\n[log]\nlevel = 'debug'\nrate = 100000\n";
         let config = parse("p.toml", text).unwrap_or_else(|m| panic!("{m}"));
         assert_eq!(
             (config.log.level, config.log.rate),
             (badgerramp_config::Level::Debug, 100_000)
         );
-        assert!(narrow(&config, &facts()).is_ok());
+        assert!(narrow(&config, &platform_settings()).is_ok());
     }
 
     #[test]
-    fn it_widens_nothing() {
+    fn settings_wider_than_the_platforms_are_rejected() {
         for (line, key) in [
             ("attempts = 4", "class.entry.attempts"),
             ("total = '1199ms'", "class.entry.total"),
@@ -169,24 +176,30 @@
         ] {
             let text = format!("platform = true\n[class.entry]\n{line}\n");
             let config = parse("p.toml", &text).unwrap_or_else(|m| panic!("{m}"));
-            let mistakes = narrow(&config, &facts()).expect_err(line);
+            let diagnostics = narrow(&config, &platform_settings()).expect_err(line);
             assert_eq!(
-                mistakes.iter().map(|m| m.key.as_str()).collect::<Vec<_>>(),
+                diagnostics
+                    .iter()
+                    .map(|m| m.key.as_str())
+                    .collect::<Vec<_>>(),
                 [key],
-                "{mistakes}"
+                "{diagnostics}"
             );
             let route = format!(
                 "platform = true\n[class.entry]\n[[route]]\nname = 'r'\nprefix = '/entry'\nclass = 'entry'\n{line}\n"
             );
             let config = parse("p.toml", &route).unwrap_or_else(|m| panic!("{m}"));
-            assert!(narrow(&config, &facts()).is_err(), "{line} by a route");
+            assert!(
+                narrow(&config, &platform_settings()).is_err(),
+                "{line} by a route"
+            );
         }
         let config =
             parse("p.toml", "platform = true\n[class.entri]\n").unwrap_or_else(|m| panic!("{m}"));
-        let mistakes = narrow(&config, &facts()).expect_err("no such class");
+        let diagnostics = narrow(&config, &platform_settings()).expect_err("no such class");
         assert!(
-            mistakes.to_string().contains("did you mean \"entry\"?"),
-            "{mistakes}"
+            diagnostics.to_string().contains("did you mean \"entry\"?"),
+            "{diagnostics}"
         );
     }
 }
