--- a/crates/config/tests/keys.rs
+++ b/crates/config/tests/keys.rs
@@ -1,5 +1,5 @@
-//! Every key that a table of the operator's file may hold. An unknown key is refused with the list of the known ones, so
-//! one unknown key in each table shows them all.
+//! The keys of each table of the operator's file. The diagnostic for an unknown key lists the known ones, so that one
+//! unknown key in each table reveals all keys.
 
 use badgerramp_config::parse;
 
@@ -40,7 +40,7 @@
 zzzz = 1
 "#;
 
-/// Expected requests are read only in a file that is good so far.
+/// `[[expect]]` is read only if the rest of the file has no mistakes.
 const EXPECT: &str = r#"
 [[expect]]
 zzzz = 1
@@ -48,23 +48,23 @@
 class = "a"
 "#;
 
-/// The unknown keys of a file, each with the keys that are known there.
-fn known(text: &str) -> Vec<String> {
-    let mistakes = parse("keys.toml", text).expect_err("there are unknown keys");
-    let unknown = mistakes
+/// The unknown keys of a file, each with the known keys of its table.
+fn known_keys(text: &str) -> Vec<String> {
+    let diagnostics = parse("keys.toml", text).expect_err("there are unknown keys");
+    let unknown = diagnostics
         .iter()
-        .filter(|mistake| mistake.key.ends_with("zzzz"));
+        .filter(|diagnostic| diagnostic.key.ends_with("zzzz"));
     let lines: Vec<String> = unknown
-        .map(|mistake| format!("{}: {}", mistake.key, mistake.allowed))
+        .map(|diagnostic| format!("{}: {}", diagnostic.key, diagnostic.allowed))
         .collect();
     assert_eq!(lines.len(), text.matches("zzzz").count(), "{lines:#?}");
     lines
 }
 
 #[test]
-fn every_table_of_the_operators_file_takes_the_keys_it_took() {
-    let good = include_str!("good/base.toml");
-    let expect = format!("{good}{}", EXPECT.replace("\"a\"", "\"none\""));
-    let lines = [known(FILE), known(&expect)].concat();
+fn each_table_of_the_operators_file_accepts_its_known_keys() {
+    let base = include_str!("good/base.toml");
+    let expect = format!("{base}{}", EXPECT.replace("\"a\"", "\"none\""));
+    let lines = [known_keys(FILE), known_keys(&expect)].concat();
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/config/tests/policy.rs
+++ b/crates/config/tests/policy.rs
@@ -1,4 +1,4 @@
-//! `[policy]`: the region of a proxy's control.
+//! `[policy]`: the region of the control plane.
 
 use badgerramp_config::{parse, Config, Diagnostics};
 
@@ -17,11 +17,11 @@
 }
 
 fn region(policy: &str) -> Option<String> {
-    region_of(file(policy).unwrap_or_else(|mistakes| panic!("{mistakes}")))
+    region_of(file(policy).unwrap_or_else(|diagnostics| panic!("{diagnostics}")))
 }
 
 #[test]
-fn a_region_is_named_or_left_out() {
+fn region_is_optional() {
     assert_eq!(region(""), None);
     assert_eq!(region("region = \"norte\"\n").as_deref(), Some("norte"));
     let longest = "r".repeat(63);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_bad_region_is_refused_with_file_line_key_what_was_found_and_what_is_allowed() {
+fn an_invalid_region_is_reported_with_file_line_key_found_and_allowed() {
     let too_long = format!("\"{}\"", "r".repeat(64));
     for found in [
         "\"\"",
@@ -40,21 +40,24 @@
         "\"1sur\"",
         &too_long,
     ] {
-        let mistakes = file(&format!("region = {found}\n")).expect_err(found);
-        assert_eq!(mistakes.count(), 1, "{mistakes}");
-        let told = mistakes.to_single_line();
+        let diagnostics = file(&format!("region = {found}\n")).expect_err(found);
+        assert_eq!(diagnostics.count(), 1, "{diagnostics}");
+        let message = diagnostics.to_single_line();
         let allowed = "allowed: 1 to 63 of a-z, 0-9, '-' and '_', the first one a letter";
-        let place = "proxy.toml:12:10: policy.region: this is no name of a region";
+        let location = "proxy.toml:12:10: policy.region: this is not a valid region name";
         assert!(
-            told.starts_with(place) && told.contains(found) && told.contains(allowed),
-            "{told}"
+            message.starts_with(location) && message.contains(found) && message.contains(allowed),
+            "{message}"
         );
     }
 }
 
 #[test]
-fn the_region_is_the_machines_own_and_not_the_policys() {
+fn the_region_comes_from_the_local_file_and_not_from_the_policy() {
     let local = file("region = \"sur\"\n").expect("good");
     let published = file("region = \"norte\"\n").expect("good");
-    assert_eq!(region_of(published.beside(&local)).as_deref(), Some("sur"));
+    assert_eq!(
+        region_of(published.with_local_settings(&local)).as_deref(),
+        Some("sur")
+    );
 }
--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -1,6 +1,6 @@
-//! For any file that is accepted and any course of outcomes: no unsafe call has two attempts that may have run, a
-//! keyed one goes again only within its group and window, and each call has one final answer within its client's time.
-//! The decisions are driven without sockets.
+//! Property test: with any accepted file and any sequence of outcomes, no unsafe call has two attempts that may have
+//! been executed, a keyed call is retried only within its group and window, and each call gets exactly one final
+//! response before its client gives up. The decisions are driven without sockets.
 
 use badgerramp_config::{parse, Config};
 use badgerramp_decisions::Idempotency;
@@ -10,26 +10,26 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Plays some calls of each route.
-fn play(config: &Config, seed: u64) {
+/// Simulates calls of random routes; the driver asserts the rules.
+fn simulate_calls(config: &Config, seed: u64) {
     let mut world = World::new(config, seed);
     let routes = config.routes.routes();
     for _ in 0..60 {
         let route = world.random().gen_range(0..routes.len());
         let once = world.random().gen_bool(0.2);
-        // A client may wait less than its class does.
-        let brief = world.random().gen_bool(0.3);
+        // A client may wait less than the deadline of its class.
+        let gives_up_early = world.random().gen_bool(0.3);
         let deadline = config.classes[routes[route].class].class.deadline;
         world.ask(Request {
             route,
             once,
-            told: brief.then_some(deadline / 2),
+            told: gives_up_early.then_some(deadline / 2),
         });
         let until = world.now() + world.random().gen_range(0..150_000);
         world.run(until);
     }
     world.run(world.now() + 700_000_000);
-    assert!(world.all_answered(), "a call without its answer");
+    assert!(world.all_answered(), "a call has no response");
 }
 
 fn duration() -> impl Strategy<Value = u64> {
@@ -43,9 +43,9 @@
     ]
 }
 
-/// Lines of timing, some of them against the rules.
+/// Timing settings of one table, some of them invalid.
 fn timing() -> impl Strategy<Value = String> {
-    let line = prop_oneof![
+    let setting = prop_oneof![
         duration().prop_map(|d| format!("attempt = '{d}ms'")),
         duration().prop_map(|d| format!("total = '{d}ms'")),
         (1u64..6).prop_map(|n| format!("attempts = {n}")),
@@ -61,10 +61,13 @@
             Just("retry = 'never-ran'".to_owned())
         ],
     ];
-    prop::collection::vec(line, 0..4).prop_map(|lines| {
+    prop::collection::vec(setting, 0..4).prop_map(|lines| {
         let mut by_key: BTreeMap<String, String> = BTreeMap::new();
-        for line in lines {
-            by_key.insert(line.split(' ').next().unwrap_or_default().to_owned(), line);
+        for setting in lines {
+            by_key.insert(
+                setting.split(' ').next().unwrap_or_default().to_owned(),
+                setting,
+            );
         }
         by_key.into_values().collect::<Vec<_>>().join("\n")
     })
@@ -81,16 +84,16 @@
     ]
 }
 
-/// A whole file: two classes, a route or two for each, two groups of endpoints.
+/// A complete file: two classes with two routes each, and two groups of endpoints.
 fn file() -> impl Strategy<Value = String> {
     let class = |name: &'static str| {
-        (effect(), timing(), timing(), any::<bool>()).prop_map(move |(effect, own, route, late)| {
+        (effect(), timing(), timing(), any::<bool>()).prop_map(move |(effect, class_timing, route_timing, late)| {
             let late = if late { "late_worth = 0" } else { "" };
             let class = format!(
-                "[class.{name}]\naim = '500ms'\ndeadline = '1200ms'\n{late}\n{effect}\n{own}\n"
+                "[class.{name}]\naim = '500ms'\ndeadline = '1200ms'\n{late}\n{effect}\n{class_timing}\n"
             );
             let routes = format!(
-                "[[route]]\nname = '{name}-own'\npath = '/{name}/own'\nclass = '{name}'\n{route}\n\
+                "[[route]]\nname = '{name}-own'\npath = '/{name}/own'\nclass = '{name}'\n{route_timing}\n\
                  [[route]]\nname = '{name}'\nprefix = '/{name}'\nclass = '{name}'\n"
             );
             (class, routes)
@@ -113,24 +116,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, max_global_rejects: 1_000_000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_accepted_file_breaks_a_rule(text in file(), seed in any::<u64>()) {
+    fn calls_of_any_accepted_file_obey_the_rules(text in file(), seed in any::<u64>()) {
         let config = parse("generated.toml", &text);
         prop_assume!(config.is_ok());
-        play(&config.expect("checked"), seed);
+        simulate_calls(&config.expect("checked"), seed);
     }
 }
 
-/// The generator makes files that are accepted and that have what the rules are about; else the test above is empty.
+/// The property test has meaning only if enough generated files are accepted and use hedging and each kind of
+/// idempotency.
 #[test]
-fn generated_files_have_what_the_rules_are_about() {
+fn generated_files_cover_hedging_and_each_kind_of_idempotency() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
     let mut runner = TestRunner::deterministic();
-    let (mut accepted, mut hedged, mut keyed, mut single, mut refused) = (0, 0, 0, 0, 0);
+    let (mut accepted, mut hedged, mut keyed_classes, mut unsafe_classes, mut rejected) =
+        (0, 0, 0, 0, 0);
     for _ in 0..2_000 {
         let text = file().new_tree(&mut runner).expect("a file").current();
         let Ok(config) = parse("generated.toml", &text) else {
-            refused += 1;
+            rejected += 1;
             continue;
         };
         accepted += 1;
@@ -138,11 +143,11 @@
             u32::from(config.classes.iter().any(|c| of(c.class.idempotency)))
         };
         hedged += u32::from(config.settings().limits.hedging);
-        keyed += any(|r| matches!(r, Idempotency::Keyed { .. }));
-        single += any(|r| r == Idempotency::NonIdempotent);
+        keyed_classes += any(|r| matches!(r, Idempotency::Keyed { .. }));
+        unsafe_classes += any(|r| r == Idempotency::NonIdempotent);
     }
     assert!(
-        accepted > 300 && hedged > 30 && keyed > 60 && single > 60 && refused > 300,
-        "{accepted} accepted, {hedged} with second copies, {keyed} keyed, {single} unsafe, {refused} refused"
+        accepted > 300 && hedged > 30 && keyed_classes > 60 && unsafe_classes > 60 && rejected > 300,
+        "{accepted} accepted, {hedged} with second copies, {keyed_classes} keyed, {unsafe_classes} unsafe, {rejected} refused"
     );
 }
--- a/crates/control-plane/src/fallback.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -74,7 +74,11 @@
 pub(crate) fn violations(old: &Files, new: &Files) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (application, old) in old {
-        for class in old.policy.iter().flat_map(|policy| &policy.floor) {
+        for class in old
+            .policy
+            .iter()
+            .flat_map(|policy| &policy.fallback_classes)
+        {
             let differences = match new.get(application) {
                 Some(new) => class_differences(class, old, new),
                 None => vec![Difference::ApplicationRemoved],
--- a/crates/policy/src/intersection.rs
+++ b/crates/policy/src/intersection.rs
@@ -6,7 +6,7 @@
 
 use crate::Micros;
 use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
-use badgerramp_route::{Answers, StatusSet};
+use badgerramp_route::{ResponseRules, StatusSet};
 use thiserror::Error;
 
 /// Every status code that HTTP allows (RFC 9110, section 15).
@@ -169,7 +169,7 @@
 
 /// How responses are classified where both policies agree. Any other response is an error whose request may have been
 /// executed.
-pub fn intersect_answers(old: &Answers, new: &Answers) -> Answers {
+pub fn intersect_answers(old: &ResponseRules, new: &ResponseRules) -> ResponseRules {
     if old == new {
         return old.clone();
     }
@@ -180,11 +180,11 @@
         }
     }
     // A status that one policy counts as served is no proof for it that the request did not run.
-    let proves = |p: &&badgerramp_route::Proof| {
+    let proves = |p: &&badgerramp_route::NotExecutedProof| {
         new.never_ran.contains(p)
             && !old.served.contains(p.status)
             && !new.served.contains(p.status)
     };
     let never_ran = old.never_ran.iter().filter(proves).cloned().collect();
-    Answers { served, never_ran }
+    ResponseRules { served, never_ran }
 }
--- a/crates/policy/tests/intersection.rs
+++ b/crates/policy/tests/intersection.rs
@@ -4,7 +4,7 @@
 use badgerramp_policy::{
     intersect, intersect_answers, IdempotencyKey, Mismatch, ResolvedCall, Side,
 };
-use badgerramp_route::{Answers, Proof, StatusSet, Verdict};
+use badgerramp_route::{NotExecutedProof, ResponseRules, StatusSet, Verdict};
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use proptest::prelude::*;
 
@@ -120,7 +120,7 @@
     }
 }
 
-fn answers() -> impl Strategy<Value = Answers> {
+fn answers() -> impl Strategy<Value = ResponseRules> {
     let statuses = prop::collection::vec(
         prop_oneof![Just(200), Just(201), Just(503), Just(504)],
         0..4,
@@ -130,11 +130,11 @@
         Just(Some((HeaderName::from_static("x-n"), None)))
     ];
     let proof = (prop_oneof![Just(503), Just(504)], header)
-        .prop_map(|(status, header)| Proof { status, header });
+        .prop_map(|(status, header)| NotExecutedProof { status, header });
     (statuses, prop::collection::vec(proof, 0..3)).prop_map(|(statuses, never_ran)| {
         let mut served = StatusSet::default();
         statuses.into_iter().for_each(|s| served.insert(s, s));
-        Answers { served, never_ran }
+        ResponseRules { served, never_ran }
     })
 }
 
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::{platform, program, sidecar};
-use badgerramp_config::{Config, Diagnostics, Use};
+use badgerramp_config::{Config, Deployment, Diagnostics};
 use clap::{Parser, Subcommand};
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -107,8 +107,8 @@
                 .warnings
                 .iter()
                 .for_each(|w| eprintln!("warning: {}: {w}", file.display()));
-            match (&facts, config.usage) {
-                (Some(facts), Use::Platform) => {
+            match (&facts, config.deployment) {
+                (Some(facts), Deployment::Platform) => {
                     badgerramp_config::narrow(&config, facts).map(|_| ())
                 }
                 _ => Ok(()),
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -52,7 +52,7 @@
 
 fn request() -> Request {
     let (uri, headers) = (Uri::from_static("/a"), HeaderMap::new());
-    let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
+    let answers = std::sync::Arc::new(badgerramp_route::ResponseRules::platform());
     let options = Rc::new(AttemptOptions {
         connect_timeout: 1,
         answers,
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -3,10 +3,10 @@
 use super::head::{head, length, single, timeout};
 use super::{reject, Admitted, Rejection};
 use crate::net::upstream::AttemptOptions;
-use badgerramp_config::ANSWER_ROOM;
+use badgerramp_config::RESPONSE_RESERVE;
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ClassId, Idempotency};
-use badgerramp_route::{Answers, Table, Timing};
+use badgerramp_route::{ResponseRules, Table, Timing};
 use hyper::header;
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
@@ -41,7 +41,7 @@
 impl Platform {
     /// The platform's classes as its settings give them, narrowed by the limits of an operator's file.
     pub fn new(facts: &PlatformSettings, narrowed: Option<(Vec<Timing>, Table)>) -> Self {
-        let answers = Arc::new(Answers::platform());
+        let answers = Arc::new(ResponseRules::platform());
         let plain = facts.transport.connect_timeout;
         let make = |timing: Option<Timing>| {
             let connect = timing.map_or(plain, |t| t.connect.min(plain));
@@ -144,12 +144,12 @@
                 .map(str::to_owned),
             id: Some(id),
             time: time
-                .saturating_sub(ANSWER_ROOM)
+                .saturating_sub(RESPONSE_RESERVE)
                 .max(1)
                 .min(limits.timing.total),
             length: Some(length),
             max_body_len: MAX_BODY,
-            terms: limits.timing.terms(false),
+            terms: limits.timing.call_policy(false),
             options: Rc::clone(&limits.options),
         })
     }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -3,7 +3,7 @@
 use super::head::{head, length, plain_form, single, timeout};
 use super::{reject, Admitted, Rejection};
 use crate::net::upstream::{strip_hop_by_hop_and_listed, AttemptOptions};
-use badgerramp_config::{Config, ANSWER_ROOM};
+use badgerramp_config::{Config, RESPONSE_RESERVE};
 use badgerramp_decisions::{ClassId, Idempotency};
 use badgerramp_policy::{IdempotencyKey, ResolvedCall};
 use badgerramp_route::Route;
@@ -36,7 +36,7 @@
         let max_body_len = config.limits.body;
         let options = |r: &Route| AttemptOptions {
             connect_timeout: r.timing.connect,
-            answers: Arc::clone(&r.answers),
+            answers: Arc::clone(&r.response_rules),
             max_body_len,
         };
         let options_by_route = config
@@ -124,7 +124,7 @@
         let key = || {
             self.config
                 .routes
-                .text(route.key.as_ref()?, &head(parts, client))
+                .source_value(route.key.as_ref()?, &head(parts, client))
                 .map(Cow::into_owned)
         };
         let key = if guarded { key() } else { None };
@@ -134,16 +134,16 @@
             tenant: route
                 .tenant
                 .as_ref()
-                .and_then(|t| self.config.routes.text(t, &head(parts, client)))
+                .and_then(|t| self.config.routes.source_value(t, &head(parts, client)))
                 .map(Cow::into_owned),
             id: None,
             time: asked
-                .saturating_sub(ANSWER_ROOM)
+                .saturating_sub(RESPONSE_RESERVE)
                 .max(1)
                 .min(route.timing.total),
             length,
             max_body_len: self.config.limits.body,
-            terms: route.timing.terms(once),
+            terms: route.timing.call_policy(once),
             options: Rc::clone(&self.options_by_route[place]),
         };
         Ok(Evaluation {
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -6,7 +6,7 @@
 use crate::net::upstream::AttemptOptions;
 use badgerramp_decisions::ClassId;
 use badgerramp_policy::{intersect, intersect_answers, Side};
-use badgerramp_route::Answers;
+use badgerramp_route::ResponseRules;
 use hyper::http::request::Parts;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
     old: Rc<Rules>,
     new: Rc<Rules>,
     /// The meaning of answers on which both policies agree, by the addresses of the options of their routes.
-    answers: RefCell<HashMap<(usize, usize), Arc<Answers>>>,
+    answers: RefCell<HashMap<(usize, usize), Arc<ResponseRules>>>,
 }
 
 impl TransitionRules {
@@ -77,7 +77,7 @@
     }
 
     /// Computed once for each pair of routes that meet.
-    fn answers(&self, old: &Rc<AttemptOptions>, new: &Rc<AttemptOptions>) -> Arc<Answers> {
+    fn answers(&self, old: &Rc<AttemptOptions>, new: &Rc<AttemptOptions>) -> Arc<ResponseRules> {
         // The two policies keep their options alive as long as this lives, so that addresses are unique.
         let addresses = (Rc::as_ptr(old) as usize, Rc::as_ptr(new) as usize);
         let mut known = self.answers.borrow_mut();
--- a/crates/proxy/src/net/upstream/attempt.rs
+++ b/crates/proxy/src/net/upstream/attempt.rs
@@ -72,7 +72,7 @@
         .verdict(parts.status, &parts.headers);
     let outcome = match verdict {
         Verdict::Served => Outcome::Served,
-        Verdict::NeverRan => Outcome::Rejected,
+        Verdict::NotExecuted => Outcome::Rejected,
         Verdict::Error => Outcome::Error,
     };
     AttemptResult {
--- a/crates/proxy/src/net/upstream/exchange.rs
+++ b/crates/proxy/src/net/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! What passes between the driver and the connections to endpoints: a request, the target of an attempt, and its result.
 
 use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
-use badgerramp_route::Answers;
+use badgerramp_route::ResponseRules;
 use bytes::Bytes;
 use hyper::http::{HeaderMap, Method, StatusCode, Uri};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     /// Time to open a connection, in microseconds.
     pub connect_timeout: Micros,
     /// What a response means.
-    pub answers: Arc<Answers>,
+    pub answers: Arc<ResponseRules>,
     /// Most bytes of a response's body.
     pub max_body_len: usize,
 }
--- a/crates/proxy/src/net/upstream/tests.rs
+++ b/crates/proxy/src/net/upstream/tests.rs
@@ -63,7 +63,7 @@
         generation: 0,
     };
     let (method, uri, headers) = (Method::GET, Uri::from_static("/a"), HeaderMap::new());
-    let answers = std::sync::Arc::new(badgerramp_route::Answers::platform());
+    let answers = std::sync::Arc::new(badgerramp_route::ResponseRules::platform());
     let options = Rc::new(AttemptOptions {
         connect_timeout: 9_000_000,
         answers,
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::net::driver::List;
 use crate::net::rules::{Platform, Rules};
 use crate::program::{self, Fault, Members, Running, Setup};
-use badgerramp_config::{narrow, Use};
+use badgerramp_config::{narrow, Deployment};
 use badgerramp_decisions::settings::{self, PlatformSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
     let narrowed = match operator {
         Some(path) => {
             let config = badgerramp_config::load(path)?;
-            if config.usage != Use::Platform {
+            if config.deployment != Deployment::Platform {
                 let shown = path.display();
                 return Err(Fault::Other(format!(
                     "{shown}: without `platform = true` it is for `badgerramp run`"
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -8,7 +8,7 @@
 use crate::policy_copy::{self, PolicyCopy};
 use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
 use crate::program::Running;
-use badgerramp_config::{Config, PolicyTerms, Use};
+use badgerramp_config::{Config, Deployment, PolicySettings};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{clock, digest, Client, ClientError, SharedSecret};
 use badgerramp_decisions::ClassId;
@@ -37,7 +37,7 @@
 pub(crate) struct PolicyClient {
     gate: Rc<AdmissionGate>,
     identity: Identity,
-    terms: PolicyTerms,
+    terms: PolicySettings,
     secret: SharedSecret,
     /// The proxy's own file.
     local: RefCell<Config>,
@@ -90,7 +90,7 @@
             Some(Ok(None)) | None => {}
         }
         let holder = LeaseHolderConfig {
-            on_lease_loss: terms.cut_off,
+            on_lease_loss: terms.on_lease_loss,
             request_timeout: micros(ANSWER),
             retry_delay: micros(PAUSE),
         };
@@ -387,17 +387,22 @@
 fn parse(text: &str, local: &Config) -> Result<Config, String> {
     let config =
         badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
-    if config.usage != Use::Alone {
+    if config.deployment != Deployment::Standalone {
         return Err("`platform = true` is for no sidecar".to_owned());
     }
     let narrow = local
         .policy
         .as_ref()
-        .is_some_and(|p| p.cut_off == OnLeaseLoss::Fallback);
-    if narrow && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
+        .is_some_and(|p| p.on_lease_loss == OnLeaseLoss::Fallback);
+    if narrow
+        && config
+            .policy
+            .as_ref()
+            .is_none_or(|p| p.fallback_classes.is_empty())
+    {
         return Err(
             "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
         );
     }
-    Ok(config.beside(local))
+    Ok(config.with_local_settings(local))
 }
--- a/crates/proxy/src/policy_rules.rs
+++ b/crates/proxy/src/policy_rules.rs
@@ -107,7 +107,11 @@
 pub(crate) fn floor_rules(policy: &Rc<Rules>) -> Rc<Rules> {
     let floor = match &**policy {
         Rules::Sidecar(sidecar) => {
-            let names = sidecar.config().policy.as_ref().map(|p| p.floor.as_slice());
+            let names = sidecar
+                .config()
+                .policy
+                .as_ref()
+                .map(|p| p.fallback_classes.as_slice());
             sidecar.class_ids(names.unwrap_or_default())
         }
         _ => Vec::new(),
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -12,7 +12,8 @@
 use crate::net::upstream::{ConnectionPool, IdleLimits};
 use crate::net::{Descriptors, MemoryBudget};
 use badgerramp_config::{
-    clients_borne, connections_kept, Diagnostics, ListTerms, SubsetTerms, DESCRIPTORS_RESERVED,
+    max_client_connections, max_idle_connections, Diagnostics, ListSettings, SubsetSettings,
+    RESERVED_DESCRIPTORS,
 };
 use badgerramp_decisions::settings::PlatformSettings;
 use badgerramp_decisions::{ListUpdateKind, Micros};
@@ -77,11 +78,11 @@
     pub memory: usize,
     pub members: Members,
     /// The endpoints that it keeps to; `None`: all.
-    pub subset: Option<SubsetTerms>,
+    pub subset: Option<SubsetSettings>,
     /// How long a watch waits, where that is not derived from what counts as told.
     pub watch_wait: Option<Micros>,
     /// How the list service is asked where many do.
-    pub list: Option<ListTerms>,
+    pub list: Option<ListSettings>,
     /// The other proxies of the fleet, where they pass the list on.
     pub peers: Option<peers::GossipConfig>,
     pub rules: Rules,
@@ -199,18 +200,18 @@
     } = around;
     let room = setup
         .descriptors
-        .saturating_sub(DESCRIPTORS_RESERVED)
+        .saturating_sub(RESERVED_DESCRIPTORS)
         .max(8);
     let descriptors = Descriptors::new(room);
     // The rest is for buffers, which are bounded by the number of connections.
     let bytes = MemoryBudget::new(setup.memory / 4);
     let idle_limits = match setup.subset {
         Some(terms) => IdleLimits {
-            per_endpoint: terms.kept,
+            per_endpoint: terms.idle_connections,
             time: terms.idle,
         },
         None => IdleLimits {
-            per_endpoint: connections_kept(setup.facts.settings.balancers),
+            per_endpoint: max_idle_connections(setup.facts.settings.balancers),
             time: Micros::MAX,
         },
     };
@@ -230,7 +231,7 @@
     let grace = setup.facts.settings.rules.drain_grace;
     let subset = setup
         .subset
-        .map(|terms| Subset::new(terms.need, terms.instance));
+        .map(|terms| Subset::new(terms.config, terms.instance));
     let driver = Driver::new(
         setup.seed,
         setup.facts,
@@ -295,7 +296,7 @@
         memory_budget: bytes,
         in_flight_ids: RefCell::default(),
         default_retry_after: Cell::new(setup.advice),
-        max_connections: clients_borne(setup.descriptors),
+        max_connections: max_client_connections(setup.descriptors),
         max_excess_connections: (setup.descriptors / 40).max(2),
     });
     let running = Running {
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -7,7 +7,7 @@
 use crate::net::rules::{Rules, Sidecar};
 use crate::policy_client::PolicyClient;
 use crate::program::{self, Fault, Members, Running, Setup};
-use badgerramp_config::{Config, PeersTerms, Use};
+use badgerramp_config::{Config, Deployment, PeersSettings};
 use badgerramp_control_protocol::SharedSecret;
 use badgerramp_decisions::settings::{PlatformSettings, Transport};
 use badgerramp_decisions::ListUpdateKind;
@@ -22,7 +22,7 @@
 
 fn load(path: &Path) -> Result<Config, Fault> {
     let config = badgerramp_config::load(path)?;
-    if config.usage != Use::Alone {
+    if config.deployment != Deployment::Standalone {
         return Err(Fault::Other(format!(
             "{}: `platform = true` is for `badgerramp --operator`",
             path.display()
@@ -141,14 +141,14 @@
 }
 
 /// The codec of a fleet's datagrams.
-pub(crate) fn codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
+pub(crate) fn codec(terms: &PeersSettings) -> Result<peers::DatagramCodec, String> {
     let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
 
 /// Opens the way to the others.
-fn peers_of(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
+fn peers_of(terms: &PeersSettings) -> Result<peers::GossipConfig, String> {
     let codec = codec(terms)?;
     let fault = |e| format!("peers.listen: {}: {e}", terms.listen);
     let socket = std::net::UdpSocket::bind(terms.listen).map_err(fault)?;
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -770,7 +770,7 @@
             good.replace("listen = \"127.0.0.1:0\"", "listen = \"127.0.0.1:1\""),
             "can't change listen",
         ),
-        (String::new(), "this key is wanted"),
+        (String::new(), "this key is required"),
     ] {
         proxy.reload(&bad);
         let line = proxy.logged("the old configuration stays");
@@ -1032,7 +1032,7 @@
     for (text, reason) in [
         ("platform = true\n[class.safe]\nattempts = 9\n", "widen"),
         ("platform = true\n[class.other]\n", "no such class"),
-        ("listen = \"127.0.0.1:0\"\n", "this key is wanted"),
+        ("listen = \"127.0.0.1:0\"\n", "this key is required"),
     ] {
         let (mut child, operator) = with(text);
         let mut told = String::new();
--- a/crates/route/benches/table.rs
+++ b/crates/route/benches/table.rs
@@ -1,17 +1,17 @@
-//! What a look-up costs with 1, 100 and 10,000 routes, and what it costs to build the table.
+//! Cost of a lookup with 1, 100 and 10,000 routes, and of building the table.
 #![expect(
     missing_docs,
     reason = "the macro of the benchmark library makes a function without docs"
 )]
 
 use badgerramp_decisions::{Hedge, RetryOn};
-use badgerramp_route::{pattern, Answers, PathPattern, Route, Table, Timing};
+use badgerramp_route::{compile_pattern, PathPattern, ResponseRules, Route, Table, Timing};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use http::{HeaderMap, Method};
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// Of a hundred routes ninety are prefixes, nine are exact and `patterns` of a hundred are patterns.
+/// Of every hundred routes, `patterns` are regular expressions, ten are exact paths and the rest are prefixes.
 fn routes(count: usize, patterns: usize) -> Vec<Route> {
     let timing = Timing {
         connect: 1,
@@ -20,13 +20,13 @@
         attempts: 1,
         backoff: 0,
         hedge: Hedge::Never,
-        resend: RetryOn::NotExecuted,
+        retry_on: RetryOn::NotExecuted,
     };
-    let answers = Arc::new(Answers::standard());
+    let answers = Arc::new(ResponseRules::standard());
     let path = |n: usize| match n % 100 {
-        k if k < patterns => {
-            PathPattern::Regex(pattern(&format!("/p{n}/[0-9]+/receipt")).expect("a pattern"))
-        }
+        k if k < patterns => PathPattern::Regex(
+            compile_pattern(&format!("/p{n}/[0-9]+/receipt")).expect("a pattern"),
+        ),
         k if k >= 90 => PathPattern::Exact(format!("/branch/{n}/status")),
         _ => PathPattern::Prefix(format!("/branch/{n}/fees")),
     };
@@ -41,18 +41,18 @@
             tenant: None,
             key: None,
             timing,
-            answers: Arc::clone(&answers),
+            response_rules: Arc::clone(&answers),
         })
         .collect()
 }
 
-fn look_up(c: &mut Criterion) {
+fn lookup(c: &mut Criterion) {
     let headers = HeaderMap::new();
     for (kind, patterns) in [("no patterns", 0), ("1% patterns", 1)] {
         let mut group = c.benchmark_group(format!("find, {kind}"));
         for count in [1, 100, 10_000] {
             let table = Table::new(routes(count, patterns)).expect("a table");
-            // The last prefix of the file, or the only route.
+            // The last prefix of the table, or the only route.
             let hit = format!(
                 "/branch/{}/fees/2026/12",
                 if count == 1 { 0 } else { count - 11 }
@@ -79,5 +79,5 @@
     group.finish();
 }
 
-criterion_group!(benches, look_up, build);
+criterion_group!(benches, lookup, build);
 criterion_main!(benches);
--- a/crates/route/src/answers.rs
+++ b/crates/route/src/answers.rs
@@ -1,4 +1,4 @@
-//! What an answer's status and headers mean for the call. The decisions only hear the verdict.
+//! Classifies responses by their status and headers. The decisions see only the verdict.
 
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::StatusCode;
@@ -8,21 +8,21 @@
 pub struct StatusSet([u64; 16]);
 
 impl StatusSet {
-    /// Puts the statuses `from` to `to` in, both included; what is no status (100 to 999) is passed over.
+    /// Adds the statuses from `from` to `to`, both included. Numbers outside of 100 to 999 are ignored.
     pub fn insert(&mut self, from: u16, to: u16) {
         for status in from.max(100)..=to.min(999) {
             self.0[usize::from(status) / 64] |= 1 << (status % 64);
         }
     }
 
-    /// Takes one out.
+    /// Removes a status.
     pub fn remove(&mut self, status: u16) {
         if let Some(word) = self.0.get_mut(usize::from(status) / 64) {
             *word &= !(1 << (status % 64));
         }
     }
 
-    /// Is it in?
+    /// Whether the set contains a status.
     pub fn contains(&self, status: u16) -> bool {
         self.0
             .get(usize::from(status) / 64)
@@ -30,17 +30,17 @@
     }
 }
 
-/// An answer that proves that the attempt never ran.
+/// A response that proves that the endpoint did not execute the attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proof {
-    /// With this status ...
+pub struct NotExecutedProof {
+    /// Status of the response.
     pub status: u16,
-    /// ... and this header, with this value where one is named.
+    /// Header that the response must have; with a value, the header must have exactly this value.
     pub header: Option<(HeaderName, Option<HeaderValue>)>,
 }
 
-impl Proof {
-    fn given_by(&self, status: StatusCode, headers: &HeaderMap) -> bool {
+impl NotExecutedProof {
+    fn matches(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         let header = |(name, value): &(HeaderName, Option<HeaderValue>)| match value {
             Some(value) => headers.get_all(name).iter().any(|v| v == value),
             None => headers.contains_key(name),
@@ -49,41 +49,42 @@
     }
 }
 
-/// What an answer means.
+/// Classification of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the client's.
+    /// The response is passed on to the client.
     Served,
-    /// The host turned the attempt away unseen.
-    NeverRan,
-    /// The host failed; the attempt may have run.
+    /// The endpoint rejected the attempt without executing it.
+    NotExecuted,
+    /// The endpoint failed. The attempt may have been executed.
     Error,
 }
 
-/// How answers are read.
+/// Rules by which responses are classified.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answers {
-    /// Statuses that count as served.
+pub struct ResponseRules {
+    /// Statuses of responses that are passed on to the client.
     pub served: StatusSet,
-    /// What proves that an attempt never ran. A status that is served proves nothing.
-    pub never_ran: Vec<Proof>,
+    /// Responses that prove that an attempt was not executed. A status in `served` takes precedence.
+    pub never_ran: Vec<NotExecutedProof>,
 }
 
-impl Answers {
-    /// Statuses 2xx, 3xx and 4xx but 408, 421, 425 and 429 are served; 503 and 504 with `X-Not-Processed: 1` never ran.
+impl ResponseRules {
+    /// The default rules: 2xx, 3xx and 4xx except 408, 421, 425 and 429 are served; 503 and 504 with `X-Not-Processed:
+    /// 1` were not executed.
     pub fn standard() -> Self {
         let mut served = StatusSet::default();
         served.insert(200, 499);
         [408, 421, 425, 429]
             .into_iter()
             .for_each(|status| served.remove(status));
-        Answers {
+        ResponseRules {
             served,
-            ..Answers::platform()
+            ..ResponseRules::platform()
         }
     }
 
-    /// As on the platform: only 200 is served.
+    /// The platform's rules: only 200 is served; 503 and 504 with `X-Not-Processed: 1` were not executed.
     pub fn platform() -> Self {
         let mut served = StatusSet::default();
         served.insert(200, 200);
@@ -93,26 +94,26 @@
                 Some(HeaderValue::from_static("1")),
             ))
         };
-        let proof = |status| Proof {
+        let proof = |status| NotExecutedProof {
             status,
             header: header(),
         };
-        Answers {
+        ResponseRules {
             served,
             never_ran: vec![proof(503), proof(504)],
         }
     }
 
-    /// What an answer means.
+    /// Classifies a response.
     pub fn verdict(&self, status: StatusCode, headers: &HeaderMap) -> Verdict {
         if self.served.contains(status.as_u16()) {
             Verdict::Served
         } else if self
             .never_ran
             .iter()
-            .any(|proof| proof.given_by(status, headers))
+            .any(|proof| proof.matches(status, headers))
         {
-            Verdict::NeverRan
+            Verdict::NotExecuted
         } else {
             Verdict::Error
         }
@@ -124,33 +125,51 @@
     use super::*;
 
     #[test]
-    fn a_verdict_goes_by_status_and_proof() {
+    fn verdict_depends_on_status_and_not_processed_header() {
         let not_processed = HeaderMap::from_iter([(
             HeaderName::from_static("x-not-processed"),
             HeaderValue::from_static("1"),
         )]);
-        let odd = HeaderMap::from_iter([(
+        let wrong_value = HeaderMap::from_iter([(
             HeaderName::from_static("x-not-processed"),
             HeaderValue::from_static("0"),
         )]);
-        let none = HeaderMap::new();
-        let (platform, standard) = (Answers::platform(), Answers::standard());
-        for (status, headers, on_platform, alone) in [
-            (200, &none, Verdict::Served, Verdict::Served),
-            (204, &none, Verdict::Error, Verdict::Served),
-            (304, &none, Verdict::Error, Verdict::Served),
-            (404, &none, Verdict::Error, Verdict::Served),
-            (429, &none, Verdict::Error, Verdict::Error),
+        let no_headers = HeaderMap::new();
+        let (platform, standard) = (ResponseRules::platform(), ResponseRules::standard());
+        for (status, headers, expected_platform, expected_standard) in [
+            (200, &no_headers, Verdict::Served, Verdict::Served),
+            (204, &no_headers, Verdict::Error, Verdict::Served),
+            (304, &no_headers, Verdict::Error, Verdict::Served),
+            (404, &no_headers, Verdict::Error, Verdict::Served),
+            (429, &no_headers, Verdict::Error, Verdict::Error),
             (500, &not_processed, Verdict::Error, Verdict::Error),
-            (503, &none, Verdict::Error, Verdict::Error),
-            (503, &odd, Verdict::Error, Verdict::Error),
-            (503, &not_processed, Verdict::NeverRan, Verdict::NeverRan),
-            (504, &not_processed, Verdict::NeverRan, Verdict::NeverRan),
-            (999, &none, Verdict::Error, Verdict::Error),
+            (503, &no_headers, Verdict::Error, Verdict::Error),
+            (503, &wrong_value, Verdict::Error, Verdict::Error),
+            (
+                503,
+                &not_processed,
+                Verdict::NotExecuted,
+                Verdict::NotExecuted,
+            ),
+            (
+                504,
+                &not_processed,
+                Verdict::NotExecuted,
+                Verdict::NotExecuted,
+            ),
+            (999, &no_headers, Verdict::Error, Verdict::Error),
         ] {
             let status = StatusCode::from_u16(status).expect("a status");
-            assert_eq!(platform.verdict(status, headers), on_platform, "{status}");
-            assert_eq!(standard.verdict(status, headers), alone, "{status}");
+            assert_eq!(
+                platform.verdict(status, headers),
+                expected_platform,
+                "{status}"
+            );
+            assert_eq!(
+                standard.verdict(status, headers),
+                expected_standard,
+                "{status}"
+            );
         }
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which class, tenant, key and timing a request has, and what an answer to it means. Tables are built once, when a
-//! file is loaded; looking a request up reads neither clock nor socket.
+//! Determines the class, tenant, key and timing of a request, and classifies the responses to it. Tables are built
+//! once, when a file is loaded; a lookup reads neither a clock nor a socket.
 //!
-//! A [`Table`] holds [`Route`]s in the order of the operator's file; the first that takes a request wins.
+//! A [`Table`] holds [`Route`]s in the order of the operator's file. A request takes the first route that matches it.
 #![forbid(unsafe_code)]
 
 mod answers;
@@ -10,12 +10,12 @@
 mod table;
 mod timing;
 
-pub use answers::{Answers, Proof, StatusSet, Verdict};
+pub use answers::{NotExecutedProof, ResponseRules, StatusSet, Verdict};
 pub use badgerramp_expr::Head;
-pub use path::{normalize, PathFault, PATH_MOST};
+pub use path::{normalize, PathError, MAX_PATH_BYTES};
 pub use source::{Expression, Source};
 pub use table::{
-    pattern, HeaderPattern, PathPattern, PatternFault, Route, Shadow, Table, TableFault,
-    PATTERN_BYTES, SET_BYTES,
+    compile_pattern, HeaderPattern, PathPattern, PatternError, Route, Shadow, Table, TableError,
+    MAX_PATTERN_BYTES, MAX_PATTERN_SET_BYTES,
 };
 pub use timing::Timing;
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -1,101 +1,104 @@
-//! The one normal form in which paths are compared. The request itself is passed on as it came.
+//! Normalizes paths for comparison. The request itself is forwarded with its original path.
 
 use std::borrow::Cow;
 
-/// Longest path that is looked up, in bytes. It bounds what one request can cost.
-pub const PATH_MOST: usize = 8 * 1024;
+/// Maximum length of a path, in bytes. It bounds the cost of looking up one request.
+pub const MAX_PATH_BYTES: usize = 8 * 1024;
 
 /// Why a path has no normal form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PathFault {
-    /// It does not begin with a slash.
+pub enum PathError {
+    /// The path does not begin with a slash.
     NotAbsolute,
-    /// It is longer than [`PATH_MOST`].
+    /// The path is longer than [`MAX_PATH_BYTES`].
     TooLong,
-    /// A `%` without two hexadecimal digits behind it.
+    /// A `%` is not followed by two hexadecimal digits.
     BadEscape,
-    /// Its `..` lead out of the root.
+    /// The `..` segments lead above the root.
     AboveRoot,
 }
 
-impl std::fmt::Display for PathFault {
+impl std::fmt::Display for PathError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            PathFault::NotAbsolute => "a path begins with '/'",
-            PathFault::TooLong => "the path is longer than 8 KiB",
-            PathFault::BadEscape => "'%' wants two hexadecimal digits behind it",
-            PathFault::AboveRoot => "its '..' lead out of the root",
+            PathError::NotAbsolute => "a path begins with '/'",
+            PathError::TooLong => "the path is longer than 8 KiB",
+            PathError::BadEscape => "'%' wants two hexadecimal digits behind it",
+            PathError::AboveRoot => "its '..' lead out of the root",
         })
     }
 }
 
-impl std::error::Error for PathFault {}
+impl std::error::Error for PathError {}
 
-/// The normal form of a path (RFC 3986, 6.2.2, and empty segments merged):
+/// Returns the normal form of a path (RFC 3986, section 6.2.2, with empty segments merged):
 ///
-/// - escapes of unreserved characters are decoded, all others keep their escape, with capital digits: `%2F` never
+/// - escapes of unreserved characters are decoded; all others stay escaped, with upper-case digits, so that `%2F` never
 ///   becomes a separator;
-/// - empty segments are dropped, but for the last: `//a///b/` is `/a/b/`;
-/// - `.` and `..` are resolved, also where they were written as escapes.
+/// - empty segments are removed, except for the last one: `//a///b/` becomes `/a/b/`;
+/// - `.` and `..` are resolved, even if they were percent-encoded.
 ///
-/// Query and fragment are no part of a path: the caller takes them off.
+/// The path must not include the query or fragment; the caller removes them.
 ///
 /// # Errors
-/// See [`PathFault`]. Such a request matches no route and is best refused: a host may read it in another way.
-pub fn normalize(path: &str) -> Result<Cow<'_, str>, PathFault> {
+/// See [`PathError`]. Such a request matches no route and should be rejected, as an endpoint may interpret its path
+/// differently.
+pub fn normalize(path: &str) -> Result<Cow<'_, str>, PathError> {
     if !path.starts_with('/') {
-        return Err(PathFault::NotAbsolute);
+        return Err(PathError::NotAbsolute);
     }
-    if path.len() > PATH_MOST {
-        return Err(PathFault::TooLong);
+    if path.len() > MAX_PATH_BYTES {
+        return Err(PathError::TooLong);
     }
-    // Nearly all paths are in normal form already.
+    // Fast path: nearly all paths are in normal form already.
     if !path.contains('%') && !path.contains("//") && !path.contains("/.") {
         return Ok(Cow::Borrowed(path));
     }
     let decoded = decode(path)?;
-    let mut kept: Vec<&str> = Vec::new();
-    let mut ends_open = false;
+    let mut segments: Vec<&str> = Vec::new();
+    let mut has_trailing_slash = false;
     for segment in decoded[1..].split('/') {
-        ends_open = matches!(segment, "" | "." | "..");
+        has_trailing_slash = matches!(segment, "" | "." | "..");
         match segment {
             "" | "." => {}
             ".." => {
-                kept.pop().ok_or(PathFault::AboveRoot)?;
+                segments.pop().ok_or(PathError::AboveRoot)?;
             }
-            name => kept.push(name),
+            name => segments.push(name),
         }
     }
     let mut normal = String::with_capacity(decoded.len());
-    for segment in &kept {
+    for name in &segments {
         normal.push('/');
-        normal.push_str(segment);
+        normal.push_str(name);
     }
-    if ends_open || normal.is_empty() {
+    if has_trailing_slash || normal.is_empty() {
         normal.push('/');
     }
     Ok(Cow::Owned(normal))
 }
 
-/// Decodes escapes of unreserved characters (RFC 3986, 2.3) and writes all others alike.
-fn decode(path: &str) -> Result<String, PathFault> {
+/// Decodes escapes of unreserved characters (RFC 3986, section 2.3) and writes all others with upper-case digits.
+fn decode(path: &str) -> Result<String, PathError> {
     let mut decoded = String::with_capacity(path.len());
     let mut rest = path;
-    while let Some(at) = rest.find('%') {
-        decoded.push_str(&rest[..at]);
-        let digits = rest.get(at + 1..at + 3).ok_or(PathFault::BadEscape)?;
-        // A sign would be taken for a number too.
+    while let Some(escape) = rest.find('%') {
+        decoded.push_str(&rest[..escape]);
+        let digits = rest
+            .get(escape + 1..escape + 3)
+            .ok_or(PathError::BadEscape)?;
+        // `from_str_radix` would also accept a sign.
         if !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(PathFault::BadEscape);
+            return Err(PathError::BadEscape);
         }
-        let byte = u8::from_str_radix(digits, 16).map_err(|_| PathFault::BadEscape)?;
+        let byte = u8::from_str_radix(digits, 16).map_err(|_| PathError::BadEscape)?;
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
             decoded.push(char::from(byte));
         } else {
             decoded.push('%');
             decoded.push_str(&digits.to_ascii_uppercase());
         }
-        rest = &rest[at + 3..];
+        rest = &rest[escape + 3..];
     }
     decoded.push_str(rest);
     Ok(decoded)
@@ -108,7 +111,7 @@
     use proptest::test_runner::RngSeed;
 
     #[test]
-    fn one_normal_form() {
+    fn equivalent_paths_have_one_normal_form_and_invalid_paths_are_rejected() {
         for (path, normal) in [
             ("/", "/"),
             ("/a/b", "/a/b"),
@@ -127,28 +130,28 @@
             assert_eq!(normalize(path).as_deref(), Ok(normal), "{path}");
         }
         for (path, fault) in [
-            ("", PathFault::NotAbsolute),
-            ("*", PathFault::NotAbsolute),
-            ("/%", PathFault::BadEscape),
-            ("/%4", PathFault::BadEscape),
-            ("/%+1", PathFault::BadEscape),
-            ("/%\u{f1}a", PathFault::BadEscape),
-            ("/..", PathFault::AboveRoot),
-            ("/a/%2e./../b", PathFault::AboveRoot),
+            ("", PathError::NotAbsolute),
+            ("*", PathError::NotAbsolute),
+            ("/%", PathError::BadEscape),
+            ("/%4", PathError::BadEscape),
+            ("/%+1", PathError::BadEscape),
+            ("/%\u{f1}a", PathError::BadEscape),
+            ("/..", PathError::AboveRoot),
+            ("/a/%2e./../b", PathError::AboveRoot),
         ] {
             assert_eq!(normalize(path), Err(fault), "{path}");
         }
         assert_eq!(
-            normalize(&format!("/{}", "a".repeat(PATH_MOST))),
-            Err(PathFault::TooLong)
+            normalize(&format!("/{}", "a".repeat(MAX_PATH_BYTES))),
+            Err(PathError::TooLong)
         );
     }
 
     proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
-        /// What is in normal form stays as it is, and holds nothing that a normal form may not hold.
+        /// Normalizing a normal form does not change it, and it has no empty, `.` or `..` segments.
         #[test]
-        fn a_normal_form_is_its_own(path in "/([a-c./]|%2[eEfF]|%4[1-3]|%[cC]3){0,24}") {
+        fn normalization_is_idempotent(path in "/([a-c./]|%2[eEfF]|%4[1-3]|%[cC]3){0,24}") {
             if let Ok(normal) = normalize(&path) {
                 prop_assert_eq!(normalize(&normal), Ok(Cow::Borrowed(&*normal)));
                 prop_assert!(!normal.contains("//"));
--- a/crates/route/src/source.rs
+++ b/crates/route/src/source.rs
@@ -1,19 +1,19 @@
-//! Where a request tells its tenant or its key.
+//! Sources of the tenant or the idempotency key of a request.
 
 use badgerramp_expr::Id;
 use http::header::{HeaderMap, HeaderName, COOKIE};
 use std::sync::Arc;
 
-/// An expression and its text.
+/// A compiled expression and its text.
 #[derive(Clone, Debug)]
 pub struct Expression {
-    /// Its number in the table's program.
+    /// Id of the expression in the table's program.
     pub id: Id,
-    /// Its text.
+    /// Source text.
     pub text: Arc<str>,
 }
 
-/// Numbers differ from program to program.
+/// Compares only the texts, because ids differ from program to program.
 impl PartialEq for Expression {
     fn eq(&self, other: &Self) -> bool {
         self.text == other.text
@@ -22,10 +22,10 @@
 
 impl Eq for Expression {}
 
-/// A header, a cookie or an expression.
+/// The part of a request from which a value is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The value of an expression; [`crate::Table::text`] reads it.
+    /// The value of an expression, which [`crate::Table::source_value`] evaluates.
     Expression(Expression),
     /// The value of a header.
     Header(HeaderName),
@@ -34,8 +34,8 @@
 }
 
 impl Source {
-    /// The value of a header or cookie, if there is exactly one and it says something. Two values are none: nothing tells which of them the
-    /// host will go by.
+    /// The value of a header or cookie if there is exactly one and it is not empty. Several values count as none,
+    /// because it is unknown which of them the endpoint uses.
     pub fn read<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str> {
         let value = match self {
             Source::Expression(_) => return None,
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn one_value_is_a_value_and_two_are_none() {
+    fn a_single_value_is_read_and_several_or_empty_ones_are_ignored() {
         let key = Source::Header(HeaderName::from_static("idempotency-key"));
         assert_eq!(
             key.read(&headers(&[("idempotency-key", " 5c0f ")])),
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,7 +1,8 @@
-//! The table of routes: a tree over path segments for exact paths and prefixes, one set for all patterns. The cost of a
-//! look-up grows with the path and with the routes that share a place, not with their number.
+//! The table of routes: a trie over path segments for exact paths and prefixes, and one regex set for all patterns. The
+//! cost of a lookup grows with the length of the path and with the number of routes that share a node, but not with the
+//! total number of routes.
 
-use crate::{normalize, Answers, Expression, PathFault, Source, Timing};
+use crate::{normalize, Expression, PathError, ResponseRules, Source, Timing};
 use badgerramp_expr::{Head, Program, Scratch, Unmetered, Value};
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::Method;
@@ -10,33 +11,33 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Most bytes that one pattern may take compiled.
-pub const PATTERN_BYTES: usize = 256 * 1024;
-/// ... and all of them together.
-pub const SET_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum compiled size of one pattern, in bytes.
+pub const MAX_PATTERN_BYTES: usize = 256 * 1024;
+/// Maximum compiled size of all patterns together, in bytes.
+pub const MAX_PATTERN_SET_BYTES: usize = 8 * 1024 * 1024;
 
-/// Which paths a route takes, in their normal form.
+/// The paths that a route matches, in normal form.
 #[derive(Clone, Debug)]
 pub enum PathPattern {
-    /// This one.
+    /// Only this path.
     Exact(String),
-    /// This one and all below it: `/a` takes `/a` and `/a/b`, not `/ab`; `/a/` does not take `/a`.
+    /// This path and all paths below it: `/a` matches `/a` and `/a/b`, but not `/ab`; `/a/` does not match `/a`.
     Prefix(String),
-    /// All that the pattern matches from beginning to end; made by [`pattern`].
+    /// Paths that the pattern matches from beginning to end. [`compile_pattern`] creates the pattern.
     Regex(Regex),
 }
 
-/// A header that a request must bear.
+/// A header that a request must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderPattern {
-    /// Its name.
+    /// Name of the header.
     pub name: HeaderName,
-    /// Its value; None: any.
+    /// Required value; `None` allows any value.
     pub value: Option<HeaderValue>,
 }
 
 impl HeaderPattern {
-    fn takes(&self, headers: &HeaderMap) -> bool {
+    fn matches(&self, headers: &HeaderMap) -> bool {
         match &self.value {
             Some(value) => headers.get_all(&self.name).iter().any(|v| v == value),
             None => headers.contains_key(&self.name),
@@ -44,95 +45,99 @@
     }
 }
 
-/// One route.
+/// A route: the conditions that a request must meet, and how its call is made.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name in the file.
+    /// Name in the file.
     pub name: String,
-    /// Which paths it takes.
+    /// Paths that the route matches.
     pub path: PathPattern,
-    /// Which methods; none named: all.
+    /// Methods that the route matches; empty for all methods.
     pub methods: Vec<Method>,
-    /// Headers that must all be there.
+    /// Headers that a request must have.
     pub headers: Vec<HeaderPattern>,
-    /// A condition that must hold.
+    /// Condition that a request must meet.
     pub when: Option<Expression>,
-    /// Place of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Where the tenant stands.
+    /// Source of the tenant.
     pub tenant: Option<Source>,
-    /// Where the key stands, if its class goes by one.
+    /// Source of the idempotency key, if the class uses one.
     pub key: Option<Source>,
-    /// Its timing.
+    /// Timing of the calls.
     pub timing: Timing,
-    /// How answers are read.
-    pub answers: Arc<Answers>,
+    /// Rules by which responses are classified.
+    pub response_rules: Arc<ResponseRules>,
 }
 
 impl Route {
-    /// Does it take such a request, apart from its path? Its condition is asked last.
-    fn takes<'r>(&self, head: &Head<'r>, program: &'r Program, scratch: &mut Scratch<'r>) -> bool {
+    /// Whether the route matches a request, apart from its path. The condition is evaluated last.
+    fn matches<'r>(
+        &self,
+        head: &Head<'r>,
+        program: &'r Program,
+        scratch: &mut Scratch<'r>,
+    ) -> bool {
         (self.methods.is_empty() || self.methods.contains(head.method))
-            && self.headers.iter().all(|h| h.takes(head.headers))
+            && self.headers.iter().all(|h| h.matches(head.headers))
             && self.when.as_ref().is_none_or(|when| {
                 program.evaluate_with(when.id, head, scratch, &mut Unmetered) == Value::Bool(true)
             })
     }
 
-    /// Does it take, of the paths it takes, all that `later` takes?
+    /// Whether the route matches all requests that `later` matches, apart from their paths.
     fn covers(&self, later: &Route) -> bool {
         let methods = self.methods.is_empty()
             || (!later.methods.is_empty()
                 && later.methods.iter().all(|m| self.methods.contains(m)));
-        let wanted = |own: &HeaderPattern| {
-            later
-                .headers
-                .iter()
-                .any(|h| h.name == own.name && (own.value.is_none() || own.value == h.value))
+        let required = |header: &HeaderPattern| {
+            later.headers.iter().any(|h| {
+                h.name == header.name && (header.value.is_none() || header.value == h.value)
+            })
         };
         let condition = self.when.is_none() || self.when == later.when;
-        methods && condition && self.headers.iter().all(wanted)
+        methods && condition && self.headers.iter().all(required)
     }
 }
 
-/// Why a pattern is none.
+/// The reason why a pattern is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PatternFault(pub String);
+pub struct PatternError(pub String);
 
-impl std::fmt::Display for PatternFault {
+impl std::fmt::Display for PatternError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for PatternFault {}
+impl std::error::Error for PatternError {}
 
-/// Compiles a pattern that has to match a path from beginning to end. The engine runs in linear time.
+/// Compiles a pattern that has to match a path from beginning to end. Matching takes linear time.
 ///
 /// # Errors
-/// If the text is no pattern, or would take more than [`PATTERN_BYTES`] compiled.
-pub fn pattern(text: &str) -> Result<Regex, PatternFault> {
-    // On its own first: what closes a group here must not be mended by the one put round it.
+/// If the text is not a valid pattern, or its compiled size exceeds [`MAX_PATTERN_BYTES`].
+pub fn compile_pattern(text: &str) -> Result<Regex, PatternError> {
+    // The bare text must be valid by itself: an unbalanced `)` must not close the group that is added below.
     regex_syntax_check(text)?;
-    let whole = format!("^(?:{text})$");
-    RegexBuilder::new(&whole)
-        .size_limit(PATTERN_BYTES)
+    let anchored = format!("^(?:{text})$");
+    RegexBuilder::new(&anchored)
+        .size_limit(MAX_PATTERN_BYTES)
         .build()
-        .map_err(|fault| PatternFault(reason(&fault)))
+        .map_err(|error| PatternError(error_message(&error)))
 }
 
-fn regex_syntax_check(text: &str) -> Result<(), PatternFault> {
+fn regex_syntax_check(text: &str) -> Result<(), PatternError> {
     RegexBuilder::new(text)
-        .size_limit(PATTERN_BYTES)
+        .size_limit(MAX_PATTERN_BYTES)
         .build()
         .map(drop)
-        .map_err(|f| PatternFault(reason(&f)))
+        .map_err(|f| PatternError(error_message(&f)))
 }
 
-/// The last line of the library's word tells the reason; those above it draw the place.
-fn reason(fault: &regex::Error) -> String {
-    match fault {
-        regex::Error::CompiledTooBig(most) => format!("compiled it takes more than {most} bytes"),
+/// Message of a compile error. Of a syntax error it is the last line; the lines above show the place in the pattern.
+fn error_message(error: &regex::Error) -> String {
+    match error {
+        regex::Error::CompiledTooBig(most) => format!("its compiled size exceeds {most} bytes"),
         other => {
             let text = other.to_string();
             let last = text.lines().last().unwrap_or_default().trim();
@@ -141,84 +146,87 @@
     }
 }
 
-/// A route that can never match, as an earlier one takes all that it would.
+/// A route that can never match, because an earlier one matches all its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shadow {
-    /// Place of the one that never matches.
+    /// Index of the route that never matches.
     pub later: usize,
-    /// Place of the one that takes all.
+    /// Index of the route that matches all its requests.
     pub earlier: usize,
 }
 
-/// Why no table could be made.
+/// The reason why a table could not be built.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TableFault {
-    /// All patterns together take more than [`SET_BYTES`] compiled.
+pub enum TableError {
+    /// The compiled size of all patterns together exceeds [`MAX_PATTERN_SET_BYTES`].
     PatternsTooBig,
 }
 
-impl std::fmt::Display for TableFault {
+impl std::fmt::Display for TableError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "the patterns of all routes together take more than {SET_BYTES} bytes compiled"
+            "the patterns of all routes together exceed {MAX_PATTERN_SET_BYTES} bytes compiled"
         )
     }
 }
 
-impl std::error::Error for TableFault {}
+impl std::error::Error for TableError {}
 
-/// A place in the tree: the path down to it. Each list is in the order of the routes.
+/// A node of the trie, for the path from the root to it. Each list holds route indexes in ascending order.
 #[derive(Debug, Default)]
 struct Node {
-    below: HashMap<Box<str>, usize>,
-    /// Routes of exactly this path.
+    /// Index of the child node for each next segment.
+    children: HashMap<Box<str>, usize>,
+    /// Routes that match exactly this path.
     exact: Vec<usize>,
-    /// Prefixes that end here, and those that want a further segment.
-    at: Vec<usize>,
-    under: Vec<usize>,
+    /// Routes whose prefix is this path without a trailing slash.
+    prefixes: Vec<usize>,
+    /// Routes whose prefix is this path with a trailing slash, which do not match the path itself.
+    strict_prefixes: Vec<usize>,
 }
 
-/// All routes.
+/// The routes of a file, indexed for lookup.
 #[derive(Debug)]
 pub struct Table {
     routes: Vec<Route>,
     nodes: Vec<Node>,
     patterns: RegexSet,
-    /// The route of each pattern.
+    /// Index of the route of each pattern.
     pattern_routes: Vec<usize>,
     shadows: Vec<Shadow>,
-    /// The expressions that routes name.
+    /// Compiled expressions to which the routes refer.
     program: Arc<Program>,
 }
 
 impl Table {
-    /// Builds the table. Paths of the routes must be in normal form (see [`normalize`]); others never match.
+    /// Builds a table of routes without expressions. Paths must be in normal form (see [`normalize`]); others never
+    /// match.
     ///
     /// # Errors
-    /// See [`TableFault`].
-    pub fn new(routes: Vec<Route>) -> Result<Self, TableFault> {
-        Table::with(routes, Arc::default())
+    /// See [`TableError`].
+    pub fn new(routes: Vec<Route>) -> Result<Self, TableError> {
+        Table::with_program(routes, Arc::default())
     }
 
-    /// Builds the table of routes that name expressions of this program.
+    /// Builds a table of routes that refer to the expressions of `program`.
     ///
     /// # Errors
-    /// See [`TableFault`].
-    pub fn with(routes: Vec<Route>, program: Arc<Program>) -> Result<Self, TableFault> {
+    /// See [`TableError`].
+    pub fn with_program(routes: Vec<Route>, program: Arc<Program>) -> Result<Self, TableError> {
         let regexes = routes
             .iter()
             .enumerate()
-            .filter_map(|(place, route)| match &route.path {
-                PathPattern::Regex(regex) => Some((place, regex.as_str())),
+            .filter_map(|(index, route)| match &route.path {
+                PathPattern::Regex(regex) => Some((index, regex.as_str())),
                 _ => None,
             });
         let (pattern_routes, texts): (Vec<usize>, Vec<&str>) = regexes.unzip();
         let patterns = RegexSetBuilder::new(&texts)
-            .size_limit(SET_BYTES)
-            .dfa_size_limit(SET_BYTES)
+            .size_limit(MAX_PATTERN_SET_BYTES)
+            .dfa_size_limit(MAX_PATTERN_SET_BYTES)
             .build()
-            .map_err(|_| TableFault::PatternsTooBig)?;
+            .map_err(|_| TableError::PatternsTooBig)?;
         let mut table = Table {
             routes,
             nodes: vec![Node::default()],
@@ -228,31 +236,31 @@
             program,
         };
         for later in 0..table.routes.len() {
-            let earlier = table.covering(later);
+            let earlier = table.find_covering(later);
             table
                 .shadows
                 .extend(earlier.map(|earlier| Shadow { later, earlier }));
-            table.enter(later);
+            table.insert(later);
         }
         Ok(table)
     }
 
-    /// The routes in their order.
+    /// The routes, in the order of the file.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Routes that never match, by what the routes before each take alone.
+    /// Routes that never match, each because of a single earlier route.
     pub fn shadows(&self) -> &[Shadow] {
         &self.shadows
     }
 
-    /// The expressions that routes name.
+    /// The compiled expressions to which the routes refer.
     pub fn program(&self) -> &Arc<Program> {
         &self.program
     }
 
-    /// The first route that takes a request without a query, from this machine, and its place.
+    /// Finds the first route that matches a request without a query from the local host, and its index.
     ///
     /// # Errors
     /// If the path has no normal form.
@@ -261,7 +269,7 @@
         method: &Method,
         path: &str,
         headers: &HeaderMap,
-    ) -> Result<Option<(usize, &Route)>, PathFault> {
+    ) -> Result<Option<(usize, &Route)>, PathError> {
         self.find_head(&Head {
             method,
             path,
@@ -271,11 +279,11 @@
         })
     }
 
-    /// The first route that takes such a request, and its place. The path may be in any form.
+    /// Finds the first route that matches a request, and its index. The path need not be in normal form.
     ///
     /// # Errors
     /// If the path has no normal form.
-    pub fn find_head(&self, head: &Head<'_>) -> Result<Option<(usize, &Route)>, PathFault> {
+    pub fn find_head(&self, head: &Head<'_>) -> Result<Option<(usize, &Route)>, PathError> {
         let path = normalize(head.path)?;
         let head = Head {
             path: &path,
@@ -283,13 +291,14 @@
         };
         let mut scratch = Scratch::default();
         let mut best = usize::MAX;
-        // The lists are in order: the first that takes the request is the list's best.
-        let mut look = |list: &[usize]| {
-            let mut better = list.iter().take_while(|&&r| r < best);
-            let found = better.find(|&&r| self.routes[r].takes(&head, &self.program, &mut scratch));
+        // Each list is in ascending order, so the first matching route of a list is its best.
+        let mut consider = |list: &[usize]| {
+            let mut candidates = list.iter().take_while(|&&r| r < best);
+            let found =
+                candidates.find(|&&r| self.routes[r].matches(&head, &self.program, &mut scratch));
             best = found.copied().unwrap_or(best);
         };
-        self.along(&path, |list, _| look(list));
+        self.visit_matching(&path, |list, _| consider(list));
         let first_pattern = self.pattern_routes.first().copied().unwrap_or(usize::MAX);
         if first_pattern < best {
             let matched = self.patterns.matches(&path);
@@ -298,15 +307,15 @@
                 .map(|p| self.pattern_routes[p])
                 .take_while(|&r| r < best);
             best = found
-                .find(|&r| self.routes[r].takes(&head, &self.program, &mut scratch))
+                .find(|&r| self.routes[r].matches(&head, &self.program, &mut scratch))
                 .unwrap_or(best);
         }
         Ok(self.routes.get(best).map(|route| (best, route)))
     }
 
-    /// What a source says of a request; nothing, if it says nothing or cannot be told apart.
-    pub fn text<'r>(&self, source: &Source, head: &Head<'r>) -> Option<Cow<'r, str>> {
-        let Source::Expression(own) = source else {
+    /// The value that a request has at a source; `None` if it has none, an empty one or several.
+    pub fn source_value<'r>(&self, source: &Source, head: &Head<'r>) -> Option<Cow<'r, str>> {
+        let Source::Expression(expression) = source else {
             return source.read(head.headers).map(Cow::Borrowed);
         };
         let path = normalize(head.path).ok()?;
@@ -314,38 +323,38 @@
             path: &path,
             ..*head
         };
-        match self.program.evaluate(own.id, &head) {
+        match self.program.evaluate(expression.id, &head) {
             Value::Str(text) if !text.is_empty() => Some(Cow::Owned(text.into_owned())),
             _ => None,
         }
     }
 
-    /// Visits the lists of all places whose exact paths or prefixes take this path. The flag tells exact ones.
-    fn along<'a>(&'a self, path: &str, mut visit: impl FnMut(&'a [usize], bool)) {
+    /// Visits the lists of routes whose exact path or prefix matches a path. The flag is true for exact paths.
+    fn visit_matching<'a>(&'a self, path: &str, mut visit: impl FnMut(&'a [usize], bool)) {
         let mut node = &self.nodes[0];
         let mut rest = path.get(1..);
         while let Some(text) = rest {
-            visit(&node.under, false);
-            let (segment, further) = match text.split_once('/') {
-                Some((segment, further)) => (segment, Some(further)),
+            visit(&node.strict_prefixes, false);
+            let (segment, remainder) = match text.split_once('/') {
+                Some((segment, remainder)) => (segment, Some(remainder)),
                 None => (text, None),
             };
-            let Some(&next) = node.below.get(segment) else {
+            let Some(&next) = node.children.get(segment) else {
                 return;
             };
             node = &self.nodes[next];
-            visit(&node.at, false);
-            rest = further;
+            visit(&node.prefixes, false);
+            rest = remainder;
         }
         visit(&node.exact, true);
     }
 
-    /// An earlier route that takes all that this one would.
-    fn covering(&self, later: usize) -> Option<usize> {
+    /// The first earlier route that matches all requests of this one.
+    fn find_covering(&self, later: usize) -> Option<usize> {
         let route = &self.routes[later];
         let covers = |&&r: &&usize| self.routes[r].covers(route);
         let mut found: Option<usize> = None;
-        let mut look = |list: &[usize]| {
+        let mut consider = |list: &[usize]| {
             found = list
                 .iter()
                 .find(covers)
@@ -356,32 +365,33 @@
         };
         match &route.path {
             PathPattern::Exact(path) => {
-                self.along(path, |list, _| look(list));
+                self.visit_matching(path, |list, _| consider(list));
                 let matched = self
                     .patterns
                     .matches(path)
                     .into_iter()
                     .map(|p| self.pattern_routes[p]);
-                look(&matched.filter(|&r| r < later).collect::<Vec<_>>());
+                consider(&matched.filter(|&r| r < later).collect::<Vec<_>>());
             }
-            PathPattern::Prefix(path) => self.along(path, |list, exact| {
+            PathPattern::Prefix(path) => self.visit_matching(path, |list, exact| {
                 if !exact {
-                    look(list);
+                    consider(list);
                 }
             }),
             PathPattern::Regex(regex) => {
-                look(&self.nodes[0].under);
+                consider(&self.nodes[0].strict_prefixes);
                 let same = self.pattern_routes.iter().copied().take_while(|&r| r < later).filter(|&r| {
                     matches!(&self.routes[r].path, PathPattern::Regex(other) if other.as_str() == regex.as_str())
                 });
-                look(&same.collect::<Vec<_>>());
+                consider(&same.collect::<Vec<_>>());
             }
         }
         found
     }
 
-    fn enter(&mut self, place: usize) {
-        let (path, exact) = match &self.routes[place].path {
+    /// Adds a route to the trie. Routes with a pattern are in the regex set only.
+    fn insert(&mut self, index: usize) {
+        let (path, exact) = match &self.routes[index].path {
             PathPattern::Exact(path) => (path, true),
             PathPattern::Prefix(path) => (path, false),
             PathPattern::Regex(_) => return,
@@ -389,21 +399,21 @@
         let Some(path) = path.strip_prefix('/') else {
             return;
         };
-        let under = !exact && (path.is_empty() || path.ends_with('/'));
-        let segments = if under {
+        let strict_prefixes = !exact && (path.is_empty() || path.ends_with('/'));
+        let segments = if strict_prefixes {
             path.strip_suffix('/').unwrap_or(path)
         } else {
             path
         };
         let mut node = 0;
-        if !(under && segments.is_empty()) {
+        if !(strict_prefixes && segments.is_empty()) {
             for segment in segments.split('/') {
-                node = match self.nodes[node].below.get(segment) {
+                node = match self.nodes[node].children.get(segment) {
                     Some(&next) => next,
                     None => {
                         let next = self.nodes.len();
                         self.nodes.push(Node::default());
-                        self.nodes[node].below.insert(segment.into(), next);
+                        self.nodes[node].children.insert(segment.into(), next);
                         next
                     }
                 };
@@ -412,11 +422,11 @@
         let node = &mut self.nodes[node];
         let list = if exact {
             &mut node.exact
-        } else if under {
-            &mut node.under
+        } else if strict_prefixes {
+            &mut node.strict_prefixes
         } else {
-            &mut node.at
+            &mut node.prefixes
         };
-        list.push(place);
+        list.push(index);
     }
 }
--- a/crates/route/src/timing.rs
+++ b/crates/route/src/timing.rs
@@ -1,28 +1,28 @@
-//! The timing of one route, with all defaults filled in.
+//! Timing of one route, with defaults applied.
 
 use badgerramp_decisions::{CallPolicy, Hedge, Micros, RetryOn};
 
-/// How long what may take, and what may be tried again.
+/// Time limits of a call and its attempts, and the conditions for retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// A connection that is not up by then has failed.
+    /// Connect timeout.
     pub connect: Micros,
-    /// Longest time of one attempt, its connect included.
+    /// Maximum duration of one attempt, including its connect.
     pub attempt: Micros,
-    /// Longest time of the call, from its last byte to its final answer.
+    /// Maximum duration of the call, from the last byte of the request to the final response.
     pub total: Micros,
-    /// Most attempts, second copies included.
+    /// Maximum number of attempts, including hedged requests.
     pub attempts: u32,
-    /// Pause between the end of an attempt and the next.
+    /// Pause between the end of an attempt and the start of the next.
     pub backoff: Micros,
-    /// Second copies.
+    /// When hedged requests are sent.
     pub hedge: Hedge,
-    /// What may go again.
-    pub resend: RetryOn,
+    /// Failures after which a call may be retried.
+    pub retry_on: RetryOn,
 }
 
 impl Timing {
-    /// No limit of its own: what site and class allow holds as it is.
+    /// Sets no limits: those of the platform and the class apply unchanged.
     pub const UNLIMITED: Timing = Timing {
         connect: Micros::MAX,
         attempt: Micros::MAX,
@@ -30,31 +30,32 @@
         attempts: u32::MAX,
         backoff: 0,
         hedge: Hedge::Auto,
-        resend: RetryOn::AnyFailure,
+        retry_on: RetryOn::AnyFailure,
     };
 
-    /// What the decisions are told of a call. `once`: the key that its class goes by is missing.
-    pub fn terms(&self, once: bool) -> CallPolicy {
+    /// The policy of a call for the decisions. `non_idempotent` is true if the class requires an idempotency key and
+    /// the request has none.
+    pub fn call_policy(&self, non_idempotent: bool) -> CallPolicy {
         CallPolicy {
             max_attempts: self.attempts,
             attempt_timeout: self.attempt,
             backoff: self.backoff,
             hedge: self.hedge,
-            retry_on: self.resend,
-            non_idempotent: once,
+            retry_on: self.retry_on,
+            non_idempotent,
         }
     }
 
-    /// The longest that all attempts can take one after the other.
-    pub fn longest(&self) -> Micros {
+    /// Maximum total duration of all attempts in sequence, with their pauses.
+    pub fn max_attempts_duration(&self) -> Micros {
         let pauses = u64::from(self.attempts.saturating_sub(1));
         u64::from(self.attempts)
             .saturating_mul(self.attempt)
             .saturating_add(pauses.saturating_mul(self.backoff))
     }
 
-    /// The latest start of the last attempt, counted from that of the first.
-    pub fn last_start(&self) -> Micros {
+    /// Latest possible start of the last attempt, relative to the start of the first.
+    pub fn last_attempt_start(&self) -> Micros {
         let pauses = u64::from(self.attempts.saturating_sub(1));
         pauses.saturating_mul(self.attempt.saturating_add(self.backoff))
     }
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table against plain reading of its rules: the first route that takes a request wins.
+//! The route table, compared with a linear search for the first route that matches a request.
 
 use badgerramp_decisions::{Hedge, RetryOn};
 use badgerramp_route::*;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 fn timing() -> Timing {
-    let (hedge, resend) = (Hedge::Never, RetryOn::NotExecuted);
+    let (hedge, retry_on) = (Hedge::Never, RetryOn::NotExecuted);
     Timing {
         connect: 1,
         attempt: 1,
@@ -17,7 +17,7 @@
         attempts: 1,
         backoff: 0,
         hedge,
-        resend,
+        retry_on,
     }
 }
 
@@ -39,7 +39,7 @@
         tenant: None,
         key: None,
         timing: timing(),
-        answers: Arc::new(Answers::standard()),
+        response_rules: Arc::new(ResponseRules::standard()),
     }
 }
 
@@ -52,29 +52,29 @@
 }
 
 fn regex(text: &str) -> PathPattern {
-    PathPattern::Regex(pattern(text).expect("a pattern"))
+    PathPattern::Regex(compile_pattern(text).expect("a pattern"))
 }
 
-/// The place of the route that takes a request.
-fn found(table: &Table, method: &Method, path: &str, headers: &HeaderMap) -> Option<usize> {
+/// Index of the route that matches a request.
+fn find_index(table: &Table, method: &Method, path: &str, headers: &HeaderMap) -> Option<usize> {
     table
         .find(method, path, headers)
         .expect("a normal form")
         .map(|(place, _)| place)
 }
 
-fn get(table: &Table, path: &str) -> Option<usize> {
-    found(table, &Method::GET, path, &HeaderMap::new())
+fn find_get(table: &Table, path: &str) -> Option<usize> {
+    find_index(table, &Method::GET, path, &HeaderMap::new())
 }
 
-fn table(paths: Vec<PathPattern>) -> Table {
+fn table_of(paths: Vec<PathPattern>) -> Table {
     Table::new(paths.into_iter().map(|p| route(p, &[], &[])).collect()).expect("a table")
 }
 
 #[test]
-fn a_prefix_ends_at_a_segment() {
-    let t = table(vec![prefix("/fees"), prefix("/doors/"), exact("/")]);
-    for (path, taken) in [
+fn a_prefix_matches_whole_segments_only() {
+    let table = table_of(vec![prefix("/fees"), prefix("/doors/"), exact("/")]);
+    for (path, expected) in [
         ("/fees", Some(0)),
         ("/fees/", Some(0)),
         ("/fees/a/b", Some(0)),
@@ -89,30 +89,30 @@
         ("/%66ees", Some(0)),
         ("/doors%2F7", None),
     ] {
-        assert_eq!(get(&t, path), taken, "{path}");
+        assert_eq!(find_get(&table, path), expected, "{path}");
     }
 }
 
 #[test]
-fn the_first_in_the_file_wins_whatever_its_kind() {
-    let t = table(vec![
+fn the_first_matching_route_wins_whatever_its_kind() {
+    let table = table_of(vec![
         regex("/a/[0-9]+"),
         exact("/a/b"),
         prefix("/a"),
         exact("/a/c"),
         regex("/a.*"),
     ]);
-    for (path, taken) in [
+    for (path, expected) in [
         ("/a/7", Some(0)),
         ("/a/b", Some(1)),
         ("/a/c", Some(2)),
         ("/ab", Some(4)),
         ("/b", None),
     ] {
-        assert_eq!(get(&t, path), taken, "{path}");
+        assert_eq!(find_get(&table, path), expected, "{path}");
     }
     assert_eq!(
-        t.shadows(),
+        table.shadows(),
         [Shadow {
             later: 3,
             earlier: 2
@@ -120,47 +120,48 @@
     );
 }
 
-/// A pattern is held against the whole path: one that closes the group it is put in must not get round that.
+/// A pattern must match the whole path. A pattern with an unbalanced `)` must be rejected, as it would close the group
+/// that anchors it.
 #[test]
-fn a_pattern_matches_from_beginning_to_end() {
-    let t = table(vec![regex("/a|/b")]);
+fn a_pattern_matches_the_path_from_beginning_to_end() {
+    let table = table_of(vec![regex("/a|/b")]);
     assert_eq!(
         (
-            get(&t, "/a"),
-            get(&t, "/b"),
-            get(&t, "/ab"),
-            get(&t, "/c/b")
+            find_get(&table, "/a"),
+            find_get(&table, "/b"),
+            find_get(&table, "/ab"),
+            find_get(&table, "/c/b")
         ),
         (Some(0), Some(0), None, None)
     );
-    assert!(pattern("/a)|(.*").is_err());
+    assert!(compile_pattern("/a)|(.*").is_err());
     assert!(
-        pattern("(a{500}){500}").is_err_and(|f| f.0.contains("bytes")),
+        compile_pattern("(a{500}){500}").is_err_and(|f| f.0.contains("bytes")),
         "bounded in size"
     );
 }
 
-/// A pattern that costs other engines years runs in time linear in the path.
+/// Patterns that take exponential time in backtracking engines run in linear time.
 #[test]
-fn a_costly_pattern_is_harmless() {
-    let t = table(vec![regex("/(a+)+b"), regex("/(.*)*x(.*)*y")]);
-    let path = format!("/{}", "a".repeat(PATH_MOST - 1));
-    assert_eq!(get(&t, &path), None);
+fn nested_repetition_does_not_cause_backtracking() {
+    let table = table_of(vec![regex("/(a+)+b"), regex("/(.*)*x(.*)*y")]);
+    let path = format!("/{}", "a".repeat(MAX_PATH_BYTES - 1));
+    assert_eq!(find_get(&table, &path), None);
 }
 
 #[test]
-fn patterns_are_bounded_together() {
+fn total_compiled_size_of_patterns_is_bounded() {
     let many = (0..400)
         .map(|n| regex(&format!("/{n}/[a-z]{{2000}}")))
         .collect::<Vec<_>>();
     let routes = many.into_iter().map(|p| route(p, &[], &[])).collect();
-    assert_eq!(Table::new(routes).err(), Some(TableFault::PatternsTooBig));
+    assert_eq!(Table::new(routes).err(), Some(TableError::PatternsTooBig));
 }
 
 #[test]
-fn methods_and_headers_narrow() {
+fn methods_and_headers_restrict_a_route() {
     let json = [("content-type", Some("application/json"))];
-    let t = Table::new(vec![
+    let table = Table::new(vec![
         route(prefix("/a"), &["POST", "PUT"], &json),
         route(prefix("/a"), &["POST"], &[("x-branch", None)]),
         route(prefix("/a"), &["POST"], &[]),
@@ -171,25 +172,25 @@
             .map(|&(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v)))
             .collect()
     };
-    let post = |all| found(&t, &Method::POST, "/a", &headers(all));
+    let post = |all| find_index(&table, &Method::POST, "/a", &headers(all));
     assert_eq!(post(&[("content-type", "application/json")]), Some(0));
     assert_eq!(
         post(&[("content-type", "text/plain"), ("x-branch", "CR-1")]),
         Some(1)
     );
     assert_eq!(post(&[("content-type", "text/plain")]), Some(2));
-    assert_eq!(get(&t, "/a"), None);
-    assert!(t.shadows().is_empty());
+    assert_eq!(find_get(&table, "/a"), None);
+    assert!(table.shadows().is_empty());
 }
 
 #[test]
-fn routes_that_never_match_are_told() {
-    let get = |path| route(path, &["GET"], &[]);
+fn routes_that_never_match_are_reported_as_shadowed() {
+    let get_route = |path| route(path, &["GET"], &[]);
     let any = |path| route(path, &[], &[]);
     for (earlier, later, shadowed) in [
         (any(prefix("/")), any(regex("/x+")), true),
-        (any(prefix("/")), get(exact("/x")), true),
-        (get(prefix("/")), any(exact("/x")), false),
+        (any(prefix("/")), get_route(exact("/x")), true),
+        (get_route(prefix("/")), any(exact("/x")), false),
         (any(prefix("/a")), any(prefix("/a/")), true),
         (any(prefix("/a/")), any(prefix("/a")), false),
         (any(prefix("/a/")), any(prefix("/a/b")), true),
@@ -197,7 +198,7 @@
         (any(exact("/a")), any(exact("/a")), true),
         (any(regex("/[a-c]")), any(exact("/b")), true),
         (any(regex("/[a-c]")), any(exact("/d")), false),
-        (any(regex("/[a-c]")), get(regex("/[a-c]")), true),
+        (any(regex("/[a-c]")), get_route(regex("/[a-c]")), true),
         (any(regex("/[a-c]")), any(prefix("/b")), false),
         (
             route(prefix("/a"), &[], &[("x-a", None)]),
@@ -215,9 +216,9 @@
             false,
         ),
     ] {
-        let shown = format!("{:?} then {:?}", earlier.path, later.path);
-        let t = Table::new(vec![earlier, later]).expect("a table");
-        let wanted: &[Shadow] = if shadowed {
+        let description = format!("{:?} then {:?}", earlier.path, later.path);
+        let table = Table::new(vec![earlier, later]).expect("a table");
+        let expected: &[Shadow] = if shadowed {
             &[Shadow {
                 later: 1,
                 earlier: 0,
@@ -225,14 +226,19 @@
         } else {
             &[]
         };
-        assert_eq!(t.shadows(), wanted, "{shown}");
+        assert_eq!(table.shadows(), expected, "{description}");
     }
 }
 
-/// The rules read one by one, without any index.
-fn plainly(routes: &[Route], method: &Method, path: &str, headers: &HeaderMap) -> Option<usize> {
+/// Finds the first matching route by checking the routes one by one, without an index.
+fn reference_find(
+    routes: &[Route],
+    method: &Method,
+    path: &str,
+    headers: &HeaderMap,
+) -> Option<usize> {
     routes.iter().position(|r| {
-        let takes_path = match &r.path {
+        let matches_path = match &r.path {
             PathPattern::Exact(p) => p == path,
             PathPattern::Prefix(p) if p.ends_with('/') => path.starts_with(p.as_str()),
             PathPattern::Prefix(p) => path
@@ -240,7 +246,7 @@
                 .is_some_and(|rest| rest.is_empty() || rest.starts_with('/')),
             PathPattern::Regex(p) => p.is_match(path),
         };
-        takes_path
+        matches_path
             && (r.methods.is_empty() || r.methods.contains(method))
             && r.headers.iter().all(|h| {
                 headers
@@ -273,7 +279,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_table_finds_what_plain_reading_finds(
+    fn the_table_finds_the_same_route_as_a_linear_search(
         routes in prop::collection::vec(any_route(), 0..12),
         path in any_path(),
         post in any::<bool>(),
@@ -283,12 +289,12 @@
         let headers: HeaderMap =
             value.map(|v| (HeaderName::from_static("x-a"), HeaderValue::from_static(v))).into_iter().collect();
         let table = Table::new(routes.clone()).expect("a table");
-        prop_assert_eq!(found(&table, &method, &path, &headers), plainly(&routes, &method, &path, &headers));
+        prop_assert_eq!(find_index(&table, &method, &path, &headers), reference_find(&routes, &method, &path, &headers));
     }
 
-    /// What is told never to match never does, and the route that is named takes it.
+    /// A shadowed route never matches, and the earlier route matches each of its requests.
     #[test]
-    fn a_route_told_never_to_match_never_does(
+    fn a_shadowed_route_never_matches(
         routes in prop::collection::vec(any_route(), 2..8),
         paths in prop::collection::vec(any_path(), 40),
     ) {
@@ -299,13 +305,13 @@
                     .map(|v| (HeaderName::from_static("x-a"), HeaderValue::from_static(v)))
                     .into_iter()
                     .collect();
-                let taken = plainly(&routes, &method, path, &headers);
-                prop_assert!(table.shadows().iter().all(|s| Some(s.later) != taken));
+                let expected = reference_find(&routes, &method, path, &headers);
+                prop_assert!(table.shadows().iter().all(|s| Some(s.later) != expected));
                 for shadow in table.shadows() {
-                    let alone = std::slice::from_ref(&routes[shadow.later]);
-                    if plainly(alone, &method, path, &headers).is_some() {
-                        let by = std::slice::from_ref(&routes[shadow.earlier]);
-                        prop_assert!(plainly(by, &method, path, &headers).is_some());
+                    let only_later = std::slice::from_ref(&routes[shadow.later]);
+                    if reference_find(only_later, &method, path, &headers).is_some() {
+                        let only_earlier = std::slice::from_ref(&routes[shadow.earlier]);
+                        prop_assert!(reference_find(only_earlier, &method, path, &headers).is_some());
                     }
                 }
             }
--- a/crates/simulator/src/play/shell.rs
+++ b/crates/simulator/src/play/shell.rs
@@ -35,8 +35,8 @@
         let keyed = route
             .key
             .as_ref()
-            .is_none_or(|key| config.routes.text(key, &head).is_some());
-        let terms = route.timing.terms(!keyed);
+            .is_none_or(|key| config.routes.source_value(key, &head).is_some());
+        let terms = route.timing.call_policy(!keyed);
         let (total, connect) = (route.timing.total, route.timing.connect);
         Ok(Routed {
             class: ClassId(route.class),
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -6,7 +6,7 @@
 use super::{judge_recovery, Fault, Options};
 use crate::course::{Course, Sample, BIN};
 use crate::operator;
-use badgerramp_config::{connections_kept, Config, ANSWER_ROOM};
+use badgerramp_config::{max_idle_connections, Config, RESPONSE_RESERVE};
 use badgerramp_decisions::{
     self as decisions, settings, Action, Balancer, CallId, CellId, EndpointId, EndpointStatus,
     Event, ListUpdateKind, LoadReport, Outcome, Settings,
@@ -198,7 +198,7 @@
             routed,
             max_open: config.limits.open_calls,
             advice: config.limits.retry_after,
-            spares: connections_kept(settings.balancers),
+            spares: max_idle_connections(settings.balancers),
             settings,
             jobs: FxHashMap::default(),
             next_token: 0,
@@ -620,7 +620,7 @@
         let routed = self.routed[ask.class];
         let time = ask
             .patience
-            .saturating_sub(ANSWER_ROOM)
+            .saturating_sub(RESPONSE_RESERVE)
             .max(1)
             .min(routed.total);
         let shell = &mut self.proxies[ask.proxy as usize];
--- a/crates/testkit/src/decision_driver.rs
+++ b/crates/testkit/src/decision_driver.rs
@@ -130,7 +130,7 @@
             .total
             .min(request.told.unwrap_or(class.deadline));
         assert!(time_left <= class.deadline, "longer than the client waits");
-        let terms = route.timing.terms(request.once);
+        let terms = route.timing.call_policy(request.once);
         let open = Open {
             class,
             hedged: terms.hedge != Hedge::Never,
--- a/crates/toml-diagnostics/src/document.rs
+++ b/crates/toml-diagnostics/src/document.rs
@@ -6,8 +6,8 @@
 /// Key of diagnostics about the file as a whole.
 pub(crate) const FILE_KEY: &str = "the file";
 
-/// Parses a text. Syntax errors are added to `sink`; what was parsed after one is guesswork, so that the caller should not
-/// read the table if there are any.
+/// Parses a text. Syntax errors are added to `sink`. The parser recovers from them, but the table may then be incomplete or
+/// wrong, so callers should not read it if there are any.
 pub fn parse_document<'t>(sink: &mut DiagnosticSink, text: &'t str) -> DeTable<'t> {
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
--- a/crates/toml-diagnostics/src/section.rs
+++ b/crates/toml-diagnostics/src/section.rs
@@ -115,7 +115,7 @@
             sink.add(
                 &self.key_path(name),
                 &self.span,
-                "this key is wanted",
+                "this key is required",
                 "nothing",
                 allowed,
             );
@@ -260,7 +260,7 @@
             Some(text) => suggest_names(text, &known),
             None => known.join(", "),
         };
-        self.read(sink, name, "this word is not known", &allowed, |v| {
+        self.read(sink, name, "this value is not known", &allowed, |v| {
             let text = v.as_str()?;
             keywords
                 .iter()
