--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -36,8 +36,8 @@
         }
         _ => 0,
     };
-    let plain = quotes.starts_with('\'') || !raw.contains('\\');
-    plain.then(|| value.span().start + quotes.len() + skipped)
+    let is_verbatim = quotes.starts_with('\'') || !raw.contains('\\');
+    is_verbatim.then(|| value.span().start + quotes.len() + skipped)
 }
 
 impl Expressions {
@@ -171,26 +171,26 @@
         let found = table.find_head(&head).ok().flatten();
         let name = found.map_or("none", |(_, route)| classes[route.class]);
         if name != class.value {
-            let by = found.map_or("no route matches it".to_owned(), |(_, r)| {
+            let actual = found.map_or("no route matches it".to_owned(), |(_, r)| {
                 format!("class {name:?}, by route {:?}", r.name)
             });
             sink.add(
                 &class.key,
                 &class.span,
                 "the request is not of this class",
-                by,
+                actual,
                 format!("{:?} is expected", class.value),
             );
         }
         if let Some(route) = section.text(sink, "route") {
-            let by = found.map_or("none", |(_, r)| r.name.as_str());
-            if by != route.value {
+            let actual = found.map_or("none", |(_, r)| r.name.as_str());
+            if actual != route.value {
                 let allowed = format!("{:?} is expected", route.value);
                 sink.add(
                     &route.key,
                     &route.span,
                     "the request does not match this route",
-                    format!("{by:?}"),
+                    format!("{actual:?}"),
                     allowed,
                 );
             }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -62,8 +62,11 @@
 const MAX_DEADLINE: Micros = 600_000_000;
 /// Allowed values of `limits.memory`, in bytes.
 const MEMORY_RANGE: std::ops::RangeInclusive<u64> = 32 << 20..=64 << 30;
+/// Allowed values of `limits.descriptors`.
 const DESCRIPTORS_RANGE: std::ops::RangeInclusive<u64> = 256..=1 << 20;
+/// Maximum number of endpoints that a file may name.
 const MAX_ENDPOINTS: usize = 10_000;
+/// Maximum number of routes.
 const MAX_ROUTES: usize = 100_000;
 /// One body may take at most this fraction (one sixteenth) of the memory.
 const BODY_MEMORY_DIVISOR: u64 = 16;
@@ -107,6 +110,7 @@
     pub log: Log,
     /// Warnings about parts of the file that are valid but probably unintended.
     pub warnings: Vec<String>,
+    /// Text of the file, for diagnostics that follow after parsing.
     pub(crate) source: SourceText,
 }
 
@@ -372,6 +376,7 @@
     }
 }
 
+/// Parses and validates the text of the file `name`.
 pub(crate) fn parse(name: &str, text: &str) -> Result<Config, Diagnostics> {
     let mut sink = DiagnosticSink::default();
     let table = parse_document(&mut sink, text);
@@ -438,8 +443,8 @@
         let upstream = top
             .section(self.sink, "upstream", &UPSTREAM_KEYS)
             .map(|section| self.upstream(&section));
-        let subset = subset::subset(self.sink, &top, upstream.as_ref(), limits.as_ref());
-        let list = subset::list(self.sink, &top, upstream.as_ref());
+        let subset = subset::read_subset(self.sink, &top, upstream.as_ref(), limits.as_ref());
+        let list = subset::read_list(self.sink, &top, upstream.as_ref());
         let peers = peers::read(
             self.sink,
             &top,
--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -69,7 +69,7 @@
 }
 
 /// Reads `[subset]` and checks that the resources it needs stay within the limits of the file.
-pub(crate) fn subset(
+pub(crate) fn read_subset(
     sink: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
@@ -145,12 +145,12 @@
     };
     size?;
     if let Some(limits) = limits {
-        let fleet = endpoints.unwrap_or(usize::MAX);
-        let held = config.max_size.min(fleet) * idle_connections;
+        let endpoint_count = endpoints.unwrap_or(usize::MAX);
+        let required = config.max_size.min(endpoint_count) * idle_connections;
         let available = limits
             .descriptors
             .saturating_sub(RESERVED_DESCRIPTORS + max_client_connections(limits.descriptors));
-        if held > available {
+        if required > available {
             let reason = format!(
                 "{} endpoints with {idle_connections} idle connections each need more descriptors than there are",
                 config.max_size
@@ -161,7 +161,7 @@
                 &section.key_path("most"),
                 &section.span,
                 reason,
-                held.to_string(),
+                required.to_string(),
                 allowed,
             );
         }
@@ -176,15 +176,15 @@
                 sink.add(&key, &most.span, reason, "no `endpoints`", allowed);
             }
             Some(bounds) => {
-                let held = bounds.max_connections_per_endpoint(&settings.config);
-                if held > most.value {
+                let required = bounds.max_connections_per_endpoint(&settings.config);
+                if required > most.value {
                     let reason = format!(
                         "of {} proxies, up to {} may use one endpoint with {} connections each, which is more",
                         bounds.proxies,
                         bounds.max_proxies_per_endpoint(&settings.config),
                         settings.idle_connections
                     );
-                    let allowed = format!("at least {held}, or a smaller `most` or `kept`");
+                    let allowed = format!("at least {required}, or a smaller `most` or `kept`");
                     sink.add(&key, &most.span, reason, most.value.to_string(), allowed);
                 }
             }
@@ -194,7 +194,7 @@
 }
 
 /// Reads `[list]`.
-pub(crate) fn list(
+pub(crate) fn read_list(
     sink: &mut DiagnosticSink,
     top: &Section<'_>,
     upstream: Option<&Upstream>,
--- a/crates/config/src/timing.rs
+++ b/crates/config/src/timing.rs
@@ -147,12 +147,12 @@
     /// Timing of a class or route in a standalone deployment, with defaults for absent values.
     pub(crate) fn timing(&self, context: &TimingContext<'_>) -> Timing {
         let value = |set: &Option<Located<Micros>>| set.as_ref().map(|s| s.value);
-        let most = context
+        let max_total = context
             .deadline
             .unwrap_or(MAX_DURATION)
             .saturating_sub(RESPONSE_RESERVE)
             .max(1);
-        let total = value(&self.total).unwrap_or(most).min(most);
+        let total = value(&self.total).unwrap_or(max_total).min(max_total);
         let attempt = value(&self.attempt).unwrap_or(total);
         let safe_to_retry = context
             .idempotency
@@ -198,7 +198,7 @@
         };
         let attempts = match timing.attempts {
             u32::MAX => "no limit".to_owned(),
-            most => most.to_string(),
+            limit => limit.to_string(),
         };
         vec![
             time("connect", timing.connect, &self.connect),
@@ -267,8 +267,8 @@
     fn check_times(&self, sink: &mut DiagnosticSink, context: &TimingContext<'_>) {
         let timing = self.timing(context);
         if let (Some(total), Some(deadline)) = (&self.total, context.deadline) {
-            let most = deadline.saturating_sub(RESPONSE_RESERVE);
-            if total.value > most {
+            let max_total = deadline.saturating_sub(RESPONSE_RESERVE);
+            if total.value > max_total {
                 let reason = if total.value > deadline {
                     "the total is longer than the deadline"
                 } else {
@@ -276,7 +276,7 @@
                 };
                 let allowed = format!(
                     "at most {}: the deadline minus {}",
-                    format_duration(most),
+                    format_duration(max_total),
                     format_duration(RESPONSE_RESERVE)
                 );
                 add_with_context(
@@ -336,14 +336,14 @@
                 .or(self.backoff.as_ref().map(|s| (&s.span, &s.key)))
                 .or(self.attempts.as_ref().map(|s| (&s.span, &s.key)));
             if let Some((span, key)) = set {
-                let each = self
+                let attempt_limit = self
                     .attempt
                     .as_ref()
                     .map(|a| format!(" of {}", format_duration(a.value)));
                 let found = format!(
                     "{} attempts{} with pauses of {}: {}",
                     timing.attempts,
-                    each.unwrap_or_default(),
+                    attempt_limit.unwrap_or_default(),
                     format_duration(timing.backoff),
                     format_duration(max_attempts_duration)
                 );
@@ -431,9 +431,12 @@
             .as_ref()
             .filter(|_| timing.retry_on == RetryOn::AnyFailure)
         {
-            let last = timing.last_attempt_start();
-            if last >= window {
-                let found = format!("a last attempt {} after the first", format_duration(last));
+            let last_start = timing.last_attempt_start();
+            if last_start >= window {
+                let found = format!(
+                    "a last attempt {} after the first",
+                    format_duration(last_start)
+                );
                 let reason =
                     "a retry outside the window is not deduplicated by the endpoints and would run again";
                 add_with_context(sink, context, attempt, reason, found, &allowed);
--- a/crates/toml-diagnostics/src/section.rs
+++ b/crates/toml-diagnostics/src/section.rs
@@ -76,11 +76,11 @@
 
     /// Key of an entry of this table, with the tables that it is in.
     pub fn key_path(&self, name: &str) -> String {
-        let plain = !name.is_empty()
+        let is_bare_key = !name.is_empty()
             && name
                 .chars()
                 .all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
-        let name = if plain {
+        let name = if is_bare_key {
             name.to_owned()
         } else {
             format!("{name:?}")
