--- a/crates/config/src/subset.rs
+++ b/crates/config/src/subset.rs
@@ -179,7 +179,7 @@
                 let required = bounds.max_connections_per_endpoint(&settings.config);
                 if required > most.value {
                     let reason = format!(
-                        "of {} proxies, up to {} may use one endpoint with {} connections each, which is more",
+                        "of {} proxies, up to {} may keep {} idle connections each to one endpoint, which exceeds this limit",
                         bounds.proxies,
                         bounds.max_proxies_per_endpoint(&settings.config),
                         settings.idle_connections
@@ -210,7 +210,7 @@
         sink.add(
             &section.key,
             &section.span,
-            "there is no list service to ask",
+            "there is no list service to poll",
             "`endpoints`",
             allowed,
         );
--- a/crates/config/tests/subset.rs
+++ b/crates/config/tests/subset.rs
@@ -102,7 +102,7 @@
 fn subset_and_list_are_rejected_on_the_platform() {
     for tables in ["[subset]\ninstance = 0\nsize = 20", "[list]\nrate = 100"] {
         let message = parse("p.toml", &format!("platform = true\n{tables}\n"))
-            .expect_err("refused")
+            .expect_err("rejected")
             .to_string();
         assert!(message.contains("the platform sets this"), "{message}");
     }
--- a/crates/route/benches/table.rs
+++ b/crates/route/benches/table.rs
@@ -22,7 +22,7 @@
         hedge: Hedge::Never,
         retry_on: RetryOn::NotExecuted,
     };
-    let answers = Arc::new(ResponseRules::standard());
+    let response_rules = Arc::new(ResponseRules::standard());
     let path = |n: usize| match n % 100 {
         k if k < patterns => PathPattern::Regex(
             compile_pattern(&format!("/p{n}/[0-9]+/receipt")).expect("a pattern"),
@@ -41,7 +41,7 @@
             tenant: None,
             key: None,
             timing,
-            response_rules: Arc::clone(&answers),
+            response_rules: Arc::clone(&response_rules),
         })
         .collect()
 }
