--- a/crates/toml-diagnostics/src/section.rs
+++ b/crates/toml-diagnostics/src/section.rs
@@ -76,11 +76,11 @@
 
     /// Key of an entry of this table, with the tables that it is in.
     pub fn key_path(&self, name: &str) -> String {
-        let plain = !name.is_empty()
+        let is_bare_key = !name.is_empty()
             && name
                 .chars()
                 .all(|c| c.is_ascii_alphanumeric() || "-_".contains(c));
-        let name = if plain {
+        let name = if is_bare_key {
             name.to_owned()
         } else {
             format!("{name:?}")
@@ -115,7 +115,7 @@
             sink.add(
                 &self.key_path(name),
                 &self.span,
-                "this key is wanted",
+                "this key is required",
                 "nothing",
                 allowed,
             );
@@ -260,7 +260,7 @@
             Some(text) => suggest_names(text, &known),
             None => known.join(", "),
         };
-        self.read(sink, name, "this word is not known", &allowed, |v| {
+        self.read(sink, name, "this value is not known", &allowed, |v| {
             let text = v.as_str()?;
             keywords
                 .iter()
