--- a/crates/gossip/src/acceptance.rs
+++ b/crates/gossip/src/acceptance.rs
@@ -1,65 +1,67 @@
 //! Decides which endpoint list a proxy accepts.
 //!
-//! - An accepted list is never replaced by an older one (in the order of [`ListVersion`]), whoever sends it.
-//! - Changes of single endpoints (draining, removal) are accepted at once.
+//! - An accepted list is never replaced by an older one (in the order of [`ListVersion`]), whichever source sends it.
+//! - Changes of individual endpoints (draining, removal) are accepted immediately.
 //! - A complete list from the service is quarantined if it is older than the accepted one (the service was restored, or
 //!   answers with a stale list first), or if more than half of the available endpoints are missing from it (the service
-//!   has loaded only a part, or nothing). It is accepted if the service still sends it after
+//!   has loaded only a part of the list, or nothing). It is accepted if the service still sends it after
 //!   [`OLDER_LIST_QUARANTINE`] or [`PARTIAL_LIST_QUARANTINE`]. Accepting an older list starts a new incarnation.
-//! - A proxy starts a new incarnation at most once in [`MIN_INCARNATION_INTERVAL`]: two services that keep sending
-//!   different lists can't make the fleet alternate between them.
+//! - A proxy starts a new incarnation at most once in [`MIN_INCARNATION_INTERVAL`], so that two services that send
+//!   different lists cannot make the fleet alternate between them.
 
 use crate::endpoint_list::{EndpointChange, EndpointList, ListVersion};
 use crate::Micros;
 
-/// How long the service must keep sending a list from which half of the endpoints are missing: longer than the first
-/// answers of a service that has just started and is still loading. If the endpoints are really gone, calls to them fail
-/// meanwhile and are retried elsewhere.
+/// How long the service must keep sending a list from which more than half of the endpoints are missing. It is longer
+/// than a service that has just started sends incomplete lists while it loads. If the endpoints are really gone, calls to
+/// them fail during the quarantine and are retried at other endpoints.
 pub const PARTIAL_LIST_QUARANTINE: Micros = 2_000_000;
 
-/// How long the service must keep sending an older list. A restored service can wait, as the newer list is still there;
-/// a service that answers with a stale list first would bring back endpoints that were removed.
+/// How long the service must keep sending an older list. The delay does no harm after a restore of the service, as the
+/// newer list stays in use; without it, a service that first answers with a stale list would bring back endpoints that
+/// were removed.
 pub const OLDER_LIST_QUARANTINE: Micros = 10_000_000;
 
-/// Least time between two incarnations that one proxy starts.
+/// Minimum time between two incarnations that one proxy starts.
 pub const MIN_INCARNATION_INTERVAL: Micros = 60_000_000;
 
-/// With fewer available endpoints half of them are one or two: their loss is no sign of a list that is partly loaded.
-const MIN_ENDPOINTS_FOR_HALF_RULE: usize = 4;
+/// Minimum number of available endpoints for the check for partial lists. With fewer endpoints, half of them are one or
+/// two, whose removal does not indicate a partially loaded list.
+const MIN_ENDPOINTS_FOR_PARTIAL_CHECK: usize = 4;
 
 /// The incarnation of the first list.
 const FIRST_INCARNATION: u32 = 1;
 
-/// The list that a proxy has accepted.
+/// The endpoint list that a proxy has accepted.
 #[derive(Clone, Debug)]
 pub struct AcceptedList {
-    /// Its version.
+    /// Version of the list.
     pub version: ListVersion,
-    /// Its content.
+    /// Content of the list.
     pub endpoints: EndpointList,
-    /// When it was accepted.
+    /// When the list was accepted.
     pub since: Micros,
 }
 
-/// What became of a list, or of changes, that a proxy was sent.
+/// The decision on a received list, or on received changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Accepted: the changes against the list before, or against an empty one.
+    /// Accepted. Holds the changes against the previously accepted list, or against an empty list if there was none.
     Newer(Vec<EndpointChange>),
-    /// Ignored: it is the accepted list, or an older one.
+    /// Ignored, because it is the accepted list or an older one.
     Duplicate,
-    /// Not accepted for now: the service should be polled for the complete list again.
+    /// Not accepted yet: the service should be polled for the complete list again.
     Quarantined,
-    /// Not applicable to the accepted list: the complete list is needed.
+    /// The changes do not apply to the accepted list: the complete list is needed.
     Invalid,
 }
 
 /// A complete list that the service must keep sending before it is accepted.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
-    /// The index of the latest list.
+    /// Index of the latest quarantined list.
     index: u64,
-    /// When the first list was quarantined.
+    /// When the quarantine began.
     since: Micros,
 }
 
@@ -83,7 +85,7 @@
     quarantine: Option<Quarantine>,
     /// When this proxy last started a new incarnation.
     incarnation_started: Option<Micros>,
-    /// How many lists were quarantined.
+    /// Number of lists that were quarantined.
     pub quarantined: u64,
 }
 
@@ -112,7 +114,7 @@
         Verdict::Newer(changes)
     }
 
-    /// The service has sent a complete list.
+    /// Decides on a complete list from the service.
     pub fn offer_service_list(
         &mut self,
         now: Micros,
@@ -133,10 +135,10 @@
             self.quarantine = None;
             return Verdict::Duplicate;
         }
-        // The same index with another content comes from another service, or from another incarnation.
+        // A different list with the same index comes from another service, or from another incarnation of the service.
         let is_older = index <= own.index;
-        if (is_older || is_half_missing(&accepted.endpoints, &endpoints))
-            && self.must_wait(now, index, is_older)
+        if (is_older || is_majority_missing(&accepted.endpoints, &endpoints))
+            && self.update_quarantine(now, index, is_older)
         {
             self.quarantined += 1;
             return Verdict::Quarantined;
@@ -153,9 +155,9 @@
         self.accept(now, version, endpoints)
     }
 
-    /// Starts or continues the quarantine of a list; returns whether it goes on.
-    fn must_wait(&mut self, now: Micros, index: u64, is_older: bool) -> bool {
-        // A service whose list keeps changing is quarantined since its first list.
+    /// Starts or continues the quarantine of a list. Returns whether the list stays quarantined.
+    fn update_quarantine(&mut self, now: Micros, index: u64, is_older: bool) -> bool {
+        // If the list changes during the quarantine, the time still counts from the first quarantined list.
         let since = match self.quarantine {
             Some(quarantine) if quarantine.index <= index => quarantine.since,
             _ => now,
@@ -172,7 +174,7 @@
         now < since + duration || (is_older && had_recent_incarnation)
     }
 
-    /// The service has sent the changes from the accepted list to this index.
+    /// Decides on changes from the service that lead from the accepted list to the list with this index.
     pub fn offer_service_changes(
         &mut self,
         now: Micros,
@@ -183,7 +185,7 @@
             return Verdict::Invalid;
         };
         if index < accepted.version.index {
-            // The service does not know the accepted list.
+            // The service does not have the accepted list.
             return Verdict::Quarantined;
         }
         if index == accepted.version.index {
@@ -199,7 +201,7 @@
         self.accept(now, version, endpoints)
     }
 
-    /// A peer has sent a complete list.
+    /// Decides on a complete list from a peer.
     pub fn offer_peer_list(
         &mut self,
         now: Micros,
@@ -212,7 +214,7 @@
         self.accept(now, version, endpoints)
     }
 
-    /// A peer has sent the changes from the list `from` to the list `to`.
+    /// Decides on changes from a peer that lead from the list `from` to the list `to`.
     pub fn offer_peer_changes(
         &mut self,
         now: Micros,
@@ -238,9 +240,10 @@
 }
 
 /// Whether more than half of the available endpoints are missing from the offered list.
-fn is_half_missing(accepted: &EndpointList, offered: &EndpointList) -> bool {
+fn is_majority_missing(accepted: &EndpointList, offered: &EndpointList) -> bool {
     let available = accepted.count_up();
-    available >= MIN_ENDPOINTS_FOR_HALF_RULE && 2 * accepted.count_missing_from(offered) > available
+    available >= MIN_ENDPOINTS_FOR_PARTIAL_CHECK
+        && 2 * accepted.count_missing_from(offered) > available
 }
 
 #[cfg(test)]
--- a/crates/gossip/src/acceptance/tests.rs
+++ b/crates/gossip/src/acceptance/tests.rs
@@ -1,4 +1,4 @@
-//! Which lists are accepted, and in which order.
+//! Tests of the acceptance and the quarantine of lists.
 
 use super::*;
 use crate::endpoint_list::tests::{removed, up};
@@ -11,12 +11,12 @@
 const ALL: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 #[test]
-fn older_list_is_quarantined_and_starts_an_incarnation_when_the_service_insists() {
+fn older_list_is_quarantined_and_then_accepted_as_a_new_incarnation() {
     let mut acceptance = ListAcceptance::default();
     assert!(
         matches!(acceptance.offer_service_list(0, 41, list_of(&ALL)), Verdict::Newer(c) if c.len() == 5)
     );
-    // The service returns, with an older list first, then with the accepted one.
+    // A restarted service first answers with an older list, then with the accepted one.
     assert_eq!(
         acceptance.offer_service_list(10, 7, list_of(&ALL[..4])),
         Verdict::Quarantined
@@ -25,7 +25,7 @@
         acceptance.offer_service_list(1_000_000, 41, list_of(&ALL)),
         Verdict::Duplicate
     );
-    // The service was restored from an older state.
+    // The service was restored from an older state, and keeps sending an older list.
     assert_eq!(
         acceptance.offer_service_list(5_000_000, 7, list_of(&ALL[..4])),
         Verdict::Quarantined
@@ -41,7 +41,7 @@
         acceptance.version().map(|s| (s.incarnation, s.index)),
         Some((2, 8))
     );
-    // Another service with another list does not make the proxy alternate between them.
+    // Another service with a different list must not make the proxy alternate between the two lists.
     assert_eq!(
         acceptance.offer_service_list(20_000_000, 5, list_of(&ALL)),
         Verdict::Quarantined
@@ -77,7 +77,7 @@
         acceptance.accepted().map(|list| list.endpoints.count_up()),
         Some(2)
     );
-    // Two missing of five are no half; below four endpoints the rule does not apply.
+    // Two of five endpoints are fewer than half; with fewer than four endpoints there is no check for partial lists.
     let mut acceptance = ListAcceptance::default();
     acceptance.offer_service_list(0, 41, list_of(&ALL));
     assert!(matches!(
@@ -109,12 +109,12 @@
     assert_eq!(
         acceptance.offer_peer_changes(1, old, to, &[removed("a")]),
         Verdict::Invalid,
-        "from another list"
+        "the changes are from a list that is not the accepted one"
     );
     assert_eq!(
         acceptance.offer_peer_changes(1, own, to, &[removed("b")]),
         Verdict::Invalid,
-        "to another list"
+        "the resulting list has a different digest"
     );
     assert_eq!(
         acceptance.offer_peer_changes(1, own, to, &[removed("a")]),
@@ -124,11 +124,11 @@
 }
 
 proptest! {
-    /// Messages of peers in any order, repeated and lost: the newest list that was offered is the accepted one, without
-    /// the endpoints that it has removed.
+    /// Messages from peers arrive in any order, and are duplicated or lost: the accepted list is always the newest list that
+    /// was offered, without the endpoints that were removed from it.
     #[test]
     fn newest_offered_list_is_the_accepted_one_in_any_order(messages in prop::collection::vec((1..3u32, 0..6u64, any::<bool>()), 1..40)) {
-        // The lists of an incarnation: endpoints come and go with each version.
+        // Each version of the list has different endpoints.
         let list_at = |incarnation: u32, index: u64| {
             let names: Vec<String> = (0..8).filter(|n| !(n + index + u64::from(incarnation)).is_multiple_of(3)).map(|n| format!("s{n}")).collect();
             let list = EndpointList::new(names.iter().map(|n| up(n)));
--- a/crates/gossip/src/endpoint_list.rs
+++ b/crates/gossip/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, its versions and its changes, as proxies exchange them.
+//! The endpoint list, its versions, and the changes between two versions, in the form that proxies exchange.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,37 +7,37 @@
 /// The status of an endpoint that takes calls.
 const STATUS_UP: &str = "up";
 
-/// Identifies a list. Versions are ordered by age: by incarnation, then by index; different lists under one index are
-/// ordered by their digests, so that all proxies choose the same one.
+/// Identifies a list. Versions are ordered from old to new: by incarnation, then by index. Different lists with the same
+/// index are ordered by their digests, so that all proxies choose the same one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ListVersion {
-    /// A service that was restored from an older state counts from an older index: then a new incarnation starts.
+    /// Incremented when the index goes back, because the list service was restored from an older state.
     #[serde(rename = "life")]
     pub incarnation: u32,
-    /// The index that the list service gives to the list.
+    /// The index that the list service assigned to the list.
     pub index: u64,
-    /// Hash of the content: see [`EndpointList::digest`].
+    /// Hash of the list's content: see [`EndpointList::digest`].
     pub digest: u64,
 }
 
-/// What the list says of an endpoint, in the terms of the list service.
+/// The list service's record of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Address and port.
+    /// Address and port of the endpoint.
     pub address: String,
-    /// Zone; empty if unknown.
+    /// Zone of the endpoint; empty if unknown.
     pub zone: String,
     /// Kind of machine; empty if unknown.
     pub kind: String,
-    /// Number of the cell.
+    /// Number of the endpoint's cell.
     pub group: u32,
-    /// `up`, or the state that keeps it from taking calls, such as `draining`.
+    /// `up` if the endpoint takes calls, otherwise the state that prevents it, such as `draining`.
     pub status: String,
     /// Relative capacity.
     pub weight: f64,
-    /// Unix time of its start in milliseconds; 0 if it started long ago.
+    /// Unix time in milliseconds at which the endpoint started; 0 if it started long ago.
     pub since_ms: u64,
 }
 
@@ -53,18 +53,18 @@
 pub struct EndpointChange {
     /// Name of the endpoint.
     pub name: String,
-    /// Its new entry; `None`: it was removed.
+    /// Its new entry; `None` if the endpoint was removed.
     pub entry: Option<EndpointEntry>,
 }
 
-/// A complete list.
+/// A complete endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
     entries: BTreeMap<String, EndpointEntry>,
 }
 
 impl EndpointList {
-    /// The list with these entries, without those that were removed.
+    /// Creates a list of the entries in `changes`; removals are ignored.
     pub fn new(changes: impl IntoIterator<Item = EndpointChange>) -> Self {
         let entries = changes
             .into_iter()
@@ -73,7 +73,7 @@
         EndpointList { entries }
     }
 
-    /// The list after these changes.
+    /// Returns the list that results from these changes.
     #[must_use]
     pub fn apply(&self, changes: &[EndpointChange]) -> Self {
         let mut entries = self.entries.clone();
@@ -86,7 +86,7 @@
         EndpointList { entries }
     }
 
-    /// The changes that lead from an older list to this one.
+    /// Returns the changes that turn `older` into this list.
     pub fn diff_from(&self, older: &EndpointList) -> Vec<EndpointChange> {
         let removed = older
             .entries
@@ -107,12 +107,12 @@
         removed.chain(changed).collect()
     }
 
-    /// Its entries by name.
+    /// The entries, sorted by endpoint name.
     pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &EndpointEntry)> {
         self.entries.iter()
     }
 
-    /// The entry of this name.
+    /// The entry of the endpoint with this name.
     pub fn get(&self, name: &str) -> Option<&EndpointEntry> {
         self.entries.get(name)
     }
@@ -122,7 +122,7 @@
         self.entries.values().filter(|entry| entry.is_up()).count()
     }
 
-    /// Number of endpoints that take calls by this list and are not in the other one.
+    /// Number of endpoints that take calls according to this list and are not in `other`.
     pub fn count_missing_from(&self, other: &EndpointList) -> usize {
         self.entries
             .iter()
@@ -130,16 +130,16 @@
             .count()
     }
 
-    /// Encodes the list, by [postcard](https://postcard.jamesmunns.com/wire-format).
+    /// Encodes the list with [postcard](https://postcard.jamesmunns.com/wire-format).
     pub fn encode(&self) -> Vec<u8> {
-        // A map of strings and numbers can't fail to be written into memory.
+        // Serializing a map of strings and numbers into memory cannot fail.
         postcard::to_stdvec(&self.entries).unwrap_or_default()
     }
 
-    /// Decodes a list that [`EndpointList::encode`] has made.
+    /// Decodes a list that was encoded by [`EndpointList::encode`].
     ///
     /// # Errors
-    /// If the bytes are no encoded list.
+    /// If `bytes` is not a valid encoded list.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let entries = postcard::from_bytes(bytes)?;
         Ok(EndpointList { entries })
--- a/crates/gossip/src/endpoint_list/tests.rs
+++ b/crates/gossip/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Changes between lists, and the order of versions.
+//! Tests of the changes between lists, and of the order of versions.
 
 use super::*;
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,16 +1,17 @@
-//! Gossip between the proxies of one fleet: a few of them poll the list service, and all share the endpoint list.
+//! Gossip between the proxies of one fleet: a few proxies poll the list service and distribute the endpoint list to all
+//! others.
 //!
-//! - [`endpoint_list`]: the list, its versions and its changes.
-//! - [`acceptance`]: which list a proxy accepts; quarantine of older and of partial lists.
+//! - [`endpoint_list`]: the endpoint list, its versions, and the changes between two versions.
+//! - [`acceptance`]: decides which list a proxy accepts, and quarantines older and partial lists.
 //! - [`polling`]: election of the proxies that poll the service, without a known fleet size.
-//! - [`packed_list`]: compressed lists in parts that fit into datagrams.
-//! - [`peer`]: one proxy among its peers; membership is SWIM, by the `foca` crate.
+//! - [`packed_list`]: compressed lists, split into parts that fit into datagrams.
+//! - [`peer`]: the protocol state of one proxy; membership is SWIM, implemented by the `foca` crate.
 //! - [`replay`]: protection against replayed messages.
-//! - [`simulation`]: many peers in virtual time, on a network that loses, duplicates and delays messages.
+//! - [`simulation`]: a fleet of peers in virtual time, on a network that loses, duplicates and delays messages.
 //!
 //! The crate owns the accepted list of a proxy, its view of the fleet's membership and its schedule of polls. It never
-//! does I/O and never reads a clock: a [`peer::Peer`] is told what happens, at moments in microseconds, and returns what
-//! is to be sent, polled and reported. What the list means for calls is decided elsewhere.
+//! does I/O and never reads a clock: the caller passes each input to [`peer::Peer`] with the current time in microseconds,
+//! and carries out the outputs (messages, polls and reports). How the list affects calls is decided by other crates.
 //!
 //! ```
 //! use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
@@ -46,5 +47,5 @@
 pub mod replay;
 pub mod simulation;
 
-/// A moment or a duration, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/gossip/src/packed_list.rs
+++ b/crates/gossip/src/packed_list.rs
@@ -1,33 +1,32 @@
-//! Compressed lists in parts that fit into datagrams.
+//! Compressed endpoint lists, split into parts that fit into datagrams.
 
 use crate::endpoint_list::{EndpointList, ListVersion};
 use std::io;
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Size of each part but the last, in bytes.
+/// Size in bytes of every part except the last, which may be smaller.
 pub const PART_SIZE: usize = 1_000;
 
-/// Most parts of a list.
+/// Maximum number of parts of a list.
 const MAX_PARTS: usize = 4_096;
 
-/// Greatest size of a decompressed list, in bytes.
+/// Maximum size of a decompressed list, in bytes.
 const MAX_UNPACKED_BYTES: usize = 8 << 20;
 
-/// Level of the zstd compression.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// A compressed list.
+/// A compressed endpoint list, ready to be sent in parts.
 #[derive(Clone, Debug)]
 pub struct PackedList {
-    /// Its version.
+    /// Version of the list.
     pub version: ListVersion,
     bytes: Rc<[u8]>,
 }
 
 impl PackedList {
-    /// Compresses a list; `None` if it is too large to be sent to peers. No answer that is accepted from a list service
-    /// (up to 4 MiB) makes such a list.
+    /// Compresses a list. Returns `None` if the result is too large to be sent to peers, which does not happen for an
+    /// answer of the list service within the accepted size (4 MiB).
     pub fn pack(version: ListVersion, list: &EndpointList) -> Option<Self> {
         let bytes = zstd::bulk::compress(&list.encode(), COMPRESSION_LEVEL).ok()?;
         (bytes.len() <= PART_SIZE * MAX_PARTS).then(|| PackedList {
@@ -36,14 +35,14 @@
         })
     }
 
-    /// Number of its parts, at least one.
+    /// Number of parts, at least one.
     pub fn parts(&self) -> u16 {
         u16::try_from(self.bytes.len().div_ceil(PART_SIZE))
             .unwrap_or(u16::MAX)
             .max(1)
     }
 
-    /// The bytes of a part; `None` if it has not so many.
+    /// The bytes of a part; `None` if there is no part with this number.
     pub fn part(&self, number: u16) -> Option<&[u8]> {
         if number >= self.parts() {
             return None;
@@ -54,36 +53,36 @@
     }
 }
 
-/// Why the parts of a list do not make the list that their version names.
+/// The reason why the received parts do not form the list that their version identifies.
 #[derive(Debug, Error)]
 pub enum UnpackError {
-    /// The bytes can't be decompressed.
+    /// The bytes could not be decompressed.
     #[error("cannot decompress the list")]
     Decompress(#[from] io::Error),
-    /// The decompressed bytes are no list.
+    /// The decompressed bytes are not an encoded list.
     #[error("cannot decode the list")]
     Decode(#[from] postcard::Error),
-    /// The list is another one.
+    /// The parts form a list with a different digest.
     #[error("digest of the list is {found:016x}, expected {expected:016x}")]
     DigestMismatch {
-        /// The digest of the version under which the parts came.
+        /// The digest in the version of the received parts.
         expected: u64,
-        /// The digest of the list that they make.
+        /// The digest of the list that the parts form.
         found: u64,
     },
 }
 
-/// A list that is received in parts.
+/// A list that is being received in parts.
 #[derive(Debug)]
 pub struct PartialList {
-    /// Its version.
+    /// Version of the list.
     pub version: ListVersion,
     parts: Vec<Option<Vec<u8>>>,
     missing: usize,
 }
 
 impl PartialList {
-    /// A list of so many parts, all of them missing; `None` if no list has so many.
+    /// Creates a list of `parts` parts, all of them missing. Returns `None` if the number of parts is invalid.
     pub fn new(version: ListVersion, parts: u16) -> Option<Self> {
         let count = usize::from(parts);
         (1..=MAX_PARTS).contains(&count).then(|| PartialList {
@@ -93,7 +92,7 @@
         })
     }
 
-    /// Adds one of `parts` parts; returns whether it was missing.
+    /// Adds a part of a list that has `parts` parts. Returns whether the part was valid and missing.
     pub fn add(&mut self, number: u16, parts: u16, bytes: &[u8]) -> bool {
         if usize::from(parts) != self.parts.len() || bytes.len() > PART_SIZE {
             return false;
@@ -108,7 +107,7 @@
         }
     }
 
-    /// The first missing parts, at most `limit`.
+    /// Numbers of the missing parts in ascending order, at most `limit` of them.
     pub fn missing(&self, limit: usize) -> Vec<u16> {
         self.parts
             .iter()
@@ -119,10 +118,10 @@
             .collect()
     }
 
-    /// The list, once no part is missing.
+    /// Decodes the list; `None` while parts are missing.
     ///
     /// # Errors
-    /// If the parts do not make the list that the version names.
+    /// If the parts do not form the list that the version identifies.
     pub fn unpack(&self) -> Option<Result<EndpointList, UnpackError>> {
         (self.missing == 0).then(|| self.decode())
     }
--- a/crates/gossip/src/peer/interface.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of a proxy in the membership protocol.
+/// The identity of a proxy in the membership protocol (SWIM).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The address at which it receives messages.
+    /// The address at which the proxy receives messages.
     pub address: SocketAddr,
-    /// Drawn at random at each start.
+    /// The proxy's identifier, drawn at random at each start.
     pub id: PeerId,
-    /// Unix time of its start in milliseconds, plus one for each time that it was declared down by mistake: of two
-    /// identities with one address the later one is valid.
+    /// Unix time in milliseconds at which the proxy started, plus one for each time that it was falsely declared down. Of
+    /// two identities with the same address, the one with the later time is valid.
     pub started: u64,
 }
 
@@ -42,13 +42,13 @@
 pub struct PeerConfig {
     /// The proxy's identity.
     pub own: Member,
-    /// The addresses of proxies that are contacted at the start; the own address may be among them.
+    /// The addresses of proxies to contact at the start; may include the proxy's own address.
     pub seeds: Vec<SocketAddr>,
-    /// A mechanism that is switched off, to measure its effect; `None` outside of simulations.
+    /// The mechanism to disable in order to measure its effect; `None` outside of simulations.
     pub disabled: Option<Mechanism>,
 }
 
-/// What happens to a proxy.
+/// An input to [`Peer::handle`](super::Peer::handle).
 #[derive(Debug)]
 pub enum Input<'a> {
     /// An authenticated message has arrived.
@@ -57,12 +57,12 @@
     Timer,
     /// The list service has answered a poll.
     PollAnswered(PollAnswer),
-    /// A poll has failed, or was not answered.
+    /// A poll has failed, or was not answered in time.
     PollFailed {
-        /// How long the service asked the proxy to stay away (`Retry-After`).
+        /// The delay before the next poll that the service asked for (`Retry-After`), if any.
         retry_after: Option<Micros>,
     },
-    /// The list service was replaced by another one; a poll in flight is void.
+    /// The list service was replaced by another one; a poll in flight is abandoned.
     SourceChanged,
     /// The proxy shuts down.
     Leave,
@@ -71,101 +71,101 @@
 /// The list service's answer to a poll.
 #[derive(Clone, Debug)]
 pub struct PollAnswer {
-    /// Whether `changes` is the complete list; else what has changed since the index of the poll.
+    /// Whether `changes` holds the complete list; otherwise it holds the changes since the index in the poll.
     pub complete: bool,
-    /// The index of the list.
+    /// The index of the list in the answer.
     pub index: u64,
-    /// The entries.
+    /// The entries of the list, or the changes.
     pub changes: Vec<EndpointChange>,
     /// Time from the poll to the answer.
     pub latency: Micros,
-    /// Whether the service answered without holding the poll back until there was news.
+    /// Whether the service answered without holding the poll until the list changed.
     pub immediate: bool,
 }
 
-/// What a proxy is to do.
+/// An action that the caller carries out for a [`Peer`](super::Peer).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to this address.
     Send(SocketAddr, Vec<u8>),
     /// Poll the list service.
     Poll {
-        /// The index of the list that is known: the service answers with what has changed, and may wait for news. `None`:
-        /// it answers with the complete list at once.
+        /// The index of the accepted list: the service answers with the changes since then, and may hold the poll until
+        /// there are any. With `None`, it answers with the complete list immediately.
         index: Option<u64>,
-        /// How long the service may hold the poll back until there is news.
+        /// How long the service may hold the poll until the list changes.
         wait: Micros,
     },
     /// The accepted list has changed.
     ListChanged {
-        /// Whether `changes` is the complete first list.
+        /// Whether this is the first accepted list, and `changes` holds all of it.
         complete: bool,
-        /// The changes against the list before.
+        /// The changes against the previously accepted list.
         changes: Vec<EndpointChange>,
     },
-    /// The number of live proxies has changed to this, this one included.
+    /// The number of live proxies, this one included, has changed notably; holds the new number.
     AliveCount(usize),
-    /// Something has happened that operators should see.
+    /// Report an event to operators.
     Event(PeerEvent),
 }
 
-/// What operators should see.
+/// An event that is reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent {
     /// The first list was accepted.
     ListReceived {
-        /// The peer that it came from; `None`: the list service.
+        /// The peer that sent the list; `None` if the list service did.
         source: Option<SocketAddr>,
-        /// Its version.
+        /// Version of the list.
         version: ListVersion,
-        /// Number of endpoints that take calls.
+        /// Number of endpoints in the list that take calls.
         endpoints: usize,
         /// Time since the start of the proxy.
         elapsed: Micros,
     },
     /// This proxy has become one of the pollers.
     PollingStarted,
-    /// This proxy leaves polling to others.
+    /// This proxy has stopped polling, and leaves it to others.
     PollingStopped,
-    /// The list service sent a list that is older than the accepted one, or from which more than half of the endpoints
-    /// are missing.
+    /// The list service sent a list that is older than the accepted one, or from which more than half of the available
+    /// endpoints are missing.
     ListQuarantined {
-        /// The list's index.
+        /// Index of the quarantined list.
         index: u64,
     },
-    /// An older list was accepted: the list service was restored, or replaced by another one.
+    /// An older list was accepted, because the list service was restored or replaced by another one.
     IncarnationStarted {
         /// The new incarnation.
         incarnation: u32,
     },
-    /// The start is complete: there is a list and a healthy poller, and no new proxies appear.
+    /// The fleet has converged: there is a list and a healthy poller, and no new proxies appear.
     Converged {
         /// Number of live proxies, this one included.
         alive: usize,
     },
-    /// More than half of the proxies have gone since the fleet converged: the proxy waits for convergence again.
+    /// More than half of the proxies are gone since the fleet converged: the proxy waits for convergence again.
     MembershipLost {
-        /// Number of proxies that are still alive, this one included.
+        /// Number of live proxies, this one included.
         alive: usize,
     },
 }
 
-/// Counters since the start of the proxy. In JSON they have the names of earlier versions.
+/// Counters since the start of the proxy. The JSON field names are those of earlier versions, for compatibility.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metrics {
     /// Messages sent.
     pub sent: u64,
-    /// Bytes of these messages.
+    /// Bytes of the messages sent.
     pub sent_bytes: u64,
     /// Messages not sent because of the rate limit.
     #[serde(rename = "held_back")]
     pub rate_limited: u64,
-    /// Messages accepted.
+    /// Messages received and decoded.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Messages that could not be decoded.
+    /// Received messages that could not be decoded.
     pub malformed: u64,
-    /// Lists whose parts did not make the list that their version names.
+    /// Lists whose parts did not form the list that their version identifies.
     #[serde(rename = "torn")]
     pub checksum_mismatch: u64,
     /// Polls of the list service.
@@ -174,20 +174,20 @@
     /// Polls that failed.
     #[serde(rename = "failed")]
     pub polls_failed: u64,
-    /// Lists of the service that were quarantined.
+    /// Lists from the service that were quarantined.
     #[serde(rename = "doubted")]
     pub quarantined: u64,
 }
 
-/// The accepted list of a proxy. Serialized as the triple `(version, age, source)`.
+/// The status of a proxy's accepted list. Serialized as the triple `(version, age, source)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "ListStatusTriple", into = "ListStatusTriple")]
 pub struct ListStatus {
-    /// Its version.
+    /// Version of the list.
     pub version: ListVersion,
-    /// Time since it was accepted.
+    /// Time since the list was accepted.
     pub age: Micros,
-    /// The peer that it came from; `None`: the list service.
+    /// The peer that sent the list; `None` if the list service did.
     pub source: Option<SocketAddr>,
 }
 
@@ -209,25 +209,25 @@
     }
 }
 
-/// What a proxy knows, for operators. In JSON it has the names of earlier versions.
+/// The state of a proxy, for operators. The JSON field names are those of earlier versions, for compatibility.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The proxy itself.
     pub own: Member,
-    /// The accepted list.
+    /// The accepted list, if any.
     pub list: Option<ListStatus>,
-    /// Number of endpoints that take calls.
+    /// Number of endpoints in the list that take calls.
     #[serde(rename = "hosts")]
     pub endpoints: usize,
     /// Number of live proxies, this one included.
     pub alive: usize,
-    /// Whether the start is complete: see [`PeerEvent::Converged`].
+    /// Whether the fleet has converged: see [`PeerEvent::Converged`].
     #[serde(rename = "settled")]
     pub converged: bool,
-    /// The active pollers.
+    /// The active pollers that the proxy knows.
     #[serde(rename = "askers")]
     pub pollers: Vec<KnownPoller>,
-    /// Counters.
+    /// Counters since the start of the proxy.
     #[serde(rename = "counts")]
     pub metrics: Metrics,
 }
--- a/crates/gossip/src/peer/members.rs
+++ b/crates/gossip/src/peer/members.rs
@@ -1,4 +1,4 @@
-//! Membership by SWIM: its configuration, what the `foca` library requests, and when a fleet has converged.
+//! Membership by SWIM: its configuration, the outputs of the `foca` library, and the convergence of the fleet.
 
 use super::message::Message;
 use super::{Member, Output, Peer, PeerEvent};
@@ -9,17 +9,17 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Greatest size of a SWIM message, in bytes; it is wrapped into one of ours.
+/// Maximum size in bytes of a SWIM message, which is wrapped into a [`Message`].
 pub(super) const MAX_SWIM_MESSAGE: usize = 1_100;
 
-/// How often a seed that is no member is contacted.
+/// Interval at which a seed that is not a member is contacted.
 pub(super) const SEED_INTERVAL: Micros = 5_000_000;
 
-/// Periodic statuses without a new member after which the start counts as complete.
-const STEADY_STATUSES: u32 = 10;
+/// Number of consecutive periodic statuses without a new member after which the fleet may count as converged.
+const CONVERGED_AFTER_STATUSES: u32 = 10;
 
-/// A change of the number of live proxies by more than one part in so many is reported.
-const REPORTED_CHANGE: usize = 10;
+/// Inverse of the share of the live proxies by which their number must change to be reported again.
+const REPORTED_CHANGE_DIVISOR: usize = 10;
 
 pub(super) type Swim = Foca<Member, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
@@ -28,9 +28,9 @@
     let mut config = foca::Config::simple();
     config.probe_period = Duration::from_millis(1_000);
     config.probe_rtt = Duration::from_millis(500);
-    // A process on a busy machine, or one that is suspended for a moment, is not dead.
+    // A process on a busy machine, or one that is suspended for a moment, must not be declared down.
     config.suspect_to_down_after = Duration::from_secs(3);
-    // A proxy whose clock was wrong and is set back returns with an earlier start time.
+    // A proxy that restarts after its clock was set back has an earlier start time: its old identity must expire first.
     config.remove_down_after = Some(Duration::from_secs(60));
     config.max_transmissions = NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN);
     config.max_packet_size = NonZeroUsize::new(MAX_SWIM_MESSAGE).unwrap_or(NonZeroUsize::MIN);
@@ -49,7 +49,7 @@
 }
 
 impl Peer {
-    /// The addresses of all live members but this proxy.
+    /// The addresses of all live members except this proxy.
     pub(super) fn member_addresses(&self) -> Vec<SocketAddr> {
         self.swim
             .iter_members()
@@ -57,8 +57,8 @@
             .collect()
     }
 
-    /// Carries out what the SWIM library requests: messages, timers and notifications of members.
-    pub(super) fn carry_out_swim(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Processes the outputs of the SWIM library: messages to send, timers to schedule, and membership notifications.
+    pub(super) fn process_swim_outputs(&mut self, now: Micros, out: &mut Vec<Output>) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.send(now, to.address, Message::Swim(bytes.to_vec()), out);
         }
@@ -72,7 +72,7 @@
         }
         let alive = self.alive();
         let reported = self.reported_alive;
-        if alive.abs_diff(reported) * REPORTED_CHANGE > reported {
+        if alive.abs_diff(reported) * REPORTED_CHANGE_DIVISOR > reported {
             self.reported_alive = alive;
             out.push(Output::AliveCount(alive));
         }
@@ -81,12 +81,12 @@
     fn handle_notification(&mut self, now: Micros, notification: &OwnedNotification<Member>) {
         match notification {
             OwnedNotification::MemberUp(_) => {
-                self.steady_statuses = 0;
+                self.statuses_since_last_join = 0;
                 if self.peak_alive.is_none() {
                     self.expedite_status(now);
                 }
             }
-            // A renamed member is another process at the same address: the old one has gone.
+            // `Rename` means that a new process has the address of an old one, which is gone.
             OwnedNotification::MemberDown(old) | OwnedNotification::Rename(old, _)
                 if old.id != self.own.id =>
             {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Decides whether the start is complete, or has begun again because most proxies have gone.
+    /// Detects that the fleet has converged, or that more than half of its members are gone since.
     pub(super) fn update_converged(&mut self, out: &mut Vec<Output>) {
         let alive = self.alive();
-        self.steady_statuses = self.steady_statuses.saturating_add(1);
+        self.statuses_since_last_join = self.statuses_since_last_join.saturating_add(1);
         match self.peak_alive {
             None => {
-                let has_converged = self.steady_statuses >= STEADY_STATUSES
+                let has_converged = self.statuses_since_last_join >= CONVERGED_AFTER_STATUSES
                     && self.acceptance.accepted().is_some()
                     && self.polling.knows_healthy_poller();
                 if has_converged {
@@ -112,7 +112,7 @@
             }
             Some(peak) if 2 * alive < peak => {
                 self.peak_alive = None;
-                self.steady_statuses = 0;
+                self.statuses_since_last_join = 0;
                 out.push(Output::Event(PeerEvent::MembershipLost { alive }));
             }
             Some(peak) => self.peak_alive = Some(alive.max(peak)),
--- a/crates/gossip/src/peer/message.rs
+++ b/crates/gossip/src/peer/message.rs
@@ -1,6 +1,6 @@
-//! The messages between peers, encoded by [postcard](https://postcard.jamesmunns.com/wire-format).
+//! The messages between peers, encoded with [postcard](https://postcard.jamesmunns.com/wire-format).
 //!
-//! Peers of different versions are members of one fleet during an upgrade: the order of fields and variants must not
+//! During an upgrade, peers of different versions are members of one fleet, so the order of fields and variants must not
 //! change.
 
 use super::Member;
@@ -18,9 +18,9 @@
 /// A message between peers.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// A message of SWIM, encoded by the `foca` crate.
+    /// A SWIM message, encoded by the `foca` crate.
     Swim(Vec<u8>),
-    /// What the sender knows.
+    /// The list version and the pollers that the sender knows.
     Status(StatusMessage),
     /// The sender requests a newer list.
     ListRequest(ListRequest),
@@ -30,30 +30,30 @@
     ListDelta(ListDelta),
 }
 
-/// The version of the sender's list, and the pollers that it knows.
+/// The version of the sender's accepted list, and the pollers that the sender knows.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct StatusMessage {
     pub(super) version: Option<ListVersion>,
     pub(super) statuses: Vec<PollerStatus>,
 }
 
-/// A request for a newer list.
+/// A request for a newer list, or for missing parts of one.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ListRequest {
-    /// The version of the sender's list.
+    /// The version of the sender's accepted list.
     pub(super) version: Option<ListVersion>,
-    /// The list that the sender has received in part.
-    pub(super) of: Option<ListVersion>,
-    /// The parts of that list that are missing.
+    /// The version of the list that the sender has partly received.
+    pub(super) partial_version: Option<ListVersion>,
+    /// Numbers of the parts that are missing from that list.
     pub(super) parts: Vec<u16>,
 }
 
-/// A part of a list.
+/// A part of a packed list.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ListPart {
     pub(super) version: ListVersion,
     pub(super) number: u16,
-    /// How many parts the list has.
+    /// Number of parts of the list.
     pub(super) parts: u16,
     pub(super) bytes: Vec<u8>,
 }
--- a/crates/gossip/src/peer/message/tests.rs
+++ b/crates/gossip/src/peer/message/tests.rs
@@ -1,5 +1,5 @@
-//! The bytes of what peers send each other. Peers of an older and of a newer version are members of one fleet while it is
-//! upgraded, so they may not change.
+//! Tests that the encoding of messages does not change, as peers of an older and of a newer version are members of one
+//! fleet during an upgrade.
 
 use super::{Envelope, ListDelta, ListPart, ListRequest, Message, StatusMessage};
 use crate::endpoint_list::{EndpointChange, EndpointEntry, EndpointList, ListVersion};
@@ -14,13 +14,13 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of a value, after it was read back and written again.
+/// The encoded value in hexadecimal, after checking that decoding and encoding it again gives the same bytes.
 fn bytes<T: Serialize + DeserializeOwned + Debug>(value: &T) -> String {
-    let bytes = postcard::to_stdvec(value).expect("it can be written");
-    let again: T = postcard::from_bytes(&bytes).expect("it can be read");
-    assert_eq!(format!("{again:?}"), format!("{value:?}"));
+    let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
+    let decoded: T = postcard::from_bytes(&bytes).expect("the bytes can be decoded");
+    assert_eq!(format!("{decoded:?}"), format!("{value:?}"));
     assert_eq!(
-        postcard::to_stdvec(&again).expect("it can be written"),
+        postcard::to_stdvec(&decoded).expect("the value can be encoded"),
         bytes
     );
     hex(&bytes)
@@ -91,12 +91,12 @@
         }),
         Message::ListRequest(ListRequest {
             version: Some(version(40)),
-            of: Some(version(41)),
+            partial_version: Some(version(41)),
             parts: vec![0, 300],
         }),
         Message::ListRequest(ListRequest {
             version: None,
-            of: None,
+            partial_version: None,
             parts: Vec::new(),
         }),
         Message::ListPart(ListPart {
@@ -172,18 +172,23 @@
     insta::assert_snapshot!(format!("{} {:016x}", hex(&list.encode()), list.digest()));
 }
 
-/// As an older build has packed the list of the test above.
-const PACKED: &str = "28b52ffd20308101000103732d310d31302e302e302e313a393030300161026d320308647261696e696e67000000000000f83f80d095ffbc31";
+/// The list of the test above, as packed by an older build.
+const PACKED_BY_OLDER_BUILD: &str = "28b52ffd20308101000103732d310d31302e302e302e313a393030300161026d320308647261696e696e67000000000000f83f80d095ffbc31";
 
 #[test]
-fn a_list_that_an_older_build_packed_is_read() {
+fn list_packed_by_an_older_build_is_unpacked() {
     let list = EndpointList::new(changes());
     let version = ListVersion {
         digest: list.digest(),
         ..version(41)
     };
-    let octet = |at: usize| u8::from_str_radix(&PACKED[at..at + 2], 16).expect("hexadecimal");
-    let part: Vec<u8> = (0..PACKED.len()).step_by(2).map(octet).collect();
+    let byte_at = |at: usize| {
+        u8::from_str_radix(&PACKED_BY_OLDER_BUILD[at..at + 2], 16).expect("hexadecimal")
+    };
+    let part: Vec<u8> = (0..PACKED_BY_OLDER_BUILD.len())
+        .step_by(2)
+        .map(byte_at)
+        .collect();
     let mut partial = PartialList::new(version, 1).expect("one part");
     assert!(partial.add(0, 1, &part));
     let unpacked = partial.unpack().expect("no part is missing");
--- a/crates/gossip/src/peer/mod.rs
+++ b/crates/gossip/src/peer/mod.rs
@@ -1,17 +1,22 @@
-//! One proxy among its peers.
+//! The protocol state of one proxy.
 //!
-//! Membership (which proxies are alive) is SWIM, by the `foca` crate. The endpoint list spreads beside it by gossip: a
-//! peer that accepts a newer list sends it to some others at once, each of which does the same when it first accepts it;
-//! a peer without a list requests it from those it knows, first from the seeds; and each sends its status to two others
-//! periodically, so that lost messages are made up for.
+//! Membership (which proxies are alive) is SWIM, implemented by the `foca` crate. The endpoint list is disseminated
+//! separately, by gossip:
+//!
+//! - A peer that accepts a newer list immediately sends it to a few others, which do the same when they accept it.
+//! - A peer without a list requests it from the peers that it knows, at first from the seeds.
+//! - Each peer periodically sends its status to two others, which makes up for lost messages.
+//!
+//! The submodules are:
 //!
 //! - `interface`: inputs, outputs and reports.
 //! - `message`: the messages between peers.
-//! - `receive`, `send`: incoming and outgoing messages; `rate_limiter`: the limit of the latter.
-//! - `transfer`: lists in parts.
+//! - `receive`, `send`: incoming and outgoing messages.
+//! - `rate_limiter`: the rate limit of outgoing messages.
+//! - `transfer`: the transfer of lists in parts.
 //! - `poll`: polls of the list service, and the dissemination of a new list.
 //! - `members`: membership.
-//! - `timers`: timers and the periodic status.
+//! - `timers`: the timers, among them that of the periodic status.
 
 mod interface;
 mod members;
@@ -43,19 +48,19 @@
 use timers::MIN_STATUS_INTERVAL;
 use transfer::Transfer;
 
-/// Greatest size of a message in bytes, without its authentication: with that and the headers of UDP and IP it fits into
-/// any Ethernet frame.
+/// Maximum size of a message in bytes, without its authentication. Together with that and the UDP and IP headers, it fits
+/// into any Ethernet frame.
 pub const MAX_MESSAGE_SIZE: usize = 1_200;
 
 const _: () = assert!(PART_SIZE < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MAX_MESSAGE_SIZE);
 
-/// Keeps the random numbers of a peer apart from those of its [`PollScheduler`], which has the same seed.
+/// Separates the random stream of a peer from that of its [`PollScheduler`], which has the same seed.
 const RANDOM_STREAM: u64 = 0x9e37_79b9;
 
-/// One proxy among its peers.
+/// The protocol state of one proxy.
 ///
-/// The caller passes what happens to [`Peer::handle`], carries out the outputs, and passes [`Input::Timer`] when
-/// [`Peer::next_deadline`] has passed. All times are in microseconds of the caller's clock, which must not go back.
+/// The caller passes each [`Input`] to [`Peer::handle`], carries out the outputs, and passes [`Input::Timer`] when
+/// [`Peer::next_deadline`] has passed. All times are in microseconds on the caller's clock, which must not go back.
 pub struct Peer {
     own: Member,
     seeds: Vec<SocketAddr>,
@@ -65,40 +70,40 @@
     metrics: Metrics,
 
     acceptance: ListAcceptance,
-    /// The peer that the list came from; `None`: the service.
+    /// The peer that sent the accepted list; `None` if the service did.
     source: Option<SocketAddr>,
-    /// The accepted list, ready to be sent in parts.
+    /// The accepted list in packed form, ready to be sent in parts.
     packed: Option<PackedList>,
-    /// A newer list that has arrived in part.
+    /// The transfer of a newer list, while some of its parts are missing.
     transfer: Option<Transfer>,
 
     polling: PollScheduler,
-    /// The next poll asks for the complete list.
+    /// Whether the next poll requests the complete list.
     needs_complete_list: bool,
 
     swim: Swim,
     runtime: AccumulatingRuntime<Member>,
-    /// Timers of SWIM, by time and by the order in which they were scheduled.
+    /// SWIM timers, ordered by time and by the order in which they were scheduled.
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
     timers_scheduled: u64,
     /// The number of live proxies that was last reported.
     reported_alive: usize,
-    /// Periodic statuses since the last new member.
-    steady_statuses: u32,
-    /// Greatest number of live proxies since the fleet has converged; `None` until then.
+    /// Number of periodic statuses since the last new member joined.
+    statuses_since_last_join: u32,
+    /// Maximum number of live proxies since the fleet converged; `None` before that.
     peak_alive: Option<usize>,
 
     next_status_at: Micros,
     status_interval: Micros,
     next_seed_contact: Micros,
-    /// When statuses of pollers were last forwarded at once.
+    /// When statuses of pollers were last forwarded immediately, rather than with the periodic status.
     statuses_forwarded_at: Micros,
     recent_senders: VecDeque<SocketAddr>,
     rate_limiter: RateLimiter,
 }
 
 impl Peer {
-    /// A proxy that starts now. Its random numbers are seeded by its [`Member::id`].
+    /// Creates the state of a proxy that starts now. Its random numbers are seeded with [`Member::id`].
     pub fn new(now: Micros, config: PeerConfig) -> Self {
         let own = config.own;
         let has_no_other_seed = config.seeds.iter().all(|seed| *seed == own.address);
@@ -125,7 +130,7 @@
             timers: BTreeMap::new(),
             timers_scheduled: 0,
             reported_alive: 0,
-            steady_statuses: 0,
+            statuses_since_last_join: 0,
             peak_alive: None,
             next_status_at: now,
             status_interval: MIN_STATUS_INTERVAL,
@@ -136,7 +141,7 @@
         }
     }
 
-    /// When [`Input::Timer`] is due.
+    /// When to pass [`Input::Timer`].
     pub fn next_deadline(&self) -> Micros {
         let swim = self.timers.first_key_value().map(|((at, _), _)| *at);
         let transfer = self.transfer.as_ref().map(Transfer::deadline);
@@ -147,7 +152,7 @@
             .fold(self.next_status_at, Micros::min)
     }
 
-    /// What this proxy knows, for operators.
+    /// The state of this proxy, for operators.
     pub fn status(&self, now: Micros) -> PeerStatus {
         let accepted = self.acceptance.accepted();
         PeerStatus {
@@ -174,12 +179,12 @@
         Some((&accepted.version, &accepted.endpoints))
     }
 
-    /// Number of live proxies, as this one knows, itself included.
+    /// Number of proxies that this one considers alive, including itself.
     pub fn alive(&self) -> usize {
         self.swim.num_members() + 1
     }
 
-    /// Handles what has happened; what is to be done is appended to `out`.
+    /// Handles an input, and appends the resulting outputs to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Message(bytes) => self.handle_message(now, bytes, out),
@@ -191,9 +196,9 @@
                 self.polling.source_changed(now);
             }
             Input::Leave => {
-                // If it fails, the others declare this proxy down by themselves.
+                // If this fails, the other members detect by themselves that this proxy is down.
                 let _ = self.swim.leave_cluster(&mut self.runtime);
-                self.carry_out_swim(now, out);
+                self.process_swim_outputs(now, out);
                 return;
             }
         }
--- a/crates/gossip/src/peer/poll.rs
+++ b/crates/gossip/src/peer/poll.rs
@@ -1,4 +1,4 @@
-//! Polls of the list service, their answers, and the dissemination of a new list.
+//! Polls of the list service, the handling of their answers, and the dissemination of a new list.
 
 use super::message::{ListDelta, Message};
 use super::send::FANOUT;
@@ -11,20 +11,22 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// How long the service may hold a poll back until there is news.
+/// How long the service may hold a poll until the list changes.
 const POLL_WAIT: Micros = 10_000_000;
 
-/// The same for the first poll of a proxy, whose answer shows that the service is reachable.
+/// How long the service may hold a poll of a proxy that is not a healthy poller. It is short, as the answer shows that the
+/// service is reachable.
 const FIRST_POLL_WAIT: Micros = 1_000_000;
 
-/// Pause after an answer that came at once without news.
-const PAUSE_WITHOUT_NEWS: Micros = 50_000;
+/// Minimum delay before the next poll after an answer that came sooner than this without a newer list, or whose changes do
+/// not apply to the accepted list.
+const UNCHANGED_ANSWER_DELAY: Micros = 50_000;
 
-/// Pause between polls while a list is quarantined: the service answers polls for the complete list at once.
-const PAUSE_IN_QUARANTINE: Micros = PARTIAL_LIST_QUARANTINE / 4;
+/// Minimum delay between polls while a list is quarantined, as the service answers polls for the complete list immediately.
+const QUARANTINE_POLL_DELAY: Micros = PARTIAL_LIST_QUARANTINE / 4;
 
 impl Peer {
-    /// The list service has answered a poll.
+    /// Handles an answer of the list service.
     pub(super) fn handle_poll_answer(
         &mut self,
         now: Micros,
@@ -40,15 +42,15 @@
         self.needs_complete_list = matches!(verdict, Verdict::Quarantined | Verdict::Invalid);
         match verdict {
             Verdict::Newer(changes) => self.publish_list(now, previous, None, changes, out),
-            Verdict::Duplicate if latency < PAUSE_WITHOUT_NEWS => {
-                self.polling.delay_until(now + PAUSE_WITHOUT_NEWS);
+            Verdict::Duplicate if latency < UNCHANGED_ANSWER_DELAY => {
+                self.polling.delay_until(now + UNCHANGED_ANSWER_DELAY);
             }
             Verdict::Duplicate => {}
             Verdict::Quarantined => {
                 out.push(Output::Event(PeerEvent::ListQuarantined { index }));
-                self.polling.delay_until(now + PAUSE_IN_QUARANTINE);
+                self.polling.delay_until(now + QUARANTINE_POLL_DELAY);
             }
-            Verdict::Invalid => self.polling.delay_until(now + PAUSE_WITHOUT_NEWS),
+            Verdict::Invalid => self.polling.delay_until(now + UNCHANGED_ANSWER_DELAY),
         }
         if !was_healthy {
             self.send_status_to_some(now, out);
@@ -65,7 +67,7 @@
         }
     }
 
-    /// A poll of the list service has failed.
+    /// Handles the failure of a poll.
     pub(super) fn handle_poll_failure(
         &mut self,
         now: Micros,
@@ -78,7 +80,7 @@
         self.send_status_to_some(now, out);
     }
 
-    /// Polls the list service if it is time to.
+    /// Polls the list service if a poll is due.
     pub(super) fn poll_service(&mut self, now: Micros, out: &mut Vec<Output>) {
         let was_poller = self.polling.is_poller();
         let has_list = self.acceptance.accepted().is_some();
@@ -108,8 +110,8 @@
         self.acceptance.version().map(|version| version.index)
     }
 
-    /// How long the service may hold the next poll back, with jitter: polls that began together must not end together
-    /// for ever.
+    /// How long the service may hold the next poll. The wait has jitter, so that polls that began at the same time do not
+    /// keep ending at the same time.
     fn poll_wait(&mut self) -> Micros {
         let wait = if self.polling.is_healthy_poller() {
             POLL_WAIT
@@ -119,8 +121,8 @@
         wait - self.random.gen_range(0..=wait / 8)
     }
 
-    /// A new list has been accepted: reports it, and sends it to some peers. `previous`: the version before; `source`:
-    /// the peer that it came from, or `None` for the service.
+    /// Reports a newly accepted list and sends it to some peers. `previous` is the version accepted before; `source` is the
+    /// peer that sent the list, or `None` if the service did.
     pub(super) fn publish_list(
         &mut self,
         now: Micros,
@@ -154,7 +156,7 @@
             self.transfer = None;
         }
         self.expedite_status(now);
-        let message = self.encode_news(now, previous, version, &changes);
+        let message = self.encode_list_update(now, previous, version, &changes);
         out.push(Output::ListChanged {
             complete: previous.is_none(),
             changes,
@@ -170,8 +172,9 @@
         }
     }
 
-    /// The message that tells peers of a new list: what has changed, else the list, else its version: the first that fits.
-    fn encode_news(
+    /// Encodes the message that announces a new list to peers. It holds the changes, the complete list or its version: the
+    /// first of these that fits into one message.
+    fn encode_list_update(
         &mut self,
         now: Micros,
         previous: Option<ListVersion>,
--- a/crates/gossip/src/peer/rate_limiter.rs
+++ b/crates/gossip/src/peer/rate_limiter.rs
@@ -1,11 +1,11 @@
-//! The rate limit of the messages that a proxy sends: a token bucket.
+//! The rate limit for outgoing messages: a token bucket.
 
 use crate::Micros;
 
-/// Messages that a proxy sends in a second at most, in the long run.
+/// Maximum sustained rate of the messages that a proxy sends.
 pub const MESSAGES_PER_SECOND: f64 = 400.0;
 
-/// Messages that a proxy sends at once at most.
+/// Maximum number of messages that a proxy sends in a burst.
 pub const MESSAGE_BURST: f64 = 400.0;
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes a token; returns whether there was one.
+    /// Takes a token, and returns whether there was one.
     pub(super) fn try_acquire(&mut self, now: Micros) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
         self.tokens = (self.tokens + elapsed * MESSAGES_PER_SECOND).min(MESSAGE_BURST);
--- a/crates/gossip/src/peer/receive.rs
+++ b/crates/gossip/src/peer/receive.rs
@@ -1,4 +1,4 @@
-//! Received messages.
+//! Handling of received messages.
 
 use super::message::{Envelope, ListDelta, Message, StatusMessage};
 use super::timers::MIN_STATUS_INTERVAL;
@@ -35,7 +35,7 @@
         if self.swim.handle_data(bytes, &mut self.runtime).is_err() {
             self.metrics.malformed += 1;
         }
-        self.carry_out_swim(now, out);
+        self.process_swim_outputs(now, out);
     }
 
     fn handle_status(
@@ -48,11 +48,11 @@
         self.handle_poller_statuses(now, &status.statuses, out);
         let own = self.acceptance.version();
         if status.version > own {
-            let is_on_its_way = self
+            let is_being_transferred = self
                 .transfer
                 .as_ref()
                 .is_some_and(|t| status.version <= Some(t.list.version) && !t.is_stalled(now));
-            if !is_on_its_way {
+            if !is_being_transferred {
                 self.request_list(now, sender, out);
             }
         } else if status.version < own {
@@ -70,8 +70,8 @@
             return;
         }
         self.expedite_status(now);
-        // Further news within the interval goes with the next status: statuses of pollers must never become a message
-        // storm.
+        // Further changes within the interval are sent with the next periodic status, as forwarding each of them could
+        // cause a message storm.
         let may_forward = self.statuses_forwarded_at + MIN_STATUS_INTERVAL <= now;
         if may_forward && self.disabled != Some(Mechanism::StatusForwarding) {
             self.statuses_forwarded_at = now;
--- a/crates/gossip/src/peer/send.rs
+++ b/crates/gossip/src/peer/send.rs
@@ -1,4 +1,4 @@
-//! Outgoing messages, and the choice of their receivers.
+//! Sending of messages, and the choice of their receivers.
 
 use super::message::{Envelope, Message, StatusMessage};
 use super::timers::MIN_STATUS_INTERVAL;
@@ -10,17 +10,17 @@
 /// Number of peers that each periodic status is sent to.
 pub(super) const STATUS_FANOUT: usize = 2;
 
-/// Number of peers that news is sent to at once.
+/// Number of peers that a new list, or a significant change of a poller's status, is sent to immediately.
 pub(super) const FANOUT: usize = 4;
 
-/// While fewer members are known, seeds and recent senders are candidates for messages as well.
+/// Number of known members below which seeds and recent senders are candidates for messages as well.
 const MIN_CANDIDATES: usize = 2 * FANOUT;
 
-/// Number of recent senders that are remembered.
+/// Maximum number of recent senders that are remembered.
 const MAX_RECENT_SENDERS: usize = 2 * FANOUT;
 
 impl Peer {
-    /// Encodes a message with its sender.
+    /// Encodes a message, with this proxy as its sender.
     pub(super) fn encode(&self, message: Message) -> Option<Vec<u8>> {
         let envelope = Envelope {
             from: *self.swim.identity(),
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Some peers at random, without `excluded`. While few members are known, seeds and recent senders are candidates as
-    /// well.
+    /// Chooses up to `count` peers at random, except `excluded`. While few members are known, seeds and recent senders are
+    /// candidates as well.
     pub(super) fn random_peers(
         &mut self,
         count: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The status message of this proxy; `announce`: its own status as a poller gets a new version.
+    /// Builds the status message of this proxy. If `announce` is set, its status as a poller gets a new version.
     pub(super) fn status_message(&mut self, now: Micros, announce: bool) -> Message {
         Message::Status(StatusMessage {
             version: self.acceptance.version(),
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Sends the status of this proxy to some peers at once.
+    /// Sends the status of this proxy to some peers immediately.
     pub(super) fn send_status_to_some(&mut self, now: Micros, out: &mut Vec<Output>) {
         let message = self.status_message(now, false);
         let receivers = self.random_peers(FANOUT, None);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// There is news: the next periodic status is sent soon.
+    /// Schedules the next periodic status soon, as there is a change to announce.
     pub(super) fn expedite_status(&mut self, now: Micros) {
         self.status_interval = MIN_STATUS_INTERVAL;
         self.next_status_at = self.next_status_at.min(now + MIN_STATUS_INTERVAL);
--- a/crates/gossip/src/peer/timers.rs
+++ b/crates/gossip/src/peer/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: those of SWIM, the retry of a stalled transfer, and the periodic status.
+//! The timers of a peer: those of SWIM, the retry of a stalled transfer, and the periodic status.
 
 use super::members::SEED_INTERVAL;
 use super::message::{ListRequest, Message};
@@ -10,16 +10,16 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Time between two periodic statuses while there is news.
+/// Interval between periodic statuses after a change.
 pub(super) const MIN_STATUS_INTERVAL: Micros = 100_000;
 
-/// Time between two periodic statuses when there has been no news for long.
+/// Interval between periodic statuses when there has been no change for long.
 const MAX_STATUS_INTERVAL: Micros = 1_000_000;
 
-/// The same while the proxy has no list.
+/// Maximum interval between periodic statuses while the proxy has no list.
 const MAX_STATUS_INTERVAL_WITHOUT_LIST: Micros = 250_000;
 
-/// Jitter of the interval, in percent: proxies that start together must not send together for ever.
+/// Range of the interval's jitter, in percent, so that proxies that start together do not keep sending together.
 const INTERVAL_JITTER_PERCENT: std::ops::RangeInclusive<Micros> = 75..=125;
 
 impl Peer {
@@ -40,13 +40,14 @@
         // The library expects timers that are due together in this order.
         due.sort();
         for timer in due {
-            // Its errors report late timers, which are normal after a suspension of the process; it recovers by itself.
+            // The library reports an error for a late timer, which is normal after the process was suspended. It recovers
+            // by itself.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
         }
-        self.carry_out_swim(now, out);
+        self.process_swim_outputs(now, out);
     }
 
-    /// Sends the periodic status, or requests a list, and contacts missing seeds.
+    /// Sends the periodic status, or requests a list if there is none, and contacts missing seeds.
     fn send_periodic_status(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.schedule_next_status(now);
         let has_no_members = self.swim.num_members() == 0;
@@ -61,7 +62,7 @@
             } else {
                 Message::ListRequest(ListRequest {
                     version: None,
-                    of: None,
+                    partial_version: None,
                     parts: Vec::new(),
                 })
             };
@@ -84,8 +85,8 @@
         self.status_interval = (self.status_interval * 3 / 2).min(longest);
     }
 
-    /// Announces this proxy to a seed that is no member: at the start, and where a part of the fleet was separated from
-    /// the rest.
+    /// Announces this proxy to a seed that is not a member. This is needed at the start, and after a partition of the
+    /// network.
     fn contact_missing_seed(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.next_seed_contact = now + SEED_INTERVAL;
         let members = self.member_addresses();
@@ -101,9 +102,9 @@
                 id: PeerId(0),
                 started: 0,
             };
-            // If it fails, the next periodic status tries again.
+            // If this fails, it is tried again with a later periodic status.
             let _ = self.swim.announce(seed, &mut self.runtime);
-            self.carry_out_swim(now, out);
+            self.process_swim_outputs(now, out);
         }
     }
 }
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -9,16 +9,16 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Most parts of a list that are sent, or requested, at once.
+/// Maximum number of parts that are requested, or sent, at a time.
 const MAX_PARTS_PER_REQUEST: usize = 48;
 
-/// When no part has arrived for this time the missing ones are requested again.
+/// Time without an arriving part after which the missing parts are requested again.
 const PART_TIMEOUT: Micros = 80_000;
 
-/// Probability that missing parts are requested from the last sender again, and not from another peer.
+/// Probability that missing parts are requested again from the last sender rather than from another peer.
 const RETRY_SAME_SENDER: f64 = 0.5;
 
-/// A newer list that has arrived in part.
+/// The transfer of a newer list, while some of its parts are missing.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) list: PartialList,
@@ -41,7 +41,7 @@
 }
 
 impl Peer {
-    /// The message with a part of the own list.
+    /// Builds the message with a part of the accepted list.
     pub(super) fn part_message(&self, number: u16) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         let bytes = packed.part(number)?.to_vec();
@@ -53,7 +53,7 @@
         }))
     }
 
-    /// The message with the complete own list, if it has only one part.
+    /// Builds the message with the complete accepted list, if it has only one part.
     pub(super) fn single_part_message(&self) -> Option<Message> {
         let packed = self.packed.as_ref()?;
         if packed.parts() == 1 {
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Requests a newer list, or the missing parts of one that has arrived in part.
+    /// Requests a newer list, or the missing parts if one is being transferred.
     pub(super) fn request_list(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<Output>) {
-        let (of, parts) = match &self.transfer {
+        let (partial_version, parts) = match &self.transfer {
             Some(transfer) => (
                 Some(transfer.list.version),
                 transfer.list.missing(MAX_PARTS_PER_REQUEST),
@@ -74,14 +74,14 @@
         };
         let request = ListRequest {
             version: self.acceptance.version(),
-            of,
+            partial_version,
             parts,
         };
         self.send(now, from, Message::ListRequest(request), out);
     }
 
-    /// Requests missing parts again, if none has arrived for a while: from the last sender, or from another peer that
-    /// may have the list.
+    /// Requests the missing parts again if the transfer is stalled, from the last sender or from another peer that may have
+    /// the list.
     pub(super) fn retry_transfer(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(transfer) = self.transfer.as_mut() else {
             return;
@@ -100,7 +100,7 @@
         self.request_list(now, receiver, out);
     }
 
-    /// Sends the list if it has one part, else the status with its version.
+    /// Sends the accepted list if it has one part, otherwise the status with its version.
     pub(super) fn send_list(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Output>) {
         let message = match self.single_part_message() {
             Some(part) => part,
@@ -109,7 +109,7 @@
         self.send(now, to, message, out);
     }
 
-    /// A peer requests a newer list, or missing parts of one.
+    /// Handles a peer's request for a newer list, or for missing parts of one.
     pub(super) fn handle_list_request(
         &mut self,
         now: Micros,
@@ -119,7 +119,7 @@
     ) {
         let own = self.acceptance.version();
         if own <= request.version {
-            // There is nothing newer; but perhaps the sender does not know the pollers.
+            // There is no newer list, but the sender may not know the pollers.
             let statuses = self.polling.statuses(now, false);
             if !statuses.is_empty() || own < request.version {
                 let status = StatusMessage {
@@ -137,11 +137,11 @@
         }
     }
 
-    /// The parts that a request is answered with: the requested ones, or all from a random one on, so that several
-    /// senders of a long list begin with different parts.
+    /// Numbers of the parts to answer a request with: the requested ones, or all parts in order from a random one on, so
+    /// that several senders of a long list begin with different parts.
     fn parts_to_send(&mut self, own: Option<ListVersion>, request: &ListRequest) -> Vec<u16> {
         let count = self.packed.as_ref().map_or(0, PackedList::parts);
-        if request.of == own && !request.parts.is_empty() {
+        if request.partial_version == own && !request.parts.is_empty() {
             let requested = request.parts.iter().copied();
             return requested
                 .filter(|number| *number < count)
@@ -155,7 +155,7 @@
             .collect()
     }
 
-    /// A part of a list has arrived.
+    /// Handles a part of a list.
     pub(super) fn handle_list_part(
         &mut self,
         now: Micros,
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Begins to receive the list of this part, unless it, or a newer one, is being received. Returns `false` if no list
-    /// has so many parts.
+    /// Begins the transfer of this part's list, unless the same or a newer list is being transferred. Returns `false` if the
+    /// number of parts is invalid.
     fn begin_transfer(&mut self, now: Micros, sender: SocketAddr, part: &ListPart) -> bool {
         let current = self.transfer.as_ref().map(|t| t.list.version);
         if current >= Some(part.version) {
--- a/crates/gossip/src/polling/known.rs
+++ b/crates/gossip/src/polling/known.rs
@@ -1,37 +1,39 @@
-//! The table of pollers that a proxy has learned of from its peers.
+//! The table of pollers that a proxy knows from its peers' gossip.
 
 use super::status::{KnownPoller, PeerId, PollerHealth, PollerStatus};
 use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A healthy poller is ignored when no newer status has arrived for this time: each announces itself once a second, and
+/// Time without a newer status after which a healthy poller is ignored. A poller announces its status once a second, and
 /// an announcement takes about seven rounds of gossip to reach two thousand proxies.
 const STATUS_LIFETIME: Micros = 15_000_000;
 
-/// The same for a poller that is not healthy: it announces itself each second, and at once when its health changes.
-/// Taking a live one for dead costs a poll or two; waiting for a dead one delays the start of the fleet.
+/// Time without a newer status after which an unhealthy poller is ignored. A poller announces its status each second, and
+/// immediately when its health changes. Ignoring a live poller costs one or two additional polls, whereas waiting for a
+/// crashed one delays the start of the fleet.
 const UNHEALTHY_STATUS_LIFETIME: Micros = 4_000_000;
 
-/// An entry is removed when no newer status has arrived for this time.
+/// Time without a newer status after which an entry is removed.
 const ENTRY_LIFETIME: Micros = 4 * STATUS_LIFETIME;
 
-/// Most entries, including pollers that have stopped or left. A poller that was removed while peers still gossip its
-/// status would reappear as a new one and be waited for. Beyond this the inactive entries are removed first.
+/// Maximum number of entries, including pollers that have stopped or left. A poller that is removed while peers still
+/// gossip its status reappears as a new one, and other proxies wait for it. Beyond this limit, inactive entries are
+/// removed first.
 pub(super) const MAX_KNOWN_POLLERS: usize = 4_096;
 
-/// What a received status changed in the table.
+/// The effect of a received status on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusUpdate {
-    /// Nothing: the same version, or a newer one, was known.
+    /// None, because the same version or a newer one was known.
     Stale,
-    /// The status is newer, but others need not learn of it at once.
+    /// The status is newer, but need not be forwarded immediately.
     Minor,
-    /// A poller has started or stopped, became healthy, or is so no longer.
+    /// A poller has started or stopped, or its health has changed.
     Significant,
 }
 
-/// Numbers of active pollers, by health.
+/// Number of active pollers of each health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PollerCounts {
     pub(super) healthy: usize,
@@ -56,14 +58,14 @@
     }
 }
 
-/// The pollers that a proxy knows, itself excluded.
+/// The pollers that a proxy knows, excluding itself.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownPollers {
     entries: BTreeMap<PeerId, Entry>,
 }
 
 impl KnownPollers {
-    /// Applies a status received from a peer.
+    /// Records a status received from a peer.
     pub(super) fn update(&mut self, now: Micros, status: PollerStatus) -> StatusUpdate {
         let older = self.entries.get(&status.id).map(|entry| entry.status);
         if older.is_some_and(|older| older.version >= status.version) {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Removes entries beyond [`MAX_KNOWN_POLLERS`].
+    /// Removes entries beyond [`MAX_KNOWN_POLLERS`]: inactive ones first, then the oldest.
     pub(super) fn evict_excess(&mut self) {
         while self.entries.len() > MAX_KNOWN_POLLERS {
             let oldest = self
@@ -99,25 +101,26 @@
         }
     }
 
-    /// Removes entries that have not been renewed for long.
+    /// Removes entries that were not renewed within [`ENTRY_LIFETIME`].
     pub(super) fn remove_expired(&mut self, now: Micros) {
         self.entries
             .retain(|_, entry| now < entry.received_at + ENTRY_LIFETIME);
     }
 
-    /// Marks a poller as stopped. It stays in the table, so that an old status still in circulation does not revive it.
+    /// Marks a poller as stopped. Its entry stays in the table, so that an old status that peers still gossip does not
+    /// make it active again.
     pub(super) fn mark_stopped(&mut self, id: PeerId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.status.active = false;
         }
     }
 
-    /// Whether any poller is healthy, however old its status is.
+    /// Whether any poller is healthy, regardless of the age of its status.
     pub(super) fn any_healthy(&self) -> bool {
         self.entries.values().any(|entry| entry.status.is_healthy())
     }
 
-    /// Active pollers whose status is fresh.
+    /// The active pollers whose status is fresh.
     fn fresh_active(&self, now: Micros) -> impl Iterator<Item = &PollerStatus> {
         self.entries
             .values()
@@ -138,7 +141,7 @@
         counts
     }
 
-    /// The active pollers whose status is fresh and whose last poll was answered.
+    /// Identifiers of the active pollers whose status is fresh and whose last poll was answered.
     pub(super) fn healthy_ids(&self, now: Micros) -> Vec<PeerId> {
         self.fresh_active(now)
             .filter(|status| status.failures == 0)
@@ -146,8 +149,8 @@
             .collect()
     }
 
-    /// Fresh statuses in the order in which they are worth gossiping: active pollers first, then the latest received.
-    /// Statuses that are not fresh are left out, or crashed pollers would be gossiped about for ever.
+    /// Fresh statuses in order of priority for gossip: active pollers first, then the most recently received. Statuses that
+    /// are not fresh are left out; otherwise proxies would gossip the status of a crashed poller for ever.
     pub(super) fn to_gossip(&self, now: Micros) -> impl Iterator<Item = PollerStatus> + '_ {
         let mut fresh: Vec<&Entry> = self
             .entries
@@ -158,7 +161,7 @@
         fresh.into_iter().map(|entry| entry.status)
     }
 
-    /// All active pollers, with the age of their statuses.
+    /// All active pollers with the age of their statuses, fresh or not.
     pub(super) fn active(&self, now: Micros) -> impl Iterator<Item = KnownPoller> + '_ {
         self.entries
             .values()
--- a/crates/gossip/src/polling/scheduler.rs
+++ b/crates/gossip/src/polling/scheduler.rs
@@ -12,23 +12,23 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// A proxy that has had no contact with any peer for this time counts as isolated: in a steady fleet each proxy receives
-/// about four messages a second. Its knowledge of pollers no longer holds.
+/// Time without contact with any peer after which a proxy is isolated, and no longer relies on what it knows of pollers.
+/// In a converged fleet each proxy receives about four messages a second.
 pub(super) const ISOLATED_AFTER: Micros = 3_000_000;
 
-/// A proxy that stopped polling because all its polls failed does not take over again for this time.
+/// Time for which a proxy does not take over again after it has stepped down because its polls failed.
 pub(super) const TAKEOVER_PAUSE: Micros = 30_000_000;
 
-/// Greatest number of consecutive failures that a status reports.
+/// Maximum number of consecutive failures in a status.
 const MAX_FAILURES: u32 = 1_000;
 
-/// Greatest latency of the service that a status reports, in milliseconds.
+/// Maximum latency of the service in a status, in milliseconds.
 const MAX_LATENCY_MS: Micros = 60_000;
 
 /// Decides when one proxy polls the list service.
 ///
-/// All times are in microseconds of the caller's clock. The caller reports what it learns of other pollers and how each
-/// poll ended, and calls [`PollScheduler::start_poll`] whenever [`PollScheduler::next_deadline`] has passed.
+/// All times are in microseconds on the caller's clock. The caller reports what it learns of other pollers and the result
+/// of each poll, and calls [`PollScheduler::start_poll`] whenever [`PollScheduler::next_deadline`] has passed.
 #[derive(Clone, Debug)]
 pub struct PollScheduler {
     pub(super) own: PollerStatus,
@@ -38,22 +38,22 @@
     random: Pcg32,
     /// Whether a poll is in flight.
     pub(super) in_flight: bool,
-    /// When the next poll would start; `None`: others poll.
+    /// When the next poll starts; `None` while this proxy leaves polling to others.
     next_poll: Option<Micros>,
     /// The distribution that `next_poll` was drawn from.
     takeover_delay: Option<TakeoverDelay>,
-    /// When a peer was last in contact with this proxy; `None`: never.
+    /// When a message from a peer was last received; `None` if never.
     last_contact: Option<Micros>,
     has_list: bool,
     disabled: Option<Mechanism>,
-    /// This proxy does not take over before this moment.
+    /// Time before which this proxy does not take over.
     takeover_paused_until: Micros,
-    /// The service has asked this proxy not to poll before this moment.
+    /// Time before which the service has asked this proxy not to poll.
     retry_after_until: Micros,
 }
 
 impl PollScheduler {
-    /// The scheduler of a proxy; `is_seed`: other proxies contact it when they start.
+    /// Creates the scheduler of a proxy. `is_seed` tells that other proxies contact this one when they start.
     pub fn new(id: PeerId, is_seed: bool) -> Self {
         let own = PollerStatus {
             id,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Switches a mechanism off.
+    /// Disables a mechanism, or none.
     #[must_use]
     pub fn with_disabled(mut self, mechanism: Option<Mechanism>) -> Self {
         self.disabled = mechanism;
@@ -95,12 +95,13 @@
         self.own.is_healthy()
     }
 
-    /// Whether any poller is known whose last poll was answered, this proxy included.
+    /// Whether a poller is known, this proxy included, whose last poll was answered.
     pub fn knows_healthy_poller(&self) -> bool {
         self.own.is_healthy() || self.others.any_healthy()
     }
 
-    /// The statuses that a message carries, this proxy's own first; `announce`: the own status gets a new version.
+    /// Returns the statuses to include in a message, this proxy's own first. If `announce` is set and this proxy is a
+    /// poller, its status gets a new version.
     pub fn statuses(&mut self, now: Micros, announce: bool) -> Vec<PollerStatus> {
         let has_been_poller = self.own.active || self.own.version > 0;
         if announce && self.own.active {
@@ -113,7 +114,7 @@
             .collect()
     }
 
-    /// The active pollers that this proxy knows, itself included.
+    /// The active pollers that this proxy knows, including itself.
     pub fn pollers(&self, now: Micros) -> Vec<KnownPoller> {
         let own = self.own.active.then_some(KnownPoller {
             status: self.own,
@@ -122,8 +123,8 @@
         own.into_iter().chain(self.others.active(now)).collect()
     }
 
-    /// A peer has sent statuses of pollers. Returns whether one of them changed so that others should learn of it at
-    /// once: a poller has started or stopped, became healthy, or is so no longer.
+    /// Records statuses of pollers from a peer. Returns whether one of them should be forwarded immediately, because a
+    /// poller has started or stopped, or its health has changed.
     pub fn handle_statuses(&mut self, now: Micros, statuses: &[PollerStatus]) -> bool {
         let mut significant = false;
         self.last_contact = Some(now);
@@ -140,26 +141,26 @@
         significant
     }
 
-    /// A message from a peer has arrived.
+    /// Records that a message from a peer has arrived.
     pub fn record_contact(&mut self, now: Micros) {
         if self.last_contact.replace(now).is_none() {
             self.reschedule(now);
         }
     }
 
-    /// A peer has left or crashed.
+    /// Records that a peer has left or crashed.
     pub fn peer_down(&mut self, now: Micros, id: PeerId) {
         self.others.mark_stopped(id);
         self.reschedule(now);
     }
 
-    /// Whether no peer was in contact with this proxy, ever or for [`ISOLATED_AFTER`].
+    /// Whether no message from a peer has arrived for [`ISOLATED_AFTER`], or ever.
     fn is_isolated(&self, now: Micros) -> bool {
         self.last_contact
             .is_none_or(|at| at + ISOLATED_AFTER <= now)
     }
 
-    /// Numbers of other active pollers; none while this proxy is isolated.
+    /// Counts the other active pollers; zero while this proxy is isolated.
     fn other_pollers(&self, now: Micros) -> PollerCounts {
         if self.is_isolated(now) {
             PollerCounts::default()
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The distribution of this proxy's takeover delay; `None`: it leaves polling to others.
+    /// The distribution of this proxy's takeover delay; `None` if it leaves polling to others.
     fn takeover_delay(&self, now: Micros) -> Option<TakeoverDelay> {
         let others = self.other_pollers(now);
         let enough = others.healthy + others.trying >= TARGET_POLLERS;
@@ -196,8 +197,8 @@
         Some(TakeoverDelay::Within(span))
     }
 
-    /// Sets or cancels the moment at which this proxy would become a poller. A moment that was drawn is kept for as long
-    /// as it would be drawn from the same distribution.
+    /// Sets or cancels the time at which this proxy becomes a poller. A time that was drawn before is kept as long as the
+    /// distribution of the delay stays the same.
     fn reschedule(&mut self, now: Micros) {
         if self.own.active {
             return;
@@ -218,9 +219,9 @@
         );
     }
 
-    /// Returns whether the service is to be polled now; the poll then counts as in flight until
-    /// [`PollScheduler::poll_answered`], [`PollScheduler::poll_failed`] or [`PollScheduler::source_changed`]. `has_list`:
-    /// whether this proxy has a list.
+    /// Returns whether the service is to be polled now. The poll is then in flight until
+    /// [`PollScheduler::poll_answered`], [`PollScheduler::poll_failed`] or [`PollScheduler::source_changed`] is called.
+    /// `has_list` tells whether this proxy has a list.
     pub fn start_poll(&mut self, now: Micros, has_list: bool) -> bool {
         self.has_list = has_list;
         self.others.remove_expired(now);
@@ -241,17 +242,18 @@
         true
     }
 
-    /// When [`PollScheduler::start_poll`] should be called next; `None` while a poll is in flight, or others poll.
+    /// When [`PollScheduler::start_poll`] should be called next; `None` while a poll is in flight, or while this proxy
+    /// leaves polling to others.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.next_poll.filter(|_| !self.in_flight)
     }
 
-    /// Stops polling where other pollers suffice.
+    /// Stops polling if there are enough other pollers.
     fn step_down_if_redundant(&mut self, now: Micros) {
         let Some(redundancy) = self.redundancy(now) else {
             return;
         };
-        if redundancy == Redundancy::Relieved {
+        if redundancy == Redundancy::OthersRetry {
             self.takeover_paused_until = now + TAKEOVER_PAUSE;
         }
         if !self.in_flight {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Whether other pollers suffice, and why.
+    /// The reason why this poller is not needed; `None` if it is needed.
     fn redundancy(&self, now: Micros) -> Option<Redundancy> {
         let healthy = self.others.healthy_ids(now);
         let has_enough_healthy = healthy.len() >= TARGET_POLLERS;
@@ -272,20 +274,20 @@
                 (ahead >= TARGET_POLLERS).then_some(Redundancy::Replaced)
             }
             PollerStatus::NEVER_ANSWERED => has_enough_healthy.then_some(Redundancy::Replaced),
-            // At its first failure the others may have failed as well without having announced it yet: all pollers must
-            // not stop together.
+            // After this poller's first failure, the others may have failed as well without having announced it yet. If
+            // it stepped down now, all pollers could stop at the same time.
             failures if failures > 1 && has_enough_healthy => Some(Redundancy::Replaced),
             failures if failures >= UNREACHABLE_AFTER_FAILURES => {
                 let others = self.other_pollers(now);
-                let relieved = others.trying > 0 || others.unreachable >= TARGET_POLLERS;
-                relieved.then_some(Redundancy::Relieved)
+                let others_retry = others.trying > 0 || others.unreachable >= TARGET_POLLERS;
+                others_retry.then_some(Redundancy::OthersRetry)
             }
             _ => None,
         }
     }
 
-    /// The poll in flight was answered: the next one may start at once. `latency`: how long the service took, if it did
-    /// not hold the poll back until there was news.
+    /// Records that the poll in flight was answered: the next one may start immediately. `latency` is the time that the
+    /// service took, or `None` if it held the poll until the list changed.
     pub fn poll_answered(&mut self, now: Micros, latency: Option<Micros>) {
         self.in_flight = false;
         self.own.failures = 0;
@@ -306,7 +308,8 @@
         };
     }
 
-    /// The poll in flight has failed; `retry_after`: how long the service asked this proxy to stay away.
+    /// Records that the poll in flight has failed. `retry_after` is the delay before the next poll that the service asked
+    /// for, if any.
     pub fn poll_failed(&mut self, now: Micros, retry_after: Option<Micros>) {
         self.in_flight = false;
         self.own.version += 1;
@@ -320,14 +323,15 @@
         self.next_poll = Some((now + backoff).max(self.retry_after_until));
     }
 
-    /// The service has been replaced by another one: a poll in flight is void, and the next one may start at once.
+    /// Records that the service was replaced by another one: a poll in flight is abandoned, and the next one may start
+    /// immediately.
     pub fn source_changed(&mut self, now: Micros) {
         if std::mem::take(&mut self.in_flight) {
             self.next_poll = Some(now);
         }
     }
 
-    /// The next poll does not start before this moment.
+    /// Delays the next poll until `at`, if it would start earlier.
     pub fn delay_until(&mut self, at: Micros) {
         self.next_poll = self.next_poll.map(|next_poll| next_poll.max(at));
     }
@@ -336,13 +340,13 @@
 /// Why a poller is not needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Redundancy {
-    /// Enough others poll successfully.
+    /// Enough other pollers are healthy.
     Replaced,
-    /// All pollers fail, and others take their turn.
-    Relieved,
+    /// This poller's polls fail, and other pollers keep retrying.
+    OthersRetry,
 }
 
-/// The order in which pollers stay where there are too many: the highest ranks stay.
+/// The rank of a proxy. If there are too many pollers, those with the highest ranks continue.
 fn rank(id: PeerId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&id.0.to_le_bytes())
 }
--- a/crates/gossip/src/polling/status.rs
+++ b/crates/gossip/src/polling/status.rs
@@ -1,29 +1,29 @@
-//! What proxies tell each other about pollers.
+//! The status of a poller, which proxies gossip.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Most statuses in one message: further pollers make no difference.
+/// Maximum number of statuses in one message. More pollers than this would not change any decision.
 pub const MAX_STATUSES: usize = 8;
 
-/// Consecutive failures after which a poller counts as unreachable: partitioned from the service.
+/// Consecutive failures after which a poller is considered partitioned from the service.
 pub(super) const UNREACHABLE_AFTER_FAILURES: u32 = 3;
 
-/// Identifies one run of a proxy: drawn at random at each start.
+/// Identifies one incarnation of a proxy: drawn at random at each start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct PeerId(pub u64);
 
-/// The status of one proxy that polls the list service, as it is gossiped.
+/// The status of one poller, as it is gossiped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollerStatus {
-    /// The proxy.
+    /// The proxy that polls.
     pub id: PeerId,
-    /// Version of this status: incremented each time that the proxy itself announces it; 0 before the first time.
+    /// Version of this status, which the proxy increments for each announcement and each change; 0 before the first.
     #[serde(rename = "count")]
     pub version: u32,
-    /// Whether the proxy polls the service; `false` when it has stopped.
+    /// Whether the proxy polls the service; `false` after it has stopped.
     #[serde(rename = "asks")]
     pub active: bool,
     /// Consecutive failed polls; [`PollerStatus::NEVER_ANSWERED`] before the first poll has ended.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether others should learn of the step from `older` to this status at once.
+    /// Whether the change from `older` to this status should be forwarded immediately.
     pub(super) fn differs_significantly_from(&self, older: &Self) -> bool {
         let many_failures = |status: &Self| status.failures >= UNREACHABLE_AFTER_FAILURES;
         self.active != older.active
@@ -61,22 +61,22 @@
     }
 }
 
-/// How an active poller fares with the service.
+/// The health of an active poller, as seen in the results of its polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PollerHealth {
-    /// Its last poll was answered.
+    /// The last poll was answered.
     Healthy,
-    /// It waits for its first answer, or has failed only a few times.
+    /// The first poll has not ended, or only a few polls have failed since the last answer.
     Trying,
-    /// It has failed [`UNREACHABLE_AFTER_FAILURES`] times or more in a row.
+    /// At least [`UNREACHABLE_AFTER_FAILURES`] consecutive polls have failed.
     Unreachable,
 }
 
-/// An active poller as one proxy knows it. Serialized as the pair `(status, age)`.
+/// An active poller, as known to one proxy. Serialized as the pair `(status, age)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(PollerStatus, Micros)", into = "(PollerStatus, Micros)")]
 pub struct KnownPoller {
-    /// Its last known status.
+    /// The poller's last known status.
     pub status: PollerStatus,
     /// Time since that status was received; 0 for the proxy itself.
     pub age: Micros,
--- a/crates/gossip/src/polling/tests.rs
+++ b/crates/gossip/src/polling/tests.rs
@@ -1,4 +1,4 @@
-//! The election of pollers, and their backoff.
+//! Tests of the election of pollers, and of their backoff.
 
 use super::backoff::MAX_BACKOFF;
 use super::known::MAX_KNOWN_POLLERS;
@@ -11,10 +11,10 @@
 use super::{PeerId, PollScheduler, PollerStatus, TARGET_POLLERS};
 use crate::Micros;
 
-fn status(id: u64, count: u32, failures: u32) -> PollerStatus {
+fn status(id: u64, version: u32, failures: u32) -> PollerStatus {
     PollerStatus {
         id: PeerId(id),
-        version: count,
+        version,
         active: true,
         failures,
         latency_ms: 8,
@@ -24,7 +24,7 @@
 #[test]
 fn few_proxies_take_over_early_whatever_the_fleet_size() {
     for proxies in [5, 300, 2_000, 10_000] {
-        let mut firsts: Vec<Micros> = (0..proxies)
+        let mut takeover_times: Vec<Micros> = (0..proxies)
             .map(|n| {
                 let mut scheduler = PollScheduler::new(PeerId(n), false);
                 scheduler.record_contact(0);
@@ -32,18 +32,18 @@
                 scheduler.next_deadline().unwrap_or(0)
             })
             .collect();
-        firsts.sort_unstable();
-        // Within a tenth of the span after the first takeover there are few others.
-        let early = firsts
+        takeover_times.sort_unstable();
+        // Few other proxies take over within a tenth of the maximum delay after the first one.
+        let early = takeover_times
             .iter()
-            .filter(|t| **t <= firsts[0] + TAKEOVER_SPAN / 10)
+            .filter(|t| **t <= takeover_times[0] + TAKEOVER_SPAN / 10)
             .count();
         assert!(early <= 12, "{early} of {proxies}");
-        assert!(firsts[0] <= TAKEOVER_SPAN * 9 / 10);
+        assert!(takeover_times[0] <= TAKEOVER_SPAN * 9 / 10);
     }
 }
 
-/// A table of 64 entries was too small for fleets of hundreds.
+/// A table of 64 entries is too small for a fleet of hundreds of proxies: evicted pollers reappear as new ones.
 #[test]
 fn thousand_active_pollers_are_remembered_and_inactive_ones_are_evicted_first() {
     let mut scheduler = PollScheduler::new(PeerId(0), false);
@@ -51,8 +51,8 @@
         scheduler.handle_statuses(n, &[status(n, 1, 0)]);
     }
     assert_eq!(scheduler.others.len(), 1_024);
-    let room = MAX_KNOWN_POLLERS as u64;
-    for n in 1_025..=2 * room {
+    let capacity = MAX_KNOWN_POLLERS as u64;
+    for n in 1_025..=2 * capacity {
         scheduler.handle_statuses(
             n,
             &[PollerStatus {
@@ -86,19 +86,19 @@
             && !scheduler.start_poll(5_000_000, false)
             && scheduler.knows_healthy_poller()
     );
-    // One poller crashes, and the others go on.
+    // One poller crashes, and the others continue.
     scheduler.peer_down(5_000_000, PeerId(3));
-    let due = scheduler.next_deadline().expect("it would take over");
+    let due = scheduler.next_deadline().expect("a takeover is scheduled");
     assert!(due <= 5_000_000 + RELAXED_TAKEOVER_SPAN);
     scheduler.record_contact(due);
     assert!(scheduler.start_poll(due, true) && scheduler.is_poller());
-    // An old status does not revive the crashed one.
+    // An old status does not make the crashed poller active again.
     scheduler.handle_statuses(due, &[status(3, 1, 0)]);
     assert_eq!(scheduler.pollers(due).len(), 3);
 }
 
 #[test]
-fn failing_poller_holds_others_back_until_it_counts_as_unreachable() {
+fn failing_poller_prevents_takeovers_until_it_counts_as_unreachable() {
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     scheduler.handle_statuses(0, &[status(1, 1, 2)]);
     assert!(
@@ -108,10 +108,10 @@
     scheduler.handle_statuses(3_000_000, &[status(1, 2, UNREACHABLE_AFTER_FAILURES)]);
     let due = scheduler
         .next_deadline()
-        .expect("the other poller may be unreachable");
+        .expect("a takeover is scheduled, as the other poller may be partitioned");
     scheduler.handle_statuses(due - 1, &[status(1, 3, UNREACHABLE_AFTER_FAILURES)]);
     assert!(due <= 3_000_000 + UNREACHABLE_TAKEOVER_SPAN && scheduler.start_poll(due, false));
-    // Its polls fail as well: with enough others that retry it steps down.
+    // Its polls fail as well, so it steps down, as enough other pollers retry.
     let mut now = due;
     for _ in 0..UNREACHABLE_AFTER_FAILURES {
         scheduler.handle_statuses(
@@ -123,7 +123,7 @@
             ],
         );
         scheduler.poll_failed(now, Some(700_000));
-        let due = scheduler.next_deadline().expect("a retry");
+        let due = scheduler.next_deadline().expect("a retry is scheduled");
         assert!(due >= now + 700_000);
         now = due;
         if scheduler.is_poller() && scheduler.start_poll(now, false) {
@@ -145,7 +145,9 @@
     scheduler.start_poll(ISOLATED_AFTER - 1, true);
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.start_poll(ISOLATED_AFTER, true);
-    let due = scheduler.next_deadline().expect("it is isolated");
+    let due = scheduler
+        .next_deadline()
+        .expect("an isolated proxy schedules a poll");
     assert!(
         (ISOLATED_AFTER + MIN_ISOLATED_DELAY..=ISOLATED_AFTER + MAX_ISOLATED_DELAY).contains(&due)
     );
@@ -164,21 +166,24 @@
     let mut scheduler = PollScheduler::new(PeerId(9), false);
     scheduler.record_contact(0);
     scheduler.start_poll(0, true);
-    let due = scheduler.next_deadline().expect("nobody polls");
-    for at in 1..100 {
+    let due = scheduler
+        .next_deadline()
+        .expect("a takeover is scheduled, as there is no poller");
+    for now in 1..100 {
         scheduler.handle_statuses(
-            at,
+            now,
             &[PollerStatus {
                 active: false,
-                ..status(1, at as u32, 0)
+                ..status(1, now as u32, 0)
             }],
         );
-        scheduler.start_poll(at, true);
+        scheduler.start_poll(now, true);
         assert_eq!(scheduler.next_deadline(), Some(due));
     }
 }
 
-/// The service goes down, and the polls of all fail at once, while each still knows the others as healthy.
+/// When the service goes down, the polls of all pollers fail at the same time, while each still considers the others
+/// healthy.
 #[test]
 fn pollers_that_fail_together_do_not_step_down_at_the_first_failure() {
     let mut scheduler = PollScheduler::new(PeerId(9), true);
@@ -194,7 +199,10 @@
     assert!(scheduler.is_poller());
     scheduler.poll_failed(SEED_TAKEOVER_SPAN, None);
     scheduler.start_poll(SEED_TAKEOVER_SPAN, true);
-    assert!(!scheduler.is_poller(), "the others are still healthy");
+    assert!(
+        !scheduler.is_poller(),
+        "the other pollers are still healthy"
+    );
 }
 
 #[test]
--- a/crates/gossip/src/replay.rs
+++ b/crates/gossip/src/replay.rs
@@ -1,28 +1,28 @@
 //! Protection against replayed messages: a sliding window for each sender, as in [RFC 4303], appendix A2.
 //!
-//! A sender numbers its messages to all others together, so its window is wide. A message of a sender that was forgotten
-//! (after [`MAX_SENDERS`] others) could be accepted twice; so could all messages sent before the receiver's own start.
-//! Neither makes an older list newer, nor an older status of a poller.
+//! A sender uses one sequence for its messages to all receivers, so the window must be wide. A message can be accepted
+//! twice if its sender's window was evicted in between (after [`MAX_SENDERS`] other senders), or if it was sent before the
+//! receiver started. This is harmless: a replayed message never replaces a list or a poller's status by an older one.
 //!
 //! [RFC 4303]: https://www.rfc-editor.org/rfc/rfc4303
 
 use std::collections::HashMap;
 
-/// Number of senders that are remembered.
+/// Maximum number of senders whose windows are kept.
 pub const MAX_SENDERS: usize = 4_096;
 
-/// Number of sequence numbers in the window of a sender.
+/// Number of sequence numbers in a sender's window.
 const WINDOW: u64 = 1_024;
 
 const BITS_PER_WORD: u64 = 64;
 const WORDS: usize = (WINDOW / BITS_PER_WORD) as usize;
 
-/// The sequence numbers of one sender that were accepted: a ring of bits.
+/// The accepted sequence numbers of one sender, as a circular bitmap.
 #[derive(Clone, Debug)]
 struct Window {
     highest: u64,
     seen: [u64; WORDS],
-    /// When a message of this sender was last checked, counted in messages of all senders.
+    /// Value of [`ReplayFilter::checked`] when a message of this sender was last checked.
     last_used: u64,
 }
 
@@ -35,39 +35,39 @@
         }
     }
 
-    /// Accepts a sequence number once.
+    /// Records a sequence number. Returns whether it is within the window and was not recorded before.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence + WINDOW <= self.highest {
             return false;
         }
         self.advance(sequence);
-        let (word, mask) = position(sequence);
+        let (word, mask) = word_and_mask(sequence);
         let is_new = self.seen[word] & mask == 0;
         self.seen[word] |= mask;
         is_new
     }
 
-    /// Moves the window forward, so that it ends at this sequence number, and clears the bits that come into it.
+    /// Moves the window forward so that it ends at `sequence`, and clears the bits that enter it.
     fn advance(&mut self, sequence: u64) {
         if sequence <= self.highest {
             return;
         }
         let steps = (sequence - self.highest).min(WINDOW);
         for entering in sequence - steps + 1..=sequence {
-            let (word, mask) = position(entering);
+            let (word, mask) = word_and_mask(entering);
             self.seen[word] &= !mask;
         }
         self.highest = sequence;
     }
 }
 
-/// The word and the bit of a sequence number.
-fn position(sequence: u64) -> (usize, u64) {
+/// Index of the word, and mask of the bit, that represent a sequence number.
+fn word_and_mask(sequence: u64) -> (usize, u64) {
     let word = (sequence % WINDOW / BITS_PER_WORD) as usize;
     (word, 1 << (sequence % BITS_PER_WORD))
 }
 
-/// Accepts each message once.
+/// Rejects messages that were accepted before.
 ///
 /// ```
 /// use badgerramp_gossip::replay::ReplayFilter;
@@ -80,24 +80,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReplayFilter {
     windows: HashMap<u64, Window>,
-    /// Messages that were checked.
+    /// Number of messages checked so far.
     checked: u64,
 }
 
 impl ReplayFilter {
-    /// Records a message by its sender and that sender's sequence number. Returns `false` if it was accepted before, or
-    /// is too old to tell.
+    /// Records a message by its sender and sequence number. Returns `false` if it was accepted before, or is older than
+    /// the sender's window.
     pub fn accept(&mut self, sender: u64, sequence: u64) -> bool {
         self.checked += 1;
         if self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(&sender) {
-            self.forget_least_recently_used();
+            self.evict_least_recently_used();
         }
         let window = self.windows.entry(sender).or_insert_with(Window::new);
         window.last_used = self.checked;
         window.accept(sequence)
     }
 
-    fn forget_least_recently_used(&mut self) {
+    fn evict_least_recently_used(&mut self) {
         let oldest = self
             .windows
             .iter()
--- a/crates/gossip/src/replay/tests.rs
+++ b/crates/gossip/src/replay/tests.rs
@@ -1,11 +1,11 @@
-//! Replayed messages.
+//! Tests of the replay filter.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::HashSet;
 
 #[test]
-fn messages_before_the_window_are_rejected_and_the_least_recent_sender_is_forgotten() {
+fn messages_before_the_window_are_rejected_and_the_least_recent_sender_is_evicted() {
     let mut filter = ReplayFilter::default();
     assert!(filter.accept(1, 5_000) && filter.accept(1, 3_977) && !filter.accept(1, 3_976));
     for sender in 2..=MAX_SENDERS as u64 {
@@ -14,7 +14,7 @@
     assert!(!filter.accept(1, 5_000));
     assert!(
         filter.accept(9_999, 1) && filter.accept(2, 1),
-        "the least recent sender was forgotten"
+        "the window of the least recent sender is evicted"
     );
     assert_eq!(filter.windows.len(), MAX_SENDERS);
 }
--- a/crates/gossip/src/simulation/config.rs
+++ b/crates/gossip/src/simulation/config.rs
@@ -1,36 +1,36 @@
-//! What is simulated: the fleet, the network, the list service and their faults.
+//! The configuration of a simulation: the fleet, the network, the list service and their faults.
 
 use crate::polling::Mechanism;
 use crate::Micros;
 
-/// A kind of fault. Proxies are named by their position in the fleet.
+/// A kind of fault. Proxies are identified by their position in the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// These proxies have crashed; they start again at the end of the fault.
+    /// These proxies crash, and start again at the end of the fault.
     Crash(Vec<usize>),
     /// The polls of these proxies are lost on the way to the list service.
     ServiceUnreachable(Vec<usize>),
-    /// No message passes between the first so many proxies and the rest.
+    /// No message passes between this number of proxies at the start of the fleet and the rest.
     Partition(usize),
-    /// The list service is down: polls fail at once.
+    /// The list service is down: polls fail immediately.
     ServiceDown,
-    /// The list service answers with the list as it was so many versions ago.
+    /// The list service answers with a list that is this number of versions old.
     StaleService(u64),
 }
 
 /// A fault and its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// What fails.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// When the fault begins.
     pub from: Micros,
-    /// When it ends.
+    /// When the fault ends.
     pub until: Micros,
 }
 
 impl Fault {
-    /// Whether the fault is present at this moment.
+    /// Whether the fault is present at this time.
     pub(super) fn is_active(&self, now: Micros) -> bool {
         self.from <= now && now < self.until
     }
@@ -41,38 +41,38 @@
 pub struct SimConfig {
     /// Number of proxies.
     pub proxies: usize,
-    /// The first so many proxies are seeds.
+    /// Number of seeds, which are the first proxies of the fleet.
     pub seeds: usize,
-    /// All proxies start within this time, each at a random moment.
+    /// Each proxy starts at a random time within this window.
     pub start_window: Micros,
-    /// Number of hosts in the list.
+    /// Number of hosts in the endpoint list.
     pub hosts: usize,
-    /// Time that the list service works on a poll; it handles one after the other.
+    /// Time that the list service takes to handle a poll. It handles one poll at a time.
     pub service_time: Micros,
-    /// A poll that has waited at the service for longer fails.
+    /// Time after which a poll that waits in the service's queue fails.
     pub poll_timeout: Micros,
-    /// Least latency of a message.
+    /// Minimum latency of a message.
     pub min_latency: Micros,
-    /// Greatest latency of a message, unless it is delayed.
+    /// Maximum latency of a message that is not delayed.
     pub max_latency: Micros,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Share of messages that arrive twice.
+    /// Share of messages that are duplicated.
     pub duplication: f64,
     /// Share of messages that are delayed by up to two seconds.
     pub delayed: f64,
-    /// The list changes at these moments: the next host is draining, and the one before it is up again.
+    /// Times at which the list changes. With each change the next host is draining, and the previous one is up again.
     pub changes: Vec<Micros>,
-    /// Faults, in any order.
+    /// Faults, in any order. Crashes of one proxy must not overlap.
     pub faults: Vec<Fault>,
-    /// How long the simulation runs.
+    /// Duration of the simulation.
     pub duration: Micros,
-    /// The mechanism that is switched off.
+    /// The mechanism to disable, if any.
     pub disabled: Option<Mechanism>,
 }
 
 impl Default for SimConfig {
-    /// 300 proxies that start within a second, and a service that handles 125 polls a second.
+    /// 300 proxies that start within a second, and a service that handles 125 polls per second.
     fn default() -> Self {
         SimConfig {
             proxies: 300,
@@ -108,7 +108,7 @@
             .any(|kind| *kind == FaultKind::ServiceDown)
     }
 
-    /// Whether the polls of this proxy are lost.
+    /// Whether the polls of this proxy are lost on the way to the list service.
     pub(super) fn is_service_unreachable(&self, now: Micros, proxy: usize) -> bool {
         self.active_faults(now).any(
             |kind| matches!(kind, FaultKind::ServiceUnreachable(proxies) if proxies.contains(&proxy)),
@@ -122,7 +122,7 @@
         )
     }
 
-    /// How many versions the list service lags behind.
+    /// Number of versions by which the list service's answers are out of date.
     pub(super) fn stale_versions(&self, now: Micros) -> u64 {
         self.active_faults(now)
             .map(|kind| match kind {
--- a/crates/gossip/src/simulation/engine.rs
+++ b/crates/gossip/src/simulation/engine.rs
@@ -12,31 +12,31 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Unix time of the begin of a simulation, in milliseconds.
+/// Unix time at the start of a simulation, in milliseconds.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
 /// Time after which a proxy notices that a poll was lost.
 const LOST_POLL_TIMEOUT: Micros = 3_500_000;
 
-/// Time after which a proxy learns that the service is down.
+/// Time after which a proxy notices that its connection was refused, because the service is down.
 const CONNECTION_REFUSED_AFTER: Micros = 500;
 
-/// How often the service looks for news for a poll that it holds back.
+/// Interval at which the service checks whether the list has changed, for a poll that it holds.
 const LONG_POLL_INTERVAL: Micros = 5_000;
 
-/// A place in the fleet, with the proxy that runs there.
+/// A position in the fleet, with the proxy that runs there.
 struct Proxy {
-    /// `None` while it is not running.
+    /// State of the proxy; `None` while it is not running.
     peer: Option<Peer>,
-    /// Counts starts and crashes.
+    /// Incremented at each start and each crash.
     incarnation: u32,
-    /// Counts polls: the answer to one that has failed is ignored.
+    /// Number of the last poll. Answers to earlier polls are ignored.
     last_poll: u64,
-    /// When its next timer event is scheduled.
+    /// When the proxy's next timer event is scheduled.
     timer_at: Micros,
-    /// Messages sent within `sent_second`.
+    /// Number of messages sent within `current_second`.
     sent: u64,
-    sent_second: usize,
+    current_second: usize,
 }
 
 impl Proxy {
@@ -47,15 +47,15 @@
             last_poll: 0,
             timer_at: 0,
             sent: 0,
-            sent_second: 0,
+            current_second: 0,
         }
     }
 
-    /// Counts a message; returns how many it has sent within this second.
+    /// Counts a message, and returns the number of messages sent within the current second.
     fn record_sent(&mut self, now: Micros) -> u64 {
         let second = second_of(now);
-        if second != self.sent_second {
-            self.sent_second = second;
+        if second != self.current_second {
+            self.current_second = second;
             self.sent = 0;
         }
         self.sent += 1;
@@ -77,7 +77,7 @@
     sent_in_last_second: u64,
 }
 
-/// Runs a simulation.
+/// Runs a simulation. The same configuration and seed give the same outcome.
 pub fn simulate(config: &SimConfig, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(config, seed);
     while let Some((now, event)) = simulation.queue.pop() {
@@ -174,7 +174,7 @@
         self.handle_input(now, proxy, Input::Timer);
     }
 
-    /// Passes an input to a proxy, if it is running, and carries out what it requests.
+    /// Passes an input to a proxy, if it is running, and carries out the outputs.
     fn handle_input(&mut self, now: Micros, proxy: usize, input: Input<'_>) {
         let state = &mut self.proxies[proxy];
         let Some(peer) = state.peer.as_mut() else {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// A proxy polls the list service.
+    /// Sends a proxy's poll to the list service.
     fn send_poll(&mut self, now: Micros, proxy: usize, index: Option<u64>, wait: Micros) {
         let state = &mut self.proxies[proxy];
         state.last_poll += 1;
@@ -244,7 +244,7 @@
             return;
         }
         let timeout_at = now + self.config.poll_timeout;
-        // The service works on a poll also when nobody waits for it any more.
+        // The service also handles polls that have timed out at the proxy.
         let handled_at = self.service.enqueue(now, self.config);
         if handled_at > timeout_at {
             self.queue.push(timeout_at, Event::PollTimeout(id));
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The service answers a poll, or holds it back where there is no news.
+    /// The service answers a poll, or holds it if the proxy has the current list.
     fn handle_poll(&mut self, now: Micros, poll: Poll) {
         let event = match poll.index {
             Some(index) if index == self.service.index(now, self.config) => Event::LongPoll {
@@ -275,7 +275,7 @@
         self.queue.push(now, event);
     }
 
-    /// The service looks whether there is news for a poll that it holds back.
+    /// The service answers a poll that it holds if the list has changed or the wait is over, or keeps holding it.
     fn handle_long_poll(&mut self, now: Micros, poll: Poll, index: u64, until: Micros) {
         if self.config.is_service_down(now) {
             self.queue.push(now, Event::PollFailed(poll.id));
@@ -331,7 +331,7 @@
     }
 }
 
-/// The index of the list that a proxy has.
+/// The index of a proxy's accepted list.
 fn list_index(peer: &Peer) -> Option<u64> {
     peer.endpoint_list().map(|(version, _)| version.index)
 }
--- a/crates/gossip/src/simulation/mod.rs
+++ b/crates/gossip/src/simulation/mod.rs
@@ -1,5 +1,5 @@
 //! Simulation of a fleet in virtual time: many [`Peer`](crate::peer::Peer)s, a network that loses, duplicates and delays
-//! messages, and a list service that handles one poll after the other.
+//! messages, and a list service that handles one poll at a time.
 //!
 //! A simulation is deterministic: the same configuration and seed give the same [`Outcome`].
 //!
@@ -29,7 +29,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// The second of the simulation that a moment lies in.
+/// Number of whole seconds from the start of the simulation to `now`.
 fn second_of(now: Micros) -> usize {
     (now / SECOND) as usize
 }
--- a/crates/gossip/src/simulation/network.rs
+++ b/crates/gossip/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Addresses of the simulated proxies, and what the network does to a message.
+//! Addresses of the simulated proxies, and the loss, duplication and delay of messages.
 
 use super::config::SimConfig;
 use crate::Micros;
@@ -9,15 +9,15 @@
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const PORT: u16 = 7_946;
 
-/// Greatest additional latency of a message that is delayed.
+/// Maximum additional latency of a delayed message.
 const MAX_DELAY: Micros = 2_000_000;
 
-/// The address of a proxy.
+/// The address of the proxy at this position in the fleet.
 pub(super) fn address_of(proxy: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from_bits(FIRST_ADDRESS + proxy as u32), PORT))
 }
 
-/// The proxy at an address; one that does not exist, where no proxy has this address.
+/// The position of the proxy with this address. The position is beyond the end of the fleet if no proxy has this address.
 pub(super) fn proxy_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => (ip.to_bits() - FIRST_ADDRESS) as usize,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Latency of the message and of its duplicate, each `None` if it does not arrive.
+/// Latencies of a message and of its duplicate; `None` for one that does not arrive.
 pub(super) fn deliveries(config: &SimConfig, random: &mut Pcg32) -> [Option<Micros>; 2] {
     let original = delivery(config, random, |random| !random.gen_bool(config.loss));
     let duplicate = delivery(config, random, |random| random.gen_bool(config.duplication));
--- a/crates/gossip/src/simulation/outcome.rs
+++ b/crates/gossip/src/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! What a simulation shows.
+//! The outcome of a simulation, and the invariants that it must satisfy.
 
 use super::config::SimConfig;
 use super::traffic::Traffic;
@@ -7,80 +7,80 @@
 use crate::Micros;
 use thiserror::Error;
 
-/// Longest time without a poll at the service, in seconds: a held-back poll ends within ten seconds, and a crashed
+/// Maximum time without a poll at the service, in seconds: the service holds a poll for at most ten seconds, and a crashed
 /// poller is replaced within a few more.
 const MAX_SECONDS_WITHOUT_POLL: usize = 16;
 
-/// Greatest number of pollers at the end.
+/// Maximum number of pollers at the end.
 const MAX_POLLERS: usize = 4 * TARGET_POLLERS;
 
-/// What a simulation shows. Times are in microseconds since its begin.
+/// The outcome of a simulation. Times are in microseconds since its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// When the service first answered.
+    /// When the service first answered a poll.
     pub first_answer: Option<Micros>,
-    /// For each proxy: when it first had a list since its last start.
+    /// For each proxy, when it first received a list after its last start.
     pub received_list_at: Vec<Option<Micros>>,
-    /// For each proxy: when it last started.
+    /// For each proxy, when it last started.
     pub started: Vec<Micros>,
-    /// For each proxy: the index of its list at the end.
+    /// For each proxy, the index of its list at the end.
     pub index: Vec<Option<u64>>,
-    /// For each change of the list: when all running proxies had it.
+    /// For each change of the list, when all running proxies had received it.
     pub spread: Vec<Option<Micros>>,
-    /// Polls at the service in each second.
+    /// Number of polls at the service in each second.
     pub polls: Vec<u32>,
-    /// Polls that timed out while they waited at the service.
+    /// Number of polls that timed out in the service's queue.
     pub polls_timed_out: u32,
-    /// Most messages that one proxy sent within a second.
+    /// Maximum number of messages that one proxy sent within a second.
     pub max_sent_per_second: u64,
-    /// Messages sent in the last second, in the mean over all proxies.
+    /// Mean number of messages per proxy in the last second.
     pub final_rate: f64,
-    /// What all proxies sent in each second, by kind of message.
+    /// Messages that all proxies sent in each second, by kind.
     pub sent: Vec<Traffic>,
-    /// Active pollers at the end.
+    /// Number of active pollers at the end.
     pub pollers: usize,
-    /// Least number of proxies that any proxy counts as alive at the end.
+    /// Minimum over all running proxies of the number of proxies that one considers alive at the end.
     pub min_alive: usize,
-    /// Greatest number of proxies that any proxy counts as alive at the end.
+    /// Maximum over all running proxies of the number of proxies that one considers alive at the end.
     pub max_alive: usize,
-    /// Proxies that have converged at the end.
+    /// Number of proxies that consider the fleet converged at the end.
     pub converged: usize,
 }
 
-/// What must not be at the end of a simulation of a random configuration.
+/// A violated invariant, found at the end of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
     /// Some proxies do not have the newest list.
-    #[error("{proxies} do not have the newest list")]
+    #[error("{proxies} proxies do not have the newest list")]
     StaleList {
-        /// How many.
+        /// Number of these proxies.
         proxies: usize,
     },
-    /// Polls timed out at the service.
-    #[error("{polls} questions were given up")]
+    /// Polls timed out in the service's queue.
+    #[error("{polls} polls timed out at the list service")]
     PollsTimedOut {
-        /// How many.
+        /// Number of these polls.
         polls: u32,
     },
-    /// No proxy polls, or too many do.
-    #[error("{pollers} ask")]
+    /// There is no poller, or there are too many.
+    #[error("{pollers} active pollers, expected 1 to {MAX_POLLERS}")]
     PollerCount {
-        /// How many.
+        /// Number of active pollers.
         pollers: usize,
     },
-    /// Nobody polled for too long.
-    #[error("nobody asked for {seconds} s")]
+    /// No poll reached the service for too long.
+    #[error("no poll reached the list service for {seconds} s")]
     NoPolls {
-        /// How long.
+        /// Length of that time in seconds.
         seconds: usize,
     },
 }
 
 impl Outcome {
-    /// The first requirement that does not hold, if any.
+    /// Checks the invariants that hold for every configuration made by [`random_config`](super::random_config).
     ///
     /// # Errors
-    /// The requirement that is violated.
+    /// The first invariant that is violated.
     pub fn check(&self, config: &SimConfig) -> Result<(), Violation> {
         let newest = Some(1 + config.changes.len() as u64);
         let stale = self.index.iter().filter(|index| **index != newest).count();
@@ -116,8 +116,8 @@
         longest_gap.max(since_last)
     }
 
-    /// Time from the service's first answer, or the proxy's own start if that was later, to its first list: sorted, with
-    /// `None` for proxies without a list at the end.
+    /// For each proxy, the time from the service's first answer, or from the proxy's start if that was later, to its first
+    /// list. The times are sorted, with `None` at the end for proxies without a list.
     pub fn list_latencies(&self) -> Vec<Option<Micros>> {
         let first_answer = self.first_answer.unwrap_or(0);
         let proxies = self.received_list_at.iter().zip(&self.started);
@@ -139,7 +139,7 @@
         self.polls[second] += 1;
     }
 
-    /// Counts a message; `sent_by_proxy`: messages that its sender has sent within this second.
+    /// Counts a message. `sent_by_proxy` is the number of messages that its sender has sent within the current second.
     pub(super) fn record_message(&mut self, now: Micros, bytes: &[u8], sent_by_proxy: u64) {
         let second = second_of(now);
         if self.sent.len() <= second {
@@ -149,9 +149,9 @@
         self.max_sent_per_second = self.max_sent_per_second.max(sent_by_proxy);
     }
 
-    /// All running proxies have the list of this index, or a newer one.
+    /// Records that all running proxies have the list with this index, or a newer one.
     pub(super) fn record_spread(&mut self, now: Micros, index: u64) {
-        // The list begins with index 1; the first change leads to index 2.
+        // The first list has index 1, and the first change leads to index 2.
         let changes = index.saturating_sub(1) as usize;
         for spread in self.spread.iter_mut().take(changes) {
             spread.get_or_insert(now);
@@ -159,7 +159,7 @@
     }
 }
 
-/// Whether a moment lies in the last second of a simulation.
+/// Whether `now` is in the last second of the simulation.
 pub(super) fn is_in_last_second(now: Micros, config: &SimConfig) -> bool {
     now + SECOND >= config.duration
 }
--- a/crates/gossip/src/simulation/queue.rs
+++ b/crates/gossip/src/simulation/queue.rs
@@ -4,13 +4,13 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Identifies a poll. A proxy has at most one in flight.
+/// Identifies a poll. A proxy has at most one poll in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PollId {
     pub(super) proxy: usize,
-    /// The run of the proxy that has sent it.
+    /// The incarnation of the proxy that sent the poll.
     pub(super) incarnation: u32,
-    /// Its number among the polls of that proxy.
+    /// Sequence number of the poll among those of the proxy.
     pub(super) number: u64,
 }
 
@@ -18,13 +18,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Poll {
     pub(super) id: PollId,
-    /// The version that the proxy has; `None`: it asks for the complete list.
+    /// The index of the proxy's list; `None` to request the complete list.
     pub(super) index: Option<u64>,
     pub(super) sent_at: Micros,
-    /// How long the service may hold the poll back until there is news.
+    /// How long the service may hold the poll until the list changes.
     pub(super) wait: Micros,
 }
 
+/// An event of a simulation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Event {
     /// A proxy starts.
@@ -37,15 +38,15 @@
     Timer { proxy: usize },
     /// The service begins to handle a poll.
     Poll(Poll),
-    /// The service checks whether there is news for a poll that it holds back until this moment.
+    /// The service checks whether the list has changed, for a poll that it holds until `until`.
     LongPoll {
         poll: Poll,
         index: u64,
         until: Micros,
     },
-    /// The proxy gives a poll up.
+    /// A poll times out at the proxy.
     PollTimeout(PollId),
-    /// The answer to a poll arrives; `immediate`: the service did not hold the poll back.
+    /// The answer to a poll arrives. `immediate` tells that the service did not hold the poll.
     Answer { poll: Poll, immediate: bool },
     /// The proxy learns that a poll has failed.
     PollFailed(PollId),
@@ -56,7 +57,7 @@
 #[derive(Debug)]
 struct Scheduled {
     at: Micros,
-    /// Events at the same moment happen in the order in which they were scheduled.
+    /// Orders events at the same time by when they were scheduled.
     sequence: u64,
     event: Event,
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Events by time.
+/// A queue of events, ordered by time.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<Scheduled>>,
@@ -105,7 +106,7 @@
         }));
     }
 
-    /// Removes the earliest event.
+    /// Removes the earliest event and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(Micros, Event)> {
         let Reverse(scheduled) = self.events.pop()?;
         Some((scheduled.at, scheduled.event))
--- a/crates/gossip/src/simulation/random.rs
+++ b/crates/gossip/src/simulation/random.rs
@@ -1,17 +1,17 @@
-//! Random configurations.
+//! Random configurations of simulations.
 
 use super::config::{Fault, FaultKind, SimConfig};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Keeps the stream of a configuration apart from that of its simulation with the same seed.
+/// Separates the random stream of a configuration from that of its simulation, which has the same seed.
 const STREAM: u64 = 0x5eed;
 
-/// Greatest share of messages that are lost, duplicated or delayed.
+/// Maximum share of messages that are lost, duplicated or delayed.
 const MAX_SHARE: f64 = 0.33;
 
-/// Draws a configuration of so many proxies with faults, for property tests and searches for violations.
+/// Draws a configuration of a fleet with random faults, for property tests and searches for violations.
 pub fn random_config(proxies: usize, seed: u64) -> SimConfig {
     let mut random = Pcg32::seed_from_u64(seed ^ STREAM);
     let mut config = SimConfig {
@@ -36,7 +36,7 @@
     config
 }
 
-/// With this probability a share up to [`MAX_SHARE`], else 0.
+/// Draws a share of up to [`MAX_SHARE`] with this probability, otherwise 0.
 fn random_share(random: &mut Pcg32, probability: f64) -> f64 {
     if random.gen_bool(probability) {
         random.gen_range(0.0..MAX_SHARE)
@@ -63,7 +63,7 @@
     (0..proxies).filter(|_| random.gen_bool(share)).collect()
 }
 
-/// Crashes of one proxy must not overlap: it would start while it runs.
+/// Removes all crashes but the first. If crashes of one proxy overlapped, it would be started while it runs.
 fn keep_first_crash(faults: &mut Vec<Fault>) {
     let mut has_crash = false;
     faults.retain(|fault| match fault.kind {
--- a/crates/gossip/src/simulation/service.rs
+++ b/crates/gossip/src/simulation/service.rs
@@ -1,21 +1,21 @@
-//! The list service, and the list that it serves.
+//! The simulated list service, and its endpoint list.
 
 use super::config::SimConfig;
 use crate::endpoint_list::{EndpointChange, EndpointEntry};
 use crate::peer::PollAnswer;
 use crate::Micros;
 
-/// The list service: handles one poll after the other.
+/// A list service that handles one poll at a time.
 #[derive(Debug)]
 pub(super) struct ListService {
-    /// When it has handled all polls that have arrived.
+    /// When the service will have handled all polls in its queue.
     busy_until: Micros,
     /// The index of the newest list.
     index: u64,
 }
 
 impl ListService {
-    /// A service with the first list.
+    /// Creates a service with the first list.
     pub(super) fn new() -> Self {
         ListService {
             busy_until: 0,
@@ -23,23 +23,23 @@
         }
     }
 
-    /// The list changes.
+    /// Changes the list, which gets the next index.
     pub(super) fn change_list(&mut self) {
         self.index += 1;
     }
 
-    /// The index that the service reports, which is an older one while it is stale.
+    /// The index that the service reports, which is an older one during a [`FaultKind::StaleService`](super::FaultKind::StaleService) fault.
     pub(super) fn index(&self, now: Micros, config: &SimConfig) -> u64 {
         self.index.saturating_sub(config.stale_versions(now)).max(1)
     }
 
-    /// Queues a poll; returns when it has been handled.
+    /// Adds a poll to the queue, and returns when it will have been handled.
     pub(super) fn enqueue(&mut self, now: Micros, config: &SimConfig) -> Micros {
         self.busy_until = self.busy_until.max(now) + config.service_time;
         self.busy_until
     }
 
-    /// The answer to a proxy that has the list of index `known`.
+    /// The answer to a proxy whose list has the index `known`: the last changes if they suffice, else the complete list.
     pub(super) fn answer(&self, now: Micros, config: &SimConfig, known: Option<u64>) -> PollAnswer {
         let index = self.index(now, config);
         let (complete, changes) = match known {
@@ -57,7 +57,7 @@
     }
 }
 
-/// What changed with this index: each host in its turn is draining, and up again with the next index.
+/// The changes that led to this index. At each index one host is draining, which is up again at the next index.
 fn last_changes(hosts: usize, index: u64) -> Vec<EndpointChange> {
     let hosts = hosts as u64;
     vec![
@@ -66,7 +66,7 @@
     ]
 }
 
-/// The list of this index.
+/// The complete list with this index.
 fn complete_list(hosts: usize, index: u64) -> Vec<EndpointChange> {
     let hosts = hosts as u64;
     let draining = (index > 1).then_some(index % hosts);
--- a/crates/gossip/src/simulation/tests.rs
+++ b/crates/gossip/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! Whole fleets in virtual time.
+//! Tests of complete fleets in virtual time.
 
 use super::{random_config, simulate, Fault, FaultKind, SimConfig};
 use crate::Micros;
@@ -15,8 +15,12 @@
 #[test]
 fn hundreds_of_proxies_starting_together_get_the_list_within_a_second_with_few_polls() {
     let outcome = simulate(&SimConfig::default(), 1);
-    let waits = outcome.list_latencies();
-    let longest = waits.last().copied().flatten().expect("all have a list");
+    let latencies = outcome.list_latencies();
+    let longest = latencies
+        .last()
+        .copied()
+        .flatten()
+        .expect("all have a list");
     assert!(longest <= 1_000_000, "{longest}");
     let polls: u32 = outcome.polls.iter().sum();
     assert!(polls <= 30, "{polls}");
@@ -28,16 +32,16 @@
     );
 }
 
-/// No proxy has contact with any other: each polls for itself, and the service is not overloaded.
+/// No proxy has contact with any other, so each polls for itself. The service must not be overloaded.
 #[test]
 fn proxies_get_the_list_while_all_seeds_are_down() {
-    let dead = Fault {
+    let seeds_down = Fault {
         kind: FaultKind::Crash(vec![0, 1, 2]),
         from: 0,
         until: 19_000_000,
     };
     let config = SimConfig {
-        faults: vec![dead],
+        faults: vec![seeds_down],
         start_window: 0,
         duration: 18_000_000,
         ..SimConfig::default()
@@ -50,13 +54,13 @@
     );
     assert_eq!(outcome.polls_timed_out, 0);
     assert!(
-        outcome.polls.iter().all(|q| *q <= 250),
+        outcome.polls.iter().all(|polls| *polls <= 250),
         "{:?}",
         outcome.polls
     );
 }
 
-/// While the service is down the number of polls does not grow with the fleet; when it is back all proxies have the
+/// While the service is down, the number of polls does not grow with the fleet. After it recovers, all proxies receive the
 /// list soon.
 #[test]
 fn polls_to_a_service_that_is_down_do_not_grow_with_the_fleet() {
@@ -74,7 +78,7 @@
         };
         let outcome = simulate(&config, 2);
         assert!(
-            outcome.polls.iter().all(|q| *q <= 20),
+            outcome.polls.iter().all(|polls| *polls <= 20),
             "{proxies}: {:?}",
             outcome.polls
         );
@@ -88,25 +92,26 @@
     }
 }
 
-/// Pollers whose polls failed are killed, some before the others had contact with them: nobody waits for them for long.
+/// Pollers whose polls have failed crash, some of them before other proxies had contact with them. The other proxies must
+/// not wait for them for long.
 #[test]
 fn crashed_pollers_are_replaced_soon() {
     let mut random = Pcg32::seed_from_u64(1);
     for seed in 0..12 {
-        let dead = (0..50).filter(|_| random.gen_bool(0.7)).collect();
+        let crashed = (0..50).filter(|_| random.gen_bool(0.7)).collect();
         let down = Fault {
             kind: FaultKind::ServiceDown,
             from: 0,
             until: 1_364_000,
         };
-        let dead = Fault {
-            kind: FaultKind::Crash(dead),
+        let crash = Fault {
+            kind: FaultKind::Crash(crashed),
             from: 1_000_000,
             until: 1_351_000,
         };
         let config = SimConfig {
             proxies: 50,
-            faults: vec![down, dead],
+            faults: vec![down, crash],
             ..SimConfig::default()
         };
         let outcome = simulate(&config, seed);
@@ -123,8 +128,9 @@
     }
 }
 
-/// Under loss, duplication, delays, crashes, partitions and stale answers all proxies end with the newest list, a few
-/// poll, somebody does at any time, and no poll times out at the service. The simulator runs more of these.
+/// Under loss, duplication, delays, crashes, partitions and stale answers, all proxies have the newest list at the end, a
+/// few of them poll, there is never a long time without a poll, and no poll times out at the service. The simulator runs
+/// more seeds.
 #[test]
 fn all_proxies_end_with_the_newest_list_and_few_pollers_under_random_faults() {
     for seed in (0..24).chain([2_913]) {
--- a/crates/gossip/src/simulation/traffic.rs
+++ b/crates/gossip/src/simulation/traffic.rs
@@ -1,22 +1,22 @@
-//! What proxies send, counted by kind of message.
+//! Counters of the messages that proxies send, by kind of message.
 
 use crate::peer::Member;
 use std::ops::AddAssign;
 
-/// Kinds of messages, in the order in which [`Traffic`] counts them.
+/// A kind of message. [`Traffic`] holds the counters in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Pings of SWIM, direct and indirect, and their acknowledgements.
+    /// Direct and indirect pings of SWIM, and their acknowledgements.
     Probe,
-    /// Periodic messages of SWIM that only carry updates of members.
+    /// Periodic messages of SWIM that only carry membership updates.
     Gossip,
-    /// A member asks another one for members, and the answer.
+    /// Announcements of SWIM to a member, and the replies with known members.
     Announce,
     /// The sender's list version, and the pollers that it knows.
     Status,
     /// Lists: requests, parts and changes.
     List,
-    /// None of these.
+    /// Any other message.
     Other,
 }
 
@@ -31,7 +31,7 @@
         Self::Other,
     ];
 
-    /// Its name, for tables.
+    /// The name of the kind, for tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Probe => "probe",
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The kind of an encoded message. Its first field is the sender; the number of its variant follows.
+    /// The kind of an encoded message. Its first field is the sender, which is followed by the index of the variant.
     fn of(message: &[u8]) -> Self {
         let Ok((_, rest)) = postcard::take_from_bytes::<Member>(message) else {
             return Self::Other;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The kind of a message of SWIM, which is preceded by its length.
+    /// The kind of a SWIM message, which is preceded by its length.
     fn of_swim(field: &[u8]) -> Self {
         type Decoded<'a> = Result<(foca::Header<Member>, &'a [u8]), postcard::Error>;
         let Ok((bytes, _)) = postcard::take_from_bytes::<&[u8]>(field) else {
@@ -80,12 +80,12 @@
     }
 }
 
-/// Messages and their bytes, without authentication.
+/// A number of messages and their total size, without authentication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size of the messages in bytes.
     pub bytes: u64,
 }
 
@@ -96,12 +96,12 @@
     }
 }
 
-/// What was sent, by kind.
+/// Counters of sent messages, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic([Count; MessageKind::ALL.len()]);
 
 impl Traffic {
-    /// Metrics an encoded message.
+    /// Counts an encoded message.
     pub(super) fn count(&mut self, message: &[u8]) {
         let kind = MessageKind::of(message);
         self.0[kind as usize] += Count {
@@ -110,12 +110,12 @@
         };
     }
 
-    /// What was sent of a kind.
+    /// Messages sent of this kind.
     pub fn of(&self, kind: MessageKind) -> Count {
         self.0[kind as usize]
     }
 
-    /// What was sent in all.
+    /// Messages sent of all kinds.
     pub fn sum(&self) -> Count {
         let mut sum = Count::default();
         self.0.iter().for_each(|count| sum += *count);
