--- a/crates/endpoint-watch/src/backoff.rs
+++ b/crates/endpoint-watch/src/backoff.rs
@@ -4,19 +4,19 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Shortest and longest delay before a poll is retried, in microseconds.
+/// Bounds of the delay before a failed poll is retried, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffBounds {
     /// Delay after the first failure.
     pub min: Micros,
-    /// Delay that doubling never exceeds.
+    /// Maximum delay after any number of failures.
     pub max: Micros,
 }
 
 /// A delay that doubles with each consecutive failure, within its bounds.
 ///
-/// Up to half of each delay is taken off at random (M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog,
-/// 2015): proxies that lost the service at the same moment must not come back to it at the same moment.
+/// Each delay is reduced by a random part of up to half (M. Brooker, "Exponential Backoff And Jitter", AWS Architecture
+/// Blog, 2015), so that proxies whose polls failed at the same time do not retry at the same time.
 #[derive(Clone, Debug)]
 pub(crate) struct Backoff {
     bounds: BackoffBounds,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The delay after one more failure. It has no jitter where the bounds are equal: that is an agent with a single
-    /// caller, so there is no herd to spread.
+    /// Returns the delay after another failure. It has no jitter if the bounds are equal, which is the case for an agent:
+    /// as only one proxy polls it, there are no other retries to spread.
     pub(crate) fn next_delay(&mut self) -> Micros {
         let BackoffBounds { min, max } = self.bounds;
         let delay = (min << self.doublings).min(max);
@@ -47,7 +47,7 @@
         delay / 2 + self.random.gen_range(0..=delay / 2)
     }
 
-    /// Starts again from the shortest delay.
+    /// Resets the next delay to the minimum.
     pub(crate) fn reset(&mut self) {
         self.doublings = 0;
     }
--- a/crates/endpoint-watch/src/event.rs
+++ b/crates/endpoint-watch/src/event.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PollId(pub u64);
 
-/// What happened.
+/// An input to [`Watch::handle`](crate::Watch::handle).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The list is to be watched. Ignored while a poll is in flight or scheduled.
+    /// Start watching the list. Ignored while a poll is in flight or scheduled.
     Start,
-    /// A response that could be parsed.
+    /// A response arrived and was parsed.
     Response {
-        /// The poll that it belongs to.
+        /// The poll that the response belongs to.
         poll: PollId,
         /// Index of the list in the response.
         index: u64,
-        /// Whether it holds the complete list; otherwise it holds what changed since the requested index.
+        /// Whether the response holds the complete list; otherwise it holds the changes since the requested index.
         complete: bool,
     },
     /// A poll failed: the connection was refused or reset, or the response could not be parsed.
@@ -25,34 +25,34 @@
         /// The poll that failed.
         poll: PollId,
     },
-    /// The service rejected a poll because it has more callers than it can respond to in time.
+    /// The service rejected a poll because it has more polls than it can respond to in time.
     Rejected {
         /// The poll that was rejected.
         poll: PollId,
     },
-    /// Lists come from another address from now on, where the current index means nothing.
+    /// Lists come from another address from now on. The current index has no meaning there.
     SourceChanged,
-    /// The time of [`Watch::next_deadline`](crate::Watch::next_deadline) has come.
+    /// The time of [`Watch::next_deadline`](crate::Watch::next_deadline) has been reached.
     Timer,
 }
 
-/// A response that could be parsed but breaks the protocol of the list service.
+/// A way in which a parsed response violates the protocol of the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolViolation {
-    /// Changes in response to a poll for the complete list. The response is discarded.
+    /// The response to a poll for the complete list holds changes. It is discarded.
     ChangesInsteadOfList,
-    /// Changes up to an index lower than the requested one, so those of another incarnation of the service. The response
-    /// is discarded and the complete list is fetched.
+    /// The response holds changes up to an index lower than the requested one, so it comes from another incarnation of the
+    /// service. It is discarded, and the complete list is fetched.
     IndexWentBack {
-        /// Index that the poll asked for changes after.
+        /// Index after which the poll requested changes.
         requested: u64,
         /// Index in the response.
         received: u64,
     },
-    /// The complete list with an index lower than the requested one: another incarnation of the service. The list is
-    /// accepted.
+    /// The response holds the complete list with an index lower than the requested one, so it comes from another
+    /// incarnation of the service. The list is accepted.
     NewIncarnation {
-        /// Index that the poll asked for changes after.
+        /// Index after which the poll requested changes.
         requested: u64,
         /// Index in the response.
         received: u64,
@@ -60,7 +60,8 @@
 }
 
 impl ProtocolViolation {
-    /// Compares a response with the index that its poll requested changes after; `None` for the complete list.
+    /// Compares a response with its poll, which requested changes after the index `requested`, or the complete list if that
+    /// is `None`.
     pub(crate) fn detect(requested: Option<u64>, received: u64, complete: bool) -> Option<Self> {
         let Some(requested) = requested else {
             return (!complete).then_some(Self::ChangesInsteadOfList);
@@ -83,12 +84,12 @@
     }
 }
 
-/// What the caller has to do.
+/// An action that the caller carries out for a [`Watch`](crate::Watch).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a poll.
     Send {
-        /// Its identifier, which comes back with [`Input::Response`], [`Input::Failed`] or [`Input::Rejected`].
+        /// Identifier of the poll, which the caller passes back with [`Input::Response`], [`Input::Failed`] or [`Input::Rejected`].
         poll: PollId,
         /// Request changes after this index; `None` requests the complete list.
         index: Option<u64>,
@@ -97,14 +98,14 @@
         /// Whether to use a new connection, as the current one may be dead without having been closed.
         fresh_connection: bool,
     },
-    /// Close the connection of this poll; its response is not needed any more.
+    /// Close the connection of this poll, as its response is no longer needed.
     Cancel(PollId),
-    /// Apply the list of the response that was just handled.
+    /// Apply the list or the changes in the response that was just handled.
     Accept,
-    /// Report that the response that was just handled breaks the protocol.
+    /// Report that the response that was just handled violates the protocol.
     Violation(ProtocolViolation),
     /// Report that the response to this poll is overdue.
     Overdue(PollId),
-    /// Report that polling has failed for now. The current list stays in use and a retry is scheduled.
+    /// Report that polling has failed. The current list stays in use, and a retry is scheduled.
     Failed,
 }
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -1,17 +1,18 @@
-//! The long-poll watch on the endpoint list: when the list is polled, when silence is suspicious, and which response is
+//! The long-poll watch on the endpoint list: when the list is polled, when a response is overdue, and which response is
 //! accepted.
 //!
-//! A proxy counts as notified of a draining endpoint some time after the change, whether or not its watch has received
-//! it. The crate's purpose is that a proxy which counts as notified has received the change:
+//! The list service's protocol has deadlines: a proxy counts as notified of a draining endpoint some time after the change,
+//! whether or not its watch has received it. This crate ensures that a proxy that counts as notified has received the
+//! change in time to act on it:
 //!
 //! - [`Timeouts`] derives from the protocol's deadlines how long a poll may wait at the source.
-//! - [`Watch`] is the state machine. It sends one poll at a time, a second one over a new connection when the response is
-//!   overdue, and accepts at most one response.
+//! - [`Watch`] is the state machine. It sends one poll at a time, and a second one over a new connection when the response
+//!   is overdue. It accepts at most one of the two responses.
 //! - [`PollSchedule`] spreads the polls of a large fleet of proxies that share one list service.
-//! - [`StallDetector`] notices that the process was stopped, so that it reads what arrived before it sends requests.
+//! - [`StallDetector`] detects that the process was stopped, so that it reads pending responses before it sends requests.
 //!
 //! The crate owns the state of one watch. It never does I/O, reads no clock and does not keep the list itself: the caller
-//! passes each event with the current time, and carries out what comes back.
+//! passes each input with the current time, and carries out the outputs.
 //!
 //! ```
 //! use badgerramp_endpoint_watch::{Input, Output, Source, TimeoutConfig, Timeouts, Watch};
@@ -26,7 +27,7 @@
 //! let mut outputs = Vec::new();
 //! watch.handle(0, Input::Start, false, &mut outputs);
 //! let Some(Output::Send { poll, index: Some(41), .. }) = outputs.pop() else {
-//!     panic!("the watch begins with a poll for changes after the current index");
+//!     panic!("the watch starts with a poll for changes after the current index");
 //! };
 //!
 //! // The response arrives 0.7 s later: it is accepted, and the watch continues with the next poll.
@@ -55,5 +56,5 @@
 };
 pub use watch::Watch;
 
-/// A time, or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/endpoint-watch/src/pacing.rs
+++ b/crates/endpoint-watch/src/pacing.rs
@@ -1,20 +1,20 @@
-//! Delays between polls, for a proxy that polls its source alone and for one of a large fleet.
+//! Delays between polls, for a proxy that is the only one to poll its source, and for one of a large fleet.
 
 use crate::backoff::Backoff;
 use crate::poll_schedule::PollSchedule;
 use crate::Micros;
 
-/// What decides the delay before a poll.
+/// The strategy that determines the delay before a poll.
 #[derive(Clone, Debug)]
 pub(crate) enum Pacing {
-    /// Polls go out at once, those after a failure with backoff.
+    /// Polls are sent immediately, or with backoff after a failure.
     Single(Backoff),
-    /// Polls are spread over time, as a large fleet polls the same service.
+    /// Polls are spread over time, because a large fleet polls the same service.
     Fleet(PollSchedule),
 }
 
 impl Pacing {
-    /// Delay before the first poll at a source.
+    /// Delay before the first poll of a source.
     pub(crate) fn initial_delay(&mut self) -> Micros {
         match self {
             Self::Single(_) => 0,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Delay before the poll that follows an accepted response; `updated` if the list changed.
+    /// Delay before the poll that follows an accepted response. `updated` tells whether the list has changed.
     pub(crate) fn delay_after_response(&mut self, updated: bool) -> Micros {
         match self {
             Self::Single(backoff) => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Delay before the poll that follows one that failed.
+    /// Delay before the poll that follows a failed one.
     pub(crate) fn retry_delay(&mut self) -> Micros {
         match self {
             Self::Single(backoff) => backoff.next_delay(),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Forgets failures at the previous source. A fleet's schedule keeps them, as its initial delay spreads the polls.
+    /// Resets the backoff of the previous source. A fleet's schedule keeps its failure count, as its initial delay spreads
+    /// the polls.
     pub(crate) fn on_source_changed(&mut self) {
         if let Self::Single(backoff) = self {
             backoff.reset();
--- a/crates/endpoint-watch/src/poll_schedule/tests.rs
+++ b/crates/endpoint-watch/src/poll_schedule/tests.rs
@@ -1,18 +1,18 @@
-//! Delays of one proxy, and a fleet that starts at the same moment.
+//! Tests of the delays of one proxy, and of a fleet whose proxies start at the same time.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a service sees of a fleet that starts at the same moment.
+/// Result of a simulated start of a fleet.
 struct FleetStart {
-    /// When the last proxy has its list.
+    /// When the last proxy received the list.
     completed_at: Micros,
-    /// Most polls in one second.
+    /// Maximum number of polls in one second.
     max_polls_per_second: u64,
 }
 
-/// Simulates `proxies` that start at the same moment against a service that works on one poll at a time and drops those
-/// that waited for longer than `QUEUE_TIMEOUT`.
+/// Simulates `proxies` that start at the same time, with a service that handles one poll at a time and drops polls that have
+/// waited for longer than `QUEUE_TIMEOUT`.
 fn simulate_fleet_start(proxies: u32, spread: bool) -> FleetStart {
     const SERVICE_TIME: Micros = 10_000;
     const QUEUE_TIMEOUT: Micros = 3_000_000;
@@ -36,16 +36,16 @@
     while let Some((now, number)) = due.pop_first() {
         *polls_by_second.entry(now / 1_000_000).or_insert(0) += 1;
         assert!(now < 600_000_000, "{} without a list", due.len());
-        let begins = now.max(free_at);
-        if begins > now + QUEUE_TIMEOUT {
-            // The service also works on polls that were given up.
+        let handling_starts_at = now.max(free_at);
+        if handling_starts_at > now + QUEUE_TIMEOUT {
+            // The service also spends time on polls that have timed out.
             free_at += SERVICE_TIME / 2;
             due.insert((
                 now + QUEUE_TIMEOUT + schedules[number].retry_delay(),
                 number,
             ));
         } else {
-            free_at = begins + SERVICE_TIME;
+            free_at = handling_starts_at + SERVICE_TIME;
             completed_at = free_at;
             schedules[number].reset_backoff();
         }
@@ -58,7 +58,7 @@
 
 #[test]
 fn fleet_start_completes_near_service_capacity() {
-    // The service needs 20 s for all of them.
+    // The service needs at least 20 s for 2,000 polls.
     let spread = simulate_fleet_start(2_000, true);
     let completed_at = spread.completed_at;
     assert!(completed_at < 60_000_000, "{completed_at}");
--- a/crates/endpoint-watch/src/stall_detector/tests.rs
+++ b/crates/endpoint-watch/src/stall_detector/tests.rs
@@ -1,4 +1,4 @@
-//! Which stalls are noticed, and how long they hold requests back.
+//! Tests of which stalls are detected, and how long requests are held after them.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         [0, 250_000, 750_000].map(|now| detector.catch_up_time(now)),
         [None; 3]
     );
-    // Both before the late tick, as other tasks may run first, and for a while after it.
+    // Requests are held before the late tick, as other tasks may run first, and for a while after it.
     assert_eq!(detector.catch_up_time(5_000_000), Some(CATCH_UP_TIME));
     detector.tick(5_000_000, 250_000);
     assert_eq!(
@@ -17,7 +17,7 @@
         Some(CATCH_UP_TIME - 5_000)
     );
     assert_eq!(detector.catch_up_time(5_000_000 + CATCH_UP_TIME), None);
-    // Ticks in time have no effect.
+    // Ticks that are in time have no effect.
     detector.tick(5_300_000, 1_000_000);
     assert_eq!(
         [5_300_000, 6_700_000].map(|now| detector.catch_up_time(now)),
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -1,5 +1,5 @@
-//! The state machine of the watch: one poll at a time, a second one beside it when its response is overdue, and at most
-//! one of the two responses accepted.
+//! The state machine of the watch. It sends one poll at a time, and a second one in parallel when the response to the first
+//! is overdue. It accepts at most one of the two responses.
 
 use crate::backoff::Backoff;
 use crate::event::{Input, Output, PollId, ProtocolViolation};
@@ -9,24 +9,24 @@
 use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
 
-/// Delay after a response that came sooner than this and held no change. A faulty service is thus not polled in a tight
-/// loop, and the delay stays within the 200 ms in which the next poll continues the watch.
+/// Delay after a response that came sooner than this and held no change, so that a faulty service is not polled in a tight
+/// loop. It is well below the 200 ms within which the next poll must arrive to continue the watch.
 const EMPTY_RESPONSE_DELAY: Micros = 50_000;
-/// A timer that fires later than this was held up together with the whole process. It proves nothing about the source,
-/// whose response may have arrived meanwhile.
+/// Lateness of a timer above which the whole process must have been stalled. Such a timer does not show that the source is
+/// silent, as its response may have arrived during the stall.
 const TIMER_DELAY_TOLERANCE: Micros = 100_000;
-/// Polls in flight at the same time: the watch, and the one beside it.
+/// Maximum number of polls in flight: the watch, and a second poll while its response is overdue.
 const MAX_IN_FLIGHT: usize = 2;
 
-/// A poll without a response.
+/// A poll that has not been answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct InFlightPoll {
     id: PollId,
     sent_at: Micros,
-    /// Changes after this index were requested; `None`: the complete list.
+    /// Index after which changes were requested; `None` if the complete list was requested.
     index: Option<u64>,
     wait: Micros,
-    /// How long it may stay in the queue of the source before its wait begins.
+    /// How long the poll may stay in the queue of the source before its wait begins.
     queue_time: Micros,
     overdue: bool,
 }
@@ -40,26 +40,27 @@
     timeouts: Timeouts,
     /// Index of the current list.
     index: Option<u64>,
-    /// The oldest first.
+    /// Polls in flight, the oldest first.
     in_flight: Vec<InFlightPoll>,
     next_id: u64,
-    /// When the next poll is sent, unless something happens before.
+    /// When the next poll is scheduled, if it is.
     next_poll_at: Option<Micros>,
-    /// No poll becomes overdue before this time: the process was stalled, and what arrived meanwhile is read first.
+    /// Time before which no poll becomes overdue, so that responses that arrived during a stall are read first.
     overdue_not_before: Micros,
-    /// The current connection was without a poll for longer than a watch lasts, so it may have died unnoticed.
+    /// Whether the current connection was without a poll for longer than a watch lasts, and may be dead without having been
+    /// closed.
     connection_suspect: bool,
-    /// The last poll was rejected. The next one shall wait in the service's queue, and a second one beside it would take
-    /// its place there.
+    /// Whether the last poll was rejected. The next poll must then be given time to wait in the service's queue, as a second
+    /// poll sent in parallel would displace it there.
     service_overloaded: bool,
     pacing: Pacing,
 }
 
 impl Watch {
-    /// Creates a watch of the list whose index is `index`, or `None` if there is no list yet.
+    /// Creates a watch. `index` is the index of the current list, or `None` if there is no list yet.
     ///
-    /// `schedule` spreads the polls where many proxies share one list service. `seed` must differ from proxy to proxy, so
-    /// that proxies whose polls fail together do not retry together.
+    /// `schedule` spreads the polls if many proxies share one list service. `seed` must differ between proxies, so that
+    /// proxies whose polls fail at the same time do not retry at the same time.
     pub fn new(
         timeouts: Timeouts,
         index: Option<u64>,
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Index of the current list; `None` if there is none, or none of the current source.
+    /// Index of the current list; `None` if there is no list, or if the list is from a previous source.
     pub fn index(&self) -> Option<u64> {
         self.index
     }
 
-    /// Polls that have no response yet, the oldest first.
+    /// Polls that have not been answered, the oldest first.
     pub fn in_flight(&self) -> impl Iterator<Item = PollId> + '_ {
         self.in_flight.iter().map(|poll| poll.id)
     }
 
-    /// When to pass [`Input::Timer`]; `None` if nothing is due before another input.
+    /// When to pass [`Input::Timer`]; `None` if no timer is needed before another input.
     pub fn next_deadline(&self) -> Option<Micros> {
         let response_deadlines = self
             .in_flight
@@ -106,7 +107,7 @@
             .min()
     }
 
-    /// Handles `input` at time `now` and appends what has to be done to `out`. `idle` tells that the proxy has received no
+    /// Handles `input` at time `now`, and appends the resulting outputs to `out`. `idle` tells that the proxy has received no
     /// calls for long, so that the longer wait of [`PollConfig::idle_wait`](crate::PollConfig::idle_wait) applies.
     pub fn handle(&mut self, now: Micros, input: Input, idle: bool, out: &mut Vec<Output>) {
         match input {
@@ -154,7 +155,7 @@
         self.next_poll_at = Some(now + self.pacing.initial_delay());
     }
 
-    /// A poll failed. Another one in flight that is overdue may still get its response, but is not relied on.
+    /// Handles a failed poll. An overdue poll in flight may still be answered, but a retry is scheduled nevertheless.
     fn on_failure(&mut self, now: Micros, out: &mut Vec<Output>) {
         let all_overdue = self.in_flight.iter().all(|poll| poll.overdue);
         if all_overdue && self.next_poll_at.is_none() {
@@ -170,9 +171,9 @@
         complete: bool,
         out: &mut Vec<Output>,
     ) {
-        // A response that is read this late was held up by a stall of this process.
+        // A response that is read this late was delayed by a stall of this process.
         self.connection_suspect = now > self.response_deadline(&poll) + TIMER_DELAY_TOLERANCE;
-        // A later response is to an older poll, or holds nothing more.
+        // A response that arrives later answers an older poll, or holds nothing more.
         self.cancel_all(out);
         let violation = ProtocolViolation::detect(poll.index, index, complete);
         out.extend(violation.map(Output::Violation));
@@ -189,7 +190,7 @@
         }
     }
 
-    /// A list with `index` was accepted as the response to a poll sent at `sent_at`.
+    /// Schedules the next poll after a list with `index` was accepted in response to a poll sent at `sent_at`.
     fn on_accepted(&mut self, now: Micros, sent_at: Micros, index: u64) {
         self.service_overloaded = false;
         let updated = self.index.replace(index) != Some(index);
@@ -201,7 +202,7 @@
     }
 
     fn on_timer(&mut self, now: Micros, idle: bool, out: &mut Vec<Output>) {
-        // An agent costs nothing to poll, so a second poll goes out even where the process may have been stalled.
+        // Polling an agent costs nothing, so a second poll is sent even if this process may have been stalled.
         if self.timeouts.source == Source::Service && self.timer_was_delayed(now) {
             self.overdue_not_before = now + READ_PENDING_TIME;
             return;
@@ -214,14 +215,14 @@
         }
     }
 
-    /// The response to the newest poll is overdue.
+    /// Handles an overdue response to the newest poll.
     fn on_overdue(&mut self, now: Micros, newest: PollId, idle: bool, out: &mut Vec<Output>) {
         for poll in &mut self.in_flight {
             poll.overdue = true;
         }
         out.push(Output::Overdue(newest));
         if self.in_flight.len() == MAX_IN_FLIGHT {
-            // The newer one stays: its connection may have been established late, and its response waits its turn.
+            // The newer poll continues: its connection may have been established late, and it may be in the service's queue.
             let oldest = self.in_flight.remove(0);
             out.push(Output::Cancel(oldest.id));
             if self.timeouts.source == Source::Service {
@@ -229,7 +230,7 @@
                 return;
             }
         }
-        // A proxy counts as notified of what its agent has as soon as the agent responds again: no delay.
+        // There is no delay, as a proxy counts as notified of its agent's changes as soon as the agent responds again.
         self.send_poll(now, idle, true, out);
     }
 
@@ -243,7 +244,7 @@
         self.next_poll_at = None;
         let (wait, queue_time) = match &mut self.pacing {
             Pacing::Fleet(schedule) => (schedule.next_wait(idle), 0),
-            // The time in the queue comes before the wait.
+            // The poll may spend time in the queue before its wait begins, so its wait is short.
             Pacing::Single(_) if self.service_overloaded => {
                 (self.timeouts.response_slack, SERVICE_RESPONSE_TIMEOUT)
             }
@@ -267,8 +268,8 @@
         });
     }
 
-    /// Whether a timer that fires at `now` is so late that this process must have been stalled. True once for each poll,
-    /// or a proxy with almost no processor time would never find a poll overdue.
+    /// Whether a timer that fires at `now` is so late that this process must have been stalled. It is true at most once for
+    /// each poll; otherwise a proxy with almost no processor time would never treat a poll as overdue.
     fn timer_was_delayed(&self, now: Micros) -> bool {
         let first_time = self
             .in_flight
@@ -280,9 +281,9 @@
                 .is_some_and(|deadline| deadline + TIMER_DELAY_TOLERANCE < now)
     }
 
-    /// When the response to `poll` is overdue.
+    /// When the response to `poll` becomes overdue.
     fn response_deadline(&self, poll: &InFlightPoll) -> Micros {
-        // A poll for the complete list gets its response in turn and has as long, as its connection may be dead as well.
+        // A poll for the complete list has no wait of its own, but the same deadline, as its connection may be dead as well.
         let wait = poll.index.map_or(self.timeouts.wait, |_| poll.wait);
         let deadline = poll.sent_at + poll.queue_time + wait + self.timeouts.response_slack;
         deadline.max(self.overdue_not_before)
--- a/crates/endpoint-watch/tests/notification_deadline/main.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/main.rs
@@ -1,6 +1,6 @@
 //! Random scenarios in virtual time: watches go silent, connections hang, responses are late or reset, the service is down
-//! for a while and rejects once more when it recovers. Every change is received before the drain grace period ends, which
-//! begins when the proxy counts as notified; the number of polls stays bounded.
+//! for a while and rejects one more poll when it recovers. The tests check that every change is received before the drain
+//! grace period ends, which begins when the proxy counts as notified, and that the number of polls is bounded.
 
 mod scenario;
 mod simulation;
@@ -15,19 +15,19 @@
 
     #[test]
     fn change_is_received_before_drain_grace_ends_when_watches_go_silent(scenario in scenario()) {
-        // A reset beside a silence leaves no time for a second connection that hangs.
+        // After both a silence and a reset there is no time left for a second connection that hangs.
         let scenario = Scenario { resets: Vec::new(), ..scenario };
         let outcome = simulate(&scenario, 60_000_000);
         prop_assert!(outcome.max_delay <= scenario.drain_grace, "{outcome:?}");
     }
 
-    /// For any kind of failure before: rejected, reset, timed out, repeatedly, and once more after recovery.
+    /// Polls may be rejected, reset or time out, repeatedly, and once more after the service has recovered.
     #[test]
     fn change_is_received_before_drain_grace_ends_after_outages(scenario in scenario(), outages in outages()) {
         let scenario = Scenario { silences: Vec::new(), resets: Vec::new(), outages, ..scenario };
         let outcome = simulate(&scenario, 90_000_000);
         prop_assert!(outcome.max_delay <= scenario.drain_grace, "{outcome:?}");
-        // During an outage each proxy polls about once a second, so that the service is not flooded when it recovers.
+        // During an outage each proxy polls about once a second, so that the service is not overloaded when it recovers.
         let down: Micros = scenario.outages.iter().map(|outage| outage.until - outage.from).sum();
         let bound = 2 * 90_000_000 / 1_500_000 + 4 * down / 1_000_000 + 8 * scenario.outages.len() as u64;
         prop_assert!(outcome.polls <= bound + 2 * scenario.changes.len() as u64, "{outcome:?} of {bound}");
@@ -37,13 +37,13 @@
     fn poll_count_stays_bounded(scenario in scenario()) {
         let outcome = simulate(&scenario, 60_000_000);
         prop_assert!(outcome.max_in_flight <= 2);
-        // One for each wait of at least 1.5 s, one beside each, one for each change and each reset.
+        // There is one poll for each wait of at least 1.5 s and a second one in parallel, and two for each change and reset.
         let bound = 2 * 60_000_000 / 1_500_000 + 2 * (scenario.changes.len() + scenario.resets.len()) as u64 + 4;
         prop_assert!(outcome.polls <= bound, "{outcome:?}");
     }
 }
 
-/// With the wait of ten seconds that was used before, the first property does not hold.
+/// The first property does not hold with a wait of ten seconds, which shows that the property can fail.
 #[test]
 fn ten_second_wait_receives_change_too_late() {
     let scenario = Scenario {
--- a/crates/endpoint-watch/tests/notification_deadline/scenario.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/scenario.rs
@@ -3,12 +3,12 @@
 use badgerramp_endpoint_watch::Micros;
 use proptest::prelude::*;
 
-/// What happens to polls while the service is down.
+/// How polls fail while the service is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Down {
-    /// They are refused or reset immediately.
+pub(crate) enum OutageKind {
+    /// Polls are refused or reset immediately.
     Refusing,
-    /// There is no response, and no connection is established.
+    /// Polls are not answered, and no connection is established.
     Silent,
 }
 
@@ -17,12 +17,12 @@
 pub(crate) struct Outage {
     pub(crate) from: Micros,
     pub(crate) until: Micros,
-    pub(crate) down: Down,
-    /// Whether it rejects the first poll after it recovers, as too many arrive.
+    pub(crate) kind: OutageKind,
+    /// Whether the service rejects the first poll after it recovers, because of overload.
     pub(crate) rejects_once: bool,
 }
 
-/// How long a poll on a fresh connection takes, as shares of the longest times.
+/// Latency of a poll on a fresh connection, as shares of the maximum times.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Latency {
     /// Share of `CONNECT_TIMEOUT`.
@@ -31,24 +31,24 @@
     pub(crate) response: f64,
 }
 
-/// A course of events.
+/// A sequence of changes and faults.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) seed: u64,
     pub(crate) outages: Vec<Outage>,
     pub(crate) drain_grace: Micros,
     pub(crate) wait: Option<Micros>,
-    /// When endpoints begin to drain.
+    /// When endpoints start to drain, which changes the list.
     pub(crate) changes: Vec<Micros>,
     /// When all polls in flight go silent.
     pub(crate) silences: Vec<Micros>,
     /// When the oldest connection with a poll is reset.
     pub(crate) resets: Vec<Micros>,
-    /// Used in turn; at least one.
+    /// Latencies of polls on fresh connections, used cyclically. There is at least one.
     pub(crate) latencies: Vec<Latency>,
 }
 
-/// Changes, two silences and resets, without an outage.
+/// Scenarios with changes, two silences and resets, without an outage.
 pub(crate) fn scenario() -> impl Strategy<Value = Scenario> {
     let times = |max_count| prop::collection::btree_set(1_000u64..40_000_000, 0..max_count);
     let latency =
@@ -67,7 +67,7 @@
                 drain_grace,
                 wait: None,
                 changes: changes.into_iter().collect(),
-                // A second silence before recovery from the first would be another fault: they are far apart.
+                // The silences are far apart, as a second one before the recovery from the first would be another fault.
                 silences: vec![silence, silence + 20_000_000],
                 resets: resets.into_iter().collect(),
                 latencies,
@@ -88,11 +88,15 @@
         let outage = |(after, duration, silent, rejects_once)| {
             let from = earliest + after;
             earliest = from + duration + 15_000_000;
-            let down = if silent { Down::Silent } else { Down::Refusing };
+            let kind = if silent {
+                OutageKind::Silent
+            } else {
+                OutageKind::Refusing
+            };
             Outage {
                 from,
                 until: from + duration,
-                down,
+                kind,
                 rejects_once,
             }
         };
--- a/crates/endpoint-watch/tests/notification_deadline/simulation.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/simulation.rs
@@ -1,6 +1,6 @@
-//! A watch and its list service in virtual time.
+//! Simulation of a watch and its list service in virtual time.
 
-use crate::scenario::{Down, Latency, Outage, Scenario};
+use crate::scenario::{Latency, Outage, OutageKind, Scenario};
 use badgerramp_endpoint_watch::{
     Input, Micros, Output, PollId, Source, TimeoutConfig, Timeouts, Watch, CONNECT_TIMEOUT,
     SERVICE_RESPONSE_TIMEOUT,
@@ -9,8 +9,9 @@
 use std::iter::Cycle;
 use std::slice::Iter;
 
-/// The deadlines of the protocol, independent of the constants under test.
+/// Deadline of the protocol, defined independently of the constant under test.
 const NOTIFIED_AFTER_SILENCE: Micros = 6_000_000;
+/// Deadline of the protocol, defined independently of the constant under test.
 const NOTIFIED_AFTER_WAIT: Micros = 2_000_000;
 /// Time until a refused connection or a rejection reaches the proxy.
 const REFUSAL_TIME: Micros = 1_000;
@@ -20,7 +21,9 @@
 pub(crate) struct Outcome {
     /// Longest time from when the proxy counted as notified of a change until it received it, in microseconds.
     pub(crate) max_delay: Micros,
+    /// Number of polls sent.
     pub(crate) polls: u64,
+    /// Maximum number of polls in flight at the same time.
     pub(crate) max_in_flight: usize,
 }
 
@@ -30,15 +33,15 @@
     sent_at: Micros,
     index: Option<u64>,
     wait: Micros,
-    /// When the service has received it: a fresh connection may hang.
+    /// When the service receives the poll, after its connection was established.
     received_at: Micros,
-    /// How long its response waits its turn, where it holds a change or begins a watch.
+    /// How long the service takes to respond with a change.
     response_delay: Micros,
-    /// When its connection went silent.
+    /// When the connection went silent, if it did.
     silent_since: Option<Micros>,
-    /// When it fails, unless a response comes before.
+    /// When the poll fails, unless its response arrives before.
     fails_at: Option<Micros>,
-    /// Whether it fails because the service rejects it.
+    /// Whether the poll fails because the service rejects it.
     rejected: bool,
 }
 
@@ -52,7 +55,7 @@
         self.silent_since = self.silent_since.or(Some(now));
     }
 
-    /// When its response arrives; `None` if it never does.
+    /// When the response arrives; `None` if it never does.
     fn response_at(&self, changes: &[Micros]) -> Option<Micros> {
         let first_unseen = usize::try_from(self.index.unwrap_or(0)).expect("a small index");
         let change = changes.get(first_unseen);
@@ -74,7 +77,7 @@
     has_rejected: bool,
 }
 
-/// Plays a scenario until the time `until`.
+/// Simulates a scenario until the time `until`.
 pub(crate) fn simulate(scenario: &Scenario, until: Micros) -> Outcome {
     let mut simulation = Simulation::new(scenario);
     simulation.handle(Input::Start);
@@ -97,9 +100,9 @@
     outages: Vec<OutageState<'a>>,
     /// When the caller passes a start to the watch again.
     start_at: Option<Micros>,
-    /// After a failure there is no connection to reuse.
+    /// Whether there is no connection to reuse, as the last poll has failed.
     connection_lost: bool,
-    /// When the proxy counts as notified of each index that it has not received.
+    /// For each index that the proxy has not received, when it counts as notified of that index.
     notified_at: BTreeMap<u64, Micros>,
     outcome: Outcome,
 }
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Passes an input to the watch and carries out what it wants.
+    /// Passes an input to the watch and carries out the outputs.
     fn handle(&mut self, input: Input) {
         let mut outputs = Vec::new();
         self.watch.handle(self.now, input, false, &mut outputs);
@@ -146,7 +149,7 @@
                     self.in_flight.remove(&poll);
                 }
                 Output::Failed => {
-                    // The caller passes a start as well, which has no effect.
+                    // The caller passes another start, which has no effect while a retry is scheduled.
                     self.start_at = Some(self.now + 1);
                     self.connection_lost = true;
                 }
@@ -194,17 +197,19 @@
         self.outcome.polls += 1;
     }
 
-    /// What becomes of a poll that is sent during or after an outage.
+    /// Makes a poll fail or go silent if it is sent during an outage, or is the first one after it.
     fn apply_outages(&mut self, poll: &mut SimulatedPoll, fresh_connection: bool) {
         let now = self.now;
         for state in &mut self.outages {
             let outage = state.outage;
             if (outage.from..outage.until).contains(&now) {
-                match outage.down {
-                    Down::Refusing => poll.refuse(now),
+                match outage.kind {
+                    OutageKind::Refusing => poll.refuse(now),
                     // An existing connection stays silent; a new one times out.
-                    Down::Silent if fresh_connection => poll.fails_at = Some(now + CONNECT_TIMEOUT),
-                    Down::Silent => poll.silent_since = Some(now),
+                    OutageKind::Silent if fresh_connection => {
+                        poll.fails_at = Some(now + CONNECT_TIMEOUT)
+                    }
+                    OutageKind::Silent => poll.silent_since = Some(now),
                 }
             } else if now >= outage.until && !std::mem::replace(&mut state.has_rejected, true) {
                 poll.refuse(now);
@@ -212,7 +217,7 @@
         }
     }
 
-    /// The response that arrives next.
+    /// The response that arrives next, with its time.
     fn next_response(&self) -> Option<(Micros, PollId)> {
         self.in_flight
             .iter()
@@ -223,7 +228,7 @@
             .min()
     }
 
-    /// When something happens next.
+    /// Time of the next event.
     fn next_event(&self) -> Option<Micros> {
         let later = |times: &[Micros]| times.iter().copied().find(|&at| at > self.now);
         let fails_at = self.in_flight.values().filter_map(|poll| poll.fails_at);
@@ -256,7 +261,7 @@
 
     /// When the proxy counts as notified of a change at `at`, whether or not it receives it.
     fn notified_at(&self, at: Micros) -> Micros {
-        // A service that goes down before the change is sent can not be polled for it.
+        // While the service is down, it cannot be polled for the change.
         let outage = self
             .scenario
             .outages
@@ -268,7 +273,7 @@
         if !self.scenario.outages.is_empty() {
             return at + NOTIFIED_AFTER_SILENCE;
         }
-        // Only a silent poll keeps the proxy from receiving the change.
+        // Without an outage, the proxy fails to receive the change only if a poll is silent.
         self.in_flight
             .values()
             .filter_map(|poll| Some((poll.silent_since?, poll.sent_at + poll.wait)))
@@ -278,26 +283,26 @@
             })
     }
 
-    /// Polls in flight go silent, or are reset by an outage that begins now.
+    /// Applies the faults that begin now to the polls in flight.
     fn apply_faults(&mut self) {
         let now = self.now;
         if self.scenario.silences.contains(&now) {
-            let received = self.in_flight.values_mut();
-            received
+            let polls = self.in_flight.values_mut();
+            polls
                 .filter(|poll| poll.received_at <= now)
                 .for_each(|poll| poll.go_silent(now));
         }
         for outage in self.scenario.outages.iter().filter(|o| o.from == now) {
             for poll in self.in_flight.values_mut() {
-                match outage.down {
-                    Down::Refusing => poll.fails_at = Some(now),
-                    Down::Silent => poll.go_silent(now),
+                match outage.kind {
+                    OutageKind::Refusing => poll.fails_at = Some(now),
+                    OutageKind::Silent => poll.go_silent(now),
                 }
             }
         }
     }
 
-    /// What the watch is told now, one input at a time.
+    /// The next input to the watch at the current time.
     fn next_input(&mut self) -> Input {
         let now = self.now;
         if let Some((poll, state)) =
@@ -325,7 +330,7 @@
     }
 
     fn respond(&mut self, id: PollId) -> Input {
-        let poll = self.in_flight.remove(&id).expect("it is in flight");
+        let poll = self.in_flight.remove(&id).expect("the poll is in flight");
         let changes = self.scenario.changes.iter();
         let current_index = changes.filter(|&&at| at <= self.now).count() as u64;
         Input::Response {
@@ -344,7 +349,7 @@
         self.in_flight.remove_entry(&id)
     }
 
-    /// Counts changes that were never received until the end.
+    /// Includes the changes that were not received until the end.
     fn finish(mut self, until: Micros) -> Outcome {
         for &notified_at in self.notified_at.values() {
             let delay = until.saturating_sub(notified_at);
--- a/crates/endpoint-watch/tests/timeouts.rs
+++ b/crates/endpoint-watch/tests/timeouts.rs
@@ -1,4 +1,4 @@
-//! The timeouts derived for usual and for arbitrary drain grace periods.
+//! Tests of the timeouts derived from usual and from arbitrary drain grace periods.
 
 use badgerramp_endpoint_watch::{
     Micros, Source, TimeoutConfig, Timeouts, CONNECT_TIMEOUT, NOTIFIED_AFTER_SILENCE,
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// For any drain grace period and any time at which a watch goes silent: a proxy that counts as notified has received
-    /// the change, with part of the grace period left. At an agent, a change is received within the grace period.
+    /// For any drain grace period, and whenever a watch goes silent, the proxy receives a change while at least half of the
+    /// grace period after its notification is left. From an agent, a change is received within the grace period.
     #[test]
-    fn notified_proxy_has_received_change(drain_grace in 300_000u64..5_000_000, into_wait in 0.0f64..=1.0) {
+    fn notified_proxy_has_received_change(drain_grace in 300_000u64..5_000_000, silence_share in 0.0f64..=1.0) {
         let service = Timeouts::derive(TimeoutConfig { source: Source::Service, drain_grace, wait: None });
-        let silence = (service.wait as f64 * into_wait) as Micros;
+        let silence = (service.wait as f64 * silence_share) as Micros;
         prop_assert!(service.latest_receipt() <= service.earliest_notification(silence) + drain_grace / 2, "{service:?}");
         prop_assert!(service.wait >= 1_500_000, "{service:?}");
         let rejected_twice = 2 * service.backoff.max + CONNECT_TIMEOUT + SERVICE_RESPONSE_TIMEOUT;
@@ -23,13 +23,13 @@
     }
 }
 
-/// The values that the documentation states.
+/// The documentation states these values.
 #[test]
 fn derived_timeouts_match_documented_values() {
-    let derive = |source, grace| {
+    let derive = |source, drain_grace| {
         let timeouts = Timeouts::derive(TimeoutConfig {
             source,
-            drain_grace: grace,
+            drain_grace,
             wait: None,
         });
         (timeouts.wait, timeouts.response_slack)
@@ -45,6 +45,6 @@
     });
     assert!(
         long_wait.latest_receipt() > long_wait.earliest_notification(0) + 1_000_000,
-        "with a wait of ten seconds a change is received too late"
+        "with a wait of ten seconds a change may be received too late"
     );
 }
--- a/crates/endpoint-watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -1,4 +1,4 @@
-//! When the watch sends a poll, and which response it accepts.
+//! Tests of when the watch sends a poll, and which response it accepts.
 
 use badgerramp_endpoint_watch::{
     Input, Micros, Output, PollId, ProtocolViolation, Source, TimeoutConfig, Timeouts, Watch,
@@ -94,12 +94,13 @@
         harness.respond(700_000, 0, 42, false),
         [Output::Accept, sent(1, Some(42), 2_000_000, false)]
     );
-    // No change by the end of the wait.
+    // The wait ended without a change.
     assert_eq!(
         harness.respond(2_700_000, 1, 42, false),
         [Output::Accept, sent(2, Some(42), 2_000_000, false)]
     );
-    // No change, and immediately: a delay, which stays within the 200 ms that continue a watch.
+    // An immediate response without a change delays the next poll, by less than the 200 ms within which it continues the
+    // watch.
     assert_eq!(harness.respond(2_700_010, 2, 42, false), [Output::Accept]);
     assert_eq!(
         harness.advance_to_deadline(),
@@ -107,7 +108,7 @@
     );
 }
 
-/// The silence of a watch used to show two seconds after its wait, when the proxy already counted as notified.
+/// Guards against detecting a silent watch too late: two seconds after its wait, the proxy already counts as notified.
 #[test]
 fn overdue_response_sends_second_poll_on_fresh_connection() {
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -117,7 +118,7 @@
     ];
     assert_eq!(harness.advance_to_deadline(), (2_500_000, second_poll));
     assert_eq!(harness.in_flight(), [0, 1]);
-    // Either response is accepted, and cancels the other poll.
+    // The response to either poll is accepted, and cancels the other poll.
     let mut other = Harness {
         watch: harness.watch.clone(),
         out: Vec::new(),
@@ -130,7 +131,7 @@
     assert_eq!(
         harness.respond(2_700_000, 0, 43, false),
         [],
-        "the response of the old watch comes too late"
+        "the response to the first poll comes too late"
     );
     assert_eq!(
         other.respond(2_600_000, 0, 42, false),
@@ -139,7 +140,7 @@
     assert_eq!(
         other.respond(2_700_000, 1, 41, true),
         [],
-        "and so does an older list"
+        "a late response with an older list is ignored as well"
     );
     assert_eq!(other.watch.index(), Some(42));
 }
@@ -155,20 +156,24 @@
     assert_eq!(
         harness.fail(2_600_000, 1),
         [Output::Failed],
-        "the first is overdue"
+        "polling has failed, as the first poll is overdue"
+    );
+    assert_eq!(
+        harness.in_flight(),
+        [0],
+        "the first poll may still be answered"
     );
-    assert_eq!(harness.in_flight(), [0], "and may still get a response");
     assert_eq!(
         harness.handle(2_600_001, Input::Start),
         [],
         "a start has no effect"
     );
-    let (at, again) = harness.advance_to_deadline();
+    let (at, retry) = harness.advance_to_deadline();
     assert!(
         (2_600_000 + 250_000..=2_600_000 + 500_000).contains(&at),
         "{at}"
     );
-    assert_eq!(again, [sent(2, Some(41), 2_000_000, false)]);
+    assert_eq!(retry, [sent(2, Some(41), 2_000_000, false)]);
     assert_eq!(
         harness.respond(at + 1, 0, 42, false)[..2],
         [cancelled(2), Output::Accept]
@@ -181,7 +186,7 @@
     assert_eq!(
         other.in_flight(),
         [1],
-        "it has as long as a late connection and a queued response take"
+        "the second poll is not cancelled, as its connection and its response may take longer"
     );
     assert_eq!(
         other.advance_to_deadline().1,
@@ -191,31 +196,32 @@
         other.respond(6_500_000, 1, 42, false)[..2],
         [cancelled(2), Output::Accept]
     );
-    // The first fails, which says nothing about the second.
+    // A failure of the first poll has no effect on the second one.
     let mut third = Harness::new(Source::Service, Some(41));
     third.advance_to_deadline();
     assert_eq!(third.fail(2_600_000, 0), []);
     assert_eq!(third.in_flight(), [1]);
 }
 
-/// An overloaded service rejects a poll immediately or queues it for up to three seconds. A second poll beside a queued one
-/// used to be rejected, and the queued one ended with it, so that the proxy started at the end of the queue each time.
+/// An overloaded service rejects a poll immediately, or queues it for up to three seconds. Guards against sending a second
+/// poll in parallel to a queued one: when it was rejected, the queued one was cancelled as well, so that the proxy went to
+/// the end of the queue each time.
 #[test]
 fn poll_after_rejection_allows_for_service_queue() {
     const RESPONSE_SLACK: Micros = 500_000;
     let mut harness = Harness::new(Source::Service, Some(41));
     assert_eq!(harness.reject(10_000, 0), [Output::Failed]);
-    let (sent_at, again) = harness.advance_to_deadline();
+    let (sent_at, retry) = harness.advance_to_deadline();
     assert_eq!(
-        again,
+        retry,
         [sent(1, Some(41), RESPONSE_SLACK, false)],
-        "the wait is short, as the queue comes before it"
+        "the wait is short, as the time in the queue comes before it"
     );
     let mut other = Harness {
         watch: harness.watch.clone(),
         out: Vec::new(),
     };
-    // It is overdue after the queue and the wait.
+    // The poll is overdue after the maximum time in the queue and its wait.
     let second_poll = vec![
         Output::Overdue(PollId(1)),
         sent(2, Some(41), RESPONSE_SLACK, true),
@@ -227,7 +233,7 @@
             second_poll
         )
     );
-    // A response ends that: the watch continues with its usual wait.
+    // After a response, the watch continues with its usual wait.
     let next = sent(2, Some(42), 2_000_000, false);
     assert_eq!(
         other.respond(sent_at + SERVICE_RESPONSE_TIMEOUT, 1, 42, false),
@@ -237,7 +243,7 @@
         other.advance_to_deadline().0,
         sent_at + SERVICE_RESPONSE_TIMEOUT + 2_500_000
     );
-    // So does a change of the source.
+    // After a change of the source, the watch has its usual wait as well.
     harness.reject(sent_at + 6_000_000, 2);
     assert_eq!(
         harness
@@ -247,17 +253,18 @@
     );
 }
 
-/// A connection that is reset says nothing about a queue.
+/// Unlike a rejection, a reset connection does not indicate that the service has a queue.
 #[test]
 fn poll_after_reset_keeps_usual_deadline() {
     let mut harness = Harness::new(Source::Service, Some(41));
     assert_eq!(harness.fail(10_000, 0), [Output::Failed]);
-    let (sent_at, again) = harness.advance_to_deadline();
-    assert_eq!(again, [sent(1, Some(41), 2_000_000, false)]);
+    let (sent_at, retry) = harness.advance_to_deadline();
+    assert_eq!(retry, [sent(1, Some(41), 2_000_000, false)]);
     assert_eq!(harness.advance_to_deadline().0, sent_at + 2_500_000);
 }
 
-/// An agent costs nothing to poll, and a proxy counts as notified of what it has as soon as it responds again.
+/// Polling an agent costs nothing, and a proxy counts as notified of the agent's changes as soon as the agent responds
+/// again.
 #[test]
 fn silent_agent_is_polled_repeatedly() {
     let mut harness = Harness::new(Source::Agent, Some(41));
@@ -288,7 +295,7 @@
             ..
         })
     ));
-    // After a failure it is polled again without a start.
+    // After a failure, the agent is polled again without another start.
     let failed = harness.fail(last + 2, sent_count);
     assert_eq!(failed, [Output::Failed]);
     assert!(matches!(
@@ -308,7 +315,7 @@
         harness.respond(10, 0, 7, false),
         [went_back, sent(1, None, 2_000_000, false)]
     );
-    // Changes are no response to a poll for the complete list.
+    // Changes are not a valid response to a poll for the complete list.
     assert_eq!(
         harness.respond(20, 1, 7, false),
         [
@@ -316,8 +323,8 @@
             Output::Failed
         ]
     );
-    let (at, again) = harness.advance_to_deadline();
-    assert_eq!(again, [sent(2, None, 2_000_000, false)]);
+    let (at, retry) = harness.advance_to_deadline();
+    assert_eq!(retry, [sent(2, None, 2_000_000, false)]);
     assert_eq!(harness.respond(at + 10, 2, 7, true)[..1], [Output::Accept]);
     assert_eq!(harness.watch.index(), Some(7));
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -332,7 +339,8 @@
     assert_eq!(harness.watch.index(), Some(7));
 }
 
-/// SIGHUP changes the source, also while a poll is overdue: polls in flight mean nothing, and the complete list is fetched.
+/// SIGHUP can change the source at any time, even while a poll is overdue. Polls in flight are cancelled, and the complete
+/// list is fetched.
 #[test]
 fn source_change_fetches_complete_list_immediately() {
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -343,23 +351,23 @@
         [cancelled(0), cancelled(1), sent(2, None, 2_000_000, false)]
     );
     assert_eq!(harness.respond(2_700_000, 1, 42, false), []);
-    // Its connection may be dead as well: a poll for the complete list becomes overdue like any other.
+    // A poll for the complete list becomes overdue like any other, as its connection may be dead as well.
     let second_poll = vec![Output::Overdue(PollId(2)), sent(3, None, 2_000_000, true)];
     assert_eq!(harness.advance_to_deadline(), (5_100_000, second_poll));
     let out = vec![Output::Overdue(PollId(3)), cancelled(2), Output::Failed];
     assert_eq!(harness.advance_to_deadline(), (7_600_000, out));
 }
 
-/// A delay used to double up to several seconds, which left no time for a response before the proxy counted as notified.
+/// Guards against a backoff of several seconds, which leaves no time for a response before the proxy counts as notified.
 #[test]
 fn backoff_is_bounded_and_leaves_time_for_response() {
     let mut harness = Harness::new(Source::Service, Some(41));
     let (mut poll, mut now, mut delays) = (0, 10, Vec::new());
     for _ in 0..40 {
         assert_eq!(harness.fail(now, poll), [Output::Failed]);
-        let (at, again) = harness.advance_to_deadline();
+        let (at, retry) = harness.advance_to_deadline();
         poll += 1;
-        assert_eq!(again, [sent(poll, Some(41), 2_000_000, false)]);
+        assert_eq!(retry, [sent(poll, Some(41), 2_000_000, false)]);
         delays.push(at - now);
         now = at + 1;
     }
@@ -375,7 +383,7 @@
         delays[3..]
             .iter()
             .any(|delay| *delay > max_delay / 2 + max_delay / 4),
-        "they grow, and have jitter: {delays:?}"
+        "the delays grow, and have jitter: {delays:?}"
     );
     let other = Watch::new(
         Timeouts::derive(TimeoutConfig {
@@ -404,7 +412,8 @@
     assert!(harness.advance_to_deadline().0 - now - 1 <= 500_000);
 }
 
-/// A response that arrived during a stall used to be lost with its connection, cancelled by a timer that ran first.
+/// Guards against losing a response that arrived during a stall: a timer that ran before the response was read cancelled the
+/// poll and closed its connection.
 #[test]
 fn delayed_timer_lets_pending_responses_be_read_first() {
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -412,7 +421,7 @@
     assert_eq!(
         harness.handle(9_000_000, Input::Timer),
         [],
-        "both are late because this process was stalled"
+        "the timer and the responses are late because this process was stalled"
     );
     let mut other = Harness {
         watch: harness.watch.clone(),
@@ -422,13 +431,13 @@
         harness.respond(9_000_500, 1, 42, false)[..2],
         [cancelled(0), Output::Accept]
     );
-    // Nothing had arrived; and the next timer is as late, as there is almost no processor time.
+    // No response had arrived, and the next timer is late again, as the process gets almost no processor time.
     assert!(other.watch.next_deadline() <= Some(9_100_000));
     let out = other.handle(12_000_000, Input::Timer);
     assert!(out.contains(&Output::Failed), "{out:?}");
 }
 
-/// The response had arrived before a stall; its connection may have died meanwhile, with no poll on it.
+/// The response arrived before a stall. Its connection may have died during the stall, as no poll was in flight on it.
 #[test]
 fn response_read_late_is_followed_by_poll_on_fresh_connection() {
     let mut harness = Harness::new(Source::Agent, Some(41));
