--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -1,5 +1,6 @@
-//! How evenly subsetting algorithms spread proxies over endpoints, and how many connections they move when the fleet
-//! changes: `cargo run --release -p badgerramp-subset --example spread`. The table stands in `docs/large-fleets.md`.
+//! Compares how evenly subsetting algorithms spread proxies over endpoints, and how many connections they move when the
+//! fleet changes: `cargo run --release -p badgerramp-subset --example spread`. The table is part of
+//! `docs/large-fleets.md`.
 
 use badgerramp_subset::{Instance, Subset, SubsetConfig};
 use rand::seq::SliceRandom;
@@ -8,10 +9,11 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Subset of a fleet for one proxy of so many, of about a size.
+/// Computes the subset of a fleet for one proxy, from the proxy's number, the number of proxies and the approximate size.
 type Algorithm = fn(&[u32], u32, u32, usize) -> BTreeSet<u32>;
 
-/// Each proxy takes the endpoints with the greatest hash of both names (D. Thaler and C. Ravishankar, 1998).
+/// Rendezvous hashing: each proxy uses the endpoints with the greatest hashes of both names (D. Thaler and C. Ravishankar,
+/// 1998).
 fn rendezvous(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
     let mut ranked: Vec<(u64, u32)> = fleet
         .iter()
@@ -31,17 +33,18 @@
         .collect()
 }
 
-/// Deterministic subsetting: rounds of proxies share a shuffle of the whole list (Site Reliability Engineering, 2016,
-/// chapter 20).
+/// Deterministic subsetting: the proxies of a round divide a shuffled list among them (B. Beyer et al., *Site Reliability
+/// Engineering*, 2016, chapter 20).
 fn shuffled(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
     let subsets = (fleet.len() / size).max(1);
-    let (round, place) = (proxy as usize / subsets, proxy as usize % subsets);
+    let (round, position) = (proxy as usize / subsets, proxy as usize % subsets);
     let mut list = fleet.to_vec();
     list.shuffle(&mut Pcg32::seed_from_u64(round as u64));
-    list.into_iter().skip(place * size).take(size).collect()
+    list.into_iter().skip(position * size).take(size).collect()
 }
 
-/// Deterministic aperture: endpoints and proxies lie evenly on a ring, and each proxy takes its own stretch (Finagle).
+/// Deterministic aperture: endpoints and proxies are spaced evenly on a ring, and each proxy uses the endpoints that follow
+/// its own position (Finagle).
 fn aperture(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
     let mut ring = fleet.to_vec();
     ring.sort_unstable_by_key(|e| xxh3_64_with_seed(format!("e{e}").as_bytes(), 1));
@@ -49,7 +52,8 @@
     (0..size).map(|n| ring[(start + n) % ring.len()]).collect()
 }
 
-fn ours(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
+/// The algorithm of this crate.
+fn ring_partition(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
     let mut subset = Subset::new(
         SubsetConfig::with_size(size),
         Instance {
@@ -74,30 +78,31 @@
     );
     for endpoints in [100_u32, 1_000, 10_000] {
         let fleet: Vec<u32> = (0..endpoints).collect();
-        let more: Vec<u32> = (0..=endpoints).collect();
-        let fewer: Vec<u32> = (0..endpoints).filter(|&e| e != endpoints / 2).collect();
+        let with_added: Vec<u32> = (0..=endpoints).collect();
+        let with_removed: Vec<u32> = (0..endpoints).filter(|&e| e != endpoints / 2).collect();
         let algorithms: [(&str, Algorithm); 4] = [
-            ("ours", ours),
+            ("ours", ring_partition),
             ("rendezvous", rendezvous),
             ("shuffled", shuffled),
             ("aperture", aperture),
         ];
         for (name, algorithm) in algorithms {
             let mut proxies_per_endpoint = vec![0_u32; endpoints as usize];
-            let (mut least, mut most, mut came, mut went) = (usize::MAX, 0, 0, 0);
-            // All of them for the spread; for what moves, a tenth stands for all.
+            let (mut min_size, mut max_size, mut moved_by_addition, mut moved_by_removal) =
+                (usize::MAX, 0, 0, 0);
+            // The spread is computed over all proxies; the moved connections are extrapolated from a tenth of them.
             for proxy in 0..proxies {
                 let before = algorithm(&fleet, proxy, proxies, size);
-                (least, most) = (least.min(before.len()), most.max(before.len()));
+                (min_size, max_size) = (min_size.min(before.len()), max_size.max(before.len()));
                 before
                     .iter()
                     .for_each(|&e| proxies_per_endpoint[e as usize] += 1);
                 if proxy % 10 == 3 {
-                    came += algorithm(&more, proxy, proxies, size)
+                    moved_by_addition += algorithm(&with_added, proxy, proxies, size)
                         .difference(&before)
                         .count()
                         * 10;
-                    went += algorithm(&fewer, proxy, proxies, size)
+                    moved_by_removal += algorithm(&with_removed, proxy, proxies, size)
                         .difference(&before)
                         .count()
                         * 10;
@@ -106,10 +111,10 @@
             let mean = f64::from(proxies_per_endpoint.iter().sum::<u32>()) / f64::from(endpoints);
             let ratio = |n: Option<&u32>| n.map_or(0.0, |&n| f64::from(n) / mean);
             println!(
-                "{endpoints:>9}  {name:<10} {:>9.2} {:>9.2} {:>10}..{most:<5} {came:>13} {went:>12} {mean:>7.0}",
+                "{endpoints:>9}  {name:<10} {:>9.2} {:>9.2} {:>10}..{max_size:<5} {moved_by_addition:>13} {moved_by_removal:>12} {mean:>7.0}",
                 ratio(proxies_per_endpoint.iter().max()),
                 ratio(proxies_per_endpoint.iter().min()),
-                least
+                min_size
             );
         }
     }
--- a/crates/subset/src/config.rs
+++ b/crates/subset/src/config.rs
@@ -1,4 +1,4 @@
-//! What an operator configures.
+//! The configuration of a subset.
 
 use crate::Micros;
 
@@ -9,36 +9,36 @@
 /// Default of [`SubsetConfig::shrink_delay`].
 const DEFAULT_SHRINK_DELAY: Micros = 30_000_000;
 
-/// Which proxy this is among all that share the fleet.
+/// Identifies a proxy among all proxies that share the fleet of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its number, from 0. No two proxies may have the same; gaps do no harm.
+    /// Number of the proxy, from 0. It must be unique; gaps in the numbering are harmless.
     pub number: u32,
-    /// How many proxies there are.
+    /// Number of proxies.
     pub count: u32,
 }
 
-/// Size of a subset, and when it changes.
+/// The size of a subset, and the conditions under which it changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetConfig {
-    /// Endpoints wanted while there is no reason for more.
+    /// Number of endpoints while there is no reason for more.
     pub target_size: usize,
-    /// The subset is never smaller than this while the fleet is larger.
+    /// Minimum number of endpoints, unless the fleet is smaller.
     pub min_size: usize,
-    /// The subset never grows beyond this, however its members fare.
+    /// Maximum number of endpoints, regardless of the load and the health of the members.
     pub max_size: usize,
-    /// Whether endpoints of the proxy's own zone come first, and others only when too few of those are usable.
+    /// Whether endpoints in the proxy's own zone are preferred. Others are then added only when too few of those are usable.
     pub prefer_own_zone: bool,
-    /// Calls in flight per usable member above which the subset grows.
+    /// Number of calls in flight per usable member above which the subset grows.
     pub max_load_per_member: f64,
-    /// Shortest time between two doublings, in microseconds; not observed while no member is usable.
+    /// Minimum time between two doublings, in microseconds; ignored while no member is usable.
     pub growth_interval: Micros,
-    /// Time without a reason to be larger after which the subset halves, in microseconds.
+    /// Time without a reason for a larger subset after which it is halved, in microseconds.
     pub shrink_delay: Micros,
 }
 
 impl SubsetConfig {
-    /// A subset of this size, with the defaults of everything else.
+    /// Creates the configuration of a subset of this size, with defaults for everything else.
     pub fn with_size(target_size: usize) -> Self {
         SubsetConfig {
             target_size,
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,16 +1,17 @@
-//! Deterministic subsetting: which endpoints of a large fleet one proxy keeps connections to.
+//! Deterministic subsetting: selects the endpoints of a large fleet that one proxy keeps connections to.
 //!
-//! A proxy with few calls has no use for a connection to each of thousands of endpoints. It keeps to a subset, which
-//! follows from its own number and the names of the endpoints, so that all proxies together spread evenly over the fleet
-//! without any communication.
+//! A proxy with few calls does not need a connection to each of thousands of endpoints. It uses a subset that is determined
+//! by its own number and the names of the endpoints, so that the proxies are spread evenly over the fleet without any
+//! communication.
 //!
 //! Proxies are divided into rounds of consecutive numbers. Within a round, each endpoint belongs to exactly one proxy, by a
-//! hash of its name and the number of the round. Each endpoint thus has as many proxies as there are rounds, and one that
-//! comes or goes moves no other endpoint. A subset grows when its members fail or are overloaded, and shrinks again later.
+//! hash of its name and the number of the round. Each endpoint thus belongs to as many proxies as there are rounds, and
+//! adding or removing an endpoint does not move any other one. A subset grows when its members fail or are overloaded, and
+//! shrinks again later.
 //!
 //! The crate owns the subset of one proxy. It does not choose the endpoint of a call, which is the load balancer's task. It
-//! never does I/O and reads no clock: the caller tells [`Subset`] how the list and the health of the members change, and
-//! gives the time.
+//! never does I/O and reads no clock: the caller reports changes of the list and the health of the members to [`Subset`],
+//! with the current time.
 //!
 //! ```
 //! use badgerramp_subset::{Health, Instance, Subset, SubsetConfig};
@@ -44,5 +45,5 @@
 pub use resource_bounds::ResourceBounds;
 pub use subset::Subset;
 
-/// A time, or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/subset/src/membership.rs
+++ b/crates/subset/src/membership.rs
@@ -1,24 +1,24 @@
-//! How the members of a subset fare, and which endpoints join or leave it.
+//! The health of a subset's members, and the changes of its membership.
 
 use std::collections::BTreeSet;
 
-/// State of the members, as the load balancer sees it.
+/// The state of a subset's members, as seen by the load balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Members that take calls: they are listed and not ejected.
+    /// Number of members that take calls, which are listed and not ejected.
     pub usable: usize,
-    /// Calls in flight at them.
+    /// Number of calls in flight to the members.
     pub in_flight: usize,
-    /// Calls that are queued because all members are at their limit.
+    /// Number of calls that are queued because all members are at their concurrency limit.
     pub queued: usize,
 }
 
-/// Endpoints that have joined and left the subset. No endpoint is in both lists.
+/// The endpoints that joined and left the subset. No endpoint is in both lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// Endpoints that are members from now on.
+    /// Endpoints that became members.
     pub added: Vec<u32>,
-    /// Endpoints that are no longer members. Calls in flight there may end; no new call is sent.
+    /// Endpoints that are no longer members. Calls in flight to them may complete, but no new call is sent.
     pub removed: Vec<u32>,
 }
 
@@ -28,7 +28,7 @@
         self.added.is_empty() && self.removed.is_empty()
     }
 
-    /// Combines this change with the one that follows it.
+    /// Combines this change with the next one.
     pub(crate) fn then(self, next: &MembershipChange) -> MembershipChange {
         MembershipChange {
             added: union_without(self.added, &next.added, &next.removed),
--- a/crates/subset/src/partition/tests.rs
+++ b/crates/subset/src/partition/tests.rs
@@ -1,4 +1,4 @@
-//! Hash ranges of the proxies of a round, and when a fleet is partitioned again.
+//! Tests of the hash ranges of a round's proxies, and of when a ring is partitioned again.
 
 use super::*;
 
@@ -46,12 +46,12 @@
     );
 }
 
-/// Proxies of different versions must agree.
+/// Proxies of different versions must compute the same hash.
 #[test]
 fn ring_hash_is_xxh3_in_every_version() {
     assert_eq!(
         ring_hash("", 0),
         0x2d06_8005_38d3_94c2,
-        "the published value of XXH3-64 for no input"
+        "the published value of XXH3-64 for empty input"
     );
 }
--- a/crates/subset/src/resource_bounds.rs
+++ b/crates/subset/src/resource_bounds.rs
@@ -1,28 +1,28 @@
-//! Formulas for what a fleet of proxies with subsets uses at most. The configuration is checked against them.
+//! Upper bounds of the connections of proxies with subsets, which the configuration is checked against.
 
 use crate::config::SubsetConfig;
 use crate::partition::Partition;
 
-/// The size of a deployment, from which its resource usage follows.
+/// The size of a deployment, from which its resource bounds are computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceBounds {
     /// Number of proxies.
     pub proxies: u32,
     /// Number of endpoints in the fleet.
     pub endpoints: usize,
-    /// Idle connections that a proxy keeps to one endpoint.
+    /// Number of idle connections that a proxy keeps to one endpoint.
     pub idle_connections: usize,
 }
 
 impl ResourceBounds {
-    /// Proxies that have one endpoint in their subset while all subsets have their target size: one of each round, the
-    /// last of which may be incomplete.
+    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their target size: one
+    /// proxy of each round, including the last round, which may be incomplete.
     pub fn proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
         self.proxies.div_ceil(self.partition(config).subset_count())
     }
 
-    /// The same while all subsets have grown to their maximum size. Each doubling of the ranges halves the number of
-    /// proxies among which a round divides the endpoints.
+    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their maximum size. Each
+    /// doubling of the ranges halves the number of proxies among which a round divides the endpoints.
     pub fn max_proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
         let partition = self.partition(config);
         let subset_count = partition.subset_count();
@@ -32,12 +32,12 @@
         self.proxies.div_ceil(subset_count >> doublings)
     }
 
-    /// Idle connections to one endpoint from all proxies, at most.
+    /// Maximum number of idle connections of all proxies to one endpoint.
     pub fn max_connections_per_endpoint(&self, config: &SubsetConfig) -> u64 {
         u64::from(self.max_proxies_per_endpoint(config)) * self.idle_connections as u64
     }
 
-    /// Idle connections of one proxy, at most.
+    /// Maximum number of idle connections of one proxy.
     pub fn max_connections_per_proxy(&self, config: &SubsetConfig) -> usize {
         config.max_size.min(self.endpoints) * self.idle_connections
     }
--- a/crates/subset/src/ring.rs
+++ b/crates/subset/src/ring.rs
@@ -1,4 +1,4 @@
-//! Endpoints on a hash ring, and the range of it that one proxy has selected.
+//! A hash ring of endpoints, and the range of it that one proxy has selected.
 
 use crate::partition::{ring_hash, HashRange, Partition};
 use std::collections::BTreeSet;
@@ -11,12 +11,12 @@
     /// Hash and number of each endpoint.
     endpoints: BTreeSet<(u64, u32)>,
     partition: Partition,
-    /// How often the proxy has doubled its range; `None`: nothing of this ring is selected.
+    /// Number of times that the proxy has doubled its range; `None` if no range of this ring is selected.
     doublings: Option<u32>,
 }
 
 impl HashRing {
-    /// An empty ring of the proxy with this number. Nothing of it is selected.
+    /// Creates an empty ring for the proxy with this number, with no range selected.
     pub(crate) fn new(proxy: u32) -> Self {
         HashRing {
             proxy,
@@ -37,17 +37,17 @@
         self.endpoints.remove(&(hash, endpoint));
     }
 
-    /// How often the selected range was doubled; `None` if nothing is selected.
+    /// Number of times that the selected range was doubled; `None` if no range is selected.
     pub(crate) fn doublings(&self) -> Option<u32> {
         self.doublings
     }
 
-    /// Selects the range that was doubled this often, or nothing.
+    /// Selects the range after this number of doublings, or no range.
     pub(crate) fn select(&mut self, doublings: Option<u32>) {
         self.doublings = doublings;
     }
 
-    /// Doubles the selected range. Returns false if nothing is selected or it is the whole ring already.
+    /// Doubles the selected range. Returns false if no range is selected, or if the whole ring already is.
     pub(crate) fn double(&mut self) -> bool {
         let max_doublings = self.partition.max_doublings();
         match &mut self.doublings {
@@ -65,11 +65,11 @@
             .is_some_and(|doublings| self.range(doublings).contains(hash))
     }
 
-    /// Endpoints in the selected range: those of the narrowest range first, then those of each wider one, which repeat
-    /// the narrower ones.
+    /// Endpoints in the selected range: those in the range before any doubling first, followed by those in each doubled
+    /// range, which includes the previous ones again.
     pub(crate) fn selected(&self) -> impl Iterator<Item = u32> + '_ {
-        let widths = self.doublings.into_iter().flat_map(|widest| 0..=widest);
-        widths.flat_map(|doublings| {
+        let doublings = self.doublings.into_iter().flat_map(|current| 0..=current);
+        doublings.flat_map(|doublings| {
             let HashRange { first, last } = self.range(doublings);
             let in_range = self.endpoints.range((first, 0)..=(last, u32::MAX));
             in_range.map(|&(_, endpoint)| endpoint)
@@ -77,10 +77,10 @@
     }
 
     /// Partitions the ring again if its endpoints have become too many or too few for ranges of `target_size`. Returns
-    /// whether it was.
+    /// whether the partition has changed.
     ///
-    /// The proxy may be in another round then, whose ring orders the endpoints differently: `rehash` is called with each
-    /// endpoint and the number of that round, and returns the endpoint's hash there.
+    /// This may move the proxy to another round, whose ring has other hashes. In this case `rehash` is called with each
+    /// endpoint and the number of the new round, and returns the endpoint's hash on the new ring.
     pub(crate) fn repartition(
         &mut self,
         target_size: usize,
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,4 +1,4 @@
-//! The subset of one proxy, as the fleet, the proxy's calls and the health of its members change.
+//! The subset of one proxy, which follows changes of the fleet, of the proxy's calls and of the members' health.
 
 use crate::config::{Instance, SubsetConfig};
 use crate::membership::{Health, MembershipChange};
@@ -12,37 +12,37 @@
 struct Endpoint {
     name: Box<str>,
     in_own_zone: bool,
-    /// Its hash on the ring of the own zone; `None` if it is not on that ring.
+    /// Hash on the ring of the own zone; `None` if the endpoint is not on that ring.
     own_zone_hash: Option<u64>,
-    /// Its hash on the ring of the fleet.
+    /// Hash on the ring of the fleet.
     fleet_hash: u64,
 }
 
 /// Endpoints in the selected ranges.
 struct Selection {
     endpoints: BTreeSet<u32>,
-    /// Whether some were left out, as there are more than the maximum size.
+    /// Whether endpoints were left out because the selected ranges hold more than the maximum size.
     truncated: bool,
 }
 
-/// The endpoints that one proxy keeps to.
+/// The endpoints that one proxy sends calls to.
 ///
-/// Times are in microseconds on the caller's clock.
+/// All times are in microseconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Subset {
     config: SubsetConfig,
     instance: Instance,
     endpoints: BTreeMap<u32, Endpoint>,
-    /// Endpoints of the own zone, where they come first.
+    /// Endpoints in the own zone, if these are preferred; otherwise the ring is empty.
     own_zone_ring: HashRing,
-    /// All endpoints.
+    /// All endpoints of the fleet.
     fleet_ring: HashRing,
     members: BTreeSet<u32>,
-    /// Whether endpoints in the selected ranges are left out, as there are more than the maximum size.
+    /// Whether endpoints are left out because the selected ranges hold more than the maximum size.
     truncated: bool,
     /// When the ranges were last doubled or halved; 0 if never.
     resized_at: Micros,
-    /// When there was last a reason to be larger; 0 if never.
+    /// When there was last a reason for a larger subset; 0 if never.
     demand_at: Micros,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The members, in no order of preference.
+    /// The members. Their order does not express a preference.
     pub fn members(&self) -> impl Iterator<Item = u32> + '_ {
         self.members.iter().copied()
     }
@@ -84,7 +84,7 @@
         self.members.contains(&endpoint)
     }
 
-    /// Estimated number of proxies, this one included, that have each of its members in their subset.
+    /// Estimated number of proxies, this one included, that share each of its members.
     pub fn sharing_proxies(&self) -> u32 {
         let share = self.members.len() as f64 / self.endpoints.len().max(1) as f64;
         let sharing = (f64::from(self.instance.count) * share).ceil() as u32;
@@ -115,7 +115,7 @@
         );
     }
 
-    /// Removes an endpoint that drains or is gone from the fleet. Takes effect with [`Self::apply_list_change`].
+    /// Removes an endpoint that is draining or was removed from the list. Takes effect with [`Self::apply_list_change`].
     pub fn remove(&mut self, endpoint: u32) {
         let Some(known) = self.endpoints.remove(&endpoint) else {
             return;
@@ -126,8 +126,8 @@
         self.fleet_ring.remove(endpoint, known.fleet_hash);
     }
 
-    /// Updates the members after calls of [`Self::add`] and [`Self::remove`] for the endpoints in `changed`. The cost
-    /// grows with their number, unless the fleet has to be partitioned again.
+    /// Updates the members after calls of [`Self::add`] and [`Self::remove`] for the endpoints in `changed`. The cost is
+    /// proportional to the number of these endpoints, unless a ring has to be partitioned again or a size limit is reached.
     pub fn apply_list_change(&mut self, now: Micros, changed: &[u32]) -> MembershipChange {
         let repartitioned = self.repartition();
         let mut change = if repartitioned || self.truncated {
@@ -144,8 +144,9 @@
         change
     }
 
-    /// Resizes the subset: it grows without delay when its members can't take this proxy's calls, and shrinks when they
-    /// could for long. To be called at regular intervals and when the health changes.
+    /// Adjusts the size of the subset. It grows when the usable members are too few for this proxy's calls, and shrinks when
+    /// they were enough for long and half of them would suffice. Must be called at regular intervals and when the health
+    /// changes.
     pub fn adjust_size(&mut self, now: Micros, health: Health) -> MembershipChange {
         if self.is_insufficient(health) {
             self.demand_at = now;
@@ -157,14 +158,14 @@
         }
     }
 
-    /// Whether this proxy's calls are too many for the members that are usable.
+    /// Whether the usable members are too few for this proxy's calls.
     fn is_insufficient(&self, health: Health) -> bool {
         let failing = health.usable == 0 || health.usable * 2 < self.members.len();
         let overloaded = health.in_flight as f64 > self.max_load(health);
         failing || overloaded || health.queued > 0
     }
 
-    /// Calls in flight above which the usable members are too few.
+    /// Number of calls in flight above which the usable members are too few.
     fn max_load(&self, health: Health) -> f64 {
         self.config.max_load_per_member * health.usable as f64
     }
@@ -172,7 +173,7 @@
     fn grow(&mut self, now: Micros, health: Health) -> MembershipChange {
         let next_growth_at = self.resized_at.saturating_add(self.config.growth_interval);
         let too_soon = self.resized_at > 0 && now < next_growth_at;
-        // Without a usable member, calls would fail while it waits.
+        // If no member is usable, the growth interval is ignored, as calls would fail during it.
         if too_soon && health.usable > 0 {
             return MembershipChange::default();
         }
@@ -185,12 +186,12 @@
 
     fn may_shrink(&self, now: Micros, health: Health) -> bool {
         let sufficient_since = self.demand_at.max(self.resized_at);
-        let delay_over = now >= sufficient_since.saturating_add(self.config.shrink_delay);
+        let delay_elapsed = now >= sufficient_since.saturating_add(self.config.shrink_delay);
         let half_would_suffice = (health.in_flight * 4) as f64 <= self.max_load(health);
-        delay_over && half_would_suffice && self.is_widened()
+        delay_elapsed && half_would_suffice && self.is_widened()
     }
 
-    /// Whether more is selected than at first.
+    /// Whether the selected ranges are larger than the initial one.
     fn is_widened(&self) -> bool {
         let doublings = self
             .fleet_ring
@@ -218,8 +219,8 @@
         self.config.min_size.min(self.endpoints.len())
     }
 
-    /// Doubles the selected range: first that of the own zone, then that of the fleet. Returns false if there is no more,
-    /// or no more is allowed.
+    /// Doubles the selected range: first that of the own zone, then that of the fleet. Returns false if the whole fleet is
+    /// already selected, or the maximum size is reached.
     fn widen(&mut self, now: Micros) -> bool {
         if self.members.len() >= self.config.max_size {
             return false;
@@ -249,7 +250,8 @@
         }
     }
 
-    /// Partitions the rings again if the fleet has become too large or too small. Returns whether one was.
+    /// Partitions each ring again if its number of endpoints has become too large or too small for the partition. Returns
+    /// whether a partition has changed.
     fn repartition(&mut self) -> bool {
         let target_size = self.config.target_size;
         let endpoints = &mut self.endpoints;
@@ -267,7 +269,7 @@
         own_zone_changed || fleet_changed
     }
 
-    /// Endpoints in the selected ranges, up to the maximum size: the own zone and narrow ranges first.
+    /// Endpoints in the selected ranges, up to the maximum size. Those in the own zone and in narrower ranges come first.
     fn selection(&self) -> Selection {
         let mut endpoints = BTreeSet::new();
         let selected = self.own_zone_ring.selected();
@@ -293,7 +295,7 @@
         in_own_zone_range || self.fleet_ring.selects(endpoint.fleet_hash)
     }
 
-    /// Makes the selected endpoints the members.
+    /// Sets the members to the selected endpoints, and returns the difference.
     fn update_members(&mut self) -> MembershipChange {
         let Selection {
             endpoints,
@@ -306,7 +308,7 @@
         MembershipChange { added, removed }
     }
 
-    /// The same where only the endpoints in `changed` may have joined or left. Ignores the maximum size.
+    /// Updates the membership of the endpoints in `changed` alone, regardless of the maximum size.
     fn update_changed_members(&mut self, changed: &[u32]) -> MembershipChange {
         let mut change = MembershipChange::default();
         for &id in changed {
--- a/crates/subset/tests/resource_bounds.rs
+++ b/crates/subset/tests/resource_bounds.rs
@@ -1,4 +1,4 @@
-//! The formulas against the figures of the documentation.
+//! Tests that the bounds match the figures in the documentation.
 
 use badgerramp_subset::{ResourceBounds, SubsetConfig};
 
@@ -10,9 +10,9 @@
         idle_connections: 1,
     };
     let config = SubsetConfig::with_size(20);
-    // 64 ranges of 15.6 endpoints: 31.25 rounds.
+    // There are 64 ranges of 15.6 endpoints, and 31.25 rounds.
     assert_eq!(bounds.proxies_per_endpoint(&config), 32);
-    // Three doublings from 15.6 reach beyond 80.
+    // Three doublings of 15.6 endpoints exceed the maximum size of 80.
     assert_eq!(bounds.max_proxies_per_endpoint(&config), 250);
     assert_eq!(bounds.max_connections_per_proxy(&config), 80);
     let small = ResourceBounds {
--- a/crates/subset/tests/subset.rs
+++ b/crates/subset/tests/subset.rs
@@ -1,4 +1,4 @@
-//! How the subset changes with the list, the calls and the health of its members.
+//! Tests of how the subset changes with the list, the calls and the health of its members.
 
 use badgerramp_subset::{Health, Instance, MembershipChange, Subset, SubsetConfig};
 use proptest::prelude::*;
@@ -42,7 +42,7 @@
     }
     assert!(
         proxies_per_endpoint.iter().all(|&proxies| proxies == 10),
-        "64 proxies a round, ten rounds: {proxies_per_endpoint:?}"
+        "there are ten rounds of 64 proxies: {proxies_per_endpoint:?}"
     );
 }
 
@@ -58,7 +58,7 @@
             1_000,
         );
         let before = members(&subset);
-        let removed = *before.iter().next().expect("some");
+        let removed = *before.iter().next().expect("at least one member");
         subset.remove(removed);
         let changes = subset.apply_list_change(SECOND, &[removed]);
         assert_eq!(
@@ -94,7 +94,7 @@
         },
     );
     assert!(changes.removed.is_empty() && changes.added.iter().all(|e| !first.contains(e)));
-    // Still no member is usable: the growth interval is not observed.
+    // The growth interval is ignored, as still no member is usable.
     let more = subset.adjust_size(
         SECOND,
         Health {
@@ -109,12 +109,12 @@
     }
     assert!(
         members(&subset).len() <= 40,
-        "never beyond the maximum size"
+        "the subset does not grow beyond the maximum size"
     );
 }
 
 #[test]
-fn overload_grows_subset_in_steps_and_calm_shrinks_it_back() {
+fn overload_grows_subset_in_steps_and_low_load_shrinks_it_to_initial_members() {
     let mut subset = subset_of_fleet(
         SubsetConfig::with_size(10),
         Instance {
@@ -134,7 +134,7 @@
     let health = overloaded(&subset);
     assert!(
         subset.adjust_size(SECOND + 1_000, health).is_empty(),
-        "the effect of the step must show first"
+        "the subset does not grow again within the growth interval"
     );
     let now = 3 * SECOND;
     let health = overloaded(&subset);
@@ -147,7 +147,7 @@
         assert!(subset.adjust_size(at, health).added.is_empty());
         at += 31 * SECOND;
     }
-    assert_eq!(members(&subset), first, "the range that is its own");
+    assert_eq!(members(&subset), first, "the initial range is selected");
 }
 
 #[test]
@@ -170,7 +170,7 @@
     }
     let all = members(&subset);
     assert!(all.len() <= 40 && !all.is_empty());
-    // A zone of two endpoints is smaller than the minimum size: others are added.
+    // A zone of two endpoints is smaller than the minimum size, so endpoints in other zones are added.
     let mut subset = Subset::new(
         config,
         Instance {
@@ -225,7 +225,7 @@
     }
 }
 
-/// One event in the life of a subset.
+/// A change of the fleet or of the load.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Add {
@@ -236,8 +236,8 @@
         endpoint: u32,
     },
     AdjustSize(Health),
-    /// A time without calls that is long enough to shrink.
-    Calm,
+    /// A time without calls that is long enough for the subset to shrink.
+    Idle,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -252,15 +252,15 @@
             in_flight: 3,
             queued: usize::from(queued),
         })),
-        1 => Just(Step::Calm),
+        1 => Just(Step::Idle),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// For any sequence of changes: the members are listed endpoints, neither too few nor too many, and each reported change
-    /// turns the old members into the new ones.
+    /// For any sequence of steps, the members are listed endpoints, their number is within the limits, and each reported
+    /// change turns the previous members into the current ones.
     #[test]
     fn reported_changes_match_members_within_size_limits(
         number in 0_u32..300,
@@ -287,7 +287,7 @@
                     subset.apply_list_change(now, &[endpoint])
                 }
                 Step::AdjustSize(health) => subset.adjust_size(now, health),
-                Step::Calm => {
+                Step::Idle => {
                     now += 40 * SECOND;
                     let health = Health { usable: subset.member_count(), in_flight: 0, queued: 0 };
                     subset.adjust_size(now, health)
