--- a/crates/endpoint-watch/src/backoff.rs
+++ b/crates/endpoint-watch/src/backoff.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns the delay after another failure. It has no jitter if the bounds are equal, which is the case for an agent:
-    /// as only one proxy polls it, there are no other retries to spread.
+    /// Returns the delay after another failure. It has no jitter if the bounds are equal, which is the case for an
+    /// agent: as only one proxy polls it, there are no other retries to spread.
     pub(crate) fn next_delay(&mut self) -> Micros {
         let BackoffBounds { min, max } = self.bounds;
         let delay = (min << self.doublings).min(max);
--- a/crates/endpoint-watch/src/event.rs
+++ b/crates/endpoint-watch/src/event.rs
@@ -41,8 +41,8 @@
 pub enum ProtocolViolation {
     /// The response to a poll for the complete list holds changes. It is discarded.
     ChangesInsteadOfList,
-    /// The response holds changes up to an index lower than the requested one, so it comes from another incarnation of the
-    /// service. It is discarded, and the complete list is fetched.
+    /// The response holds changes up to an index lower than the requested one, so it comes from another incarnation of
+    /// the service. It is discarded, and the complete list is fetched.
     IndexWentBack {
         /// Index after which the poll requested changes.
         requested: u64,
@@ -60,8 +60,8 @@
 }
 
 impl ProtocolViolation {
-    /// Compares a response with its poll, which requested changes after the index `requested`, or the complete list if that
-    /// is `None`.
+    /// Compares a response with its poll, which requested changes after the index `requested`, or the complete list if
+    /// that is `None`.
     pub(crate) fn detect(requested: Option<u64>, received: u64, complete: bool) -> Option<Self> {
         let Some(requested) = requested else {
             return (!complete).then_some(Self::ChangesInsteadOfList);
@@ -89,7 +89,8 @@
 pub enum Output {
     /// Send a poll.
     Send {
-        /// Identifier of the poll, which the caller passes back with [`Input::Response`], [`Input::Failed`] or [`Input::Rejected`].
+        /// Identifier of the poll, which the caller passes back with [`Input::Response`], [`Input::Failed`] or
+        /// [`Input::Rejected`].
         poll: PollId,
         /// Request changes after this index; `None` requests the complete list.
         index: Option<u64>,
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -1,18 +1,19 @@
 //! The long-poll watch on the endpoint list: when the list is polled, when a response is overdue, and which response is
 //! accepted.
 //!
-//! The list service's protocol has deadlines: a proxy counts as notified of a draining endpoint some time after the change,
-//! whether or not its watch has received it. This crate ensures that a proxy that counts as notified has received the
-//! change in time to act on it:
+//! The list service's protocol has deadlines: a proxy counts as notified of a draining endpoint some time after the
+//! change, whether or not its watch has received it. This crate ensures that a proxy that counts as notified has
+//! received the change in time to act on it:
 //!
 //! - [`Timeouts`] derives from the protocol's deadlines how long a poll may wait at the source.
-//! - [`Watch`] is the state machine. It sends one poll at a time, and a second one over a new connection when the response
-//!   is overdue. It accepts at most one of the two responses.
+//! - [`Watch`] is the state machine. It sends one poll at a time, and a second one over a new connection when the
+//!   response is overdue. It accepts at most one of the two responses.
 //! - [`PollSchedule`] spreads the polls of a large fleet of proxies that share one list service.
-//! - [`StallDetector`] detects that the process was stopped, so that it reads pending responses before it sends requests.
+//! - [`StallDetector`] detects that the process was stopped, so that it reads pending responses before it sends
+//!   requests.
 //!
-//! The crate owns the state of one watch. It never does I/O, reads no clock and does not keep the list itself: the caller
-//! passes each input with the current time, and carries out the outputs.
+//! The crate owns the state of one watch. It never does I/O, reads no clock and does not keep the list itself: the
+//! caller passes each input with the current time, and carries out the outputs.
 //!
 //! ```
 //! use badgerramp_endpoint_watch::{Input, Output, Source, TimeoutConfig, Timeouts, Watch};
--- a/crates/endpoint-watch/src/pacing.rs
+++ b/crates/endpoint-watch/src/pacing.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Resets the backoff of the previous source. A fleet's schedule keeps its failure count, as its initial delay spreads
-    /// the polls.
+    /// Resets the backoff of the previous source. A fleet's schedule keeps its failure count, as its initial delay
+    /// spreads the polls.
     pub(crate) fn on_source_changed(&mut self) {
         if let Self::Single(backoff) = self {
             backoff.reset();
--- a/crates/endpoint-watch/src/poll_schedule.rs
+++ b/crates/endpoint-watch/src/poll_schedule.rs
@@ -1,7 +1,7 @@
 //! Spreads the polls of a large fleet of proxies over time.
 //!
-//! After a power failure all proxies start at the same time. If all of them retried in quick succession, a list service that
-//! handles one poll at a time would not complete any, so the spread grows with the number of proxies.
+//! After a power failure all proxies start at the same time. If all of them retried in quick succession, a list service
+//! that handles one poll at a time would not complete any, so the spread grows with the number of proxies.
 
 use crate::Micros;
 use rand::{Rng, SeedableRng};
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Delay before the first poll, uniformly distributed over the spread window. This applies to proxies without a list as
-    /// well: earlier polls would not be answered sooner, as the service also handles polls that have timed out.
+    /// Delay before the first poll, uniformly distributed over the spread window. This applies to proxies without a
+    /// list as well: earlier polls would not be answered sooner, as the service also handles polls that have timed out.
     pub fn initial_delay(&mut self) -> Micros {
         self.random_up_to(self.config.spread_window())
     }
 
-    /// Delay after a failed poll. It is half of the spread window at first, and doubles up to twice the window; a random
-    /// part of up to half of the delay is subtracted.
+    /// Delay after a failed poll. It is half of the spread window at first, and doubles up to twice the window; a
+    /// random part of up to half of the delay is subtracted.
     pub fn retry_delay(&mut self) -> Micros {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
@@ -90,15 +90,16 @@
         self.failures = 0;
     }
 
-    /// Delay before the poll that follows a change of the list. Without it, all proxies would poll at the same time, as they
-    /// receive a change at the same time. Changes during the delay are not lost, as the poll contains the index of the list.
+    /// Delay before the poll that follows a change of the list. Without it, all proxies would poll at the same time, as
+    /// they receive a change at the same time. Changes during the delay are not lost, as the poll contains the index of
+    /// the list.
     pub fn delay_after_update(&mut self) -> Micros {
         self.failures = 0;
         self.random_up_to(self.config.spread_window() / u64::from(POLLS_AT_START))
     }
 
-    /// How long the service should hold the next poll. A random part is subtracted, so that watches that start at the same
-    /// time do not keep ending at the same time.
+    /// How long the service should hold the next poll. A random part is subtracted, so that watches that start at the
+    /// same time do not keep ending at the same time.
     pub fn next_wait(&mut self, idle: bool) -> Micros {
         let wait = if idle {
             self.config.idle_wait
--- a/crates/endpoint-watch/src/poll_schedule/tests.rs
+++ b/crates/endpoint-watch/src/poll_schedule/tests.rs
@@ -11,8 +11,8 @@
     max_polls_per_second: u64,
 }
 
-/// Simulates `proxies` that start at the same time, with a service that handles one poll at a time and drops polls that have
-/// waited for longer than `QUEUE_TIMEOUT`.
+/// Simulates `proxies` that start at the same time, with a service that handles one poll at a time and drops polls that
+/// have waited for longer than `QUEUE_TIMEOUT`.
 fn simulate_fleet_start(proxies: u32, spread: bool) -> FleetStart {
     const SERVICE_TIME: Micros = 10_000;
     const QUEUE_TIMEOUT: Micros = 3_000_000;
--- a/crates/endpoint-watch/src/stall_detector.rs
+++ b/crates/endpoint-watch/src/stall_detector.rs
@@ -1,7 +1,7 @@
 //! Detects that this process was stopped for a while (by SIGSTOP, or for lack of processor time).
 //!
-//! When a process continues after a stall, both client requests and responses of the list source are pending. It must read
-//! the responses before it sends requests based on its old list.
+//! When a process continues after a stall, both client requests and responses of the list source are pending. It must
+//! read the responses before it sends requests based on its old list.
 
 use crate::timeouts::lateness_tolerance;
 use crate::Micros;
@@ -22,8 +22,8 @@
 }
 
 impl StallDetector {
-    /// Creates a detector that expects its first tick at `first_tick_at`. `drain_grace` is the time within which requests to
-    /// a draining endpoint must end; a stall shorter than half of it is not detected.
+    /// Creates a detector that expects its first tick at `first_tick_at`. `drain_grace` is the time within which
+    /// requests to a draining endpoint must end; a stall shorter than half of it is not detected.
     pub fn new(first_tick_at: Micros, drain_grace: Micros) -> Self {
         StallDetector {
             tolerance: lateness_tolerance(drain_grace),
@@ -40,8 +40,8 @@
         self.next_tick_at = now + interval;
     }
 
-    /// How long requests must be held so that the data that arrived during a stall is read first; `None` if there was no
-    /// stall.
+    /// How long requests must be held so that the data that arrived during a stall is read first; `None` if there was
+    /// no stall.
     pub fn catch_up_time(&self, now: Micros) -> Option<Micros> {
         if self.tick_overdue(now) {
             // The process has continued, and this task runs before the late tick is recorded.
--- a/crates/endpoint-watch/src/watch.rs
+++ b/crates/endpoint-watch/src/watch.rs
@@ -1,5 +1,5 @@
-//! The state machine of the watch. It sends one poll at a time, and a second one in parallel when the response to the first
-//! is overdue. It accepts at most one of the two responses.
+//! The state machine of the watch. It sends one poll at a time, and a second one in parallel when the response to the
+//! first is overdue. It accepts at most one of the two responses.
 
 use crate::backoff::Backoff;
 use crate::event::{Input, Output, PollId, ProtocolViolation};
@@ -9,11 +9,11 @@
 use crate::timeouts::{Source, Timeouts, SERVICE_RESPONSE_TIMEOUT};
 use crate::Micros;
 
-/// Delay after a response that came sooner than this and held no change, so that a faulty service is not polled in a tight
-/// loop. It is well below the 200 ms within which the next poll must arrive to continue the watch.
+/// Delay after a response that came sooner than this and held no change, so that a faulty service is not polled in a
+/// tight loop. It is well below the 200 ms within which the next poll must arrive to continue the watch.
 const EMPTY_RESPONSE_DELAY: Micros = 50_000;
-/// Lateness of a timer above which the whole process must have been stalled. Such a timer does not show that the source is
-/// silent, as its response may have arrived during the stall.
+/// Lateness of a timer above which the whole process must have been stalled. Such a timer does not show that the source
+/// is silent, as its response may have arrived during the stall.
 const TIMER_DELAY_TOLERANCE: Micros = 100_000;
 /// Maximum number of polls in flight: the watch, and a second poll while its response is overdue.
 const MAX_IN_FLIGHT: usize = 2;
@@ -47,11 +47,11 @@
     next_poll_at: Option<Micros>,
     /// Time before which no poll becomes overdue, so that responses that arrived during a stall are read first.
     overdue_not_before: Micros,
-    /// Whether the current connection was without a poll for longer than a watch lasts, and may be dead without having been
-    /// closed.
+    /// Whether the current connection was without a poll for longer than a watch lasts, and may be dead without having
+    /// been closed.
     connection_suspect: bool,
-    /// Whether the last poll was rejected. The next poll must then be given time to wait in the service's queue, as a second
-    /// poll sent in parallel would displace it there.
+    /// Whether the last poll was rejected. The next poll must then be given time to wait in the service's queue, as a
+    /// second poll sent in parallel would displace it there.
     service_overloaded: bool,
     pacing: Pacing,
 }
@@ -107,8 +107,9 @@
             .min()
     }
 
-    /// Handles `input` at time `now`, and appends the resulting outputs to `out`. `idle` tells that the proxy has received no
-    /// calls for long, so that the longer wait of [`PollConfig::idle_wait`](crate::PollConfig::idle_wait) applies.
+    /// Handles `input` at time `now`, and appends the resulting outputs to `out`. `idle` tells that the proxy has
+    /// received no calls for long, so that the longer wait of [`PollConfig::idle_wait`](crate::PollConfig::idle_wait)
+    /// applies.
     pub fn handle(&mut self, now: Micros, input: Input, idle: bool, out: &mut Vec<Output>) {
         match input {
             Input::Start => self.on_start(now),
@@ -222,7 +223,8 @@
         }
         out.push(Output::Overdue(newest));
         if self.in_flight.len() == MAX_IN_FLIGHT {
-            // The newer poll continues: its connection may have been established late, and it may be in the service's queue.
+            // The newer poll continues: its connection may have been established late, and it may be in the service's
+            // queue.
             let oldest = self.in_flight.remove(0);
             out.push(Output::Cancel(oldest.id));
             if self.timeouts.source == Source::Service {
@@ -268,8 +270,8 @@
         });
     }
 
-    /// Whether a timer that fires at `now` is so late that this process must have been stalled. It is true at most once for
-    /// each poll; otherwise a proxy with almost no processor time would never treat a poll as overdue.
+    /// Whether a timer that fires at `now` is so late that this process must have been stalled. It is true at most once
+    /// for each poll; otherwise a proxy with almost no processor time would never treat a poll as overdue.
     fn timer_was_delayed(&self, now: Micros) -> bool {
         let first_time = self
             .in_flight
@@ -283,7 +285,8 @@
 
     /// When the response to `poll` becomes overdue.
     fn response_deadline(&self, poll: &InFlightPoll) -> Micros {
-        // A poll for the complete list has no wait of its own, but the same deadline, as its connection may be dead as well.
+        // A poll for the complete list has no wait of its own, but the same deadline, as its connection may be dead as
+        // well.
         let wait = poll.index.map_or(self.timeouts.wait, |_| poll.wait);
         let deadline = poll.sent_at + poll.queue_time + wait + self.timeouts.response_slack;
         deadline.max(self.overdue_not_before)
--- a/crates/endpoint-watch/tests/notification_deadline/main.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/main.rs
@@ -1,6 +1,7 @@
-//! Random scenarios in virtual time: watches go silent, connections hang, responses are late or reset, the service is down
-//! for a while and rejects one more poll when it recovers. The tests check that every change is received before the drain
-//! grace period ends, which begins when the proxy counts as notified, and that the number of polls is bounded.
+//! Random scenarios in virtual time: watches go silent, connections hang, responses are late or reset, the service is
+//! down for a while and rejects one more poll when it recovers. The tests check that every change is received before
+//! the drain grace period ends, which begins when the proxy counts as notified, and that the number of polls is
+//! bounded.
 
 mod scenario;
 mod simulation;
@@ -27,7 +28,8 @@
         let scenario = Scenario { silences: Vec::new(), resets: Vec::new(), outages, ..scenario };
         let outcome = simulate(&scenario, 90_000_000);
         prop_assert!(outcome.max_delay <= scenario.drain_grace, "{outcome:?}");
-        // During an outage each proxy polls about once a second, so that the service is not overloaded when it recovers.
+        // During an outage each proxy polls about once a second, so that the service is not overloaded when it
+        // recovers.
         let down: Micros = scenario.outages.iter().map(|outage| outage.until - outage.from).sum();
         let bound = 2 * 90_000_000 / 1_500_000 + 4 * down / 1_000_000 + 8 * scenario.outages.len() as u64;
         prop_assert!(outcome.polls <= bound + 2 * scenario.changes.len() as u64, "{outcome:?} of {bound}");
@@ -37,7 +39,8 @@
     fn poll_count_stays_bounded(scenario in scenario()) {
         let outcome = simulate(&scenario, 60_000_000);
         prop_assert!(outcome.max_in_flight <= 2);
-        // There is one poll for each wait of at least 1.5 s and a second one in parallel, and two for each change and reset.
+        // There is one poll for each wait of at least 1.5 s and a second one in parallel, and two for each change and
+        // reset.
         let bound = 2 * 60_000_000 / 1_500_000 + 2 * (scenario.changes.len() + scenario.resets.len()) as u64 + 4;
         prop_assert!(outcome.polls <= bound, "{outcome:?}");
     }
--- a/crates/endpoint-watch/tests/notification_deadline/scenario.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/scenario.rs
@@ -67,7 +67,8 @@
                 drain_grace,
                 wait: None,
                 changes: changes.into_iter().collect(),
-                // The silences are far apart, as a second one before the recovery from the first would be another fault.
+                // The silences are far apart, as a second one before the recovery from the first would be another
+                // fault.
                 silences: vec![silence, silence + 20_000_000],
                 resets: resets.into_iter().collect(),
                 latencies,
--- a/crates/endpoint-watch/tests/notification_deadline/simulation.rs
+++ b/crates/endpoint-watch/tests/notification_deadline/simulation.rs
@@ -197,8 +197,9 @@
         self.outcome.polls += 1;
     }
 
-    /// Makes a poll fail or go silent if it is sent during an outage, or is the first one after it.
-    fn apply_outages(&mut self, poll: &mut SimulatedPoll, fresh_connection: bool) {
+    /// Makes a poll fail or go silent if it is sent during an outage, or is the first one after it. `reconnects` tells
+    /// whether the poll is sent on a new connection.
+    fn apply_outages(&mut self, poll: &mut SimulatedPoll, reconnects: bool) {
         let now = self.now;
         for state in &mut self.outages {
             let outage = state.outage;
@@ -206,9 +207,7 @@
                 match outage.kind {
                     OutageKind::Refusing => poll.refuse(now),
                     // An existing connection stays silent; a new one times out.
-                    OutageKind::Silent if fresh_connection => {
-                        poll.fails_at = Some(now + CONNECT_TIMEOUT)
-                    }
+                    OutageKind::Silent if reconnects => poll.fails_at = Some(now + CONNECT_TIMEOUT),
                     OutageKind::Silent => poll.silent_since = Some(now),
                 }
             } else if now >= outage.until && !std::mem::replace(&mut state.has_rejected, true) {
--- a/crates/endpoint-watch/tests/timeouts.rs
+++ b/crates/endpoint-watch/tests/timeouts.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// For any drain grace period, and whenever a watch goes silent, the proxy receives a change while at least half of the
-    /// grace period after its notification is left. From an agent, a change is received within the grace period.
+    /// For any drain grace period, and whenever a watch goes silent, the proxy receives a change while at least half of
+    /// the grace period after its notification is left. From an agent, a change is received within the grace period.
     #[test]
     fn notified_proxy_has_received_change(drain_grace in 300_000u64..5_000_000, silence_share in 0.0f64..=1.0) {
         let service = Timeouts::derive(TimeoutConfig { source: Source::Service, drain_grace, wait: None });
--- a/crates/endpoint-watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -99,8 +99,8 @@
         harness.respond(2_700_000, 1, 42, false),
         [Output::Accept, sent(2, Some(42), 2_000_000, false)]
     );
-    // An immediate response without a change delays the next poll, by less than the 200 ms within which it continues the
-    // watch.
+    // An immediate response without a change delays the next poll, by less than the 200 ms within which it continues
+    // the watch.
     assert_eq!(harness.respond(2_700_010, 2, 42, false), [Output::Accept]);
     assert_eq!(
         harness.advance_to_deadline(),
@@ -203,9 +203,9 @@
     assert_eq!(third.in_flight(), [1]);
 }
 
-/// An overloaded service rejects a poll immediately, or queues it for up to three seconds. Guards against sending a second
-/// poll in parallel to a queued one: when it was rejected, the queued one was cancelled as well, so that the proxy went to
-/// the end of the queue each time.
+/// An overloaded service rejects a poll immediately, or queues it for up to three seconds. Guards against sending a
+/// second poll in parallel to a queued one: when it was rejected, the queued one was cancelled as well, so that the
+/// proxy went to the end of the queue each time.
 #[test]
 fn poll_after_rejection_allows_for_service_queue() {
     const RESPONSE_SLACK: Micros = 500_000;
@@ -339,8 +339,8 @@
     assert_eq!(harness.watch.index(), Some(7));
 }
 
-/// SIGHUP can change the source at any time, even while a poll is overdue. Polls in flight are cancelled, and the complete
-/// list is fetched.
+/// SIGHUP can change the source at any time, even while a poll is overdue. Polls in flight are cancelled, and the
+/// complete list is fetched.
 #[test]
 fn source_change_fetches_complete_list_immediately() {
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -358,7 +358,8 @@
     assert_eq!(harness.advance_to_deadline(), (7_600_000, out));
 }
 
-/// Guards against a backoff of several seconds, which leaves no time for a response before the proxy counts as notified.
+/// Guards against a backoff of several seconds, which leaves no time for a response before the proxy counts as
+/// notified.
 #[test]
 fn backoff_is_bounded_and_leaves_time_for_response() {
     let mut harness = Harness::new(Source::Service, Some(41));
@@ -412,8 +413,8 @@
     assert!(harness.advance_to_deadline().0 - now - 1 <= 500_000);
 }
 
-/// Guards against losing a response that arrived during a stall: a timer that ran before the response was read cancelled the
-/// poll and closed its connection.
+/// Guards against losing a response that arrived during a stall: a timer that ran before the response was read
+/// cancelled the poll and closed its connection.
 #[test]
 fn delayed_timer_lets_pending_responses_be_read_first() {
     let mut harness = Harness::new(Source::Service, Some(41));
--- a/crates/gossip/src/acceptance.rs
+++ b/crates/gossip/src/acceptance.rs
@@ -13,8 +13,8 @@
 use crate::Micros;
 
 /// How long the service must keep sending a list from which more than half of the endpoints are missing. It is longer
-/// than a service that has just started sends incomplete lists while it loads. If the endpoints are really gone, calls to
-/// them fail during the quarantine and are retried at other endpoints.
+/// than a service that has just started sends incomplete lists while it loads. If the endpoints are really gone, calls
+/// to them fail during the quarantine and are retried at other endpoints.
 pub const PARTIAL_LIST_QUARANTINE: Micros = 2_000_000;
 
 /// How long the service must keep sending an older list. The delay does no harm after a restore of the service, as the
--- a/crates/gossip/src/acceptance/tests.rs
+++ b/crates/gossip/src/acceptance/tests.rs
@@ -124,8 +124,8 @@
 }
 
 proptest! {
-    /// Messages from peers arrive in any order, and are duplicated or lost: the accepted list is always the newest list that
-    /// was offered, without the endpoints that were removed from it.
+    /// Messages from peers arrive in any order, and are duplicated or lost: the accepted list is always the newest list
+    /// that was offered, without the endpoints that were removed from it.
     #[test]
     fn newest_offered_list_is_the_accepted_one_in_any_order(messages in prop::collection::vec((1..3u32, 0..6u64, any::<bool>()), 1..40)) {
         // Each version of the list has different endpoints.
--- a/crates/gossip/src/endpoint_list.rs
+++ b/crates/gossip/src/endpoint_list.rs
@@ -7,8 +7,8 @@
 /// The status of an endpoint that takes calls.
 const STATUS_UP: &str = "up";
 
-/// Identifies a list. Versions are ordered from old to new: by incarnation, then by index. Different lists with the same
-/// index are ordered by their digests, so that all proxies choose the same one.
+/// Identifies a list. Versions are ordered from old to new: by incarnation, then by index. Different lists with the
+/// same index are ordered by their digests, so that all proxies choose the same one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -10,8 +10,9 @@
 //! - [`simulation`]: a fleet of peers in virtual time, on a network that loses, duplicates and delays messages.
 //!
 //! The crate owns the accepted list of a proxy, its view of the fleet's membership and its schedule of polls. It never
-//! does I/O and never reads a clock: the caller passes each input to [`peer::Peer`] with the current time in microseconds,
-//! and carries out the outputs (messages, polls and reports). How the list affects calls is decided by other crates.
+//! does I/O and never reads a clock: the caller passes each input to [`peer::Peer`] with the current time in
+//! microseconds, and carries out the outputs (messages, polls and reports). How the list affects calls is decided by
+//! other crates.
 //!
 //! ```
 //! use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
--- a/crates/gossip/src/peer/interface.rs
+++ b/crates/gossip/src/peer/interface.rs
@@ -13,8 +13,8 @@
     pub address: SocketAddr,
     /// The proxy's identifier, drawn at random at each start.
     pub id: PeerId,
-    /// Unix time in milliseconds at which the proxy started, plus one for each time that it was falsely declared down. Of
-    /// two identities with the same address, the one with the later time is valid.
+    /// Unix time in milliseconds at which the proxy started, plus one for each time that it was falsely declared down.
+    /// Of two identities with the same address, the one with the later time is valid.
     pub started: u64,
 }
 
@@ -77,7 +77,7 @@
     pub index: u64,
     /// The entries of the list, or the changes.
     pub changes: Vec<EndpointChange>,
-    /// Time from the poll to the answer.
+    /// Time from sending the poll to receiving the answer.
     pub latency: Micros,
     /// Whether the service answered without holding the poll until the list changed.
     pub immediate: bool,
@@ -153,28 +153,28 @@
 /// Counters since the start of the proxy. The JSON field names are those of earlier versions, for compatibility.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metrics {
-    /// Messages sent.
+    /// Number of messages sent.
     pub sent: u64,
-    /// Bytes of the messages sent.
+    /// Total size of the messages sent, in bytes.
     pub sent_bytes: u64,
-    /// Messages not sent because of the rate limit.
+    /// Number of messages not sent because of the rate limit.
     #[serde(rename = "held_back")]
     pub rate_limited: u64,
-    /// Messages received and decoded.
+    /// Number of messages received and decoded.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Received messages that could not be decoded.
+    /// Number of received messages that could not be decoded.
     pub malformed: u64,
-    /// Lists whose parts did not form the list that their version identifies.
+    /// Number of lists whose parts did not form the list that their version identifies.
     #[serde(rename = "torn")]
     pub checksum_mismatch: u64,
-    /// Polls of the list service.
+    /// Number of polls of the list service.
     #[serde(rename = "questions")]
     pub polls: u64,
-    /// Polls that failed.
+    /// Number of polls that failed.
     #[serde(rename = "failed")]
     pub polls_failed: u64,
-    /// Lists from the service that were quarantined.
+    /// Number of lists from the service that were quarantined.
     #[serde(rename = "doubted")]
     pub quarantined: u64,
 }
--- a/crates/gossip/src/peer/message.rs
+++ b/crates/gossip/src/peer/message.rs
@@ -1,7 +1,7 @@
 //! The messages between peers, encoded with [postcard](https://postcard.jamesmunns.com/wire-format).
 //!
-//! During an upgrade, peers of different versions are members of one fleet, so the order of fields and variants must not
-//! change.
+//! During an upgrade, peers of different versions are members of one fleet, so the order of fields and variants must
+//! not change.
 
 use super::Member;
 use crate::endpoint_list::{EndpointChange, ListVersion};
--- a/crates/gossip/src/peer/mod.rs
+++ b/crates/gossip/src/peer/mod.rs
@@ -48,8 +48,8 @@
 use timers::MIN_STATUS_INTERVAL;
 use transfer::Transfer;
 
-/// Maximum size of a message in bytes, without its authentication. Together with that and the UDP and IP headers, it fits
-/// into any Ethernet frame.
+/// Maximum size of a message in bytes, without its authentication. Together with that and the UDP and IP headers, it
+/// fits into any Ethernet frame.
 pub const MAX_MESSAGE_SIZE: usize = 1_200;
 
 const _: () = assert!(PART_SIZE < MAX_SWIM_MESSAGE && MAX_SWIM_MESSAGE < MAX_MESSAGE_SIZE);
--- a/crates/gossip/src/peer/poll.rs
+++ b/crates/gossip/src/peer/poll.rs
@@ -14,15 +14,16 @@
 /// How long the service may hold a poll until the list changes.
 const POLL_WAIT: Micros = 10_000_000;
 
-/// How long the service may hold a poll of a proxy that is not a healthy poller. It is short, as the answer shows that the
-/// service is reachable.
+/// How long the service may hold a poll of a proxy that is not a healthy poller. It is short, as the answer shows that
+/// the service is reachable.
 const FIRST_POLL_WAIT: Micros = 1_000_000;
 
-/// Minimum delay before the next poll after an answer that came sooner than this without a newer list, or whose changes do
-/// not apply to the accepted list.
+/// Minimum delay before the next poll after an answer that came sooner than this without a newer list, or whose changes
+/// do not apply to the accepted list.
 const UNCHANGED_ANSWER_DELAY: Micros = 50_000;
 
-/// Minimum delay between polls while a list is quarantined, as the service answers polls for the complete list immediately.
+/// Minimum delay between polls while a list is quarantined, as the service answers polls for the complete list
+/// immediately.
 const QUARANTINE_POLL_DELAY: Micros = PARTIAL_LIST_QUARANTINE / 4;
 
 impl Peer {
@@ -110,8 +111,8 @@
         self.acceptance.version().map(|version| version.index)
     }
 
-    /// How long the service may hold the next poll. The wait has jitter, so that polls that began at the same time do not
-    /// keep ending at the same time.
+    /// How long the service may hold the next poll. The wait has jitter, so that polls that began at the same time do
+    /// not keep ending at the same time.
     fn poll_wait(&mut self) -> Micros {
         let wait = if self.polling.is_healthy_poller() {
             POLL_WAIT
@@ -121,8 +122,8 @@
         wait - self.random.gen_range(0..=wait / 8)
     }
 
-    /// Reports a newly accepted list and sends it to some peers. `previous` is the version accepted before; `source` is the
-    /// peer that sent the list, or `None` if the service did.
+    /// Reports a newly accepted list and sends it to some peers. `previous` is the version accepted before; `source` is
+    /// the peer that sent the list, or `None` if the service did.
     pub(super) fn publish_list(
         &mut self,
         now: Micros,
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Encodes the message that announces a new list to peers. It holds the changes, the complete list or its version: the
-    /// first of these that fits into one message.
+    /// Encodes the message that announces a new list to peers. It holds the changes, the complete list or its version:
+    /// the first of these that fits into one message.
     fn encode_list_update(
         &mut self,
         now: Micros,
--- a/crates/gossip/src/peer/send.rs
+++ b/crates/gossip/src/peer/send.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Chooses up to `count` peers at random, except `excluded`. While few members are known, seeds and recent senders are
-    /// candidates as well.
+    /// Chooses up to `count` peers at random, except `excluded`. While few members are known, seeds and recent senders
+    /// are candidates as well.
     pub(super) fn random_peers(
         &mut self,
         count: usize,
--- a/crates/gossip/src/peer/timers.rs
+++ b/crates/gossip/src/peer/timers.rs
@@ -40,8 +40,8 @@
         // The library expects timers that are due together in this order.
         due.sort();
         for timer in due {
-            // The library reports an error for a late timer, which is normal after the process was suspended. It recovers
-            // by itself.
+            // The library reports an error for a late timer, which is normal after the process was suspended. It
+            // recovers by itself.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
         }
         self.process_swim_outputs(now, out);
--- a/crates/gossip/src/peer/transfer.rs
+++ b/crates/gossip/src/peer/transfer.rs
@@ -80,8 +80,8 @@
         self.send(now, from, Message::ListRequest(request), out);
     }
 
-    /// Requests the missing parts again if the transfer is stalled, from the last sender or from another peer that may have
-    /// the list.
+    /// Requests the missing parts again if the transfer is stalled, from the last sender or from another peer that may
+    /// have the list.
     pub(super) fn retry_transfer(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(transfer) = self.transfer.as_mut() else {
             return;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Numbers of the parts to answer a request with: the requested ones, or all parts in order from a random one on, so
-    /// that several senders of a long list begin with different parts.
+    /// Numbers of the parts to answer a request with: the requested ones, or all parts in order from a random one on,
+    /// so that several senders of a long list begin with different parts.
     fn parts_to_send(&mut self, own: Option<ListVersion>, request: &ListRequest) -> Vec<u16> {
         let count = self.packed.as_ref().map_or(0, PackedList::parts);
         if request.partial_version == own && !request.parts.is_empty() {
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Begins the transfer of this part's list, unless the same or a newer list is being transferred. Returns `false` if the
-    /// number of parts is invalid.
+    /// Begins the transfer of this part's list, unless the same or a newer list is being transferred. Returns `false`
+    /// if the number of parts is invalid.
     fn begin_transfer(&mut self, now: Micros, sender: SocketAddr, part: &ListPart) -> bool {
         let current = self.transfer.as_ref().map(|t| t.list.version);
         if current >= Some(part.version) {
--- a/crates/gossip/src/polling/known.rs
+++ b/crates/gossip/src/polling/known.rs
@@ -5,13 +5,13 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Time without a newer status after which a healthy poller is ignored. A poller announces its status once a second, and
-/// an announcement takes about seven rounds of gossip to reach two thousand proxies.
+/// Time without a newer status after which a healthy poller is ignored. A poller announces its status once a second,
+/// and an announcement takes about seven rounds of gossip to reach two thousand proxies.
 const STATUS_LIFETIME: Micros = 15_000_000;
 
-/// Time without a newer status after which an unhealthy poller is ignored. A poller announces its status each second, and
-/// immediately when its health changes. Ignoring a live poller costs one or two additional polls, whereas waiting for a
-/// crashed one delays the start of the fleet.
+/// Time without a newer status after which an unhealthy poller is ignored. A poller announces its status each second,
+/// and immediately when its health changes. Ignoring a live poller costs one or two additional polls, whereas waiting
+/// for a crashed one delays the start of the fleet.
 const UNHEALTHY_STATUS_LIFETIME: Micros = 4_000_000;
 
 /// Time without a newer status after which an entry is removed.
@@ -149,8 +149,8 @@
             .collect()
     }
 
-    /// Fresh statuses in order of priority for gossip: active pollers first, then the most recently received. Statuses that
-    /// are not fresh are left out; otherwise proxies would gossip the status of a crashed poller for ever.
+    /// Fresh statuses in order of priority for gossip: active pollers first, then the most recently received. Statuses
+    /// that are not fresh are left out; otherwise proxies would gossip the status of a crashed poller for ever.
     pub(super) fn to_gossip(&self, now: Micros) -> impl Iterator<Item = PollerStatus> + '_ {
         let mut fresh: Vec<&Entry> = self
             .entries
--- a/crates/gossip/src/polling/scheduler.rs
+++ b/crates/gossip/src/polling/scheduler.rs
@@ -12,8 +12,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// Time without contact with any peer after which a proxy is isolated, and no longer relies on what it knows of pollers.
-/// In a converged fleet each proxy receives about four messages a second.
+/// Time without contact with any peer after which a proxy is isolated, and no longer relies on what it knows of
+/// pollers. In a converged fleet each proxy receives about four messages a second.
 pub(super) const ISOLATED_AFTER: Micros = 3_000_000;
 
 /// Time for which a proxy does not take over again after it has stepped down because its polls failed.
@@ -27,8 +27,8 @@
 
 /// Decides when one proxy polls the list service.
 ///
-/// All times are in microseconds on the caller's clock. The caller reports what it learns of other pollers and the result
-/// of each poll, and calls [`PollScheduler::start_poll`] whenever [`PollScheduler::next_deadline`] has passed.
+/// All times are in microseconds on the caller's clock. The caller reports what it learns of other pollers and the
+/// result of each poll, and calls [`PollScheduler::start_poll`] whenever [`PollScheduler::next_deadline`] has passed.
 #[derive(Clone, Debug)]
 pub struct PollScheduler {
     pub(super) own: PollerStatus,
@@ -197,8 +197,8 @@
         Some(TakeoverDelay::Within(span))
     }
 
-    /// Sets or cancels the time at which this proxy becomes a poller. A time that was drawn before is kept as long as the
-    /// distribution of the delay stays the same.
+    /// Sets or cancels the time at which this proxy becomes a poller. A time that was drawn before is kept as long as
+    /// the distribution of the delay stays the same.
     fn reschedule(&mut self, now: Micros) {
         if self.own.active {
             return;
@@ -308,8 +308,8 @@
         };
     }
 
-    /// Records that the poll in flight has failed. `retry_after` is the delay before the next poll that the service asked
-    /// for, if any.
+    /// Records that the poll in flight has failed. `retry_after` is the delay before the next poll that the service
+    /// asked for, if any.
     pub fn poll_failed(&mut self, now: Micros, retry_after: Option<Micros>) {
         self.in_flight = false;
         self.own.version += 1;
--- a/crates/gossip/src/polling/takeover.rs
+++ b/crates/gossip/src/polling/takeover.rs
@@ -7,8 +7,8 @@
 /// Fleet size up to which the biased distribution keeps the number of early pollers small, as in RFC 4654.
 const MAX_PROXIES: f64 = 10_000.0;
 
-/// Maximum delay of a proxy that has no list, has had contact with a peer and knows of no poller. A poll, its answer and
-/// their dissemination to the other proxies take about a tenth of this time, so that few proxies start needlessly.
+/// Maximum delay of a proxy that has no list, has had contact with a peer and knows of no poller. A poll, its answer
+/// and their dissemination to the other proxies take about a tenth of this time, so that few proxies start needlessly.
 pub(super) const TAKEOVER_SPAN: Micros = 1_000_000;
 
 /// Maximum delay of a seed. Starting proxies contact the seeds first, so these need the list first.
@@ -20,12 +20,12 @@
 /// Maximum delay of a proxy that knows only unreachable pollers.
 pub(super) const UNREACHABLE_TAKEOVER_SPAN: Micros = 8_000_000;
 
-/// Minimum delay of an isolated proxy. Machines that are switched on together, seeds among them, come up within a second:
-/// with a shorter delay a proxy would poll before its seeds could have started.
+/// Minimum delay of an isolated proxy. Machines that are switched on together, seeds among them, come up within a
+/// second: with a shorter delay a proxy would poll before its seeds could have started.
 pub(super) const MIN_ISOLATED_DELAY: Micros = 1_000_000;
 
-/// Maximum delay of an isolated proxy. With this value, 300 isolated proxies send 75 polls in the first second after the
-/// minimum delay, and fewer in each later second.
+/// Maximum delay of an isolated proxy. With this value, 300 isolated proxies send 75 polls in the first second after
+/// the minimum delay, and fewer in each later second.
 pub(super) const MAX_ISOLATED_DELAY: Micros = 16_000_000;
 
 /// The distribution that a takeover delay is drawn from.
--- a/crates/gossip/src/replay.rs
+++ b/crates/gossip/src/replay.rs
@@ -1,8 +1,9 @@
 //! Protection against replayed messages: a sliding window for each sender, as in [RFC 4303], appendix A2.
 //!
 //! A sender uses one sequence for its messages to all receivers, so the window must be wide. A message can be accepted
-//! twice if its sender's window was evicted in between (after [`MAX_SENDERS`] other senders), or if it was sent before the
-//! receiver started. This is harmless: a replayed message never replaces a list or a poller's status by an older one.
+//! twice if its sender's window was evicted in between (after [`MAX_SENDERS`] other senders), or if it was sent before
+//! the receiver started. This is harmless: a replayed message never replaces a list or a poller's status by an older
+//! one.
 //!
 //! [RFC 4303]: https://www.rfc-editor.org/rfc/rfc4303
 
--- a/crates/gossip/src/simulation/mod.rs
+++ b/crates/gossip/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet in virtual time: many [`Peer`](crate::peer::Peer)s, a network that loses, duplicates and delays
-//! messages, and a list service that handles one poll at a time.
+//! Simulation of a fleet in virtual time: many [`Peer`](crate::peer::Peer)s, a network that loses, duplicates and
+//! delays messages, and a list service that handles one poll at a time.
 //!
 //! A simulation is deterministic: the same configuration and seed give the same [`Outcome`].
 //!
--- a/crates/gossip/src/simulation/network.rs
+++ b/crates/gossip/src/simulation/network.rs
@@ -17,7 +17,8 @@
     SocketAddr::from((Ipv4Addr::from_bits(FIRST_ADDRESS + proxy as u32), PORT))
 }
 
-/// The position of the proxy with this address. The position is beyond the end of the fleet if no proxy has this address.
+/// The position of the proxy with this address. The position is beyond the end of the fleet if no proxy has this
+/// address.
 pub(super) fn proxy_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => (ip.to_bits() - FIRST_ADDRESS) as usize,
--- a/crates/gossip/src/simulation/outcome.rs
+++ b/crates/gossip/src/simulation/outcome.rs
@@ -7,8 +7,8 @@
 use crate::Micros;
 use thiserror::Error;
 
-/// Maximum time without a poll at the service, in seconds: the service holds a poll for at most ten seconds, and a crashed
-/// poller is replaced within a few more.
+/// Maximum time without a poll at the service, in seconds: the service holds a poll for at most ten seconds, and a
+/// crashed poller is replaced within a few more.
 const MAX_SECONDS_WITHOUT_POLL: usize = 16;
 
 /// Maximum number of pollers at the end.
@@ -116,8 +116,8 @@
         longest_gap.max(since_last)
     }
 
-    /// For each proxy, the time from the service's first answer, or from the proxy's start if that was later, to its first
-    /// list. The times are sorted, with `None` at the end for proxies without a list.
+    /// For each proxy, the time from the service's first answer, or from the proxy's start if that was later, to its
+    /// first list. The times are sorted, with `None` at the end for proxies without a list.
     pub fn list_latencies(&self) -> Vec<Option<Micros>> {
         let first_answer = self.first_answer.unwrap_or(0);
         let proxies = self.received_list_at.iter().zip(&self.started);
--- a/crates/gossip/src/simulation/service.rs
+++ b/crates/gossip/src/simulation/service.rs
@@ -28,7 +28,8 @@
         self.index += 1;
     }
 
-    /// The index that the service reports, which is an older one during a [`FaultKind::StaleService`](super::FaultKind::StaleService) fault.
+    /// The index that the service reports, which is an older one during a
+    /// [`FaultKind::StaleService`](super::FaultKind::StaleService) fault.
     pub(super) fn index(&self, now: Micros, config: &SimConfig) -> u64 {
         self.index.saturating_sub(config.stale_versions(now)).max(1)
     }
@@ -39,7 +40,8 @@
         self.busy_until
     }
 
-    /// The answer to a proxy whose list has the index `known`: the last changes if they suffice, else the complete list.
+    /// The answer to a proxy whose list has the index `known`: the last changes if they suffice, else the complete
+    /// list.
     pub(super) fn answer(&self, now: Micros, config: &SimConfig, known: Option<u64>) -> PollAnswer {
         let index = self.index(now, config);
         let (complete, changes) = match known {
--- a/crates/gossip/src/simulation/tests.rs
+++ b/crates/gossip/src/simulation/tests.rs
@@ -60,8 +60,8 @@
     );
 }
 
-/// While the service is down, the number of polls does not grow with the fleet. After it recovers, all proxies receive the
-/// list soon.
+/// While the service is down, the number of polls does not grow with the fleet. After it recovers, all proxies receive
+/// the list soon.
 #[test]
 fn polls_to_a_service_that_is_down_do_not_grow_with_the_fleet() {
     for proxies in [20, 200] {
@@ -92,8 +92,8 @@
     }
 }
 
-/// Pollers whose polls have failed crash, some of them before other proxies had contact with them. The other proxies must
-/// not wait for them for long.
+/// Pollers whose polls have failed crash, some of them before other proxies had contact with them. The other proxies
+/// must not wait for them for long.
 #[test]
 fn crashed_pollers_are_replaced_soon() {
     let mut random = Pcg32::seed_from_u64(1);
@@ -128,9 +128,9 @@
     }
 }
 
-/// Under loss, duplication, delays, crashes, partitions and stale answers, all proxies have the newest list at the end, a
-/// few of them poll, there is never a long time without a poll, and no poll times out at the service. The simulator runs
-/// more seeds.
+/// Under loss, duplication, delays, crashes, partitions and stale answers, all proxies have the newest list at the end,
+/// a few of them poll, there is never a long time without a poll, and no poll times out at the service. The simulator
+/// runs more seeds.
 #[test]
 fn all_proxies_end_with_the_newest_list_and_few_pollers_under_random_faults() {
     for seed in (0..24).chain([2_913]) {
--- a/crates/subset/examples/spread.rs
+++ b/crates/subset/examples/spread.rs
@@ -9,11 +9,12 @@
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Computes the subset of a fleet for one proxy, from the proxy's number, the number of proxies and the approximate size.
+/// Computes the subset of a fleet for one proxy, from the proxy's number, the number of proxies and the approximate
+/// size.
 type Algorithm = fn(&[u32], u32, u32, usize) -> BTreeSet<u32>;
 
-/// Rendezvous hashing: each proxy uses the endpoints with the greatest hashes of both names (D. Thaler and C. Ravishankar,
-/// 1998).
+/// Rendezvous hashing: each proxy uses the endpoints with the greatest hashes of both names (D. Thaler and C.
+/// Ravishankar, 1998).
 fn rendezvous(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
     let mut ranked: Vec<(u64, u32)> = fleet
         .iter()
@@ -33,8 +34,8 @@
         .collect()
 }
 
-/// Deterministic subsetting: the proxies of a round divide a shuffled list among them (B. Beyer et al., *Site Reliability
-/// Engineering*, 2016, chapter 20).
+/// Deterministic subsetting: the proxies of a round divide a shuffled list among them (B. Beyer et al., *Site
+/// Reliability Engineering*, 2016, chapter 20).
 fn shuffled(fleet: &[u32], proxy: u32, _: u32, size: usize) -> BTreeSet<u32> {
     let subsets = (fleet.len() / size).max(1);
     let (round, position) = (proxy as usize / subsets, proxy as usize % subsets);
@@ -43,8 +44,8 @@
     list.into_iter().skip(position * size).take(size).collect()
 }
 
-/// Deterministic aperture: endpoints and proxies are spaced evenly on a ring, and each proxy uses the endpoints that follow
-/// its own position (Finagle).
+/// Deterministic aperture: endpoints and proxies are spaced evenly on a ring, and each proxy uses the endpoints that
+/// follow its own position (Finagle).
 fn aperture(fleet: &[u32], proxy: u32, proxies: u32, size: usize) -> BTreeSet<u32> {
     let mut ring = fleet.to_vec();
     ring.sort_unstable_by_key(|e| xxh3_64_with_seed(format!("e{e}").as_bytes(), 1));
--- a/crates/subset/src/config.rs
+++ b/crates/subset/src/config.rs
@@ -27,7 +27,8 @@
     pub min_size: usize,
     /// Maximum number of endpoints, regardless of the load and the health of the members.
     pub max_size: usize,
-    /// Whether endpoints in the proxy's own zone are preferred. Others are then added only when too few of those are usable.
+    /// Whether endpoints in the proxy's own zone are preferred. Others are then added only when too few of those are
+    /// usable.
     pub prefer_own_zone: bool,
     /// Number of calls in flight per usable member above which the subset grows.
     pub max_load_per_member: f64,
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,17 +1,17 @@
 //! Deterministic subsetting: selects the endpoints of a large fleet that one proxy keeps connections to.
 //!
-//! A proxy with few calls does not need a connection to each of thousands of endpoints. It uses a subset that is determined
-//! by its own number and the names of the endpoints, so that the proxies are spread evenly over the fleet without any
-//! communication.
+//! A proxy with few calls does not need a connection to each of thousands of endpoints. It uses a subset that is
+//! determined by its own number and the names of the endpoints, so that the proxies are spread evenly over the fleet
+//! without any communication.
 //!
-//! Proxies are divided into rounds of consecutive numbers. Within a round, each endpoint belongs to exactly one proxy, by a
-//! hash of its name and the number of the round. Each endpoint thus belongs to as many proxies as there are rounds, and
-//! adding or removing an endpoint does not move any other one. A subset grows when its members fail or are overloaded, and
-//! shrinks again later.
+//! Proxies are divided into rounds of consecutive numbers. Within a round, each endpoint belongs to exactly one proxy,
+//! by a hash of its name and the number of the round. Each endpoint thus belongs to as many proxies as there are
+//! rounds, and adding or removing an endpoint does not move any other one. A subset grows when its members fail or are
+//! overloaded, and shrinks again later.
 //!
-//! The crate owns the subset of one proxy. It does not choose the endpoint of a call, which is the load balancer's task. It
-//! never does I/O and reads no clock: the caller reports changes of the list and the health of the members to [`Subset`],
-//! with the current time.
+//! The crate owns the subset of one proxy. It does not choose the endpoint of a call, which is the load balancer's
+//! task. It never does I/O and reads no clock: the caller reports changes of the list and the health of the members to
+//! [`Subset`], with the current time.
 //!
 //! ```
 //! use badgerramp_subset::{Health, Instance, Subset, SubsetConfig};
--- a/crates/subset/src/partition.rs
+++ b/crates/subset/src/partition.rs
@@ -1,16 +1,17 @@
 //! The partition of a fleet's hash ring among the proxies of a round.
 //!
 //! This is deterministic subsetting in rounds (B. Beyer et al., *Site Reliability Engineering*, 2016, chapter 20). Each
-//! round consists of as many consecutive proxies as there are subsets, and assigns each endpoint to exactly one of them.
-//! Instead of a shuffled list, each round has its own hash ring, so that adding or removing an endpoint moves no other one.
+//! round consists of as many consecutive proxies as there are subsets, and assigns each endpoint to exactly one of
+//! them. Instead of a shuffled list, each round has its own hash ring, so that adding or removing an endpoint moves no
+//! other one.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Maximum number of times that a ring is split in half. Narrower ranges would differ by less than one endpoint.
 const MAX_SPLITS: u32 = 20;
 /// Factor by which the size of a subset may differ from the target before the ring is partitioned again. Without this
-/// tolerance, all connections would move each time that the number of subsets crosses the boundary between two powers of
-/// two.
+/// tolerance, all connections would move each time that the number of subsets crosses the boundary between two powers
+/// of two.
 const REPARTITION_FACTOR: f64 = 1.6;
 
 /// The round of a proxy, and its range within the round's ring.
@@ -47,8 +48,8 @@
 }
 
 impl Partition {
-    /// Returns the partition of a fleet of this size in which a range holds about `target_size` endpoints, or this partition
-    /// if it does not differ by more than [`REPARTITION_FACTOR`].
+    /// Returns the partition of a fleet of this size in which a range holds about `target_size` endpoints, or this
+    /// partition if it does not differ by more than [`REPARTITION_FACTOR`].
     #[must_use]
     pub(crate) fn for_fleet(self, endpoints: usize, target_size: usize) -> Self {
         let target_subsets = endpoints as f64 / target_size.max(1) as f64;
@@ -105,8 +106,8 @@
     }
 }
 
-/// Hash of an endpoint on the ring of a round. All proxies, of this and of every later version, must compute the same hash,
-/// so it depends on the arguments alone and uses a published function (XXH3).
+/// Hash of an endpoint on the ring of a round. All proxies, of this and of every later version, must compute the same
+/// hash, so it depends on the arguments alone and uses a published function (XXH3).
 pub(crate) fn ring_hash(endpoint_name: &str, round: u32) -> u64 {
     xxh3_64_with_seed(endpoint_name.as_bytes(), u64::from(round))
 }
--- a/crates/subset/src/resource_bounds.rs
+++ b/crates/subset/src/resource_bounds.rs
@@ -15,14 +15,14 @@
 }
 
 impl ResourceBounds {
-    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their target size: one
-    /// proxy of each round, including the last round, which may be incomplete.
+    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their target size:
+    /// one proxy of each round, including the last round, which may be incomplete.
     pub fn proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
         self.proxies.div_ceil(self.partition(config).subset_count())
     }
 
-    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their maximum size. Each
-    /// doubling of the ranges halves the number of proxies among which a round divides the endpoints.
+    /// Maximum number of proxies that have the same endpoint in their subset while all subsets have their maximum size.
+    /// Each doubling of the ranges halves the number of proxies among which a round divides the endpoints.
     pub fn max_proxies_per_endpoint(&self, config: &SubsetConfig) -> u32 {
         let partition = self.partition(config);
         let subset_count = partition.subset_count();
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -115,7 +115,8 @@
         );
     }
 
-    /// Removes an endpoint that is draining or was removed from the list. Takes effect with [`Self::apply_list_change`].
+    /// Removes an endpoint that is draining or was removed from the list. Takes effect with
+    /// [`Self::apply_list_change`].
     pub fn remove(&mut self, endpoint: u32) {
         let Some(known) = self.endpoints.remove(&endpoint) else {
             return;
@@ -126,8 +127,9 @@
         self.fleet_ring.remove(endpoint, known.fleet_hash);
     }
 
-    /// Updates the members after calls of [`Self::add`] and [`Self::remove`] for the endpoints in `changed`. The cost is
-    /// proportional to the number of these endpoints, unless a ring has to be partitioned again or a size limit is reached.
+    /// Updates the members after calls of [`Self::add`] and [`Self::remove`] for the endpoints in `changed`. The cost
+    /// is proportional to the number of these endpoints, unless a ring has to be partitioned again or a size limit is
+    /// reached.
     pub fn apply_list_change(&mut self, now: Micros, changed: &[u32]) -> MembershipChange {
         let repartitioned = self.repartition();
         let mut change = if repartitioned || self.truncated {
@@ -144,9 +146,9 @@
         change
     }
 
-    /// Adjusts the size of the subset. It grows when the usable members are too few for this proxy's calls, and shrinks when
-    /// they were enough for long and half of them would suffice. Must be called at regular intervals and when the health
-    /// changes.
+    /// Adjusts the size of the subset. It grows when the usable members are too few for this proxy's calls, and shrinks
+    /// when they were enough for long and half of them would suffice. Must be called at regular intervals and when the
+    /// health changes.
     pub fn adjust_size(&mut self, now: Micros, health: Health) -> MembershipChange {
         if self.is_insufficient(health) {
             self.demand_at = now;
@@ -219,8 +221,8 @@
         self.config.min_size.min(self.endpoints.len())
     }
 
-    /// Doubles the selected range: first that of the own zone, then that of the fleet. Returns false if the whole fleet is
-    /// already selected, or the maximum size is reached.
+    /// Doubles the selected range: first that of the own zone, then that of the fleet. Returns false if the whole fleet
+    /// is already selected, or the maximum size is reached.
     fn widen(&mut self, now: Micros) -> bool {
         if self.members.len() >= self.config.max_size {
             return false;
@@ -250,8 +252,8 @@
         }
     }
 
-    /// Partitions each ring again if its number of endpoints has become too large or too small for the partition. Returns
-    /// whether a partition has changed.
+    /// Partitions each ring again if its number of endpoints has become too large or too small for the partition.
+    /// Returns whether a partition has changed.
     fn repartition(&mut self) -> bool {
         let target_size = self.config.target_size;
         let endpoints = &mut self.endpoints;
@@ -269,7 +271,8 @@
         own_zone_changed || fleet_changed
     }
 
-    /// Endpoints in the selected ranges, up to the maximum size. Those in the own zone and in narrower ranges come first.
+    /// Endpoints in the selected ranges, up to the maximum size. Those in the own zone and in narrower ranges come
+    /// first.
     fn selection(&self) -> Selection {
         let mut endpoints = BTreeSet::new();
         let selected = self.own_zone_ring.selected();
--- a/crates/subset/tests/subset.rs
+++ b/crates/subset/tests/subset.rs
@@ -259,8 +259,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// For any sequence of steps, the members are listed endpoints, their number is within the limits, and each reported
-    /// change turns the previous members into the current ones.
+    /// For any sequence of steps, the members are listed endpoints, their number is within the limits, and each
+    /// reported change turns the previous members into the current ones.
     #[test]
     fn reported_changes_match_members_within_size_limits(
         number in 0_u32..300,
