--- a/crates/sim-model/src/host.rs
+++ b/crates/sim-model/src/host.rs
@@ -1,7 +1,7 @@
 //! One host: cores, a waiting room, cold starts, crowding, faults, and the memory of keys that its group shares.
 
-use crate::draw::Draws;
-use crate::scenario::{Effect, Fault, Group, HostSpec, Scenario, Trouble};
+use crate::random::RandomStreams;
+use crate::scenario::{DedupGroup, Effect, Fault, FaultKind, HostSpec, Scenario};
 use crate::{Micros, OpId};
 use rustc_hash::FxHashMap;
 use std::collections::hash_map::Entry;
@@ -15,20 +15,20 @@
     /// What is to be done.
     pub op: OpId,
     /// Which attempt this is, in all draws: the try and the attempt.
-    pub name: u64,
+    pub attempt_id: u64,
     /// What a second run would do.
     pub effect: Effect,
     /// Work at speed 1.
     pub work: Micros,
     /// What such a job usually takes: a sender can know no more, and a cold host is weighed down by that.
-    pub usual: Micros,
+    pub expected_work: Micros,
     /// Its sender had been told of this host's last start.
-    pub informed: bool,
+    pub sender_knows_start: bool,
 }
 
 /// How a host ends a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum JobOutcome {
     /// Done, and answered.
     Served,
     /// Answered with an error.
@@ -47,38 +47,38 @@
     /// It is in hand; [`Host::advance`] tells its end.
     Taken,
     /// It ended at once.
-    Ended(Verdict),
+    Ended(JobOutcome),
     /// No process is there.
     Nobody,
 }
 
 /// The end of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Done {
+pub struct Completion {
     /// When.
     pub at: Micros,
     /// Which.
     pub job: Job,
     /// How.
-    pub verdict: Verdict,
+    pub outcome: JobOutcome,
     /// Its effect came about by this: it ran, and was no repeat.
-    pub effected: bool,
+    pub took_effect: bool,
     /// What the host tells of its load.
-    pub report: Report,
+    pub load: HostLoad,
 }
 
 /// A host's word on its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct HostLoad {
     /// Calls in hand, those that wait among them.
-    pub in_hand: u32,
+    pub in_flight: u32,
     /// Calls that wait.
-    pub waiting: u32,
+    pub queued: u32,
 }
 
 /// Keys that groups of hosts remember.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct DedupStore {
     keys: FxHashMap<(u64, OpId), (Micros, usize, bool)>,
     swept: Micros,
 }
@@ -89,7 +89,7 @@
 /// it sends, a host by when that arrives.
 const REMEMBERED_LONGER: Micros = 20_000_000;
 
-impl Memory {
+impl DedupStore {
     /// Notes that a host has got this; true if it is a repeat.
     fn repeat(&mut self, now: Micros, group: u64, op: OpId, window: Micros, host: usize) -> bool {
         if now > self.swept + SWEEP {
@@ -127,7 +127,7 @@
     ends: Micros,
     job: Job,
     repeat: bool,
-    verdict: Verdict,
+    verdict: JobOutcome,
     /// A connection's cost, which nobody waits for.
     silent: bool,
 }
@@ -138,29 +138,29 @@
     place: usize,
     spec: HostSpec,
     zone: u64,
-    draws: Draws,
+    draws: RandomStreams,
     up: bool,
     draining: bool,
-    started: Micros,
+    started_at: Micros,
     cold: bool,
     running: Vec<Running>,
-    queue: VecDeque<(Job, bool, Verdict)>,
+    queue: VecDeque<(Job, bool, JobOutcome)>,
     stalled_until: Micros,
     slow: f64,
-    fails: Vec<Trouble>,
+    fails: Vec<FaultKind>,
     connections: u32,
     received: VecDeque<(Micros, f64, bool)>,
     received_sum: f64,
-    fell: bool,
+    collapsed: bool,
     /// Most of what made it fall came from those that knew that it was cold.
     pushed: bool,
     crowded_since: Option<Micros>,
     jammed: bool,
     rested_since: Option<Micros>,
     /// Jobs that came, and work that was begun, in microseconds of its cores.
-    pub came: u64,
+    pub jobs_received: u64,
     /// Work done, in microseconds of its cores.
-    pub worked: Micros,
+    pub work_done: Micros,
 }
 
 /// Share of a job's work that a repeat costs.
@@ -168,7 +168,7 @@
 
 impl Host {
     /// The host at this place of a scenario. One that joins later is down until [`Host::start`].
-    pub fn new(scenario: &Scenario, place: usize, draws: Draws) -> Self {
+    pub fn new(scenario: &Scenario, place: usize, draws: RandomStreams) -> Self {
         let spec = scenario.hosts[place].clone();
         let zone = scenario
             .hosts
@@ -179,18 +179,18 @@
     }
 
     /// A host that is of no scenario.
-    pub fn alone(spec: HostSpec, draws: Draws) -> Self {
+    pub fn standalone(spec: HostSpec, draws: RandomStreams) -> Self {
         Host::made(0, 0, spec, draws)
     }
 
-    fn made(place: usize, zone: u64, spec: HostSpec, draws: Draws) -> Self {
+    fn made(place: usize, zone: u64, spec: HostSpec, draws: RandomStreams) -> Self {
         Host {
             place,
             zone,
             draws,
-            up: spec.joins == 0,
+            up: spec.joins_at == 0,
             draining: false,
-            started: 0,
+            started_at: 0,
             cold: false,
             running: Vec::new(),
             queue: VecDeque::new(),
@@ -200,13 +200,13 @@
             connections: 0,
             received: VecDeque::new(),
             received_sum: 0.0,
-            fell: false,
+            collapsed: false,
             pushed: false,
             crowded_since: None,
             jammed: false,
             rested_since: None,
-            came: 0,
-            worked: 0,
+            jobs_received: 0,
+            work_done: 0,
             spec,
         }
     }
@@ -218,25 +218,25 @@
 
     /// Does its process run?
     pub fn is_up(&self) -> bool {
-        self.up && !self.fell
+        self.up && !self.collapsed
     }
 
     /// When its process started; 0: long ago.
-    pub fn started(&self) -> Micros {
-        self.started
+    pub fn started_at(&self) -> Micros {
+        self.started_at
     }
 
     /// Did it fall over while cold, and had most of that been sent by those that knew?
-    pub fn fell(&self) -> Option<bool> {
-        self.fell.then_some(self.pushed)
+    pub fn collapsed(&self) -> Option<bool> {
+        self.collapsed.then_some(self.pushed)
     }
 
     /// Its load.
-    pub fn report(&self) -> Report {
+    pub fn load(&self) -> HostLoad {
         let running = self.running.iter().filter(|r| !r.silent).count();
-        Report {
-            in_hand: (running + self.queue.len()) as u32,
-            waiting: self.queue.len() as u32,
+        HostLoad {
+            in_flight: (running + self.queue.len()) as u32,
+            queued: self.queue.len() as u32,
         }
     }
 
@@ -249,15 +249,15 @@
     fn group(&self, effect: Effect) -> Option<(u64, Micros)> {
         match effect {
             Effect::Keyed {
-                group: Group::All,
+                group: DedupGroup::All,
                 window,
             } => Some((0, window)),
             Effect::Keyed {
-                group: Group::Zone,
+                group: DedupGroup::Zone,
                 window,
             } => Some((1 + self.zone, window)),
             Effect::Keyed {
-                group: Group::Group,
+                group: DedupGroup::Group,
                 window,
             } => Some((1_000_000 + u64::from(self.spec.group), window)),
             Effect::Safe | Effect::Unsafe => None,
@@ -266,15 +266,16 @@
 
     /// Its process starts, cold if it is of that kind.
     pub fn start(&mut self, now: Micros) {
-        (self.up, self.draining, self.fell, self.started) = (true, false, false, now.max(1));
-        self.cold = self.spec.cold.is_some();
+        (self.up, self.draining, self.collapsed, self.started_at) =
+            (true, false, false, now.max(1));
+        self.cold = self.spec.cold_start.is_some();
         self.received.clear();
         self.received_sum = 0.0;
         (self.jammed, self.crowded_since, self.rested_since) = (false, None, None);
     }
 
     /// Its process dies: what it had in hand is gone, and its connections break.
-    pub fn die(&mut self, memory: &mut Memory) -> Vec<Job> {
+    pub fn crash(&mut self, memory: &mut DedupStore) -> Vec<Job> {
         self.up = false;
         self.connections = 0;
         memory.died(self.place);
@@ -292,15 +293,17 @@
     }
 
     /// A trouble begins that is the host's own; starts, ends and drains are told by their own calls.
-    pub fn begin(&mut self, now: Micros, fault: &Fault) {
-        match fault.trouble {
-            Trouble::Stalls { .. } => {
+    pub fn begin_fault(&mut self, now: Micros, fault: &Fault) {
+        match fault.kind {
+            FaultKind::Stall { .. } => {
                 let longer = fault.until.saturating_sub(now.max(self.stalled_until));
                 self.running.iter_mut().for_each(|r| r.ends += longer);
                 self.stalled_until = self.stalled_until.max(fault.until);
             }
-            Trouble::Slow { factor, .. } => self.slow *= factor,
-            trouble @ (Trouble::Fails { .. } | Trouble::Resets { .. } | Trouble::Spoils { .. }) => {
+            FaultKind::Slowdown { factor, .. } => self.slow *= factor,
+            trouble @ (FaultKind::Errors { .. }
+            | FaultKind::ConnectionResets { .. }
+            | FaultKind::CorruptResponses { .. }) => {
                 self.fails.push(trouble);
             }
             _ => {}
@@ -308,9 +311,9 @@
     }
 
     /// It ends.
-    pub fn end(&mut self, fault: &Fault) {
-        match fault.trouble {
-            Trouble::Slow { factor, .. } => self.slow /= factor,
+    pub fn end_fault(&mut self, fault: &Fault) {
+        match fault.kind {
+            FaultKind::Slowdown { factor, .. } => self.slow /= factor,
             trouble => {
                 if let Some(place) = self.fails.iter().position(|f| *f == trouble) {
                     self.fails.remove(place);
@@ -321,7 +324,7 @@
 
     /// A connection comes in; false: it takes no more, or nobody is there.
     pub fn connect(&mut self, now: Micros) -> bool {
-        if !self.is_up() || self.connections >= self.spec.connections {
+        if !self.is_up() || self.connections >= self.spec.max_connections {
             return false;
         }
         self.connections += 1;
@@ -331,18 +334,18 @@
             let job = Job {
                 token: u64::MAX,
                 op,
-                name: 0,
+                attempt_id: 0,
                 effect,
                 work,
-                usual: work,
-                informed: true,
+                expected_work: work,
+                sender_knows_start: true,
             };
             let ends = now.max(self.stalled_until) + self.time(now, work);
             self.running.push(Running {
                 ends,
                 job,
                 repeat: false,
-                verdict: Verdict::Served,
+                verdict: JobOutcome::Served,
                 silent: true,
             });
         }
@@ -355,10 +358,12 @@
     }
 
     /// Share of its capacity that it has.
-    pub fn warmth(&self, now: Micros) -> f64 {
-        match self.spec.cold.filter(|_| self.cold) {
-            Some(cold) if now < self.started + cold.time => {
-                cold.share + (1.0 - cold.share) * (now - self.started) as f64 / cold.time as f64
+    pub fn capacity_share(&self, now: Micros) -> f64 {
+        match self.spec.cold_start.filter(|_| self.cold) {
+            Some(cold) if now < self.started_at + cold.warm_up => {
+                cold.initial_capacity
+                    + (1.0 - cold.initial_capacity) * (now - self.started_at) as f64
+                        / cold.warm_up as f64
             }
             _ => 1.0,
         }
@@ -367,46 +372,46 @@
     /// How long this work takes here now.
     fn time(&self, now: Micros, work: Micros) -> Micros {
         let cores = f64::from(self.spec.cores.max(1));
-        let crowded = self.spec.crowding.map_or(1.0, |c| {
+        let crowded = self.spec.concurrency_penalty.map_or(1.0, |c| {
             let in_hand = (self.running.len() + self.queue.len()) as f64 / cores;
             1.0 + c.slope * (in_hand - c.knee).max(0.0)
         });
         let jammed = self
             .spec
-            .jam
+            .congestion_collapse
             .filter(|_| self.jammed)
-            .map_or(1.0, |j| j.slower);
-        let speed = self.spec.speed * self.warmth(now);
+            .map_or(1.0, |j| j.slowdown);
+        let speed = self.spec.speed * self.capacity_share(now);
         ((work as f64 * self.slow * crowded * jammed / speed.max(1e-9)) as Micros).max(1)
     }
 
     /// A job arrives.
-    pub fn arrive(&mut self, now: Micros, job: Job, memory: &mut Memory) -> Arrival {
+    pub fn arrive(&mut self, now: Micros, job: Job, memory: &mut DedupStore) -> Arrival {
         if !self.is_up() {
             return Arrival::Nobody;
         }
-        self.came += 1;
+        self.jobs_received += 1;
         self.weigh(now, &job);
-        if self.fell {
+        if self.collapsed {
             return Arrival::Nobody;
         }
         if self.draining {
-            return Arrival::Ended(Verdict::TurnedAway);
+            return Arrival::Ended(JobOutcome::TurnedAway);
         }
         let fault = self.fault(&job);
         if let Some((verdict, false)) =
-            fault.filter(|f| f.0 == Verdict::Failed || f.0 == Verdict::Reset)
+            fault.filter(|f| f.0 == JobOutcome::Failed || f.0 == JobOutcome::Reset)
         {
             return Arrival::Ended(verdict);
         }
         let full = self.running.len() >= self.spec.cores as usize;
-        if full && self.queue.len() >= self.spec.waiting as usize {
-            return Arrival::Ended(Verdict::TurnedAway);
+        if full && self.queue.len() >= self.spec.queue_capacity as usize {
+            return Arrival::Ended(JobOutcome::TurnedAway);
         }
         let group = self.group(job.effect);
         let repeat =
             group.is_some_and(|(g, window)| memory.repeat(now, g, job.op, window, self.place));
-        let verdict = fault.map_or(Verdict::Served, |f| f.0);
+        let verdict = fault.map_or(JobOutcome::Served, |f| f.0);
         if full {
             self.queue.push_back((job, repeat, verdict));
             self.crowd(now);
@@ -416,14 +421,14 @@
         Arrival::Taken
     }
 
-    fn begin_work(&mut self, now: Micros, job: Job, repeat: bool, verdict: Verdict) {
+    fn begin_work(&mut self, now: Micros, job: Job, repeat: bool, verdict: JobOutcome) {
         let work = if repeat {
             job.work / REPEAT_COST
         } else {
             job.work
         };
         let time = self.time(now, work);
-        self.worked += time;
+        self.work_done += time;
         let ends = now.max(self.stalled_until) + time;
         self.running.push(Running {
             ends,
@@ -435,16 +440,24 @@
     }
 
     /// How a fault ends this job, if one does, and whether it runs first.
-    fn fault(&self, job: &Job) -> Option<(Verdict, bool)> {
+    fn fault(&self, job: &Job) -> Option<(JobOutcome, bool)> {
         for (number, fault) in self.fails.iter().enumerate() {
-            let what = (0xfa17 + number as u64, job.op.0, job.name);
+            let what = (0xfa17 + number as u64, job.op.0, job.attempt_id);
             let (share, ran, verdict) = match *fault {
-                Trouble::Fails { share, ran, .. } => (share, ran, Verdict::Failed),
-                Trouble::Resets { share, ran, .. } => (share, ran, Verdict::Reset),
-                Trouble::Spoils { share, .. } => (share, 1.0, Verdict::Spoilt),
+                FaultKind::Errors {
+                    share,
+                    executed_share: ran,
+                    ..
+                } => (share, ran, JobOutcome::Failed),
+                FaultKind::ConnectionResets {
+                    share,
+                    executed_share: ran,
+                    ..
+                } => (share, ran, JobOutcome::Reset),
+                FaultKind::CorruptResponses { share, .. } => (share, 1.0, JobOutcome::Spoilt),
                 _ => continue,
             };
-            let draw = self.draws.unit(what);
+            let draw = self.draws.uniform(what);
             if draw < share {
                 return Some((verdict, draw < share * ran));
             }
@@ -456,24 +469,27 @@
     fn weigh(&mut self, now: Micros, job: &Job) {
         let Some(cold) = self
             .spec
-            .cold
-            .filter(|c| self.cold && now < self.started + c.time)
+            .cold_start
+            .filter(|c| self.cold && now < self.started_at + c.warm_up)
         else {
             return;
         };
-        let work = job.usual as f64 / self.spec.speed;
-        self.received.push_back((now, work, job.informed));
+        let work = job.expected_work as f64 / self.spec.speed;
+        self.received.push_back((now, work, job.sender_knows_start));
         self.received_sum += work;
-        while let Some(&(at, work, _)) =
-            self.received.front().filter(|r| r.0 + cold.fall_time < now)
+        while let Some(&(at, work, _)) = self
+            .received
+            .front()
+            .filter(|r| r.0 + cold.collapse_window < now)
         {
             debug_assert!(at <= now);
             self.received_sum -= work;
             self.received.pop_front();
         }
-        let bears = self.warmth(now) * f64::from(self.spec.cores) * cold.fall_time as f64;
-        if self.received_sum > cold.fall_multiple * bears {
-            self.fell = true;
+        let bears =
+            self.capacity_share(now) * f64::from(self.spec.cores) * cold.collapse_window as f64;
+        if self.received_sum > cold.collapse_multiple * bears {
+            self.collapsed = true;
             let knew: f64 = self.received.iter().filter(|r| r.2).map(|r| r.1).sum();
             self.pushed = knew * 3.0 >= self.received_sum * 2.0;
         }
@@ -481,17 +497,19 @@
 
     /// Notes how long the queue has been too long, or the host at rest.
     fn crowd(&mut self, now: Micros) {
-        let Some(jam) = self.spec.jam else { return };
+        let Some(jam) = self.spec.congestion_collapse else {
+            return;
+        };
         let cores = f64::from(self.spec.cores);
-        if self.queue.len() as f64 > jam.waiting * cores {
+        if self.queue.len() as f64 > jam.queued_per_core * cores {
             let since = *self.crowded_since.get_or_insert(now);
-            self.jammed |= now >= since + jam.after;
+            self.jammed |= now >= since + jam.onset;
         } else {
             self.crowded_since = None;
         }
         if self.jammed && self.queue.is_empty() && self.running.len() as f64 <= cores / 2.0 {
             let since = *self.rested_since.get_or_insert(now);
-            if now >= since + jam.rest {
+            if now >= since + jam.recovery_idle {
                 (self.jammed, self.rested_since) = (false, None);
             }
         } else {
@@ -500,12 +518,12 @@
     }
 
     /// When the next job ends; None: nothing is in work.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_completion(&self) -> Option<Micros> {
         self.running.iter().map(|r| r.ends).min()
     }
 
     /// Lets time pass until `now`: what has ended by then, in order.
-    pub fn advance(&mut self, now: Micros, memory: &mut Memory, done: &mut Vec<Done>) {
+    pub fn advance(&mut self, now: Micros, memory: &mut DedupStore, done: &mut Vec<Completion>) {
         loop {
             // The first of those that end together is the one that began first.
             let next = self
@@ -533,19 +551,19 @@
             self.crowd(ends);
             if !ended.silent {
                 let effected = !ended.repeat && ended.job.effect != Effect::Safe;
-                done.push(Done {
+                done.push(Completion {
                     at: ends,
                     job: ended.job,
-                    verdict: ended.verdict,
-                    effected,
-                    report: self.report(),
+                    outcome: ended.verdict,
+                    took_effect: effected,
+                    load: self.load(),
                 });
             }
         }
     }
 
     /// A job whose sender has gone: one that only waits is dropped, one in work goes on.
-    pub fn abandon(&mut self, token: u64, memory: &mut Memory) -> bool {
+    pub fn abandon(&mut self, token: u64, memory: &mut DedupStore) -> bool {
         let Some(place) = self.queue.iter().position(|q| q.0.token == token) else {
             return false;
         };
--- a/crates/sim-model/src/judge.rs
+++ b/crates/sim-model/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Holds a course against the rules as it happens, from what can be seen outside the proxy: what clients ask and are
 //! told, what reaches hosts and what they do with it, and when each proxy was told what of whom.
 
-use crate::scenario::{Effect, Group, Scenario, SecondCopy};
+use crate::scenario::{DedupGroup, Effect, Hedging, Scenario};
 use crate::{Micros, OpId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 
 /// A final answer, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Answered {
+pub enum FinalAnswer {
     /// A host's answer.
     Served,
     /// Trying again is harmless.
@@ -23,7 +23,7 @@
 
 /// A rule that can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rule {
+pub enum Invariant {
     /// No final answer in the client's time.
     Lost,
     /// More than one.
@@ -56,59 +56,59 @@
     Miscounted,
 }
 
-impl Rule {
+impl Invariant {
     /// All of them.
-    pub const ALL: [Rule; 15] = [
-        Rule::Lost,
-        Rule::AnsweredTwice,
-        Rule::AfterEnd,
-        Rule::RanTwice,
-        Rule::Resent,
-        Rule::RefusedThoughRan,
-        Rule::TooMany,
-        Rule::Drain,
-        Rule::ColdPushed,
-        Rule::Forgotten,
-        Rule::Leaked,
-        Rule::NotRecovered,
-        Rule::MixedUp,
-        Rule::Crashed,
-        Rule::Miscounted,
+    pub const ALL: [Invariant; 15] = [
+        Invariant::Lost,
+        Invariant::AnsweredTwice,
+        Invariant::AfterEnd,
+        Invariant::RanTwice,
+        Invariant::Resent,
+        Invariant::RefusedThoughRan,
+        Invariant::TooMany,
+        Invariant::Drain,
+        Invariant::ColdPushed,
+        Invariant::Forgotten,
+        Invariant::Leaked,
+        Invariant::NotRecovered,
+        Invariant::MixedUp,
+        Invariant::Crashed,
+        Invariant::Miscounted,
     ];
 
     /// The rule of this name.
-    pub fn named(name: &str) -> Option<Rule> {
-        Rule::ALL.into_iter().find(|r| r.to_string() == name)
+    pub fn from_name(name: &str) -> Option<Invariant> {
+        Invariant::ALL.into_iter().find(|r| r.to_string() == name)
     }
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::Lost => "lost",
-            Rule::AnsweredTwice => "answered-twice",
-            Rule::AfterEnd => "after-end",
-            Rule::RanTwice => "ran-twice",
-            Rule::Resent => "resent",
-            Rule::RefusedThoughRan => "refused-though-ran",
-            Rule::TooMany => "too-many",
-            Rule::Drain => "drain",
-            Rule::ColdPushed => "cold-pushed",
-            Rule::Forgotten => "forgotten",
-            Rule::Leaked => "leaked",
-            Rule::NotRecovered => "not-recovered",
-            Rule::MixedUp => "mixed-up",
-            Rule::Crashed => "crashed",
-            Rule::Miscounted => "miscounted",
+            Invariant::Lost => "lost",
+            Invariant::AnsweredTwice => "answered-twice",
+            Invariant::AfterEnd => "after-end",
+            Invariant::RanTwice => "ran-twice",
+            Invariant::Resent => "resent",
+            Invariant::RefusedThoughRan => "refused-though-ran",
+            Invariant::TooMany => "too-many",
+            Invariant::Drain => "drain",
+            Invariant::ColdPushed => "cold-pushed",
+            Invariant::Forgotten => "forgotten",
+            Invariant::Leaked => "leaked",
+            Invariant::NotRecovered => "not-recovered",
+            Invariant::MixedUp => "mixed-up",
+            Invariant::Crashed => "crashed",
+            Invariant::Miscounted => "miscounted",
         })
     }
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
-    pub rule: Rule,
+    pub invariant: Invariant,
     /// When.
     pub at: Micros,
     /// Of which call; None: of none.
@@ -135,12 +135,12 @@
     proxy: u32,
     until: Micros,
     attempts: Vec<Attempt>,
-    answered: Option<(Micros, Answered)>,
+    answered: Option<(Micros, FinalAnswer)>,
 }
 
 /// Watches one course.
 #[derive(Debug)]
-pub struct Judge {
+pub struct InvariantChecker {
     scenario: Arc<Scenario>,
     zones: Vec<usize>,
     /// What an answer may be late by the client's own way, and a request by its way to the host.
@@ -150,11 +150,11 @@
     effects: FxHashMap<OpId, (Micros, u32)>,
     /// Since when each proxy knows that a host takes no more.
     drains: FxHashMap<(u32, usize), Micros>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
     seen: u64,
     swept: Micros,
     /// Attempts are seen at the hosts alone: when one is over for its proxy is not known to the moment.
-    outside: bool,
+    external: bool,
 }
 
 /// Broken rules that are kept word for word; the rest is counted.
@@ -162,7 +162,7 @@
 /// What ended this long ago is forgotten.
 const REMEMBERED: Micros = 30_000_000;
 
-impl Judge {
+impl InvariantChecker {
     /// A judge for a scenario. `slack`: what the ways outside the proxy may take.
     pub fn new(scenario: Arc<Scenario>, slack: Micros) -> Self {
         let zone = |name: &str| {
@@ -173,7 +173,7 @@
                 .unwrap_or(0)
         };
         let zones = scenario.hosts.iter().map(|h| zone(&h.zone)).collect();
-        Judge {
+        InvariantChecker {
             zones,
             scenario,
             slack,
@@ -181,37 +181,43 @@
             dues: BTreeSet::new(),
             effects: FxHashMap::default(),
             drains: FxHashMap::default(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             seen: 0,
             swept: 0,
-            outside: false,
+            external: false,
         }
     }
 
     /// A judge that sees what clients and hosts see, and nothing of the proxy's own.
-    pub fn outside(scenario: Arc<Scenario>, slack: Micros) -> Self {
-        Judge {
-            outside: true,
-            ..Judge::new(scenario, slack)
+    pub fn external(scenario: Arc<Scenario>, slack: Micros) -> Self {
+        InvariantChecker {
+            external: true,
+            ..InvariantChecker::new(scenario, slack)
         }
     }
 
     /// What was broken, the first ones word for word.
-    pub fn broken(&self) -> &[Broken] {
-        &self.broken
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
     /// How often any rule was broken.
-    pub fn count(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.seen
     }
 
     /// Takes note of a broken rule that another has found.
-    pub fn note(&mut self, rule: Rule, at: Micros, op: Option<OpId>, text: impl Into<String>) {
+    pub fn record(
+        &mut self,
+        rule: Invariant,
+        at: Micros,
+        op: Option<OpId>,
+        text: impl Into<String>,
+    ) {
         self.seen += 1;
-        if self.broken.len() < KEPT {
-            self.broken.push(Broken {
-                rule,
+        if self.violations.len() < KEPT {
+            self.violations.push(Violation {
+                invariant: rule,
                 at,
                 op,
                 text: text.into(),
@@ -220,7 +226,7 @@
     }
 
     /// A proxy has taken a try and owes its answer by `until`.
-    pub fn taken(
+    pub fn call_accepted(
         &mut self,
         now: Micros,
         op: OpId,
@@ -228,7 +234,7 @@
         (class, proxy): (usize, u32),
         until: Micros,
     ) {
-        self.pass(now);
+        self.advance(now);
         let call = Call {
             class,
             proxy,
@@ -241,12 +247,12 @@
     }
 
     /// Time has come to `now`: who should have an answer by now?
-    pub fn pass(&mut self, now: Micros) {
+    pub fn advance(&mut self, now: Micros) {
         while let Some(&(until, key)) = self.dues.first().filter(|d| d.0 + self.slack < now) {
             self.dues.pop_first();
             if self.calls.get(&key).is_some_and(|c| c.answered.is_none()) {
-                self.note(
-                    Rule::Lost,
+                self.record(
+                    Invariant::Lost,
                     until,
                     Some(key.0),
                     format!("try {}: no final answer by {until}", key.1),
@@ -261,35 +267,35 @@
     }
 
     /// An attempt went to a host at `at`. Tells its number, for [`Judge::over`].
-    pub fn sent(&mut self, at: Micros, op: OpId, number: u32, host: usize) -> usize {
+    pub fn attempt_sent(&mut self, at: Micros, op: OpId, number: u32, host: usize) -> usize {
         let Some(call) = self.calls.get(&(op, number)) else {
             return usize::MAX;
         };
         let class = &self.scenario.classes[call.class];
-        let mut found: Vec<(Rule, String)> = Vec::new();
+        let mut found: Vec<(Invariant, String)> = Vec::new();
         let place = call.attempts.len();
         if let Some((when, what)) = call.answered.filter(|a| a.0 + self.slack < at) {
             found.push((
-                Rule::AfterEnd,
+                Invariant::AfterEnd,
                 format!("attempt {place} after the answer {what:?} at {when}"),
             ));
         }
         if at > call.until + self.slack {
             found.push((
-                Rule::AfterEnd,
+                Invariant::AfterEnd,
                 format!("attempt {place} after its client's time, {}", call.until),
             ));
         }
-        if place as u32 >= class.attempts {
+        if place as u32 >= class.max_attempts {
             found.push((
-                Rule::TooMany,
-                format!("attempt {place} of {} allowed", class.attempts),
+                Invariant::TooMany,
+                format!("attempt {place} of {} allowed", class.max_attempts),
             ));
         }
         let out = call.attempts.iter().filter(|a| !a.over).count();
-        if out > 0 && class.second_copy == SecondCopy::Off && !self.outside {
+        if out > 0 && class.hedging == Hedging::Off && !self.external {
             found.push((
-                Rule::TooMany,
+                Invariant::TooMany,
                 format!("attempt {place} while {out} are out, without second copies"),
             ));
         }
@@ -299,25 +305,25 @@
                 Effect::Safe => {}
                 Effect::Unsafe => {
                     found.push((
-                        Rule::Resent,
+                        Invariant::Resent,
                         format!("unsafe: attempt {place} though an earlier one may have run"),
                     ));
                 }
                 Effect::Keyed { group, window } => {
                     let inside = match group {
-                        Group::All => true,
-                        Group::Zone => self.zones[first.host] == self.zones[host],
-                        Group::Group => hosts[first.host].group == hosts[host].group,
+                        DedupGroup::All => true,
+                        DedupGroup::Zone => self.zones[first.host] == self.zones[host],
+                        DedupGroup::Group => hosts[first.host].group == hosts[host].group,
                     };
                     if !inside {
                         found.push((
-                            Rule::Resent,
+                            Invariant::Resent,
                             format!("keyed: attempt {place} outside the group of the first"),
                         ));
                     }
                     if at > first.at + window + self.slack {
                         found.push((
-                            Rule::Resent,
+                            Invariant::Resent,
                             format!("keyed: attempt {place} outside its window"),
                         ));
                     }
@@ -325,18 +331,18 @@
             }
         }
         if let Some(&told) = self.drains.get(&(call.proxy, host)) {
-            if at > told + self.scenario.judged.drain_grace + self.slack {
+            if at > told + self.scenario.criteria.drain_grace + self.slack {
                 let text = format!(
                     "sent to {} {} us after word of its drain",
                     hosts_name(&self.scenario, host),
                     at - told
                 );
-                found.push((Rule::Drain, text));
+                found.push((Invariant::Drain, text));
             }
         }
         found
             .into_iter()
-            .for_each(|(rule, text)| self.note(rule, at, Some(op), text));
+            .for_each(|(rule, text)| self.record(rule, at, Some(op), text));
         if let Some(call) = self.calls.get_mut(&(op, number)) {
             call.attempts.push(Attempt {
                 host,
@@ -349,14 +355,14 @@
     }
 
     /// Has anything gone to a host for this try?
-    pub fn went_out(&self, op: OpId, number: u32) -> bool {
+    pub fn any_attempt_sent(&self, op: OpId, number: u32) -> bool {
         self.calls
             .get(&(op, number))
             .is_some_and(|c| !c.attempts.is_empty())
     }
 
     /// The proxy has learned how the attempt ended; `proven`: it never ran.
-    pub fn over(&mut self, op: OpId, number: u32, attempt: usize, proven: bool) {
+    pub fn attempt_ended(&mut self, op: OpId, number: u32, attempt: usize, proven: bool) {
         let tried = self
             .calls
             .get_mut(&(op, number))
@@ -367,8 +373,8 @@
     }
 
     /// The try's client has its final answer, or its time has ended.
-    pub fn answered(&mut self, now: Micros, op: OpId, number: u32, answer: Answered) {
-        self.pass(now);
+    pub fn call_answered(&mut self, now: Micros, op: OpId, number: u32, answer: FinalAnswer) {
+        self.advance(now);
         let Some(call) = self.calls.get_mut(&(op, number)) else {
             return;
         };
@@ -377,26 +383,26 @@
         match call.answered {
             Some((at, before)) => {
                 found.push((
-                    Rule::AnsweredTwice,
+                    Invariant::AnsweredTwice,
                     format!("{answer:?} after {before:?} at {at}"),
                 ));
             }
             None => call.answered = Some((now, answer)),
         }
-        if answer == Answered::Overdue {
-            found.push((Rule::Forgotten, "the backstop answered".to_owned()));
+        if answer == FinalAnswer::Overdue {
+            found.push((Invariant::Forgotten, "the backstop answered".to_owned()));
         }
         let harmless = matches!(
             class.effect,
             Effect::Safe
                 | Effect::Keyed {
-                    group: Group::All,
+                    group: DedupGroup::All,
                     ..
                 }
         );
-        if answer == Answered::Refused && !harmless && call.attempts.iter().any(|a| !a.proven) {
+        if answer == FinalAnswer::Refused && !harmless && call.attempts.iter().any(|a| !a.proven) {
             found.push((
-                Rule::RefusedThoughRan,
+                Invariant::RefusedThoughRan,
                 "refused though an attempt may have run".to_owned(),
             ));
         }
@@ -404,7 +410,7 @@
         self.dues.remove(&(until, (op, number)));
         if now > until + self.slack {
             found.push((
-                Rule::Lost,
+                Invariant::Lost,
                 format!(
                     "answered at {now}, {} us after its client's time",
                     now - until
@@ -413,20 +419,20 @@
         }
         found
             .into_iter()
-            .for_each(|(rule, text)| self.note(rule, now, Some(op), text));
+            .for_each(|(rule, text)| self.record(rule, now, Some(op), text));
     }
 
     /// Its client has left: no answer is owed, and nothing more may go out.
-    pub fn left(&mut self, now: Micros, op: OpId, number: u32) {
+    pub fn client_left(&mut self, now: Micros, op: OpId, number: u32) {
         if let Some(call) = self.calls.get_mut(&(op, number)) {
             self.dues.remove(&(call.until, (op, number)));
-            call.answered.get_or_insert((now, Answered::Failed));
+            call.answered.get_or_insert((now, FinalAnswer::Failed));
         }
     }
 
     /// An effect came about at a host. A keyed one may come about again only where its group has forgotten it and its
     /// client asked anew.
-    pub fn effected(&mut self, now: Micros, op: OpId, host: usize) {
+    pub fn effect_executed(&mut self, now: Micros, op: OpId, host: usize) {
         let (_, count) = self.effects.entry(op).or_insert((now, 0));
         *count += 1;
         if *count == 2 {
@@ -434,12 +440,12 @@
                 "its effect came about a second time, at {}",
                 hosts_name(&self.scenario, host)
             );
-            self.note(Rule::RanTwice, now, Some(op), text);
+            self.record(Invariant::RanTwice, now, Some(op), text);
         }
     }
 
     /// A proxy was told that a host takes calls, or that it does not.
-    pub fn told(&mut self, now: Micros, proxy: u32, host: usize, ready: bool) {
+    pub fn host_status_received(&mut self, now: Micros, proxy: u32, host: usize, ready: bool) {
         if ready {
             self.drains.remove(&(proxy, host));
         } else {
@@ -448,7 +454,7 @@
     }
 
     /// A proxy died: what it held is its clients' to repeat.
-    pub fn died(&mut self, proxy: u32) {
+    pub fn proxy_crashed(&mut self, proxy: u32) {
         let dues = &mut self.dues;
         self.calls.retain(|key, call| {
             let stays = call.proxy != proxy || call.answered.is_some();
@@ -461,7 +467,7 @@
     }
 
     /// Tries without their final answer.
-    pub fn open(&self) -> usize {
+    pub fn unanswered_calls(&self) -> usize {
         self.dues.len()
     }
 }
--- a/crates/sim-model/src/lib.rs
+++ b/crates/sim-model/src/lib.rs
@@ -12,22 +12,22 @@
 )]
 
 mod clients;
-mod draw;
 mod host;
-mod judge;
-mod list;
+mod invariants;
+mod list_service;
 mod network;
+mod random;
 mod scenario;
 
-pub use clients::{Ask, Clients, Next};
-pub use draw::Draws;
-pub use host::{Arrival, Done, Host, Job, Memory, Report, Verdict};
-pub use judge::{Answered, Broken, Judge, Rule};
-pub use list::{Entry, ListService, Told};
-pub use network::{Network, Way};
+pub use clients::{ClientRequest, LoadGenerator, RetryDecision};
+pub use host::{Arrival, Completion, DedupStore, Host, HostLoad, Job, JobOutcome};
+pub use invariants::{FinalAnswer, Invariant, InvariantChecker, Violation};
+pub use list_service::{ListEntry, ListResponse, ListService};
+pub use network::{Delivery, Network};
+pub use random::RandomStreams;
 pub use scenario::{
-    Class, Clients as ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged,
-    ListSpec, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
+    Class, ClientsSpec, ColdStart, ConcurrencyPenalty, CongestionCollapse, Criteria, DedupGroup,
+    Effect, Fault, FaultKind, Hedging, HostSpec, ListSpec, NetworkSpec, Scenario, ScriptedRequest,
 };
 
 /// A moment or a span, in microseconds.
--- a/crates/sim-model/src/list.rs
+++ b/crates/sim-model/src/list_service.rs
@@ -1,33 +1,33 @@
 //! The list service: a log of what changed, told late, by a service of fixed capacity that may fall silent, fail, or go
 //! back to an older list.
 
-use crate::scenario::{Fault, ListSpec, Trouble};
+use crate::scenario::{Fault, FaultKind, ListSpec};
 use crate::Micros;
 
 /// What the list says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct ListEntry {
     /// Place of the host.
     pub host: usize,
     /// 0: takes calls; 1: drains; 2: gone.
     pub state: u8,
     /// When its process started; 0: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// The answer to a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ListResponse {
     /// The whole list, as of this version.
-    Full(u64, Vec<Entry>),
+    Full(u64, Vec<ListEntry>),
     /// What changed up to this version.
-    Changes(u64, Vec<Entry>),
+    Changes(u64, Vec<ListEntry>),
     /// Nothing has changed since: wait for [`ListService::next`].
-    Nothing,
+    Unchanged,
     /// It failed.
     Failed,
     /// No answer comes.
-    Silence,
+    NoResponse,
 }
 
 /// The service. Versions count changes from 1.
@@ -36,20 +36,22 @@
     spec: ListSpec,
     faults: Vec<Fault>,
     /// Each change and when it is listed.
-    log: Vec<(Micros, Entry)>,
+    log: Vec<(Micros, ListEntry)>,
     /// When it is free for the next question.
     free: Micros,
     /// Questions asked.
-    pub asked: u64,
+    pub request_count: u64,
 }
 
 impl ListService {
     /// A service that lists these from the beginning.
-    pub fn new(spec: ListSpec, faults: &[Fault], first: Vec<Entry>) -> Self {
+    pub fn new(spec: ListSpec, faults: &[Fault], first: Vec<ListEntry>) -> Self {
         let concerns = |f: &&Fault| {
             matches!(
-                f.trouble,
-                Trouble::ListSilent | Trouble::ListFails | Trouble::ListOld { .. }
+                f.kind,
+                FaultKind::ListServiceSilent
+                    | FaultKind::ListServiceErrors
+                    | FaultKind::ListServiceStale { .. }
             )
         };
         ListService {
@@ -57,14 +59,15 @@
             faults: faults.iter().filter(concerns).copied().collect(),
             log: first.into_iter().map(|e| (0, e)).collect(),
             free: 0,
-            asked: 0,
+            request_count: 0,
         }
     }
 
     /// A change happens now; it is listed later, and never before one that happened earlier.
-    pub fn change(&mut self, now: Micros, entry: Entry) {
+    pub fn record_change(&mut self, now: Micros, entry: ListEntry) {
         let earliest = self.log.last().map_or(0, |l| l.0);
-        self.log.push(((now + self.spec.lag).max(earliest), entry));
+        self.log
+            .push(((now + self.spec.publish_delay).max(earliest), entry));
     }
 
     /// Versions listed by now. An older list is one of the past.
@@ -73,8 +76,8 @@
             .faults
             .iter()
             .filter(|f| f.from <= now && now < f.until)
-            .map(|f| match f.trouble {
-                Trouble::ListOld { by } => by,
+            .map(|f| match f.kind {
+                FaultKind::ListServiceStale { age: by } => by,
                 _ => 0,
             });
         let at = now.saturating_sub(back.max().unwrap_or(0));
@@ -82,59 +85,59 @@
     }
 
     /// The service takes up a question; when the answer leaves it.
-    pub fn ask(&mut self, now: Micros) -> Micros {
-        self.asked += 1;
-        let cost = (1e6 / self.spec.capacity.max(1e-3)) as Micros;
+    pub fn accept_request(&mut self, now: Micros) -> Micros {
+        self.request_count += 1;
+        let cost = (1e6 / self.spec.requests_per_s.max(1e-3)) as Micros;
         self.free = self.free.max(now) + cost;
         self.free
     }
 
     /// A question that nobody waits for any more.
-    pub fn patience(&self) -> Micros {
-        self.spec.patience
+    pub fn request_timeout(&self) -> Micros {
+        self.spec.request_timeout
     }
 
     /// The answer that leaves now for one that knows `known` (None: nothing).
-    pub fn answer(&self, now: Micros, known: Option<u64>) -> Told {
+    pub fn respond(&self, now: Micros, known: Option<u64>) -> ListResponse {
         for fault in self
             .faults
             .iter()
             .filter(|f| f.from <= now && now < f.until)
         {
-            match fault.trouble {
-                Trouble::ListSilent => return Told::Silence,
-                Trouble::ListFails => return Told::Failed,
+            match fault.kind {
+                FaultKind::ListServiceSilent => return ListResponse::NoResponse,
+                FaultKind::ListServiceErrors => return ListResponse::Failed,
                 _ => {}
             }
         }
         let version = self.version(now);
         match known {
-            Some(known) if known as usize == version => Told::Nothing,
+            Some(known) if known as usize == version => ListResponse::Unchanged,
             Some(known) if (known as usize) < version => {
                 let news = self.log[known as usize..version]
                     .iter()
                     .map(|l| l.1)
                     .collect();
-                Told::Changes(version as u64, news)
+                ListResponse::Changes(version as u64, news)
             }
             // Nothing known, or an index that this list has not reached.
-            _ => Told::Full(version as u64, whole(&self.log[..version])),
+            _ => ListResponse::Full(version as u64, whole(&self.log[..version])),
         }
     }
 
     /// When something that is not known to one who knows `known` is listed; None: nothing yet.
-    pub fn next(&self, known: u64) -> Option<Micros> {
+    pub fn next_change(&self, known: u64) -> Option<Micros> {
         self.log.get(known as usize).map(|l| l.0)
     }
 
     /// When each change was listed.
-    pub fn listed(&self) -> impl Iterator<Item = (Micros, Entry)> + '_ {
+    pub fn changes(&self) -> impl Iterator<Item = (Micros, ListEntry)> + '_ {
         self.log.iter().copied()
     }
 }
 
-fn whole(log: &[(Micros, Entry)]) -> Vec<Entry> {
-    let mut all: std::collections::BTreeMap<usize, Entry> = std::collections::BTreeMap::new();
+fn whole(log: &[(Micros, ListEntry)]) -> Vec<ListEntry> {
+    let mut all: std::collections::BTreeMap<usize, ListEntry> = std::collections::BTreeMap::new();
     for (_, entry) in log {
         all.insert(entry.host, *entry);
     }
@@ -145,66 +148,73 @@
 mod tests {
     use super::*;
 
-    fn entry(host: usize, state: u8) -> Entry {
-        Entry {
+    fn entry(host: usize, state: u8) -> ListEntry {
+        ListEntry {
             host,
             state,
-            started: 0,
+            started_at: 0,
         }
     }
 
     #[test]
     fn changes_come_late_and_in_order_and_an_older_list_is_one_of_the_past() {
         let spec = ListSpec {
-            lag: 100,
-            capacity: 1e6,
-            patience: 1_000,
+            publish_delay: 100,
+            requests_per_s: 1e6,
+            request_timeout: 1_000,
         };
         let old = Fault {
             from: 500,
             until: 600,
-            trouble: Trouble::ListOld { by: 450 },
+            kind: FaultKind::ListServiceStale { age: 450 },
         };
         let silent = Fault {
             from: 700,
             until: 800,
-            trouble: Trouble::ListSilent,
+            kind: FaultKind::ListServiceSilent,
         };
         let mut list = ListService::new(spec, &[old, silent], vec![entry(0, 0), entry(1, 0)]);
         assert_eq!(
-            list.answer(0, None),
-            Told::Full(2, vec![entry(0, 0), entry(1, 0)])
+            list.respond(0, None),
+            ListResponse::Full(2, vec![entry(0, 0), entry(1, 0)])
         );
-        list.change(50, entry(1, 1));
+        list.record_change(50, entry(1, 1));
         assert_eq!(
-            (list.answer(149, Some(2)), list.next(2)),
-            (Told::Nothing, Some(150))
+            (list.respond(149, Some(2)), list.next_change(2)),
+            (ListResponse::Unchanged, Some(150))
         );
         assert_eq!(
-            list.answer(150, Some(2)),
-            Told::Changes(3, vec![entry(1, 1)])
+            list.respond(150, Some(2)),
+            ListResponse::Changes(3, vec![entry(1, 1)])
+        );
+        list.record_change(200, entry(1, 2));
+        assert_eq!(
+            list.respond(400, None),
+            ListResponse::Full(4, vec![entry(0, 0)])
         );
-        list.change(200, entry(1, 2));
-        assert_eq!(list.answer(400, None), Told::Full(4, vec![entry(0, 0)]));
         // Who knows more than the service does is given the whole list that it has.
         assert_eq!(
-            list.answer(550, Some(4)),
-            Told::Full(2, vec![entry(0, 0), entry(1, 0)])
+            list.respond(550, Some(4)),
+            ListResponse::Full(2, vec![entry(0, 0), entry(1, 0)])
         );
-        assert_eq!(list.answer(750, Some(4)), Told::Silence);
-        assert_eq!(list.answer(900, Some(4)), Told::Nothing);
+        assert_eq!(list.respond(750, Some(4)), ListResponse::NoResponse);
+        assert_eq!(list.respond(900, Some(4)), ListResponse::Unchanged);
     }
 
     #[test]
     fn questions_beyond_its_capacity_wait() {
         let spec = ListSpec {
-            lag: 0,
-            capacity: 10.0,
-            patience: 1_000_000,
+            publish_delay: 0,
+            requests_per_s: 10.0,
+            request_timeout: 1_000_000,
         };
         let mut list = ListService::new(spec, &[], Vec::new());
         assert_eq!(
-            [list.ask(0), list.ask(0), list.ask(1_000_000)],
+            [
+                list.accept_request(0),
+                list.accept_request(0),
+                list.accept_request(1_000_000)
+            ],
             [100_000, 200_000, 1_100_000]
         );
     }
--- a/crates/sim-model/src/draw.rs
+++ b/crates/sim-model/src/random.rs
@@ -6,18 +6,18 @@
 
 /// The source of all chance of one course.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Draws {
+pub struct RandomStreams {
     seed: u64,
 }
 
-impl Draws {
+impl RandomStreams {
     /// All draws of this seed.
     pub fn new(seed: u64) -> Self {
-        Draws { seed }
+        RandomStreams { seed }
     }
 
     /// A generator for one purpose.
-    pub fn source(&self, (a, b, c): (u64, u64, u64)) -> Pcg64Mcg {
+    pub fn generator(&self, (a, b, c): (u64, u64, u64)) -> Pcg64Mcg {
         // Each part is spread over all bits before the next comes in: neighbours must not be alike.
         let mixed = [a, b, c]
             .iter()
@@ -26,26 +26,26 @@
     }
 
     /// A number from 0 to 1.
-    pub fn unit(&self, what: (u64, u64, u64)) -> f64 {
-        self.source(what).gen()
+    pub fn uniform(&self, what: (u64, u64, u64)) -> f64 {
+        self.generator(what).gen()
     }
 
     /// Did it happen, at this chance?
-    pub fn happens(&self, what: (u64, u64, u64), chance: f64) -> bool {
-        chance > 0.0 && self.unit(what) < chance
+    pub fn occurs(&self, what: (u64, u64, u64), chance: f64) -> bool {
+        chance > 0.0 && self.uniform(what) < chance
     }
 
     /// A span between two, both included.
-    pub fn between(&self, what: (u64, u64, u64), (least, most): (u64, u64)) -> u64 {
+    pub fn integer(&self, what: (u64, u64, u64), (least, most): (u64, u64)) -> u64 {
         if least >= most {
             return least;
         }
-        self.source(what).gen_range(least..=most)
+        self.generator(what).gen_range(least..=most)
     }
 
     /// A waiting time of this mean, as between events that do not know of each other.
-    pub fn wait(&self, what: (u64, u64, u64), mean: f64) -> f64 {
-        let sample: f64 = Exp1.sample(&mut self.source(what));
+    pub fn exponential(&self, what: (u64, u64, u64), mean: f64) -> f64 {
+        let sample: f64 = Exp1.sample(&mut self.generator(what));
         sample * mean
     }
 }
@@ -64,9 +64,9 @@
 
     #[test]
     fn a_draw_depends_on_its_name_alone_and_neighbours_are_not_alike() {
-        let draws = Draws::new(7);
-        assert_eq!(draws.unit((1, 2, 3)), draws.unit((1, 2, 3)));
-        let all: Vec<f64> = (0..10_000).map(|n| draws.unit((1, n, 3))).collect();
+        let draws = RandomStreams::new(7);
+        assert_eq!(draws.uniform((1, 2, 3)), draws.uniform((1, 2, 3)));
+        let all: Vec<f64> = (0..10_000).map(|n| draws.uniform((1, n, 3))).collect();
         let mean = all.iter().sum::<f64>() / all.len() as f64;
         assert!((mean - 0.5).abs() < 0.02, "{mean}");
         let pairs = all
@@ -75,8 +75,14 @@
             .sum::<f64>()
             / all.len() as f64;
         assert!(pairs.abs() < 0.005, "{pairs}");
-        assert_ne!(draws.unit((1, 2, 3)), Draws::new(8).unit((1, 2, 3)));
-        let waits = (0..10_000).map(|n| draws.wait((2, n, 0), 5.0)).sum::<f64>() / 1e4;
+        assert_ne!(
+            draws.uniform((1, 2, 3)),
+            RandomStreams::new(8).uniform((1, 2, 3))
+        );
+        let waits = (0..10_000)
+            .map(|n| draws.exponential((2, n, 0), 5.0))
+            .sum::<f64>()
+            / 1e4;
         assert!((waits - 5.0).abs() < 0.2, "{waits}");
     }
 }
--- a/crates/sim-model/src/scenario.rs
+++ b/crates/sim-model/src/scenario.rs
@@ -12,18 +12,18 @@
     /// Client proxies.
     pub proxies: u32,
     /// Hosts that each proxy keeps to; 0: all. The play on the decisions alone knows no subsets.
-    pub subset: u32,
+    pub subset_size: u32,
     /// The first so many proxies are seeds, and all pass the list on among each other; 0: each asks for itself. The
     /// plays on sockets know no peers: a trial does.
-    pub peers: u32,
+    pub gossip_seeds: u32,
     /// Kinds of calls.
     pub classes: Vec<Class>,
     /// Hosts, each for itself.
     pub hosts: Vec<HostSpec>,
     /// Who asks.
-    pub clients: Clients,
+    pub clients: ClientsSpec,
     /// Requests one by one, in place of the open load; sorted by time.
-    pub requests: Option<Vec<Request>>,
+    pub requests: Option<Vec<ScriptedRequest>>,
     /// The way between all of them.
     pub network: NetworkSpec,
     /// The list service.
@@ -31,12 +31,12 @@
     /// What goes wrong.
     pub faults: Vec<Fault>,
     /// What the judges hold it to.
-    pub judged: Judged,
+    pub criteria: Criteria,
 }
 
 /// Who drops repeats of a keyed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All hosts.
     All,
     /// The hosts of one zone.
@@ -53,7 +53,7 @@
     /// Nothing at the hosts of `group`, within `window` of the first.
     Keyed {
         /// Who drops repeats.
-        group: Group,
+        group: DedupGroup,
         /// For how long, in microseconds.
         window: Micros,
     },
@@ -63,7 +63,7 @@
 
 /// When a second copy may go out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum SecondCopy {
+pub enum Hedging {
     /// Never.
     #[default]
     Off,
@@ -81,51 +81,51 @@
     /// Share of all requests; shares are taken against their sum.
     pub share: f64,
     /// An answer is wanted within this.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for an answer after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a second run would do.
     pub effect: Effect,
     /// Most attempts of a call.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Longest time of an attempt; None: what is left.
-    pub attempt: Option<Micros>,
+    pub attempt_timeout: Option<Micros>,
     /// Pause between attempts.
     pub backoff: Micros,
     /// Second copies.
-    pub second_copy: SecondCopy,
+    pub hedging: Hedging,
     /// Work of a request on a host of speed 1: from, to.
     pub work: (Micros, Micros),
 }
 
 /// Who asks: open load, which does not wait for answers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Clients {
+pub struct ClientsSpec {
     /// First tries a second over all proxies.
     pub rate: f64,
     /// How often a client tries again by itself.
-    pub retries: u32,
+    pub max_retries: u32,
     /// Its pause before that, if it is not told a longer one.
-    pub pause: Micros,
+    pub retry_delay: Micros,
     /// Share of the deadline that it gives one try.
-    pub patience: f64,
+    pub try_timeout_share: f64,
     /// Swing of the load as a share of it, and the time of one swing; 0: even.
-    pub tide: (f64, Micros),
+    pub load_swing: (f64, Micros),
     /// Share of the proxies that get most (nine tenths) of the load; 1: all alike.
-    pub busy: f64,
+    pub busy_proxy_share: f64,
     /// Share of tries whose client leaves before its time, without its answer.
-    pub leaves: f64,
+    pub disconnect_share: f64,
     /// Tenants, by whose number a request bears a header; 0: none.
     pub tenants: u32,
 }
 
 /// One request of a scripted load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct ScriptedRequest {
     /// When it is due.
     pub at: Micros,
     /// At which proxy.
@@ -138,20 +138,20 @@
 
 /// A cold start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// Share of its capacity at first.
-    pub share: f64,
+    pub initial_capacity: f64,
     /// Warm after this.
-    pub time: Micros,
+    pub warm_up: Micros,
     /// Sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... over this span, it falls over and stays down.
-    pub fall_time: Micros,
+    pub collapse_window: Micros,
 }
 
 /// Efficiency that falls with what is in hand.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Crowding {
+pub struct ConcurrencyPenalty {
     /// Calls in hand for each core that cost nothing extra.
     pub knee: f64,
     /// What each further one for each core adds to the work, as a share.
@@ -160,15 +160,15 @@
 
 /// A host that has far too much waiting for a while turns slow and stays so until it has rested.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Jam {
+pub struct CongestionCollapse {
     /// Waiting calls for each core.
-    pub waiting: f64,
+    pub queued_per_core: f64,
     /// For how long.
-    pub after: Micros,
+    pub onset: Micros,
     /// Then it takes so many times as long.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Until it has been mostly idle for this long.
-    pub rest: Micros,
+    pub recovery_idle: Micros,
 }
 
 /// A host.
@@ -185,86 +185,86 @@
     /// Calls that it works on at a time.
     pub cores: u32,
     /// Calls that may wait; more are turned away unseen.
-    pub waiting: u32,
+    pub queue_capacity: u32,
     /// Its speed against the yardstick of the classes' work.
     pub speed: f64,
     /// Connections that it takes.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Work that a new connection costs it.
     pub connection_cost: Micros,
     /// It closes a connection that has been idle for this long, without a word ahead.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Its cold start; it has one when it joins or comes back.
-    pub cold: Option<Cold>,
+    pub cold_start: Option<ColdStart>,
     /// What crowding costs it.
-    pub crowding: Option<Crowding>,
+    pub concurrency_penalty: Option<ConcurrencyPenalty>,
     /// What long queues do to it.
-    pub jam: Option<Jam>,
+    pub congestion_collapse: Option<CongestionCollapse>,
     /// When it joins; 0: it was there long before.
-    pub joins: Micros,
+    pub joins_at: Micros,
 }
 
 /// The way between proxies, hosts and list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkSpec {
     /// One way within a zone: from, to.
-    pub near: (Micros, Micros),
+    pub same_zone: (Micros, Micros),
     /// One way between zones: from, to.
-    pub far: (Micros, Micros),
+    pub cross_zone: (Micros, Micros),
     /// What a lost packet costs: the time until it is sent again.
-    pub resend: Micros,
+    pub retransmit_delay: Micros,
     /// How long hosts are said to keep an idle connection; what each does is its own.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not up by then has failed.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
 }
 
 /// The list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListSpec {
     /// From a change until it is listed.
-    pub lag: Micros,
+    pub publish_delay: Micros,
     /// Questions a second that it answers; the rest wait.
-    pub capacity: f64,
+    pub requests_per_s: f64,
     /// A question that is not answered by then has failed.
-    pub patience: Micros,
+    pub request_timeout: Micros,
 }
 
 /// What goes wrong with whom.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// The host fails this share of its requests at once, `ran` of those after they ran.
-    Fails {
+    Errors {
         /// Place of the host.
         host: usize,
         /// Share of its requests.
         share: f64,
         /// Share of those that ran first.
-        ran: f64,
+        executed_share: f64,
     },
     /// It stands still.
-    Stalls {
+    Stall {
         /// Place of the host.
         host: usize,
     },
     /// Its work takes so many times as long.
-    Slow {
+    Slowdown {
         /// Place of the host.
         host: usize,
         /// Times.
         factor: f64,
     },
     /// It breaks this share of its connections when the work is done, or before (`ran` as in `Fails`).
-    Resets {
+    ConnectionResets {
         /// Place of the host.
         host: usize,
         /// Share of its requests.
         share: f64,
         /// Share of those that ran first.
-        ran: f64,
+        executed_share: f64,
     },
     /// This share of its answers is spoilt after the call ran: nothing that can be used comes back.
-    Spoils {
+    CorruptResponses {
         /// Place of the host.
         host: usize,
         /// Share of its answers.
@@ -291,31 +291,31 @@
         host: usize,
     },
     /// This share of all packets is lost once.
-    Loss {
+    PacketLoss {
         /// Share of packets.
         share: f64,
     },
     /// All ways take so much longer.
-    Lag {
+    NetworkDelay {
         /// One way.
         extra: Micros,
     },
     /// The list service says nothing.
-    ListSilent,
+    ListServiceSilent,
     /// It fails all that it is asked.
-    ListFails,
+    ListServiceErrors,
     /// It has gone back to an older list, and tells that.
-    ListOld {
+    ListServiceStale {
         /// By how much.
-        by: Micros,
+        age: Micros,
     },
     /// So many times the load comes.
-    Spike {
+    LoadSpike {
         /// Times.
         factor: f64,
     },
     /// This share of a class's requests costs so many times the work.
-    Costly {
+    ExpensiveRequests {
         /// Place of the class.
         class: usize,
         /// Share of its requests.
@@ -338,33 +338,33 @@
     /// It ends.
     pub until: Micros,
     /// What it is.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 /// What the judges hold a course to, beside the rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judged {
+pub struct Criteria {
     /// Latest that something may go to a host after word that it drains.
     pub drain_grace: Micros,
     /// Goodput is back this long after the last fault ...
-    pub recovers: Option<Micros>,
+    pub recovery_time: Option<Micros>,
     /// ... at this share of what was asked.
-    pub share: f64,
+    pub recovered_share: f64,
 }
 
-impl Trouble {
+impl FaultKind {
     /// The host that it concerns, if it is one.
     pub fn host(&self) -> Option<usize> {
         match *self {
-            Trouble::Fails { host, .. }
-            | Trouble::Stalls { host }
-            | Trouble::Slow { host, .. }
-            | Trouble::Resets { host, .. }
-            | Trouble::Spoils { host, .. }
-            | Trouble::Crash { host }
-            | Trouble::Drain { host }
-            | Trouble::Partition { host }
-            | Trouble::HalfOpen { host } => Some(host),
+            FaultKind::Errors { host, .. }
+            | FaultKind::Stall { host }
+            | FaultKind::Slowdown { host, .. }
+            | FaultKind::ConnectionResets { host, .. }
+            | FaultKind::CorruptResponses { host, .. }
+            | FaultKind::Crash { host }
+            | FaultKind::Drain { host }
+            | FaultKind::Partition { host }
+            | FaultKind::HalfOpen { host } => Some(host),
             _ => None,
         }
     }
@@ -372,17 +372,19 @@
 
 impl Scenario {
     /// The last moment at which a fault still holds.
-    pub fn last_fault(&self) -> Micros {
+    pub fn last_fault_end(&self) -> Micros {
         let ends = self.faults.iter().map(|f| f.until);
-        let joins = self
-            .hosts
-            .iter()
-            .map(|h| h.joins + h.cold.filter(|_| h.joins > 0).map_or(0, |c| c.time));
+        let joins = self.hosts.iter().map(|h| {
+            h.joins_at
+                + h.cold_start
+                    .filter(|_| h.joins_at > 0)
+                    .map_or(0, |c| c.warm_up)
+        });
         ends.chain(joins).max().unwrap_or(0)
     }
 
     /// The longest that any client waits.
-    pub fn longest(&self) -> Micros {
+    pub fn max_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
@@ -405,7 +407,7 @@
     }
 
     /// Requests and faults: what a schedule that is cut down is counted by.
-    pub fn events(&self) -> usize {
+    pub fn event_count(&self) -> usize {
         self.requests.as_ref().map_or(0, Vec::len) + self.faults.len()
     }
 }
--- a/crates/simulator/src/bench.rs
+++ b/crates/simulator/src/bench.rs
@@ -2,7 +2,7 @@
 
 use crate::generate;
 use crate::play::{virtually, Fault, Options};
-use badgerramp_sim_model::{Effect, Scenario, SecondCopy};
+use badgerramp_sim_model::{Effect, Hedging, Scenario};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -15,15 +15,15 @@
         group: 0,
         kind: "m".to_owned(),
         cores: 4,
-        waiting: 100,
+        queue_capacity: 100,
         speed: 1.0,
-        connections: 1_000_000,
+        max_connections: 1_000_000,
         connection_cost: 0,
-        idle: 15_000_000,
-        cold: None,
-        crowding: None,
-        jam: None,
-        joins: 0,
+        idle_timeout: 15_000_000,
+        cold_start: None,
+        concurrency_penalty: None,
+        congestion_collapse: None,
+        joins_at: 0,
     };
     scenario.name = format!("{proxies} proxies, {hosts} hosts");
     scenario.hosts = (0..hosts)
@@ -37,14 +37,22 @@
     scenario.faults.clear();
     scenario.classes.truncate(1);
     let class = &mut scenario.classes[0];
-    (class.aim, class.deadline, class.attempts, class.attempt) = (500_000, 1_000_000, 3, None);
-    (class.effect, class.second_copy, class.backoff, class.work) =
-        (Effect::Safe, SecondCopy::Off, 0, (5_000, 5_000));
+    (
+        class.latency_objective,
+        class.deadline,
+        class.max_attempts,
+        class.attempt_timeout,
+    ) = (500_000, 1_000_000, 3, None);
+    (class.effect, class.hedging, class.backoff, class.work) =
+        (Effect::Safe, Hedging::Off, 0, (5_000, 5_000));
     scenario.clients.rate = rate;
-    scenario.clients.retries = 0;
-    (scenario.clients.leaves, scenario.clients.tide.0) = (0.0, 0.0);
-    scenario.judged.recovers = None;
-    scenario.list.capacity = 100_000.0;
+    scenario.clients.max_retries = 0;
+    (
+        scenario.clients.disconnect_share,
+        scenario.clients.load_swing.0,
+    ) = (0.0, 0.0);
+    scenario.criteria.recovery_time = None;
+    scenario.list.requests_per_s = 100_000.0;
     scenario
 }
 
--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::experiment::{self, Compared, Point, Template};
 use crate::play::{Fault, Options, Way};
 use crate::{bench, check, defects, generate, hunt, report, scenario_file};
-use badgerramp_sim_model::{OpId, Rule, Scenario};
+use badgerramp_sim_model::{Invariant, OpId, Scenario};
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
@@ -482,7 +482,7 @@
             .map_or(String::new(), |op| format!(", call {}", op.0));
         println!(
             "BROKEN {} at {:.3} s{op}: {}",
-            broken.rule,
+            broken.invariant,
             broken.at as f64 / 1e6,
             broken.text
         );
@@ -741,13 +741,19 @@
         if let Some(dir) = out {
             let scenario = generate::scenario(find.number);
             let options = hunt::options(find.number);
-            match hunt::shrink(play.function(), &scenario, options, find.broken.rule, 5_000) {
+            match hunt::shrink(
+                play.function(),
+                &scenario,
+                options,
+                find.broken.invariant,
+                5_000,
+            ) {
                 Some(shrunk) => {
-                    let path = dir.join(format!("{}-{}.toml", find.broken.rule, find.number));
+                    let path = dir.join(format!("{}-{}.toml", find.broken.invariant, find.number));
                     save(&path, &kept(&shrunk))?;
                     println!(
                         "  cut down to {} events in {} plays: {}",
-                        shrunk.scenario.events(),
+                        shrunk.scenario.event_count(),
                         shrunk.plays,
                         path.display()
                     );
@@ -767,14 +773,18 @@
 fn kept(shrunk: &hunt::Shrunk) -> String {
     let Options { seed, shuffle, .. } = shrunk.options;
     let how = if shuffle { " --shuffle" } else { "" };
-    let Broken { rule, text, .. } = &shrunk.broken;
+    let Violation {
+        invariant: rule,
+        text,
+        ..
+    } = &shrunk.broken;
     format!(
         "# {rule}: {text}\n# run with --seed {seed}{how}\n{}",
         scenario_file::write(&shrunk.scenario)
     )
 }
 
-use badgerramp_sim_model::Broken;
+use badgerramp_sim_model::Violation;
 
 fn shrink(
     name: &str,
@@ -787,12 +797,12 @@
     let (scenario, options) = named(name, seed, played.shuffle)?;
     let course = played.play.play(&Arc::new(scenario.clone()), options)?;
     let rule = match rule {
-        Some(word) => Rule::named(word).ok_or_else(|| {
-            let known: Vec<String> = Rule::ALL.iter().map(ToString::to_string).collect();
+        Some(word) => Invariant::from_name(word).ok_or_else(|| {
+            let known: Vec<String> = Invariant::ALL.iter().map(ToString::to_string).collect();
             Fault::Other(format!("--rule {word}: allowed are {}", known.join(", ")))
         })?,
         None => match course.broken.first() {
-            Some(broken) => broken.rule,
+            Some(broken) => broken.invariant,
             None => {
                 println!("it breaks no rule");
                 return Ok(true);
@@ -810,7 +820,7 @@
     }
     println!(
         "{} events in {} plays; {rule}: {}",
-        shrunk.scenario.events(),
+        shrunk.scenario.event_count(),
         shrunk.plays,
         shrunk.broken.text
     );
@@ -846,12 +856,12 @@
     }
     println!("call {}", op.0);
     course.trace.iter().for_each(|line| println!("{line}"));
-    let broken: Vec<&Broken> = course.broken.iter().filter(|b| b.op == Some(op)).collect();
+    let broken: Vec<&Violation> = course.broken.iter().filter(|b| b.op == Some(op)).collect();
     broken.iter().for_each(|b| {
         println!(
             "{:>12.3} ms  BROKEN {}: {}",
             b.at as f64 / 1e3,
-            b.rule,
+            b.invariant,
             b.text
         );
     });
--- a/crates/simulator/src/course.rs
+++ b/crates/simulator/src/course.rs
@@ -1,6 +1,6 @@
 //! What is measured of a course, in either play.
 
-use badgerramp_sim_model::{Answered, Ask, Broken, Micros, OpId, Scenario};
+use badgerramp_sim_model::{ClientRequest, FinalAnswer, Micros, OpId, Scenario, Violation};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -109,7 +109,7 @@
     /// By the second.
     pub samples: Vec<Sample>,
     /// What was broken, the first ones word for word.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// How often any rule was broken.
     pub broken_count: u64,
     /// Questions to the list service.
@@ -207,17 +207,17 @@
         }
     }
 
-    fn both(&mut self, ask: &Ask) -> [&mut Tally; 2] {
-        let bin = ((ask.first / BIN) as usize).min(self.bins.len() - 1);
+    fn both(&mut self, ask: &ClientRequest) -> [&mut Tally; 2] {
+        let bin = ((ask.first_due / BIN) as usize).min(self.bins.len() - 1);
         [&mut self.classes[ask.class], &mut self.bins[bin]]
     }
 
     /// A client wants something for the first time, or tries again.
-    pub fn asked(&mut self, ask: &Ask) {
-        let worth = self.scenario.classes[ask.class].worth;
+    pub fn asked(&mut self, ask: &ClientRequest) {
+        let worth = self.scenario.classes[ask.class].priority_weight;
         for tally in self.both(ask) {
             tally.tries += 1;
-            if ask.number == 0 {
+            if ask.try_number == 0 {
                 tally.wanted += 1;
                 tally.worth.0 += worth;
             }
@@ -225,21 +225,25 @@
     }
 
     /// An attempt went to a host for it.
-    pub fn sent(&mut self, ask: &Ask) {
+    pub fn sent(&mut self, ask: &ClientRequest) {
         self.both(ask).into_iter().for_each(|t| t.attempts += 1);
     }
 
     /// The last of a client's tries has ended at `now`; None: never answered.
-    pub fn ended(&mut self, ask: &Ask, now: Micros, answered: Option<Answered>) {
+    pub fn ended(&mut self, ask: &ClientRequest, now: Micros, answered: Option<FinalAnswer>) {
         let class = &self.scenario.classes[ask.class];
-        let (aim, worth, late) = (class.aim, class.worth, class.worth * class.late_worth);
-        let time = now.saturating_sub(ask.first);
-        if answered != Some(Answered::Served) {
+        let (aim, worth, late) = (
+            class.latency_objective,
+            class.priority_weight,
+            class.priority_weight * class.late_weight,
+        );
+        let time = now.saturating_sub(ask.first_due);
+        if answered != Some(FinalAnswer::Served) {
             self.unserved.get_or_insert(ask.op);
         }
         for tally in self.both(ask) {
             match answered {
-                Some(Answered::Served) => {
+                Some(FinalAnswer::Served) => {
                     tally.times.add(time);
                     if time <= aim {
                         tally.good += 1;
@@ -249,8 +253,8 @@
                         tally.worth.1 += late;
                     }
                 }
-                Some(Answered::Refused) => tally.refused += 1,
-                Some(Answered::Failed | Answered::Overdue) => tally.failed += 1,
+                Some(FinalAnswer::Refused) => tally.refused += 1,
+                Some(FinalAnswer::Failed | FinalAnswer::Overdue) => tally.failed += 1,
                 None => tally.lost += 1,
             }
         }
@@ -366,7 +370,7 @@
             first_broken: self
                 .broken
                 .first()
-                .map(|b| format!("{}: {}", b.rule, b.text)),
+                .map(|b| format!("{}: {}", b.invariant, b.text)),
             digest: if play == "real" {
                 String::new()
             } else {
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -468,7 +468,7 @@
         .lines()
         .filter_map(|l| l.split_once(": ").filter(|(rule, _)| !rule.contains(' ')));
     let rules: Vec<String> = kinds
-        .filter_map(|(r, _)| badgerramp_sim_model::Rule::named(r))
+        .filter_map(|(r, _)| badgerramp_sim_model::Invariant::from_name(r))
         .map(|r| r.to_string())
         .collect();
     let events = text
--- a/crates/simulator/src/generate.rs
+++ b/crates/simulator/src/generate.rs
@@ -2,8 +2,8 @@
 
 use crate::operator;
 use badgerramp_sim_model::{
-    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
-    Micros, NetworkSpec, Scenario, SecondCopy, Trouble,
+    Class, ClientsSpec, ColdStart, ConcurrencyPenalty, CongestionCollapse, Criteria, DedupGroup,
+    Effect, Fault, FaultKind, Hedging, HostSpec, ListSpec, Micros, NetworkSpec, Scenario,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -40,27 +40,27 @@
     };
     // One that drains or crashes is not also to join.
     for fault in &faults {
-        if let (Some(host), Trouble::Drain { .. } | Trouble::Crash { .. }) =
-            (fault.trouble.host(), fault.trouble)
+        if let (Some(host), FaultKind::Drain { .. } | FaultKind::Crash { .. }) =
+            (fault.kind.host(), fault.kind)
         {
-            hosts[host].joins = 0;
+            hosts[host].joins_at = 0;
         }
     }
-    if hosts.iter().all(|h| h.joins > 0) {
-        hosts[0].joins = 0;
+    if hosts.iter().all(|h| h.joins_at > 0) {
+        hosts[0].joins_at = 0;
     }
     let clients = ClientsSpec {
         rate: 100.0,
-        retries: random.gen_range(0..=3),
-        pause: random.gen_range(0..=200) * MILLI,
-        patience: if random.gen_bool(0.5) {
+        max_retries: random.gen_range(0..=3),
+        retry_delay: random.gen_range(0..=200) * MILLI,
+        try_timeout_share: if random.gen_bool(0.5) {
             1.0
         } else {
             random.gen_range(0.4..1.0)
         },
-        tide: (if random.gen_bool(0.2) { 0.5 } else { 0.0 }, duration / 2),
-        busy: 1.0,
-        leaves: if random.gen_bool(0.3) {
+        load_swing: (if random.gen_bool(0.2) { 0.5 } else { 0.0 }, duration / 2),
+        busy_proxy_share: 1.0,
+        disconnect_share: if random.gen_bool(0.3) {
             random.gen_range(0.0..0.2)
         } else {
             0.0
@@ -70,21 +70,21 @@
     let near = random.gen_range(50..=500);
     let far = random.gen_range(500..=5_000);
     let network = NetworkSpec {
-        near: (near, near * random.gen_range(1..=3)),
-        far: (far, far * random.gen_range(1..=3)),
-        resend: 200 * MILLI,
-        idle: 15 * SECOND,
-        connect: [50, 250, 1_000][random.gen_range(0..3)] * MILLI,
+        same_zone: (near, near * random.gen_range(1..=3)),
+        cross_zone: (far, far * random.gen_range(1..=3)),
+        retransmit_delay: 200 * MILLI,
+        idle_timeout: 15 * SECOND,
+        connect_timeout: [50, 250, 1_000][random.gen_range(0..3)] * MILLI,
     };
     let list = ListSpec {
-        lag: random.gen_range(0..=2_500) * MILLI,
-        capacity: if random.gen_bool(0.2) { 5.0 } else { 1_000.0 },
-        patience: 3_500 * MILLI,
+        publish_delay: random.gen_range(0..=2_500) * MILLI,
+        requests_per_s: if random.gen_bool(0.2) { 5.0 } else { 1_000.0 },
+        request_timeout: 3_500 * MILLI,
     };
-    let judged = Judged {
+    let judged = Criteria {
         drain_grace: SECOND,
-        recovers: Some(4 * SECOND),
-        share: 0.6,
+        recovery_time: Some(4 * SECOND),
+        recovered_share: 0.6,
     };
     let name = format!("drawn-{number}");
     let mut scenario = Scenario {
@@ -92,8 +92,8 @@
         duration,
         proxies,
         // Apart from the sequence of draws: what a number stands for must not change with it.
-        peers: 0,
-        subset: if number % 4 == 3 {
+        gossip_seeds: 0,
+        subset_size: if number % 4 == 3 {
             2 + (number / 4 % 5) as u32
         } else {
             0
@@ -105,7 +105,7 @@
         network,
         list,
         faults,
-        judged,
+        criteria: judged,
     };
     let wanted = if random.gen_bool(0.8) {
         random.gen_range(0.05..0.8)
@@ -116,7 +116,7 @@
     scenario.clients.rate = (wanted / per_request).min(400.0);
     // Hosts that are asked for more than they can do owe no recovery, and neither do few that are left.
     if scenario.utilisation() > 0.6 || !bears(&scenario) {
-        scenario.judged.recovers = None;
+        scenario.criteria.recovery_time = None;
     }
     scenario
 }
@@ -127,10 +127,10 @@
         scenario
             .faults
             .iter()
-            .any(|f| matches!(f.trouble, Trouble::Drain { host } if host == n))
+            .any(|f| matches!(f.kind, FaultKind::Drain { host } if host == n))
     };
     let left = (0..scenario.hosts.len())
-        .filter(|&n| !gone(n) && scenario.hosts[n].jam.is_none())
+        .filter(|&n| !gone(n) && scenario.hosts[n].congestion_collapse.is_none())
         .count();
     left >= 2 && scenario.utilisation() * scenario.hosts.len() as f64 / (left as f64) < 0.5
 }
@@ -144,7 +144,7 @@
     let deadline = random.gen_range(4..=20) * 100 * MILLI;
     let aim = (deadline as f64 * random.gen_range(0.4..1.0)) as Micros / MILLI * MILLI;
     let window = (deadline as f64 * random.gen_range(0.4..1.0)) as Micros / MILLI * MILLI;
-    let group = [Group::All, Group::Zone, Group::Group][random.gen_range(0..3)];
+    let group = [DedupGroup::All, DedupGroup::Zone, DedupGroup::Group][random.gen_range(0..3)];
     let effect = match random.gen_range(0..4) {
         0 => Effect::Safe,
         1 | 2 => Effect::Keyed { group, window },
@@ -166,12 +166,12 @@
     let free = matches!(effect, Effect::Unsafe) && random.gen_bool(0.5);
     let attempt = (!free && backoff < share).then(|| (share - backoff) / MILLI * MILLI);
     let second_copy = match (effect, random.gen_range(0..4)) {
-        (Effect::Unsafe, _) | (_, 0 | 1) => SecondCopy::Off,
-        (_, 2) => SecondCopy::Auto,
-        _ => SecondCopy::After(window / random.gen_range(4..12) / MILLI * MILLI),
+        (Effect::Unsafe, _) | (_, 0 | 1) => Hedging::Off,
+        (_, 2) => Hedging::Auto,
+        _ => Hedging::After(window / random.gen_range(4..12) / MILLI * MILLI),
     };
     let second_copy = if attempts < 2 {
-        SecondCopy::Off
+        Hedging::Off
     } else {
         second_copy
     };
@@ -179,15 +179,15 @@
     Class {
         name: format!("class-{number}"),
         share: random.gen_range(0.2..1.0),
-        aim: aim.min(deadline),
+        latency_objective: aim.min(deadline),
         deadline,
-        worth: random.gen_range(1.0..10.0),
-        late_worth: if random.gen_bool(0.3) { 0.5 } else { 0.0 },
+        priority_weight: random.gen_range(1.0..10.0),
+        late_weight: if random.gen_bool(0.3) { 0.5 } else { 0.0 },
         effect,
-        attempts,
-        attempt,
+        max_attempts: attempts,
+        attempt_timeout: attempt,
         backoff,
-        second_copy,
+        hedging: second_copy,
         work: (least, least * random.gen_range(1..=3)),
     }
 }
@@ -201,21 +201,21 @@
     } else {
         random.gen_range(20..=200)
     };
-    let cold = random.gen_bool(0.7).then(|| Cold {
-        share: random.gen_range(0.1..0.6),
-        time: random.gen_range(1..=8) * SECOND,
-        fall_multiple: 3.0,
-        fall_time: 2 * SECOND,
+    let cold = random.gen_bool(0.7).then(|| ColdStart {
+        initial_capacity: random.gen_range(0.1..0.6),
+        warm_up: random.gen_range(1..=8) * SECOND,
+        collapse_multiple: 3.0,
+        collapse_window: 2 * SECOND,
     });
-    let crowding = random.gen_bool(0.3).then(|| Crowding {
+    let crowding = random.gen_bool(0.3).then(|| ConcurrencyPenalty {
         knee: 2.0,
         slope: random.gen_range(0.01..0.2),
     });
-    let jam = random.gen_bool(0.15).then(|| Jam {
-        waiting: 4.0,
-        after: 2 * SECOND,
-        slower: random.gen_range(1.5..3.0),
-        rest: 2 * SECOND,
+    let jam = random.gen_bool(0.15).then(|| CongestionCollapse {
+        queued_per_core: 4.0,
+        onset: 2 * SECOND,
+        slowdown: random.gen_range(1.5..3.0),
+        recovery_idle: 2 * SECOND,
     });
     let idle = if random.gen_bool(0.3) {
         random.gen_range(1..=20) * 100 * MILLI
@@ -229,9 +229,9 @@
             group: n as u32 % groups,
             kind: "m".to_owned(),
             cores: random.gen_range(1..=4),
-            waiting,
+            queue_capacity: waiting,
             speed: random.gen_range(0.7..1.5),
-            connections: if random.gen_bool(0.1) {
+            max_connections: if random.gen_bool(0.1) {
                 random.gen_range(1..=6)
             } else {
                 10_000
@@ -241,11 +241,11 @@
             } else {
                 0
             },
-            idle,
-            cold,
-            crowding,
-            jam,
-            joins: if random.gen_bool(0.15) {
+            idle_timeout: idle,
+            cold_start: cold,
+            concurrency_penalty: crowding,
+            congestion_collapse: jam,
+            joins_at: if random.gen_bool(0.15) {
                 random.gen_range(0..duration)
             } else {
                 0
@@ -270,53 +270,61 @@
         let share = [0.05, 0.3, 0.6, 1.0][random.gen_range(0..4)];
         let ran = [0.0, 0.5, 1.0][random.gen_range(0..3)];
         let trouble = match random.gen_range(0..18) {
-            0 => Trouble::Fails { host, share, ran },
-            1 => Trouble::Stalls { host },
-            2 => Trouble::Slow {
+            0 => FaultKind::Errors {
+                host,
+                share,
+                executed_share: ran,
+            },
+            1 => FaultKind::Stall { host },
+            2 => FaultKind::Slowdown {
                 host,
                 factor: random.gen_range(2.0..10.0),
             },
-            3 | 4 => Trouble::Resets { host, share, ran },
-            5 => Trouble::Spoils { host, share },
-            6 => Trouble::Crash { host },
-            7 | 8 => Trouble::Drain { host },
-            9 => Trouble::Partition { host },
-            10 => Trouble::HalfOpen { host },
-            11 => Trouble::Loss { share: share * 0.2 },
-            12 => Trouble::Lag {
+            3 | 4 => FaultKind::ConnectionResets {
+                host,
+                share,
+                executed_share: ran,
+            },
+            5 => FaultKind::CorruptResponses { host, share },
+            6 => FaultKind::Crash { host },
+            7 | 8 => FaultKind::Drain { host },
+            9 => FaultKind::Partition { host },
+            10 => FaultKind::HalfOpen { host },
+            11 => FaultKind::PacketLoss { share: share * 0.2 },
+            12 => FaultKind::NetworkDelay {
                 extra: random.gen_range(1..=50) * MILLI,
             },
             13 => [
-                Trouble::ListSilent,
-                Trouble::ListFails,
-                Trouble::ListOld { by: 3 * SECOND },
+                FaultKind::ListServiceSilent,
+                FaultKind::ListServiceErrors,
+                FaultKind::ListServiceStale { age: 3 * SECOND },
             ][random.gen_range(0..3)],
-            14 => Trouble::Spike {
+            14 => FaultKind::LoadSpike {
                 factor: random.gen_range(2.0..6.0),
             },
-            15 => Trouble::Costly {
+            15 => FaultKind::ExpensiveRequests {
                 class: random.gen_range(0..classes),
                 share: share * 0.1,
                 factor: 10.0,
             },
-            16 => Trouble::ProxyCrash {
+            16 => FaultKind::ProxyCrash {
                 proxy: random.gen_range(0..proxies),
             },
-            _ => Trouble::Stalls { host },
+            _ => FaultKind::Stall { host },
         };
         // A host has one end, and a proxy one crash at a time.
         let clashes = |f: &Fault| {
-            let whole = |t: &Trouble| matches!(t, Trouble::Crash { .. } | Trouble::Drain { .. });
-            let same_host =
-                whole(&f.trouble) && whole(&trouble) && f.trouble.host() == trouble.host();
-            let proxy = |t: &Trouble| matches!(t, Trouble::ProxyCrash { .. });
-            same_host || proxy(&f.trouble) && proxy(&trouble)
+            let whole =
+                |t: &FaultKind| matches!(t, FaultKind::Crash { .. } | FaultKind::Drain { .. });
+            let same_host = whole(&f.kind) && whole(&trouble) && f.kind.host() == trouble.host();
+            let proxy = |t: &FaultKind| matches!(t, FaultKind::ProxyCrash { .. });
+            same_host || proxy(&f.kind) && proxy(&trouble)
         };
         if !faults.iter().any(clashes) {
             faults.push(Fault {
                 from,
                 until,
-                trouble,
+                kind: trouble,
             });
         }
     }
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::course::Course;
 use crate::generate;
 use crate::play::{Fault, Options};
-use badgerramp_sim_model::{Broken, Clients, Draws, Micros, Rule, Scenario};
+use badgerramp_sim_model::{Invariant, LoadGenerator, Micros, RandomStreams, Scenario, Violation};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,8 +23,8 @@
             .unwrap_or_default();
         let mut course = Course::new(Arc::clone(scenario));
         // When it was is not known: nothing that comes later may be left out because of it.
-        course.broken = vec![Broken {
-            rule: Rule::Crashed,
+        course.broken = vec![Violation {
+            invariant: Invariant::Crashed,
             at: Micros::MAX,
             op: None,
             text,
@@ -35,7 +35,7 @@
 }
 
 /// What makes two finds the same: the rule, and its words without their numbers.
-pub fn signature(broken: &Broken) -> String {
+pub fn signature(broken: &Violation) -> String {
     let mut words = String::new();
     for part in broken.text.split_whitespace() {
         let plain: String = part.chars().filter(|c| c.is_alphabetic()).collect();
@@ -44,7 +44,7 @@
         words.push_str(if name { "#" } else { &plain });
         words.push(' ');
     }
-    format!("{}: {}", broken.rule, words.trim_end())
+    format!("{}: {}", broken.invariant, words.trim_end())
 }
 
 /// A kind of failure.
@@ -53,7 +53,7 @@
     /// The first scenario that showed it, by its number.
     pub number: u64,
     /// What was broken there.
-    pub broken: Broken,
+    pub broken: Violation,
     /// How many scenarios showed it.
     pub count: u64,
 }
@@ -197,7 +197,7 @@
     /// With which seed.
     pub options: Options,
     /// What is broken there.
-    pub broken: Broken,
+    pub broken: Violation,
     /// Plays that it took.
     pub plays: u64,
 }
@@ -210,7 +210,7 @@
     play: Play,
     scenario: &Scenario,
     options: Options,
-    rule: Rule,
+    rule: Invariant,
     most: u64,
 ) -> Option<Shrunk> {
     let mut search = Search {
@@ -238,7 +238,7 @@
 }
 
 fn size(scenario: &Scenario) -> usize {
-    scenario.events() * 100 + scenario.hosts.len() + scenario.proxies as usize
+    scenario.event_count() * 100 + scenario.hosts.len() + scenario.proxies as usize
 }
 
 /// The same load as single requests.
@@ -246,11 +246,11 @@
     if scenario.requests.is_some() {
         return scenario.clone();
     }
-    let mut clients = Clients::new(Arc::new(scenario.clone()), Draws::new(seed));
+    let mut clients = LoadGenerator::new(Arc::new(scenario.clone()), RandomStreams::new(seed));
     let mut requests = Vec::new();
-    while let Some(ask) = clients.next_first() {
-        let (at, proxy, class, id) = (ask.at, ask.proxy, ask.class, ask.op.0);
-        requests.push(badgerramp_sim_model::Request {
+    while let Some(ask) = clients.next_operation() {
+        let (at, proxy, class, id) = (ask.due, ask.proxy, ask.class, ask.op.0);
+        requests.push(badgerramp_sim_model::ScriptedRequest {
             at,
             proxy,
             class,
@@ -265,7 +265,7 @@
 
 struct Search {
     play: Play,
-    rule: Rule,
+    rule: Invariant,
     options: Options,
     plays: u64,
     most: u64,
@@ -286,7 +286,7 @@
                 ..self.options
             };
             let course = guarded(self.play, &scenario, options).ok()?;
-            if let Some(broken) = course.broken.iter().find(|b| b.rule == self.rule) {
+            if let Some(broken) = course.broken.iter().find(|b| b.invariant == self.rule) {
                 self.options = options;
                 let scenario = Scenario::clone(&scenario);
                 return Some(Shrunk {
@@ -355,7 +355,7 @@
         let mut host = best.scenario.hosts.len();
         while host > 0 {
             host -= 1;
-            let used = |f: &badgerramp_sim_model::Fault| f.trouble.host() == Some(host);
+            let used = |f: &badgerramp_sim_model::Fault| f.kind.host() == Some(host);
             if best.scenario.hosts.len() < 2 || best.scenario.faults.iter().any(used) {
                 continue;
             }
@@ -373,21 +373,21 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let crashed = best.scenario.faults.iter().filter_map(|f| match f.trouble {
-            badgerramp_sim_model::Trouble::ProxyCrash { proxy } => Some(proxy + 1),
+        let crashed = best.scenario.faults.iter().filter_map(|f| match f.kind {
+            badgerramp_sim_model::FaultKind::ProxyCrash { proxy } => Some(proxy + 1),
             _ => None,
         });
         let proxies = crashed.max().unwrap_or(0).max(proxies);
         let changes: [&dyn Fn(&mut Scenario); 6] = [
             &|s| s.proxies = proxies,
-            &|s| s.clients.retries = 0,
-            &|s| s.clients.leaves = 0.0,
+            &|s| s.clients.max_retries = 0,
+            &|s| s.clients.disconnect_share = 0.0,
             &|s| {
                 s.hosts
                     .iter_mut()
-                    .for_each(|h| (h.crowding, h.jam) = (None, None));
+                    .for_each(|h| (h.concurrency_penalty, h.congestion_collapse) = (None, None));
             },
-            &|s| s.list.lag = 0,
+            &|s| s.list.publish_delay = 0,
             &|s| {
                 let last: Micros = s.requests.iter().flatten().map(|r| r.at).max().unwrap_or(0);
                 s.duration = s.duration.min(last + 1_000_000);
@@ -406,16 +406,16 @@
 
 /// Places of hosts after one that has gone move up.
 fn move_host(fault: &mut badgerramp_sim_model::Fault, gone: usize) {
-    use badgerramp_sim_model::Trouble as T;
-    if let T::Fails { host, .. }
-    | T::Stalls { host }
-    | T::Slow { host, .. }
-    | T::Resets { host, .. }
-    | T::Spoils { host, .. }
+    use badgerramp_sim_model::FaultKind as T;
+    if let T::Errors { host, .. }
+    | T::Stall { host }
+    | T::Slowdown { host, .. }
+    | T::ConnectionResets { host, .. }
+    | T::CorruptResponses { host, .. }
     | T::Crash { host }
     | T::Drain { host }
     | T::Partition { host }
-    | T::HalfOpen { host } = &mut fault.trouble
+    | T::HalfOpen { host } = &mut fault.kind
     {
         if *host > gone {
             *host -= 1;
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -2,7 +2,7 @@
 //! reader as any operator's, so that routes and timing under test are those of the program.
 
 use badgerramp_config::{Config, Diagnostics};
-use badgerramp_sim_model::{Effect, Group, Scenario, SecondCopy};
+use badgerramp_sim_model::{DedupGroup, Effect, Hedging, Scenario};
 use badgerramp_toml_diagnostics::units::format_duration;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -23,30 +23,30 @@
     let limits = format!("[limits]\nmemory = \"{MEMORY_MIB}MiB\"\ndescriptors = {DESCRIPTORS}\n");
     let mut out = format!("listen = \"{listen}\"\n\n{limits}\n[upstream]\n");
     let time = |micros: u64| format!("\"{}\"", format_duration(micros));
-    let cold = scenario.hosts.iter().find_map(|h| h.cold);
+    let cold = scenario.hosts.iter().find_map(|h| h.cold_start);
     // Writing to a String does not fail.
     let _ = write!(
         out,
         "discovery = \"{discovery}\"\nzone = {zone:?}\nproxies = {}\nidle = {}\ndrain_grace = {}\n",
         scenario.proxies,
-        time(scenario.network.idle),
-        time(scenario.judged.drain_grace)
+        time(scenario.network.idle_timeout),
+        time(scenario.criteria.drain_grace)
     );
     if let Some(cold) = cold {
         let _ = write!(
             out,
             "cold_share = {:?}\ncold_time = {}\nfall_multiple = {:?}\nfall_time = {}\n",
-            cold.share,
-            time(cold.time),
-            cold.fall_multiple,
-            time(cold.fall_time)
+            cold.initial_capacity,
+            time(cold.warm_up),
+            cold.collapse_multiple,
+            time(cold.collapse_window)
         );
     }
-    if scenario.subset > 0 {
+    if scenario.subset_size > 0 {
         let _ = write!(
             out,
             "\n[subset]\ninstance = {proxy}\nsize = {}\n",
-            scenario.subset
+            scenario.subset_size
         );
     }
     for class in &scenario.classes {
@@ -54,21 +54,21 @@
             out,
             "\n[class.{}]\naim = {}\ndeadline = {}\nworth = {:?}\nlate_worth = {:?}\nattempts = {}\nconnect = {}\n",
             class.name,
-            time(class.aim),
+            time(class.latency_objective),
             time(class.deadline),
-            class.worth,
-            class.late_worth,
-            class.attempts,
-            time(scenario.network.connect.min(class.attempt.unwrap_or(u64::MAX)))
+            class.priority_weight,
+            class.late_weight,
+            class.max_attempts,
+            time(scenario.network.connect_timeout.min(class.attempt_timeout.unwrap_or(u64::MAX)))
         );
         match class.effect {
             Effect::Safe => out.push_str("effect = \"safe\"\n"),
             Effect::Unsafe => out.push_str("effect = \"unsafe\"\n"),
             Effect::Keyed { group, window } => {
                 let group = match group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Group => "group",
+                    DedupGroup::All => "all",
+                    DedupGroup::Zone => "zone",
+                    DedupGroup::Group => "group",
                 };
                 let _ = write!(
                     out,
@@ -77,16 +77,16 @@
                 );
             }
         }
-        if let Some(attempt) = class.attempt {
+        if let Some(attempt) = class.attempt_timeout {
             let _ = writeln!(out, "attempt = {}", time(attempt));
         }
         if class.backoff > 0 {
             let _ = writeln!(out, "backoff = {}", time(class.backoff));
         }
-        match class.second_copy {
-            SecondCopy::Off => {}
-            SecondCopy::Auto => out.push_str("second_copy = \"auto\"\n"),
-            SecondCopy::After(after) => {
+        match class.hedging {
+            Hedging::Off => {}
+            Hedging::Auto => out.push_str("second_copy = \"auto\"\n"),
+            Hedging::After(after) => {
                 let _ = writeln!(out, "second_copy = \"after {}\"", format_duration(after));
             }
         }
--- a/crates/simulator/src/play/among.rs
+++ b/crates/simulator/src/play/among.rs
@@ -4,7 +4,7 @@
 use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
 use badgerramp_gossip::polling::PeerId;
-use badgerramp_sim_model::{Entry, Micros, Told};
+use badgerramp_sim_model::{ListEntry, ListResponse, Micros};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The address of a proxy.
@@ -39,11 +39,11 @@
 
 const STATUS: [&str; 3] = ["up", "draining", "removed"];
 
-fn change(entry: Entry) -> EndpointChange {
-    let Entry {
+fn change(entry: ListEntry) -> EndpointChange {
+    let ListEntry {
         host,
         state,
-        started,
+        started_at: started,
     } = entry;
     let status = STATUS[usize::from(state.min(2))].to_owned();
     let there = state < 2;
@@ -60,28 +60,28 @@
 }
 
 /// What the list says, in the play's words.
-pub(super) fn entry(change: &EndpointChange) -> Option<Entry> {
+pub(super) fn entry(change: &EndpointChange) -> Option<ListEntry> {
     let host = change.name.parse().ok()?;
     Some(match &change.entry {
-        Some(told) => Entry {
+        Some(told) => ListEntry {
             host,
             state: u8::from(!told.is_up()),
-            started: told.since_ms,
+            started_at: told.since_ms,
         },
-        None => Entry {
+        None => ListEntry {
             host,
             state: 2,
-            started: 0,
+            started_at: 0,
         },
     })
 }
 
 /// What the service's answer is to a peer; `None`: it failed.
-pub(super) fn answer(told: Told, took: Micros, at_once: bool) -> Option<PollAnswer> {
+pub(super) fn answer(told: ListResponse, took: Micros, at_once: bool) -> Option<PollAnswer> {
     let (whole, index, entries) = match told {
-        Told::Full(index, entries) => (true, index, entries),
-        Told::Changes(index, entries) => (false, index, entries),
-        Told::Nothing | Told::Failed | Told::Silence => return None,
+        ListResponse::Full(index, entries) => (true, index, entries),
+        ListResponse::Changes(index, entries) => (false, index, entries),
+        ListResponse::Unchanged | ListResponse::Failed | ListResponse::NoResponse => return None,
     };
     Some(PollAnswer {
         complete: whole,
--- a/crates/simulator/src/play/events.rs
+++ b/crates/simulator/src/play/events.rs
@@ -1,7 +1,7 @@
 //! What is still to happen, in the order of time. What falls on one instant comes by rank and then in the order in
 //! which it was caused, or in a drawn one.
 
-use badgerramp_sim_model::{Draws, Micros};
+use badgerramp_sim_model::{Micros, RandomStreams};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -46,11 +46,11 @@
 pub(crate) struct Events<E> {
     queue: BinaryHeap<Reverse<Due<E>>>,
     count: u64,
-    shuffle: Option<Draws>,
+    shuffle: Option<RandomStreams>,
 }
 
 impl<E> Events<E> {
-    pub(crate) fn new(shuffle: Option<Draws>) -> Self {
+    pub(crate) fn new(shuffle: Option<RandomStreams>) -> Self {
         Events {
             queue: BinaryHeap::new(),
             count: 0,
@@ -63,7 +63,7 @@
         let order = match self.shuffle {
             // Only what comes from outside: the program's own timers have their order.
             Some(draws) if rank == Rank::World => {
-                draws.between((0x71e, self.count, 0), (0, u64::MAX >> 1))
+                draws.integer((0x71e, self.count, 0), (0, u64::MAX >> 1))
             }
             _ => self.count,
         };
--- a/crates/simulator/src/play/mod.rs
+++ b/crates/simulator/src/play/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::course::Course;
 use badgerramp_config::Diagnostics;
-use badgerramp_sim_model::{Judge, Micros, OpId, Rule, Scenario};
+use badgerramp_sim_model::{Invariant, InvariantChecker, Micros, OpId, Scenario};
 use std::fmt;
 use std::sync::Arc;
 
@@ -104,20 +104,20 @@
 const RECOVERY_TOLD: u64 = 30;
 
 /// The liveness judge: after the last fault goodput is back within the stated time.
-pub fn judge_recovery(scenario: &Scenario, course: &Course, judge: &mut Judge) {
-    let Some(within) = scenario.judged.recovers else {
+pub fn judge_recovery(scenario: &Scenario, course: &Course, judge: &mut InvariantChecker) {
+    let Some(within) = scenario.criteria.recovery_time else {
         return;
     };
-    let from = scenario.last_fault() + within;
+    let from = scenario.last_fault_end() + within;
     let (goodput, wanted) = course.goodput_between(from, scenario.duration);
-    if wanted >= RECOVERY_TOLD && goodput < scenario.judged.share {
+    if wanted >= RECOVERY_TOLD && goodput < scenario.criteria.recovered_share {
         let text = format!(
             "goodput {goodput:.3} from {:.1} s on, {:.1} s after the last fault; {:.3} is asked",
             seconds(from),
             seconds(within),
-            scenario.judged.share
+            scenario.criteria.recovered_share
         );
-        judge.note(Rule::NotRecovered, from, None, text);
+        judge.record(Invariant::NotRecovered, from, None, text);
     }
 }
 
--- a/crates/simulator/src/play/shell.rs
+++ b/crates/simulator/src/play/shell.rs
@@ -3,7 +3,7 @@
 use badgerramp_config::Config;
 use badgerramp_decisions::{Balancer, CallId, CallPolicy, ClassId, Micros};
 use badgerramp_gossip::peer::Peer;
-use badgerramp_sim_model::{Ask, Scenario};
+use badgerramp_sim_model::{ClientRequest, Scenario};
 use http::{HeaderMap, HeaderValue, Method};
 use rustc_hash::FxHashMap;
 
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    pub(crate) ask: Ask,
+    pub(crate) ask: ClientRequest,
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) answered: bool,
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/play/virtually.rs
@@ -13,8 +13,9 @@
 };
 use badgerramp_gossip::peer::{Input, Output};
 use badgerramp_sim_model::{
-    Answered, Arrival, Ask, Clients, Done, Draws, Entry, Host, Job, Judge, ListService, Memory,
-    Micros, Network, Next, Report, Rule, Scenario, Told, Trouble, Verdict, Way,
+    Arrival, ClientRequest, Completion, DedupStore, Delivery, FaultKind, FinalAnswer, Host,
+    HostLoad, Invariant, InvariantChecker, Job, JobOutcome, ListEntry, ListResponse, ListService,
+    LoadGenerator, Micros, Network, RandomStreams, RetryDecision, Scenario,
 };
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -30,9 +31,9 @@
 /// What happens.
 enum Ev {
     /// The next first try is due.
-    First(Ask),
+    First(ClientRequest),
     /// A client tries again.
-    Again(Ask),
+    Again(ClientRequest),
     /// A client leaves.
     Leaves {
         proxy: u32,
@@ -46,7 +47,7 @@
     /// A request reaches a host.
     Arrives(Wire, Link),
     /// An answer, or the end of the connection, reaches the proxy.
-    Back(Wire, Verdict, Report),
+    Back(Wire, JobOutcome, HostLoad),
     /// The host hears that nobody waits any more.
     Dropped {
         token: u64,
@@ -68,7 +69,7 @@
     /// A question reaches the list service; its answer leaves it; comes back.
     ListAsked(Question),
     ListAnswers(Question),
-    ListTold(Question, Told),
+    ListTold(Question, ListResponse),
     ListLate(Question),
     /// Something new is listed.
     Listed,
@@ -113,20 +114,20 @@
 struct Play {
     scenario: Arc<Scenario>,
     options: Options,
-    draws: Draws,
+    draws: RandomStreams,
     now: Micros,
     events: Events<Ev>,
     hosts: Vec<Host>,
     /// For each host: when it was last told to look for ended jobs.
     due: Vec<Option<Micros>>,
     zones: Vec<u32>,
-    memory: Memory,
+    memory: DedupStore,
     list: ListService,
     /// Proxies that watch, and since when.
     watching: Vec<Question>,
     network: Network,
-    clients: Clients,
-    judge: Judge,
+    clients: LoadGenerator,
+    judge: InvariantChecker,
     course: Course,
     proxies: Vec<Proxy>,
     proxy_zones: Vec<u32>,
@@ -136,10 +137,10 @@
     advice: Micros,
     spares: usize,
     /// Jobs at hosts.
-    jobs: FxHashMap<u64, (Wire, Link, Ask)>,
+    jobs: FxHashMap<u64, (Wire, Link, ClientRequest)>,
     next_token: u64,
     actions: Vec<Action>,
-    done: Vec<Done>,
+    done: Vec<Completion>,
 }
 
 /// Plays a scenario in virtual time.
@@ -161,16 +162,16 @@
         config: &Config,
         routed: Vec<Routed>,
     ) -> Self {
-        let draws = Draws::new(options.seed);
+        let draws = RandomStreams::new(options.seed);
         let hosts: Vec<Host> = (0..scenario.hosts.len())
             .map(|n| Host::new(&scenario, n, draws))
             .collect();
-        let there = (0..hosts.len()).filter(|&n| scenario.hosts[n].joins == 0);
+        let there = (0..hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
         let first = there
-            .map(|host| Entry {
+            .map(|host| ListEntry {
                 host,
                 state: 0,
-                started: 0,
+                started_at: 0,
             })
             .collect();
         let zone = |name: &str| settings::zone_id(name).0;
@@ -184,12 +185,12 @@
             events: Events::new(options.shuffle.then_some(draws)),
             due: vec![None; hosts.len()],
             zones: scenario.hosts.iter().map(|h| zone(&h.zone)).collect(),
-            memory: Memory::default(),
+            memory: DedupStore::default(),
             list: ListService::new(scenario.list, &scenario.faults, first),
             watching: Vec::new(),
             network: Network::new(scenario.network, &scenario.faults, draws),
-            clients: Clients::new(Arc::clone(&scenario), draws),
-            judge: Judge::new(Arc::clone(&scenario), 0),
+            clients: LoadGenerator::new(Arc::clone(&scenario), draws),
+            judge: InvariantChecker::new(Arc::clone(&scenario), 0),
             course: Course::new(Arc::clone(&scenario)),
             proxy_zones: (0..scenario.proxies)
                 .map(|n| zone(shell::zone(&scenario, n)))
@@ -224,20 +225,20 @@
             .clone()
             .iter()
             .enumerate()
-            .filter(|(_, h)| h.joins > 0)
+            .filter(|(_, h)| h.joins_at > 0)
         {
-            self.at(host.joins, Ev::Joins(n));
+            self.at(host.joins_at, Ev::Joins(n));
         }
         for proxy in 0..self.scenario.proxies {
             self.start_proxy(proxy, 0);
         }
-        if let Some(ask) = self.clients.next_first() {
-            self.at(ask.at, Ev::First(ask));
+        if let Some(ask) = self.clients.next_operation() {
+            self.at(ask.due, Ev::First(ask));
         }
         self.at(BIN, Ev::Sample);
-        let end = self.scenario.duration + self.scenario.longest() + AFTERMATH;
+        let end = self.scenario.duration + self.scenario.max_deadline() + AFTERMATH;
         while let Some((at, event)) = self.events.pop() {
-            if at > end || (self.options.stop && self.judge.count() > 0) {
+            if at > end || (self.options.stop && self.judge.violation_count() > 0) {
                 break;
             }
             self.now = at;
@@ -247,18 +248,18 @@
     }
 
     fn finish(mut self) -> Course {
-        self.judge.pass(Micros::MAX / 2);
-        if !(self.options.stop && self.judge.count() > 0) {
+        self.judge.advance(Micros::MAX / 2);
+        if !(self.options.stop && self.judge.violation_count() > 0) {
             self.look_for_leaks(true);
             let mut course =
                 std::mem::replace(&mut self.course, Course::new(Arc::clone(&self.scenario)));
             judge_recovery(&self.scenario, &course, &mut self.judge);
-            course.list_asked = self.list.asked;
+            course.list_asked = self.list.request_count;
             self.course = course;
         }
-        self.course.broken = self.judge.broken().to_vec();
-        self.course.broken_count = self.judge.count();
-        self.course.worked.0 = self.hosts.iter().map(|h| h.worked).sum();
+        self.course.broken = self.judge.violations().to_vec();
+        self.course.broken_count = self.judge.violation_count();
+        self.course.worked.0 = self.hosts.iter().map(|h| h.work_done).sum();
         self.course
     }
 
@@ -268,7 +269,7 @@
         for proxy in self.proxies.iter().filter(|p| p.up) {
             if last && !proxy.calls.is_empty() {
                 found.push((
-                    Rule::Leaked,
+                    Invariant::Leaked,
                     format!(
                         "proxy {} still has {} calls",
                         proxy.place,
@@ -280,7 +281,7 @@
             let (known, held) = (totals.open, totals.queued);
             if last && known > 0 {
                 found.push((
-                    Rule::Leaked,
+                    Invariant::Leaked,
                     format!(
                         "proxy {}: the decisions still know {known} calls",
                         proxy.place
@@ -293,11 +294,11 @@
                     proxy.place,
                     proxy.calls.len()
                 );
-                found.push((Rule::Miscounted, text));
+                found.push((Invariant::Miscounted, text));
             }
             if proxy.links.values().any(|l| l.len() > self.spares) {
                 found.push((
-                    Rule::Leaked,
+                    Invariant::Leaked,
                     format!("proxy {} keeps too many connections", proxy.place),
                 ));
             }
@@ -319,21 +320,21 @@
                             "proxy {}: the decisions count {} in flight at {}, and {out} are",
                             proxy.place, view.in_flight, self.scenario.hosts[host].name
                         );
-                        found.push((Rule::Miscounted, text));
+                        found.push((Invariant::Miscounted, text));
                     }
                 }
             }
         }
         found
             .into_iter()
-            .for_each(|(rule, text)| self.judge.note(rule, self.now, None, text));
+            .for_each(|(rule, text)| self.judge.record(rule, self.now, None, text));
     }
 
     fn happens(&mut self, event: Ev) {
         match event {
             Ev::First(ask) => {
-                if let Some(next) = self.clients.next_first() {
-                    self.at(next.at, Ev::First(next));
+                if let Some(next) = self.clients.next_operation() {
+                    self.at(next.due, Ev::First(next));
                 }
                 self.asks(ask);
             }
@@ -349,7 +350,7 @@
                 process,
             } => {
                 self.settle(host);
-                let there = self.hosts[host].is_up() && self.hosts[host].started() == process;
+                let there = self.hosts[host].is_up() && self.hosts[host].started_at() == process;
                 if there {
                     self.hosts[host].disconnect();
                     if token != u64::MAX && self.hosts[host].abandon(token, &mut self.memory) {
@@ -373,12 +374,12 @@
                 let shell = &self.proxies[proxy as usize];
                 let forgotten = shell.calls.get(&call).is_some_and(|c| !c.answered);
                 if shell.up && shell.epoch == epoch && forgotten {
-                    self.answer(proxy, call, Answered::Overdue, None);
+                    self.answer(proxy, call, FinalAnswer::Overdue, None);
                     self.tell(proxy, Event::ClientDisconnected { call });
                 }
             }
             Ev::ListAsked(question) => {
-                let leaves = self.list.ask(self.now);
+                let leaves = self.list.accept_request(self.now);
                 self.at(leaves, Ev::ListAnswers(question));
             }
             Ev::ListAnswers(question) => self.list_answers(question),
@@ -415,7 +416,7 @@
         settings.zone = decisions::ZoneId(self.proxy_zones[place as usize]);
         let seed = self
             .draws
-            .between((0x5eed, u64::from(place), u64::from(epoch)), (0, u64::MAX));
+            .integer((0x5eed, u64::from(place), u64::from(epoch)), (0, u64::MAX));
         let proxy = Proxy::new(
             place,
             epoch,
@@ -435,11 +436,11 @@
                 entries: Vec::new(),
             },
         );
-        if self.scenario.peers > 0 {
+        if self.scenario.gossip_seeds > 0 {
             let id = self
                 .draws
-                .between((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
-            let peer = among::start(self.now, (place, self.scenario.peers), id);
+                .integer((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
+            let peer = among::start(self.now, (place, self.scenario.gossip_seeds), id);
             self.proxies[place as usize].peer = Some(peer);
             self.among(place, Input::Timer);
         }
@@ -475,8 +476,8 @@
                         u64::from(place),
                         (u64::from(epoch) << 32) | shell.letters,
                     );
-                    if let (Way::Arrives(at), true) = (
-                        self.network.way(self.now, None, false, name),
+                    if let (Delivery::Arrives(at), true) = (
+                        self.network.send(self.now, None, false, name),
                         (to as usize) < self.proxies.len(),
                     ) {
                         self.at(at, Ev::Peer(to, bytes));
@@ -543,9 +544,9 @@
                     retry_after
                 };
                 let told = (wait > 0).then(|| wait.div_ceil(1_000_000) * 1_000_000);
-                self.answer(proxy, call, Answered::Refused, told);
+                self.answer(proxy, call, FinalAnswer::Refused, told);
             }
-            Action::Fail { call } => self.answer(proxy, call, Answered::Failed, None),
+            Action::Fail { call } => self.answer(proxy, call, FinalAnswer::Failed, None),
             Action::Cancel { call, attempt } => {
                 queue.extend(self.outcome(
                     proxy,
@@ -566,7 +567,7 @@
                 }
             }
             // Whoever asks for all does.
-            Action::Subscribe if self.scenario.peers > 0 => {}
+            Action::Subscribe if self.scenario.gossip_seeds > 0 => {}
             Action::Subscribe => {
                 let shell = &mut self.proxies[proxy as usize];
                 if shell.asking.is_some() {
@@ -587,39 +588,44 @@
 
     // Clients.
 
-    fn asks(&mut self, ask: Ask) {
+    fn asks(&mut self, ask: ClientRequest) {
         self.course.asked(&ask);
         self.course
-            .step(self.now, 1, ask.op.0, u64::from(ask.number));
+            .step(self.now, 1, ask.op.0, u64::from(ask.try_number));
         let class = &self.scenario.classes[ask.class].name;
         self.course.note(self.options.trace, ask.op, self.now, || {
             format!(
                 "try {} of {class} at proxy {}, waits {} us",
-                ask.number, ask.proxy, ask.patience
+                ask.try_number, ask.proxy, ask.timeout
             )
         });
         let shell = &self.proxies[ask.proxy as usize];
         if !shell.up {
             // Nobody is there: that nothing ran is plain.
-            self.client_hears(ask, Some(Answered::Refused), None);
+            self.client_hears(ask, Some(FinalAnswer::Refused), None);
             return;
         }
-        let until = self.now + ask.patience;
-        self.judge
-            .taken(self.now, ask.op, ask.number, (ask.class, ask.proxy), until);
+        let until = self.now + ask.timeout;
+        self.judge.call_accepted(
+            self.now,
+            ask.op,
+            ask.try_number,
+            (ask.class, ask.proxy),
+            until,
+        );
         if shell.open >= self.max_open {
             self.judge
-                .answered(self.now, ask.op, ask.number, Answered::Refused);
+                .call_answered(self.now, ask.op, ask.try_number, FinalAnswer::Refused);
             self.client_hears(
                 ask,
-                Some(Answered::Refused),
+                Some(FinalAnswer::Refused),
                 Some(self.advice).filter(|&a| a > 0),
             );
             return;
         }
         let routed = self.routed[ask.class];
         let time = ask
-            .patience
+            .timeout
             .saturating_sub(ANSWER_ROOM)
             .max(1)
             .min(routed.total);
@@ -643,12 +649,12 @@
             Rank::Backstop,
             Ev::Backstop { proxy, epoch, call },
         );
-        let leaves = self.scenario.clients.leaves;
-        let name = (0x1ea5e, ask.op.0, u64::from(ask.number));
-        if self.draws.happens(name, leaves) {
+        let leaves = self.scenario.clients.disconnect_share;
+        let name = (0x1ea5e, ask.op.0, u64::from(ask.try_number));
+        if self.draws.occurs(name, leaves) {
             let after = self
                 .draws
-                .between((0x1ea5f, name.1, name.2), (1, time.max(2) - 1));
+                .integer((0x1ea5f, name.1, name.2), (1, time.max(2) - 1));
             self.at(self.now + after, Ev::Leaves { proxy, epoch, call });
         }
         let event = Event::Request {
@@ -656,23 +662,28 @@
             class: routed.class,
             tenant: None,
             time_left: time,
-            is_retry: ask.number > 0,
+            is_retry: ask.try_number > 0,
             policy: routed.terms,
         };
         self.tell(proxy, event);
     }
 
-    fn client_hears(&mut self, ask: Ask, answered: Option<Answered>, told: Option<Micros>) {
+    fn client_hears(
+        &mut self,
+        ask: ClientRequest,
+        answered: Option<FinalAnswer>,
+        told: Option<Micros>,
+    ) {
         self.course
             .step(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
         self.course
             .note(self.options.trace, ask.op, self.now, || match answered {
-                Some(answer) => format!("try {}: {answer:?}", ask.number),
-                None => format!("try {}: no answer", ask.number),
+                Some(answer) => format!("try {}: {answer:?}", ask.try_number),
+                None => format!("try {}: no answer", ask.try_number),
             });
-        match self.clients.after(&ask, answered, self.now, told) {
-            Next::Asks(next) => self.at(next.at, Ev::Again(next)),
-            Next::Rests => self.course.ended(&ask, self.now, answered),
+        match self.clients.after_answer(&ask, answered, self.now, told) {
+            RetryDecision::Retry(next) => self.at(next.due, Ev::Again(next)),
+            RetryDecision::Stop => self.course.ended(&ask, self.now, answered),
         }
     }
 
@@ -687,10 +698,10 @@
         open.answered = true;
         let ask = open.ask;
         shell.open -= 1;
-        self.judge.left(self.now, ask.op, ask.number);
+        self.judge.client_left(self.now, ask.op, ask.try_number);
         self.course
-            .step(self.now, 3, ask.op.0, u64::from(ask.number));
-        self.course.ended(&ask, self.now, Some(Answered::Failed));
+            .step(self.now, 3, ask.op.0, u64::from(ask.try_number));
+        self.course.ended(&ask, self.now, Some(FinalAnswer::Failed));
         self.course.note(self.options.trace, ask.op, self.now, || {
             "its client leaves".to_owned()
         });
@@ -714,7 +725,7 @@
     }
 
     /// The one final answer.
-    fn answer(&mut self, proxy: u32, id: CallId, answer: Answered, told: Option<Micros>) {
+    fn answer(&mut self, proxy: u32, id: CallId, answer: FinalAnswer, told: Option<Micros>) {
         let shell = &mut self.proxies[proxy as usize];
         let Some(call) = shell.calls.get_mut(&id) else {
             return;
@@ -722,8 +733,8 @@
         let ask = call.ask;
         // The program's own guard lets a second one go nowhere; the judge is told all the same.
         if std::mem::replace(&mut call.answered, true) {
-            self.judge.note(
-                Rule::AnsweredTwice,
+            self.judge.record(
+                Invariant::AnsweredTwice,
                 self.now,
                 Some(ask.op),
                 format!("the decisions say {answer:?} again"),
@@ -731,7 +742,8 @@
             return;
         }
         shell.open -= 1;
-        self.judge.answered(self.now, ask.op, ask.number, answer);
+        self.judge
+            .call_answered(self.now, ask.op, ask.try_number, answer);
         self.client_hears(ask, Some(answer), told);
         self.tidy(proxy, id);
     }
@@ -748,8 +760,8 @@
         let shell = &mut self.proxies[proxy as usize];
         let epoch = shell.epoch;
         let Some(call) = shell.calls.get_mut(&id) else {
-            self.judge.note(
-                Rule::AfterEnd,
+            self.judge.record(
+                Invariant::AfterEnd,
                 self.now,
                 None,
                 "the decisions send for a call that has ended",
@@ -801,7 +813,8 @@
             self.course
                 .note(self.options.trace, ask.op, self.now, || line);
         }
-        self.judge.sent(self.now, ask.op, ask.number, host);
+        self.judge
+            .attempt_sent(self.now, ask.op, ask.try_number, host);
         if !known.ready || until <= self.now || answered {
             return self.outcome(proxy, id, attempt, Outcome::NotSent, LoadReport::default());
         }
@@ -816,8 +829,8 @@
         match self.checkout(proxy, host) {
             Some(link) => self.start(wire, link),
             None => match self.way(&wire, 0) {
-                Way::Arrives(at) => self.at(at, Ev::Syn(wire, self.now)),
-                Way::Vanishes => self.at(
+                Delivery::Arrives(at) => self.at(at, Ev::Syn(wire, self.now)),
+                Delivery::Lost => self.at(
                     self.now + self.routed[ask.class].connect,
                     Ev::Up(wire, None),
                 ),
@@ -831,39 +844,39 @@
     }
 
     /// A packet of an attempt. It is named by that: what becomes of it does not hang on what else is played.
-    fn way(&self, wire: &Wire, leg: u64) -> Way {
+    fn way(&self, wire: &Wire, leg: u64) -> Delivery {
         let (op, number) = self
             .ask_of(wire)
-            .map_or((0, 0), |a| (a.op.0, u64::from(a.number)));
+            .map_or((0, 0), |a| (a.op.0, u64::from(a.try_number)));
         let near = self.near(wire.proxy, wire.host);
         let name = (
             0x9ac,
             op,
             (number << 16) | (u64::from(wire.attempt) << 8) | leg,
         );
-        self.network.way(self.now, Some(wire.host), near, name)
+        self.network.send(self.now, Some(wire.host), near, name)
     }
 
     /// A packet between a proxy and the list service.
-    fn list_way(&self, question: &Question, leg: u64) -> Way {
+    fn list_way(&self, question: &Question, leg: u64) -> Delivery {
         let name = (
             0x1157,
             u64::from(question.proxy),
             (question.number << 8) | leg,
         );
-        self.network.way(self.now, None, false, name)
+        self.network.send(self.now, None, false, name)
     }
 
     /// An idle connection that is open, as far as the proxy can see.
     fn checkout(&mut self, proxy: u32, host: usize) -> Option<Link> {
         // As the program has it: well ahead of the host.
-        let most = self.scenario.network.idle / 4 * 3;
+        let most = self.scenario.network.idle_timeout / 4 * 3;
         loop {
             let link = self.proxies[proxy as usize].links.get_mut(&host)?.pop()?;
             let idle = self.now.saturating_sub(link.idle_since);
-            let there = self.hosts[host].is_up() && self.hosts[host].started() == link.process;
+            let there = self.hosts[host].is_up() && self.hosts[host].started_at() == link.process;
             // A host's close reaches the proxy before it looks.
-            if there && idle < most && idle < self.scenario.hosts[host].idle {
+            if there && idle < most && idle < self.scenario.hosts[host].idle_timeout {
                 return Some(link);
             }
             self.close(link, u64::MAX);
@@ -882,7 +895,7 @@
             link.host as u64,
             link.opened ^ (link.idle_since << 1),
         );
-        if let Way::Arrives(at) = self.network.way(self.now, Some(link.host), true, name) {
+        if let Delivery::Arrives(at) = self.network.send(self.now, Some(link.host), true, name) {
             self.at(at, event);
         }
     }
@@ -896,7 +909,7 @@
             .course
             .connections_most
             .max(self.hosts[host].connections());
-        let process = self.hosts[host].started();
+        let process = self.hosts[host].started_at();
         let link = taken.then_some(Link {
             host,
             process,
@@ -906,7 +919,7 @@
         let class = self.ask_of(&wire).map_or(0, |a| a.class);
         let give_up = began + self.routed[class].connect;
         match self.way(&wire, 1) {
-            Way::Arrives(at) if at <= give_up => self.at(at, Ev::Up(wire, link)),
+            Delivery::Arrives(at) if at <= give_up => self.at(at, Ev::Up(wire, link)),
             _ => {
                 if let Some(link) = link {
                     self.close(link, u64::MAX);
@@ -916,7 +929,7 @@
         }
     }
 
-    fn ask_of(&self, wire: &Wire) -> Option<Ask> {
+    fn ask_of(&self, wire: &Wire) -> Option<ClientRequest> {
         let shell = &self.proxies[wire.proxy as usize];
         (shell.up && shell.epoch == wire.epoch)
             .then(|| shell.calls.get(&wire.call).map(|c| c.ask))
@@ -966,7 +979,7 @@
             return;
         }
         attempt.link = Some(link);
-        if let Way::Arrives(at) = self.way(&wire, 2) {
+        if let Delivery::Arrives(at) = self.way(&wire, 2) {
             self.at(at, Ev::Arrives(wire, link));
         }
     }
@@ -975,7 +988,7 @@
         let host = wire.host;
         self.settle(host);
         let dead = |f: &badgerramp_sim_model::Fault| {
-            let half_open = matches!(f.trouble, Trouble::HalfOpen { host: at } if at == host);
+            let half_open = matches!(f.kind, FaultKind::HalfOpen { host: at } if at == host);
             half_open && f.from <= self.now && link.opened < f.from
         };
         if self.scenario.faults.iter().any(dead) {
@@ -985,12 +998,12 @@
         let Some(ask) = self.ask_of(&wire) else {
             return;
         };
-        let stale = self.hosts[host].started() != link.process || !self.hosts[host].is_up();
+        let stale = self.hosts[host].started_at() != link.process || !self.hosts[host].is_up();
         // The host closed it while the request was on its way.
-        let idle =
-            link.idle_since > 0 && self.now >= link.idle_since + self.scenario.hosts[host].idle;
+        let idle = link.idle_since > 0
+            && self.now >= link.idle_since + self.scenario.hosts[host].idle_timeout;
         if stale || idle {
-            self.goes_back(wire, Verdict::Reset, Report::default());
+            self.goes_back(wire, JobOutcome::Reset, HostLoad::default());
             return;
         }
         let token = self.next_token;
@@ -999,14 +1012,14 @@
         let job = Job {
             token,
             op: ask.op,
-            name: (u64::from(ask.number) << 8) | u64::from(wire.attempt),
+            attempt_id: (u64::from(ask.try_number) << 8) | u64::from(wire.attempt),
             effect: self.scenario.classes[ask.class].effect,
             work: ask.work,
-            usual: ask.usual,
-            informed: known.started == self.hosts[host].started(),
+            expected_work: ask.expected_work,
+            sender_knows_start: known.started == self.hosts[host].started_at(),
         };
         self.course.step(self.now, 5, ask.op.0, host as u64);
-        let fell = self.hosts[host].fell().is_some();
+        let fell = self.hosts[host].collapsed().is_some();
         let arrival = self.hosts[host].arrive(self.now, job, &mut self.memory);
         self.course.note(self.options.trace, ask.op, self.now, || {
             format!(
@@ -1014,10 +1027,11 @@
                 wire.attempt, self.scenario.hosts[host].name
             )
         });
-        if let (false, Some(pushed)) = (fell, self.hosts[host].fell()) {
+        if let (false, Some(pushed)) = (fell, self.hosts[host].collapsed()) {
             if pushed {
                 let text = format!("{} was pushed over", self.scenario.hosts[host].name);
-                self.judge.note(Rule::ColdPushed, self.now, None, text);
+                self.judge
+                    .record(Invariant::ColdPushed, self.now, None, text);
             }
             self.host_dies(host);
         }
@@ -1030,15 +1044,15 @@
                 self.watch_host(host);
             }
             Arrival::Ended(verdict) => {
-                let report = self.hosts[host].report();
+                let report = self.hosts[host].load();
                 self.goes_back(wire, verdict, report);
             }
-            Arrival::Nobody => self.goes_back(wire, Verdict::Reset, Report::default()),
+            Arrival::Nobody => self.goes_back(wire, JobOutcome::Reset, HostLoad::default()),
         }
     }
 
-    fn goes_back(&mut self, wire: Wire, verdict: Verdict, report: Report) {
-        if let Way::Arrives(at) = self.way(&wire, 3) {
+    fn goes_back(&mut self, wire: Wire, verdict: JobOutcome, report: HostLoad) {
+        if let Delivery::Arrives(at) = self.way(&wire, 3) {
             self.at(at, Ev::Back(wire, verdict, report));
         }
     }
@@ -1052,21 +1066,21 @@
                 continue;
             };
             self.course.step(ended.at, 6, ended.job.op.0, host as u64);
-            if ended.effected {
-                self.judge.effected(ended.at, ended.job.op, host);
+            if ended.took_effect {
+                self.judge.effect_executed(ended.at, ended.job.op, host);
             }
             self.course.note(self.options.trace, ask.op, ended.at, || {
-                let ran = if ended.effected {
+                let ran = if ended.took_effect {
                     ", its effect came about"
                 } else {
                     ""
                 };
                 format!(
                     "attempt {} ends at {}: {:?}{ran}",
-                    wire.attempt, self.scenario.hosts[host].name, ended.verdict
+                    wire.attempt, self.scenario.hosts[host].name, ended.outcome
                 )
             });
-            self.goes_back(wire, ended.verdict, ended.report);
+            self.goes_back(wire, ended.outcome, ended.load);
         }
         self.done = done;
         self.watch_host(host);
@@ -1074,7 +1088,7 @@
 
     /// Makes sure that somebody looks when its next job ends.
     fn watch_host(&mut self, host: usize) {
-        if let Some(at) = self.hosts[host].due() {
+        if let Some(at) = self.hosts[host].next_completion() {
             if self.due[host].is_none_or(|due| at < due) {
                 self.due[host] = Some(at);
                 self.at(at, Ev::HostDue(host));
@@ -1082,25 +1096,25 @@
         }
     }
 
-    fn back(&mut self, wire: Wire, verdict: Verdict, report: Report) {
+    fn back(&mut self, wire: Wire, verdict: JobOutcome, report: HostLoad) {
         if self.attempt(&wire).is_none() {
             return;
         }
         let load = LoadReport {
-            in_flight: Some(f64::from(report.in_hand)),
-            queued: Some(f64::from(report.waiting)),
+            in_flight: Some(f64::from(report.in_flight)),
+            queued: Some(f64::from(report.queued)),
             ..LoadReport::default()
         };
         let (outcome, load) = match verdict {
-            Verdict::Served => (Outcome::Served, load),
-            Verdict::Failed => (Outcome::Error, load),
-            Verdict::TurnedAway => (Outcome::Rejected, load),
-            Verdict::Reset => (Outcome::Reset, LoadReport::default()),
-            Verdict::Spoilt => (Outcome::Error, LoadReport::default()),
+            JobOutcome::Served => (Outcome::Served, load),
+            JobOutcome::Failed => (Outcome::Error, load),
+            JobOutcome::TurnedAway => (Outcome::Rejected, load),
+            JobOutcome::Reset => (Outcome::Reset, LoadReport::default()),
+            JobOutcome::Spoilt => (Outcome::Error, LoadReport::default()),
         };
         match verdict {
-            Verdict::Served | Verdict::Failed | Verdict::TurnedAway => self.keep(wire),
-            Verdict::Reset | Verdict::Spoilt => {}
+            JobOutcome::Served | JobOutcome::Failed | JobOutcome::TurnedAway => self.keep(wire),
+            JobOutcome::Reset | JobOutcome::Spoilt => {}
         }
         self.ends(wire, outcome, load);
     }
@@ -1140,7 +1154,7 @@
     }
 
     fn sweep(&mut self, proxy: u32, epoch: u32) {
-        let most = self.scenario.network.idle / 4 * 3;
+        let most = self.scenario.network.idle_timeout / 4 * 3;
         let now = self.now;
         let shell = &mut self.proxies[proxy as usize];
         if !shell.up || shell.epoch != epoch {
@@ -1157,7 +1171,7 @@
             let ready = shell.hosts[host].ready;
             links.retain(|link| {
                 let idle = now.saturating_sub(link.idle_since);
-                let stays = ready && idle < most && idle < hosts[host].idle;
+                let stays = ready && idle < most && idle < hosts[host].idle_timeout;
                 if !stays {
                     closed.push(*link);
                 }
@@ -1210,9 +1224,9 @@
         let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
         attempt.out = false;
         let (elapsed, link, token) = (self.now - attempt.sent, attempt.link.take(), attempt.token);
-        self.judge.over(
+        self.judge.attempt_ended(
             ask.op,
-            ask.number,
+            ask.try_number,
             number as usize,
             outcome.proves_not_executed(),
         );
@@ -1231,8 +1245,8 @@
             shell.open -= 1;
             closed = true;
             self.judge
-                .answered(self.now, ask.op, ask.number, Answered::Served);
-            self.client_hears(ask, Some(Answered::Served), None);
+                .call_answered(self.now, ask.op, ask.try_number, FinalAnswer::Served);
+            self.client_hears(ask, Some(FinalAnswer::Served), None);
         }
         if let Some(link) = link {
             // Its connection goes with it: the host learns that nobody waits.
@@ -1289,7 +1303,7 @@
             FETCH
         };
         self.at(self.now + patience, Ev::ListLate(question));
-        if let Way::Arrives(at) = self.list_way(&question, 0) {
+        if let Delivery::Arrives(at) = self.list_way(&question, 0) {
             self.at(at, Ev::ListAsked(question));
         }
     }
@@ -1298,37 +1312,39 @@
         if !self.is_asking(&question) {
             return;
         }
-        let told = match self.list.answer(self.now, question.known) {
-            Told::Silence => return,
-            Told::Nothing if self.now < question.asked + question.wait => {
+        let told = match self.list.respond(self.now, question.known) {
+            ListResponse::NoResponse => return,
+            ListResponse::Unchanged if self.now < question.asked + question.wait => {
                 self.watching.push(question);
                 self.at(question.asked + question.wait, Ev::ListAnswers(question));
                 return;
             }
-            Told::Nothing => Told::Changes(question.known.unwrap_or_default(), Vec::new()),
+            ListResponse::Unchanged => {
+                ListResponse::Changes(question.known.unwrap_or_default(), Vec::new())
+            }
             told => told,
         };
         self.watching.retain(|w| w.proxy != question.proxy);
-        if let Way::Arrives(at) = self.list_way(&question, 1) {
+        if let Delivery::Arrives(at) = self.list_way(&question, 1) {
             self.at(at, Ev::ListTold(question, told));
         }
     }
 
-    fn list_told(&mut self, question: Question, told: Told) {
+    fn list_told(&mut self, question: Question, told: ListResponse) {
         if !self.is_asking(&question) {
             return;
         }
-        if self.scenario.peers > 0 {
+        if self.scenario.gossip_seeds > 0 {
             self.proxies[question.proxy as usize].asking = None;
             let answer = among::answer(told, self.now - question.asked, question.known.is_none());
             let input = answer.map_or(Input::PollFailed { retry_after: None }, Input::PollAnswered);
             return self.among(question.proxy, input);
         }
         let (kind, version, list) = match told {
-            Told::Full(version, list) => (ListUpdateKind::Full, version, list),
-            Told::Changes(version, list) => (ListUpdateKind::Delta, version, list),
-            Told::Failed => return self.list_failed(question.proxy),
-            Told::Nothing | Told::Silence => return,
+            ListResponse::Full(version, list) => (ListUpdateKind::Full, version, list),
+            ListResponse::Changes(version, list) => (ListUpdateKind::Delta, version, list),
+            ListResponse::Failed => return self.list_failed(question.proxy),
+            ListResponse::Unchanged | ListResponse::NoResponse => return,
         };
         let proxy = question.proxy;
         self.course.step(self.now, 8, u64::from(proxy), version);
@@ -1341,26 +1357,28 @@
     }
 
     /// A proxy's list is this, or has changed by this.
-    fn learn(&mut self, proxy: u32, kind: ListUpdateKind, list: Vec<Entry>) {
+    fn learn(&mut self, proxy: u32, kind: ListUpdateKind, list: Vec<ListEntry>) {
         let shell = &mut self.proxies[proxy as usize];
         if kind == ListUpdateKind::Full {
             for (host, known) in shell.hosts.iter_mut().enumerate() {
                 if known.ready && !list.iter().any(|e| e.host == host) {
                     known.ready = false;
-                    self.judge.told(self.now, proxy, host, false);
+                    self.judge
+                        .host_status_received(self.now, proxy, host, false);
                 }
             }
         }
         let mut entries = Vec::with_capacity(list.len());
-        for Entry {
+        for ListEntry {
             host,
             state,
-            started,
+            started_at: started,
         } in list
         {
             let ready = state == 0;
             shell.hosts[host] = Known { ready, started };
-            self.judge.told(self.now, proxy, host, ready);
+            self.judge
+                .host_status_received(self.now, proxy, host, ready);
             let spec = &self.scenario.hosts[host];
             entries.push(decisions::EndpointEntry {
                 endpoint: EndpointId(host as u32),
@@ -1396,7 +1414,7 @@
     fn list_failed(&mut self, proxy: u32) {
         let shell = &mut self.proxies[proxy as usize];
         shell.asking = None;
-        if self.scenario.peers > 0 {
+        if self.scenario.gossip_seeds > 0 {
             return self.among(proxy, Input::PollFailed { retry_after: None });
         }
         if std::mem::take(&mut shell.wanted) {
@@ -1411,9 +1429,9 @@
         );
     }
 
-    fn list_changes(&mut self, entry: Entry) {
-        self.list.change(self.now, entry);
-        let at = self.list.listed().last().map_or(self.now, |l| l.0);
+    fn list_changes(&mut self, entry: ListEntry) {
+        self.list.record_change(self.now, entry);
+        let at = self.list.changes().last().map_or(self.now, |l| l.0);
         self.at(at, Ev::Listed);
     }
 
@@ -1422,20 +1440,20 @@
     fn host_starts(&mut self, host: usize) {
         self.hosts[host].start(self.now);
         self.course.step(self.now, 9, host as u64, 0);
-        let started = self.hosts[host].started();
-        self.list_changes(Entry {
+        let started = self.hosts[host].started_at();
+        self.list_changes(ListEntry {
             host,
             state: 0,
-            started,
+            started_at: started,
         });
     }
 
     /// What it had in hand is gone; those that wait for it hear of the end of their connections.
     fn host_dies(&mut self, host: usize) {
-        let lost = self.hosts[host].die(&mut self.memory);
+        let lost = self.hosts[host].crash(&mut self.memory);
         for job in lost {
             if let Some((wire, ..)) = self.jobs.remove(&job.token) {
-                self.goes_back(wire, Verdict::Reset, Report::default());
+                self.goes_back(wire, JobOutcome::Reset, HostLoad::default());
             }
         }
     }
@@ -1443,27 +1461,27 @@
     fn fault_begins(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
         self.course.step(self.now, 10, n as u64, 0);
-        if let Some(host) = fault.trouble.host() {
+        if let Some(host) = fault.kind.host() {
             self.settle(host);
         }
-        match fault.trouble {
-            Trouble::Crash { host } => {
+        match fault.kind {
+            FaultKind::Crash { host } => {
                 self.host_dies(host);
-                self.list_changes(Entry {
+                self.list_changes(ListEntry {
                     host,
                     state: 2,
-                    started: self.hosts[host].started(),
+                    started_at: self.hosts[host].started_at(),
                 });
             }
-            Trouble::Drain { host } => {
+            FaultKind::Drain { host } => {
                 self.hosts[host].drain();
-                self.list_changes(Entry {
+                self.list_changes(ListEntry {
                     host,
                     state: 1,
-                    started: self.hosts[host].started(),
+                    started_at: self.hosts[host].started_at(),
                 });
             }
-            Trouble::ProxyCrash { proxy } => {
+            FaultKind::ProxyCrash { proxy } => {
                 let shell = &mut self.proxies[proxy as usize];
                 (shell.up, shell.peer) = (false, None);
                 // What it held is its clients' to repeat: they see the connection end.
@@ -1474,7 +1492,7 @@
                     all.sort_by_key(|l| l.0);
                     all.into_iter().flat_map(|l| l.1).collect()
                 };
-                self.judge.died(proxy);
+                self.judge.proxy_crashed(proxy);
                 links
                     .into_iter()
                     .for_each(|link| self.close(link, u64::MAX));
@@ -1490,8 +1508,8 @@
                 }
             }
             _ => {
-                if let Some(host) = fault.trouble.host() {
-                    self.hosts[host].begin(self.now, &fault);
+                if let Some(host) = fault.kind.host() {
+                    self.hosts[host].begin_fault(self.now, &fault);
                     // What was due later now; what is due is looked for anew.
                     self.due[host] = None;
                     self.watch_host(host);
@@ -1503,26 +1521,26 @@
     fn fault_ends(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
         self.course.step(self.now, 11, n as u64, 0);
-        if let Some(host) = fault.trouble.host() {
+        if let Some(host) = fault.kind.host() {
             self.settle(host);
         }
-        match fault.trouble {
-            Trouble::Crash { host } => self.host_starts(host),
-            Trouble::Drain { host } => {
+        match fault.kind {
+            FaultKind::Crash { host } => self.host_starts(host),
+            FaultKind::Drain { host } => {
                 self.host_dies(host);
-                self.list_changes(Entry {
+                self.list_changes(ListEntry {
                     host,
                     state: 2,
-                    started: self.hosts[host].started(),
+                    started_at: self.hosts[host].started_at(),
                 });
             }
-            Trouble::ProxyCrash { proxy } => {
+            FaultKind::ProxyCrash { proxy } => {
                 let epoch = self.proxies[proxy as usize].epoch + 1;
                 self.start_proxy(proxy, epoch);
             }
             _ => {
-                if let Some(host) = fault.trouble.host() {
-                    self.hosts[host].end(&fault);
+                if let Some(host) = fault.kind.host() {
+                    self.hosts[host].end_fault(&fault);
                 }
             }
         }
@@ -1534,9 +1552,9 @@
             open += proxy.open as u64;
             held += proxy.balancer.call_totals().queued as u64;
         }
-        self.judge.pass(self.now);
+        self.judge.advance(self.now);
         self.look_for_leaks(false);
-        let load = |h: &Host| f64::from(h.report().in_hand) / f64::from(h.spec().cores.max(1));
+        let load = |h: &Host| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1));
         self.course.samples.push(Sample {
             at: self.now as f64 / 1e6,
             load: self.hosts.iter().map(load).collect(),
@@ -1544,7 +1562,7 @@
             open,
             held,
         });
-        if self.now < self.scenario.duration + self.scenario.longest() {
+        if self.now < self.scenario.duration + self.scenario.max_deadline() {
             self.at(self.now + BIN, Ev::Sample);
         }
     }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -128,7 +128,7 @@
                 out,
                 "<li>{:.3} s, {}: {}</li>",
                 broken.at as f64 / 1e6,
-                broken.rule,
+                broken.invariant,
                 escape(&broken.text)
             );
         }
--- a/crates/simulator/src/scenario_file.rs
+++ b/crates/simulator/src/scenario_file.rs
@@ -1,8 +1,9 @@
 //! Scenarios as TOML: read with all mistakes told at their places, and written so that what was read comes back.
 
 use badgerramp_sim_model::{
-    Class, ClientsSpec, Cold, Crowding, Effect, Fault, Group, HostSpec, Jam, Judged, ListSpec,
-    Micros, NetworkSpec, Request, Scenario, SecondCopy, Trouble,
+    Class, ClientsSpec, ColdStart, ConcurrencyPenalty, CongestionCollapse, Criteria, DedupGroup,
+    Effect, Fault, FaultKind, Hedging, HostSpec, ListSpec, Micros, NetworkSpec, Scenario,
+    ScriptedRequest,
 };
 use badgerramp_toml_diagnostics::units::format_duration;
 use badgerramp_toml_diagnostics::{
@@ -221,8 +222,8 @@
         name,
         duration,
         proxies,
-        subset,
-        peers,
+        subset_size: subset,
+        gossip_seeds: peers,
         classes,
         hosts,
         clients,
@@ -230,7 +231,7 @@
         network,
         list,
         faults,
-        judged,
+        criteria: judged,
     })
 }
 
@@ -238,15 +239,15 @@
     let mut keys = Keys { section, notes };
     ClientsSpec {
         rate: keys.number("rate", 0.0..=10_000_000.0, 100.0),
-        retries: keys.integer("retries", 0..=20, 0) as u32,
-        pause: keys.time("pause", 50_000),
-        patience: keys.number("patience", 0.01..=1.0, 1.0),
-        tide: (
+        max_retries: keys.integer("retries", 0..=20, 0) as u32,
+        retry_delay: keys.time("pause", 50_000),
+        try_timeout_share: keys.number("patience", 0.01..=1.0, 1.0),
+        load_swing: (
             keys.number("tide", 0.0..=1.0, 0.0),
             keys.time("tide_time", MINUTE),
         ),
-        busy: keys.number("busy", 0.0001..=1.0, 1.0),
-        leaves: keys.number("leaves", 0.0..=1.0, 0.0),
+        busy_proxy_share: keys.number("busy", 0.0001..=1.0, 1.0),
+        disconnect_share: keys.number("leaves", 0.0..=1.0, 0.0),
         tenants: keys.integer("tenants", 0..=100_000, 0) as u32,
     }
 }
@@ -260,30 +261,30 @@
     let near = pair("near_least", "near_most", (100, 300));
     let far = pair("far_least", "far_most", (1_400, 2_600));
     NetworkSpec {
-        near,
-        far,
-        resend: keys.time("resend", 200_000),
-        idle: keys.time("idle", 15_000_000),
-        connect: keys.time("connect", 250_000),
+        same_zone: near,
+        cross_zone: far,
+        retransmit_delay: keys.time("resend", 200_000),
+        idle_timeout: keys.time("idle", 15_000_000),
+        connect_timeout: keys.time("connect", 250_000),
     }
 }
 
 fn list(notes: &mut DiagnosticSink, section: &Section<'_>) -> ListSpec {
     let mut keys = Keys { section, notes };
     ListSpec {
-        lag: keys.time("lag", 1_000_000),
-        capacity: keys.number("capacity", 0.1..=1e9, 1_000.0),
-        patience: keys.time("patience", 3_500_000),
+        publish_delay: keys.time("lag", 1_000_000),
+        requests_per_s: keys.number("capacity", 0.1..=1e9, 1_000.0),
+        request_timeout: keys.time("patience", 3_500_000),
     }
 }
 
-fn judged(notes: &mut DiagnosticSink, section: &Section<'_>) -> Judged {
+fn judged(notes: &mut DiagnosticSink, section: &Section<'_>) -> Criteria {
     let mut keys = Keys { section, notes };
     let recovers = keys.has("recovers").then(|| keys.time("recovers", 0));
-    Judged {
+    Criteria {
         drain_grace: keys.time("drain_grace", 1_000_000),
-        recovers,
-        share: keys.number("goodput", 0.0..=1.0, 0.9),
+        recovery_time: recovers,
+        recovered_share: keys.number("goodput", 0.0..=1.0, 0.9),
     }
 }
 
@@ -317,15 +318,15 @@
         classes.push(Class {
             name: name.get_ref().to_string(),
             share: keys.number("share", 0.0..=1e9, 1.0),
-            aim,
+            latency_objective: aim,
             deadline,
-            worth: keys.number("worth", 0.001..=1e6, 1.0),
-            late_worth: keys.number("late_worth", 0.0..=1.0, 0.0),
+            priority_weight: keys.number("worth", 0.001..=1e6, 1.0),
+            late_weight: keys.number("late_worth", 0.0..=1.0, 0.0),
             effect,
-            attempts: keys.integer("attempts", 1..=10, 3) as u32,
-            attempt,
+            max_attempts: keys.integer("attempts", 1..=10, 3) as u32,
+            attempt_timeout: attempt,
             backoff: keys.time("backoff", 0),
-            second_copy: copy,
+            hedging: copy,
             work: (least, keys.time("work_most", least).max(least)),
         });
     }
@@ -341,13 +342,13 @@
             section.require(notes, "group", "\"all\", \"zone\" or \"group\"");
             section.require(notes, "window", "a time with its unit");
             let words = [
-                ("all", Group::All),
-                ("zone", Group::Zone),
-                ("group", Group::Group),
+                ("all", DedupGroup::All),
+                ("zone", DedupGroup::Zone),
+                ("group", DedupGroup::Group),
             ];
             let group = section
                 .keyword(notes, "group", &words)
-                .map_or(Group::Group, |w| w.value);
+                .map_or(DedupGroup::Group, |w| w.value);
             let window = section
                 .duration(notes, "window", 1..=DAY)
                 .map_or(1, |w| w.value);
@@ -357,20 +358,20 @@
     }
 }
 
-fn second_copy(notes: &mut DiagnosticSink, section: &Section<'_>) -> SecondCopy {
+fn second_copy(notes: &mut DiagnosticSink, section: &Section<'_>) -> Hedging {
     let reason = "this is no second copy";
     let allowed = "\"off\", \"auto\" or \"after 120ms\"";
     let read = section.read(notes, "second_copy", reason, allowed, |v| {
         match v.as_str()? {
-            "off" => Some(SecondCopy::Off),
-            "auto" => Some(SecondCopy::Auto),
+            "off" => Some(Hedging::Off),
+            "auto" => Some(Hedging::Auto),
             text => {
                 badgerramp_toml_diagnostics::units::parse_duration(text.strip_prefix("after ")?)
-                    .map(SecondCopy::After)
+                    .map(Hedging::After)
             }
         }
     });
-    read.map_or(SecondCopy::Off, |r| r.value)
+    read.map_or(Hedging::Off, |r| r.value)
 }
 
 /// The tables of a list of tables.
@@ -427,25 +428,26 @@
             &keys,
             &["cold_share", "cold_time", "fall_multiple", "fall_time"],
         )
-        .then(|| Cold {
-            share: keys.number("cold_share", 0.01..=1.0, 0.3),
-            time: keys.time("cold_time", 7_500_000).max(1),
-            fall_multiple: keys.number("fall_multiple", 1.0..=100.0, 3.0),
-            fall_time: keys.time("fall_time", 2_000_000).max(1),
-        });
-        let crowding = any(&keys, &["crowding_knee", "crowding_slope"]).then(|| Crowding {
-            knee: keys.number("crowding_knee", 0.0..=1e6, 2.0),
-            slope: keys.number("crowding_slope", 0.0..=100.0, 0.05),
+        .then(|| ColdStart {
+            initial_capacity: keys.number("cold_share", 0.01..=1.0, 0.3),
+            warm_up: keys.time("cold_time", 7_500_000).max(1),
+            collapse_multiple: keys.number("fall_multiple", 1.0..=100.0, 3.0),
+            collapse_window: keys.time("fall_time", 2_000_000).max(1),
         });
+        let crowding =
+            any(&keys, &["crowding_knee", "crowding_slope"]).then(|| ConcurrencyPenalty {
+                knee: keys.number("crowding_knee", 0.0..=1e6, 2.0),
+                slope: keys.number("crowding_slope", 0.0..=100.0, 0.05),
+            });
         let jam = any(
             &keys,
             &["jam_waiting", "jam_after", "jam_slower", "jam_rest"],
         )
-        .then(|| Jam {
-            waiting: keys.number("jam_waiting", 0.1..=1e6, 4.0),
-            after: keys.time("jam_after", 2_000_000),
-            slower: keys.number("jam_slower", 1.0..=1e3, 2.5),
-            rest: keys.time("jam_rest", 3_000_000),
+        .then(|| CongestionCollapse {
+            queued_per_core: keys.number("jam_waiting", 0.1..=1e6, 4.0),
+            onset: keys.time("jam_after", 2_000_000),
+            slowdown: keys.number("jam_slower", 1.0..=1e3, 2.5),
+            recovery_idle: keys.time("jam_rest", 3_000_000),
         });
         let spec = HostSpec {
             name: name.clone(),
@@ -453,15 +455,15 @@
             group: keys.integer("group", 0..=u64::from(u32::MAX), 1) as u32,
             kind: keys.text("kind", "m"),
             cores: keys.integer("cores", 1..=4_096, 4) as u32,
-            waiting: keys.integer("waiting", 0..=10_000_000, 64) as u32,
+            queue_capacity: keys.integer("waiting", 0..=10_000_000, 64) as u32,
             speed: keys.number("speed", 0.001..=1e6, 1.0),
-            connections: keys.integer("connections", 1..=10_000_000, 1_000_000) as u32,
+            max_connections: keys.integer("connections", 1..=10_000_000, 1_000_000) as u32,
             connection_cost: keys.time("connection_cost", 0),
-            idle: keys.time("idle", 15_000_000),
-            cold,
-            crowding,
-            jam,
-            joins: keys.time("joins", 0),
+            idle_timeout: keys.time("idle", 15_000_000),
+            cold_start: cold,
+            concurrency_penalty: crowding,
+            congestion_collapse: jam,
+            joins_at: keys.time("joins", 0),
         };
         if hosts.len() + count as usize > HOSTS_MOST {
             keys.notes.add(
@@ -553,66 +555,66 @@
         let host = |keys: &mut Keys<'_, '_>| place(keys.notes, &section, "host", &names);
         let Some(word) = word else { continue };
         let trouble = match word {
-            "fails" => Trouble::Fails {
+            "fails" => FaultKind::Errors {
                 host: host(&mut keys),
                 share: share(&mut keys),
-                ran: keys.number("ran", 0.0..=1.0, 0.5),
+                executed_share: keys.number("ran", 0.0..=1.0, 0.5),
             },
-            "resets" => Trouble::Resets {
+            "resets" => FaultKind::ConnectionResets {
                 host: host(&mut keys),
                 share: share(&mut keys),
-                ran: keys.number("ran", 0.0..=1.0, 0.5),
+                executed_share: keys.number("ran", 0.0..=1.0, 0.5),
             },
-            "spoils" => Trouble::Spoils {
+            "spoils" => FaultKind::CorruptResponses {
                 host: host(&mut keys),
                 share: share(&mut keys),
             },
-            "stalls" => Trouble::Stalls {
+            "stalls" => FaultKind::Stall {
                 host: host(&mut keys),
             },
-            "slow" => Trouble::Slow {
+            "slow" => FaultKind::Slowdown {
                 host: host(&mut keys),
                 factor: keys.number("factor", 0.01..=1e4, 3.0),
             },
-            "crash" => Trouble::Crash {
+            "crash" => FaultKind::Crash {
                 host: host(&mut keys),
             },
-            "drain" => Trouble::Drain {
+            "drain" => FaultKind::Drain {
                 host: host(&mut keys),
             },
-            "partition" => Trouble::Partition {
+            "partition" => FaultKind::Partition {
                 host: host(&mut keys),
             },
-            "half-open" => Trouble::HalfOpen {
+            "half-open" => FaultKind::HalfOpen {
                 host: host(&mut keys),
             },
-            "loss" => Trouble::Loss {
+            "loss" => FaultKind::PacketLoss {
                 share: share(&mut keys),
             },
-            "lag" => Trouble::Lag {
+            "lag" => FaultKind::NetworkDelay {
                 extra: keys.time("extra", 10_000),
             },
-            "list-silent" => Trouble::ListSilent,
-            "list-fails" => Trouble::ListFails,
-            "list-old" => Trouble::ListOld {
-                by: keys.time("by", 10_000_000),
+            "list-silent" => FaultKind::ListServiceSilent,
+            "list-fails" => FaultKind::ListServiceErrors,
+            "list-old" => FaultKind::ListServiceStale {
+                age: keys.time("by", 10_000_000),
             },
-            "spike" => Trouble::Spike {
+            "spike" => FaultKind::LoadSpike {
                 factor: keys.number("factor", 0.0..=1e3, 3.0),
             },
-            "costly" => Trouble::Costly {
+            "costly" => FaultKind::ExpensiveRequests {
                 class: place(keys.notes, &section, "class", classes),
                 share: share(&mut keys),
                 factor: keys.number("factor", 0.01..=1e4, 10.0),
             },
-            _ => Trouble::ProxyCrash {
+            _ => FaultKind::ProxyCrash {
                 proxy: keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32,
             },
         };
         faults.push(Fault {
             from,
             until,
-            trouble,
+            kind: trouble,
         });
     }
     faults
@@ -623,7 +625,7 @@
     file: &Section<'_>,
     classes: &[&str],
     proxies: u32,
-) -> Vec<Request> {
+) -> Vec<ScriptedRequest> {
     let mut requests = Vec::new();
     for (n, section) in tables(notes, file, "request", &REQUEST)
         .into_iter()
@@ -636,7 +638,7 @@
         };
         let at = keys.time("at", 0);
         let proxy = keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32;
-        requests.push(Request {
+        requests.push(ScriptedRequest {
             at,
             proxy,
             class,
@@ -653,38 +655,38 @@
     out.text("name", &scenario.name);
     out.time("duration", scenario.duration);
     out.raw("proxies", scenario.proxies);
-    out.raw("subset", scenario.subset);
-    out.raw("peers", scenario.peers);
+    out.raw("subset", scenario.subset_size);
+    out.raw("peers", scenario.gossip_seeds);
     let clients = &scenario.clients;
     out.table("[clients]");
     out.number("rate", clients.rate);
-    out.raw("retries", clients.retries);
-    out.time("pause", clients.pause);
-    out.number("patience", clients.patience);
-    out.number("tide", clients.tide.0);
-    out.time("tide_time", clients.tide.1);
-    out.number("busy", clients.busy);
-    out.number("leaves", clients.leaves);
+    out.raw("retries", clients.max_retries);
+    out.time("pause", clients.retry_delay);
+    out.number("patience", clients.try_timeout_share);
+    out.number("tide", clients.load_swing.0);
+    out.time("tide_time", clients.load_swing.1);
+    out.number("busy", clients.busy_proxy_share);
+    out.number("leaves", clients.disconnect_share);
     out.raw("tenants", clients.tenants);
     let network = &scenario.network;
     out.table("[network]");
-    out.time("near_least", network.near.0);
-    out.time("near_most", network.near.1);
-    out.time("far_least", network.far.0);
-    out.time("far_most", network.far.1);
-    out.time("resend", network.resend);
-    out.time("idle", network.idle);
-    out.time("connect", network.connect);
+    out.time("near_least", network.same_zone.0);
+    out.time("near_most", network.same_zone.1);
+    out.time("far_least", network.cross_zone.0);
+    out.time("far_most", network.cross_zone.1);
+    out.time("resend", network.retransmit_delay);
+    out.time("idle", network.idle_timeout);
+    out.time("connect", network.connect_timeout);
     out.table("[list]");
-    out.time("lag", scenario.list.lag);
-    out.number("capacity", scenario.list.capacity);
-    out.time("patience", scenario.list.patience);
+    out.time("lag", scenario.list.publish_delay);
+    out.number("capacity", scenario.list.requests_per_s);
+    out.time("patience", scenario.list.request_timeout);
     out.table("[judged]");
-    out.time("drain_grace", scenario.judged.drain_grace);
-    if let Some(recovers) = scenario.judged.recovers {
+    out.time("drain_grace", scenario.criteria.drain_grace);
+    if let Some(recovers) = scenario.criteria.recovery_time {
         out.time("recovers", recovers);
     }
-    out.number("goodput", scenario.judged.share);
+    out.number("goodput", scenario.criteria.recovered_share);
     scenario
         .classes
         .iter()
@@ -732,33 +734,33 @@
 fn write_class(out: &mut Writer, class: &Class) {
     out.table(&format!("[class.{}]", class.name));
     out.number("share", class.share);
-    out.time("aim", class.aim);
+    out.time("aim", class.latency_objective);
     out.time("deadline", class.deadline);
-    out.number("worth", class.worth);
-    out.number("late_worth", class.late_worth);
+    out.number("worth", class.priority_weight);
+    out.number("late_worth", class.late_weight);
     match class.effect {
         Effect::Safe => out.text("effect", "safe"),
         Effect::Unsafe => out.text("effect", "unsafe"),
         Effect::Keyed { group, window } => {
             out.text("effect", "keyed");
             let group = match group {
-                Group::All => "all",
-                Group::Zone => "zone",
-                Group::Group => "group",
+                DedupGroup::All => "all",
+                DedupGroup::Zone => "zone",
+                DedupGroup::Group => "group",
             };
             out.text("group", group);
             out.time("window", window);
         }
     }
-    out.raw("attempts", class.attempts);
-    if let Some(attempt) = class.attempt {
+    out.raw("attempts", class.max_attempts);
+    if let Some(attempt) = class.attempt_timeout {
         out.time("attempt", attempt);
     }
     out.time("backoff", class.backoff);
-    match class.second_copy {
-        SecondCopy::Off => out.text("second_copy", "off"),
-        SecondCopy::Auto => out.text("second_copy", "auto"),
-        SecondCopy::After(after) => {
+    match class.hedging {
+        Hedging::Off => out.text("second_copy", "off"),
+        Hedging::Auto => out.text("second_copy", "auto"),
+        Hedging::After(after) => {
             out.text("second_copy", &format!("after {}", format_duration(after)));
         }
     }
@@ -773,48 +775,61 @@
     out.raw("group", host.group);
     out.text("kind", &host.kind);
     out.raw("cores", host.cores);
-    out.raw("waiting", host.waiting);
+    out.raw("waiting", host.queue_capacity);
     out.number("speed", host.speed);
-    out.raw("connections", host.connections);
+    out.raw("connections", host.max_connections);
     out.time("connection_cost", host.connection_cost);
-    out.time("idle", host.idle);
-    if let Some(cold) = host.cold {
-        out.number("cold_share", cold.share);
-        out.time("cold_time", cold.time);
-        out.number("fall_multiple", cold.fall_multiple);
-        out.time("fall_time", cold.fall_time);
-    }
-    if let Some(crowding) = host.crowding {
+    out.time("idle", host.idle_timeout);
+    if let Some(cold) = host.cold_start {
+        out.number("cold_share", cold.initial_capacity);
+        out.time("cold_time", cold.warm_up);
+        out.number("fall_multiple", cold.collapse_multiple);
+        out.time("fall_time", cold.collapse_window);
+    }
+    if let Some(crowding) = host.concurrency_penalty {
         out.number("crowding_knee", crowding.knee);
         out.number("crowding_slope", crowding.slope);
     }
-    if let Some(jam) = host.jam {
-        out.number("jam_waiting", jam.waiting);
-        out.time("jam_after", jam.after);
-        out.number("jam_slower", jam.slower);
-        out.time("jam_rest", jam.rest);
+    if let Some(jam) = host.congestion_collapse {
+        out.number("jam_waiting", jam.queued_per_core);
+        out.time("jam_after", jam.onset);
+        out.number("jam_slower", jam.slowdown);
+        out.time("jam_rest", jam.recovery_idle);
     }
-    out.time("joins", host.joins);
+    out.time("joins", host.joins_at);
 }
 
 fn write_fault(out: &mut Writer, scenario: &Scenario, fault: &Fault) {
     out.table("[[fault]]");
     out.time("from", fault.from);
     out.time("until", fault.until);
-    out.text("trouble", trouble_name(&fault.trouble));
-    if let Some(host) = fault.trouble.host() {
+    out.text("trouble", trouble_name(&fault.kind));
+    if let Some(host) = fault.kind.host() {
         out.text("host", &scenario.hosts[host].name);
     }
-    match fault.trouble {
-        Trouble::Fails { share, ran, .. } | Trouble::Resets { share, ran, .. } => {
+    match fault.kind {
+        FaultKind::Errors {
+            share,
+            executed_share: ran,
+            ..
+        }
+        | FaultKind::ConnectionResets {
+            share,
+            executed_share: ran,
+            ..
+        } => {
             out.number("share", share);
             out.number("ran", ran);
         }
-        Trouble::Spoils { share, .. } | Trouble::Loss { share } => out.number("share", share),
-        Trouble::Slow { factor, .. } | Trouble::Spike { factor } => out.number("factor", factor),
-        Trouble::Lag { extra } => out.time("extra", extra),
-        Trouble::ListOld { by } => out.time("by", by),
-        Trouble::Costly {
+        FaultKind::CorruptResponses { share, .. } | FaultKind::PacketLoss { share } => {
+            out.number("share", share)
+        }
+        FaultKind::Slowdown { factor, .. } | FaultKind::LoadSpike { factor } => {
+            out.number("factor", factor)
+        }
+        FaultKind::NetworkDelay { extra } => out.time("extra", extra),
+        FaultKind::ListServiceStale { age: by } => out.time("by", by),
+        FaultKind::ExpensiveRequests {
             class,
             share,
             factor,
@@ -823,36 +838,36 @@
             out.number("share", share);
             out.number("factor", factor);
         }
-        Trouble::ProxyCrash { proxy } => out.raw("proxy", proxy),
-        Trouble::Stalls { .. }
-        | Trouble::Crash { .. }
-        | Trouble::Drain { .. }
-        | Trouble::Partition { .. }
-        | Trouble::HalfOpen { .. }
-        | Trouble::ListSilent
-        | Trouble::ListFails => {}
+        FaultKind::ProxyCrash { proxy } => out.raw("proxy", proxy),
+        FaultKind::Stall { .. }
+        | FaultKind::Crash { .. }
+        | FaultKind::Drain { .. }
+        | FaultKind::Partition { .. }
+        | FaultKind::HalfOpen { .. }
+        | FaultKind::ListServiceSilent
+        | FaultKind::ListServiceErrors => {}
     }
 }
 
 /// The word for a trouble in a file.
-pub fn trouble_name(trouble: &Trouble) -> &'static str {
+pub fn trouble_name(trouble: &FaultKind) -> &'static str {
     match trouble {
-        Trouble::Fails { .. } => "fails",
-        Trouble::Stalls { .. } => "stalls",
-        Trouble::Slow { .. } => "slow",
-        Trouble::Resets { .. } => "resets",
-        Trouble::Spoils { .. } => "spoils",
-        Trouble::Crash { .. } => "crash",
-        Trouble::Drain { .. } => "drain",
-        Trouble::Partition { .. } => "partition",
-        Trouble::HalfOpen { .. } => "half-open",
-        Trouble::Loss { .. } => "loss",
-        Trouble::Lag { .. } => "lag",
-        Trouble::ListSilent => "list-silent",
-        Trouble::ListFails => "list-fails",
-        Trouble::ListOld { .. } => "list-old",
-        Trouble::Spike { .. } => "spike",
-        Trouble::Costly { .. } => "costly",
-        Trouble::ProxyCrash { .. } => "proxy-crash",
+        FaultKind::Errors { .. } => "fails",
+        FaultKind::Stall { .. } => "stalls",
+        FaultKind::Slowdown { .. } => "slow",
+        FaultKind::ConnectionResets { .. } => "resets",
+        FaultKind::CorruptResponses { .. } => "spoils",
+        FaultKind::Crash { .. } => "crash",
+        FaultKind::Drain { .. } => "drain",
+        FaultKind::Partition { .. } => "partition",
+        FaultKind::HalfOpen { .. } => "half-open",
+        FaultKind::PacketLoss { .. } => "loss",
+        FaultKind::NetworkDelay { .. } => "lag",
+        FaultKind::ListServiceSilent => "list-silent",
+        FaultKind::ListServiceErrors => "list-fails",
+        FaultKind::ListServiceStale { .. } => "list-old",
+        FaultKind::LoadSpike { .. } => "spike",
+        FaultKind::ExpensiveRequests { .. } => "costly",
+        FaultKind::ProxyCrash { .. } => "proxy-crash",
     }
 }
--- a/crates/simulator/src/sockets/around.rs
+++ b/crates/simulator/src/sockets/around.rs
@@ -2,7 +2,7 @@
 
 use super::memory::{Accepting, End, Time, Who, World};
 use badgerramp::net::socket::Stream;
-use badgerramp_sim_model::{Fault, Micros, Network as Ways, Trouble, Way};
+use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as Ways};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -217,16 +217,16 @@
         };
         let now = loopback.time.now();
         let half_open = |f: &Fault| {
-            let here = matches!(f.trouble, Trouble::HalfOpen { host: at } if at == host);
+            let here = matches!(f.kind, FaultKind::HalfOpen { host: at } if at == host);
             here && f.from <= now && *opened < f.from
         };
         if loopback.faults.iter().any(half_open) {
             std::future::pending::<()>().await;
         }
         let near = loopback.zones.0[proxy as usize] == loopback.zones.1[host];
-        match loopback.ways.way(now, Some(host), near, name) {
-            Way::Arrives(at) => tokio::time::sleep_until(loopback.time.instant(at)).await,
-            Way::Vanishes => std::future::pending().await,
+        match loopback.ways.send(now, Some(host), near, name) {
+            Delivery::Arrives(at) => tokio::time::sleep_until(loopback.time.instant(at)).await,
+            Delivery::Lost => std::future::pending().await,
         }
     }
 }
--- a/crates/simulator/src/sockets/memory.rs
+++ b/crates/simulator/src/sockets/memory.rs
@@ -2,7 +2,7 @@
 //! scenario. The program's socket code runs on it unchanged.
 
 use badgerramp::net::socket::{Connecting, Listener, Network, Stream};
-use badgerramp_sim_model::{Fault, Micros, Network as Ways, Trouble, Way};
+use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as Ways};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -217,10 +217,10 @@
             }
             match self
                 .ways
-                .way(self.time.now(), host, near, (0x5711, number, leg))
+                .send(self.time.now(), host, near, (0x5711, number, leg))
             {
-                Way::Arrives(at) => tokio::time::sleep_until(self.time.instant(at)).await,
-                Way::Vanishes => std::future::pending().await,
+                Delivery::Arrives(at) => tokio::time::sleep_until(self.time.instant(at)).await,
+                Delivery::Lost => std::future::pending().await,
             }
             if leg == 0 {
                 let taken =
@@ -283,7 +283,7 @@
             return Some(now);
         }
         let half_open = |f: &Fault| {
-            let here = matches!(f.trouble, Trouble::HalfOpen { host } if Some(host) == self.host);
+            let here = matches!(f.kind, FaultKind::HalfOpen { host } if Some(host) == self.host);
             here && f.from <= now && self.opened < f.from
         };
         if self.world.faults.iter().any(half_open) {
@@ -292,10 +292,10 @@
         match self
             .world
             .ways
-            .way(now, self.host, self.near, (0xb17e, self.number, leg))
+            .send(now, self.host, self.near, (0xb17e, self.number, leg))
         {
-            Way::Arrives(at) => Some(at),
-            Way::Vanishes => None,
+            Delivery::Arrives(at) => Some(at),
+            Delivery::Lost => None,
         }
     }
 }
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -18,8 +18,8 @@
 use badgerramp::program::{serve_in, Surroundings};
 use badgerramp::sidecar;
 use badgerramp_sim_model::{
-    Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId,
-    Rule, Scenario, Trouble,
+    ClientRequest, DedupStore, FaultKind, Host, Invariant, InvariantChecker, ListEntry,
+    ListService, LoadGenerator, Micros, Network as Ways, OpId, RandomStreams, Scenario,
 };
 use badgerramp_testkit::Proxy;
 use memory::{Time, Who, World};
@@ -66,7 +66,7 @@
 /// What all peers share.
 struct Shared {
     scenario: Arc<Scenario>,
-    draws: Draws,
+    draws: RandomStreams,
     options: Options,
     around: Around,
     /// Unix time at the start of the course.
@@ -78,14 +78,14 @@
     /// Where each proxy finds the list service.
     lists: RefCell<BTreeMap<u32, SocketAddr>>,
     hosts: Vec<Rc<HostCell>>,
-    memory: RefCell<Memory>,
+    memory: RefCell<DedupStore>,
     list: RefCell<ListService>,
     listed: Notify,
-    clients: RefCell<Clients>,
-    judge: RefCell<Judge>,
+    clients: RefCell<LoadGenerator>,
+    judge: RefCell<InvariantChecker>,
     course: RefCell<Course>,
     /// Tries by their names.
-    asks: RefCell<BTreeMap<(OpId, u32), Ask>>,
+    asks: RefCell<BTreeMap<(OpId, u32), ClientRequest>>,
     /// Connections that clients keep to each proxy.
     kept: RefCell<BTreeMap<u32, Vec<Io>>>,
     /// Which start of which host each proxy was told of.
@@ -174,7 +174,7 @@
     options: Options,
     program: Option<Program>,
 ) -> Result<Course, Fault> {
-    let (draws, time) = (Draws::new(options.seed), Time::start());
+    let (draws, time) = (RandomStreams::new(options.seed), Time::start());
     let zone = |name: &str| {
         scenario
             .hosts
@@ -189,7 +189,7 @@
     let zones = (proxy_zones, host_zones);
     let ways = Ways::new(scenario.network, &scenario.faults, draws);
     let real = program.is_some();
-    let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.longest();
+    let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.max_delay();
     let (faults, unix) = (
         scenario.faults.clone(),
         SystemTime::now()
@@ -203,12 +203,12 @@
     };
     let models =
         (0..scenario.hosts.len()).map(|n| HostCell::new(n, Host::new(&scenario, n, draws)));
-    let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins == 0);
+    let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
     let first = there
-        .map(|host| Entry {
+        .map(|host| ListEntry {
             host,
             state: 0,
-            started: 0,
+            started_at: 0,
         })
         .collect();
     let shared = Rc::new(Shared {
@@ -227,8 +227,8 @@
         memory: RefCell::default(),
         list: RefCell::new(ListService::new(scenario.list, &scenario.faults, first)),
         listed: Notify::new(),
-        clients: RefCell::new(Clients::new(Arc::clone(&scenario), draws)),
-        judge: RefCell::new(Judge::outside(Arc::clone(&scenario), slack)),
+        clients: RefCell::new(LoadGenerator::new(Arc::clone(&scenario), draws)),
+        judge: RefCell::new(InvariantChecker::external(Arc::clone(&scenario), slack)),
         course: RefCell::new(Course::new(Arc::clone(&scenario))),
         asks: RefCell::default(),
         kept: RefCell::default(),
@@ -259,7 +259,7 @@
     }
     for (place, cell) in shared.hosts.iter().enumerate() {
         tokio::task::spawn_local(Rc::clone(cell).run(Rc::clone(&shared)));
-        if shared.scenario.hosts[place].joins == 0 {
+        if shared.scenario.hosts[place].joins_at == 0 {
             shared.opens(place);
         } else if let Around::Real(loopback) = &shared.around {
             // Its place is known before it is there.
@@ -271,7 +271,7 @@
     }
     tokio::task::spawn_local(peers::troubles(Rc::clone(&shared)));
     tokio::task::spawn_local(peers::clients(Rc::clone(&shared)));
-    let end = shared.scenario.duration + shared.scenario.longest();
+    let end = shared.scenario.duration + shared.scenario.max_deadline();
     let mut at = BIN;
     while at <= end {
         tokio::time::sleep_until(time.instant(at)).await;
@@ -320,7 +320,7 @@
             .faults
             .iter()
             .filter(on)
-            .any(|f| matches!(f.trouble, Trouble::Spoils { .. }))
+            .any(|f| matches!(f.kind, FaultKind::CorruptResponses { .. }))
     }
 
     /// Which process of a proxy runs.
@@ -328,8 +328,8 @@
         self.epochs.borrow().get(&proxy).copied().unwrap_or(0)
     }
 
-    fn list_changes(&self, entry: Entry) {
-        self.list.borrow_mut().change(self.now(), entry);
+    fn list_changes(&self, entry: ListEntry) {
+        self.list.borrow_mut().record_change(self.now(), entry);
         self.listed.notify_waiters();
     }
 
@@ -349,7 +349,7 @@
                     let text = format!("the stand-in {host} can't listen: {fault}");
                     self.judge
                         .borrow_mut()
-                        .note(Rule::Crashed, self.now(), None, text);
+                        .record(Invariant::Crashed, self.now(), None, text);
                     return;
                 }
             },
@@ -360,12 +360,12 @@
 
     fn host_starts(self: &Rc<Self>, host: usize) {
         self.hosts[host].host.borrow_mut().start(self.now());
-        let started = self.hosts[host].host.borrow().started();
+        let started = self.hosts[host].host.borrow().started_at();
         self.opens(host);
-        self.list_changes(Entry {
+        self.list_changes(ListEntry {
             host,
             state: 0,
-            started,
+            started_at: started,
         });
     }
 
@@ -375,11 +375,11 @@
         }
         self.hosts[host].die(self);
         if listed {
-            let started = self.hosts[host].host.borrow().started();
-            self.list_changes(Entry {
+            let started = self.hosts[host].host.borrow().started_at();
+            self.list_changes(ListEntry {
                 host,
                 state: 2,
-                started,
+                started_at: started,
             });
         }
     }
@@ -422,7 +422,7 @@
                         let text = format!("proxy {proxy} does not start: {fault}");
                         self.judge
                             .borrow_mut()
-                            .note(Rule::Crashed, self.now(), None, text);
+                            .record(Invariant::Crashed, self.now(), None, text);
                         return;
                     }
                 }
@@ -439,7 +439,7 @@
         };
         let seed = self
             .draws
-            .between((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
+            .integer((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
         let setup = sidecar::setup_once(config, seed);
         let listener = world.listen(proxy_address(proxy), Who::Proxy(proxy));
         let network = Rc::new(memory::From(Rc::clone(world), Who::Proxy(proxy)));
@@ -486,16 +486,16 @@
             task.abort();
         }
         self.kept.borrow_mut().remove(&proxy);
-        self.judge.borrow_mut().died(proxy);
+        self.judge.borrow_mut().proxy_crashed(proxy);
         self.told.borrow_mut().retain(|(of, _), _| *of != proxy);
     }
 
     fn sample(&self) {
         let now = self.now();
-        self.judge.borrow_mut().pass(now);
+        self.judge.borrow_mut().advance(now);
         let hosts = || self.hosts.iter().map(|h| h.host.borrow());
         let load = hosts()
-            .map(|h| f64::from(h.report().in_hand) / f64::from(h.spec().cores.max(1)))
+            .map(|h| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1)))
             .collect();
         let connections = hosts().map(|h| h.connections()).collect();
         let mut open = 0;
@@ -522,7 +522,7 @@
         // What ended long ago is asked for no more.
         self.asks
             .borrow_mut()
-            .retain(|_, ask| ask.first + 60_000_000 > now);
+            .retain(|_, ask| ask.first_due + 60_000_000 > now);
     }
 
     /// Holds a process to the memory and the descriptors that its file promises.
@@ -541,7 +541,7 @@
             let text = format!("a proxy has {kib} KiB and {descriptors} descriptors");
             self.judge
                 .borrow_mut()
-                .note(Rule::Leaked, self.now(), None, text);
+                .record(Invariant::Leaked, self.now(), None, text);
         }
     }
 
@@ -553,8 +553,8 @@
                 continue;
             };
             for text in seen.borrow().iter().flat_map(|s| s.0.audit()) {
-                self.judge.borrow_mut().note(
-                    Rule::Miscounted,
+                self.judge.borrow_mut().record(
+                    Invariant::Miscounted,
                     now,
                     None,
                     format!("proxy {proxy}: {text}"),
@@ -567,7 +567,7 @@
         let now = self.now();
         self.audit();
         let mut judge = self.judge.borrow_mut();
-        judge.pass(Micros::MAX / 2);
+        judge.advance(Micros::MAX / 2);
         for (proxy, running) in &mut *self.proxies.borrow_mut() {
             let (task, seen) = match running {
                 Running::Inside { task, seen } => (task, seen),
@@ -579,8 +579,8 @@
                             .extend(followed(&process.log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
-                        judge.note(
-                            Rule::Crashed,
+                        judge.record(
+                            Invariant::Crashed,
                             now,
                             None,
                             format!("proxy {proxy} has ended by itself"),
@@ -590,8 +590,8 @@
                 }
             };
             if task.is_finished() {
-                judge.note(
-                    Rule::Crashed,
+                judge.record(
+                    Invariant::Crashed,
                     now,
                     None,
                     format!("proxy {proxy} has ended by itself"),
@@ -608,7 +608,7 @@
                     driver.open_calls(),
                     driver.calls()
                 );
-                judge.note(Rule::Leaked, now, None, text);
+                judge.record(Invariant::Leaked, now, None, text);
             }
             // Two more may lead to the list service: a watch, and the question beside it.
             let (counted, there) = (descriptors.open(), world.open_at(*proxy));
@@ -616,18 +616,18 @@
                 let text = format!(
                     "proxy {proxy}: {counted} descriptors counted, {there} connections open"
                 );
-                judge.note(Rule::Leaked, now, None, text);
+                judge.record(Invariant::Leaked, now, None, text);
             }
         }
         for panicked in PANICS.with(|p| std::mem::take(&mut *p.borrow_mut())) {
-            judge.note(Rule::Crashed, now, None, panicked);
+            judge.record(Invariant::Crashed, now, None, panicked);
         }
         let mut course = self.course.replace(Course::new(Arc::clone(&self.scenario)));
         judge_recovery(&self.scenario, &course, &mut judge);
-        course.list_asked = self.list.borrow().asked;
-        course.broken = judge.broken().to_vec();
-        course.broken_count = judge.count();
-        course.worked.0 = self.hosts.iter().map(|h| h.host.borrow().worked).sum();
+        course.list_asked = self.list.borrow().request_count;
+        course.broken = judge.violations().to_vec();
+        course.broken_count = judge.violation_count();
+        course.worked.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
         // What refers to itself in a circle is let go.
         if let Around::Memory(world) = &self.around {
             world.close();
