--- a/crates/simulator/src/sockets/peers.rs
+++ b/crates/simulator/src/sockets/peers.rs
@@ -6,8 +6,8 @@
 use super::wire::{self, Message};
 use super::Shared;
 use badgerramp_sim_model::{
-    Answered, Arrival, Ask, Done, Entry, Host, Job, Micros, Next, OpId, Report, Rule, Told,
-    Trouble, Verdict,
+    Arrival, ClientRequest, Completion, FaultKind, FinalAnswer, Host, HostLoad, Invariant, Job,
+    JobOutcome, ListEntry, ListResponse, Micros, OpId, RetryDecision,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 pub(crate) struct HostCell {
     place: usize,
     pub(crate) host: RefCell<Host>,
-    waiters: RefCell<BTreeMap<u64, oneshot::Sender<Done>>>,
+    waiters: RefCell<BTreeMap<u64, oneshot::Sender<Completion>>>,
     moved: Notify,
     /// Counts its processes: connections of an earlier one break.
     process: Cell<u64>,
@@ -51,11 +51,11 @@
             .borrow_mut()
             .advance(now, &mut shared.memory.borrow_mut(), &mut done);
         for ended in done {
-            if ended.effected {
+            if ended.took_effect {
                 shared
                     .judge
                     .borrow_mut()
-                    .effected(ended.at, ended.job.op, self.place);
+                    .effect_executed(ended.at, ended.job.op, self.place);
             }
             shared
                 .course
@@ -71,7 +71,7 @@
     pub(crate) async fn run(self: Rc<Self>, shared: Rc<Shared>) {
         loop {
             self.settle(&shared);
-            let due = self.host.borrow().due();
+            let due = self.host.borrow().next_completion();
             match due {
                 Some(at) => {
                     tokio::select! {
@@ -88,7 +88,9 @@
     /// Its process dies: what it had in hand is gone, and all its connections break.
     pub(crate) fn die(&self, shared: &Shared) {
         self.settle(shared);
-        self.host.borrow_mut().die(&mut shared.memory.borrow_mut());
+        self.host
+            .borrow_mut()
+            .crash(&mut shared.memory.borrow_mut());
         self.waiters.borrow_mut().clear();
         self.process.set(self.process.get() + 1);
         self.died.notify_waiters();
@@ -143,7 +145,7 @@
 
     async fn connection(&self, shared: &Rc<Shared>, mut stream: Io) {
         let mut rest = Vec::new();
-        let idle = Duration::from_micros(self.host.borrow().spec().idle);
+        let idle = Duration::from_micros(self.host.borrow().spec().idle_timeout);
         loop {
             // It closes what is idle for too long, without a word.
             let Ok(Ok(Some(message))) =
@@ -175,18 +177,19 @@
             shared
                 .judge
                 .borrow_mut()
-                .note(Rule::MixedUp, shared.now(), None, text);
+                .record(Invariant::MixedUp, shared.now(), None, text);
             return None;
         };
         let ask = shared.asks.borrow().get(&(op, number)).copied()?;
         let (proxy, way) = (ask.proxy, (0xb17e, op.0, u64::from(number) << 8));
         shared.around.way((proxy, self.place), stream, way).await;
         self.settle(shared);
-        let attempt =
-            shared
-                .judge
-                .borrow_mut()
-                .sent(stream.read_sent(shared.now()), op, number, self.place);
+        let attempt = shared.judge.borrow_mut().attempt_sent(
+            stream.read_sent(shared.now()),
+            op,
+            number,
+            self.place,
+        );
         shared.course.borrow_mut().sent(&ask);
         shared
             .course
@@ -199,36 +202,36 @@
             )
         });
         let token = shared.token();
-        let started = self.host.borrow().started();
+        let started = self.host.borrow().started_at();
         let informed = shared.told.borrow().get(&(proxy, self.place)) == Some(&started);
         let job = Job {
             token,
             op,
-            name: (u64::from(number) << 8) | attempt as u64 & 0xff,
+            attempt_id: (u64::from(number) << 8) | attempt as u64 & 0xff,
             effect: shared.scenario.classes[ask.class].effect,
             work: ask.work,
-            usual: ask.usual,
-            informed,
+            expected_work: ask.expected_work,
+            sender_knows_start: informed,
         };
-        let fell = self.host.borrow().fell().is_some();
+        let fell = self.host.borrow().collapsed().is_some();
         let arrival =
             self.host
                 .borrow_mut()
                 .arrive(shared.now(), job, &mut shared.memory.borrow_mut());
-        let now_fell = self.host.borrow().fell();
+        let now_fell = self.host.borrow().collapsed();
         if let (false, Some(pushed)) = (fell, now_fell) {
             if pushed {
                 let text = format!("{} was pushed over", self.host.borrow().spec().name);
                 shared
                     .judge
                     .borrow_mut()
-                    .note(Rule::ColdPushed, shared.now(), None, text);
+                    .record(Invariant::ColdPushed, shared.now(), None, text);
             }
             self.die(shared);
         }
         let (verdict, report) = match arrival {
             Arrival::Nobody => return None,
-            Arrival::Ended(verdict) => (verdict, self.host.borrow().report()),
+            Arrival::Ended(verdict) => (verdict, self.host.borrow().load()),
             Arrival::Taken => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiters.borrow_mut().insert(token, sender);
@@ -241,21 +244,23 @@
                     biased;
                     done = receiver => {
                         let done = done.ok()?;
-                        (done.verdict, done.report)
+                        (done.outcome, done.load)
                     }
                     () = gone => {
                         self.waiters.borrow_mut().remove(&token);
                         self.host.borrow_mut().abandon(token, &mut shared.memory.borrow_mut());
-                        shared.judge.borrow_mut().over(op, number, attempt, false);
+                        shared.judge.borrow_mut().attempt_ended(op, number, attempt, false);
                         return None;
                     }
                 }
             }
         };
-        shared
-            .judge
-            .borrow_mut()
-            .over(op, number, attempt, verdict == Verdict::TurnedAway);
+        shared.judge.borrow_mut().attempt_ended(
+            op,
+            number,
+            attempt,
+            verdict == JobOutcome::TurnedAway,
+        );
         shared.note(op, || {
             format!(
                 "attempt {attempt} ends at {}: {verdict:?}",
@@ -299,14 +304,14 @@
 /// What a host writes; None: its connection breaks.
 fn reply(
     shared: &Shared,
-    verdict: Verdict,
-    report: Report,
+    verdict: JobOutcome,
+    report: HostLoad,
     op: OpId,
     name: u64,
 ) -> Option<(String, bool)> {
     let load = format!(
         "X-Server-Load: TEXT inflight={}, queue={}\r\n",
-        report.in_hand, report.waiting
+        report.in_flight, report.queued
     );
     let text = |status: &str, more: &str, body: &str| {
         format!(
@@ -314,9 +319,9 @@
             body.len()
         )
     };
-    let draw = |what: u64, most: u64| shared.draws.between((what, op.0, name), (0, most));
+    let draw = |what: u64, most: u64| shared.draws.integer((what, op.0, name), (0, most));
     Some(match verdict {
-        Verdict::Served => {
+        JobOutcome::Served => {
             let good = text("200 OK", "", &body(op));
             // Where answers are spoilt, good ones may come with more than belongs to them.
             match draw(0x5b01, 7) {
@@ -329,13 +334,13 @@
                 _ => (good, false),
             }
         }
-        Verdict::Failed => (text("500 Internal Server Error", "", "it fails"), false),
-        Verdict::TurnedAway => (
+        JobOutcome::Failed => (text("500 Internal Server Error", "", "it fails"), false),
+        JobOutcome::TurnedAway => (
             text("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""),
             false,
         ),
-        Verdict::Reset => return None,
-        Verdict::Spoilt => match draw(0x5b02, 5) {
+        JobOutcome::Reset => return None,
+        JobOutcome::Spoilt => match draw(0x5b02, 5) {
             0 => (
                 "\u{1}\u{2}noise that is no answer\r\n\r\n".to_owned(),
                 false,
@@ -398,22 +403,24 @@
             .find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let (known, wait) = (number("index"), number("wait").unwrap_or(0) * 1_000);
-    let leaves = shared.list.borrow_mut().ask(shared.now());
+    let leaves = shared.list.borrow_mut().accept_request(shared.now());
     tokio::time::sleep_until(shared.time().instant(leaves)).await;
     let end = shared.now() + wait.min(WATCH_MOST);
     let (snapshot, version, entries) = loop {
-        let told = shared.list.borrow().answer(shared.now(), known);
+        let told = shared.list.borrow().respond(shared.now(), known);
         match told {
-            Told::Full(version, list) => break (true, version, list),
-            Told::Changes(version, list) => break (false, version, list),
-            Told::Failed => {
+            ListResponse::Full(version, list) => break (true, version, list),
+            ListResponse::Changes(version, list) => break (false, version, list),
+            ListResponse::Failed => {
                 return Some(
                     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 );
             }
-            Told::Silence => std::future::pending().await,
-            Told::Nothing if shared.now() >= end => break (false, known.unwrap_or(0), Vec::new()),
-            Told::Nothing => {
+            ListResponse::NoResponse => std::future::pending().await,
+            ListResponse::Unchanged if shared.now() >= end => {
+                break (false, known.unwrap_or(0), Vec::new())
+            }
+            ListResponse::Unchanged => {
                 tokio::select! {
                     biased;
                     () = shared.listed.notified() => {}
@@ -430,21 +437,21 @@
                 shared
                     .judge
                     .borrow_mut()
-                    .told(shared.now(), proxy, host, false);
+                    .host_status_received(shared.now(), proxy, host, false);
             }
         }
     }
-    for Entry {
+    for ListEntry {
         host,
         state,
-        started,
+        started_at: started,
     } in entries
     {
         let ready = state == 0;
         shared
             .judge
             .borrow_mut()
-            .told(shared.now(), proxy, host, ready);
+            .host_status_received(shared.now(), proxy, host, ready);
         if ready {
             shared.told.borrow_mut().insert((proxy, host), started);
         }
@@ -482,27 +489,27 @@
 /// All clients: each try is a task of its own, so that none waits for another.
 pub(crate) async fn clients(shared: Rc<Shared>) {
     loop {
-        let next = shared.clients.borrow_mut().next_first();
+        let next = shared.clients.borrow_mut().next_operation();
         let Some(ask) = next else { return };
-        tokio::time::sleep_until(shared.time().instant(ask.at)).await;
+        tokio::time::sleep_until(shared.time().instant(ask.due)).await;
         let shared = Rc::clone(&shared);
         tokio::task::spawn_local(async move { client(shared, ask).await });
     }
 }
 
-async fn client(shared: Rc<Shared>, first: Ask) {
+async fn client(shared: Rc<Shared>, first: ClientRequest) {
     let mut ask = first;
     loop {
-        tokio::time::sleep_until(shared.time().instant(ask.at)).await;
+        tokio::time::sleep_until(shared.time().instant(ask.due)).await;
         shared.course.borrow_mut().asked(&ask);
         shared
             .course
             .borrow_mut()
-            .step(shared.now(), 1, ask.op.0, u64::from(ask.number));
+            .step(shared.now(), 1, ask.op.0, u64::from(ask.try_number));
         shared.note(ask.op, || {
             format!(
                 "try {} at proxy {}, waits {} us",
-                ask.number, ask.proxy, ask.patience
+                ask.try_number, ask.proxy, ask.timeout
             )
         });
         let heard = ask_once(&shared, &ask).await;
@@ -519,7 +526,7 @@
         shared.note(ask.op, || {
             format!(
                 "try {}: {answered:?}{}",
-                ask.number,
+                ask.try_number,
                 if left { ", its client left" } else { "" }
             )
         });
@@ -527,13 +534,16 @@
             shared
                 .course
                 .borrow_mut()
-                .ended(&ask, now, Some(Answered::Failed));
+                .ended(&ask, now, Some(FinalAnswer::Failed));
             return;
         }
-        let next = shared.clients.borrow().after(&ask, answered, now, told);
+        let next = shared
+            .clients
+            .borrow()
+            .after_answer(&ask, answered, now, told);
         match next {
-            Next::Asks(again) => ask = again,
-            Next::Rests => {
+            RetryDecision::Retry(again) => ask = again,
+            RetryDecision::Stop => {
                 shared.course.borrow_mut().ended(&ask, now, answered);
                 return;
             }
@@ -543,12 +553,12 @@
 
 /// What a client hears of one try.
 struct Heard {
-    answered: Option<Answered>,
+    answered: Option<FinalAnswer>,
     told: Option<Micros>,
     left: bool,
 }
 
-async fn ask_once(shared: &Rc<Shared>, ask: &Ask) -> Heard {
+async fn ask_once(shared: &Rc<Shared>, ask: &ClientRequest) -> Heard {
     let nothing = |answered| Heard {
         answered,
         told: None,
@@ -562,24 +572,29 @@
         None => match shared.around.to_proxy(ask.proxy).await {
             Ok(io) => (io, false),
             // Nobody is there: that nothing ran is plain.
-            Err(_) => return nothing(Some(Answered::Refused)),
+            Err(_) => return nothing(Some(FinalAnswer::Refused)),
         },
     };
-    shared.asks.borrow_mut().insert((ask.op, ask.number), *ask);
-    let until = shared.now() + ask.patience;
-    shared.judge.borrow_mut().taken(
+    shared
+        .asks
+        .borrow_mut()
+        .insert((ask.op, ask.try_number), *ask);
+    let until = shared.now() + ask.timeout;
+    shared.judge.borrow_mut().call_accepted(
         shared.now(),
         ask.op,
-        ask.number,
+        ask.try_number,
         (ask.class, ask.proxy),
         until,
     );
     let epoch = shared.epoch(ask.proxy);
-    let name = (0x1ea5e, ask.op.0, u64::from(ask.number));
-    let leaves = shared.draws.happens(name, shared.scenario.clients.leaves);
+    let name = (0x1ea5e, ask.op.0, u64::from(ask.try_number));
+    let leaves = shared
+        .draws
+        .occurs(name, shared.scenario.clients.disconnect_share);
     let after = shared
         .draws
-        .between((0x1ea5f, name.1, name.2), (1, ask.patience.max(2) - 1));
+        .integer((0x1ea5f, name.1, name.2), (1, ask.timeout.max(2) - 1));
     let end = if leaves {
         shared.now() + after
     } else {
@@ -590,7 +605,10 @@
     let now = shared.now();
     match heard {
         Err(_) if leaves => {
-            shared.judge.borrow_mut().left(now, ask.op, ask.number);
+            shared
+                .judge
+                .borrow_mut()
+                .client_left(now, ask.op, ask.try_number);
             Heard {
                 answered: None,
                 told: None,
@@ -602,9 +620,16 @@
         Ok(None) => {
             // Closed without an answer. It is owed all the same, unless the proxy died, or had closed an idle
             // connection while this request was on its way (RFC 9112, 9.3.1): then nothing went out.
-            let unseen = kept && !shared.judge.borrow().went_out(ask.op, ask.number);
+            let unseen = kept
+                && !shared
+                    .judge
+                    .borrow()
+                    .any_attempt_sent(ask.op, ask.try_number);
             if shared.epoch(ask.proxy) != epoch || unseen {
-                shared.judge.borrow_mut().left(now, ask.op, ask.number);
+                shared
+                    .judge
+                    .borrow_mut()
+                    .client_left(now, ask.op, ask.try_number);
             }
             nothing(None)
         }
@@ -618,20 +643,20 @@
                     .push(open);
             }
             let answered = match message.status() {
-                200 => Answered::Served,
-                503 | 429 => Answered::Refused,
-                504 => Answered::Overdue,
-                _ => Answered::Failed,
+                200 => FinalAnswer::Served,
+                503 | 429 => FinalAnswer::Refused,
+                504 => FinalAnswer::Overdue,
+                _ => FinalAnswer::Failed,
             };
             let mut judge = shared.judge.borrow_mut();
-            judge.answered(now, ask.op, ask.number, answered);
-            if answered == Answered::Served && message.body != body(ask.op).into_bytes() {
+            judge.call_answered(now, ask.op, ask.try_number, answered);
+            if answered == FinalAnswer::Served && message.body != body(ask.op).into_bytes() {
                 let text = format!("served with {:?}", String::from_utf8_lossy(&message.body));
-                judge.note(Rule::MixedUp, now, Some(ask.op), text);
+                judge.record(Invariant::MixedUp, now, Some(ask.op), text);
             }
             if (400..500).contains(&message.status()) && message.status() != 429 {
                 let text = format!("a good request is answered {}", message.status());
-                judge.note(Rule::Crashed, now, Some(ask.op), text);
+                judge.record(Invariant::Crashed, now, Some(ask.op), text);
             }
             let told = message
                 .field("retry-after")
@@ -639,7 +664,7 @@
                 .map(|s| (s * 1e6) as Micros);
             Heard {
                 answered: Some(answered),
-                told: told.filter(|_| answered == Answered::Refused),
+                told: told.filter(|_| answered == FinalAnswer::Refused),
                 left: false,
             }
         }
@@ -647,7 +672,11 @@
 }
 
 /// Writes a request and reads its answer; the connection comes back if it may be used again.
-async fn exchange(shared: &Rc<Shared>, ask: &Ask, mut stream: Io) -> Option<(Message, Option<Io>)> {
+async fn exchange(
+    shared: &Rc<Shared>,
+    ask: &ClientRequest,
+    mut stream: Io,
+) -> Option<(Message, Option<Io>)> {
     let class = &shared.scenario.classes[ask.class];
     let key = match class.effect {
         badgerramp_sim_model::Effect::Keyed { .. } => {
@@ -657,7 +686,7 @@
     };
     let head = format!(
         "POST /{} HTTP/1.1\r\nHost: x\r\n{key}X-Request-ID: {}-{}\r\nX-Timeout: {}u\r\nContent-Length: 4\r\n\r\n",
-        class.name, ask.op.0, ask.number, ask.patience
+        class.name, ask.op.0, ask.try_number, ask.timeout
     );
     stream.write_all(head.as_bytes()).await.ok()?;
     // Some send the body a little later.
@@ -669,10 +698,12 @@
     let message = wire::read(&mut stream, &mut rest, true).await.ok()??;
     if !rest.is_empty() {
         let text = format!("{} bytes behind an answer", rest.len());
-        shared
-            .judge
-            .borrow_mut()
-            .note(Rule::AnsweredTwice, shared.now(), Some(ask.op), text);
+        shared.judge.borrow_mut().record(
+            Invariant::AnsweredTwice,
+            shared.now(),
+            Some(ask.op),
+            text,
+        );
     }
     let closes = message
         .field("connection")
@@ -692,8 +723,8 @@
         .hosts
         .iter()
         .enumerate()
-        .filter(|(_, h)| h.joins > 0);
-    moments.extend(joins.map(|(host, h)| (h.joins, true, usize::MAX - host)));
+        .filter(|(_, h)| h.joins_at > 0);
+    moments.extend(joins.map(|(host, h)| (h.joins_at, true, usize::MAX - host)));
     moments.sort_by_key(|m| m.0);
     for (at, begins, n) in moments {
         tokio::time::sleep_until(shared.time().instant(at)).await;
@@ -706,31 +737,31 @@
             .borrow_mut()
             .step(shared.now(), if begins { 10 } else { 11 }, n as u64, 0);
         let fault = shared.scenario.faults[n];
-        if let Some(host) = fault.trouble.host() {
+        if let Some(host) = fault.kind.host() {
             shared.hosts[host].settle(&shared);
         }
-        match (fault.trouble, begins) {
-            (Trouble::Crash { host }, true) => shared.host_ends(host, true),
-            (Trouble::Crash { host }, false) => shared.host_starts(host),
-            (Trouble::Drain { host }, true) => {
+        match (fault.kind, begins) {
+            (FaultKind::Crash { host }, true) => shared.host_ends(host, true),
+            (FaultKind::Crash { host }, false) => shared.host_starts(host),
+            (FaultKind::Drain { host }, true) => {
                 shared.hosts[host].host.borrow_mut().drain();
-                let started = shared.hosts[host].host.borrow().started();
-                shared.list_changes(Entry {
+                let started = shared.hosts[host].host.borrow().started_at();
+                shared.list_changes(ListEntry {
                     host,
                     state: 1,
-                    started,
+                    started_at: started,
                 });
             }
-            (Trouble::Drain { host }, false) => shared.host_ends(host, true),
-            (Trouble::ProxyCrash { proxy }, true) => shared.proxy_dies(proxy),
-            (Trouble::ProxyCrash { proxy }, false) => shared.start_proxy(proxy).await,
+            (FaultKind::Drain { host }, false) => shared.host_ends(host, true),
+            (FaultKind::ProxyCrash { proxy }, true) => shared.proxy_dies(proxy),
+            (FaultKind::ProxyCrash { proxy }, false) => shared.start_proxy(proxy).await,
             (trouble, begins) => {
                 if let Some(host) = trouble.host() {
                     let mut model = shared.hosts[host].host.borrow_mut();
                     if begins {
-                        model.begin(shared.now(), &fault);
+                        model.begin_fault(shared.now(), &fault);
                     } else {
-                        model.end(&fault);
+                        model.end_fault(&fault);
                     }
                     drop(model);
                     shared.hosts[host].stirred();
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,7 +1,7 @@
 //! The lab itself: what it plays keeps the rules, the same seed gives the same course, what it finds is told once and
 //! cut down, and what is wrong with a file is told at its place.
 
-use badgerramp_sim_model::{Broken, Rule, Scenario, Trouble};
+use badgerramp_sim_model::{FaultKind, Invariant, Scenario, Violation};
 use badgerramp_simulator::check;
 use badgerramp_simulator::course::Course;
 use badgerramp_simulator::experiment::Template;
@@ -193,7 +193,7 @@
     let resets = scenario
         .faults
         .iter()
-        .any(|f| matches!(f.trouble, Trouble::Resets { .. }));
+        .any(|f| matches!(f.kind, FaultKind::ConnectionResets { .. }));
     let third = hunt::scripted(scenario, options.seed)
         .requests
         .into_iter()
@@ -205,8 +205,8 @@
             scenario.hosts.len(),
             scenario.duration
         );
-        course.broken = vec![Broken {
-            rule: Rule::RanTwice,
+        course.broken = vec![Violation {
+            invariant: Invariant::RanTwice,
             at: scenario.duration,
             op: None,
             text,
@@ -234,11 +234,15 @@
         faulty,
         &scenario,
         hunt::options(find.number),
-        Rule::RanTwice,
+        Invariant::RanTwice,
         5_000,
     )
     .expect("it fails");
-    assert_eq!(shrunk.scenario.events(), 2, "one request and one fault");
+    assert_eq!(
+        shrunk.scenario.event_count(),
+        2,
+        "one request and one fault"
+    );
     // What is left can be written, and fails when it is read back.
     let text = scenario_file::write(&shrunk.scenario);
     let read = scenario_file::parse("shrunk.toml", &text).unwrap_or_else(|m| panic!("{m}"));
@@ -252,7 +256,7 @@
         faulty,
         &scenario,
         hunt::options(find.number),
-        Rule::Lost,
+        Invariant::Lost,
         100
     )
     .is_none());
@@ -319,7 +323,7 @@
 #[test]
 fn a_scenario_that_no_operators_file_may_ask_for_is_refused() {
     let mut scenario = scenarios(&folder()).remove(0).1;
-    scenario.classes[1].second_copy = badgerramp_sim_model::SecondCopy::Auto;
+    scenario.classes[1].hedging = badgerramp_sim_model::Hedging::Auto;
     let refused = operator::read(&scenario)
         .expect_err("an unsafe class has no second copy")
         .to_string();
@@ -346,7 +350,10 @@
         .expect("a value")
         .scenario()
         .expect("a scenario");
-    assert!(timed.classes.iter().any(|c| c.attempt == Some(300_000)));
+    assert!(timed
+        .classes
+        .iter()
+        .any(|c| c.attempt_timeout == Some(300_000)));
     let bad = template
         .with("clients.rate=much")
         .expect("a value")
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::host::answer;
 use crate::message::{read, Message};
 use badgerramp_sim_model::{
-    self as world, Arrival, Cold, Done, Draws, Effect, Group, Host, HostSpec, Job, Memory, Micros,
-    OpId, Trouble, Verdict,
+    self as world, Arrival, ColdStart, Completion, DedupGroup, DedupStore, Effect, FaultKind, Host,
+    HostSpec, Job, JobOutcome, Micros, OpId, RandomStreams,
 };
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -63,7 +63,7 @@
 pub struct Ledger {
     /// Their common time begins with it.
     began: Instant,
-    memory: Mutex<Memory>,
+    memory: Mutex<DedupStore>,
     /// Executions of each unsafe request, by its `X-Charge`.
     charges: Mutex<HashMap<String, u32>>,
     /// Executions of each key, by group.
@@ -184,7 +184,7 @@
 struct State {
     host: Host,
     /// Jobs that have ended and whose connections have not seen it yet.
-    ended: HashMap<u64, Done>,
+    ended: HashMap<u64, Completion>,
     tokens: u64,
     /// Faults that hold now, by their place, and stalls that have been.
     holds: Vec<bool>,
@@ -198,7 +198,7 @@
     group: u32,
     ledger: Arc<Ledger>,
     started: Instant,
-    draws: Draws,
+    draws: RandomStreams,
     state: Mutex<State>,
     moved: Condvar,
 }
@@ -227,20 +227,20 @@
             group,
             kind: String::new(),
             cores: self.cores as u32,
-            waiting: self.waiting as u32,
+            queue_capacity: self.waiting as u32,
             speed: 1.0,
-            connections: u32::MAX,
+            max_connections: u32::MAX,
             connection_cost: 0,
-            idle: Micros::MAX,
-            cold: self.cold.map(|(share, time)| Cold {
-                share,
-                time: time.as_micros() as Micros,
-                fall_multiple: FALL_MULTIPLE,
-                fall_time: FALL_TIME,
+            idle_timeout: Micros::MAX,
+            cold_start: self.cold.map(|(share, time)| ColdStart {
+                initial_capacity: share,
+                warm_up: time.as_micros() as Micros,
+                collapse_multiple: FALL_MULTIPLE,
+                collapse_window: FALL_TIME,
             }),
-            crowding: None,
-            jam: None,
-            joins: 0,
+            concurrency_penalty: None,
+            congestion_collapse: None,
+            joins_at: 0,
         }
     }
 }
@@ -255,8 +255,8 @@
             .unwrap_or_default()
             .as_millis() as u64;
         let since_ms = if model.cold.is_some() { unix } else { 0 };
-        let draws = Draws::new(model.seed);
-        let mut host = Host::alone(model.spec(name, group), draws);
+        let draws = RandomStreams::new(model.seed);
+        let mut host = Host::standalone(model.spec(name, group), draws);
         if model.cold.is_some() {
             host.start(ledger.began.elapsed().as_micros() as Micros);
         }
@@ -313,7 +313,7 @@
 
     /// Was it sent more than three times what it could do, for two seconds, while it was cold?
     pub fn pushed_over(&self) -> bool {
-        locked(&self.shared.state).host.fell().is_some()
+        locked(&self.shared.state).host.collapsed().is_some()
     }
 }
 
@@ -339,7 +339,7 @@
         let window = self.model.window.as_micros() as Micros;
         let effect = match request {
             Request::Keyed(_) => Effect::Keyed {
-                group: Group::Group,
+                group: DedupGroup::Group,
                 window,
             },
             Request::Charge(_) => Effect::Unsafe,
@@ -351,16 +351,16 @@
         let work = self
             .model
             .work
-            .mul_f64(0.5 + self.draws.unit((0x0c57, token, 0)))
+            .mul_f64(0.5 + self.draws.uniform((0x0c57, token, 0)))
             .as_micros() as Micros;
         let job = Job {
             token,
             op: request.op(),
-            name: token,
+            attempt_id: token,
             effect,
             work,
-            usual: work,
-            informed: true,
+            expected_work: work,
+            sender_knows_start: true,
         };
         let now = self.now();
         self.troubles(&mut state, now);
@@ -375,21 +375,21 @@
             .host
             .arrive(now, job, &mut locked(&self.ledger.memory));
         let (verdict, report) = match arrival {
-            Arrival::Ended(verdict) => (verdict, state.host.report()),
-            Arrival::Nobody => (Verdict::TurnedAway, state.host.report()),
+            Arrival::Ended(verdict) => (verdict, state.host.load()),
+            Arrival::Nobody => (JobOutcome::TurnedAway, state.host.load()),
             Arrival::Taken => loop {
                 // Whoever looks when a job has ended notes it for the connection that waits.
                 let now = self.now();
                 self.settle(&mut state, now);
                 if let Some(done) = state.ended.remove(&token) {
-                    if done.effected {
+                    if done.took_effect {
                         self.ledger.effected(&request, self.group);
                     }
-                    break (done.verdict, done.report);
+                    break (done.outcome, done.load);
                 }
                 let left = state
                     .host
-                    .due()
+                    .next_completion()
                     .map_or(1_000, |due| due.saturating_sub(now).max(1));
                 let waited = self.moved.wait_timeout(state, Duration::from_micros(left));
                 state = waited.unwrap_or_else(PoisonError::into_inner).0;
@@ -398,12 +398,14 @@
         drop(state);
         let load = format!(
             "X-Server-Load: TEXT inflight={}, queue={}\r\n",
-            report.in_hand, report.waiting
+            report.in_flight, report.queued
         );
         match verdict {
-            Verdict::Served => answer("200 OK", &load, "done"),
-            Verdict::TurnedAway => answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""),
-            Verdict::Failed | Verdict::Reset | Verdict::Spoilt => {
+            JobOutcome::Served => answer("200 OK", &load, "done"),
+            JobOutcome::TurnedAway => {
+                answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+            }
+            JobOutcome::Failed | JobOutcome::Reset | JobOutcome::Spoilt => {
                 answer("500 Internal Server Error", &load, "it fails")
             }
         }
@@ -430,20 +432,20 @@
                 Fault::FailsFast { share, from, until } => {
                     let holds = (from..until).contains(&age);
                     if holds != std::mem::replace(&mut state.holds[place], holds) {
-                        let trouble = Trouble::Fails {
+                        let trouble = FaultKind::Errors {
                             host: 0,
                             share,
-                            ran: 0.5,
+                            executed_share: 0.5,
                         };
                         let fault = world::Fault {
                             from: now,
                             until: Micros::MAX,
-                            trouble,
+                            kind: trouble,
                         };
                         if holds {
-                            state.host.begin(now, &fault);
+                            state.host.begin_fault(now, &fault);
                         } else {
-                            state.host.end(&fault);
+                            state.host.end_fault(&fault);
                         }
                     }
                 }
@@ -454,13 +456,13 @@
                     if number > std::mem::replace(&mut state.stalls[place], number) && into < pause
                     {
                         let until = now + (pause - into).as_micros() as Micros;
-                        let trouble = Trouble::Stalls { host: 0 };
-                        state.host.begin(
+                        let trouble = FaultKind::Stall { host: 0 };
+                        state.host.begin_fault(
                             now,
                             &world::Fault {
                                 from: now,
                                 until,
-                                trouble,
+                                kind: trouble,
                             },
                         );
                     }
