--- a/crates/sim-model/src/clients.rs
+++ b/crates/sim-model/src/clients.rs
@@ -1,123 +1,124 @@
-//! Who asks: an open load that does not wait for answers, and clients that try again by themselves.
+//! The clients: an open load, which does not wait for answers, and the clients' own retries.
 
 use crate::invariants::FinalAnswer;
 use crate::random::RandomStreams;
 use crate::scenario::{DedupGroup, Effect, Fault, FaultKind, Scenario, ScriptedRequest};
 use crate::{Micros, OpId};
 
-/// One try of a client.
+/// One try of a client's operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// What it wants done.
+    /// The operation that the try belongs to.
     pub op: OpId,
-    /// Which try, from 0.
+    /// Number of the try, from 0.
     pub try_number: u32,
-    /// When this try is due. A client that could not ask then is late by its own time.
+    /// Time at which this try is due. Latency counts from here even if the client could only send it later.
     pub due: Micros,
-    /// When the first was due: what the wait of the whole is counted from.
+    /// Time at which the operation's first try was due: the start of the operation's latency and deadline.
     pub first_due: Micros,
-    /// Place of its class.
+    /// Index of the operation's class.
     pub class: usize,
-    /// At which proxy.
+    /// Proxy that the try is sent to.
     pub proxy: u32,
-    /// How long it waits for this try.
+    /// Time that the client waits for the answer to this try.
     pub timeout: Micros,
-    /// Work at speed 1.
+    /// Work of the request on a host of speed 1.
     pub work: Micros,
-    /// What it would be if nothing made it costly.
+    /// Work that the request would need without [`FaultKind::ExpensiveRequests`].
     pub expected_work: Micros,
-    /// Its tenant, from 1; 0: none.
+    /// Number of the tenant, from 1; 0: none.
     pub tenant: u32,
 }
 
-/// What a client does after an answer.
+/// What a client does after a try has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It has what it wanted, or gives up.
+    /// The operation has ended: it was served, or the client gives up.
     Stop,
-    /// It asks again.
+    /// The client sends this try next.
     Retry(ClientRequest),
 }
 
-/// All clients.
+/// Generates the requests of all clients.
 #[derive(Clone, Debug)]
 pub struct LoadGenerator {
     scenario: std::sync::Arc<Scenario>,
-    draws: RandomStreams,
-    shares: f64,
-    /// The most that comes at any time, a second.
-    peak: f64,
+    random: RandomStreams,
+    total_share: f64,
+    /// Upper bound of the request rate at any time, per second.
+    peak_rate: f64,
     candidate: u64,
-    at: f64,
-    scripted: usize,
+    candidate_time: f64,
+    next_scripted: usize,
 }
 
 impl LoadGenerator {
-    /// The clients of a scenario.
-    pub fn new(scenario: std::sync::Arc<Scenario>, draws: RandomStreams) -> Self {
+    /// A generator for the clients of a scenario.
+    pub fn new(scenario: std::sync::Arc<Scenario>, random: RandomStreams) -> Self {
         let spikes = scenario.faults.iter().map(|f| match f.kind {
             FaultKind::LoadSpike { factor } => factor.max(1.0),
             _ => 1.0,
         });
-        let peak =
+        let peak_rate =
             scenario.clients.rate * (1.0 + scenario.clients.load_swing.0) * spikes.product::<f64>();
-        let shares = scenario.classes.iter().map(|c| c.share).sum();
+        let total_share = scenario.classes.iter().map(|c| c.share).sum();
         LoadGenerator {
             scenario,
-            draws,
-            shares,
-            peak,
+            random,
+            total_share,
+            peak_rate,
             candidate: 0,
-            at: 0.0,
-            scripted: 0,
+            candidate_time: 0.0,
+            next_scripted: 0,
         }
     }
 
-    /// First tries a second at this time.
+    /// The rate of new operations at this time, per second.
     fn rate(&self, at: Micros) -> f64 {
         let clients = &self.scenario.clients;
-        let (swing, time) = clients.load_swing;
-        let tide = if swing > 0.0 && time > 0 {
-            1.0 + swing * (std::f64::consts::TAU * at as f64 / time as f64).sin()
+        let (amplitude, period) = clients.load_swing;
+        let swing = if amplitude > 0.0 && period > 0 {
+            1.0 + amplitude * (std::f64::consts::TAU * at as f64 / period as f64).sin()
         } else {
             1.0
         };
-        let on = |f: &&Fault| f.from <= at && at < f.until;
+        let active = |f: &&Fault| f.from <= at && at < f.until;
         let spikes = self
             .scenario
             .faults
             .iter()
-            .filter(on)
+            .filter(active)
             .map(|f| match f.kind {
                 FaultKind::LoadSpike { factor } => factor,
                 _ => 1.0,
             });
-        clients.rate * tide * spikes.product::<f64>()
+        clients.rate * swing * spikes.product::<f64>()
     }
 
-    /// The next first try; None: no more come. Each is due later than the last, or at the same time.
+    /// The first try of the next operation, in order of due time; None: the load has ended.
     pub fn next_operation(&mut self) -> Option<ClientRequest> {
         if let Some(requests) = &self.scenario.requests {
-            let request = requests.get(self.scripted).copied()?;
-            self.scripted += 1;
-            return Some(self.first(request));
+            let request = requests.get(self.next_scripted).copied()?;
+            self.next_scripted += 1;
+            return Some(self.first_try(request));
         }
-        if self.peak <= 0.0 {
+        if self.peak_rate <= 0.0 {
             return None;
         }
         loop {
-            // Candidates come at the peak's rate; each is kept with the present share of that.
+            // Thinning of a Poisson process: candidates arrive at the peak rate, and each is kept with the probability
+            // `rate / peak_rate`.
             self.candidate += 1;
-            self.at += self
-                .draws
-                .exponential((0xa5c, self.candidate, 0), 1e6 / self.peak);
-            let at = self.at as Micros;
+            self.candidate_time += self
+                .random
+                .exponential((0xa5c, self.candidate, 0), 1e6 / self.peak_rate);
+            let at = self.candidate_time as Micros;
             if at >= self.scenario.duration {
                 return None;
             }
-            if self.draws.uniform((0xa5c, self.candidate, 1)) * self.peak < self.rate(at) {
+            if self.random.uniform((0xa5c, self.candidate, 1)) * self.peak_rate < self.rate(at) {
                 let (proxy, class) = (self.proxy(self.candidate), self.class(self.candidate));
-                return Some(self.first(ScriptedRequest {
+                return Some(self.first_try(ScriptedRequest {
                     at,
                     proxy,
                     class,
@@ -127,11 +128,12 @@
         }
     }
 
+    /// Picks the proxy of an operation.
     fn proxy(&self, id: u64) -> u32 {
         let all = self.scenario.proxies.max(1);
         let busy =
             ((f64::from(all) * self.scenario.clients.busy_proxy_share).ceil() as u32).clamp(1, all);
-        let draw = self.draws.uniform((0xa5c, id, 2));
+        let draw = self.random.uniform((0xa5c, id, 2));
         if busy == all {
             return ((draw * f64::from(all)) as u32).min(all - 1);
         }
@@ -143,19 +145,21 @@
         }
     }
 
+    /// Picks the class of an operation by the classes' shares.
     fn class(&self, id: u64) -> usize {
-        let mut left = self.draws.uniform((0xa5c, id, 3)) * self.shares;
+        let mut remaining = self.random.uniform((0xa5c, id, 3)) * self.total_share;
         let classes = &self.scenario.classes;
         classes
             .iter()
             .position(|c| {
-                left -= c.share;
-                left < 0.0
+                remaining -= c.share;
+                remaining < 0.0
             })
             .unwrap_or(classes.len() - 1)
     }
 
-    fn first(&self, request: ScriptedRequest) -> ClientRequest {
+    /// The first try of the operation that a request starts.
+    fn first_try(&self, request: ScriptedRequest) -> ClientRequest {
         let ScriptedRequest {
             at,
             proxy,
@@ -163,8 +167,8 @@
             id,
         } = request;
         let spec = &self.scenario.classes[class];
-        let usual = self.draws.integer((0x0c57, id, 0), spec.work);
-        let mut work = usual;
+        let expected_work = self.random.integer((0x0c57, id, 0), spec.work);
+        let mut work = expected_work;
         for fault in self
             .scenario
             .faults
@@ -173,10 +177,10 @@
         {
             match fault.kind {
                 FaultKind::ExpensiveRequests {
-                    class: of,
+                    class: affected,
                     share,
                     factor,
-                } if of == class && self.draws.occurs((0x0c57, id, 1), share) => {
+                } if affected == class && self.random.occurs((0x0c57, id, 1), share) => {
                     work = (work as f64 * factor) as Micros;
                 }
                 _ => {}
@@ -185,10 +189,14 @@
         let tenants = self.scenario.clients.tenants;
         let tenant = match tenants {
             0 => 0,
-            all => 1 + self.draws.integer((0x7e4a, id, 0), (0, u64::from(all) - 1)) as u32,
+            all => {
+                1 + self
+                    .random
+                    .integer((0x7e4a, id, 0), (0, u64::from(all) - 1)) as u32
+            }
         };
-        let patience = (spec.deadline as f64 * self.scenario.clients.try_timeout_share) as Micros;
-        let patience = patience.clamp(1, spec.deadline);
+        let timeout = (spec.deadline as f64 * self.scenario.clients.try_timeout_share) as Micros;
+        let timeout = timeout.clamp(1, spec.deadline);
         ClientRequest {
             op: OpId(id),
             try_number: 0,
@@ -196,47 +204,48 @@
             first_due: at,
             class,
             proxy,
-            timeout: patience,
+            timeout,
             work,
-            expected_work: usual,
+            expected_work,
             tenant,
         }
     }
 
-    /// What a client does that was answered at `now`; `told` is when it was told to come back, if it was.
+    /// What a client does after its try has ended at `now` with this answer (None: without any). `retry_after` is the
+    /// delay that the answer asked for, if it did.
     pub fn after_answer(
         &self,
-        ask: &ClientRequest,
-        answered: Option<FinalAnswer>,
+        request: &ClientRequest,
+        answer: Option<FinalAnswer>,
         now: Micros,
-        told: Option<Micros>,
+        retry_after: Option<Micros>,
     ) -> RetryDecision {
         let clients = &self.scenario.clients;
-        let class = &self.scenario.classes[ask.class];
-        let harmless = match class.effect {
+        let class = &self.scenario.classes[request.class];
+        let retry_is_harmless = match class.effect {
             Effect::Safe => true,
             Effect::Keyed {
                 group: DedupGroup::All,
                 window,
-            } => now < ask.first_due + window,
+            } => now < request.first_due + window,
             Effect::Keyed { .. } | Effect::Unsafe => false,
         };
-        let again = match answered {
+        let retry = match answer {
             Some(FinalAnswer::Served) => false,
-            // A refusal says that trying again is harmless; nothing else does.
+            // A refusal states that a retry is harmless, whatever the class; no other answer does.
             Some(FinalAnswer::Refused) => true,
-            Some(FinalAnswer::Failed | FinalAnswer::Overdue) | None => harmless,
+            Some(FinalAnswer::Failed | FinalAnswer::Overdue) | None => retry_is_harmless,
         };
-        let at = now + told.unwrap_or(0).max(clients.retry_delay).max(1);
-        let left = (ask.first_due + class.deadline).saturating_sub(at);
-        if !again || ask.try_number >= clients.max_retries || left < class.deadline / 20 {
+        let at = now + retry_after.unwrap_or(0).max(clients.retry_delay).max(1);
+        let remaining = (request.first_due + class.deadline).saturating_sub(at);
+        if !retry || request.try_number >= clients.max_retries || remaining < class.deadline / 20 {
             return RetryDecision::Stop;
         }
         RetryDecision::Retry(ClientRequest {
-            try_number: ask.try_number + 1,
+            try_number: request.try_number + 1,
             due: at,
-            timeout: ask.timeout.min(left),
-            ..*ask
+            timeout: request.timeout.min(remaining),
+            ..*request
         })
     }
 }
--- a/crates/sim-model/src/invariants.rs
+++ b/crates/sim-model/src/invariants.rs
@@ -1,5 +1,6 @@
-//! Holds a course against the rules as it happens, from what can be seen outside the proxy: what clients ask and are
-//! told, what reaches hosts and what they do with it, and when each proxy was told what of whom.
+//! Checks a simulation run against the invariants while it runs, from what can be observed outside the proxy: the
+//! clients' requests and answers, the attempts that reach hosts and their effects, and the host states that each proxy
+//! has been notified of.
 
 use crate::scenario::{DedupGroup, Effect, Hedging, Scenario};
 use crate::{Micros, OpId};
@@ -8,56 +9,57 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A final answer, as its client sees it.
+/// The final answer of a try, as its client sees it. Traces and violations print the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FinalAnswer {
-    /// A host's answer.
+    /// The answer of a host.
     Served,
-    /// Trying again is harmless.
+    /// A rejection, which states that a retry is harmless.
     Refused,
-    /// Nothing is promised.
+    /// A failure after which the call may have been executed.
     Failed,
-    /// The proxy's backstop: its decisions had forgotten the call.
+    /// The proxy's backstop at the deadline answered, because the decisions had lost track of the call.
     Overdue,
 }
 
-/// A rule that can break.
+/// An invariant of the simulation. Reports and the command line use the names that `Display` writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// No final answer in the client's time.
+    /// Each try gets its final answer within the client's deadline.
     Lost,
-    /// More than one.
+    /// No try gets more than one final answer.
     AnsweredTwice,
-    /// An attempt went out after the final answer, or after the client's time.
+    /// No attempt is sent after the final answer or after the client's deadline.
     AfterEnd,
-    /// An effect came about twice.
+    /// No operation takes effect twice.
     RanTwice,
-    /// A call went again though nothing proves that it never ran, or outside its group or window.
+    /// A call that is not idempotent is sent again only if the earlier attempts provably were not executed or, for a keyed
+    /// call, within its dedup group and window.
     Resent,
-    /// Refused, which says that trying again is harmless, though it may have run.
+    /// No call is refused, which states that a retry is harmless, if it may have been executed.
     RefusedThoughRan,
-    /// More attempts, or two at once, than its file allows.
+    /// No call has more attempts, or more concurrent attempts, than its class allows.
     TooMany,
-    /// Something went to a host too long after word that it drains or is gone.
+    /// Nothing is sent to a host after the grace period that follows the notice that it drains or has been removed.
     Drain,
-    /// A cold host was pushed over.
+    /// No cold host collapses under load from proxies that know of its start.
     ColdPushed,
-    /// The decisions forgot a call: the proxy's backstop answered it.
+    /// The decisions lose track of no call; if they do, the proxy's backstop answers it.
     Forgotten,
-    /// The proxy kept something that it should have let go: a call, a place, a connection.
+    /// The proxy releases all resources: calls, concurrency slots and connections.
     Leaked,
-    /// Goodput was not back in its time after the last fault.
+    /// Goodput recovers in time after the last fault.
     NotRecovered,
-    /// An answer was made for another request.
+    /// Each answer belongs to the request that it was sent for.
     MixedUp,
-    /// The program itself failed.
+    /// The program does not crash.
     Crashed,
-    /// What the decisions take to be out at a host is not what is.
+    /// The decisions count as outstanding at each host exactly the attempts that are outstanding.
     Miscounted,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 15] = [
         Invariant::Lost,
         Invariant::AnsweredTwice,
@@ -76,7 +78,7 @@
         Invariant::Miscounted,
     ];
 
-    /// The rule of this name.
+    /// The invariant that `Display` writes as `name`.
     pub fn from_name(name: &str) -> Option<Invariant> {
         Invariant::ALL.into_iter().find(|r| r.to_string() == name)
     }
@@ -104,29 +106,29 @@
     }
 }
 
-/// A broken rule.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When.
+    /// Time of the violation.
     pub at: Micros,
-    /// Of which call; None: of none.
+    /// The operation concerned, if it is one.
     pub op: Option<OpId>,
-    /// What was seen.
+    /// What was observed.
     pub text: String,
 }
 
-/// One try of a client at a proxy.
+/// A client's try: the operation and the number of the try.
 type CallKey = (OpId, u32);
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     host: usize,
     at: Micros,
-    /// It is known to its proxy that it never ran.
-    proven: bool,
-    over: bool,
+    /// Whether the proxy has proof that the attempt was not executed.
+    proven_not_executed: bool,
+    ended: bool,
 }
 
 #[derive(Debug)]
@@ -138,32 +140,34 @@
     answered: Option<(Micros, FinalAnswer)>,
 }
 
-/// Watches one course.
+/// Checks one simulation run against all invariants.
 #[derive(Debug)]
 pub struct InvariantChecker {
     scenario: Arc<Scenario>,
     zones: Vec<usize>,
-    /// What an answer may be late by the client's own way, and a request by its way to the host.
+    /// Tolerance for the delay of answers on their way to the client and of requests on their way to the host.
     slack: Micros,
     calls: FxHashMap<CallKey, Call>,
-    dues: BTreeSet<(Micros, CallKey)>,
+    /// Deadlines of the tries without a final answer.
+    deadlines: BTreeSet<(Micros, CallKey)>,
+    /// Time of the first execution of each operation, and the number of executions.
     effects: FxHashMap<OpId, (Micros, u32)>,
-    /// Since when each proxy knows that a host takes no more.
+    /// Time since which each proxy knows that a host takes no calls.
     drains: FxHashMap<(u32, usize), Micros>,
     violations: Vec<Violation>,
-    seen: u64,
-    swept: Micros,
-    /// Attempts are seen at the hosts alone: when one is over for its proxy is not known to the moment.
+    violation_count: u64,
+    last_cleanup: Micros,
+    /// Attempts are observed at the hosts alone, so the time at which an attempt ends for its proxy is not known exactly.
     external: bool,
 }
 
-/// Broken rules that are kept word for word; the rest is counted.
-const KEPT: usize = 64;
-/// What ended this long ago is forgotten.
-const REMEMBERED: Micros = 30_000_000;
+/// Maximum number of violations that are kept; further ones are only counted.
+const MAX_VIOLATIONS: usize = 64;
+/// Time after which ended calls are dropped.
+const RETENTION: Micros = 30_000_000;
 
 impl InvariantChecker {
-    /// A judge for a scenario. `slack`: what the ways outside the proxy may take.
+    /// A checker for a scenario. `slack` is the longest network delay outside the proxy.
     pub fn new(scenario: Arc<Scenario>, slack: Micros) -> Self {
         let zone = |name: &str| {
             scenario
@@ -178,17 +182,17 @@
             scenario,
             slack,
             calls: FxHashMap::default(),
-            dues: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             effects: FxHashMap::default(),
             drains: FxHashMap::default(),
             violations: Vec::new(),
-            seen: 0,
-            swept: 0,
+            violation_count: 0,
+            last_cleanup: 0,
             external: false,
         }
     }
 
-    /// A judge that sees what clients and hosts see, and nothing of the proxy's own.
+    /// A checker that observes clients and hosts only, and nothing inside the proxy.
     pub fn external(scenario: Arc<Scenario>, slack: Micros) -> Self {
         InvariantChecker {
             external: true,
@@ -196,28 +200,28 @@
         }
     }
 
-    /// What was broken, the first ones word for word.
+    /// The first violations; [`InvariantChecker::violation_count`] counts the others too.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How often any rule was broken.
+    /// Number of all violations.
     pub fn violation_count(&self) -> u64 {
-        self.seen
+        self.violation_count
     }
 
-    /// Takes note of a broken rule that another has found.
+    /// Records a violation.
     pub fn record(
         &mut self,
-        rule: Invariant,
+        invariant: Invariant,
         at: Micros,
         op: Option<OpId>,
         text: impl Into<String>,
     ) {
-        self.seen += 1;
-        if self.violations.len() < KEPT {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(Violation {
-                invariant: rule,
+                invariant,
                 at,
                 op,
                 text: text.into(),
@@ -225,12 +229,12 @@
         }
     }
 
-    /// A proxy has taken a try and owes its answer by `until`.
+    /// A proxy has accepted a try and must answer it by `until`.
     pub fn call_accepted(
         &mut self,
         now: Micros,
         op: OpId,
-        number: u32,
+        try_number: u32,
         (class, proxy): (usize, u32),
         until: Micros,
     ) {
@@ -242,14 +246,14 @@
             attempts: Vec::new(),
             answered: None,
         };
-        self.calls.insert((op, number), call);
-        self.dues.insert((until, (op, number)));
+        self.calls.insert((op, try_number), call);
+        self.deadlines.insert((until, (op, try_number)));
     }
 
-    /// Time has come to `now`: who should have an answer by now?
+    /// Advances the time to `now` and records the tries that have no answer by their deadline.
     pub fn advance(&mut self, now: Micros) {
-        while let Some(&(until, key)) = self.dues.first().filter(|d| d.0 + self.slack < now) {
-            self.dues.pop_first();
+        while let Some(&(until, key)) = self.deadlines.first().filter(|d| d.0 + self.slack < now) {
+            self.deadlines.pop_first();
             if self.calls.get(&key).is_some_and(|c| c.answered.is_none()) {
                 self.record(
                     Invariant::Lost,
@@ -259,54 +263,62 @@
                 );
             }
         }
-        if now > self.swept + REMEMBERED {
-            self.swept = now;
-            self.calls.retain(|_, c| c.until + REMEMBERED > now);
-            self.effects.retain(|_, e| e.0 + 2 * REMEMBERED > now);
+        if now > self.last_cleanup + RETENTION {
+            self.last_cleanup = now;
+            self.calls.retain(|_, c| c.until + RETENTION > now);
+            self.effects.retain(|_, e| e.0 + 2 * RETENTION > now);
         }
     }
 
-    /// An attempt went to a host at `at`. Tells its number, for [`Judge::over`].
-    pub fn attempt_sent(&mut self, at: Micros, op: OpId, number: u32, host: usize) -> usize {
-        let Some(call) = self.calls.get(&(op, number)) else {
+    /// An attempt was sent to a host at `at`. Returns its number, for [`InvariantChecker::attempt_ended`].
+    pub fn attempt_sent(&mut self, at: Micros, op: OpId, try_number: u32, host: usize) -> usize {
+        let Some(call) = self.calls.get(&(op, try_number)) else {
             return usize::MAX;
         };
         let class = &self.scenario.classes[call.class];
-        let mut found: Vec<(Invariant, String)> = Vec::new();
-        let place = call.attempts.len();
-        if let Some((when, what)) = call.answered.filter(|a| a.0 + self.slack < at) {
-            found.push((
+        let mut violations: Vec<(Invariant, String)> = Vec::new();
+        let attempt_number = call.attempts.len();
+        if let Some((when, answer)) = call.answered.filter(|a| a.0 + self.slack < at) {
+            violations.push((
                 Invariant::AfterEnd,
-                format!("attempt {place} after the answer {what:?} at {when}"),
+                format!(
+                    "attempt {attempt_number} sent after the final answer {answer:?} at {when}"
+                ),
             ));
         }
         if at > call.until + self.slack {
-            found.push((
+            violations.push((
                 Invariant::AfterEnd,
-                format!("attempt {place} after its client's time, {}", call.until),
+                format!(
+                    "attempt {attempt_number} sent after the client's deadline, {}",
+                    call.until
+                ),
             ));
         }
-        if place as u32 >= class.max_attempts {
-            found.push((
+        if attempt_number as u32 >= class.max_attempts {
+            violations.push((
                 Invariant::TooMany,
-                format!("attempt {place} of {} allowed", class.max_attempts),
+                format!(
+                    "attempt {attempt_number}, but only {} attempts are allowed",
+                    class.max_attempts
+                ),
             ));
         }
-        let out = call.attempts.iter().filter(|a| !a.over).count();
-        if out > 0 && class.hedging == Hedging::Off && !self.external {
-            found.push((
+        let outstanding = call.attempts.iter().filter(|a| !a.ended).count();
+        if outstanding > 0 && class.hedging == Hedging::Off && !self.external {
+            violations.push((
                 Invariant::TooMany,
-                format!("attempt {place} while {out} are out, without second copies"),
+                format!("attempt {attempt_number} while {outstanding} are outstanding, but hedging is off"),
             ));
         }
-        if let Some(first) = call.attempts.iter().find(|a| !a.proven) {
+        if let Some(first) = call.attempts.iter().find(|a| !a.proven_not_executed) {
             let hosts = &self.scenario.hosts;
             match class.effect {
                 Effect::Safe => {}
                 Effect::Unsafe => {
-                    found.push((
+                    violations.push((
                         Invariant::Resent,
-                        format!("unsafe: attempt {place} though an earlier one may have run"),
+                        format!("unsafe: attempt {attempt_number} although an earlier one may have been executed"),
                     ));
                 }
                 Effect::Keyed { group, window } => {
@@ -316,83 +328,86 @@
                         DedupGroup::Group => hosts[first.host].group == hosts[host].group,
                     };
                     if !inside {
-                        found.push((
+                        violations.push((
                             Invariant::Resent,
-                            format!("keyed: attempt {place} outside the group of the first"),
+                            format!("keyed: attempt {attempt_number} outside the dedup group of the first"),
                         ));
                     }
                     if at > first.at + window + self.slack {
-                        found.push((
+                        violations.push((
                             Invariant::Resent,
-                            format!("keyed: attempt {place} outside its window"),
+                            format!("keyed: attempt {attempt_number} after the dedup window"),
                         ));
                     }
                 }
             }
         }
-        if let Some(&told) = self.drains.get(&(call.proxy, host)) {
-            if at > told + self.scenario.criteria.drain_grace + self.slack {
+        if let Some(&notified) = self.drains.get(&(call.proxy, host)) {
+            if at > notified + self.scenario.criteria.drain_grace + self.slack {
                 let text = format!(
-                    "sent to {} {} us after word of its drain",
-                    hosts_name(&self.scenario, host),
-                    at - told
+                    "sent to {} {} us after the notice that it drains",
+                    host_name(&self.scenario, host),
+                    at - notified
                 );
-                found.push((Invariant::Drain, text));
+                violations.push((Invariant::Drain, text));
             }
         }
-        found
+        violations
             .into_iter()
-            .for_each(|(rule, text)| self.record(rule, at, Some(op), text));
-        if let Some(call) = self.calls.get_mut(&(op, number)) {
+            .for_each(|(invariant, text)| self.record(invariant, at, Some(op), text));
+        if let Some(call) = self.calls.get_mut(&(op, try_number)) {
             call.attempts.push(Attempt {
                 host,
                 at,
-                proven: false,
-                over: false,
+                proven_not_executed: false,
+                ended: false,
             });
         }
-        place
+        attempt_number
     }
 
-    /// Has anything gone to a host for this try?
-    pub fn any_attempt_sent(&self, op: OpId, number: u32) -> bool {
+    /// Whether any attempt has been sent for this try.
+    pub fn any_attempt_sent(&self, op: OpId, try_number: u32) -> bool {
         self.calls
-            .get(&(op, number))
+            .get(&(op, try_number))
             .is_some_and(|c| !c.attempts.is_empty())
     }
 
-    /// The proxy has learned how the attempt ended; `proven`: it never ran.
-    pub fn attempt_ended(&mut self, op: OpId, number: u32, attempt: usize, proven: bool) {
-        let tried = self
+    /// The proxy has learned how an attempt ended; `proven`: that it was not executed.
+    pub fn attempt_ended(&mut self, op: OpId, try_number: u32, attempt: usize, proven: bool) {
+        let ended = self
             .calls
-            .get_mut(&(op, number))
+            .get_mut(&(op, try_number))
             .and_then(|c| c.attempts.get_mut(attempt));
-        if let Some(tried) = tried {
-            (tried.over, tried.proven) = (true, proven);
+        if let Some(attempt) = ended {
+            (attempt.ended, attempt.proven_not_executed) = (true, proven);
         }
     }
 
-    /// The try's client has its final answer, or its time has ended.
-    pub fn call_answered(&mut self, now: Micros, op: OpId, number: u32, answer: FinalAnswer) {
+    /// A try has its final answer, or its deadline has passed.
+    pub fn call_answered(&mut self, now: Micros, op: OpId, try_number: u32, answer: FinalAnswer) {
         self.advance(now);
-        let Some(call) = self.calls.get_mut(&(op, number)) else {
+        let Some(call) = self.calls.get_mut(&(op, try_number)) else {
             return;
         };
         let class = &self.scenario.classes[call.class];
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         match call.answered {
-            Some((at, before)) => {
-                found.push((
+            Some((at, earlier)) => {
+                violations.push((
                     Invariant::AnsweredTwice,
-                    format!("{answer:?} after {before:?} at {at}"),
+                    format!("{answer:?} after {earlier:?} at {at}"),
                 ));
             }
             None => call.answered = Some((now, answer)),
         }
         if answer == FinalAnswer::Overdue {
-            found.push((Invariant::Forgotten, "the backstop answered".to_owned()));
+            violations.push((
+                Invariant::Forgotten,
+                "the proxy's backstop answered".to_owned(),
+            ));
         }
-        let harmless = matches!(
+        let retry_is_harmless = matches!(
             class.effect,
             Effect::Safe
                 | Effect::Keyed {
@@ -400,51 +415,54 @@
                     ..
                 }
         );
-        if answer == FinalAnswer::Refused && !harmless && call.attempts.iter().any(|a| !a.proven) {
-            found.push((
+        if answer == FinalAnswer::Refused
+            && !retry_is_harmless
+            && call.attempts.iter().any(|a| !a.proven_not_executed)
+        {
+            violations.push((
                 Invariant::RefusedThoughRan,
-                "refused though an attempt may have run".to_owned(),
+                "refused although an attempt may have been executed".to_owned(),
             ));
         }
         let until = call.until;
-        self.dues.remove(&(until, (op, number)));
+        self.deadlines.remove(&(until, (op, try_number)));
         if now > until + self.slack {
-            found.push((
+            violations.push((
                 Invariant::Lost,
                 format!(
-                    "answered at {now}, {} us after its client's time",
+                    "answered at {now}, {} us after the client's deadline",
                     now - until
                 ),
             ));
         }
-        found
+        violations
             .into_iter()
-            .for_each(|(rule, text)| self.record(rule, now, Some(op), text));
+            .for_each(|(invariant, text)| self.record(invariant, now, Some(op), text));
     }
 
-    /// Its client has left: no answer is owed, and nothing more may go out.
-    pub fn client_left(&mut self, now: Micros, op: OpId, number: u32) {
-        if let Some(call) = self.calls.get_mut(&(op, number)) {
-            self.dues.remove(&(call.until, (op, number)));
+    /// The client has disconnected: no answer is due, and no further attempt may be sent.
+    pub fn client_left(&mut self, now: Micros, op: OpId, try_number: u32) {
+        if let Some(call) = self.calls.get_mut(&(op, try_number)) {
+            self.deadlines.remove(&(call.until, (op, try_number)));
             call.answered.get_or_insert((now, FinalAnswer::Failed));
         }
     }
 
-    /// An effect came about at a host. A keyed one may come about again only where its group has forgotten it and its
-    /// client asked anew.
+    /// An operation took effect at a host. A keyed operation may take effect again only where its dedup group has
+    /// forgotten the key and the client has retried.
     pub fn effect_executed(&mut self, now: Micros, op: OpId, host: usize) {
         let (_, count) = self.effects.entry(op).or_insert((now, 0));
         *count += 1;
         if *count == 2 {
             let text = format!(
-                "its effect came about a second time, at {}",
-                hosts_name(&self.scenario, host)
+                "the operation took effect a second time, at {}",
+                host_name(&self.scenario, host)
             );
             self.record(Invariant::RanTwice, now, Some(op), text);
         }
     }
 
-    /// A proxy was told that a host takes calls, or that it does not.
+    /// A proxy was notified that a host takes calls, or that it does not.
     pub fn host_status_received(&mut self, now: Micros, proxy: u32, host: usize, ready: bool) {
         if ready {
             self.drains.remove(&(proxy, host));
@@ -453,25 +471,25 @@
         }
     }
 
-    /// A proxy died: what it held is its clients' to repeat.
+    /// A proxy crashed: its open calls are left to the clients' retries.
     pub fn proxy_crashed(&mut self, proxy: u32) {
-        let dues = &mut self.dues;
+        let deadlines = &mut self.deadlines;
         self.calls.retain(|key, call| {
-            let stays = call.proxy != proxy || call.answered.is_some();
-            if !stays {
-                dues.remove(&(call.until, *key));
+            let keep = call.proxy != proxy || call.answered.is_some();
+            if !keep {
+                deadlines.remove(&(call.until, *key));
             }
-            stays
+            keep
         });
         self.drains.retain(|(of, _), _| *of != proxy);
     }
 
-    /// Tries without their final answer.
+    /// Number of tries without a final answer.
     pub fn unanswered_calls(&self) -> usize {
-        self.dues.len()
+        self.deadlines.len()
     }
 }
 
-fn hosts_name(scenario: &Scenario, host: usize) -> &str {
+fn host_name(scenario: &Scenario, host: usize) -> &str {
     scenario.hosts.get(host).map_or("?", |h| &h.name)
 }
--- a/crates/sim-model/src/lib.rs
+++ b/crates/sim-model/src/lib.rs
@@ -1,9 +1,10 @@
-//! A model of what stands round a client proxy: hosts, network, list service and clients, and the judges that hold a
-//! course against the rules. Times are whole microseconds that the caller tells; nothing here does I/O, reads a clock
-//! or depends on the proxy's own code. The same [`Host`] answers in virtual time and behind a real socket.
+//! A simulation model of the surroundings of a client proxy (hosts, network, list service and clients) and the
+//! checker that holds a simulation run against the invariants. Times are whole microseconds that the caller passes in;
+//! nothing here does I/O, reads a clock or depends on the proxy's own code. The same [`Host`] runs in virtual time and
+//! behind a real socket.
 //!
-//! All chance is drawn by name ([`Draws`]): what happens to one call does not shift when another is taken out, which
-//! is what lets a failing course be cut down.
+//! All random values come from keyed streams ([`RandomStreams`]): what happens to one call does not change when another
+//! call is removed, which allows a failing scenario to be minimised.
 #![forbid(unsafe_code)]
 #![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
@@ -30,9 +31,9 @@
     Effect, Fault, FaultKind, Hedging, HostSpec, ListSpec, NetworkSpec, Scenario, ScriptedRequest,
 };
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// What a client wants done, over all its tries.
+/// Identifies a client's operation, which spans all its tries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OpId(pub u64);
--- a/crates/sim-model/src/list_service.rs
+++ b/crates/sim-model/src/list_service.rs
@@ -1,52 +1,52 @@
-//! The list service: a log of what changed, told late, by a service of fixed capacity that may fall silent, fail, or go
-//! back to an older list.
+//! The list service: a log of host changes that are published with a delay, served with a limited request rate. Faults
+//! make the service silent, make it fail, or make it serve an older list.
 
 use crate::scenario::{Fault, FaultKind, ListSpec};
 use crate::Micros;
 
-/// What the list says of a host.
+/// The list's entry of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEntry {
-    /// Place of the host.
+    /// Index of the host.
     pub host: usize,
-    /// 0: takes calls; 1: drains; 2: gone.
+    /// 0: takes calls; 1: draining; 2: removed.
     pub state: u8,
-    /// When its process started; 0: long ago.
+    /// Time at which the host's process started; 0: long before the load begins.
     pub started_at: Micros,
 }
 
-/// The answer to a question.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListResponse {
-    /// The whole list, as of this version.
+    /// The full list at this version.
     Full(u64, Vec<ListEntry>),
-    /// What changed up to this version.
+    /// The changes from the version that the request named up to this version.
     Changes(u64, Vec<ListEntry>),
-    /// Nothing has changed since: wait for [`ListService::next`].
+    /// Nothing has changed since: wait until [`ListService::next_change`].
     Unchanged,
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// No answer comes.
+    /// There is no response.
     NoResponse,
 }
 
-/// The service. Versions count changes from 1.
+/// The list service. A version is the number of changes that have been published.
 #[derive(Clone, Debug)]
 pub struct ListService {
     spec: ListSpec,
     faults: Vec<Fault>,
-    /// Each change and when it is listed.
+    /// Each change with the time at which it is published.
     log: Vec<(Micros, ListEntry)>,
-    /// When it is free for the next question.
-    free: Micros,
-    /// Questions asked.
+    /// Time at which the service can start on the next request.
+    idle_at: Micros,
+    /// Number of requests so far.
     pub request_count: u64,
 }
 
 impl ListService {
-    /// A service that lists these from the beginning.
+    /// A service whose list has these entries from the beginning.
     pub fn new(spec: ListSpec, faults: &[Fault], first: Vec<ListEntry>) -> Self {
-        let concerns = |f: &&Fault| {
+        let affects_list = |f: &&Fault| {
             matches!(
                 f.kind,
                 FaultKind::ListServiceSilent
@@ -56,23 +56,23 @@
         };
         ListService {
             spec,
-            faults: faults.iter().filter(concerns).copied().collect(),
+            faults: faults.iter().filter(affects_list).copied().collect(),
             log: first.into_iter().map(|e| (0, e)).collect(),
-            free: 0,
+            idle_at: 0,
             request_count: 0,
         }
     }
 
-    /// A change happens now; it is listed later, and never before one that happened earlier.
+    /// Records a change that happens now. It is published after the delay, and never before an earlier change.
     pub fn record_change(&mut self, now: Micros, entry: ListEntry) {
         let earliest = self.log.last().map_or(0, |l| l.0);
         self.log
             .push(((now + self.spec.publish_delay).max(earliest), entry));
     }
 
-    /// Versions listed by now. An older list is one of the past.
+    /// The version that is served now. With a stale list, it is the version of an earlier time.
     fn version(&self, now: Micros) -> usize {
-        let back = self
+        let age = self
             .faults
             .iter()
             .filter(|f| f.from <= now && now < f.until)
@@ -80,24 +80,24 @@
                 FaultKind::ListServiceStale { age: by } => by,
                 _ => 0,
             });
-        let at = now.saturating_sub(back.max().unwrap_or(0));
+        let at = now.saturating_sub(age.max().unwrap_or(0));
         self.log.partition_point(|l| l.0 <= at)
     }
 
-    /// The service takes up a question; when the answer leaves it.
+    /// Accepts a request and returns the time at which its response is sent.
     pub fn accept_request(&mut self, now: Micros) -> Micros {
         self.request_count += 1;
         let cost = (1e6 / self.spec.requests_per_s.max(1e-3)) as Micros;
-        self.free = self.free.max(now) + cost;
-        self.free
+        self.idle_at = self.idle_at.max(now) + cost;
+        self.idle_at
     }
 
-    /// A question that nobody waits for any more.
+    /// Time after which a client gives up on a request.
     pub fn request_timeout(&self) -> Micros {
         self.spec.request_timeout
     }
 
-    /// The answer that leaves now for one that knows `known` (None: nothing).
+    /// The response that is sent now to a client that has the version `known` (None: no list yet).
     pub fn respond(&self, now: Micros, known: Option<u64>) -> ListResponse {
         for fault in self
             .faults
@@ -114,29 +114,30 @@
         match known {
             Some(known) if known as usize == version => ListResponse::Unchanged,
             Some(known) if (known as usize) < version => {
-                let news = self.log[known as usize..version]
+                let changes = self.log[known as usize..version]
                     .iter()
                     .map(|l| l.1)
                     .collect();
-                ListResponse::Changes(version as u64, news)
+                ListResponse::Changes(version as u64, changes)
             }
-            // Nothing known, or an index that this list has not reached.
-            _ => ListResponse::Full(version as u64, whole(&self.log[..version])),
+            // The client has no list, or a version that this list has not reached.
+            _ => ListResponse::Full(version as u64, full_list(&self.log[..version])),
         }
     }
 
-    /// When something that is not known to one who knows `known` is listed; None: nothing yet.
+    /// The time at which the first change after the version `known` is published; None: there is none so far.
     pub fn next_change(&self, known: u64) -> Option<Micros> {
         self.log.get(known as usize).map(|l| l.0)
     }
 
-    /// When each change was listed.
+    /// All changes with the times at which they are published.
     pub fn changes(&self) -> impl Iterator<Item = (Micros, ListEntry)> + '_ {
         self.log.iter().copied()
     }
 }
 
-fn whole(log: &[(Micros, ListEntry)]) -> Vec<ListEntry> {
+/// The latest entry of each host that has not been removed.
+fn full_list(log: &[(Micros, ListEntry)]) -> Vec<ListEntry> {
     let mut all: std::collections::BTreeMap<usize, ListEntry> = std::collections::BTreeMap::new();
     for (_, entry) in log {
         all.insert(entry.host, *entry);
@@ -157,13 +158,13 @@
     }
 
     #[test]
-    fn changes_come_late_and_in_order_and_an_older_list_is_one_of_the_past() {
+    fn changes_are_published_late_and_in_order_and_a_stale_list_is_an_earlier_version() {
         let spec = ListSpec {
             publish_delay: 100,
             requests_per_s: 1e6,
             request_timeout: 1_000,
         };
-        let old = Fault {
+        let stale = Fault {
             from: 500,
             until: 600,
             kind: FaultKind::ListServiceStale { age: 450 },
@@ -173,7 +174,7 @@
             until: 800,
             kind: FaultKind::ListServiceSilent,
         };
-        let mut list = ListService::new(spec, &[old, silent], vec![entry(0, 0), entry(1, 0)]);
+        let mut list = ListService::new(spec, &[stale, silent], vec![entry(0, 0), entry(1, 0)]);
         assert_eq!(
             list.respond(0, None),
             ListResponse::Full(2, vec![entry(0, 0), entry(1, 0)])
@@ -192,7 +193,7 @@
             list.respond(400, None),
             ListResponse::Full(4, vec![entry(0, 0)])
         );
-        // Who knows more than the service does is given the whole list that it has.
+        // A client with a newer version than the served one gets the full list of the served version.
         assert_eq!(
             list.respond(550, Some(4)),
             ListResponse::Full(2, vec![entry(0, 0), entry(1, 0)])
@@ -202,7 +203,7 @@
     }
 
     #[test]
-    fn questions_beyond_its_capacity_wait() {
+    fn requests_beyond_the_capacity_wait() {
         let spec = ListSpec {
             publish_delay: 0,
             requests_per_s: 10.0,
--- a/crates/sim-model/src/network.rs
+++ b/crates/sim-model/src/network.rs
@@ -1,15 +1,15 @@
-//! The way between two: delay, loss, partition.
+//! The network: delay, loss and partitions.
 
 use crate::random::RandomStreams;
 use crate::scenario::{Fault, FaultKind, NetworkSpec};
 use crate::Micros;
 
-/// What becomes of a packet.
+/// What happens to a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives then.
+    /// The packet arrives at this time.
     Arrives(Micros),
-    /// It never arrives, and the sender is not told.
+    /// The packet never arrives, and the sender gets no notice.
     Lost,
 }
 
@@ -18,16 +18,16 @@
 pub struct Network {
     spec: NetworkSpec,
     faults: Vec<Fault>,
-    draws: RandomStreams,
+    random: RandomStreams,
 }
 
-/// Most times that one packet is lost.
-const LOST_MOST: u64 = 6;
+/// Maximum number of times that one packet is lost.
+const MAX_LOSSES: u64 = 6;
 
 impl Network {
-    /// A network with these faults.
-    pub fn new(spec: NetworkSpec, faults: &[Fault], draws: RandomStreams) -> Self {
-        let concerns = |f: &&Fault| {
+    /// A network with those of the faults that affect it.
+    pub fn new(spec: NetworkSpec, faults: &[Fault], random: RandomStreams) -> Self {
+        let affects_network = |f: &&Fault| {
             matches!(
                 f.kind,
                 FaultKind::Partition { .. }
@@ -37,44 +37,46 @@
         };
         Network {
             spec,
-            faults: faults.iter().filter(concerns).copied().collect(),
-            draws,
+            faults: faults.iter().filter(affects_network).copied().collect(),
+            random,
         }
     }
 
-    fn now(&self, now: Micros) -> impl Iterator<Item = &FaultKind> {
+    fn active_faults(&self, now: Micros) -> impl Iterator<Item = &FaultKind> {
         self.faults
             .iter()
             .filter(move |f| f.from <= now && now < f.until)
             .map(|f| &f.kind)
     }
 
-    /// A packet that is sent now between a proxy and `host` (None: the list service); `near` if both are of one zone.
-    /// `what` names it in all draws.
+    /// Sends a packet between a proxy and `host` (None: the list service). `same_zone` says whether both are in one
+    /// zone; `key` identifies the packet in the random streams.
     pub fn send(
         &self,
         now: Micros,
         host: Option<usize>,
-        near: bool,
-        what: (u64, u64, u64),
+        same_zone: bool,
+        key: (u64, u64, u64),
     ) -> Delivery {
-        let (least, most) = if near {
+        let (min, max) = if same_zone {
             self.spec.same_zone
         } else {
             self.spec.cross_zone
         };
-        let mut delay = self.draws.integer(what, (least, most));
-        for trouble in self.now(now) {
-            match *trouble {
-                FaultKind::Partition { host: cut } if Some(cut) == host => return Delivery::Lost,
+        let mut delay = self.random.integer(key, (min, max));
+        for fault in self.active_faults(now) {
+            match *fault {
+                FaultKind::Partition { host: partitioned } if Some(partitioned) == host => {
+                    return Delivery::Lost
+                }
                 FaultKind::NetworkDelay { extra } => delay += extra,
                 FaultKind::PacketLoss { share } => {
-                    // Each time it is lost it waits twice as long, as TCP has it.
-                    let lost = (0..LOST_MOST).take_while(|n| {
-                        self.draws
-                            .occurs((what.0 ^ 0x10_5e, what.1, what.2 * 8 + n), share)
+                    // As in TCP, the retransmission delay doubles with each loss of the packet.
+                    let losses = (0..MAX_LOSSES).take_while(|n| {
+                        self.random
+                            .occurs((key.0 ^ 0x10_5e, key.1, key.2 * 8 + n), share)
                     });
-                    delay += self.spec.retransmit_delay * ((1 << lost.count()) - 1);
+                    delay += self.spec.retransmit_delay * ((1 << losses.count()) - 1);
                 }
                 _ => {}
             }
@@ -82,7 +84,7 @@
         Delivery::Arrives(now + delay.max(1))
     }
 
-    /// The longest that a packet takes without faults.
+    /// The longest delay of a packet without faults.
     pub fn max_delay(&self) -> Micros {
         self.spec.same_zone.1.max(self.spec.cross_zone.1)
     }
--- a/crates/sim-model/src/scenario.rs
+++ b/crates/sim-model/src/scenario.rs
@@ -1,359 +1,361 @@
-//! What is played: who is there, who asks for what, and what goes wrong when.
+//! Description of a simulation scenario: the load, the hosts and the faults over time.
 
 use crate::Micros;
 
-/// A course to be played. It says nothing of how: in virtual time or on sockets.
+/// A scenario to simulate. It is independent of whether it runs in virtual time or on sockets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name, for reports.
+    /// Name of the scenario, used in reports.
     pub name: String,
-    /// Load comes for this long; what is open then has its time.
+    /// Length of the load phase. Calls that are open at its end still get their full deadline.
     pub duration: Micros,
-    /// Client proxies.
+    /// Number of client proxies.
     pub proxies: u32,
-    /// Hosts that each proxy keeps to; 0: all. The play on the decisions alone knows no subsets.
+    /// Number of hosts that each proxy sends to; 0 means all. Simulations of the decisions alone ignore subsets.
     pub subset_size: u32,
-    /// The first so many proxies are seeds, and all pass the list on among each other; 0: each asks for itself. The
-    /// plays on sockets know no peers: a trial does.
+    /// Number of proxies, counted from the first, that are gossip seeds; all proxies then gossip the endpoint list. With
+    /// 0, each proxy polls the list service itself. Simulations on sockets ignore this; trials support it.
     pub gossip_seeds: u32,
-    /// Kinds of calls.
+    /// Classes of calls.
     pub classes: Vec<Class>,
-    /// Hosts, each for itself.
+    /// Hosts, each with its own description.
     pub hosts: Vec<HostSpec>,
-    /// Who asks.
+    /// The clients and their load.
     pub clients: ClientsSpec,
-    /// Requests one by one, in place of the open load; sorted by time.
+    /// Scripted requests that replace the open load, sorted by time.
     pub requests: Option<Vec<ScriptedRequest>>,
-    /// The way between all of them.
+    /// The network between proxies, hosts and list service.
     pub network: NetworkSpec,
     /// The list service.
     pub list: ListSpec,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// What the judges hold it to.
+    /// Limits that the invariant checker applies.
     pub criteria: Criteria,
 }
 
-/// Who drops repeats of a keyed call.
+/// The set of hosts that recognises repeats of a keyed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All hosts.
     All,
     /// The hosts of one zone.
     Zone,
-    /// The hosts of one group.
+    /// The hosts with the same [`HostSpec::group`].
     Group,
 }
 
-/// What running a call twice would do.
+/// What happens if a call is executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// The call is idempotent: a second execution changes nothing.
     Safe,
-    /// Nothing at the hosts of `group`, within `window` of the first.
+    /// The call has an idempotency key: the hosts of `group` drop repeats within `window` of the first attempt.
     Keyed {
-        /// Who drops repeats.
+        /// The hosts that drop repeats.
         group: DedupGroup,
-        /// For how long, in microseconds.
+        /// Time for which repeats are dropped, in microseconds.
         window: Micros,
     },
-    /// Harm.
+    /// A second execution does harm.
     Unsafe,
 }
 
-/// When a second copy may go out.
+/// When a call is hedged, that is, sent to a second host while the first attempt is outstanding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Hedging {
-    /// Never.
+    /// Calls are never hedged.
     #[default]
     Off,
-    /// As late as can be in time.
+    /// The hedged request is sent at the latest time at which it can still be answered in time.
     Auto,
-    /// This long after the first.
+    /// The hedged request is sent this long after the first attempt.
     After(Micros),
 }
 
-/// A kind of calls.
+/// A class of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name; its requests go to `/NAME`.
+    /// Name of the class; its requests go to the path `/NAME`.
     pub name: String,
-    /// Share of all requests; shares are taken against their sum.
+    /// Relative share of all requests; shares are normalised by their sum.
     pub share: f64,
-    /// An answer is wanted within this.
+    /// Latency within which an answer has its full weight.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// Time that a client waits for an operation, over all its tries.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
-    /// Share of the worth for an answer after the aim.
+    /// Fraction of the weight that an answer after the latency objective has.
     pub late_weight: f64,
-    /// What a second run would do.
+    /// What a second execution does.
     pub effect: Effect,
-    /// Most attempts of a call.
+    /// Maximum number of attempts of a call.
     pub max_attempts: u32,
-    /// Longest time of an attempt; None: what is left.
+    /// Time-out of one attempt; None: the time that is left to the deadline.
     pub attempt_timeout: Option<Micros>,
     /// Pause between attempts.
     pub backoff: Micros,
-    /// Second copies.
+    /// When calls are hedged.
     pub hedging: Hedging,
-    /// Work of a request on a host of speed 1: from, to.
+    /// Minimum and maximum work of a request on a host of speed 1.
     pub work: (Micros, Micros),
 }
 
-/// Who asks: open load, which does not wait for answers.
+/// The clients: an open load, which does not wait for answers before it sends the next request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientsSpec {
-    /// First tries a second over all proxies.
+    /// New operations per second over all proxies, not counting retries.
     pub rate: f64,
-    /// How often a client tries again by itself.
+    /// Maximum number of retries by the client itself.
     pub max_retries: u32,
-    /// Its pause before that, if it is not told a longer one.
+    /// Delay before a client's retry, unless Retry-After asks for a longer one.
     pub retry_delay: Micros,
-    /// Share of the deadline that it gives one try.
+    /// Share of the deadline that a client waits for one try.
     pub try_timeout_share: f64,
-    /// Swing of the load as a share of it, and the time of one swing; 0: even.
+    /// Amplitude of the sinusoidal load variation as a share of the rate, and its period; 0 means constant load.
     pub load_swing: (f64, Micros),
-    /// Share of the proxies that get most (nine tenths) of the load; 1: all alike.
+    /// Share of the proxies that receive nine tenths of the load; 1 means even load.
     pub busy_proxy_share: f64,
-    /// Share of tries whose client leaves before its time, without its answer.
+    /// Share of tries whose client disconnects before its time-out and before the answer.
     pub disconnect_share: f64,
-    /// Tenants, by whose number a request bears a header; 0: none.
+    /// Number of tenants; each request carries its tenant's number in a header. 0 means no tenants.
     pub tenants: u32,
 }
 
 /// One request of a scripted load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScriptedRequest {
-    /// When it is due.
+    /// Time at which the request is due.
     pub at: Micros,
-    /// At which proxy.
+    /// Proxy that receives the request.
     pub proxy: u32,
-    /// Place of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its name in all draws. It stays when others are taken out.
+    /// Key of the request's random streams. It stays the same when other requests are removed from the script.
     pub id: u64,
 }
 
-/// A cold start.
+/// Reduced capacity of a host after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// Share of its capacity at first.
+    /// Share of the full capacity right after the start.
     pub initial_capacity: f64,
-    /// Warm after this.
+    /// Time until the host has its full capacity.
     pub warm_up: Micros,
-    /// Sent more than this multiple of what it can do ...
+    /// The host collapses if it is sent more than this multiple of its capacity over `collapse_window`.
     pub collapse_multiple: f64,
-    /// ... over this span, it falls over and stays down.
+    /// Span over which the offered work is summed up. A host that has collapsed stays down.
     pub collapse_window: Micros,
 }
 
-/// Efficiency that falls with what is in hand.
+/// Loss of efficiency as the number of calls in flight grows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyPenalty {
-    /// Calls in hand for each core that cost nothing extra.
+    /// Calls in flight per core up to which there is no penalty.
     pub knee: f64,
-    /// What each further one for each core adds to the work, as a share.
+    /// Share by which each further call per core increases the work.
     pub slope: f64,
 }
 
-/// A host that has far too much waiting for a while turns slow and stays so until it has rested.
+/// Congestion collapse: a host whose queue is too long for some time turns slow, and stays slow until it has been
+/// mostly idle for a while.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CongestionCollapse {
-    /// Waiting calls for each core.
+    /// Queued calls per core above which the collapse begins.
     pub queued_per_core: f64,
-    /// For how long.
+    /// Time for which the queue must be that long.
     pub onset: Micros,
-    /// Then it takes so many times as long.
+    /// Factor by which work takes longer after the collapse.
     pub slowdown: f64,
-    /// Until it has been mostly idle for this long.
+    /// Time for which the host must be mostly idle to recover.
     pub recovery_idle: Micros,
 }
 
-/// A host.
+/// Description of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSpec {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: String,
-    /// Its group of hosts that drop each other's repeats.
+    /// Group of hosts that drop each other's repeats of keyed calls.
     pub group: u32,
-    /// Its machine kind.
+    /// Machine kind.
     pub kind: String,
-    /// Calls that it works on at a time.
+    /// Number of calls that are processed at a time.
     pub cores: u32,
-    /// Calls that may wait; more are turned away unseen.
+    /// Number of calls that may wait; further calls are turned away without being processed.
     pub queue_capacity: u32,
-    /// Its speed against the yardstick of the classes' work.
+    /// Speed relative to the host on which the work of the classes is stated.
     pub speed: f64,
-    /// Connections that it takes.
+    /// Maximum number of open connections.
     pub max_connections: u32,
-    /// Work that a new connection costs it.
+    /// Work to accept a new connection.
     pub connection_cost: Micros,
-    /// It closes a connection that has been idle for this long, without a word ahead.
+    /// Idle time after which the host closes a connection without notice.
     pub idle_timeout: Micros,
-    /// Its cold start; it has one when it joins or comes back.
+    /// Cold start after the host joins or restarts.
     pub cold_start: Option<ColdStart>,
-    /// What crowding costs it.
+    /// Penalty for many calls in flight.
     pub concurrency_penalty: Option<ConcurrencyPenalty>,
-    /// What long queues do to it.
+    /// Congestion collapse after long queues.
     pub congestion_collapse: Option<CongestionCollapse>,
-    /// When it joins; 0: it was there long before.
+    /// Time at which the host joins; 0: it has been running since long before the load begins.
     pub joins_at: Micros,
 }
 
-/// The way between proxies, hosts and list service.
+/// The network between proxies, hosts and list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkSpec {
-    /// One way within a zone: from, to.
+    /// Minimum and maximum one-way delay within a zone.
     pub same_zone: (Micros, Micros),
-    /// One way between zones: from, to.
+    /// Minimum and maximum one-way delay between zones.
     pub cross_zone: (Micros, Micros),
-    /// What a lost packet costs: the time until it is sent again.
+    /// Time until a lost packet is sent again for the first time.
     pub retransmit_delay: Micros,
-    /// How long hosts are said to keep an idle connection; what each does is its own.
+    /// Idle time-out that proxies assume for the hosts' connections; each host has its own actual time-out.
     pub idle_timeout: Micros,
-    /// A connection that is not up by then has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
 }
 
 /// The list service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListSpec {
-    /// From a change until it is listed.
+    /// Delay between a change of a host and its appearance in the list.
     pub publish_delay: Micros,
-    /// Questions a second that it answers; the rest wait.
+    /// Requests that the service answers per second; further requests wait.
     pub requests_per_s: f64,
-    /// A question that is not answered by then has failed.
+    /// Time after which a request without an answer has failed.
     pub request_timeout: Micros,
 }
 
-/// What goes wrong with whom.
+/// A kind of fault and the component that it affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// The host fails this share of its requests at once, `ran` of those after they ran.
+    /// The host answers a share of its requests with an error, part of them after their execution.
     Errors {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
-        /// Share of its requests.
+        /// Share of requests that fail.
         share: f64,
-        /// Share of those that ran first.
+        /// Share of the failed requests that are executed first.
         executed_share: f64,
     },
-    /// It stands still.
+    /// The host makes no progress.
     Stall {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
     },
-    /// Its work takes so many times as long.
+    /// The host's work takes longer.
     Slowdown {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
-        /// Times.
+        /// Factor by which work takes longer.
         factor: f64,
     },
-    /// It breaks this share of its connections when the work is done, or before (`ran` as in `Fails`).
+    /// The host resets the connections of a share of its requests, either on arrival or after the execution.
     ConnectionResets {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
-        /// Share of its requests.
+        /// Share of requests whose connection is reset.
         share: f64,
-        /// Share of those that ran first.
+        /// Share of these requests that are executed first.
         executed_share: f64,
     },
-    /// This share of its answers is spoilt after the call ran: nothing that can be used comes back.
+    /// A share of the host's responses is corrupt; the calls have been executed.
     CorruptResponses {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
-        /// Share of its answers.
+        /// Share of responses that are corrupt.
         share: f64,
     },
-    /// It dies and comes back, cold, when the trouble ends.
+    /// The host crashes; it restarts, cold, when the fault ends.
     Crash {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
     },
-    /// It drains, and has gone when the trouble ends.
+    /// The host drains, and is removed when the fault ends.
     Drain {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
     },
-    /// Nothing passes between it and the proxies.
+    /// No packet passes between the host and the proxies.
     Partition {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
     },
-    /// All connections to it that are open at the start are dead, and neither side is told.
+    /// All connections to the host that are open when the fault begins are half-open: dead without notice to either
+    /// side.
     HalfOpen {
-        /// Place of the host.
+        /// Index of the host.
         host: usize,
     },
-    /// This share of all packets is lost once.
+    /// A share of all packets is lost and retransmitted.
     PacketLoss {
         /// Share of packets.
         share: f64,
     },
-    /// All ways take so much longer.
+    /// All network delays grow.
     NetworkDelay {
-        /// One way.
+        /// Additional one-way delay.
         extra: Micros,
     },
-    /// The list service says nothing.
+    /// The list service does not respond.
     ListServiceSilent,
-    /// It fails all that it is asked.
+    /// The list service answers every request with an error.
     ListServiceErrors,
-    /// It has gone back to an older list, and tells that.
+    /// The list service serves an older version of the list.
     ListServiceStale {
-        /// By how much.
+        /// Age of the list that is served.
         age: Micros,
     },
-    /// So many times the load comes.
+    /// The load is multiplied.
     LoadSpike {
-        /// Times.
+        /// Factor on the request rate.
         factor: f64,
     },
-    /// This share of a class's requests costs so many times the work.
+    /// A share of the requests of a class needs more work.
     ExpensiveRequests {
-        /// Place of the class.
+        /// Index of the class.
         class: usize,
         /// Share of its requests.
         share: f64,
-        /// Times.
+        /// Factor on their work.
         factor: f64,
     },
-    /// A proxy dies and comes back, knowing nothing but its saved list.
+    /// A proxy crashes and restarts with nothing but its saved endpoint list.
     ProxyCrash {
-        /// Which.
+        /// Number of the proxy.
         proxy: u32,
     },
 }
 
-/// A trouble and its time.
+/// A fault and the time for which it is active.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// It begins.
+    /// Time at which the fault begins.
     pub from: Micros,
-    /// It ends.
+    /// Time at which the fault ends.
     pub until: Micros,
-    /// What it is.
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// What the judges hold a course to, beside the rules.
+/// Limits of a scenario that the invariant checker applies in addition to the fixed invariants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Criteria {
-    /// Latest that something may go to a host after word that it drains.
+    /// Time after the notice that a host drains during which a proxy may still send to it.
     pub drain_grace: Micros,
-    /// Goodput is back this long after the last fault ...
+    /// Time after the last fault by which goodput must have recovered; None: not checked.
     pub recovery_time: Option<Micros>,
-    /// ... at this share of what was asked.
+    /// Goodput, as a share of the load, that counts as recovered.
     pub recovered_share: f64,
 }
 
 impl FaultKind {
-    /// The host that it concerns, if it is one.
+    /// The index of the host that the fault affects, if it affects one.
     pub fn host(&self) -> Option<usize> {
         match *self {
             FaultKind::Errors { host, .. }
@@ -371,24 +373,24 @@
 }
 
 impl Scenario {
-    /// The last moment at which a fault still holds.
+    /// The time at which the last fault has ended and the last host that joins is warm.
     pub fn last_fault_end(&self) -> Micros {
         let ends = self.faults.iter().map(|f| f.until);
-        let joins = self.hosts.iter().map(|h| {
+        let warm = self.hosts.iter().map(|h| {
             h.joins_at
                 + h.cold_start
                     .filter(|_| h.joins_at > 0)
                     .map_or(0, |c| c.warm_up)
         });
-        ends.chain(joins).max().unwrap_or(0)
+        ends.chain(warm).max().unwrap_or(0)
     }
 
-    /// The longest that any client waits.
+    /// The longest deadline of any class.
     pub fn max_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
-    /// Work a second that all hosts can do, against what is asked, without faults: under 1 they bear it.
+    /// The offered work divided by the capacity of all hosts, without faults. Below 1, the hosts can serve the load.
     pub fn utilisation(&self) -> f64 {
         let capacity: f64 = self
             .hosts
@@ -406,7 +408,7 @@
             / capacity.max(f64::MIN_POSITIVE)
     }
 
-    /// Requests and faults: what a schedule that is cut down is counted by.
+    /// The number of scripted requests and faults: the size of a scenario that is being minimised.
     pub fn event_count(&self) -> usize {
         self.requests.as_ref().map_or(0, Vec::len) + self.faults.len()
     }
