--- a/crates/sim-model/src/lib.rs
+++ b/crates/sim-model/src/lib.rs
@@ -6,7 +6,10 @@
 //! All random values come from keyed streams ([`RandomStreams`]): what happens to one call does not change when another
 //! call is removed, which allows a failing scenario to be minimised.
 #![forbid(unsafe_code)]
-#![expect(clippy::too_many_lines, reason = "long functions are still to be split")]
+#![expect(
+    clippy::too_many_lines,
+    reason = "long functions are still to be split"
+)]
 
 mod clients;
 mod host;
