--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -14,7 +14,7 @@
 use badgerramp_config_tool::overlap::under;
 use badgerramp_config_tool::set::Set;
 use badgerramp_decisions::Micros;
-use badgerramp_testkit::decision_driver::{Answer, Request, World};
+use badgerramp_testkit::decision_driver::{Answer, BalancerDriver, Request};
 use common::*;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use rand::seq::SliceRandom;
@@ -95,7 +95,7 @@
 /// One client's request with all its tries. Err: the rule that broke.
 fn visit(
     config: &Config,
-    world: &mut World<'_>,
+    world: &mut BalancerDriver<'_>,
     (client, groups): (Client, &Groups),
     (method, path): (&str, &str),
 ) -> Result<(), String> {
@@ -123,25 +123,30 @@
             badgerramp_decisions::Idempotency::Keyed { .. }
         );
         let asked = world.now();
-        let call = world.ask(Request {
+        let call = world.request(Request {
             route,
-            once: once && guarded,
-            told: None,
+            key_missing: once && guarded,
+            client_timeout: None,
         });
-        world.run(asked + client.waits);
+        world.run_until(asked + client.waits);
         let Some((answer, at)) = world.call(call).answered else {
             return Err(format!("{method} {path}: no answer while the client waits"));
         };
         assert!(at <= asked + client.waits);
         // Late ends of its attempts come in, too.
-        for tried in world.call(call).tried.iter().filter(|t| t.may_have_run()) {
-            let address = config.upstream.endpoints[tried.server.0 as usize].address;
+        for tried in world
+            .call(call)
+            .attempts
+            .iter()
+            .filter(|t| t.may_have_executed())
+        {
+            let address = config.upstream.endpoints[tried.endpoint.0 as usize].address;
             // What listens elsewhere drops no repeats of anybody's.
             let group = groups
                 .get(&address)
                 .copied()
                 .unwrap_or(u32::from(address.port()));
-            executed.push((tried.sent, group));
+            executed.push((tried.sent_at, group));
         }
         let again = answer == Answer::Refused
             || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
@@ -153,7 +158,7 @@
         } else {
             0
         };
-        world.run(at.max(world.now()) + pause);
+        world.run_until(at.max(world.now()) + pause);
     }
     if method == Method::GET {
         return Ok(());
@@ -191,12 +196,12 @@
     seed: u64,
     times: usize,
 ) -> Result<(), String> {
-    let mut world = World::new(config, seed);
+    let mut world = BalancerDriver::new(config, seed);
     for _ in 0..times {
         for request in sends(app) {
             visit(config, &mut world, client, *request)?;
             let pause = world.random().gen_range(0..400_000);
-            world.run(world.now() + pause);
+            world.run_until(world.now() + pause);
         }
     }
     Ok(())
--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -4,7 +4,7 @@
 
 use badgerramp_config::{parse, Config};
 use badgerramp_decisions::Idempotency;
-use badgerramp_testkit::decision_driver::{Request, World};
+use badgerramp_testkit::decision_driver::{BalancerDriver, Request};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::Rng;
@@ -12,7 +12,7 @@
 
 /// Plays some calls of each route.
 fn play(config: &Config, seed: u64) {
-    let mut world = World::new(config, seed);
+    let mut world = BalancerDriver::new(config, seed);
     let routes = config.routes.routes();
     for _ in 0..60 {
         let route = world.random().gen_range(0..routes.len());
@@ -20,15 +20,15 @@
         // A client may wait less than its class does.
         let brief = world.random().gen_bool(0.3);
         let deadline = config.classes[routes[route].class].class.deadline;
-        world.ask(Request {
+        world.request(Request {
             route,
-            once,
-            told: brief.then_some(deadline / 2),
+            key_missing: once,
+            client_timeout: brief.then_some(deadline / 2),
         });
         let until = world.now() + world.random().gen_range(0..150_000);
-        world.run(until);
+        world.run_until(until);
     }
-    world.run(world.now() + 700_000_000);
+    world.run_until(world.now() + 700_000_000);
     assert!(world.all_answered(), "a call without its answer");
 }
 
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -6,7 +6,8 @@
 )]
 
 use badgerramp_testkit::{
-    load, Catalog, Course, Fault, Kind, Ledger, Listed, LoadResult, Member, Model, Proxy, Tally,
+    load, ExecutionCounts, Fault, HostModel, Ledger, ListEntry, ListService, LoadPlan, LoadResult,
+    ModelHost, Proxy, RequestKind,
 };
 use clap::Parser;
 use std::io::Write;
@@ -53,8 +54,8 @@
     }
 }
 
-fn listed(member: &Member, status: &'static str) -> Listed {
-    Listed {
+fn listed(member: &ModelHost, status: &'static str) -> ListEntry {
+    ListEntry {
         name: member.name.clone(),
         address: member.address,
         zone: "liberia".to_owned(),
@@ -69,12 +70,12 @@
     let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
     let program = program.to_str().ok_or("this program's path is no text")?;
     let ledger = Arc::new(Ledger::default());
-    let model = |seed| Model {
+    let model = |seed| HostModel {
         work: Duration::from_millis(20),
         seed,
-        ..Model::default()
+        ..HostModel::default()
     };
-    let fails = Fault::FailsFast {
+    let fails = Fault::Errors {
         share: 0.6,
         from: time.mul_f64(0.2),
         until: time.mul_f64(0.6),
@@ -83,14 +84,14 @@
         every: Duration::from_secs(3),
         pause: Duration::from_millis(300),
     };
-    let member = |name, group, model| Member::start(name, group, model, &ledger);
+    let member = |name, group, model| ModelHost::start(name, group, model, &ledger);
     let mut members = vec![
         member("steady-1", 1, model(1)),
         member("steady-2", 1, model(2)),
         member(
             "fails-fast",
             2,
-            Model {
+            HostModel {
                 faults: vec![fails],
                 ..model(3)
             },
@@ -98,31 +99,31 @@
         member(
             "stalls",
             2,
-            Model {
+            HostModel {
                 faults: vec![stalls],
                 ..model(4)
             },
         ),
         member("drains", 1, model(5)),
     ];
-    let catalog = Catalog::start(members.iter().map(|m| listed(m, "up")).collect());
+    let catalog = ListService::start(members.iter().map(|m| listed(m, "up")).collect());
     let file = FILE.replace("127.0.0.1:8500", &catalog.address.to_string());
     let proxy = Proxy::sidecar(program, &[AS_PROXY], &file);
-    let kind = |class: &str, waits, keyed, clients| Kind {
+    let kind = |class: &str, waits, keyed, clients| RequestKind {
         class: class.to_owned(),
-        waits: Duration::from_millis(waits),
+        timeout: Duration::from_millis(waits),
         keyed,
         clients,
-        rate: 6.0,
+        requests_per_s: 6.0,
     };
-    let course = Course {
-        to: proxy.address,
+    let course = LoadPlan {
+        target: proxy.address,
         kinds: vec![
             kind("registro-entrada", 1_200, true, 24),
             kind("cobro-mensual", 1_500, false, 16),
         ],
-        time,
-        most: REQUESTS_MOST,
+        duration: time,
+        max_requests: REQUESTS_MOST,
     };
     println!(
         "the program listens on {}; {} s of load over {} hosts",
@@ -135,7 +136,15 @@
         if !added && gone >= time.mul_f64(0.3) {
             added = true;
             let cold = Some((0.3, Duration::from_millis(7_500)));
-            let cold = Member::start("cold", 2, Model { cold, ..model(6) }, &ledger);
+            let cold = ModelHost::start(
+                "cold",
+                2,
+                HostModel {
+                    cold_start: cold,
+                    ..model(6)
+                },
+                &ledger,
+            );
             catalog.set(listed(&cold, "up"));
             members.push(cold);
         }
@@ -162,7 +171,7 @@
     Ok(broken(&result, &tally, &members, &ledger))
 }
 
-fn table(result: &LoadResult, tally: &Tally) {
+fn table(result: &LoadResult, tally: &ExecutionCounts) {
     println!(
         "\n{:<18}{:>8}{:>8}{:>8}{:>8}{:>8}{:>10}{:>9}{:>9}",
         "class", "sent", "served", "refused", "failed", "owed", "attempts", "p50 ms", "p99 ms"
@@ -173,7 +182,7 @@
             .iter()
             .find(|a| a.0 == kind.class)
             .map_or(0, |a| a.1);
-        let ms = |share| totals.within(share).as_secs_f64() * 1e3;
+        let ms = |share| totals.latency_quantile(share).as_secs_f64() * 1e3;
         println!(
             "{:<18}{:>8}{:>8}{:>8}{:>8}{:>8}{attempts:>10}{:>9.1}{:>9.1}",
             kind.class,
@@ -181,48 +190,56 @@
             totals.served,
             totals.refused,
             totals.failed,
-            totals.owed,
+            totals.unanswered,
             ms(0.5),
             ms(0.99)
         );
     }
     println!(
         "\ncounted by the hosts: {} charges executed, {} of them twice; {} keys executed twice",
-        tally.charges, tally.charged_twice, tally.keys_twice
+        tally.charges, tally.charges_executed_twice, tally.keys_executed_twice
     );
 }
 
 /// The rules that broke, in words.
-fn broken(result: &LoadResult, tally: &Tally, members: &[Member], ledger: &Ledger) -> Vec<String> {
+fn broken(
+    result: &LoadResult,
+    tally: &ExecutionCounts,
+    members: &[ModelHost],
+    ledger: &Ledger,
+) -> Vec<String> {
     let mut broken = Vec::new();
     let mut rule = |count: u64, text: &str| {
         if count > 0 {
             broken.push(format!("{count} {text}"));
         }
     };
-    rule(tally.charged_twice as u64, "charges were executed twice");
     rule(
-        tally.keys_twice as u64,
+        tally.charges_executed_twice as u64,
+        "charges were executed twice",
+    );
+    rule(
+        tally.keys_executed_twice as u64,
         "keyed requests were executed twice",
     );
     rule(
-        result.iter().map(|r| r.1.owed).sum(),
+        result.iter().map(|r| r.1.unanswered).sum(),
         "requests have no final answer in their client's time",
     );
     let charges = result
         .iter()
         .filter(|r| !r.0.keyed)
-        .flat_map(|r| &r.1.refused_names);
+        .flat_map(|r| &r.1.refused_ids);
     rule(
         charges.filter(|name| ledger.charged(name)).count() as u64,
         "charges were refused though they ran",
     );
     rule(
-        members.iter().map(Member::late_for_drain).sum(),
+        members.iter().map(ModelHost::requests_after_drain).sum(),
         "requests went to a host that drains",
     );
     rule(
-        members.iter().filter(|m| m.pushed_over()).count() as u64,
+        members.iter().filter(|m| m.has_collapsed()).count() as u64,
         "cold hosts were pushed over",
     );
     let served: u64 = result.iter().map(|r| r.1.served).sum();
@@ -239,27 +256,27 @@
     #[test]
     fn each_broken_rule_is_told() {
         let ledger = Arc::new(Ledger::default());
-        let kind = Kind {
+        let kind = RequestKind {
             class: "c".to_owned(),
-            waits: Duration::from_secs(1),
+            timeout: Duration::from_secs(1),
             keyed: false,
             clients: 1,
-            rate: 1.0,
+            requests_per_s: 1.0,
         };
         let totals = |served, owed| Totals {
             served,
-            owed,
+            unanswered: owed,
             ..Totals::default()
         };
         let good: LoadResult = vec![(kind.clone(), totals(1, 0))];
         let told = |result: &LoadResult, tally| broken(result, &tally, &[], &ledger).len();
-        assert_eq!(told(&good, Tally::default()), 0);
+        assert_eq!(told(&good, ExecutionCounts::default()), 0);
         assert_eq!(
             told(
                 &good,
-                Tally {
-                    charged_twice: 1,
-                    ..Tally::default()
+                ExecutionCounts {
+                    charges_executed_twice: 1,
+                    ..ExecutionCounts::default()
                 }
             ),
             1
@@ -267,17 +284,23 @@
         assert_eq!(
             told(
                 &good,
-                Tally {
-                    keys_twice: 1,
-                    ..Tally::default()
+                ExecutionCounts {
+                    keys_executed_twice: 1,
+                    ..ExecutionCounts::default()
                 }
             ),
             1
         );
         assert_eq!(
-            told(&vec![(kind.clone(), totals(1, 1))], Tally::default()),
+            told(
+                &vec![(kind.clone(), totals(1, 1))],
+                ExecutionCounts::default()
+            ),
+            1
+        );
+        assert_eq!(
+            told(&vec![(kind, totals(0, 0))], ExecutionCounts::default()),
             1
         );
-        assert_eq!(told(&vec![(kind, totals(0, 0))], Tally::default()), 1);
     }
 }
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -111,7 +111,7 @@
             None => true,
         };
         while unread() {
-            tokio::time::sleep(SHORT / 300).await;
+            tokio::time::sleep(QUIET_PERIOD / 300).await;
         }
     }
 
@@ -304,7 +304,9 @@
     /// A client, whose connection is the next one.
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time-out");
         Client {
             stream: BufReader::new(stream),
         }
@@ -384,7 +386,7 @@
         assert_eq!(first.status(), 200);
         let new = program.client();
         while program.hooks.accepted.borrow().len() < 2 {
-            tokio::time::sleep(SHORT / 300).await;
+            tokio::time::sleep(QUIET_PERIOD / 300).await;
         }
         program.stop();
         // That an idle connection ends shows that the stop has been heard.
@@ -417,7 +419,9 @@
         let address = program.address;
         let connects = move || {
             let stream = TcpStream::connect(address).expect("it listens");
-            stream.set_read_timeout(Some(LONG)).expect("a time-out");
+            stream
+                .set_read_timeout(Some(EVENT_TIMEOUT))
+                .expect("a time-out");
             let mut queued = Client {
                 stream: BufReader::new(stream),
             };
@@ -496,11 +500,11 @@
         let (_, told) = tokio::join!(ninth, async {
             // It reaches its host, and its answer comes long after those who leave are cut off.
             while !program.hooks.crossed() {
-                tokio::time::sleep(SHORT / 30).await;
+                tokio::time::sleep(QUIET_PERIOD / 30).await;
             }
             let waits = waiting(first, next);
             let (answer, ()) = tokio::join!(waits, async {
-                tokio::time::sleep(SHORT).await;
+                tokio::time::sleep(QUIET_PERIOD).await;
                 open.send(()).expect("the host waits");
             });
             answer.1
@@ -522,17 +526,17 @@
         let mut slow = program.client();
         slow.send("safe", "3000m");
         while program.hooks.wakers.borrow().is_empty() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
         // Ten more come, and have nothing to say: the place of the slow one must not be theirs.
         let crowd: Vec<Client> = (0..10).map(|_| program.client()).collect();
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(QUIET_PERIOD).await;
         program.stop();
         // The listener goes, and nothing is left but this one.
         while TcpStream::connect(program.address).is_ok() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(QUIET_PERIOD).await;
         program.hooks.take_all();
         let (_, told) = waiting(slow, next).await;
         assert_eq!(told.map(|a| a.body), Some(body.into_bytes()));
@@ -551,7 +555,7 @@
         let mut slow = program.client();
         slow.send("safe", "3000m");
         while program.hooks.wakers.borrow().is_empty() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
         // From here on time runs as fast as nothing is to be done.
         tokio::time::pause();
@@ -604,7 +608,7 @@
             assert_eq!(end.await.1, Ok(0), "an end, no reset");
             assert!(program.hooks.crossed());
             while program.hooks.accepted.borrow()[0].strong_count() > 0 {
-                tokio::time::sleep(SHORT / 30).await;
+                tokio::time::sleep(QUIET_PERIOD / 30).await;
             }
             assert_eq!(program.hooks.unread.get(), 0, "closed with bytes unread");
             client
@@ -824,7 +828,7 @@
                 .await;
                 assert_eq!(answer.status(), 200, "{leaves:?}");
                 let sent = host
-                    .seen
+                    .events
                     .try_iter()
                     .filter(|s| matches!(s, Seen::Request(_, m) if m.head.starts_with("POST")));
                 assert_eq!(
@@ -890,7 +894,7 @@
     /// All that come until none does for a while.
     fn all(&self) -> HashSet<String> {
         let mut all = HashSet::new();
-        while let Ok(id) = self.came.recv_timeout(SHORT) {
+        while let Ok(id) = self.came.recv_timeout(QUIET_PERIOD) {
             all.insert(id);
         }
         all
@@ -958,10 +962,14 @@
         let (discovery, other, host) = (Discovery::start(), Discovery::start(), Gated::start());
         let listen = "127.0.0.1:0".parse().expect("an address");
         let known = [entry("s-1", host.address, "up", 0)];
-        let mut proxy = Proxy::with(PROGRAM, &config(listen, discovery.address, 1_024, &known));
+        let mut proxy =
+            Proxy::with_config(PROGRAM, &config(listen, discovery.address, 1_024, &known));
         let (mut taken, mut comes) = (proxy.client(), proxy.client());
         taken.write(&request("unsafe", "3000m", "taken"));
-        assert_eq!(host.came.recv_timeout(LONG).as_deref(), Ok("taken"));
+        assert_eq!(
+            host.came.recv_timeout(EVENT_TIMEOUT).as_deref(),
+            Ok("taken")
+        );
         proxy.signal("-STOP");
         // The file that SIGHUP reads names another list service.
         proxy.reload(&config(proxy.address, other.address, 1_024, &[]));
@@ -977,6 +985,6 @@
             );
             assert!(client.answer().is_none(), "and its connection is closed");
         }
-        assert!(proxy.ended(), "it exits 0: {signals:?}");
+        assert!(proxy.exits_successfully(), "it exits 0: {signals:?}");
     }
 }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -5,7 +5,7 @@
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
 use badgerramp_fault_injection::process::Folder;
-use badgerramp_testkit::{Host, Message, Proxy, LONG};
+use badgerramp_testkit::{Host, Message, Proxy, EVENT_TIMEOUT};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
@@ -157,7 +157,11 @@
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(began.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(
+            began.elapsed() < EVENT_TIMEOUT,
+            "{path} stays {:?}",
+            answer.head
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -183,7 +187,7 @@
     // Its copy is there, and no control.
     assert!(world.folder.path().join("state-p/caja.policy").exists());
     let anew = world.proxy("p", "refuse");
-    anew.logged("no lease");
+    anew.wait_for_log("no lease");
     assert!(get(&anew, "/one").head.contains("503"));
     world.replica = Replica::start(&world.folder, world.replica.address);
     becomes(&anew, "/one", "200");
@@ -220,7 +224,7 @@
     assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
     becomes(&narrow, "/one", "200");
     becomes(&keep, "/one", "200");
-    keep.logged("the policy could not be kept");
+    keep.wait_for_log("the policy could not be kept");
     // The floor's route may not change while a proxy may act under it.
     let done = world.publish("caja", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
@@ -235,7 +239,7 @@
         String::from_utf8_lossy(&get(proxy, "/_health").body).contains("the floor of")
     };
     while !cut_off(&narrow) {
-        assert!(began.elapsed() < LONG);
+        assert!(began.elapsed() < EVENT_TIMEOUT);
         thread::sleep(Duration::from_millis(20));
     }
     assert!(get(&narrow, "/one").head.contains("200"));
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -6,7 +6,7 @@
 )]
 
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
-use badgerramp_testkit::{Catalog, Listed};
+use badgerramp_testkit::{ListEntry, ListService};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -16,9 +16,9 @@
 const PROXY: &str = env!("CARGO_BIN_EXE_badgerramp");
 const LONG: Duration = Duration::from_secs(30);
 
-fn listed(name: &str, status: &'static str) -> Listed {
+fn listed(name: &str, status: &'static str) -> ListEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Listed {
+    ListEntry {
         name: name.to_owned(),
         address,
         zone: "z".to_owned(),
@@ -104,7 +104,7 @@
     folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
-    let catalog = Catalog::start(vec![listed("a", "up"), listed("b", "up")]);
+    let catalog = ListService::start(vec![listed("a", "up"), listed("b", "up")]);
     // Ports of the system for those that are named beforehand; they are free again a moment later.
     let held: Vec<UdpSocket> = (0..2)
         .map(|_| UdpSocket::bind(any()).expect("a port"))
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -153,7 +153,7 @@
     );
     let asked = Instant::now();
     while proxy.call("unsafe", "2000m").status() == 200 {
-        assert!(asked.elapsed() < LONG, "it is never asked");
+        assert!(asked.elapsed() < EVENT_TIMEOUT, "it is never asked");
     }
     spoils.request();
     assert!((0..40).all(|_| proxy.call("unsafe", "2000m").status() == 200));
@@ -184,7 +184,7 @@
     let entries = [
         up("s-1", &full),
         up("s-2", &good),
-        entry("s-3", nobody(), "up", 0),
+        entry("s-3", unused_address(), "up", 0),
     ];
     let proxy = Proxy::start(PROGRAM, &discovery, &entries);
     for _ in 0..12 {
@@ -246,7 +246,7 @@
         answer.head
     );
     assert!(
-        asked.elapsed().as_millis() >= 300 && asked.elapsed() < LONG / 4,
+        asked.elapsed().as_millis() >= 300 && asked.elapsed() < EVENT_TIMEOUT / 4,
         "{:?}",
         asked.elapsed()
     );
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_connect_under_way_is_dropped_when_its_call_ends() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
+    let (discovery, deaf) = (Discovery::start(), FullBacklogHost::start());
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(
         listen,
@@ -268,18 +268,18 @@
         r#""connect_timeout_us":1000000"#,
         r#""connect_timeout_us":60000000"#,
     );
-    let proxy = Proxy::with(PROGRAM, &text);
+    let proxy = Proxy::with_config(PROGRAM, &text);
     let answer = proxy.call("unsafe", "300m");
     assert_ne!(answer.status(), 200);
     assert!(
-        !deaf.another_comes(),
+        !deaf.another_connects(),
         "nothing starts after the final answer"
     );
 }
 
 #[test]
 fn a_connect_that_hangs_ends_in_the_settings_time_and_never_ran() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
+    let (discovery, deaf) = (Discovery::start(), FullBacklogHost::start());
     let proxy = Proxy::start(PROGRAM, &discovery, &[entry("s-1", deaf.address, "up", 0)]);
     let asked = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
@@ -289,7 +289,7 @@
         "refused, as nothing has run: {}",
         answer.head
     );
-    assert!(asked.elapsed() < LONG, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < EVENT_TIMEOUT, "{:?}", asked.elapsed());
 }
 
 #[test]
@@ -310,8 +310,8 @@
         PROGRAM,
         &discovery,
         &[
-            entry("s-1", nobody(), "up", 0),
-            entry("s-2", nobody(), "up", 0),
+            entry("s-1", unused_address(), "up", 0),
+            entry("s-2", unused_address(), "up", 0),
         ],
     );
     // Calls that found nobody are refused when their tries are used up; none has run.
@@ -325,7 +325,7 @@
         .expect("seconds");
     assert!(advice > 0.0);
     assert!(
-        asked.elapsed() < LONG / 2,
+        asked.elapsed() < EVENT_TIMEOUT / 2,
         "far from its deadline: {:?}",
         asked.elapsed()
     );
@@ -411,7 +411,8 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.write(&request("unsafe", "20000m", "same"));
-    came.recv_timeout(LONG).expect("the call at the host");
+    came.recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
     second.write(&request("unsafe", "20000m", "same"));
     assert_eq!(second.answer().expect("an answer").status(), 409);
     open.send(()).expect("the host waits");
@@ -428,7 +429,7 @@
 fn clients_that_stay_make_room_for_those_that_ask() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let proxy = Proxy::with(
+    let proxy = Proxy::with_config(
         PROGRAM,
         &config(listen, discovery.address, 128, &[up("s-1", &host)]),
     );
@@ -453,7 +454,7 @@
 fn a_crowd_that_asks_once_and_stays_is_served() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let proxy = Proxy::with(
+    let proxy = Proxy::with_config(
         PROGRAM,
         &config(listen, discovery.address, 128, &[up("s-1", &host)]),
     );
@@ -482,8 +483,8 @@
     };
     let asked = Instant::now();
     while stayed.iter().filter(|client| open(client)).count() > 128 / 3 {
-        assert!(asked.elapsed() < LONG, "too many stay open");
-        std::thread::sleep(SHORT / 30);
+        assert!(asked.elapsed() < EVENT_TIMEOUT, "too many stay open");
+        std::thread::sleep(QUIET_PERIOD / 30);
     }
     stayed[199]
         .stream
@@ -518,7 +519,7 @@
             assert!(client.answer().is_none());
         }
     }
-    assert!(asked.elapsed() < LONG / 4, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < EVENT_TIMEOUT / 4, "{:?}", asked.elapsed());
     assert_eq!(host.further_requests(), 0);
 }
 
@@ -550,29 +551,29 @@
     let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &one), up("s-2", &two)]);
     assert!(discovery
-        .asked()
+        .next_request()
         .starts_with("GET /catalog/members?index=41&wait="));
     let all_from = |body: &[u8]| (0..20).all(|_| proxy.call("safe", "2000m").body == body);
-    discovery.tell(&list(
+    discovery.respond(&list(
         42,
         false,
         &[entry("s-1", one.address, "draining", 0)],
     ));
     // The next watch follows the answer; by then the news has been taken in.
-    assert!(discovery.asked().contains("index=42&"));
+    assert!(discovery.next_request().contains("index=42&"));
     assert!(all_from(b"2"));
-    discovery.tell(&list(43, true, &[up("s-1", &one)]));
-    assert!(discovery.asked().contains("index=43&"));
+    discovery.respond(&list(43, true, &[up("s-1", &one)]));
+    assert!(discovery.next_request().contains("index=43&"));
     assert!(
         all_from(b"1"),
         "a host that a whole list leaves out is gone"
     );
-    discovery.tell(&list(
+    discovery.respond(&list(
         44,
         false,
         &[entry("s-1", one.address, "removed", 0), up("s-2", &two)],
     ));
-    assert!(discovery.asked().contains("index=44&"));
+    assert!(discovery.next_request().contains("index=44&"));
     assert!(all_from(b"2"));
 }
 
@@ -584,15 +585,15 @@
         Host::serving("new"),
     );
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &old)]);
-    discovery.asked();
+    discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
-    discovery.tell(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
+    discovery.respond(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
     assert_eq!(old.closed(), 0, "a new start is a new process");
-    discovery.asked();
+    discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
-    discovery.tell(&list(43, false, &[entry("s-1", new.address, "up", 1_000)]));
+    discovery.respond(&list(43, false, &[entry("s-1", new.address, "up", 1_000)]));
     assert_eq!(old.closed(), 1);
-    discovery.asked();
+    discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"new");
 }
 
@@ -607,16 +608,17 @@
     });
     let discovery = Discovery::start();
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
-    discovery.asked();
+    discovery.next_request();
     let mut client = proxy.client();
     client.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the call at the host");
-    discovery.tell(&list(
+    came.recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
+    discovery.respond(&list(
         42,
         false,
         &[entry("s-1", host.address, "draining", 0)],
     ));
-    discovery.asked();
+    discovery.next_request();
     open.send(()).expect("the host waits");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(host.closed(), 0);
@@ -637,7 +639,8 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let mut slow = proxy.client();
     slow.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the first call at the host");
+    came.recv_timeout(EVENT_TIMEOUT)
+        .expect("the first call at the host");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     assert_eq!(
         host.request().0,
@@ -664,15 +667,15 @@
         String::new(),
     ] {
         assert!(
-            discovery.asked().contains("index=41&"),
+            discovery.next_request().contains("index=41&"),
             "what it knows stands"
         );
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
-        discovery.say(fault);
+        discovery.respond_raw(fault);
     }
-    discovery.asked();
-    discovery.tell(&list(42, false, &[]));
-    assert!(discovery.asked().contains("index=42&"));
+    discovery.next_request();
+    discovery.respond(&list(42, false, &[]));
+    assert!(discovery.next_request().contains("index=42&"));
 }
 
 /// SIGHUP killed the program. Now it moves on to the discovery that the file names, whose versions have nothing to
@@ -682,16 +685,17 @@
     let (old, new) = (Discovery::start(), Discovery::start());
     let (one, two) = (Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &old, &[up("s-1", &one)]);
-    assert!(old.asked().contains("index=41&"));
+    assert!(old.next_request().contains("index=41&"));
     let moved = config(proxy.address, new.address, 1_024, &[]);
     for bad in ["", "{", &moved.replace("\"cold_from\"", "\"warm\"")] {
         proxy.reload(bad);
-        proxy.logged("the old configuration stays");
+        proxy.wait_for_log("the old configuration stays");
         assert_eq!(proxy.call("safe", "2000m").body, b"1");
     }
     proxy.reload(&moved);
     assert!(
-        new.asked().starts_with("GET /catalog/members HTTP/1.1"),
+        new.next_request()
+            .starts_with("GET /catalog/members HTTP/1.1"),
         "the whole list"
     );
     assert_eq!(
@@ -699,13 +703,13 @@
         b"1",
         "calls go on while the new list is awaited"
     );
-    new.tell(&list(7, true, &[up("s-2", &two)]));
-    assert!(new.asked().contains("index=7&"));
+    new.respond(&list(7, true, &[up("s-2", &two)]));
+    assert!(new.next_request().contains("index=7&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
     // The same again is harmless: the watch there goes on.
     proxy.reload(&moved);
-    new.tell(&list(8, false, &[]));
-    assert!(new.asked().contains("index=8&"));
+    new.respond(&list(8, false, &[]));
+    assert!(new.next_request().contains("index=8&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
 }
 
@@ -717,7 +721,7 @@
         _ => Reply::Write(answer("200 OK", "", "ok")),
     });
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let mut proxy = Proxy::with(
+    let mut proxy = Proxy::with_config(
         PROGRAM,
         &config(listen, discovery.address, 1_024, &[up("s-1", &host)]),
     );
@@ -743,8 +747,8 @@
     );
     let answer = slow.answer().expect("what was taken is answered");
     assert_eq!(answer.header("connection"), Some("close"));
-    assert!(proxy.ended(), "it exits 0");
-    let again = Proxy::with(
+    assert!(proxy.exits_successfully(), "it exits 0");
+    let again = Proxy::with_config(
         PROGRAM,
         &config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]),
     );
@@ -756,7 +760,7 @@
 fn short_of_descriptors_it_refuses_and_lives() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let proxy = Proxy::with(
+    let proxy = Proxy::with_config(
         PROGRAM,
         &config(listen, discovery.address, 64, &[up("s-1", &host)]),
     );
@@ -778,7 +782,7 @@
     // Room comes back as connections end.
     let asked = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(asked.elapsed() < EVENT_TIMEOUT);
     }
 }
 
@@ -788,8 +792,8 @@
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &host)]);
     // The system gives far fewer than the configuration promises.
-    let mut proxy = Proxy::within(PROGRAM, &text, Some(24));
-    discovery.asked();
+    let mut proxy = Proxy::with_descriptor_limit(PROGRAM, &text, Some(24));
+    discovery.next_request();
     let clients: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = proxy.client();
@@ -800,7 +804,7 @@
     drop(clients);
     let asked = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(asked.elapsed() < EVENT_TIMEOUT);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -815,25 +819,28 @@
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
     // The system gives no more than the configuration says.
-    let mut proxy = Proxy::within(
+    let mut proxy = Proxy::with_descriptor_limit(
         PROGRAM,
         &config(listen, discovery.address, 128, &[]),
         Some(128),
     );
-    discovery.asked();
+    discovery.next_request();
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..4 {
         idle.extend((0..150).map(|_| proxy.client()));
         // It ends each question.
-        discovery.say(String::new());
-        discovery.asked();
+        discovery.respond_raw(String::new());
+        discovery.next_request();
     }
-    discovery.tell(&list(42, true, &[up("s-1", &host)]));
-    assert!(discovery.asked().contains("index=42&"), "the list is in");
+    discovery.respond(&list(42, true, &[up("s-1", &host)]));
+    assert!(
+        discovery.next_request().contains("index=42&"),
+        "the list is in"
+    );
     // Some of those that stay are ahead in the queue.
     let asked = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(asked.elapsed() < EVENT_TIMEOUT);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -844,7 +851,7 @@
 
 #[test]
 fn bad_configuration_is_one_line_and_a_failure() {
-    let address = nobody();
+    let address = unused_address();
     let good = config(address, address, 1_024, &[]);
     let odd = good.replace(r#""discovery":"ask""#, r#""discovery":"asked""#);
     for text in [
@@ -883,21 +890,24 @@
     );
     let known = [up("s-1", &drains)];
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let proxy = Proxy::with(
+    let proxy = Proxy::with_config(
         PROGRAM,
-        &pushed(&config(listen, discovery.address, 1_024, &known)),
+        &with_pushed_lists(&config(listen, discovery.address, 1_024, &known)),
     );
-    assert!(discovery.asked().contains("index=41&"));
+    assert!(discovery.next_request().contains("index=41&"));
     let news = [
         entry("s-1", drains.address, "draining", 0),
         up("s-2", &stays),
     ];
-    discovery.tell(&list(42, false, &news));
-    assert!(discovery.asked().contains("index=42&"), "the news is taken");
+    discovery.respond(&list(42, false, &news));
+    assert!(
+        discovery.next_request().contains("index=42&"),
+        "the news is taken"
+    );
     assert_eq!(proxy.call("safe", "2000m").body, b"new");
     // One that fails is asked again, with nothing to say so.
-    discovery.say(answer("503 Service Unavailable", "", ""));
-    assert!(discovery.asked().contains("index=42&"));
+    discovery.respond_raw(answer("503 Service Unavailable", "", ""));
+    assert!(discovery.next_request().contains("index=42&"));
 }
 
 /// What can't be meant is logged with what was found, and leaves the last good list in force; asking goes on.
@@ -905,19 +915,19 @@
 fn odd_lists_are_told_and_change_nothing() {
     let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &one), up("s-2", &two)]);
-    discovery.asked();
+    discovery.next_request();
     // Half an answer, framed as a whole one.
-    discovery.say(answer(
+    discovery.respond_raw(answer(
         "200 OK",
         "",
         &list(42, false, &[entry("s-1", one.address, "removed", 0)])[..60],
     ));
-    proxy.logged("odd list");
-    assert!(discovery.asked().contains("index=41&"));
+    proxy.wait_for_log("odd list");
+    assert!(discovery.next_request().contains("index=41&"));
     // Changes up to an index that was passed long ago: the whole list is asked for.
-    discovery.tell(&list(7, false, &[entry("s-1", one.address, "removed", 0)]));
-    proxy.logged("changes up to 7, asked for those after 41");
-    assert_eq!(discovery.asked(), "GET /catalog/members HTTP/1.1");
+    discovery.respond(&list(7, false, &[entry("s-1", one.address, "removed", 0)]));
+    proxy.wait_for_log("changes up to 7, asked for those after 41");
+    assert_eq!(discovery.next_request(), "GET /catalog/members HTTP/1.1");
     assert!(
         (0..40).any(|_| proxy.call("safe", "2000m").body == b"1"),
         "what is odd is not applied"
@@ -929,8 +939,8 @@
         &[entry("s-1", one.address, "paused", 0), up("s-2", &two)],
     )
     .replace(',', ",\n  ");
-    discovery.tell(&spread);
-    proxy.logged("\"paused\", allowed are up, draining, removed");
-    assert!(discovery.asked().contains("index=8&"));
+    discovery.respond(&spread);
+    proxy.wait_for_log("\"paused\", allowed are up, draining, removed");
+    assert!(discovery.next_request().contains("index=8&"));
     assert!((0..20).all(|_| proxy.call("safe", "2000m").body == b"2"));
 }
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -5,7 +5,7 @@
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
 use badgerramp_fault_injection::process::Folder;
-use badgerramp_testkit::{Host, Message, Proxy, LONG};
+use badgerramp_testkit::{Host, Message, Proxy, EVENT_TIMEOUT};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -52,7 +52,7 @@
         let at = At {
             control: vec![self.address],
             secret: secret.to_owned(),
-            timeout: LONG.as_secs(),
+            timeout: EVENT_TIMEOUT.as_secs(),
         };
         let mut control = Control::new(&at).expect("a secret");
         let files = HashMap::from([("caja".to_owned(), text)]);
@@ -94,7 +94,11 @@
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(began.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(
+            began.elapsed() < EVENT_TIMEOUT,
+            "{path} stays {:?}",
+            answer.head
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -123,7 +127,7 @@
     );
     // With the address of the one region and the name of the other it gets no lease.
     let strayed = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
-    strayed.logged(
+    strayed.wait_for_log(
         "policy.region of this proxy is \"norte\", and the control that it asks is of region \"sur\"",
     );
     becomes(&strayed, "/norte", "503");
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -158,7 +158,7 @@
         (get("/safe"), 304, None),
     ] {
         client.write(&text);
-        let answer = client.bodiless_answer().expect("an answer");
+        let answer = client.answer_head().expect("an answer");
         assert_eq!(
             (answer.status(), answer.header("content-length")),
             (status, length),
@@ -353,7 +353,11 @@
 #[test]
 fn a_refusal_says_when_to_return_in_whole_seconds_where_it_may() {
     for (limits, advice) in [("", Some("1")), ("[limits]\nretry_after = \"0s\"", None)] {
-        let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[nobody(), nobody()], &[("", limits)]));
+        let proxy = Proxy::sidecar(
+            PROGRAM,
+            &[],
+            &file(&[unused_address(), unused_address()], &[("", limits)]),
+        );
         let answer = proxy.client().ask(&post("/unsafe", ""));
         assert_eq!(
             (answer.status(), answer.header("retry-after")),
@@ -475,7 +479,7 @@
     assert!(![200, 429, 503].contains(&status), "{status}");
     let took = asked.elapsed();
     assert!(
-        took >= Duration::from_millis(390) && took < LONG,
+        took >= Duration::from_millis(390) && took < EVENT_TIMEOUT,
         "{took:?}"
     );
     assert_eq!(host.closed(), 0, "the attempt goes with its call");
@@ -483,7 +487,7 @@
 
 #[test]
 fn a_connect_takes_no_longer_than_it_may() {
-    let deaf = Deaf::start();
+    let deaf = FullBacklogHost::start();
     let text = file(
         &[deaf.address],
         &[("unsafe", "connect = \"200ms\"\nattempts = 1")],
@@ -498,7 +502,7 @@
     );
     let took = asked.elapsed();
     assert!(
-        took >= Duration::from_millis(190) && took < LONG,
+        took >= Duration::from_millis(190) && took < EVENT_TIMEOUT,
         "{took:?}"
     );
 }
@@ -575,7 +579,7 @@
     client
         .stream
         .get_ref()
-        .set_read_timeout(Some(SHORT))
+        .set_read_timeout(Some(QUIET_PERIOD))
         .expect("a socket");
     assert!(
         client.stream.read(&mut [0]).is_err(),
@@ -773,12 +777,12 @@
         (String::new(), "this key is wanted"),
     ] {
         proxy.reload(&bad);
-        let line = proxy.logged("the old configuration stays");
+        let line = proxy.wait_for_log("the old configuration stays");
         assert!(line.contains(reason), "{line}");
         assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
     }
     proxy.reload(&good.replace("prefix = \"/safe\"", "prefix = \"/new\""));
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 404);
     assert_eq!(proxy.client().ask(&get("/new")).status(), 200);
 }
@@ -800,7 +804,8 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
     let mut slow = proxy.client();
     slow.write(&get("/safe"));
-    came.recv_timeout(LONG).expect("the call at the host");
+    came.recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
     let without = good
         .replace(
             "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
@@ -812,14 +817,14 @@
         );
     assert!(!without.contains("class = \"safe\""));
     proxy.reload(&without);
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 404);
     // Its first attempt fails now: as a safe call it has another.
     open.send(()).expect("the host waits");
     assert_eq!(slow.answer().expect("an answer").status(), 200);
     // The class comes back under its name.
     proxy.reload(&good);
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
 }
 
@@ -836,7 +841,7 @@
     assert!(good.contains("discovery = "));
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
     assert!(discovery
-        .asked()
+        .next_request()
         .starts_with("GET /catalog/members HTTP/1.1"));
     let mut waits = proxy.client();
     waits.write(&get("/safe"));
@@ -852,8 +857,8 @@
             "",
         );
     proxy.reload(&without);
-    proxy.logged("the new configuration holds");
-    discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
+    proxy.wait_for_log("the new configuration holds");
+    discovery.respond(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
     assert_eq!(waits.answer().expect("an answer").status(), 200);
 }
 
@@ -863,7 +868,7 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[old.address], &[]));
     assert_eq!(proxy.client().ask(&get("/safe")).body, b"old");
     proxy.reload(&file(&[new.address], &[]));
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(old.closed(), 0, "its idle connection goes");
     for _ in 0..5 {
         assert_eq!(proxy.client().ask(&get("/safe")).body, b"new");
@@ -889,18 +894,18 @@
     .replace("[class.keyed]", "[class.renamed]")
     .replace("class = \"keyed\"", "class = \"renamed\"");
     let proxy = Proxy::sidecar(PROGRAM, &[], &one);
-    let kind = |class: &str, keyed| Kind {
+    let kind = |class: &str, keyed| RequestKind {
         class: class.to_owned(),
-        waits: Duration::from_secs(3),
+        timeout: Duration::from_secs(3),
         keyed,
         clients: 6,
-        rate: 50.0,
+        requests_per_s: 50.0,
     };
-    let course = Course {
-        to: proxy.address,
+    let course = LoadPlan {
+        target: proxy.address,
         kinds: vec![kind("keyed", true), kind("unsafe", false)],
-        time: Duration::from_secs(3),
-        most: 4_000,
+        duration: Duration::from_secs(3),
+        max_requests: 4_000,
     };
     let running = std::thread::spawn(move || load(&course, |_, _| {}));
     for n in 0..12 {
@@ -909,16 +914,16 @@
             1 => "listen = ",
             _ => &one,
         });
-        proxy.logged(if n % 3 == 1 {
+        proxy.wait_for_log(if n % 3 == 1 {
             "the old configuration stays"
         } else {
             "the new configuration holds"
         });
-        std::thread::sleep(SHORT / 2);
+        std::thread::sleep(QUIET_PERIOD / 2);
     }
     for (kind, totals) in running.join().expect("the load ends") {
         assert!(totals.sent > 100, "{kind:?} {totals:?}");
-        assert_eq!((totals.owed, totals.failed), (0, 0), "{}", kind.class);
+        assert_eq!((totals.unanswered, totals.failed), (0, 0), "{}", kind.class);
     }
 }
 
@@ -1011,9 +1016,10 @@
         .map(|(h, n)| entry(&format!("s-{n}"), h.address, "up", 0))
         .collect();
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let relay = badgerramp_testkit::file("json", &config(listen, discovery.address, 1_024, &known));
+    let relay =
+        badgerramp_testkit::temp_file("json", &config(listen, discovery.address, 1_024, &known));
     let with = |text: &str| {
-        let operator = badgerramp_testkit::file("toml", text);
+        let operator = badgerramp_testkit::temp_file("toml", text);
         let arguments = ["--operator".as_ref(), operator.as_os_str()];
         (
             start(PROGRAM, &arguments, &[("RELAY_CONFIG", &relay)], None),
@@ -1023,7 +1029,7 @@
     let count = || hosts.iter().map(Host::further_requests).sum::<usize>();
     let text = "platform = true\n[class.safe]\nattempts = 2\n[[route]]\nname = \"q\"\nprefix = \"/safe/once\"\nclass = \"safe\"\nattempts = 1\n";
     let (child, operator) = with(text);
-    let proxy = Proxy::listening(child, operator);
+    let proxy = Proxy::wait_until_listening(child, operator);
     let once = request("safe", "2000m", "one").replace("/safe?", "/safe/once?");
     proxy.client().ask(&once);
     assert_eq!(count(), 1);
--- a/crates/proxy/tests/subset.rs
+++ b/crates/proxy/tests/subset.rs
@@ -22,7 +22,7 @@
     (0..requests).for_each(|_| assert_eq!(client.ask(GET).status(), 200));
     // All that was seen is taken out, so that the next look finds only what is new.
     let asked = |h: &Host| {
-        h.seen
+        h.events
             .try_iter()
             .filter(|s| matches!(s, Seen::Request(..)))
             .count()
@@ -45,34 +45,34 @@
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, ""));
     assert!(discovery
-        .asked()
+        .next_request()
         .starts_with("GET /catalog/members HTTP/1.1"));
-    discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
+    discovery.respond(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
     assert!(
-        discovery.asked().contains("index=1"),
+        discovery.next_request().contains("index=1"),
         "the list is in once it asks for news"
     );
     let first = met(&proxy, &hosts, 80);
     assert!((2..=12).contains(&first.len()), "of {HOSTS}: {first:?}");
     // All of them drain at the same moment.
-    discovery.tell(&list(
+    discovery.respond(&list(
         2,
         false,
         &entries(&hosts, first.iter().copied(), "draining"),
     ));
-    assert!(discovery.asked().contains("index=2"));
+    assert!(discovery.next_request().contains("index=2"));
     let then = met(&proxy, &hosts, 80);
     assert!(
         then.is_disjoint(&first) && then.len() >= 2,
         "{then:?} after {first:?}"
     );
     // They come back, and so does the part that is its own.
-    discovery.tell(&list(
+    discovery.respond(&list(
         3,
         false,
         &entries(&hosts, first.iter().copied(), "up"),
     ));
-    assert!(discovery.asked().contains("index=3"));
+    assert!(discovery.next_request().contains("index=3"));
     assert!(!met(&proxy, &hosts, 80).is_disjoint(&first));
 }
 
@@ -82,17 +82,17 @@
     let hosts: Vec<Host> = (0..HOSTS).map(|_| Host::serving("ok")).collect();
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, "pause = \"10ms\""));
-    discovery.asked();
-    discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
-    discovery.asked();
+    discovery.next_request();
+    discovery.respond(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
+    discovery.next_request();
     let first = met(&proxy, &hosts, 80);
     // Under the same names, at addresses where nothing listens: as if their machines had gone.
     let dead: Vec<String> = first
         .iter()
-        .map(|n| entry(&format!("s-{n}"), nobody(), "up", 0))
+        .map(|n| entry(&format!("s-{n}"), unused_address(), "up", 0))
         .collect();
-    discovery.tell(&list(2, false, &dead));
-    discovery.asked();
+    discovery.respond(&list(2, false, &dead));
+    discovery.next_request();
     let mut client = proxy.client();
     let answers: Vec<u16> = (0..60).map(|_| client.ask(GET).status()).collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -576,7 +576,7 @@
                         self.course
                             .borrow_mut()
                             .trace
-                            .extend(followed(&process.log(), op));
+                            .extend(followed(&process.unread_log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
                         judge.record(
--- a/crates/testkit/src/catalog.rs
+++ b/crates/testkit/src/catalog.rs
@@ -10,7 +10,7 @@
 
 /// An entry of the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListEntry {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -21,7 +21,7 @@
     pub since_ms: u64,
 }
 
-impl Listed {
+impl ListEntry {
     fn json(&self) -> String {
         format!(
             r#"{{"name":"{}","address":"{}","zone":"{}","type":"m","group":{},"status":"{}","weight":1.0,"since_ms":{}}}"#,
@@ -33,19 +33,19 @@
 #[derive(Default)]
 struct State {
     /// Each entry with the version at which it last changed.
-    entries: Vec<(u64, Listed)>,
+    entries: Vec<(u64, ListEntry)>,
     index: u64,
 }
 
 /// The service.
-pub struct Catalog {
+pub struct ListService {
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-impl Catalog {
+impl ListService {
     /// A service that lists these.
-    pub fn start(entries: Vec<Listed>) -> Catalog {
+    pub fn start(entries: Vec<ListEntry>) -> ListService {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let state = State {
@@ -60,11 +60,11 @@
                 thread::spawn(move || serve(stream, &shared));
             }
         });
-        Catalog { address, shared }
+        ListService { address, shared }
     }
 
     /// Adds an entry or changes the one of its name; watches are told at once.
-    pub fn set(&self, entry: Listed) {
+    pub fn set(&self, entry: ListEntry) {
         let mut state = self.shared.0.lock().expect("no panics here");
         state.index += 1;
         let index = state.index;
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -45,7 +45,7 @@
     }
 
     /// The answer to HEAD, or one whose status leaves no body.
-    pub fn bodiless_answer(&mut self) -> Option<Message> {
+    pub fn answer_head(&mut self) -> Option<Message> {
         read_head(&mut self.stream)
     }
 
--- a/crates/testkit/src/decision_driver.rs
+++ b/crates/testkit/src/decision_driver.rs
@@ -9,45 +9,45 @@
 use std::collections::BTreeMap;
 
 /// An attempt as the sockets know it.
-pub struct Tried {
+pub struct Attempt {
     /// Where it went.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// When.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// When it ends, and how; what the sockets time out ends at its own time.
-    ends: Micros,
+    ends_at: Micros,
     outcome: Outcome,
-    over: Option<Outcome>,
+    ended: Option<Outcome>,
 }
 
 /// A call and all that became of it.
-pub struct Open {
+pub struct CallState {
     class: Class,
     hedged: bool,
-    most: u32,
+    max_attempts: u32,
     deadline: Micros,
     /// Its attempts, in order.
-    pub tried: Vec<Tried>,
+    pub attempts: Vec<Attempt>,
     /// Its final answer, and when that came.
     pub answered: Option<(Answer, Micros)>,
 }
 
-impl Tried {
+impl Attempt {
     /// It has run, or nothing proves that it did not.
-    pub fn may_have_run(&self) -> bool {
-        self.over
+    pub fn may_have_executed(&self) -> bool {
+        self.ended
             .is_none_or(|outcome| !outcome.proves_not_executed())
     }
 }
 
 /// One sidecar and its endpoints.
-pub struct World<'c> {
+pub struct BalancerDriver<'c> {
     config: &'c Config,
     balancer: Balancer,
     random: Pcg32,
     now: Micros,
-    wake: Option<Micros>,
-    calls: BTreeMap<CallId, Open>,
+    wake_at: Option<Micros>,
+    calls: BTreeMap<CallId, CallState>,
 }
 
 /// A final answer.
@@ -67,20 +67,20 @@
     /// The route that takes it, by its place in the file.
     pub route: usize,
     /// The key that its class goes by is missing.
-    pub once: bool,
+    pub key_missing: bool,
     /// How long the client says that it waits; None: it says nothing.
-    pub told: Option<Micros>,
+    pub client_timeout: Option<Micros>,
 }
 
-impl<'c> World<'c> {
+impl<'c> BalancerDriver<'c> {
     /// A started sidecar that knows the endpoints of its file.
     pub fn new(config: &'c Config, seed: u64) -> Self {
-        let mut world = World {
+        let mut world = BalancerDriver {
             config,
             balancer: Balancer::new(seed, config.settings()),
             random: Pcg32::seed_from_u64(seed),
             now: 1_000_000,
-            wake: None,
+            wake_at: None,
             calls: BTreeMap::new(),
         };
         world.tell(Event::Start);
@@ -109,7 +109,7 @@
     }
 
     /// A call and what became of it so far.
-    pub fn call(&self, call: CallId) -> &Open {
+    pub fn call(&self, call: CallId) -> &CallState {
         &self.calls[&call]
     }
 
@@ -119,24 +119,24 @@
     }
 
     /// A request comes in.
-    pub fn ask(&mut self, request: Request) -> CallId {
+    pub fn request(&mut self, request: Request) -> CallId {
         let route = &self.config.routes.routes()[request.route];
         let mut class = self.config.classes[route.class].class;
-        if request.once {
+        if request.key_missing {
             class.idempotency = Idempotency::NonIdempotent;
         }
         let time_left = route
             .timing
             .total
-            .min(request.told.unwrap_or(class.deadline));
+            .min(request.client_timeout.unwrap_or(class.deadline));
         assert!(time_left <= class.deadline, "longer than the client waits");
-        let terms = route.timing.terms(request.once);
-        let open = Open {
+        let terms = route.timing.terms(request.key_missing);
+        let open = CallState {
             class,
             hedged: terms.hedge != Hedge::Never,
-            most: terms.max_attempts,
+            max_attempts: terms.max_attempts,
             deadline: self.now + time_left,
-            tried: Vec::new(),
+            attempts: Vec::new(),
             answered: None,
         };
         let call = CallId(self.calls.len() as u64);
@@ -170,14 +170,14 @@
                     if let Some(tried) = self
                         .calls
                         .get_mut(&call)
-                        .and_then(|c| c.tried.get_mut(attempt as usize))
+                        .and_then(|c| c.attempts.get_mut(attempt as usize))
                     {
-                        (tried.ends, tried.outcome) = (self.now, Outcome::Cancelled);
+                        (tried.ends_at, tried.outcome) = (self.now, Outcome::Cancelled);
                     }
                 }
                 Action::Wake { after } => {
                     let at = self.now + after;
-                    self.wake = Some(self.wake.map_or(at, |old| old.min(at)));
+                    self.wake_at = Some(self.wake_at.map_or(at, |old| old.min(at)));
                 }
                 Action::Subscribe | Action::Probe { .. } | Action::Log { .. } => {}
             }
@@ -207,22 +207,25 @@
             "nothing goes out after the client's time"
         );
         assert!(
-            (open.tried.len() as u32) < open.most,
+            (open.attempts.len() as u32) < open.max_attempts,
             "more attempts than the file allows"
         );
-        let out = open.tried.iter().filter(|t| t.over.is_none()).count();
+        let out = open.attempts.iter().filter(|t| t.ended.is_none()).count();
         assert!(
             out == 0 || open.hedged,
             "a second copy where the file wants none"
         );
-        if let Some(first) = open.tried.iter().find(|t| t.may_have_run()) {
+        if let Some(first) = open.attempts.iter().find(|t| t.may_have_executed()) {
             match open.class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("an unsafe call would run twice"),
                 Idempotency::Keyed { scope, window } => {
-                    assert!(now < first.sent + window, "a keyed call outside its window");
+                    assert!(
+                        now < first.sent_at + window,
+                        "a keyed call outside its window"
+                    );
                     let inside =
-                        scope != DedupScope::Cell || groups[first.server.0 as usize] == group;
+                        scope != DedupScope::Cell || groups[first.endpoint.0 as usize] == group;
                     assert!(inside, "a keyed call outside its group");
                 }
             }
@@ -249,12 +252,12 @@
         } else {
             (ends, outcome)
         };
-        open.tried.push(Tried {
-            server,
-            sent: now,
-            ends: ends.max(now + 1),
+        open.attempts.push(Attempt {
+            endpoint: server,
+            sent_at: now,
+            ends_at: ends.max(now + 1),
             outcome,
-            over: None,
+            ended: None,
         });
     }
 
@@ -265,7 +268,7 @@
             self.now <= open.deadline,
             "answered after the client's time"
         );
-        let ran = open.tried.iter().any(Tried::may_have_run);
+        let ran = open.attempts.iter().any(Attempt::may_have_executed);
         let harmless = matches!(
             open.class.idempotency,
             Idempotency::Idempotent
@@ -284,11 +287,11 @@
     fn next_end(&self) -> Option<(Micros, CallId, usize)> {
         let all = self.calls.iter().flat_map(|(&id, open)| {
             let out = open
-                .tried
+                .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, t)| t.over.is_none());
-            out.map(move |(n, t)| (t.ends, id, n))
+                .filter(|(_, t)| t.ended.is_none());
+            out.map(move |(n, t)| (t.ends_at, id, n))
         });
         all.min()
     }
@@ -297,12 +300,12 @@
     ///
     /// # Panics
     /// If a rule is broken: that is what this is for.
-    pub fn run(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Micros) {
         loop {
             let ends = self.next_end();
             let at = ends
                 .map_or(Micros::MAX, |e| e.0)
-                .min(self.wake.unwrap_or(Micros::MAX));
+                .min(self.wake_at.unwrap_or(Micros::MAX));
             if at > end {
                 break;
             }
@@ -310,9 +313,9 @@
             match ends.filter(|e| e.0 <= at) {
                 Some((_, call, number)) => {
                     let open = self.calls.get_mut(&call).expect("a call that came");
-                    let tried = &mut open.tried[number];
-                    tried.over = Some(tried.outcome);
-                    let (outcome, elapsed) = (tried.outcome, self.now - tried.sent);
+                    let tried = &mut open.attempts[number];
+                    tried.ended = Some(tried.outcome);
+                    let (outcome, elapsed) = (tried.outcome, self.now - tried.sent_at);
                     if outcome == Outcome::Served && open.answered.is_none() {
                         open.answered = Some((Answer::Served, self.now));
                     }
@@ -328,7 +331,7 @@
                     });
                 }
                 None => {
-                    self.wake = None;
+                    self.wake_at = None;
                     self.tell(Event::Timer);
                 }
             }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::host::answer;
 use crate::message::read;
-use crate::LONG;
+use crate::EVENT_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -12,7 +12,7 @@
 /// Discovery: the test sees each question and gives each answer.
 pub struct Discovery {
     pub address: SocketAddr,
-    asked: Receiver<String>,
+    next_request: Receiver<String>,
     answers: Sender<String>,
 }
 
@@ -39,26 +39,26 @@
         });
         Discovery {
             address,
-            asked,
+            next_request: asked,
             answers,
         }
     }
 
     /// The request line of the next question.
-    pub fn asked(&self) -> String {
-        self.asked
-            .recv_timeout(LONG)
+    pub fn next_request(&self) -> String {
+        self.next_request
+            .recv_timeout(EVENT_TIMEOUT)
             .expect("a question to discovery")
     }
 
     /// Answers the question that is open.
-    pub fn tell(&self, list: &str) {
+    pub fn respond(&self, list: &str) {
         self.answers
             .send(answer("200 OK", "", list))
             .expect("discovery runs");
     }
 
-    pub fn say(&self, text: String) {
+    pub fn respond_raw(&self, text: String) {
         self.answers.send(text).expect("discovery runs");
     }
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// It fails this share of its requests at once: half of them before the work is done, half after.
-    FailsFast {
+    Errors {
         share: f64,
         from: Duration,
         until: Duration,
@@ -30,29 +30,29 @@
 
 /// How a host works.
 #[derive(Clone, Debug)]
-pub struct Model {
+pub struct HostModel {
     /// Requests that it works on at a time, and those that may wait.
     pub cores: usize,
-    pub waiting: usize,
+    pub queue_capacity: usize,
     /// Mean work of a request; each draws between a half and one and a half of it.
     pub work: Duration,
     pub faults: Vec<Fault>,
     /// It starts at this share of its speed and is warm after this time.
-    pub cold: Option<(f64, Duration)>,
+    pub cold_start: Option<(f64, Duration)>,
     /// How long its group drops repeats of a key.
-    pub window: Duration,
+    pub dedup_window: Duration,
     pub seed: u64,
 }
 
-impl Default for Model {
+impl Default for HostModel {
     fn default() -> Self {
-        Model {
+        HostModel {
             cores: 4,
-            waiting: 32,
+            queue_capacity: 32,
             work: Duration::from_millis(10),
             faults: Vec::new(),
-            cold: None,
-            window: Duration::from_millis(1_200),
+            cold_start: None,
+            dedup_window: Duration::from_millis(1_200),
             seed: 1,
         }
     }
@@ -74,12 +74,12 @@
 
 /// The ledger's sums.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ExecutionCounts {
     /// Charges executed at all, and more than once.
     pub charges: usize,
-    pub charged_twice: usize,
+    pub charges_executed_twice: usize,
     /// Keys executed more than once over all groups.
-    pub keys_twice: usize,
+    pub keys_executed_twice: usize,
     /// Attempts of each class.
     pub attempts: Vec<(String, u64)>,
 }
@@ -90,7 +90,7 @@
         locked(&self.charges).contains_key(charge)
     }
 
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> ExecutionCounts {
         let charges = locked(&self.charges);
         let mut per_key: HashMap<&str, u32> = HashMap::new();
         let keys = locked(&self.keys);
@@ -102,10 +102,10 @@
             .map(|(c, n)| (c.clone(), *n))
             .collect();
         attempts.sort();
-        Tally {
+        ExecutionCounts {
             charges: charges.len(),
-            charged_twice: charges.values().filter(|&&n| n > 1).count(),
-            keys_twice: per_key.values().filter(|&&n| n > 1).count(),
+            charges_executed_twice: charges.values().filter(|&&n| n > 1).count(),
+            keys_executed_twice: per_key.values().filter(|&&n| n > 1).count(),
             attempts,
         }
     }
@@ -194,7 +194,7 @@
 }
 
 struct Shared {
-    model: Model,
+    model: HostModel,
     group: u32,
     ledger: Arc<Ledger>,
     started: Instant,
@@ -204,7 +204,7 @@
 }
 
 /// One host of the fleet.
-pub struct Member {
+pub struct ModelHost {
     pub name: String,
     pub address: SocketAddr,
     pub group: u32,
@@ -219,7 +219,7 @@
 const FALL_TIME: Micros = 2_000_000;
 const FALL_MULTIPLE: f64 = 3.0;
 
-impl Model {
+impl HostModel {
     fn spec(&self, name: &str, group: u32) -> HostSpec {
         HostSpec {
             name: name.to_owned(),
@@ -227,12 +227,12 @@
             group,
             kind: String::new(),
             cores: self.cores as u32,
-            queue_capacity: self.waiting as u32,
+            queue_capacity: self.queue_capacity as u32,
             speed: 1.0,
             max_connections: u32::MAX,
             connection_cost: 0,
             idle_timeout: Micros::MAX,
-            cold_start: self.cold.map(|(share, time)| ColdStart {
+            cold_start: self.cold_start.map(|(share, time)| ColdStart {
                 initial_capacity: share,
                 warm_up: time.as_micros() as Micros,
                 collapse_multiple: FALL_MULTIPLE,
@@ -245,19 +245,19 @@
     }
 }
 
-impl Member {
+impl ModelHost {
     /// Starts a host.
-    pub fn start(name: &str, group: u32, model: Model, ledger: &Arc<Ledger>) -> Member {
+    pub fn start(name: &str, group: u32, model: HostModel, ledger: &Arc<Ledger>) -> ModelHost {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let since_ms = if model.cold.is_some() { unix } else { 0 };
+        let since_ms = if model.cold_start.is_some() { unix } else { 0 };
         let draws = RandomStreams::new(model.seed);
         let mut host = Host::standalone(model.spec(name, group), draws);
-        if model.cold.is_some() {
+        if model.cold_start.is_some() {
             host.start(ledger.began.elapsed().as_micros() as Micros);
         }
         let state = State {
@@ -285,7 +285,7 @@
                 thread::spawn(move || shared.serve(stream));
             }
         });
-        Member {
+        ModelHost {
             name: name.to_owned(),
             address,
             group,
@@ -307,12 +307,12 @@
     }
 
     /// Requests that began later than this long after it began to drain.
-    pub fn late_for_drain(&self) -> u64 {
+    pub fn requests_after_drain(&self) -> u64 {
         locked(&self.shared.state).late_for_drain
     }
 
     /// Was it sent more than three times what it could do, for two seconds, while it was cold?
-    pub fn pushed_over(&self) -> bool {
+    pub fn has_collapsed(&self) -> bool {
         locked(&self.shared.state).host.collapsed().is_some()
     }
 }
@@ -336,7 +336,7 @@
 
     fn handle(&self, message: &Message) -> String {
         let request = Request::of(message);
-        let window = self.model.window.as_micros() as Micros;
+        let window = self.model.dedup_window.as_micros() as Micros;
         let effect = match request {
             Request::Keyed(_) => Effect::Keyed {
                 group: DedupGroup::Group,
@@ -429,7 +429,7 @@
         let age = self.started.elapsed();
         for (place, fault) in self.model.faults.iter().enumerate() {
             match *fault {
-                Fault::FailsFast { share, from, until } => {
+                Fault::Errors { share, from, until } => {
                     let holds = (from..until).contains(&age);
                     if holds != std::mem::replace(&mut state.holds[place], holds) {
                         let trouble = FaultKind::Errors {
--- a/crates/testkit/src/host.rs
+++ b/crates/testkit/src/host.rs
@@ -1,7 +1,7 @@
 //! Stand-in hosts that answer by a script, and places where nothing answers.
 
 use crate::message::{read, Message};
-use crate::{LONG, SHORT};
+use crate::{EVENT_TIMEOUT, QUIET_PERIOD};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -38,7 +38,7 @@
 
 pub struct Host {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<Seen>,
 }
 
 impl Host {
@@ -55,7 +55,10 @@
                 thread::spawn(move || serve(number, stream, &*script, &count, &sender));
             }
         });
-        Host { address, seen }
+        Host {
+            address,
+            events: seen,
+        }
     }
 
     pub fn serving(body: &'static str) -> Host {
@@ -65,7 +68,8 @@
     /// The next request and the number of its connection; what else happens is passed over.
     pub fn request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request(number, message) = self.seen.recv_timeout(LONG).expect("a request")
+            if let Seen::Request(number, message) =
+                self.events.recv_timeout(EVENT_TIMEOUT).expect("a request")
             {
                 return (number, message);
             }
@@ -76,8 +80,8 @@
     pub fn closed(&self) -> usize {
         loop {
             if let Seen::Closed(number) = self
-                .seen
-                .recv_timeout(LONG)
+                .events
+                .recv_timeout(EVENT_TIMEOUT)
                 .expect("a connection that closes")
             {
                 return number;
@@ -87,8 +91,8 @@
 
     /// How many requests have come and were not looked at, after a while in which more could come.
     pub fn further_requests(&self) -> usize {
-        thread::sleep(SHORT);
-        self.seen
+        thread::sleep(QUIET_PERIOD);
+        self.events
             .try_iter()
             .filter(|s| matches!(s, Seen::Request(..)))
             .count()
@@ -123,21 +127,21 @@
 }
 
 /// An address at which nothing listens.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a port")
 }
 
 /// A host at which connections hang: its queue is full and it takes nobody.
-pub struct Deaf {
+pub struct FullBacklogHost {
     pub address: SocketAddr,
     listener: TcpListener,
     waiting: Vec<TcpStream>,
 }
 
-impl Deaf {
-    pub fn start() -> Deaf {
+impl FullBacklogHost {
+    pub fn start() -> FullBacklogHost {
         // The standard library's listener has a long queue; this one's is one.
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
@@ -154,11 +158,11 @@
             .expect("a listener");
         let address = listener.local_addr().expect("its address");
         let mut waiting = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&address, SHORT) {
+        while let Ok(stream) = TcpStream::connect_timeout(&address, QUIET_PERIOD) {
             waiting.push(stream);
             assert!(waiting.len() < 64, "the queue never fills");
         }
-        Deaf {
+        FullBacklogHost {
             address,
             listener,
             waiting,
@@ -166,7 +170,7 @@
     }
 
     /// Takes those that wait, and tells whether another comes in the time in which its next try would.
-    pub fn another_comes(self) -> bool {
+    pub fn another_connects(self) -> bool {
         self.listener.set_nonblocking(true).expect("a listener");
         let known: Vec<_> = self
             .waiting
@@ -174,10 +178,10 @@
             .map(|w| w.local_addr().expect("an address"))
             .collect();
         let asked = std::time::Instant::now();
-        while asked.elapsed() < SHORT * 10 {
+        while asked.elapsed() < QUIET_PERIOD * 10 {
             match self.listener.accept() {
                 Ok((_, from)) if !known.contains(&from) => return true,
-                _ => thread::sleep(SHORT / 30),
+                _ => thread::sleep(QUIET_PERIOD / 30),
             }
         }
         false
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -20,18 +20,18 @@
 mod message;
 mod program;
 
-pub use catalog::{Catalog, Listed};
+pub use catalog::{ListEntry, ListService};
 pub use client::*;
 pub use discovery::*;
-pub use fleet::{Fault, Ledger, Member, Model, Tally};
+pub use fleet::{ExecutionCounts, Fault, HostModel, Ledger, ModelHost};
 pub use host::*;
-pub use load::{run as load, Course, Kind, Result as LoadResult, Totals};
+pub use load::{run as load, LoadPlan, RequestKind, Result as LoadResult, Totals};
 pub use message::{read, read_head, Message};
 pub use program::*;
 
 use std::time::Duration;
 
 /// Longest wait for anything that must come: far beyond what it takes.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Wait in which something that must not come would have come.
-pub const SHORT: Duration = Duration::from_millis(300);
+pub const QUIET_PERIOD: Duration = Duration::from_millis(300);
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -11,26 +11,26 @@
 
 /// One kind of request.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     /// The first part of its path, by which it is counted.
     pub class: String,
     /// How long its client waits.
-    pub waits: Duration,
+    pub timeout: Duration,
     /// It bears a key of its own in each request; else an `X-Charge`.
     pub keyed: bool,
     pub clients: usize,
     /// Requests a second of each client.
-    pub rate: f64,
+    pub requests_per_s: f64,
 }
 
 /// What is sent, and for how long.
 #[derive(Clone, Debug)]
-pub struct Course {
-    pub to: SocketAddr,
-    pub kinds: Vec<Kind>,
-    pub time: Duration,
+pub struct LoadPlan {
+    pub target: SocketAddr,
+    pub kinds: Vec<RequestKind>,
+    pub duration: Duration,
     /// No more requests than that in all.
-    pub most: u64,
+    pub max_requests: u64,
 }
 
 /// What became of the requests of one class.
@@ -41,18 +41,18 @@
     pub refused: u64,
     pub failed: u64,
     /// Without a whole answer in the client's time.
-    pub owed: u64,
+    pub unanswered: u64,
     /// Times of served answers, sorted.
-    pub times: Vec<Duration>,
+    pub latencies: Vec<Duration>,
     /// Names of refused requests.
-    pub refused_names: Vec<String>,
+    pub refused_ids: Vec<String>,
 }
 
 impl Totals {
     /// The time within which this share was served.
-    pub fn within(&self, share: f64) -> Duration {
-        let place = (self.times.len() as f64 * share).ceil() as usize;
-        self.times
+    pub fn latency_quantile(&self, share: f64) -> Duration {
+        let place = (self.latencies.len() as f64 * share).ceil() as usize;
+        self.latencies
             .get(place.saturating_sub(1))
             .copied()
             .unwrap_or_default()
@@ -60,14 +60,17 @@
 }
 
 /// What became of all, in the order of the kinds.
-pub type Result = Vec<(Kind, Totals)>;
+pub type Result = Vec<(RequestKind, Totals)>;
 
 /// Runs the course; `progress` is called about once a second with the time gone and the requests answered.
 ///
 /// # Panics
 /// If it is not to loopback.
-pub fn run(course: &Course, mut progress: impl FnMut(Duration, u64)) -> Result {
-    assert!(course.to.ip().is_loopback(), "load goes to loopback only");
+pub fn run(course: &LoadPlan, mut progress: impl FnMut(Duration, u64)) -> Result {
+    assert!(
+        course.target.ip().is_loopback(),
+        "load goes to loopback only"
+    );
     let (started, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     let (begun, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let mut results = Vec::new();
@@ -79,21 +82,24 @@
             let pacer = Pacer {
                 kind: kind.clone(),
                 name: format!("{number}-{client}"),
-                to: course.to,
+                to: course.target,
                 totals: Arc::clone(&totals),
                 begun: Arc::clone(&begun),
                 answered: Arc::clone(&answered),
-                most: course.most,
+                most: course.max_requests,
             };
             let stop = Arc::clone(&stop);
             // Clients of a kind begin spread over one pause.
-            let offset =
-                Duration::from_secs_f64((client as f64 + 0.5) / (kind.clients as f64 * kind.rate));
+            let offset = Duration::from_secs_f64(
+                (client as f64 + 0.5) / (kind.clients as f64 * kind.requests_per_s),
+            );
             threads.push(thread::spawn(move || pacer.run(started + offset, &stop)));
         }
     }
-    while started.elapsed() < course.time {
-        thread::sleep(Duration::from_secs(1).min(course.time.saturating_sub(started.elapsed())));
+    while started.elapsed() < course.duration {
+        thread::sleep(
+            Duration::from_secs(1).min(course.duration.saturating_sub(started.elapsed())),
+        );
         progress(started.elapsed(), answered.load(Ordering::SeqCst));
     }
     stop.store(true, Ordering::SeqCst);
@@ -102,7 +108,7 @@
     }
     let taken = |totals: Arc<Mutex<Totals>>| {
         let mut totals = std::mem::take(&mut *totals.lock().expect("no panics here"));
-        totals.times.sort();
+        totals.latencies.sort();
         totals
     };
     results
@@ -112,7 +118,7 @@
 }
 
 struct Pacer {
-    kind: Kind,
+    kind: RequestKind,
     name: String,
     to: SocketAddr,
     totals: Arc<Mutex<Totals>>,
@@ -127,7 +133,7 @@
         let mut number = 0;
         loop {
             thread::sleep(next.saturating_duration_since(Instant::now()));
-            next += Duration::from_secs_f64(1.0 / self.kind.rate);
+            next += Duration::from_secs_f64(1.0 / self.kind.requests_per_s);
             if stop.load(Ordering::SeqCst) || self.begun.fetch_add(1, Ordering::SeqCst) >= self.most
             {
                 return;
@@ -140,9 +146,9 @@
     }
 
     fn ask(&self, stream: &mut Option<BufReader<TcpStream>>, name: String) {
-        let Kind {
+        let RequestKind {
             class,
-            waits,
+            timeout: waits,
             keyed,
             ..
         } = &self.kind;
@@ -183,14 +189,14 @@
         {
             Some(200) => {
                 totals.served += 1;
-                totals.times.push(time);
+                totals.latencies.push(time);
             }
             Some(429 | 503) => {
                 totals.refused += 1;
-                totals.refused_names.push(name);
+                totals.refused_ids.push(name);
             }
             Some(_) => totals.failed += 1,
-            None => totals.owed += 1,
+            None => totals.unanswered += 1,
         }
     }
 }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -3,7 +3,7 @@
 use crate::client::Client;
 use crate::discovery::{list, Discovery};
 use crate::message::Message;
-use crate::{LONG, SHORT};
+use crate::{EVENT_TIMEOUT, QUIET_PERIOD};
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -17,14 +17,14 @@
 pub struct Proxy {
     pub address: SocketAddr,
     pub child: Child,
-    log: Receiver<String>,
+    unread_log: Receiver<String>,
     config: PathBuf,
 }
 
 static RUNS: AtomicUsize = AtomicUsize::new(0);
 
 /// A temporary file of its own with this text.
-pub fn file(ending: &str, text: &str) -> PathBuf {
+pub fn temp_file(ending: &str, text: &str) -> PathBuf {
     let name = format!(
         "badgerramp-{}-{}.{ending}",
         std::process::id(),
@@ -70,7 +70,7 @@
 
 /// Starts the program with this text as its configuration, with so many descriptors at the most.
 pub fn spawn(program: &str, config: &str, descriptors: Option<u32>) -> (Child, PathBuf) {
-    let path = file("json", config);
+    let path = temp_file("json", config);
     let child = start(program, &[], &[("RELAY_CONFIG", &path)], descriptors);
     (child, path)
 }
@@ -99,41 +99,41 @@
 }
 
 /// The same where lists are pushed: discovery is an agent on the proxy's own machine.
-pub fn pushed(text: &str) -> String {
+pub fn with_pushed_lists(text: &str) -> String {
     text.replace(r#""discovery":"ask""#, r#""discovery":"push""#)
 }
 
 impl Proxy {
     pub fn start(program: &str, discovery: &Discovery, known: &[String]) -> Proxy {
         let listen = "127.0.0.1:0".parse().expect("an address");
-        Proxy::with(program, &config(listen, discovery.address, 1_024, known))
+        Proxy::with_config(program, &config(listen, discovery.address, 1_024, known))
     }
 
-    pub fn with(program: &str, text: &str) -> Proxy {
-        Proxy::within(program, text, None)
+    pub fn with_config(program: &str, text: &str) -> Proxy {
+        Proxy::with_descriptor_limit(program, text, None)
     }
 
     /// On the platform, with so many descriptors at the most.
-    pub fn within(program: &str, text: &str, descriptors: Option<u32>) -> Proxy {
+    pub fn with_descriptor_limit(program: &str, text: &str, descriptors: Option<u32>) -> Proxy {
         let (child, config) = spawn(program, text, descriptors);
-        Proxy::listening(child, config)
+        Proxy::wait_until_listening(child, config)
     }
 
     /// As a sidecar: with the text of an operator's file, and nothing else. Words of `before` come first.
     pub fn sidecar(program: &str, before: &[&str], text: &str) -> Proxy {
-        let path = file("toml", text);
+        let path = temp_file("toml", text);
         let mut arguments: Vec<&OsStr> = before.iter().map(OsStr::new).collect();
         arguments.extend([OsStr::new("run"), path.as_os_str()]);
         let child = start(program, &arguments, &[], None);
-        Proxy::listening(child, path)
+        Proxy::wait_until_listening(child, path)
     }
 
     /// Waits for the line that tells where it listens.
-    pub fn listening(mut child: Child, config: PathBuf) -> Proxy {
+    pub fn wait_until_listening(mut child: Child, config: PathBuf) -> Proxy {
         let log = lines(child.stderr.take().expect("piped"));
         let mut seen = String::new();
         loop {
-            let line = log.recv_timeout(LONG);
+            let line = log.recv_timeout(EVENT_TIMEOUT);
             // In a structured log more may follow the address.
             let address = line
                 .iter()
@@ -144,7 +144,7 @@
                     return Proxy {
                         address,
                         child,
-                        log,
+                        unread_log: log,
                         config,
                     }
                 }
@@ -178,11 +178,11 @@
     }
 
     /// The next line of its log that has these words; those before it are passed over.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         loop {
             let line = self
-                .log
-                .recv_timeout(LONG)
+                .unread_log
+                .recv_timeout(EVENT_TIMEOUT)
                 .unwrap_or_else(|_| panic!("it never says {words:?}"));
             if line.contains(words) {
                 return line;
@@ -191,25 +191,27 @@
     }
 
     /// The lines of its log so far that nobody has looked at.
-    pub fn log(&self) -> Vec<String> {
-        self.log.try_iter().collect()
+    pub fn unread_log(&self) -> Vec<String> {
+        self.unread_log.try_iter().collect()
     }
 
     /// Waits for its end; true if that came in time and was no failure.
-    pub fn ended(&mut self) -> bool {
+    pub fn exits_successfully(&mut self) -> bool {
         let asked = std::time::Instant::now();
-        while asked.elapsed() < LONG {
+        while asked.elapsed() < EVENT_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.success();
             }
-            thread::sleep(SHORT / 30);
+            thread::sleep(QUIET_PERIOD / 30);
         }
         false
     }
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time-out");
         Client {
             stream: BufReader::new(stream),
         }
