--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the real program between stand-in hosts in trouble and two classes of load, and holds it to the rules.
+//! Runs the client proxy between faulty stand-in hosts and two classes of load, and checks the invariants.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::too_many_lines,
@@ -15,18 +15,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The word that makes this very program the client proxy: the demo starts itself as its child.
+/// First argument with which this executable runs as the client proxy: the demo starts itself as its child process.
 const AS_PROXY: &str = "as-proxy";
-const FILE: &str = include_str!("../../../deploy/demo.example.toml");
-/// Requests that are sent at the most.
-const REQUESTS_MOST: u64 = 60_000;
+/// The operator's file of the demo.
+const OPERATOR_FILE: &str = include_str!("../../../deploy/demo.example.toml");
+/// Maximum number of requests that are sent.
+const MAX_REQUESTS: u64 = 60_000;
 
-/// Stand-in hosts (one cold, one that fails fast, one that stalls, one that drains), the real program, and two classes
-/// of load on loopback. Exits 1 if a rule broke.
+/// Runs the client proxy on loopback between stand-in hosts (one cold, one that fails fast, one that stalls, one that
+/// drains) and two classes of load. Exits with status 1 if an invariant was violated.
 #[derive(Parser)]
 #[command(name = "badgerramp-demo", version)]
 struct Cli {
-    /// How long the load goes on, in seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(3..=120))]
     seconds: u64,
 }
@@ -39,64 +40,70 @@
     }
     let cli = Cli::parse();
     match demo(Duration::from_secs(cli.seconds)) {
-        Ok(broken) if broken.is_empty() => {
+        Ok(violations) if violations.is_empty() => {
             println!("\nall rules kept");
             ExitCode::SUCCESS
         }
-        Ok(broken) => {
-            broken.iter().for_each(|rule| println!("\nBROKEN: {rule}"));
+        Ok(violations) => {
+            violations
+                .iter()
+                .for_each(|violation| println!("\nBROKEN: {violation}"));
             ExitCode::FAILURE
         }
-        Err(fault) => {
-            eprintln!("badgerramp-demo: {fault}");
+        Err(error) => {
+            eprintln!("badgerramp-demo: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn listed(member: &ModelHost, status: &'static str) -> ListEntry {
+/// The entry of a host in the endpoint list.
+fn list_entry(host: &ModelHost, status: &'static str) -> ListEntry {
     ListEntry {
-        name: member.name.clone(),
-        address: member.address,
+        name: host.name.clone(),
+        address: host.address,
         zone: "liberia".to_owned(),
-        group: member.group,
+        group: host.group,
         status,
-        since_ms: member.since_ms,
+        since_ms: host.since_ms,
     }
 }
 
-/// Runs all and tells which rules broke.
-fn demo(time: Duration) -> Result<Vec<String>, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let program = program.to_str().ok_or("this program's path is no text")?;
+/// Runs the demo and returns the violated invariants.
+fn demo(duration: Duration) -> Result<Vec<String>, String> {
+    let program = std::env::current_exe()
+        .map_err(|e| format!("cannot determine the path of this executable: {e}"))?;
+    let program = program
+        .to_str()
+        .ok_or("the path of this executable is not valid UTF-8")?;
     let ledger = Arc::new(Ledger::default());
     let model = |seed| HostModel {
         work: Duration::from_millis(20),
         seed,
         ..HostModel::default()
     };
-    let fails = Fault::Errors {
+    let fails_fast = Fault::Errors {
         share: 0.6,
-        from: time.mul_f64(0.2),
-        until: time.mul_f64(0.6),
+        from: duration.mul_f64(0.2),
+        until: duration.mul_f64(0.6),
     };
     let stalls = Fault::Stalls {
         every: Duration::from_secs(3),
         pause: Duration::from_millis(300),
     };
-    let member = |name, group, model| ModelHost::start(name, group, model, &ledger);
-    let mut members = vec![
-        member("steady-1", 1, model(1)),
-        member("steady-2", 1, model(2)),
-        member(
+    let host = |name, group, model| ModelHost::start(name, group, model, &ledger);
+    let mut hosts = vec![
+        host("steady-1", 1, model(1)),
+        host("steady-2", 1, model(2)),
+        host(
             "fails-fast",
             2,
             HostModel {
-                faults: vec![fails],
+                faults: vec![fails_fast],
                 ..model(3)
             },
         ),
-        member(
+        host(
             "stalls",
             2,
             HostModel {
@@ -104,10 +111,10 @@
                 ..model(4)
             },
         ),
-        member("drains", 1, model(5)),
+        host("drains", 1, model(5)),
     ];
-    let catalog = ListService::start(members.iter().map(|m| listed(m, "up")).collect());
-    let file = FILE.replace("127.0.0.1:8500", &catalog.address.to_string());
+    let list_service = ListService::start(hosts.iter().map(|m| list_entry(m, "up")).collect());
+    let file = OPERATOR_FILE.replace("127.0.0.1:8500", &list_service.address.to_string());
     let proxy = Proxy::sidecar(program, &[AS_PROXY], &file);
     let kind = |class: &str, waits, keyed, clients| RequestKind {
         class: class.to_owned(),
@@ -116,68 +123,69 @@
         clients,
         requests_per_s: 6.0,
     };
-    let course = LoadPlan {
+    let plan = LoadPlan {
         target: proxy.address,
         kinds: vec![
             kind("registro-entrada", 1_200, true, 24),
             kind("cobro-mensual", 1_500, false, 16),
         ],
-        duration: time,
-        max_requests: REQUESTS_MOST,
+        duration,
+        max_requests: MAX_REQUESTS,
     };
     println!(
-        "the program listens on {}; {} s of load over {} hosts",
+        "the proxy listens on {}; {} s of load over {} hosts",
         proxy.address,
-        time.as_secs(),
-        members.len()
+        duration.as_secs(),
+        hosts.len()
     );
     let (mut added, mut drained) = (false, false);
-    let result = load(&course, |gone, answered| {
-        if !added && gone >= time.mul_f64(0.3) {
+    let result = load(&plan, |elapsed, answered| {
+        if !added && elapsed >= duration.mul_f64(0.3) {
             added = true;
-            let cold = Some((0.3, Duration::from_millis(7_500)));
+            let cold_start = Some((0.3, Duration::from_millis(7_500)));
             let cold = ModelHost::start(
                 "cold",
                 2,
                 HostModel {
-                    cold_start: cold,
+                    cold_start,
                     ..model(6)
                 },
                 &ledger,
             );
-            catalog.set(listed(&cold, "up"));
-            members.push(cold);
+            list_service.set(list_entry(&cold, "up"));
+            hosts.push(cold);
         }
-        if !drained && gone >= time.mul_f64(0.5) {
+        if !drained && elapsed >= duration.mul_f64(0.5) {
             drained = true;
-            if let Some(drains) = members.iter().find(|m| m.name == "drains") {
-                drains.drain();
-                catalog.set(listed(drains, "draining"));
+            if let Some(draining) = hosts.iter().find(|m| m.name == "drains") {
+                draining.drain();
+                list_service.set(list_entry(draining, "draining"));
             }
         }
-        let what = match (added, drained) {
-            (_, true) => "one host drains",
-            (true, _) => "a cold host has come",
+        let phase = match (added, drained) {
+            (_, true) => "one host is draining",
+            (true, _) => "a cold host has joined",
             _ => "five hosts",
         };
         println!(
-            "{:>4.0} s  {answered:>6} answered  {what}",
-            gone.as_secs_f64()
+            "{:>4.0} s  {answered:>6} answered  {phase}",
+            elapsed.as_secs_f64()
         );
         let _ = std::io::stdout().flush();
     });
-    let tally = ledger.tally();
-    table(&result, &tally);
-    Ok(broken(&result, &tally, &members, &ledger))
+    let counts = ledger.counts();
+    print_table(&result, &counts);
+    Ok(violations(&result, &counts, &hosts, &ledger))
 }
 
-fn table(result: &LoadResult, tally: &ExecutionCounts) {
+/// Prints the results of each class and the counts of the hosts.
+fn print_table(result: &LoadResult, counts: &ExecutionCounts) {
     println!(
         "\n{:<18}{:>8}{:>8}{:>8}{:>8}{:>8}{:>10}{:>9}{:>9}",
         "class", "sent", "served", "refused", "failed", "owed", "attempts", "p50 ms", "p99 ms"
     );
     for (kind, totals) in result {
-        let attempts = tally
+        let attempts = counts
             .attempts
             .iter()
             .find(|a| a.0 == kind.class)
@@ -197,54 +205,54 @@
     }
     println!(
         "\ncounted by the hosts: {} charges executed, {} of them twice; {} keys executed twice",
-        tally.charges, tally.charges_executed_twice, tally.keys_executed_twice
+        counts.charges, counts.charges_executed_twice, counts.keys_executed_twice
     );
 }
 
-/// The rules that broke, in words.
-fn broken(
+/// Descriptions of the violated invariants.
+fn violations(
     result: &LoadResult,
-    tally: &ExecutionCounts,
-    members: &[ModelHost],
+    counts: &ExecutionCounts,
+    hosts: &[ModelHost],
     ledger: &Ledger,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut rule = |count: u64, text: &str| {
+    let mut violations = Vec::new();
+    let mut check = |count: u64, text: &str| {
         if count > 0 {
-            broken.push(format!("{count} {text}"));
+            violations.push(format!("{count} {text}"));
         }
     };
-    rule(
-        tally.charges_executed_twice as u64,
+    check(
+        counts.charges_executed_twice as u64,
         "charges were executed twice",
     );
-    rule(
-        tally.keys_executed_twice as u64,
+    check(
+        counts.keys_executed_twice as u64,
         "keyed requests were executed twice",
     );
-    rule(
+    check(
         result.iter().map(|r| r.1.unanswered).sum(),
-        "requests have no final answer in their client's time",
+        "requests had no final answer by their client's deadline",
     );
     let charges = result
         .iter()
         .filter(|r| !r.0.keyed)
         .flat_map(|r| &r.1.refused_ids);
-    rule(
-        charges.filter(|name| ledger.charged(name)).count() as u64,
-        "charges were refused though they ran",
+    check(
+        charges.filter(|name| ledger.charge_executed(name)).count() as u64,
+        "charges were refused although they were executed",
     );
-    rule(
-        members.iter().map(ModelHost::requests_after_drain).sum(),
-        "requests went to a host that drains",
+    check(
+        hosts.iter().map(ModelHost::requests_after_drain).sum(),
+        "requests were sent to a draining host after the grace period",
     );
-    rule(
-        members.iter().filter(|m| m.has_collapsed()).count() as u64,
-        "cold hosts were pushed over",
+    check(
+        hosts.iter().filter(|m| m.has_collapsed()).count() as u64,
+        "cold hosts collapsed under load",
     );
     let served: u64 = result.iter().map(|r| r.1.served).sum();
-    rule(u64::from(served == 0), "run in which nothing was served");
-    broken
+    check(u64::from(served == 0), "run in which nothing was served");
+    violations
 }
 
 #[cfg(test)]
@@ -252,9 +260,9 @@
     use super::*;
     use badgerramp_testkit::Totals;
 
-    /// A demo that can't fail would prove nothing.
+    /// Guards against a demo that reports success whatever happens.
     #[test]
-    fn each_broken_rule_is_told() {
+    fn each_violated_invariant_is_reported() {
         let ledger = Arc::new(Ledger::default());
         let kind = RequestKind {
             class: "c".to_owned(),
@@ -269,10 +277,11 @@
             ..Totals::default()
         };
         let good: LoadResult = vec![(kind.clone(), totals(1, 0))];
-        let told = |result: &LoadResult, tally| broken(result, &tally, &[], &ledger).len();
-        assert_eq!(told(&good, ExecutionCounts::default()), 0);
+        let violation_count =
+            |result: &LoadResult, counts| violations(result, &counts, &[], &ledger).len();
+        assert_eq!(violation_count(&good, ExecutionCounts::default()), 0);
         assert_eq!(
-            told(
+            violation_count(
                 &good,
                 ExecutionCounts {
                     charges_executed_twice: 1,
@@ -282,7 +291,7 @@
             1
         );
         assert_eq!(
-            told(
+            violation_count(
                 &good,
                 ExecutionCounts {
                     keys_executed_twice: 1,
@@ -292,14 +301,14 @@
             1
         );
         assert_eq!(
-            told(
+            violation_count(
                 &vec![(kind.clone(), totals(1, 1))],
                 ExecutionCounts::default()
             ),
             1
         );
         assert_eq!(
-            told(&vec![(kind, totals(0, 0))], ExecutionCounts::default()),
+            violation_count(&vec![(kind, totals(0, 0))], ExecutionCounts::default()),
             1
         );
     }
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -827,10 +827,9 @@
                 })
                 .await;
                 assert_eq!(answer.status(), 200, "{leaves:?}");
-                let sent = host
-                    .events
-                    .try_iter()
-                    .filter(|s| matches!(s, Seen::Request(_, m) if m.head.starts_with("POST")));
+                let sent = host.events.try_iter().filter(
+                    |s| matches!(s, HostEvent::Request(_, m) if m.head.starts_with("POST")),
+                );
                 assert_eq!(
                     sent.count(),
                     0,
--- a/crates/proxy/tests/subset.rs
+++ b/crates/proxy/tests/subset.rs
@@ -24,7 +24,7 @@
     let asked = |h: &Host| {
         h.events
             .try_iter()
-            .filter(|s| matches!(s, Seen::Request(..)))
+            .filter(|s| matches!(s, HostEvent::Request(..)))
             .count()
             > 0
     };
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,14 +1,15 @@
-//! A client that says what a test wants said.
+//! A client that sends the bytes that a test specifies.
 
 use crate::message::{read, read_head, Message};
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// Number of request ids that this process has used.
 static IDS: AtomicUsize = AtomicUsize::new(0);
 
-/// A request in the form that clients give it.
-pub fn request(class: &str, time: &str, id: &str) -> String {
+/// A request of a class as clients send it, with this `X-Timeout` and request id.
+pub fn request(class: &str, timeout: &str, id: &str) -> String {
     let (method, rest) = match class {
         "safe" => ("GET", "\r\n"),
         "keyed" => (
@@ -18,45 +19,50 @@
         _ => ("POST", "Content-Length: 4\r\n\r\nbody"),
     };
     format!(
-        "{method} /{class}?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nX-Timeout: {time}\r\n{rest}"
+        "{method} /{class}?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {id}\r\nX-Timeout: {timeout}\r\n{rest}"
     )
 }
 
+/// A client connection.
 pub struct Client {
+    /// The open connection.
     pub stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Sends a request of this class, under an id of its own.
-    pub fn send(&mut self, class: &str, time: &str) {
+    /// Sends a request of this class with a unique id.
+    pub fn send(&mut self, class: &str, timeout: &str) {
         let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
-        self.write(&request(class, time, &id));
+        self.write(&request(class, timeout, &id));
     }
 
+    /// Sends this text as it is.
     pub fn write(&mut self, text: &str) {
         self.stream
             .get_mut()
             .write_all(text.as_bytes())
-            .expect("an open connection");
+            .expect("the connection is open");
     }
 
+    /// Reads the next response; None if the connection ends first.
     pub fn answer(&mut self) -> Option<Message> {
         read(&mut self.stream)
     }
 
-    /// The answer to HEAD, or one whose status leaves no body.
+    /// Reads a response that has no body, such as the response to HEAD.
     pub fn answer_head(&mut self) -> Option<Message> {
         read_head(&mut self.stream)
     }
 
-    /// Sends this and tells the answer.
+    /// Sends this text and reads the response.
     pub fn ask(&mut self, text: &str) -> Message {
         self.write(text);
         self.answer().expect("a final answer")
     }
 
-    pub fn call(&mut self, class: &str, time: &str) -> Message {
-        self.send(class, time);
+    /// Sends a request of this class and reads the response.
+    pub fn call(&mut self, class: &str, timeout: &str) -> Message {
+        self.send(class, timeout);
         self.answer().expect("a final answer")
     }
 }
--- a/crates/testkit/src/decision_driver.rs
+++ b/crates/testkit/src/decision_driver.rs
@@ -1,6 +1,6 @@
-//! Drives the decisions of one sidecar without sockets: time is a number, and each attempt may end in any way. It holds
-//! every action against the rules of the sidecar's file as it happens: no unsafe call has two attempts that may have
-//! run, a keyed one goes again only within its group and window, each call has one final answer within its time.
+//! Drives the decisions of one sidecar without sockets, in virtual time and with random outcomes of the attempts. Each
+//! action is checked against the sidecar's file: an unsafe call never has two attempts that may have been executed, a keyed
+//! call is sent again only within its dedup scope and window, and each call has one final answer within its deadline.
 
 use badgerramp_config::Config;
 use badgerramp_decisions::*;
@@ -8,39 +8,41 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// An attempt as the sockets know it.
+/// An attempt as the I/O layer would see it.
 pub struct Attempt {
-    /// Where it went.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// When.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// When it ends, and how; what the sockets time out ends at its own time.
+    /// Time at which the attempt ends; for an attempt that times out, its own deadline.
     ends_at: Micros,
+    /// How the attempt will end.
     outcome: Outcome,
+    /// How the attempt has ended; None: it is outstanding.
     ended: Option<Outcome>,
 }
 
-/// A call and all that became of it.
+/// A call with its attempts and its answer.
 pub struct CallState {
     class: Class,
     hedged: bool,
     max_attempts: u32,
     deadline: Micros,
-    /// Its attempts, in order.
+    /// Attempts of the call, in order.
     pub attempts: Vec<Attempt>,
-    /// Its final answer, and when that came.
+    /// Final answer of the call and its time.
     pub answered: Option<(Answer, Micros)>,
 }
 
 impl Attempt {
-    /// It has run, or nothing proves that it did not.
+    /// Whether the attempt may have been executed: it is outstanding, or its outcome does not prove the opposite.
     pub fn may_have_executed(&self) -> bool {
         self.ended
             .is_none_or(|outcome| !outcome.proves_not_executed())
     }
 }
 
-/// One sidecar and its endpoints.
+/// The decisions of one sidecar, with its calls and its clock.
 pub struct BalancerDriver<'c> {
     config: &'c Config,
     balancer: Balancer,
@@ -50,32 +52,32 @@
     calls: BTreeMap<CallId, CallState>,
 }
 
-/// A final answer.
+/// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A host's answer.
+    /// The answer of a host.
     Served,
-    /// Trying again is harmless.
+    /// A rejection, which states that a retry is harmless.
     Refused,
-    /// Nothing is promised.
+    /// A failure after which the call may have been executed.
     Failed,
 }
 
-/// What is asked of the sidecar.
+/// A request to the sidecar.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The route that takes it, by its place in the file.
+    /// Index of the matching route in the file.
     pub route: usize,
-    /// The key that its class goes by is missing.
+    /// Whether the request lacks the idempotency key of its class.
     pub key_missing: bool,
-    /// How long the client says that it waits; None: it says nothing.
+    /// Time-out that the client states, if it does.
     pub client_timeout: Option<Micros>,
 }
 
 impl<'c> BalancerDriver<'c> {
-    /// A started sidecar that knows the endpoints of its file.
+    /// A started sidecar that knows the endpoints of its file, with random outcomes from this seed.
     pub fn new(config: &'c Config, seed: u64) -> Self {
-        let mut world = BalancerDriver {
+        let mut driver = BalancerDriver {
             config,
             balancer: Balancer::new(seed, config.settings()),
             random: Pcg32::seed_from_u64(seed),
@@ -83,7 +85,7 @@
             wake_at: None,
             calls: BTreeMap::new(),
         };
-        world.tell(Event::Start);
+        driver.handle(Event::Start);
         let entries = config
             .upstream
             .endpoints
@@ -91,34 +93,36 @@
             .zip(0..)
             .map(|(e, n)| e.entry(EndpointId(n)))
             .collect();
-        world.tell(Event::EndpointList {
+        driver.handle(Event::EndpointList {
             kind: ListUpdateKind::Full,
             entries,
         });
-        world
+        driver
     }
 
-    /// The time.
+    /// The current virtual time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// The source of all chance.
+    /// The random number generator of all outcomes.
     pub fn random(&mut self) -> &mut Pcg32 {
         &mut self.random
     }
 
-    /// A call and what became of it so far.
+    /// The state of a call.
     pub fn call(&self, call: CallId) -> &CallState {
         &self.calls[&call]
     }
 
-    /// Have all calls their answers?
+    /// Whether all calls have their final answers.
     pub fn all_answered(&self) -> bool {
-        self.calls.values().all(|open| open.answered.is_some())
+        self.calls
+            .values()
+            .all(|call_state| call_state.answered.is_some())
     }
 
-    /// A request comes in.
+    /// Passes a request to the decisions.
     pub fn request(&mut self, request: Request) -> CallId {
         let route = &self.config.routes.routes()[request.route];
         let mut class = self.config.classes[route.class].class;
@@ -129,50 +133,55 @@
             .timing
             .total
             .min(request.client_timeout.unwrap_or(class.deadline));
-        assert!(time_left <= class.deadline, "longer than the client waits");
-        let terms = route.timing.terms(request.key_missing);
-        let open = CallState {
+        assert!(
+            time_left <= class.deadline,
+            "the call's time exceeds the deadline of its class"
+        );
+        let policy = route.timing.terms(request.key_missing);
+        let call_state = CallState {
             class,
-            hedged: terms.hedge != Hedge::Never,
-            max_attempts: terms.max_attempts,
+            hedged: policy.hedge != Hedge::Never,
+            max_attempts: policy.max_attempts,
             deadline: self.now + time_left,
             attempts: Vec::new(),
             answered: None,
         };
         let call = CallId(self.calls.len() as u64);
-        self.calls.insert(call, open);
+        self.calls.insert(call, call_state);
         let class = ClassId(route.class);
-        self.tell(Event::Request {
+        self.handle(Event::Request {
             call,
             class,
             tenant: None,
             time_left,
             is_retry: false,
-            policy: terms,
+            policy,
         });
         call
     }
 
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the decisions and carries out their actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send {
                     call,
-                    endpoint: server,
+                    endpoint,
                     attempt_deadline: until,
                     ..
-                } => self.send(call, server, until),
+                } => self.send(call, endpoint, until),
                 Action::Reject { call, .. } => self.answer(call, Answer::Refused),
                 Action::Fail { call } => self.answer(call, Answer::Failed),
                 Action::Cancel { call, attempt } => {
-                    if let Some(tried) = self
+                    if let Some(attempt_state) = self
                         .calls
                         .get_mut(&call)
                         .and_then(|c| c.attempts.get_mut(attempt as usize))
                     {
-                        (tried.ends_at, tried.outcome) = (self.now, Outcome::Cancelled);
+                        (attempt_state.ends_at, attempt_state.outcome) =
+                            (self.now, Outcome::Cancelled);
                     }
                 }
                 Action::Wake { after } => {
@@ -184,12 +193,13 @@
         }
     }
 
-    fn group(&self, server: EndpointId) -> u32 {
-        self.config.upstream.endpoints[server.0 as usize].group
+    fn group(&self, endpoint: EndpointId) -> u32 {
+        self.config.upstream.endpoints[endpoint.0 as usize].group
     }
 
-    fn send(&mut self, call: CallId, server: EndpointId, until: Option<Micros>) {
-        let (group, now) = (self.group(server), self.now);
+    /// Checks an attempt against the file and draws its outcome.
+    fn send(&mut self, call: CallId, endpoint: EndpointId, until: Option<Micros>) {
+        let (group, now) = (self.group(endpoint), self.now);
         let groups: Vec<u32> = self
             .config
             .upstream
@@ -197,40 +207,49 @@
             .iter()
             .map(|e| e.group)
             .collect();
-        let open = self.calls.get_mut(&call).expect("a call that came");
+        let call_state = self.calls.get_mut(&call).expect("a known call");
         assert!(
-            open.answered.is_none(),
-            "nothing goes out after the final answer"
+            call_state.answered.is_none(),
+            "an attempt was sent after the final answer"
         );
         assert!(
-            now < open.deadline,
-            "nothing goes out after the client's time"
+            now < call_state.deadline,
+            "an attempt was sent after the client's deadline"
         );
         assert!(
-            (open.attempts.len() as u32) < open.max_attempts,
-            "more attempts than the file allows"
+            (call_state.attempts.len() as u32) < call_state.max_attempts,
+            "a call has more attempts than the file allows"
         );
-        let out = open.attempts.iter().filter(|t| t.ended.is_none()).count();
+        let outstanding = call_state
+            .attempts
+            .iter()
+            .filter(|t| t.ended.is_none())
+            .count();
         assert!(
-            out == 0 || open.hedged,
-            "a second copy where the file wants none"
+            outstanding == 0 || call_state.hedged,
+            "a call was hedged although the file does not allow it"
         );
-        if let Some(first) = open.attempts.iter().find(|t| t.may_have_executed()) {
-            match open.class.idempotency {
+        if let Some(first) = call_state.attempts.iter().find(|t| t.may_have_executed()) {
+            match call_state.class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe call would run twice"),
+                Idempotency::NonIdempotent => {
+                    panic!("an unsafe call that may have been executed was sent again")
+                }
                 Idempotency::Keyed { scope, window } => {
                     assert!(
                         now < first.sent_at + window,
-                        "a keyed call outside its window"
+                        "a keyed call was sent again after its dedup window"
                     );
-                    let inside =
+                    let in_scope =
                         scope != DedupScope::Cell || groups[first.endpoint.0 as usize] == group;
-                    assert!(inside, "a keyed call outside its group");
+                    assert!(
+                        in_scope,
+                        "a keyed call was sent again outside its dedup scope"
+                    );
                 }
             }
         }
-        let until = until.unwrap_or(Micros::MAX).min(open.deadline);
+        let until = until.unwrap_or(Micros::MAX).min(call_state.deadline);
         let ends = now + self.random.gen_range(0..600_000);
         let outcome = match self.random.gen_range(0..9) {
             0..=2 => Outcome::Served,
@@ -241,7 +260,7 @@
             7 => Outcome::NotSent,
             _ => Outcome::Unknown,
         };
-        // Fast and slow ends both, and some that never come.
+        // Some attempts end fast, some slowly, and some only by their time-out.
         let ends = if self.random.gen_bool(0.3) {
             now + 1 + (ends - now) / 50
         } else {
@@ -252,8 +271,8 @@
         } else {
             (ends, outcome)
         };
-        open.attempts.push(Attempt {
-            endpoint: server,
+        call_state.attempts.push(Attempt {
+            endpoint,
             sent_at: now,
             ends_at: ends.max(now + 1),
             outcome,
@@ -261,16 +280,20 @@
         });
     }
 
+    /// Checks the final answer of a call and records it.
     fn answer(&mut self, call: CallId, answer: Answer) {
-        let open = self.calls.get_mut(&call).expect("a call that came");
-        assert!(open.answered.is_none(), "two final answers");
+        let call_state = self.calls.get_mut(&call).expect("a known call");
+        assert!(
+            call_state.answered.is_none(),
+            "a call has two final answers"
+        );
         assert!(
-            self.now <= open.deadline,
-            "answered after the client's time"
+            self.now <= call_state.deadline,
+            "a call was answered after the client's deadline"
         );
-        let ran = open.attempts.iter().any(Attempt::may_have_executed);
-        let harmless = matches!(
-            open.class.idempotency,
+        let may_have_executed = call_state.attempts.iter().any(Attempt::may_have_executed);
+        let retry_is_harmless = matches!(
+            call_state.class.idempotency,
             Idempotency::Idempotent
                 | Idempotency::Keyed {
                     scope: DedupScope::All,
@@ -278,28 +301,31 @@
                 }
         );
         if answer == Answer::Refused {
-            assert!(harmless || !ran, "refused though it may have run");
+            assert!(
+                retry_is_harmless || !may_have_executed,
+                "a call was refused although it may have been executed"
+            );
         }
-        open.answered = Some((answer, self.now));
+        call_state.answered = Some((answer, self.now));
     }
 
-    /// The next attempt to end.
+    /// The next attempt to end: its time, call and number.
     fn next_end(&self) -> Option<(Micros, CallId, usize)> {
-        let all = self.calls.iter().flat_map(|(&id, open)| {
-            let out = open
+        let all = self.calls.iter().flat_map(|(&id, call_state)| {
+            let outstanding = call_state
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, t)| t.ended.is_none());
-            out.map(move |(n, t)| (t.ends_at, id, n))
+            outstanding.map(move |(n, t)| (t.ends_at, id, n))
         });
         all.min()
     }
 
-    /// Lets time pass until `end`. What breaks a rule of the file panics.
+    /// Advances the virtual time to `end`.
     ///
     /// # Panics
-    /// If a rule is broken: that is what this is for.
+    /// If an action violates the file or a call has no answer by its deadline.
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let ends = self.next_end();
@@ -312,16 +338,17 @@
             self.now = self.now.max(at);
             match ends.filter(|e| e.0 <= at) {
                 Some((_, call, number)) => {
-                    let open = self.calls.get_mut(&call).expect("a call that came");
-                    let tried = &mut open.attempts[number];
-                    tried.ended = Some(tried.outcome);
-                    let (outcome, elapsed) = (tried.outcome, self.now - tried.sent_at);
-                    if outcome == Outcome::Served && open.answered.is_none() {
-                        open.answered = Some((Answer::Served, self.now));
+                    let call_state = self.calls.get_mut(&call).expect("a known call");
+                    let attempt_state = &mut call_state.attempts[number];
+                    attempt_state.ended = Some(attempt_state.outcome);
+                    let (outcome, elapsed) =
+                        (attempt_state.outcome, self.now - attempt_state.sent_at);
+                    if outcome == Outcome::Served && call_state.answered.is_none() {
+                        call_state.answered = Some((Answer::Served, self.now));
                     }
-                    let closed = open.answered.is_some();
+                    let closed = call_state.answered.is_some();
                     let attempt = number as u32;
-                    self.tell(Event::Outcome {
+                    self.handle(Event::Outcome {
                         call,
                         attempt,
                         outcome,
@@ -332,13 +359,13 @@
                 }
                 None => {
                     self.wake_at = None;
-                    self.tell(Event::Timer);
+                    self.handle(Event::Timer);
                 }
             }
-            for open in self.calls.values().filter(|o| o.deadline < self.now) {
+            for call_state in self.calls.values().filter(|o| o.deadline < self.now) {
                 assert!(
-                    open.answered.is_some(),
-                    "no answer within the client's time"
+                    call_state.answered.is_some(),
+                    "a call has no answer by the client's deadline"
                 );
             }
         }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,11 +1,11 @@
-//! Hosts of the world's model behind sockets: cores, a waiting room, work, faults, cold starts. They keep a ledger of what
-//! was executed, which is what the rules are held against.
+//! Hosts of the simulation model behind sockets, with cores, a queue, work, faults and cold starts. They record all
+//! executions in a ledger, against which the invariants are checked.
 
 use crate::host::answer;
 use crate::message::{read, Message};
 use badgerramp_sim_model::{
-    self as world, Arrival, ColdStart, Completion, DedupGroup, DedupStore, Effect, FaultKind, Host,
-    HostSpec, Job, JobOutcome, Micros, OpId, RandomStreams,
+    self as sim_model, Arrival, ColdStart, Completion, DedupGroup, DedupStore, Effect, FaultKind,
+    Host, HostSpec, Job, JobOutcome, Micros, OpId, RandomStreams,
 };
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,32 +15,43 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What is wrong with a host, from a moment of its life on.
+/// A fault of a host. Times count from the start of the host.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It fails this share of its requests at once: half of them before the work is done, half after.
+    /// The host answers a share of its requests with an error, half of them after their execution.
     Errors {
+        /// Share of requests that fail.
         share: f64,
+        /// Time at which the fault begins.
         from: Duration,
+        /// Time at which the fault ends.
         until: Duration,
     },
-    /// It stands still for a while, again and again.
-    Stalls { every: Duration, pause: Duration },
+    /// The host makes no progress for a while, periodically.
+    Stalls {
+        /// Time between the starts of two stalls.
+        every: Duration,
+        /// Length of a stall.
+        pause: Duration,
+    },
 }
 
-/// How a host works.
+/// Description of a host.
 #[derive(Clone, Debug)]
 pub struct HostModel {
-    /// Requests that it works on at a time, and those that may wait.
+    /// Number of requests that are processed at a time.
     pub cores: usize,
+    /// Number of requests that may wait.
     pub queue_capacity: usize,
-    /// Mean work of a request; each draws between a half and one and a half of it.
+    /// Mean work of a request; the work is uniformly distributed between half and one and a half times the mean.
     pub work: Duration,
+    /// Faults of the host.
     pub faults: Vec<Fault>,
-    /// It starts at this share of its speed and is warm after this time.
+    /// Share of the full capacity after the start, and time until the host is warm; None: no cold start.
     pub cold_start: Option<(f64, Duration)>,
-    /// How long its group drops repeats of a key.
+    /// Time for which the host's dedup group drops repeats of a key.
     pub dedup_window: Duration,
+    /// Seed of the host's random streams.
     pub seed: u64,
 }
 
@@ -58,46 +69,48 @@
     }
 }
 
-/// What all hosts together have executed, and the keys that they remember.
+/// The executions at all hosts together, and the idempotency keys that the hosts have seen.
 #[derive(Debug)]
 pub struct Ledger {
-    /// Their common time begins with it.
-    began: Instant,
-    memory: Mutex<DedupStore>,
-    /// Executions of each unsafe request, by its `X-Charge`.
+    /// Origin of the hosts' common time.
+    started_at: Instant,
+    dedup: Mutex<DedupStore>,
+    /// Number of executions of each unsafe request, by its `X-Charge`.
     charges: Mutex<HashMap<String, u32>>,
-    /// Executions of each key, by group.
+    /// Number of executions of each key, by dedup group.
     keys: Mutex<HashMap<(u32, String), u32>>,
-    /// Attempts that came whole, by the first part of their path.
+    /// Number of attempts received completely, by the first segment of their path.
     attempts: Mutex<HashMap<String, u64>>,
 }
 
-/// The ledger's sums.
+/// The totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExecutionCounts {
-    /// Charges executed at all, and more than once.
+    /// Number of charges that were executed.
     pub charges: usize,
+    /// Number of charges that were executed more than once.
     pub charges_executed_twice: usize,
-    /// Keys executed more than once over all groups.
+    /// Number of keys that were executed more than once over all groups.
     pub keys_executed_twice: usize,
-    /// Attempts of each class.
+    /// Number of attempts of each class.
     pub attempts: Vec<(String, u64)>,
 }
 
 impl Ledger {
-    /// Was this charge executed?
-    pub fn charged(&self, charge: &str) -> bool {
-        locked(&self.charges).contains_key(charge)
+    /// Whether this charge was executed.
+    pub fn charge_executed(&self, charge: &str) -> bool {
+        lock(&self.charges).contains_key(charge)
     }
 
-    pub fn tally(&self) -> ExecutionCounts {
-        let charges = locked(&self.charges);
+    /// The totals so far.
+    pub fn counts(&self) -> ExecutionCounts {
+        let charges = lock(&self.charges);
         let mut per_key: HashMap<&str, u32> = HashMap::new();
-        let keys = locked(&self.keys);
+        let keys = lock(&self.keys);
         for ((_, key), count) in keys.iter() {
             *per_key.entry(key).or_default() += count;
         }
-        let mut attempts: Vec<_> = locked(&self.attempts)
+        let mut attempts: Vec<_> = lock(&self.attempts)
             .iter()
             .map(|(c, n)| (c.clone(), *n))
             .collect();
@@ -110,24 +123,25 @@
         }
     }
 
-    fn came(&self, message: &Message) {
+    /// Counts an attempt by its class.
+    fn count_attempt(&self, message: &Message) {
         let path = message.head.split(' ').nth(1).unwrap_or_default();
         let class = path
             .trim_start_matches('/')
             .split(['/', '?'])
             .next()
             .unwrap_or_default();
-        *locked(&self.attempts).entry(class.to_owned()).or_default() += 1;
+        *lock(&self.attempts).entry(class.to_owned()).or_default() += 1;
     }
 
-    /// Notes what came about.
-    fn effected(&self, request: &Request, group: u32) {
+    /// Records an execution.
+    fn record_execution(&self, request: &Request, group: u32) {
         match request {
             Request::Keyed(key) => {
-                *locked(&self.keys).entry((group, key.clone())).or_default() += 1;
+                *lock(&self.keys).entry((group, key.clone())).or_default() += 1;
             }
             Request::Charge(charge) => {
-                *locked(&self.charges).entry(charge.clone()).or_default() += 1;
+                *lock(&self.charges).entry(charge.clone()).or_default() += 1;
             }
             Request::Plain => {}
         }
@@ -137,8 +151,8 @@
 impl Default for Ledger {
     fn default() -> Self {
         Ledger {
-            began: Instant::now(),
-            memory: Mutex::default(),
+            started_at: Instant::now(),
+            dedup: Mutex::default(),
             charges: Mutex::default(),
             keys: Mutex::default(),
             attempts: Mutex::default(),
@@ -146,7 +160,7 @@
     }
 }
 
-/// What a request is known by.
+/// The identity of a request.
 #[derive(Clone, Debug)]
 enum Request {
     Keyed(String),
@@ -176,21 +190,22 @@
     }
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A host and what has to do with its sockets.
+/// A host and the state of its connections.
 struct State {
     host: Host,
-    /// Jobs that have ended and whose connections have not seen it yet.
-    ended: HashMap<u64, Completion>,
-    tokens: u64,
-    /// Faults that hold now, by their place, and stalls that have been.
-    holds: Vec<bool>,
+    /// Jobs that have ended but whose connections have not been answered yet, by token.
+    completed: HashMap<u64, Completion>,
+    next_token: u64,
+    /// Whether each fault is active, by its index.
+    active_faults: Vec<bool>,
+    /// Number of stalls so far of each fault, by its index.
     stalls: Vec<u64>,
-    drains: Option<Instant>,
-    late_for_drain: u64,
+    draining_since: Option<Instant>,
+    requests_after_drain: u64,
 }
 
 struct Shared {
@@ -198,26 +213,30 @@
     group: u32,
     ledger: Arc<Ledger>,
     started: Instant,
-    draws: RandomStreams,
+    random: RandomStreams,
     state: Mutex<State>,
-    moved: Condvar,
+    job_ended: Condvar,
 }
 
-/// One host of the fleet.
+/// A host of the simulation model that listens on a loopback port.
 pub struct ModelHost {
+    /// Name of the host.
     pub name: String,
+    /// Address at which the host listens.
     pub address: SocketAddr,
+    /// Dedup group of the host.
     pub group: u32,
-    /// Unix time of its start in milliseconds, for the list; 0 for one that was there before.
+    /// Unix time of the host's start in milliseconds, for the endpoint list; 0 for a host without a cold start.
     pub since_ms: u64,
     shared: Arc<Shared>,
 }
 
-/// Room for the list's way to the client proxy, beside the second that the rule grants.
+/// Grace period of one second after a host begins to drain, and 50 ms for the list update to reach the client proxy.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
-/// The span over which a cold host is watched, and the multiple that it bears.
-const FALL_TIME: Micros = 2_000_000;
-const FALL_MULTIPLE: f64 = 3.0;
+/// Span over which the work offered to a cold host is summed up.
+const COLLAPSE_WINDOW: Micros = 2_000_000;
+/// Multiple of its capacity above which a cold host collapses.
+const COLLAPSE_MULTIPLE: f64 = 3.0;
 
 impl HostModel {
     fn spec(&self, name: &str, group: u32) -> HostSpec {
@@ -235,8 +254,8 @@
             cold_start: self.cold_start.map(|(share, time)| ColdStart {
                 initial_capacity: share,
                 warm_up: time.as_micros() as Micros,
-                collapse_multiple: FALL_MULTIPLE,
-                collapse_window: FALL_TIME,
+                collapse_multiple: COLLAPSE_MULTIPLE,
+                collapse_window: COLLAPSE_WINDOW,
             }),
             concurrency_penalty: None,
             congestion_collapse: None,
@@ -246,42 +265,42 @@
 }
 
 impl ModelHost {
-    /// Starts a host.
+    /// Starts a host on a loopback port.
     pub fn start(name: &str, group: u32, model: HostModel, ledger: &Arc<Ledger>) -> ModelHost {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+        let address = listener.local_addr().expect("local address");
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
         let since_ms = if model.cold_start.is_some() { unix } else { 0 };
-        let draws = RandomStreams::new(model.seed);
-        let mut host = Host::standalone(model.spec(name, group), draws);
+        let random = RandomStreams::new(model.seed);
+        let mut host = Host::standalone(model.spec(name, group), random);
         if model.cold_start.is_some() {
-            host.start(ledger.began.elapsed().as_micros() as Micros);
+            host.start(ledger.started_at.elapsed().as_micros() as Micros);
         }
         let state = State {
             host,
-            ended: HashMap::new(),
-            tokens: 0,
-            holds: vec![false; model.faults.len()],
+            completed: HashMap::new(),
+            next_token: 0,
+            active_faults: vec![false; model.faults.len()],
             stalls: vec![0; model.faults.len()],
-            drains: None,
-            late_for_drain: 0,
+            draining_since: None,
+            requests_after_drain: 0,
         };
         let shared = Arc::new(Shared {
             model,
             group,
             ledger: Arc::clone(ledger),
             started: Instant::now(),
-            draws,
+            random,
             state: Mutex::new(state),
-            moved: Condvar::new(),
+            job_ended: Condvar::new(),
         });
-        let of_thread = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = Arc::clone(&of_thread);
+                let shared = Arc::clone(&thread_shared);
                 thread::spawn(move || shared.serve(stream));
             }
         });
@@ -294,39 +313,39 @@
         }
     }
 
-    /// How long ago it started.
+    /// Time since the start of the host.
     pub fn age(&self) -> Duration {
         self.shared.started.elapsed()
     }
 
-    /// It turns away what comes from now on. The list has to be told by the caller.
+    /// Makes the host turn away all requests from now on. The caller must update the endpoint list.
     pub fn drain(&self) {
-        let mut state = locked(&self.shared.state);
-        state.drains = Some(Instant::now());
+        let mut state = lock(&self.shared.state);
+        state.draining_since = Some(Instant::now());
         state.host.drain();
     }
 
-    /// Requests that began later than this long after it began to drain.
+    /// Number of requests that arrived after the grace period that follows [`ModelHost::drain`].
     pub fn requests_after_drain(&self) -> u64 {
-        locked(&self.shared.state).late_for_drain
+        lock(&self.shared.state).requests_after_drain
     }
 
-    /// Was it sent more than three times what it could do, for two seconds, while it was cold?
+    /// Whether the host collapsed because it was sent more than three times its capacity for two seconds while cold.
     pub fn has_collapsed(&self) -> bool {
-        locked(&self.shared.state).host.collapsed().is_some()
+        lock(&self.shared.state).host.collapsed().is_some()
     }
 }
 
 impl Shared {
     fn now(&self) -> Micros {
-        self.ledger.began.elapsed().as_micros() as Micros
+        self.ledger.started_at.elapsed().as_micros() as Micros
     }
 
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Some(message) = read(&mut stream) {
-            self.ledger.came(&message);
+            self.ledger.count_attempt(&message);
             let text = self.handle(&message);
             if stream.get_mut().write_all(text.as_bytes()).is_err() {
                 return;
@@ -345,13 +364,13 @@
             Request::Charge(_) => Effect::Unsafe,
             Request::Plain => Effect::Safe,
         };
-        let mut state = locked(&self.state);
-        let token = state.tokens;
-        state.tokens += 1;
+        let mut state = lock(&self.state);
+        let token = state.next_token;
+        state.next_token += 1;
         let work = self
             .model
             .work
-            .mul_f64(0.5 + self.draws.uniform((0x0c57, token, 0)))
+            .mul_f64(0.5 + self.random.uniform((0x0c57, token, 0)))
             .as_micros() as Micros;
         let job = Job {
             token,
@@ -363,35 +382,35 @@
             sender_knows_start: true,
         };
         let now = self.now();
-        self.troubles(&mut state, now);
-        self.settle(&mut state, now);
+        self.update_faults(&mut state, now);
+        self.advance(&mut state, now);
         if state
-            .drains
+            .draining_since
             .is_some_and(|since| since.elapsed() > DRAIN_GRACE)
         {
-            state.late_for_drain += 1;
+            state.requests_after_drain += 1;
         }
-        let arrival = state
-            .host
-            .arrive(now, job, &mut locked(&self.ledger.memory));
-        let (verdict, report) = match arrival {
-            Arrival::Ended(verdict) => (verdict, state.host.load()),
+        let arrival = state.host.arrive(now, job, &mut lock(&self.ledger.dedup));
+        let (outcome, report) = match arrival {
+            Arrival::Ended(outcome) => (outcome, state.host.load()),
             Arrival::Nobody => (JobOutcome::TurnedAway, state.host.load()),
             Arrival::Taken => loop {
-                // Whoever looks when a job has ended notes it for the connection that waits.
+                // Any thread that advances the host stores the completions for the connections that wait for them.
                 let now = self.now();
-                self.settle(&mut state, now);
-                if let Some(done) = state.ended.remove(&token) {
+                self.advance(&mut state, now);
+                if let Some(done) = state.completed.remove(&token) {
                     if done.took_effect {
-                        self.ledger.effected(&request, self.group);
+                        self.ledger.record_execution(&request, self.group);
                     }
                     break (done.outcome, done.load);
                 }
-                let left = state
+                let remaining = state
                     .host
                     .next_completion()
                     .map_or(1_000, |due| due.saturating_sub(now).max(1));
-                let waited = self.moved.wait_timeout(state, Duration::from_micros(left));
+                let waited = self
+                    .job_ended
+                    .wait_timeout(state, Duration::from_micros(remaining));
                 state = waited.unwrap_or_else(PoisonError::into_inner).0;
             },
         };
@@ -400,7 +419,7 @@
             "X-Server-Load: TEXT inflight={}, queue={}\r\n",
             report.in_flight, report.queued
         );
-        match verdict {
+        match outcome {
             JobOutcome::Served => answer("200 OK", &load, "done"),
             JobOutcome::TurnedAway => {
                 answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
@@ -411,38 +430,39 @@
         }
     }
 
-    fn settle(&self, state: &mut State, now: Micros) {
+    /// Advances the host to `now` and wakes the connections whose jobs have ended.
+    fn advance(&self, state: &mut State, now: Micros) {
         let mut done = Vec::new();
         state
             .host
-            .advance(now, &mut locked(&self.ledger.memory), &mut done);
+            .advance(now, &mut lock(&self.ledger.dedup), &mut done);
         if !done.is_empty() {
             state
-                .ended
+                .completed
                 .extend(done.into_iter().map(|d| (d.job.token, d)));
-            self.moved.notify_all();
+            self.job_ended.notify_all();
         }
     }
 
-    /// Begins and ends the faults whose time has come.
-    fn troubles(&self, state: &mut State, now: Micros) {
+    /// Begins and ends the faults that are due.
+    fn update_faults(&self, state: &mut State, now: Micros) {
         let age = self.started.elapsed();
-        for (place, fault) in self.model.faults.iter().enumerate() {
+        for (index, fault) in self.model.faults.iter().enumerate() {
             match *fault {
                 Fault::Errors { share, from, until } => {
-                    let holds = (from..until).contains(&age);
-                    if holds != std::mem::replace(&mut state.holds[place], holds) {
-                        let trouble = FaultKind::Errors {
+                    let active = (from..until).contains(&age);
+                    if active != std::mem::replace(&mut state.active_faults[index], active) {
+                        let kind = FaultKind::Errors {
                             host: 0,
                             share,
                             executed_share: 0.5,
                         };
-                        let fault = world::Fault {
+                        let fault = sim_model::Fault {
                             from: now,
                             until: Micros::MAX,
-                            kind: trouble,
+                            kind,
                         };
-                        if holds {
+                        if active {
                             state.host.begin_fault(now, &fault);
                         } else {
                             state.host.end_fault(&fault);
@@ -452,17 +472,18 @@
                 Fault::Stalls { every, pause } => {
                     let nanos = every.as_nanos().max(1);
                     let number = (age.as_nanos() / nanos) as u64;
-                    let into = Duration::from_nanos((age.as_nanos() % nanos) as u64);
-                    if number > std::mem::replace(&mut state.stalls[place], number) && into < pause
+                    let elapsed = Duration::from_nanos((age.as_nanos() % nanos) as u64);
+                    if number > std::mem::replace(&mut state.stalls[index], number)
+                        && elapsed < pause
                     {
-                        let until = now + (pause - into).as_micros() as Micros;
-                        let trouble = FaultKind::Stall { host: 0 };
+                        let until = now + (pause - elapsed).as_micros() as Micros;
+                        let kind = FaultKind::Stall { host: 0 };
                         state.host.begin_fault(
                             now,
-                            &world::Fault {
+                            &sim_model::Fault {
                                 from: now,
                                 until,
-                                kind: trouble,
+                                kind,
                             },
                         );
                     }
--- a/crates/testkit/src/host.rs
+++ b/crates/testkit/src/host.rs
@@ -1,4 +1,4 @@
-//! Stand-in hosts that answer by a script, and places where nothing answers.
+//! Stand-in hosts that answer from a script, and addresses at which nothing answers.
 
 use crate::message::{read, Message};
 use crate::{EVENT_TIMEOUT, QUIET_PERIOD};
@@ -9,17 +9,18 @@
 use std::sync::Arc;
 use std::thread;
 
-/// What a stub host does with a request.
+/// What a stand-in host does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Writes this and goes on.
+    /// Sends this text and keeps the connection open.
     Write(String),
-    /// Writes this and closes the connection.
+    /// Sends this text and closes the connection.
     WriteAndClose(String),
-    /// Says nothing, and reports when the other side closes.
+    /// Sends nothing, and reports when the peer closes the connection.
     Silence,
 }
 
+/// A response with this status line, these header lines and this body.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -27,22 +28,27 @@
     )
 }
 
-/// What a stub host saw.
+/// An event at a stand-in host. Each variant has the number of its connection, from 0.
 #[derive(Debug)]
-pub enum Seen {
+pub enum HostEvent {
+    /// A connection was opened.
     Opened(usize),
-    /// On which connection, and what.
+    /// A request was received.
     Request(usize, Message),
+    /// A connection was closed.
     Closed(usize),
 }
 
+/// A stand-in host.
 pub struct Host {
+    /// Address at which the host listens.
     pub address: SocketAddr,
-    pub events: Receiver<Seen>,
+    /// Events at the host, in order.
+    pub events: Receiver<HostEvent>,
 }
 
 impl Host {
-    /// A host that answers its requests by `script`, given their number from 0.
+    /// Starts a host that answers each request as `script` says, given the number of the request from 0.
     pub fn start(script: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
@@ -61,14 +67,15 @@
         }
     }
 
+    /// Starts a host that answers each request with status 200 and this body.
     pub fn serving(body: &'static str) -> Host {
         Host::start(move |_| Reply::Write(answer("200 OK", "", body)))
     }
 
-    /// The next request and the number of its connection; what else happens is passed over.
+    /// Waits for the next request and returns it with the number of its connection. Skips other events.
     pub fn request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request(number, message) =
+            if let HostEvent::Request(number, message) =
                 self.events.recv_timeout(EVENT_TIMEOUT).expect("a request")
             {
                 return (number, message);
@@ -76,25 +83,25 @@
         }
     }
 
-    /// Waits until a connection has closed.
+    /// Waits until a connection has closed and returns its number. Skips other events.
     pub fn closed(&self) -> usize {
         loop {
-            if let Seen::Closed(number) = self
+            if let HostEvent::Closed(number) = self
                 .events
                 .recv_timeout(EVENT_TIMEOUT)
-                .expect("a connection that closes")
+                .expect("a closed connection")
             {
                 return number;
             }
         }
     }
 
-    /// How many requests have come and were not looked at, after a while in which more could come.
+    /// Number of requests that have not been consumed after waiting for [`QUIET_PERIOD`](crate::QUIET_PERIOD).
     pub fn further_requests(&self) -> usize {
         thread::sleep(QUIET_PERIOD);
         self.events
             .try_iter()
-            .filter(|s| matches!(s, Seen::Request(..)))
+            .filter(|s| matches!(s, HostEvent::Request(..)))
             .count()
     }
 }
@@ -104,9 +111,9 @@
     stream: TcpStream,
     script: &dyn Fn(usize) -> Reply,
     count: &AtomicUsize,
-    sender: &Sender<Seen>,
+    sender: &Sender<HostEvent>,
 ) {
-    let _ = sender.send(Seen::Opened(number));
+    let _ = sender.send(HostEvent::Opened(number));
     let mut stream = BufReader::new(stream);
     while let Some(message) = read(&mut stream) {
         let reply = script(count.fetch_add(1, Ordering::SeqCst));
@@ -114,35 +121,40 @@
         if let (true, Reply::WriteAndClose(text)) = (last, &reply) {
             let _ = stream.get_mut().write_all(text.as_bytes());
             drop(stream);
-            let _ = sender.send(Seen::Request(number, message));
-            let _ = sender.send(Seen::Closed(number));
+            let _ = sender.send(HostEvent::Request(number, message));
+            let _ = sender.send(HostEvent::Closed(number));
             return;
         }
-        let _ = sender.send(Seen::Request(number, message));
+        let _ = sender.send(HostEvent::Request(number, message));
         if let Reply::Write(text) = reply {
             let _ = stream.get_mut().write_all(text.as_bytes());
         }
     }
-    let _ = sender.send(Seen::Closed(number));
+    let _ = sender.send(HostEvent::Closed(number));
 }
 
-/// An address at which nothing listens.
+/// A loopback address at which nothing listens.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a port")
 }
 
-/// A host at which connections hang: its queue is full and it takes nobody.
+/// A host at which connection attempts hang, because its accept queue is full and it accepts no connection.
 pub struct FullBacklogHost {
+    /// Address at which the host listens.
     pub address: SocketAddr,
     listener: TcpListener,
-    waiting: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl FullBacklogHost {
+    /// Starts the host and fills its accept queue.
+    ///
+    /// # Panics
+    /// If the queue does not fill up.
     pub fn start() -> FullBacklogHost {
-        // The standard library's listener has a long queue; this one's is one.
+        // The standard library's listener has a long accept queue. This one has a queue of length 1.
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
             .build()
@@ -157,28 +169,29 @@
             .and_then(tokio::net::TcpListener::into_std)
             .expect("a listener");
         let address = listener.local_addr().expect("its address");
-        let mut waiting = Vec::new();
+        let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUIET_PERIOD) {
-            waiting.push(stream);
-            assert!(waiting.len() < 64, "the queue never fills");
+            queued.push(stream);
+            assert!(queued.len() < 64, "the accept queue does not fill up");
         }
         FullBacklogHost {
             address,
             listener,
-            waiting,
+            queued,
         }
     }
 
-    /// Takes those that wait, and tells whether another comes in the time in which its next try would.
+    /// Accepts the queued connections, and returns whether another one arrives within the time in which a client's
+    /// connection attempt is retransmitted.
     pub fn another_connects(self) -> bool {
         self.listener.set_nonblocking(true).expect("a listener");
         let known: Vec<_> = self
-            .waiting
+            .queued
             .iter()
-            .map(|w| w.local_addr().expect("an address"))
+            .map(|s| s.local_addr().expect("an address"))
             .collect();
-        let asked = std::time::Instant::now();
-        while asked.elapsed() < QUIET_PERIOD * 10 {
+        let started = std::time::Instant::now();
+        while started.elapsed() < QUIET_PERIOD * 10 {
             match self.listener.accept() {
                 Ok((_, from)) if !known.contains(&from) => return true,
                 _ => thread::sleep(QUIET_PERIOD / 30),
--- a/crates/testkit/src/catalog.rs
+++ b/crates/testkit/src/list_service.rs
@@ -1,5 +1,6 @@
-//! Discovery as a service: the whole list, and a watch on what changes.
+//! A list service that serves the full endpoint list and a watch for changes.
 
+use crate::discovery::list;
 use crate::host::answer;
 use crate::message::read;
 use std::io::{BufReader, Write};
@@ -8,16 +9,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
+    /// Name of the endpoint.
     pub name: String,
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
+    /// Zone of the endpoint.
     pub zone: String,
+    /// Dedup group of the endpoint.
     pub group: u32,
-    /// `up`, `draining` or `removed`.
+    /// Status of the endpoint: `up`, `draining` or `removed`.
     pub status: &'static str,
-    /// Unix time in milliseconds at which it started; 0 for long ago.
+    /// Unix time in milliseconds at which the endpoint started; 0 for long ago.
     pub since_ms: u64,
 }
 
@@ -32,40 +37,42 @@
 
 #[derive(Default)]
 struct State {
-    /// Each entry with the version at which it last changed.
+    /// Each entry with the index at which it last changed.
     entries: Vec<(u64, ListEntry)>,
+    /// Current version of the list.
     index: u64,
 }
 
-/// The service.
+/// A list service on a loopback port.
 pub struct ListService {
+    /// Address at which the service listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl ListService {
-    /// A service that lists these.
+    /// Starts a service whose list has these entries.
     pub fn start(entries: Vec<ListEntry>) -> ListService {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+        let address = listener.local_addr().expect("local address");
         let state = State {
             entries: entries.into_iter().map(|e| (1, e)).collect(),
             index: 1,
         };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
-        let of_thread = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = Arc::clone(&of_thread);
+                let shared = Arc::clone(&thread_shared);
                 thread::spawn(move || serve(stream, &shared));
             }
         });
         ListService { address, shared }
     }
 
-    /// Adds an entry or changes the one of its name; watches are told at once.
+    /// Adds an entry, or replaces the entry with the same name. Open watches are answered at once.
     pub fn set(&self, entry: ListEntry) {
-        let mut state = self.shared.0.lock().expect("no panics here");
+        let mut state = self.shared.0.lock().expect("the mutex is not poisoned");
         state.index += 1;
         let index = state.index;
         state.entries.retain(|(_, e)| e.name != entry.name);
@@ -96,7 +103,7 @@
                 Duration::from_millis(number("wait").unwrap_or(0).min(60_000)),
             ),
             None => {
-                let state = shared.0.lock().expect("no panics here");
+                let state = shared.0.lock().expect("the mutex is not poisoned");
                 let all: Vec<String> = state
                     .entries
                     .iter()
@@ -116,25 +123,27 @@
     }
 }
 
+/// Waits up to `wait` for changes after `index` and returns them as JSON.
 fn changes((state, changed): &(Mutex<State>, Condvar), index: u64, wait: Duration) -> String {
-    let end = Instant::now() + wait;
-    let mut state = state.lock().expect("no panics here");
+    let deadline = Instant::now() + wait;
+    let mut state = state.lock().expect("the mutex is not poisoned");
     while state.index <= index {
-        let Some(left) = end
+        let Some(remaining) = deadline
             .checked_duration_since(Instant::now())
-            .filter(|l| !l.is_zero())
+            .filter(|r| !r.is_zero())
         else {
             break;
         };
-        state = changed.wait_timeout(state, left).expect("no panics here").0;
+        state = changed
+            .wait_timeout(state, remaining)
+            .expect("the mutex is not poisoned")
+            .0;
     }
-    let news: Vec<String> = state
+    let changed_entries: Vec<String> = state
         .entries
         .iter()
         .filter(|(v, _)| *v > index)
         .map(|(_, e)| e.json())
         .collect();
-    list(state.index, false, &news)
+    list(state.index, false, &changed_entries)
 }
-
-use crate::discovery::list;
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,5 +1,5 @@
-//! Load from clients that pace themselves: bounded in count and in time, and to loopback only. Each asks on a
-//! connection of its own, waits for the answer, and holds the program to its client's time.
+//! Load from paced clients, bounded in number of requests and in time, and to loopback only. Each client has a
+//! connection of its own, waits for each response, and counts a response after its time-out as missing.
 
 use crate::message::read;
 use std::io::{BufReader, ErrorKind, Write};
@@ -9,165 +9,175 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One kind of request.
+/// A kind of request and the clients that send it.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// The first part of its path, by which it is counted.
+    /// The first segment of the request's path, by which attempts are counted.
     pub class: String,
-    /// How long its client waits.
+    /// Time that a client waits for a response.
     pub timeout: Duration,
-    /// It bears a key of its own in each request; else an `X-Charge`.
+    /// Whether each request has an idempotency key of its own; if not, it has an `X-Charge`.
     pub keyed: bool,
+    /// Number of clients.
     pub clients: usize,
-    /// Requests a second of each client.
+    /// Requests per second of each client.
     pub requests_per_s: f64,
 }
 
-/// What is sent, and for how long.
+/// The load to send.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
+    /// Address that the load is sent to.
     pub target: SocketAddr,
+    /// The kinds of requests.
     pub kinds: Vec<RequestKind>,
+    /// Time for which requests are sent.
     pub duration: Duration,
-    /// No more requests than that in all.
+    /// Maximum number of requests over all kinds.
     pub max_requests: u64,
 }
 
-/// What became of the requests of one class.
+/// Results of the requests of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
+    /// Requests sent.
     pub sent: u64,
+    /// Requests answered with status 200.
     pub served: u64,
+    /// Requests answered with status 429 or 503.
     pub refused: u64,
+    /// Requests answered with any other status.
     pub failed: u64,
-    /// Without a whole answer in the client's time.
+    /// Requests without a complete response within the client's time-out.
     pub unanswered: u64,
-    /// Times of served answers, sorted.
+    /// Latencies of served requests, in ascending order.
     pub latencies: Vec<Duration>,
-    /// Names of refused requests.
+    /// Ids of refused requests.
     pub refused_ids: Vec<String>,
 }
 
 impl Totals {
-    /// The time within which this share was served.
-    pub fn latency_quantile(&self, share: f64) -> Duration {
-        let place = (self.latencies.len() as f64 * share).ceil() as usize;
+    /// The latency within which this share of the served requests was answered.
+    pub fn latency_quantile(&self, quantile: f64) -> Duration {
+        let rank = (self.latencies.len() as f64 * quantile).ceil() as usize;
         self.latencies
-            .get(place.saturating_sub(1))
+            .get(rank.saturating_sub(1))
             .copied()
             .unwrap_or_default()
     }
 }
 
-/// What became of all, in the order of the kinds.
+/// The results of each kind, in the order of the plan.
 pub type Result = Vec<(RequestKind, Totals)>;
 
-/// Runs the course; `progress` is called about once a second with the time gone and the requests answered.
+/// Sends the load. `progress` is called about once per second with the elapsed time and the number of answered requests.
 ///
 /// # Panics
-/// If it is not to loopback.
-pub fn run(course: &LoadPlan, mut progress: impl FnMut(Duration, u64)) -> Result {
+/// If the target is not a loopback address.
+pub fn run(plan: &LoadPlan, mut progress: impl FnMut(Duration, u64)) -> Result {
     assert!(
-        course.target.ip().is_loopback(),
-        "load goes to loopback only"
+        plan.target.ip().is_loopback(),
+        "the load target must be a loopback address"
     );
     let (started, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
-    let (begun, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+    let (started_requests, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let mut results = Vec::new();
     let mut threads = Vec::new();
-    for (number, kind) in course.kinds.iter().enumerate() {
+    for (number, kind) in plan.kinds.iter().enumerate() {
         let totals = Arc::new(Mutex::new(Totals::default()));
         results.push((kind.clone(), Arc::clone(&totals)));
         for client in 0..kind.clients {
-            let pacer = Pacer {
+            let sender = PacedClient {
                 kind: kind.clone(),
                 name: format!("{number}-{client}"),
-                to: course.target,
+                to: plan.target,
                 totals: Arc::clone(&totals),
-                begun: Arc::clone(&begun),
+                started: Arc::clone(&started_requests),
                 answered: Arc::clone(&answered),
-                most: course.max_requests,
+                most: plan.max_requests,
             };
             let stop = Arc::clone(&stop);
-            // Clients of a kind begin spread over one pause.
+            // The clients of a kind start evenly spread over one request interval.
             let offset = Duration::from_secs_f64(
                 (client as f64 + 0.5) / (kind.clients as f64 * kind.requests_per_s),
             );
-            threads.push(thread::spawn(move || pacer.run(started + offset, &stop)));
+            threads.push(thread::spawn(move || sender.run(started + offset, &stop)));
         }
     }
-    while started.elapsed() < course.duration {
-        thread::sleep(
-            Duration::from_secs(1).min(course.duration.saturating_sub(started.elapsed())),
-        );
+    while started.elapsed() < plan.duration {
+        thread::sleep(Duration::from_secs(1).min(plan.duration.saturating_sub(started.elapsed())));
         progress(started.elapsed(), answered.load(Ordering::SeqCst));
     }
     stop.store(true, Ordering::SeqCst);
     for thread in threads {
-        thread.join().expect("a client that ends");
+        thread.join().expect("the client thread does not panic");
     }
-    let taken = |totals: Arc<Mutex<Totals>>| {
-        let mut totals = std::mem::take(&mut *totals.lock().expect("no panics here"));
+    let take_sorted = |totals: Arc<Mutex<Totals>>| {
+        let mut totals = std::mem::take(&mut *totals.lock().expect("the mutex is not poisoned"));
         totals.latencies.sort();
         totals
     };
     results
         .into_iter()
-        .map(|(kind, totals)| (kind, taken(totals)))
+        .map(|(kind, totals)| (kind, take_sorted(totals)))
         .collect()
 }
 
-struct Pacer {
+/// A client that sends requests at a fixed rate.
+struct PacedClient {
     kind: RequestKind,
     name: String,
     to: SocketAddr,
     totals: Arc<Mutex<Totals>>,
-    begun: Arc<AtomicU64>,
+    started: Arc<AtomicU64>,
     answered: Arc<AtomicU64>,
     most: u64,
 }
 
-impl Pacer {
+impl PacedClient {
     fn run(&self, mut next: Instant, stop: &AtomicBool) {
         let mut stream = None;
         let mut number = 0;
         loop {
             thread::sleep(next.saturating_duration_since(Instant::now()));
             next += Duration::from_secs_f64(1.0 / self.kind.requests_per_s);
-            if stop.load(Ordering::SeqCst) || self.begun.fetch_add(1, Ordering::SeqCst) >= self.most
+            if stop.load(Ordering::SeqCst)
+                || self.started.fetch_add(1, Ordering::SeqCst) >= self.most
             {
                 return;
             }
-            let name = format!("{}-{number}", self.name);
+            let id = format!("{}-{number}", self.name);
             number += 1;
-            self.ask(&mut stream, name);
+            self.send(&mut stream, id);
             self.answered.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    fn ask(&self, stream: &mut Option<BufReader<TcpStream>>, name: String) {
+    /// Sends one request and counts its result.
+    fn send(&self, stream: &mut Option<BufReader<TcpStream>>, id: String) {
         let RequestKind {
             class,
             timeout: waits,
             keyed,
             ..
         } = &self.kind;
-        let tag = if *keyed {
+        let header = if *keyed {
             "Idempotency-Key"
         } else {
             "X-Charge"
         };
         let text = format!(
-            "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Timeout: {}m\r\n{tag}: {name}\r\nContent-Length: 4\r\n\r\nbody",
+            "POST /{class} HTTP/1.1\r\nHost: x\r\nX-Timeout: {}m\r\n{header}: {id}\r\nContent-Length: 4\r\n\r\nbody",
             waits.as_millis()
         );
-        // A connection that was closed between two requests is nobody's fault: a new one, once.
-        let kept = stream.take().filter(|open| still_open(open.get_ref()));
-        let open = match kept {
+        // The peer may close an idle connection between two requests, which is not an error. The client then opens a
+        // new one, once.
+        let reusable = stream.take().filter(|open| still_open(open.get_ref()));
+        let open = match reusable {
             Some(open) => Some(open),
             None => TcpStream::connect(self.to).ok().map(BufReader::new),
         };
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = open.and_then(|mut open| {
             open.get_ref().set_read_timeout(Some(*waits)).ok()?;
             open.get_ref().set_nodelay(true).ok()?;
@@ -179,21 +189,21 @@
             *stream = Some(open).filter(|_| !closes);
             Some(answer)
         });
-        let time = asked.elapsed();
-        let mut totals = self.totals.lock().expect("no panics here");
+        let latency = sent_at.elapsed();
+        let mut totals = self.totals.lock().expect("the mutex is not poisoned");
         totals.sent += 1;
-        // The last milliseconds are this client's own way.
+        // The allowance of 50 ms is for delays of the client itself.
         match answer
-            .filter(|_| time <= *waits + Duration::from_millis(50))
+            .filter(|_| latency <= *waits + Duration::from_millis(50))
             .map(|a| a.status())
         {
             Some(200) => {
                 totals.served += 1;
-                totals.latencies.push(time);
+                totals.latencies.push(latency);
             }
             Some(429 | 503) => {
                 totals.refused += 1;
-                totals.refused_ids.push(name);
+                totals.refused_ids.push(id);
             }
             Some(_) => totals.failed += 1,
             None => totals.unanswered += 1,
@@ -201,8 +211,9 @@
     }
 }
 
+/// Whether the peer has neither closed the connection nor sent anything.
 fn still_open(stream: &TcpStream) -> bool {
-    let quiet = stream.set_nonblocking(true).is_ok()
-        && matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
-    quiet && stream.set_nonblocking(false).is_ok()
+    let idle = stream.set_nonblocking(true).is_ok()
+        && matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
+    idle && stream.set_nonblocking(false).is_ok()
 }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, as a process of its own.
+//! The program under test as a child process.
 
 use crate::client::Client;
 use crate::discovery::{list, Discovery};
@@ -13,37 +13,41 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-/// The program under test. It is killed at the end of the test if it still runs.
+/// The program under test as a child process. It is killed on drop if it is still running.
 pub struct Proxy {
+    /// Address at which the program listens.
     pub address: SocketAddr,
+    /// The child process.
     pub child: Child,
-    unread_log: Receiver<String>,
+    log: Receiver<String>,
     config: PathBuf,
 }
 
-static RUNS: AtomicUsize = AtomicUsize::new(0);
+/// Number of temporary files that this process has created.
+static FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// A temporary file of its own with this text.
-pub fn temp_file(ending: &str, text: &str) -> PathBuf {
+/// Creates a temporary file with a unique name, this extension and this text.
+pub fn temp_file(extension: &str, text: &str) -> PathBuf {
     let name = format!(
-        "badgerramp-{}-{}.{ending}",
+        "badgerramp-{}-{}.{extension}",
         std::process::id(),
-        RUNS.fetch_add(1, Ordering::SeqCst)
+        FILES.fetch_add(1, Ordering::SeqCst)
     );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("a temporary file");
     path
 }
 
-/// Starts a program. Nothing of this process's RELAY_ variables reaches it.
+/// Starts a program, optionally with a limit on its open descriptors. The `RELAY_` variables of this process are not
+/// passed on.
 pub fn start(
     program: &str,
     arguments: &[&OsStr],
     variables: &[(&str, &Path)],
-    most: Option<u32>,
+    descriptor_limit: Option<u32>,
 ) -> Child {
-    let limit = most
-        .map(|most| format!("ulimit -n {most}; "))
+    let limit = descriptor_limit
+        .map(|count| format!("ulimit -n {count}; "))
         .unwrap_or_default();
     let mut command = Command::new("sh");
     command
@@ -68,13 +72,14 @@
         .expect("the program starts")
 }
 
-/// Starts the program with this text as its configuration, with so many descriptors at the most.
-pub fn spawn(program: &str, config: &str, descriptors: Option<u32>) -> (Child, PathBuf) {
+/// Starts the program with this configuration, optionally with a limit on its open descriptors.
+pub fn spawn(program: &str, config: &str, descriptor_limit: Option<u32>) -> (Child, PathBuf) {
     let path = temp_file("json", config);
-    let child = start(program, &[], &[("RELAY_CONFIG", &path)], descriptors);
+    let child = start(program, &[], &[("RELAY_CONFIG", &path)], descriptor_limit);
     (child, path)
 }
 
+/// Settings of the test configuration.
 pub const SETTINGS: &str = r#"{"balancers":1,"tick_us":1000,"discovery":"ask","locality":"a",
 "classes":[{"name":"safe","objective_us":1500000,"deadline_us":3000000,"worth":1,"idempotency":"free"},
 {"name":"keyed","objective_us":1500000,"deadline_us":3000000,"worth":1,"idempotency":"guarded","dedup_scope":"all",
@@ -85,6 +90,7 @@
 "invariants":{"cold_from":0.3,"cold_us":7000000,"tip_after_us":2000000,"ask_every_us":1600000},
 "report":{"how":"inline","columns":["active","waiting"]}}"#;
 
+/// A configuration whose saved endpoint list is `known`.
 pub fn config(
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -98,28 +104,34 @@
     )
 }
 
-/// The same where lists are pushed: discovery is an agent on the proxy's own machine.
-pub fn with_pushed_lists(text: &str) -> String {
-    text.replace(r#""discovery":"ask""#, r#""discovery":"push""#)
+/// The same configuration for an agent on the proxy's own machine that pushes the list.
+pub fn with_pushed_lists(config: &str) -> String {
+    config.replace(r#""discovery":"ask""#, r#""discovery":"push""#)
 }
 
 impl Proxy {
+    /// Starts the program with this list service and this saved endpoint list.
     pub fn start(program: &str, discovery: &Discovery, known: &[String]) -> Proxy {
         let listen = "127.0.0.1:0".parse().expect("an address");
         Proxy::with_config(program, &config(listen, discovery.address, 1_024, known))
     }
 
-    pub fn with_config(program: &str, text: &str) -> Proxy {
-        Proxy::with_descriptor_limit(program, text, None)
+    /// Starts the program with this configuration.
+    pub fn with_config(program: &str, config: &str) -> Proxy {
+        Proxy::with_descriptor_limit(program, config, None)
     }
 
-    /// On the platform, with so many descriptors at the most.
-    pub fn with_descriptor_limit(program: &str, text: &str, descriptors: Option<u32>) -> Proxy {
-        let (child, config) = spawn(program, text, descriptors);
-        Proxy::wait_until_listening(child, config)
+    /// Starts the program with this configuration, optionally with a limit on its open descriptors.
+    pub fn with_descriptor_limit(
+        program: &str,
+        config: &str,
+        descriptor_limit: Option<u32>,
+    ) -> Proxy {
+        let (child, path) = spawn(program, config, descriptor_limit);
+        Proxy::wait_until_listening(child, path)
     }
 
-    /// As a sidecar: with the text of an operator's file, and nothing else. Words of `before` come first.
+    /// Starts the program as a sidecar with this operator's file. The arguments `before` precede the `run` command.
     pub fn sidecar(program: &str, before: &[&str], text: &str) -> Proxy {
         let path = temp_file("toml", text);
         let mut arguments: Vec<&OsStr> = before.iter().map(OsStr::new).collect();
@@ -128,13 +140,16 @@
         Proxy::wait_until_listening(child, path)
     }
 
-    /// Waits for the line that tells where it listens.
+    /// Waits for the log line that has the address at which the program listens.
+    ///
+    /// # Panics
+    /// If the program does not report an address in time.
     pub fn wait_until_listening(mut child: Child, config: PathBuf) -> Proxy {
-        let log = lines(child.stderr.take().expect("piped"));
+        let log = read_lines(child.stderr.take().expect("piped"));
         let mut seen = String::new();
         loop {
             let line = log.recv_timeout(EVENT_TIMEOUT);
-            // In a structured log more may follow the address.
+            // In a structured log, other fields may follow the address.
             let address = line
                 .iter()
                 .find_map(|l| Some(l.split_once("listening on ")?.1));
@@ -144,25 +159,28 @@
                     return Proxy {
                         address,
                         child,
-                        unread_log: log,
+                        log,
                         config,
                     }
                 }
                 (None, Ok(line)) => seen += &line,
-                (odd, _) => {
-                    // Nobody else would end it.
+                (unparsed, _) => {
+                    // The child is not yet owned by a `Proxy`, so it would not be killed on drop.
                     let _ = child.kill();
-                    panic!("it does not listen: {odd:?}, {seen}");
+                    panic!(
+                        "the program does not report where it listens: {unparsed:?}, log: {seen}"
+                    );
                 }
             }
         }
     }
 
+    /// Sends SIGTERM to the program.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Sends it this signal, as `kill` names it.
+    /// Sends this signal to the program, in the notation of `kill`.
     pub fn signal(&self, signal: &str) {
         let done = Command::new("kill")
             .arg(signal)
@@ -171,35 +189,35 @@
         assert!(done.expect("kill").success());
     }
 
-    /// Replaces the configuration and has the program read it.
+    /// Replaces the configuration and sends SIGHUP, so that the program reloads it.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).expect("a temporary file");
         self.signal("-HUP");
     }
 
-    /// The next line of its log that has these words; those before it are passed over.
-    pub fn wait_for_log(&self, words: &str) -> String {
+    /// Waits for the next log line that contains this text. Skips the lines before it.
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self
-                .unread_log
+                .log
                 .recv_timeout(EVENT_TIMEOUT)
-                .unwrap_or_else(|_| panic!("it never says {words:?}"));
-            if line.contains(words) {
+                .unwrap_or_else(|_| panic!("no log line contains {text:?}"));
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// The lines of its log so far that nobody has looked at.
+    /// The log lines so far that have not been consumed.
     pub fn unread_log(&self) -> Vec<String> {
-        self.unread_log.try_iter().collect()
+        self.log.try_iter().collect()
     }
 
-    /// Waits for its end; true if that came in time and was no failure.
+    /// Waits until the program exits; true if it does so in time and with success.
     pub fn exits_successfully(&mut self) -> bool {
-        let asked = std::time::Instant::now();
-        while asked.elapsed() < EVENT_TIMEOUT {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+        let started = std::time::Instant::now();
+        while started.elapsed() < EVENT_TIMEOUT {
+            if let Some(status) = self.child.try_wait().expect("the status of the child") {
                 return status.success();
             }
             thread::sleep(QUIET_PERIOD / 30);
@@ -207,24 +225,25 @@
         false
     }
 
+    /// Opens a client connection to the program.
     pub fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).expect("it listens");
+        let stream = TcpStream::connect(self.address).expect("the program accepts connections");
         stream
             .set_read_timeout(Some(EVENT_TIMEOUT))
-            .expect("a time-out");
+            .expect("a read time-out");
         Client {
             stream: BufReader::new(stream),
         }
     }
 
-    /// One call on a connection of its own.
-    pub fn call(&self, class: &str, time: &str) -> Message {
-        self.client().call(class, time)
+    /// Sends one request of this class on a new connection and reads the response.
+    pub fn call(&self, class: &str, timeout: &str) -> Message {
+        self.client().call(class, timeout)
     }
 }
 
-/// The lines of a log, also those that nobody looks at: a full pipe would hold the program up.
-fn lines(log: ChildStderr) -> Receiver<String> {
+/// Reads the lines of a log in a thread of its own: the program would block on a full pipe if nobody read it.
+fn read_lines(log: ChildStderr) -> Receiver<String> {
     let (sender, receiver) = channel();
     thread::spawn(move || {
         for line in BufReader::new(log).lines().map_while(Result::ok) {
--- a/fuzz/fuzz_targets/evaluate.rs
+++ b/fuzz/fuzz_targets/evaluate.rs
@@ -1,4 +1,4 @@
-//! Any bytes as an expression and a request. `cargo fuzz run evaluate`
+//! Evaluates an expression on a request, both made from arbitrary bytes. Run with `cargo fuzz run evaluate`.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| {
--- a/fuzz/fuzz_targets/parse.rs
+++ b/fuzz/fuzz_targets/parse.rs
@@ -1,4 +1,4 @@
-//! Any bytes as an expression. `cargo fuzz run parse`
+//! Parses arbitrary bytes as an expression. Run with `cargo fuzz run parse`.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| {
