--- a/crates/sim-model/src/host.rs
+++ b/crates/sim-model/src/host.rs
@@ -62,7 +62,7 @@
     pub job: Job,
     /// How the job ended.
     pub outcome: JobOutcome,
-    /// The operation took effect by this job: it was executed, is not idempotent, and was not dropped as a repeat.
+    /// Whether the job took effect: its effect is not [`Effect::Safe`], and it was not dropped as a repeat.
     pub took_effect: bool,
     /// The host's load right after the job ended.
     pub load: HostLoad,
