--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -116,9 +116,9 @@
     let list_service = ListService::start(hosts.iter().map(|m| list_entry(m, "up")).collect());
     let file = OPERATOR_FILE.replace("127.0.0.1:8500", &list_service.address.to_string());
     let proxy = Proxy::sidecar(program, &[AS_PROXY], &file);
-    let kind = |class: &str, waits, keyed, clients| RequestKind {
+    let kind = |class: &str, timeout_ms, keyed, clients| RequestKind {
         class: class.to_owned(),
-        timeout: Duration::from_millis(waits),
+        timeout: Duration::from_millis(timeout_ms),
         keyed,
         clients,
         requests_per_s: 6.0,
@@ -271,9 +271,9 @@
             clients: 1,
             requests_per_s: 1.0,
         };
-        let totals = |served, owed| Totals {
+        let totals = |served, unanswered| Totals {
             served,
-            unanswered: owed,
+            unanswered,
             ..Totals::default()
         };
         let good: LoadResult = vec![(kind.clone(), totals(1, 0))];
