--- a/crates/config/tests/property.rs
+++ b/crates/config/tests/property.rs
@@ -4,7 +4,7 @@
 
 use badgerramp_config::{parse, Config};
 use badgerramp_decisions::Idempotency;
-use badgerramp_testkit::decision_driver::{Request, World};
+use badgerramp_testkit::decision_driver::{BalancerDriver, Request};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::Rng;
@@ -12,7 +12,7 @@
 
 /// Simulates calls of random routes; the driver asserts the rules.
 fn simulate_calls(config: &Config, seed: u64) {
-    let mut world = World::new(config, seed);
+    let mut world = BalancerDriver::new(config, seed);
     let routes = config.routes.routes();
     for _ in 0..60 {
         let route = world.random().gen_range(0..routes.len());
@@ -20,15 +20,15 @@
         // A client may wait less than the deadline of its class.
         let gives_up_early = world.random().gen_bool(0.3);
         let deadline = config.classes[routes[route].class].class.deadline;
-        world.ask(Request {
+        world.request(Request {
             route,
-            once,
-            told: gives_up_early.then_some(deadline / 2),
+            key_missing: once,
+            client_timeout: gives_up_early.then_some(deadline / 2),
         });
         let until = world.now() + world.random().gen_range(0..150_000);
-        world.run(until);
+        world.run_until(until);
     }
-    world.run(world.now() + 700_000_000);
+    world.run_until(world.now() + 700_000_000);
     assert!(world.all_answered(), "a call has no response");
 }
 
--- a/crates/sim-model/src/network.rs
+++ b/crates/sim-model/src/network.rs
@@ -1,16 +1,16 @@
-//! The way between two: delay, loss, partition.
+//! The network: delay, loss and partitions.
 
-use crate::draw::Draws;
-use crate::scenario::{Fault, NetworkSpec, Trouble};
+use crate::random::RandomStreams;
+use crate::scenario::{Fault, FaultKind, NetworkSpec};
 use crate::Micros;
 
-/// What becomes of a packet.
+/// What happens to a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// It arrives then.
+pub enum Delivery {
+    /// The packet arrives at this time.
     Arrives(Micros),
-    /// It never arrives, and the sender is not told.
-    Vanishes,
+    /// The packet never arrives, and the sender gets no notice.
+    Lost,
 }
 
 /// The network of a scenario.
@@ -18,60 +18,74 @@
 pub struct Network {
     spec: NetworkSpec,
     faults: Vec<Fault>,
-    draws: Draws,
+    random: RandomStreams,
 }
 
-/// Most times that one packet is lost.
-const LOST_MOST: u64 = 6;
+/// Maximum number of times that one packet is lost.
+const MAX_LOSSES: u64 = 6;
 
 impl Network {
-    /// A network with these faults.
-    pub fn new(spec: NetworkSpec, faults: &[Fault], draws: Draws) -> Self {
-        let concerns = |f: &&Fault| {
+    /// A network with those of the faults that affect it.
+    pub fn new(spec: NetworkSpec, faults: &[Fault], random: RandomStreams) -> Self {
+        let affects_network = |f: &&Fault| {
             matches!(
-                f.trouble,
-                Trouble::Partition { .. } | Trouble::Loss { .. } | Trouble::Lag { .. }
+                f.kind,
+                FaultKind::Partition { .. }
+                    | FaultKind::PacketLoss { .. }
+                    | FaultKind::NetworkDelay { .. }
             )
         };
         Network {
             spec,
-            faults: faults.iter().filter(concerns).copied().collect(),
-            draws,
+            faults: faults.iter().filter(affects_network).copied().collect(),
+            random,
         }
     }
 
-    fn now(&self, now: Micros) -> impl Iterator<Item = &Trouble> {
+    fn active_faults(&self, now: Micros) -> impl Iterator<Item = &FaultKind> {
         self.faults
             .iter()
             .filter(move |f| f.from <= now && now < f.until)
-            .map(|f| &f.trouble)
+            .map(|f| &f.kind)
     }
 
-    /// A packet that is sent now between a proxy and `host` (None: the list service); `near` if both are of one zone.
-    /// `what` names it in all draws.
-    pub fn way(&self, now: Micros, host: Option<usize>, near: bool, what: (u64, u64, u64)) -> Way {
-        let (least, most) = if near { self.spec.near } else { self.spec.far };
-        let mut delay = self.draws.between(what, (least, most));
-        for trouble in self.now(now) {
-            match *trouble {
-                Trouble::Partition { host: cut } if Some(cut) == host => return Way::Vanishes,
-                Trouble::Lag { extra } => delay += extra,
-                Trouble::Loss { share } => {
-                    // Each time it is lost it waits twice as long, as TCP has it.
-                    let lost = (0..LOST_MOST).take_while(|n| {
-                        self.draws
-                            .happens((what.0 ^ 0x10_5e, what.1, what.2 * 8 + n), share)
+    /// Sends a packet between a proxy and `host` (None: the list service). `same_zone` says whether both are in one
+    /// zone; `key` identifies the packet in the random streams.
+    pub fn send(
+        &self,
+        now: Micros,
+        host: Option<usize>,
+        same_zone: bool,
+        key: (u64, u64, u64),
+    ) -> Delivery {
+        let (min, max) = if same_zone {
+            self.spec.same_zone
+        } else {
+            self.spec.cross_zone
+        };
+        let mut delay = self.random.integer(key, (min, max));
+        for fault in self.active_faults(now) {
+            match *fault {
+                FaultKind::Partition { host: partitioned } if Some(partitioned) == host => {
+                    return Delivery::Lost
+                }
+                FaultKind::NetworkDelay { extra } => delay += extra,
+                FaultKind::PacketLoss { share } => {
+                    // As in TCP, the retransmission delay doubles with each loss of the packet.
+                    let losses = (0..MAX_LOSSES).take_while(|n| {
+                        self.random
+                            .occurs((key.0 ^ 0x10_5e, key.1, key.2 * 8 + n), share)
                     });
-                    delay += self.spec.resend * ((1 << lost.count()) - 1);
+                    delay += self.spec.retransmit_delay * ((1 << losses.count()) - 1);
                 }
                 _ => {}
             }
         }
-        Way::Arrives(now + delay.max(1))
+        Delivery::Arrives(now + delay.max(1))
     }
 
-    /// The longest that a packet takes without faults.
-    pub fn longest(&self) -> Micros {
-        self.spec.near.1.max(self.spec.far.1)
+    /// The longest delay of a packet without faults.
+    pub fn max_delay(&self) -> Micros {
+        self.spec.same_zone.1.max(self.spec.cross_zone.1)
     }
 }
