--- a/crates/proxy/src/class_ids.rs
+++ b/crates/proxy/src/class_ids.rs
@@ -1,16 +1,17 @@
-//! The ids of classes, which stay the same across reloads and changes of policy.
+//! Assignment of class ids, which stay the same across reloads and changes of policy.
 
 use badgerramp_config::Config;
 use badgerramp_decisions::{Class, ClassId, Settings};
 use std::hash::{BuildHasher, RandomState};
 
-/// The class that each id stands for: a class keeps its id over reloads, and the id of a removed class is reused only when no
-/// call of it is open.
+/// The name of the class at each id. A class keeps its id across reloads; the id of a removed class is reused only when none
+/// of its calls is open.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct ClassIds(Vec<Option<String>>);
 
 impl ClassIds {
-    /// Assigns ids to the classes of a file. Also returns those ids that belonged to another class or none before.
+    /// Assigns ids to the classes of a file. Returns the ids in the order of `names`, and those of them that belonged to
+    /// another class or to none before.
     pub(crate) fn assign(
         &mut self,
         names: &[&str],
@@ -40,7 +41,7 @@
         (ids, fresh)
     }
 
-    /// The settings of a file with its classes under these ids.
+    /// Returns the settings of a file, with its classes at the positions `ids`.
     pub(crate) fn settings(&self, config: &Config, ids: &[ClassId]) -> Settings {
         let mut settings = config.settings();
         let classes = std::mem::take(&mut settings.classes);
@@ -48,8 +49,8 @@
         self.settings_with(settings, &classes)
     }
 
-    /// Settings with these classes under their ids. An id without a class gets a copy of an existing class, so that it
-    /// does not affect what is computed over all classes.
+    /// Returns `settings` with these classes at the positions of their ids. An id without a class gets a copy of an existing
+    /// class, so that it does not affect values that are computed over all classes.
     pub(crate) fn settings_with(
         &self,
         mut settings: Settings,
@@ -64,7 +65,7 @@
     }
 }
 
-/// A seed that differs with each start.
+/// Returns a random seed, different at each call.
 pub(crate) fn seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/crates/proxy/src/class_ids/tests.rs
+++ b/crates/proxy/src/class_ids/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the ids of classes.
+//! Tests of the assignment of class ids.
 
 use super::*;
 
@@ -10,12 +10,12 @@
         class_ids.assign(&["a", "b"], |_| false),
         (ids(&[0, 1]), ids(&[0, 1]))
     );
-    // `a` goes with calls open: its id stays unused.
+    // `a` is removed while its calls are open: its id stays reserved.
     assert_eq!(
         class_ids.assign(&["c", "b"], |class| class == ClassId(0)),
         (ids(&[2, 1]), ids(&[2]))
     );
-    // Now they have ended.
+    // The calls of `a` have ended: its id is reused.
     assert_eq!(
         class_ids.assign(&["b", "d", "c"], |_| false),
         (ids(&[1, 0, 2]), ids(&[0]))
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! The program on sockets, as a library: its command line, its start, and what carries the decisions out. A simulation
-//! runs the same parts on a network of its own.
+//! The proxy program as a library: the command line, the start-up, and the I/O that carries out the balancer's decisions. A
+//! simulation runs the same code on a simulated network.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::needless_pass_by_value,
@@ -15,8 +15,8 @@
 mod class_ids;
 pub mod cli;
 pub mod log;
-mod look;
 pub mod net;
+mod peers_command;
 mod platform;
 mod policy_client;
 mod policy_copy;
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -11,10 +11,10 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The target of events of single calls.
+/// The target of log events of single calls.
 pub const CALLS: &str = "badgerramp::calls";
 
-/// The target of events of clients' connections; a request that is rejected before it is a call is logged here alone.
+/// The target of log events of clients' connections, and of requests that are rejected before they become calls.
 pub const CLIENTS: &str = "badgerramp::clients";
 
 /// Lines written and dropped in the current second.
@@ -32,7 +32,7 @@
     out: W,
 }
 
-/// One line; the subscriber writes each in one call.
+/// The writer of one line; the subscriber writes each line in one call.
 struct Line<'a, W>(&'a RateLimiter<W>);
 
 impl<W> RateLimiter<W> {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a line may be written at `now`, and how many were dropped in the second that has ended.
+    /// Returns whether a line may be written at `now`, and how many lines were dropped in the second that has just ended.
     fn admit(&self, now: Instant) -> (bool, u64) {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let mut dropped_before = 0;
@@ -77,15 +77,13 @@
     for<'b> &'b W: Write,
 {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let (admitted, left_out) = self.0.admit(Instant::now());
+        let (admitted, dropped) = self.0.admit(Instant::now());
         let mut out = &self.0.out;
-        if left_out > 0 {
+        if dropped > 0 {
             let text = if self.0.json {
-                format!(
-                    "{{\"level\":\"WARN\",\"target\":\"badgerramp\",\"left_out\":{left_out}}}\n"
-                )
+                format!("{{\"level\":\"WARN\",\"target\":\"badgerramp\",\"left_out\":{dropped}}}\n")
             } else {
-                format!("WARN badgerramp: {left_out} lines of this log were left out\n")
+                format!("WARN badgerramp: dropped {dropped} log lines over the rate limit\n")
             };
             out.write_all(text.as_bytes())?;
         }
@@ -100,7 +98,7 @@
     }
 }
 
-/// Where events are written.
+/// Makes the rate-limited writers to standard error.
 struct Writer(Arc<RateLimiter<io::Stderr>>);
 
 impl<'a> MakeWriter<'a> for Writer {
@@ -111,8 +109,8 @@
     }
 }
 
-/// The filter of a level of the operator's file.
-fn filter(level: Level) -> LevelFilter {
+/// Converts a level of the operator's file to a filter.
+fn level_filter(level: Level) -> LevelFilter {
     match level {
         Level::Error => LevelFilter::ERROR,
         Level::Warn => LevelFilter::WARN,
@@ -127,10 +125,10 @@
     let targets = log
         .targets
         .iter()
-        .map(|(name, level)| (name.clone(), filter(*level)));
+        .map(|(name, level)| (name.clone(), level_filter(*level)));
     // Only events of this program, unless a target names a library.
     let targets = Targets::new()
-        .with_target("badgerramp", filter(log.level))
+        .with_target("badgerramp", level_filter(log.level))
         .with_targets(targets);
     let json = log.format == Format::Json;
     let writer = Writer(Arc::new(RateLimiter::new(log.rate, json, io::stderr())));
@@ -138,7 +136,7 @@
         .with_ansi(false)
         .with_writer(writer);
     let registry = tracing_subscriber::registry().with(targets);
-    // An embedding program may have installed its own.
+    // Fails if an embedding program has installed a subscriber of its own, which then stays.
     let _ = if json {
         registry.with(lines.json().flatten_event(true)).try_init()
     } else {
--- a/crates/proxy/src/log/tests.rs
+++ b/crates/proxy/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bound on log lines.
+//! Tests of the rate limit on log lines.
 
 use super::*;
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The client proxy; all of it is in the library.
+//! The executable of the client proxy; see the library for the code.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -1,8 +1,8 @@
-//! The program on the platform: `RELAY_CONFIG` names what holds, and an operator's file may narrow it.
+//! The program on the platform: `RELAY_CONFIG` names its configuration, and an operator's file may narrow it.
 
 use crate::net::driver::List;
 use crate::net::rules::{Platform, Rules};
-use crate::program::{self, Fault, Members, Running, Setup};
+use crate::program::{self, EndpointSource, Error, Running, Setup};
 use badgerramp_config::{narrow, Use};
 use badgerramp_decisions::settings::{self, PlatformSettings};
 use serde::Deserialize;
@@ -10,15 +10,18 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The longest aim over the time after which a client that is refused may come back.
-const ADVICE_AIM: u64 = 4;
+/// Ratio of the longest latency objective to the default `Retry-After`.
+const OBJECTIVE_TO_RETRY_AFTER_RATIO: u64 = 4;
 
+/// The configuration that `RELAY_CONFIG` names.
 #[derive(Deserialize)]
 struct Config {
     listen: SocketAddr,
     discovery: SocketAddr,
+    /// In hexadecimal.
     seed: String,
     limits: Limits,
+    /// The endpoint list as last known to the platform.
     known: Option<List>,
     settings: serde_json::Value,
 }
@@ -35,39 +38,40 @@
 }
 
 fn read(path: &Path) -> Result<(Config, PlatformSettings), String> {
-    let shown = path.display();
-    let text = std::fs::read(path).map_err(|e| format!("configuration {shown}: {e}"))?;
-    let config: Config =
-        serde_json::from_slice(&text).map_err(|e| format!("configuration {shown}: {e}"))?;
-    let facts = settings::read(&config.settings).map_err(|e| format!("settings: {e}"))?;
-    Ok((config, facts))
+    let displayed_path = path.display();
+    let text = std::fs::read(path).map_err(|e| format!("configuration {displayed_path}: {e}"))?;
+    let config: Config = serde_json::from_slice(&text)
+        .map_err(|e| format!("configuration {displayed_path}: {e}"))?;
+    let platform_settings =
+        settings::read(&config.settings).map_err(|e| format!("settings: {e}"))?;
+    Ok((config, platform_settings))
 }
 
-/// The settings in a configuration of the platform.
-pub(crate) fn facts_of(path: &Path) -> Result<PlatformSettings, String> {
-    read(path).map(|(_, facts)| facts)
+/// Reads the settings in a configuration of the platform.
+pub(crate) fn read_settings(path: &Path) -> Result<PlatformSettings, String> {
+    read(path).map(|(_, platform_settings)| platform_settings)
 }
 
-fn rules(facts: &PlatformSettings, operator: Option<&Path>) -> Result<Rules, Fault> {
+fn rules(platform_settings: &PlatformSettings, operator: Option<&Path>) -> Result<Rules, Error> {
     let narrowed = match operator {
         Some(path) => {
             let config = badgerramp_config::load(path)?;
             if config.usage != Use::Platform {
-                let shown = path.display();
-                return Err(Fault::Other(format!(
-                    "{shown}: without `platform = true` it is for `badgerramp run`"
+                let displayed_path = path.display();
+                return Err(Error::Other(format!(
+                    "{displayed_path}: a file without `platform = true` is for `badgerramp run`"
                 )));
             }
-            Some(narrow(&config, facts)?)
+            Some(narrow(&config, platform_settings)?)
         }
         None => None,
     };
-    Ok(Rules::Platform(Platform::new(facts, narrowed)))
+    Ok(Rules::Platform(Platform::new(platform_settings, narrowed)))
 }
 
-/// Runs the program.
-pub(crate) fn run(operator: Option<PathBuf>) -> Result<(), Fault> {
-    // What is wrong with the file is told after this, by `rules`; its log is the default one then.
+/// Runs the program on the platform until SIGTERM.
+pub(crate) fn run(operator: Option<PathBuf>) -> Result<(), Error> {
+    // Errors of the operator's file are reported below, by `rules`; the log has its default settings until then.
     let log = operator
         .as_deref()
         .and_then(|file| badgerramp_config::load(file).ok())
@@ -76,55 +80,57 @@
     let path =
         std::env::var_os("RELAY_CONFIG").ok_or_else(|| "RELAY_CONFIG is not set".to_owned())?;
     let path = PathBuf::from(path);
-    let (config, facts) = read(&path)?;
+    let (config, platform_settings) = read(&path)?;
     let seed =
         u64::from_str_radix(&config.seed, 16).map_err(|e| format!("seed {}: {e}", config.seed))?;
-    let longest_aim = facts
+    let longest_objective = platform_settings
         .settings
         .classes
         .iter()
         .map(|c| c.latency_objective)
         .max()
         .unwrap_or_default();
-    let rules_of = rules(&facts, operator.as_deref())?;
+    let initial_rules = rules(&platform_settings, operator.as_deref())?;
     let (index, known) = config
         .known
         .map_or((None, Vec::new()), |k| (Some(k.index), k.endpoints));
-    // What settings say is for good; the file narrows it anew at each reload.
-    let settled = facts.clone();
+    // The settings don't change while the program runs; each reload narrows them by the operator's file as it is then.
+    let settings_for_reload = platform_settings.clone();
     let setup = Setup {
         listen: config.listen,
         seed,
-        facts,
+        platform_settings,
         descriptors: config.limits.sockets,
-        memory: config.limits.memory_mb << 20,
-        members: Members::Discovery {
+        memory_bytes: config.limits.memory_mb << 20,
+        endpoint_source: EndpointSource::Discovery {
             address: config.discovery,
-            known,
+            cached: known,
             index,
         },
         subset: None,
         watch_wait: None,
-        list: None,
-        peers: None,
-        rules: rules_of,
-        // What is refused without advice comes of a crowd, which passes in answer times rather than aims.
-        advice: (longest_aim / ADVICE_AIM).max(1_000),
+        list_polling: None,
+        gossip: None,
+        rules: initial_rules,
+        // Rejections for which the balancer gives no `Retry-After` come from overload, which passes within response times
+        // rather than latency objectives.
+        default_retry_after: (longest_objective / OBJECTIVE_TO_RETRY_AFTER_RATIO).max(1_000),
         gate: None,
         plain_http: false,
     };
-    // Where to find discovery, and the operator's file, are what may change in a running program; a file that can't
-    // be read, or not in every part, changes nothing.
+    // A reload may change the address of the list service and the operator's file. If either file is invalid, nothing
+    // changes.
     let reload = move |running: &Running| {
         let (config, _) = read(&path)?;
         if operator.is_some() {
-            let rules = rules(&settled, operator.as_deref()).map_err(|fault| match fault {
-                Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
-                Fault::Other(fault) => fault,
-            })?;
+            let rules =
+                rules(&settings_for_reload, operator.as_deref()).map_err(|error| match error {
+                    Error::Diagnostics(diagnostics) => diagnostics.to_single_line(),
+                    Error::Other(error) => error,
+                })?;
             *running.server.rules.borrow_mut() = Rc::new(rules);
         }
-        running.follow(config.discovery);
+        running.set_list_service(config.discovery);
         Ok(())
     };
     Ok(program::run(setup, reload, |_| {}, async {})?)
--- a/crates/proxy/src/platform/tests.rs
+++ b/crates/proxy/src/platform/tests.rs
@@ -1,10 +1,10 @@
-//! The keys of the configuration that `RELAY_CONFIG` names.
+//! Tests of the configuration that `RELAY_CONFIG` names.
 
 use super::{read, Config, PlatformSettings};
 use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use serde_json::{json, Value};
 
-fn full() -> Value {
+fn complete_config() -> Value {
     json!({
         "name": "n3",
         "listen": "127.0.0.1:5000",
@@ -46,7 +46,8 @@
 
 #[test]
 fn every_key_of_the_configuration_is_read() {
-    let (config, facts) = load("full", &full()).expect("a good configuration");
+    let (config, platform_settings) =
+        load("full", &complete_config()).expect("a good configuration");
     assert_eq!(config.listen.to_string(), "127.0.0.1:5000");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
     assert_eq!(config.seed, "8c1f30d27a5be964");
@@ -55,7 +56,10 @@
         (1_024, 192)
     );
     assert_eq!(
-        (facts.settings.balancers, facts.classes),
+        (
+            platform_settings.settings.balancers,
+            platform_settings.classes
+        ),
         (7, vec!["a".to_owned()])
     );
     let known = config.known.expect("a known list");
@@ -81,11 +85,11 @@
 }
 
 #[test]
-fn a_key_that_has_to_be_there_is_named_when_it_is_missing() {
+fn a_missing_required_key_is_named_in_the_error() {
     for key in ["listen", "discovery", "seed", "limits", "settings"] {
-        let mut config = full();
+        let mut config = complete_config();
         config.as_object_mut().expect("a table").remove(key);
-        let fault = load(key, &config).err().expect("it is missing");
-        assert!(fault.contains(&format!("missing field `{key}`")), "{fault}");
+        let error = load(key, &config).err().expect("it is missing");
+        assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
 }
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -1,12 +1,14 @@
-//! `[policy]`: the way to the fleet's control. Questions, answers and the rules that come of them; what may begin is
-//! decided by [`badgerramp_policy::LeaseHolder`].
+//! The client of the control plane, for proxies with `[policy]`: it requests leases and installs the rules of the granted
+//! mode. [`badgerramp_policy::LeaseHolder`] decides which calls are admitted.
 
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::driver::Driver;
 use crate::net::server::Server;
 use crate::policy_copy::{self, PolicyCopy};
-use crate::policy_rules::{floor_rules, mode_rules, Combined, MergedSettings, Read};
+use crate::policy_rules::{
+    fallback_rules, mode_rules, CombinedSettings, LoadedGeneration, MergedSettings,
+};
 use crate::program::Running;
 use badgerramp_config::{Config, PolicyTerms, Use};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
@@ -24,51 +26,55 @@
 use tokio::task::AbortHandle;
 use tracing::{debug, info, warn};
 
-/// A question that control does not answer within this is given up. A round of it takes some milliseconds.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Pause after one that came to nothing: an election takes a second or two, and a lease is thirds of seconds.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How long a program that ends may take to say so.
-const LEAVE: Duration = Duration::from_millis(500);
-/// Longest sleep at a time: the timers of the runtime stand still while the machine sleeps, leases don't.
-const NAP: Duration = Duration::from_millis(500);
+/// Time-out of a request to the control plane, which normally answers within milliseconds.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed request. Short, because a lease lasts a fraction of a second; an election takes a second or two.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Time that an ending program may spend on unregistering.
+const UNREGISTER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest single sleep. The timers of the runtime stop while the machine is suspended, but leases go on expiring.
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// Asks control for a lease of the policy and installs the rules that are lent.
+/// Requests leases from the control plane and installs the rules of the granted mode.
 pub(crate) struct PolicyClient {
     gate: Rc<AdmissionGate>,
+    /// The name of this proxy and the random incarnation of this process.
     identity: Identity,
     terms: PolicyTerms,
     secret: SharedSecret,
-    /// The proxy's own file.
-    local: RefCell<Config>,
-    places: RefCell<ClassIds>,
-    read: RefCell<BTreeMap<Generation, Read>>,
-    /// The mode whose rules are set.
-    set: Cell<Option<Mode>>,
-    news: Notify,
+    /// The operator's file of this proxy.
+    local_config: RefCell<Config>,
+    class_ids: RefCell<ClassIds>,
+    /// The generations that this proxy holds.
+    loaded: RefCell<BTreeMap<Generation, LoadedGeneration>>,
+    /// The mode whose rules are installed; `None` until the first lease.
+    installed_mode: Cell<Option<Mode>>,
+    /// Notified when the control plane announces a new revision.
+    revision_changed: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
-fn micros(time: Duration) -> u64 {
-    u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl PolicyClient {
-    /// The part of a proxy with this file of its own, whose classes have these places.
+    /// Creates the client of a proxy with this operator's file, whose classes have these ids. Loads the copy of the policy on
+    /// disk, if there is one.
     ///
     /// # Errors
-    /// If there is no `[policy]`, or its secret is none.
-    pub(crate) fn new(local: Config, places: ClassIds) -> Result<Rc<Self>, String> {
-        let terms = local.policy.clone().ok_or("no [policy]")?;
+    /// If the file has no `[policy]`, or its secret can't be read.
+    pub(crate) fn new(local_config: Config, class_ids: ClassIds) -> Result<Rc<Self>, String> {
+        let terms = local_config.policy.clone().ok_or("no [policy]")?;
         let secret = SharedSecret::read(&terms.secret)
             .map_err(|e| format!("policy.secret: {}: {e}", terms.secret.display()))?;
-        let host = || {
+        let host_name = || {
             rustix::system::uname()
                 .nodename()
                 .to_string_lossy()
                 .into_owned()
         };
-        let name = terms.name.clone().unwrap_or_else(host);
+        let name = terms.name.clone().unwrap_or_else(host_name);
         let identity = Identity {
             name,
             incarnation: seed(),
@@ -76,111 +82,130 @@
         let copy = terms
             .state
             .as_deref()
-            .map(|folder| policy_copy::load(folder, &terms.application));
-        let mut read = BTreeMap::new();
+            .map(|directory| policy_copy::load(directory, &terms.application));
+        let mut loaded = BTreeMap::new();
         match copy {
             Some(Ok(Some(copy))) => {
                 for (generation, text) in copy.into_texts() {
-                    if let Ok(config) = parse(&text, &local) {
-                        read.insert(Generation(generation), Read::new(text, config));
+                    if let Ok(config) = parse(&text, &local_config) {
+                        loaded.insert(Generation(generation), LoadedGeneration::new(text, config));
                     }
                 }
             }
-            Some(Err(fault)) => warn!("the policy on disk is not used: {fault}"),
+            Some(Err(error)) => warn!("ignoring the policy copy on disk: {error}"),
             Some(Ok(None)) | None => {}
         }
         let holder = LeaseHolderConfig {
             on_lease_loss: terms.cut_off,
-            request_timeout: micros(ANSWER),
-            retry_delay: micros(PAUSE),
+            request_timeout: micros(REQUEST_TIMEOUT),
+            retry_delay: micros(RETRY_DELAY),
         };
-        let has = read.keys().copied().collect();
-        let gate = AdmissionGate::new(LeaseHolder::new(identity.clone(), holder, has));
+        let loaded_generations = loaded.keys().copied().collect();
+        let gate = AdmissionGate::new(LeaseHolder::new(
+            identity.clone(),
+            holder,
+            loaded_generations,
+        ));
         info!("policy from control, as {identity}");
         Ok(Rc::new(PolicyClient {
             gate,
             identity,
             terms,
             secret,
-            local: RefCell::new(local),
-            places: RefCell::new(places),
-            read: RefCell::new(read),
-            set: Cell::new(None),
-            news: Notify::new(),
+            local_config: RefCell::new(local_config),
+            class_ids: RefCell::new(class_ids),
+            loaded: RefCell::new(loaded),
+            installed_mode: Cell::new(None),
+            revision_changed: Notify::new(),
             tasks: RefCell::default(),
         }))
     }
 
-    /// What may begin.
+    /// Returns the gate that admits calls.
     pub(crate) fn gate(&self) -> Rc<AdmissionGate> {
         Rc::clone(&self.gate)
     }
 
     fn client(&self) -> Client {
-        Client::new(self.terms.control.clone(), self.secret.clone(), ANSWER)
+        Client::new(
+            self.terms.control.clone(),
+            self.secret.clone(),
+            REQUEST_TIMEOUT,
+        )
     }
 
-    /// Begins to ask.
+    /// Starts the tasks that request leases and watch for new revisions.
     pub(crate) fn start(self: &Rc<Self>, running: &Running) {
         let (driver, server) = (running.driver.clone(), Rc::clone(&running.server));
-        let (asks, hears) = (Rc::clone(self), Rc::clone(self));
+        let (lease_task, watch_task) = (Rc::clone(self), Rc::clone(self));
         let tasks = [
-            tokio::task::spawn_local(async move { asks.ask(driver, server).await }).abort_handle(),
-            tokio::task::spawn_local(async move { hears.hear().await }).abort_handle(),
+            tokio::task::spawn_local(async move { lease_task.hold_lease(driver, server).await })
+                .abort_handle(),
+            tokio::task::spawn_local(async move { watch_task.follow_revisions().await })
+                .abort_handle(),
         ];
         self.tasks.borrow_mut().extend(tasks);
     }
 
-    /// Tells control that this program has ended.
-    pub(crate) async fn leave(&self) {
+    /// Unregisters this program from the control plane, if it was ever granted a lease.
+    pub(crate) async fn unregister(&self) {
         self.tasks
             .borrow_mut()
             .drain(..)
             .for_each(|task| task.abort());
-        if self.set.get().is_some() {
-            let leave = request::Kind::Unregister(self.identity.clone().into());
-            let _ = tokio::time::timeout(LEAVE, self.client().call_with_retry(&leave, LEAVE)).await;
+        if self.installed_mode.get().is_some() {
+            let unregister = request::Kind::Unregister(self.identity.clone().into());
+            let _ = tokio::time::timeout(
+                UNREGISTER_TIMEOUT,
+                self.client()
+                    .call_with_retry(&unregister, UNREGISTER_TIMEOUT),
+            )
+            .await;
         }
     }
 
-    /// Control's news are a hint to ask; without them the next question comes in its time.
-    async fn hear(&self) {
+    /// Watches the revisions of the control plane. A new revision only brings the next lease request forward; without it the
+    /// request is sent when the lease needs renewal.
+    async fn follow_revisions(&self) {
         let mut client = self.client();
         loop {
-            if let Ok(mut news) = client.watch_revisions().await {
-                while let Ok(revision) = news.next().await {
-                    debug!("control is at revision {revision}");
-                    self.news.notify_one();
+            if let Ok(mut revisions) = client.watch_revisions().await {
+                while let Ok(revision) = revisions.next().await {
+                    debug!("control plane is at revision {revision}");
+                    self.revision_changed.notify_one();
                 }
             }
             client.try_next_replica();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn ask(&self, driver: Driver, server: Rc<Server>) {
+    /// Requests and renews the lease, until this proxy is evicted or the task is aborted.
+    async fn hold_lease(&self, driver: Driver, server: Rc<Server>) {
         let mut client = self.client();
-        let mut told = String::new();
+        let mut last_error = String::new();
         loop {
-            let (due, now) = (self.gate.holder().borrow().next_request_at(), clock::now());
-            let Some(due) = due else {
+            let (request_at, now) = (self.gate.holder().borrow().next_request_at(), clock::now());
+            let Some(request_at) = request_at else {
                 return std::future::pending().await;
             };
-            if now < due {
-                let nap = Duration::from_micros(due - now).min(NAP);
+            if now < request_at {
+                let sleep = Duration::from_micros(request_at - now).min(MAX_SLEEP);
                 tokio::select! {
-                    () = self.news.notified() => self.gate.holder().borrow_mut().request_soon(clock::now()),
-                    () = tokio::time::sleep(nap) => {}
+                    () = self.revision_changed.notified() => self.gate.holder().borrow_mut().request_soon(clock::now()),
+                    () = tokio::time::sleep(sleep) => {}
                 }
                 continue;
             }
-            let ask = self.gate.holder().borrow_mut().request(clock::now());
-            let ask = wire::LeaseRequest::new(ask, &self.terms.application)
+            let request = self.gate.holder().borrow_mut().request(clock::now());
+            let request = wire::LeaseRequest::new(request, &self.terms.application)
                 .in_region(self.terms.region.as_ref());
-            let ask = request::Kind::Lease(ask);
-            let fault = match client.call(&ask).await {
-                Ok(reply::Kind::Lease(grant)) => self.granted(&grant, &driver, &server).err(),
-                Ok(_) => Some("control answers oddly: no grant".to_owned()),
+            let request = request::Kind::Lease(request);
+            let error = match client.call(&request).await {
+                Ok(reply::Kind::Lease(grant)) => self.on_grant(&grant, &driver, &server).err(),
+                Ok(_) => {
+                    Some("unexpected reply from the control plane: not a lease grant".to_owned())
+                }
                 Err(ClientError::Rejected(rejection))
                     if rejection.code() == rejection::Code::Evicted =>
                 {
@@ -188,68 +213,70 @@
                     warn!("{}", rejection.message);
                     continue;
                 }
-                Err(fault) => Some(fault.to_string()),
+                Err(error) => Some(error.to_string()),
             };
-            match fault {
-                // One line for as long as it stays so.
-                Some(fault) => {
+            match error {
+                // An error that repeats is logged once.
+                Some(error) => {
                     self.gate
                         .holder()
                         .borrow_mut()
                         .on_request_failed(clock::now());
-                    if told != fault {
-                        warn!("no lease: {fault}");
-                        told = fault;
+                    if last_error != error {
+                        warn!("lease request failed: {error}");
+                        last_error = error;
                     }
                 }
-                None if !told.is_empty() => {
-                    info!("control answers again");
-                    told.clear();
+                None if !last_error.is_empty() => {
+                    info!("lease requests succeed again");
+                    last_error.clear();
                 }
                 None => {}
             }
         }
     }
 
-    /// Takes what control lends. What fails leaves all as it is.
-    fn granted(
+    /// Handles a grant: loads the policies that it carries and installs the rules of its mode. On an error the installed rules
+    /// stay.
+    fn on_grant(
         &self,
         wire: &wire::LeaseGrant,
         driver: &Driver,
         server: &Server,
     ) -> Result<(), String> {
         let grant = LeaseGrant::try_from(wire)
-            .map_err(|error| format!("control answers oddly: invalid grant: {error}"))?;
+            .map_err(|error| format!("invalid lease grant from the control plane: {error}"))?;
         let mut holder = self.gate.holder().borrow_mut();
-        let mut fresh = false;
+        let mut newly_loaded = false;
         for text in &wire.policies {
             let generation = Generation(text.generation);
-            match self.take(generation, text) {
+            match self.load_generation(generation, text) {
                 Ok(()) => {
                     holder.accept_generation(generation);
-                    fresh = true;
+                    newly_loaded = true;
                 }
-                Err(why) => {
-                    warn!("{generation} can't be read: {why}");
-                    holder.reject_generation(generation, why);
+                Err(reason) => {
+                    warn!("rejected {generation}: {reason}");
+                    holder.reject_generation(generation, reason);
                 }
             }
         }
-        // A copy of another fleet's policy, or of one from before control lost its disk, has the same number only.
-        let read = self.read.borrow();
-        let same = |g: Generation| match (wire.digests.get(&g.0), read.get(&g)) {
-            (Some(wanted), Some(read)) => *wanted == digest(&read.text),
+        // Equal generation numbers do not prove equal policies: the copy may be of another fleet, or be older than a loss of
+        // the control plane's disk. The digest tells.
+        let loaded = self.loaded.borrow();
+        let is_current = |g: Generation| match (wire.digests.get(&g.0), loaded.get(&g)) {
+            (Some(expected), Some(loaded)) => *expected == digest(&loaded.text),
             _ => true,
         };
         let Mode { old, new, .. } = grant.mode;
-        holder.retain_generations(|g| (g == old || g == new) && same(g));
-        drop(read);
-        let answered = holder.on_grant(clock::now(), grant);
+        holder.retain_generations(|g| (g == old || g == new) && is_current(g));
+        drop(loaded);
+        let result = holder.on_grant(clock::now(), grant);
         drop(holder);
-        match answered {
+        match result {
             GrantResult::Accepted { .. } => {
-                if fresh || self.set.get() != Some(grant.mode) {
-                    self.set(grant.mode, driver, server);
+                if newly_loaded || self.installed_mode.get() != Some(grant.mode) {
+                    self.install(grant.mode, driver, server);
                     info!("policy: {}", grant.mode);
                 }
             }
@@ -258,70 +285,80 @@
         Ok(())
     }
 
-    /// Reads a text.
-    fn take(&self, generation: Generation, text: &wire::PolicyFiles) -> Result<(), String> {
+    /// Parses this application's file of a policy and keeps it as `generation`.
+    fn load_generation(
+        &self,
+        generation: Generation,
+        text: &wire::PolicyFiles,
+    ) -> Result<(), String> {
         let application = &self.terms.application;
         let text = text.files.get(application);
-        let text = text.ok_or_else(|| format!("it has no file for application {application:?}"))?;
-        let config = parse(text, &self.local.borrow())?;
-        self.read
+        let text =
+            text.ok_or_else(|| format!("the policy has no file for application {application:?}"))?;
+        let config = parse(text, &self.local_config.borrow())?;
+        self.loaded
             .borrow_mut()
-            .insert(generation, Read::new(text.clone(), config));
+            .insert(generation, LoadedGeneration::new(text.clone(), config));
         Ok(())
     }
 
-    /// Sets the rules of a mode whose generations were read. From here on nothing fails.
-    fn set(&self, mode: Mode, driver: &Driver, server: &Server) {
-        let mut read = self.read.borrow_mut();
-        read.retain(|&g, _| g == mode.old || g == mode.new);
-        let Some(combined) = self.combine(&mut read, driver) else {
+    /// Installs the rules of a mode whose generations are loaded. Does nothing if one is missing.
+    fn install(&self, mode: Mode, driver: &Driver, server: &Server) {
+        let mut loaded = self.loaded.borrow_mut();
+        loaded.retain(|&g, _| g == mode.old || g == mode.new);
+        let Some(combined) = self.combine_settings(&mut loaded, driver) else {
             return;
         };
-        let rules_of = |generation: Generation| read.get(&generation).and_then(Read::rules);
+        let rules_of =
+            |generation: Generation| loaded.get(&generation).and_then(LoadedGeneration::rules);
         let (Some(old), Some(new)) = (rules_of(mode.old), rules_of(mode.new)) else {
             return;
         };
-        let Combined {
+        let CombinedSettings {
             settings,
-            fresh,
+            reassigned_ids,
             open_calls,
             retry_after,
         } = combined;
-        driver.reconfigure(settings, fresh, open_calls);
+        driver.reconfigure(settings, reassigned_ids, open_calls);
         server.default_retry_after.set(retry_after);
-        let floor = floor_rules(&old);
+        let fallback = fallback_rules(&old);
         let Some(rules) = mode_rules(mode, old, new) else {
             return;
         };
-        self.gate.install(mode, rules, floor);
-        self.set.set(Some(mode));
-        self.keep_copy(&read);
+        self.gate.install(mode, rules, fallback);
+        self.installed_mode.set(Some(mode));
+        self.save_copy(&loaded);
     }
 
-    /// Makes the rules of all that was read, and the settings that hold for all of it.
-    fn combine(&self, read: &mut BTreeMap<Generation, Read>, driver: &Driver) -> Option<Combined> {
-        let keys: Vec<Vec<String>> = read.values().map(Read::class_keys).collect();
+    /// Builds the rules of all loaded generations, and the settings that suit all of them.
+    fn combine_settings(
+        &self,
+        loaded: &mut BTreeMap<Generation, LoadedGeneration>,
+        driver: &Driver,
+    ) -> Option<CombinedSettings> {
+        let keys: Vec<Vec<String>> = loaded.values().map(LoadedGeneration::class_keys).collect();
         let distinct: BTreeSet<&str> = keys.iter().flatten().map(String::as_str).collect();
         let distinct: Vec<&str> = distinct.into_iter().collect();
-        let mut places = self.places.borrow_mut();
-        let (numbers, fresh) = places.assign(&distinct, |class| driver.in_use(class));
-        let number = |key: &String| {
+        let mut class_ids = self.class_ids.borrow_mut();
+        let (ids, reassigned_ids) = class_ids.assign(&distinct, |class| driver.in_use(class));
+        let id_of = |key: &String| {
             distinct
                 .iter()
                 .position(|k| k == key)
-                .and_then(|n| numbers.get(n))
+                .and_then(|n| ids.get(n))
                 .copied()
         };
         let mut merged: Option<MergedSettings> = None;
-        for (read, keys) in read.values_mut().zip(&keys) {
-            let numbers: Vec<ClassId> = keys.iter().filter_map(number).collect();
-            read.make_rules(&numbers);
-            let Some(config) = read.own_config() else {
+        for (generation, keys) in loaded.values_mut().zip(&keys) {
+            let ids: Vec<ClassId> = keys.iter().filter_map(id_of).collect();
+            generation.make_rules(&ids);
+            let Some(config) = generation.rules_config() else {
                 continue;
             };
             merged
-                .get_or_insert_with(|| MergedSettings::of(config))
-                .add(config, numbers);
+                .get_or_insert_with(|| MergedSettings::new(config))
+                .add(config, ids);
         }
         let MergedSettings {
             settings,
@@ -329,75 +366,83 @@
             retry_after,
             classes,
         } = merged?;
-        let settings = places.settings_with(settings, &classes);
-        Some(Combined {
+        let settings = class_ids.settings_with(settings, &classes);
+        Some(CombinedSettings {
             settings,
-            fresh,
+            reassigned_ids,
             open_calls,
             retry_after,
         })
     }
 
-    /// Keeps what was read on disk, if the proxy has a folder for it.
-    fn keep_copy(&self, read: &BTreeMap<Generation, Read>) {
-        let Some(folder) = self.terms.state.clone() else {
+    /// Saves the loaded generations to disk, if the proxy has a state directory.
+    fn save_copy(&self, loaded: &BTreeMap<Generation, LoadedGeneration>) {
+        let Some(directory) = self.terms.state.clone() else {
             return;
         };
-        let texts = read.iter().map(|(g, r)| (g.0, r.text.clone())).collect();
+        let texts = loaded.iter().map(|(g, r)| (g.0, r.text.clone())).collect();
         let copy = PolicyCopy::new(self.terms.application.clone(), texts);
-        // A slow disk must not hold calls up.
+        // On the blocking pool, so that a slow disk does not delay calls.
         tokio::task::spawn_blocking(move || {
-            if let Err(fault) = policy_copy::save(&folder, &copy) {
+            if let Err(error) = policy_copy::save(&directory, &copy) {
                 warn!(
-                    "{}: the policy could not be kept: {fault}",
-                    folder.display()
+                    "{}: failed to save the policy copy: {error}",
+                    directory.display()
                 );
             }
         });
     }
 
-    /// The proxy's own file has changed.
+    /// Replaces the operator's file of this proxy, and installs the rules anew.
     ///
     /// # Errors
-    /// If what is held can't be read beside it. Nothing has changed then.
-    pub(crate) fn localize(&self, local: Config, running: &Running) -> Result<(), String> {
-        if local.policy.as_ref() != Some(&self.terms) {
-            return Err("a running program can't change policy: start it anew".to_owned());
+    /// If `[policy]` differs, or a loaded generation does not fit the new file. Nothing changes then.
+    pub(crate) fn set_local_config(
+        &self,
+        local_config: Config,
+        running: &Running,
+    ) -> Result<(), String> {
+        if local_config.policy.as_ref() != Some(&self.terms) {
+            return Err("a running program can't change policy: restart it".to_owned());
         }
-        let mut anew = BTreeMap::new();
-        for (&generation, read) in self.read.borrow().iter() {
-            let config = parse(&read.text, &local).map_err(|e| format!("{generation}: {e}"))?;
-            anew.insert(generation, Read::new(read.text.clone(), config));
+        let mut reparsed = BTreeMap::new();
+        for (&generation, loaded) in self.loaded.borrow().iter() {
+            let config =
+                parse(&loaded.text, &local_config).map_err(|e| format!("{generation}: {e}"))?;
+            reparsed.insert(
+                generation,
+                LoadedGeneration::new(loaded.text.clone(), config),
+            );
         }
-        *self.local.borrow_mut() = local;
-        *self.read.borrow_mut() = anew;
-        if let Some(mode) = self.set.get() {
-            self.set(mode, &running.driver, &running.server);
+        *self.local_config.borrow_mut() = local_config;
+        *self.loaded.borrow_mut() = reparsed;
+        if let Some(mode) = self.installed_mode.get() {
+            self.install(mode, &running.driver, &running.server);
         }
         Ok(())
     }
 
-    /// The proxy's own file, as it holds.
-    pub(crate) fn local(&self) -> std::cell::Ref<'_, Config> {
-        self.local.borrow()
+    /// Returns the operator's file of this proxy that is in effect.
+    pub(crate) fn local_config(&self) -> std::cell::Ref<'_, Config> {
+        self.local_config.borrow()
     }
 }
 
-/// Reads an application's file of a policy beside the proxy's own.
-fn parse(text: &str, local: &Config) -> Result<Config, String> {
+/// Parses an application's file of a policy and completes it with the settings of the proxy's own file.
+fn parse(text: &str, local_config: &Config) -> Result<Config, String> {
     let config =
         badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
     if config.usage != Use::Alone {
-        return Err("`platform = true` is for no sidecar".to_owned());
+        return Err("a policy can't have `platform = true`: it is for sidecars".to_owned());
     }
-    let narrow = local
+    let needs_fallback = local_config
         .policy
         .as_ref()
         .is_some_and(|p| p.cut_off == OnLeaseLoss::Fallback);
-    if narrow && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
+    if needs_fallback && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
         return Err(
             "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
         );
     }
-    Ok(config.beside(local))
+    Ok(config.beside(local_config))
 }
--- a/crates/proxy/src/policy_copy.rs
+++ b/crates/proxy/src/policy_copy.rs
@@ -1,4 +1,5 @@
-//! The copy of the policy on disk. It saves the transfer after a restart; it does not permit to serve without a lease.
+//! The copy of the policy on disk. It saves the transfer after a restart, but does not replace a lease: without one the proxy
+//! rejects all calls.
 
 use badgerramp_control_protocol::digest;
 use serde::{Deserialize, Serialize};
@@ -21,7 +22,7 @@
 }
 
 impl PolicyCopy {
-    /// A copy of these texts.
+    /// Creates a copy of these texts.
     pub(crate) fn new(application: String, texts: BTreeMap<u64, String>) -> Self {
         PolicyCopy {
             version: VERSION,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The texts, by generation.
+    /// Returns the texts, by generation.
     pub(crate) fn into_texts(self) -> BTreeMap<u64, String> {
         self.texts
     }
@@ -42,23 +43,23 @@
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read { path: PathBuf, source: io::Error },
-    /// The file is no text.
-    #[error("{}: damaged", .0.display())]
+    /// The file is not UTF-8.
+    #[error("{}: damaged: not UTF-8", .0.display())]
     NotText(PathBuf),
-    /// The file has no line for its checksum.
-    #[error("{}: torn", .0.display())]
+    /// The file lacks the line with its checksum.
+    #[error("{}: truncated: no checksum", .0.display())]
     NoChecksum(PathBuf),
-    /// The checksum is that of another content.
-    #[error("{}: damaged or torn: its checksum does not fit", .0.display())]
+    /// The checksum does not match the content.
+    #[error("{}: damaged or truncated: checksum mismatch", .0.display())]
     ChecksumMismatch(PathBuf),
-    /// The content is not what its version says.
+    /// The content is not valid JSON of the expected structure.
     #[error("{}: {source}", path.display())]
     Malformed {
         path: PathBuf,
         source: serde_json::Error,
     },
-    /// The file is of another version or application.
-    #[error("{}: of version {version}, for {application:?}", path.display())]
+    /// The file has another format version, or belongs to another application.
+    #[error("{}: format version {version}, application {application:?}", path.display())]
     Foreign {
         path: PathBuf,
         version: u32,
@@ -66,19 +67,19 @@
     },
 }
 
-fn copy_path(folder: &Path, application: &str) -> PathBuf {
-    folder.join(format!("{application}.policy"))
+fn copy_path(directory: &Path, application: &str) -> PathBuf {
+    directory.join(format!("{application}.policy"))
 }
 
-/// Reads the copy on disk; `None` if there is none yet.
+/// Reads the copy from disk. Returns `None` if there is none.
 ///
 /// # Errors
 /// If it can't be read, is damaged, or belongs to another application.
 pub(crate) fn load(
-    folder: &Path,
+    directory: &Path,
     application: &str,
 ) -> Result<Option<PolicyCopy>, PolicyCopyError> {
-    let path = copy_path(folder, application);
+    let path = copy_path(directory, application);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -111,14 +112,14 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Writes the copy atomically, also if the machine stops in between.
+/// Writes the copy to disk atomically: after a crash of the machine either the old or the new copy is there.
 ///
 /// # Errors
-/// If the folder or the file can't be written.
-pub(crate) fn save(folder: &Path, copy: &PolicyCopy) -> io::Result<()> {
-    fs::create_dir_all(folder)?;
+/// If the directory or the file can't be written.
+pub(crate) fn save(directory: &Path, copy: &PolicyCopy) -> io::Result<()> {
+    fs::create_dir_all(directory)?;
     let body = serde_json::to_string(copy)?;
-    let path = copy_path(folder, &copy.application);
+    let path = copy_path(directory, &copy.application);
     let temporary = path.with_extension("new");
     let mut file = File::options()
         .write(true)
@@ -129,7 +130,7 @@
     write!(file, "{}\n{body}", hex(&digest(&body)))?;
     file.sync_all()?;
     fs::rename(&temporary, &path)?;
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/policy_copy/tests.rs
+++ b/crates/proxy/src/policy_copy/tests.rs
@@ -1,45 +1,51 @@
-//! The copy of the policy on disk.
+//! Tests of the copy of the policy on disk.
 
 use super::*;
 
 #[test]
 fn a_truncated_or_damaged_copy_is_not_used() {
-    let folder =
+    let directory =
         std::env::temp_dir().join(format!("badgerramp-policy-copy-{}", std::process::id()));
-    assert!(load(&folder, "a").expect("nothing yet").is_none());
+    assert!(load(&directory, "a").expect("nothing yet").is_none());
     let texts = BTreeMap::from([(3, "some text".to_owned())]);
     let copy = PolicyCopy::new("a".to_owned(), texts.clone());
-    save(&folder, &copy).expect("written");
+    save(&directory, &copy).expect("written");
     assert_eq!(
-        load(&folder, "a").expect("good").expect("there").texts,
+        load(&directory, "a").expect("good").expect("there").texts,
         texts
     );
-    let path = copy_path(&folder, "a");
-    let whole = fs::read(&path).expect("a file");
-    for place in 0..whole.len() {
-        fs::write(&path, &whole[..place]).expect("a file");
-        assert!(load(&folder, "a").is_err(), "cut at {place}");
-        let mut flipped = whole.clone();
-        flipped[place] ^= 1;
+    let path = copy_path(&directory, "a");
+    let complete = fs::read(&path).expect("a file");
+    for position in 0..complete.len() {
+        fs::write(&path, &complete[..position]).expect("a file");
+        assert!(
+            load(&directory, "a").is_err(),
+            "truncated at byte {position}"
+        );
+        let mut flipped = complete.clone();
+        flipped[position] ^= 1;
         fs::write(&path, &flipped).expect("a file");
-        assert!(load(&folder, "a").is_err(), "a bit at {place}");
+        assert!(
+            load(&directory, "a").is_err(),
+            "bit flipped in byte {position}"
+        );
     }
-    fs::remove_dir_all(&folder).expect("a folder");
+    fs::remove_dir_all(&directory).expect("a folder");
 }
 
-/// The copy that an older build wrote.
-const COPY: &str = include_str!("../../tests/fixtures/caja.policy");
+/// A copy that an older build wrote.
+const OLDER_COPY: &str = include_str!("../../tests/fixtures/caja.policy");
 
 #[test]
 fn a_copy_of_an_older_build_is_read_and_written_the_same() {
-    let folder = std::env::temp_dir().join(format!(
+    let directory = std::env::temp_dir().join(format!(
         "badgerramp-policy-copy-older-{}",
         std::process::id()
     ));
-    fs::create_dir_all(&folder).expect("a folder");
-    let path = copy_path(&folder, "caja");
-    fs::write(&path, COPY).expect("a file");
-    let texts = load(&folder, "caja")
+    fs::create_dir_all(&directory).expect("a folder");
+    let path = copy_path(&directory, "caja");
+    fs::write(&path, OLDER_COPY).expect("a file");
+    let texts = load(&directory, "caja")
         .expect("good")
         .expect("there")
         .into_texts();
@@ -50,7 +56,7 @@
             .map(|(generation, text)| (generation, text.to_owned()))
             .into()
     );
-    save(&folder, &PolicyCopy::new("caja".to_owned(), texts)).expect("written");
-    assert_eq!(fs::read_to_string(&path).expect("a file"), COPY);
-    fs::remove_dir_all(&folder).expect("a folder");
+    save(&directory, &PolicyCopy::new("caja".to_owned(), texts)).expect("written");
+    assert_eq!(fs::read_to_string(&path).expect("a file"), OLDER_COPY);
+    fs::remove_dir_all(&directory).expect("a folder");
 }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -1,4 +1,4 @@
-//! What both uses of the program share: listener, decisions, timers, signals, exit.
+//! The part of the program that the sidecar and the platform share: listener, balancer, timers, signals and exit.
 
 use crate::net::admission_gate::AdmissionGate;
 use crate::net::client_connection::ClientConnections;
@@ -28,150 +28,165 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::JoinHandle;
 
-/// Connections waiting to be accepted.
+/// Backlog of the listener: connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// How often connections that are overdue are looked for, while there are any and while there are none.
-const SWEEP: Duration = Duration::from_millis(250);
-const SWEEP_QUIET: Duration = Duration::from_secs(1);
+/// Interval at which overdue connections are closed while the proxy has connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the same sweep while the proxy has no connections.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the program ends.
+/// Why the program failed.
 #[derive(Debug)]
-pub enum Fault {
-    /// An operator's file is not good.
+pub enum Error {
+    /// An operator's file is invalid.
     Diagnostics(Diagnostics),
     /// Anything else.
     Other(String),
 }
 
-impl From<String> for Fault {
-    fn from(fault: String) -> Self {
-        Fault::Other(fault)
+impl From<String> for Error {
+    fn from(error: String) -> Self {
+        Error::Other(error)
     }
 }
 
-impl From<Diagnostics> for Fault {
-    fn from(mistakes: Diagnostics) -> Self {
-        Fault::Diagnostics(mistakes)
+impl From<Diagnostics> for Error {
+    fn from(diagnostics: Diagnostics) -> Self {
+        Error::Diagnostics(diagnostics)
     }
 }
 
-/// Where the list of hosts comes from.
-pub enum Members {
-    /// The list service, and the list as it was last had.
+/// Where the endpoint list comes from.
+pub enum EndpointSource {
+    /// The list service.
     Discovery {
+        /// The address of the list service.
         address: SocketAddr,
-        known: Vec<Endpoint>,
+        /// The last list that was received before the start.
+        cached: Vec<Endpoint>,
+        /// The index of the cached list.
         index: Option<u64>,
     },
-    /// The operator's file.
+    /// A fixed list from the operator's file.
     Fixed(Vec<Endpoint>),
 }
 
-/// All that a start needs.
+/// What the program needs to start.
 pub struct Setup {
+    /// The address at which clients connect.
     pub listen: SocketAddr,
+    /// Seeds the random choices of the proxy.
     pub seed: u64,
-    pub facts: PlatformSettings,
+    /// The settings of the balancer, classes and connections.
+    pub platform_settings: PlatformSettings,
+    /// Maximum number of open file descriptors.
     pub descriptors: usize,
-    pub memory: usize,
-    pub members: Members,
-    /// The endpoints that it keeps to; `None`: all.
+    /// Memory budget of the process, in bytes.
+    pub memory_bytes: usize,
+    /// Where the endpoint list comes from.
+    pub endpoint_source: EndpointSource,
+    /// The subset of endpoints that the proxy uses; `None`: all endpoints.
     pub subset: Option<SubsetTerms>,
-    /// How long a watch waits, where that is not derived from what counts as told.
+    /// How long a watch of the endpoint list waits for news, in microseconds; `None`: derived from the drain grace period.
     pub watch_wait: Option<Micros>,
-    /// How the list service is asked where many do.
-    pub list: Option<ListTerms>,
-    /// The other proxies of the fleet, where they pass the list on.
-    pub peers: Option<peers::GossipConfig>,
+    /// How the list service is polled where many proxies share it.
+    pub list_polling: Option<ListTerms>,
+    /// Gossip of the endpoint list with the other proxies of the fleet, where it is used.
+    pub gossip: Option<peers::GossipConfig>,
+    /// The rules of the operator's file or the platform.
     pub rules: Rules,
-    /// Where the policy is the fleet's: what may begin, and by which rules. They stand in for `rules`.
+    /// Admits calls under the policy of the control plane, where there is one. Its rules replace `rules`.
     pub gate: Option<Rc<AdmissionGate>>,
-    /// When a client may come back that is refused without the module's advice; 0: none is given.
-    pub advice: Micros,
-    /// Answers pass with status and headers.
+    /// `Retry-After` of rejections for which the balancer gives none, in microseconds; 0: the header is left out.
+    pub default_retry_after: Micros,
+    /// Responses of endpoints are passed on with their status and headers.
     pub plain_http: bool,
 }
 
-/// What a reload may change of the running program.
+/// Handles to the parts of the running program that a reload may change.
 pub struct Running {
+    /// Carries out the balancer's decisions.
     pub driver: Driver,
+    /// Serves the clients.
     pub server: Rc<Server>,
+    /// The clock of the proxy.
     pub clock: Clock,
-    discovery: watch::Sender<SocketAddr>,
+    /// Announces a new address of the list service.
+    list_service: watch::Sender<SocketAddr>,
 }
 
 impl Running {
-    /// Moves to this list service, if it is another one.
-    pub fn follow(&self, address: SocketAddr) {
-        self.discovery
+    /// Switches to the list service at `address`; does nothing if that is the current one.
+    pub fn set_list_service(&self, address: SocketAddr) {
+        self.list_service
             .send_if_modified(|old| std::mem::replace(old, address) != address);
     }
 }
 
-/// Runs until a stop is asked for. `reload` is called at each SIGHUP; what it fails with is logged, and must have
-/// changed nothing. `started` is shown what runs, once; `last` is waited for when all that was taken is finished.
+/// Runs until SIGTERM. `reload` is called at each SIGHUP; if it fails, its error is logged, and it must have changed
+/// nothing. `on_start` is called once when the program runs; `on_end` is awaited after all accepted requests have finished.
 pub fn run(
     setup: Setup,
     reload: impl FnMut(&Running) -> Result<(), String>,
-    started: impl FnOnce(&Running),
-    last: impl Future<Output = ()>,
+    on_start: impl FnOnce(&Running),
+    on_end: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let served = async {
-        let served = serve(setup, reload, started).await;
-        last.await;
-        served
+    let result = async {
+        let result = serve(setup, reload, on_start).await;
+        on_end.await;
+        result
     };
-    tokio::task::LocalSet::new().block_on(&runtime, served)
+    tokio::task::LocalSet::new().block_on(&runtime, result)
 }
 
 async fn serve(
     setup: Setup,
     reload: impl FnMut(&Running) -> Result<(), String>,
-    started: impl FnOnce(&Running),
+    on_start: impl FnOnce(&Running),
 ) -> Result<(), String> {
-    // First of all: until then either signal kills.
+    // Installed before anything else: until then either signal kills the process.
     let mut hangups = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let around = Surroundings::of_system(setup.listen)?;
+    let mut terminations = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+    let environment = Environment::system(setup.listen)?;
     let hangup = async move || hangups.recv().await.is_some();
     let stop = async move {
-        term.recv().await;
+        terminations.recv().await;
     };
-    serve_in(setup, around, hangup, stop, reload, started).await
+    serve_in(setup, environment, hangup, stop, reload, on_start).await
 }
 
-/// What the program runs in: the system, or a simulation.
-pub struct Surroundings {
-    /// Opens connections to hosts and list service.
+/// The I/O and time that the program uses: those of the operating system, or of a simulation.
+pub struct Environment {
+    /// Opens connections to the endpoints and the list service.
     pub network: Rc<dyn Network>,
-    /// Takes clients' connections.
+    /// Accepts the clients' connections.
     pub listener: Rc<dyn Listener>,
-    /// The time.
+    /// The clock of the proxy.
     pub clock: Clock,
 }
 
-impl Surroundings {
-    /// The system, with a listener at this address.
-    pub(crate) fn of_system(listen: SocketAddr) -> Result<Self, String> {
-        let bind = |e| format!("listen on {listen}: {e}");
+impl Environment {
+    /// Returns the environment of the operating system, with a listener at `listen`.
+    pub(crate) fn system(listen: SocketAddr) -> Result<Self, String> {
+        let bind_error = |e| format!("listen on {listen}: {e}");
         let socket = if listen.is_ipv4() {
             TcpSocket::new_v4()
         } else {
             TcpSocket::new_v6()
         };
         let socket = socket.map_err(|e| format!("socket: {e}"))?;
-        socket.set_reuseaddr(true).map_err(bind)?;
-        socket.bind(listen).map_err(bind)?;
-        let listener = socket.listen(BACKLOG).map_err(bind)?;
+        socket.set_reuseaddr(true).map_err(bind_error)?;
+        socket.bind(listen).map_err(bind_error)?;
+        let listener = socket.listen(BACKLOG).map_err(bind_error)?;
         if let Ok(address) = listener.local_addr() {
             tracing::info!("listening on {address}");
         }
-        Ok(Surroundings {
+        Ok(Environment {
             network: Rc::new(Tcp),
             listener: Rc::new(listener),
             clock: Clock::start(),
@@ -179,61 +194,61 @@
     }
 }
 
-/// Serves within these surroundings until `stop` resolves. Each time `hangup` resolves to true `reload` is called; what
-/// it fails with is logged, and must have changed nothing. `started` is shown what runs, once.
+/// Serves in this environment until `stop` resolves. `reload` is called each time `hangup` resolves to true; if it fails,
+/// its error is logged, and it must have changed nothing. `on_start` is called once when the program runs.
 ///
 /// # Errors
-/// If a part ends that must go on: without it calls would stay unanswered.
+/// If the timer task or the discovery task ends: without them calls would stay unanswered.
 pub async fn serve_in(
     setup: Setup,
-    around: Surroundings,
+    environment: Environment,
     mut hangup: impl AsyncFnMut() -> bool,
     stop: impl Future<Output = ()>,
     mut reload: impl FnMut(&Running) -> Result<(), String>,
-    started: impl FnOnce(&Running),
+    on_start: impl FnOnce(&Running),
 ) -> Result<(), String> {
-    let Surroundings {
+    let Environment {
         network,
         listener,
         clock,
-    } = around;
-    let room = setup
+    } = environment;
+    let available_descriptors = setup
         .descriptors
         .saturating_sub(DESCRIPTORS_RESERVED)
         .max(8);
-    let descriptors = Descriptors::new(room);
-    // The rest is for buffers, which are bounded by the number of connections.
-    let bytes = MemoryBudget::new(setup.memory / 4);
+    let descriptors = Descriptors::new(available_descriptors);
+    // The other three quarters are for buffers, which are bounded by the number of connections.
+    let memory_budget = MemoryBudget::new(setup.memory_bytes / 4);
     let idle_limits = match setup.subset {
         Some(terms) => IdleLimits {
             per_endpoint: terms.kept,
             time: terms.idle,
         },
         None => IdleLimits {
-            per_endpoint: connections_kept(setup.facts.settings.balancers),
+            per_endpoint: connections_kept(setup.platform_settings.settings.balancers),
             time: Micros::MAX,
         },
     };
     let pool = ConnectionPool::new(
-        setup.facts.transport,
+        setup.platform_settings.transport,
         idle_limits,
         Rc::clone(&descriptors),
-        Rc::clone(&bytes),
+        Rc::clone(&memory_budget),
         Rc::clone(&network),
         clock,
     );
-    let source = if setup.facts.settings.poll_endpoint_list {
+    let source = if setup.platform_settings.settings.poll_endpoint_list {
         Source::Service
     } else {
         Source::Agent
     };
-    let grace = setup.facts.settings.rules.drain_grace;
+    let drain_grace = setup.platform_settings.settings.rules.drain_grace;
     let subset = setup
         .subset
         .map(|terms| Subset::new(terms.need, terms.instance));
     let driver = Driver::new(
         setup.seed,
-        setup.facts,
+        setup.platform_settings,
         setup.plain_http,
         subset,
         clock,
@@ -241,45 +256,47 @@
     );
     let timeouts = Timeouts::derive(TimeoutConfig {
         source,
-        drain_grace: grace,
+        drain_grace,
         wait: setup.watch_wait,
     });
     let poll = setup
-        .list
+        .list_polling
         .map(|terms| PollSchedule::new(terms.poll, setup.seed));
-    let idle_after = setup.list.map_or(Micros::MAX, |terms| terms.idle_after);
+    let idle_after = setup
+        .list_polling
+        .map_or(Micros::MAX, |terms| terms.idle_after);
     driver.start();
-    let (address, index) = match setup.members {
-        Members::Discovery {
+    let (address, index) = match setup.endpoint_source {
+        EndpointSource::Discovery {
             address,
-            known,
+            cached,
             index,
         } => {
-            driver.members(ListUpdateKind::Cached, &known);
+            driver.members(ListUpdateKind::Cached, &cached);
             (Some(address), index)
         }
-        Members::Fixed(list) => {
+        EndpointSource::Fixed(list) => {
             driver.members(ListUpdateKind::Full, &list);
             (None, None)
         }
     };
-    let mut timers = Task(tokio::task::spawn_local({
+    let mut timers = AbortOnDrop(tokio::task::spawn_local({
         let driver = driver.clone();
         async move { driver.timers().await }
     }));
-    let (moved, moves) = watch::channel(address.unwrap_or(setup.listen));
-    let driver_of_watch = driver.clone();
-    let among_peers = setup.peers.is_some();
+    let (list_service_sender, list_service) = watch::channel(address.unwrap_or(setup.listen));
+    let list_driver = driver.clone();
+    let uses_gossip = setup.gossip.is_some();
     let leave = Rc::new(Notify::new());
-    let (among, left) = (setup.peers, Rc::clone(&leave));
-    let mut watch = Task(tokio::task::spawn_local(async move {
-        match (address, among) {
-            (Some(_), Some(among)) => {
-                peers::run(driver_of_watch, network, moves, among, left).await;
+    let (gossip, leave_requested) = (setup.gossip, Rc::clone(&leave));
+    let mut watch = AbortOnDrop(tokio::task::spawn_local(async move {
+        match (address, gossip) {
+            (Some(_), Some(gossip)) => {
+                peers::run(list_driver, network, list_service, gossip, leave_requested).await;
             }
             (Some(_), None) => {
-                let asking = (timeouts, Watch::new(timeouts, index, poll, setup.seed));
-                discovery::run(driver_of_watch, network, moves, asking, idle_after).await;
+                let watch = (timeouts, Watch::new(timeouts, index, poll, setup.seed));
+                discovery::run(list_driver, network, list_service, watch, idle_after).await;
             }
             (None, _) => std::future::pending().await,
         }
@@ -292,9 +309,9 @@
         rules: RefCell::new(Rc::new(setup.rules)),
         gate: setup.gate,
         plain_http: setup.plain_http,
-        memory_budget: bytes,
+        memory_budget,
         in_flight_ids: RefCell::default(),
-        default_retry_after: Cell::new(setup.advice),
+        default_retry_after: Cell::new(setup.default_retry_after),
         max_connections: clients_borne(setup.descriptors),
         max_excess_connections: (setup.descriptors / 40).max(2),
     });
@@ -302,50 +319,54 @@
         driver,
         server: Rc::clone(&server),
         clock,
-        discovery: moved,
+        list_service: list_service_sender,
     };
-    started(&running);
-    let reloads = async {
+    on_start(&running);
+    let reload_on_hangup = async {
         while hangup().await {
-            if let Err(fault) = reload(&running) {
-                tracing::warn!("the old configuration stays: {fault}");
+            if let Err(error) = reload(&running) {
+                tracing::warn!("reload failed, keeping the old configuration: {error}");
             }
         }
     };
-    let sweep = async {
+    let sweep_connections = async {
         loop {
-            // Thousands of quiet proxies on one machine must not keep it awake.
-            let quiet = pool.has_no_idle() && server.clients.count() == 0;
-            let next = if quiet { SWEEP_QUIET } else { SWEEP };
+            // An idle proxy wakes up less often: thousands of them may share a machine.
+            let is_idle = pool.has_no_idle() && server.clients.count() == 0;
+            let interval = if is_idle {
+                IDLE_SWEEP_INTERVAL
+            } else {
+                SWEEP_INTERVAL
+            };
             running
                 .driver
-                .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
-            tokio::time::sleep(next).await;
+                .pulse(Micros::try_from(interval.as_micros()).unwrap_or(Micros::MAX));
+            tokio::time::sleep(interval).await;
             pool.close_expired();
             server.clients.close_overdue(clock.now());
         }
     };
-    let served = tokio::select! {
+    let result = tokio::select! {
         biased;
         () = Rc::clone(&server).serve(listener, stop) => Ok(()),
-        // Without these calls would stay unanswered: better a crash that is seen.
-        ended = &mut timers.0 => Err(format!("the timers ended: {ended:?}")),
-        ended = &mut watch.0 => Err(format!("discovery ended: {ended:?}")),
-        () = reloads => Err("the reader of the configuration ended".to_owned()),
-        () = sweep => Ok(()),
+        // Without the timers or discovery calls would stay unanswered, so the program fails visibly instead.
+        end = &mut timers.0 => Err(format!("the timer task ended unexpectedly: {end:?}")),
+        end = &mut watch.0 => Err(format!("the discovery task ended unexpectedly: {end:?}")),
+        () = reload_on_hangup => Err("the reload signal can no longer be received".to_owned()),
+        () = sweep_connections => Ok(()),
     };
-    if among_peers && served.is_ok() {
-        // The others need not find out by themselves.
+    if uses_gossip && result.is_ok() {
+        // Announces the departure to the peers, so that they need not detect it.
         leave.notify_one();
         let _ = (&mut watch.0).await;
     }
-    served
+    result
 }
 
-/// A task that ends with its owner.
-struct Task(JoinHandle<()>);
+/// A task that is aborted when its owner is dropped.
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Task {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The program as a sidecar that stands alone: the operator's file is all it has.
+//! The program as a sidecar, configured by the operator's file alone.
 
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
@@ -6,7 +6,7 @@
 use crate::net::peers;
 use crate::net::rules::{Rules, Sidecar};
 use crate::policy_client::PolicyClient;
-use crate::program::{self, Fault, Members, Running, Setup};
+use crate::program::{self, EndpointSource, Error, Running, Setup};
 use badgerramp_config::{Config, PeersTerms, Use};
 use badgerramp_control_protocol::SharedSecret;
 use badgerramp_decisions::settings::{PlatformSettings, Transport};
@@ -17,13 +17,14 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// How long a watch waits, in microseconds: what it costs a list service to go on with one is not known here.
-const WATCH_WAIT: u64 = 10_000_000;
+/// How long a watch of the endpoint list waits for news, in microseconds. It is not derived as on the platform, because the
+/// cost of a repeated watch to the operator's list service is not known.
+const WATCH_WAIT_US: u64 = 10_000_000;
 
-fn load(path: &Path) -> Result<Config, Fault> {
+fn load(path: &Path) -> Result<Config, Error> {
     let config = badgerramp_config::load(path)?;
     if config.usage != Use::Alone {
-        return Err(Fault::Other(format!(
+        return Err(Error::Other(format!(
             "{}: `platform = true` is for `badgerramp --operator`",
             path.display()
         )));
@@ -31,28 +32,29 @@
     Ok(config)
 }
 
-/// Since when each endpoint of the file is known, in Unix milliseconds: those of the start for long.
+/// When each endpoint of the operator's file was first seen, in Unix milliseconds; 0 for those that were in the file at the
+/// start of the program.
 #[derive(Default)]
-struct Known(HashMap<(String, SocketAddr), u64>);
+struct FirstSeenTimes(HashMap<(String, SocketAddr), u64>);
 
-impl Known {
-    /// The list of a file; what is new in it counts as started at `now`.
-    fn list(&mut self, config: &Config, now: u64) -> Vec<Endpoint> {
+impl FirstSeenTimes {
+    /// Returns the endpoints of a file. Those that are new in it count as started at `now`.
+    fn endpoints(&mut self, config: &Config, now: u64) -> Vec<Endpoint> {
         let old = std::mem::take(&mut self.0);
-        let mut list = Vec::new();
+        let mut endpoints = Vec::new();
         for endpoint in &config.upstream.endpoints {
             let key = (endpoint.name.clone(), endpoint.address);
-            let since = old.get(&key).copied().unwrap_or(now);
-            list.push(Endpoint::fixed(endpoint, since));
-            self.0.insert(key, since);
+            let first_seen_ms = old.get(&key).copied().unwrap_or(now);
+            endpoints.push(Endpoint::fixed(endpoint, first_seen_ms));
+            self.0.insert(key, first_seen_ms);
         }
-        list
+        endpoints
     }
 }
 
-/// What can't change while the program runs.
-fn check_same(old: &Config, new: &Config) -> Result<(), String> {
-    let same = [
+/// Checks that the files differ only in what a running program can change.
+fn check_reloadable(old: &Config, new: &Config) -> Result<(), String> {
+    let unchanged = [
         ("listen", old.listen == new.listen),
         ("log", old.log == new.log),
         ("limits.memory", old.limits.memory == new.limits.memory),
@@ -70,91 +72,96 @@
             old.upstream.discovery.is_some() == new.upstream.discovery.is_some(),
         ),
     ];
-    let changed: Vec<&str> = same
+    let changed: Vec<&str> = unchanged
         .into_iter()
-        .filter(|(_, same)| !same)
+        .filter(|(_, unchanged)| !unchanged)
         .map(|(key, _)| key)
         .collect();
     if changed.is_empty() {
         Ok(())
     } else {
         Err(format!(
-            "a running program can't change {}: start it anew",
+            "a running program can't change {}: restart it",
             changed.join(", ")
         ))
     }
 }
 
-/// The system's limit must bear what the file promises.
-fn check_descriptors(wanted: usize) -> Result<(), String> {
+/// Checks that the process may open as many file descriptors as the file sets.
+fn check_descriptor_limit(required: usize) -> Result<(), String> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
-        Some(limit) if limit < wanted as u64 => Err(format!(
-            "limits.descriptors: the file promises {wanted}, but the system gives this process {limit}"
+        Some(limit) if limit < required as u64 => Err(format!(
+            "limits.descriptors: the file sets {required}, but the system limits this process to {limit}"
         )),
         _ => Ok(()),
     }
 }
 
-/// All that a start by a file needs.
-fn setup(config: Config, places: &mut ClassIds, known: &mut Known, seed: u64) -> Setup {
+/// Returns the setup for an operator's file.
+fn setup(
+    config: Config,
+    class_ids: &mut ClassIds,
+    first_seen: &mut FirstSeenTimes,
+    seed: u64,
+) -> Setup {
     let names: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
-    let (numbers, _) = places.assign(&names, |_| false);
+    let (ids, _) = class_ids.assign(&names, |_| false);
     let transport = Transport {
         max_open: config.limits.open_calls,
         conn_idle: config.upstream.idle,
-        // Each route has its own.
+        // Unused: each route has its own.
         connect_timeout: 0,
     };
-    let settings = places.settings(&config, &numbers);
+    let settings = class_ids.settings(&config, &ids);
     let classes = config.classes.iter().map(|c| c.name.clone()).collect();
-    let facts = PlatformSettings {
+    let platform_settings = PlatformSettings {
         settings,
         classes,
         tenants: Vec::new(),
         transport,
     };
-    let members = match config.upstream.discovery {
-        Some(address) => Members::Discovery {
+    let endpoint_source = match config.upstream.discovery {
+        Some(address) => EndpointSource::Discovery {
             address,
-            known: Vec::new(),
+            cached: Vec::new(),
             index: None,
         },
-        None => Members::Fixed(known.list(&config, 0)),
+        None => EndpointSource::Fixed(first_seen.endpoints(&config, 0)),
     };
     Setup {
         listen: config.listen,
         seed,
-        facts,
+        platform_settings,
         descriptors: config.limits.descriptors,
-        memory: config.limits.memory,
-        members,
+        memory_bytes: config.limits.memory,
+        endpoint_source,
         subset: config.subset,
-        watch_wait: Some(WATCH_WAIT),
-        list: config.list,
-        peers: None,
-        advice: config.limits.retry_after,
-        rules: Rules::Sidecar(Box::new(Sidecar::new(config, numbers, seed))),
+        watch_wait: Some(WATCH_WAIT_US),
+        list_polling: config.list,
+        gossip: None,
+        default_retry_after: config.limits.retry_after,
+        rules: Rules::Sidecar(Box::new(Sidecar::new(config, ids, seed))),
         gate: None,
         plain_http: true,
     }
 }
 
-/// The codec of a fleet's datagrams.
-pub(crate) fn codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
+/// Returns the codec of the fleet's datagrams.
+pub(crate) fn datagram_codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
     let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
 
-/// Opens the way to the others.
-fn peers_of(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
-    let codec = codec(terms)?;
-    let fault = |e| format!("peers.listen: {}: {e}", terms.listen);
-    let socket = std::net::UdpSocket::bind(terms.listen).map_err(fault)?;
-    let here = socket.local_addr().map_err(fault)?;
-    tracing::info!("peers: hearing on {here}");
-    let advertise = terms.advertise.unwrap_or(here);
+/// Binds the gossip socket and returns the configuration of the gossip with the fleet's other proxies.
+fn gossip_config(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
+    let codec = datagram_codec(terms)?;
+    let error = |e| format!("peers.listen: {}: {e}", terms.listen);
+    let socket = std::net::UdpSocket::bind(terms.listen).map_err(error)?;
+    let local_address = socket.local_addr().map_err(error)?;
+    tracing::info!("peers: hearing on {local_address}");
+    let advertise = terms.advertise.unwrap_or(local_address);
     Ok(peers::GossipConfig {
         socket,
         advertise,
@@ -164,134 +171,135 @@
     })
 }
 
-/// All that a start by a file needs, where it is not read again later.
+/// Returns the setup for an operator's file that is not reloaded later.
 pub fn setup_once(config: Config, seed: u64) -> Setup {
     setup(
         config,
         &mut ClassIds::default(),
-        &mut Known::default(),
+        &mut FirstSeenTimes::default(),
         seed,
     )
 }
 
-/// Runs the program.
-pub fn run(path: PathBuf) -> Result<(), Fault> {
+/// Runs the program with the operator's file at `path` until SIGTERM.
+///
+/// # Errors
+/// If the file is invalid, or the program fails.
+pub fn run(path: PathBuf) -> Result<(), Error> {
     let config = load(&path)?;
     crate::log::start(&config.log);
-    check_descriptors(config.limits.descriptors)?;
+    check_descriptor_limit(config.limits.descriptors)?;
     if config.policy.is_some() {
-        return run_in_fleet(path, config);
+        return run_with_policy(path, config);
     }
-    let (mut places, mut known) = (ClassIds::default(), Known::default());
-    let peers = config.peers.as_ref().map(peers_of).transpose()?;
-    let mut setup = setup(config, &mut places, &mut known, seed());
-    setup.peers = peers;
+    let (mut class_ids, mut first_seen) = (ClassIds::default(), FirstSeenTimes::default());
+    let gossip = config.peers.as_ref().map(gossip_config).transpose()?;
+    let mut setup = setup(config, &mut class_ids, &mut first_seen, seed());
+    setup.gossip = gossip;
     let reload = move |running: &Running| {
-        let config = reread(&path)?;
+        let config = load_for_reload(&path)?;
         let old = Rc::clone(&running.server.rules.borrow());
         let Rules::Sidecar(old) = &*old else {
-            return Err("this is no sidecar".to_owned());
+            return Err("the program does not run as a sidecar".to_owned());
         };
-        check_same(old.config(), &config)?;
-        // From here on nothing fails.
+        check_reloadable(old.config(), &config)?;
+        // Nothing below fails, so a failed reload changes nothing.
         let names: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
-        let (numbers, fresh) = places.assign(&names, |class| running.driver.in_use(class));
-        let settings = places.settings(&config, &numbers);
+        let (ids, reassigned_ids) = class_ids.assign(&names, |class| running.driver.in_use(class));
+        let settings = class_ids.settings(&config, &ids);
         running
             .driver
-            .reconfigure(settings, fresh, config.limits.open_calls);
-        follow(&config, &mut known, running);
+            .reconfigure(settings, reassigned_ids, config.limits.open_calls);
+        update_endpoints(&config, &mut first_seen, running);
         running
             .server
             .default_retry_after
             .set(config.limits.retry_after);
-        *running.server.rules.borrow_mut() = Rc::new(Rules::Sidecar(Box::new(Sidecar::new(
-            config,
-            numbers,
-            seed(),
-        ))));
+        *running.server.rules.borrow_mut() =
+            Rc::new(Rules::Sidecar(Box::new(Sidecar::new(config, ids, seed()))));
         tracing::info!("the new configuration holds");
         Ok(())
     };
     Ok(program::run(setup, reload, |_| {}, async {})?)
 }
 
-/// All that a start needs where classes and routes are the fleet's.
-fn setup_in_fleet(
+/// Returns the setup and the policy client of a proxy whose classes and routes come from the control plane.
+fn setup_with_policy(
     path: &Path,
     config: Config,
-    known: &mut Known,
-) -> Result<(Setup, Rc<PolicyClient>), Fault> {
-    let mut places = ClassIds::default();
-    let local = load(path)?;
-    let peers = config.peers.as_ref().map(peers_of).transpose()?;
-    let mut setup = setup(config, &mut places, known, seed());
-    setup.peers = peers;
-    let policy_client = PolicyClient::new(local, places)?;
+    first_seen: &mut FirstSeenTimes,
+) -> Result<(Setup, Rc<PolicyClient>), Error> {
+    let mut class_ids = ClassIds::default();
+    let local_config = load(path)?;
+    let gossip = config.peers.as_ref().map(gossip_config).transpose()?;
+    let mut setup = setup(config, &mut class_ids, first_seen, seed());
+    setup.gossip = gossip;
+    let policy_client = PolicyClient::new(local_config, class_ids)?;
     setup.gate = Some(policy_client.gate());
     Ok((setup, policy_client))
 }
 
-/// Runs the program where classes and routes are the fleet's, and the file says what is this proxy's own.
-fn run_in_fleet(path: PathBuf, config: Config) -> Result<(), Fault> {
-    let mut known = Known::default();
-    let (setup, policy_client) = setup_in_fleet(&path, config, &mut known)?;
+/// Runs a proxy whose classes and routes come from the control plane; the file holds the settings of this proxy only.
+fn run_with_policy(path: PathBuf, config: Config) -> Result<(), Error> {
+    let mut first_seen = FirstSeenTimes::default();
+    let (setup, policy_client) = setup_with_policy(&path, config, &mut first_seen)?;
     let reload = |running: &Running| {
-        let config = reread(&path)?;
-        check_same(&policy_client.local(), &config)?;
-        let upstream = reread(&path)?;
-        policy_client.localize(config, running)?;
-        follow(&upstream, &mut known, running);
-        tracing::info!("the new configuration of this proxy's own holds");
+        let config = load_for_reload(&path)?;
+        check_reloadable(&policy_client.local_config(), &config)?;
+        let upstream = load_for_reload(&path)?;
+        policy_client.set_local_config(config, running)?;
+        update_endpoints(&upstream, &mut first_seen, running);
+        tracing::info!("the proxy's own configuration was reloaded");
         Ok(())
     };
     Ok(program::run(
         setup,
         reload,
         |running| policy_client.start(running),
-        policy_client.leave(),
+        policy_client.unregister(),
     )?)
 }
 
-/// Serves a file with `[policy]` in the [`LocalSet`](tokio::task::LocalSet) that polls this, until `stop` resolves: as
-/// [`run`] does, where several proxies share a process. The file is read once, signals are not heard, and the descriptors
-/// that it promises are not held against the process's limit. `started` is shown what decides which calls may begin.
+/// Runs a proxy with `[policy]` in the [`LocalSet`](tokio::task::LocalSet) that polls this future, until `stop` resolves.
+/// It is [`run`] for several proxies that share a process: the file is read once, signals are not handled, and
+/// `limits.descriptors` is not checked against the limit of the process. `on_start` receives the gate that admits calls.
 ///
 /// # Errors
-/// If the file is not good or has no `[policy]`, or a part ends that must go on.
+/// If the file is invalid or has no `[policy]`, or a task ends that must not.
 pub async fn serve(
     path: &Path,
     stop: impl Future<Output = ()>,
-    started: impl FnOnce(Rc<AdmissionGate>),
-) -> Result<(), Fault> {
-    let (setup, policy_client) = setup_in_fleet(path, load(path)?, &mut Known::default())?;
-    let around = program::Surroundings::of_system(setup.listen)?;
+    on_start: impl FnOnce(Rc<AdmissionGate>),
+) -> Result<(), Error> {
+    let (setup, policy_client) =
+        setup_with_policy(path, load(path)?, &mut FirstSeenTimes::default())?;
+    let environment = program::Environment::system(setup.listen)?;
     let no_hangup = async || std::future::pending().await;
     let no_reload = |_: &Running| Ok(());
     let start = |running: &Running| {
         policy_client.start(running);
-        started(policy_client.gate());
+        on_start(policy_client.gate());
     };
-    let served = program::serve_in(setup, around, no_hangup, stop, no_reload, start).await;
-    policy_client.leave().await;
-    Ok(served?)
+    let result = program::serve_in(setup, environment, no_hangup, stop, no_reload, start).await;
+    policy_client.unregister().await;
+    Ok(result?)
 }
 
-fn reread(path: &Path) -> Result<Config, String> {
-    load(path).map_err(|fault| match fault {
-        Fault::Diagnostics(mistakes) => mistakes.to_single_line(),
-        Fault::Other(fault) => fault,
+fn load_for_reload(path: &Path) -> Result<Config, String> {
+    load(path).map_err(|error| match error {
+        Error::Diagnostics(diagnostics) => diagnostics.to_single_line(),
+        Error::Other(error) => error,
     })
 }
 
-/// Goes by the endpoints of a file, or by the list service that it names.
-fn follow(config: &Config, known: &mut Known, running: &Running) {
+/// Applies the endpoints of a file, or the address of its list service.
+fn update_endpoints(config: &Config, first_seen: &mut FirstSeenTimes, running: &Running) {
     match config.upstream.discovery {
-        Some(address) => running.follow(address),
+        Some(address) => running.set_list_service(address),
         None => {
-            // One that is added now may have been started just now: until its cold time is over it gets little.
-            let list = known.list(config, running.clock.now() / 1_000);
-            running.driver.members(ListUpdateKind::Full, &list);
+            // An endpoint that is added now may just have started, so it goes through slow start.
+            let endpoints = first_seen.endpoints(config, running.clock.now() / 1_000);
+            running.driver.members(ListUpdateKind::Full, &endpoints);
         }
     }
 }
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -1,12 +1,12 @@
-//! What comes between two lines: a request, an answer, a close or a signal that crosses the program's own next step. Each
-//! crossing is forced. Where the point lies inside the program, its real sockets are held there by a hook; where the
-//! system can hold it, the program runs as a process and is stopped (SIGSTOP).
+//! Race conditions: requests, responses, closes and signals that arrive while the program takes a conflicting step. Each
+//! race is forced. Races inside the program are forced by hooks on its sockets, with the program running in this process;
+//! the others by running it as a process and stopping it with SIGSTOP.
 
 use badgerramp::net::clock::Clock;
 use badgerramp::net::driver::List;
 use badgerramp::net::rules::{Platform, Rules};
 use badgerramp::net::socket::{Connecting, Listener, Network, Stream};
-use badgerramp::program::{serve_in, Members, Setup, Surroundings};
+use badgerramp::program::{serve_in, EndpointSource, Environment, Setup};
 use badgerramp_decisions::settings;
 use badgerramp_testkit::*;
 use socket2::SockRef;
@@ -26,81 +26,88 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_badgerramp");
 
-/// At which of the program's steps on a client's connection something else comes first.
+/// A step of the program on a connection, before or after which a hook runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
-    /// A read has found nothing.
-    ReadNothing,
-    /// The system was asked and has nothing.
-    Quiet,
-    /// Its sending side is about to be closed.
+enum HookPoint {
+    /// A read has returned `Pending`.
+    ReadPending,
+    /// The check for unread bytes has found none.
+    NothingUnread,
+    /// The program is about to shut down its sending side.
     Shutdown,
 }
 
-/// From here on connections to the host are counted.
-const TO_HOSTS: usize = 1_000;
+/// Connections to the host are numbered from here on; connections of clients are numbered from 0.
+const FIRST_UPSTREAM_CONNECTION: usize = 1_000;
 
-/// What is to come at which step of which connection, counted from 0.
-type Crossing = (Step, usize, Box<dyn FnOnce(&TcpStream)>);
+/// A hook that has not run yet: its step, the number of its connection, and its action.
+type PendingHook = (HookPoint, usize, Box<dyn FnOnce(&TcpStream)>);
 
-/// What is to come, and from when on, as nothing is in the listener's queue.
-type NoneQueued = (Instant, Box<dyn FnOnce()>);
+/// A hook that runs when the listener's queue is empty: the time from which on it may run, and its action.
+type EmptyQueueHook = (Instant, Box<dyn FnOnce()>);
 
 /// The hooks of all connections.
 #[derive(Default)]
 struct Hooks {
-    crossing: RefCell<Option<Crossing>>,
-    /// Bytes that connections still take, where that is bounded, and who waits for more.
-    takes: Cell<Option<usize>>,
-    wakers: RefCell<Vec<Waker>>,
-    /// The connections of clients that were accepted.
+    pending: RefCell<Option<PendingHook>>,
+    /// Bytes that may still be written to connections, where that is limited.
+    write_budget: Cell<Option<usize>>,
+    /// Tasks that wait until they may write more.
+    blocked_writers: RefCell<Vec<Waker>>,
+    /// The accepted connections of clients.
     accepted: RefCell<Vec<Weak<tokio::net::TcpStream>>>,
-    /// Connections that were closed with bytes unread.
-    unread: Cell<usize>,
-    /// The host, and how many connections to it were opened.
+    /// Number of connections that were closed while they had unread bytes.
+    closed_unread: Cell<usize>,
+    /// The host.
     host: Cell<Option<SocketAddr>>,
+    /// Number of connections to the host that were opened.
     opened: Cell<usize>,
-    /// What comes right after the listener, asked from this time on, had nothing.
-    none_queued: RefCell<Option<NoneQueued>>,
-    /// Connections to this host are held until that is told.
-    held: Cell<Option<SocketAddr>>,
+    /// The hook that runs when the listener's queue is empty.
+    empty_queue_hook: RefCell<Option<EmptyQueueHook>>,
+    /// Connects to this host wait until `released` is notified; `connecting` is notified when one begins.
+    held_host: Cell<Option<SocketAddr>>,
     connecting: Notify,
     released: Notify,
 }
 
 impl Hooks {
-    fn at(&self, step: Step, connection: usize, what: impl FnOnce(&TcpStream) + 'static) {
-        *self.crossing.borrow_mut() = Some((step, connection, Box::new(what)));
+    fn set_hook(
+        &self,
+        point: HookPoint,
+        connection: usize,
+        action: impl FnOnce(&TcpStream) + 'static,
+    ) {
+        *self.pending.borrow_mut() = Some((point, connection, Box::new(action)));
     }
 
-    /// Has what was to come at a step come?
-    fn crossed(&self) -> bool {
-        self.crossing.borrow().is_none()
+    /// Returns whether the hook has run.
+    fn hook_ran(&self) -> bool {
+        self.pending.borrow().is_none()
     }
 
-    fn reached(&self, step: Step, stream: &Hooked) {
-        let here = |c: &mut Crossing| (c.0, c.1) == (step, stream.number);
-        let crossing = self.crossing.borrow_mut().take_if(here);
-        if let Some((.., what)) = crossing {
+    fn run_hook(&self, point: HookPoint, stream: &HookedStream) {
+        let matches = |c: &mut PendingHook| (c.0, c.1) == (point, stream.number);
+        let pending = self.pending.borrow_mut().take_if(matches);
+        if let Some((.., action)) = pending {
             let std = SockRef::from(&*stream.stream)
                 .try_clone()
                 .expect("a descriptor");
-            what(&std.into());
+            action(&std.into());
         }
     }
 
-    fn found_no_connection(&self) {
-        let due = self
-            .none_queued
+    fn run_empty_queue_hook(&self) {
+        let hook = self
+            .empty_queue_hook
             .borrow_mut()
             .take_if(|(from, _)| *from <= Instant::now());
-        if let Some((_, what)) = due {
-            what();
+        if let Some((_, action)) = hook {
+            action();
         }
     }
 
-    /// Waits until the program has read all that has come on a connection.
-    async fn read(&self, connection: usize) {
+    /// Waits until the program has read all bytes that were received on a connection.
+    async fn wait_until_read(&self, connection: usize) {
         let unread = || match self
             .accepted
             .borrow()
@@ -115,34 +122,40 @@
         }
     }
 
-    fn take_all(&self) {
-        self.takes.set(None);
-        self.wakers.borrow_mut().drain(..).for_each(Waker::wake);
+    fn unblock_writes(&self) {
+        self.write_budget.set(None);
+        self.blocked_writers
+            .borrow_mut()
+            .drain(..)
+            .for_each(Waker::wake);
     }
 }
 
-/// A client's connection at the program's side.
-struct Hooked {
+/// A connection of the program whose steps run the hooks.
+struct HookedStream {
     stream: Rc<tokio::net::TcpStream>,
     number: usize,
     hooks: Rc<Hooks>,
 }
 
-impl Stream for Hooked {
+impl Stream for HookedStream {
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let read = Stream::poll_read(&*self.stream, cx, buf);
         if read.is_pending() {
-            self.hooks.reached(Step::ReadNothing, self);
+            self.hooks.run_hook(HookPoint::ReadPending, self);
         }
         read
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let Some(left) = self.hooks.takes.get() else {
+        let Some(left) = self.hooks.write_budget.get() else {
             return Stream::poll_write(&*self.stream, cx, buf);
         };
         if left == 0 {
-            self.hooks.wakers.borrow_mut().push(cx.waker().clone());
+            self.hooks
+                .blocked_writers
+                .borrow_mut()
+                .push(cx.waker().clone());
             return Poll::Pending;
         }
         let written = ready!(Stream::poll_write(
@@ -150,19 +163,19 @@
             cx,
             &buf[..left.min(buf.len())]
         ))?;
-        self.hooks.takes.set(Some(left - written));
+        self.hooks.write_budget.set(Some(left - written));
         Poll::Ready(Ok(written))
     }
 
     fn shutdown(&self) {
-        self.hooks.reached(Step::Shutdown, self);
+        self.hooks.run_hook(HookPoint::Shutdown, self);
         Stream::shutdown(&*self.stream);
     }
 
     fn quiet(&self) -> bool {
         let quiet = Stream::quiet(&*self.stream);
         if quiet {
-            self.hooks.reached(Step::Quiet, self);
+            self.hooks.run_hook(HookPoint::NothingUnread, self);
         }
         quiet
     }
@@ -176,31 +189,34 @@
     }
 }
 
-impl Drop for Hooked {
+impl Drop for HookedStream {
     fn drop(&mut self) {
         if SockRef::from(&*self.stream)
             .peek(&mut [std::mem::MaybeUninit::uninit()])
             .is_ok_and(|count| count > 0)
         {
-            self.hooks.unread.set(self.hooks.unread.get() + 1);
+            self.hooks
+                .closed_unread
+                .set(self.hooks.closed_unread.get() + 1);
         }
     }
 }
 
-struct Door(TcpListener, Rc<Hooks>);
+/// A listener whose connections run the hooks.
+struct HookedListener(TcpListener, Rc<Hooks>);
 
-impl Listener for Door {
+impl Listener for HookedListener {
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>> {
         let accept = self.0.poll_accept(cx);
         if accept.is_pending() {
-            self.1.found_no_connection();
+            self.1.run_empty_queue_hook();
         }
         let (stream, _) = ready!(accept)?;
         let mut accepted = self.1.accepted.borrow_mut();
         let number = accepted.len();
         let stream = Rc::new(stream);
         accepted.push(Rc::downgrade(&stream));
-        Poll::Ready(Ok(Rc::new(Hooked {
+        Poll::Ready(Ok(Rc::new(HookedStream {
             stream,
             number,
             hooks: Rc::clone(&self.1),
@@ -208,22 +224,23 @@
     }
 }
 
-struct Ways(Rc<Hooks>);
+/// A network whose connections run the hooks.
+struct HookedNetwork(Rc<Hooks>);
 
-impl Network for Ways {
+impl Network for HookedNetwork {
     fn connect(&self, address: SocketAddr) -> Connecting {
         let hooks = Rc::clone(&self.0);
         Box::pin(async move {
-            if hooks.held.get() == Some(address) {
+            if hooks.held_host.get() == Some(address) {
                 hooks.connecting.notify_one();
                 hooks.released.notified().await;
             }
             let stream = tokio::net::TcpStream::connect(address).await?;
-            let number = TO_HOSTS
+            let number = FIRST_UPSTREAM_CONNECTION
                 + hooks
                     .opened
                     .replace(hooks.opened.get() + usize::from(hooks.host.get() == Some(address)));
-            Ok(Rc::new(Hooked {
+            Ok(Rc::new(HookedStream {
                 stream: Rc::new(stream),
                 number,
                 hooks,
@@ -232,8 +249,8 @@
     }
 }
 
-/// The program within this process.
-struct Inside {
+/// The program as tasks of this process.
+struct InProcessProxy {
     hooks: Rc<Hooks>,
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -241,15 +258,15 @@
     _discovery: Discovery,
 }
 
-impl Inside {
-    /// One with so many descriptors, at this host.
-    async fn start(descriptors: usize, host: &Host) -> Inside {
-        Inside::start_at(descriptors, host.address).await
+impl InProcessProxy {
+    /// Starts the program with a limit on descriptors and one endpoint.
+    async fn start(descriptors: usize, host: &Host) -> InProcessProxy {
+        InProcessProxy::start_at(descriptors, host.address).await
     }
 
-    async fn start_at(descriptors: usize, host: SocketAddr) -> Inside {
-        let facts = serde_json::from_str(SETTINGS).expect("JSON");
-        let facts = settings::read(&facts).expect("settings");
+    async fn start_at(descriptors: usize, host: SocketAddr) -> InProcessProxy {
+        let platform_settings = serde_json::from_str(SETTINGS).expect("JSON");
+        let platform_settings = settings::read(&platform_settings).expect("settings");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let discovery = Discovery::start();
@@ -258,37 +275,37 @@
         let setup = Setup {
             listen: address,
             seed: 7,
-            rules: Rules::Platform(Platform::new(&facts, None)),
-            facts,
+            rules: Rules::Platform(Platform::new(&platform_settings, None)),
+            platform_settings,
             descriptors,
-            memory: 64 << 20,
-            members: Members::Discovery {
+            memory_bytes: 64 << 20,
+            endpoint_source: EndpointSource::Discovery {
                 address: discovery.address,
-                known: known.endpoints,
+                cached: known.endpoints,
                 index: Some(known.index),
             },
             subset: None,
             watch_wait: None,
-            list: None,
-            peers: None,
+            list_polling: None,
+            gossip: None,
             gate: None,
-            advice: 0,
+            default_retry_after: 0,
             plain_http: false,
         };
         let hooks = Rc::new(Hooks::default());
         hooks.host.set(Some(host));
-        let around = Surroundings {
-            network: Rc::new(Ways(Rc::clone(&hooks))),
-            listener: Rc::new(Door(listener, Rc::clone(&hooks))),
+        let environment = Environment {
+            network: Rc::new(HookedNetwork(Rc::clone(&hooks))),
+            listener: Rc::new(HookedListener(listener, Rc::clone(&hooks))),
             clock: Clock::start(),
         };
         let ((stop, stopped), (end, ended)) = (oneshot::channel(), oneshot::channel());
         tokio::task::spawn_local(async move {
             let hangup = async || std::future::pending().await;
             let stop = async move { stopped.await.unwrap_or_default() };
-            let _ = end.send(serve_in(setup, around, hangup, stop, |_| Ok(()), |_| {}).await);
+            let _ = end.send(serve_in(setup, environment, hangup, stop, |_| Ok(()), |_| {}).await);
         });
-        Inside {
+        InProcessProxy {
             hooks,
             address,
             stop: Some(stop),
@@ -301,7 +318,7 @@
         let _ = self.stop.take().expect("one stop").send(());
     }
 
-    /// A client, whose connection is the next one.
+    /// Connects a client. Its connection has the next number.
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
@@ -311,8 +328,8 @@
     }
 }
 
-/// Runs this beside the program.
-fn beside(test: impl AsyncFnOnce()) {
+/// Runs a test on the runtime on which the program runs as well.
+fn run_local(test: impl AsyncFnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -320,20 +337,20 @@
     tokio::task::LocalSet::new().block_on(&runtime, test());
 }
 
-/// What a client does that waits, in a thread of its own.
-async fn waiting<T: Send + 'static>(
+/// Runs the blocking action of a client on a thread of its own. Returns the client and the action's result.
+async fn on_client_thread<T: Send + 'static>(
     mut client: Client,
-    what: impl FnOnce(&mut Client) -> T + Send + 'static,
+    action: impl FnOnce(&mut Client) -> T + Send + 'static,
 ) -> (Client, T) {
     let done = tokio::task::spawn_blocking(move || {
-        let told = what(&mut client);
-        (client, told)
+        let response = action(&mut client);
+        (client, response)
     });
     done.await.expect("a client")
 }
 
-/// Has this written by the client, and waits until the other side's system has it.
-fn arrives(client: &Client, text: String) -> impl FnOnce(&TcpStream) + 'static {
+/// Returns an action that writes `text` as the client and waits until the other side of the connection has received bytes.
+fn write_until_received(client: &Client, text: String) -> impl FnOnce(&TcpStream) + 'static {
     let client = client.stream.get_ref().try_clone().expect("a descriptor");
     move |other| {
         io::Write::write_all(&mut &client, text.as_bytes()).expect("an open connection");
@@ -343,27 +360,28 @@
     }
 }
 
-fn next(client: &mut Client) -> Option<Message> {
+fn read_answer(client: &mut Client) -> Option<Message> {
     client.answer()
 }
 
-/// At a stop idle connections are closed; a request that had reached the system by then, and was not read, went down with
-/// its connection.
+/// A shutdown closes idle connections. A request that the kernel had received by then, but the program had not read, was lost
+/// with its connection.
 #[test]
-fn a_request_that_comes_as_its_connection_is_closed_at_a_stop_is_answered() {
-    beside(async || {
+fn a_request_that_arrives_while_shutdown_closes_its_idle_connection_is_answered() {
+    run_local(async || {
         let host = Host::serving("ok");
-        let mut program = Inside::start(1_024, &host).await;
-        let (client, first) = waiting(program.client(), |c| c.call("unsafe", "2000m")).await;
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (client, first) =
+            on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
         assert_eq!(first.status(), 200);
-        program.hooks.at(
-            Step::ReadNothing,
+        program.hooks.set_hook(
+            HookPoint::ReadPending,
             0,
-            arrives(&client, request("unsafe", "2000m", "cross")),
+            write_until_received(&client, request("unsafe", "2000m", "cross")),
         );
         program.stop();
-        let (_, answer) = waiting(client, next).await;
-        assert!(program.hooks.crossed());
+        let (_, answer) = on_client_thread(client, read_answer).await;
+        assert!(program.hooks.hook_ran());
         let answer = answer.expect("an answer");
         assert_eq!(
             (answer.status(), answer.header("connection")),
@@ -373,24 +391,24 @@
     });
 }
 
-/// A connection that has never been asked on was closed at a stop like one that had its answer; the client that had just
-/// opened it was about to ask, and its request came to a closed connection.
+/// A shutdown closed connections without a request so far like idle ones. A client that had just connected then sent its
+/// first request to a closed connection.
 #[test]
-fn a_first_request_that_comes_after_a_stop_on_a_connection_taken_before_it_is_answered() {
-    beside(async || {
+fn the_first_request_on_a_connection_accepted_before_shutdown_is_answered() {
+    run_local(async || {
         let host = Host::serving("ok");
-        let mut program = Inside::start(1_024, &host).await;
-        let (used, first) = waiting(program.client(), |c| c.call("unsafe", "2000m")).await;
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (used, first) = on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
         assert_eq!(first.status(), 200);
         let new = program.client();
         while program.hooks.accepted.borrow().len() < 2 {
             tokio::time::sleep(SHORT / 300).await;
         }
         program.stop();
-        // That an idle connection ends shows that the stop has been heard.
-        let (_, end) = waiting(used, next).await;
+        // The end of an idle connection shows that the shutdown has begun.
+        let (_, end) = on_client_thread(used, read_answer).await;
         assert!(end.is_none(), "nothing was owed on it");
-        let (_, answer) = waiting(new, |c| {
+        let (_, answer) = on_client_thread(new, |c| {
             c.send("unsafe", "2000m");
             c.answer()
         })
@@ -404,15 +422,15 @@
     });
 }
 
-/// The listener went with a connection in its queue that had come since the runtime's last look at its sockets; the system
-/// reset it.
+/// The listener was closed while its queue held a connection that had arrived since the runtime last polled its sockets; the
+/// kernel reset that connection.
 #[test]
-fn a_connection_that_is_queued_as_the_listener_goes_is_answered() {
-    /// How long connections are accepted after a stop.
+fn a_connection_queued_while_the_listener_closes_is_served() {
+    /// Time from which on the hook may run, just before the listener closes: connections are accepted so long after a stop.
     const ACCEPTED: Duration = Duration::from_millis(450);
-    beside(async || {
+    run_local(async || {
         let host = Host::serving("ok");
-        let mut program = Inside::start(1_024, &host).await;
+        let mut program = InProcessProxy::start(1_024, &host).await;
         let (client, connected) = oneshot::channel();
         let address = program.address;
         let connects = move || {
@@ -424,10 +442,10 @@
             queued.send("unsafe", "2000m");
             assert!(client.send(queued).is_ok(), "it is waited for");
         };
-        *program.hooks.none_queued.borrow_mut() =
+        *program.hooks.empty_queue_hook.borrow_mut() =
             Some((Instant::now() + ACCEPTED, Box::new(connects)));
         program.stop();
-        let (_, answer) = waiting(connected.await.expect("a client"), next).await;
+        let (_, answer) = on_client_thread(connected.await.expect("a client"), read_answer).await;
         let answer = answer.expect("an answer");
         assert_eq!(
             (answer.status(), answer.header("connection")),
@@ -437,25 +455,27 @@
     });
 }
 
-/// Half of a head that had come by the stop was dropped on a connection that had been used before; what came of it then
-/// had nobody to read it.
+/// On a connection that had served a request before, a head that was half received at shutdown was dropped, and the rest of
+/// the request was never read.
 #[test]
-fn a_request_that_is_half_in_at_a_stop_is_answered() {
-    beside(async || {
+fn a_request_partly_received_at_shutdown_is_answered() {
+    run_local(async || {
         let host = Host::serving("ok");
-        let mut program = Inside::start(1_024, &host).await;
-        let (client, _) = waiting(program.client(), |c| c.call("unsafe", "2000m")).await;
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (client, _) = on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
         let text = request("unsafe", "2000m", "half");
         let (half, rest) = text.split_at(40);
-        program
-            .hooks
-            .at(Step::ReadNothing, 0, arrives(&client, half.to_owned()));
+        program.hooks.set_hook(
+            HookPoint::ReadPending,
+            0,
+            write_until_received(&client, half.to_owned()),
+        );
         program.stop();
-        while !program.hooks.crossed() {
+        while !program.hooks.hook_ran() {
             tokio::task::yield_now().await;
         }
         let rest = rest.to_owned();
-        let (_, answer) = waiting(client, move |c| {
+        let (_, answer) = on_client_thread(client, move |c| {
             c.write(&rest);
             c.answer()
         })
@@ -465,11 +485,11 @@
     });
 }
 
-/// A connection is chosen to make room as nothing is on it; a request that came right then had a tenth of a second, and
-/// was lost after it.
+/// An idle connection is closed to make room for another client. A request that arrived on it just then was lost unless it
+/// was answered within a tenth of a second.
 #[test]
-fn a_request_that_comes_as_its_connection_is_to_make_room_is_answered() {
-    beside(async || {
+fn a_request_that_arrives_while_its_connection_is_closed_for_another_client_is_answered() {
+    run_local(async || {
         let (open, gate) = mpsc::channel::<()>();
         let gate = Mutex::new(gate);
         let host = Host::start(move |n| {
@@ -478,122 +498,125 @@
             }
             Reply::Write(answer("200 OK", "", "ok"))
         });
-        // Eight clients may stay.
-        let program = Inside::start(64, &host).await;
+        // With 64 descriptors the program keeps eight clients.
+        let program = InProcessProxy::start(64, &host).await;
         let mut clients = VecDeque::new();
         for _ in 0..8 {
-            let (client, told) = waiting(program.client(), |c| c.call("safe", "2000m")).await;
-            assert_eq!(told.status(), 200);
+            let (client, response) =
+                on_client_thread(program.client(), |c| c.call("safe", "2000m")).await;
+            assert_eq!(response.status(), 200);
             clients.push_back(client);
         }
         let first = clients.pop_front().expect("eight");
-        program.hooks.at(
-            Step::Quiet,
+        program.hooks.set_hook(
+            HookPoint::NothingUnread,
             0,
-            arrives(&first, request("unsafe", "3000m", "cross")),
+            write_until_received(&first, request("unsafe", "3000m", "cross")),
         );
-        let ninth = waiting(program.client(), |c| c.call("safe", "2000m"));
-        let (_, told) = tokio::join!(ninth, async {
-            // It reaches its host, and its answer comes long after those who leave are cut off.
-            while !program.hooks.crossed() {
+        let ninth = on_client_thread(program.client(), |c| c.call("safe", "2000m"));
+        let (_, response) = tokio::join!(ninth, async {
+            // The host answers the request long after connections that make room are cut off.
+            while !program.hooks.hook_ran() {
                 tokio::time::sleep(SHORT / 30).await;
             }
-            let waits = waiting(first, next);
-            let (answer, ()) = tokio::join!(waits, async {
+            let read_first = on_client_thread(first, read_answer);
+            let (answer, ()) = tokio::join!(read_first, async {
                 tokio::time::sleep(SHORT).await;
                 open.send(()).expect("the host waits");
             });
             answer.1
         });
-        assert_eq!(told.map(|a| a.status()), Some(200));
+        assert_eq!(response.map(|a| a.status()), Some(200));
     });
 }
 
-/// An answer that its client had not read was taken for given: the stop left it half written, and so did the next client
-/// that wanted the place.
+/// A response that its client had not read yet counted as delivered, so a shutdown, or a new client that needed the place,
+/// closed the connection with the response half written.
 #[test]
-fn an_answer_on_its_way_is_written_whole_whatever_comes() {
-    beside(async || {
+fn a_partly_written_response_is_completed_despite_new_clients_and_shutdown() {
+    run_local(async || {
         let body = "x".repeat(60_000);
-        let large = body.clone();
-        let host = Host::start(move |_| Reply::Write(answer("200 OK", "", &large)));
-        let mut program = Inside::start(64, &host).await;
-        program.hooks.takes.set(Some(1_000));
+        let response_body = body.clone();
+        let host = Host::start(move |_| Reply::Write(answer("200 OK", "", &response_body)));
+        let mut program = InProcessProxy::start(64, &host).await;
+        program.hooks.write_budget.set(Some(1_000));
         let mut slow = program.client();
         slow.send("safe", "3000m");
-        while program.hooks.wakers.borrow().is_empty() {
+        while program.hooks.blocked_writers.borrow().is_empty() {
             tokio::time::sleep(SHORT / 30).await;
         }
-        // Ten more come, and have nothing to say: the place of the slow one must not be theirs.
-        let crowd: Vec<Client> = (0..10).map(|_| program.client()).collect();
+        // Ten more clients connect and send nothing: they must not get the place of the slow client.
+        let silent_clients: Vec<Client> = (0..10).map(|_| program.client()).collect();
         tokio::time::sleep(SHORT).await;
         program.stop();
-        // The listener goes, and nothing is left but this one.
+        // Wait until the listener is closed, so that only the slow client is left.
         while TcpStream::connect(program.address).is_ok() {
             tokio::time::sleep(SHORT / 30).await;
         }
         tokio::time::sleep(SHORT).await;
-        program.hooks.take_all();
-        let (_, told) = waiting(slow, next).await;
-        assert_eq!(told.map(|a| a.body), Some(body.into_bytes()));
+        program.hooks.unblock_writes();
+        let (_, response) = on_client_thread(slow, read_answer).await;
+        assert_eq!(response.map(|a| a.body), Some(body.into_bytes()));
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
-        drop(crowd);
+        drop(silent_clients);
     });
 }
 
-/// One that never takes its answer holds a stop up for a minute, not for ever.
+/// A client that never reads its response must not delay a shutdown for longer than a minute.
 #[test]
-fn an_answer_that_nobody_takes_does_not_hold_a_stop_up_for_ever() {
-    beside(async || {
+fn an_unread_response_delays_shutdown_by_a_minute_at_most() {
+    run_local(async || {
         let host = Host::serving("ok");
-        let mut program = Inside::start(64, &host).await;
-        program.hooks.takes.set(Some(10));
+        let mut program = InProcessProxy::start(64, &host).await;
+        program.hooks.write_budget.set(Some(10));
         let mut slow = program.client();
         slow.send("safe", "3000m");
-        while program.hooks.wakers.borrow().is_empty() {
+        while program.hooks.blocked_writers.borrow().is_empty() {
             tokio::time::sleep(SHORT / 30).await;
         }
-        // From here on time runs as fast as nothing is to be done.
+        // From here on the runtime's time advances whenever it has nothing to do.
         tokio::time::pause();
-        let asked = tokio::time::Instant::now();
+        let shutdown_start = tokio::time::Instant::now();
         program.stop();
         assert_eq!(program.ended.await.expect("an end"), Ok(()));
         assert!(
-            (50..70).contains(&asked.elapsed().as_secs()),
+            (50..70).contains(&shutdown_start.elapsed().as_secs()),
             "{:?}",
-            asked.elapsed()
+            shutdown_start.elapsed()
         );
     });
 }
 
-/// A close over unread bytes is a reset, which may take the answer before it with it: also where the client, and not the
-/// request, had more to say.
+/// Closing a socket with unread bytes sends a reset, which may destroy the response before it. This also holds for bytes
+/// that do not belong to the request.
 #[test]
-fn what_comes_as_a_connection_is_closed_breaks_no_answer() {
+fn bytes_that_arrive_while_a_connection_is_closed_cause_no_reset() {
     for at_stop in [true, false] {
-        beside(async || {
+        run_local(async || {
             let host = Host::serving("ok");
-            let mut program = Inside::start(1_024, &host).await;
+            let mut program = InProcessProxy::start(1_024, &host).await;
             let mut client = program.client();
-            program
-                .hooks
-                .at(Step::Shutdown, 0, arrives(&client, "GET /sa".to_owned()));
+            program.hooks.set_hook(
+                HookPoint::Shutdown,
+                0,
+                write_until_received(&client, "GET /sa".to_owned()),
+            );
             if at_stop {
-                let (used, answer) = waiting(client, |c| c.call("safe", "2000m")).await;
+                let (used, answer) = on_client_thread(client, |c| c.call("safe", "2000m")).await;
                 assert_eq!(answer.status(), 200);
                 client = used;
                 program.stop();
             } else {
-                // More than belongs to the request: its answer closes.
+                // The extra bytes make the request invalid: the connection is closed after its response.
                 client.write(&(request("unsafe", "2000m", "1") + "GET /"));
             }
             let (mut client, answer) =
-                waiting(client, move |c| if at_stop { None } else { c.answer() }).await;
+                on_client_thread(client, move |c| if at_stop { None } else { c.answer() }).await;
             assert_eq!(
                 answer.map(|a| a.status()),
                 if at_stop { None } else { Some(400) }
             );
-            let end = waiting(
+            let end = on_client_thread(
                 Client {
                     stream: BufReader::new(
                         client.stream.get_ref().try_clone().expect("a descriptor"),
@@ -601,12 +624,16 @@
                 },
                 |c| c.stream.read(&mut [0; 16]).map_err(|e| e.kind()),
             );
-            assert_eq!(end.await.1, Ok(0), "an end, no reset");
-            assert!(program.hooks.crossed());
+            assert_eq!(end.await.1, Ok(0), "an orderly close, no reset");
+            assert!(program.hooks.hook_ran());
             while program.hooks.accepted.borrow()[0].strong_count() > 0 {
                 tokio::time::sleep(SHORT / 30).await;
             }
-            assert_eq!(program.hooks.unread.get(), 0, "closed with bytes unread");
+            assert_eq!(
+                program.hooks.closed_unread.get(),
+                0,
+                "closed with bytes unread"
+            );
             client
                 .stream
                 .get_mut()
@@ -616,62 +643,66 @@
     }
 }
 
-/// Between the look at an idle connection and the request's first byte the host says something, or closes. The request is
-/// written behind that, so that it may have run: a safe one goes again, an unsafe one has failed.
+/// The host sends bytes or closes between the check of an idle connection and the first byte of a request. The request is
+/// written after that, so it may have run: a safe request is retried, an unsafe one fails.
 #[test]
-fn what_a_host_does_right_before_the_first_byte_is_no_answer_and_proves_nothing() {
-    // Half a line may be the beginning of an answer: it is waited for.
-    for (says, safe) in [("HTTP/1.1 40", 503), ("noise\r\n\r\n", 200), ("", 200)] {
+fn bytes_or_a_close_of_a_host_just_before_a_request_are_neither_response_nor_rejection() {
+    // A partial status line may be the beginning of a response, so the program waits for the rest.
+    for (bytes, safe_status) in [("HTTP/1.1 40", 503), ("noise\r\n\r\n", 200), ("", 200)] {
         for class in ["safe", "unsafe"] {
-            beside(async || {
-                let host = Interrupts::start(says);
-                let program = Inside::start_at(1_024, host.address).await;
+            run_local(async || {
+                let host = InterruptingHost::start(bytes);
+                let program = InProcessProxy::start_at(1_024, host.address).await;
                 let (client, first) =
-                    waiting(program.client(), |c| c.call("unsafe", "3000m")).await;
+                    on_client_thread(program.client(), |c| c.call("unsafe", "3000m")).await;
                 assert_eq!(first.status(), 200);
-                let now = host.now;
-                program.hooks.at(Step::Quiet, TO_HOSTS, move |stream| {
-                    now.send(()).expect("the host waits");
-                    while stream.peek(&mut [0]).is_err() {
-                        thread::yield_now();
-                    }
-                });
-                let (_, second) = waiting(client, move |c| c.call(class, "3000m")).await;
-                assert!(program.hooks.crossed());
+                let interrupt = host.interrupt;
+                program.hooks.set_hook(
+                    HookPoint::NothingUnread,
+                    FIRST_UPSTREAM_CONNECTION,
+                    move |stream| {
+                        interrupt.send(()).expect("the host waits");
+                        while stream.peek(&mut [0]).is_err() {
+                            thread::yield_now();
+                        }
+                    },
+                );
+                let (_, second) = on_client_thread(client, move |c| c.call(class, "3000m")).await;
+                assert!(program.hooks.hook_ran());
                 assert_eq!(
                     second.status(),
-                    if class == "safe" { safe } else { 502 },
-                    "{class} after {says:?}"
+                    if class == "safe" { safe_status } else { 502 },
+                    "{class} after {bytes:?}"
                 );
-                // It is on its way to nobody, or ran at most once more.
+                // The host receives at most one more request, and one retry if it is safe.
                 let most = if class == "safe" { 3 } else { 2 };
                 assert!(
-                    host.asked.load(Ordering::SeqCst) <= most,
-                    "{class} after {says:?}"
+                    host.requests.load(Ordering::SeqCst) <= most,
+                    "{class} after {bytes:?}"
                 );
             });
         }
     }
 }
 
-/// A host whose first connection, once it has answered a request, says something or closes when it is told.
-struct Interrupts {
+/// A host that, on its first connection after one response, sends bytes or closes when `interrupt` is signalled.
+struct InterruptingHost {
     address: SocketAddr,
-    now: mpsc::Sender<()>,
-    asked: Arc<AtomicUsize>,
+    interrupt: mpsc::Sender<()>,
+    requests: Arc<AtomicUsize>,
 }
 
-impl Interrupts {
-    fn start(says: &'static str) -> Interrupts {
+impl InterruptingHost {
+    fn start(bytes: &'static str) -> InterruptingHost {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let (now, told) = mpsc::channel::<()>();
-        let asked = Arc::new(AtomicUsize::new(0));
-        let count = Arc::clone(&asked);
+        let (interrupt, interrupted) = mpsc::channel::<()>();
+        let requests = Arc::new(AtomicUsize::new(0));
+        let count = Arc::clone(&requests);
         thread::spawn(move || {
-            let mut told = Some(told);
+            let mut interrupted = Some(interrupted);
             for stream in listener.incoming().flatten() {
-                let (told, count) = (told.take(), Arc::clone(&count));
+                let (interrupted, count) = (interrupted.take(), Arc::clone(&count));
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while read(&mut stream).is_some() {
@@ -680,12 +711,15 @@
                             stream.get_mut(),
                             answer("200 OK", "", "ok").as_bytes(),
                         );
-                        if told.as_ref().is_some_and(|told| told.recv().is_ok()) {
-                            if says.is_empty() {
+                        if interrupted
+                            .as_ref()
+                            .is_some_and(|interrupted| interrupted.recv().is_ok())
+                        {
+                            if bytes.is_empty() {
                                 return;
                             }
-                            let _ = io::Write::write_all(stream.get_mut(), says.as_bytes());
-                            // Whatever comes on it now is counted, not answered.
+                            let _ = io::Write::write_all(stream.get_mut(), bytes.as_bytes());
+                            // Later requests on this connection are counted, but not answered.
                             while read(&mut stream).is_some() {
                                 count.fetch_add(1, Ordering::SeqCst);
                             }
@@ -694,75 +728,86 @@
                 });
             }
         });
-        Interrupts {
+        InterruptingHost {
             address,
-            now,
-            asked,
+            interrupt,
+            requests,
         }
     }
 }
 
-/// A second copy of an answer comes some milliseconds late, right behind the next request on its connection, and was read
-/// as the answer to that. Once a host has been seen to send what belongs to no request, its connections rest in between.
+/// A duplicate response that arrived some milliseconds late, just after the next request on its connection, was read as the
+/// response to that request. Once a host has sent bytes that belong to no request, its connections are not reused at once.
 #[test]
-fn a_second_answer_that_comes_behind_the_next_request_is_not_read_as_its_answer() {
-    beside(async || {
-        // Time stands still but where the test moves it on.
+fn a_duplicate_response_is_not_read_as_the_response_to_the_next_request() {
+    run_local(async || {
+        // The runtime's time advances only where the test advances it.
         tokio::time::pause();
-        let host = Copies::start();
-        let program = Inside::start_at(1_024, host.address).await;
+        let host = DuplicatingHost::start();
+        let program = InProcessProxy::start_at(1_024, host.address).await;
         let mut client = program.client();
         for n in 0..6 {
-            // The first copy comes at once, and shows what hosts do here.
-            let (used, told) = waiting(client, |c| c.call("unsafe", "3000m")).await;
+            // The first duplicate comes at once, so that the program knows that this host sends them.
+            let (used, response) = on_client_thread(client, |c| c.call("unsafe", "3000m")).await;
             client = used;
             let body = format!("answer {n}");
             assert_eq!(
-                (told.status(), String::from_utf8_lossy(&told.body).as_ref()),
+                (
+                    response.status(),
+                    String::from_utf8_lossy(&response.body).as_ref()
+                ),
                 (200, body.as_str())
             );
         }
-        // Rested connections are used again.
-        assert_eq!(host.connections(), 6, "one for each, as none has rested");
+        // After a pause connections are reused.
+        assert_eq!(
+            host.connections(),
+            6,
+            "one connection for each request, as none has paused long enough"
+        );
         tokio::time::advance(Duration::from_millis(20)).await;
-        let (_, told) = waiting(client, |c| c.call("unsafe", "3000m")).await;
-        assert_eq!((told.status(), host.connections()), (200, 6));
+        let (_, response) = on_client_thread(client, |c| c.call("unsafe", "3000m")).await;
+        assert_eq!((response.status(), host.connections()), (200, 6));
     });
 }
 
-/// A host that answers its first request twice at once, and later ones a second time when the next request comes on the
-/// same connection soon after.
-struct Copies {
+/// A host that answers its first request twice at once. It repeats the responses to later requests when the next request
+/// arrives on the same connection soon after.
+struct DuplicatingHost {
     address: SocketAddr,
     opened: Arc<AtomicUsize>,
 }
 
-impl Copies {
-    fn start() -> Copies {
+impl DuplicatingHost {
+    fn start() -> DuplicatingHost {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let (opened, asked) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+        let (opened, requests) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
         let count = Arc::clone(&opened);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
-                let asked = Arc::clone(&asked);
+                let requests = Arc::clone(&requests);
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
-                    let mut before = String::new();
+                    let mut previous = String::new();
                     while read(&mut stream).is_some() {
-                        let n = asked.fetch_add(1, Ordering::SeqCst);
+                        let n = requests.fetch_add(1, Ordering::SeqCst);
                         let own = answer("200 OK", "", &format!("answer {n}"));
-                        // By the seventh the time in which copies come is over.
-                        let copies = if n < 6 { before.clone() } else { String::new() };
+                        // The seventh request comes too late for a duplicate.
+                        let copies = if n < 6 {
+                            previous.clone()
+                        } else {
+                            String::new()
+                        };
                         let text = copies + &own + if n == 0 { &own } else { "" };
                         let _ = io::Write::write_all(stream.get_mut(), text.as_bytes());
-                        before = own;
+                        previous = own;
                     }
                 });
             }
         });
-        Copies { address, opened }
+        DuplicatingHost { address, opened }
     }
 
     fn connections(&self) -> usize {
@@ -770,24 +815,24 @@
     }
 }
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    Resets,
-    /// Closes its sending side alone.
-    Half,
+enum Departure {
+    Close,
+    Reset,
+    /// The client closes only its sending side.
+    HalfClose,
 }
 
-impl Leaves {
-    fn go(self, client: Client) -> Option<Client> {
+impl Departure {
+    fn leave(self, client: Client) -> Option<Client> {
         let stream = client.stream.get_ref();
         match self {
-            Leaves::Closes => {}
-            Leaves::Resets => SockRef::from(stream)
+            Departure::Close => {}
+            Departure::Reset => SockRef::from(stream)
                 .set_linger(Some(Duration::ZERO))
                 .expect("a socket"),
-            Leaves::Half => {
+            Departure::HalfClose => {
                 stream.shutdown(Shutdown::Write).expect("a socket");
                 return Some(client);
             }
@@ -796,33 +841,33 @@
     }
 }
 
-/// While its connection to a host comes up, a client leaves: with bytes behind its request in the library's buffer, the
-/// end was not seen, and the request was sent all the same.
+/// A client leaves while the connection to a host is being opened. If bytes after its request were in the HTTP library's
+/// buffer, the end of the connection went unnoticed and the request was still sent.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_its_connection_came_up() {
-    for leaves in [Leaves::Closes, Leaves::Resets, Leaves::Half] {
-        for behind in ["", "GET /safe HTTP/1.1\r\n"] {
-            beside(async || {
+fn no_request_is_sent_if_the_client_leaves_during_the_upstream_connect() {
+    for departure in [Departure::Close, Departure::Reset, Departure::HalfClose] {
+        for trailing in ["", "GET /safe HTTP/1.1\r\n"] {
+            run_local(async || {
                 let host = Host::serving("ok");
-                let program = Inside::start(1_024, &host).await;
-                program.hooks.held.set(Some(host.address));
+                let program = InProcessProxy::start(1_024, &host).await;
+                program.hooks.held_host.set(Some(host.address));
                 let mut client = program.client();
                 client.send("unsafe", "3000m");
                 program.hooks.connecting.notified().await;
-                if !behind.is_empty() {
-                    client.write(behind);
-                    // Read first: then the library has it in its buffer, and looks no further.
-                    program.hooks.read(0).await;
+                if !trailing.is_empty() {
+                    client.write(trailing);
+                    // Wait until these bytes are read: the library then has them in its buffer and reads no further.
+                    program.hooks.wait_until_read(0).await;
                 }
-                let left = leaves.go(client);
+                let left = departure.leave(client);
                 program.hooks.released.notify_one();
-                // One that waits is served: by then the other would have been sent.
-                let (_, answer) = waiting(program.client(), {
-                    program.hooks.held.set(None);
+                // Another request is served; by then the first one would have been sent.
+                let (_, answer) = on_client_thread(program.client(), {
+                    program.hooks.held_host.set(None);
                     |c| c.call("safe", "3000m")
                 })
                 .await;
-                assert_eq!(answer.status(), 200, "{leaves:?}");
+                assert_eq!(answer.status(), 200, "{departure:?}");
                 let sent = host
                     .seen
                     .try_iter()
@@ -830,8 +875,8 @@
                 assert_eq!(
                     sent.count(),
                     0,
-                    "{leaves:?} with {} bytes behind",
-                    behind.len()
+                    "{departure:?} with {} trailing bytes",
+                    trailing.len()
                 );
                 drop(left);
             });
@@ -839,27 +884,27 @@
     }
 }
 
-/// A host that tells of each request as it comes, and answers none before it is let.
-struct Gated {
+/// A host that reports each request on arrival and answers none until the gate is opened.
+struct GatedHost {
     address: SocketAddr,
-    came: mpsc::Receiver<String>,
+    arrivals: mpsc::Receiver<String>,
     open: Arc<(Mutex<bool>, Condvar)>,
 }
 
-impl Gated {
-    fn start() -> Gated {
+impl GatedHost {
+    fn start() -> GatedHost {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        let (tell, came) = mpsc::channel();
+        let (sender, arrivals) = mpsc::channel();
         let open = Arc::new((Mutex::new(false), Condvar::new()));
         let gate = Arc::clone(&open);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (tell, gate) = (tell.clone(), Arc::clone(&gate));
+                let (sender, gate) = (sender.clone(), Arc::clone(&gate));
                 thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     while let Some(message) = read(&mut stream) {
-                        let _ = tell.send(
+                        let _ = sender.send(
                             message
                                 .header("x-request-id")
                                 .unwrap_or_default()
@@ -875,9 +920,9 @@
                 });
             }
         });
-        Gated {
+        GatedHost {
             address,
-            came,
+            arrivals,
             open,
         }
     }
@@ -887,26 +932,26 @@
         self.open.1.notify_all();
     }
 
-    /// All that come until none does for a while.
-    fn all(&self) -> HashSet<String> {
+    /// Returns the ids of all requests that arrive until none does for a while.
+    fn drain_arrivals(&self) -> HashSet<String> {
         let mut all = HashSet::new();
-        while let Ok(id) = self.came.recv_timeout(SHORT) {
+        while let Ok(id) = self.arrivals.recv_timeout(SHORT) {
             all.insert(id);
         }
         all
     }
 }
 
-/// The same while it waits in order, also where the process stands still meanwhile, and finds what releases the call
-/// beside its client's end.
+/// A client leaves while its call is in the wait queue. With `stopped` the process is stopped meanwhile, so that it finds the
+/// response that releases the call and the client's departure at the same time.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_it_waited_in_order() {
-    for (stopped, leaves) in [
-        (false, Leaves::Closes),
-        (true, Leaves::Closes),
-        (true, Leaves::Resets),
+fn no_request_is_sent_if_the_client_leaves_the_wait_queue() {
+    for (stopped, departure) in [
+        (false, Departure::Close),
+        (true, Departure::Close),
+        (true, Departure::Reset),
     ] {
-        let (discovery, host) = (Discovery::start(), Gated::start());
+        let (discovery, host) = (Discovery::start(), GatedHost::start());
         let proxy = Proxy::start(PROGRAM, &discovery, &[entry("s-1", host.address, "up", 0)]);
         let mut clients: Vec<(String, Client)> = Vec::new();
         for n in 0..14 {
@@ -914,7 +959,7 @@
             client.write(&request("unsafe", "3000m", &id));
             clients.push((id, client));
         }
-        let sent = host.all();
+        let sent = host.drain_arrivals();
         let (served, held): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|(id, _)| sent.contains(id));
         assert!(
@@ -928,12 +973,12 @@
         }
         for (_, mut client) in held {
             client.write("GET /safe HTTP/1.1\r\n");
-            leaves.go(client);
+            departure.leave(client);
         }
         if stopped {
             proxy.signal("-CONT");
         } else {
-            // What has come before is read before this is answered.
+            // The departures are read before this request is answered.
             proxy
                 .client()
                 .ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -942,34 +987,34 @@
         for (id, mut client) in served {
             assert_eq!(client.answer().map(|a| a.status()), Some(200), "{id}");
         }
-        let further = host.all();
+        let further = host.drain_arrivals();
         assert!(
             further.is_empty(),
-            "sent though their clients had left: {further:?} ({stopped}, {leaves:?})"
+            "sent though their clients had left: {further:?} ({stopped}, {departure:?})"
         );
     }
 }
 
-/// Signals that come together, before the first word of the list service: what was taken is answered, and the end is none
-/// but a good one. The process stands still as they come, so that it finds them side by side.
+/// Signals that arrive together, before the first response of the list service: accepted requests are answered, and the
+/// program exits with success. The process is stopped meanwhile, so that it finds the signals at the same time.
 #[test]
-fn signals_that_cross_lose_nothing() {
+fn concurrent_signals_lose_no_request() {
     for signals in [["-TERM", "-TERM"], ["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let (discovery, other, host) = (Discovery::start(), Discovery::start(), Gated::start());
+        let (discovery, other, host) = (Discovery::start(), Discovery::start(), GatedHost::start());
         let listen = "127.0.0.1:0".parse().expect("an address");
         let known = [entry("s-1", host.address, "up", 0)];
         let mut proxy = Proxy::with(PROGRAM, &config(listen, discovery.address, 1_024, &known));
-        let (mut taken, mut comes) = (proxy.client(), proxy.client());
-        taken.write(&request("unsafe", "3000m", "taken"));
-        assert_eq!(host.came.recv_timeout(LONG).as_deref(), Ok("taken"));
+        let (mut in_flight, mut queued) = (proxy.client(), proxy.client());
+        in_flight.write(&request("unsafe", "3000m", "taken"));
+        assert_eq!(host.arrivals.recv_timeout(LONG).as_deref(), Ok("taken"));
         proxy.signal("-STOP");
         // The file that SIGHUP reads names another list service.
         proxy.reload(&config(proxy.address, other.address, 1_024, &[]));
         signals.iter().for_each(|signal| proxy.signal(signal));
-        comes.write(&request("unsafe", "3000m", "comes"));
+        queued.write(&request("unsafe", "3000m", "comes"));
         host.open();
         proxy.signal("-CONT");
-        for client in [&mut taken, &mut comes] {
+        for client in [&mut in_flight, &mut queued] {
             assert_eq!(
                 client.answer().map(|a| a.status()),
                 Some(200),
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -183,7 +183,7 @@
     // Its copy is there, and no control.
     assert!(world.folder.path().join("state-p/caja.policy").exists());
     let anew = world.proxy("p", "refuse");
-    anew.logged("no lease");
+    anew.logged("lease request failed");
     assert!(get(&anew, "/one").head.contains("503"));
     world.replica = Replica::start(&world.folder, world.replica.address);
     becomes(&anew, "/one", "200");
@@ -220,7 +220,7 @@
     assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
     becomes(&narrow, "/one", "200");
     becomes(&keep, "/one", "200");
-    keep.logged("the policy could not be kept");
+    keep.logged("failed to save the policy copy");
     // The floor's route may not change while a proxy may act under it.
     let done = world.publish("caja", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -172,8 +172,8 @@
     for word in [
         "4 proxies",
         "list",
-        "1 hosts take calls",
-        "hears the service",
+        "1 endpoints take calls",
+        "last poll succeeded",
         "under another secret",
     ] {
         assert!(text.contains(word), "{text}");
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -686,7 +686,7 @@
     let moved = config(proxy.address, new.address, 1_024, &[]);
     for bad in ["", "{", &moved.replace("\"cold_from\"", "\"warm\"")] {
         proxy.reload(bad);
-        proxy.logged("the old configuration stays");
+        proxy.logged("reload failed, keeping the old configuration");
         assert_eq!(proxy.call("safe", "2000m").body, b"1");
     }
     proxy.reload(&moved);
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -773,7 +773,7 @@
         (String::new(), "this key is wanted"),
     ] {
         proxy.reload(&bad);
-        let line = proxy.logged("the old configuration stays");
+        let line = proxy.logged("reload failed, keeping the old configuration");
         assert!(line.contains(reason), "{line}");
         assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
     }
@@ -910,7 +910,7 @@
             _ => &one,
         });
         proxy.logged(if n % 3 == 1 {
-            "the old configuration stays"
+            "reload failed, keeping the old configuration"
         } else {
             "the new configuration holds"
         });
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -15,7 +15,7 @@
 use badgerramp::net::clock::Clock;
 use badgerramp::net::driver::Driver;
 use badgerramp::net::Descriptors;
-use badgerramp::program::{serve_in, Surroundings};
+use badgerramp::program::{serve_in, Environment};
 use badgerramp::sidecar;
 use badgerramp_sim_model::{
     Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId,
@@ -447,7 +447,7 @@
         let seen = Seen::default();
         let shown = Rc::clone(&seen);
         let task = tokio::task::spawn_local(async move {
-            let around = Surroundings {
+            let around = Environment {
                 network,
                 listener,
                 clock,
