--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -1,8 +1,5 @@
-//! Sidecars from the files that the configuration tool writes: each starts on loopback and serves its own classes.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
+//! Sidecars with the files that the configuration tool writes: each starts on loopback and serves its own classes only.
+#![expect(clippy::too_many_lines, reason = "a test is one sequence of events")]
 
 use badgerramp_config_tool::commands::compose;
 use badgerramp_testkit::*;
@@ -14,7 +11,7 @@
 #[test]
 fn the_sidecars_of_five_applications_serve_their_classes() {
     let hosts: Vec<Host> = (0..6).map(|_| Host::serving("served")).collect();
-    // The hosts of this test, and ports that the system picks.
+    // Replace the addresses of the hosts, and let the system pick the ports of the proxies.
     let mut apps = APPS.to_owned();
     for (n, host) in hosts.iter().enumerate() {
         apps = apps.replace(
@@ -25,14 +22,14 @@
     for n in 1..=5 {
         apps = apps.replace(&format!("127.0.0.1:808{n}"), "127.0.0.1:0");
     }
-    let folder =
+    let directory =
         std::env::temp_dir().join(format!("badgerramp-applications-{}", std::process::id()));
-    std::fs::create_dir_all(folder.join("shared")).expect("a folder");
-    std::fs::write(folder.join("apps.toml"), apps).expect("a file");
-    std::fs::write(folder.join("shared/classes.toml"), CLASSES).expect("a file");
-    let written = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
-    let _ = std::fs::remove_dir_all(&folder);
-    let own = [
+    std::fs::create_dir_all(directory.join("shared")).expect("a folder");
+    std::fs::write(directory.join("apps.toml"), apps).expect("a file");
+    std::fs::write(directory.join("shared/classes.toml"), CLASSES).expect("a file");
+    let written = compose(&directory.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    let _ = std::fs::remove_dir_all(&directory);
+    let cases = [
         (
             "kiosko.toml",
             &[("POST", "/registro-entrada/7")][..],
@@ -67,7 +64,7 @@
             ("POST", "/cobro-mensual"),
         ),
     ];
-    let proxies: Vec<Proxy> = own
+    let proxies: Vec<Proxy> = cases
         .iter()
         .map(|(name, ..)| {
             let text = &written
@@ -79,20 +76,20 @@
             Proxy::sidecar(PROGRAM, &[], text)
         })
         .collect();
-    for ((name, sent, not_sent), proxy) in own.iter().zip(&proxies) {
+    for ((name, sent, not_sent), proxy) in cases.iter().zip(&proxies) {
         let mut client = proxy.client();
-        let mut ask = |(method, path): (&str, &str)| {
+        let mut send = |(method, path): (&str, &str)| {
             client.ask(&format!(
                 "{method} {path} HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody"
             ))
         };
         for &request in *sent {
-            assert_eq!(ask(request).body, b"served", "{name}: {request:?}");
+            assert_eq!(send(request).body, b"served", "{name}: {request:?}");
         }
         assert_eq!(
-            ask(*not_sent).status(),
+            send(*not_sent).status(),
             404,
-            "{name}: {not_sent:?} is not its own"
+            "{name}: {not_sent:?} has no route here"
         );
     }
 }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The program with `[policy]`, beside a replica of control: what begins, when, and what its copy on disk is worth.
+//! The program with `[policy]` and a replica of the control plane: which calls it admits, and what its copy on disk is good
+//! for.
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
 use badgerramp_control_plane::settings::Settings;
@@ -15,7 +16,7 @@
 
 const PROXY: &str = env!("CARGO_BIN_EXE_badgerramp");
 
-/// A replica in a thread of this process.
+/// A replica of the control plane, in a thread of this process.
 struct Replica {
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -60,7 +61,7 @@
         }
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
             thread.join().expect("it ends");
@@ -68,25 +69,25 @@
     }
 }
 
-struct World {
+struct Fixture {
     folder: Folder,
     host: Host,
     replica: Replica,
-    /// The policy declares its class for the floor.
+    /// The published policies declare their class for the fallback policy (`floor`).
     floor: bool,
 }
 
-impl World {
-    fn start(name: &str, floor: bool) -> World {
+impl Fixture {
+    fn start(name: &str, floor: bool) -> Fixture {
         let folder = Folder::new(&format!("fleet-{name}")).expect("a folder");
         folder
             .write("secret", "a secret of the tests", true)
             .expect("a file");
-        let free = TcpListener::bind("127.0.0.1:0")
+        let free_address = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
             .expect("a port");
-        let replica = Replica::start(&folder, free);
-        World {
+        let replica = Replica::start(&folder, free_address);
+        Fixture {
             folder,
             host: Host::serving("ok"),
             replica,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The file of a proxy with this name; the policy is such a file too.
+    /// Returns the operator's file of a proxy with this name. A published policy has the same form.
     fn file(&self, name: &str, path: &str, cut_off: &str) -> String {
         let folder = self.folder.path().display();
         let floor = if self.floor {
@@ -117,7 +118,7 @@
         Proxy::sidecar(PROXY, &[], &self.file(name, "/own", cut_off))
     }
 
-    fn at(&self) -> At {
+    fn control_address(&self) -> At {
         let secret = self.folder.path().join("secret");
         At {
             control: vec![self.replica.address],
@@ -128,19 +129,19 @@
 
     fn publish(&self, application: &str, path: &str) -> Done {
         let files = HashMap::from([(application.to_owned(), self.file("any", path, "refuse"))]);
-        ask(&self.at(), async |control| {
+        with_control(&self.control_address(), async |control| {
             let revision = control.standing().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         })
     }
 }
 
-fn ask<T>(at: &At, ask: impl AsyncFnOnce(&mut Control) -> T) -> T {
+fn with_control<T>(address: &At, action: impl AsyncFnOnce(&mut Control) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let mut control = Control::new(at).expect("a secret");
-    runtime.expect("a runtime").block_on(ask(&mut control))
+    let mut control = Control::new(address).expect("a secret");
+    runtime.expect("a runtime").block_on(action(&mut control))
 }
 
 fn get(proxy: &Proxy, path: &str) -> Message {
@@ -149,93 +150,102 @@
         .ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
 }
 
-/// Asks until the answer has this status: what comes is an event of another process.
-fn becomes(proxy: &Proxy, path: &str, status: &str) -> Message {
-    let began = Instant::now();
+/// Repeats a request until its response has this status, which depends on another process.
+fn get_until_status(proxy: &Proxy, path: &str, status: &str) -> Message {
+    let started = Instant::now();
     loop {
         let answer = get(proxy, path);
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(began.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(started.elapsed() < LONG, "{path} stays {:?}", answer.head);
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn nothing_begins_without_a_lease_whatever_lies_on_the_disk() {
-    let mut world = World::start("lease", false);
-    let proxy = world.proxy("p", "refuse");
+fn no_call_is_admitted_without_a_lease_whatever_is_on_disk() {
+    let mut fixture = Fixture::start("lease", false);
+    let proxy = fixture.proxy("p", "refuse");
     assert!(
         get(&proxy, "/own").head.contains("503"),
-        "its own file is no policy"
+        "its own file does not replace a policy"
     );
     assert!(get(&proxy, "/_health").head.contains("503"));
-    assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
-    becomes(&proxy, "/one", "200");
-    becomes(&proxy, "/own", "404");
-    let health = becomes(&proxy, "/_health", "200");
+    assert_eq!(fixture.publish("caja", "/one").outcome, Outcome::InForce);
+    get_until_status(&proxy, "/one", "200");
+    get_until_status(&proxy, "/own", "404");
+    let health = get_until_status(&proxy, "/_health", "200");
     assert!(String::from_utf8_lossy(&health.body).contains("generation 1"));
-    world.replica.end();
-    let refused = becomes(&proxy, "/one", "503");
-    assert!(refused.header("retry-after").is_some());
+    fixture.replica.shut_down();
+    let rejected = get_until_status(&proxy, "/one", "503");
+    assert!(rejected.header("retry-after").is_some());
     drop(proxy);
-    // Its copy is there, and no control.
-    assert!(world.folder.path().join("state-p/caja.policy").exists());
-    let anew = world.proxy("p", "refuse");
-    anew.logged("lease request failed");
-    assert!(get(&anew, "/one").head.contains("503"));
-    world.replica = Replica::start(&world.folder, world.replica.address);
-    becomes(&anew, "/one", "200");
-    world.replica.end();
+    // The copy is there, but no control plane.
+    assert!(fixture.folder.path().join("state-p/caja.policy").exists());
+    let restarted = fixture.proxy("p", "refuse");
+    restarted.logged("lease request failed");
+    assert!(get(&restarted, "/one").head.contains("503"));
+    fixture.replica = Replica::start(&fixture.folder, fixture.replica.address);
+    get_until_status(&restarted, "/one", "200");
+    fixture.replica.shut_down();
 }
 
 #[test]
-fn a_policy_that_one_proxy_can_not_read_is_nowhere_with_its_name() {
-    let mut world = World::start("unread", false);
-    let proxy = world.proxy("p-7", "refuse");
-    assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
-    becomes(&proxy, "/one", "200");
-    let done = world.publish("otra", "/two");
-    assert_eq!(done.outcome, Outcome::NotInForce);
+fn a_policy_that_one_proxy_rejects_is_not_in_force_and_the_reason_names_the_proxy() {
+    let mut fixture = Fixture::start("unread", false);
+    let proxy = fixture.proxy("p-7", "refuse");
+    assert_eq!(fixture.publish("caja", "/one").outcome, Outcome::InForce);
+    get_until_status(&proxy, "/one", "200");
+    let published = fixture.publish("otra", "/two");
+    assert_eq!(published.outcome, Outcome::NotInForce);
     assert!(
-        done.why.contains("p-7") && done.why.contains("\"caja\""),
+        published.why.contains("p-7") && published.why.contains("\"caja\""),
         "{}",
-        done.why
+        published.why
     );
-    becomes(&proxy, "/one", "200");
-    // The next takes another number, and comes into force.
-    let done = world.publish("caja", "/three");
-    assert_eq!((done.outcome, done.generation), (Outcome::InForce, Some(3)));
-    becomes(&proxy, "/three", "200");
-    world.replica.end();
+    get_until_status(&proxy, "/one", "200");
+    // The next change gets another generation number and comes into force.
+    let published = fixture.publish("caja", "/three");
+    assert_eq!(
+        (published.outcome, published.generation),
+        (Outcome::InForce, Some(3))
+    );
+    get_until_status(&proxy, "/three", "200");
+    fixture.replica.shut_down();
 }
 
 #[test]
-fn cut_off_a_proxy_does_what_its_file_says() {
-    let mut world = World::start("cut", true);
-    // A file stands where its folder would be: that costs it its copy, and no call.
-    world.folder.write("state-keep", "", false).expect("a file");
-    let (narrow, keep) = (world.proxy("narrow", "narrow"), world.proxy("keep", "keep"));
-    assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
-    becomes(&narrow, "/one", "200");
-    becomes(&keep, "/one", "200");
+fn a_proxy_that_loses_its_lease_follows_its_cut_off_setting() {
+    let mut fixture = Fixture::start("cut", true);
+    // A file is in the place of the state directory: the proxy can't save its copy, but goes on serving.
+    fixture
+        .folder
+        .write("state-keep", "", false)
+        .expect("a file");
+    let (narrow, keep) = (
+        fixture.proxy("narrow", "narrow"),
+        fixture.proxy("keep", "keep"),
+    );
+    assert_eq!(fixture.publish("caja", "/one").outcome, Outcome::InForce);
+    get_until_status(&narrow, "/one", "200");
+    get_until_status(&keep, "/one", "200");
     keep.logged("failed to save the policy copy");
-    // The floor's route may not change while a proxy may act under it.
-    let done = world.publish("caja", "/two");
-    assert_eq!(done.outcome, Outcome::NotInForce);
+    // The route of a fallback class may not change while a proxy may serve under the fallback policy.
+    let published = fixture.publish("caja", "/two");
+    assert_eq!(published.outcome, Outcome::NotInForce);
     assert!(
-        done.why.contains("\"entry\" of the floor") && done.why.contains("two steps"),
+        published.why.contains("\"entry\" of the floor") && published.why.contains("two steps"),
         "{}",
-        done.why
+        published.why
     );
-    world.replica.end();
-    let began = Instant::now();
+    fixture.replica.shut_down();
+    let started = Instant::now();
     let cut_off = |proxy: &Proxy| {
         String::from_utf8_lossy(&get(proxy, "/_health").body).contains("the floor of")
     };
     while !cut_off(&narrow) {
-        assert!(began.elapsed() < LONG);
+        assert!(started.elapsed() < LONG);
         thread::sleep(Duration::from_millis(20));
     }
     assert!(get(&narrow, "/one").head.contains("200"));
@@ -243,58 +253,64 @@
 }
 
 #[test]
-fn two_starts_of_one_name_are_two_proxies() {
-    let mut world = World::start("name", false);
-    let (first, second) = (world.proxy("p", "refuse"), world.proxy("p", "keep"));
-    assert_eq!(world.publish("caja", "/one").outcome, Outcome::InForce);
-    becomes(&first, "/one", "200");
-    becomes(&second, "/one", "200");
-    let standing = ask(&world.at(), async |control| {
+fn two_processes_with_the_same_name_are_two_proxies() {
+    let mut fixture = Fixture::start("name", false);
+    let (first, second) = (fixture.proxy("p", "refuse"), fixture.proxy("p", "keep"));
+    assert_eq!(fixture.publish("caja", "/one").outcome, Outcome::InForce);
+    get_until_status(&first, "/one", "200");
+    get_until_status(&second, "/one", "200");
+    let status = with_control(&fixture.control_address(), async |control| {
         control.standing().await.expect("a status")
     });
-    assert_eq!(standing.proxies.iter().filter(|p| p.name == "p").count(), 2);
-    // One word does not do for both.
-    let why = ask(&world.at(), async |control| control.evict("p", None).await).expect_err("two");
-    assert!(why.contains("more than once"), "{why}");
-    let keeps = standing
+    assert_eq!(status.proxies.iter().filter(|p| p.name == "p").count(), 2);
+    // The name alone does not identify one of them.
+    let reason = with_control(&fixture.control_address(), async |control| {
+        control.evict("p", None).await
+    })
+    .expect_err("two");
+    assert!(reason.contains("more than once"), "{reason}");
+    let keep_proxy = status
         .proxies
         .iter()
         .find(|p| p.cut_off == "keep")
-        .expect("it is written down");
-    let start = u64::from_str_radix(&keeps.incarnation, 16).expect("a number");
-    ask(&world.at(), async |control| {
-        control.evict("p", Some(start)).await
+        .expect("the status lists the proxy");
+    let incarnation = u64::from_str_radix(&keep_proxy.incarnation, 16).expect("a number");
+    with_control(&fixture.control_address(), async |control| {
+        control.evict("p", Some(incarnation)).await
     })
     .expect("evicted");
-    assert!(String::from_utf8_lossy(&becomes(&second, "/_health", "503").body).contains("evicted"));
-    becomes(&first, "/one", "200");
-    assert_eq!(world.publish("caja", "/two").outcome, Outcome::InForce);
-    becomes(&first, "/two", "200");
+    assert!(
+        String::from_utf8_lossy(&get_until_status(&second, "/_health", "503").body)
+            .contains("evicted")
+    );
+    get_until_status(&first, "/one", "200");
+    assert_eq!(fixture.publish("caja", "/two").outcome, Outcome::InForce);
+    get_until_status(&first, "/two", "200");
     assert!(get(&second, "/one").head.contains("503"));
-    world.replica.end();
+    fixture.replica.shut_down();
 }
 
 #[test]
-fn of_two_publishes_at_once_one_begins() {
-    let mut world = World::start("two", false);
-    assert_eq!(world.publish("caja", "/zero").outcome, Outcome::InForce);
-    let (sender, done) = mpsc::channel();
+fn of_two_concurrent_publishes_one_starts() {
+    let mut fixture = Fixture::start("two", false);
+    assert_eq!(fixture.publish("caja", "/zero").outcome, Outcome::InForce);
+    let (sender, receiver) = mpsc::channel();
     for path in ["/one", "/two"] {
-        let (sender, at) = (sender.clone(), world.at());
-        let files = HashMap::from([("caja".to_owned(), world.file("any", path, "refuse"))]);
+        let (sender, control_address) = (sender.clone(), fixture.control_address());
+        let files = HashMap::from([("caja".to_owned(), fixture.file("any", path, "refuse"))]);
         thread::spawn(move || {
-            let published = ask(&at, async |control| {
+            let published = with_control(&control_address, async |control| {
                 control.publish(&files, 1, |_| {}).await
             });
             sender.send(published).expect("heard");
         });
     }
     drop(sender);
-    let ended: Vec<Done> = done.iter().collect();
-    let begun: Vec<_> = ended.iter().filter_map(|d| d.generation).collect();
-    assert_eq!(begun, [2]);
-    assert!(ended
+    let results: Vec<Done> = receiver.iter().collect();
+    let generations: Vec<_> = results.iter().filter_map(|d| d.generation).collect();
+    assert_eq!(generations, [2]);
+    assert!(results
         .iter()
         .any(|d| d.outcome == Outcome::NotInForce && !d.why.is_empty()));
-    world.replica.end();
+    fixture.replica.shut_down();
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,9 +1,5 @@
-//! The program with `[peers]`: a list that one proxy was told reaches all, strange datagrams do no harm, and what a
-//! proxy knows is shown.
-#![expect(
-    clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
-)]
+//! The program with `[peers]`: gossip of the endpoint list, invalid datagrams, and the `peers` command.
+#![expect(clippy::too_many_lines, reason = "a test is one sequence of events")]
 
 use badgerramp_fault_injection::process::{Folder, Plan, Process};
 use badgerramp_testkit::{Catalog, Listed};
@@ -45,29 +41,29 @@
     folder.write(name, &text, false).expect("a file")
 }
 
-fn peers(file: &Path, more: &[&str]) -> Output {
+fn peers(file: &Path, arguments: &[&str]) -> Output {
     Command::new(PROXY)
         .arg("peers")
         .arg(file)
-        .args(more)
+        .args(arguments)
         .output()
         .expect("it runs")
 }
 
-/// What the proxy of this file tells, once it is as wanted.
-fn told(
+/// Queries the proxy of this file until its report is as expected.
+fn query_until(
     file: &Path,
-    at: SocketAddr,
-    wanted: impl Fn(&serde_json::Value) -> bool,
+    address: SocketAddr,
+    is_expected: impl Fn(&serde_json::Value) -> bool,
 ) -> serde_json::Value {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let output = peers(file, &["--json", "--at", &at.to_string()]);
+        let output = peers(file, &["--json", "--at", &address.to_string()]);
         let value: Option<serde_json::Value> = serde_json::from_slice(&output.stdout).ok();
         match value {
-            Some(value) if wanted(&value) => return value,
+            Some(value) if is_expected(&value) => return value,
             other => assert!(
-                began.elapsed() < LONG,
+                started_at.elapsed() < LONG,
                 "{other:?} {}",
                 String::from_utf8_lossy(&output.stderr)
             ),
@@ -76,9 +72,9 @@
     }
 }
 
-async fn started(file: &Path) -> (Process, SocketAddr) {
+async fn start_proxy(file: &Path) -> (Process, SocketAddr) {
     let arguments = vec!["run".to_owned(), file.display().to_string()];
-    let (tells, mut hears) = watch::channel(None);
+    let (gossip_address_sender, mut gossip_address_receiver) = watch::channel(None);
     let mut process = Process::waiting(
         Plan {
             program: PROXY.into(),
@@ -86,59 +82,62 @@
             keep: Vec::new(),
             variables: Vec::new(),
         },
-        tells,
+        gossip_address_sender,
     );
     process.again().expect("it starts");
     process.listens().await.expect("it listens");
-    let hearing = *hears.wait_for(Option::is_some).await.expect("it runs");
-    (process, hearing.expect("an address"))
+    let gossip_address = *gossip_address_receiver
+        .wait_for(Option::is_some)
+        .await
+        .expect("it runs");
+    (process, gossip_address.expect("an address"))
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 #[tokio::test]
-async fn a_list_that_one_was_told_reaches_all_and_strange_datagrams_do_no_harm() {
+async fn a_list_received_by_one_proxy_reaches_all_and_invalid_datagrams_do_no_harm() {
     let folder = Folder::new("peers-all").expect("a folder");
     folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
     let catalog = Catalog::start(vec![listed("a", "up"), listed("b", "up")]);
-    // Ports of the system for those that are named beforehand; they are free again a moment later.
-    let held: Vec<UdpSocket> = (0..2)
-        .map(|_| UdpSocket::bind(any()).expect("a port"))
+    // The seeds need known ports: the system picks free ones, which are released before the proxies start.
+    let reserved: Vec<UdpSocket> = (0..2)
+        .map(|_| UdpSocket::bind(any_port()).expect("a port"))
         .collect();
-    let seeds: Vec<SocketAddr> = held
+    let seeds: Vec<SocketAddr> = reserved
         .iter()
         .map(|s| s.local_addr().expect("its address"))
         .collect();
-    drop(held);
-    let mut all = Vec::new();
-    for (place, listen) in [seeds[0], seeds[1], any(), any(), any()]
+    drop(reserved);
+    let mut proxies = Vec::new();
+    for (number, listen) in [seeds[0], seeds[1], any_port(), any_port(), any_port()]
         .into_iter()
         .enumerate()
     {
         let file = file(
             &folder,
-            &format!("p{place}.toml"),
+            &format!("p{number}.toml"),
             catalog.address,
             (listen, &seeds),
         );
-        let (process, hearing) = started(&file).await;
-        all.push((file, hearing, process));
+        let (process, gossip_address) = start_proxy(&file).await;
+        proxies.push((file, gossip_address, process));
     }
     let index = |value: &serde_json::Value| value["standing"]["list"][0]["index"].as_u64();
-    for (file, at, _) in &all {
-        let told = told(file, *at, |v| {
+    for (file, address, _) in &proxies {
+        let report = query_until(file, *address, |v| {
             index(v) == Some(1) && v["standing"]["alive"] == 5
         });
-        assert_eq!(told["standing"]["hosts"], 2);
+        assert_eq!(report["standing"]["hosts"], 2);
     }
-    // Datagrams of nobody: none at all, some that are cut, too long, of another version, of another seal.
-    let (file, at, _) = &all[2];
-    let socket = UdpSocket::bind(any()).expect("a port");
-    let strange = [
+    // Invalid datagrams: empty, truncated, too long, of another version, and with a wrong MAC.
+    let (file, address, _) = &proxies[2];
+    let socket = UdpSocket::bind(any_port()).expect("a port");
+    let invalid = [
         vec![],
         vec![1],
         vec![1, 0, 7],
@@ -146,91 +145,95 @@
         vec![1; 1_400],
         [vec![1, 0], vec![5; 60]].concat(),
     ];
-    for datagram in &strange {
-        socket.send_to(datagram, at).expect("sent");
+    for datagram in &invalid {
+        socket.send_to(datagram, address).expect("sent");
     }
     let count = |value: &serde_json::Value, what: &str| value["strangers"][what].as_u64();
-    let after = told(file, *at, |v| {
-        count(v, "form").unwrap_or(0) + count(v, "seal").unwrap_or(0) >= strange.len() as u64
+    let after = query_until(file, *address, |v| {
+        count(v, "form").unwrap_or(0) + count(v, "seal").unwrap_or(0) >= invalid.len() as u64
     });
     assert!(count(&after, "seal") >= Some(1), "{after}");
-    // A drain is heard by all, though few ask.
+    // A draining host becomes known to all proxies, though only some of them poll.
     catalog.set(listed("b", "draining"));
-    for (file, at, _) in &all {
-        let told = told(file, *at, |v| index(v) == Some(2));
-        assert_eq!(told["standing"]["hosts"], 1);
+    for (file, address, _) in &proxies {
+        let report = query_until(file, *address, |v| index(v) == Some(2));
+        assert_eq!(report["standing"]["hosts"], 1);
     }
-    // One that is killed is missed, and its place at the service is taken by another in time.
-    let asks =
+    // A killed proxy is detected, and another proxy takes over its polls.
+    let pollers =
         |value: &serde_json::Value| value["standing"]["askers"].as_array().map_or(0, Vec::len);
-    told(file, *at, |v| asks(v) == 3);
-    all[0].2.kill().await;
-    let (file, at, _) = &all[2];
-    told(file, *at, |v| v["standing"]["alive"] == 4 && asks(v) >= 3);
-    let text = peers(file, &["--at", &at.to_string()]);
+    query_until(file, *address, |v| pollers(v) == 3);
+    proxies[0].2.kill().await;
+    let (file, address, _) = &proxies[2];
+    query_until(file, *address, |v| {
+        v["standing"]["alive"] == 4 && pollers(v) >= 3
+    });
+    let text = peers(file, &["--at", &address.to_string()]);
     let text = String::from_utf8_lossy(&text.stdout).into_owned();
-    for word in [
+    for text_part in [
         "4 proxies",
         "list",
         "1 endpoints take calls",
         "last poll succeeded",
         "under another secret",
     ] {
-        assert!(text.contains(word), "{text}");
+        assert!(text.contains(text_part), "{text}");
     }
-    for (file, at, process) in &mut all {
-        if let Some(end) = process.ended().filter(|_| *at != seeds[0]) {
+    for (file, address, process) in &mut proxies {
+        if let Some(end) = process.ended().filter(|_| *address != seeds[0]) {
             panic!("{file:?} ended: {end}");
         }
     }
 }
 
 #[tokio::test]
-async fn what_can_not_be_asked_is_said() {
+async fn a_failed_query_or_start_reports_its_cause() {
     let folder = Folder::new("peers-bad").expect("a folder");
     folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    let port_0 = file(&folder, "a.toml", nowhere, (any(), &[nowhere]));
-    let silent = UdpSocket::bind(any()).expect("a port");
-    let silent = silent.local_addr().expect("its address");
-    let nobody = file(&folder, "b.toml", nowhere, (silent, &[nowhere]));
-    let cases = [(&port_0, "port 0"), (&nobody, "127.0.0.1")];
-    for (file, word) in cases {
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    let port_0 = file(&folder, "a.toml", unused, (any_port(), &[unused]));
+    let unused_udp = UdpSocket::bind(any_port()).expect("a port");
+    let unused_udp = unused_udp.local_addr().expect("its address");
+    let no_answer = file(&folder, "b.toml", unused, (unused_udp, &[unused]));
+    let cases = [(&port_0, "port 0"), (&no_answer, "127.0.0.1")];
+    for (file, text_part) in cases {
         let output = peers(file, &[]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            output.status.code() == Some(1) && said.contains(word),
-            "{said}"
+            output.status.code() == Some(1) && stderr.contains(text_part),
+            "{stderr}"
         );
     }
-    // A start without a secret that is fit, or on a port that is taken, is refused with the key.
+    // A start with an invalid secret, or on a port in use, fails with an error that names the key.
     folder.write("secret", "short", true).expect("a file");
     let output = Command::new(PROXY)
         .arg("run")
-        .arg(&nobody)
+        .arg(&no_answer)
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && said.contains("peers.secret") && said.contains("found 5 bytes"),
-        "{said}"
+        !output.status.success()
+            && stderr.contains("peers.secret")
+            && stderr.contains("found 5 bytes"),
+        "{stderr}"
     );
     folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
-    let taken = UdpSocket::bind(any()).expect("a port");
+    let taken = UdpSocket::bind(any_port()).expect("a port");
     let address = taken.local_addr().expect("its address");
-    let file = file(&folder, "c.toml", nowhere, (address, &[nowhere]));
+    let file = file(&folder, "c.toml", unused, (address, &[unused]));
     let output = Command::new(PROXY)
         .arg("run")
         .arg(&file)
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && said.contains("peers.listen"),
-        "{said}"
+        !output.status.success() && stderr.contains("peers.listen"),
+        "{stderr}"
     );
 }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, between small stub peers.
+//! The program as a process on loopback sockets, between stub clients, hosts and list services.
 
 use badgerramp_testkit::*;
 use std::io::{Read, Write};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_call_passes_unchanged_and_its_answer_too() {
+fn a_call_and_its_response_pass_unchanged() {
     let (discovery, host) = (Discovery::start(), Host::serving("done"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let mut client = proxy.client();
@@ -35,35 +35,35 @@
     assert_eq!(request.body, b"body");
     assert_eq!(request.header("x-request-id"), Some("9b1f03aa"));
     assert_eq!(request.header("idempotency-key"), Some("5c0f"));
-    let left: u64 = request
+    let remaining: u64 = request
         .header("x-timeout")
         .and_then(|t| t.strip_suffix('u'))
         .expect("time")
         .parse()
         .expect("us");
-    assert!(left > 0 && left <= 2_000_000, "{left}");
+    assert!(remaining > 0 && remaining <= 2_000_000, "{remaining}");
 }
 
 #[test]
-fn connections_are_kept_and_one_that_died_idle_is_replaced_before_writing() {
+fn connections_are_reused_and_one_closed_while_idle_is_replaced_before_writing() {
     let discovery = Discovery::start();
-    // The third answer ends its connection without saying so.
+    // The host closes the connection after the third response, without announcing it.
     let host = Host::start(|n| match n {
         2 => Reply::WriteAndClose(answer("200 OK", "", "x")),
         _ => Reply::Write(answer("200 OK", "", "x")),
     });
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
-    for wanted in [0, 0, 0, 1, 1] {
-        // An unsafe call written to the dead connection would fail: nothing could prove that it never ran.
+    for expected_connection in [0, 0, 0, 1, 1] {
+        // An unsafe call written to the closed connection would fail, since it might have run.
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
-        assert_eq!(host.request().0, wanted, "the connection used");
+        assert_eq!(host.request().0, expected_connection, "connection number");
     }
 }
 
 #[test]
-fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
-    let whole = answer("200 OK", "", "whole");
-    let half = whole[..whole.len() - 2].to_owned();
+fn an_unsafe_call_that_may_have_run_fails_without_a_retry() {
+    let complete = answer("200 OK", "", "whole");
+    let half = complete[..complete.len() - 2].to_owned();
     let unframed = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf".to_owned();
     for reply in [
         Reply::WriteAndClose(String::new()),
@@ -72,7 +72,8 @@
         Reply::Write(answer("500 Internal Server Error", "", "")),
         Reply::Write(answer("503 Service Unavailable", "", "")),
         Reply::Write(answer("200 OK", "", &"x".repeat(70_000))),
-        // The rest has run all the same, and its connection, which stays open, is of no further use.
+        // The following replies are malformed or not supported; the call has run all the same,
+        // and the connection must not be reused.
         Reply::Write("noise that is no answer\r\n\r\n".to_owned()),
         Reply::Write("HTTP/1.1 2oo OK\r\nContent-Length: 2\r\n\r\nok".to_owned()),
         Reply::Write("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok".to_owned()),
@@ -93,7 +94,7 @@
         Reply::Write(format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(40_000))),
     ] {
         let discovery = Discovery::start();
-        let shown = format!("{reply:?}").chars().take(90).collect::<String>();
+        let reply_text = format!("{reply:?}").chars().take(90).collect::<String>();
         let hosts = [reply.clone(), reply].map(|reply| Host::start(move |_| reply.clone()));
         let proxy = Proxy::start(
             PROGRAM,
@@ -103,19 +104,19 @@
         let answer = proxy.call("unsafe", "2000m");
         assert!(
             ![200, 429, 503].contains(&answer.status()),
-            "{shown}: {}",
+            "{reply_text}: {}",
             answer.head
         );
         let requests = hosts[0].further_requests() + hosts[1].further_requests();
-        assert_eq!(requests, 1, "{shown}");
+        assert_eq!(requests, 1, "{reply_text}");
     }
 }
 
-/// What comes behind a good answer, also while its connection is idle, must not answer the next request. The answer
-/// itself is served; its connection is not used again.
+/// Bytes after a valid response, also while the connection is idle, must not be read as the response to the next request.
+/// The valid response is served, and its connection is not reused.
 #[test]
-fn what_follows_an_answer_never_answers_another_request() {
-    for surplus in [
+fn bytes_after_a_response_are_never_read_as_another_response() {
+    for trailing in [
         answer("200 OK", "", "old"),
         "noise".to_owned(),
         "\r\n".to_owned(),
@@ -123,7 +124,7 @@
         let host = Host::start(move |n| {
             Reply::Write(
                 answer("200 OK", "", &format!("answer {n}"))
-                    + if n % 2 == 0 { &surplus } else { "" },
+                    + if n % 2 == 0 { &trailing } else { "" },
             )
         });
         let discovery = Discovery::start();
@@ -138,10 +139,10 @@
     }
 }
 
-/// One spoilt answer tells little of its host. Taken for a broken connection it set a host aside at once.
+/// A malformed response counted as a broken connection and ejected its host at once.
 #[test]
-fn a_host_that_spoils_one_answer_is_not_set_aside() {
-    let spoils = Host::start(|n| match n {
+fn a_host_with_one_malformed_response_is_not_ejected() {
+    let malforming = Host::start(|n| match n {
         0 => Reply::Write("HTTP/1.1 2oo OK\r\n\r\n".to_owned()),
         _ => Reply::Write(answer("200 OK", "", "ok")),
     });
@@ -149,20 +150,20 @@
     let proxy = Proxy::start(
         PROGRAM,
         &discovery,
-        &[up("s-1", &spoils), up("s-2", &other)],
+        &[up("s-1", &malforming), up("s-2", &other)],
     );
-    let asked = Instant::now();
+    let started = Instant::now();
     while proxy.call("unsafe", "2000m").status() == 200 {
-        assert!(asked.elapsed() < LONG, "it is never asked");
+        assert!(started.elapsed() < LONG, "the host never got a request");
     }
-    spoils.request();
+    malforming.request();
     assert!((0..40).all(|_| proxy.call("unsafe", "2000m").status() == 200));
-    assert!(spoils.further_requests() > 0, "it goes on being used");
+    assert!(malforming.further_requests() > 0, "the host is still used");
 }
 
-/// Answers that are announced by others, and reports that can't be read, are as good as any.
+/// The final response is served, also after interim (1xx) responses.
 #[test]
-fn interim_answers_are_skipped() {
+fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let host = Host::start(move |_| Reply::Write(interim.to_owned() + &answer("200 OK", "", "ok")));
     let discovery = Discovery::start();
@@ -174,15 +175,15 @@
 }
 
 #[test]
-fn what_never_ran_goes_to_another_host() {
-    let turned_away = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
+fn a_call_that_never_ran_is_retried_at_another_host() {
+    let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
-    let (full, good) = (
-        Host::start(move |_| Reply::Write(turned_away.clone())),
+    let (rejecting, good) = (
+        Host::start(move |_| Reply::Write(rejection.clone())),
         Host::serving("ok"),
     );
     let entries = [
-        up("s-1", &full),
+        up("s-1", &rejecting),
         up("s-2", &good),
         entry("s-3", nobody(), "up", 0),
     ];
@@ -191,54 +192,58 @@
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     }
     assert!(
-        full.further_requests() > 0,
-        "the host that turns away was tried"
+        rejecting.further_requests() > 0,
+        "the rejecting host was tried"
     );
 }
 
-/// A host is told what is left to the client, not what the client had in the beginning.
+/// A retry sends the client's remaining time, not its original timeout.
 #[test]
-fn a_further_attempt_tells_its_host_what_is_left_to_the_client() {
-    // Less than the class's own aim, which would bound an attempt as well.
-    const TIME: Duration = Duration::from_millis(1_400);
-    const WORK: Duration = Duration::from_millis(600);
-    let turned_away = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
+fn a_retry_sends_the_remaining_timeout_to_its_host() {
+    // Shorter than the latency objective of the class, which would also limit an attempt.
+    const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_400);
+    const HOST_DELAY: Duration = Duration::from_millis(600);
+    let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
-    let full = Host::start(move |_| {
-        std::thread::sleep(WORK);
-        Reply::Write(turned_away.clone())
+    let rejecting = Host::start(move |_| {
+        std::thread::sleep(HOST_DELAY);
+        Reply::Write(rejection.clone())
     });
     let good = Host::serving("ok");
-    let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &full), up("s-2", &good)]);
-    let mut shorter = 0;
+    let proxy = Proxy::start(
+        PROGRAM,
+        &discovery,
+        &[up("s-1", &rejecting), up("s-2", &good)],
+    );
+    let mut reduced_timeouts = 0;
     for _ in 0..12 {
         assert_eq!(
             proxy
-                .call("unsafe", &format!("{}m", TIME.as_millis()))
+                .call("unsafe", &format!("{}m", CLIENT_TIMEOUT.as_millis()))
                 .status(),
             200
         );
         let (_, request) = good.request();
-        let left = request
+        let remaining = request
             .header("x-timeout")
             .and_then(|t| t.strip_suffix('u'))
             .expect("a time");
-        let left = Duration::from_micros(left.parse().expect("microseconds"));
-        shorter += usize::from(left <= TIME - WORK);
+        let remaining = Duration::from_micros(remaining.parse().expect("microseconds"));
+        reduced_timeouts += usize::from(remaining <= CLIENT_TIMEOUT - HOST_DELAY);
     }
-    let further = full.further_requests();
-    assert!(further > 0, "the host that turns away was tried");
+    let attempts_at_rejecting = rejecting.further_requests();
+    assert!(attempts_at_rejecting > 0, "the rejecting host was tried");
     assert!(
-        shorter >= further,
-        "{shorter} of {further} told the time that was over"
+        reduced_timeouts >= attempts_at_rejecting,
+        "{reduced_timeouts} of {attempts_at_rejecting} retries sent the reduced timeout"
     );
 }
 
 #[test]
-fn a_silent_host_costs_the_call_its_time_and_no_more() {
+fn a_call_to_a_host_that_never_answers_ends_at_its_timeout() {
     let (discovery, host) = (Discovery::start(), Host::start(|_| Reply::Silence));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
-    let asked = Instant::now();
+    let started = Instant::now();
     let answer = proxy.call("unsafe", "400m");
     assert!(
         ![200, 429, 503].contains(&answer.status()),
@@ -246,23 +251,23 @@
         answer.head
     );
     assert!(
-        asked.elapsed().as_millis() >= 300 && asked.elapsed() < LONG / 4,
+        started.elapsed().as_millis() >= 300 && started.elapsed() < LONG / 4,
         "{:?}",
-        asked.elapsed()
+        started.elapsed()
     );
-    // The attempt that was given up closes its own connection.
+    // The cancelled attempt closes its connection.
     assert_eq!(host.closed(), 0);
 }
 
 #[test]
-fn a_connect_under_way_is_dropped_when_its_call_ends() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
+fn a_pending_connect_is_cancelled_when_its_call_ends() {
+    let (discovery, unresponsive) = (Discovery::start(), Deaf::start());
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(
         listen,
         discovery.address,
         1_024,
-        &[entry("s-1", deaf.address, "up", 0)],
+        &[entry("s-1", unresponsive.address, "up", 0)],
     );
     let text = text.replace(
         r#""connect_timeout_us":1000000"#,
@@ -272,28 +277,32 @@
     let answer = proxy.call("unsafe", "300m");
     assert_ne!(answer.status(), 200);
     assert!(
-        !deaf.another_comes(),
-        "nothing starts after the final answer"
+        !unresponsive.another_comes(),
+        "no connect starts after the final response"
     );
 }
 
 #[test]
-fn a_connect_that_hangs_ends_in_the_settings_time_and_never_ran() {
-    let (discovery, deaf) = (Discovery::start(), Deaf::start());
-    let proxy = Proxy::start(PROGRAM, &discovery, &[entry("s-1", deaf.address, "up", 0)]);
-    let asked = Instant::now();
+fn a_connect_that_hangs_times_out_and_its_call_is_rejected() {
+    let (discovery, unresponsive) = (Discovery::start(), Deaf::start());
+    let proxy = Proxy::start(
+        PROGRAM,
+        &discovery,
+        &[entry("s-1", unresponsive.address, "up", 0)],
+    );
+    let started = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
     assert_eq!(
         answer.status(),
         503,
-        "refused, as nothing has run: {}",
+        "rejected, because the call never ran: {}",
         answer.head
     );
-    assert!(asked.elapsed() < LONG, "{:?}", asked.elapsed());
+    assert!(started.elapsed() < LONG, "{:?}", started.elapsed());
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let (discovery, host) = (Discovery::start(), Host::start(|_| Reply::Silence));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let mut client = proxy.client();
@@ -304,7 +313,7 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_return() {
+fn a_rejection_comes_at_once_with_retry_after() {
     let discovery = Discovery::start();
     let proxy = Proxy::start(
         PROGRAM,
@@ -314,25 +323,25 @@
             entry("s-2", nobody(), "up", 0),
         ],
     );
-    // Calls that found nobody are refused when their tries are used up; none has run.
-    let asked = Instant::now();
+    // All connects are refused, so the call never ran, and it is rejected after its last attempt.
+    let started = Instant::now();
     let answer = proxy.call("unsafe", "60000m");
     assert_eq!(answer.status(), 503);
-    let advice: f64 = answer
+    let retry_after: f64 = answer
         .header("retry-after")
         .expect("advice")
         .parse()
         .expect("seconds");
-    assert!(advice > 0.0);
+    assert!(retry_after > 0.0);
     assert!(
-        asked.elapsed() < LONG / 2,
+        started.elapsed() < LONG / 2,
         "far from its deadline: {:?}",
-        asked.elapsed()
+        started.elapsed()
     );
 }
 
 #[test]
-fn bad_input_gets_a_plain_answer_and_hurts_nobody_else() {
+fn an_invalid_request_gets_an_error_and_does_not_affect_other_clients() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let head = "POST /unsafe HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n";
@@ -362,7 +371,7 @@
         good.replace("/unsafe", "//unsafe"),
         good.replace("POST", "PUT"),
         good.replace("POST", "GET"),
-        // A transfer coding beside the length may hide another request in the body, and so does a short length.
+        // `Transfer-Encoding` beside `Content-Length` may hide another request in the body, and so may a short length.
         good.replace("X-Timeout", "Transfer-Encoding: chunked\r\nX-Timeout") + "0\r\n\r\n",
         good.replace(
             "Length: 4",
@@ -378,32 +387,32 @@
         long,
     ] {
         let mut client = proxy.client();
-        let shown: String = text.chars().take(120).collect();
-        // The other side may close before it has read all.
+        let reply_text: String = text.chars().take(120).collect();
+        // The proxy may close the connection before it has read everything.
         let _ = client.stream.get_mut().write_all(text.as_bytes());
         if let Some(answer) = client.answer() {
             assert!(
                 (400..500).contains(&answer.status()),
-                "{shown}: {}",
+                "{reply_text}: {}",
                 answer.head
             );
         }
         assert!(
             client.answer().is_none(),
-            "and the connection is closed: {shown}"
+            "and the connection is closed: {reply_text}"
         );
     }
-    assert_eq!(host.further_requests(), 0, "nothing of it reached the host");
+    assert_eq!(host.further_requests(), 0, "no request reached the host");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
 }
 
-/// A client that takes another's id must neither get its answer nor disturb it.
+/// A client that uses the id of another client's open request must neither get its response nor disturb it.
 #[test]
-fn the_id_of_an_open_request_is_taken_once() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
+fn the_id_of_an_open_request_is_rejected_as_a_duplicate() {
+    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
-        let _ = arrived.send(());
+        let _ = arrival.send(());
         let _ = gate.lock().expect("one call").recv();
         Reply::Write(answer("200 OK", "", "ok"))
     });
@@ -411,19 +420,19 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.write(&request("unsafe", "20000m", "same"));
-    came.recv_timeout(LONG).expect("the call at the host");
+    arrivals.recv_timeout(LONG).expect("the call at the host");
     second.write(&request("unsafe", "20000m", "same"));
     assert_eq!(second.answer().expect("an answer").status(), 409);
     open.send(()).expect("the host waits");
     assert_eq!(first.answer().expect("an answer").status(), 200);
-    // Once it has its answer the id is free.
+    // After the response the id may be used again.
     open.send(()).expect("the host waits");
     first.write(&request("unsafe", "20000m", "same"));
     assert_eq!(first.answer().expect("an answer").status(), 200);
 }
 
-/// Clients that say nothing, or that ask once and stay, kept their places for two minutes, and all others were
-/// refused.
+/// Clients that sent nothing, or one request, and stayed connected kept their places for two minutes, while all other clients
+/// were rejected.
 #[test]
 fn clients_that_stay_make_room_for_those_that_ask() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
@@ -432,7 +441,7 @@
         PROGRAM,
         &config(listen, discovery.address, 128, &[up("s-1", &host)]),
     );
-    let stayed: Vec<Client> = (0..30)
+    let kept_open: Vec<Client> = (0..30)
         .map(|_| {
             let mut client = proxy.client();
             assert_eq!(client.call("safe", "2000m").status(), 200);
@@ -444,35 +453,35 @@
     for _ in 0..60 {
         assert_eq!(proxy.call("safe", "5000m").status(), 200);
     }
-    drop((stayed, silent));
+    drop((kept_open, silent));
 }
 
-/// A crowd that asks once on each connection and stays filled all places sooner than any could be taken for idle;
-/// three quarters of all calls were refused while the hosts had nothing to do.
+/// Many clients that sent one request each and stayed connected filled all places before any of them counted as idle. Three
+/// quarters of all calls were rejected while the hosts had nothing to do.
 #[test]
-fn a_crowd_that_asks_once_and_stays_is_served() {
+fn many_clients_that_send_one_request_and_stay_connected_are_served() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(
         PROGRAM,
         &config(listen, discovery.address, 128, &[up("s-1", &host)]),
     );
-    let mut stayed = Vec::new();
+    let mut kept_open = Vec::new();
     for _ in 0..200 {
         let mut client = proxy.client();
         assert_eq!(
             client.call("safe", "2000m").status(),
             200,
             "after {}",
-            stayed.len()
+            kept_open.len()
         );
-        stayed.push(client);
+        kept_open.push(client);
     }
     assert!(
-        stayed[0].answer().is_none(),
-        "the one idle longest has gone"
+        kept_open[0].answer().is_none(),
+        "the connection that was idle longest is closed"
     );
-    // Clients can hold no more than a third of the descriptors: idle ones must not use that up.
+    // Clients may hold a third of the descriptors at most; idle ones must not use up all of them.
     let open = |client: &Client| {
         let stream = client.stream.get_ref();
         stream
@@ -480,26 +489,26 @@
             .and_then(|()| stream.peek(&mut [0]))
             .is_err()
     };
-    let asked = Instant::now();
-    while stayed.iter().filter(|client| open(client)).count() > 128 / 3 {
-        assert!(asked.elapsed() < LONG, "too many stay open");
+    let started = Instant::now();
+    while kept_open.iter().filter(|client| open(client)).count() > 128 / 3 {
+        assert!(started.elapsed() < LONG, "too many stay open");
         std::thread::sleep(SHORT / 30);
     }
-    stayed[199]
+    kept_open[199]
         .stream
         .get_ref()
         .set_nonblocking(false)
         .expect("a socket");
     assert_eq!(
-        stayed[199].call("safe", "2000m").status(),
+        kept_open[199].call("safe", "2000m").status(),
         200,
-        "the last has not"
+        "the newest connection is open"
     );
 }
 
-/// Whatever a client begins, it is owed an end soon: a close, or an error.
+/// An incomplete request ends soon, with a close or an error.
 #[test]
-fn what_does_not_come_to_an_end_is_closed_or_turned_away() {
+fn a_request_that_is_never_completed_is_closed_or_gets_408() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let good = request("unsafe", "60000m", "1");
@@ -511,19 +520,19 @@
             client
         })
         .collect();
-    let asked = Instant::now();
+    let started = Instant::now();
     for client in &mut clients {
         if let Some(answer) = client.answer() {
             assert_eq!(answer.status(), 408);
             assert!(client.answer().is_none());
         }
     }
-    assert!(asked.elapsed() < LONG / 4, "{:?}", asked.elapsed());
+    assert!(started.elapsed() < LONG / 4, "{:?}", started.elapsed());
     assert_eq!(host.further_requests(), 0);
 }
 
 #[test]
-fn odd_load_reports_are_skipped() {
+fn invalid_load_reports_are_ignored() {
     let discovery = Discovery::start();
     let host = Host::start(|n| {
         let report = [
@@ -546,7 +555,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_host_that_drains_or_is_gone() {
+fn no_call_goes_to_a_draining_or_removed_host() {
     let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &one), up("s-2", &two)]);
     assert!(discovery
@@ -558,14 +567,14 @@
         false,
         &[entry("s-1", one.address, "draining", 0)],
     ));
-    // The next watch follows the answer; by then the news has been taken in.
+    // The proxy has applied the list by the time it sends the next watch.
     assert!(discovery.asked().contains("index=42&"));
     assert!(all_from(b"2"));
     discovery.tell(&list(43, true, &[up("s-1", &one)]));
     assert!(discovery.asked().contains("index=43&"));
     assert!(
         all_from(b"1"),
-        "a host that a whole list leaves out is gone"
+        "a host that is missing from a full list is removed"
     );
     discovery.tell(&list(
         44,
@@ -577,7 +586,7 @@
 }
 
 #[test]
-fn a_new_start_or_address_of_a_host_closes_what_led_to_the_old_one() {
+fn a_restart_or_new_address_of_a_host_closes_connections_to_the_old_one() {
     let (discovery, old, new) = (
         Discovery::start(),
         Host::serving("old"),
@@ -587,7 +596,7 @@
     discovery.asked();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
     discovery.tell(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
-    assert_eq!(old.closed(), 0, "a new start is a new process");
+    assert_eq!(old.closed(), 0, "a new start time means a new process");
     discovery.asked();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
     discovery.tell(&list(43, false, &[entry("s-1", new.address, "up", 1_000)]));
@@ -597,11 +606,11 @@
 }
 
 #[test]
-fn a_host_that_drains_finishes_its_call_and_keeps_no_connection() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
+fn a_draining_host_finishes_its_call_and_its_connection_is_closed() {
+    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
-        let _ = arrived.send(());
+        let _ = arrival.send(());
         let _ = gate.lock().expect("one call").recv();
         Reply::Write(answer("200 OK", "", "late"))
     });
@@ -610,7 +619,7 @@
     discovery.asked();
     let mut client = proxy.client();
     client.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the call at the host");
+    arrivals.recv_timeout(LONG).expect("the call at the host");
     discovery.tell(&list(
         42,
         false,
@@ -623,11 +632,11 @@
 }
 
 #[test]
-fn the_connection_used_last_is_used_first() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
+fn the_most_recently_used_connection_is_reused_first() {
+    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |n| {
-        let _ = arrived.send(());
+        let _ = arrival.send(());
         if n == 0 {
             let _ = gate.lock().expect("one call").recv();
         }
@@ -637,7 +646,9 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let mut slow = proxy.client();
     slow.send("unsafe", "20000m");
-    came.recv_timeout(LONG).expect("the first call at the host");
+    arrivals
+        .recv_timeout(LONG)
+        .expect("the first call at the host");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     assert_eq!(
         host.request().0,
@@ -649,15 +660,15 @@
     assert_eq!(host.request().0, 0);
     for _ in 0..3 {
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
-        assert_eq!(host.request().0, 0, "it came back last");
+        assert_eq!(host.request().0, 0, "the connection that was returned last");
     }
 }
 
 #[test]
-fn a_watch_that_fails_is_asked_again_and_calls_go_on() {
+fn a_failed_watch_is_retried_while_calls_go_on() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
-    for fault in [
+    for failure in [
         answer("503 Service Unavailable", "", ""),
         answer("200 OK", "", "{\"index\":"),
         answer("200 OK", "", "{\"index\":42,\"endpoints\":7}"),
@@ -665,34 +676,34 @@
     ] {
         assert!(
             discovery.asked().contains("index=41&"),
-            "what it knows stands"
+            "the known list stays in force"
         );
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
-        discovery.say(fault);
+        discovery.say(failure);
     }
     discovery.asked();
     discovery.tell(&list(42, false, &[]));
     assert!(discovery.asked().contains("index=42&"));
 }
 
-/// SIGHUP killed the program. Now it moves on to the discovery that the file names, whose versions have nothing to
-/// do with the old one's, while calls go on; a bad file changes nothing.
+/// SIGHUP switches to the list service that the file names, whose list indices are unrelated to those of the old one, while
+/// calls go on. An invalid file changes nothing.
 #[test]
-fn a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing() {
+fn a_reload_switches_the_list_service_and_an_invalid_one_changes_nothing() {
     let (old, new) = (Discovery::start(), Discovery::start());
     let (one, two) = (Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &old, &[up("s-1", &one)]);
     assert!(old.asked().contains("index=41&"));
-    let moved = config(proxy.address, new.address, 1_024, &[]);
-    for bad in ["", "{", &moved.replace("\"cold_from\"", "\"warm\"")] {
+    let new_config = config(proxy.address, new.address, 1_024, &[]);
+    for bad in ["", "{", &new_config.replace("\"cold_from\"", "\"warm\"")] {
         proxy.reload(bad);
         proxy.logged("reload failed, keeping the old configuration");
         assert_eq!(proxy.call("safe", "2000m").body, b"1");
     }
-    proxy.reload(&moved);
+    proxy.reload(&new_config);
     assert!(
         new.asked().starts_with("GET /catalog/members HTTP/1.1"),
-        "the whole list"
+        "the full list is requested"
     );
     assert_eq!(
         proxy.call("safe", "2000m").body,
@@ -702,15 +713,15 @@
     new.tell(&list(7, true, &[up("s-2", &two)]));
     assert!(new.asked().contains("index=7&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
-    // The same again is harmless: the watch there goes on.
-    proxy.reload(&moved);
+    // A reload without changes keeps the watch.
+    proxy.reload(&new_config);
     new.tell(&list(8, false, &[]));
     assert!(new.asked().contains("index=8&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
 }
 
 #[test]
-fn a_stop_finishes_what_is_taken_and_a_start_binds_at_once() {
+fn shutdown_finishes_accepted_requests_and_a_new_start_binds_at_once() {
     let discovery = Discovery::start();
     let host = Host::start(|n| match n {
         0 => Reply::Silence,
@@ -727,33 +738,33 @@
     let mut slow = proxy.client();
     slow.send("unsafe", "1200m");
     host.request();
-    // Neither a connection that is never used nor one with half a request holds the stop up.
+    // Neither an unused connection nor one with half a request delays the shutdown.
     let (_unused, mut half) = (proxy.client(), proxy.client());
     half.write("POST /safe HTTP/1.1\r\nHost:");
     proxy.terminate();
     assert!(
         idle.answer().is_none(),
-        "an idle connection closes when the stop begins"
+        "an idle connection is closed when the shutdown begins"
     );
-    // New connections are still taken then, and each answer closes its own.
+    // New connections are still accepted, and closed after their response.
     let answer = proxy.call("safe", "1000m");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    let answer = slow.answer().expect("what was taken is answered");
+    let answer = slow.answer().expect("an accepted request is answered");
     assert_eq!(answer.header("connection"), Some("close"));
     assert!(proxy.ended(), "it exits 0");
-    let again = Proxy::with(
+    let restarted = Proxy::with(
         PROGRAM,
         &config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]),
     );
-    assert_eq!(again.address, proxy.address);
-    assert_eq!(again.call("safe", "2000m").status(), 200);
+    assert_eq!(restarted.address, proxy.address);
+    assert_eq!(restarted.call("safe", "2000m").status(), 200);
 }
 
 #[test]
-fn short_of_descriptors_it_refuses_and_lives() {
+fn with_few_descriptors_clients_are_rejected_and_the_proxy_goes_on() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(
@@ -770,24 +781,24 @@
     let refused = answers
         .iter()
         .find(|a| a.status() == 503)
-        .expect("one was too many");
+        .expect("at least one rejection");
     assert!(
         refused.header("retry-after").is_some() && refused.header("connection") == Some("close")
     );
     drop(clients);
-    // Room comes back as connections end.
-    let asked = Instant::now();
+    // Descriptors become available as connections close.
+    let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(started.elapsed() < LONG);
     }
 }
 
 #[test]
-fn out_of_descriptors_it_waits_for_some_and_lives() {
+fn when_the_system_runs_out_of_descriptors_the_proxy_goes_on() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &host)]);
-    // The system gives far fewer than the configuration promises.
+    // The limit of the system is far below the one in the configuration.
     let mut proxy = Proxy::within(PROGRAM, &text, Some(24));
     discovery.asked();
     let clients: Vec<Client> = (0..40)
@@ -798,9 +809,9 @@
         })
         .collect();
     drop(clients);
-    let asked = Instant::now();
+    let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(started.elapsed() < LONG);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -808,13 +819,13 @@
     );
 }
 
-/// Clients that stay and say nothing while the list service is down must not hold what is needed at its return: the way to
-/// it, and then the way to the hosts.
+/// Idle clients that connect while the list service is down must not use the descriptors that the proxy needs when the
+/// service returns: for the connection to it, and then for those to the hosts.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nothing_from_its_return() {
+fn idle_clients_do_not_take_the_descriptors_that_the_list_service_needs_after_an_outage() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
-    // The system gives no more than the configuration says.
+    // The limit of the system equals the one in the configuration.
     let mut proxy = Proxy::within(
         PROGRAM,
         &config(listen, discovery.address, 128, &[]),
@@ -824,16 +835,19 @@
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..4 {
         idle.extend((0..150).map(|_| proxy.client()));
-        // It ends each question.
+        // The list service closes without a response, which ends the poll.
         discovery.say(String::new());
         discovery.asked();
     }
     discovery.tell(&list(42, true, &[up("s-1", &host)]));
-    assert!(discovery.asked().contains("index=42&"), "the list is in");
-    // Some of those that stay are ahead in the queue.
-    let asked = Instant::now();
+    assert!(
+        discovery.asked().contains("index=42&"),
+        "the list was applied"
+    );
+    // Some of the idle clients are ahead in the accept queue.
+    let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(asked.elapsed() < LONG);
+        assert!(started.elapsed() < LONG);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -843,17 +857,17 @@
 }
 
 #[test]
-fn bad_configuration_is_one_line_and_a_failure() {
+fn an_invalid_configuration_fails_with_a_one_line_error() {
     let address = nobody();
     let good = config(address, address, 1_024, &[]);
-    let odd = good.replace(r#""discovery":"ask""#, r#""discovery":"asked""#);
+    let invalid = good.replace(r#""discovery":"ask""#, r#""discovery":"asked""#);
     for text in [
         "",
         "{",
         "{}",
         &good.replace("8c1f", "seed"),
         &good.replace("\"cold_from\"", "\"warm\""),
-        &odd,
+        &invalid,
     ] {
         let (mut child, path) = spawn(PROGRAM, text, None);
         let mut message = String::new();
@@ -872,41 +886,44 @@
     }
 }
 
-/// The watch waited for the decisions to ask for it, and they ask only where the settings say so: where lists are
-/// pushed a proxy kept to the list of its start for good.
+/// The watch started only when the balancer requested it, which it does only where the settings say that lists are polled.
+/// Where lists are pushed, a proxy kept the list of its start for ever.
 #[test]
-fn where_lists_are_pushed_the_agent_is_watched_all_the_same() {
-    let (discovery, drains, stays) = (
+fn the_agent_is_watched_where_lists_are_pushed() {
+    let (discovery, draining_host, other_host) = (
         Discovery::start(),
         Host::serving("old"),
         Host::serving("new"),
     );
-    let known = [up("s-1", &drains)];
+    let known = [up("s-1", &draining_host)];
     let listen = "127.0.0.1:0".parse().expect("an address");
     let proxy = Proxy::with(
         PROGRAM,
         &pushed(&config(listen, discovery.address, 1_024, &known)),
     );
     assert!(discovery.asked().contains("index=41&"));
-    let news = [
-        entry("s-1", drains.address, "draining", 0),
-        up("s-2", &stays),
+    let changes = [
+        entry("s-1", draining_host.address, "draining", 0),
+        up("s-2", &other_host),
     ];
-    discovery.tell(&list(42, false, &news));
-    assert!(discovery.asked().contains("index=42&"), "the news is taken");
+    discovery.tell(&list(42, false, &changes));
+    assert!(
+        discovery.asked().contains("index=42&"),
+        "the changes were applied"
+    );
     assert_eq!(proxy.call("safe", "2000m").body, b"new");
-    // One that fails is asked again, with nothing to say so.
+    // A failed watch is retried without a request of the balancer.
     discovery.say(answer("503 Service Unavailable", "", ""));
     assert!(discovery.asked().contains("index=42&"));
 }
 
-/// What can't be meant is logged with what was found, and leaves the last good list in force; asking goes on.
+/// An invalid list is logged with what was found, and the last valid list stays in force; watching goes on.
 #[test]
-fn odd_lists_are_told_and_change_nothing() {
+fn invalid_lists_are_logged_and_change_nothing() {
     let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &one), up("s-2", &two)]);
     discovery.asked();
-    // Half an answer, framed as a whole one.
+    // A truncated document in a complete response.
     discovery.say(answer(
         "200 OK",
         "",
@@ -914,22 +931,22 @@
     ));
     proxy.logged("odd list");
     assert!(discovery.asked().contains("index=41&"));
-    // Changes up to an index that was passed long ago: the whole list is asked for.
+    // Changes up to an index below the known one: the proxy requests the full list.
     discovery.tell(&list(7, false, &[entry("s-1", one.address, "removed", 0)]));
     proxy.logged("changes up to 7, asked for those after 41");
     assert_eq!(discovery.asked(), "GET /catalog/members HTTP/1.1");
     assert!(
         (0..40).any(|_| proxy.call("safe", "2000m").body == b"1"),
-        "what is odd is not applied"
+        "the invalid list is not applied"
     );
-    // A status that nobody knows takes nothing new; spread over lines, as some services write.
-    let spread = list(
+    // A host with an unknown status gets no new calls. The document is spread over several lines, as some services write it.
+    let multi_line = list(
         8,
         true,
         &[entry("s-1", one.address, "paused", 0), up("s-2", &two)],
     )
     .replace(',', ",\n  ");
-    discovery.tell(&spread);
+    discovery.tell(&multi_line);
     proxy.logged("\"paused\", allowed are up, draining, removed");
     assert!(discovery.asked().contains("index=8&"));
     assert!((0..20).all(|_| proxy.call("safe", "2000m").body == b"2"));
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -1,4 +1,4 @@
-//! A proxy that moves to the control of another region: its copy of the policy is no copy of the one there.
+//! A proxy that moves to the control plane of another region must not use its copy of the old region's policy.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control_plane::settings::Settings;
@@ -14,7 +14,7 @@
 
 const PROXY: &str = env!("CARGO_BIN_EXE_badgerramp");
 
-/// A region with a replica in a thread of this process, which ends with it.
+/// A region with one replica, which runs in a thread until this process ends.
 struct Region {
     name: &'static str,
     address: SocketAddr,
@@ -49,30 +49,30 @@
     }
 
     fn publish(&self, secret: &Path, text: String) {
-        let at = At {
+        let control_address = At {
             control: vec![self.address],
             secret: secret.to_owned(),
             timeout: LONG.as_secs(),
         };
-        let mut control = Control::new(&at).expect("a secret");
+        let mut control = Control::new(&control_address).expect("a secret");
         let files = HashMap::from([("caja".to_owned(), text)]);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
-        let done = runtime.expect("a runtime").block_on(async {
+        let published = runtime.expect("a runtime").block_on(async {
             let revision = control.standing().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         });
         assert_eq!(
-            (done.outcome, done.generation),
+            (published.outcome, published.generation),
             (Outcome::InForce, Some(1)),
             "{}",
-            done.why
+            published.why
         );
     }
 }
 
-/// The file of the proxy, with the control of a region and the region that it takes it for.
+/// Returns the operator's file of a proxy with the control plane of `control` and the setting `policy.region`.
 fn file(folder: &Path, host: &Host, (control, region): (&Region, &str), path: &str) -> String {
     let (folder, control) = (folder.display(), control.address);
     format!(
@@ -85,8 +85,8 @@
     )
 }
 
-fn becomes(proxy: &Proxy, path: &str, status: &str) -> Message {
-    let began = Instant::now();
+fn get_until_status(proxy: &Proxy, path: &str, status: &str) -> Message {
+    let started = Instant::now();
     loop {
         let answer = proxy
             .client()
@@ -94,13 +94,13 @@
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(began.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(started.elapsed() < LONG, "{path} stays {:?}", answer.head);
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_proxy_that_moves_takes_the_policy_of_its_new_region_and_not_its_copy() {
+fn a_proxy_that_moves_to_another_region_uses_its_policy_and_not_the_copy_on_disk() {
     let folder = Folder::new("proxy-regions").expect("a folder");
     let secret = folder
         .write("secret", "a secret of the tests", true)
@@ -111,25 +111,25 @@
         Region::start(path, "norte", "sur"),
         Region::start(path, "sur", "norte"),
     );
-    // The same generation of each, and another policy.
+    // Both regions have the same generation number, but different policies.
     norte.publish(&secret, file(path, &host, (&norte, "norte"), "/norte"));
     sur.publish(&secret, file(path, &host, (&sur, "sur"), "/sur"));
     let proxy = Proxy::sidecar(PROXY, &[], &file(path, &host, (&norte, norte.name), "/own"));
-    becomes(&proxy, "/norte", "200");
+    get_until_status(&proxy, "/norte", "200");
     drop(proxy);
     assert!(
         path.join("state/caja.policy").exists(),
-        "it takes its copy along"
+        "the proxy has saved its copy"
     );
-    // With the address of the one region and the name of the other it gets no lease.
-    let strayed = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
-    strayed.logged(
+    // With the address of one region and the name of the other the proxy gets no lease.
+    let wrong_region = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
+    wrong_region.logged(
         "policy.region of this proxy is \"norte\", and the control that it asks is of region \"sur\"",
     );
-    becomes(&strayed, "/norte", "503");
-    becomes(&strayed, "/sur", "503");
-    drop(strayed);
+    get_until_status(&wrong_region, "/norte", "503");
+    get_until_status(&wrong_region, "/sur", "503");
+    drop(wrong_region);
     let moved = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, sur.name), "/own"));
-    becomes(&moved, "/sur", "200");
-    becomes(&moved, "/norte", "404");
+    get_until_status(&moved, "/sur", "200");
+    get_until_status(&moved, "/norte", "404");
 }
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! The program as a sidecar: plain HTTP passes, routes and timing are as the file sets them.
+//! The program as a sidecar: plain HTTP, routes, timing, expressions, reloads and the command line.
 
 use badgerramp_testkit::*;
 use std::io::Read;
@@ -8,11 +8,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_badgerramp");
 
-/// Three classes and a route for each, over these hosts; the first two are one group. `more` goes into the class of
-/// its name, and lines without a name before all tables.
-fn file(hosts: &[std::net::SocketAddr], more: &[(&str, &str)]) -> String {
+/// Returns an operator's file with three classes and a route for each, over these hosts; every two hosts are a group. Each
+/// addition goes into the class or table of its name, and additions without a name before all tables.
+fn file(hosts: &[std::net::SocketAddr], additions: &[(&str, &str)]) -> String {
     let extra = |name: &str| {
-        more.iter()
+        additions
+            .iter()
             .filter(|m| m.0 == name)
             .map(|m| m.1)
             .collect::<Vec<_>>()
@@ -47,9 +48,9 @@
     )
 }
 
-fn sidecar(hosts: &[&Host], more: &[(&str, &str)]) -> Proxy {
+fn sidecar(hosts: &[&Host], additions: &[(&str, &str)]) -> Proxy {
     let addresses: Vec<_> = hosts.iter().map(|h| h.address).collect();
-    Proxy::sidecar(PROGRAM, &[], &file(&addresses, more))
+    Proxy::sidecar(PROGRAM, &[], &file(&addresses, additions))
 }
 
 fn get(path: &str) -> String {
@@ -74,7 +75,7 @@
     })
 }
 
-// What passes through.
+// Passing requests and responses on.
 
 #[test]
 fn methods_statuses_headers_and_bodies_pass_through() {
@@ -133,10 +134,10 @@
     }
 }
 
-/// These tell a length, or nothing, and nothing follows them: a reader that waits for a body would hang, one that finds
-/// one would take it for the next answer.
+/// These responses have no body, whatever length they announce. A reader that waited for a body would hang, or take the next
+/// response for it.
 #[test]
-fn answers_without_a_body_are_framed_rightly() {
+fn responses_without_a_body_are_framed_correctly() {
     let bare = |status: &str, headers: &str| format!("HTTP/1.1 {status}\r\n{headers}\r\n");
     let texts = [
         bare("200 OK", "Content-Length: 4711\r\nETag: \"h\"\r\n"),
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn chunked_bodies_pass_within_the_bound() {
+fn chunked_bodies_pass_up_to_the_size_limit() {
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let host = Host::start(move |_| Reply::Write(chunked.to_owned()));
@@ -204,44 +205,50 @@
 }
 
 #[test]
-fn a_request_without_time_and_id_gets_both() {
+fn a_request_without_timeout_and_id_gets_both() {
     let host = Host::serving("ok");
     let proxy = sidecar(&[&host], &[]);
     let mut seen = Vec::new();
-    for (headers, most) in [
+    for (headers, max) in [
         ("", 2_998_000),
         ("X-Timeout: 900m\r\n", 898_000),
         ("X-Timeout: 60000m\r\n", 2_998_000),
     ] {
         assert_eq!(proxy.client().ask(&post("/unsafe", headers)).status(), 200);
         let (_, request) = host.request();
-        let left = request
+        let remaining = request
             .header("x-timeout")
             .and_then(|t| t.strip_suffix('u'))
             .expect("a time");
-        let left: u64 = left.parse().expect("microseconds");
-        assert!(left > 0 && left <= most, "{headers:?}: {left}");
+        let remaining: u64 = remaining.parse().expect("microseconds");
+        assert!(
+            remaining > 0 && remaining <= max,
+            "{headers:?}: {remaining}"
+        );
         seen.push(request.header("x-request-id").expect("an id").to_owned());
     }
     seen.sort();
     seen.dedup();
-    assert_eq!(seen.len(), 3, "ids of their own");
-    for odd in [
+    assert_eq!(seen.len(), 3, "each has its own id");
+    for invalid_timeout in [
         "X-Timeout: soon\r\n",
         "X-Timeout: 0m\r\n",
         "X-Timeout: 9m\r\nX-Timeout: 8m\r\n",
     ] {
         assert_eq!(
-            proxy.client().ask(&post("/unsafe", odd)).status(),
+            proxy
+                .client()
+                .ask(&post("/unsafe", invalid_timeout))
+                .status(),
             400,
-            "{odd}"
+            "{invalid_timeout}"
         );
     }
     assert_eq!(host.further_requests(), 0);
 }
 
 #[test]
-fn paths_match_in_their_normal_form_and_pass_as_they_came() {
+fn paths_match_in_normalized_form_and_pass_unchanged() {
     let host = Host::serving("ok");
     let proxy = sidecar(
         &[&host],
@@ -287,7 +294,7 @@
 }
 
 #[test]
-fn a_target_that_names_a_host_passes_as_one_that_does_not() {
+fn an_absolute_form_target_is_sent_in_origin_form() {
     let host = Host::serving("ok");
     let proxy = sidecar(&[&host], &[]);
     let answer = proxy
@@ -304,7 +311,7 @@
 }
 
 #[test]
-fn a_request_that_no_route_takes_gets_the_named_answer() {
+fn a_request_without_a_route_gets_the_configured_response() {
     let host = Host::serving("ok");
     let mut proxy = sidecar(
         &[&host],
@@ -319,13 +326,13 @@
     assert_eq!(
         client.ask(&get("/safe")).status(),
         200,
-        "the connection goes on"
+        "the connection stays open"
     );
     assert!(proxy.child.try_wait().expect("a child").is_none());
 }
 
 #[test]
-fn what_a_host_says_of_its_failure_passes_unless_it_reads_as_a_refusal() {
+fn error_responses_of_a_host_pass_unless_they_look_like_rejections() {
     let host = error();
     let proxy = sidecar(&[&host], &[]);
     let answer = proxy.client().ask(&post("/unsafe", ""));
@@ -335,7 +342,7 @@
     );
     assert_eq!(answer.header("x-why"), Some("it broke"));
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
-        // It may have run: to pass this on would tell the client that trying again is harmless.
+        // The call may have run; passing this status on would tell the client that a retry is harmless.
         let host = Host::start(move |_| Reply::Write(answer_of(status)));
         let proxy = sidecar(&[&host], &[]);
         assert_eq!(
@@ -351,13 +358,13 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_return_in_whole_seconds_where_it_may() {
-    for (limits, advice) in [("", Some("1")), ("[limits]\nretry_after = \"0s\"", None)] {
+fn a_rejection_has_the_configured_retry_after_in_whole_seconds() {
+    for (limits, retry_after) in [("", Some("1")), ("[limits]\nretry_after = \"0s\"", None)] {
         let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[nobody(), nobody()], &[("", limits)]));
         let answer = proxy.client().ask(&post("/unsafe", ""));
         assert_eq!(
             (answer.status(), answer.header("retry-after")),
-            (503, advice),
+            (503, retry_after),
             "{limits}"
         );
     }
@@ -366,7 +373,7 @@
 // Statuses by route.
 
 #[test]
-fn a_status_is_served_for_one_route_and_an_error_for_another() {
+fn a_status_may_be_served_by_one_route_and_an_error_for_another() {
     let host = Host::start(|_| Reply::Write(answer("409 Conflict", "", "busy")));
     let route = "[[route]]\nname = \"strict\"\nprefix = \"/safe/strict\"\nclass = \"safe\"\nserved = [\"200\"]\nattempts = 3\n";
     let proxy = sidecar(&[&host], &[("route", route)]);
@@ -376,28 +383,28 @@
     assert_eq!(
         answer.status(),
         503,
-        "a safe call that failed may come again: refused"
+        "a safe call that failed may be retried by its client: rejected"
     );
-    assert!(host.further_requests() > 1, "an error is tried again");
+    assert!(host.further_requests() > 1, "an error is retried");
 }
 
 #[test]
-fn what_proves_that_nothing_ran_is_the_files() {
-    let away =
+fn the_file_sets_which_responses_prove_that_a_call_never_ran() {
+    let rejecting_host =
         || Host::start(|_| Reply::Write(answer("425 Too Early", "X-Untouched: yes\r\n", "")));
-    let proof = "never_ran = [{ status = 425, header = \"X-Untouched\" }]";
-    let (one, two) = (away(), away());
+    let never_ran_rule = "never_ran = [{ status = 425, header = \"X-Untouched\" }]";
+    let (one, two) = (rejecting_host(), rejecting_host());
     let proxy = sidecar(
         &[&one, &two],
-        &[("unsafe", proof), ("unsafe", "attempts = 2")],
+        &[("unsafe", never_ran_rule), ("unsafe", "attempts = 2")],
     );
     assert_eq!(
         proxy.client().ask(&post("/unsafe", "")).status(),
         503,
-        "refused, as nothing has run"
+        "rejected, because the call never ran"
     );
     assert_eq!(one.further_requests() + two.further_requests(), 2);
-    let (one, two) = (away(), away());
+    let (one, two) = (rejecting_host(), rejecting_host());
     let proxy = sidecar(&[&one, &two], &[]);
     assert_eq!(
         proxy.client().ask(&post("/unsafe", "")).status(),
@@ -410,44 +417,41 @@
 // Timing.
 
 #[test]
-fn attempts_are_as_many_as_the_route_says() {
-    for most in [1, 2, 3] {
+fn a_route_limits_the_number_of_attempts() {
+    for max in [1, 2, 3] {
         let hosts = [error(), error(), error(), error()];
         let route = format!(
-            "[[route]]\nname = \"r\"\nprefix = \"/safe/r\"\nclass = \"safe\"\nattempts = {most}\n"
+            "[[route]]\nname = \"r\"\nprefix = \"/safe/r\"\nclass = \"safe\"\nattempts = {max}\n"
         );
         let proxy = sidecar(
             &[&hosts[0], &hosts[1], &hosts[2], &hosts[3]],
             &[("safe", "attempts = 4"), ("route", &route)],
         );
         proxy.client().ask(&get("/safe/r"));
-        assert_eq!(
-            hosts.iter().map(Host::further_requests).sum::<usize>(),
-            most
-        );
+        assert_eq!(hosts.iter().map(Host::further_requests).sum::<usize>(), max);
         proxy.client().ask(&get("/safe/other"));
         assert_eq!(
             hosts.iter().map(Host::further_requests).sum::<usize>(),
             4,
-            "its class's"
+            "the limit of the class"
         );
     }
 }
 
 #[test]
-fn an_attempt_that_takes_too_long_gives_way_to_another() {
+fn an_attempt_that_times_out_is_retried_if_the_call_is_safe() {
     let (one, two) = (silent(), silent());
     let proxy = sidecar(
         &[&one, &two],
         &[("safe", "attempt = \"300ms\"\nattempts = 3")],
     );
-    let asked = Instant::now();
+    let started = Instant::now();
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 503);
-    let took = asked.elapsed();
-    assert!(took >= Duration::from_millis(600), "{took:?}");
-    let all = one.further_requests() + two.further_requests();
-    assert!((2..=3).contains(&all), "{all} attempts");
-    // An unsafe one may be running: its end is the call's.
+    let elapsed = started.elapsed();
+    assert!(elapsed >= Duration::from_millis(600), "{elapsed:?}");
+    let attempts = one.further_requests() + two.further_requests();
+    assert!((2..=3).contains(&attempts), "{attempts} attempts");
+    // An unsafe attempt may still be running at its time-out, which therefore ends the call.
     let (one, two) = (silent(), silent());
     let proxy = sidecar(
         &[&one, &two],
@@ -459,7 +463,7 @@
 }
 
 #[test]
-fn the_total_is_the_calls_end() {
+fn the_total_timeout_ends_the_call() {
     let host = silent();
     let text = file(&[host.address], &[("unsafe", "total = \"400ms\"")]);
     let proxy = Proxy::sidecar(
@@ -467,48 +471,48 @@
         &[],
         &text.replace("deadline = \"3s\"", "deadline = \"60s\""),
     );
-    let asked = Instant::now();
+    let started = Instant::now();
     let status = proxy
         .client()
         .ask(&post("/unsafe", "X-Timeout: 60000m\r\n"))
         .status();
     assert!(![200, 429, 503].contains(&status), "{status}");
-    let took = asked.elapsed();
+    let elapsed = started.elapsed();
     assert!(
-        took >= Duration::from_millis(390) && took < LONG,
-        "{took:?}"
+        elapsed >= Duration::from_millis(390) && elapsed < LONG,
+        "{elapsed:?}"
     );
-    assert_eq!(host.closed(), 0, "the attempt goes with its call");
+    assert_eq!(host.closed(), 0, "the attempt is cancelled with its call");
 }
 
 #[test]
-fn a_connect_takes_no_longer_than_it_may() {
-    let deaf = Deaf::start();
+fn a_connect_ends_at_its_timeout() {
+    let unresponsive = Deaf::start();
     let text = file(
-        &[deaf.address],
+        &[unresponsive.address],
         &[("unsafe", "connect = \"200ms\"\nattempts = 1")],
     );
     let text = text.replace("deadline = \"3s\"", "deadline = \"60s\"");
     let proxy = Proxy::sidecar(PROGRAM, &[], &text);
-    let asked = Instant::now();
+    let started = Instant::now();
     assert_eq!(
         proxy.client().ask(&post("/unsafe", "")).status(),
         503,
-        "never ran, so refused"
+        "the call never ran, so it is rejected"
     );
-    let took = asked.elapsed();
+    let elapsed = started.elapsed();
     assert!(
-        took >= Duration::from_millis(190) && took < LONG,
-        "{took:?}"
+        elapsed >= Duration::from_millis(190) && elapsed < LONG,
+        "{elapsed:?}"
     );
 }
 
 #[test]
-fn a_pause_lies_between_attempts() {
-    let (arrived, came) = channel();
-    let arrived = Mutex::new(arrived);
+fn attempts_are_separated_by_the_backoff() {
+    let (arrival, arrivals) = channel();
+    let arrival = Mutex::new(arrival);
     let host = Host::start(move |n| {
-        let _ = arrived.lock().expect("a sender").send(Instant::now());
+        let _ = arrival.lock().expect("a sender").send(Instant::now());
         match n {
             0 => Reply::Write(answer("500 Internal Server Error", "", "")),
             _ => Reply::Write(answer("200 OK", "", "ok")),
@@ -516,7 +520,7 @@
     });
     let proxy = sidecar(&[&host], &[("safe", "backoff = \"400ms\"\nattempts = 2")]);
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
-    let times: Vec<Instant> = came.try_iter().collect();
+    let times: Vec<Instant> = arrivals.try_iter().collect();
     assert_eq!(times.len(), 2);
     assert!(
         times[1] - times[0] >= Duration::from_millis(395),
@@ -526,8 +530,8 @@
 }
 
 #[test]
-fn a_second_copy_goes_as_set_and_its_answer_counts() {
-    // The first request of all is never answered.
+fn a_hedged_request_is_sent_after_the_set_delay_and_its_response_is_served() {
+    // The first request, whichever host gets it, is never answered.
     let script = |n: usize| {
         if n == 0 {
             Reply::Silence
@@ -542,16 +546,16 @@
     };
     let (one, two) = (host(), host());
     let proxy = sidecar(&[&one, &two], &[("safe", "second_copy = \"after 250ms\"")]);
-    let asked = Instant::now();
+    let started = Instant::now();
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
-    let took = asked.elapsed();
-    assert!(took >= Duration::from_millis(245), "{took:?}");
+    let elapsed = started.elapsed();
+    assert!(elapsed >= Duration::from_millis(245), "{elapsed:?}");
     assert_eq!(one.further_requests() + two.further_requests(), 2);
 }
 
-/// Both attempts of a call end with it, and the client hears once.
+/// Both attempts of a call end with it, and the client gets one response.
 #[test]
-fn a_total_that_ends_while_a_second_copy_is_out_ends_both() {
+fn the_total_timeout_ends_both_attempts_of_a_hedged_call() {
     let (one, two) = (silent(), silent());
     let proxy = sidecar(
         &[&one, &two],
@@ -579,20 +583,20 @@
         .expect("a socket");
     assert!(
         client.stream.read(&mut [0]).is_err(),
-        "nothing more, and the connection stays"
+        "nothing more is sent, and the connection stays open"
     );
 }
 
-/// An answer and the attempt's own time-out come at the same moment, in either order: one final answer, and an unsafe
-/// call is never sent again.
+/// A response and the time-out of its attempt come at the same moment, in either order. The client gets one response, and an
+/// unsafe call is never retried.
 #[test]
-fn a_time_out_at_the_moment_of_an_answer_gives_one_answer() {
+fn a_timeout_that_races_with_a_response_gives_one_response() {
     let host = Host::start(|n| {
         std::thread::sleep(Duration::from_micros(99_000 + (n as u64 * 137) % 2_500));
         Reply::Write(answer("200 OK", "", "ok"))
     });
     let proxy = sidecar(&[&host], &[("unsafe", "attempt = \"100ms\"\nattempts = 3")]);
-    let ask = |_| {
+    let send = |_| {
         let mut client = proxy.client();
         let status = client.ask(&post("/unsafe", "")).status();
         client
@@ -606,28 +610,28 @@
         );
         status
     };
-    let statuses: Vec<u16> = (0..40).map(ask).collect();
+    let statuses: Vec<u16> = (0..40).map(send).collect();
     let served = statuses.iter().filter(|&&s| s == 200).count();
-    // A host that is set aside in between is refused for, without an attempt.
+    // While the host is ejected, calls are rejected without an attempt.
     let refused = statuses.iter().filter(|&&s| s == 503).count();
     assert_eq!(
         host.further_requests() + refused,
         40,
-        "each went out once: {served} served"
+        "each was sent once: {served} served"
     );
 }
 
 // Keys.
 
 #[test]
-fn a_keyed_call_goes_again_within_its_group_and_without_its_key_never() {
-    for (headers, again) in [
+fn a_keyed_call_is_retried_within_its_group_and_never_without_its_key() {
+    for (headers, retried) in [
         ("Idempotency-Key: k1\r\n", true),
         ("", false),
         ("Idempotency-Key: a\r\nIdempotency-Key: b\r\n", false),
         ("Idempotency-Key: \r\n", false),
     ] {
-        // Hosts 0 and 1 are a group, 2 and 3 another.
+        // Hosts 0 and 1 are one group, hosts 2 and 3 another.
         let hosts = [error(), error(), error(), error()];
         let proxy = sidecar(
             &[&hosts[0], &hosts[1], &hosts[2], &hosts[3]],
@@ -641,12 +645,16 @@
             1,
             "one group: {counts:?}"
         );
-        assert_eq!(groups[0] + groups[1] > 1, again, "{headers:?}: {counts:?}");
+        assert_eq!(
+            groups[0] + groups[1] > 1,
+            retried,
+            "{headers:?}: {counts:?}"
+        );
     }
 }
 
 #[test]
-fn a_key_may_lie_in_a_cookie() {
+fn a_key_may_be_in_a_cookie() {
     let route = "[[route]]\nname = \"c\"\nprefix = \"/keyed/c\"\nclass = \"keyed\"\nkey = { cookie = \"visit\" }\nattempts = 2\n";
     for (headers, sent) in [
         ("Cookie: a=1; visit=7\r\n", 2),
@@ -665,13 +673,13 @@
 
 // Expressions.
 
-/// The two classes of the gyms, from the example file: told apart and keyed by expressions.
+/// The two classes of the example file, whose routes and keys are formed by expressions.
 #[test]
-fn classes_and_keys_are_formed_by_expressions() {
-    const FILE: &str = include_str!("../../../deploy/expressions.example.toml");
+fn expressions_select_classes_and_keys() {
+    const EXAMPLE: &str = include_str!("../../../deploy/expressions.example.toml");
     let start = || {
         let hosts = [error(), error(), error(), error()];
-        let mut text = FILE.replace("127.0.0.1:8080", "127.0.0.1:0");
+        let mut text = EXAMPLE.replace("127.0.0.1:8080", "127.0.0.1:0");
         for (n, host) in hosts.iter().enumerate() {
             text = text.replace(
                 &format!("127.0.0.1:900{}", n + 1),
@@ -682,9 +690,9 @@
     };
     let json = "Content-Type: Application/JSON\r\n";
     for (path, headers, attempts) in [
-        // A charge may have run: once, whatever comes.
+        // A charge is unsafe: one attempt, whatever the result.
         ("/fees/12", format!("{json}X-Branch: CR-7\r\n"), 1..=1),
-        // Neither is one: no route takes it.
+        // These are no valid charges: no route matches.
         ("/fees/12", json.to_owned(), 0..=0),
         (
             "/fees/12",
@@ -692,13 +700,13 @@
             0..=0,
         ),
         ("/fees/12", "X-Branch: CR-7\r\n".to_owned(), 0..=0),
-        // An entry with its key goes again, within one group.
+        // An entry with its key is retried within one group.
         (
             "/visits",
             "X-Branch: CR-7\r\nX-Visit: 81\r\n".to_owned(),
             2..=3,
         ),
-        // Half a key is none: it counts as unsafe.
+        // With an incomplete key the call counts as unsafe.
         ("/visits", "X-Visit: 81\r\n".to_owned(), 1..=1),
         (
             "/visits",
@@ -724,9 +732,8 @@
     }
 }
 
-/// An expression sees where its client is, and the query.
 #[test]
-fn an_expression_sees_the_client_and_the_query() {
+fn an_expression_can_use_the_client_address_and_the_query() {
     let host = Host::serving("ok");
     let route = "[[route]]\nname = \"q\"\nprefix = \"/q\"\n\
         when = 'client in \"127.0.0.0/8\" and (query[\"a b\"] ?? \"\") == \"1/2\"'\nclass = \"safe\"\n\
@@ -750,7 +757,7 @@
 // Reload.
 
 #[test]
-fn a_bad_reload_changes_nothing_and_says_why_in_one_line() {
+fn an_invalid_reload_changes_nothing_and_logs_the_reason_in_one_line() {
     let host = Host::serving("ok");
     let good = file(&[host.address], &[]);
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
@@ -783,14 +790,14 @@
     assert_eq!(proxy.client().ask(&get("/new")).status(), 200);
 }
 
-/// The class of a call in flight goes, and the call ends under it: it fails over as a safe call does.
+/// A reload removes the class of a call in flight. The call keeps its class: its failed attempt is retried, as it is safe.
 #[test]
-fn a_call_in_flight_ends_under_the_file_it_came_under() {
-    let ((arrived, came), (open, gate)) = (channel(), channel::<()>());
-    let (arrived, gate) = (Mutex::new(arrived), Mutex::new(gate));
+fn a_call_in_flight_keeps_its_class_across_a_reload() {
+    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
+    let (arrival, gate) = (Mutex::new(arrival), Mutex::new(gate));
     let host = Host::start(move |n| {
         if n == 0 {
-            let _ = arrived.lock().expect("a sender").send(());
+            let _ = arrival.lock().expect("a sender").send(());
             let _ = gate.lock().expect("one call").recv();
             return Reply::Write(answer("500 Internal Server Error", "", ""));
         }
@@ -800,8 +807,8 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
     let mut slow = proxy.client();
     slow.write(&get("/safe"));
-    came.recv_timeout(LONG).expect("the call at the host");
-    let without = good
+    arrivals.recv_timeout(LONG).expect("the call at the host");
+    let without_safe_class = good
         .replace(
             "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
             "",
@@ -810,22 +817,22 @@
             "[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
             "",
         );
-    assert!(!without.contains("class = \"safe\""));
-    proxy.reload(&without);
+    assert!(!without_safe_class.contains("class = \"safe\""));
+    proxy.reload(&without_safe_class);
     proxy.logged("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 404);
-    // Its first attempt fails now: as a safe call it has another.
+    // The first attempt fails now, and the call is retried because it is safe.
     open.send(()).expect("the host waits");
     assert_eq!(slow.answer().expect("an answer").status(), 200);
-    // The class comes back under its name.
+    // Another reload brings the class back.
     proxy.reload(&good);
     proxy.logged("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
 }
 
-/// Calls that wait, as there is no host yet, outlive their class too.
+/// Calls that wait because there are no endpoints yet keep their class, too.
 #[test]
-fn a_call_that_waits_outlives_its_class() {
+fn a_waiting_call_keeps_its_class_across_a_reload() {
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let endpoints = file(&[host.address], &[]);
     let listed = format!(
@@ -838,11 +845,11 @@
     assert!(discovery
         .asked()
         .starts_with("GET /catalog/members HTTP/1.1"));
-    let mut waits = proxy.client();
-    waits.write(&get("/safe"));
-    // A health call behind it tells that it has been read.
+    let mut waiting_client = proxy.client();
+    waiting_client.write(&get("/safe"));
+    // The response to this later request shows that the first one has been read.
     assert_eq!(proxy.client().ask(&get("/_health")).status(), 200);
-    let without = good
+    let without_safe_class = good
         .replace(
             "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
             "",
@@ -851,27 +858,27 @@
             "[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
             "",
         );
-    proxy.reload(&without);
+    proxy.reload(&without_safe_class);
     proxy.logged("the new configuration holds");
     discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
-    assert_eq!(waits.answer().expect("an answer").status(), 200);
+    assert_eq!(waiting_client.answer().expect("an answer").status(), 200);
 }
 
 #[test]
-fn endpoints_move_with_a_reload() {
+fn a_reload_replaces_the_endpoints() {
     let (old, new) = (Host::serving("old"), Host::serving("new"));
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[old.address], &[]));
     assert_eq!(proxy.client().ask(&get("/safe")).body, b"old");
     proxy.reload(&file(&[new.address], &[]));
     proxy.logged("the new configuration holds");
-    assert_eq!(old.closed(), 0, "its idle connection goes");
+    assert_eq!(old.closed(), 0, "the idle connection is closed");
     for _ in 0..5 {
         assert_eq!(proxy.client().ask(&get("/safe")).body, b"new");
     }
 }
 
 #[test]
-fn no_request_is_lost_while_files_change_under_load() {
+fn no_request_is_lost_while_files_are_reloaded_under_load() {
     let hosts = [
         Host::serving("ok"),
         Host::serving("ok"),
@@ -889,20 +896,20 @@
     .replace("[class.keyed]", "[class.renamed]")
     .replace("class = \"keyed\"", "class = \"renamed\"");
     let proxy = Proxy::sidecar(PROGRAM, &[], &one);
-    let kind = |class: &str, keyed| Kind {
+    let load_kind = |class: &str, keyed| Kind {
         class: class.to_owned(),
         waits: Duration::from_secs(3),
         keyed,
         clients: 6,
         rate: 50.0,
     };
-    let course = Course {
+    let load_plan = Course {
         to: proxy.address,
-        kinds: vec![kind("keyed", true), kind("unsafe", false)],
+        kinds: vec![load_kind("keyed", true), load_kind("unsafe", false)],
         time: Duration::from_secs(3),
         most: 4_000,
     };
-    let running = std::thread::spawn(move || load(&course, |_, _| {}));
+    let running = std::thread::spawn(move || load(&load_plan, |_, _| {}));
     for n in 0..12 {
         proxy.reload(match n % 3 {
             0 => &two,
@@ -916,9 +923,9 @@
         });
         std::thread::sleep(SHORT / 2);
     }
-    for (kind, totals) in running.join().expect("the load ends") {
-        assert!(totals.sent > 100, "{kind:?} {totals:?}");
-        assert_eq!((totals.owed, totals.failed), (0, 0), "{}", kind.class);
+    for (load_kind, totals) in running.join().expect("the load ends") {
+        assert!(totals.sent > 100, "{load_kind:?} {totals:?}");
+        assert_eq!((totals.owed, totals.failed), (0, 0), "{}", load_kind.class);
     }
 }
 
@@ -936,9 +943,9 @@
     )
 }
 
-/// None of the seeded bad files starts, and `check` says the same of each.
+/// The program starts with none of the invalid files of the config crate, and `check` rejects each of them.
 #[test]
-fn no_bad_file_starts() {
+fn no_invalid_file_starts() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/bad");
     let mut count = 0;
     for path in std::fs::read_dir(folder)
@@ -947,11 +954,11 @@
     {
         let name = path.to_str().expect("a name");
         for command in ["run", "check"] {
-            let (code, _, told) = run(&[command, name]);
-            assert_eq!(code, Some(1), "{command} {name}: {told}");
+            let (code, _, output) = run(&[command, name]);
+            assert_eq!(code, Some(1), "{command} {name}: {output}");
             assert!(
-                told.contains("allowed: ") && !told.contains("listening"),
-                "{command} {name}: {told}"
+                output.contains("allowed: ") && !output.contains("listening"),
+                "{command} {name}: {output}"
             );
         }
         count += 1;
@@ -960,19 +967,19 @@
 }
 
 #[test]
-fn the_exit_tells_what_check_found() {
+fn check_reports_its_result_in_the_exit_code() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let path = |name: &str| deploy.join(name).to_str().expect("a name").to_owned();
     let (sidecar, operator) = (path("sidecar.example.toml"), path("operator.example.toml"));
-    let (code, told, _) = run(&["check", &sidecar, &operator]);
+    let (code, output, _) = run(&["check", &sidecar, &operator]);
     assert_eq!(code, Some(0));
-    assert_eq!(told.matches(": good").count(), 2);
-    let (code, told, mistakes) = run(&["check", &sidecar, "/nowhere.toml"]);
+    assert_eq!(output.matches(": good").count(), 2);
+    let (code, output, diagnostics) = run(&["check", &sidecar, "/nowhere.toml"]);
     assert_eq!(code, Some(1));
     assert!(
-        told.contains("good")
-            && told.contains("/nowhere.toml: 1 mistake")
-            && mistakes.contains("can't be read")
+        output.contains("good")
+            && output.contains("/nowhere.toml: 1 mistake")
+            && diagnostics.contains("can't be read")
     );
     for bad in [
         &["check"][..],
@@ -990,29 +997,32 @@
                 .iter()
                 .all(|w| help.contains(w))
     );
-    let (code, _, told) = run(&["run", &operator]);
-    assert!(code == Some(1) && told.contains("--operator"), "{told}");
-    let (code, _, told) = run(&[]);
+    let (code, _, output) = run(&["run", &operator]);
+    assert!(code == Some(1) && output.contains("--operator"), "{output}");
+    let (code, _, output) = run(&[]);
     assert!(
-        code == Some(1) && told.contains("RELAY_CONFIG is not set"),
-        "{told}"
+        code == Some(1) && output.contains("RELAY_CONFIG is not set"),
+        "{output}"
     );
 }
 
-// Beside the platform.
+// On the platform.
 
 #[test]
-fn an_operators_file_narrows_the_platform_and_a_wider_one_does_not_start() {
+fn an_operators_file_may_narrow_the_platform_but_not_widen_it() {
     let hosts = [error(), error(), error()];
     let discovery = Discovery::start();
-    let known: Vec<String> = hosts
+    let endpoints: Vec<String> = hosts
         .iter()
         .zip(1..)
         .map(|(h, n)| entry(&format!("s-{n}"), h.address, "up", 0))
         .collect();
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let relay = badgerramp_testkit::file("json", &config(listen, discovery.address, 1_024, &known));
-    let with = |text: &str| {
+    let relay = badgerramp_testkit::file(
+        "json",
+        &config(listen, discovery.address, 1_024, &endpoints),
+    );
+    let start_with = |text: &str| {
         let operator = badgerramp_testkit::file("toml", text);
         let arguments = ["--operator".as_ref(), operator.as_os_str()];
         (
@@ -1022,7 +1032,7 @@
     };
     let count = || hosts.iter().map(Host::further_requests).sum::<usize>();
     let text = "platform = true\n[class.safe]\nattempts = 2\n[[route]]\nname = \"q\"\nprefix = \"/safe/once\"\nclass = \"safe\"\nattempts = 1\n";
-    let (child, operator) = with(text);
+    let (child, operator) = start_with(text);
     let proxy = Proxy::listening(child, operator);
     let once = request("safe", "2000m", "one").replace("/safe?", "/safe/once?");
     proxy.client().ask(&once);
@@ -1034,18 +1044,18 @@
         ("platform = true\n[class.other]\n", "no such class"),
         ("listen = \"127.0.0.1:0\"\n", "this key is wanted"),
     ] {
-        let (mut child, operator) = with(text);
-        let mut told = String::new();
+        let (mut child, operator) = start_with(text);
+        let mut output = String::new();
         child
             .stderr
             .take()
             .expect("piped")
-            .read_to_string(&mut told)
+            .read_to_string(&mut output)
             .expect("text");
         assert_eq!(child.wait().expect("an end").code(), Some(1));
         assert!(
-            told.contains(reason) && !told.contains("listening"),
-            "{told}"
+            output.contains(reason) && !output.contains("listening"),
+            "{output}"
         );
         let _ = std::fs::remove_file(operator);
     }
--- a/crates/proxy/tests/subset.rs
+++ b/crates/proxy/tests/subset.rs
@@ -1,5 +1,4 @@
-//! The program among many: it keeps to its part of the fleet, leaves what drains at once, and finds others when its own
-//! are gone.
+//! The program with `[subset]`: it uses a subset of the hosts and replaces members that drain or fail.
 
 use badgerramp_testkit::*;
 use std::collections::BTreeSet;
@@ -8,39 +7,41 @@
 const HOSTS: usize = 24;
 const GET: &str = "GET /safe HTTP/1.1\r\nHost: gym.example\r\n\r\n";
 
-fn file(discovery: std::net::SocketAddr, more: &str) -> String {
+fn file(discovery: std::net::SocketAddr, subset_settings: &str) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\n[upstream]\ndiscovery = \"{discovery}\"\nproxies = 12\n\
-         [subset]\ninstance = 5\nsize = 3\n{more}\n[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n\
+         [subset]\ninstance = 5\nsize = 3\n{subset_settings}\n[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n\
          [[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n"
     )
 }
 
-/// Asks so often, and tells which hosts answered.
-fn met(proxy: &Proxy, hosts: &[Host], requests: usize) -> BTreeSet<usize> {
+/// Sends requests and returns the hosts that got one of them.
+fn hosts_that_answer(proxy: &Proxy, hosts: &[Host], requests: usize) -> BTreeSet<usize> {
     let mut client = proxy.client();
     (0..requests).for_each(|_| assert_eq!(client.ask(GET).status(), 200));
-    // All that was seen is taken out, so that the next look finds only what is new.
-    let asked = |h: &Host| {
+    // Drains the recorded requests, so that the next call finds only new ones.
+    let got_request = |h: &Host| {
         h.seen
             .try_iter()
             .filter(|s| matches!(s, Seen::Request(..)))
             .count()
             > 0
     };
-    // A host tells of a request before its answer is read by the client that waits for it.
-    (0..hosts.len()).filter(|&n| asked(&hosts[n])).collect()
+    // A host records a request before it answers, so all of them are recorded by now.
+    (0..hosts.len())
+        .filter(|&n| got_request(&hosts[n]))
+        .collect()
 }
 
-fn entries(hosts: &[Host], which: impl IntoIterator<Item = usize>, status: &str) -> Vec<String> {
-    which
+fn entries(hosts: &[Host], selected: impl IntoIterator<Item = usize>, status: &str) -> Vec<String> {
+    selected
         .into_iter()
         .map(|n| entry(&format!("s-{n}"), hosts[n].address, status, 0))
         .collect()
 }
 
 #[test]
-fn a_proxy_keeps_to_its_part_and_others_take_the_place_of_those_that_drain() {
+fn a_proxy_uses_its_subset_and_replaces_members_that_drain() {
     let hosts: Vec<Host> = (0..HOSTS).map(|_| Host::serving("ok")).collect();
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, ""));
@@ -50,48 +51,48 @@
     discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
     assert!(
         discovery.asked().contains("index=1"),
-        "the list is in once it asks for news"
+        "the list is applied when the next watch is sent"
     );
-    let first = met(&proxy, &hosts, 80);
+    let first = hosts_that_answer(&proxy, &hosts, 80);
     assert!((2..=12).contains(&first.len()), "of {HOSTS}: {first:?}");
-    // All of them drain at the same moment.
+    // All members drain at the same time.
     discovery.tell(&list(
         2,
         false,
         &entries(&hosts, first.iter().copied(), "draining"),
     ));
     assert!(discovery.asked().contains("index=2"));
-    let then = met(&proxy, &hosts, 80);
+    let second = hosts_that_answer(&proxy, &hosts, 80);
     assert!(
-        then.is_disjoint(&first) && then.len() >= 2,
-        "{then:?} after {first:?}"
+        second.is_disjoint(&first) && second.len() >= 2,
+        "{second:?} after {first:?}"
     );
-    // They come back, and so does the part that is its own.
+    // They come back, and the proxy returns to its original subset.
     discovery.tell(&list(
         3,
         false,
         &entries(&hosts, first.iter().copied(), "up"),
     ));
     assert!(discovery.asked().contains("index=3"));
-    assert!(!met(&proxy, &hosts, 80).is_disjoint(&first));
+    assert!(!hosts_that_answer(&proxy, &hosts, 80).is_disjoint(&first));
 }
 
-/// Members that refuse connections are no reason to fail: the call goes on to others that the subset grows by.
+/// When members refuse connections, the subset grows, and calls are retried at the new members.
 #[test]
-fn members_that_all_die_unannounced_cost_no_call() {
+fn a_subset_whose_members_all_fail_is_replaced_without_failed_calls() {
     let hosts: Vec<Host> = (0..HOSTS).map(|_| Host::serving("ok")).collect();
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, "pause = \"10ms\""));
     discovery.asked();
     discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
     discovery.asked();
-    let first = met(&proxy, &hosts, 80);
-    // Under the same names, at addresses where nothing listens: as if their machines had gone.
-    let dead: Vec<String> = first
+    let first = hosts_that_answer(&proxy, &hosts, 80);
+    // The same names at addresses where nothing listens: as if the machines were gone.
+    let unreachable: Vec<String> = first
         .iter()
         .map(|n| entry(&format!("s-{n}"), nobody(), "up", 0))
         .collect();
-    discovery.tell(&list(2, false, &dead));
+    discovery.tell(&list(2, false, &unreachable));
     discovery.asked();
     let mut client = proxy.client();
     let answers: Vec<u16> = (0..60).map(|_| client.ask(GET).status()).collect();
