--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -24,7 +24,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run as a sidecar, configured by the operator's file alone.
+    /// Run as a sidecar, configured by the operator's file.
     Run {
         /// The operator's file.
         file: PathBuf,
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The program as a sidecar, configured by the operator's file alone.
+//! The program as a sidecar: without the platform, configured by the operator's file.
 
 use crate::class_ids::{seed, ClassIds};
 use crate::net::admission_gate::AdmissionGate;
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -94,7 +94,7 @@
         Reply::Write(format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(40_000))),
     ] {
         let discovery = Discovery::start();
-        let reply_text = format!("{reply:?}").chars().take(90).collect::<String>();
+        let excerpt = format!("{reply:?}").chars().take(90).collect::<String>();
         let hosts = [reply.clone(), reply].map(|reply| Host::start(move |_| reply.clone()));
         let proxy = Proxy::start(
             PROGRAM,
@@ -104,11 +104,11 @@
         let answer = proxy.call("unsafe", "2000m");
         assert!(
             ![200, 429, 503].contains(&answer.status()),
-            "{reply_text}: {}",
+            "{excerpt}: {}",
             answer.head
         );
         let requests = hosts[0].further_requests() + hosts[1].further_requests();
-        assert_eq!(requests, 1, "{reply_text}");
+        assert_eq!(requests, 1, "{excerpt}");
     }
 }
 
@@ -142,7 +142,7 @@
 /// A malformed response counted as a broken connection and ejected its host at once.
 #[test]
 fn a_host_with_one_malformed_response_is_not_ejected() {
-    let malforming = Host::start(|n| match n {
+    let faulty_host = Host::start(|n| match n {
         0 => Reply::Write("HTTP/1.1 2oo OK\r\n\r\n".to_owned()),
         _ => Reply::Write(answer("200 OK", "", "ok")),
     });
@@ -150,15 +150,15 @@
     let proxy = Proxy::start(
         PROGRAM,
         &discovery,
-        &[up("s-1", &malforming), up("s-2", &other)],
+        &[up("s-1", &faulty_host), up("s-2", &other)],
     );
     let started = Instant::now();
     while proxy.call("unsafe", "2000m").status() == 200 {
         assert!(started.elapsed() < LONG, "the host never got a request");
     }
-    malforming.request();
+    faulty_host.request();
     assert!((0..40).all(|_| proxy.call("unsafe", "2000m").status() == 200));
-    assert!(malforming.further_requests() > 0, "the host is still used");
+    assert!(faulty_host.further_requests() > 0, "the host is still used");
 }
 
 /// The final response is served, also after interim (1xx) responses.
@@ -178,12 +178,12 @@
 fn a_call_that_never_ran_is_retried_at_another_host() {
     let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
-    let (rejecting, good) = (
+    let (rejecting_host, good) = (
         Host::start(move |_| Reply::Write(rejection.clone())),
         Host::serving("ok"),
     );
     let entries = [
-        up("s-1", &rejecting),
+        up("s-1", &rejecting_host),
         up("s-2", &good),
         entry("s-3", nobody(), "up", 0),
     ];
@@ -192,7 +192,7 @@
         assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     }
     assert!(
-        rejecting.further_requests() > 0,
+        rejecting_host.further_requests() > 0,
         "the rejecting host was tried"
     );
 }
@@ -205,7 +205,7 @@
     const HOST_DELAY: Duration = Duration::from_millis(600);
     let rejection = answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
     let discovery = Discovery::start();
-    let rejecting = Host::start(move |_| {
+    let rejecting_host = Host::start(move |_| {
         std::thread::sleep(HOST_DELAY);
         Reply::Write(rejection.clone())
     });
@@ -213,7 +213,7 @@
     let proxy = Proxy::start(
         PROGRAM,
         &discovery,
-        &[up("s-1", &rejecting), up("s-2", &good)],
+        &[up("s-1", &rejecting_host), up("s-2", &good)],
     );
     let mut reduced_timeouts = 0;
     for _ in 0..12 {
@@ -231,11 +231,11 @@
         let remaining = Duration::from_micros(remaining.parse().expect("microseconds"));
         reduced_timeouts += usize::from(remaining <= CLIENT_TIMEOUT - HOST_DELAY);
     }
-    let attempts_at_rejecting = rejecting.further_requests();
-    assert!(attempts_at_rejecting > 0, "the rejecting host was tried");
+    let rejected_attempts = rejecting_host.further_requests();
+    assert!(rejected_attempts > 0, "the rejecting host was tried");
     assert!(
-        reduced_timeouts >= attempts_at_rejecting,
-        "{reduced_timeouts} of {attempts_at_rejecting} retries sent the reduced timeout"
+        reduced_timeouts >= rejected_attempts,
+        "{reduced_timeouts} of {rejected_attempts} retries sent the reduced timeout"
     );
 }
 
@@ -329,7 +329,7 @@
     assert_eq!(answer.status(), 503);
     let retry_after: f64 = answer
         .header("retry-after")
-        .expect("advice")
+        .expect("a Retry-After header")
         .parse()
         .expect("seconds");
     assert!(retry_after > 0.0);
@@ -387,19 +387,19 @@
         long,
     ] {
         let mut client = proxy.client();
-        let reply_text: String = text.chars().take(120).collect();
+        let excerpt: String = text.chars().take(120).collect();
         // The proxy may close the connection before it has read everything.
         let _ = client.stream.get_mut().write_all(text.as_bytes());
         if let Some(answer) = client.answer() {
             assert!(
                 (400..500).contains(&answer.status()),
-                "{reply_text}: {}",
+                "{excerpt}: {}",
                 answer.head
             );
         }
         assert!(
             client.answer().is_none(),
-            "and the connection is closed: {reply_text}"
+            "and the connection is closed: {excerpt}"
         );
     }
     assert_eq!(host.further_requests(), 0, "no request reached the host");
@@ -409,10 +409,10 @@
 /// A client that uses the id of another client's open request must neither get its response nor disturb it.
 #[test]
 fn the_id_of_an_open_request_is_rejected_as_a_duplicate() {
-    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
+    let ((arrival_sender, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
-        let _ = arrival.send(());
+        let _ = arrival_sender.send(());
         let _ = gate.lock().expect("one call").recv();
         Reply::Write(answer("200 OK", "", "ok"))
     });
@@ -607,10 +607,10 @@
 
 #[test]
 fn a_draining_host_finishes_its_call_and_its_connection_is_closed() {
-    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
+    let ((arrival_sender, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |_| {
-        let _ = arrival.send(());
+        let _ = arrival_sender.send(());
         let _ = gate.lock().expect("one call").recv();
         Reply::Write(answer("200 OK", "", "late"))
     });
@@ -633,10 +633,10 @@
 
 #[test]
 fn the_most_recently_used_connection_is_reused_first() {
-    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
+    let ((arrival_sender, arrivals), (open, gate)) = (channel(), channel::<()>());
     let gate = Mutex::new(gate);
     let host = Host::start(move |n| {
-        let _ = arrival.send(());
+        let _ = arrival_sender.send(());
         if n == 0 {
             let _ = gate.lock().expect("one call").recv();
         }
--- a/crates/proxy/tests/race_conditions.rs
+++ b/crates/proxy/tests/race_conditions.rs
@@ -407,7 +407,7 @@
         program.stop();
         // The end of an idle connection shows that the shutdown has begun.
         let (_, end) = on_client_thread(used, read_answer).await;
-        assert!(end.is_none(), "nothing was owed on it");
+        assert!(end.is_none(), "no response on the idle connection");
         let (_, answer) = on_client_thread(new, |c| {
             c.send("unsafe", "2000m");
             c.answer()
@@ -440,7 +440,7 @@
                 stream: BufReader::new(stream),
             };
             queued.send("unsafe", "2000m");
-            assert!(client.send(queued).is_ok(), "it is waited for");
+            assert!(client.send(queued).is_ok(), "the test waits for the client");
         };
         *program.hooks.empty_queue_hook.borrow_mut() =
             Some((Instant::now() + ACCEPTED, Box::new(connects)));
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -509,10 +509,13 @@
 
 #[test]
 fn attempts_are_separated_by_the_backoff() {
-    let (arrival, arrivals) = channel();
-    let arrival = Mutex::new(arrival);
+    let (arrival_sender, arrivals) = channel();
+    let arrival_sender = Mutex::new(arrival_sender);
     let host = Host::start(move |n| {
-        let _ = arrival.lock().expect("a sender").send(Instant::now());
+        let _ = arrival_sender
+            .lock()
+            .expect("a sender")
+            .send(Instant::now());
         match n {
             0 => Reply::Write(answer("500 Internal Server Error", "", "")),
             _ => Reply::Write(answer("200 OK", "", "ok")),
@@ -793,11 +796,11 @@
 /// A reload removes the class of a call in flight. The call keeps its class: its failed attempt is retried, as it is safe.
 #[test]
 fn a_call_in_flight_keeps_its_class_across_a_reload() {
-    let ((arrival, arrivals), (open, gate)) = (channel(), channel::<()>());
-    let (arrival, gate) = (Mutex::new(arrival), Mutex::new(gate));
+    let ((arrival_sender, arrivals), (open, gate)) = (channel(), channel::<()>());
+    let (arrival_sender, gate) = (Mutex::new(arrival_sender), Mutex::new(gate));
     let host = Host::start(move |n| {
         if n == 0 {
-            let _ = arrival.lock().expect("a sender").send(());
+            let _ = arrival_sender.lock().expect("a sender").send(());
             let _ = gate.lock().expect("one call").recv();
             return Reply::Write(answer("500 Internal Server Error", "", ""));
         }
