--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -139,7 +139,8 @@
     }
 }
 
-/// A malformed response counted as a broken connection and ejected its host at once.
+/// A single malformed response says little about its host. It used to count as a broken connection, which ejected the host
+/// at once.
 #[test]
 fn a_host_with_one_malformed_response_is_not_ejected() {
     let faulty_host = Host::start(|n| match n {
@@ -686,8 +687,8 @@
     assert!(discovery.asked().contains("index=42&"));
 }
 
-/// SIGHUP switches to the list service that the file names, whose list indices are unrelated to those of the old one, while
-/// calls go on. An invalid file changes nothing.
+/// SIGHUP used to kill the program. It must switch to the list service that the file names, whose list indices are unrelated
+/// to those of the old one, while calls go on. An invalid file changes nothing.
 #[test]
 fn a_reload_switches_the_list_service_and_an_invalid_one_changes_nothing() {
     let (old, new) = (Discovery::start(), Discovery::start());
