--- /dev/null
+++ b/crates/proxy/tests/race_conditions.rs
@@ -0,0 +1,1027 @@
+//! Race conditions: requests, responses, closes and signals that arrive while the program takes a conflicting step. Each
+//! race is forced. Races inside the program are forced by hooks on its sockets, with the program running in this process;
+//! the others by running it as a process and stopping it with SIGSTOP.
+
+use badgerramp::net::clock::Clock;
+use badgerramp::net::driver::List;
+use badgerramp::net::rules::{Platform, Rules};
+use badgerramp::net::socket::{Connecting, Listener, Network, Stream};
+use badgerramp::program::{serve_in, EndpointSource, Environment, Setup};
+use badgerramp_decisions::settings;
+use badgerramp_testkit::*;
+use socket2::SockRef;
+use std::cell::{Cell, RefCell};
+use std::collections::{HashSet, VecDeque};
+use std::io::{self, BufReader, Read};
+use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
+use std::rc::{Rc, Weak};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{mpsc, Arc, Condvar, Mutex};
+use std::task::{ready, Context, Poll, Waker};
+use std::thread;
+use std::time::{Duration, Instant};
+use tokio::io::ReadBuf;
+use tokio::net::TcpListener;
+use tokio::sync::{oneshot, Notify};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_badgerramp");
+
+/// A step of the program on a connection, before or after which a hook runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum HookPoint {
+    /// A read has returned `Pending`.
+    ReadPending,
+    /// The check for unread bytes has found none.
+    NothingUnread,
+    /// The program is about to shut down its sending side.
+    Shutdown,
+}
+
+/// Connections to the host are numbered from here on; connections of clients are numbered from 0.
+const FIRST_UPSTREAM_CONNECTION: usize = 1_000;
+
+/// A hook that has not run yet: its step, the number of its connection, and its action.
+type PendingHook = (HookPoint, usize, Box<dyn FnOnce(&TcpStream)>);
+
+/// A hook that runs when the listener's queue is empty: the time from which on it may run, and its action.
+type EmptyQueueHook = (Instant, Box<dyn FnOnce()>);
+
+/// The hooks of all connections.
+#[derive(Default)]
+struct Hooks {
+    pending: RefCell<Option<PendingHook>>,
+    /// Bytes that may still be written to connections, where that is limited.
+    write_budget: Cell<Option<usize>>,
+    /// Tasks that wait until they may write more.
+    blocked_writers: RefCell<Vec<Waker>>,
+    /// The accepted connections of clients.
+    accepted: RefCell<Vec<Weak<tokio::net::TcpStream>>>,
+    /// Number of connections that were closed while they had unread bytes.
+    closed_unread: Cell<usize>,
+    /// The host.
+    host: Cell<Option<SocketAddr>>,
+    /// Number of connections to the host that were opened.
+    opened: Cell<usize>,
+    /// The hook that runs when the listener's queue is empty.
+    empty_queue_hook: RefCell<Option<EmptyQueueHook>>,
+    /// Connects to this host wait until `released` is notified; `connecting` is notified when one begins.
+    held_host: Cell<Option<SocketAddr>>,
+    connecting: Notify,
+    released: Notify,
+}
+
+impl Hooks {
+    fn set_hook(
+        &self,
+        point: HookPoint,
+        connection: usize,
+        action: impl FnOnce(&TcpStream) + 'static,
+    ) {
+        *self.pending.borrow_mut() = Some((point, connection, Box::new(action)));
+    }
+
+    /// Returns whether the hook has run.
+    fn hook_ran(&self) -> bool {
+        self.pending.borrow().is_none()
+    }
+
+    fn run_hook(&self, point: HookPoint, stream: &HookedStream) {
+        let matches = |c: &mut PendingHook| (c.0, c.1) == (point, stream.number);
+        let pending = self.pending.borrow_mut().take_if(matches);
+        if let Some((.., action)) = pending {
+            let std = SockRef::from(&*stream.stream)
+                .try_clone()
+                .expect("a descriptor");
+            action(&std.into());
+        }
+    }
+
+    fn run_empty_queue_hook(&self) {
+        let hook = self
+            .empty_queue_hook
+            .borrow_mut()
+            .take_if(|(from, _)| *from <= Instant::now());
+        if let Some((_, action)) = hook {
+            action();
+        }
+    }
+
+    /// Waits until the program has read all bytes that were received on a connection.
+    async fn wait_until_read(&self, connection: usize) {
+        let unread = || match self
+            .accepted
+            .borrow()
+            .get(connection)
+            .and_then(Weak::upgrade)
+        {
+            Some(stream) => !Stream::quiet(&*stream),
+            None => true,
+        };
+        while unread() {
+            tokio::time::sleep(SHORT / 300).await;
+        }
+    }
+
+    fn unblock_writes(&self) {
+        self.write_budget.set(None);
+        self.blocked_writers
+            .borrow_mut()
+            .drain(..)
+            .for_each(Waker::wake);
+    }
+}
+
+/// A connection of the program whose steps run the hooks.
+struct HookedStream {
+    stream: Rc<tokio::net::TcpStream>,
+    number: usize,
+    hooks: Rc<Hooks>,
+}
+
+impl Stream for HookedStream {
+    fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let read = Stream::poll_read(&*self.stream, cx, buf);
+        if read.is_pending() {
+            self.hooks.run_hook(HookPoint::ReadPending, self);
+        }
+        read
+    }
+
+    fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        let Some(left) = self.hooks.write_budget.get() else {
+            return Stream::poll_write(&*self.stream, cx, buf);
+        };
+        if left == 0 {
+            self.hooks
+                .blocked_writers
+                .borrow_mut()
+                .push(cx.waker().clone());
+            return Poll::Pending;
+        }
+        let written = ready!(Stream::poll_write(
+            &*self.stream,
+            cx,
+            &buf[..left.min(buf.len())]
+        ))?;
+        self.hooks.write_budget.set(Some(left - written));
+        Poll::Ready(Ok(written))
+    }
+
+    fn shutdown(&self) {
+        self.hooks.run_hook(HookPoint::Shutdown, self);
+        Stream::shutdown(&*self.stream);
+    }
+
+    fn quiet(&self) -> bool {
+        let quiet = Stream::quiet(&*self.stream);
+        if quiet {
+            self.hooks.run_hook(HookPoint::NothingUnread, self);
+        }
+        quiet
+    }
+
+    fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
+        Stream::take(&*self.stream, buf)
+    }
+
+    fn peer(&self) -> Option<IpAddr> {
+        Stream::peer(&*self.stream)
+    }
+}
+
+impl Drop for HookedStream {
+    fn drop(&mut self) {
+        if SockRef::from(&*self.stream)
+            .peek(&mut [std::mem::MaybeUninit::uninit()])
+            .is_ok_and(|count| count > 0)
+        {
+            self.hooks
+                .closed_unread
+                .set(self.hooks.closed_unread.get() + 1);
+        }
+    }
+}
+
+/// A listener whose connections run the hooks.
+struct HookedListener(TcpListener, Rc<Hooks>);
+
+impl Listener for HookedListener {
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>> {
+        let accept = self.0.poll_accept(cx);
+        if accept.is_pending() {
+            self.1.run_empty_queue_hook();
+        }
+        let (stream, _) = ready!(accept)?;
+        let mut accepted = self.1.accepted.borrow_mut();
+        let number = accepted.len();
+        let stream = Rc::new(stream);
+        accepted.push(Rc::downgrade(&stream));
+        Poll::Ready(Ok(Rc::new(HookedStream {
+            stream,
+            number,
+            hooks: Rc::clone(&self.1),
+        })))
+    }
+}
+
+/// A network whose connections run the hooks.
+struct HookedNetwork(Rc<Hooks>);
+
+impl Network for HookedNetwork {
+    fn connect(&self, address: SocketAddr) -> Connecting {
+        let hooks = Rc::clone(&self.0);
+        Box::pin(async move {
+            if hooks.held_host.get() == Some(address) {
+                hooks.connecting.notify_one();
+                hooks.released.notified().await;
+            }
+            let stream = tokio::net::TcpStream::connect(address).await?;
+            let number = FIRST_UPSTREAM_CONNECTION
+                + hooks
+                    .opened
+                    .replace(hooks.opened.get() + usize::from(hooks.host.get() == Some(address)));
+            Ok(Rc::new(HookedStream {
+                stream: Rc::new(stream),
+                number,
+                hooks,
+            }) as Rc<dyn Stream>)
+        })
+    }
+}
+
+/// The program as tasks of this process.
+struct InProcessProxy {
+    hooks: Rc<Hooks>,
+    address: SocketAddr,
+    stop: Option<oneshot::Sender<()>>,
+    ended: oneshot::Receiver<Result<(), String>>,
+    _discovery: Discovery,
+}
+
+impl InProcessProxy {
+    /// Starts the program with a limit on descriptors and one endpoint.
+    async fn start(descriptors: usize, host: &Host) -> InProcessProxy {
+        InProcessProxy::start_at(descriptors, host.address).await
+    }
+
+    async fn start_at(descriptors: usize, host: SocketAddr) -> InProcessProxy {
+        let platform_settings = serde_json::from_str(SETTINGS).expect("JSON");
+        let platform_settings = settings::read(&platform_settings).expect("settings");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("its address");
+        let discovery = Discovery::start();
+        let known: List =
+            serde_json::from_str(&list(41, true, &[entry("s-1", host, "up", 0)])).expect("a list");
+        let setup = Setup {
+            listen: address,
+            seed: 7,
+            rules: Rules::Platform(Platform::new(&platform_settings, None)),
+            platform_settings,
+            descriptors,
+            memory_bytes: 64 << 20,
+            endpoint_source: EndpointSource::Discovery {
+                address: discovery.address,
+                cached: known.endpoints,
+                index: Some(known.index),
+            },
+            subset: None,
+            watch_wait: None,
+            list_polling: None,
+            gossip: None,
+            gate: None,
+            default_retry_after: 0,
+            plain_http: false,
+        };
+        let hooks = Rc::new(Hooks::default());
+        hooks.host.set(Some(host));
+        let environment = Environment {
+            network: Rc::new(HookedNetwork(Rc::clone(&hooks))),
+            listener: Rc::new(HookedListener(listener, Rc::clone(&hooks))),
+            clock: Clock::start(),
+        };
+        let ((stop, stopped), (end, ended)) = (oneshot::channel(), oneshot::channel());
+        tokio::task::spawn_local(async move {
+            let hangup = async || std::future::pending().await;
+            let stop = async move { stopped.await.unwrap_or_default() };
+            let _ = end.send(serve_in(setup, environment, hangup, stop, |_| Ok(()), |_| {}).await);
+        });
+        InProcessProxy {
+            hooks,
+            address,
+            stop: Some(stop),
+            ended,
+            _discovery: discovery,
+        }
+    }
+
+    fn stop(&mut self) {
+        let _ = self.stop.take().expect("one stop").send(());
+    }
+
+    /// Connects a client. Its connection has the next number.
+    fn client(&self) -> Client {
+        let stream = TcpStream::connect(self.address).expect("it listens");
+        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        Client {
+            stream: BufReader::new(stream),
+        }
+    }
+}
+
+/// Runs a test on the runtime on which the program runs as well.
+fn run_local(test: impl AsyncFnOnce()) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, test());
+}
+
+/// Runs the blocking action of a client on a thread of its own. Returns the client and the action's result.
+async fn on_client_thread<T: Send + 'static>(
+    mut client: Client,
+    action: impl FnOnce(&mut Client) -> T + Send + 'static,
+) -> (Client, T) {
+    let done = tokio::task::spawn_blocking(move || {
+        let response = action(&mut client);
+        (client, response)
+    });
+    done.await.expect("a client")
+}
+
+/// Returns an action that writes `text` as the client and waits until the other side of the connection has received bytes.
+fn write_until_received(client: &Client, text: String) -> impl FnOnce(&TcpStream) + 'static {
+    let client = client.stream.get_ref().try_clone().expect("a descriptor");
+    move |other| {
+        io::Write::write_all(&mut &client, text.as_bytes()).expect("an open connection");
+        while other.peek(&mut [0]).is_err() {
+            thread::yield_now();
+        }
+    }
+}
+
+fn read_answer(client: &mut Client) -> Option<Message> {
+    client.answer()
+}
+
+/// A shutdown closes idle connections. A request that the kernel had received by then, but the program had not read, was lost
+/// with its connection.
+#[test]
+fn a_request_that_arrives_while_shutdown_closes_its_idle_connection_is_answered() {
+    run_local(async || {
+        let host = Host::serving("ok");
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (client, first) =
+            on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
+        assert_eq!(first.status(), 200);
+        program.hooks.set_hook(
+            HookPoint::ReadPending,
+            0,
+            write_until_received(&client, request("unsafe", "2000m", "cross")),
+        );
+        program.stop();
+        let (_, answer) = on_client_thread(client, read_answer).await;
+        assert!(program.hooks.hook_ran());
+        let answer = answer.expect("an answer");
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+    });
+}
+
+/// A shutdown closed connections without a request so far like idle ones. A client that had just connected then sent its
+/// first request to a closed connection.
+#[test]
+fn the_first_request_on_a_connection_accepted_before_shutdown_is_answered() {
+    run_local(async || {
+        let host = Host::serving("ok");
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (used, first) = on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
+        assert_eq!(first.status(), 200);
+        let new = program.client();
+        while program.hooks.accepted.borrow().len() < 2 {
+            tokio::time::sleep(SHORT / 300).await;
+        }
+        program.stop();
+        // The end of an idle connection shows that the shutdown has begun.
+        let (_, end) = on_client_thread(used, read_answer).await;
+        assert!(end.is_none(), "no response on the idle connection");
+        let (_, answer) = on_client_thread(new, |c| {
+            c.send("unsafe", "2000m");
+            c.answer()
+        })
+        .await;
+        let answer = answer.expect("an answer");
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+    });
+}
+
+/// The listener was closed while its queue held a connection that had arrived since the runtime last polled its sockets; the
+/// kernel reset that connection.
+#[test]
+fn a_connection_queued_while_the_listener_closes_is_served() {
+    /// Time from which on the hook may run, just before the listener closes: connections are accepted so long after a stop.
+    const ACCEPTED: Duration = Duration::from_millis(450);
+    run_local(async || {
+        let host = Host::serving("ok");
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (client, connected) = oneshot::channel();
+        let address = program.address;
+        let connects = move || {
+            let stream = TcpStream::connect(address).expect("it listens");
+            stream.set_read_timeout(Some(LONG)).expect("a time-out");
+            let mut queued = Client {
+                stream: BufReader::new(stream),
+            };
+            queued.send("unsafe", "2000m");
+            assert!(client.send(queued).is_ok(), "the test waits for the client");
+        };
+        *program.hooks.empty_queue_hook.borrow_mut() =
+            Some((Instant::now() + ACCEPTED, Box::new(connects)));
+        program.stop();
+        let (_, answer) = on_client_thread(connected.await.expect("a client"), read_answer).await;
+        let answer = answer.expect("an answer");
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+    });
+}
+
+/// On a connection that had served a request before, a head that was half received at shutdown was dropped, and the rest of
+/// the request was never read.
+#[test]
+fn a_request_partly_received_at_shutdown_is_answered() {
+    run_local(async || {
+        let host = Host::serving("ok");
+        let mut program = InProcessProxy::start(1_024, &host).await;
+        let (client, _) = on_client_thread(program.client(), |c| c.call("unsafe", "2000m")).await;
+        let text = request("unsafe", "2000m", "half");
+        let (half, rest) = text.split_at(40);
+        program.hooks.set_hook(
+            HookPoint::ReadPending,
+            0,
+            write_until_received(&client, half.to_owned()),
+        );
+        program.stop();
+        while !program.hooks.hook_ran() {
+            tokio::task::yield_now().await;
+        }
+        let rest = rest.to_owned();
+        let (_, answer) = on_client_thread(client, move |c| {
+            c.write(&rest);
+            c.answer()
+        })
+        .await;
+        assert_eq!(answer.map(|a| a.status()), Some(200));
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+    });
+}
+
+/// An idle connection is closed to make room for another client. A request that arrived on it just then was lost unless it
+/// was answered within a tenth of a second.
+#[test]
+fn a_request_that_arrives_while_its_connection_is_closed_for_another_client_is_answered() {
+    run_local(async || {
+        let (open, gate) = mpsc::channel::<()>();
+        let gate = Mutex::new(gate);
+        let host = Host::start(move |n| {
+            if n == 8 {
+                let _ = gate.lock().expect("one call").recv();
+            }
+            Reply::Write(answer("200 OK", "", "ok"))
+        });
+        // With 64 descriptors the program keeps eight clients.
+        let program = InProcessProxy::start(64, &host).await;
+        let mut clients = VecDeque::new();
+        for _ in 0..8 {
+            let (client, response) =
+                on_client_thread(program.client(), |c| c.call("safe", "2000m")).await;
+            assert_eq!(response.status(), 200);
+            clients.push_back(client);
+        }
+        let first = clients.pop_front().expect("eight");
+        program.hooks.set_hook(
+            HookPoint::NothingUnread,
+            0,
+            write_until_received(&first, request("unsafe", "3000m", "cross")),
+        );
+        let ninth = on_client_thread(program.client(), |c| c.call("safe", "2000m"));
+        let (_, response) = tokio::join!(ninth, async {
+            // The host answers the request long after connections that make room are cut off.
+            while !program.hooks.hook_ran() {
+                tokio::time::sleep(SHORT / 30).await;
+            }
+            let read_first = on_client_thread(first, read_answer);
+            let (answer, ()) = tokio::join!(read_first, async {
+                tokio::time::sleep(SHORT).await;
+                open.send(()).expect("the host waits");
+            });
+            answer.1
+        });
+        assert_eq!(response.map(|a| a.status()), Some(200));
+    });
+}
+
+/// A response that its client had not read yet counted as delivered, so a shutdown, or a new client that needed the place,
+/// closed the connection with the response half written.
+#[test]
+fn a_partly_written_response_is_completed_despite_new_clients_and_shutdown() {
+    run_local(async || {
+        let body = "x".repeat(60_000);
+        let response_body = body.clone();
+        let host = Host::start(move |_| Reply::Write(answer("200 OK", "", &response_body)));
+        let mut program = InProcessProxy::start(64, &host).await;
+        program.hooks.write_budget.set(Some(1_000));
+        let mut slow = program.client();
+        slow.send("safe", "3000m");
+        while program.hooks.blocked_writers.borrow().is_empty() {
+            tokio::time::sleep(SHORT / 30).await;
+        }
+        // Ten more clients connect and send nothing: they must not get the place of the slow client.
+        let silent_clients: Vec<Client> = (0..10).map(|_| program.client()).collect();
+        tokio::time::sleep(SHORT).await;
+        program.stop();
+        // Wait until the listener is closed, so that only the slow client is left.
+        while TcpStream::connect(program.address).is_ok() {
+            tokio::time::sleep(SHORT / 30).await;
+        }
+        tokio::time::sleep(SHORT).await;
+        program.hooks.unblock_writes();
+        let (_, response) = on_client_thread(slow, read_answer).await;
+        assert_eq!(response.map(|a| a.body), Some(body.into_bytes()));
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+        drop(silent_clients);
+    });
+}
+
+/// A client that never reads its response must not delay a shutdown for longer than a minute.
+#[test]
+fn an_unread_response_delays_shutdown_by_a_minute_at_most() {
+    run_local(async || {
+        let host = Host::serving("ok");
+        let mut program = InProcessProxy::start(64, &host).await;
+        program.hooks.write_budget.set(Some(10));
+        let mut slow = program.client();
+        slow.send("safe", "3000m");
+        while program.hooks.blocked_writers.borrow().is_empty() {
+            tokio::time::sleep(SHORT / 30).await;
+        }
+        // From here on the runtime's time advances whenever it has nothing to do.
+        tokio::time::pause();
+        let shutdown_start = tokio::time::Instant::now();
+        program.stop();
+        assert_eq!(program.ended.await.expect("an end"), Ok(()));
+        assert!(
+            (50..70).contains(&shutdown_start.elapsed().as_secs()),
+            "{:?}",
+            shutdown_start.elapsed()
+        );
+    });
+}
+
+/// Closing a socket with unread bytes sends a reset, which may destroy the response before it. This also holds for bytes
+/// that do not belong to the request.
+#[test]
+fn bytes_that_arrive_while_a_connection_is_closed_cause_no_reset() {
+    for at_stop in [true, false] {
+        run_local(async || {
+            let host = Host::serving("ok");
+            let mut program = InProcessProxy::start(1_024, &host).await;
+            let mut client = program.client();
+            program.hooks.set_hook(
+                HookPoint::Shutdown,
+                0,
+                write_until_received(&client, "GET /sa".to_owned()),
+            );
+            if at_stop {
+                let (used, answer) = on_client_thread(client, |c| c.call("safe", "2000m")).await;
+                assert_eq!(answer.status(), 200);
+                client = used;
+                program.stop();
+            } else {
+                // The extra bytes make the request invalid: the connection is closed after its response.
+                client.write(&(request("unsafe", "2000m", "1") + "GET /"));
+            }
+            let (mut client, answer) =
+                on_client_thread(client, move |c| if at_stop { None } else { c.answer() }).await;
+            assert_eq!(
+                answer.map(|a| a.status()),
+                if at_stop { None } else { Some(400) }
+            );
+            let end = on_client_thread(
+                Client {
+                    stream: BufReader::new(
+                        client.stream.get_ref().try_clone().expect("a descriptor"),
+                    ),
+                },
+                |c| c.stream.read(&mut [0; 16]).map_err(|e| e.kind()),
+            );
+            assert_eq!(end.await.1, Ok(0), "an orderly close, no reset");
+            assert!(program.hooks.hook_ran());
+            while program.hooks.accepted.borrow()[0].strong_count() > 0 {
+                tokio::time::sleep(SHORT / 30).await;
+            }
+            assert_eq!(
+                program.hooks.closed_unread.get(),
+                0,
+                "closed with bytes unread"
+            );
+            client
+                .stream
+                .get_mut()
+                .shutdown(Shutdown::Both)
+                .unwrap_or_default();
+        });
+    }
+}
+
+/// The host sends bytes or closes between the check of an idle connection and the first byte of a request. The request is
+/// written after that, so it may have run: a safe request is retried, an unsafe one fails.
+#[test]
+fn bytes_or_a_close_of_a_host_just_before_a_request_are_neither_response_nor_rejection() {
+    // A partial status line may be the beginning of a response, so the program waits for the rest.
+    for (bytes, safe_status) in [("HTTP/1.1 40", 503), ("noise\r\n\r\n", 200), ("", 200)] {
+        for class in ["safe", "unsafe"] {
+            run_local(async || {
+                let host = InterruptingHost::start(bytes);
+                let program = InProcessProxy::start_at(1_024, host.address).await;
+                let (client, first) =
+                    on_client_thread(program.client(), |c| c.call("unsafe", "3000m")).await;
+                assert_eq!(first.status(), 200);
+                let interrupt = host.interrupt;
+                program.hooks.set_hook(
+                    HookPoint::NothingUnread,
+                    FIRST_UPSTREAM_CONNECTION,
+                    move |stream| {
+                        interrupt.send(()).expect("the host waits");
+                        while stream.peek(&mut [0]).is_err() {
+                            thread::yield_now();
+                        }
+                    },
+                );
+                let (_, second) = on_client_thread(client, move |c| c.call(class, "3000m")).await;
+                assert!(program.hooks.hook_ran());
+                assert_eq!(
+                    second.status(),
+                    if class == "safe" { safe_status } else { 502 },
+                    "{class} after {bytes:?}"
+                );
+                // The host receives at most one more request, and one retry if it is safe.
+                let most = if class == "safe" { 3 } else { 2 };
+                assert!(
+                    host.requests.load(Ordering::SeqCst) <= most,
+                    "{class} after {bytes:?}"
+                );
+            });
+        }
+    }
+}
+
+/// A host that, on its first connection after one response, sends bytes or closes when `interrupt` is signalled.
+struct InterruptingHost {
+    address: SocketAddr,
+    interrupt: mpsc::Sender<()>,
+    requests: Arc<AtomicUsize>,
+}
+
+impl InterruptingHost {
+    fn start(bytes: &'static str) -> InterruptingHost {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("its address");
+        let (interrupt, interrupted) = mpsc::channel::<()>();
+        let requests = Arc::new(AtomicUsize::new(0));
+        let count = Arc::clone(&requests);
+        thread::spawn(move || {
+            let mut interrupted = Some(interrupted);
+            for stream in listener.incoming().flatten() {
+                let (interrupted, count) = (interrupted.take(), Arc::clone(&count));
+                thread::spawn(move || {
+                    let mut stream = BufReader::new(stream);
+                    while read(&mut stream).is_some() {
+                        count.fetch_add(1, Ordering::SeqCst);
+                        let _ = io::Write::write_all(
+                            stream.get_mut(),
+                            answer("200 OK", "", "ok").as_bytes(),
+                        );
+                        if interrupted
+                            .as_ref()
+                            .is_some_and(|interrupted| interrupted.recv().is_ok())
+                        {
+                            if bytes.is_empty() {
+                                return;
+                            }
+                            let _ = io::Write::write_all(stream.get_mut(), bytes.as_bytes());
+                            // Later requests on this connection are counted, but not answered.
+                            while read(&mut stream).is_some() {
+                                count.fetch_add(1, Ordering::SeqCst);
+                            }
+                        }
+                    }
+                });
+            }
+        });
+        InterruptingHost {
+            address,
+            interrupt,
+            requests,
+        }
+    }
+}
+
+/// A duplicate response that arrived some milliseconds late, just after the next request on its connection, was read as the
+/// response to that request. Once a host has sent bytes that belong to no request, its connections are not reused at once.
+#[test]
+fn a_duplicate_response_is_not_read_as_the_response_to_the_next_request() {
+    run_local(async || {
+        // The runtime's time advances only where the test advances it.
+        tokio::time::pause();
+        let host = DuplicatingHost::start();
+        let program = InProcessProxy::start_at(1_024, host.address).await;
+        let mut client = program.client();
+        for n in 0..6 {
+            // The first duplicate comes at once, so that the program knows that this host sends them.
+            let (used, response) = on_client_thread(client, |c| c.call("unsafe", "3000m")).await;
+            client = used;
+            let body = format!("answer {n}");
+            assert_eq!(
+                (
+                    response.status(),
+                    String::from_utf8_lossy(&response.body).as_ref()
+                ),
+                (200, body.as_str())
+            );
+        }
+        // After a pause connections are reused.
+        assert_eq!(
+            host.connections(),
+            6,
+            "one connection for each request, as none has paused long enough"
+        );
+        tokio::time::advance(Duration::from_millis(20)).await;
+        let (_, response) = on_client_thread(client, |c| c.call("unsafe", "3000m")).await;
+        assert_eq!((response.status(), host.connections()), (200, 6));
+    });
+}
+
+/// A host that answers its first request twice at once. It repeats the responses to later requests when the next request
+/// arrives on the same connection soon after.
+struct DuplicatingHost {
+    address: SocketAddr,
+    opened: Arc<AtomicUsize>,
+}
+
+impl DuplicatingHost {
+    fn start() -> DuplicatingHost {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("its address");
+        let (opened, requests) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+        let count = Arc::clone(&opened);
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                count.fetch_add(1, Ordering::SeqCst);
+                let requests = Arc::clone(&requests);
+                thread::spawn(move || {
+                    let mut stream = BufReader::new(stream);
+                    let mut previous = String::new();
+                    while read(&mut stream).is_some() {
+                        let n = requests.fetch_add(1, Ordering::SeqCst);
+                        let own = answer("200 OK", "", &format!("answer {n}"));
+                        // The seventh request comes too late for a duplicate.
+                        let copies = if n < 6 {
+                            previous.clone()
+                        } else {
+                            String::new()
+                        };
+                        let text = copies + &own + if n == 0 { &own } else { "" };
+                        let _ = io::Write::write_all(stream.get_mut(), text.as_bytes());
+                        previous = own;
+                    }
+                });
+            }
+        });
+        DuplicatingHost { address, opened }
+    }
+
+    fn connections(&self) -> usize {
+        self.opened.load(Ordering::SeqCst)
+    }
+}
+
+/// How a client leaves.
+#[derive(Clone, Copy, Debug)]
+enum Departure {
+    Close,
+    Reset,
+    /// The client closes only its sending side.
+    HalfClose,
+}
+
+impl Departure {
+    fn leave(self, client: Client) -> Option<Client> {
+        let stream = client.stream.get_ref();
+        match self {
+            Departure::Close => {}
+            Departure::Reset => SockRef::from(stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("a socket"),
+            Departure::HalfClose => {
+                stream.shutdown(Shutdown::Write).expect("a socket");
+                return Some(client);
+            }
+        }
+        None
+    }
+}
+
+/// A client leaves while the connection to a host is being opened. If bytes after its request were in the HTTP library's
+/// buffer, the end of the connection went unnoticed and the request was still sent.
+#[test]
+fn no_request_is_sent_if_the_client_leaves_during_the_upstream_connect() {
+    for departure in [Departure::Close, Departure::Reset, Departure::HalfClose] {
+        for trailing in ["", "GET /safe HTTP/1.1\r\n"] {
+            run_local(async || {
+                let host = Host::serving("ok");
+                let program = InProcessProxy::start(1_024, &host).await;
+                program.hooks.held_host.set(Some(host.address));
+                let mut client = program.client();
+                client.send("unsafe", "3000m");
+                program.hooks.connecting.notified().await;
+                if !trailing.is_empty() {
+                    client.write(trailing);
+                    // Wait until these bytes are read: the library then has them in its buffer and reads no further.
+                    program.hooks.wait_until_read(0).await;
+                }
+                let left = departure.leave(client);
+                program.hooks.released.notify_one();
+                // Another request is served; by then the first one would have been sent.
+                let (_, answer) = on_client_thread(program.client(), {
+                    program.hooks.held_host.set(None);
+                    |c| c.call("safe", "3000m")
+                })
+                .await;
+                assert_eq!(answer.status(), 200, "{departure:?}");
+                let sent = host
+                    .seen
+                    .try_iter()
+                    .filter(|s| matches!(s, Seen::Request(_, m) if m.head.starts_with("POST")));
+                assert_eq!(
+                    sent.count(),
+                    0,
+                    "{departure:?} with {} trailing bytes",
+                    trailing.len()
+                );
+                drop(left);
+            });
+        }
+    }
+}
+
+/// A host that reports each request on arrival and answers none until the gate is opened.
+struct GatedHost {
+    address: SocketAddr,
+    arrivals: mpsc::Receiver<String>,
+    open: Arc<(Mutex<bool>, Condvar)>,
+}
+
+impl GatedHost {
+    fn start() -> GatedHost {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("its address");
+        let (sender, arrivals) = mpsc::channel();
+        let open = Arc::new((Mutex::new(false), Condvar::new()));
+        let gate = Arc::clone(&open);
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let (sender, gate) = (sender.clone(), Arc::clone(&gate));
+                thread::spawn(move || {
+                    let mut stream = BufReader::new(stream);
+                    while let Some(message) = read(&mut stream) {
+                        let _ = sender.send(
+                            message
+                                .header("x-request-id")
+                                .unwrap_or_default()
+                                .to_owned(),
+                        );
+                        let open = gate.0.lock().expect("no panic");
+                        drop(gate.1.wait_while(open, |open| !*open).expect("no panic"));
+                        let _ = io::Write::write_all(
+                            stream.get_mut(),
+                            answer("200 OK", "", "ok").as_bytes(),
+                        );
+                    }
+                });
+            }
+        });
+        GatedHost {
+            address,
+            arrivals,
+            open,
+        }
+    }
+
+    fn open(&self) {
+        *self.open.0.lock().expect("no panic") = true;
+        self.open.1.notify_all();
+    }
+
+    /// Returns the ids of all requests that arrive until none does for a while.
+    fn drain_arrivals(&self) -> HashSet<String> {
+        let mut all = HashSet::new();
+        while let Ok(id) = self.arrivals.recv_timeout(SHORT) {
+            all.insert(id);
+        }
+        all
+    }
+}
+
+/// A client leaves while its call is in the wait queue. With `stopped` the process is stopped meanwhile, so that it finds the
+/// response that releases the call and the client's departure at the same time.
+#[test]
+fn no_request_is_sent_if_the_client_leaves_the_wait_queue() {
+    for (stopped, departure) in [
+        (false, Departure::Close),
+        (true, Departure::Close),
+        (true, Departure::Reset),
+    ] {
+        let (discovery, host) = (Discovery::start(), GatedHost::start());
+        let proxy = Proxy::start(PROGRAM, &discovery, &[entry("s-1", host.address, "up", 0)]);
+        let mut clients: Vec<(String, Client)> = Vec::new();
+        for n in 0..14 {
+            let (id, mut client) = (format!("call-{n}"), proxy.client());
+            client.write(&request("unsafe", "3000m", &id));
+            clients.push((id, client));
+        }
+        let sent = host.drain_arrivals();
+        let (served, held): (Vec<_>, Vec<_>) =
+            clients.into_iter().partition(|(id, _)| sent.contains(id));
+        assert!(
+            served.len() > 3 && held.len() > 3,
+            "{} of 14 are held",
+            held.len()
+        );
+        if stopped {
+            proxy.signal("-STOP");
+            host.open();
+        }
+        for (_, mut client) in held {
+            client.write("GET /safe HTTP/1.1\r\n");
+            departure.leave(client);
+        }
+        if stopped {
+            proxy.signal("-CONT");
+        } else {
+            // The departures are read before this request is answered.
+            proxy
+                .client()
+                .ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+            host.open();
+        }
+        for (id, mut client) in served {
+            assert_eq!(client.answer().map(|a| a.status()), Some(200), "{id}");
+        }
+        let further = host.drain_arrivals();
+        assert!(
+            further.is_empty(),
+            "sent though their clients had left: {further:?} ({stopped}, {departure:?})"
+        );
+    }
+}
+
+/// Signals that arrive together, before the first response of the list service: accepted requests are answered, and the
+/// program exits with success. The process is stopped meanwhile, so that it finds the signals at the same time.
+#[test]
+fn concurrent_signals_lose_no_request() {
+    for signals in [["-TERM", "-TERM"], ["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
+        let (discovery, other, host) = (Discovery::start(), Discovery::start(), GatedHost::start());
+        let listen = "127.0.0.1:0".parse().expect("an address");
+        let known = [entry("s-1", host.address, "up", 0)];
+        let mut proxy = Proxy::with(PROGRAM, &config(listen, discovery.address, 1_024, &known));
+        let (mut in_flight, mut queued) = (proxy.client(), proxy.client());
+        in_flight.write(&request("unsafe", "3000m", "taken"));
+        assert_eq!(host.arrivals.recv_timeout(LONG).as_deref(), Ok("taken"));
+        proxy.signal("-STOP");
+        // The file that SIGHUP reads names another list service.
+        proxy.reload(&config(proxy.address, other.address, 1_024, &[]));
+        signals.iter().for_each(|signal| proxy.signal(signal));
+        queued.write(&request("unsafe", "3000m", "comes"));
+        host.open();
+        proxy.signal("-CONT");
+        for client in [&mut in_flight, &mut queued] {
+            assert_eq!(
+                client.answer().map(|a| a.status()),
+                Some(200),
+                "{signals:?}"
+            );
+            assert!(client.answer().is_none(), "and its connection is closed");
+        }
+        assert!(proxy.ended(), "it exits 0: {signals:?}");
+    }
+}
