--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -153,7 +153,7 @@
 
     fn tell(&mut self, input: Input, list: Option<List>) {
         let before = self.watch.index();
-        let idle = self.driver.quiet_for() >= self.idle_after;
+        let idle = self.driver.time_since_last_call() >= self.idle_after;
         let mut out = Vec::new();
         self.watch
             .handle(self.driver.clock().now(), input, idle, &mut out);
@@ -182,7 +182,7 @@
                     } else {
                         ListUpdateKind::Delta
                     };
-                    self.driver.members(kind, &list.endpoints);
+                    self.driver.apply_endpoint_list(kind, &list.endpoints);
                 }
                 Output::Violation(violation) => self.log_violation(violation),
                 Output::Overdue(PollId(number)) => {
@@ -191,7 +191,7 @@
                 }
                 Output::Failed => {
                     self.link = None;
-                    self.driver.members_failed();
+                    self.driver.endpoint_list_failed();
                 }
             }
         }
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts of calls: starting one at a host, the checks before its first byte, and its one outcome.
+//! Attempts of calls: starting an attempt at an endpoint, the checks before its first byte is written, and its outcome.
 
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Answer, Core, Driver};
 use crate::log::CALLS;
 use crate::net::upstream;
@@ -13,27 +13,26 @@
 use tokio::task::AbortHandle;
 use tracing::debug;
 
-/// One attempt of a call at one host.
+/// One attempt of a call at one endpoint.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) server: EndpointId,
-    pub(super) sent: Micros,
-    /// Its deadline.
-    pub(super) until: Micros,
-    /// After this its first byte must not be written.
+    pub(super) endpoint: EndpointId,
+    pub(super) sent_at: Micros,
+    pub(super) deadline: Micros,
+    /// The first byte must not be written after this time.
     pub(super) start_by: Micros,
-    /// Its first byte may have been written.
+    /// Whether the first byte may have been written.
     pub(super) started: bool,
-    /// `None` once its outcome is known.
+    /// `None` once the outcome is known.
     pub(super) task: Option<AbortHandle>,
-    /// Its outcome is not known yet.
+    /// Whether the outcome is still unknown.
     pub(super) in_flight: bool,
 }
 
 impl Driver {
-    /// May the first byte of this attempt be written now? Asked once the connection is open. Meanwhile the call may have
-    /// ended, its time may be up, its client may have gone, and its host may drain or be another process; if this
-    /// process was stalled, what is known of the host may be out of date.
+    /// Whether the first byte of this attempt may be written now; checked once the connection is open. Until then the call
+    /// may have ended, a deadline may have passed, the client may have disconnected, and the endpoint may have begun to
+    /// drain or have been replaced by another process. After a stall of this process the endpoint list may be out of date.
     pub fn may_start(&self, call: CallId, attempt: u32, generation: u64) -> bool {
         let client = self
             .core
@@ -42,7 +41,7 @@
             .get(&call)
             .map(|c| Rc::clone(&c.client));
         if client.is_some_and(|client| !client.is_connected()) {
-            // The HTTP library may not have noticed: it stops looking once it has buffered bytes behind the request.
+            // hyper may not have noticed: it stops reading once it has buffered data after the request.
             self.client_disconnected(call);
             return false;
         }
@@ -50,7 +49,9 @@
         if core.stall.catch_up_time(self.clock.now()).is_some() {
             return false;
         }
-        let Core { calls, hosts, .. } = &mut *core;
+        let Core {
+            calls, endpoints, ..
+        } = &mut *core;
         let Some(call) = calls.get_mut(&call).filter(|c| c.is_open()) else {
             return false;
         };
@@ -61,94 +62,98 @@
         else {
             return false;
         };
-        let host = hosts.get(&attempt.server);
-        attempt.started = self.clock.now() < attempt.until.min(attempt.start_by)
-            && host.is_some_and(|h| h.state == EndpointStatus::Ready && h.generation == generation);
+        let endpoint = endpoints.get(&attempt.endpoint);
+        attempt.started = self.clock.now() < attempt.deadline.min(attempt.start_by)
+            && endpoint
+                .is_some_and(|e| e.status == EndpointStatus::Ready && e.generation == generation);
         attempt.started
     }
 
-    /// An attempt has ended by itself. Only its first outcome counts.
-    pub fn attempt_ended(&self, call: CallId, attempt: u32, ended: AttemptResult) {
-        // Also called when a task is dropped. Should that ever happen while the core is borrowed, a second panic would
-        // abort the program; the attempt's own deadline ends it then.
+    /// Records the result of an attempt whose task has ended. Only the first result of an attempt counts.
+    pub fn attempt_ended(&self, call: CallId, attempt: u32, result: AttemptResult) {
+        // This is also called when a task is dropped. If that happens while the core is borrowed, the attempt ends at its
+        // deadline instead: a panic here during another panic would abort the program.
         let Ok(mut core) = self.core.try_borrow_mut() else {
             return;
         };
-        if core.finish_attempt(self.clock.now(), call, attempt, ended) {
+        if core.finish_attempt(self.clock.now(), call, attempt, result) {
             self.run_with(&mut core);
         }
     }
 
-    /// Starts an attempt of a call at a host, as the balancer asks.
+    /// Starts an attempt of a call at an endpoint.
     pub(super) fn start_attempt(
         &self,
         core: &mut Core,
         now: Micros,
-        (id, server): (CallId, EndpointId),
-        (until, start_by): (Option<Micros>, Option<Micros>),
+        (id, endpoint): (CallId, EndpointId),
+        (deadline, start_by): (Option<Micros>, Option<Micros>),
     ) {
         let Some(call) = core.calls.get_mut(&id) else {
             return;
         };
         let number = call.attempts.len() as u32;
-        let until = until
-            .filter(|&u| u > 0)
+        let deadline = deadline
+            .filter(|&at| at > 0)
             .unwrap_or(Micros::MAX)
             .min(call.deadline);
         let start_by = start_by.unwrap_or(Micros::MAX);
         let attempt = Attempt {
-            server,
-            sent: now,
-            until,
+            endpoint,
+            sent_at: now,
+            deadline,
             start_by,
             started: false,
             task: None,
             in_flight: true,
         };
         call.attempts.push(attempt);
-        let host = core.hosts.get(&server);
+        let state = core.endpoints.get(&endpoint);
         if tracing::enabled!(target: CALLS, tracing::Level::DEBUG) {
-            let name = host.map_or("", |host| &*host.name);
+            let name = state.map_or("", |state| &*state.name);
             log_sent(
                 (id, number),
                 name,
-                core.balancer.view(now, server),
-                until.saturating_sub(now),
+                core.balancer.view(now, endpoint),
+                deadline.saturating_sub(now),
             );
         }
-        let target = host.and_then(|host| host.target(server));
-        let Some(target) = target.filter(|_| call.is_open() && until > now) else {
+        let target = state.and_then(|state| state.target(endpoint));
+        let Some(target) = target.filter(|_| call.is_open() && deadline > now) else {
             core.finish_attempt(now, id, number, Outcome::NotSent.into());
             return;
         };
-        core.timers.insert((until, Due::Attempt(id, number)));
-        let task = self.spawn_attempt((id, number), target, until, Rc::clone(&call.request));
+        core.timers
+            .insert((deadline, TimerKind::AttemptDeadline(id, number)));
+        let task = self.spawn_attempt((id, number), target, deadline, Rc::clone(&call.request));
         call.attempts[number as usize].task = Some(task);
     }
 
-    /// Runs the exchange of an attempt with its host in a task of its own.
+    /// Runs the exchange of an attempt with its endpoint in a separate task.
     fn spawn_attempt(
         &self,
         (call, attempt): (CallId, u32),
         target: AttemptTarget,
-        until: Micros,
+        deadline: Micros,
         request: Rc<Request>,
     ) -> AbortHandle {
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            // An attempt whose task dies may have run; without this its call would wait for its deadline.
+            // If the task is dropped, the request may have been executed. Without the guard its call would go on to wait
+            // for this attempt until its deadline.
             let mut guard = OutcomeGuard {
                 driver,
                 call,
                 attempt,
-                ended: Some(Outcome::Unknown.into()),
+                result: Some(Outcome::Unknown.into()),
             };
             let driver = &guard.driver;
-            driver.caught_up().await;
-            let left = || until.saturating_sub(driver.clock.now());
+            driver.catch_up().await;
+            let time_left = || deadline.saturating_sub(driver.clock.now());
             let may_start = || driver.may_start(call, attempt, target.generation);
-            let ended = upstream::attempt(&driver.pool, target, &request, left, may_start).await;
-            guard.ended = Some(ended);
+            let result =
+                upstream::attempt(&driver.pool, target, &request, time_left, may_start).await;
+            guard.result = Some(result);
         });
         task.abort_handle()
     }
@@ -164,23 +169,24 @@
         core.forget_if_done(call);
     }
 
-    /// Resolves once what arrived while the process was stalled has been read; at once if it was not stalled.
-    pub(super) async fn caught_up(&self) {
-        let behind = self.core.borrow().stall.catch_up_time(self.clock.now());
-        if let Some(time) = behind {
+    /// After a stall of this process, waits until the data that arrived meanwhile has been read.
+    pub(super) async fn catch_up(&self) {
+        let catch_up_time = self.core.borrow().stall.catch_up_time(self.clock.now());
+        if let Some(time) = catch_up_time {
             tokio::time::sleep(Duration::from_micros(time)).await;
         }
     }
 }
 
 impl Core {
-    /// Records the outcome of an attempt, stops its task and queues the event. Returns false if it had ended before.
+    /// Records the result of an attempt, stops its task and queues the event for the balancer. Returns false if the attempt
+    /// had ended before.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
         id: CallId,
         number: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     ) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
@@ -194,27 +200,28 @@
         };
         attempt.in_flight = false;
         self.timers
-            .remove(&(attempt.until, Due::Attempt(id, number)));
+            .remove(&(attempt.deadline, TimerKind::AttemptDeadline(id, number)));
         if let Some(task) = attempt.task.take() {
-            // This closes its connection, by which the host learns that nobody waits.
+            // This closes the connection, which tells the endpoint that the request has been cancelled.
             task.abort();
         }
-        let elapsed = now.saturating_sub(attempt.sent);
-        debug!(target: CALLS, call = id.0, attempt = number, outcome = ?ended.outcome, elapsed, "over");
+        let elapsed = now.saturating_sub(attempt.sent_at);
+        debug!(target: CALLS, call = id.0, attempt = number, outcome = ?result.outcome, elapsed, "attempt ended");
         let AttemptResult {
             outcome,
             load,
             response,
-        } = ended;
+        } = result;
         match response {
             Some(response) if outcome == Outcome::Served => {
                 if let Some(sender) = call.answer.take() {
                     self.open_calls -= 1;
-                    self.timers.remove(&(call.deadline, Due::Deadline(id)));
+                    self.timers
+                        .remove(&(call.deadline, TimerKind::CallDeadline(id)));
                     let _ = sender.send(Answer::Served(response));
                 }
             }
-            Some(response) if outcome == Outcome::Error && self.keep_errors => {
+            Some(response) if outcome == Outcome::Error && self.forward_errors => {
                 call.last_error = Some(response);
             }
             _ => {}
@@ -232,8 +239,13 @@
     }
 }
 
-/// Logs the start of an attempt, with the balancer's view of its host.
-fn log_sent((call, attempt): (CallId, u32), host: &str, view: Option<EndpointView>, left: Micros) {
+/// Logs the start of an attempt, with the balancer's view of its endpoint.
+fn log_sent(
+    (call, attempt): (CallId, u32),
+    endpoint: &str,
+    view: Option<EndpointView>,
+    time_left: Micros,
+) {
     let Some(view) = view else { return };
     let EndpointView {
         in_flight,
@@ -244,22 +256,22 @@
         ejected,
         ..
     } = view;
-    debug!(target: CALLS, call = call.0, attempt, host, left, in_flight, concurrency_limit,
-        latency_ratio, failure_rate, slow_start_capacity, ejected, "sent");
+    debug!(target: CALLS, call = call.0, attempt, host = endpoint, left = time_left, in_flight, concurrency_limit,
+        latency_ratio, failure_rate, slow_start_capacity, ejected, "attempt sent");
 }
 
-/// Reports the outcome of an attempt when its task ends, however that comes about.
+/// Reports the result of an attempt when its task ends or is dropped.
 struct OutcomeGuard {
     driver: Driver,
     call: CallId,
     attempt: u32,
-    ended: Option<AttemptResult>,
+    result: Option<AttemptResult>,
 }
 
 impl Drop for OutcomeGuard {
     fn drop(&mut self) {
-        if let Some(ended) = self.ended.take() {
-            self.driver.attempt_ended(self.call, self.attempt, ended);
+        if let Some(result) = self.result.take() {
+            self.driver.attempt_ended(self.call, self.attempt, result);
         }
     }
 }
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -1,7 +1,7 @@
-//! Calls: taking a request on, giving its one final answer, and forgetting it once nothing of it is left.
+//! Calls: accepting requests, giving each its one final answer, and forgetting calls that have ended.
 
 use super::attempts::Attempt;
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Core, Driver};
 use crate::log::CALLS;
 use crate::net::upstream::{Client, Request, UpstreamResponse};
@@ -10,56 +10,60 @@
 use tokio::sync::oneshot;
 use tracing::debug;
 
-/// A request, as the balancer is told of it.
-pub struct Intake {
+/// What the balancer needs to know of a request to start its call.
+pub struct NewCall {
     pub client: Rc<dyn Client>,
     pub class: ClassId,
     pub tenant: Option<String>,
     pub deadline: Micros,
-    pub resent: bool,
-    pub terms: CallPolicy,
+    /// Whether the client marked the request as a retry.
+    pub is_retry: bool,
+    pub policy: CallPolicy,
 }
 
 /// The one final answer of a call.
 #[derive(Debug)]
 pub enum Answer {
+    /// The response of an endpoint.
     Served(UpstreamResponse),
-    Refused {
+    /// The call was not executed and may be retried.
+    Rejected {
+        /// When, in microseconds from now; 0 if the balancer gives no time.
         retry_after: Micros,
     },
-    /// The last error of a host that is passed on, if any.
+    /// The call failed, with the error response to forward to the client, if any.
     Failed(Option<UpstreamResponse>),
-    /// The deadline came before the balancer had ended the call.
-    Overdue,
+    /// The deadline passed before the balancer ended the call.
+    DeadlineExceeded,
 }
 
 impl Answer {
-    /// Its label in the log.
+    /// The name of the answer in the log.
     fn label(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
+            Answer::Rejected { .. } => "refused",
             Answer::Failed(_) => "failed",
-            Answer::Overdue => "overdue",
+            Answer::DeadlineExceeded => "overdue",
         }
     }
 }
 
-/// A call that is open, or of which an attempt is still in flight.
+/// A call without a final answer, or with an attempt that is still in flight.
 pub(super) struct Call {
     pub(super) client: Rc<dyn Client>,
     pub(super) request: Rc<Request>,
     pub(super) class: ClassId,
     pub(super) deadline: Micros,
-    /// Taken when the final answer is given.
+    /// `None` once the final answer has been given.
     pub(super) answer: Option<oneshot::Sender<Answer>>,
     pub(super) attempts: Vec<Attempt>,
-    /// The last error that a host answered, if errors are passed on.
+    /// The last error response of an endpoint; always `None` if error responses are not forwarded.
     pub(super) last_error: Option<UpstreamResponse>,
 }
 
 impl Call {
-    /// Its final answer has not been given yet.
+    /// Whether the final answer is still to be given.
     pub(super) fn is_open(&self) -> bool {
         self.answer.is_some()
     }
@@ -70,72 +74,73 @@
 }
 
 impl Driver {
-    /// Calls without their final answer.
+    /// The number of calls without a final answer.
     pub fn open_calls(&self) -> usize {
         self.core.borrow().open_calls
     }
 
-    /// Calls that are not forgotten yet: open ones, and those of which an attempt is still in flight.
+    /// The number of calls in memory: those without a final answer, and those with an attempt that is still in flight.
     pub fn calls(&self) -> usize {
         self.core.borrow().calls.len()
     }
 
-    /// Is a call of this class open, or an attempt of one still in flight?
+    /// Whether any call in memory is of this class.
     pub fn in_use(&self, class: ClassId) -> bool {
         self.core.borrow().calls.values().any(|c| c.class == class)
     }
 
-    /// Takes on a request. `None`: as many calls are open as the settings allow.
+    /// Starts the call of a request. Returns `None` if the maximum number of calls is open.
     pub fn start_call(
         &self,
-        intake: Intake,
+        new_call: NewCall,
         request: Request,
     ) -> Option<(CallId, oneshot::Receiver<Answer>)> {
         let (sender, receiver) = oneshot::channel();
         let mut core = self.core.borrow_mut();
-        if core.open_calls >= core.max_open {
+        if core.open_calls >= core.max_open_calls {
             return None;
         }
         core.last_call_at = self.clock.now();
         core.resize_subset(self.clock.now());
-        let call = CallId(core.next_call);
-        core.next_call += 1;
+        let call = CallId(core.next_call_id);
+        core.next_call_id += 1;
         core.open_calls += 1;
-        let id = request
+        let request_id = request
             .headers
             .get("x-request-id")
             .and_then(|v| v.to_str().ok())
             .unwrap_or_default();
-        debug!(target: CALLS, call = call.0, request = id, class = intake.class.0, "taken");
-        let deadline = intake.deadline;
+        debug!(target: CALLS, call = call.0, request = request_id, class = new_call.class.0, "call accepted");
+        let deadline = new_call.deadline;
         let entry = Call {
-            client: intake.client,
+            client: new_call.client,
             request: Rc::new(request),
-            class: intake.class,
+            class: new_call.class,
             deadline,
             answer: Some(sender),
             attempts: Vec::new(),
             last_error: None,
         };
         core.calls.insert(call, entry);
-        core.timers.insert((deadline, Due::Deadline(call)));
-        let tenant = intake
+        core.timers
+            .insert((deadline, TimerKind::CallDeadline(call)));
+        let tenant = new_call
             .tenant
             .and_then(|name| core.tenants.iter().position(|t| *t == name));
         let event = Event::Request {
             call,
-            class: intake.class,
+            class: new_call.class,
             tenant: tenant.map(TenantId),
             time_left: deadline.saturating_sub(self.clock.now()),
-            is_retry: intake.resent,
-            policy: intake.terms,
+            is_retry: new_call.is_retry,
+            policy: new_call.policy,
         };
         drop(core);
-        self.event(event);
+        self.handle_event(event);
         Some((call, receiver))
     }
 
-    /// The client of this call has gone. Its attempts are cancelled whatever the balancer decides.
+    /// Ends a call whose client has disconnected. Its attempts are cancelled whatever the balancer decides.
     pub fn client_disconnected(&self, call: CallId) {
         let open = self
             .core
@@ -147,12 +152,12 @@
             return;
         }
         self.core.borrow_mut().finish_call(call, None);
-        self.event(Event::ClientDisconnected { call });
+        self.handle_event(Event::ClientDisconnected { call });
         self.cancel_attempts(call);
     }
 
-    /// How long ago the last call was taken on.
-    pub fn quiet_for(&self) -> Micros {
+    /// The time since the last call was accepted; before the first call, since the start.
+    pub fn time_since_last_call(&self) -> Micros {
         self.clock
             .now()
             .saturating_sub(self.core.borrow().last_call_at)
@@ -160,17 +165,19 @@
 }
 
 impl Core {
-    /// Gives the final answer, if it has not been given yet.
+    /// Gives the final answer of a call unless it has one already. `None` ends the call without an answer, as its client
+    /// has disconnected.
     pub(super) fn finish_call(&mut self, id: CallId, answer: Option<Answer>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         if let Some(sender) = call.answer.take() {
             self.open_calls -= 1;
-            self.timers.remove(&(call.deadline, Due::Deadline(id)));
-            debug!(target: CALLS, call = id.0, answer = answer.as_ref().map_or("client gone", Answer::label), "ended");
+            self.timers
+                .remove(&(call.deadline, TimerKind::CallDeadline(id)));
+            debug!(target: CALLS, call = id.0, answer = answer.as_ref().map_or("client disconnected", Answer::label), "call ended");
             if let Some(answer) = answer {
-                // The receiver is dropped when the client has gone.
+                // The receiver has been dropped if the client disconnected.
                 let _ = sender.send(answer);
             }
         }
--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: the discovery list, the ids of its hosts, and what a change of it means for their connections.
+//! Membership: applies the endpoint list, assigns endpoint ids, and opens or closes endpoints to connections.
 
 use super::{Core, Driver};
 use crate::net::upstream::AttemptTarget;
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Target of the log lines on odd entries of the list.
+/// Log target of warnings about invalid entries of the list.
 const LOG_TARGET: &str = "badgerramp::net::driver";
 const STATUS_UP: &str = "up";
 const STATUS_REMOVED: &str = "removed";
 const KNOWN_STATUSES: [&str; 3] = [STATUS_UP, "draining", STATUS_REMOVED];
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// An entry of the list in discovery's form.
+/// An entry of the endpoint list, as the list service sends it.
 #[derive(Debug, Deserialize)]
 pub struct Endpoint {
     pub(in crate::net) name: String,
@@ -39,7 +39,8 @@
 }
 
 impl Endpoint {
-    /// An endpoint that the operator's file names. `since_ms` is as in the list: Unix time in milliseconds, 0 for long ago.
+    /// An entry for an endpoint from the operator's file. `since_ms` is the start time of the endpoint in milliseconds of Unix
+    /// time, as in the list; 0 for an endpoint that has been running for long.
     pub fn fixed(endpoint: &badgerramp_config::Endpoint, since_ms: u64) -> Self {
         Endpoint {
             name: endpoint.name.clone(),
@@ -57,8 +58,9 @@
         KNOWN_STATUSES.contains(&self.status.as_str())
     }
 
-    /// A host that drains, or whose status is unknown, gets nothing new.
-    fn state(&self) -> EndpointStatus {
+    /// The status for the balancer. An endpoint with an unknown status is treated as draining, so that it receives no new
+    /// calls.
+    fn endpoint_status(&self) -> EndpointStatus {
         match self.status.as_str() {
             STATUS_UP => EndpointStatus::Ready,
             STATUS_REMOVED => EndpointStatus::Removed,
@@ -66,42 +68,43 @@
         }
     }
 
-    fn warn_of_status(&self) {
+    fn warn_unknown_status(&self) {
         tracing::warn!(
             target: LOG_TARGET,
-            "discovery: host {:?} has the status {:?}, allowed are up, draining, removed: nothing new goes there",
+            "discovery: endpoint {:?} has the unknown status {:?}, allowed are up, draining, removed; it receives no new calls",
             self.name,
             self.status
         );
     }
 }
 
-/// The list, or what changed of it.
+/// A response of the list service: the complete list, or the changes since an index.
 #[derive(Debug, Deserialize)]
 pub struct List {
     pub index: u64,
+    /// Whether this is the complete list.
     #[serde(default)]
     pub snapshot: bool,
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A host of the list.
+/// The state of a listed endpoint.
 #[derive(Debug)]
-pub(super) struct Host {
+pub(super) struct EndpointState {
     pub(super) name: Rc<str>,
     pub(super) address: Option<SocketAddr>,
     pub(super) started: Micros,
-    pub(super) state: EndpointStatus,
-    /// Identifies a process at an address: connections of an earlier generation are not used.
+    pub(super) status: EndpointStatus,
+    /// Identifies the process at the address: connections of an earlier generation are not used.
     pub(super) generation: u64,
-    /// Its last entry of the list; kept only where the balancer is told of a subset.
+    /// The last entry of the list; kept only if the balancer knows a subset of the endpoints.
     pub(super) entry: Option<EndpointEntry>,
 }
 
-impl Host {
-    /// Where attempts at this host go, if it takes calls.
+impl EndpointState {
+    /// The target for attempts; `None` if the endpoint accepts no calls or its address is unknown.
     pub(super) fn target(&self, endpoint: EndpointId) -> Option<AttemptTarget> {
-        if self.state != EndpointStatus::Ready {
+        if self.status != EndpointStatus::Ready {
             return None;
         }
         Some(AttemptTarget {
@@ -113,21 +116,21 @@
 }
 
 impl Driver {
-    /// The list, or a change of it, has come from discovery.
-    pub fn members(&self, kind: ListUpdateKind, list: &[Endpoint]) {
+    /// Applies the endpoint list or changes to it.
+    pub fn apply_endpoint_list(&self, kind: ListUpdateKind, list: &[Endpoint]) {
         let mut core = self.core.borrow_mut();
         let core = &mut *core;
-        let mut touched = Vec::new();
+        let mut changed = Vec::new();
         if matches!(kind, ListUpdateKind::Full | ListUpdateKind::Cached) {
-            touched = core.forget_unlisted(list, &self.pool);
+            changed = core.forget_unlisted(list, &self.pool);
         }
         let mut entries = Vec::new();
         for endpoint in list {
-            let Some(entry) = core.update_host(endpoint, &self.pool) else {
+            let Some(entry) = core.update_endpoint(endpoint, &self.pool) else {
                 continue;
             };
             if core.subset.is_some() {
-                touched.push(entry.endpoint.0);
+                changed.push(entry.endpoint.0);
                 core.update_subset_candidate(&endpoint.name, &entry);
             }
             if entry.status == EndpointStatus::Removed {
@@ -136,16 +139,16 @@
             entries.push(entry);
         }
         if core.subset.is_some() {
-            core.list_changed(self.clock.now(), kind, &touched);
+            core.apply_list_change(self.clock.now(), kind, &changed);
         } else {
             core.events.push_back(Event::EndpointList { kind, entries });
         }
         self.run_with(core);
     }
 
-    /// Asking for the list failed, or the watch broke.
-    pub fn members_failed(&self) {
-        self.event(Event::EndpointList {
+    /// Tells the balancer that the list service can't be reached.
+    pub fn endpoint_list_failed(&self) {
+        self.handle_event(Event::EndpointList {
             kind: ListUpdateKind::Failed,
             entries: Vec::new(),
         });
@@ -153,102 +156,105 @@
 }
 
 impl Core {
-    /// The id of a host by its name: a new one for an unknown host, unless that has gone as well.
-    fn server_id(&mut self, name: &str, state: EndpointStatus) -> Option<EndpointId> {
-        if let Some(&server) = self.server_ids.get(name) {
-            return Some(server);
+    /// The id of the endpoint with this name. An unknown endpoint is registered under a new id, unless its status is
+    /// `Removed`.
+    fn endpoint_id(&mut self, name: &str, status: EndpointStatus) -> Option<EndpointId> {
+        if let Some(&id) = self.endpoint_ids.get(name) {
+            return Some(id);
         }
-        if state == EndpointStatus::Removed {
+        if status == EndpointStatus::Removed {
             return None;
         }
-        let (server, name) = (EndpointId(self.next_server), Rc::<str>::from(name));
-        self.next_server += 1;
-        self.server_ids.insert(Rc::clone(&name), server);
-        // Draining until it is known better: whatever its first entry says is a change.
-        let host = Host {
+        let (id, name) = (EndpointId(self.next_endpoint_id), Rc::<str>::from(name));
+        self.next_endpoint_id += 1;
+        self.endpoint_ids.insert(Rc::clone(&name), id);
+        // Draining until its first entry is applied, so that the entry counts as a change if it is ready.
+        let state = EndpointState {
             name,
             address: None,
             started: 0,
-            state: EndpointStatus::Draining,
+            status: EndpointStatus::Draining,
             generation: 0,
             entry: None,
         };
-        self.hosts.insert(server, host);
-        Some(server)
+        self.endpoints.insert(id, state);
+        Some(id)
     }
 
-    /// Applies an entry of the list to its host, whose connections are closed or opened as that demands. Returns the
-    /// entry in the balancer's form; `None` for an unknown host that has gone.
-    fn update_host(&mut self, endpoint: &Endpoint, pool: &ConnectionPool) -> Option<EndpointEntry> {
-        let listed_state = endpoint.state();
+    /// Applies an entry of the list, and opens or closes the endpoint to connections accordingly. Returns the entry in the
+    /// balancer's form; `None` if an unknown endpoint was removed.
+    fn update_endpoint(
+        &mut self,
+        endpoint: &Endpoint,
+        pool: &ConnectionPool,
+    ) -> Option<EndpointEntry> {
+        let listed_status = endpoint.endpoint_status();
         let started = endpoint.since_ms.saturating_mul(MICROS_PER_MILLISECOND);
-        let server = self.server_id(&endpoint.name, listed_state)?;
-        let host = self.hosts.get_mut(&server)?;
+        let id = self.endpoint_id(&endpoint.name, listed_status)?;
+        let state = self.endpoints.get_mut(&id)?;
         if !endpoint.has_known_status()
-            && (host.generation == 0 || host.state == EndpointStatus::Ready)
+            && (state.generation == 0 || state.status == EndpointStatus::Ready)
         {
-            endpoint.warn_of_status();
+            endpoint.warn_unknown_status();
         }
-        let last_address = host
+        let last_address = state
             .address
-            .filter(|_| listed_state != EndpointStatus::Ready);
+            .filter(|_| listed_status != EndpointStatus::Ready);
         let address = endpoint.address.parse().ok().or(last_address);
-        // Nothing can go to a host whose address is unknown.
-        let without_address = listed_state == EndpointStatus::Ready && address.is_none();
-        let state = if without_address {
+        // An endpoint whose address is unknown can't receive calls.
+        let lacks_address = listed_status == EndpointStatus::Ready && address.is_none();
+        let status = if lacks_address {
             EndpointStatus::Draining
         } else {
-            listed_state
+            listed_status
         };
-        // The same name with a new start is a new process, and a new address is another way to it: open connections
-        // lead to the old one.
-        if state != EndpointStatus::Ready {
-            pool.remove_endpoint(server);
-        } else if host.state != EndpointStatus::Ready
-            || address != host.address
-            || started != host.started
+        // A new start time under the same name means a new process, and connections that are open go to the old process or
+        // to the old address.
+        if status != EndpointStatus::Ready {
+            pool.remove_endpoint(id);
+        } else if state.status != EndpointStatus::Ready
+            || address != state.address
+            || started != state.started
         {
-            host.generation = self.next_generation;
+            state.generation = self.next_generation;
             self.next_generation += 1;
-            pool.add_endpoint(server, host.generation);
+            pool.add_endpoint(id, state.generation);
         }
-        (host.state, host.address, host.started) = (state, address, started);
+        (state.status, state.address, state.started) = (status, address, started);
         let entry = EndpointEntry {
-            endpoint: server,
-            status: state,
+            endpoint: id,
+            status,
             zone: settings::zone_id(&endpoint.zone),
             cell: CellId(endpoint.group),
             kind: settings::kind_id(&endpoint.kind),
             weight: endpoint.weight,
             started,
         };
-        host.entry = self.subset.is_some().then_some(entry);
+        state.entry = self.subset.is_some().then_some(entry);
         Some(entry)
     }
 
-    /// Forgets the hosts that a whole list does not name; returns their ids.
+    /// Forgets the endpoints that are missing from a complete list, and returns their ids.
     fn forget_unlisted(&mut self, list: &[Endpoint], pool: &ConnectionPool) -> Vec<u32> {
         let listed: HashSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         let unlisted = self
-            .server_ids
+            .endpoint_ids
             .iter()
             .filter(|(name, _)| !listed.contains(&***name));
-        let unlisted: Vec<_> = unlisted
-            .map(|(name, server)| (Rc::clone(name), server.0))
-            .collect();
+        let unlisted: Vec<_> = unlisted.map(|(name, id)| (Rc::clone(name), id.0)).collect();
         for (name, _) in &unlisted {
             self.forget(name, pool);
         }
-        unlisted.into_iter().map(|(_, server)| server).collect()
+        unlisted.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Forgets a host and its id, and closes its connections.
+    /// Forgets an endpoint and its id, and closes its connections.
     fn forget(&mut self, name: &str, pool: &ConnectionPool) {
-        if let Some(server) = self.server_ids.remove(name) {
-            self.hosts.remove(&server);
-            pool.remove_endpoint(server);
+        if let Some(id) = self.endpoint_ids.remove(name) {
+            self.endpoints.remove(&id);
+            pool.remove_endpoint(id);
             if let Some(view) = &mut self.subset {
-                view.subset.remove(server.0);
+                view.subset.remove(id.0);
             }
         }
     }
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -1,13 +1,13 @@
-//! The driver of the [`Balancer`] and its one owner: it turns what happens into events, carries out the actions, and
-//! owns the timers, the calls and the ids of hosts. It never picks, retries or sheds by itself.
+//! The driver of the [`Balancer`]: passes events to it, executes its actions, and owns the timers, the calls and the
+//! endpoint ids. It never picks an endpoint, retries or sheds by itself.
 //!
-//! - `calls`: requests taken on and their final answers.
-//! - `attempts`: attempts at hosts and their outcomes.
-//! - `timers`: what is due when.
-//! - `membership`: the discovery list.
-//! - `subset`: the part of a large fleet that the balancer is told of.
-//! - `reconfiguration`: new settings.
-//! - `audit`: a check of the counts.
+//! - `calls`: accepted requests and their final answers.
+//! - `attempts`: attempts at endpoints and their outcomes.
+//! - `timers`: deadlines and the balancer's timer.
+//! - `membership`: applies the endpoint list.
+//! - `subset`: the part of a large fleet that the balancer knows.
+//! - `reconfiguration`: changes of the settings.
+//! - `audit`: compares the balancer's counts with the driver's.
 
 mod attempts;
 mod audit;
@@ -19,7 +19,7 @@
 mod tests;
 mod timers;
 
-pub use calls::{Answer, Intake};
+pub use calls::{Answer, NewCall};
 pub use membership::{Endpoint, List};
 
 use super::clock::Clock;
@@ -31,88 +31,92 @@
 use badgerramp_endpoint_watch::StallDetector;
 use badgerramp_subset::Subset;
 use calls::Call;
-use membership::Host;
+use membership::EndpointState;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use subset::SubsetView;
-use timers::Due;
+use timers::TimerKind;
 use tokio::sync::Notify;
 
-/// Everything that the driver owns, behind one [`RefCell`].
+/// The state that all clones of a [`Driver`] share.
 struct Core {
     balancer: Balancer,
     tenants: Vec<String>,
-    max_open: usize,
-    /// Whether what a host answers with an error is passed on where nothing better comes.
-    keep_errors: bool,
+    max_open_calls: usize,
+    /// Whether a failed call forwards the last error response of an endpoint to its client.
+    forward_errors: bool,
     calls: HashMap<CallId, Call>,
     open_calls: usize,
-    next_call: u64,
-    /// Ids of the listed hosts by name. A host that has gone is forgotten with its id, which is never given again: an
-    /// attempt still in flight there concerns no other host.
-    server_ids: BTreeMap<Rc<str>, EndpointId>,
-    hosts: HashMap<EndpointId, Host>,
-    next_server: u32,
+    next_call_id: u64,
+    /// Ids of the listed endpoints by name. The id of a removed endpoint is never reused, so that the outcome of an
+    /// attempt that is still in flight there is not attributed to another endpoint.
+    endpoint_ids: BTreeMap<Rc<str>, EndpointId>,
+    endpoints: HashMap<EndpointId, EndpointState>,
+    next_endpoint_id: u32,
     next_generation: u64,
-    timers: BTreeSet<(Micros, Due)>,
-    /// When the balancer's one timer is due: the earliest time that it has asked for since the last.
+    timers: BTreeSet<(Micros, TimerKind)>,
+    /// When the balancer's timer fires: the earliest time that it has requested since the timer fired last.
     balancer_timer: Option<Micros>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    /// Only where the balancer is told of a subset of the hosts.
+    /// `None` if the balancer knows all listed endpoints.
     subset: Option<SubsetView>,
-    /// The settings of the operator's file.
+    /// The settings as configured: [`Settings::balancers`] is not adjusted to the number of live proxies.
     settings: Settings,
-    /// How many proxies share the hosts, as the balancer was last told.
+    /// The number of proxies that share the endpoints, as last passed to the balancer.
     sharing_proxies: u32,
-    /// Proxies that are known to be alive.
+    /// The number of live proxies in the fleet, as known from gossip.
     alive_proxies: u32,
-    /// When the last call was taken on.
+    /// When the last call was accepted.
     last_call_at: Micros,
     stall: StallDetector,
 }
 
-/// A handle to the driver, which all its clones share.
+/// A handle to the driver. Clones share one state.
 #[derive(Clone)]
 pub struct Driver {
     core: Rc<RefCell<Core>>,
     clock: Clock,
     pool: Rc<ConnectionPool>,
+    /// Notified when the earliest timer changes.
     timer_moved: Rc<Notify>,
+    /// Notified when the balancer subscribes to the endpoint list.
     subscribe: Rc<Notify>,
 }
 
 impl Driver {
+    /// Creates a driver with its balancer, whose random choices are seeded with `seed`. With `forward_errors`, a failed
+    /// call is answered with the last error response of an endpoint, if there is one.
     pub fn new(
         seed: u64,
-        facts: PlatformSettings,
-        keep_errors: bool,
+        platform_settings: PlatformSettings,
+        forward_errors: bool,
         subset: Option<Subset>,
         clock: Clock,
         pool: Rc<ConnectionPool>,
     ) -> Self {
         let subset = subset.map(|subset| SubsetView {
             subset,
-            settings: facts.settings.clone(),
+            settings: platform_settings.settings.clone(),
         });
         let core = Core {
             subset,
-            sharing_proxies: facts.settings.balancers,
-            settings: facts.settings.clone(),
+            sharing_proxies: platform_settings.settings.balancers,
+            settings: platform_settings.settings.clone(),
             alive_proxies: 0,
             last_call_at: clock.now(),
-            stall: StallDetector::new(clock.now(), facts.settings.rules.drain_grace),
-            balancer: Balancer::new(seed, facts.settings),
-            tenants: facts.tenants,
-            max_open: facts.transport.max_open,
-            keep_errors,
+            stall: StallDetector::new(clock.now(), platform_settings.settings.rules.drain_grace),
+            balancer: Balancer::new(seed, platform_settings.settings),
+            tenants: platform_settings.tenants,
+            max_open_calls: platform_settings.transport.max_open,
+            forward_errors,
             calls: HashMap::new(),
             open_calls: 0,
-            next_call: 0,
-            server_ids: BTreeMap::new(),
-            hosts: HashMap::new(),
-            next_server: 0,
+            next_call_id: 0,
+            endpoint_ids: BTreeMap::new(),
+            endpoints: HashMap::new(),
+            next_endpoint_id: 0,
             next_generation: 0,
             balancer_timer: None,
             timers: BTreeSet::new(),
@@ -133,16 +137,17 @@
         self.clock
     }
 
-    /// Waits until the balancer asks for the list of hosts.
+    /// Waits until the balancer subscribes to the endpoint list.
     pub async fn subscribed(&self) {
         self.subscribe.notified().await;
     }
 
+    /// Starts the balancer.
     pub fn start(&self) {
-        self.event(Event::Start);
+        self.handle_event(Event::Start);
     }
 
-    fn event(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         self.core.borrow_mut().events.push_back(event);
         self.run();
     }
@@ -151,14 +156,14 @@
         self.run_with(&mut self.core.borrow_mut());
     }
 
-    /// Hands the events to the balancer in their order and executes its actions; an action may queue a further event,
-    /// so this goes on until none is left.
+    /// Passes the queued events to the balancer in order and executes its actions, until no event is left: an action may
+    /// queue further events.
     fn run_with(&self, core: &mut Core) {
         let first_timer = core.timers.first().copied();
         while let Some(event) = core.events.pop_front() {
             let now = self.clock.now();
             let mut actions = std::mem::take(&mut core.actions);
-            let ended_attempt_of = match event {
+            let call_of_ended_attempt = match event {
                 Event::Outcome { call, .. } => Some(call),
                 _ => None,
             };
@@ -167,7 +172,7 @@
                 self.execute(core, now, action);
             }
             core.actions = actions;
-            if let Some(call) = ended_attempt_of {
+            if let Some(call) = call_of_ended_attempt {
                 core.forget_if_done(call);
             }
         }
@@ -176,19 +181,18 @@
         }
     }
 
-    /// Executes one action of the balancer.
     fn execute(&self, core: &mut Core, now: Micros, action: Action) {
         match action {
             Action::Send {
                 call,
-                endpoint: server,
-                attempt_deadline: until,
+                endpoint,
+                attempt_deadline,
                 start_by,
             } => {
-                self.start_attempt(core, now, (call, server), (until, start_by));
+                self.start_attempt(core, now, (call, endpoint), (attempt_deadline, start_by));
             }
             Action::Reject { call, retry_after } => {
-                core.finish_call(call, Some(Answer::Refused { retry_after }));
+                core.finish_call(call, Some(Answer::Rejected { retry_after }));
             }
             Action::Fail { call } => {
                 let last_error = core.calls.get_mut(&call).and_then(|c| c.last_error.take());
@@ -199,9 +203,9 @@
             }
             Action::Wake { after } => core.set_balancer_timer(now.saturating_add(after)),
             Action::Subscribe => self.subscribe.notify_one(),
-            // Where the site allows no probes the balancer asks for none.
-            Action::Probe { endpoint: server } => core.events.push_back(Event::ProbeCompleted {
-                endpoint: server,
+            // Load probes are not implemented. The balancer requests none unless the platform's settings allow them.
+            Action::Probe { endpoint } => core.events.push_back(Event::ProbeCompleted {
+                endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
                 load: LoadReport::default(),
@@ -212,10 +216,10 @@
 }
 
 impl Core {
-    /// Logs an event of the balancer, with the endpoint's name.
+    /// Logs an event of the balancer with the endpoint's name, or with its id if the endpoint is no longer listed.
     fn log(&self, event: LogEvent) {
-        let name = |endpoint: EndpointId| match self.hosts.get(&endpoint) {
-            Some(host) => host.name.to_string(),
+        let name = |endpoint: EndpointId| match self.endpoints.get(&endpoint) {
+            Some(state) => state.name.to_string(),
             None => endpoint.0.to_string(),
         };
         match event {
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -1,14 +1,20 @@
-//! Reconfiguration: new settings, and a new number of proxies that share the hosts.
+//! Reconfiguration: changes of the settings, and of the number of proxies that share the endpoints.
 
-use super::subset::differs_notably;
+use super::subset::differs_significantly;
 use super::Driver;
 use badgerramp_decisions::{ClassId, Event, Settings};
 
 impl Driver {
-    /// New settings hold for requests from now on; `fresh` are the class ids that stood for other classes before.
-    pub fn reconfigure(&self, mut settings: Settings, fresh: Vec<ClassId>, max_open: usize) {
+    /// Applies new settings to requests from now on. `redefined_classes` are the class ids that belonged to other classes
+    /// before.
+    pub fn reconfigure(
+        &self,
+        mut settings: Settings,
+        redefined_classes: Vec<ClassId>,
+        max_open_calls: usize,
+    ) {
         let mut core = self.core.borrow_mut();
-        core.max_open = max_open;
+        core.max_open_calls = max_open_calls;
         core.settings = settings.clone();
         settings.balancers = settings.balancers.max(core.alive_proxies);
         core.sharing_proxies = settings.balancers;
@@ -17,19 +23,20 @@
             settings.balancers = view.subset.sharing_proxies();
         }
         drop(core);
-        self.event(Event::Reconfigure {
+        self.handle_event(Event::Reconfigure {
             settings: Box::new(settings),
-            redefined_classes: fresh,
+            redefined_classes,
         });
     }
 
-    /// The number of live proxies of the fleet, which share the hosts if there are more than the settings say.
-    pub fn alive(&self, proxies: u32) {
+    /// Sets the number of live proxies in the fleet. If it is larger than the number in the settings, it is used in its
+    /// place.
+    pub fn set_alive_proxies(&self, proxies: u32) {
         let mut core = self.core.borrow_mut();
         core.alive_proxies = proxies;
         let sharing = core.settings.balancers.max(proxies);
-        // The budgets of a subset go by those that share its members.
-        if core.subset.is_some() || !differs_notably(sharing, core.sharing_proxies) {
+        // With a subset, budgets depend on the number of proxies that share its members instead.
+        if core.subset.is_some() || !differs_significantly(sharing, core.sharing_proxies) {
             return;
         }
         core.sharing_proxies = sharing;
@@ -38,7 +45,7 @@
             ..core.settings.clone()
         });
         drop(core);
-        self.event(Event::Reconfigure {
+        self.handle_event(Event::Reconfigure {
             settings,
             redefined_classes: Vec::new(),
         });
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -1,4 +1,4 @@
-//! The subset of a large fleet: which hosts the balancer is told of, and how many proxies share them.
+//! The subset of a large fleet: which endpoints the balancer knows, and how many proxies share them.
 
 use super::{Core, Driver};
 use badgerramp_decisions::{
@@ -6,16 +6,16 @@
 };
 use badgerramp_subset::{Health, MembershipChange, Subset};
 
-/// The subset that the balancer is told of, and the settings that it was last told.
+/// The subset of endpoints that the balancer knows, and the settings as last passed to the balancer.
 pub(super) struct SubsetView {
     pub(super) subset: Subset,
     pub(super) settings: Settings,
 }
 
 impl Driver {
-    /// Checks whether the subset still has the right size, and whether the process was stalled; the next check comes
-    /// in `next`.
-    pub fn pulse(&self, next: Micros) {
+    /// Checks whether the process was stalled, and adjusts the size of the subset. To be called periodically: the next call
+    /// is expected in `next` microseconds.
+    pub fn tick(&self, next: Micros) {
         let mut core = self.core.borrow_mut();
         let now = self.clock.now();
         core.stall.tick(now, next);
@@ -23,25 +23,25 @@
         self.run_with(&mut core);
     }
 
-    /// How many listed hosts the balancer is told of, and how many there are.
-    pub fn chosen(&self) -> (usize, usize) {
+    /// The number of ready endpoints that the balancer knows, and the number of all ready endpoints.
+    pub fn subset_and_total_size(&self) -> (usize, usize) {
         let core = self.core.borrow();
-        let all = core
-            .hosts
+        let total = core
+            .endpoints
             .values()
-            .filter(|h| h.state == EndpointStatus::Ready)
+            .filter(|e| e.status == EndpointStatus::Ready)
             .count();
         (
             core.subset
                 .as_ref()
-                .map_or(all, |view| view.subset.member_count()),
-            all,
+                .map_or(total, |view| view.subset.member_count()),
+            total,
         )
     }
 }
 
 impl Core {
-    /// A host was updated from the list: it is or is no longer a candidate for the subset.
+    /// Adds or removes an updated endpoint as a candidate for the subset.
     pub(super) fn update_subset_candidate(&mut self, name: &str, entry: &EndpointEntry) {
         let Some(view) = &mut self.subset else { return };
         match entry.status {
@@ -53,37 +53,38 @@
         }
     }
 
-    /// The list has changed: the balancer is told what that makes of the subset.
-    pub(super) fn list_changed(&mut self, now: Micros, kind: ListUpdateKind, touched: &[u32]) {
+    /// Recomputes the subset after a change of the list, and passes the changes to the balancer. `changed` are the ids of the
+    /// endpoints that were listed, updated or removed.
+    pub(super) fn apply_list_change(&mut self, now: Micros, kind: ListUpdateKind, changed: &[u32]) {
         let Some(view) = &mut self.subset else { return };
-        let changes = view.subset.apply_list_change(now, touched);
+        let changes = view.subset.apply_list_change(now, changed);
         if kind == ListUpdateKind::Delta {
-            // A member may have changed and stayed one.
-            let stay = touched
+            // Members whose entries changed are passed to the balancer again.
+            let updated = changed
                 .iter()
                 .copied()
                 .filter(|&id| view.subset.contains(id));
-            let joined = changes.added.iter().copied().chain(stay).collect();
-            self.announce(
+            let added = changes.added.iter().copied().chain(updated).collect();
+            self.send_subset_changes(
                 kind,
                 &MembershipChange {
-                    added: joined,
+                    added,
                     removed: changes.removed,
                 },
             );
         } else {
-            let joined = view.subset.members().collect();
-            self.announce(
+            let added = view.subset.members().collect();
+            self.send_subset_changes(
                 kind,
                 &MembershipChange {
-                    added: joined,
+                    added,
                     removed: Vec::new(),
                 },
             );
         }
     }
 
-    /// Grows or shrinks the subset by the health of its members.
+    /// Grows or shrinks the subset according to the health of its members.
     pub(super) fn resize_subset(&mut self, now: Micros) {
         let Some(view) = &mut self.subset else { return };
         let endpoints = self.balancer.endpoint_counts();
@@ -95,18 +96,18 @@
         };
         let changes = view.subset.adjust_size(now, health);
         if !changes.is_empty() {
-            self.announce(ListUpdateKind::Delta, &changes);
+            self.send_subset_changes(ListUpdateKind::Delta, &changes);
         }
     }
 
-    /// Tells the balancer of changes to the subset, and of how many proxies share its members where that has changed
-    /// notably.
-    fn announce(&mut self, kind: ListUpdateKind, changes: &MembershipChange) {
-        let gone = |&id: &u32| {
+    /// Queues events for the balancer: the changes of the subset, and the number of proxies that share its members if that
+    /// has changed significantly.
+    fn send_subset_changes(&mut self, kind: ListUpdateKind, changes: &MembershipChange) {
+        let removed = |&id: &u32| {
             let entry = self
-                .hosts
+                .endpoints
                 .get(&EndpointId(id))
-                .and_then(|h| h.entry)
+                .and_then(|state| state.entry)
                 .filter(|e| e.status != EndpointStatus::Ready);
             entry.unwrap_or(EndpointEntry {
                 endpoint: EndpointId(id),
@@ -114,14 +115,14 @@
                 ..EndpointEntry::default()
             })
         };
-        let joined = changes
+        let added = changes
             .added
             .iter()
-            .filter_map(|id| self.hosts.get(&EndpointId(*id))?.entry);
-        let entries = changes.removed.iter().map(gone).chain(joined).collect();
+            .filter_map(|id| self.endpoints.get(&EndpointId(*id))?.entry);
+        let entries = changes.removed.iter().map(removed).chain(added).collect();
         if let Some(view) = &mut self.subset {
-            let (sharing, told) = (view.subset.sharing_proxies(), view.settings.balancers);
-            if differs_notably(sharing, told) {
+            let (sharing, last_sent) = (view.subset.sharing_proxies(), view.settings.balancers);
+            if differs_significantly(sharing, last_sent) {
                 view.settings.balancers = sharing;
                 let settings = Box::new(view.settings.clone());
                 self.events.push_back(Event::Reconfigure {
@@ -134,8 +135,8 @@
     }
 }
 
-/// Is a number of sharing proxies more than a quarter off the one that the balancer was told? Smaller changes are not
-/// worth a reconfiguration.
-pub(super) fn differs_notably(sharing: u32, told: u32) -> bool {
-    sharing.abs_diff(told) * 4 > told
+/// Whether the number of sharing proxies differs by more than a quarter from the one that was last passed to the balancer.
+/// Smaller changes are not worth a reconfiguration.
+pub(super) fn differs_significantly(sharing: u32, last_sent: u32) -> bool {
+    sharing.abs_diff(last_sent) * 4 > last_sent
 }
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the driver that look into its state.
+//! Tests of the driver that inspect its state.
 
 use super::*;
 use crate::net::socket::Tcp;
@@ -10,10 +10,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// A client that waits for whatever comes.
-struct Waits;
+/// A client that stays connected.
+struct ConnectedClient;
 
-impl Client for Waits {
+impl Client for ConnectedClient {
     fn is_connected(&self) -> bool {
         true
     }
@@ -41,13 +41,13 @@
         Rc::new(Tcp),
         clock,
     );
-    let facts = PlatformSettings {
+    let platform_settings = PlatformSettings {
         settings: Settings::default(),
         classes: vec![],
         tenants: vec![],
         transport,
     };
-    Driver::new(7, facts, false, subset, clock, pool)
+    Driver::new(7, platform_settings, false, subset, clock, pool)
 }
 
 fn request() -> Request {
@@ -67,16 +67,17 @@
     }
 }
 
-/// The module ends each call by itself; should it ever forget one, the client still gets its answer.
+/// The balancer ends each call before its deadline. Here the driver holds a call that the balancer does not know: the
+/// client must get an answer all the same, and only one.
 #[tokio::test(flavor = "current_thread")]
-async fn a_call_that_the_module_forgot_ends_at_its_deadline_once() {
+async fn a_call_unknown_to_the_balancer_is_answered_once_at_its_deadline() {
     let driver = driver();
     let deadline = driver.clock.now() + 30_000;
     let (sender, receiver) = oneshot::channel();
     let call = CallId(99);
-    let (request, class, client) = (Rc::new(request()), ClassId(0), Rc::new(Waits));
+    let (request, class, client) = (Rc::new(request()), ClassId(0), Rc::new(ConnectedClient));
     let (answer, attempts) = (Some(sender), Vec::new());
-    let forgotten = Call {
+    let unknown_call = Call {
         client,
         request,
         class,
@@ -85,16 +86,16 @@
         attempts,
         last_error: None,
     };
-    driver.core.borrow_mut().calls.insert(call, forgotten);
+    driver.core.borrow_mut().calls.insert(call, unknown_call);
     driver.core.borrow_mut().open_calls += 1;
     driver
         .core
         .borrow_mut()
         .timers
-        .insert((deadline, Due::Deadline(call)));
+        .insert((deadline, TimerKind::CallDeadline(call)));
     tokio::select! {
-        () = driver.timers() => {}
-        answer = receiver => assert!(matches!(answer, Ok(Answer::Overdue))),
+        () = driver.run_timers() => {}
+        answer = receiver => assert!(matches!(answer, Ok(Answer::DeadlineExceeded))),
     }
     assert!(driver.clock.now() >= deadline);
     assert_eq!(
@@ -102,15 +103,19 @@
         (0, 0)
     );
     driver.client_disconnected(call);
-    assert_eq!(driver.open_calls(), 0, "a second end changes nothing");
+    assert_eq!(
+        driver.open_calls(),
+        0,
+        "ending the call again changes nothing"
+    );
 }
 
-/// Start times are Unix time: on a clock of another origin a cold host would look warm, or never warm up.
+/// The start times of endpoints are Unix time. With a clock of another origin, slow start would be skipped or never end.
 #[test]
-fn the_clock_runs_on_unix_time_so_that_starts_compare() {
+fn the_clock_and_the_start_times_of_endpoints_are_unix_time() {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("a date")
+        .expect("a time after 1970")
         .as_micros() as Micros;
     let now = driver().clock.now();
     assert!(now.abs_diff(unix) < 5_000_000, "{now} {unix}");
@@ -120,41 +125,42 @@
         unix / 1_000
     );
     let list: Vec<Endpoint> = serde_json::from_str(&list).expect("a list");
-    driver.members(ListUpdateKind::Full, &list);
+    driver.apply_endpoint_list(ListUpdateKind::Full, &list);
     assert_eq!(
-        driver.core.borrow().hosts[&EndpointId(0)].started,
+        driver.core.borrow().endpoints[&EndpointId(0)].started,
         unix / 1_000 * 1_000
     );
 }
 
-/// On a day on which hosts are ever new, every one met was remembered for good; and what is still out at one that
-/// has gone must concern nobody else, also when its name comes back.
+/// Where endpoints are replaced all day, memory would grow if removed ones were kept. Their ids must not be reused, even for
+/// the same name: the outcome of an attempt that is still in flight would be attributed to another endpoint.
 #[tokio::test(flavor = "current_thread")]
-async fn a_host_that_is_gone_is_forgotten_and_its_number_not_given_again() {
+async fn a_removed_endpoint_is_forgotten_and_its_id_is_not_reused() {
     let driver = driver();
     let list = |name: &str, status: &str| -> Vec<Endpoint> {
         let text = format!(r#"[{{"name":"{name}","address":"127.0.0.1:9","status":"{status}"}}]"#);
         serde_json::from_str(&text).expect("a list")
     };
     for n in 0..50 {
-        driver.members(ListUpdateKind::Full, &list(&format!("s{n}"), "up"));
+        driver.apply_endpoint_list(ListUpdateKind::Full, &list(&format!("s{n}"), "up"));
     }
-    let number = driver.core.borrow().server_ids["s49"];
-    driver.members(ListUpdateKind::Delta, &list("s49", "removed"));
+    let id = driver.core.borrow().endpoint_ids["s49"];
+    driver.apply_endpoint_list(ListUpdateKind::Delta, &list("s49", "removed"));
     assert_eq!(
         (
-            driver.core.borrow().hosts.len(),
-            driver.core.borrow().server_ids.len()
+            driver.core.borrow().endpoints.len(),
+            driver.core.borrow().endpoint_ids.len()
         ),
         (0, 0)
     );
-    driver.members(ListUpdateKind::Delta, &list("s49", "up"));
-    assert_ne!(driver.core.borrow().server_ids["s49"], number);
+    driver.apply_endpoint_list(ListUpdateKind::Delta, &list("s49", "up"));
+    assert_ne!(driver.core.borrow().endpoint_ids["s49"], id);
 }
 
-/// Of a large fleet the module hears of the subset alone; what drains, joins or fails shows at once.
+/// In a large fleet the balancer knows only the members of the subset. Members that drain, return or are removed change the
+/// subset at once.
 #[tokio::test(flavor = "current_thread")]
-async fn the_module_is_told_of_the_subset_alone_and_of_every_change_to_it() {
+async fn the_balancer_receives_only_the_subset_and_each_change_of_it() {
     let instance = badgerramp_subset::Instance {
         number: 3,
         count: 500,
@@ -169,7 +175,7 @@
         let text = format!("[{}]", names.iter().map(one).collect::<Vec<_>>().join(","));
         serde_json::from_str(&text).expect("a list")
     };
-    let told = || driver.core.borrow().balancer.endpoint_counts().listed;
+    let known_count = || driver.core.borrow().balancer.endpoint_counts().listed;
     let members = || {
         driver
             .core
@@ -178,60 +184,64 @@
             .as_ref()
             .map_or(vec![], |view| view.subset.members().collect())
     };
-    driver.members(
+    driver.apply_endpoint_list(
         ListUpdateKind::Full,
         &list(&(0..1_000).collect::<Vec<_>>(), "up"),
     );
-    let first: Vec<u32> = members();
+    let initial: Vec<u32> = members();
     assert_eq!(
-        (told(), driver.chosen()),
-        (first.len(), (first.len(), 1_000))
+        (known_count(), driver.subset_and_total_size()),
+        (initial.len(), (initial.len(), 1_000))
     );
-    assert!((5..=40).contains(&first.len()), "{first:?}");
+    assert!((5..=40).contains(&initial.len()), "{initial:?}");
     assert!(
         driver
             .core
             .borrow()
             .subset
             .as_ref()
-            .is_some_and(|c| c.settings.balancers < 20),
-        "500 share 1,000"
+            .is_some_and(|view| view.settings.balancers < 20),
+        "500 proxies share 1,000 endpoints"
     );
-    // Numbers are given in the list's order.
-    driver.members(ListUpdateKind::Delta, &list(&first[..2], "draining"));
+    // Ids are assigned in the order of the list, so that endpoint `s7` has id 7.
+    driver.apply_endpoint_list(ListUpdateKind::Delta, &list(&initial[..2], "draining"));
     assert_eq!(
-        (told(), members().len()),
-        (first.len() - 2, first.len() - 2)
+        (known_count(), members().len()),
+        (initial.len() - 2, initial.len() - 2)
     );
-    assert!(first[..2].iter().all(|n| !members().contains(n)));
-    driver.members(ListUpdateKind::Delta, &list(&first[..1], "up"));
-    assert!(members().contains(&first[0]) && told() == members().len());
-    // The whole list without one of them.
-    let rest: Vec<u32> = (0..1_000).filter(|n| *n != first[3]).collect();
-    driver.members(ListUpdateKind::Full, &list(&rest, "up"));
-    assert!(!members().contains(&first[3]) && told() == members().len());
-    // All of the rest go: others take their place.
-    driver.members(ListUpdateKind::Delta, &list(&members(), "removed"));
-    assert!(told() >= 5 && told() == members().len());
+    assert!(initial[..2].iter().all(|id| !members().contains(id)));
+    driver.apply_endpoint_list(ListUpdateKind::Delta, &list(&initial[..1], "up"));
+    assert!(members().contains(&initial[0]) && known_count() == members().len());
+    // A complete list without one of the members.
+    let rest: Vec<u32> = (0..1_000).filter(|id| *id != initial[3]).collect();
+    driver.apply_endpoint_list(ListUpdateKind::Full, &list(&rest, "up"));
+    assert!(!members().contains(&initial[3]) && known_count() == members().len());
+    // All members are removed: others take their place.
+    driver.apply_endpoint_list(ListUpdateKind::Delta, &list(&members(), "removed"));
+    assert!(known_count() >= 5 && known_count() == members().len());
     assert!(driver.audit().is_empty());
 }
 
-/// More than the settings allow are turned away before the module sees them.
+/// Calls beyond the maximum number of open calls are rejected before they reach the balancer.
 #[tokio::test(flavor = "current_thread")]
-async fn calls_are_bounded_and_a_client_that_leaves_makes_room() {
+async fn open_calls_are_limited_and_a_client_that_disconnects_frees_its_slot() {
     let driver = driver();
-    let intake = || Intake {
-        client: Rc::new(Waits),
+    let new_call = || NewCall {
+        client: Rc::new(ConnectedClient),
         class: ClassId(0),
         tenant: None,
         deadline: driver.clock.now() + 60_000_000,
-        resent: false,
-        terms: CallPolicy::default(),
+        is_retry: false,
+        policy: CallPolicy::default(),
     };
-    let held: Vec<_> = (0..9)
-        .map(|_| driver.start_call(intake(), request()).expect("room"))
+    let open_calls: Vec<_> = (0..9)
+        .map(|_| {
+            driver
+                .start_call(new_call(), request())
+                .expect("a free slot")
+        })
         .collect();
-    assert!(driver.start_call(intake(), request()).is_none());
-    driver.client_disconnected(held[3].0);
-    assert!(driver.start_call(intake(), request()).is_some());
+    assert!(driver.start_call(new_call(), request()).is_none());
+    driver.client_disconnected(open_calls[3].0);
+    assert!(driver.start_call(new_call(), request()).is_some());
 }
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -1,25 +1,26 @@
-//! Timers: deadlines of calls and attempts, and the one timer of the balancer.
+//! Timers: the deadlines of calls and attempts, and the balancer's timer.
 
 use super::attempts::Attempt;
 use super::{Answer, Core, Driver};
 use badgerramp_decisions::{CallId, Event, Micros, Outcome};
 
-/// What is due at a moment. The order matters: at a deadline the attempts time out first, so that the balancer can end
-/// the call itself; then comes its own timer, and only then is the call ended without it.
+/// What a timer is for. The order of the variants matters for timers that are due at the same time: attempts time out
+/// first, so that the balancer can end the call; then the balancer's timer fires; only then is a call that is still open
+/// ended by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Attempt(CallId, u32),
-    BalancerTimer,
-    Deadline(CallId),
+pub(super) enum TimerKind {
+    AttemptDeadline(CallId, u32),
+    Balancer,
+    CallDeadline(CallId),
 }
 
 impl Driver {
-    /// Serves the timers, for as long as the program runs.
-    pub async fn timers(&self) {
+    /// Fires the timers when they are due. Never returns.
+    pub async fn run_timers(&self) {
         loop {
             let next = self.core.borrow().timers.first().map(|t| t.0);
             match next {
-                Some(at) if at <= self.clock.now() => self.fire_due(),
+                Some(at) if at <= self.clock.now() => self.fire_due_timers(),
                 Some(at) => {
                     tokio::select! {
                         biased;
@@ -32,19 +33,21 @@
         }
     }
 
-    fn fire_due(&self) {
+    fn fire_due_timers(&self) {
         let mut core = self.core.borrow_mut();
         let core = &mut *core;
         let now = self.clock.now();
-        while let Some((_, due)) = core.timers.first().filter(|t| t.0 <= now).copied() {
+        while let Some((_, timer)) = core.timers.first().filter(|t| t.0 <= now).copied() {
             core.timers.pop_first();
-            match due {
-                Due::Attempt(call, attempt) => core.time_out_attempt(now, call, attempt),
-                Due::BalancerTimer => {
+            match timer {
+                TimerKind::AttemptDeadline(call, attempt) => {
+                    core.time_out_attempt(now, call, attempt)
+                }
+                TimerKind::Balancer => {
                     core.balancer_timer = None;
                     core.events.push_back(Event::Timer);
                 }
-                Due::Deadline(call) => core.end_overdue(call),
+                TimerKind::CallDeadline(call) => core.end_at_deadline(call),
             }
             self.run_with(core);
         }
@@ -52,15 +55,15 @@
 }
 
 impl Core {
-    /// Sets the timer of the balancer, unless it has an earlier one.
+    /// Sets the balancer's timer, unless it is already set to an earlier time.
     pub(super) fn set_balancer_timer(&mut self, at: Micros) {
         if self.balancer_timer.is_some_and(|due| due <= at) {
             return;
         }
         if let Some(replaced) = self.balancer_timer.replace(at) {
-            self.timers.remove(&(replaced, Due::BalancerTimer));
+            self.timers.remove(&(replaced, TimerKind::Balancer));
         }
-        self.timers.insert((at, Due::BalancerTimer));
+        self.timers.insert((at, TimerKind::Balancer));
     }
 
     fn time_out_attempt(&mut self, now: Micros, call: CallId, number: u32) {
@@ -68,8 +71,8 @@
             .calls
             .get(&call)
             .and_then(|c| c.attempts.get(number as usize));
-        // An attempt whose time is up while it still waits for its connection never ran: to call it timed out would
-        // fail an unsafe call that may safely be repeated or refused.
+        // An attempt that times out before its connection is open was never executed. As `TimedOut` it would fail a
+        // non-idempotent call that can safely be retried or rejected.
         let outcome = match attempt {
             Some(Attempt { started: false, .. }) => Outcome::ConnectFailed,
             _ => Outcome::TimedOut,
@@ -77,10 +80,10 @@
         self.finish_attempt(now, call, number, outcome.into());
     }
 
-    /// Ends a call at its deadline, whatever the balancer does.
-    fn end_overdue(&mut self, call: CallId) {
+    /// Ends a call that is still open at its deadline, without waiting for the balancer.
+    fn end_at_deadline(&mut self, call: CallId) {
         if self.calls.get(&call).is_some_and(|c| c.is_open()) {
-            self.finish_call(call, Some(Answer::Overdue));
+            self.finish_call(call, Some(Answer::DeadlineExceeded));
             self.events.push_back(Event::ClientDisconnected { call });
         }
     }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -295,11 +295,11 @@
                     ListUpdateKind::Delta
                 };
                 let list: Vec<Endpoint> = changes.into_iter().map(Endpoint::from).collect();
-                self.driver.members(kind, &list);
+                self.driver.apply_endpoint_list(kind, &list);
             }
             Output::AliveCount(proxies) => {
                 let proxies = u32::try_from(proxies).unwrap_or(u32::MAX);
-                self.driver.alive(proxies);
+                self.driver.set_alive_proxies(proxies);
             }
             Output::Event(event) => events::log(&event),
         }
--- a/crates/proxy/src/net/server/request.rs
+++ b/crates/proxy/src/net/server/request.rs
@@ -5,7 +5,7 @@
 use super::Server;
 use crate::net::admission_gate::{AdmissionGate, Ticket};
 use crate::net::client_connection::{ClientConnection, REQUEST_TIMEOUT};
-use crate::net::driver::Intake;
+use crate::net::driver::NewCall;
 use crate::net::rules::{Admitted, Rules};
 use crate::net::upstream::{self, Client, Request};
 use badgerramp_decisions::Micros;
@@ -78,13 +78,13 @@
             .is_some_and(|v| v.as_bytes() == b"1");
         let started = self.confirm(ticket, &mut parts, &mut admitted, body.len(), client)?;
         let call_client: Rc<dyn Client> = Rc::<ClientConnection>::clone(client);
-        let intake = Intake {
+        let new_call = NewCall {
             client: call_client,
             class: admitted.class,
             tenant: admitted.tenant,
             deadline: started + admitted.time,
-            resent: is_retry,
-            terms: admitted.terms,
+            is_retry,
+            policy: admitted.terms,
         };
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
@@ -99,7 +99,7 @@
         };
         let (call, answer) = self
             .driver
-            .start_call(intake, request)
+            .start_call(new_call, request)
             .ok_or(RequestError::Shed)?;
         let _disconnect_guard = DisconnectGuard {
             driver: &self.driver,
--- a/crates/proxy/src/net/server/response.rs
+++ b/crates/proxy/src/net/server/response.rs
@@ -32,7 +32,7 @@
     ) -> Response<Full<Bytes>> {
         match answer {
             Ok(Answer::Served(response)) => self.forward(response),
-            Ok(Answer::Refused { retry_after }) => self.shed(retry_after),
+            Ok(Answer::Rejected { retry_after }) => self.shed(retry_after),
             // To a client these two statuses mean that a retry is harmless, which no failure promises.
             Ok(Answer::Failed(Some(response)))
                 if ![429, 503].contains(&response.status.as_u16()) =>
@@ -40,7 +40,7 @@
                 self.forward(response)
             }
             Ok(Answer::Failed(_)) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
-            Ok(Answer::Overdue) | Err(_) => {
+            Ok(Answer::DeadlineExceeded) | Err(_) => {
                 plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
         }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -255,17 +255,17 @@
             known,
             index,
         } => {
-            driver.members(ListUpdateKind::Cached, &known);
+            driver.apply_endpoint_list(ListUpdateKind::Cached, &known);
             (Some(address), index)
         }
         Members::Fixed(list) => {
-            driver.members(ListUpdateKind::Full, &list);
+            driver.apply_endpoint_list(ListUpdateKind::Full, &list);
             (None, None)
         }
     };
     let mut timers = Task(tokio::task::spawn_local({
         let driver = driver.clone();
-        async move { driver.timers().await }
+        async move { driver.run_timers().await }
     }));
     let (moved, moves) = watch::channel(address.unwrap_or(setup.listen));
     let driver_of_watch = driver.clone();
@@ -319,7 +319,7 @@
             let next = if quiet { SWEEP_QUIET } else { SWEEP };
             running
                 .driver
-                .pulse(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
+                .tick(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
             tokio::time::sleep(next).await;
             pool.close_expired();
             server.clients.close_overdue(clock.now());
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -291,7 +291,9 @@
         None => {
             // One that is added now may have been started just now: until its cold time is over it gets little.
             let list = known.list(config, running.clock.now() / 1_000);
-            running.driver.members(ListUpdateKind::Full, &list);
+            running
+                .driver
+                .apply_endpoint_list(ListUpdateKind::Full, &list);
         }
     }
 }
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -315,7 +315,7 @@
         what: "the decisions are not told of a client that has left",
         play: "sockets",
         edits: &[
-            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::ClientDisconnected { call });", "self.core.borrow_mut().finish_call(call, None);"),
+            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.handle_event(Event::ClientDisconnected { call });", "self.core.borrow_mut().finish_call(call, None);"),
         ],
     },
 ];
