--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -1,5 +1,5 @@
-//! Admission under a policy lease, where a control service owns the policy of the fleet: the lease is checked for each
-//! call, against the clock at that moment.
+//! Admission of requests under a policy lease, for proxies whose policy is managed by the control plane. The lease is
+//! checked against the current time at the start of each call.
 
 use super::rules::Rules;
 use badgerramp_control_protocol::clock;
@@ -10,23 +10,24 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Target of the log line that each call leaves that starts under a lease.
+/// Log target of the event that is logged for each call that starts under a lease.
 pub const STARTED_CALLS: &str = "badgerramp::begun";
 
-/// What a request was admitted under, to be confirmed when its call starts.
+/// What a request was admitted under, to be checked again when its call starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct ProvisionalAdmission {
     admission: Admission,
-    /// The version of the installed rules; grows with each installation.
+    /// The version of the rules that were installed.
     version: u64,
 }
 
-/// The rules for the policy that is held.
+/// The rules of the policy that the proxy holds a lease for.
 #[derive(Default)]
 struct InstalledRules {
+    /// Incremented by each installation.
     version: u64,
     mode: Option<(Mode, Rc<Rules>)>,
-    /// The rules of a proxy that is cut off from control, by generation.
+    /// The rules for calls without a valid lease, by generation.
     fallbacks: BTreeMap<Generation, Rc<Rules>>,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl AdmissionGate {
-    /// The gate of a proxy that has just started.
+    /// Creates a gate without rules: it admits no request before [`AdmissionGate::install`].
     pub fn new(holder: LeaseHolder) -> Rc<Self> {
         Rc::new(AdmissionGate {
             holder: RefCell::new(holder),
@@ -45,13 +46,13 @@
         })
     }
 
-    /// The holder of the lease. It must not stay borrowed over an await.
+    /// The holder of the lease. It must not stay borrowed across an await point.
     pub fn holder(&self) -> &RefCell<LeaseHolder> {
         &self.holder
     }
 
-    /// Installs the rules of a mode, and those for a proxy that is cut off under it; called at the same moment as the
-    /// mode is taken over.
+    /// Installs the rules of a mode, and the fallback rules for the time after its lease has expired. To be called together
+    /// with the change of the mode, without an await point in between.
     pub fn install(&self, mode: Mode, rules: Rc<Rules>, fallback: Rc<Rules>) {
         let mut installed = self.installed.borrow_mut();
         installed.version += 1;
@@ -62,52 +63,55 @@
     /// The rules for a request that arrives now.
     ///
     /// # Errors
-    /// If no call may start.
-    pub fn admit(&self) -> Result<(Rc<Rules>, Ticket), NotAdmitted> {
+    /// If no call may start now.
+    pub fn admit(&self) -> Result<(Rc<Rules>, ProvisionalAdmission), NotAdmitted> {
         let admission = self.holder.borrow().admission(clock::now());
         let installed = self.installed.borrow();
         let rules = match admission {
-            Admission::Denied(closed) => return Err(closed),
+            Admission::Denied(reason) => return Err(reason),
             Admission::Under(mode) => installed
                 .mode
                 .as_ref()
-                .filter(|(m, _)| *m == mode)
-                .map(|(_, r)| r),
+                .filter(|(installed_mode, _)| *installed_mode == mode)
+                .map(|(_, rules)| rules),
             Admission::Fallback(generation) => installed.fallbacks.get(&generation),
         };
         let rules = rules.ok_or(NotAdmitted::NoLease)?;
         Ok((
             Rc::clone(rules),
-            Ticket {
+            ProvisionalAdmission {
                 admission,
                 version: installed.version,
             },
         ))
     }
 
-    /// Starts a call now, if what its request was admitted under still holds. False: it must be admitted again.
-    pub fn confirm(&self, ticket: Ticket, headers: &HeaderMap) -> bool {
+    /// Whether what the request was admitted under still holds. If so, the start of its call is logged; otherwise the
+    /// request must be admitted again.
+    pub fn confirm(&self, provisional: ProvisionalAdmission, headers: &HeaderMap) -> bool {
         let now = clock::now();
         let admission = self.holder.borrow().admission(now);
-        if admission != ticket.admission || self.installed.borrow().version != ticket.version {
+        if admission != provisional.admission
+            || self.installed.borrow().version != provisional.version
+        {
             return false;
         }
-        let (floor, old, new) = match admission {
+        let (is_fallback, old, new) = match admission {
             Admission::Under(mode) => (false, mode.old, mode.new),
             Admission::Fallback(generation) => (true, generation, generation),
             Admission::Denied(_) => return false,
         };
-        let id = || {
+        let request_id = || {
             headers
                 .get("x-request-id")
                 .and_then(|v| v.to_str().ok())
                 .unwrap_or_default()
         };
-        debug!(target: STARTED_CALLS, at = now, old = old.0, new = new.0, floor, request = id(), "begun");
+        debug!(target: STARTED_CALLS, at = now, old = old.0, new = new.0, floor = is_fallback, request = request_id(), "call started");
         true
     }
 
-    /// The text of the health check: under which policy calls start, or as an error why none may.
+    /// The text of the health check: the policy under which calls start, or as an error why none may start.
     pub fn health(&self) -> Result<String, String> {
         match self.holder.borrow().admission(clock::now()) {
             Admission::Under(mode) => Ok(format!("ok, {mode}")),
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -1,6 +1,7 @@
-//! The rules by which requests are read: what a request's head determines of its call (class, deadline, terms), or the
-//! rejection. Two forms of requests are known: the platform's, which is strict, and the sidecar's, which is plain HTTP
-//! with the operator's routes.
+//! The rules that map the head of a request to its call (class, deadline, policy) or to a rejection.
+//!
+//! There are two request formats: the strict format of the platform, and plain HTTP with the operator's routes for
+//! sidecars.
 
 mod head;
 mod platform;
@@ -25,29 +26,29 @@
 pub struct Admitted {
     pub class: ClassId,
     pub tenant: Option<String>,
-    /// Its id, where no two requests with one id may be open.
+    /// The request id, if ids must be unique among the requests in flight.
     pub id: Option<HeaderValue>,
-    /// From its last byte to its final answer.
-    pub time: Micros,
-    /// The length of its body, if declared; else it has at most [`Admitted::max_body_len`] bytes.
-    pub length: Option<usize>,
+    /// The time from the last byte of the request to the final answer, in microseconds.
+    pub timeout: Micros,
+    /// The declared length of the body; `None` if the request does not declare it.
+    pub body_len: Option<usize>,
     pub max_body_len: usize,
-    pub terms: CallPolicy,
+    pub policy: CallPolicy,
     pub options: Rc<AttemptOptions>,
 }
 
-/// The answer to a request that is not admitted.
+/// The response to a request that is not admitted.
 #[derive(Debug)]
 pub struct Rejection {
     pub status: StatusCode,
     pub text: Cow<'static, str>,
-    /// Its connection is closed: the bytes that follow may not be a request.
+    /// Whether the connection is closed after the response, as the data that follows may not be a request.
     pub close: bool,
-    /// It may be retried, and is told when.
+    /// Whether the client may retry the request; the response then says when.
     pub retryable: bool,
 }
 
-/// A final rejection, which closes the connection.
+/// A final rejection that closes the connection.
 fn reject(status: StatusCode, text: impl Into<Cow<'static, str>>) -> Rejection {
     Rejection {
         status,
@@ -57,8 +58,8 @@
     }
 }
 
-/// A rejection for now.
-fn reject_for_now(text: impl Into<Cow<'static, str>>) -> Rejection {
+/// A temporary rejection: the client may retry the request.
+fn reject_temporarily(text: impl Into<Cow<'static, str>>) -> Rejection {
     Rejection {
         status: StatusCode::SERVICE_UNAVAILABLE,
         text: text.into(),
@@ -67,18 +68,22 @@
     }
 }
 
-/// The rules by which requests are read.
+/// The rules that requests are admitted under.
 pub enum Rules {
     Platform(Platform),
     Sidecar(Box<Sidecar>),
-    /// While two policies overlap: only what both admit, under the stricter terms of both.
+    /// During a policy change: only what both policies admit, under the stricter limits of both.
     Transition(Box<TransitionRules>),
-    /// While the proxy is cut off from control: only some classes of one policy.
+    /// Without a valid lease: only some classes of one policy.
     Fallback(Box<FallbackRules>),
 }
 
 impl Rules {
-    /// Admits or rejects a request by its head; headers that concern this connection only are removed from it.
+    /// Admits or rejects a request by its head. The sidecar's rules also remove the headers that are not forwarded and add
+    /// those that each forwarded request has.
+    ///
+    /// # Errors
+    /// If the request is not admitted.
     pub fn admit(&self, parts: &mut Parts, client: IpAddr) -> Result<Admitted, Rejection> {
         match self {
             Rules::Platform(platform) => platform.admit(parts, client),
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's form of requests: strict, with the classes that its settings name.
+//! The platform's strict request format, with the classes of the platform's settings.
 
-use super::head::{head, length, single, timeout};
+use super::head::{content_length, parse_timeout, request_head, single_header};
 use super::{reject, Admitted, Rejection};
 use crate::net::upstream::AttemptOptions;
 use badgerramp_config::ANSWER_ROOM;
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Most bytes of a request or response body on the platform.
-const MAX_BODY: usize = 64 * 1024;
+/// The maximum length of a request or response body on the platform, in bytes.
+const MAX_BODY_LEN: usize = 64 * 1024;
 
 /// A class of the platform.
 struct Class {
@@ -24,7 +24,7 @@
     limits: Limits,
 }
 
-/// The limits of a class or a route.
+/// The limits of calls of a class or a route.
 struct Limits {
     timing: Timing,
     options: Rc<AttemptOptions>,
@@ -32,23 +32,29 @@
 
 /// The rules of the platform.
 pub struct Platform {
-    /// In the order of their ids.
+    /// Indexed by class id.
     classes: Vec<Class>,
-    /// The operator's routes, if there are any, and the limits of each.
+    /// The routes of the operator's file, and the limits of each.
     routes: Option<(Table, Vec<Limits>)>,
 }
 
 impl Platform {
-    /// The platform's classes as its settings give them, narrowed by the limits of an operator's file.
-    pub fn new(facts: &PlatformSettings, narrowed: Option<(Vec<Timing>, Table)>) -> Self {
+    /// Creates the rules from the platform's settings. An operator's file can restrict them further, by the limits of each
+    /// class and by routes.
+    pub fn new(
+        platform_settings: &PlatformSettings,
+        operator_limits: Option<(Vec<Timing>, Table)>,
+    ) -> Self {
         let answers = Arc::new(Answers::platform());
-        let plain = facts.transport.connect_timeout;
-        let make = |timing: Option<Timing>| {
-            let connect = timing.map_or(plain, |t| t.connect.min(plain));
+        let default_connect_timeout = platform_settings.transport.connect_timeout;
+        let limits = |timing: Option<Timing>| {
+            let connect_timeout = timing.map_or(default_connect_timeout, |timing| {
+                timing.connect.min(default_connect_timeout)
+            });
             let options = AttemptOptions {
-                connect_timeout: connect,
+                connect_timeout,
                 answers: Arc::clone(&answers),
-                max_body_len: MAX_BODY,
+                max_body_len: MAX_BODY_LEN,
             };
             let timing = timing.unwrap_or(Timing::UNLIMITED);
             Limits {
@@ -56,35 +62,39 @@
                 options: Rc::new(options),
             }
         };
-        let timings = narrowed.as_ref().map(|n| &n.0);
+        let class_timings = operator_limits.as_ref().map(|limits| &limits.0);
         let class =
-            |(place, (name, class)): (usize, (&String, &badgerramp_decisions::Class))| Class {
+            |(index, (name, class)): (usize, (&String, &badgerramp_decisions::Class))| Class {
                 name: name.clone(),
                 method: match class.idempotency {
                     Idempotency::Idempotent => Method::GET,
                     Idempotency::Keyed { .. } | Idempotency::NonIdempotent => Method::POST,
                 },
-                limits: make(timings.and_then(|t| t.get(place)).copied()),
+                limits: limits(
+                    class_timings
+                        .and_then(|timings| timings.get(index))
+                        .copied(),
+                ),
             };
-        let classes = facts
+        let classes = platform_settings
             .classes
             .iter()
-            .zip(&facts.settings.classes)
+            .zip(&platform_settings.settings.classes)
             .enumerate()
             .map(class)
             .collect();
-        let routes = narrowed.map(|(_, table)| {
-            let all = table
+        let routes = operator_limits.map(|(_, table)| {
+            let route_limits = table
                 .routes()
                 .iter()
-                .map(|r| make(Some(r.timing)))
+                .map(|route| limits(Some(route.timing)))
                 .collect();
-            (table, all)
+            (table, route_limits)
         });
         Platform { classes, routes }
     }
 
-    /// Admits a request whose head has the platform's form; any other never reaches a host.
+    /// Admits a request whose head has the platform's format. Any other request never reaches an endpoint.
     pub(super) fn admit(&self, parts: &Parts, client: IpAddr) -> Result<Admitted, Rejection> {
         let Some(path) = parts
             .uri
@@ -95,10 +105,10 @@
             return Err(reject(StatusCode::BAD_REQUEST, "odd path"));
         };
         let name = path.split('/').next().unwrap_or_default();
-        let Some(number) = self.classes.iter().position(|c| c.name == name) else {
+        let Some(index) = self.classes.iter().position(|class| class.name == name) else {
             return Err(reject(StatusCode::NOT_FOUND, "no such class"));
         };
-        let class = &self.classes[number];
+        let class = &self.classes[index];
         if class.method != parts.method {
             return Err(reject(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -106,11 +116,13 @@
             ));
         }
         let headers = &parts.headers;
-        let time = match single(headers, "x-timeout").map(|v| v.to_str().ok().and_then(timeout)) {
-            Some(Some(time)) => time,
+        let timeout = match single_header(headers, "x-timeout")
+            .map(|value| value.to_str().ok().and_then(parse_timeout))
+        {
+            Some(Some(timeout)) => timeout,
             _ => return Err(reject(StatusCode::BAD_REQUEST, "X-Timeout missing or odd")),
         };
-        let id = match single(headers, "x-request-id") {
+        let id = match single_header(headers, "x-request-id") {
             Some(id) if !id.is_empty() => id.clone(),
             _ => {
                 return Err(reject(
@@ -119,49 +131,50 @@
                 ))
             }
         };
-        // The library drops the length of a request that bears a transfer coding too, so that the two can't be
-        // compared here: a request tells its length, and nothing else of its framing.
+        // hyper removes `Content-Length` if there is also a `Transfer-Encoding`, so that conflicts between the two can't be
+        // detected here. Only requests that are framed by their length are admitted.
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Err(reject(StatusCode::LENGTH_REQUIRED, "no transfer coding"));
         }
-        let length = match length(headers) {
+        let body_len = match content_length(headers) {
             Some(length) => length,
             None if parts.method == Method::GET => 0,
             None => return Err(reject(StatusCode::LENGTH_REQUIRED, "a length is wanted")),
         };
-        if parts.method == Method::GET && length > 0 {
+        if parts.method == Method::GET && body_len > 0 {
             return Err(reject(StatusCode::BAD_REQUEST, "no body with this method"));
         }
-        if length > MAX_BODY {
+        if body_len > MAX_BODY_LEN {
             return Err(reject(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB"));
         }
-        let limits = self.limits(number, parts, client);
+        let limits = self.limits(index, parts, client);
         Ok(Admitted {
-            class: ClassId(number),
+            class: ClassId(index),
             tenant: headers
                 .get("x-tenant-id")
                 .and_then(|v| v.to_str().ok())
                 .map(str::to_owned),
             id: Some(id),
-            time: time
+            timeout: timeout
                 .saturating_sub(ANSWER_ROOM)
                 .max(1)
                 .min(limits.timing.total),
-            length: Some(length),
-            max_body_len: MAX_BODY,
-            terms: limits.timing.terms(false),
+            body_len: Some(body_len),
+            max_body_len: MAX_BODY_LEN,
+            policy: limits.timing.terms(false),
             options: Rc::clone(&limits.options),
         })
     }
 
-    /// The limits of a request. Its class is given by its path: a route of another class does not apply.
+    /// The limits of a request: those of its route, or else of its class. The class is given by the path, so that a route of
+    /// another class does not apply.
     fn limits(&self, class: usize, parts: &Parts, client: IpAddr) -> &Limits {
-        let plain = &self.classes[class].limits;
-        let Some((table, all)) = &self.routes else {
-            return plain;
+        let class_limits = &self.classes[class].limits;
+        let Some((table, route_limits)) = &self.routes else {
+            return class_limits;
         };
-        let found = table.find_head(&head(parts, client)).ok().flatten();
+        let found = table.find_head(&request_head(parts, client)).ok().flatten();
         let found = found.filter(|(_, route)| route.class == class);
-        found.map_or(plain, |(place, _)| &all[place])
+        found.map_or(class_limits, |(index, _)| &route_limits[index])
     }
 }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -1,6 +1,6 @@
-//! The sidecar's form of requests: plain HTTP with the operator's routes.
+//! The request format of sidecars: plain HTTP with the operator's routes.
 
-use super::head::{head, length, plain_form, single, timeout};
+use super::head::{content_length, normalize_target, parse_timeout, request_head, single_header};
 use super::{reject, Admitted, Rejection};
 use crate::net::upstream::{strip_hop_by_hop_and_listed, AttemptOptions};
 use badgerramp_config::{Config, ANSWER_ROOM};
@@ -20,39 +20,42 @@
 
 const X_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The rules of a sidecar.
+/// The rules of one operator's file.
 pub struct Sidecar {
     config: Config,
-    /// The id of each class of the file.
-    classes: Vec<ClassId>,
+    /// The id of each class of the file, in the order of the file.
+    class_ids: Vec<ClassId>,
     options_by_route: Vec<Rc<AttemptOptions>>,
-    ids: RefCell<Pcg32>,
-    no_route: StatusCode,
+    /// Generates ids for requests without one.
+    request_ids: RefCell<Pcg32>,
+    /// The status of the response to a request that no route matches.
+    no_route_status: StatusCode,
 }
 
 impl Sidecar {
-    /// The rules of a file; `classes` are the ids of its classes, in their order.
-    pub fn new(config: Config, classes: Vec<ClassId>, seed: u64) -> Self {
+    /// Creates the rules of an operator's file. `class_ids` are the ids of its classes, in the order of the file; `seed` seeds
+    /// the generator of request ids.
+    pub fn new(config: Config, class_ids: Vec<ClassId>, seed: u64) -> Self {
         let max_body_len = config.limits.body;
-        let options = |r: &Route| AttemptOptions {
-            connect_timeout: r.timing.connect,
-            answers: Arc::clone(&r.answers),
+        let options = |route: &Route| AttemptOptions {
+            connect_timeout: route.timing.connect,
+            answers: Arc::clone(&route.answers),
             max_body_len,
         };
         let options_by_route = config
             .routes
             .routes()
             .iter()
-            .map(|r| Rc::new(options(r)))
+            .map(|route| Rc::new(options(route)))
             .collect();
-        let no_route =
+        let no_route_status =
             StatusCode::from_u16(config.no_route.status).unwrap_or(StatusCode::NOT_FOUND);
         Sidecar {
             config,
-            classes,
+            class_ids,
             options_by_route,
-            ids: RefCell::new(Pcg32::seed_from_u64(seed)),
-            no_route,
+            request_ids: RefCell::new(Pcg32::seed_from_u64(seed)),
+            no_route_status,
         }
     }
 
@@ -62,35 +65,37 @@
             .config
             .classes
             .iter()
-            .zip(&self.classes)
+            .zip(&self.class_ids)
             .filter(|(class, _)| names.contains(&class.name));
         named.map(|(_, &id)| id).collect()
     }
 
-    /// The file that the rules are made of.
+    /// The operator's file that the rules were created from.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
     pub(super) fn admit(&self, parts: &mut Parts, client: IpAddr) -> Result<Admitted, Rejection> {
-        plain_form(parts)?;
+        normalize_target(parts)?;
         let evaluation = self.evaluate(parts, client)?;
         self.set_forwarding_headers(parts);
         Ok(evaluation.admitted)
     }
 
-    /// Evaluates a head without changing it.
+    /// Evaluates a head without modifying it.
     pub(super) fn evaluate(&self, parts: &Parts, client: IpAddr) -> Result<Evaluation, Rejection> {
-        let found = self.config.routes.find_head(&head(parts, client));
-        let Some((place, route)) =
-            found.map_err(|fault| reject(StatusCode::BAD_REQUEST, fault.to_string()))?
+        let found = self.config.routes.find_head(&request_head(parts, client));
+        let Some((route_index, route)) =
+            found.map_err(|error| reject(StatusCode::BAD_REQUEST, error.to_string()))?
         else {
             let text = Cow::Owned(self.config.no_route.text.clone());
-            // After a body that is not read no further request can be read from the connection.
-            let body = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
-            let close = body.iter().any(|name| parts.headers.contains_key(name));
+            // If there is a body, it is not read, so that no further request can be read from the connection.
+            let body_headers = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
+            let close = body_headers
+                .iter()
+                .any(|name| parts.headers.contains_key(name));
             return Err(Rejection {
-                status: self.no_route,
+                status: self.no_route_status,
                 text,
                 close,
                 retryable: false,
@@ -98,62 +103,69 @@
         };
         let class = &self.config.classes[route.class].class;
         let headers = &parts.headers;
-        let asked = match (headers.get("x-timeout"), single(headers, "x-timeout")) {
+        let requested_timeout = match (
+            headers.get("x-timeout"),
+            single_header(headers, "x-timeout"),
+        ) {
             (None, _) => class.deadline,
             (_, Some(value)) => value
                 .to_str()
                 .ok()
-                .and_then(timeout)
+                .and_then(parse_timeout)
                 .ok_or_else(|| reject(StatusCode::BAD_REQUEST, "odd X-Timeout"))?,
             _ => return Err(reject(StatusCode::BAD_REQUEST, "more than one X-Timeout")),
         };
         let chunked = headers.contains_key(header::TRANSFER_ENCODING);
-        let length = if chunked {
+        let body_len = if chunked {
             None
         } else {
-            Some(length(headers).unwrap_or(0))
+            Some(content_length(headers).unwrap_or(0))
         };
-        if length.is_some_and(|l| l > self.config.limits.body) {
+        if body_len.is_some_and(|length| length > self.config.limits.body) {
             return Err(reject(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
             ));
         }
-        // Without its key no host could recognise the repeat of a keyed call.
-        let guarded = matches!(class.idempotency, Idempotency::Keyed { .. });
+        // Without an idempotency key, endpoints can't recognise a repeat, so that the call counts as non-idempotent.
+        let is_keyed = matches!(class.idempotency, Idempotency::Keyed { .. });
         let key = || {
             self.config
                 .routes
-                .text(route.key.as_ref()?, &head(parts, client))
+                .text(route.key.as_ref()?, &request_head(parts, client))
                 .map(Cow::into_owned)
         };
-        let key = if guarded { key() } else { None };
-        let once = guarded && key.is_none();
+        let key = if is_keyed { key() } else { None };
+        let lacks_key = is_keyed && key.is_none();
         let admitted = Admitted {
-            class: self.classes[route.class],
+            class: self.class_ids[route.class],
             tenant: route
                 .tenant
                 .as_ref()
-                .and_then(|t| self.config.routes.text(t, &head(parts, client)))
+                .and_then(|tenant| {
+                    self.config
+                        .routes
+                        .text(tenant, &request_head(parts, client))
+                })
                 .map(Cow::into_owned),
             id: None,
-            time: asked
+            timeout: requested_timeout
                 .saturating_sub(ANSWER_ROOM)
                 .max(1)
                 .min(route.timing.total),
-            length,
+            body_len,
             max_body_len: self.config.limits.body,
-            terms: route.timing.terms(once),
-            options: Rc::clone(&self.options_by_route[place]),
+            policy: route.timing.terms(lacks_key),
+            options: Rc::clone(&self.options_by_route[route_index]),
         };
         Ok(Evaluation {
             admitted,
-            repeat: class.idempotency,
+            idempotency: class.idempotency,
             key: key.map_or(IdempotencyKey::None, IdempotencyKey::Value),
         })
     }
 
-    /// Removes the headers that concern this connection only, and adds those that each forwarded request has.
+    /// Removes the headers that are not forwarded, and adds those that each forwarded request has.
     pub(super) fn set_forwarding_headers(&self, parts: &mut Parts) {
         strip_hop_by_hop_and_listed(&mut parts.headers);
         parts
@@ -165,7 +177,7 @@
                 .insert(header::HOST, HeaderValue::from_static("localhost"));
         }
         if !parts.headers.contains_key(X_REQUEST_ID) {
-            let id = format!("{:016x}", self.ids.borrow_mut().next_u64());
+            let id = format!("{:016x}", self.request_ids.borrow_mut().next_u64());
             parts
                 .headers
                 .extend(HeaderValue::from_str(&id).ok().map(|id| (X_REQUEST_ID, id)));
@@ -173,20 +185,20 @@
     }
 }
 
-/// What a policy determines of a request, with the key by which hosts recognise a repeat.
+/// What a policy determines for a request, including the key by which endpoints recognise a repeat.
 pub(super) struct Evaluation {
     pub(super) admitted: Admitted,
-    repeat: Idempotency,
+    idempotency: Idempotency,
     key: IdempotencyKey,
 }
 
 impl Evaluation {
-    pub(super) fn call(&self) -> ResolvedCall {
+    pub(super) fn resolved_call(&self) -> ResolvedCall {
         ResolvedCall {
-            idempotency: self.repeat,
+            idempotency: self.idempotency,
             key: self.key.clone(),
-            timeout: self.admitted.time,
-            policy: self.admitted.terms,
+            timeout: self.admitted.timeout,
+            policy: self.admitted.policy,
             connect_timeout: self.admitted.options.connect_timeout,
             max_body_bytes: self.admitted.max_body_len,
         }
--- a/crates/proxy/src/net/server/request.rs
+++ b/crates/proxy/src/net/server/request.rs
@@ -3,7 +3,7 @@
 use super::guards::{DisconnectGuard, InFlightGuard};
 use super::request_error::RequestError;
 use super::Server;
-use crate::net::admission_gate::{AdmissionGate, Ticket};
+use crate::net::admission_gate::{AdmissionGate, ProvisionalAdmission};
 use crate::net::client_connection::{ClientConnection, REQUEST_TIMEOUT};
 use crate::net::driver::NewCall;
 use crate::net::rules::{Admitted, Rules};
@@ -23,7 +23,7 @@
 /// What a request was admitted under, where the policy is the fleet's.
 struct PendingTicket<'a> {
     gate: &'a AdmissionGate,
-    ticket: Ticket,
+    ticket: ProvisionalAdmission,
     /// The head as it came, to be admitted again. `None` for a request without a body: nothing can change before its
     /// call starts.
     original: Option<Parts>,
@@ -63,7 +63,7 @@
             ),
             None => None,
         };
-        let reserved_len = admitted.length.unwrap_or(admitted.max_body_len);
+        let reserved_len = admitted.body_len.unwrap_or(admitted.max_body_len);
         let _reservation = self
             .memory_budget
             .reserve(reserved_len)
@@ -82,9 +82,9 @@
             client: call_client,
             class: admitted.class,
             tenant: admitted.tenant,
-            deadline: started + admitted.time,
+            deadline: started + admitted.timeout,
             is_retry,
-            policy: admitted.terms,
+            policy: admitted.policy,
         };
         if !self.plain_http {
             // Plain HTTP has had it done where its routes were looked up.
@@ -132,7 +132,7 @@
         admitted: &Admitted,
         client: &ClientConnection,
     ) -> Result<(), RequestError> {
-        if let Some(length) = admitted.length.filter(|_| !self.plain_http) {
+        if let Some(length) = admitted.body_len.filter(|_| !self.plain_http) {
             client.body_complete(length);
             if client.has_excess_data() {
                 return Err(RequestError::ExcessData);
