--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -1,5 +1,7 @@
-//! The list of hosts: carries out what [`badgerramp_endpoint_watch`] says, which also says when to ask again after a failure; calls
-//! never wait for it.
+//! The watch on the endpoint list: polls the list service and applies the lists that it sends.
+//!
+//! This task does the I/O; [`badgerramp_endpoint_watch`] decides when to poll, also after a failure, and which response to
+//! accept. Calls never wait for the list.
 
 use super::driver::{Driver, List};
 use super::socket::{Network, Socket};
@@ -21,45 +23,47 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// Most bytes of a list: over twenty thousand hosts. Memory is taken as they come.
-const LIST_MOST: usize = 4 << 20;
+/// The maximum length of a list in bytes, enough for over twenty thousand endpoints. Memory is allocated as the data arrives.
+const MAX_LIST_LEN: usize = 4 << 20;
 
-/// Longest that the service may send its callers away for, in seconds: what it says to a refused one postpones nothing of
-/// what counts as told, so that a connection and an answer must still fit.
-const RETRY_MOST: f64 =
+/// The maximum `Retry-After` of the list service that is respected, in seconds. A rejected poll does not postpone the time at
+/// which the proxy counts as notified, so that a connection and a response must still fit in before then.
+const MAX_RETRY_AFTER_SECONDS: f64 =
     ((NOTIFIED_AFTER_SILENCE - CONNECT_TIMEOUT - SERVICE_RESPONSE_TIMEOUT) / 1_000_000) as f64;
 
-/// A connection to the service.
-pub(super) struct Link {
+/// A connection to the list service.
+pub(super) struct ServiceConnection {
     sender: SendRequest<Empty<Bytes>>,
+    /// Drives the connection.
     task: JoinHandle<()>,
 }
 
-impl Drop for Link {
+impl Drop for ServiceConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// What became of a question, and the connection that it left.
-struct Answer {
+/// The result of a poll, and its connection if that can be reused.
+struct PollResult {
     poll: PollId,
-    list: Result<List, Unanswered>,
-    link: Option<Link>,
+    list: Result<List, PollError>,
+    connection: Option<ServiceConnection>,
 }
 
-/// A question that is out. Its connection goes with it.
-struct Out(AbortHandle);
+/// The task of a poll that is in flight. Dropping it cancels the poll and closes its connection.
+struct PollTask(AbortHandle);
 
-impl Drop for Out {
+impl Drop for PollTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Keeps the list up to date, for as long as the program runs. When `address` changes, the whole list is
-/// fetched at the new one at once: the old service's index means nothing there. After `idle_after` without a call the
-/// proxy is idle.
+/// Keeps the endpoint list up to date. Never returns.
+///
+/// When `address` changes, the complete list is fetched from the new address at once, as the index of the old service means
+/// nothing there. The proxy counts as idle after `idle_after` microseconds without a new call.
 pub async fn run(
     driver: Driver,
     network: Rc<dyn Network>,
@@ -67,112 +71,120 @@
     (timeouts, watch): (Timeouts, Watch),
     idle_after: Micros,
 ) {
-    let (answers, mut answered) = mpsc::unbounded_channel();
-    let at = *address.borrow_and_update();
-    let open = BTreeMap::new();
-    let mut asking = Asking {
+    let (result_sender, mut results) = mpsc::unbounded_channel();
+    let current_address = *address.borrow_and_update();
+    let in_flight = BTreeMap::new();
+    let mut task = WatchTask {
         driver,
         network,
-        address: at,
+        address: current_address,
         watch,
-        link: None,
-        open,
-        answers,
+        idle_connection: None,
+        in_flight,
+        result_sender,
         idle_after,
     };
     if timeouts.source == Source::Agent {
-        // Nobody else says so: the decisions ask where it costs the service something.
-        asking.tell(Input::Start, None);
+        // The balancer subscribes only if the list comes from the list service, as only its polls have a cost.
+        task.handle(Input::Start, None);
     }
     loop {
-        let due = asking
+        let deadline = task
             .watch
             .next_deadline()
-            .map(|due| asking.driver.clock().instant(due));
-        let late = async {
-            match due {
-                Some(due) => tokio::time::sleep_until(due).await,
+            .map(|at| task.driver.clock().instant(at));
+        let timer = async {
+            match deadline {
+                Some(deadline) => tokio::time::sleep_until(deadline).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            // What has come in goes before what is late: a proxy that stood still may find both.
+            // Results are handled before the timer: after a stall of the process both may be ready.
             biased;
-            () = changed(&mut address) => {
-                asking.address = *address.borrow_and_update();
-                asking.link = None;
-                asking.tell(Input::SourceChanged, None);
+            () = address_changed(&mut address) => {
+                task.address = *address.borrow_and_update();
+                task.idle_connection = None;
+                task.handle(Input::SourceChanged, None);
             }
-            Some(answer) = answered.recv() => asking.answered(answer),
-            () = asking.driver.subscribed() => asking.tell(Input::Start, None),
-            () = late => asking.tell(Input::Timer, None),
+            Some(result) = results.recv() => task.finish_poll(result),
+            () = task.driver.subscribed() => task.handle(Input::Start, None),
+            () = timer => task.handle(Input::Timer, None),
         }
     }
 }
 
-/// The questions that are out, and what they are asked over.
-struct Asking {
+/// The task that carries out what a [`Watch`] requests.
+struct WatchTask {
     driver: Driver,
     network: Rc<dyn Network>,
     address: SocketAddr,
     watch: Watch,
-    /// Left open by the last answer.
-    link: Option<Link>,
-    open: BTreeMap<PollId, Out>,
-    answers: mpsc::UnboundedSender<Answer>,
+    /// A connection to the list service that is not in use.
+    idle_connection: Option<ServiceConnection>,
+    in_flight: BTreeMap<PollId, PollTask>,
+    result_sender: mpsc::UnboundedSender<PollResult>,
     idle_after: Micros,
 }
 
-impl Asking {
-    fn answered(&mut self, Answer { poll, list, link }: Answer) {
-        // One that was dropped meanwhile means nothing any more.
-        if self.open.remove(&poll).is_none() {
+impl WatchTask {
+    fn finish_poll(
+        &mut self,
+        PollResult {
+            poll,
+            list,
+            connection,
+        }: PollResult,
+    ) {
+        // The result of a poll that was cancelled meanwhile is ignored.
+        if self.in_flight.remove(&poll).is_none() {
             return;
         }
         match list {
             Ok(list) => {
-                self.link = link;
+                self.idle_connection = connection;
                 let input = Input::Response {
                     poll,
                     index: list.index,
                     complete: list.snapshot,
                 };
-                self.tell(input, Some(list));
+                self.handle(input, Some(list));
             }
-            Err(fault) => {
-                tracing::warn!("discovery: {}", fault.why);
-                let input = if fault.refused {
+            Err(error) => {
+                tracing::warn!("discovery: {}", error.message);
+                let input = if error.rejected {
                     Input::Rejected { poll }
                 } else {
                     Input::Failed { poll }
                 };
-                self.tell(input, None);
+                self.handle(input, None);
             }
         }
     }
 
-    fn tell(&mut self, input: Input, list: Option<List>) {
-        let before = self.watch.index();
+    /// Passes an input to the watch and carries out what it requests. `list` is the list of an [`Input::Response`].
+    fn handle(&mut self, input: Input, list: Option<List>) {
+        let previous_index = self.watch.index();
         let idle = self.driver.time_since_last_call() >= self.idle_after;
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.watch
-            .handle(self.driver.clock().now(), input, idle, &mut out);
-        for output in out {
+            .handle(self.driver.clock().now(), input, idle, &mut outputs);
+        for output in outputs {
             match output {
                 Output::Send {
                     poll,
                     index,
                     wait,
                     fresh_connection,
-                } => self.ask(poll, (index, wait), fresh_connection),
+                } => self.send_poll(poll, (index, wait), fresh_connection),
                 Output::Cancel(poll) => {
-                    self.open.remove(&poll);
+                    self.in_flight.remove(&poll);
                 }
                 Output::Accept => {
                     let Some(list) = &list else { continue };
-                    if before.is_none() {
+                    if previous_index.is_none() {
                         tracing::info!(
-                            "discovery: list {} with {} hosts",
+                            "discovery: list {} received with {} endpoints",
                             list.index,
                             list.endpoints.len()
                         );
@@ -186,11 +198,11 @@
                 }
                 Output::Violation(violation) => self.log_violation(violation),
                 Output::Overdue(PollId(number)) => {
-                    self.link = None;
-                    tracing::warn!("discovery: no answer to question {number} in its time");
+                    self.idle_connection = None;
+                    tracing::warn!("discovery: no response to poll {number} within its timeout");
                 }
                 Output::Failed => {
-                    self.link = None;
+                    self.idle_connection = None;
                     self.driver.endpoint_list_failed();
                 }
             }
@@ -200,14 +212,14 @@
     fn log_violation(&self, violation: ProtocolViolation) {
         match violation {
             ProtocolViolation::ChangesInsteadOfList => {
-                tracing::warn!("discovery: odd list: changes, where the whole was asked for");
+                tracing::warn!("discovery: the list service sent changes in response to a poll for the complete list");
             }
             ProtocolViolation::IndexWentBack {
                 requested,
                 received,
             } => {
                 tracing::warn!(
-                    "discovery: odd list: changes up to {received}, asked for those after {requested}"
+                    "discovery: the list service sent changes up to {received}, asked for those after {requested}"
                 );
             }
             ProtocolViolation::NewIncarnation {
@@ -215,77 +227,96 @@
                 received,
             } => {
                 tracing::warn!(
-                    "discovery: the index went back from {requested} to {received}: another service's list"
+                    "discovery: the index of the list went back from {requested} to {received}: the list service has restarted or been replaced"
                 );
             }
         }
     }
 
-    fn ask(&mut self, poll: PollId, (index, wait): (Option<u64>, Micros), fresh_connection: bool) {
-        let mut link = self.link.take().filter(|_| !fresh_connection);
-        let (network, address, answers) =
-            (Rc::clone(&self.network), self.address, self.answers.clone());
+    fn send_poll(
+        &mut self,
+        poll: PollId,
+        (index, wait): (Option<u64>, Micros),
+        fresh_connection: bool,
+    ) {
+        let mut connection = self.idle_connection.take().filter(|_| !fresh_connection);
+        let (network, address, result_sender) = (
+            Rc::clone(&self.network),
+            self.address,
+            self.result_sender.clone(),
+        );
         tracing::debug!(
             number = poll.0,
             index,
             wait,
             fresh = fresh_connection,
-            "discovery: asked"
+            "discovery: poll sent"
         );
         let task = tokio::task::spawn_local(async move {
-            let list = ask(
-                &mut link,
+            let list = fetch_list(
+                &mut connection,
                 &*network,
                 address,
                 (index, Duration::from_micros(wait)),
             )
             .await;
-            // Nobody listens at the end of the program.
-            let _ = answers.send(Answer { poll, list, link });
+            // The receiver has been dropped if the program is shutting down.
+            let _ = result_sender.send(PollResult {
+                poll,
+                list,
+                connection,
+            });
         });
-        self.open.insert(poll, Out(task.abort_handle()));
+        self.in_flight.insert(poll, PollTask(task.abort_handle()));
     }
 }
 
-/// Resolves when there is another address; never once none can come any more.
-pub(super) async fn changed(address: &mut watch::Receiver<SocketAddr>) {
+/// Resolves when the address has changed; never if the sender has been dropped.
+pub(super) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Why there is no answer.
-pub(super) struct Unanswered {
-    /// In words.
-    pub why: String,
-    /// The service is there and turned the question away.
-    pub refused: bool,
-    /// When the service wants to be asked again.
+/// Why a poll failed.
+pub(super) struct PollError {
+    /// A description for the log.
+    pub message: String,
+    /// Whether the service rejected the poll because of overload.
+    pub rejected: bool,
+    /// The `Retry-After` of the service.
     pub retry_after: Option<Duration>,
 }
 
-impl From<String> for Unanswered {
-    fn from(why: String) -> Self {
-        Unanswered {
-            why,
-            refused: false,
+impl From<String> for PollError {
+    fn from(message: String) -> Self {
+        PollError {
+            message,
+            rejected: false,
             retry_after: None,
         }
     }
 }
 
-/// Asks for what is newer than `index`, or for the whole list.
-pub(super) async fn ask(
-    link: &mut Option<Link>,
+/// Polls the list service for changes after `index`, or without an index for the complete list. The service may hold the poll
+/// for `wait` until there is a change. `connection` is used if it is open, and replaced otherwise.
+///
+/// # Errors
+/// If there is no connection, the service does not respond with a list, or the list is malformed or too long.
+pub(super) async fn fetch_list(
+    connection: &mut Option<ServiceConnection>,
     network: &dyn Network,
     address: SocketAddr,
     (index, wait): (Option<u64>, Duration),
-) -> Result<List, Unanswered> {
-    let open = match link.take().filter(|l| l.sender.is_ready()) {
-        Some(open) => open,
+) -> Result<List, PollError> {
+    let ready = match connection
+        .take()
+        .filter(|connection| connection.sender.is_ready())
+    {
+        Some(ready) => ready,
         None => connect(network, address).await?,
     };
-    let open = link.insert(open);
+    let connection = connection.insert(ready);
     let path = match index {
         Some(index) => format!("/catalog/members?index={index}&wait={}", wait.as_millis()),
         None => "/catalog/members".to_owned(),
@@ -294,49 +325,51 @@
         .header(HOST, address.to_string())
         .body(Empty::new());
     let request = request.map_err(|e| e.to_string())?;
-    let answer = open
+    let response = connection
         .sender
         .send_request(request)
         .await
         .map_err(|e| e.to_string())?;
-    if answer.status() != StatusCode::OK {
-        let said = answer
+    if response.status() != StatusCode::OK {
+        let seconds = response
             .headers()
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        let retry_after = said.and_then(|s| Duration::try_from_secs_f64(s.min(RETRY_MOST)).ok());
-        let refused = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
-        return Err(Unanswered {
-            why: format!("answered {}", answer.status()),
-            refused,
+        let retry_after = seconds.and_then(|seconds| {
+            Duration::try_from_secs_f64(seconds.min(MAX_RETRY_AFTER_SECONDS)).ok()
+        });
+        let rejected = response.status() == StatusCode::SERVICE_UNAVAILABLE;
+        return Err(PollError {
+            message: format!("the list service responded with {}", response.status()),
+            rejected,
             retry_after,
         });
     }
-    let body = Limited::new(answer.into_body(), LIST_MOST)
+    let body = Limited::new(response.into_body(), MAX_LIST_LEN)
         .collect()
         .await
         .map_err(|e| e.to_string())?;
     serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("odd list: {e}").into())
 }
 
-async fn connect(network: &dyn Network, address: SocketAddr) -> Result<Link, String> {
+async fn connect(network: &dyn Network, address: SocketAddr) -> Result<ServiceConnection, String> {
     let stream = tokio::time::timeout(
         Duration::from_micros(CONNECT_TIMEOUT),
         network.connect(address),
     )
     .await;
-    let stream = stream.map_err(|_| "no connection in time".to_owned())?;
-    let stream = stream.map_err(|e| format!("no connection: {e}"))?;
+    let stream = stream.map_err(|_| "connecting to the list service timed out".to_owned())?;
+    let stream = stream.map_err(|e| format!("connecting to the list service failed: {e}"))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(&stream)))
         .await
-        .map_err(|e| format!("no connection: {e}"))?;
+        .map_err(|e| format!("connecting to the list service failed: {e}"))?;
     let task = tokio::task::spawn_local(async move {
-        // A broken connection shows in the call that uses it.
+        // If the connection breaks, the poll that uses it fails.
         let _ = connection.await;
     });
     sender
         .ready()
         .await
-        .map_err(|e| format!("no connection: {e}"))?;
-    Ok(Link { sender, task })
+        .map_err(|e| format!("connecting to the list service failed: {e}"))?;
+    Ok(ServiceConnection { sender, task })
 }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -1,11 +1,11 @@
-//! Gossip with the other proxies of the fleet: authenticated datagrams, and polls of the list service.
+//! Gossip with the other proxies of the fleet over authenticated datagrams, and polls of the list service.
 //!
 //! This task does the I/O; every decision is made by [`badgerramp_gossip`].
 //!
 //! - `datagram`: the layout and the authentication of datagrams.
-//! - `convert`: endpoints as entries of the gossiped list.
-//! - `events`: the log events.
-//! - `query`: the status of a running proxy, for operators.
+//! - `convert`: conversion between endpoints and entries of the gossiped list.
+//! - `events`: logging of gossip events.
+//! - `query`: requests the status of a running proxy, for operators.
 
 mod convert;
 mod datagram;
@@ -15,7 +15,7 @@
 pub use datagram::{DatagramCodec, RejectedDatagrams};
 pub use query::{query_status, QueryError, StatusReport};
 
-use super::discovery::{self, changed, Link};
+use super::discovery::{self, address_changed, ServiceConnection};
 use super::driver::{Driver, Endpoint, List};
 use super::socket::Network;
 use badgerramp_decisions::{ListUpdateKind, Micros};
@@ -35,30 +35,30 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// Datagrams that are read before other tasks get their turn. None is left out: the rest is read in the next turn.
+/// The maximum number of datagrams that are read before other tasks run. The rest is read in the next turn.
 const MAX_READS_PER_TURN: usize = 64;
 
-/// A poll fails when its answer is so much later than the service was allowed to wait for news.
+/// A poll fails if its response arrives later than this after the time that the service may hold it.
 const POLL_GRACE: Duration = Duration::from_secs(2);
 
-/// What a proxy needs to take part in the gossip.
+/// The gossip configuration of a proxy.
 pub struct GossipConfig {
-    /// The socket for messages; bound already, so that the start fails if that is not possible.
+    /// The socket for datagrams. It is bound before the start, so that the program exits if that fails.
     pub socket: StdSocket,
-    /// The address at which other proxies reach it.
+    /// The address at which other proxies reach this proxy.
     pub advertise: SocketAddr,
-    /// Addresses of proxies that are contacted at the start.
+    /// Addresses of the proxies that are contacted first.
     pub seeds: Vec<SocketAddr>,
     /// The codec of the fleet.
     pub codec: DatagramCodec,
-    /// Drawn at random at each start.
+    /// The id of this proxy, drawn at random at each start.
     pub id: u64,
 }
 
-/// How a poll of the list service ended, and the connection that it leaves open.
+/// The result of a poll of the list service, and its connection if that can be reused.
 struct PollResult {
-    link: Option<Link>,
-    /// The error is how long the service asked the proxy to stay away (`Retry-After`).
+    connection: Option<ServiceConnection>,
+    /// The error is the `Retry-After` of the service, if there is one.
     answer: Result<PollAnswer, Option<Duration>>,
 }
 
@@ -74,17 +74,17 @@
     peer: Peer,
     replay_filter: ReplayFilter,
     rejected: RejectedDatagrams,
-    /// Sequence number of the last datagram sent.
+    /// The sequence number of the last datagram that was sent.
     sequence: u64,
     /// The address of the list service.
     service: SocketAddr,
     /// A connection to the list service that is not in use.
-    link: Option<Link>,
+    idle_connection: Option<ServiceConnection>,
     pending_poll: Option<PendingPoll>,
 }
 
-/// Keeps the endpoint list up to date by gossip, for as long as the program runs, until `leave`. `service`: the address of
-/// the list service, which may change.
+/// Keeps the endpoint list up to date by gossip until `leave` is notified. `service` is the address of the list service,
+/// which may change.
 pub async fn run(
     driver: Driver,
     network: Rc<dyn Network>,
@@ -115,7 +115,7 @@
                 task.handle(Input::Leave);
                 return Ok(());
             }
-            () = changed(&mut service) => {
+            () = address_changed(&mut service) => {
                 let address = *service.borrow_and_update();
                 task.replace_service(address);
             }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Resolves when the pending poll has ended; never while there is none.
+/// Resolves when the pending poll has ended; never if there is none.
 async fn poll_result(pending: &mut Option<PendingPoll>) -> PollResult {
     match pending {
         Some(poll) => {
@@ -173,7 +173,7 @@
             rejected: RejectedDatagrams::default(),
             sequence: 0,
             service,
-            link: None,
+            idle_connection: None,
             pending_poll: None,
         })
     }
@@ -182,10 +182,10 @@
         self.driver.clock().now()
     }
 
-    /// The list service has another address: a pending poll is void.
+    /// Changes the address of the list service and cancels a pending poll.
     fn replace_service(&mut self, address: SocketAddr) {
         self.service = address;
-        self.link = None;
+        self.idle_connection = None;
         self.pending_poll = None;
         self.handle(Input::SourceChanged);
     }
@@ -195,7 +195,7 @@
             match self.socket.try_recv_from(buffer) {
                 Ok((size, from)) => self.handle_datagram(&buffer[..size], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // Of an earlier datagram, whose receiver was not there.
+                // The error belongs to a datagram sent earlier, whose receiver was not reachable.
                 Err(_) => {}
             }
         }
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Sends a datagram. One that the system does not take is like one that is lost on the way.
+    /// Sends a datagram. If that fails, the datagram is counted and treated as lost.
     fn send(&mut self, kind: DatagramKind, datagram: &Datagram<'_>, to: SocketAddr) {
         let bytes = self.codec.encode(kind, datagram);
         if self.socket.try_send_to(&bytes, to).is_err() {
@@ -254,7 +254,7 @@
     }
 
     fn finish_poll(&mut self, result: PollResult) {
-        self.link = result.link;
+        self.idle_connection = result.connection;
         match result.answer {
             Ok(answer) => self.handle(Input::PollAnswered(answer)),
             Err(retry_after) => {
@@ -264,11 +264,11 @@
         }
     }
 
-    /// Passes an input to the peer, and carries out what it requests.
+    /// Passes an input to the peer and carries out what it requests.
     fn handle(&mut self, input: Input<'_>) {
-        let mut out = Vec::new();
-        self.peer.handle(self.now(), input, &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        self.peer.handle(self.now(), input, &mut outputs);
+        for output in outputs {
             self.carry_out(output);
         }
     }
@@ -305,11 +305,11 @@
         }
     }
 
-    /// Polls the list service: for what has changed since `index`, or for the complete list.
+    /// Polls the list service for changes after `index`, or without an index for the complete list.
     fn poll_service(&mut self, index: Option<u64>, wait: Duration) -> PendingPoll {
         let network = Rc::clone(&self.network);
         let service = self.service;
-        let mut link = self.link.take();
+        let mut connection = self.idle_connection.take();
         Box::pin(async move {
             let sent_at = Instant::now();
             let timeout = if index.is_some() {
@@ -317,20 +317,20 @@
             } else {
                 Duration::from_micros(FETCH_TIMEOUT)
             };
-            let request = discovery::ask(&mut link, &*network, service, (index, wait));
+            let request = discovery::fetch_list(&mut connection, &*network, service, (index, wait));
             let answer = match tokio::time::timeout(timeout, request).await {
                 Ok(Ok(list)) => Ok(poll_answer(list, index, sent_at.elapsed())),
-                Ok(Err(unanswered)) => {
-                    tracing::warn!(error = %unanswered.why, "endpoint poll failed");
-                    Err(unanswered.retry_after)
+                Ok(Err(error)) => {
+                    tracing::warn!(error = %error.message, "endpoint poll failed");
+                    Err(error.retry_after)
                 }
                 Err(_) => {
                     tracing::warn!("endpoint poll timed out");
-                    link = None;
+                    connection = None;
                     Err(None)
                 }
             };
-            PollResult { link, answer }
+            PollResult { connection, answer }
         })
     }
 }
--- a/crates/proxy/src/net/peers/convert.rs
+++ b/crates/proxy/src/net/peers/convert.rs
@@ -1,4 +1,4 @@
-//! Endpoints of the list service and of the balancer as entries of the gossiped list, and back.
+//! Conversion between entries of the endpoint list and entries of the gossiped list.
 
 use crate::net::driver::Endpoint;
 use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
--- a/crates/proxy/src/net/peers/datagram.rs
+++ b/crates/proxy/src/net/peers/datagram.rs
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Version of the layout.
+/// The version of the layout.
 const VERSION: u8 = 1;
 
-/// Version and kind.
+/// Length of version and kind, in bytes.
 const PREFIX_LEN: usize = 2;
 
-/// Sender and sequence number.
+/// Length of sender and sequence number, in bytes.
 const NUMBERS_LEN: usize = 16;
 
-/// Bytes before the body.
+/// Length of all that precedes the body, in bytes.
 pub(super) const HEADER_LEN: usize = PREFIX_LEN + MAC_LEN + NUMBERS_LEN;
 
-/// Greatest size of a datagram between proxies, in bytes: a longer one is truncated when it is read.
+/// The maximum size of a datagram between proxies, in bytes. Longer ones are rejected.
 pub(super) const MAX_DATAGRAM_SIZE: usize = HEADER_LEN + MAX_MESSAGE_SIZE;
 
-/// Separates the authentication codes of datagrams from others under the same secret.
+/// Separates the authentication codes of datagrams from other uses of the same secret.
 const PURPOSE: &str = "badgerramp peers";
 
-/// What a datagram is.
+/// The kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DatagramKind {
     /// A gossip message from one proxy to another.
@@ -40,20 +40,20 @@
 /// Why a datagram is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum DecodeError {
-    /// It is too short or too long, or has another version or kind.
+    /// The datagram is too short or too long, or has another version or kind.
     #[error("malformed datagram")]
     Malformed,
-    /// It was sent under another secret or by another fleet, or was altered.
+    /// The datagram was sent with another secret or by another fleet, or was altered.
     #[error("datagram with a wrong authentication code")]
     Unauthenticated,
 }
 
-/// An accepted datagram.
+/// The contents of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Datagram<'a> {
-    /// The id that the sender has drawn at its start.
+    /// The id that the sender drew at random when it started.
     pub(super) sender: u64,
-    /// Increases with each datagram of the sender; a reply has the number of its request.
+    /// Increases with each datagram of the sender. A reply has the sequence number of its request.
     pub(super) sequence: u64,
     pub(super) body: &'a [u8],
 }
@@ -66,12 +66,11 @@
 }
 
 impl DatagramCodec {
-    /// The codec of a fleet, by its name and the secret that all its proxies share.
+    /// Creates the codec of a fleet from its name and the secret that its proxies share.
     pub fn new(secret: SharedSecret, fleet: String) -> Self {
         DatagramCodec { secret, fleet }
     }
 
-    /// Encodes a datagram.
     pub(super) fn encode(&self, kind: DatagramKind, datagram: &Datagram<'_>) -> Vec<u8> {
         let prefix = [VERSION, kind as u8];
         let sender = datagram.sender.to_le_bytes();
@@ -84,7 +83,10 @@
         [&prefix[..], &code, &numbers, datagram.body].concat()
     }
 
-    /// Decodes a datagram of this kind.
+    /// Decodes a datagram of this kind and checks its authentication code.
+    ///
+    /// # Errors
+    /// If the datagram is malformed, of another kind, or not authentic.
     pub(super) fn decode<'a>(
         &self,
         kind: DatagramKind,
@@ -113,7 +115,7 @@
     }
 }
 
-/// The kind of a received datagram: a status request, or else, until it is decoded, a message.
+/// The kind that a received datagram claims to be: a status request, or else a message. Decoding rejects any other.
 pub(super) fn received_kind(bytes: &[u8]) -> DatagramKind {
     if bytes.get(1) == Some(&(DatagramKind::StatusRequest as u8)) {
         DatagramKind::StatusRequest
@@ -128,19 +130,19 @@
     u64::from_le_bytes(number)
 }
 
-/// Counters of datagrams that were not accepted or not sent. In JSON they have the names of earlier versions.
+/// Counters of datagrams that were rejected or could not be sent. In JSON they have the names of earlier versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedDatagrams {
     /// Too short or too long, or of another version or kind.
     #[serde(rename = "form")]
     pub malformed: u64,
-    /// Under another secret, or of another fleet.
+    /// Sent with another secret or by another fleet.
     #[serde(rename = "seal")]
     pub unauthenticated: u64,
-    /// Accepted before, or too old to tell.
+    /// Accepted before, or too old to tell whether they were.
     #[serde(rename = "again")]
     pub replayed: u64,
-    /// Not sent, because the operating system refused.
+    /// Not sent, as the operating system returned an error.
     #[serde(rename = "unsent")]
     pub send_failed: u64,
 }
--- a/crates/proxy/src/net/peers/events.rs
+++ b/crates/proxy/src/net/peers/events.rs
@@ -1,8 +1,8 @@
-//! The log events of a peer.
+//! Logging of gossip events.
 
 use badgerramp_gossip::peer::PeerEvent;
 
-/// Writes an event to the log.
+/// Logs an event of the peer.
 pub(super) fn log(event: &PeerEvent) {
     match event {
         PeerEvent::ListReceived {
--- a/crates/proxy/src/net/peers/query.rs
+++ b/crates/proxy/src/net/peers/query.rs
@@ -1,4 +1,4 @@
-//! Requests the status of a running proxy.
+//! Requests the status of a running proxy over its gossip socket.
 
 use super::datagram::{Datagram, DatagramCodec, DatagramKind, RejectedDatagrams};
 use badgerramp_gossip::peer::PeerStatus;
@@ -8,56 +8,56 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Greatest size of a reply in bytes: it is larger than any message between proxies.
+/// The maximum size of a status reply, in bytes. It can be larger than a message between proxies.
 const MAX_REPLY_SIZE: usize = 60_000;
 
-/// The report of a running proxy on its peers.
+/// The gossip status of a running proxy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// What it knows.
+    /// The endpoint list and the peers that the proxy knows.
     #[serde(rename = "standing")]
     pub status: PeerStatus,
-    /// Counters of datagrams that it did not accept.
+    /// Counters of the datagrams that the proxy rejected.
     #[serde(rename = "strangers")]
     pub rejected: RejectedDatagrams,
 }
 
-/// Why a proxy's status is not known.
+/// Why a status query failed.
 #[derive(Debug, Error)]
 pub enum QueryError {
-    /// The request could not be sent, or the reply not be received.
+    /// Sending the request or receiving the reply failed.
     #[error("{address}: {source}")]
     Io {
-        /// The proxy.
+        /// The address of the proxy.
         address: SocketAddr,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// There was no reply.
-    #[error("{address}: no answer within {} s: another secret or fleet, or no proxy", timeout.as_secs())]
+    #[error("{address}: no reply within {} s: the proxy is not running, or has another secret or fleet", timeout.as_secs())]
     Timeout {
-        /// The proxy.
+        /// The address of the proxy.
         address: SocketAddr,
-        /// The time that has passed.
+        /// The timeout of the query.
         timeout: Duration,
     },
-    /// The reply is not authentic, or answers another request.
-    #[error("{address}: an answer under another seal")]
+    /// The reply is not authentic or belongs to another request.
+    #[error("{address}: the reply is not authentic or belongs to another request")]
     Unauthenticated {
-        /// The proxy.
+        /// The address of the proxy.
         address: SocketAddr,
     },
     /// The reply can't be decoded.
-    #[error("{address}: an odd answer: {source}")]
+    #[error("{address}: malformed reply: {source}")]
     Decode {
-        /// The proxy.
+        /// The address of the proxy.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// The error of the decoder.
         source: postcard::Error,
     },
 }
 
-/// Requests the status of the proxy that receives messages at `address`. Blocks for at most `timeout`.
+/// Requests the status of the proxy whose gossip socket has this address. Blocks for at most `timeout`.
 ///
 /// # Errors
 /// If there is no valid reply.
@@ -92,12 +92,12 @@
 }
 
 fn connect(address: SocketAddr, timeout: Duration) -> io::Result<UdpSocket> {
-    let any: SocketAddr = if address.is_ipv4() {
+    let local_address: SocketAddr = if address.is_ipv4() {
         (Ipv4Addr::UNSPECIFIED, 0).into()
     } else {
         (Ipv6Addr::UNSPECIFIED, 0).into()
     };
-    let socket = UdpSocket::bind(any)?;
+    let socket = UdpSocket::bind(local_address)?;
     socket.connect(address)?;
     socket.set_read_timeout(Some(timeout))?;
     Ok(socket)
--- a/crates/proxy/src/net/peers/tests.rs
+++ b/crates/proxy/src/net/peers/tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams between peers, and entries of the list on their way to them.
+//! Tests of the datagrams, the conversion of list entries, and the printed status report.
 
 use super::datagram::{Datagram, DatagramKind, DecodeError, HEADER_LEN};
 use super::{DatagramCodec, RejectedDatagrams, StatusReport};
@@ -34,9 +34,9 @@
             Err(DecodeError::Unauthenticated)
         );
     }
-    for place in 2..datagram.len() {
+    for position in 2..datagram.len() {
         let mut altered = datagram.clone();
-        altered[place] ^= 1;
+        altered[position] ^= 1;
         assert_eq!(
             own.decode(DatagramKind::Message, &altered),
             Err(DecodeError::Unauthenticated)
@@ -61,14 +61,17 @@
 #[test]
 fn endpoints_convert_to_entries_and_back() {
     let text = r#"{"name":"s","address":"10.0.0.1:9","zone":"a","type":"m2","group":3,"status":"draining","weight":1.5,"since_ms":7}"#;
-    let one: Endpoint = serde_json::from_str(text).expect("an entry");
-    let change = EndpointChange::from(one);
+    let endpoint: Endpoint = serde_json::from_str(text).expect("an entry");
+    let change = EndpointChange::from(endpoint);
     assert_eq!(EndpointChange::from(Endpoint::from(change.clone())), change);
-    let gone = EndpointChange {
+    let removed = EndpointChange {
         name: "s".to_owned(),
         entry: None,
     };
-    assert_eq!(EndpointChange::from(Endpoint::from(gone.clone())), gone);
+    assert_eq!(
+        EndpointChange::from(Endpoint::from(removed.clone())),
+        removed
+    );
 }
 
 #[test]
@@ -127,14 +130,14 @@
         latency: 5_000,
         immediate: true,
     };
-    let mut out = Vec::new();
-    peer.handle(0, Input::Timer, &mut out);
-    peer.handle(20_000_000, Input::Timer, &mut out);
-    peer.handle(20_000_000, Input::PollAnswered(answer), &mut out);
+    let mut outputs = Vec::new();
+    peer.handle(0, Input::Timer, &mut outputs);
+    peer.handle(20_000_000, Input::Timer, &mut outputs);
+    peer.handle(20_000_000, Input::PollAnswered(answer), &mut outputs);
     let report = StatusReport {
         status: peer.status(20_000_000),
         rejected: RejectedDatagrams::default(),
     };
-    let text = serde_json::to_string(&report).expect("it can be written");
+    let text = serde_json::to_string(&report).expect("a serializable report");
     insta::assert_snapshot!(text);
 }
