--- a/crates/proxy/src/net/upstream/attempt.rs
+++ b/crates/proxy/src/net/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at an endpoint: takes a connection, asks whether it may still start, sends the request and tells what
-//! the response means.
+//! One attempt at an endpoint: checks out or opens a connection, checks whether the attempt may still start, sends the
+//! request and classifies the response.
 
 use super::connection::ExchangeError;
 use super::exchange::{AttemptResult, AttemptTarget, Request, UpstreamResponse};
@@ -15,8 +15,8 @@
 
 const X_TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
 
-/// Makes one attempt and returns how it ended. `time_left` is the time it still has; `may_start` is asked right
-/// before the first byte.
+/// Makes one attempt and returns its result. `time_left` returns the time until the deadline of the attempt; `may_start` is
+/// called right before the first byte is written.
 pub async fn attempt(
     pool: &ConnectionPool,
     target: AttemptTarget,
@@ -26,7 +26,7 @@
 ) -> AttemptResult {
     let mut connection = match pool.check_out(&target).await {
         Some(connection) => connection,
-        // Apart, as it is rare and large: the task of each attempt is as large as its largest part.
+        // Boxed, as its future is large and rarely needed: it would increase the size of the task of each attempt.
         None => match Box::pin(pool.connect(&target, request.options.connect_timeout)).await {
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
@@ -49,9 +49,10 @@
     }
     let (response, body) = match exchanged {
         Ok(response) => response,
-        // Its connection is closed in either case. The endpoint has answered, even if not with what can be used.
+        // The connection is closed on any of these errors. Here the endpoint has responded, even if not with a usable
+        // response.
         Err(ExchangeError::InvalidResponse) => return Outcome::Error.into(),
-        // Never ran only if the last byte was not handed to the socket; all else may have run.
+        // If the last byte was handed to the socket, the request may have been executed; otherwise it was not.
         Err(ExchangeError::ConnectionLost) if connection.all_written.get() => {
             return Outcome::Reset.into()
         }
@@ -63,7 +64,7 @@
     classify(request, response, body)
 }
 
-/// What a complete response means under the options of its request.
+/// Classifies a complete response by the options of its request.
 fn classify(request: &Request, response: Response<()>, body: Bytes) -> AttemptResult {
     let (parts, ()) = response.into_parts();
     let verdict = request
@@ -86,13 +87,13 @@
     }
 }
 
-/// The message that goes to the endpoint, with the time left in its `X-Timeout`.
+/// Builds the request to the endpoint, with the time that is left in its `X-Timeout` header.
 fn upstream_request(request: &Request, time_left: Micros) -> Option<hyper::Request<Full<Bytes>>> {
     let mut message = hyper::Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.uri.clone();
     let mut timeout = BytesMut::with_capacity(21);
-    // Writing to a buffer does not fail.
+    // Writing to the buffer can't fail.
     let _ = write!(timeout, "{time_left}u");
     let headers = message.headers_mut();
     *headers = request.headers.clone();
--- a/crates/proxy/src/net/upstream/body.rs
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses: read only if they are provably complete.
+//! Reading of response bodies. Only bodies that are provably complete are accepted.
 
 use super::connection::ExchangeError;
 use crate::net::MemoryBudget;
@@ -10,9 +10,9 @@
 use std::io;
 use std::rc::Rc;
 
-/// Reads the body of a response, if it is provably complete: one that is delimited by the end of the connection may
-/// have been truncated, and one with two framings is ambiguous (RFC 9112, 6.3). An unusable body is not read to its
-/// end.
+/// Reads the body of a response if its framing proves that it is complete: a body that is delimited by the end of the
+/// connection may have been truncated, and a body with both `Content-Length` and `Transfer-Encoding` is ambiguous (RFC 9112,
+/// 6.3). Other bodies are not read to their end.
 ///
 /// # Errors
 /// If the body is not provably complete, is larger than `max_body_len` or the memory budget, or the connection breaks.
@@ -52,7 +52,7 @@
     }
 }
 
-/// What an error while reading a body means: besides those of the connection, a body can be too long or malformed.
+/// Classifies an error while reading a body: either the connection failed, or the body is too long or malformed.
 fn read_error(error: &(dyn Error + Send + Sync + 'static)) -> ExchangeError {
     match error.downcast_ref::<hyper::Error>() {
         Some(error)
@@ -65,14 +65,14 @@
     }
 }
 
-/// Whether `chunked` is the only transfer coding: a body in any other ends with its connection.
+/// Whether `chunked` is the only transfer coding. A body in any other coding is delimited by the end of its connection.
 fn is_only_chunked(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let only = codings.next().filter(|_| codings.next().is_none());
     only.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"))
 }
 
-/// Whether this is an error of the connection, rather than of what was read from it.
+/// Whether this is an error of the connection rather than of the data that was read from it.
 fn is_connection_failure(source: &(dyn Error + 'static)) -> bool {
     let kinds = [
         io::ErrorKind::InvalidInput,
--- a/crates/proxy/src/net/upstream/connection.rs
+++ b/crates/proxy/src/net/upstream/connection.rs
@@ -22,23 +22,23 @@
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) http_connection: Connection<TokioIo<WriteTrackingStream>, Full<Bytes>>,
     pub(super) stream: Rc<dyn Stream>,
-    /// Whether the request has been written to its last byte.
+    /// Whether the request has been written completely.
     pub(super) all_written: Rc<Cell<bool>>,
-    /// When its last response was complete; 0 before its first request.
+    /// When the last response was complete; 0 before the first request.
     pub(super) idle_since: Micros,
-    /// The generation of its endpoint when it was opened.
+    /// The generation of the endpoint when the connection was opened.
     pub(super) generation: u64,
     pub(super) _descriptor: Descriptor,
 }
 
 impl UpstreamConnection {
-    /// Whether it is open and ready for a request, with nothing received that belongs to an earlier one. The kernel is
-    /// asked for received data, be it an end or a duplicate of a response: the runtime may not know of it yet, and
-    /// hyper would read it as the response to the next request.
+    /// Checks whether the connection is open and ready for a request. The socket itself is checked for received data: the
+    /// runtime may not have been notified of it yet, and hyper would read the duplicate of an earlier response as the
+    /// response to the next request.
     pub(super) async fn state(&mut self) -> ConnectionState {
         match self.poll_state().await {
             ConnectionState::Ready if self.stream.quiet() => ConnectionState::Ready,
-            // The byte taken does not matter: the connection is closed in any case.
+            // The byte that is consumed here is not needed: the connection is closed in any case.
             ConnectionState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
                 ConnectionState::UnsolicitedData
             }
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The same as [`UpstreamConnection::state`], as far as the runtime knows.
+    /// The same as [`UpstreamConnection::state`], but without checking the socket for data that the runtime has not been
+    /// notified of.
     pub(super) async fn poll_state(&mut self) -> ConnectionState {
         match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.http_connection).poll(cx))).await {
             Poll::Pending if self.sender.is_ready() => ConnectionState::Ready,
-            // hyper ends a connection that receives unsolicited data with an error without a source; an error of the
-            // system has one.
+            // hyper reports unsolicited data as an error without a source, whereas errors of the system have one.
             Poll::Ready(Err(error))
                 if std::error::Error::source(&error).is_none()
                     && !error.is_incomplete_message() =>
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends a request and reads its response. The connection is polled from here alone.
+    /// Sends a request and reads its response. The connection makes progress only while this future is polled.
     ///
     /// # Errors
     /// If the connection ends first, or the response is malformed, larger than `max_body_len` bytes or not provably
@@ -79,7 +79,7 @@
         let mut exchange = pin!(async {
             let response = self.sender.send_request(request).await?;
             let (parts, body) = response.into_parts();
-            // RFC 9110, 6.4.1: whatever the headers say, nothing follows them.
+            // These responses have no body, whatever their headers say (RFC 9110, 6.4.1).
             let no_content =
                 [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&parts.status);
             let max_body_len = if is_head || no_content {
@@ -93,8 +93,8 @@
         });
         let http_connection = &mut self.http_connection;
         poll_fn(|cx| {
-            // The first poll hands the request over, the second writes it, the third takes a response that
-            // has come with the end of the connection.
+            // The first poll passes the request to the connection. The second polls the connection, which writes the request
+            // and reads the response. The third receives a response that arrived together with the end of the connection.
             if let Poll::Ready(result) = exchange.as_mut().poll(cx) {
                 return Poll::Ready(result);
             }
@@ -108,24 +108,24 @@
     }
 }
 
-/// What may be done with a connection on which no request is open.
+/// The state of a connection on which no request is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// The next request may be written.
+    /// The connection is ready for the next request.
     Ready,
     /// The connection has ended.
     Closed,
-    /// Data has been received that belongs to no request.
+    /// Data has been received that is not the response to a request.
     UnsolicitedData,
 }
 
-/// Why an exchange brought no response that can be used.
+/// Why an exchange has no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ExchangeError {
     /// The connection broke or ended.
     #[error("the connection broke or ended before the response was complete")]
     ConnectionLost,
-    /// The response can't be used. The request may have been executed.
+    /// The response is malformed, too large or not provably complete. The request may have been executed.
     #[error("the response is malformed, too large or not provably complete")]
     InvalidResponse,
 }
--- a/crates/proxy/src/net/upstream/exchange.rs
+++ b/crates/proxy/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! What passes between the driver and the connections to endpoints: a request, the target of an attempt, and its result.
+//! The types of the interface to the driver: a request, the target of an attempt, and its result.
 
 use badgerramp_decisions::{EndpointId, LoadReport, Micros, Outcome};
 use badgerramp_route::Answers;
@@ -8,44 +8,45 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A request as the client sent it, kept while it may still go to an endpoint.
+/// A request of a client, kept as long as it may be sent to an endpoint.
 #[derive(Debug)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its target in origin form.
+    /// The target in origin form.
     pub uri: Uri,
-    /// Its headers without those that concern the client's connection alone.
+    /// The headers, without those that are not forwarded.
     pub headers: HeaderMap,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
-    /// How its attempts are made.
+    /// The options of its attempts.
     pub options: Rc<AttemptOptions>,
 }
 
-/// Who waits for the response to a request.
+/// The client that waits for the response to a request.
 pub trait Client {
-    /// Whether it is still connected. This asks the system itself, as the runtime may not have seen the close yet.
+    /// Whether the client is still connected. This checks the socket itself, as the runtime may not have been notified of a
+    /// close yet.
     fn is_connected(&self) -> bool;
 }
 
-/// How attempts are made and their responses classified; set by class or route.
+/// How attempts are made and their responses classified, as set by the class or the route of the request.
 #[derive(Clone, Debug)]
 pub struct AttemptOptions {
-    /// Time to open a connection, in microseconds.
+    /// The time limit for opening a connection, in microseconds.
     pub connect_timeout: Micros,
-    /// What a response means.
+    /// How responses are classified.
     pub answers: Arc<Answers>,
-    /// Most bytes of a response's body.
+    /// The maximum length of a response body, in bytes.
     pub max_body_len: usize,
 }
 
-/// Where an attempt goes.
+/// The target of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     /// Identifies the process at the address: connections of another generation are not used.
     pub generation: u64,
@@ -54,22 +55,22 @@
 /// A complete response of an endpoint.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers as received.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome as the balancer counts it.
+    /// The outcome for the balancer.
     pub outcome: Outcome,
-    /// The load that the endpoint reported with its response.
+    /// The load report that came with the response.
     pub load: LoadReport,
-    /// The response, if there is a usable one.
+    /// The response; `None` if there is no usable one.
     pub response: Option<UpstreamResponse>,
 }
 
--- a/crates/proxy/src/net/upstream/headers.rs
+++ b/crates/proxy/src/net/upstream/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that belong to one connection and are not forwarded.
+//! Removal of headers that are not forwarded.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Whether a header is forwarded: neither one that concerns a single connection (RFC 9110, 7.6.1) nor one that the
-/// proxy writes itself.
+/// Whether a header is forwarded. Headers that apply to a single connection (RFC 9110, 7.6.1) and headers that the proxy sets
+/// itself are not.
 fn is_end_to_end(name: &HeaderName) -> bool {
     !matches!(
         name.as_str(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Removes the same headers, and those that the message lists in its `Connection` header.
+/// Removes the headers that are not forwarded, and those that the message lists in its `Connection` header.
 pub fn strip_hop_by_hop_and_listed(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -40,7 +40,7 @@
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        // These identify a request: a client must not have them removed by listing them.
+        // These are needed to identify and interpret a message: they must not be removable by listing them.
         .filter(|name| {
             !["host", "idempotency-key", "x-request-id", "content-type"].contains(&name.as_str())
         })
--- a/crates/proxy/src/net/upstream/idle_failures.rs
+++ b/crates/proxy/src/net/upstream/idle_failures.rs
@@ -1,20 +1,21 @@
-//! How long a connection may be idle and still be worth reusing, learned from connections that broke.
+//! Estimates how long a connection may be idle and still be worth reusing, from the failures of reused connections.
 
 use badgerramp_decisions::Micros;
 
-/// Upper bound of the first bucket, in microseconds; each further bucket is twice as long.
+/// Upper bound of the first bucket, in microseconds. The bound doubles with each further bucket.
 pub(super) const SHORTEST_IDLE_TIME: Micros = 50_000;
-/// Number of buckets of idle times.
+/// The number of buckets.
 pub(super) const IDLE_TIME_BUCKETS: usize = 11;
-/// Time constant of the exponential decay of old requests, in microseconds.
+/// Time constant of the exponential decay of the counts, in microseconds.
 const DECAY_TIME: f64 = 30e6;
-/// Requests without a failure that are assumed for each bucket: a few failures prove little.
+/// Successful requests that are assumed for each bucket in addition to the recorded ones, so that a few failures do not count
+/// much.
 const PRIOR_REQUESTS: f64 = 8.0;
-/// Share of failures above that of the first bucket that is accepted: a new connection costs an endpoint as much as a
-/// tenth of a call or more.
+/// The share of failures above that of the first bucket up to which connections are reused: opening a new connection costs an
+/// endpoint as much as a tenth of a call or more.
 const MAX_EXCESS_FAILURE_SHARE: f64 = 0.1;
 
-/// Decayed counts of the requests on connections that had been idle for about the same time.
+/// Decaying counts of requests on connections that had been idle for about the same time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     requests: f64,
@@ -27,8 +28,8 @@
     }
 }
 
-/// How often connections failed during a request, by how long they had been idle. The settings give the longest idle
-/// time of endpoints; one that closes connections sooner, without notice, shows it here alone.
+/// How often reused connections failed during a request, by how long they had been idle. The settings give the idle timeout
+/// of the endpoints; endpoints that drop idle connections earlier, without closing them, are noticed only by these failures.
 #[derive(Debug, Default)]
 pub(super) struct IdleFailureStats {
     buckets: [Bucket; IDLE_TIME_BUCKETS],
@@ -53,8 +54,8 @@
         }
     }
 
-    /// The idle time from which on connections fail more often than a new one costs. The first bucket is the baseline:
-    /// fresh connections fail for other reasons.
+    /// The idle time above which the failures of reused connections cost more than new connections. The first bucket is the
+    /// baseline: connections that were hardly idle fail for other reasons.
     pub(super) fn max_idle_time(&self) -> Micros {
         let limit = self.buckets[0].failure_share() + MAX_EXCESS_FAILURE_SHARE;
         let failing =
--- a/crates/proxy/src/net/upstream/load_report.rs
+++ b/crates/proxy/src/net/upstream/load_report.rs
@@ -1,11 +1,11 @@
-//! The load that endpoints report with their responses.
+//! Parsing of the load reports that endpoints send with their responses.
 
 use badgerramp_decisions::LoadReport;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
 const X_SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
-/// The load report of a response: the first `X-Server-Load` header that holds any figure.
+/// The load report of a response: the first `X-Server-Load` header with at least one valid value.
 pub(super) fn from_headers(headers: &HeaderMap) -> LoadReport {
     let mut reports = headers.get_all(X_SERVER_LOAD).iter().map(parse);
     reports
@@ -13,9 +13,11 @@
         .unwrap_or_default()
 }
 
-/// Parses a load report; malformed parts are skipped. Each figure has two names, that of the columns in the settings
-/// (`active`) and that of the protocol's example (`inflight`). With the latter alone the balancer got no report, and
-/// endpoints were overloaded until calls timed out.
+/// Parses a load report; malformed parts are skipped.
+///
+/// Each value has two names: that of the columns in the settings (such as `active`) and that of the protocol's example (such
+/// as `inflight`). Endpoints that use the latter would otherwise seem to send no reports, and be overloaded until calls time
+/// out.
 fn parse(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
--- a/crates/proxy/src/net/upstream/mod.rs
+++ b/crates/proxy/src/net/upstream/mod.rs
@@ -1,15 +1,15 @@
 //! Attempts at endpoints and the connections they go over.
 //!
-//! A connection is driven by the attempt that uses it: there is no task behind it, so dropping the attempt closes it,
-//! and nothing is ever sent twice. This module owns the connections; it neither picks an endpoint nor retries.
+//! A connection is driven by the attempt that uses it and has no task of its own, so that dropping the attempt closes the
+//! connection. This module owns the connections. It neither picks endpoints nor retries: no request is sent twice.
 //!
-//! - `attempt`: one attempt, from taking a connection to classifying the response.
+//! - `attempt`: one attempt, from checking out a connection to classifying the response.
 //! - `pool`: idle connections, and opening new ones.
 //! - `connection`: one exchange, and whether a connection can be used again.
-//! - `idle_failures`: how long idle connections stay usable, learned from those that broke.
-//! - `write_tracking`: whether a request was written to its last byte.
-//! - `body`, `headers`, `load_report`: the parts of a message.
-//! - `exchange`: the types that the driver passes in and gets back.
+//! - `idle_failures`: estimates how long idle connections stay usable, from the failures of reused connections.
+//! - `write_tracking`: tracks whether a request was written completely.
+//! - `body`, `headers`, `load_report`: handling of the parts of a message.
+//! - `exchange`: the types of the interface to the driver.
 
 mod attempt;
 mod body;
--- a/crates/proxy/src/net/upstream/pool.rs
+++ b/crates/proxy/src/net/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections to all endpoints, and how new ones are opened.
+//! The pool of idle connections to endpoints, and opening of new connections.
 
 use super::connection::{ConnectionState, UpstreamConnection};
 use super::exchange::AttemptTarget;
@@ -16,37 +16,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most bytes of a response's head, and of what is read of a body at once.
+/// The maximum length of a response head, and of the part of a body that is read at once, in bytes.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
-/// After an endpoint has sent data that belongs to no request, a connection is reused only so long (in microseconds)
-/// after its last response: a duplicate of that response comes some milliseconds late, and would be read as the
-/// response to the next request.
+/// After unsolicited data, the minimum idle time before a connection is reused, in microseconds. A duplicate of the last
+/// response arrives some milliseconds after it, and would be read as the response to the next request.
 const REUSE_DELAY: Micros = 10_000;
-/// For how long endpoints are expected to do so again, in microseconds.
-const UNSOLICITED_DATA_MEMORY: Micros = 30_000_000;
+/// How long reuse is delayed after unsolicited data was received on any connection, in microseconds.
+const REUSE_DELAY_PERIOD: Micros = 30_000_000;
 
-/// Error codes of the system for no descriptor left: system-wide, and for this process.
+/// Error code of the system: no descriptor is left in the system.
 const ENFILE: i32 = 23;
+/// Error code of the system: no descriptor is left for this process.
 const EMFILE: i32 = 24;
 
-/// How many idle connections are kept, and for how long.
+/// Limits of idle connections.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleLimits {
-    /// Most idle connections to one endpoint.
+    /// The maximum number of idle connections to one endpoint.
     pub per_endpoint: usize,
-    /// Longest idle time of one.
+    /// The maximum idle time of a connection, in microseconds.
     pub time: Micros,
 }
 
-/// The connections to all endpoints.
+/// The connection pool of all endpoints.
 pub struct ConnectionPool {
-    /// Sorted: which one is evicted first must not depend on how ids are hashed.
+    /// Idle connections, with the one that was used last at the end. A sorted map, so that the choice of the connection to
+    /// evict does not depend on the hashes of ids.
     idle: RefCell<BTreeMap<EndpointId, Vec<UpstreamConnection>>>,
-    /// The generation of each endpoint that may be connected to.
+    /// The current generation of each endpoint to which connections are allowed.
     generations: RefCell<BTreeMap<EndpointId, u64>>,
     idle_failures: RefCell<IdleFailureStats>,
-    /// Until when a connection is left alone for a while between two requests.
+    /// Until this time, a connection is reused only after [`REUSE_DELAY`].
     delay_reuse_until: Cell<Micros>,
     network: Rc<dyn Network>,
     pub(super) memory_budget: Rc<MemoryBudget>,
@@ -56,7 +57,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections. The endpoints' own idle time in `transport` shortens [`IdleLimits::time`].
+    /// Creates an empty pool. [`IdleLimits::time`] is reduced if the endpoints' idle timeout in `transport` is shorter.
     pub fn new(
         transport: Transport,
         limits: IdleLimits,
@@ -75,27 +76,27 @@
             descriptors,
             clock,
             limits: IdleLimits {
-                // Well ahead of the endpoint, which may close it any time from then on.
+                // Three quarters of the endpoints' idle timeout, after which an endpoint may close a connection at any time.
                 time: (transport.conn_idle / 4 * 3).min(limits.time),
                 ..limits
             },
         })
     }
 
-    /// Allows connections to an endpoint. Those of any other generation are closed.
+    /// Allows connections to an endpoint, and closes those of any other generation.
     pub fn add_endpoint(&self, endpoint: EndpointId, generation: u64) {
         self.remove_endpoint(endpoint);
         self.generations.borrow_mut().insert(endpoint, generation);
     }
 
-    /// Closes the idle connections to an endpoint, and those in use when they are checked in. An endpoint that drains
-    /// would otherwise keep connections that nothing uses.
+    /// Closes the idle connections to an endpoint; those in use are closed when they are checked in. A draining endpoint would
+    /// otherwise keep connections that are not used any more.
     pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
         self.generations.borrow_mut().remove(&endpoint);
     }
 
-    /// Whether no connection is idle.
+    /// Whether there are no idle connections.
     pub fn has_no_idle(&self) -> bool {
         self.idle.borrow().is_empty()
     }
@@ -111,7 +112,7 @@
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
+    /// Closes the connection that has been idle longest, to free its descriptor. Returns false if there is none.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().min_by_key(|connections| {
@@ -133,27 +134,27 @@
         (connection.idle_since > 0).then(|| self.clock.now().saturating_sub(connection.idle_since))
     }
 
-    /// Records whether a connection that had been idle for this long broke under its next request.
+    /// Records whether a connection that had been idle for `idle_time` was lost during its next request.
     pub(super) fn record_reuse(&self, idle_time: Micros, connection_lost: bool) {
         self.idle_failures
             .borrow_mut()
             .record(self.clock.now(), idle_time, connection_lost);
     }
 
-    /// The number of idle connections.
     #[cfg(test)]
     pub(super) fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// The time after which an idle connection is not used any more.
+    /// The idle time after which a connection is not reused.
     fn max_idle_time(&self) -> Micros {
         self.limits
             .time
             .min(self.idle_failures.borrow().max_idle_time())
     }
 
-    /// Takes the idle connection that was used last and is still open. One whose reuse is delayed is left where it is.
+    /// Takes the idle connection that was used last and is ready for a request. Connections whose reuse is delayed stay in the
+    /// pool.
     pub(super) async fn check_out(&self, target: &AttemptTarget) -> Option<UpstreamConnection> {
         let max_idle_time = self.max_idle_time();
         loop {
@@ -181,22 +182,25 @@
         }
     }
 
-    /// Whether the next request may be written on this connection. Records unsolicited data.
+    /// Whether the connection is ready for the next request. Unsolicited data is recorded.
     async fn is_ready(&self, connection: &mut UpstreamConnection) -> bool {
         let state = connection.state().await;
         self.record_state(state);
         state == ConnectionState::Ready
     }
 
-    /// Delays the reuse of all connections after unsolicited data.
+    /// Delays the reuse of connections if there was unsolicited data.
     fn record_state(&self, state: ConnectionState) {
         if state == ConnectionState::UnsolicitedData {
             self.delay_reuse_until
-                .set(self.clock.now() + UNSOLICITED_DATA_MEMORY);
+                .set(self.clock.now() + REUSE_DELAY_PERIOD);
         }
     }
 
-    /// Opens a connection within `timeout`. Fails with the outcome of the attempt that asked for it.
+    /// Opens a connection within `timeout` microseconds.
+    ///
+    /// # Errors
+    /// If no connection is opened: the error is the outcome of the attempt.
     pub(super) async fn connect(
         &self,
         target: &AttemptTarget,
@@ -204,7 +208,7 @@
     ) -> Result<UpstreamConnection, Outcome> {
         let descriptor = match self.descriptors.acquire() {
             Some(descriptor) => descriptor,
-            // A lack of descriptors on this side says nothing of the endpoint: not sent, rather than connect failed.
+            // A lack of descriptors is not a failure of the endpoint, so that the outcome is not `ConnectFailed`.
             None if self.evict_idle() => self.descriptors.acquire().ok_or(Outcome::NotSent)?,
             None => return Err(Outcome::NotSent),
         };
@@ -246,10 +250,10 @@
         }
     }
 
-    /// Takes a connection back after an exchange, if it can be used again.
+    /// Returns a connection to the pool after an exchange, if it can be reused.
     pub(super) async fn check_in(&self, endpoint: EndpointId, mut connection: UpstreamConnection) {
         let current = self.generations.borrow().get(&endpoint) == Some(&connection.generation);
-        // The kernel is asked before its next use, when there is more to be seen.
+        // The socket itself is checked before the next use, by when more data may have arrived.
         let state = connection.poll_state().await;
         self.record_state(state);
         if !current || state != ConnectionState::Ready {
--- a/crates/proxy/src/net/upstream/tests.rs
+++ b/crates/proxy/src/net/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of attempts, the connection pool and what it learns of idle connections.
+//! Tests of attempts, the connection pool and the failure statistics of idle connections.
 
 use super::idle_failures::{IdleFailureStats, IDLE_TIME_BUCKETS, SHORTEST_IDLE_TIME};
 use super::*;
@@ -20,13 +20,14 @@
     IdleLimits { per_endpoint, time }
 }
 
-/// One attempt at a stub that reads a little and answers `text`.
+/// Makes one attempt at a stub endpoint that responds with `text`.
 fn attempt_at(text: &'static str, may_start: bool) -> AttemptResult {
-    attempt_keeping(text, may_start, idle_limits(16, Micros::MAX)).0
+    attempt_with_limits(text, may_start, idle_limits(16, Micros::MAX)).0
 }
 
-/// The same, with so many connections kept for so long; tells also how many are left after expired ones are closed.
-fn attempt_keeping(
+/// The same with these limits of idle connections. Also returns the number of idle connections after expired ones have been
+/// closed.
+fn attempt_with_limits(
     text: &'static str,
     may_start: bool,
     limits: IdleLimits,
@@ -40,7 +41,7 @@
                 .write_all(text.as_bytes())
                 .expect("an open connection");
         }
-        // Open until the other side closes.
+        // Keeps the connection open until the other side closes it.
         let _ = stream.read(&mut [0]);
     });
     let transport = Transport {
@@ -80,15 +81,15 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let ended = runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start));
+    let result = runtime.block_on(attempt(&pool, target, &request, || 1_000, || may_start));
     pool.close_expired();
-    let left = pool.idle_count();
-    (ended, left)
+    let idle_count = pool.idle_count();
+    (result, idle_count)
 }
 
 #[test]
-fn a_load_report_is_read_under_the_names_of_the_settings_and_of_the_example() {
-    let wanted = LoadReport {
+fn load_reports_are_parsed_with_either_set_of_names() {
+    let expected = LoadReport {
         in_flight: Some(7.0),
         queued: Some(2.5),
         cpu_utilization: Some(0.5),
@@ -98,21 +99,22 @@
         "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT active=7, waiting=2.5, avg_ms=9, cpu=0.5, err_rps=0\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=7,queue=2.5,util=0.5,eps=0,odd\r\nContent-Length: 0\r\n\r\n",
     ] {
-        let ended = attempt_at(text, true);
-        assert_eq!((ended.outcome, ended.load), (Outcome::Served, wanted), "{text}");
+        let result = attempt_at(text, true);
+        assert_eq!((result.outcome, result.load), (Outcome::Served, expected), "{text}");
     }
 }
 
-/// Endpoints that dropped idle connections long before their time, without a word, cost every third call on one.
+/// Endpoints that drop idle connections before their idle timeout, without closing them, made every third call on an idle
+/// connection fail.
 #[test]
-fn connections_that_break_when_idle_are_not_used_at_that_age() {
-    let (now, calm) = (1_000_000, &mut IdleFailureStats::default());
+fn connections_are_not_reused_after_idle_times_that_make_them_fail() {
+    let (now, steady) = (1_000_000, &mut IdleFailureStats::default());
     for n in 0..100 {
-        // As often as those just used: that is not their age.
+        // Failures that are equally frequent after all idle times are not due to the idle time.
         (0..IDLE_TIME_BUCKETS)
-            .for_each(|age| calm.record(now, SHORTEST_IDLE_TIME << age >> 1, n % 10 == 0));
+            .for_each(|bucket| steady.record(now, SHORTEST_IDLE_TIME << bucket >> 1, n % 10 == 0));
     }
-    assert_eq!(calm.max_idle_time(), Micros::MAX);
+    assert_eq!(steady.max_idle_time(), Micros::MAX);
     let mut stale = IdleFailureStats::default();
     for n in 0..40 {
         stale.record(now, 10_000, n % 10 == 0);
@@ -120,28 +122,28 @@
         stale.record(now, 150_000, n % 2 == 0);
     }
     assert_eq!(stale.max_idle_time(), 100_000);
-    // It is tried again when that is long ago.
+    // After the counts have decayed, longer idle times are tried again.
     stale.record(now + 300_000_000, 10_000, false);
     assert_eq!(stale.max_idle_time(), Micros::MAX);
 }
 
-/// A quiet proxy among thousands holds nothing open: the floor is zero.
+/// In a fleet of thousands of proxies, an idle proxy must keep no connections open: both limits can be zero.
 #[test]
-fn connections_are_kept_as_many_and_as_long_as_is_set() {
-    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+fn idle_connections_are_kept_within_the_limits_of_number_and_time() {
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(
-        attempt_keeping(answer, true, idle_limits(1, Micros::MAX)).1,
+        attempt_with_limits(response, true, idle_limits(1, Micros::MAX)).1,
         1
     );
     assert_eq!(
-        attempt_keeping(answer, true, idle_limits(0, Micros::MAX)).1,
+        attempt_with_limits(response, true, idle_limits(0, Micros::MAX)).1,
         0
     );
-    assert_eq!(attempt_keeping(answer, true, idle_limits(1, 0)).1, 0);
+    assert_eq!(attempt_with_limits(response, true, idle_limits(1, 0)).1, 0);
 }
 
 #[test]
-fn what_may_not_start_any_more_is_not_sent() {
-    let ended = attempt_at("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
-    assert_eq!(ended.outcome, Outcome::NotSent);
+fn an_attempt_that_may_not_start_is_not_sent() {
+    let result = attempt_at("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
+    assert_eq!(result.outcome, Outcome::NotSent);
 }
--- a/crates/proxy/src/net/upstream/write_tracking.rs
+++ b/crates/proxy/src/net/upstream/write_tracking.rs
@@ -1,4 +1,4 @@
-//! A socket that records whether everything given to it was written.
+//! A stream that tracks whether all data passed to it was written.
 
 use crate::net::socket::Socket;
 use std::cell::Cell;
@@ -8,8 +8,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A stream that records whether everything given to it has been handed to the socket. Only a request whose last byte
-/// was not handed over is known not to have been executed.
+/// A stream that tracks whether all data passed to it has been handed to the socket. Only a request whose last byte was not
+/// handed to the socket is known not to have been executed.
 pub(super) struct WriteTrackingStream {
     pub(super) socket: Socket,
     pub(super) all_written: Rc<Cell<bool>>,
@@ -26,7 +26,7 @@
 }
 
 impl AsyncWrite for WriteTrackingStream {
-    // Not vectored: hyper then copies head and body together, and both go out in one write.
+    // There is no vectored write, so that hyper copies head and body into one buffer and writes both at once.
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
