--- a/crates/proxy/src/net/client_connection/head_scan.rs
+++ b/crates/proxy/src/net/client_connection/head_scan.rs
@@ -1,9 +1,9 @@
-//! Finds the end of a request's head in the bytes of a connection.
+//! Detection of the end of a request head in the data of a connection.
 
-/// How far the end of a head has come, as hyper sees it: an empty line, which may lack its CR.
+/// The state of a scan for the end of a head. As in hyper, the head ends with an empty line, and lines may end without CR.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadScan {
-    /// Empty lines ahead of a head are skipped.
+    /// Before the head. Empty lines are skipped.
     Before,
     /// Within a line.
     Line,
--- a/crates/proxy/src/net/client_connection/mod.rs
+++ b/crates/proxy/src/net/client_connection/mod.rs
@@ -1,11 +1,11 @@
-//! The connections of clients: what each is doing, and which may be closed when descriptors are short.
+//! The state of client connections, and which of them may be closed when the server runs out of descriptors.
 //!
-//! The bytes on a connection are observed here, as hyper reports a request only when its whole head is in. This module
-//! owns the state of each connection; it reads no request and writes no response.
+//! This module observes the data of each connection, as hyper reports a request only once its head is complete. It reads no
+//! requests and writes no responses.
 //!
-//! - `head_scan`: the end of a request's head.
+//! - `head_scan`: detection of the end of a request head.
 //! - `observed_stream`: the stream that hyper reads and writes.
-//! - `registry`: all connections, eviction and time-outs.
+//! - `registry`: all connections, with eviction and timeouts.
 
 mod head_scan;
 mod observed_stream;
@@ -30,21 +30,22 @@
 use tokio::io::ReadBuf;
 use tokio::sync::Notify;
 
-/// How long, in microseconds, a new connection without a request is kept from eviction: clients send their first
-/// request as soon as they are connected.
+/// How long a new connection without a request is protected from eviction, in microseconds. Clients send their first request
+/// as soon as they are connected.
 const FIRST_REQUEST_GRACE: Micros = 100_000;
-/// Time, in microseconds, for the first request of a connection, and for a request to come in completely.
+/// The time limit for receiving a request completely, in microseconds. For the first request of a connection, it starts when
+/// the client connects.
 pub const REQUEST_TIMEOUT: Micros = 2_300_000;
-/// Time, in microseconds, after which an idle connection is closed, and one whose client does not read its response.
+/// The time after which a connection is closed if it is idle or its client does not read the response, in microseconds.
 const IDLE_TIMEOUT: Micros = 60_000_000;
-/// Most bytes that are read ahead of hyper, to see whether the client is still connected.
+/// The maximum number of bytes that are read ahead of hyper to detect whether the client is still connected.
 const MAX_READ_AHEAD: usize = 32 * 1024;
-/// Most bytes that are read and discarded for the same purpose.
+/// The maximum number of bytes that are read and discarded for the same purpose at once.
 const MAX_DISCARDED: usize = 1 << 20;
-/// Most bytes that are read after the last response.
+/// The maximum number of bytes that are read and discarded after the last response.
 const MAX_LINGER_LEN: usize = 64 * 1024;
 
-/// What a connection is doing.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No request is in flight.
@@ -53,9 +54,9 @@
     ReadingHead,
     /// A request is in flight: its body is being received, or its response is awaited.
     InFlight,
-    /// The response is known and not yet written completely.
+    /// The response is being written.
     Responding,
-    /// Nothing more is written, and no further request is read.
+    /// The write side is shut down, and no further request is read.
     Closing,
 }
 
@@ -67,23 +68,23 @@
     peer: IpAddr,
     descriptor: Cell<Option<Descriptor>>,
     phase: Cell<Phase>,
-    /// When the phase began; for a first head, when the client connected.
-    since: Cell<Micros>,
-    /// Whether a request has come in on it.
+    /// When the current phase began. Up to the first request this stays the time when the client connected.
+    phase_since: Cell<Micros>,
+    /// Whether the head of a request has been received on this connection.
     has_requested: Cell<bool>,
     head_scan: Cell<HeadScan>,
     /// Bytes received after the head.
     bytes_after_head: Cell<u64>,
-    /// How many of them belong to the request; `u64::MAX` while that is not known.
+    /// How many of these bytes belong to the request in flight; `u64::MAX` while that is not known.
     body_len: Cell<u64>,
-    /// Bytes received after the request in flight and read from the socket before hyper asked for them.
+    /// Data that was read from the socket before hyper requested it.
     read_ahead: RefCell<Vec<u8>>,
     close_signal: Notify,
-    /// It has been asked to close.
+    /// Whether the connection has been requested to close.
     close_pending: Cell<bool>,
-    /// It was asked to close so that another gets its descriptor.
+    /// Whether the connection has been requested to close to free its descriptor for another.
     evicted: Cell<bool>,
-    /// The next response closes it.
+    /// Whether the next response closes the connection.
     close_after_response: Cell<bool>,
 }
 
@@ -96,7 +97,7 @@
             stream,
             descriptor: Cell::new(descriptor),
             phase: Cell::new(Phase::Idle),
-            since: Cell::new(clock.now()),
+            phase_since: Cell::new(clock.now()),
             has_requested: Cell::new(false),
             head_scan: Cell::new(HeadScan::Before),
             bytes_after_head: Cell::new(0),
@@ -109,62 +110,62 @@
         }
     }
 
-    /// Resolves when the connection is to be closed.
+    /// Resolves when the connection is requested to close.
     pub async fn close_requested(&self) {
         self.close_signal.notified().await;
     }
 
-    /// Its id; ids are counted from the start and never reused.
+    /// The id of the connection. Ids are assigned in ascending order and never reused.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The address that the client connected from.
+    /// The address of the client.
     pub fn peer(&self) -> IpAddr {
         self.peer
     }
 
-    /// Records that the head of a request is complete. Returns when its first byte came in; for the first request, when
+    /// Records that the head of a request is complete. Returns when its first byte was received; for the first request, when
     /// the client connected.
     pub fn start_request(&self) -> Micros {
         self.phase.set(Phase::InFlight);
         self.has_requested.set(true);
-        self.since.get()
+        self.phase_since.get()
     }
 
-    /// Records that the response is known.
+    /// Records that the response is about to be written.
     pub fn response_ready(&self) {
         self.phase.set(Phase::Responding);
-        self.since.set(self.clock.now());
+        self.phase_since.set(self.clock.now());
         self.head_scan.set(HeadScan::Before);
         self.bytes_after_head.set(0);
         self.body_len.set(u64::MAX);
     }
 
-    /// Records that the body of the request in flight is complete.
+    /// Records that the body of the request in flight is complete and has this length.
     pub fn body_complete(&self, length: usize) {
         self.body_len.set(length as u64);
     }
 
-    /// Whether more bytes have come in than the request in flight has.
+    /// Whether data was received after the request in flight.
     pub fn has_excess_data(&self) -> bool {
         self.bytes_after_head.get() > self.body_len.get()
     }
 
-    /// Records that the response is written completely.
+    /// Records that the response has been written completely.
     fn response_written(&self) {
         if self.phase.get() == Phase::Responding {
-            // What has come in meanwhile belongs to the next request.
+            // Data that was received meanwhile belongs to the next request.
             self.phase.set(if self.head_scan.get() == HeadScan::Before {
                 Phase::Idle
             } else {
                 Phase::ReadingHead
             });
-            self.since.set(self.clock.now());
+            self.phase_since.set(self.clock.now());
         }
     }
 
-    /// Has the next response close the connection.
+    /// Makes the next response close the connection.
     pub fn set_close_after_response(&self) {
         self.close_after_response.set(true);
     }
@@ -174,22 +175,22 @@
         self.close_after_response.get()
     }
 
-    /// Whether no byte of a request has come in, neither read nor still in the kernel. Only then may it be closed between
-    /// requests.
+    /// Whether no byte of a request has been received, including bytes that have not been read from the socket. Only then may
+    /// the connection be closed between requests.
     pub fn is_idle(&self) -> bool {
         self.phase.get() == Phase::Idle
             && self.read_ahead.borrow().is_empty()
             && self.stream.quiet()
     }
 
-    /// Whether no request has come in yet: its client has just connected, and the first may be on its way.
+    /// Whether the client has just connected and no request has been received yet.
     pub fn awaits_first_request(&self) -> bool {
         self.phase.get() == Phase::Idle && !self.has_requested.get()
     }
 
-    /// Whether a response is due or still being written, or a request is being received and still within its time.
+    /// Whether the client may expect a response: a request is in flight, or is being received or answered within its time limit.
     pub fn owes_response(&self) -> bool {
-        let within = |timeout| self.since.get() + timeout > self.clock.now();
+        let within = |timeout| self.phase_since.get() + timeout > self.clock.now();
         match self.phase.get() {
             Phase::InFlight => true,
             Phase::Responding => within(IDLE_TIMEOUT),
@@ -199,13 +200,13 @@
         }
     }
 
-    /// Whether it is evicted: nobody waits for its client to close it then.
+    /// Whether the connection is evicted. The proxy then does not wait for the client to close it.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Shuts the write side down and discards what still comes in until the client has closed as well: a close with bytes
-    /// unread resets the connection, and the client may lose the response before it has read it (RFC 9112, 9.6).
+    /// Shuts the write side down, and reads and discards data until the client has closed its side as well. Closing with unread
+    /// data would reset the connection, and the client could lose the response before reading it (RFC 9112, 9.6).
     pub async fn linger(&self) {
         self.phase.set(Phase::Closing);
         self.stream.shutdown();
@@ -221,39 +222,40 @@
         }
     }
 
-    /// Records bytes that have come in.
+    /// Updates the state for data that was received.
     fn observe(&self, bytes: &[u8]) {
         if self.phase.get() == Phase::Idle && !bytes.is_empty() {
             self.phase.set(Phase::ReadingHead);
             if self.has_requested.get() {
-                self.since.set(self.clock.now());
+                self.phase_since.set(self.clock.now());
             }
         }
         let mut scan = self.head_scan.get();
         let mut rest = bytes;
-        while let (false, Some((&byte, behind))) = (scan == HeadScan::Complete, rest.split_first())
+        while let (false, Some((&byte, remaining))) =
+            (scan == HeadScan::Complete, rest.split_first())
         {
-            (scan, rest) = (scan.next(byte), behind);
+            (scan, rest) = (scan.next(byte), remaining);
         }
         self.head_scan.set(scan);
         self.bytes_after_head
             .set(self.bytes_after_head.get() + rest.len() as u64);
     }
 
-    /// Whether it may be closed in favour of another: not while a request is being received or answered. One that has had
-    /// its response may be closed at once: many clients that send one request and stay would otherwise keep out all
-    /// others.
+    /// Whether the connection may be closed to free its descriptor for another: not while a request is being received or
+    /// answered. Once a request has been answered it may be closed at once, as many clients that send one request and stay
+    /// connected would otherwise keep all others out.
     fn is_evictable(&self, now: Micros) -> bool {
         let grace = if self.has_requested.get() {
             0
         } else {
             FIRST_REQUEST_GRACE
         };
-        let idle = || self.since.get() + grace <= now && self.is_idle();
+        let idle = || self.phase_since.get() + grace <= now && self.is_idle();
         !self.close_pending.get() && (self.phase.get() == Phase::Closing || idle())
     }
 
-    /// Whether its time for a request, for its response or for being idle is over.
+    /// Whether a timeout of the connection has expired: for receiving a request, for writing the response or for being idle.
     fn is_overdue(&self, now: Micros) -> bool {
         let timeout = match self.phase.get() {
             Phase::Idle if self.has_requested.get() => IDLE_TIMEOUT,
@@ -261,11 +263,11 @@
             Phase::Idle | Phase::ReadingHead => REQUEST_TIMEOUT,
             Phase::InFlight | Phase::Closing => return false,
         };
-        !self.close_pending.get() && self.since.get() + timeout <= now && self.stream.quiet()
+        !self.close_pending.get() && self.phase_since.get() + timeout <= now && self.stream.quiet()
     }
 
-    /// Asks its task to close it. Its descriptor is free once it is closed, not before: there would be more open sockets
-    /// than are counted otherwise.
+    /// Requests the task of the connection to close it. The descriptor is not freed before that, as there would be more open
+    /// sockets than counted.
     fn request_close(&self) {
         self.close_pending.set(true);
         self.close_signal.notify_one();
@@ -276,7 +278,7 @@
     fn is_connected(&self) -> bool {
         let mut bytes = [0; 4096];
         let mut taken = 0;
-        // What follows a request of known length is discarded, as the response closes the connection.
+        // Data after a request of known length is discarded, as the response closes the connection.
         let discard = self.body_len.get() < u64::MAX;
         let max_taken = |read_ahead: usize| {
             if discard {
--- a/crates/proxy/src/net/client_connection/observed_stream.rs
+++ b/crates/proxy/src/net/client_connection/observed_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a client's connection, as hyper uses it.
+//! The stream through which hyper uses the connection of a client.
 
 use super::ClientConnection;
 use crate::net::socket::Socket;
@@ -8,14 +8,14 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The stream of a connection. What passes on it is recorded at its [`ClientConnection`].
+/// A stream that records the data it reads, and the end of each response, in its [`ClientConnection`].
 pub struct ObservedStream {
     socket: Socket,
     connection: Rc<ClientConnection>,
 }
 
 impl ObservedStream {
-    /// The stream of this connection.
+    /// Creates the stream of a connection.
     pub fn new(connection: &Rc<ClientConnection>) -> Self {
         ObservedStream {
             socket: Socket::new(&connection.stream),
@@ -54,7 +54,7 @@
         Pin::new(&mut self.socket).poll_write(cx, buf)
     }
 
-    // hyper flushes when it has nothing left to write.
+    // hyper flushes once it has nothing left to write.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.response_written();
         Pin::new(&mut self.socket).poll_flush(cx)
--- a/crates/proxy/src/net/client_connection/registry.rs
+++ b/crates/proxy/src/net/client_connection/registry.rs
@@ -1,4 +1,4 @@
-//! All connections of clients, and which of them are closed when descriptors are short.
+//! The registry of client connections, which closes idle and overdue ones.
 
 use super::{ClientConnection, Phase};
 use crate::net::clock::Clock;
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// All connections of clients.
+/// The registry of client connections.
 #[derive(Default)]
 pub struct ClientConnections {
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
-    /// How many are evicted and not closed yet.
+    /// The number of connections that are evicted and not closed yet.
     evicted: Cell<usize>,
     closed: Notify,
 }
@@ -31,17 +31,18 @@
         self.evicted.get()
     }
 
-    /// Whether any response is due, or any connection waits for its client to close it. With `incoming`, requests that are
-    /// still being received, and first ones that may come, count as well.
-    pub fn has_pending(&self, incoming: bool) -> bool {
-        let busy = |connection: &Rc<ClientConnection>| match connection.phase.get() {
+    /// Whether a client expects a response, or a connection waits for its client to close it. With `include_incoming`, requests
+    /// that are still being received and connections that await their first request count as well.
+    pub fn has_pending(&self, include_incoming: bool) -> bool {
+        let is_pending = |connection: &Rc<ClientConnection>| match connection.phase.get() {
             Phase::Closing => true,
             Phase::InFlight | Phase::Responding => connection.owes_response(),
             Phase::ReadingHead | Phase::Idle => {
-                incoming && (connection.owes_response() || connection.awaits_first_request())
+                include_incoming
+                    && (connection.owes_response() || connection.awaits_first_request())
             }
         };
-        self.connections.borrow().values().any(busy)
+        self.connections.borrow().values().any(is_pending)
     }
 
     /// Resolves when a connection has been closed.
@@ -73,28 +74,28 @@
         self.closed.notify_one();
     }
 
-    /// Evicts the connection that has been idle longest. Returns false if none may be closed.
+    /// Evicts the connection that has been idle longest. Returns false if no connection may be evicted.
     pub fn evict_idle(&self, now: Micros) -> bool {
         let connections = self.connections.borrow();
-        let longest = connections
+        let longest_idle = connections
             .values()
             .filter(|connection| connection.is_evictable(now))
-            .min_by_key(|connection| connection.since.get());
-        longest.inspect(|connection| {
+            .min_by_key(|connection| connection.phase_since.get());
+        longest_idle.inspect(|connection| {
             connection.evicted.set(true);
             self.evicted.set(self.evicted.get() + 1);
             connection.request_close();
         });
-        longest.is_some()
+        longest_idle.is_some()
     }
 
-    /// Keeps a connection that was evicted and on which something has come in meanwhile.
+    /// Revokes the eviction of a connection on which a request has arrived meanwhile.
     pub fn cancel_eviction(&self, connection: &ClientConnection) {
         self.evicted
             .set(self.evicted.get() - usize::from(connection.evicted.replace(false)));
     }
 
-    /// Closes connections whose time is over.
+    /// Closes connections with an expired timeout.
     pub fn close_overdue(&self, now: Micros) {
         self.connections
             .borrow()
--- a/crates/proxy/src/net/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -1,42 +1,42 @@
-//! The one clock of the proxy.
+//! The clock of the proxy.
 
 use badgerramp_decisions::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Monotonic microseconds that start at the Unix time of the process's start. So the start time of an endpoint,
-/// which is Unix time, can be compared with it, even if it is earlier than the start of this process.
+/// A monotonic clock in microseconds that starts at the Unix time when it is created. The start times of endpoints, which are
+/// Unix time, can be compared with it, also those before the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Micros,
+    start_unix_time: Micros,
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at the system time.
+    /// Creates a clock that starts at the system time.
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Clock::starting_at(unix.as_micros() as Micros)
+        Clock::starting_at(unix_time.as_micros() as Micros)
     }
 
-    /// A clock that shows this Unix time now, in microseconds, and advances with the runtime's time, which a simulation
-    /// controls.
-    pub fn starting_at(unix: Micros) -> Self {
+    /// Creates a clock that starts at this Unix time in microseconds. It advances with the clock of the async runtime, which a
+    /// simulation can control.
+    pub fn starting_at(start_unix_time: Micros) -> Self {
         Clock {
-            unix,
+            start_unix_time,
             start: Instant::now(),
         }
     }
 
-    /// The time now, in microseconds.
+    /// The current time, in microseconds.
     pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.start_unix_time + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The time `at` for the timers of the runtime.
+    /// Converts a time of this clock to an instant for the timers of the async runtime.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.unix))
+        self.start + Duration::from_micros(at.saturating_sub(self.start_unix_time))
     }
 }
--- a/crates/proxy/src/net/descriptors.rs
+++ b/crates/proxy/src/net/descriptors.rs
@@ -1,21 +1,21 @@
-//! The bound on open sockets. Each open socket holds a [`Descriptor`].
+//! The limit of open sockets. Each open socket holds a [`Descriptor`].
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts open sockets, so that the process never runs into the limit of the system.
+/// Counts open sockets, so that the process never reaches the system's limit of descriptors.
 #[derive(Debug)]
 pub struct Descriptors {
     limit: usize,
     open: Cell<usize>,
 }
 
-/// The permit for one open socket; dropping it gives it back.
+/// A permit for one open socket, which is released when it is dropped.
 #[derive(Debug)]
 pub struct Descriptor(Rc<Descriptors>);
 
 impl Descriptors {
-    /// Allows `limit` open sockets.
+    /// Creates a counter that allows `limit` open sockets.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Descriptors {
             limit,
@@ -28,7 +28,7 @@
         self.open.get()
     }
 
-    /// The permit for one more socket; `None` at the limit.
+    /// Acquires a permit for one more socket. Returns `None` at the limit.
     pub fn acquire(self: &Rc<Self>) -> Option<Descriptor> {
         (self.open.get() < self.limit).then(|| {
             self.open.set(self.open.get() + 1);
--- a/crates/proxy/src/net/memory_budget.rs
+++ b/crates/proxy/src/net/memory_budget.rs
@@ -1,27 +1,27 @@
-//! The bound on memory for bodies.
+//! The limit of memory for bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the bytes reserved for bodies, so that the process stays under its limit of memory.
+/// Counts the bytes that are reserved for bodies, so that the process stays within its memory limit.
 #[derive(Debug)]
 pub struct MemoryBudget {
     free: Cell<usize>,
 }
 
-/// Reserved bytes; dropping them gives them back.
+/// A reservation of bytes, which are released when it is dropped.
 #[derive(Debug)]
 pub struct Reservation(Rc<MemoryBudget>, usize);
 
 impl MemoryBudget {
-    /// Allows `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(MemoryBudget {
             free: Cell::new(limit),
         })
     }
 
-    /// Reserves `count` bytes; `None` if fewer are free.
+    /// Reserves `count` bytes. Returns `None` if fewer are free.
     pub fn reserve(self: &Rc<Self>, count: usize) -> Option<Reservation> {
         self.free.set(self.free.get().checked_sub(count)?);
         Some(Reservation(Rc::clone(self), count))
--- a/crates/proxy/src/net/server/accept.rs
+++ b/crates/proxy/src/net/server/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop, and the end of a graceful shutdown.
+//! The accept loop and the graceful shutdown.
 
 use super::{Server, ShutdownDeadline};
 use crate::net::socket::Listener;
@@ -11,18 +11,18 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// During a shutdown, connections are accepted for this long, and then until the listener's queue is empty.
+/// How long connections are accepted after the start of a shutdown, before the listener's queue is emptied.
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(450);
-/// A shutdown ends once no request has been in flight for this long: what is still connected has nothing to send.
+/// A shutdown ends once no request has been in flight for this long: clients that are still connected have nothing to send.
 const SHUTDOWN_QUIET_TIME: Duration = Duration::from_millis(100);
-/// From the start of a shutdown, requests that are still being received are waited for this long: no client counts on a
-/// response to a later one (the figure is the protocol's).
+/// How long the server waits, from the start of a shutdown, for requests that are still being received. No client relies on a
+/// response to a later request. Set by the protocol of the platform.
 const SHUTDOWN_REQUEST_TIME: Duration = Duration::from_millis(700);
-/// Pause of accepting when the system has no descriptor left, or at capacity.
+/// How long accepting is paused at capacity, or if the system has no descriptor left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 impl Server {
-    /// Serves clients until `stop` resolves, then drains: finishes what is in flight.
+    /// Serves clients until `stop` resolves, then shuts down gracefully: finishes the requests in flight.
     pub async fn serve(self: Rc<Self>, listener: Rc<dyn Listener>, stop: impl Future<Output = ()>) {
         let (shutdown_sender, shutdown) = watch::channel(None);
         let mut stop = pin!(stop);
@@ -34,19 +34,21 @@
                     None => std::future::pending().await,
                 }
             };
-            // At capacity, clients wait in the listener's queue: rejected connections close soon, and so does an evicted
-            // one.
+            // At capacity, clients wait in the listener's queue. A place becomes free soon, as rejected and evicted connections
+            // are closed.
             let has_capacity =
                 self.clients.count() < self.max_connections + self.max_excess_connections;
             if !has_capacity && self.clients.evicting() == 0 {
                 self.clients.evict_idle(self.driver.clock().now());
             }
             tokio::select! {
-                // Many clients must not keep the stop from being noticed, nor the stop clients from being accepted.
+                // The stop signal comes first, so that many new clients can't delay it. It is polled only until it has
+                // resolved, so that it does not keep clients from being accepted.
                 biased;
                 () = &mut stop, if accept_until.is_none() => {
-                    // From now on each response closes its connection, and idle ones close at once, except those that
-                    // await their first request. New ones are still accepted: clients migrate before the listener closes.
+                    // From now on each response closes its connection, and idle connections are closed at once, except
+                    // those that await their first request. New connections are still accepted, so that clients can move
+                    // to another proxy before the listener is closed.
                     let now = Instant::now();
                     accept_until = Some(now + SHUTDOWN_ACCEPT_TIME);
                     let _ = shutdown_sender.send(Some(now + SHUTDOWN_REQUEST_TIME));
@@ -62,8 +64,8 @@
         }
         self.accept_queued(&*listener, &shutdown).await;
         drop(listener);
-        // A connection with an incomplete request does not end by itself, and must not delay the shutdown until the
-        // process is killed.
+        // A connection with an incomplete request may stay open indefinitely, and must not delay the shutdown until the process
+        // is killed.
         let mut busy_at = Instant::now();
         let requests_until = shutdown.borrow().unwrap_or(busy_at);
         while self.clients.count() > 0 && busy_at.elapsed() < SHUTDOWN_QUIET_TIME {
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Accepts what waits in the listener's queue: the system resets it when the listener is closed. The runtime knows of
-    /// it only after its next poll of all sockets.
+    /// Accepts the connections in the listener's queue, which the system would reset when the listener is closed. Yields first,
+    /// as the runtime learns of new connections only when it polls all sockets.
     async fn accept_queued(
         self: &Rc<Self>,
         listener: &dyn Listener,
@@ -91,20 +93,21 @@
         }
     }
 
-    /// Running out of descriptors must not end the program: idle connections are closed first.
+    /// Closes an idle connection and pauses if the system has no descriptor left. This must not end the program.
     async fn handle_accept_error(&self, error: &io::Error) {
         tracing::warn!(%error, "accept failed");
-        let aborted = [
+        let client_errors = [
             io::ErrorKind::ConnectionAborted,
             io::ErrorKind::ConnectionReset,
         ];
-        if aborted.contains(&error.kind()) || self.pool.evict_idle() {
+        if client_errors.contains(&error.kind()) || self.pool.evict_idle() {
             return;
         }
         if self.clients.evicting() == 0 {
             self.clients.evict_idle(self.driver.clock().now());
         }
-        // It keeps its descriptor until its task has closed it; accepting at once would evict all others as well.
+        // An evicted connection keeps its descriptor until its task has closed it. Accepting again at once would evict all
+        // others as well.
         let _ = tokio::time::timeout(ACCEPT_PAUSE, self.clients.connection_closed()).await;
     }
 }
--- a/crates/proxy/src/net/server/connection.rs
+++ b/crates/proxy/src/net/server/connection.rs
@@ -19,11 +19,11 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Most bytes of a request's head.
+/// The maximum length of a request head, in bytes.
 const MAX_HEAD_LEN: usize = 32 * 1024;
-/// How often a connection that is to be closed is checked again, if a request is on it.
+/// How often a connection that is to be closed is checked again while it has a request in flight.
 const CLOSE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a client may take to close a connection that has been shut down on this side.
+/// How long a client may take to close a connection after the proxy has shut down its side.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Server {
@@ -47,7 +47,7 @@
         tokio::task::spawn_local(Rc::clone(self).serve_connection(client, shutdown, over_capacity));
     }
 
-    /// Serves a connection until it is closed. Over capacity its one request is rejected.
+    /// Serves a connection until it is closed. If it is over capacity, its first request is rejected and it is closed.
     async fn serve_connection(
         self: Rc<Self>,
         client: Rc<ClientConnection>,
@@ -57,20 +57,20 @@
         let service = service_fn(|request| {
             let (server, client) = (Rc::clone(&self), Rc::clone(&client));
             async move {
-                let since = client.start_request();
-                let id = request
+                let received_at = client.start_request();
+                let request_id = request
                     .headers()
                     .get("x-request-id")
                     .and_then(|v| v.to_str().ok())
                     .unwrap_or_default();
-                debug!(target: CLIENTS, connection = client.id(), request = id, over_capacity, since, "request received");
+                debug!(target: CLIENTS, connection = client.id(), request = request_id, over_capacity, since = received_at, "request received");
                 let mut response = if over_capacity {
                     server.shed(0)
                 } else {
-                    server.handle_request(request, &client, since).await
+                    server.handle_request(request, &client, received_at).await
                 };
                 debug!(target: CLIENTS, connection = client.id(), status = response.status().as_u16(), "response ready");
-                // Data that comes in before the response belongs to no request that a conforming client would send.
+                // Excess data before the response is not a request that a conforming client would send.
                 if over_capacity || client.closes_after_response() || client.has_excess_data() {
                     set_connection_close(&mut response);
                 }
@@ -79,13 +79,13 @@
             }
         });
         let connection = http1::Builder::new()
-            // The registry looks for overdue requests, for all connections at once.
+            // The registry enforces the timeouts of all connections.
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_LEN)
             .keep_alive(!over_capacity && shutdown.borrow().is_none())
             .serve_connection(TokioIo::new(ObservedStream::new(&client)), service);
         self.drive_connection(connection, &client, shutdown).await;
-        // An evicted one only discards what has come in.
+        // An evicted connection does not wait for its client: its descriptor is needed.
         let linger_timeout = if client.is_evicted() {
             Duration::ZERO
         } else {
@@ -99,8 +99,8 @@
         self.clients.unregister(&client);
     }
 
-    /// Drives a connection to its end. It is closed between requests only if no byte of a request has come in, neither
-    /// read nor still in the kernel; otherwise its next response closes it.
+    /// Drives a connection to its end. If it is to be closed, this happens between requests only if no byte of a request has
+    /// arrived, including bytes that have not been read from the socket; otherwise its next response closes it.
     async fn drive_connection<S>(
         &self,
         connection: http1::Connection<TokioIo<ObservedStream>, S>,
@@ -121,7 +121,7 @@
             };
             tokio::select! {
                 biased;
-                // How a client's connection ends does not matter: its calls are dropped with it.
+                // Errors of the connection need no handling: its request is dropped together with it.
                 _ = connection.as_mut() => return,
                 () = client.close_requested() => {
                     debug!(target: CLIENTS, connection = client.id(), "close requested");
@@ -130,7 +130,7 @@
                     }
                     check_at = Some(Instant::now() + CLOSE_RECHECK_INTERVAL);
                 }
-                // A request that came in just as it was to be closed is answered first.
+                // A request that arrived just before the connection was to be closed is answered first.
                 () = next_check => {
                     if !client.owes_response() {
                         return;
@@ -141,7 +141,7 @@
                 _ = shutdown.changed(), if !shutdown_seen => {
                     shutdown_seen = true;
                     check_at = check_at.or(*shutdown.borrow());
-                    // Its client has just connected, and is about to send its first request.
+                    // The client has just connected and is about to send its first request.
                     if client.awaits_first_request() {
                         client.set_close_after_response();
                         continue;
--- a/crates/proxy/src/net/server/mod.rs
+++ b/crates/proxy/src/net/server/mod.rs
@@ -1,13 +1,13 @@
-//! The client side: accepts connections, reads requests, hands them to the driver and writes the one final response.
+//! The server for clients: accepts connections, reads requests, passes them to the driver and writes the responses.
 //!
-//! It owns the listener and the connections of clients. Whether a call is admitted, forwarded or retried is decided by
-//! the rules and the balancer, never here.
+//! This module owns the listener and the connections of clients. The rules and the balancer decide whether a call is admitted,
+//! forwarded or retried.
 //!
 //! - `accept`: the accept loop and the graceful shutdown.
-//! - `connection`: one connection from accept to close.
-//! - `request`, `request_error`: one request, and why it may get no call.
+//! - `connection`: one connection, from accept to close.
+//! - `request`, `request_error`: one request, and the reasons why no call may be started for it.
 //! - `response`: responses to clients.
-//! - `guards`: what is undone when a request ends.
+//! - `guards`: cleanup when a request ends.
 
 mod accept;
 mod connection;
@@ -29,35 +29,35 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// During a shutdown: until when requests that are still being received are waited for.
+/// During a shutdown, the time until which the server waits for requests that are still being received; otherwise `None`.
 type ShutdownDeadline = Option<Instant>;
 
 /// The server for clients.
 pub struct Server {
-    /// Takes the calls.
+    /// Executes the calls.
     pub driver: Driver,
-    /// The connections to endpoints; idle ones are closed when descriptors are short.
+    /// The connections to endpoints. Idle ones are closed if the server runs out of descriptors.
     pub pool: Rc<ConnectionPool>,
-    /// The bound on open sockets.
+    /// The limit of open sockets.
     pub descriptors: Rc<Descriptors>,
     /// The connections of clients.
     pub clients: ClientConnections,
-    /// How requests are read; a reload replaces them.
+    /// The rules that requests are admitted under. A reload replaces them.
     pub rules: RefCell<Rc<Rules>>,
-    /// Where the control plane owns the policy: whether calls may start, and under which rules, in place of `rules`.
+    /// If the control plane manages the policy, decides whether calls may start and under which rules, in place of `rules`.
     pub gate: Option<Rc<AdmissionGate>>,
-    /// Whether responses keep their status and headers, and `Retry-After` is in whole seconds, as in HTTP.
+    /// Whether requests and responses are plain HTTP: responses keep their status and headers, and `Retry-After` is in whole
+    /// seconds. Otherwise they have the platform's format.
     pub plain_http: bool,
-    /// The bound on memory for bodies.
+    /// The limit of memory for bodies.
     pub memory_budget: Rc<MemoryBudget>,
-    /// Ids of the requests in flight.
+    /// The ids of the requests in flight.
     pub in_flight_ids: RefCell<HashSet<HeaderValue>>,
-    /// `Retry-After` in microseconds where the balancer gives none; 0 omits it.
+    /// The `Retry-After` of rejections for which the balancer gives none, in microseconds; 0 omits the header.
     pub default_retry_after: Cell<Micros>,
-    /// Most connections that are served. They must leave descriptors for the endpoints: many clients would be accepted
-    /// and none of them served otherwise. Clients can hold a third of the descriptors at most: with more idle ones,
-    /// requests would find no connection.
+    /// The maximum number of connections that are served. At most a third of the descriptors may be used for clients: with
+    /// more idle clients, there would be none left for connections to endpoints, and requests could not be served.
     pub max_connections: usize,
-    /// Further connections that are accepted only to reject their request and close them.
+    /// The maximum number of further connections, which are accepted only to reject their requests.
     pub max_excess_connections: usize,
 }
--- a/crates/proxy/src/net/server/request.rs
+++ b/crates/proxy/src/net/server/request.rs
@@ -1,4 +1,4 @@
-//! One request of a client, from its head to its one final response.
+//! One request of a client, from its head to its response.
 
 use super::guards::{DisconnectGuard, InFlightGuard};
 use super::request_error::RequestError;
@@ -17,45 +17,49 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Path of the health check.
+/// The path of the health check.
 const HEALTH_PATH: &str = "/_health";
 
-/// What a request was admitted under, where the policy is the fleet's.
-struct PendingTicket<'a> {
+/// An admission under a policy lease that is confirmed when the call starts.
+struct PendingAdmission<'a> {
     gate: &'a AdmissionGate,
-    ticket: ProvisionalAdmission,
-    /// The head as it came, to be admitted again. `None` for a request without a body: nothing can change before its
-    /// call starts.
+    provisional: ProvisionalAdmission,
+    /// The head as received, in case the request must be admitted again. `None` for a request without a body, whose call
+    /// starts before anything can change.
     original: Option<Parts>,
 }
 
 impl Server {
-    /// Handles one request. `since` is when its first byte came in.
+    /// Handles one request. `received_at` is when its first byte was received; for the first request of a connection, when the
+    /// client connected.
     pub(super) async fn handle_request(
         &self,
         request: hyper::Request<Incoming>,
         client: &Rc<ClientConnection>,
-        since: Micros,
+        received_at: Micros,
     ) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
         if parts.uri.path() == HEALTH_PATH && matches!(parts.method, Method::GET | Method::HEAD) {
             return self.health();
         }
-        match self.forward_request(parts, body, client, since).await {
+        match self.forward_request(parts, body, client, received_at).await {
             Ok(response) => response,
             Err(error) => self.error_response(error),
         }
     }
 
     /// Admits a request, reads its body, starts its call and waits for the final answer.
+    ///
+    /// # Errors
+    /// If no call is started.
     async fn forward_request(
         &self,
         mut parts: Parts,
         body: Incoming,
         client: &Rc<ClientConnection>,
-        since: Micros,
+        received_at: Micros,
     ) -> Result<Response<Full<Bytes>>, RequestError> {
-        let (rules, ticket) = self.current_rules(&parts, &body)?;
+        let (rules, pending) = self.current_rules(&parts, &body)?;
         let mut admitted = rules.admit(&mut parts, client.peer())?;
         let _in_flight = match admitted.id.take() {
             Some(id) => Some(
@@ -69,25 +73,25 @@
             .reserve(reserved_len)
             .ok_or(RequestError::Shed)?;
         let clock = self.driver.clock();
-        let deadline = clock.instant(since.saturating_add(REQUEST_TIMEOUT));
+        let deadline = clock.instant(received_at.saturating_add(REQUEST_TIMEOUT));
         let body = read_body(body, admitted.max_body_len, deadline).await?;
         self.check_excess_data(&admitted, client)?;
         let is_retry = parts
             .headers
             .get("x-retried")
             .is_some_and(|v| v.as_bytes() == b"1");
-        let started = self.confirm(ticket, &mut parts, &mut admitted, body.len(), client)?;
+        let started_at = self.confirm(pending, &mut parts, &mut admitted, body.len(), client)?;
         let call_client: Rc<dyn Client> = Rc::<ClientConnection>::clone(client);
         let new_call = NewCall {
             client: call_client,
             class: admitted.class,
             tenant: admitted.tenant,
-            deadline: started + admitted.timeout,
+            deadline: started_at + admitted.timeout,
             is_retry,
             policy: admitted.policy,
         };
         if !self.plain_http {
-            // Plain HTTP has had it done where its routes were looked up.
+            // For plain HTTP, the rules have done this.
             upstream::strip_hop_by_hop(&mut parts.headers);
         }
         let request = Request {
@@ -108,25 +112,25 @@
         Ok(self.answer_response(answer.await))
     }
 
-    /// The rules for a request that arrives now, and what has to be confirmed before its call starts.
+    /// The rules for a request that arrives now, and the admission to confirm before its call starts.
     fn current_rules(
         &self,
         parts: &Parts,
         body: &Incoming,
-    ) -> Result<(Rc<Rules>, Option<PendingTicket<'_>>), RequestError> {
+    ) -> Result<(Rc<Rules>, Option<PendingAdmission<'_>>), RequestError> {
         let Some(gate) = &self.gate else {
             return Ok((Rc::clone(&self.rules.borrow()), None));
         };
-        let (rules, ticket) = gate.admit().map_err(|_| RequestError::Shed)?;
-        let pending = PendingTicket {
+        let (rules, provisional) = gate.admit().map_err(|_| RequestError::Shed)?;
+        let pending = PendingAdmission {
             gate,
-            ticket,
+            provisional,
             original: (!body.is_end_stream()).then(|| parts.clone()),
         };
         Ok((rules, Some(pending)))
     }
 
-    /// Fails if more has come in than the request. Plain HTTP lets a client send its next request ahead.
+    /// Fails if data was received after the request. Plain HTTP allows this, as clients may pipeline requests.
     fn check_excess_data(
         &self,
         admitted: &Admitted,
@@ -141,24 +145,26 @@
         Ok(())
     }
 
-    /// Confirms what the request was admitted under, or admits it again: its body took its time, and another policy may
-    /// be in force by now. Returns when the call starts.
+    /// Confirms the admission of the request, or admits it again: another policy may have come into force while its body was
+    /// being received. Returns the start time of the call.
     fn confirm(
         &self,
-        pending: Option<PendingTicket<'_>>,
+        pending: Option<PendingAdmission<'_>>,
         parts: &mut Parts,
         admitted: &mut Admitted,
         body_len: usize,
         client: &ClientConnection,
     ) -> Result<Micros, RequestError> {
         let clock = self.driver.clock();
-        // Read before the lease is looked at: a process that is stopped in between finds its call's time over.
+        // Read before the lease is checked: if the process is stopped in between, the call's time has passed when it
+        // continues.
         let mut now = clock.now();
         let Some(mut pending) = pending else {
             return Ok(now);
         };
-        while !pending.gate.confirm(pending.ticket, &parts.headers) {
-            let (Ok((rules, ticket)), Some(original)) = (pending.gate.admit(), &pending.original)
+        while !pending.gate.confirm(pending.provisional, &parts.headers) {
+            let (Ok((rules, provisional)), Some(original)) =
+                (pending.gate.admit(), &pending.original)
             else {
                 return Err(RequestError::Shed);
             };
@@ -167,14 +173,14 @@
             if admitted.max_body_len < body_len {
                 return Err(RequestError::BodyTooLarge);
             }
-            pending.ticket = ticket;
+            pending.provisional = provisional;
             now = clock.now();
         }
         Ok(now)
     }
 }
 
-/// Reads the body of a request until `deadline`.
+/// Reads the body of a request, which must be complete before `deadline`.
 async fn read_body(
     body: Incoming,
     max_body_len: usize,
--- a/crates/proxy/src/net/server/request_error.rs
+++ b/crates/proxy/src/net/server/request_error.rs
@@ -1,32 +1,32 @@
-//! Why a request got no call, or none that was started.
+//! The reasons why no call is started for a request.
 
 use crate::net::rules::Rejection;
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why a request is answered without a call. [`RequestError::Rejected`] and [`RequestError::Shed`] have responses of
-/// their own; the text of any other is the body of its response.
+/// Why no call is started for a request. [`RequestError::Rejected`] and [`RequestError::Shed`] have their own responses; the
+/// display text of any other error is the body of its response.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
-    /// The rules do not admit it.
+    /// The rules do not admit the request.
     #[error("{}", .0.text)]
     Rejected(Rejection),
-    /// No call may start now; the client may retry.
+    /// No call may start now. The client may retry.
     #[error("refused")]
     Shed,
-    /// Its id is that of a request in flight.
+    /// Another request with the same id is in flight.
     #[error("a request with this X-Request-ID is open")]
     DuplicateId,
-    /// Its body has more bytes than are allowed.
+    /// The body is larger than allowed.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// Its body is malformed, or its connection broke.
+    /// The body is malformed, or the connection was lost.
     #[error("broken body")]
     BodyBroken,
-    /// Its body was not complete in time.
+    /// The body was not received completely in time.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// More bytes have come in than the request has.
+    /// Data was received after the request.
     #[error("more bytes than the request has")]
     ExcessData,
 }
--- a/crates/proxy/src/net/server/response.rs
+++ b/crates/proxy/src/net/server/response.rs
@@ -16,7 +16,7 @@
 use tracing::debug;
 
 impl Server {
-    /// The response to a request that got no call.
+    /// The response to a request for which no call is started.
     pub(super) fn error_response(&self, error: RequestError) -> Response<Full<Bytes>> {
         match error {
             RequestError::Rejected(rejection) => self.rejection(rejection),
@@ -33,7 +33,8 @@
         match answer {
             Ok(Answer::Served(response)) => self.forward(response),
             Ok(Answer::Rejected { retry_after }) => self.shed(retry_after),
-            // To a client these two statuses mean that a retry is harmless, which no failure promises.
+            // Clients take these two statuses to mean that the request was not executed and can safely be retried. That is not
+            // known of a failed call.
             Ok(Answer::Failed(Some(response)))
                 if ![429, 503].contains(&response.status.as_u16()) =>
             {
@@ -46,7 +47,8 @@
         }
     }
 
-    /// The response of an endpoint, in the client's framing.
+    /// Converts the response of an endpoint to the response to the client. On the platform only its body and content type are
+    /// forwarded.
     fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
         let UpstreamResponse {
             status,
@@ -62,7 +64,7 @@
             }
             return response;
         }
-        // A response to HEAD has the length that a GET would have; hyper drops it where none is allowed.
+        // The response to a HEAD request keeps its `Content-Length`. hyper removes the header where it is not allowed.
         let length = headers.remove(header::CONTENT_LENGTH);
         upstream::strip_hop_by_hop_and_listed(&mut headers);
         if let Some(length) = length.filter(|_| response.body().is_end_stream()) {
@@ -73,7 +75,7 @@
         response
     }
 
-    /// The response to the health check: whether calls start, and under which policy.
+    /// The response to the health check: whether calls may start, and under which policy.
     pub(super) fn health(&self) -> Response<Full<Bytes>> {
         let health = match &self.gate {
             None => return plain_response(StatusCode::OK, "ok"),
@@ -100,7 +102,8 @@
         response
     }
 
-    /// The rejection of a request that is not executed: it may be retried, after the time in `Retry-After`.
+    /// The response to a request that is not executed and may be retried after the time in `Retry-After`. If `retry_after` is 0,
+    /// the default is used.
     pub(super) fn shed(&self, retry_after: Micros) -> Response<Full<Bytes>> {
         let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
         let wait = if retry_after == 0 {
@@ -109,7 +112,7 @@
             retry_after
         };
         if wait == 0 {
-            // The operator wants no `Retry-After`.
+            // The operator has disabled `Retry-After`.
             return response;
         }
         let seconds = if self.plain_http {
@@ -130,14 +133,14 @@
     response
 }
 
-/// A final rejection that closes the connection: the bytes that follow may not be a request.
+/// A final rejection that closes the connection, as the data that follows may not be a request.
 fn bad_request(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = plain_response(status, text);
     set_connection_close(&mut response);
     response
 }
 
-/// Has the connection closed after this response.
+/// Makes hyper close the connection after this response.
 pub(super) fn set_connection_close(response: &mut Response<Full<Bytes>>) {
     response
         .headers_mut()
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,6 +1,5 @@
-//! The way to other machines: streams that can be looked at while the HTTP library owns them, and who opens and accepts
-//! them. The program has the system's own; a simulation brings others, under which all of the code above runs
-//! unchanged.
+//! The abstraction of the network: streams that can be inspected while the HTTP library uses them, and the traits that open
+//! and accept them. The program uses the implementations for TCP sockets of this module; a simulation provides others.
 
 use socket2::SockRef;
 use std::future::Future;
@@ -13,27 +12,29 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A stream of bytes both ways. It is read and written through a shared reference, as more than one part of the program
-/// has to do with it.
+/// A bidirectional byte stream. It is used through a shared reference, as several parts of the program share it.
 pub trait Stream {
-    /// Reads what has come, as [`AsyncRead::poll_read`] does.
+    /// Reads received data, as [`AsyncRead::poll_read`] does.
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>>;
 
-    /// Writes, as [`AsyncWrite::poll_write`] does. What it takes has been handed to the system.
+    /// Writes data, as [`AsyncWrite::poll_write`] does. The written bytes have been handed to the operating system.
     fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>>;
 
-    /// Nothing more will be written.
+    /// Shuts down the write side.
     fn shutdown(&self);
 
-    /// Has nothing come in that was not read, neither bytes nor an end? This asks the system itself: the runtime knows
-    /// only what its last look at the readiness of all sockets has told.
+    /// Whether there is nothing to read: no received data, and no end of the stream. This checks the socket itself, as the
+    /// runtime knows only the readiness that it polled last.
     fn quiet(&self) -> bool;
 
-    /// Takes some of what has come in, asking the system itself as [`Stream::quiet`] does: nothing taken is the end, and
-    /// [`io::ErrorKind::WouldBlock`] means that nothing has come.
+    /// Reads received data from the socket without waiting, and without regard to the readiness that the runtime knows.
+    /// Returns 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::WouldBlock`] if there is nothing to read, or the error of the socket.
     fn take(&self, buf: &mut [u8]) -> io::Result<usize>;
 
-    /// The other side's address.
+    /// The IP address of the other side.
     fn peer(&self) -> Option<IpAddr>;
 }
 
@@ -42,24 +43,25 @@
 
 /// Opens connections.
 pub trait Network {
-    /// Opens one to this address.
+    /// Opens a connection to this address.
     fn connect(&self, address: SocketAddr) -> Connecting;
 }
 
-/// Takes connections in.
+/// Accepts connections.
 pub trait Listener {
-    /// The next one.
+    /// Accepts the next connection.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>>;
 }
 
-/// A read that left room took all there was: the socket is noted as not readable, so that the next look at it asks the
-/// system nothing. What comes from now on is told anew, as readiness is edge-triggered, and an end is never forgotten.
-trait Drained {
-    fn drained(&self);
+/// Clears the readiness of a socket after a read that did not fill its buffer, and so has read all received data. The next
+/// read then needs no system call before new data arrives. No event is lost: readiness is edge-triggered, so that the runtime
+/// is notified of new data, and the end of the stream is kept.
+trait ClearReadiness {
+    fn clear_readiness(&self);
 }
 
-impl Drained for TcpStream {
-    fn drained(&self) {
+impl ClearReadiness for TcpStream {
+    fn clear_readiness(&self) {
         let _ = self.try_io(Interest::READABLE, || {
             Err::<(), _>(io::ErrorKind::WouldBlock.into())
         });
@@ -69,18 +71,18 @@
 impl Stream for TcpStream {
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
-            // Into what is not initialized: to clear the whole of a large buffer first costs more than most reads.
+            // Reads into uninitialized memory: initializing a large buffer costs more than most reads.
             match self.try_read_buf(buf) {
                 Ok(count) => {
                     if count > 0 && buf.remaining() > 0 {
-                        self.drained();
+                        self.clear_readiness();
                     }
                     return Poll::Ready(Ok(()));
                 }
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     ready!(self.poll_read_ready(cx))?;
                 }
-                Err(fault) => return Poll::Ready(Err(fault)),
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
@@ -88,7 +90,7 @@
     fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             match self.try_write(buf) {
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     ready!(self.poll_write_ready(cx))?;
                 }
                 written => return Poll::Ready(written),
@@ -97,14 +99,14 @@
     }
 
     fn shutdown(&self) {
-        // One that the other side has ended already needs no more.
+        // This fails if the connection has been closed by the other side, which is not an error here.
         let _ = SockRef::from(self).shutdown(std::net::Shutdown::Write);
     }
 
     fn quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        // The socket is non-blocking, as all of the runtime's are.
-        matches!(SockRef::from(self).peek(&mut byte), Err(fault) if fault.kind() == io::ErrorKind::WouldBlock)
+        // The socket is non-blocking, as are all sockets of the runtime.
+        matches!(SockRef::from(self).peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
@@ -116,7 +118,7 @@
     }
 }
 
-/// The system's own network.
+/// The TCP network of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -138,10 +140,11 @@
     }
 }
 
-/// A stream as the HTTP library uses it.
+/// Adapts a [`Stream`] to the traits that the HTTP library uses.
 pub struct Socket(Rc<dyn Stream>);
 
 impl Socket {
+    /// Creates an adapter of a shared stream.
     pub fn new(stream: &Rc<dyn Stream>) -> Self {
         Socket(Rc::clone(stream))
     }
