--- a/crates/proxy/src/net/admission_gate.rs
+++ b/crates/proxy/src/net/admission_gate.rs
@@ -51,8 +51,8 @@
         &self.holder
     }
 
-    /// Installs the rules of a mode, and the fallback rules for the time after its lease has expired. To be called together
-    /// with the change of the mode, without an await point in between.
+    /// Installs the rules of a mode, and the fallback rules for the time after its lease has expired. To be called
+    /// together with the change of the mode, without an await point in between.
     pub fn install(&self, mode: Mode, rules: Rc<Rules>, fallback: Rc<Rules>) {
         let mut installed = self.installed.borrow_mut();
         installed.version += 1;
--- a/crates/proxy/src/net/client_connection/head_scan.rs
+++ b/crates/proxy/src/net/client_connection/head_scan.rs
@@ -1,6 +1,7 @@
 //! Detection of the end of a request head in the data of a connection.
 
-/// The state of a scan for the end of a head. As in hyper, the head ends with an empty line, and lines may end without CR.
+/// The state of a scan for the end of a head. As in hyper, the head ends with an empty line, and lines may end without
+/// CR.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadScan {
     /// Before the head. Empty lines are skipped.
--- a/crates/proxy/src/net/client_connection/mod.rs
+++ b/crates/proxy/src/net/client_connection/mod.rs
@@ -1,7 +1,7 @@
 //! The state of client connections, and which of them may be closed when the server runs out of descriptors.
 //!
-//! This module observes the data of each connection, as hyper reports a request only once its head is complete. It reads no
-//! requests and writes no responses.
+//! This module observes the data of each connection, as hyper reports a request only once its head is complete. It
+//! reads no requests and writes no responses.
 //!
 //! - `head_scan`: detection of the end of a request head.
 //! - `observed_stream`: the stream that hyper reads and writes.
@@ -30,11 +30,11 @@
 use tokio::io::ReadBuf;
 use tokio::sync::Notify;
 
-/// How long a new connection without a request is protected from eviction, in microseconds. Clients send their first request
-/// as soon as they are connected.
+/// How long a new connection without a request is protected from eviction, in microseconds. Clients send their first
+/// request as soon as they are connected.
 const FIRST_REQUEST_GRACE: Micros = 100_000;
-/// The time limit for receiving a request completely, in microseconds. For the first request of a connection, it starts when
-/// the client connects.
+/// The time limit for receiving a request completely, in microseconds. For the first request of a connection, it starts
+/// when the client connects.
 pub const REQUEST_TIMEOUT: Micros = 2_300_000;
 /// The time after which a connection is closed if it is idle or its client does not read the response, in microseconds.
 const IDLE_TIMEOUT: Micros = 60_000_000;
@@ -125,8 +125,8 @@
         self.peer
     }
 
-    /// Records that the head of a request is complete. Returns when its first byte was received; for the first request, when
-    /// the client connected.
+    /// Records that the head of a request is complete. Returns when its first byte was received; for the first request,
+    /// when the client connected.
     pub fn start_request(&self) -> Micros {
         self.phase.set(Phase::InFlight);
         self.has_requested.set(true);
@@ -175,12 +175,12 @@
         self.close_after_response.get()
     }
 
-    /// Whether no byte of a request has been received, including bytes that have not been read from the socket. Only then may
-    /// the connection be closed between requests.
+    /// Whether no byte of a request has been received, including bytes that have not been read from the socket. Only
+    /// then may the connection be closed between requests.
     pub fn is_idle(&self) -> bool {
         self.phase.get() == Phase::Idle
             && self.read_ahead.borrow().is_empty()
-            && self.stream.quiet()
+            && self.stream.nothing_to_read()
     }
 
     /// Whether the client has just connected and no request has been received yet.
@@ -188,7 +188,8 @@
         self.phase.get() == Phase::Idle && !self.has_requested.get()
     }
 
-    /// Whether the client may expect a response: a request is in flight, or is being received or answered within its time limit.
+    /// Whether the client may expect a response: a request is in flight, or is being received or answered within its
+    /// time limit.
     pub fn owes_response(&self) -> bool {
         let within = |timeout| self.phase_since.get() + timeout > self.clock.now();
         match self.phase.get() {
@@ -205,8 +206,9 @@
         self.evicted.get()
     }
 
-    /// Shuts the write side down, and reads and discards data until the client has closed its side as well. Closing with unread
-    /// data would reset the connection, and the client could lose the response before reading it (RFC 9112, 9.6).
+    /// Shuts the write side down, and reads and discards data until the client has closed its side as well. Closing
+    /// with unread data would reset the connection, and the client could lose the response before reading it (RFC 9112,
+    /// 9.6).
     pub async fn linger(&self) {
         self.phase.set(Phase::Closing);
         self.stream.shutdown();
@@ -242,9 +244,9 @@
             .set(self.bytes_after_head.get() + rest.len() as u64);
     }
 
-    /// Whether the connection may be closed to free its descriptor for another: not while a request is being received or
-    /// answered. Once a request has been answered it may be closed at once, as many clients that send one request and stay
-    /// connected would otherwise keep all others out.
+    /// Whether the connection may be closed to free its descriptor for another: not while a request is being received
+    /// or answered. Once a request has been answered it may be closed at once, as many clients that send one request
+    /// and stay connected would otherwise keep all others out.
     fn is_evictable(&self, now: Micros) -> bool {
         let grace = if self.has_requested.get() {
             0
@@ -255,7 +257,8 @@
         !self.close_pending.get() && (self.phase.get() == Phase::Closing || idle())
     }
 
-    /// Whether a timeout of the connection has expired: for receiving a request, for writing the response or for being idle.
+    /// Whether a timeout of the connection has expired: for receiving a request, for writing the response or for being
+    /// idle.
     fn is_overdue(&self, now: Micros) -> bool {
         let timeout = match self.phase.get() {
             Phase::Idle if self.has_requested.get() => IDLE_TIMEOUT,
@@ -263,11 +266,13 @@
             Phase::Idle | Phase::ReadingHead => REQUEST_TIMEOUT,
             Phase::InFlight | Phase::Closing => return false,
         };
-        !self.close_pending.get() && self.phase_since.get() + timeout <= now && self.stream.quiet()
+        !self.close_pending.get()
+            && self.phase_since.get() + timeout <= now
+            && self.stream.nothing_to_read()
     }
 
-    /// Requests the task of the connection to close it. The descriptor is not freed before that, as there would be more open
-    /// sockets than counted.
+    /// Requests the task of the connection to close it. The descriptor is not freed before that, as there would be more
+    /// open sockets than counted.
     fn request_close(&self) {
         self.close_pending.set(true);
         self.close_signal.notify_one();
@@ -288,7 +293,7 @@
             }
         };
         while taken < max_taken(self.read_ahead.borrow().len()) {
-            match self.stream.take(&mut bytes) {
+            match self.stream.try_read(&mut bytes) {
                 Ok(0) => return false,
                 Ok(count) => {
                     taken += count;
--- a/crates/proxy/src/net/client_connection/registry.rs
+++ b/crates/proxy/src/net/client_connection/registry.rs
@@ -31,8 +31,8 @@
         self.evicted.get()
     }
 
-    /// Whether a client expects a response, or a connection waits for its client to close it. With `include_incoming`, requests
-    /// that are still being received and connections that await their first request count as well.
+    /// Whether a client expects a response, or a connection waits for its client to close it. With `include_incoming`,
+    /// requests that are still being received and connections that await their first request count as well.
     pub fn has_pending(&self, include_incoming: bool) -> bool {
         let is_pending = |connection: &Rc<ClientConnection>| match connection.phase.get() {
             Phase::Closing => true,
--- a/crates/proxy/src/net/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock in microseconds that starts at the Unix time when it is created. The start times of endpoints, which are
-/// Unix time, can be compared with it, also those before the start of this process.
+/// A monotonic clock in microseconds that starts at the Unix time when it is created. The start times of endpoints,
+/// which are Unix time, can be compared with it, also those before the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_unix_time: Micros,
@@ -21,8 +21,8 @@
         Clock::starting_at(unix_time.as_micros() as Micros)
     }
 
-    /// Creates a clock that starts at this Unix time in microseconds. It advances with the clock of the async runtime, which a
-    /// simulation can control.
+    /// Creates a clock that starts at this Unix time in microseconds. It advances with the clock of the async runtime,
+    /// which a simulation can control.
     pub fn starting_at(start_unix_time: Micros) -> Self {
         Clock {
             start_unix_time,
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on the endpoint list: polls the list service and applies the lists that it sends.
 //!
-//! This task does the I/O; [`badgerramp_endpoint_watch`] decides when to poll, also after a failure, and which response to
-//! accept. Calls never wait for the list.
+//! This task does the I/O; [`badgerramp_endpoint_watch`] decides when to poll, also after a failure, and which response
+//! to accept. Calls never wait for the list.
 
 use super::driver::{Driver, List};
 use super::socket::{Network, Socket};
@@ -23,11 +23,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// The maximum length of a list in bytes, enough for over twenty thousand endpoints. Memory is allocated as the data arrives.
+/// The maximum length of a list in bytes, enough for over twenty thousand endpoints. Memory is allocated as the data
+/// arrives.
 const MAX_LIST_LEN: usize = 4 << 20;
 
-/// The maximum `Retry-After` of the list service that is respected, in seconds. A rejected poll does not postpone the time at
-/// which the proxy counts as notified, so that a connection and a response must still fit in before then.
+/// The maximum `Retry-After` of the list service that is respected, in seconds. A rejected poll does not postpone the
+/// time at which the proxy counts as notified, so that a connection and a response must still fit in before then.
 const MAX_RETRY_AFTER_SECONDS: f64 =
     ((NOTIFIED_AFTER_SILENCE - CONNECT_TIMEOUT - SERVICE_RESPONSE_TIMEOUT) / 1_000_000) as f64;
 
@@ -62,8 +63,8 @@
 
 /// Keeps the endpoint list up to date. Never returns.
 ///
-/// When `address` changes, the complete list is fetched from the new address at once, as the index of the old service means
-/// nothing there. The proxy counts as idle after `idle_after` microseconds without a new call.
+/// When `address` changes, the complete list is fetched from the new address at once, as the index of the old service
+/// means nothing there. The proxy counts as idle after `idle_after` microseconds without a new call.
 pub async fn run(
     driver: Driver,
     network: Rc<dyn Network>,
@@ -298,8 +299,8 @@
     }
 }
 
-/// Polls the list service for changes after `index`, or without an index for the complete list. The service may hold the poll
-/// for `wait` until there is a change. `connection` is used if it is open, and replaced otherwise.
+/// Polls the list service for changes after `index`, or without an index for the complete list. The service may hold
+/// the poll for `wait` until there is a change. `connection` is used if it is open, and replaced otherwise.
 ///
 /// # Errors
 /// If there is no connection, the service does not respond with a list, or the list is malformed or too long.
--- a/crates/proxy/src/net/driver/attempts.rs
+++ b/crates/proxy/src/net/driver/attempts.rs
@@ -30,9 +30,10 @@
 }
 
 impl Driver {
-    /// Whether the first byte of this attempt may be written now; checked once the connection is open. Until then the call
-    /// may have ended, a deadline may have passed, the client may have disconnected, and the endpoint may have begun to
-    /// drain or have been replaced by another process. After a stall of this process the endpoint list may be out of date.
+    /// Whether the first byte of this attempt may be written now; checked once the connection is open. Until then the
+    /// call may have ended, a deadline may have passed, the client may have disconnected, and the endpoint may have
+    /// begun to drain or have been replaced by another process. After a stall of this process the endpoint list may be
+    /// out of date.
     pub fn may_start(&self, call: CallId, attempt: u32, generation: u64) -> bool {
         let client = self
             .core
@@ -71,8 +72,8 @@
 
     /// Records the result of an attempt whose task has ended. Only the first result of an attempt counts.
     pub fn attempt_ended(&self, call: CallId, attempt: u32, result: AttemptResult) {
-        // This is also called when a task is dropped. If that happens while the core is borrowed, the attempt ends at its
-        // deadline instead: a panic here during another panic would abort the program.
+        // This is also called when a task is dropped. If that happens while the core is borrowed, the attempt ends at
+        // its deadline instead: a panic here during another panic would abort the program.
         let Ok(mut core) = self.core.try_borrow_mut() else {
             return;
         };
@@ -139,8 +140,8 @@
     ) -> AbortHandle {
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            // If the task is dropped, the request may have been executed. Without the guard its call would go on to wait
-            // for this attempt until its deadline.
+            // If the task is dropped, the request may have been executed. Without the guard its call would go on to
+            // wait for this attempt until its deadline.
             let mut guard = OutcomeGuard {
                 driver,
                 call,
@@ -179,8 +180,8 @@
 }
 
 impl Core {
-    /// Records the result of an attempt, stops its task and queues the event for the balancer. Returns false if the attempt
-    /// had ended before.
+    /// Records the result of an attempt, stops its task and queues the event for the balancer. Returns false if the
+    /// attempt had ended before.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
--- a/crates/proxy/src/net/driver/calls.rs
+++ b/crates/proxy/src/net/driver/calls.rs
@@ -12,12 +12,17 @@
 
 /// What the balancer needs to know of a request to start its call.
 pub struct NewCall {
+    /// The client that waits for the answer.
     pub client: Rc<dyn Client>,
+    /// The class of the call.
     pub class: ClassId,
+    /// The name of the tenant, if the request names one. Unknown tenants are ignored.
     pub tenant: Option<String>,
+    /// When the call must have ended, on the driver's clock.
     pub deadline: Micros,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
+    /// The restrictions of the operator for this call.
     pub policy: CallPolicy,
 }
 
@@ -165,8 +170,8 @@
 }
 
 impl Core {
-    /// Gives the final answer of a call unless it has one already. `None` ends the call without an answer, as its client
-    /// has disconnected.
+    /// Gives the final answer of a call unless it has one already. `None` ends the call without an answer, as its
+    /// client has disconnected.
     pub(super) fn finish_call(&mut self, id: CallId, answer: Option<Answer>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/proxy/src/net/driver/membership.rs
+++ b/crates/proxy/src/net/driver/membership.rs
@@ -39,8 +39,8 @@
 }
 
 impl Endpoint {
-    /// An entry for an endpoint from the operator's file. `since_ms` is the start time of the endpoint in milliseconds of Unix
-    /// time, as in the list; 0 for an endpoint that has been running for long.
+    /// An entry for an endpoint from the operator's file. `since_ms` is the start time of the endpoint in milliseconds
+    /// of Unix time, as in the list; 0 for an endpoint that has been running for long.
     pub fn fixed(endpoint: &badgerramp_config::Endpoint, since_ms: u64) -> Self {
         Endpoint {
             name: endpoint.name.clone(),
@@ -58,8 +58,8 @@
         KNOWN_STATUSES.contains(&self.status.as_str())
     }
 
-    /// The status for the balancer. An endpoint with an unknown status is treated as draining, so that it receives no new
-    /// calls.
+    /// The status for the balancer. An endpoint with an unknown status is treated as draining, so that it receives no
+    /// new calls.
     fn endpoint_status(&self) -> EndpointStatus {
         match self.status.as_str() {
             STATUS_UP => EndpointStatus::Ready,
@@ -81,10 +81,12 @@
 /// A response of the list service: the complete list, or the changes since an index.
 #[derive(Debug, Deserialize)]
 pub struct List {
+    /// The index of the list: the next poll requests the changes after it.
     pub index: u64,
     /// Whether this is the complete list.
     #[serde(default)]
     pub snapshot: bool,
+    /// The entries of the list, or those that changed.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -181,8 +183,8 @@
         Some(id)
     }
 
-    /// Applies an entry of the list, and opens or closes the endpoint to connections accordingly. Returns the entry in the
-    /// balancer's form; `None` if an unknown endpoint was removed.
+    /// Applies an entry of the list, and opens or closes the endpoint to connections accordingly. Returns the entry in
+    /// the balancer's form; `None` if an unknown endpoint was removed.
     fn update_endpoint(
         &mut self,
         endpoint: &Endpoint,
@@ -208,8 +210,8 @@
         } else {
             listed_status
         };
-        // A new start time under the same name means a new process, and connections that are open go to the old process or
-        // to the old address.
+        // A new start time under the same name means a new process, and connections that are open go to the old process
+        // or to the old address.
         if status != EndpointStatus::Ready {
             pool.remove_endpoint(id);
         } else if state.status != EndpointStatus::Ready
--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -133,6 +133,7 @@
         }
     }
 
+    /// The clock that all times of the driver refer to.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -156,8 +157,8 @@
         self.run_with(&mut self.core.borrow_mut());
     }
 
-    /// Passes the queued events to the balancer in order and executes its actions, until no event is left: an action may
-    /// queue further events.
+    /// Passes the queued events to the balancer in order and executes its actions, until no event is left: an action
+    /// may queue further events.
     fn run_with(&self, core: &mut Core) {
         let first_timer = core.timers.first().copied();
         while let Some(event) = core.events.pop_front() {
--- a/crates/proxy/src/net/driver/reconfiguration.rs
+++ b/crates/proxy/src/net/driver/reconfiguration.rs
@@ -5,8 +5,8 @@
 use badgerramp_decisions::{ClassId, Event, Settings};
 
 impl Driver {
-    /// Applies new settings to requests from now on. `redefined_classes` are the class ids that belonged to other classes
-    /// before.
+    /// Applies new settings to requests from now on. `redefined_classes` are the class ids that belonged to other
+    /// classes before.
     pub fn reconfigure(
         &self,
         mut settings: Settings,
--- a/crates/proxy/src/net/driver/subset.rs
+++ b/crates/proxy/src/net/driver/subset.rs
@@ -13,8 +13,8 @@
 }
 
 impl Driver {
-    /// Checks whether the process was stalled, and adjusts the size of the subset. To be called periodically: the next call
-    /// is expected in `next` microseconds.
+    /// Checks whether the process was stalled, and adjusts the size of the subset. To be called periodically: the next
+    /// call is expected in `next` microseconds.
     pub fn tick(&self, next: Micros) {
         let mut core = self.core.borrow_mut();
         let now = self.clock.now();
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Recomputes the subset after a change of the list, and passes the changes to the balancer. `changed` are the ids of the
-    /// endpoints that were listed, updated or removed.
+    /// Recomputes the subset after a change of the list, and passes the changes to the balancer. `changed` are the ids
+    /// of the endpoints that were listed, updated or removed.
     pub(super) fn apply_list_change(&mut self, now: Micros, kind: ListUpdateKind, changed: &[u32]) {
         let Some(view) = &mut self.subset else { return };
         let changes = view.subset.apply_list_change(now, changed);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Queues events for the balancer: the changes of the subset, and the number of proxies that share its members if that
-    /// has changed significantly.
+    /// Queues events for the balancer: the changes of the subset, and the number of proxies that share its members if
+    /// that has changed significantly.
     fn send_subset_changes(&mut self, kind: ListUpdateKind, changes: &MembershipChange) {
         let removed = |&id: &u32| {
             let entry = self
@@ -135,8 +135,8 @@
     }
 }
 
-/// Whether the number of sharing proxies differs by more than a quarter from the one that was last passed to the balancer.
-/// Smaller changes are not worth a reconfiguration.
+/// Whether the number of sharing proxies differs by more than a quarter from the one that was last passed to the
+/// balancer. Smaller changes are not worth a reconfiguration.
 pub(super) fn differs_significantly(sharing: u32, last_sent: u32) -> bool {
     sharing.abs_diff(last_sent) * 4 > last_sent
 }
--- a/crates/proxy/src/net/driver/tests.rs
+++ b/crates/proxy/src/net/driver/tests.rs
@@ -110,7 +110,8 @@
     );
 }
 
-/// The start times of endpoints are Unix time. With a clock of another origin, slow start would be skipped or never end.
+/// The start times of endpoints are Unix time. With a clock of another origin, slow start would be skipped or never
+/// end.
 #[test]
 fn the_clock_and_the_start_times_of_endpoints_are_unix_time() {
     let unix = SystemTime::now()
@@ -132,8 +133,8 @@
     );
 }
 
-/// Where endpoints are replaced all day, memory would grow if removed ones were kept. Their ids must not be reused, even for
-/// the same name: the outcome of an attempt that is still in flight would be attributed to another endpoint.
+/// Where endpoints are replaced all day, memory would grow if removed ones were kept. Their ids must not be reused,
+/// even for the same name: the outcome of an attempt that is still in flight would be attributed to another endpoint.
 #[tokio::test(flavor = "current_thread")]
 async fn a_removed_endpoint_is_forgotten_and_its_id_is_not_reused() {
     let driver = driver();
@@ -157,8 +158,8 @@
     assert_ne!(driver.core.borrow().endpoint_ids["s49"], id);
 }
 
-/// In a large fleet the balancer knows only the members of the subset. Members that drain, return or are removed change the
-/// subset at once.
+/// In a large fleet the balancer knows only the members of the subset. Members that drain, return or are removed change
+/// the subset at once.
 #[tokio::test(flavor = "current_thread")]
 async fn the_balancer_receives_only_the_subset_and_each_change_of_it() {
     let instance = badgerramp_subset::Instance {
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -5,8 +5,8 @@
 use badgerramp_decisions::{CallId, Event, Micros, Outcome};
 
 /// What a timer is for. The order of the variants matters for timers that are due at the same time: attempts time out
-/// first, so that the balancer can end the call; then the balancer's timer fires; only then is a call that is still open
-/// ended by the driver.
+/// first, so that the balancer can end the call; then the balancer's timer fires; only then is a call that is still
+/// open ended by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
     AttemptDeadline(CallId, u32),
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The I/O around the decisions: sockets, clock, timers, HTTP and gossip. All decisions are made by the crates without I/O.
+//! The I/O around the decisions: sockets, clock, timers, HTTP and gossip. All decisions are made by the crates without
+//! I/O.
 
 pub mod admission_gate;
 pub mod client_connection;
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -83,8 +83,8 @@
     pending_poll: Option<PendingPoll>,
 }
 
-/// Keeps the endpoint list up to date by gossip until `leave` is notified. `service` is the address of the list service,
-/// which may change.
+/// Keeps the endpoint list up to date by gossip until `leave` is notified. `service` is the address of the list
+/// service, which may change.
 pub async fn run(
     driver: Driver,
     network: Rc<dyn Network>,
--- a/crates/proxy/src/net/rules/head.rs
+++ b/crates/proxy/src/net/rules/head.rs
@@ -31,7 +31,8 @@
     to_origin_form(parts)
 }
 
-/// Converts a target in absolute form to origin form; the host that it names replaces the `Host` header (RFC 9112, 3.2.2).
+/// Converts a target in absolute form to origin form; the host that it names replaces the `Host` header (RFC 9112,
+/// 3.2.2).
 fn to_origin_form(parts: &mut Parts) -> Result<(), Rejection> {
     let Some(authority) = parts.uri.authority() else {
         return Ok(());
--- a/crates/proxy/src/net/rules/mod.rs
+++ b/crates/proxy/src/net/rules/mod.rs
@@ -24,23 +24,30 @@
 /// An admitted request.
 #[derive(Debug)]
 pub struct Admitted {
+    /// The class of the call.
     pub class: ClassId,
+    /// The name of the tenant, if the request names one.
     pub tenant: Option<String>,
     /// The request id, if ids must be unique among the requests in flight.
     pub id: Option<HeaderValue>,
     /// The time from the last byte of the request to the final answer, in microseconds.
     pub timeout: Micros,
-    /// The declared length of the body; `None` if the request does not declare it.
+    /// The length of the body; `None` if it is not known before the body has been read.
     pub body_len: Option<usize>,
+    /// The maximum length of the body, in bytes.
     pub max_body_len: usize,
+    /// The restrictions of the operator for this call.
     pub policy: CallPolicy,
+    /// The options of its attempts.
     pub options: Rc<AttemptOptions>,
 }
 
 /// The response to a request that is not admitted.
 #[derive(Debug)]
 pub struct Rejection {
+    /// The status of the response.
     pub status: StatusCode,
+    /// The body of the response; for a retryable rejection, the reason in the log.
     pub text: Cow<'static, str>,
     /// Whether the connection is closed after the response, as the data that follows may not be a request.
     pub close: bool,
@@ -70,7 +77,9 @@
 
 /// The rules that requests are admitted under.
 pub enum Rules {
+    /// The rules of the platform.
     Platform(Platform),
+    /// The rules of a sidecar, from one operator's file.
     Sidecar(Box<Sidecar>),
     /// During a policy change: only what both policies admit, under the stricter limits of both.
     Transition(Box<TransitionRules>),
@@ -79,8 +88,8 @@
 }
 
 impl Rules {
-    /// Admits or rejects a request by its head. The sidecar's rules also remove the headers that are not forwarded and add
-    /// those that each forwarded request has.
+    /// Admits or rejects a request by its head. The sidecar's rules also remove the headers that are not forwarded and
+    /// add those that each forwarded request has.
     ///
     /// # Errors
     /// If the request is not admitted.
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -39,8 +39,8 @@
 }
 
 impl Platform {
-    /// Creates the rules from the platform's settings. An operator's file can restrict them further, by the limits of each
-    /// class and by routes.
+    /// Creates the rules from the platform's settings. An operator's file can restrict them further, by the limits of
+    /// each class and by routes.
     pub fn new(
         platform_settings: &PlatformSettings,
         operator_limits: Option<(Vec<Timing>, Table)>,
@@ -131,8 +131,8 @@
                 ))
             }
         };
-        // hyper removes `Content-Length` if there is also a `Transfer-Encoding`, so that conflicts between the two can't be
-        // detected here. Only requests that are framed by their length are admitted.
+        // hyper removes `Content-Length` if there is also a `Transfer-Encoding`, so that conflicts between the two
+        // can't be detected here. Only requests that are framed by their length are admitted.
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Err(reject(StatusCode::LENGTH_REQUIRED, "no transfer coding"));
         }
@@ -166,8 +166,8 @@
         })
     }
 
-    /// The limits of a request: those of its route, or else of its class. The class is given by the path, so that a route of
-    /// another class does not apply.
+    /// The limits of a request: those of its route, or else of its class. The class is given by the path, so that a
+    /// route of another class does not apply.
     fn limits(&self, class: usize, parts: &Parts, client: IpAddr) -> &Limits {
         let class_limits = &self.classes[class].limits;
         let Some((table, route_limits)) = &self.routes else {
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -33,8 +33,8 @@
 }
 
 impl Sidecar {
-    /// Creates the rules of an operator's file. `class_ids` are the ids of its classes, in the order of the file; `seed` seeds
-    /// the generator of request ids.
+    /// Creates the rules of an operator's file. `class_ids` are the ids of its classes, in the order of the file;
+    /// `seed` seeds the generator of request ids.
     pub fn new(config: Config, class_ids: Vec<ClassId>, seed: u64) -> Self {
         let max_body_len = config.limits.body;
         let options = |route: &Route| AttemptOptions {
--- a/crates/proxy/src/net/server/accept.rs
+++ b/crates/proxy/src/net/server/accept.rs
@@ -13,10 +13,11 @@
 
 /// How long connections are accepted after the start of a shutdown, before the listener's queue is emptied.
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(450);
-/// A shutdown ends once no request has been in flight for this long: clients that are still connected have nothing to send.
+/// A shutdown ends once no request has been in flight for this long: clients that are still connected have nothing to
+/// send.
 const SHUTDOWN_QUIET_TIME: Duration = Duration::from_millis(100);
-/// How long the server waits, from the start of a shutdown, for requests that are still being received. No client relies on a
-/// response to a later request. Set by the protocol of the platform.
+/// How long the server waits, from the start of a shutdown, for requests that are still being received. No client
+/// relies on a response to a later request. Set by the protocol of the platform.
 const SHUTDOWN_REQUEST_TIME: Duration = Duration::from_millis(700);
 /// How long accepting is paused at capacity, or if the system has no descriptor left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
@@ -34,8 +35,8 @@
                     None => std::future::pending().await,
                 }
             };
-            // At capacity, clients wait in the listener's queue. A place becomes free soon, as rejected and evicted connections
-            // are closed.
+            // At capacity, clients wait in the listener's queue. A place becomes free soon, as rejected and evicted
+            // connections are closed.
             let has_capacity =
                 self.clients.count() < self.max_connections + self.max_excess_connections;
             if !has_capacity && self.clients.evicting() == 0 {
@@ -47,8 +48,8 @@
                 biased;
                 () = &mut stop, if accept_until.is_none() => {
                     // From now on each response closes its connection, and idle connections are closed at once, except
-                    // those that await their first request. New connections are still accepted, so that clients can move
-                    // to another proxy before the listener is closed.
+                    // those that await their first request. New connections are still accepted, so that clients can
+                    // move to another proxy before the listener is closed.
                     let now = Instant::now();
                     accept_until = Some(now + SHUTDOWN_ACCEPT_TIME);
                     let _ = shutdown_sender.send(Some(now + SHUTDOWN_REQUEST_TIME));
@@ -64,8 +65,8 @@
         }
         self.accept_queued(&*listener, &shutdown).await;
         drop(listener);
-        // A connection with an incomplete request may stay open indefinitely, and must not delay the shutdown until the process
-        // is killed.
+        // A connection with an incomplete request may stay open indefinitely, and must not delay the shutdown until the
+        // process is killed.
         let mut busy_at = Instant::now();
         let requests_until = shutdown.borrow().unwrap_or(busy_at);
         while self.clients.count() > 0 && busy_at.elapsed() < SHUTDOWN_QUIET_TIME {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Accepts the connections in the listener's queue, which the system would reset when the listener is closed. Yields first,
-    /// as the runtime learns of new connections only when it polls all sockets.
+    /// Accepts the connections in the listener's queue, which the system would reset when the listener is closed.
+    /// Yields first, as the runtime learns of new connections only when it polls all sockets.
     async fn accept_queued(
         self: &Rc<Self>,
         listener: &dyn Listener,
@@ -106,8 +107,8 @@
         if self.clients.evicting() == 0 {
             self.clients.evict_idle(self.driver.clock().now());
         }
-        // An evicted connection keeps its descriptor until its task has closed it. Accepting again at once would evict all
-        // others as well.
+        // An evicted connection keeps its descriptor until its task has closed it. Accepting again at once would evict
+        // all others as well.
         let _ = tokio::time::timeout(ACCEPT_PAUSE, self.clients.connection_closed()).await;
     }
 }
--- a/crates/proxy/src/net/server/connection.rs
+++ b/crates/proxy/src/net/server/connection.rs
@@ -99,8 +99,9 @@
         self.clients.unregister(&client);
     }
 
-    /// Drives a connection to its end. If it is to be closed, this happens between requests only if no byte of a request has
-    /// arrived, including bytes that have not been read from the socket; otherwise its next response closes it.
+    /// Drives a connection to its end. If it is to be closed, this happens between requests only if no byte of a
+    /// request has arrived, including bytes that have not been read from the socket; otherwise its next response closes
+    /// it.
     async fn drive_connection<S>(
         &self,
         connection: http1::Connection<TokioIo<ObservedStream>, S>,
--- a/crates/proxy/src/net/server/mod.rs
+++ b/crates/proxy/src/net/server/mod.rs
@@ -1,7 +1,7 @@
 //! The server for clients: accepts connections, reads requests, passes them to the driver and writes the responses.
 //!
-//! This module owns the listener and the connections of clients. The rules and the balancer decide whether a call is admitted,
-//! forwarded or retried.
+//! This module owns the listener and the connections of clients. The rules and the balancer decide whether a call is
+//! admitted, forwarded or retried.
 //!
 //! - `accept`: the accept loop and the graceful shutdown.
 //! - `connection`: one connection, from accept to close.
@@ -29,10 +29,11 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// During a shutdown, the time until which the server waits for requests that are still being received; otherwise `None`.
+/// During a shutdown, the time until which the server waits for requests that are still being received; otherwise
+/// `None`.
 type ShutdownDeadline = Option<Instant>;
 
-/// The server for clients.
+/// The server for clients of the proxy.
 pub struct Server {
     /// Executes the calls.
     pub driver: Driver,
@@ -44,10 +45,11 @@
     pub clients: ClientConnections,
     /// The rules that requests are admitted under. A reload replaces them.
     pub rules: RefCell<Rc<Rules>>,
-    /// If the control plane manages the policy, decides whether calls may start and under which rules, in place of `rules`.
+    /// If the control plane manages the policy, decides whether calls may start and under which rules, in place of
+    /// `rules`.
     pub gate: Option<Rc<AdmissionGate>>,
-    /// Whether requests and responses are plain HTTP: responses keep their status and headers, and `Retry-After` is in whole
-    /// seconds. Otherwise they have the platform's format.
+    /// Whether requests and responses are plain HTTP: responses keep their status and headers, and `Retry-After` is in
+    /// whole seconds. Otherwise they have the platform's format.
     pub plain_http: bool,
     /// The limit of memory for bodies.
     pub memory_budget: Rc<MemoryBudget>,
@@ -55,8 +57,8 @@
     pub in_flight_ids: RefCell<HashSet<HeaderValue>>,
     /// The `Retry-After` of rejections for which the balancer gives none, in microseconds; 0 omits the header.
     pub default_retry_after: Cell<Micros>,
-    /// The maximum number of connections that are served. At most a third of the descriptors may be used for clients: with
-    /// more idle clients, there would be none left for connections to endpoints, and requests could not be served.
+    /// The maximum number of connections that are served. At most a third of the descriptors may be used for clients:
+    /// with more idle clients, there would be none left for connections to endpoints, and requests could not be served.
     pub max_connections: usize,
     /// The maximum number of further connections, which are accepted only to reject their requests.
     pub max_excess_connections: usize,
--- a/crates/proxy/src/net/server/request.rs
+++ b/crates/proxy/src/net/server/request.rs
@@ -24,14 +24,14 @@
 struct PendingAdmission<'a> {
     gate: &'a AdmissionGate,
     provisional: ProvisionalAdmission,
-    /// The head as received, in case the request must be admitted again. `None` for a request without a body, whose call
-    /// starts before anything can change.
+    /// The head as received, in case the request must be admitted again. `None` for a request without a body, whose
+    /// call starts before anything can change.
     original: Option<Parts>,
 }
 
 impl Server {
-    /// Handles one request. `received_at` is when its first byte was received; for the first request of a connection, when the
-    /// client connected.
+    /// Handles one request. `received_at` is when its first byte was received; for the first request of a connection,
+    /// when the client connected.
     pub(super) async fn handle_request(
         &self,
         request: hyper::Request<Incoming>,
@@ -145,8 +145,8 @@
         Ok(())
     }
 
-    /// Confirms the admission of the request, or admits it again: another policy may have come into force while its body was
-    /// being received. Returns the start time of the call.
+    /// Confirms the admission of the request, or admits it again: another policy may have come into force while its
+    /// body was being received. Returns the start time of the call.
     fn confirm(
         &self,
         pending: Option<PendingAdmission<'_>>,
--- a/crates/proxy/src/net/server/request_error.rs
+++ b/crates/proxy/src/net/server/request_error.rs
@@ -4,8 +4,8 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why no call is started for a request. [`RequestError::Rejected`] and [`RequestError::Shed`] have their own responses; the
-/// display text of any other error is the body of its response.
+/// Why no call is started for a request. [`RequestError::Rejected`] and [`RequestError::Shed`] have their own
+/// responses; the display text of any other error is the body of its response.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
     /// The rules do not admit the request.
--- a/crates/proxy/src/net/server/response.rs
+++ b/crates/proxy/src/net/server/response.rs
@@ -33,8 +33,8 @@
         match answer {
             Ok(Answer::Served(response)) => self.forward(response),
             Ok(Answer::Rejected { retry_after }) => self.shed(retry_after),
-            // Clients take these two statuses to mean that the request was not executed and can safely be retried. That is not
-            // known of a failed call.
+            // Clients take these two statuses to mean that the request was not executed and can safely be retried. That
+            // is not known of a failed call.
             Ok(Answer::Failed(Some(response)))
                 if ![429, 503].contains(&response.status.as_u16()) =>
             {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Converts the response of an endpoint to the response to the client. On the platform only its body and content type are
-    /// forwarded.
+    /// Converts the response of an endpoint to the response to the client. On the platform only its body and content
+    /// type are forwarded.
     fn forward(&self, upstream: UpstreamResponse) -> Response<Full<Bytes>> {
         let UpstreamResponse {
             status,
@@ -102,8 +102,8 @@
         response
     }
 
-    /// The response to a request that is not executed and may be retried after the time in `Retry-After`. If `retry_after` is 0,
-    /// the default is used.
+    /// The response to a request that is not executed and may be retried after the time in `Retry-After`. If
+    /// `retry_after` is 0, the default is used.
     pub(super) fn shed(&self, retry_after: Micros) -> Response<Full<Bytes>> {
         let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
         let wait = if retry_after == 0 {
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,5 +1,6 @@
-//! The abstraction of the network: streams that can be inspected while the HTTP library uses them, and the traits that open
-//! and accept them. The program uses the implementations for TCP sockets of this module; a simulation provides others.
+//! The abstraction of the network: streams that can be inspected while the HTTP library uses them, and the traits that
+//! open and accept them. The program uses the implementations for TCP sockets of this module; a simulation provides
+//! others.
 
 use socket2::SockRef;
 use std::future::Future;
@@ -23,16 +24,16 @@
     /// Shuts down the write side.
     fn shutdown(&self);
 
-    /// Whether there is nothing to read: no received data, and no end of the stream. This checks the socket itself, as the
-    /// runtime knows only the readiness that it polled last.
-    fn quiet(&self) -> bool;
+    /// Whether there is nothing to read: no received data, and no end of the stream. This checks the socket itself, as
+    /// the runtime knows only the readiness that it polled last.
+    fn nothing_to_read(&self) -> bool;
 
     /// Reads received data from the socket without waiting, and without regard to the readiness that the runtime knows.
     /// Returns 0 at the end of the stream.
     ///
     /// # Errors
     /// [`io::ErrorKind::WouldBlock`] if there is nothing to read, or the error of the socket.
-    fn take(&self, buf: &mut [u8]) -> io::Result<usize>;
+    fn try_read(&self, buf: &mut [u8]) -> io::Result<usize>;
 
     /// The IP address of the other side.
     fn peer(&self) -> Option<IpAddr>;
@@ -53,9 +54,9 @@
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>>;
 }
 
-/// Clears the readiness of a socket after a read that did not fill its buffer, and so has read all received data. The next
-/// read then needs no system call before new data arrives. No event is lost: readiness is edge-triggered, so that the runtime
-/// is notified of new data, and the end of the stream is kept.
+/// Clears the readiness of a socket after a read that did not fill its buffer, and so has read all received data. The
+/// next read then needs no system call before new data arrives. No event is lost: readiness is edge-triggered, so that
+/// the runtime is notified of new data, and the end of the stream is kept.
 trait ClearReadiness {
     fn clear_readiness(&self);
 }
@@ -103,13 +104,13 @@
         let _ = SockRef::from(self).shutdown(std::net::Shutdown::Write);
     }
 
-    fn quiet(&self) -> bool {
+    fn nothing_to_read(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         // The socket is non-blocking, as are all sockets of the runtime.
         matches!(SockRef::from(self).peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
+    fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
         (&*SockRef::from(self)).read(buf)
     }
 
--- a/crates/proxy/src/net/upstream/attempt.rs
+++ b/crates/proxy/src/net/upstream/attempt.rs
@@ -15,8 +15,8 @@
 
 const X_TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
 
-/// Makes one attempt and returns its result. `time_left` returns the time until the deadline of the attempt; `may_start` is
-/// called right before the first byte is written.
+/// Makes one attempt and returns its result. `time_left` returns the time until the deadline of the attempt;
+/// `may_start` is called right before the first byte is written.
 pub async fn attempt(
     pool: &ConnectionPool,
     target: AttemptTarget,
--- a/crates/proxy/src/net/upstream/body.rs
+++ b/crates/proxy/src/net/upstream/body.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 
 /// Reads the body of a response if its framing proves that it is complete: a body that is delimited by the end of the
-/// connection may have been truncated, and a body with both `Content-Length` and `Transfer-Encoding` is ambiguous (RFC 9112,
-/// 6.3). Other bodies are not read to their end.
+/// connection may have been truncated, and a body with both `Content-Length` and `Transfer-Encoding` is ambiguous (RFC
+/// 9112, 6.3). Other bodies are not read to their end.
 ///
 /// # Errors
 /// If the body is not provably complete, is larger than `max_body_len` or the memory budget, or the connection breaks.
--- a/crates/proxy/src/net/upstream/connection.rs
+++ b/crates/proxy/src/net/upstream/connection.rs
@@ -32,14 +32,16 @@
 }
 
 impl UpstreamConnection {
-    /// Checks whether the connection is open and ready for a request. The socket itself is checked for received data: the
-    /// runtime may not have been notified of it yet, and hyper would read the duplicate of an earlier response as the
-    /// response to the next request.
+    /// Checks whether the connection is open and ready for a request. The socket itself is checked for received data:
+    /// the runtime may not have been notified of it yet, and hyper would read the duplicate of an earlier response as
+    /// the response to the next request.
     pub(super) async fn state(&mut self) -> ConnectionState {
         match self.poll_state().await {
-            ConnectionState::Ready if self.stream.quiet() => ConnectionState::Ready,
+            ConnectionState::Ready if self.stream.nothing_to_read() => ConnectionState::Ready,
             // The byte that is consumed here is not needed: the connection is closed in any case.
-            ConnectionState::Ready if self.stream.take(&mut [0]).is_ok_and(|count| count > 0) => {
+            ConnectionState::Ready
+                if self.stream.try_read(&mut [0]).is_ok_and(|count| count > 0) =>
+            {
                 ConnectionState::UnsolicitedData
             }
             ConnectionState::Ready => ConnectionState::Closed,
@@ -47,8 +49,8 @@
         }
     }
 
-    /// The same as [`UpstreamConnection::state`], but without checking the socket for data that the runtime has not been
-    /// notified of.
+    /// The same as [`UpstreamConnection::state`], but without checking the socket for data that the runtime has not
+    /// been notified of.
     pub(super) async fn poll_state(&mut self) -> ConnectionState {
         match poll_fn(|cx| Poll::Ready(Pin::new(&mut self.http_connection).poll(cx))).await {
             Poll::Pending if self.sender.is_ready() => ConnectionState::Ready,
@@ -93,8 +95,9 @@
         });
         let http_connection = &mut self.http_connection;
         poll_fn(|cx| {
-            // The first poll passes the request to the connection. The second polls the connection, which writes the request
-            // and reads the response. The third receives a response that arrived together with the end of the connection.
+            // The first poll passes the request to the connection. The second polls the connection, which writes the
+            // request and reads the response. The third receives a response that arrived together with the end of the
+            // connection.
             if let Poll::Ready(result) = exchange.as_mut().poll(cx) {
                 return Poll::Ready(result);
             }
--- a/crates/proxy/src/net/upstream/exchange.rs
+++ b/crates/proxy/src/net/upstream/exchange.rs
@@ -25,8 +25,8 @@
 
 /// The client that waits for the response to a request.
 pub trait Client {
-    /// Whether the client is still connected. This checks the socket itself, as the runtime may not have been notified of a
-    /// close yet.
+    /// Whether the client is still connected. This checks the socket itself, as the runtime may not have been notified
+    /// of a close yet.
     fn is_connected(&self) -> bool;
 }
 
--- a/crates/proxy/src/net/upstream/headers.rs
+++ b/crates/proxy/src/net/upstream/headers.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Whether a header is forwarded. Headers that apply to a single connection (RFC 9110, 7.6.1) and headers that the proxy sets
-/// itself are not.
+/// Whether a header is forwarded. Headers that apply to a single connection (RFC 9110, 7.6.1) and headers that the
+/// proxy sets itself are not.
 fn is_end_to_end(name: &HeaderName) -> bool {
     !matches!(
         name.as_str(),
--- a/crates/proxy/src/net/upstream/idle_failures.rs
+++ b/crates/proxy/src/net/upstream/idle_failures.rs
@@ -8,11 +8,11 @@
 pub(super) const IDLE_TIME_BUCKETS: usize = 11;
 /// Time constant of the exponential decay of the counts, in microseconds.
 const DECAY_TIME: f64 = 30e6;
-/// Successful requests that are assumed for each bucket in addition to the recorded ones, so that a few failures do not count
-/// much.
+/// Successful requests that are assumed for each bucket in addition to the recorded ones, so that a few failures do not
+/// count much.
 const PRIOR_REQUESTS: f64 = 8.0;
-/// The share of failures above that of the first bucket up to which connections are reused: opening a new connection costs an
-/// endpoint as much as a tenth of a call or more.
+/// The share of failures above that of the first bucket up to which connections are reused: opening a new connection
+/// costs an endpoint as much as a tenth of a call or more.
 const MAX_EXCESS_FAILURE_SHARE: f64 = 0.1;
 
 /// Decaying counts of requests on connections that had been idle for about the same time.
@@ -28,8 +28,9 @@
     }
 }
 
-/// How often reused connections failed during a request, by how long they had been idle. The settings give the idle timeout
-/// of the endpoints; endpoints that drop idle connections earlier, without closing them, are noticed only by these failures.
+/// How often reused connections failed during a request, by how long they had been idle. The settings give the idle
+/// timeout of the endpoints; endpoints that drop idle connections earlier, without closing them, are noticed only by
+/// these failures.
 #[derive(Debug, Default)]
 pub(super) struct IdleFailureStats {
     buckets: [Bucket; IDLE_TIME_BUCKETS],
@@ -54,8 +55,8 @@
         }
     }
 
-    /// The idle time above which the failures of reused connections cost more than new connections. The first bucket is the
-    /// baseline: connections that were hardly idle fail for other reasons.
+    /// The idle time above which the failures of reused connections cost more than new connections. The first bucket is
+    /// the baseline: connections that were hardly idle fail for other reasons.
     pub(super) fn max_idle_time(&self) -> Micros {
         let limit = self.buckets[0].failure_share() + MAX_EXCESS_FAILURE_SHARE;
         let failing =
--- a/crates/proxy/src/net/upstream/load_report.rs
+++ b/crates/proxy/src/net/upstream/load_report.rs
@@ -15,9 +15,9 @@
 
 /// Parses a load report; malformed parts are skipped.
 ///
-/// Each value has two names: that of the columns in the settings (such as `active`) and that of the protocol's example (such
-/// as `inflight`). Endpoints that use the latter would otherwise seem to send no reports, and be overloaded until calls time
-/// out.
+/// Each value has two names: that of the columns in the settings (such as `active`) and that of the protocol's example
+/// (such as `inflight`). Endpoints that use the latter would otherwise seem to send no reports, and be overloaded until
+/// calls time out.
 fn parse(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     let text = value.to_str().unwrap_or_default();
--- a/crates/proxy/src/net/upstream/mod.rs
+++ b/crates/proxy/src/net/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Attempts at endpoints and the connections they go over.
 //!
-//! A connection is driven by the attempt that uses it and has no task of its own, so that dropping the attempt closes the
-//! connection. This module owns the connections. It neither picks endpoints nor retries: no request is sent twice.
+//! A connection is driven by the attempt that uses it and has no task of its own, so that dropping the attempt closes
+//! the connection. This module owns the connections. It neither picks endpoints nor retries: no request is sent twice.
 //!
 //! - `attempt`: one attempt, from checking out a connection to classifying the response.
 //! - `pool`: idle connections, and opening new ones.
--- a/crates/proxy/src/net/upstream/pool.rs
+++ b/crates/proxy/src/net/upstream/pool.rs
@@ -19,8 +19,8 @@
 /// The maximum length of a response head, and of the part of a body that is read at once, in bytes.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
-/// After unsolicited data, the minimum idle time before a connection is reused, in microseconds. A duplicate of the last
-/// response arrives some milliseconds after it, and would be read as the response to the next request.
+/// After unsolicited data, the minimum idle time before a connection is reused, in microseconds. A duplicate of the
+/// last response arrives some milliseconds after it, and would be read as the response to the next request.
 const REUSE_DELAY: Micros = 10_000;
 /// How long reuse is delayed after unsolicited data was received on any connection, in microseconds.
 const REUSE_DELAY_PERIOD: Micros = 30_000_000;
@@ -41,8 +41,8 @@
 
 /// The connection pool of all endpoints.
 pub struct ConnectionPool {
-    /// Idle connections, with the one that was used last at the end. A sorted map, so that the choice of the connection to
-    /// evict does not depend on the hashes of ids.
+    /// Idle connections, with the one that was used last at the end. A sorted map, so that the choice of the connection
+    /// to evict does not depend on the hashes of ids.
     idle: RefCell<BTreeMap<EndpointId, Vec<UpstreamConnection>>>,
     /// The current generation of each endpoint to which connections are allowed.
     generations: RefCell<BTreeMap<EndpointId, u64>>,
@@ -76,7 +76,8 @@
             descriptors,
             clock,
             limits: IdleLimits {
-                // Three quarters of the endpoints' idle timeout, after which an endpoint may close a connection at any time.
+                // Three quarters of the endpoints' idle timeout, after which an endpoint may close a connection at any
+                // time.
                 time: (transport.conn_idle / 4 * 3).min(limits.time),
                 ..limits
             },
@@ -89,8 +90,8 @@
         self.generations.borrow_mut().insert(endpoint, generation);
     }
 
-    /// Closes the idle connections to an endpoint; those in use are closed when they are checked in. A draining endpoint would
-    /// otherwise keep connections that are not used any more.
+    /// Closes the idle connections to an endpoint; those in use are closed when they are checked in. A draining
+    /// endpoint would otherwise keep connections that are not used any more.
     pub fn remove_endpoint(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
         self.generations.borrow_mut().remove(&endpoint);
@@ -153,8 +154,8 @@
             .min(self.idle_failures.borrow().max_idle_time())
     }
 
-    /// Takes the idle connection that was used last and is ready for a request. Connections whose reuse is delayed stay in the
-    /// pool.
+    /// Takes the idle connection that was used last and is ready for a request. Connections whose reuse is delayed stay
+    /// in the pool.
     pub(super) async fn check_out(&self, target: &AttemptTarget) -> Option<UpstreamConnection> {
         let max_idle_time = self.max_idle_time();
         loop {
--- a/crates/proxy/src/net/upstream/tests.rs
+++ b/crates/proxy/src/net/upstream/tests.rs
@@ -25,8 +25,8 @@
     attempt_with_limits(text, may_start, idle_limits(16, Micros::MAX)).0
 }
 
-/// The same with these limits of idle connections. Also returns the number of idle connections after expired ones have been
-/// closed.
+/// The same with these limits of idle connections. Also returns the number of idle connections after expired ones have
+/// been closed.
 fn attempt_with_limits(
     text: &'static str,
     may_start: bool,
@@ -104,8 +104,8 @@
     }
 }
 
-/// Endpoints that drop idle connections before their idle timeout, without closing them, made every third call on an idle
-/// connection fail.
+/// Endpoints that drop idle connections before their idle timeout, without closing them, made every third call on an
+/// idle connection fail.
 #[test]
 fn connections_are_not_reused_after_idle_times_that_make_them_fail() {
     let (now, steady) = (1_000_000, &mut IdleFailureStats::default());
--- a/crates/proxy/src/net/upstream/write_tracking.rs
+++ b/crates/proxy/src/net/upstream/write_tracking.rs
@@ -8,8 +8,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A stream that tracks whether all data passed to it has been handed to the socket. Only a request whose last byte was not
-/// handed to the socket is known not to have been executed.
+/// A stream that tracks whether all data passed to it has been handed to the socket. Only a request whose last byte was
+/// not handed to the socket is known not to have been executed.
 pub(super) struct WriteTrackingStream {
     pub(super) socket: Socket,
     pub(super) all_written: Rc<Cell<bool>>,
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -107,7 +107,7 @@
             .get(connection)
             .and_then(Weak::upgrade)
         {
-            Some(stream) => !Stream::quiet(&*stream),
+            Some(stream) => !Stream::nothing_to_read(&*stream),
             None => true,
         };
         while unread() {
@@ -159,16 +159,16 @@
         Stream::shutdown(&*self.stream);
     }
 
-    fn quiet(&self) -> bool {
-        let quiet = Stream::quiet(&*self.stream);
+    fn nothing_to_read(&self) -> bool {
+        let quiet = Stream::nothing_to_read(&*self.stream);
         if quiet {
             self.hooks.reached(Step::Quiet, self);
         }
         quiet
     }
 
-    fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
-        Stream::take(&*self.stream, buf)
+    fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
+        Stream::try_read(&*self.stream, buf)
     }
 
     fn peer(&self) -> Option<IpAddr> {
--- a/crates/simulator/src/sockets/around.rs
+++ b/crates/simulator/src/sockets/around.rs
@@ -62,7 +62,7 @@
 
     /// Has nothing come in that was not read?
     pub(crate) fn quiet(&self) -> bool {
-        self.stream.quiet()
+        self.stream.nothing_to_read()
     }
 
     /// When what was read last had been sent, as far as it is known.
--- a/crates/simulator/src/sockets/memory.rs
+++ b/crates/simulator/src/sockets/memory.rs
@@ -412,13 +412,13 @@
         pipe.wake();
     }
 
-    fn quiet(&self) -> bool {
+    fn nothing_to_read(&self) -> bool {
         let now = self.link.world.time.now();
         self.read.borrow().next().is_none_or(|at| at > now)
     }
 
-    fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
-        if self.quiet() {
+    fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
+        if self.nothing_to_read() {
             return Err(io::ErrorKind::WouldBlock.into());
         }
         // Something is due, so that nobody is to be woken.
