--- a/crates/proxy/src/net/driver/mod.rs
+++ b/crates/proxy/src/net/driver/mod.rs
@@ -80,7 +80,7 @@
     clock: Clock,
     pool: Rc<ConnectionPool>,
     /// Notified when the earliest timer changes.
-    timer_moved: Rc<Notify>,
+    earliest_timer_changed: Rc<Notify>,
     /// Notified when the balancer subscribes to the endpoint list.
     subscribe: Rc<Notify>,
 }
@@ -123,12 +123,12 @@
             events: VecDeque::new(),
             actions: Vec::new(),
         };
-        let (timer_moved, subscribe) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+        let (earliest_timer_changed, subscribe) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         Driver {
             core: Rc::new(RefCell::new(core)),
             clock,
             pool,
-            timer_moved,
+            earliest_timer_changed,
             subscribe,
         }
     }
@@ -178,7 +178,7 @@
             }
         }
         if core.timers.first().copied() != first_timer {
-            self.timer_moved.notify_one();
+            self.earliest_timer_changed.notify_one();
         }
     }
 
--- a/crates/proxy/src/net/driver/timers.rs
+++ b/crates/proxy/src/net/driver/timers.rs
@@ -25,10 +25,10 @@
                     tokio::select! {
                         biased;
                         () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                        () = self.timer_moved.notified() => {}
+                        () = self.earliest_timer_changed.notified() => {}
                     }
                 }
-                None => self.timer_moved.notified().await,
+                None => self.earliest_timer_changed.notified().await,
             }
         }
     }
@@ -41,7 +41,7 @@
             core.timers.pop_first();
             match timer {
                 TimerKind::AttemptDeadline(call, attempt) => {
-                    core.time_out_attempt(now, call, attempt)
+                    core.time_out_attempt(now, call, attempt);
                 }
                 TimerKind::Balancer => {
                     core.balancer_timer = None;
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -267,7 +267,7 @@
         what: "a body that ends with its connection is served",
         play: "sockets",
         edits: &[
-            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
+            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => max_body_len,\n    };"),
         ],
     },
     Defect {
