--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -273,17 +273,17 @@
             cached,
             index,
         } => {
-            driver.members(ListUpdateKind::Cached, &cached);
+            driver.apply_endpoint_list(ListUpdateKind::Cached, &known);
             (Some(address), index)
         }
-        EndpointSource::Fixed(list) => {
-            driver.members(ListUpdateKind::Full, &list);
+        Members::Fixed(list) => {
+            driver.apply_endpoint_list(ListUpdateKind::Full, &list);
             (None, None)
         }
     };
     let mut timers = AbortOnDrop(tokio::task::spawn_local({
         let driver = driver.clone();
-        async move { driver.timers().await }
+        async move { driver.run_timers().await }
     }));
     let (list_service_sender, list_service) = watch::channel(address.unwrap_or(setup.listen));
     let list_driver = driver.clone();
@@ -341,8 +341,8 @@
             };
             running
                 .driver
-                .pulse(Micros::try_from(interval.as_micros()).unwrap_or(Micros::MAX));
-            tokio::time::sleep(interval).await;
+                .tick(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
+            tokio::time::sleep(next).await;
             pool.close_expired();
             server.clients.close_overdue(clock.now());
         }
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -297,9 +297,11 @@
     match config.upstream.discovery {
         Some(address) => running.set_list_service(address),
         None => {
-            // An endpoint that is added now may just have started, so it goes through slow start.
-            let endpoints = first_seen.endpoints(config, running.clock.now() / 1_000);
-            running.driver.members(ListUpdateKind::Full, &endpoints);
+            // One that is added now may have been started just now: until its cold time is over it gets little.
+            let list = known.list(config, running.clock.now() / 1_000);
+            running
+                .driver
+                .apply_endpoint_list(ListUpdateKind::Full, &list);
         }
     }
 }
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -267,7 +267,7 @@
         what: "a body that ends with its connection is served",
         play: "sockets",
         edits: &[
-            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => body_most,\n    };"),
+            (UPSTREAM_BODY, "_ => return Err(ExchangeError::InvalidResponse),\n    };", "_ => max_body_len,\n    };"),
         ],
     },
     Defect {
@@ -315,7 +315,7 @@
         what: "the decisions are not told of a client that has left",
         play: "sockets",
         edits: &[
-            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.event(Event::ClientDisconnected { call });", "self.core.borrow_mut().finish_call(call, None);"),
+            (DRIVER_CALLS, "self.core.borrow_mut().finish_call(call, None);\n        self.handle_event(Event::ClientDisconnected { call });", "self.core.borrow_mut().finish_call(call, None);"),
         ],
     },
 ];
