--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -107,8 +107,8 @@
                 .warnings
                 .iter()
                 .for_each(|warning| eprintln!("warning: {}: {warning}", file.display()));
-            match (&platform_settings, config.usage) {
-                (Some(platform_settings), Use::Platform) => {
+            match (&platform_settings, config.deployment) {
+                (Some(platform_settings), Deployment::Platform) => {
                     badgerramp_config::narrow(&config, platform_settings).map(|_| ())
                 }
                 _ => Ok(()),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -5,12 +5,10 @@
     clippy::needless_pass_by_value,
     reason = "signatures are still to be narrowed"
 )]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
     clippy::too_many_lines,
     reason = "long functions are still to be split"
 )]
-#![expect(missing_docs, reason = "public items are still to be documented")]
 
 mod class_ids;
 pub mod cli;
--- a/crates/proxy/src/net/rules/platform.rs
+++ b/crates/proxy/src/net/rules/platform.rs
@@ -45,7 +45,7 @@
         platform_settings: &PlatformSettings,
         operator_limits: Option<(Vec<Timing>, Table)>,
     ) -> Self {
-        let answers = Arc::new(Answers::platform());
+        let answers = Arc::new(ResponseRules::platform());
         let default_connect_timeout = platform_settings.transport.connect_timeout;
         let limits = |timing: Option<Timing>| {
             let connect_timeout = timing.map_or(default_connect_timeout, |timing| {
@@ -156,12 +156,12 @@
                 .map(str::to_owned),
             id: Some(id),
             timeout: timeout
-                .saturating_sub(ANSWER_ROOM)
+                .saturating_sub(RESPONSE_RESERVE)
                 .max(1)
                 .min(limits.timing.total),
             body_len: Some(body_len),
             max_body_len: MAX_BODY_LEN,
-            policy: limits.timing.terms(false),
+            policy: limits.timing.call_policy(false),
             options: Rc::clone(&limits.options),
         })
     }
--- a/crates/proxy/src/net/rules/sidecar.rs
+++ b/crates/proxy/src/net/rules/sidecar.rs
@@ -39,7 +39,7 @@
         let max_body_len = config.limits.body;
         let options = |route: &Route| AttemptOptions {
             connect_timeout: route.timing.connect,
-            answers: Arc::clone(&route.answers),
+            answers: Arc::clone(&route.response_rules),
             max_body_len,
         };
         let options_by_route = config
@@ -132,7 +132,7 @@
         let key = || {
             self.config
                 .routes
-                .text(route.key.as_ref()?, &request_head(parts, client))
+                .source_value(route.key.as_ref()?, &request_head(parts, client))
                 .map(Cow::into_owned)
         };
         let key = if is_keyed { key() } else { None };
@@ -145,17 +145,17 @@
                 .and_then(|tenant| {
                     self.config
                         .routes
-                        .text(tenant, &request_head(parts, client))
+                        .source_value(tenant, &request_head(parts, client))
                 })
                 .map(Cow::into_owned),
             id: None,
             timeout: requested_timeout
-                .saturating_sub(ANSWER_ROOM)
+                .saturating_sub(RESPONSE_RESERVE)
                 .max(1)
                 .min(route.timing.total),
             body_len,
             max_body_len: self.config.limits.body,
-            policy: route.timing.terms(lacks_key),
+            policy: route.timing.call_policy(lacks_key),
             options: Rc::clone(&self.options_by_route[route_index]),
         };
         Ok(Evaluation {
--- a/crates/proxy/src/net/rules/transition.rs
+++ b/crates/proxy/src/net/rules/transition.rs
@@ -19,7 +19,7 @@
     old: Rc<Rules>,
     new: Rc<Rules>,
     /// The classifications of responses on which two routes agree, by the addresses of the routes' options.
-    answers: RefCell<HashMap<(usize, usize), Arc<Answers>>>,
+    answers: RefCell<HashMap<(usize, usize), Arc<ResponseRules>>>,
 }
 
 impl TransitionRules {
@@ -78,7 +78,7 @@
     }
 
     /// The classification of responses on which two routes agree. It is computed once for each pair of routes.
-    fn answers(&self, old: &Rc<AttemptOptions>, new: &Rc<AttemptOptions>) -> Arc<Answers> {
+    fn answers(&self, old: &Rc<AttemptOptions>, new: &Rc<AttemptOptions>) -> Arc<ResponseRules> {
         // The addresses are unique, as both policies, and with them all options, live as long as `self`.
         let addresses = (Rc::as_ptr(old) as usize, Rc::as_ptr(new) as usize);
         let mut cache = self.answers.borrow_mut();
--- a/crates/proxy/src/net/upstream/exchange.rs
+++ b/crates/proxy/src/net/upstream/exchange.rs
@@ -36,7 +36,7 @@
     /// The time limit for opening a connection, in microseconds.
     pub connect_timeout: Micros,
     /// How responses are classified.
-    pub answers: Arc<Answers>,
+    pub answers: Arc<ResponseRules>,
     /// The maximum length of a response body, in bytes.
     pub max_body_len: usize,
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::net::driver::List;
 use crate::net::rules::{Platform, Rules};
 use crate::program::{self, EndpointSource, Error, Running, Setup};
-use badgerramp_config::{narrow, Use};
+use badgerramp_config::{narrow, Deployment};
 use badgerramp_decisions::settings::{self, PlatformSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     let narrowed = match operator {
         Some(path) => {
             let config = badgerramp_config::load(path)?;
-            if config.usage != Use::Platform {
+            if config.deployment != Deployment::Platform {
                 let displayed_path = path.display();
                 return Err(Error::Other(format!(
                     "{displayed_path}: a file without `platform = true` is for `badgerramp run`"
--- a/crates/proxy/src/policy_client.rs
+++ b/crates/proxy/src/policy_client.rs
@@ -96,7 +96,7 @@
             Some(Ok(None)) | None => {}
         }
         let holder = LeaseHolderConfig {
-            on_lease_loss: terms.cut_off,
+            on_lease_loss: terms.on_lease_loss,
             request_timeout: micros(REQUEST_TIMEOUT),
             retry_delay: micros(RETRY_DELAY),
         };
@@ -432,17 +432,22 @@
 fn parse(text: &str, local_config: &Config) -> Result<Config, String> {
     let config =
         badgerramp_config::parse("policy", text).map_err(|mistakes| mistakes.to_single_line())?;
-    if config.usage != Use::Alone {
+    if config.deployment != Deployment::Standalone {
         return Err("a policy can't have `platform = true`: it is for sidecars".to_owned());
     }
     let needs_fallback = local_config
         .policy
         .as_ref()
-        .is_some_and(|p| p.cut_off == OnLeaseLoss::Fallback);
-    if needs_fallback && config.policy.as_ref().is_none_or(|p| p.floor.is_empty()) {
+        .is_some_and(|p| p.on_lease_loss == OnLeaseLoss::Fallback);
+    if needs_fallback
+        && config
+            .policy
+            .as_ref()
+            .is_none_or(|p| p.fallback_classes.is_empty())
+    {
         return Err(
             "this proxy's cut_off is \"narrow\", and the policy declares no floor".to_owned(),
         );
     }
-    Ok(config.beside(local_config))
+    Ok(config.with_local_settings(local_config))
 }
--- a/crates/proxy/src/program.rs
+++ b/crates/proxy/src/program.rs
@@ -88,11 +88,11 @@
     /// Where the endpoint list comes from.
     pub endpoint_source: EndpointSource,
     /// The subset of endpoints that the proxy uses; `None`: all endpoints.
-    pub subset: Option<SubsetTerms>,
+    pub subset: Option<SubsetSettings>,
     /// How long a watch of the endpoint list waits for news, in microseconds; `None`: derived from the drain grace period.
     pub watch_wait: Option<Micros>,
     /// How the list service is polled where many proxies share it.
-    pub list_polling: Option<ListTerms>,
+    pub list_polling: Option<ListSettings>,
     /// Gossip of the endpoint list with the other proxies of the fleet, where it is used.
     pub gossip: Option<peers::GossipConfig>,
     /// The rules of the operator's file or the platform.
@@ -226,7 +226,7 @@
             time: terms.idle,
         },
         None => IdleLimits {
-            per_endpoint: connections_kept(setup.platform_settings.settings.balancers),
+            per_endpoint: max_idle_connections(setup.platform_settings.settings.balancers),
             time: Micros::MAX,
         },
     };
@@ -273,10 +273,10 @@
             cached,
             index,
         } => {
-            driver.apply_endpoint_list(ListUpdateKind::Cached, &known);
+            driver.apply_endpoint_list(ListUpdateKind::Cached, &cached);
             (Some(address), index)
         }
-        Members::Fixed(list) => {
+        EndpointSource::Fixed(list) => {
             driver.apply_endpoint_list(ListUpdateKind::Full, &list);
             (None, None)
         }
@@ -313,7 +313,7 @@
         memory_budget,
         in_flight_ids: RefCell::default(),
         default_retry_after: Cell::new(setup.default_retry_after),
-        max_connections: clients_borne(setup.descriptors),
+        max_connections: max_client_connections(setup.descriptors),
         max_excess_connections: (setup.descriptors / 40).max(2),
     });
     let running = Running {
@@ -341,8 +341,8 @@
             };
             running
                 .driver
-                .tick(Micros::try_from(next.as_micros()).unwrap_or(Micros::MAX));
-            tokio::time::sleep(next).await;
+                .tick(Micros::try_from(interval.as_micros()).unwrap_or(Micros::MAX));
+            tokio::time::sleep(interval).await;
             pool.close_expired();
             server.clients.close_overdue(clock.now());
         }
--- a/crates/proxy/src/sidecar.rs
+++ b/crates/proxy/src/sidecar.rs
@@ -7,7 +7,7 @@
 use crate::net::rules::{Rules, Sidecar};
 use crate::policy_client::PolicyClient;
 use crate::program::{self, EndpointSource, Error, Running, Setup};
-use badgerramp_config::{Config, PeersTerms, Use};
+use badgerramp_config::{Config, Deployment, PeersSettings};
 use badgerramp_control_protocol::SharedSecret;
 use badgerramp_decisions::settings::{PlatformSettings, Transport};
 use badgerramp_decisions::ListUpdateKind;
@@ -23,7 +23,7 @@
 
 fn load(path: &Path) -> Result<Config, Error> {
     let config = badgerramp_config::load(path)?;
-    if config.usage != Use::Alone {
+    if config.deployment != Deployment::Standalone {
         return Err(Error::Other(format!(
             "{}: `platform = true` is for `badgerramp --operator`",
             path.display()
@@ -148,14 +148,14 @@
 }
 
 /// Returns the codec of the fleet's datagrams.
-pub(crate) fn datagram_codec(terms: &PeersTerms) -> Result<peers::DatagramCodec, String> {
+pub(crate) fn datagram_codec(terms: &PeersSettings) -> Result<peers::DatagramCodec, String> {
     let secret = SharedSecret::read(&terms.secret)
         .map_err(|e| format!("peers.secret: {}: {e}", terms.secret.display()))?;
     Ok(peers::DatagramCodec::new(secret, terms.fleet.clone()))
 }
 
 /// Binds the gossip socket and returns the configuration of the gossip with the fleet's other proxies.
-fn gossip_config(terms: &PeersTerms) -> Result<peers::GossipConfig, String> {
+fn gossip_config(terms: &PeersSettings) -> Result<peers::GossipConfig, String> {
     let codec = datagram_codec(terms)?;
     let error = |e| format!("peers.listen: {}: {e}", terms.listen);
     let socket = std::net::UdpSocket::bind(terms.listen).map_err(error)?;
@@ -297,11 +297,11 @@
     match config.upstream.discovery {
         Some(address) => running.set_list_service(address),
         None => {
-            // One that is added now may have been started just now: until its cold time is over it gets little.
-            let list = known.list(config, running.clock.now() / 1_000);
+            // An endpoint that is added now may just have started, so it goes through slow start.
+            let endpoints = first_seen.endpoints(config, running.clock.now() / 1_000);
             running
                 .driver
-                .apply_endpoint_list(ListUpdateKind::Full, &list);
+                .apply_endpoint_list(ListUpdateKind::Full, &endpoints);
         }
     }
 }
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -158,7 +158,11 @@
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(started.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(
+            started.elapsed() < EVENT_TIMEOUT,
+            "{path} stays {:?}",
+            answer.head
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -184,7 +188,7 @@
     // The copy is there, but no control plane.
     assert!(fixture.folder.path().join("state-p/caja.policy").exists());
     let restarted = fixture.proxy("p", "refuse");
-    restarted.logged("lease request failed");
+    restarted.wait_for_log("lease request failed");
     assert!(get(&restarted, "/one").head.contains("503"));
     fixture.replica = Replica::start(&fixture.folder, fixture.replica.address);
     get_until_status(&restarted, "/one", "200");
@@ -230,7 +234,7 @@
     assert_eq!(fixture.publish("caja", "/one").outcome, Outcome::InForce);
     get_until_status(&narrow, "/one", "200");
     get_until_status(&keep, "/one", "200");
-    keep.logged("failed to save the policy copy");
+    keep.wait_for_log("failed to save the policy copy");
     // The route of a fallback class may not change while a proxy may serve under the fallback policy.
     let published = fixture.publish("caja", "/two");
     assert_eq!(published.outcome, Outcome::NotInForce);
@@ -245,7 +249,7 @@
         String::from_utf8_lossy(&get(proxy, "/_health").body).contains("the floor of")
     };
     while !cut_off(&narrow) {
-        assert!(started.elapsed() < LONG);
+        assert!(started.elapsed() < EVENT_TIMEOUT);
         thread::sleep(Duration::from_millis(20));
     }
     assert!(get(&narrow, "/one").head.contains("200"));
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 const PROXY: &str = env!("CARGO_BIN_EXE_badgerramp");
-const LONG: Duration = Duration::from_secs(30);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn listed(name: &str, status: &'static str) -> ListEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -63,7 +63,7 @@
         match value {
             Some(value) if is_expected(&value) => return value,
             other => assert!(
-                started_at.elapsed() < LONG,
+                started_at.elapsed() < EVENT_TIMEOUT,
                 "{other:?} {}",
                 String::from_utf8_lossy(&output.stderr)
             ),
@@ -103,7 +103,7 @@
     folder
         .write("secret", "a secret of the tests", true)
         .expect("a file");
-    let catalog = Catalog::start(vec![listed("a", "up"), listed("b", "up")]);
+    let catalog = ListService::start(vec![listed("a", "up"), listed("b", "up")]);
     // The seeds need known ports: the system picks free ones, which are released before the proxies start.
     let reserved: Vec<UdpSocket> = (0..2)
         .map(|_| UdpSocket::bind(any_port()).expect("a port"))
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -155,7 +155,10 @@
     );
     let started = Instant::now();
     while proxy.call("unsafe", "2000m").status() == 200 {
-        assert!(started.elapsed() < LONG, "the host never got a request");
+        assert!(
+            started.elapsed() < EVENT_TIMEOUT,
+            "the host never got a request"
+        );
     }
     faulty_host.request();
     assert!((0..40).all(|_| proxy.call("unsafe", "2000m").status() == 200));
@@ -252,7 +255,7 @@
         answer.head
     );
     assert!(
-        started.elapsed().as_millis() >= 300 && started.elapsed() < LONG / 4,
+        started.elapsed().as_millis() >= 300 && started.elapsed() < EVENT_TIMEOUT / 4,
         "{:?}",
         started.elapsed()
     );
@@ -262,7 +265,7 @@
 
 #[test]
 fn a_pending_connect_is_cancelled_when_its_call_ends() {
-    let (discovery, unresponsive) = (Discovery::start(), Deaf::start());
+    let (discovery, unresponsive) = (Discovery::start(), FullBacklogHost::start());
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(
         listen,
@@ -278,14 +281,14 @@
     let answer = proxy.call("unsafe", "300m");
     assert_ne!(answer.status(), 200);
     assert!(
-        !unresponsive.another_comes(),
+        !unresponsive.another_connects(),
         "no connect starts after the final response"
     );
 }
 
 #[test]
 fn a_connect_that_hangs_times_out_and_its_call_is_rejected() {
-    let (discovery, unresponsive) = (Discovery::start(), Deaf::start());
+    let (discovery, unresponsive) = (Discovery::start(), FullBacklogHost::start());
     let proxy = Proxy::start(
         PROGRAM,
         &discovery,
@@ -299,7 +302,7 @@
         "rejected, because the call never ran: {}",
         answer.head
     );
-    assert!(started.elapsed() < LONG, "{:?}", started.elapsed());
+    assert!(started.elapsed() < EVENT_TIMEOUT, "{:?}", started.elapsed());
 }
 
 #[test]
@@ -335,7 +338,7 @@
         .expect("seconds");
     assert!(retry_after > 0.0);
     assert!(
-        started.elapsed() < LONG / 2,
+        started.elapsed() < EVENT_TIMEOUT / 2,
         "far from its deadline: {:?}",
         started.elapsed()
     );
@@ -421,7 +424,9 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &host)]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
     first.write(&request("unsafe", "20000m", "same"));
-    arrivals.recv_timeout(LONG).expect("the call at the host");
+    arrivals
+        .recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
     second.write(&request("unsafe", "20000m", "same"));
     assert_eq!(second.answer().expect("an answer").status(), 409);
     open.send(()).expect("the host waits");
@@ -492,8 +497,8 @@
     };
     let started = Instant::now();
     while kept_open.iter().filter(|client| open(client)).count() > 128 / 3 {
-        assert!(started.elapsed() < LONG, "too many stay open");
-        std::thread::sleep(SHORT / 30);
+        assert!(started.elapsed() < EVENT_TIMEOUT, "too many stay open");
+        std::thread::sleep(QUIET_PERIOD / 30);
     }
     kept_open[199]
         .stream
@@ -528,7 +533,11 @@
             assert!(client.answer().is_none());
         }
     }
-    assert!(started.elapsed() < LONG / 4, "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < EVENT_TIMEOUT / 4,
+        "{:?}",
+        started.elapsed()
+    );
     assert_eq!(host.further_requests(), 0);
 }
 
@@ -569,7 +578,7 @@
         &[entry("s-1", one.address, "draining", 0)],
     ));
     // The proxy has applied the list by the time it sends the next watch.
-    assert!(discovery.asked().contains("index=42&"));
+    assert!(discovery.next_request().contains("index=42&"));
     assert!(all_from(b"2"));
     discovery.respond(&list(43, true, &[up("s-1", &one)]));
     assert!(discovery.next_request().contains("index=43&"));
@@ -596,9 +605,9 @@
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &old)]);
     discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
-    discovery.tell(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
+    discovery.respond(&list(42, false, &[entry("s-1", old.address, "up", 1_000)]));
     assert_eq!(old.closed(), 0, "a new start time means a new process");
-    discovery.asked();
+    discovery.next_request();
     assert_eq!(proxy.call("safe", "2000m").body, b"old");
     discovery.respond(&list(43, false, &[entry("s-1", new.address, "up", 1_000)]));
     assert_eq!(old.closed(), 1);
@@ -620,8 +629,10 @@
     discovery.next_request();
     let mut client = proxy.client();
     client.send("unsafe", "20000m");
-    arrivals.recv_timeout(LONG).expect("the call at the host");
-    discovery.tell(&list(
+    arrivals
+        .recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
+    discovery.respond(&list(
         42,
         false,
         &[entry("s-1", host.address, "draining", 0)],
@@ -648,7 +659,7 @@
     let mut slow = proxy.client();
     slow.send("unsafe", "20000m");
     arrivals
-        .recv_timeout(LONG)
+        .recv_timeout(EVENT_TIMEOUT)
         .expect("the first call at the host");
     assert_eq!(proxy.call("unsafe", "2000m").status(), 200);
     assert_eq!(
@@ -676,11 +687,11 @@
         String::new(),
     ] {
         assert!(
-            discovery.asked().contains("index=41&"),
+            discovery.next_request().contains("index=41&"),
             "the known list stays in force"
         );
         assert_eq!(proxy.call("safe", "2000m").status(), 200);
-        discovery.say(failure);
+        discovery.respond_raw(failure);
     }
     discovery.next_request();
     discovery.respond(&list(42, false, &[]));
@@ -694,16 +705,17 @@
     let (old, new) = (Discovery::start(), Discovery::start());
     let (one, two) = (Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &old, &[up("s-1", &one)]);
-    assert!(old.asked().contains("index=41&"));
+    assert!(old.next_request().contains("index=41&"));
     let new_config = config(proxy.address, new.address, 1_024, &[]);
     for bad in ["", "{", &new_config.replace("\"cold_from\"", "\"warm\"")] {
         proxy.reload(bad);
-        proxy.logged("reload failed, keeping the old configuration");
+        proxy.wait_for_log("reload failed, keeping the old configuration");
         assert_eq!(proxy.call("safe", "2000m").body, b"1");
     }
     proxy.reload(&new_config);
     assert!(
-        new.asked().starts_with("GET /catalog/members HTTP/1.1"),
+        new.next_request()
+            .starts_with("GET /catalog/members HTTP/1.1"),
         "the full list is requested"
     );
     assert_eq!(
@@ -716,8 +728,8 @@
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
     // A reload without changes keeps the watch.
     proxy.reload(&new_config);
-    new.tell(&list(8, false, &[]));
-    assert!(new.asked().contains("index=8&"));
+    new.respond(&list(8, false, &[]));
+    assert!(new.next_request().contains("index=8&"));
     assert_eq!(proxy.call("safe", "2000m").body, b"2");
 }
 
@@ -755,8 +767,8 @@
     );
     let answer = slow.answer().expect("an accepted request is answered");
     assert_eq!(answer.header("connection"), Some("close"));
-    assert!(proxy.ended(), "it exits 0");
-    let restarted = Proxy::with(
+    assert!(proxy.exits_successfully(), "it exits 0");
+    let restarted = Proxy::with_config(
         PROGRAM,
         &config(proxy.address, discovery.address, 1_024, &[up("s-1", &host)]),
     );
@@ -790,7 +802,7 @@
     // Descriptors become available as connections close.
     let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(started.elapsed() < LONG);
+        assert!(started.elapsed() < EVENT_TIMEOUT);
     }
 }
 
@@ -800,8 +812,8 @@
     let listen = "127.0.0.1:0".parse().expect("an address");
     let text = config(listen, discovery.address, 1_024, &[up("s-1", &host)]);
     // The limit of the system is far below the one in the configuration.
-    let mut proxy = Proxy::within(PROGRAM, &text, Some(24));
-    discovery.asked();
+    let mut proxy = Proxy::with_descriptor_limit(PROGRAM, &text, Some(24));
+    discovery.next_request();
     let clients: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = proxy.client();
@@ -812,7 +824,7 @@
     drop(clients);
     let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(started.elapsed() < LONG);
+        assert!(started.elapsed() < EVENT_TIMEOUT);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -827,7 +839,7 @@
     let (discovery, host) = (Discovery::start(), Host::serving("ok"));
     let listen = "127.0.0.1:0".parse().expect("an address");
     // The limit of the system equals the one in the configuration.
-    let mut proxy = Proxy::within(
+    let mut proxy = Proxy::with_descriptor_limit(
         PROGRAM,
         &config(listen, discovery.address, 128, &[]),
         Some(128),
@@ -837,18 +849,18 @@
     for _ in 0..4 {
         idle.extend((0..150).map(|_| proxy.client()));
         // The list service closes without a response, which ends the poll.
-        discovery.say(String::new());
-        discovery.asked();
+        discovery.respond_raw(String::new());
+        discovery.next_request();
     }
-    discovery.tell(&list(42, true, &[up("s-1", &host)]));
+    discovery.respond(&list(42, true, &[up("s-1", &host)]));
     assert!(
-        discovery.asked().contains("index=42&"),
+        discovery.next_request().contains("index=42&"),
         "the list was applied"
     );
     // Some of the idle clients are ahead in the accept queue.
     let started = Instant::now();
     while proxy.call("safe", "2000m").status() != 200 {
-        assert!(started.elapsed() < LONG);
+        assert!(started.elapsed() < EVENT_TIMEOUT);
     }
     assert!(
         proxy.child.try_wait().expect("a child").is_none(),
@@ -859,7 +871,7 @@
 
 #[test]
 fn an_invalid_configuration_fails_with_a_one_line_error() {
-    let address = nobody();
+    let address = unused_address();
     let good = config(address, address, 1_024, &[]);
     let invalid = good.replace(r#""discovery":"ask""#, r#""discovery":"asked""#);
     for text in [
@@ -902,20 +914,20 @@
         PROGRAM,
         &with_pushed_lists(&config(listen, discovery.address, 1_024, &known)),
     );
-    assert!(discovery.asked().contains("index=41&"));
+    assert!(discovery.next_request().contains("index=41&"));
     let changes = [
         entry("s-1", draining_host.address, "draining", 0),
         up("s-2", &other_host),
     ];
-    discovery.tell(&list(42, false, &changes));
+    discovery.respond(&list(42, false, &changes));
     assert!(
-        discovery.asked().contains("index=42&"),
+        discovery.next_request().contains("index=42&"),
         "the changes were applied"
     );
     assert_eq!(proxy.call("safe", "2000m").body, b"new");
     // A failed watch is retried without a request of the balancer.
-    discovery.say(answer("503 Service Unavailable", "", ""));
-    assert!(discovery.asked().contains("index=42&"));
+    discovery.respond_raw(answer("503 Service Unavailable", "", ""));
+    assert!(discovery.next_request().contains("index=42&"));
 }
 
 /// An invalid list is logged with what was found, and the last valid list stays in force; watching goes on.
@@ -923,19 +935,19 @@
 fn invalid_lists_are_logged_and_change_nothing() {
     let (discovery, one, two) = (Discovery::start(), Host::serving("1"), Host::serving("2"));
     let proxy = Proxy::start(PROGRAM, &discovery, &[up("s-1", &one), up("s-2", &two)]);
-    discovery.asked();
+    discovery.next_request();
     // A truncated document in a complete response.
-    discovery.say(answer(
+    discovery.respond_raw(answer(
         "200 OK",
         "",
         &list(42, false, &[entry("s-1", one.address, "removed", 0)])[..60],
     ));
-    proxy.logged("odd list");
-    assert!(discovery.asked().contains("index=41&"));
+    proxy.wait_for_log("odd list");
+    assert!(discovery.next_request().contains("index=41&"));
     // Changes up to an index below the known one: the proxy requests the full list.
-    discovery.tell(&list(7, false, &[entry("s-1", one.address, "removed", 0)]));
-    proxy.logged("changes up to 7, asked for those after 41");
-    assert_eq!(discovery.asked(), "GET /catalog/members HTTP/1.1");
+    discovery.respond(&list(7, false, &[entry("s-1", one.address, "removed", 0)]));
+    proxy.wait_for_log("changes up to 7, asked for those after 41");
+    assert_eq!(discovery.next_request(), "GET /catalog/members HTTP/1.1");
     assert!(
         (0..40).any(|_| proxy.call("safe", "2000m").body == b"1"),
         "the invalid list is not applied"
@@ -947,8 +959,8 @@
         &[entry("s-1", one.address, "paused", 0), up("s-2", &two)],
     )
     .replace(',', ",\n  ");
-    discovery.tell(&multi_line);
-    proxy.logged("\"paused\", allowed are up, draining, removed");
-    assert!(discovery.asked().contains("index=8&"));
+    discovery.respond(&multi_line);
+    proxy.wait_for_log("\"paused\", allowed are up, draining, removed");
+    assert!(discovery.next_request().contains("index=8&"));
     assert!((0..20).all(|_| proxy.call("safe", "2000m").body == b"2"));
 }
--- a/crates/proxy/tests/race_conditions.rs
+++ b/crates/proxy/tests/race_conditions.rs
@@ -114,11 +114,11 @@
             .get(connection)
             .and_then(Weak::upgrade)
         {
-            Some(stream) => !Stream::quiet(&*stream),
+            Some(stream) => !Stream::nothing_to_read(&*stream),
             None => true,
         };
         while unread() {
-            tokio::time::sleep(SHORT / 300).await;
+            tokio::time::sleep(QUIET_PERIOD / 300).await;
         }
     }
 
@@ -172,16 +172,16 @@
         Stream::shutdown(&*self.stream);
     }
 
-    fn quiet(&self) -> bool {
-        let quiet = Stream::quiet(&*self.stream);
+    fn nothing_to_read(&self) -> bool {
+        let quiet = Stream::nothing_to_read(&*self.stream);
         if quiet {
             self.hooks.run_hook(HookPoint::NothingUnread, self);
         }
         quiet
     }
 
-    fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
-        Stream::take(&*self.stream, buf)
+    fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
+        Stream::try_read(&*self.stream, buf)
     }
 
     fn peer(&self) -> Option<IpAddr> {
@@ -321,7 +321,9 @@
     /// Connects a client. Its connection has the next number.
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time-out");
         Client {
             stream: BufReader::new(stream),
         }
@@ -402,7 +404,7 @@
         assert_eq!(first.status(), 200);
         let new = program.client();
         while program.hooks.accepted.borrow().len() < 2 {
-            tokio::time::sleep(SHORT / 300).await;
+            tokio::time::sleep(QUIET_PERIOD / 300).await;
         }
         program.stop();
         // The end of an idle connection shows that the shutdown has begun.
@@ -435,7 +437,9 @@
         let address = program.address;
         let connects = move || {
             let stream = TcpStream::connect(address).expect("it listens");
-            stream.set_read_timeout(Some(LONG)).expect("a time-out");
+            stream
+                .set_read_timeout(Some(EVENT_TIMEOUT))
+                .expect("a time-out");
             let mut queued = Client {
                 stream: BufReader::new(stream),
             };
@@ -517,11 +521,11 @@
         let (_, response) = tokio::join!(ninth, async {
             // The host answers the request long after connections that make room are cut off.
             while !program.hooks.hook_ran() {
-                tokio::time::sleep(SHORT / 30).await;
+                tokio::time::sleep(QUIET_PERIOD / 30).await;
             }
             let read_first = on_client_thread(first, read_answer);
             let (answer, ()) = tokio::join!(read_first, async {
-                tokio::time::sleep(SHORT).await;
+                tokio::time::sleep(QUIET_PERIOD).await;
                 open.send(()).expect("the host waits");
             });
             answer.1
@@ -543,17 +547,17 @@
         let mut slow = program.client();
         slow.send("safe", "3000m");
         while program.hooks.blocked_writers.borrow().is_empty() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
         // Ten more clients connect and send nothing: they must not get the place of the slow client.
         let silent_clients: Vec<Client> = (0..10).map(|_| program.client()).collect();
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(QUIET_PERIOD).await;
         program.stop();
         // Wait until the listener is closed, so that only the slow client is left.
         while TcpStream::connect(program.address).is_ok() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(QUIET_PERIOD).await;
         program.hooks.unblock_writes();
         let (_, response) = on_client_thread(slow, read_answer).await;
         assert_eq!(response.map(|a| a.body), Some(body.into_bytes()));
@@ -572,7 +576,7 @@
         let mut slow = program.client();
         slow.send("safe", "3000m");
         while program.hooks.blocked_writers.borrow().is_empty() {
-            tokio::time::sleep(SHORT / 30).await;
+            tokio::time::sleep(QUIET_PERIOD / 30).await;
         }
         // From here on the runtime's time advances whenever it has nothing to do.
         tokio::time::pause();
@@ -627,7 +631,7 @@
             assert_eq!(end.await.1, Ok(0), "an orderly close, no reset");
             assert!(program.hooks.hook_ran());
             while program.hooks.accepted.borrow()[0].strong_count() > 0 {
-                tokio::time::sleep(SHORT / 30).await;
+                tokio::time::sleep(QUIET_PERIOD / 30).await;
             }
             assert_eq!(
                 program.hooks.closed_unread.get(),
@@ -868,10 +872,9 @@
                 })
                 .await;
                 assert_eq!(answer.status(), 200, "{departure:?}");
-                let sent = host
-                    .seen
-                    .try_iter()
-                    .filter(|s| matches!(s, Seen::Request(_, m) if m.head.starts_with("POST")));
+                let sent = host.events.try_iter().filter(
+                    |s| matches!(s, HostEvent::Request(_, m) if m.head.starts_with("POST")),
+                );
                 assert_eq!(
                     sent.count(),
                     0,
@@ -935,7 +938,7 @@
     /// Returns the ids of all requests that arrive until none does for a while.
     fn drain_arrivals(&self) -> HashSet<String> {
         let mut all = HashSet::new();
-        while let Ok(id) = self.arrivals.recv_timeout(SHORT) {
+        while let Ok(id) = self.arrivals.recv_timeout(QUIET_PERIOD) {
             all.insert(id);
         }
         all
@@ -1003,10 +1006,14 @@
         let (discovery, other, host) = (Discovery::start(), Discovery::start(), GatedHost::start());
         let listen = "127.0.0.1:0".parse().expect("an address");
         let known = [entry("s-1", host.address, "up", 0)];
-        let mut proxy = Proxy::with(PROGRAM, &config(listen, discovery.address, 1_024, &known));
+        let mut proxy =
+            Proxy::with_config(PROGRAM, &config(listen, discovery.address, 1_024, &known));
         let (mut in_flight, mut queued) = (proxy.client(), proxy.client());
         in_flight.write(&request("unsafe", "3000m", "taken"));
-        assert_eq!(host.arrivals.recv_timeout(LONG).as_deref(), Ok("taken"));
+        assert_eq!(
+            host.arrivals.recv_timeout(EVENT_TIMEOUT).as_deref(),
+            Ok("taken")
+        );
         proxy.signal("-STOP");
         // The file that SIGHUP reads names another list service.
         proxy.reload(&config(proxy.address, other.address, 1_024, &[]));
@@ -1022,6 +1029,6 @@
             );
             assert!(client.answer().is_none(), "and its connection is closed");
         }
-        assert!(proxy.ended(), "it exits 0: {signals:?}");
+        assert!(proxy.exits_successfully(), "it exits 0: {signals:?}");
     }
 }
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -94,7 +94,11 @@
         if answer.head.contains(status) {
             return answer;
         }
-        assert!(started.elapsed() < LONG, "{path} stays {:?}", answer.head);
+        assert!(
+            started.elapsed() < EVENT_TIMEOUT,
+            "{path} stays {:?}",
+            answer.head
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -123,7 +127,7 @@
     );
     // With the address of one region and the name of the other the proxy gets no lease.
     let wrong_region = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
-    wrong_region.logged(
+    wrong_region.wait_for_log(
         "policy.region of this proxy is \"norte\", and the control that it asks is of region \"sur\"",
     );
     get_until_status(&wrong_region, "/norte", "503");
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -360,7 +360,11 @@
 #[test]
 fn a_rejection_has_the_configured_retry_after_in_whole_seconds() {
     for (limits, retry_after) in [("", Some("1")), ("[limits]\nretry_after = \"0s\"", None)] {
-        let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[nobody(), nobody()], &[("", limits)]));
+        let proxy = Proxy::sidecar(
+            PROGRAM,
+            &[],
+            &file(&[unused_address(), unused_address()], &[("", limits)]),
+        );
         let answer = proxy.client().ask(&post("/unsafe", ""));
         assert_eq!(
             (answer.status(), answer.header("retry-after")),
@@ -479,7 +483,7 @@
     assert!(![200, 429, 503].contains(&status), "{status}");
     let elapsed = started.elapsed();
     assert!(
-        elapsed >= Duration::from_millis(390) && elapsed < LONG,
+        elapsed >= Duration::from_millis(390) && elapsed < EVENT_TIMEOUT,
         "{elapsed:?}"
     );
     assert_eq!(host.closed(), 0, "the attempt is cancelled with its call");
@@ -487,7 +491,7 @@
 
 #[test]
 fn a_connect_ends_at_its_timeout() {
-    let unresponsive = Deaf::start();
+    let unresponsive = FullBacklogHost::start();
     let text = file(
         &[unresponsive.address],
         &[("unsafe", "connect = \"200ms\"\nattempts = 1")],
@@ -502,7 +506,7 @@
     );
     let elapsed = started.elapsed();
     assert!(
-        elapsed >= Duration::from_millis(190) && elapsed < LONG,
+        elapsed >= Duration::from_millis(190) && elapsed < EVENT_TIMEOUT,
         "{elapsed:?}"
     );
 }
@@ -783,7 +787,7 @@
         (String::new(), "this key is required"),
     ] {
         proxy.reload(&bad);
-        let line = proxy.logged("reload failed, keeping the old configuration");
+        let line = proxy.wait_for_log("reload failed, keeping the old configuration");
         assert!(line.contains(reason), "{line}");
         assert_eq!(proxy.client().ask(&get("/safe")).status(), 200);
     }
@@ -810,7 +814,9 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &good);
     let mut slow = proxy.client();
     slow.write(&get("/safe"));
-    arrivals.recv_timeout(LONG).expect("the call at the host");
+    arrivals
+        .recv_timeout(EVENT_TIMEOUT)
+        .expect("the call at the host");
     let without_safe_class = good
         .replace(
             "[class.safe]\naim = \"1500ms\"\ndeadline = \"3s\"\neffect = \"safe\"\n",
@@ -822,7 +828,7 @@
         );
     assert!(!without_safe_class.contains("class = \"safe\""));
     proxy.reload(&without_safe_class);
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(proxy.client().ask(&get("/safe")).status(), 404);
     // The first attempt fails now, and the call is retried because it is safe.
     open.send(()).expect("the host waits");
@@ -862,8 +868,8 @@
             "",
         );
     proxy.reload(&without_safe_class);
-    proxy.logged("the new configuration holds");
-    discovery.tell(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
+    proxy.wait_for_log("the new configuration holds");
+    discovery.respond(&list(1, true, &[entry("s-1", host.address, "up", 0)]));
     assert_eq!(waiting_client.answer().expect("an answer").status(), 200);
 }
 
@@ -873,7 +879,7 @@
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(&[old.address], &[]));
     assert_eq!(proxy.client().ask(&get("/safe")).body, b"old");
     proxy.reload(&file(&[new.address], &[]));
-    proxy.logged("the new configuration holds");
+    proxy.wait_for_log("the new configuration holds");
     assert_eq!(old.closed(), 0, "the idle connection is closed");
     for _ in 0..5 {
         assert_eq!(proxy.client().ask(&get("/safe")).body, b"new");
@@ -899,18 +905,18 @@
     .replace("[class.keyed]", "[class.renamed]")
     .replace("class = \"keyed\"", "class = \"renamed\"");
     let proxy = Proxy::sidecar(PROGRAM, &[], &one);
-    let load_kind = |class: &str, keyed| Kind {
+    let load_kind = |class: &str, keyed| RequestKind {
         class: class.to_owned(),
         timeout: Duration::from_secs(3),
         keyed,
         clients: 6,
         requests_per_s: 50.0,
     };
-    let load_plan = Course {
-        to: proxy.address,
+    let load_plan = LoadPlan {
+        target: proxy.address,
         kinds: vec![load_kind("keyed", true), load_kind("unsafe", false)],
-        time: Duration::from_secs(3),
-        most: 4_000,
+        duration: Duration::from_secs(3),
+        max_requests: 4_000,
     };
     let running = std::thread::spawn(move || load(&load_plan, |_, _| {}));
     for n in 0..12 {
@@ -919,7 +925,7 @@
             1 => "listen = ",
             _ => &one,
         });
-        proxy.logged(if n % 3 == 1 {
+        proxy.wait_for_log(if n % 3 == 1 {
             "reload failed, keeping the old configuration"
         } else {
             "the new configuration holds"
@@ -928,7 +934,12 @@
     }
     for (load_kind, totals) in running.join().expect("the load ends") {
         assert!(totals.sent > 100, "{load_kind:?} {totals:?}");
-        assert_eq!((totals.owed, totals.failed), (0, 0), "{}", load_kind.class);
+        assert_eq!(
+            (totals.unanswered, totals.failed),
+            (0, 0),
+            "{}",
+            load_kind.class
+        );
     }
 }
 
@@ -1021,12 +1032,12 @@
         .map(|(h, n)| entry(&format!("s-{n}"), h.address, "up", 0))
         .collect();
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let relay = badgerramp_testkit::file(
+    let relay = badgerramp_testkit::temp_file(
         "json",
         &config(listen, discovery.address, 1_024, &endpoints),
     );
     let start_with = |text: &str| {
-        let operator = badgerramp_testkit::file("toml", text);
+        let operator = badgerramp_testkit::temp_file("toml", text);
         let arguments = ["--operator".as_ref(), operator.as_os_str()];
         (
             start(PROGRAM, &arguments, &[("RELAY_CONFIG", &relay)], None),
@@ -1036,7 +1047,7 @@
     let count = || hosts.iter().map(Host::further_requests).sum::<usize>();
     let text = "platform = true\n[class.safe]\nattempts = 2\n[[route]]\nname = \"q\"\nprefix = \"/safe/once\"\nclass = \"safe\"\nattempts = 1\n";
     let (child, operator) = start_with(text);
-    let proxy = Proxy::listening(child, operator);
+    let proxy = Proxy::wait_until_listening(child, operator);
     let once = request("safe", "2000m", "one").replace("/safe?", "/safe/once?");
     proxy.client().ask(&once);
     assert_eq!(count(), 1);
--- a/crates/proxy/tests/subset.rs
+++ b/crates/proxy/tests/subset.rs
@@ -21,7 +21,7 @@
     (0..requests).for_each(|_| assert_eq!(client.ask(GET).status(), 200));
     // Drains the recorded requests, so that the next call finds only new ones.
     let got_request = |h: &Host| {
-        h.seen
+        h.events
             .try_iter()
             .filter(|s| matches!(s, HostEvent::Request(..)))
             .count()
@@ -50,30 +50,30 @@
         .starts_with("GET /catalog/members HTTP/1.1"));
     discovery.respond(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
     assert!(
-        discovery.asked().contains("index=1"),
+        discovery.next_request().contains("index=1"),
         "the list is applied when the next watch is sent"
     );
     let first = hosts_that_answer(&proxy, &hosts, 80);
     assert!((2..=12).contains(&first.len()), "of {HOSTS}: {first:?}");
     // All members drain at the same time.
-    discovery.tell(&list(
+    discovery.respond(&list(
         2,
         false,
         &entries(&hosts, first.iter().copied(), "draining"),
     ));
-    assert!(discovery.asked().contains("index=2"));
+    assert!(discovery.next_request().contains("index=2"));
     let second = hosts_that_answer(&proxy, &hosts, 80);
     assert!(
         second.is_disjoint(&first) && second.len() >= 2,
         "{second:?} after {first:?}"
     );
     // They come back, and the proxy returns to its original subset.
-    discovery.tell(&list(
+    discovery.respond(&list(
         3,
         false,
         &entries(&hosts, first.iter().copied(), "up"),
     ));
-    assert!(discovery.asked().contains("index=3"));
+    assert!(discovery.next_request().contains("index=3"));
     assert!(!hosts_that_answer(&proxy, &hosts, 80).is_disjoint(&first));
 }
 
@@ -83,17 +83,17 @@
     let hosts: Vec<Host> = (0..HOSTS).map(|_| Host::serving("ok")).collect();
     let discovery = Discovery::start();
     let proxy = Proxy::sidecar(PROGRAM, &[], &file(discovery.address, "pause = \"10ms\""));
-    discovery.asked();
-    discovery.tell(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
-    discovery.asked();
+    discovery.next_request();
+    discovery.respond(&list(1, true, &entries(&hosts, 0..HOSTS, "up")));
+    discovery.next_request();
     let first = hosts_that_answer(&proxy, &hosts, 80);
     // The same names at addresses where nothing listens: as if the machines were gone.
     let unreachable: Vec<String> = first
         .iter()
         .map(|n| entry(&format!("s-{n}"), unused_address(), "up", 0))
         .collect();
-    discovery.tell(&list(2, false, &unreachable));
-    discovery.asked();
+    discovery.respond(&list(2, false, &unreachable));
+    discovery.next_request();
     let mut client = proxy.client();
     let answers: Vec<u16> = (0..60).map(|_| client.ask(GET).status()).collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
