--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -440,7 +440,7 @@
     for words in [
         "try 0 at proxy 0",
         "in the log: {",
-        "\"taken\"",
+        "\"call accepted\"",
         "\"in_flight\":",
         "\"outcome\":",
     ] {
