--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -426,7 +426,7 @@
     cluster.cut();
     let done = cluster.publish(NORTE, Scope::All, 2).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "not in force in time; no vote of region sur");
+    assert_eq!(done.why, "timed out without the vote of region sur");
     for place in [NORTE, SUR] {
         let standing = cluster.standing(place).await;
         assert_eq!(
@@ -479,7 +479,7 @@
     cluster.until(SUR, "vote", has_voted).await;
     let done = publishing.await.expect("it ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "not in force in time; no vote of region sur");
+    assert_eq!(done.why, "timed out without the vote of region sur");
     let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
     assert!(stays(&cluster.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
@@ -501,7 +501,7 @@
         .await
         .expect_err("not its to end");
     assert!(
-        error.contains("region norte decides how it ends"),
+        error.contains("only the coordinating region norte can end it"),
         "{error}"
     );
     // The other region goes on.
@@ -580,7 +580,7 @@
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(
         done.why,
-        "region sur refuses it: the change to generation 2 is under way there"
+        "region sur rejected the change: the change to generation 2 is pending there"
     );
     let revision = cluster.standing(SUR).await.revision;
     cluster.lease(SUR, 2, revision).await;
--- a/crates/policy/src/change.rs
+++ b/crates/policy/src/change.rs
@@ -1,42 +1,42 @@
-//! A published change of the policy and its status.
+//! Published policy changes and their status.
 
 use crate::regions::{ChangeId, Scope};
 use crate::Generation;
 use serde::{Deserialize, Serialize};
 
-/// The status of a change.
+/// Status of a policy change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
-    /// In transition.
+    /// The transition to the new generation is in progress.
     #[serde(rename = "Open")]
     Pending,
-    /// In force, now or until a later change.
+    /// The change came into force. A later change may have replaced it since.
     #[serde(rename = "InForce")]
     Committed,
-    /// Never in force, and never will be.
+    /// The change was aborted: it was never in force and never will be.
     #[serde(rename = "NotInForce")]
     Aborted {
-        /// The reason, for operators.
+        /// Why the change was aborted, as shown to operators.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// A change of the policy.
+/// A policy change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The generation in force before.
+    /// The generation that was in force when the change was published.
     pub from: Generation,
-    /// Its status.
+    /// Status of the change.
     #[serde(rename = "ended")]
     pub status: ChangeStatus,
-    /// Identifies a cross-region change among the regions; `None` for a change of one region.
+    /// Identifies a cross-region change in all regions; `None` for a change of a single region.
     #[serde(default)]
     pub id: Option<ChangeId>,
 }
 
 impl Change {
-    /// Which regions the change is for.
+    /// Returns which regions the change applies to.
     pub fn scope(&self) -> Scope {
         match self.id {
             Some(_) => Scope::All,
--- a/crates/policy/src/command.rs
+++ b/crates/policy/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of a region's replicated log and their outcomes.
+//! Commands of a region's replicated log, and their outcomes.
 
 use crate::regions::{region_list, AllRegions, ChangeId, ChangeRef, Region};
 use crate::{Generation, Identity, OnLeaseLoss};
@@ -6,148 +6,148 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// One entry of the replicated log. A command that names a revision is rejected at any other revision.
+/// A command in the replicated log. A command that names a revision is rejected at any other revision.
 ///
-/// The serialized names are stored data: they stay when a variant or field is renamed.
+/// Commands are stored: a renamed variant or field must keep its serialized name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Publishes a policy: starts the transition to it.
+    /// Publishes a policy, which starts the transition to it.
     Publish {
-        /// The revision that the policy was validated at.
+        /// Revision at which the policy was validated.
         revision: u64,
-        /// The text of the policy.
+        /// Text of the policy.
         text: String,
-        /// The generations whose fallback policies it was validated against.
+        /// Generations against whose fallback policies the policy was validated.
         #[serde(rename = "floors")]
         fallback_generations: BTreeSet<Generation>,
-        /// Set for a cross-region change; without it the change is for this region alone.
+        /// Set for a cross-region change. `None` means that the change applies to this region only.
         #[serde(default)]
         all_regions: Option<AllRegions>,
     },
-    /// A participant starts the transition of a cross-region change.
+    /// Starts the transition of a cross-region change in a participant.
     Prepare {
-        /// The revision that the policy was validated at.
+        /// Revision at which the policy was validated.
         revision: u64,
-        /// The change.
+        /// The cross-region change.
         change: ChangeRef,
-        /// The text of the policy.
+        /// Text of the policy.
         text: String,
-        /// The generations whose fallback policies it was validated against.
+        /// Generations against whose fallback policies the policy was validated.
         #[serde(rename = "floors")]
         fallback_generations: BTreeSet<Generation>,
     },
-    /// A participant is prepared: no proxy of its region can serve under a mode older than this transition.
+    /// Records that a participant is prepared: no proxy of its region can serve under a mode older than this transition.
     Vote {
-        /// The revision of the transition.
+        /// Revision of the transition.
         revision: u64,
     },
-    /// The coordinator has received a participant's vote.
+    /// Records that the coordinator has received a participant's vote.
     Prepared {
-        /// The revision of the coordinator's transition.
+        /// Revision of the coordinator's transition.
         revision: u64,
-        /// The participant.
+        /// The participant that has voted.
         region: Region,
     },
-    /// Ends the transition with the new generation in force. For a cross-region change this is the commit.
+    /// Ends the transition with the new generation in force. For a cross-region change, this command is the commit.
     Advance {
-        /// The revision of the transition.
+        /// Revision of the transition.
         revision: u64,
     },
     /// Ends the transition with the old generation in force.
     Abort {
-        /// The revision of the transition.
+        /// Revision of the transition.
         revision: u64,
-        /// The reason, for operators.
+        /// Why the change is aborted, as shown to operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A participant has learned from the coordinator that the change is committed.
+    /// Records that a participant has learned from the coordinator that the change is committed.
     Committed {
-        /// The change.
+        /// Identifier of the change.
         id: ChangeId,
     },
-    /// A participant has learned from the coordinator that the change is aborted.
+    /// Records that a participant has learned from the coordinator that the change is aborted.
     Aborted {
-        /// The change.
+        /// Identifier of the change.
         id: ChangeId,
     },
-    /// The coordinator has received a participant's acknowledgement of the commit.
+    /// Records that the coordinator has received a participant's acknowledgement of the commit.
     Acknowledged {
-        /// The change.
+        /// Identifier of the change.
         id: ChangeId,
-        /// The participant.
+        /// The participant that has acknowledged the commit.
         region: Region,
     },
     /// Registers a proxy that may serve without a lease.
     Register {
-        /// The proxy process.
+        /// Identity of the proxy process.
         identity: Identity,
-        /// What it does when its lease has expired.
+        /// What the proxy does when its lease has expired.
         #[serde(rename = "cut_off")]
         on_lease_loss: OnLeaseLoss,
     },
-    /// Records that registered proxies serve under this revision and none older.
+    /// Records that registered proxies serve under this revision and no older one.
     #[serde(rename = "Acting")]
     RecordActive {
-        /// The revision.
+        /// The revision that the proxies have confirmed.
         revision: u64,
-        /// The proxies.
+        /// The proxies that have confirmed it.
         proxies: BTreeSet<Identity>,
     },
-    /// A proxy process has shut down.
+    /// Records that a proxy process has shut down.
     #[serde(rename = "Retire")]
     Unregister {
-        /// The proxy process.
+        /// Identity of the proxy process.
         identity: Identity,
     },
-    /// An operator asserts that a proxy process no longer runs.
+    /// Records an operator's assertion that a proxy process no longer runs.
     Evict {
-        /// The proxy process.
+        /// Identity of the proxy process.
         identity: Identity,
     },
 }
 
-/// Why a command was rejected. It had no effect.
+/// Why a command was rejected. A rejected command has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 pub enum Rejection {
     /// A change of this region is pending.
-    #[error("the change to {0} is under way")]
+    #[error("the change to {0} is pending")]
     #[serde(rename = "UnderWay")]
     ChangePending(Generation),
-    /// A cross-region change is pending, or committed and not acknowledged by all regions.
-    #[error("the change of all regions {id}, here {generation}, is not at its end: it waits for {}", awaited(.awaited_regions))]
+    /// A cross-region change is pending, or it is committed and some regions have not acknowledged the commit.
+    #[error("the change of all regions {id} ({generation} in this region) has not ended: it waits for {}", awaited(.awaited_regions))]
     #[serde(rename = "AcrossRegions")]
     CrossRegionPending {
-        /// Its generation in this region.
+        /// Generation of the change in this region.
         generation: Generation,
-        /// Its identifier among the regions.
+        /// Identifier of the change in all regions.
         id: ChangeId,
-        /// The regions whose vote, decision or acknowledgement is missing. Empty: this region is not prepared yet.
+        /// Regions whose vote, decision or acknowledgement is missing. Empty if only this region is not prepared yet.
         #[serde(rename = "waits_for")]
         awaited_regions: BTreeSet<Region>,
     },
-    /// A cross-region change cannot be committed yet: these regions have not voted.
-    #[error("no vote yet of {}", region_list(.regions))]
+    /// A cross-region change cannot be committed because some regions have not voted.
+    #[error("the change cannot be committed before the vote of {}", region_list(.regions))]
     NotPrepared {
-        /// The regions.
+        /// Regions that have not voted.
         regions: BTreeSet<Region>,
     },
-    /// Only the coordinator of the change can end it now.
-    #[error("this region has voted for a change of all regions: region {coordinator} decides how it ends")]
+    /// This region has voted, so only the coordinator can end the change.
+    #[error("this region has voted for a change of all regions: only the coordinating region {coordinator} can end it")]
     AwaitsDecision {
-        /// The coordinator.
+        /// Region that coordinates the change.
         coordinator: Region,
     },
-    /// Another command was applied in between: the revision or the fallback policies are no longer those checked.
-    #[error("something else came in between: look again")]
+    /// Another command was applied first: the revision or the fallback policies differ from those that were checked.
+    #[error("the policy state changed in the meantime: read the status again and retry")]
     #[serde(rename = "Moved")]
     Conflict,
     /// The proxy process was evicted.
-    #[error("this start of the proxy was evicted: start it anew")]
+    #[error("this proxy process was evicted: restart the proxy")]
     Evicted,
 }
 
-/// What a pending cross-region change waits for, for operators.
+/// Formats what a pending cross-region change waits for, for operators.
 fn awaited(regions: &BTreeSet<Region>) -> String {
     if regions.is_empty() {
         "proxies of this region".to_owned()
@@ -156,10 +156,10 @@
     }
 }
 
-/// The outcome of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A change was started, with this generation.
+    /// The command started a change to this generation.
     #[serde(rename = "Begun")]
     Started(Generation),
     /// The command was applied.
--- a/crates/policy/src/identity.rs
+++ b/crates/policy/src/identity.rs
@@ -1,14 +1,14 @@
-//! The identity of a proxy process.
+//! Identities of proxy processes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A proxy process: its configured name, and an incarnation that is drawn anew at each start of the program.
+/// Identity of a proxy process: its configured name, and a random incarnation drawn at each start of the process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name in the operator's file.
+    /// Name of the proxy, from the operator's file.
     pub name: String,
-    /// Tells restarts apart. Two processes of one name are two proxies.
+    /// Distinguishes processes of the same name, for example after a restart. Each of them counts as a separate proxy.
     pub incarnation: u64,
 }
 
@@ -18,15 +18,15 @@
     }
 }
 
-/// Serde form of maps keyed by [`Identity`], for formats with string keys such as JSON: `name#incarnation`, the
-/// incarnation in hexadecimal.
+/// Serializes maps keyed by [`Identity`] for formats that require string keys, such as JSON. The key is
+/// `name#incarnation`, with the incarnation in hexadecimal.
 pub(crate) mod as_key {
     use super::Identity;
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
 
-    /// Serializes a map with string keys.
+    /// Serializes a map with its identities as string keys.
     pub(crate) fn serialize<V: Serialize, S: Serializer>(
         map: &BTreeMap<Identity, V>,
         serializer: S,
@@ -37,7 +37,7 @@
         )
     }
 
-    /// Deserializes a map with string keys; a malformed key is an error that shows it.
+    /// Deserializes a map with identities as string keys. The error for a malformed key contains that key.
     pub(crate) fn deserialize<'de, V: Deserialize<'de>, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<BTreeMap<Identity, V>, D::Error> {
@@ -45,7 +45,7 @@
         let parse_entry = |(key, value): (String, V)| match parse_key(&key) {
             Some(identity) => Ok((identity, value)),
             None => Err(D::Error::custom(format!(
-                "found {key:?}, allowed is name#incarnation"
+                "invalid proxy identity {key:?}, expected name#incarnation"
             ))),
         };
         entries.into_iter().map(parse_entry).collect()
@@ -56,7 +56,7 @@
     }
 
     fn parse_key(key: &str) -> Option<Identity> {
-        // A name may contain '#', an incarnation cannot: the last one separates them.
+        // A name may contain '#' but an incarnation cannot, so the last '#' is the separator.
         let (name, incarnation) = key.rsplit_once('#')?;
         let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
         Some(Identity {
--- a/crates/policy/src/intersection.rs
+++ b/crates/policy/src/intersection.rs
@@ -1,7 +1,7 @@
-//! The intersection of two policies: what both of them allow for a request, and no more. (If policies are ordered by
-//! what they allow, this is the meet of the lattice.)
+//! Intersection of two policies: what both of them allow for a request, and no more. (If policies are ordered by what
+//! they allow, this is the meet of the lattice.)
 //!
-//! It is computed for each request from what either policy resolved for it, so that it is exact for any two routing
+//! The intersection is computed per request from the two policies' resolved calls, so it is exact for any two routing
 //! tables, whatever their patterns and conditions.
 
 use crate::Micros;
@@ -12,7 +12,7 @@
 /// Every status code that HTTP allows (RFC 9110, section 15).
 const STATUS_CODES: std::ops::RangeInclusive<u16> = 100..=999;
 
-/// The key by which endpoints recognise a repeated call.
+/// Key by which endpoints recognise a repeated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IdempotencyKey {
     /// The call has no key.
@@ -21,14 +21,14 @@
     Value(String),
 }
 
-/// What one policy resolves for a request.
+/// The settings that one policy resolves for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedCall {
     /// Whether and where the call may be repeated.
     pub idempotency: Idempotency,
-    /// Its key, if repeats are recognised by one.
+    /// The idempotency key of the call, if endpoints recognise repeats by one.
     pub key: IdempotencyKey,
-    /// Time from the last byte of the request to its final response.
+    /// Longest time from the last byte of the request to its final response.
     pub timeout: Micros,
     /// Retries, hedging and time limits.
     pub policy: CallPolicy,
@@ -47,15 +47,15 @@
     New,
 }
 
-/// What both policies allow for a request.
+/// The settings that both policies allow for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Intersection {
-    /// The policy whose class applies: the one with the stricter idempotency.
+    /// The policy whose class applies, which is the one with the stricter idempotency.
     pub class: Side,
-    /// Time from the last byte of the request to its final response.
+    /// Longest time from the last byte of the request to its final response.
     pub timeout: Micros,
-    /// Retries, hedging and time limits. The call is treated as non-idempotent if neither idempotency covers the
-    /// other.
+    /// Retries, hedging and time limits. The call is treated as non-idempotent if neither policy's idempotency covers the
+    /// other's.
     pub policy: CallPolicy,
     /// Time limit for establishing a connection.
     pub connect_timeout: Micros,
@@ -63,18 +63,18 @@
     pub max_body_bytes: usize,
 }
 
-/// Why no call can start that both policies allow.
+/// Why the policies allow no common call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Mismatch {
     /// Only the policy in force accepts the request.
-    #[error("the policy that is to come does not take it")]
+    #[error("the pending policy does not accept the request")]
     OnlyOld,
     /// Only the pending policy accepts the request.
-    #[error("the policy in force does not take it")]
+    #[error("the policy in force does not accept the request")]
     OnlyNew,
 }
 
-/// Whether `outer` allows every repeat that `inner` allows.
+/// Returns whether `outer` allows every repeat that `inner` allows.
 fn is_covered_by(inner: Idempotency, outer: Idempotency) -> bool {
     match (inner, outer) {
         (Idempotency::NonIdempotent, _) | (_, Idempotency::Idempotent) => true,
@@ -96,7 +96,7 @@
 }
 
 fn intersect_hedge(old: Hedge, new: Hedge) -> Hedge {
-    // Delays of hedged requests have no stricter one: if they differ, no hedged request is sent.
+    // Neither of two different hedging delays is the stricter one, so no hedged request is sent then.
     if old == new {
         old
     } else {
@@ -104,10 +104,11 @@
     }
 }
 
-/// What both policies allow for a request, given what each of them resolved for it (`None`: rejected).
+/// Computes what both policies allow for a request, given the call that each of them resolved (`None`: the policy rejects
+/// the request). A request that both policies reject is not affected by the change, and the result is `Ok(None)`.
 ///
 /// # Errors
-/// If only one of them accepts it. A request that both reject has nothing to do with the change: `Ok(None)`.
+/// Returns an error if only one of the policies accepts the request.
 pub fn intersect(
     old: Option<&ResolvedCall>,
     new: Option<&ResolvedCall>,
@@ -152,10 +153,10 @@
     }
 }
 
-/// Whether no repeat of the call is safe under both policies, although either of them may allow repeats.
+/// Returns whether no repeat of the call is safe under both policies, even if each of them allows repeats.
 fn forbids_repeats(old: &ResolvedCall, new: &ResolvedCall, class: Side) -> bool {
     let is_keyed = |call: &ResolvedCall| matches!(call.idempotency, Idempotency::Keyed { .. });
-    // An endpoint that knows the call by another key would not recognise the repeat.
+    // An endpoint that has seen the call with another key would not recognise the repeat.
     let differs_in_key = is_keyed(old) && is_keyed(new) && old.key != new.key;
     let neither_is_covered = !is_covered_by(old.idempotency, new.idempotency)
         && !is_covered_by(new.idempotency, old.idempotency);
@@ -167,8 +168,8 @@
     differs_in_key || neither_is_covered || lacks_key
 }
 
-/// How responses are classified where both policies agree. Any other response is an error whose request may have been
-/// executed.
+/// Returns the response classification on which both policies agree. Any other response is an error whose request may
+/// have been executed.
 pub fn intersect_answers(old: &Answers, new: &Answers) -> Answers {
     if old == new {
         return old.clone();
@@ -179,7 +180,7 @@
             served.insert(status, status);
         }
     }
-    // A status that one policy counts as served is no proof for it that the request did not run.
+    // For a policy that counts a status as served, that status does not prove that the request was not executed.
     let proves = |p: &&badgerramp_route::Proof| {
         new.never_ran.contains(p)
             && !old.served.contains(p.status)
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The safety properties of policy changes, checked against a history of started calls in the order of real time. The
-//! check is independent of the rest of the crate: it shares only the numbers of generations with it.
+//! Checks the safety properties of policy changes against a history of started calls in real-time order. The checker is
+//! independent of the rest of the crate: it shares only the basic types with it.
 
 use crate::{Generation, Identity, Mode};
 use std::collections::BTreeSet;
@@ -10,54 +10,54 @@
 /// A call that a proxy has started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedCall {
-    /// The proxy.
+    /// The proxy that started the call.
     pub identity: Identity,
-    /// The mode that the call started under.
+    /// The mode under which the call started.
     pub mode: Mode,
 }
 
-/// A violated property: P1 (generations are never mixed) or P2 (publishers are told the truth) of
-/// `docs/policy-design.md`.
+/// A violation of property P1 (generations are never mixed) or P2 (reported outcomes hold) of `docs/policy-design.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// P1: a call started under older generations only, after another one had started under a newer one.
+    /// P1: a call started under older generations only, after another call had started under a newer generation.
     MixedGenerations {
-        /// The call.
+        /// The violating call.
         call: StartedCall,
-        /// The oldest generation under which a call may still start.
+        /// Oldest generation under which a call may still start.
         after: Generation,
     },
     /// P2: a call started under an aborted generation.
     AbortedGeneration(StartedCall),
-    /// P2: a call started under older generations only, after a publisher was told that a newer one is in force.
+    /// P2: a call started under older generations only, after a newer generation was reported to be in force.
     BehindCommitted {
-        /// The call.
+        /// The violating call.
         call: StartedCall,
-        /// The generation in force.
+        /// The generation that was reported to be in force.
         committed: Generation,
     },
 }
 
-/// Checks a history, event by event.
+/// Checks a history of calls and reported outcomes, event by event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InvariantChecker {
-    /// No call may start under older generations only.
+    /// Oldest generation under which a call may still start.
     minimum: Generation,
-    /// The newest generation that a publisher was told to be in force.
+    /// Newest generation that was reported to be in force.
     committed: Generation,
+    /// Generations that were reported to be aborted.
     aborted: BTreeSet<Generation>,
     /// Generations under which calls started outside of a transition.
     started_stable: BTreeSet<Generation>,
 }
 
 impl InvariantChecker {
-    /// A call has started.
+    /// Records a started call and returns the violation that it causes, if any.
     pub fn record_start(&mut self, call: &StartedCall) -> Option<Violation> {
         let Mode { old, new, .. } = call.mode;
         if old == new {
             self.started_stable.insert(new);
         }
-        // In a transition a call follows the old generation, restricted to what the new one allows too.
+        // In a transition a call follows the old generation, restricted to what the new generation allows too.
         if self.aborted.contains(&old) {
             return Some(Violation::AbortedGeneration(call.clone()));
         }
@@ -77,12 +77,13 @@
         None
     }
 
-    /// A publisher was told that this generation is in force.
+    /// Records that this generation was reported to a publisher as being in force.
     pub fn record_committed(&mut self, generation: Generation) {
         self.committed = self.committed.max(generation);
     }
 
-    /// A publisher was told that this generation was aborted. False if calls have started under it.
+    /// Records that this generation was reported to a publisher as aborted. Returns false if calls have started under
+    /// it.
     #[must_use]
     pub fn record_aborted(&mut self, generation: Generation) -> bool {
         self.aborted.insert(generation);
--- a/crates/policy/src/invariants/tests.rs
+++ b/crates/policy/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Histories that keep the invariants and histories that break them.
+//! Checks call histories that satisfy the invariants and histories that violate them.
 
 use super::*;
 
--- a/crates/policy/src/lease_holder.rs
+++ b/crates/policy/src/lease_holder.rs
@@ -1,8 +1,8 @@
-//! The proxy's side of a lease: the mode that it holds, until when, and what may start under it now.
+//! Proxy side of a lease: the mode that it grants, its expiry, and the calls that may start under it.
 //!
-//! The lease time is counted from the moment at which the proxy *sent* its request, on a clock that keeps running while
-//! the machine sleeps. The control plane counts it from the moment at which it granted the lease, which is later, so
-//! the lease always expires at the proxy first.
+//! The proxy counts the duration of a lease from the moment at which it *sent* its request, on a clock that keeps running
+//! while the machine is suspended. The control plane counts it from the moment at which it granted the lease, which is
+//! later, so the lease always expires at the proxy first.
 
 use crate::{Generation, Identity, Micros, Mode};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A lease is renewed after this part of its duration (one third): two requests may fail before it expires.
+/// A lease is renewed after its duration divided by this number, so that two requests may fail before it expires.
 const RENEWALS_PER_LEASE: u64 = 3;
 
 /// What a proxy does when its lease has expired and the control plane is unreachable.
@@ -19,15 +19,15 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum OnLeaseLoss {
-    /// Rejects every call.
+    /// The proxy rejects every call.
     #[default]
     #[serde(rename = "Refuse")]
     Reject,
-    /// Starts only calls that the fallback policy of its last generation allows. No new generation may violate a
-    /// fallback policy that a proxy may still apply.
+    /// The proxy starts only calls that the fallback policy of its last generation allows. No new generation may violate
+    /// a fallback policy that a proxy may still apply.
     #[serde(rename = "Narrow")]
     Fallback,
-    /// Keeps serving under its last mode. A change has to wait until this proxy has confirmed it.
+    /// The proxy keeps serving under its last mode. A change has to wait until this proxy has confirmed it.
     Keep,
 }
 
@@ -36,27 +36,28 @@
 pub struct LeaseHolderConfig {
     /// What the proxy does when its lease has expired.
     pub on_lease_loss: OnLeaseLoss,
-    /// A request that is not answered within this time has failed.
+    /// Time after which a request without a reply counts as failed.
     pub request_timeout: Micros,
-    /// Delay before the next request after one that failed.
+    /// Delay before the next request after a failed one.
     pub retry_delay: Micros,
 }
 
-/// A proxy's request for a new or renewed lease.
+/// A proxy's request for a lease or its renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The proxy.
+    /// Identity of the proxy.
     pub identity: Identity,
-    /// Grows with each request of this process. The control plane ignores requests that arrive out of order.
+    /// Sequence number, which increases with each request of this process. The control plane denies requests that arrive
+    /// out of order.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The revision that the proxy serves under, and none older from now on; 0 without any.
+    /// The revision under which the proxy serves; 0 if it has none. From now on the proxy serves under no older one.
     #[serde(rename = "acting")]
     pub active_revision: u64,
-    /// The generations whose text the proxy has loaded and found valid.
+    /// Generations whose text the proxy has loaded and found valid.
     #[serde(rename = "has")]
     pub loaded_generations: BTreeSet<Generation>,
-    /// A generation whose text the proxy cannot load.
+    /// A generation whose text the proxy cannot load, if any.
     #[serde(rename = "unread")]
     pub rejected_generation: Option<RejectedGeneration>,
     /// What the proxy does when its lease has expired.
@@ -67,36 +68,37 @@
 /// A generation that a proxy cannot load.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RejectedGeneration {
-    /// The generation.
+    /// The generation that cannot be loaded.
     pub generation: Generation,
-    /// The error, for operators.
+    /// The load error, as shown to operators.
     pub reason: String,
 }
 
-/// The control plane's reply to a [`LeaseRequest`]: a mode and how long it may be served under.
+/// The control plane's reply to a [`LeaseRequest`]: a mode, and how long the proxy may serve under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Sequence number of the request that this answers.
+    /// Sequence number of the request that this grant answers.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The mode to serve under.
+    /// The mode under which the proxy may serve.
     pub mode: Mode,
-    /// Duration of the lease, counted from when the request was sent.
+    /// Duration of the lease, counted from the time at which the request was sent.
     #[serde(rename = "lease")]
     pub duration: Micros,
 }
 
-/// What the proxy did with a [`LeaseGrant`].
+/// How the proxy handled a [`LeaseGrant`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantResult {
     /// The proxy serves under the granted mode.
     Accepted {
-        /// The control plane waits for the confirmation of a transition: send the next request at once.
+        /// Whether to send the next request immediately, because the control plane waits for the confirmation of a
+        /// transition.
         renew_now: bool,
     },
-    /// The texts of the granted generations have to be loaded first. The old mode stays until its lease expires.
+    /// The texts of the granted generations have to be loaded first. The previous mode applies until its lease expires.
     MissingGenerations,
-    /// The grant answers no pending request, or its mode is older than the present one. Nothing changed.
+    /// The grant answers no pending request, or its mode is older than the current one. The mode did not change.
     Ignored,
 }
 
@@ -105,40 +107,40 @@
 pub enum NotAdmitted {
     /// This process was never granted a lease. A copy of the policy on disk does not replace one.
     NoLease,
-    /// The lease has expired.
+    /// The lease has expired, and the proxy is configured to reject calls then.
     LeaseExpired,
     /// The control plane has evicted this process and no longer waits for it.
     Evicted,
 }
 
-/// Which calls may start now.
+/// The calls that may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// Calls that this mode allows: one generation, or the intersection of two.
+    /// Calls that this mode allows: those of one generation, or of the intersection of two.
     Under(Mode),
     /// Calls that the fallback policy of this generation allows.
     Fallback(Generation),
-    /// None.
+    /// No calls, for this reason.
     Denied(NotAdmitted),
 }
 
-/// A granted mode and when its lease expires.
+/// A granted mode and the expiry of its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The mode to serve under.
+    /// The mode under which the proxy may serve.
     pub mode: Mode,
     /// When the lease expires, on the proxy's clock. It may have passed.
     pub expires_at: Micros,
 }
 
-/// A request that is not answered yet.
+/// A lease request that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     sequence: u64,
     sent_at: Micros,
 }
 
-/// The state machine of one proxy process: it requests leases, takes grants and decides what may start.
+/// Lease state machine of one proxy process: it requests leases, handles grants and decides which calls may start.
 ///
 /// The caller sends the requests, loads the texts of generations and provides the clock:
 ///
@@ -174,8 +176,8 @@
 }
 
 impl LeaseHolder {
-    /// A process that has just started: it has no lease, whatever is on its disk. `loaded_generations` are the
-    /// generations whose texts it has loaded from there, so that they need not be sent again.
+    /// Creates the state of a process that has just started. It has no lease, even if it has a copy of the policy on disk.
+    /// `loaded_generations` are the generations whose texts were loaded from disk, so that they need not be sent again.
     pub fn new(
         identity: Identity,
         config: LeaseHolderConfig,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Which calls may start at `now`. A call starts at the moment at which the clock was read for this.
+    /// Returns which calls may start at `now`. The start time of a call is the clock reading passed as `now`.
     pub fn admission(&self, now: Micros) -> Admission {
         if self.evicted {
             return Admission::Denied(NotAdmitted::Evicted);
@@ -207,29 +209,29 @@
         }
         match self.config.on_lease_loss {
             OnLeaseLoss::Keep => Admission::Under(lease.mode),
-            // The generation in force stays admissible; the pending one may never come into force.
+            // The generation in force stays valid for the fallback; the pending one may never come into force.
             OnLeaseLoss::Fallback => Admission::Fallback(lease.mode.old),
             OnLeaseLoss::Reject => Admission::Denied(NotAdmitted::LeaseExpired),
         }
     }
 
-    /// The last lease, expired or not.
+    /// Returns the last lease, whether it has expired or not.
     pub fn lease(&self) -> Option<Lease> {
         self.lease
     }
 
-    /// When [`LeaseHolder::request`] is to be called next; `None` while a request is pending, and after an eviction.
+    /// Returns when to call [`LeaseHolder::request`] next; `None` while a request is pending and after an eviction.
     pub fn next_request_at(&self) -> Option<Micros> {
         (self.pending.is_none() && !self.evicted).then_some(self.next_request_at)
     }
 
-    /// When the pending request times out.
+    /// Returns when the pending request times out.
     pub fn request_deadline(&self) -> Option<Micros> {
         self.pending
             .map(|request| request.sent_at.saturating_add(self.config.request_timeout))
     }
 
-    /// The request to send now. It replaces a pending one.
+    /// Returns the request to send now. It replaces the pending request, if any.
     pub fn request(&mut self, now: Micros) -> LeaseRequest {
         self.last_sequence += 1;
         self.pending = Some(PendingRequest {
@@ -246,12 +248,12 @@
         }
     }
 
-    /// The control plane has announced a new revision: request as soon as possible.
+    /// Moves the next request up to `now`, because the control plane has announced a new revision.
     pub fn request_soon(&mut self, now: Micros) {
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// The text of a generation was loaded and is valid.
+    /// Records that the text of a generation was loaded and is valid.
     pub fn accept_generation(&mut self, generation: Generation) {
         self.loaded_generations.insert(generation);
         if self
@@ -263,18 +265,19 @@
         }
     }
 
-    /// The text of a generation cannot be loaded. The next request reports the reason.
+    /// Records that the text of a generation cannot be loaded. The next request reports the reason.
     pub fn reject_generation(&mut self, generation: Generation, reason: String) {
         self.rejected_generation = Some(RejectedGeneration { generation, reason });
     }
 
-    /// Forgets the loaded generations for which `retain` is false.
+    /// Drops the loaded generations for which `retain` returns false.
     pub fn retain_generations(&mut self, retain: impl Fn(Generation) -> bool) {
         self.loaded_generations
             .retain(|&generation| retain(generation));
     }
 
-    /// Takes a grant. Texts that came with it have been passed to [`LeaseHolder::accept_generation`] before.
+    /// Handles a grant. The caller must load texts that came with it, and call [`LeaseHolder::accept_generation`] for
+    /// them, first.
     pub fn on_grant(&mut self, now: Micros, grant: LeaseGrant) -> GrantResult {
         let Some(request) = self
             .pending
@@ -307,13 +310,13 @@
         GrantResult::Accepted { renew_now }
     }
 
-    /// The pending request failed: no connection, a timeout or a rejection.
+    /// Handles the failure of the pending request: no connection, a timeout or a rejection.
     pub fn on_request_failed(&mut self, now: Micros) {
         self.pending = None;
         self.next_request_at = now.saturating_add(self.config.retry_delay);
     }
 
-    /// The control plane has evicted this process. No call starts any more.
+    /// Records that the control plane has evicted this process. No further call may start.
     pub fn evict(&mut self) {
         self.evicted = true;
         self.pending = None;
--- a/crates/policy/src/lease_holder/tests.rs
+++ b/crates/policy/src/lease_holder/tests.rs
@@ -1,4 +1,4 @@
-//! The proxy's side of a lease: its end, stale and older grants, rejected generations, and what happens after a loss.
+//! Proxy side of a lease: its expiry, stale and older grants, rejected generations, and admission after lease loss.
 
 use super::*;
 
@@ -7,14 +7,14 @@
         name: "p".to_owned(),
         incarnation: 1,
     };
-    let terms = LeaseHolderConfig {
+    let config = LeaseHolderConfig {
         on_lease_loss,
         request_timeout: 100,
         retry_delay: 50,
     };
     LeaseHolder::new(
         identity,
-        terms,
+        config,
         BTreeSet::from([Generation(1), Generation(2)]),
     )
 }
@@ -76,29 +76,29 @@
     );
     assert_eq!(holder.admission(140), Admission::Under(transition));
     let fourth = holder.request(150);
-    let rejected = Mode {
+    let not_loaded = Mode {
         revision: 7,
         old: Generation(2),
         new: Generation(3),
     };
     assert_eq!(
-        holder.on_grant(160, grant(fourth.sequence, rejected)),
+        holder.on_grant(160, grant(fourth.sequence, not_loaded)),
         GrantResult::MissingGenerations
     );
     assert_eq!(holder.admission(160), Admission::Under(transition));
-    holder.reject_generation(Generation(3), "a key that it does not know".to_owned());
+    holder.reject_generation(Generation(3), "unknown key".to_owned());
     assert_eq!(
         holder
             .request(170)
             .rejected_generation
-            .map(|u| u.generation),
+            .map(|rejected| rejected.generation),
         Some(Generation(3))
     );
 }
 
 #[test]
-fn an_expired_lease_is_handled_as_configured() {
-    for (on_lease_loss, then) in [
+fn admission_after_lease_expiry_follows_the_configuration() {
+    for (on_lease_loss, expected) in [
         (
             OnLeaseLoss::Reject,
             Admission::Denied(NotAdmitted::LeaseExpired),
@@ -122,7 +122,7 @@
         };
         holder.on_grant(1, grant(request.sequence, transition));
         assert_eq!(holder.admission(299), Admission::Under(transition));
-        assert_eq!(holder.admission(300), then);
+        assert_eq!(holder.admission(300), expected);
         holder.evict();
         assert_eq!(
             holder.admission(10),
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -1,8 +1,7 @@
-//! The leases that one leader of the control plane has granted, and the proxies that may still serve under an older
-//! mode.
+//! Leases granted by one leader of the control plane, and the proxies that may still serve under an older mode.
 //!
 //! This state is kept in memory only. A new leader assumes that its predecessors granted leases up to its election, and
-//! waits for as long as these may run.
+//! waits until these have expired.
 
 use crate::{
     Identity, LeaseGrant, LeaseRequest, Micros, Mode, OnLeaseLoss, Record, RejectedGeneration,
@@ -15,35 +14,35 @@
 /// Settings of [`Leases`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// Duration of a lease, counted by the proxy from when it sent its request.
+    /// Duration of a lease. The proxy counts it from when it sent its request.
     pub duration: Micros,
-    /// How much longer the leader counts it: the most that a proxy's clock may fall behind during one lease.
+    /// Time that the leader adds to the duration: the most that a proxy's clock may fall behind during one lease.
     pub max_clock_drift: Micros,
 }
 
 impl LeaseConfig {
-    /// When a lease granted at `now` has expired at its proxy, however slow that proxy's clock is.
+    /// Returns the time by which a lease granted at `now` has expired at its proxy, given the slowest allowed clock.
     fn expiry(self, now: Micros) -> Micros {
         now.saturating_add(self.duration)
             .saturating_add(self.max_clock_drift)
     }
 }
 
-/// What the leader knows of one proxy process.
+/// State that the leader keeps for one proxy process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Session {
-    /// Sequence number of its last request.
+    /// Sequence number of the proxy's last request.
     last_sequence: u64,
-    /// It serves under this revision and none older.
+    /// The proxy serves under this revision and no older one.
     active_revision: u64,
     on_lease_loss: OnLeaseLoss,
-    /// By granted revision: until when the proxy may serve under it.
+    /// Time until which the proxy may serve under a revision, by granted revision.
     expiries: BTreeMap<u64, Micros>,
     rejected_generation: Option<RejectedGeneration>,
 }
 
 impl Session {
-    /// Takes over what a request says. Leases of revisions that the proxy has left, and expired ones, are dropped.
+    /// Updates the state from a request. Drops expired leases and leases of revisions older than the active one.
     fn update(&mut self, now: Micros, mode: Mode, request: &LeaseRequest) {
         self.last_sequence = request.sequence;
         self.on_lease_loss = request.on_lease_loss;
@@ -57,7 +56,7 @@
             .retain(|&revision, &mut expiry| revision >= active_revision && now < expiry);
     }
 
-    /// Until when the proxy may serve under a revision older than `revision`; `None` if it can't any more.
+    /// Returns until when the proxy may serve under a revision older than `revision`; `None` if it no longer can.
     fn older_lease_until(&self, now: Micros, revision: u64) -> Option<Micros> {
         self.expiries
             .range(..revision)
@@ -75,68 +74,68 @@
     }
 }
 
-/// A proxy that the leader has granted a lease.
+/// A proxy to which the leader has granted a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxySession<'a> {
-    /// The proxy.
+    /// Identity of the proxy.
     pub identity: &'a Identity,
-    /// The revision that it has confirmed; it serves under none older.
+    /// The revision that the proxy has confirmed. It serves under no older one.
     pub active_revision: u64,
 }
 
-/// Why a request is not granted a lease.
+/// Why a lease request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseDenial {
-    /// A later request of this proxy was answered before.
+    /// A later request of this proxy has already been answered.
     OutOfOrder,
     /// No policy has been published yet.
     NoPolicy,
-    /// This process was evicted.
+    /// The proxy process was evicted.
     Evicted,
 }
 
-/// What to reply to a [`LeaseRequest`].
+/// Outcome of a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// Send this grant. The lease counts from now on, whether the grant arrives or not.
+    /// The lease is granted: send this grant. The lease counts as held from now on, whether the grant arrives or not.
     Granted(LeaseGrant),
-    /// The proxy may serve without a lease: log [`crate::Command::Register`] first, then grant again.
+    /// The proxy may serve without a lease: log [`crate::Command::Register`] first, then call [`Leases::grant`] again.
     RegisterFirst,
-    /// No lease is granted.
+    /// The request is denied for this reason.
     Denied(LeaseDenial),
 }
 
-/// A proxy that may still serve under an older mode, so that a transition cannot end.
+/// A proxy that may still serve under an older mode, which keeps a transition from ending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blocker {
-    /// The proxy; `None` stands for any proxy with a lease of an earlier leader.
+    /// Identity of the proxy; `None` stands for any proxy with a lease from an earlier leader.
     pub identity: Option<Identity>,
-    /// Why it blocks the transition.
+    /// Why the proxy blocks the transition.
     pub reason: BlockReason,
 }
 
 /// Why a proxy blocks a transition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BlockReason {
-    /// It may have a lease that expires at this time.
+    /// The proxy may hold a lease for an older mode that expires at this time.
     Lease(Micros),
-    /// It keeps serving without a lease and has not confirmed the transition.
+    /// The proxy keeps serving without a lease and has not confirmed the transition.
     ServesWithoutLease,
-    /// It cannot load the new generation, for this reason.
+    /// The proxy cannot load the new generation, for this reason.
     GenerationRejected(String),
 }
 
-/// The leases of one leader.
+/// Leases granted by one leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
     config: LeaseConfig,
-    /// Until then leases of earlier leaders may run.
+    /// Time until which leases of earlier leaders may be valid.
     earlier_leases_until: Micros,
     sessions: BTreeMap<Identity, Session>,
 }
 
 impl Leases {
-    /// The leases of a leader that was elected at `now`.
+    /// Creates the state of a leader that was elected at `now`.
     pub fn after_election(config: LeaseConfig, now: Micros) -> Self {
         Leases {
             config,
@@ -145,8 +144,8 @@
         }
     }
 
-    /// Answers a request. The caller has confirmed, after the request arrived, that this replica still leads, and
-    /// `record` holds every command committed until then.
+    /// Decides on a lease request. After the request has arrived, the caller must confirm that this replica still leads
+    /// and that `record` contains every command committed until then.
     pub fn grant(&mut self, now: Micros, record: &Record, request: &LeaseRequest) -> GrantOutcome {
         if record.is_evicted(&request.identity) {
             self.sessions.remove(&request.identity);
@@ -161,7 +160,7 @@
         }
         let session = self.sessions.entry(request.identity.clone()).or_default();
         if request.sequence <= session.last_sequence {
-            // The request is outdated: the proxy may serve under a newer mode than it says.
+            // The request is outdated: the proxy may serve under a newer mode than the request states.
             return GrantOutcome::Denied(LeaseDenial::OutOfOrder);
         }
         session.update(now, mode, request);
@@ -175,12 +174,12 @@
         })
     }
 
-    /// Drops a proxy that has shut down and starts no more calls.
+    /// Removes a proxy that has shut down and starts no more calls.
     pub fn unregister(&mut self, identity: &Identity) {
         self.sessions.remove(identity);
     }
 
-    /// Drops the proxies whose leases have all expired. Those that may serve without a lease stay.
+    /// Removes the proxies whose leases have all expired, except those that may serve without a lease.
     pub fn expire(&mut self, now: Micros) {
         self.sessions.retain(|_, session| {
             session.on_lease_loss != OnLeaseLoss::Reject
@@ -188,8 +187,8 @@
         });
     }
 
-    /// The proxies that may still serve under a mode older than the present one. Without any, a transition may end
-    /// ([`crate::Command::Advance`]): the present mode itself is compatible with the next one.
+    /// Returns the proxies that may still serve under a mode older than the current one. If there are none, a transition
+    /// may end ([`crate::Command::Advance`]), because the current mode itself is compatible with the next one.
     pub fn blockers(&self, now: Micros, record: &Record) -> Vec<Blocker> {
         let revision = record.revision();
         let mut blockers = Vec::new();
@@ -211,7 +210,7 @@
         blockers
     }
 
-    /// The proxies that serve without a lease and have not confirmed the present revision.
+    /// Returns the proxies that keep serving without a lease and have not confirmed the current revision.
     fn leaseless_blockers<'a>(&'a self, record: &'a Record) -> impl Iterator<Item = Blocker> + 'a {
         let revision = record.revision();
         record
@@ -227,14 +226,15 @@
             })
     }
 
-    /// The revision that a proxy has confirmed to this leader; 0 if it has sent no request.
+    /// Returns the revision that a proxy has confirmed to this leader; 0 if it has sent no request.
     fn active_revision(&self, identity: &Identity) -> u64 {
         self.sessions
             .get(identity)
             .map_or(0, |session| session.active_revision)
     }
 
-    /// A proxy that cannot load the new generation of a transition, and its reason: the change has to be aborted.
+    /// Returns a proxy that cannot load the new generation of a transition, and its reason. Such a change has to be
+    /// aborted.
     pub fn rejected_generation(&self, mode: Mode) -> Option<(&Identity, &str)> {
         if !mode.is_transition() {
             return None;
@@ -245,8 +245,8 @@
         })
     }
 
-    /// The proxies that may serve without a lease and have confirmed the present revision, while the record has an
-    /// older one for them.
+    /// Returns the proxies that may serve without a lease and have confirmed the current revision, while the record holds
+    /// an older one for them.
     pub fn caught_up_proxies(&self, record: &Record) -> BTreeSet<Identity> {
         let revision = record.revision();
         record
@@ -259,7 +259,7 @@
             .collect()
     }
 
-    /// When the next lease that blocks the transition expires.
+    /// Returns when the next lease that blocks the transition expires.
     pub fn next_deadline(&self, now: Micros, record: &Record) -> Option<Micros> {
         let blockers = self.blockers(now, record).into_iter();
         let expiries = blockers.filter_map(|blocker| match blocker.reason {
@@ -269,7 +269,7 @@
         expiries.min()
     }
 
-    /// The proxies that this leader has granted a lease.
+    /// Returns the proxies to which this leader has granted a lease.
     pub fn sessions(&self) -> impl Iterator<Item = ProxySession<'_>> {
         self.sessions
             .iter()
--- a/crates/policy/src/leases/tests.rs
+++ b/crates/policy/src/leases/tests.rs
@@ -1,4 +1,4 @@
-//! Grants of one leader, the proxies that block a transition, and the wait after an election.
+//! Grants of one leader, blockers of a transition, and the wait after an election.
 
 use super::*;
 use crate::{Command, Generation};
@@ -60,7 +60,7 @@
     assert_eq!(
         leases.blockers(230, &transition).len(),
         1,
-        "the transition was granted, and the grant may not have arrived"
+        "the transition was granted, but the grant may not have arrived"
     );
     let mut confirmed = leases.clone();
     assert!(matches!(
@@ -122,7 +122,7 @@
         leases
             .blockers(10_000, &record)
             .into_iter()
-            .map(|b| b.reason)
+            .map(|blocker| blocker.reason)
             .collect::<Vec<_>>()
     };
     assert_eq!(reasons(&leases), [BlockReason::ServesWithoutLease]);
@@ -136,23 +136,23 @@
     record.apply(&Command::Evict {
         identity: confirmed.identity.clone(),
     });
-    let again = LeaseRequest {
+    let request_after_eviction = LeaseRequest {
         sequence: 3,
         ..confirmed
     };
     assert_eq!(
-        leases.grant(10_001, &record, &again),
+        leases.grant(10_001, &record, &request_after_eviction),
         GrantOutcome::Denied(LeaseDenial::Evicted)
     );
 }
 
 #[test]
-fn proxy_that_rejects_the_generation_is_named() {
+fn rejected_generation_names_the_proxy_and_its_reason() {
     let mut leases = Leases::after_election(LEASE_CONFIG, 0);
     let transition = record(2);
     let rejected = RejectedGeneration {
         generation: Generation(2),
-        reason: "odd".to_owned(),
+        reason: "unknown key".to_owned(),
     };
     leases.grant(
         0,
@@ -166,7 +166,7 @@
     assert_eq!(
         leases
             .rejected_generation(mode)
-            .map(|(i, reason)| (i.name.as_str(), reason)),
-        Some(("p", "odd"))
+            .map(|(identity, reason)| (identity.name.as_str(), reason)),
+        Some(("p", "unknown key"))
     );
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,19 +1,20 @@
-//! Two-phase change of the policy of a fleet, under leases: a new policy comes into force at every proxy or at none.
+//! Two-phase policy changes for a fleet of proxies, based on leases: a new policy comes into force at every proxy or at
+//! none.
 //!
-//! This crate owns the decisions of both sides: which calls a proxy may start now ([`LeaseHolder`]), what the leader of
-//! the control plane grants ([`Leases`]), what its replicas agree on ([`Record`], changed by [`Command`]s of the
-//! replicated log only) and which step comes next ([`next_command`]). It does no I/O and has neither clock nor
-//! randomness of its own; times are passed in by the caller.
+//! This crate implements the decisions of both sides: which calls a proxy may start now ([`LeaseHolder`]), which leases
+//! the leader of the control plane grants ([`Leases`]), the state that its replicas agree on ([`Record`], changed only by
+//! the [`Command`]s of the replicated log) and the next step of a change ([`next_command`]). It does no I/O and has
+//! neither a clock nor randomness of its own; the caller passes times in.
 //!
 //! The control plane has one [`Mode`] at a time: a single generation, or a transition between two. A proxy serves under
 //! the mode that it was last granted, until the lease expires. In a transition it starts only calls that both
-//! generations allow ([`intersect`]). The transition ends when no proxy can serve under an older mode any more: each
-//! has confirmed it, or its lease has expired. So at any time calls start under the old generation and the transition,
-//! or under the transition and the new generation, never under the old and the new one. `docs/policy-design.md`
-//! compares this with alternatives.
+//! generations allow ([`intersect`]). The transition ends when no proxy can serve under an older mode: each proxy has
+//! confirmed the transition, or its lease has expired. At any time, calls therefore start under the old generation and
+//! the transition, or under the transition and the new generation, but never under both the old and the new generation.
+//! `docs/policy-design.md` compares this protocol with alternatives.
 //!
-//! A fleet may have several regions, each with a control plane of its own: [`regions`] describes how one change comes
-//! into force in all of them or in none, and `docs/regions-design.md` why so.
+//! A fleet may have several regions, each with its own control plane. [`regions`] describes how a change comes into force
+//! in all of them or in none; `docs/regions-design.md` gives the reasons for that protocol.
 //!
 //! ```
 //! use badgerramp_policy::{Command, Generation, Mode, Outcome, Record};
@@ -25,7 +26,7 @@
 //!     fallback_generations: record.fallback_generations(),
 //!     all_regions: None,
 //! };
-//! // The first policy is in force at once; the second one starts a transition.
+//! // The first policy is in force immediately; the second one starts a transition.
 //! assert_eq!(record.apply(&publish(&record, "first")), Outcome::Started(Generation(1)));
 //! assert_eq!(record.apply(&publish(&record, "second")), Outcome::Started(Generation(2)));
 //! assert!(record.mode().is_some_and(Mode::is_transition));
--- a/crates/policy/src/mode.rs
+++ b/crates/policy/src/mode.rs
@@ -1,9 +1,9 @@
-//! The mode that proxies serve under: one generation of the policy, or a transition between two.
+//! Modes that proxies serve under: one generation of the policy, or a transition between two.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a published policy. Numbers only grow; the number of an aborted change is never reused.
+/// Number of a published policy. Generations only increase; that of an aborted change is never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,10 +15,10 @@
     }
 }
 
-/// What proxies may serve under.
+/// The policy generations that proxies may serve under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Mode {
-    /// Grows with each step of the control plane. A proxy never returns to an older revision.
+    /// Increases with each step of the control plane. A proxy never returns to an older revision.
     pub revision: u64,
     /// The generation in force.
     pub old: Generation,
@@ -27,7 +27,7 @@
 }
 
 impl Mode {
-    /// One generation in force, no change pending.
+    /// Creates a mode with one generation in force and no pending change.
     pub fn stable(revision: u64, generation: Generation) -> Self {
         Mode {
             revision,
@@ -36,12 +36,13 @@
         }
     }
 
-    /// Whether a change from `old` to `new` is pending.
+    /// Returns whether a change from `old` to `new` is pending.
     pub fn is_transition(self) -> bool {
         self.old != self.new
     }
 
-    /// Whether calls may start under this mode while others start under `other`: one generation must allow both.
+    /// Returns whether calls may start under this mode while other calls start under `other`. That requires a generation
+    /// that allows all of them.
     pub fn is_compatible_with(self, other: Mode) -> bool {
         self.old <= other.new && other.old <= self.new
     }
--- a/crates/policy/src/next_command.rs
+++ b/crates/policy/src/next_command.rs
@@ -1,4 +1,4 @@
-//! The next command that the leader of a region has to log for the pending change.
+//! Selects the next command that the leader of a region logs for the pending change.
 
 use crate::regions::{region_list, CrossRegionChange, Region, Role};
 use crate::{Blocker, Command, Leases, Micros, Mode, Record};
@@ -7,16 +7,16 @@
 /// How long a change may wait before its leader aborts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeTimeouts {
-    /// Longest wait for the proxies of the own region.
+    /// Longest wait for the proxies of the leader's own region.
     pub proxies: Micros,
-    /// Longest wait of a coordinator for the votes of the other regions.
+    /// Longest time that a coordinator waits for the votes of the other regions.
     pub regions: Micros,
 }
 
-/// The command that the leader has to log next; `None` if there is nothing to do yet.
+/// Returns the command that the leader has to log next, or `None` if there is nothing to do yet.
 ///
-/// `revision_seen_at` is when this leader first saw the present revision. The other steps of a cross-region change
-/// follow from messages: see [`crate::regions`].
+/// `revision_seen_at` is the time at which this leader first saw the current revision. The remaining steps of a
+/// cross-region change are triggered by messages: see [`crate::regions`].
 pub fn next_command(
     record: &Record,
     leases: &Leases,
@@ -47,7 +47,8 @@
     finish_transition(record, transition)
 }
 
-/// Outside of a transition the record is brought up to date once for most of the proxies, not for each of them.
+/// Outside of a transition, confirmations are logged once for a majority of the leaseless proxies instead of separately
+/// for each of them.
 fn record_active_majority(record: &Record, leases: &Leases) -> Option<Command> {
     let caught_up = leases.caught_up_proxies(record);
     let is_majority = caught_up.len() * 2 > record.leaseless_proxies().len();
@@ -57,7 +58,7 @@
     })
 }
 
-/// The command once no proxy of the region can serve under an older mode.
+/// Returns the next command once no proxy of the region can serve under an older mode.
 fn finish_transition(record: &Record, transition: Mode) -> Option<Command> {
     let revision = transition.revision;
     match record.cross_region().map(|cross| &cross.role) {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Why the pending change has to be aborted, if it has.
+/// Returns why the pending change has to be aborted; `None` if it does not have to be.
 fn abort_reason(
     record: &Record,
     leases: &Leases,
@@ -79,7 +80,7 @@
     elapsed: Micros,
     timeouts: ChangeTimeouts,
 ) -> Option<String> {
-    // A participant that has voted can no longer abort by itself.
+    // A participant that has voted can no longer abort on its own.
     if record
         .cross_region()
         .is_some_and(CrossRegionChange::has_voted)
@@ -87,22 +88,22 @@
         return None;
     }
     if let Some((identity, reason)) = leases.rejected_generation(record.transition()?) {
-        return Some(format!("{identity} can't read it: {reason}"));
+        return Some(format!("proxy {identity} cannot load the policy: {reason}"));
     }
     let missing_votes = missing_votes(record);
     if elapsed > timeouts.regions && !missing_votes.is_empty() {
         let regions = region_list(&missing_votes);
-        return Some(format!("not in force in time; no vote of {regions}"));
+        return Some(format!("timed out without the vote of {regions}"));
     }
     let blockers = leases.blockers(now, record);
     if elapsed > timeouts.proxies && !blockers.is_empty() {
         let proxies = proxy_list(&blockers);
-        return Some(format!("not in force in time; held up by {proxies}"));
+        return Some(format!("timed out waiting for proxies: {proxies}"));
     }
     None
 }
 
-/// The regions whose votes a coordinator waits for.
+/// Returns the regions whose votes a coordinator waits for; empty in a region that does not coordinate the change.
 fn missing_votes(record: &Record) -> BTreeSet<Region> {
     match record.cross_region() {
         Some(
@@ -115,7 +116,7 @@
     }
 }
 
-/// The names of blocking proxies, for operators.
+/// Formats the names of blocking proxies, for operators.
 fn proxy_list(blockers: &[Blocker]) -> String {
     let name = |blocker: &Blocker| match &blocker.identity {
         Some(identity) => identity.to_string(),
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -1,6 +1,6 @@
-//! The replicated state of a region: the state machine that applies the commands of the replicated log.
+//! Replicated state of a region: the state machine that applies the commands of the replicated log.
 //!
-//! The submodules hold its commands by concern: [`transition`], [`cross_region`], [`proxies`] and [`retention`].
+//! The submodules implement the commands by topic: [`transition`], [`cross_region`], [`proxies`] and [`retention`].
 
 mod cross_region;
 mod proxies;
@@ -15,23 +15,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The reason of a change that the coordinator has aborted. It is stored.
+/// Reason recorded for a change that the coordinator has aborted. It is part of the replicated state, so replicas of
+/// different versions have to use the same text.
 const ABORTED_BY_COORDINATOR: &str = "the coordinating region has given it up";
 
-/// A proxy that may serve without a lease, with the oldest policy that it may serve under.
+/// A proxy that may serve without a lease, and the oldest policy that it may serve under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaselessProxy {
-    /// What it does when its lease has expired.
+    /// What the proxy does when its lease has expired.
     #[serde(rename = "cut_off")]
     pub on_lease_loss: OnLeaseLoss,
-    /// It serves under this revision or a newer one.
+    /// The proxy serves under this revision or a newer one.
     pub revision: u64,
-    /// Its fallback policy is that of this generation, or of one that came into force later.
+    /// The proxy's fallback policy is that of this generation, or of one that came into force later.
     #[serde(rename = "floor")]
     pub fallback_generation: Generation,
 }
 
-/// The replicated state of a region. The effect of a command depends only on the commands before it.
+/// Replicated state of a region. The effect of a command depends only on the commands applied before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     mode: Mode,
@@ -42,19 +43,19 @@
     #[serde(rename = "standing", with = "as_key")]
     leaseless_proxies: BTreeMap<Identity, LeaselessProxy>,
     evicted: BTreeSet<Identity>,
-    /// The cross-region change in transition.
+    /// The cross-region change whose transition is in progress.
     #[serde(default)]
     cross_region: Option<CrossRegionChange>,
-    /// As coordinator: the last commit, until every participant has acknowledged it.
+    /// In the coordinator: the last commit, until every participant has acknowledged it.
     #[serde(default, rename = "unacknowledged")]
     unacknowledged_commit: Option<UnacknowledgedCommit>,
-    /// By coordinator: the last cross-region change that this region took part in.
+    /// The last cross-region change in which this region took part, by coordinator.
     #[serde(default)]
     participations: BTreeMap<Region, Participation>,
 }
 
 impl Default for Record {
-    /// No policy yet: no call may start.
+    /// Creates the state before the first policy, in which no call may start.
     fn default() -> Self {
         Record {
             mode: Mode::stable(0, Generation(0)),
@@ -71,57 +72,57 @@
 }
 
 impl Record {
-    /// The mode that proxies may serve under; `None` until a policy is in force.
+    /// Returns the mode that proxies may serve under; `None` until a policy is in force.
     pub fn mode(&self) -> Option<Mode> {
         (self.mode.old > Generation(0)).then_some(self.mode)
     }
 
-    /// The transition in progress, also the one to the first policy of all regions.
+    /// Returns the transition in progress, including one to the first policy if that is published to all regions.
     pub fn transition(&self) -> Option<Mode> {
         self.mode.is_transition().then_some(self.mode)
     }
 
-    /// The cross-region change in transition, and this region's role in it.
+    /// Returns the cross-region change whose transition is in progress, with this region's role in it.
     pub fn cross_region(&self) -> Option<&CrossRegionChange> {
         self.cross_region.as_ref()
     }
 
-    /// As coordinator: the commit that not every participant has acknowledged.
+    /// In the coordinator: returns the commit that some participants have not acknowledged.
     pub fn unacknowledged_commit(&self) -> Option<&UnacknowledgedCommit> {
         self.unacknowledged_commit.as_ref()
     }
 
-    /// The last cross-region change of a coordinator that this region took part in.
+    /// Returns the last cross-region change of a coordinator in which this region took part.
     pub fn participation(&self, coordinator: &Region) -> Option<&Participation> {
         self.participations.get(coordinator)
     }
 
-    /// The present revision, also before there is a policy.
+    /// Returns the current revision. It is defined even before the first policy.
     pub fn revision(&self) -> u64 {
         self.mode.revision
     }
 
-    /// The text of a generation, if it is retained.
+    /// Returns the text of a generation, if it is retained.
     pub fn text(&self, generation: Generation) -> Option<&str> {
         self.texts.get(&generation).map(String::as_str)
     }
 
-    /// The retained changes, by their generation.
+    /// Returns the retained changes by generation.
     pub fn changes(&self) -> &BTreeMap<Generation, Change> {
         &self.changes
     }
 
-    /// The proxies that may serve without a lease.
+    /// Returns the proxies that may serve without a lease.
     pub fn leaseless_proxies(&self) -> &BTreeMap<Identity, LeaselessProxy> {
         &self.leaseless_proxies
     }
 
-    /// Whether a proxy process was evicted.
+    /// Returns whether a proxy process was evicted.
     pub fn is_evicted(&self, identity: &Identity) -> bool {
         self.evicted.contains(identity)
     }
 
-    /// The generations whose fallback policies proxies may apply. A new policy must not violate any of them.
+    /// Returns the generations whose fallback policies proxies may apply. A new policy must not violate any of them.
     pub fn fallback_generations(&self) -> BTreeSet<Generation> {
         let fallbacks = self
             .leaseless_proxies
@@ -134,7 +135,7 @@
             .collect()
     }
 
-    /// Applies a command of the log.
+    /// Applies a command of the replicated log.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let applied = match command {
             Command::Publish {
--- a/crates/policy/src/record/cross_region.rs
+++ b/crates/policy/src/record/cross_region.rs
@@ -1,5 +1,5 @@
-//! The steps of a cross-region change: a participant's prepare and vote, the votes and acknowledgements that a
-//! coordinator receives, and the decision that a participant learns. [`crate::regions`] describes the protocol.
+//! Steps of a cross-region change: a participant's prepare and vote, the votes and acknowledgements that a coordinator
+//! receives, and the decision that a participant learns. [`crate::regions`] describes the protocol.
 
 use super::{ChangeStatus, Record};
 use crate::regions::{
@@ -19,7 +19,8 @@
         if let Some(rejection) = self.pending_change() {
             return Err(rejection);
         }
-        // A coordinator starts its next change when the previous one has ended: a late message must not restart that.
+        // A coordinator starts a change only after its previous one has ended. A delayed prepare must not restart a change
+        // that has ended.
         let last_seen = self
             .participations
             .get(&change.coordinator)
@@ -72,7 +73,7 @@
         Ok(Outcome::Applied)
     }
 
-    /// Applies the coordinator's decision. Only a participant that has voted can be committed.
+    /// Applies the coordinator's decision. A change can be committed only in a participant that has voted.
     pub(super) fn apply_decision(
         &mut self,
         id: ChangeId,
--- a/crates/policy/src/record/proxies.rs
+++ b/crates/policy/src/record/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies that may serve without a lease.
+//! Registration of proxies that may serve without a lease.
 
 use super::{LeaselessProxy, Record};
 use crate::{Identity, Mode, OnLeaseLoss, Outcome, Rejection};
--- a/crates/policy/src/record/retention.rs
+++ b/crates/policy/src/record/retention.rs
@@ -1,16 +1,16 @@
-//! How much history a record retains.
+//! Limits on the history that a record retains.
 
 use super::Record;
 use crate::{Generation, Mode};
 
-/// Generations whose text is retained, so that a rollback can return to them.
+/// Number of generations whose text is retained, so that a rollback can return to them.
 pub(super) const RETAINED_TEXTS: usize = 16;
-/// Changes whose status is retained.
+/// Number of changes whose status is retained.
 const RETAINED_CHANGES: usize = 8 * RETAINED_TEXTS;
 
 impl Record {
-    /// Drops the oldest texts and changes. The texts of the present mode, and of generations whose fallback policy a
-    /// proxy may apply, always stay.
+    /// Drops the oldest texts and changes beyond the limits. The texts of the current mode, and of generations whose
+    /// fallback policy a proxy may apply, are always retained.
     pub(super) fn prune(&mut self) {
         let fallback_generations = self.fallback_generations();
         let Mode { old, new, .. } = self.mode;
--- a/crates/policy/src/record/tests.rs
+++ b/crates/policy/src/record/tests.rs
@@ -1,4 +1,4 @@
-//! Commands applied to the record of one region: publish, abort, registered proxies, and what is retained.
+//! Commands applied to the record of one region: publishing, aborts, registered proxies and retention.
 
 use super::retention::RETAINED_TEXTS;
 use super::*;
@@ -49,11 +49,14 @@
         Outcome::Applied
     );
     assert_eq!(record.mode(), Some(Mode::stable(3, Generation(2))));
-    let late = Command::Abort {
+    let late_abort = Command::Abort {
         revision: 2,
         reason: String::new(),
     };
-    assert_eq!(record.apply(&late), Outcome::Rejected(Rejection::Conflict));
+    assert_eq!(
+        record.apply(&late_abort),
+        Outcome::Rejected(Rejection::Conflict)
+    );
 }
 
 #[test]
@@ -63,20 +66,20 @@
     publish(&mut record);
     record.apply(&Command::Abort {
         revision: 2,
-        reason: "unread".to_owned(),
+        reason: "invalid".to_owned(),
     });
     assert_eq!(record.mode(), Some(Mode::stable(3, Generation(1))));
     assert_eq!(publish(&mut record), Outcome::Started(Generation(3)));
     assert_eq!(
         record.changes()[&Generation(2)].status,
         ChangeStatus::Aborted {
-            reason: "unread".to_owned()
+            reason: "invalid".to_owned()
         }
     );
 }
 
 #[test]
-fn fallback_generation_is_retained_until_its_proxy_moves_on() {
+fn fallback_generation_applies_until_its_proxy_confirms_a_newer_one() {
     let mut record = Record::default();
     publish(&mut record);
     record.apply(&Command::Register {
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn texts_are_bounded_and_those_of_fallback_generations_stay() {
+fn number_of_texts_is_limited_and_texts_of_fallback_generations_are_retained() {
     let mut record = Record::default();
     publish(&mut record);
     record.apply(&Command::Register {
--- a/crates/policy/src/record/transition.rs
+++ b/crates/policy/src/record/transition.rs
@@ -1,4 +1,4 @@
-//! How a transition starts and ends. Only these functions change the mode.
+//! Start and end of a transition. Only the functions of this module change the mode.
 
 use super::{Change, ChangeStatus, Record};
 use crate::regions::{
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Record {
-    /// The pending change, as the reason to reject another one.
+    /// Returns the pending change as the reason to reject another one.
     pub(super) fn pending_change(&self) -> Option<Rejection> {
         let generation = self.transition()?.new;
         Some(match &self.cross_region {
@@ -22,7 +22,7 @@
         })
     }
 
-    /// The commit that is not acknowledged yet, as the reason to reject another cross-region change.
+    /// Returns the commit that is not fully acknowledged as the reason to reject another cross-region change.
     fn unacknowledged_change(&self) -> Option<Rejection> {
         let UnacknowledgedCommit { change, regions } = self.unacknowledged_commit.as_ref()?;
         Some(Rejection::CrossRegionPending {
@@ -47,7 +47,7 @@
         }
         let Some(all) = all_regions else {
             let generation = self.start_transition(revision, text, fallback_generations, None)?;
-            // Before the first policy no call can start, so that it needs no transition.
+            // No call can start before the first policy, so the first policy needs no transition.
             if self.mode.old == Generation(0) {
                 self.mode = Mode::stable(self.mode.revision, generation);
                 self.set_status(generation, ChangeStatus::Committed);
@@ -69,8 +69,8 @@
         Ok(Outcome::Started(generation))
     }
 
-    /// Starts the transition to a new generation, if the policy was checked against the present revision and against
-    /// every fallback policy that a proxy may apply.
+    /// Starts the transition to a new generation, if the policy was validated at the current revision and against every
+    /// fallback policy that a proxy may apply.
     pub(super) fn start_transition(
         &mut self,
         revision: u64,
@@ -134,7 +134,7 @@
         Ok(Outcome::Applied)
     }
 
-    /// Ends the transition: the new generation is in force, or the old one stays so.
+    /// Ends the transition: the new generation comes into force, or the old one stays in force.
     pub(super) fn finish_transition(&mut self, status: ChangeStatus) {
         let Mode { revision, old, new } = self.mode;
         let is_committed = status == ChangeStatus::Committed;
@@ -157,7 +157,7 @@
             .insert(coordinator, Participation { change, decision });
     }
 
-    /// Sets the status of a retained change.
+    /// Sets the status of a change, if it is retained.
     fn set_status(&mut self, generation: Generation, status: ChangeStatus) {
         if let Some(change) = self.changes.get_mut(&generation) {
             change.status = status;
@@ -165,10 +165,11 @@
     }
 }
 
-/// The commit that the participants have to acknowledge once the coordinator advances; `None` if there are none.
+/// Returns the commit that the participants have to acknowledge once the coordinator advances; `None` if there are no
+/// participants.
 ///
 /// # Errors
-/// If this region may not advance: it is a participant, or a vote is missing.
+/// Returns an error if this region may not advance because it is a participant or because a vote is missing.
 fn commit_to_acknowledge(
     cross: &CrossRegionChange,
 ) -> Result<Option<UnacknowledgedCommit>, Rejection> {
--- a/crates/policy/src/regions/change.rs
+++ b/crates/policy/src/regions/change.rs
@@ -1,4 +1,4 @@
-//! A cross-region change and the role of a region in it.
+//! Cross-region changes and the role of a region in them.
 
 use super::Region;
 use crate::Generation;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Identifies a cross-region change: a random number, drawn by the replica that it is published at.
+/// Identifier of a cross-region change: a random number drawn by the replica that publishes the change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub u64);
 
@@ -16,13 +16,13 @@
     }
 }
 
-/// Which regions a change is for.
+/// The regions that a change applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// The region that it is published in.
+    /// Only the region in which the change is published.
     #[default]
     Region,
-    /// All regions: it comes into force in each of them, or in none.
+    /// All regions: the change comes into force in each of them, or in none.
     All,
 }
 
@@ -38,11 +38,11 @@
 /// Refers to a cross-region change in messages and records.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeRef {
-    /// The identifier.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// The region that coordinates it.
+    /// Region that coordinates the change.
     pub coordinator: Region,
-    /// The generation in the coordinator's record. It grows from one cross-region change to the next.
+    /// Generation of the change in the coordinator's record. It increases from one cross-region change to the next.
     #[serde(rename = "number")]
     pub generation: Generation,
 }
@@ -50,47 +50,47 @@
 /// The part of a publish command that is specific to a cross-region change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AllRegions {
-    /// Identifies the change.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// The coordinating region: the one whose log has the command.
+    /// Region that coordinates the change. The command is in the log of this region.
     pub coordinator: Region,
-    /// The other regions.
+    /// All other regions.
     pub participants: BTreeSet<Region>,
 }
 
 /// The role of a region in a cross-region change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// It decides whether the change is committed.
+    /// The region decides whether the change is committed.
     Coordinator {
-        /// The other regions.
+        /// All other regions.
         participants: BTreeSet<Region>,
-        /// The participants that have voted to be prepared.
+        /// Participants that have voted that they are prepared.
         prepared: BTreeSet<Region>,
     },
-    /// It follows the decision of the coordinator.
+    /// The region follows the decision of the coordinator.
     Participant {
-        /// Whether it has voted to be prepared. Then only the coordinator can end the change.
+        /// Whether the region has voted that it is prepared. After that only the coordinator can end the change.
         voted: bool,
     },
 }
 
-/// A cross-region change in transition.
+/// A cross-region change whose transition is in progress.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrossRegionChange {
-    /// The change.
+    /// Identifies the change.
     pub change: ChangeRef,
-    /// The role of this region.
+    /// Role of this region in the change.
     pub role: Role,
 }
 
 impl CrossRegionChange {
-    /// Whether this region is a participant that has voted: only the coordinator can end the change then.
+    /// Returns whether this region is a participant that has voted, so that only the coordinator can end the change.
     pub fn has_voted(&self) -> bool {
         self.role == Role::Participant { voted: true }
     }
 
-    /// The regions that this region waits for: for their votes, or for the decision.
+    /// Returns the regions whose votes (in the coordinator) or decision (in a participant) this region waits for.
     pub fn awaited_regions(&self) -> BTreeSet<Region> {
         match &self.role {
             Role::Coordinator {
@@ -102,34 +102,34 @@
     }
 }
 
-/// A committed change that the coordinator has to remember until every participant has acknowledged the commit.
+/// A committed change, which the coordinator has to retain until every participant has acknowledged the commit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UnacknowledgedCommit {
-    /// The change.
+    /// Identifies the change.
     pub change: ChangeRef,
-    /// The participants that have not acknowledged it; never empty.
+    /// Participants that have not acknowledged the commit; never empty.
     pub regions: BTreeSet<Region>,
 }
 
-/// The last cross-region change of one coordinator that a region took part in.
+/// The last cross-region change of a coordinator in which a region took part.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Participation {
-    /// The change.
+    /// Identifies the change.
     pub change: ChangeRef,
-    /// The decision, as far as this region knows it.
+    /// Decision on the change, as far as this region knows it.
     pub decision: Decision,
 }
 
 /// The coordinator's decision on a cross-region change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Decision {
-    /// Not decided yet.
+    /// The coordinator has not decided yet.
     #[serde(rename = "Open")]
     Pending,
     /// The change is in force.
     #[serde(rename = "InForce")]
     Committed,
-    /// The change never was in force in any region, and never will be.
+    /// The change was never in force in any region, and never will be.
     #[serde(rename = "NotInForce")]
     Aborted,
 }
--- a/crates/policy/src/regions/coordinator.rs
+++ b/crates/policy/src/regions/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator of a cross-region change: what it sends, logs and replies, derived from its record.
+//! Coordinator of a cross-region change: the messages, commands and replies that follow from its record.
 
 use super::{
     Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Region, Request,
@@ -6,8 +6,8 @@
 };
 use crate::{Command, Record};
 
-/// The requests to send to each region, repeatedly at an interval of the caller's choice until the replies make them
-/// unnecessary. Empty in a region that coordinates no change.
+/// Returns the requests to send to each region. The caller sends them repeatedly, at an interval of its choice, until the
+/// replies make them unnecessary. Empty in a region that coordinates no change.
 pub fn requests(record: &Record) -> Vec<(Region, Request)> {
     prepares(record)
         .into_iter()
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// The command to log on a reply of `region`; `None` for one that is late, duplicated or not final.
+/// Returns the command to log on a reply of `region`; `None` for a reply that is late, duplicated or not final.
 pub fn on_vote(record: &Record, region: &Region, reply: &VoteReply) -> Option<Command> {
     match &reply.vote {
         Vote::Preparing => None,
@@ -61,19 +61,19 @@
             record,
             region,
             reply,
-            format!("region {region} refuses it: {reason}"),
+            format!("region {region} rejected the change: {reason}"),
         ),
         Vote::Aborted => abort(
             record,
             region,
             reply,
-            format!("region {region} has given it up"),
+            format!("region {region} aborted the change"),
         ),
         Vote::Committed => record_acknowledgement(record, region, reply),
     }
 }
 
-/// The revision of the transition that still waits for the vote of `region`.
+/// Returns the revision of the transition, if it is that of this reply and still waits for the vote of `region`.
 fn awaited_revision(record: &Record, region: &Region, reply: &VoteReply) -> Option<u64> {
     let cross = record
         .cross_region()
@@ -107,11 +107,11 @@
     })
 }
 
-/// The reply to a participant's request for the decision. The caller has confirmed, after the request arrived, that this
-/// replica still leads and has applied every command committed until then.
+/// Returns the reply to a participant's request for the decision. After the request has arrived, the caller must confirm
+/// that this replica still leads and has applied every command committed until then.
 ///
-/// Only a region that has not acknowledged the commit is told of it. One that has acknowledged has it in its log; if it
-/// is in a transition of that change, a late message has started it.
+/// Only a region that has not acknowledged the commit receives [`Decision::Committed`]. A region that has acknowledged the
+/// commit has it in its log; if that region is in a transition to the change again, a delayed message has started it.
 pub fn outcome(record: &Record, request: &OutcomeRequest) -> OutcomeReply {
     OutcomeReply {
         id: request.id,
--- a/crates/policy/src/regions/messages.rs
+++ b/crates/policy/src/regions/messages.rs
@@ -1,25 +1,25 @@
-//! The messages between a coordinator and its participants.
+//! Messages between a coordinator and its participants.
 
 use super::{ChangeId, ChangeRef, Decision, Region};
 use serde::{Deserialize, Serialize};
 
-/// First phase, from the coordinator: start the transition and report whether it is prepared.
+/// First phase, sent by the coordinator: start the transition and report whether the region is prepared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Prepare {
-    /// The change.
+    /// Identifies the change.
     pub change: ChangeRef,
-    /// The text of the policy, as in the coordinator's record.
+    /// Text of the policy, as in the coordinator's record.
     pub text: String,
 }
 
-/// Second phase, from the coordinator: the change is committed; log it and acknowledge.
+/// Second phase, sent by the coordinator: the change is committed; log the commit and acknowledge it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Commit {
-    /// The change.
+    /// Identifies the change.
     pub change: ChangeRef,
 }
 
-/// A coordinator's request to a participant. The reply to either is a [`VoteReply`].
+/// A coordinator's request to a participant. The reply to each kind is a [`VoteReply`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
     /// First phase.
@@ -31,18 +31,18 @@
 /// The state of a cross-region change at a participant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// In transition; proxies may still serve under an older mode.
+    /// The transition is in progress and proxies may still serve under an older mode.
     Preparing,
-    /// Prepared: the participant waits for the decision.
+    /// The participant is prepared and waits for the decision.
     Prepared,
-    /// The participant does not take part.
+    /// The participant rejects the change.
     #[serde(rename = "Refused")]
     Rejected {
-        /// The reason, for operators.
+        /// Why the change is rejected, as shown to operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The commit is logged. This acknowledges it.
+    /// The participant has logged the commit, which this vote acknowledges.
     #[serde(rename = "InForce")]
     Committed,
     /// The participant has aborted the change.
@@ -53,26 +53,26 @@
 /// A participant's reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// The change.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// Its state at the participant.
+    /// State of the change at the participant.
     pub vote: Vote,
 }
 
-/// A participant asks the coordinator for its decision. The reply is an [`OutcomeReply`].
+/// A participant's request for the coordinator's decision. The reply is an [`OutcomeReply`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OutcomeRequest {
-    /// The change.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// The participant.
+    /// The participant that sends the request.
     pub region: Region,
 }
 
 /// The coordinator's reply to an [`OutcomeRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OutcomeReply {
-    /// The change.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// The decision.
+    /// The coordinator's decision.
     pub decision: Decision,
 }
--- a/crates/policy/src/regions/participant.rs
+++ b/crates/policy/src/regions/participant.rs
@@ -1,4 +1,4 @@
-//! A participant of a cross-region change: what it replies, logs and asks, derived from its record.
+//! Participant of a cross-region change: the replies, commands and requests that follow from its record.
 
 use super::{
     ChangeRef, Commit, CrossRegionChange, Decision, OutcomeReply, OutcomeRequest, Prepare, Regions,
@@ -7,22 +7,22 @@
 use crate::{Command, Generation, Outcome, Record, Rejection};
 use std::collections::BTreeSet;
 
-/// What to do with a [`Prepare`].
+/// How to handle a [`Prepare`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnPrepare {
     /// Send this reply.
     Reply(VoteReply),
-    /// Validate the policy, also against the fallback policies of the own record. If it is valid, log the command and
-    /// reply with [`prepare_reply`]; if not, reply with [`rejected`].
+    /// Validate the policy, including against the fallback policies of this region's record. If it is valid, log the
+    /// command and reply with [`prepare_reply`]; otherwise reply with [`rejected`].
     Start {
-        /// The generations whose fallback policies the new policy must not violate.
+        /// Generations whose fallback policies the new policy must not violate.
         fallback_generations: BTreeSet<Generation>,
         /// The command to log.
         command: Command,
     },
 }
 
-/// What to do with a [`Commit`].
+/// How to handle a [`Commit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnCommit {
     /// Send this reply.
@@ -56,8 +56,8 @@
     }
 }
 
-/// Whether this region is still in the transition of an older change of the same coordinator. That change has ended,
-/// and the reply to the next [`outcome_request`] ends the transition.
+/// Returns whether this region is still in the transition of an older change of the same coordinator. That change has
+/// ended, and the reply to the next [`outcome_request`] ends the transition.
 fn awaits_older_change(record: &Record, change: &ChangeRef) -> bool {
     record.cross_region().is_some_and(|cross| {
         cross.change.coordinator == change.coordinator
@@ -65,36 +65,33 @@
     })
 }
 
-/// Why this region does not take part in a new change; `None` if it does.
+/// Returns why this region rejects a new change; `None` if it takes part in it.
 fn rejection_reason(record: &Record, regions: &Regions, change: &ChangeRef) -> Option<String> {
     let (own, coordinator) = (regions.own(), regions.coordinator());
     if &change.coordinator != coordinator || coordinator == own {
         let found = &change.coordinator;
         return Some(format!(
-            "it comes from region {found}; for region {own} {coordinator} coordinates"
+            "the change comes from region {found}, but the coordinator of region {own} is region {coordinator}"
         ));
     }
     let transition = record.transition()?;
-    Some(format!(
-        "the change to {} is under way there",
-        transition.new
-    ))
+    Some(format!("the change to {} is pending there", transition.new))
 }
 
-/// The reply to a [`Prepare`] whose [`OnPrepare::Start`] command was applied with this outcome.
+/// Returns the reply to a [`Prepare`] whose [`OnPrepare::Start`] command was applied with this outcome.
 pub fn prepare_reply(change: &ChangeRef, outcome: &Outcome) -> VoteReply {
     match outcome {
         Outcome::Started(_) | Outcome::Applied => reply(change, Vote::Preparing),
         Outcome::Rejected(Rejection::ChangePending(generation)) => rejected(
             change,
-            format!("the change to {generation} is under way there"),
+            format!("the change to {generation} is pending there"),
         ),
-        // Another message came first; the next request finds out.
+        // Another command was applied first. The reply to the next request reports the result.
         Outcome::Rejected(_) => reply(change, Vote::Preparing),
     }
 }
 
-/// The reply to a [`Prepare`] whose policy is not valid in this region.
+/// Returns the reply to a [`Prepare`] whose policy is not valid in this region.
 pub fn rejected(change: &ChangeRef, reason: String) -> VoteReply {
     reply(change, Vote::Rejected { reason })
 }
@@ -109,16 +106,16 @@
     }
 }
 
-/// The reply that tells the state of a change in this region.
+/// Returns the reply that reports the state of a change in this region.
 pub fn current_status(record: &Record, change: &ChangeRef) -> VoteReply {
     let unknown = || Vote::Rejected {
-        reason: "it is not known there".to_owned(),
+        reason: "the change is not known there".to_owned(),
     };
     reply(change, known_vote(record, change).unwrap_or_else(unknown))
 }
 
-/// The request for the decision and the coordinator to send it to, repeatedly while this region is in the transition of
-/// a cross-region change.
+/// Returns the request for the decision and the coordinator to send it to. The caller sends it repeatedly while this
+/// region is in the transition of a cross-region change.
 pub fn outcome_request(
     record: &Record,
     regions: &Regions,
@@ -137,7 +134,7 @@
     Some((change.coordinator.clone(), request))
 }
 
-/// The command to log on the coordinator's reply, if any.
+/// Returns the command to log on the coordinator's reply, if any.
 pub fn on_outcome(record: &Record, reply: &OutcomeReply) -> Option<Command> {
     let CrossRegionChange {
         change,
@@ -165,7 +162,8 @@
     }
 }
 
-/// The state of a change in this region, if it has taken part in it or in a later one of the same coordinator.
+/// Returns the state of a change in this region, if the region has taken part in it or in a later one of the same
+/// coordinator.
 fn known_vote(record: &Record, change: &ChangeRef) -> Option<Vote> {
     let last_participation = record.participation(&change.coordinator)?;
     if last_participation.change.id == change.id {
@@ -179,6 +177,6 @@
             Decision::Aborted => Vote::Aborted,
         });
     }
-    // The coordinator has started a later change, so this one has ended and the reply is no longer awaited.
+    // The coordinator has started a later change, so this one has ended and the coordinator ignores the reply.
     (change.generation <= last_participation.change.generation).then_some(Vote::Aborted)
 }
--- a/crates/policy/src/regions/region.rs
+++ b/crates/policy/src/regions/region.rs
@@ -1,4 +1,4 @@
-//! The names of regions, and the regions of a fleet as one of them sees them.
+//! Region names, and the regions of a fleet from the view of one of them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -6,21 +6,21 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Longest name of a region, in bytes (as of a DNS label, RFC 1035).
+/// Longest region name, in bytes; the same limit as for a DNS label (RFC 1035).
 const MAX_REGION_NAME_LEN: usize = 63;
 
-/// The name of a region.
+/// Name of a region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Region(String);
 
-/// A text is not the name of a region.
+/// Error for a text that is not a valid region name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error(
     "region {found:?}: allowed are 1 to {MAX_REGION_NAME_LEN} of a-z, 0-9, '-' and '_', the first one a letter"
 )]
 pub struct InvalidRegion {
-    /// The text.
+    /// The invalid text.
     pub found: String,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Region {
-    /// The name.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// The names of regions, for operators: `region a`, or `regions a, b`.
+/// Formats region names for operators: `region a`, or `regions a, b`.
 pub(crate) fn region_list(regions: &BTreeSet<Region>) -> String {
     let names: Vec<&str> = regions.iter().map(Region::as_str).collect();
     let noun = if names.len() == 1 {
@@ -79,7 +79,7 @@
     format!("{noun} {}", names.join(", "))
 }
 
-/// The regions of a fleet, from the view of one of them.
+/// Regions of a fleet, from the view of one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Regions {
     own: Region,
@@ -87,30 +87,30 @@
 }
 
 impl Regions {
-    /// The own region and the other ones. `others` may contain the own region too.
+    /// Creates the view of the region `own`. `others` may contain `own`, which is ignored.
     pub fn new(own: Region, others: impl IntoIterator<Item = Region>) -> Self {
         let others = others.into_iter().filter(|other| *other != own).collect();
         Regions { own, others }
     }
 
-    /// The own region.
+    /// Returns the region whose view this is.
     pub fn own(&self) -> &Region {
         &self.own
     }
 
-    /// The other regions.
+    /// Returns all other regions.
     pub fn others(&self) -> &BTreeSet<Region> {
         &self.others
     }
 
-    /// The region that coordinates every cross-region change: the first by name.
+    /// Returns the region that coordinates every cross-region change: the first by name.
     pub fn coordinator(&self) -> &Region {
         self.others
             .first()
             .map_or(&self.own, |first| first.min(&self.own))
     }
 
-    /// Whether the own region coordinates cross-region changes.
+    /// Returns whether the region whose view this is coordinates cross-region changes.
     pub fn is_coordinator(&self) -> bool {
         self.coordinator() == &self.own
     }
--- a/crates/policy/tests/cross_region_changes/main.rs
+++ b/crates/policy/tests/cross_region_changes/main.rs
@@ -182,7 +182,7 @@
     let reply = deliver_prepare(&mut sur, &prepare(&norte));
     assert_eq!(reply.vote, Vote::Aborted);
     assert_eq!(deliver_vote(&mut norte, &reply), Some(Outcome::Applied));
-    let reason = "region sur has given it up".to_owned();
+    let reason = "region sur aborted the change".to_owned();
     assert_eq!(statuses(&norte, 1), [ChangeStatus::Aborted { reason }]);
 }
 
@@ -191,10 +191,11 @@
     let (mut norte, mut sur) = started();
     publish_local(&mut sur, "local");
     let reply = deliver_prepare(&mut sur, &prepare(&norte));
-    let reason = "the change to generation 2 is under way there".to_owned();
+    let reason = "the change to generation 2 is pending there".to_owned();
     assert_eq!(reply.vote, Vote::Rejected { reason });
     assert_eq!(deliver_vote(&mut norte, &reply), Some(Outcome::Applied));
-    let reason = "region sur refuses it: the change to generation 2 is under way there".to_owned();
+    let reason =
+        "region sur rejected the change: the change to generation 2 is pending there".to_owned();
     assert_eq!(statuses(&norte, 1), [ChangeStatus::Aborted { reason }]);
 }
 
@@ -214,7 +215,9 @@
             text: String::new(),
         },
     );
-    let reason = "it comes from region oeste; for region sur norte coordinates".to_owned();
+    let reason =
+        "the change comes from region oeste, but the coordinator of region sur is region norte"
+            .to_owned();
     assert_eq!(reply.vote, Vote::Rejected { reason });
     assert_eq!(sur, before);
 }
@@ -267,7 +270,7 @@
         next_command(&norte, &leases(), NOW, started_at, TIMEOUTS),
         None
     );
-    let reason = "not in force in time; no vote of region sur".to_owned();
+    let reason = "timed out without the vote of region sur".to_owned();
     let abort = Command::Abort {
         revision: norte.revision(),
         reason,
--- a/crates/policy/tests/cross_region_changes/names.rs
+++ b/crates/policy/tests/cross_region_changes/names.rs
@@ -39,7 +39,8 @@
         id: ChangeId(255),
         awaited_regions: awaited_regions.iter().cloned().collect(),
     };
-    let head = "the change of all regions 00000000000000ff, here generation 7, is not at its end: ";
+    let head =
+        "the change of all regions 00000000000000ff (generation 7 in this region) has not ended: ";
     assert_eq!(
         pending(&[sur()]).to_string(),
         format!("{head}it waits for region sur")
@@ -58,6 +59,6 @@
     .to_string();
     assert_eq!(
         awaits,
-        "this region has voted for a change of all regions: region norte decides how it ends"
+        "this region has voted for a change of all regions: only the coordinating region norte can end it"
     );
 }
--- a/crates/policy/tests/next_command.rs
+++ b/crates/policy/tests/next_command.rs
@@ -100,7 +100,7 @@
         next_command(&record, &leases, NOW, NOW - TIMEOUTS.proxies, TIMEOUTS),
         None
     );
-    let reason = "not in force in time; held up by p (0000000000000001)".to_owned();
+    let reason = "timed out waiting for proxies: p (0000000000000001)".to_owned();
     let abort = Some(Command::Abort {
         revision: 2,
         reason,
@@ -116,7 +116,7 @@
     let (record, mut leases) = in_transition();
     let rejected = Some(RejectedGeneration {
         generation: Generation(2),
-        reason: "odd".to_owned(),
+        reason: "unknown key".to_owned(),
     });
     grant(
         &mut leases,
@@ -126,7 +126,7 @@
             ..lease_request("p", 2, 1, OnLeaseLoss::Reject)
         },
     );
-    let reason = "p (0000000000000001) can't read it: odd".to_owned();
+    let reason = "proxy p (0000000000000001) cannot load the policy: unknown key".to_owned();
     let abort = Some(Command::Abort {
         revision: 2,
         reason,
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -135,7 +135,9 @@
             .expect_err(key)
             .to_string();
         assert!(
-            fault.contains(&format!("found {key:?}, allowed is name#incarnation")),
+            fault.contains(&format!(
+                "invalid proxy identity {key:?}, expected name#incarnation"
+            )),
             "{fault}"
         );
     }
