--- a/crates/control-plane/src/check.rs
+++ b/crates/control-plane/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a policy before it is logged: its size, its files, and the fallback policies that it may not change.
+//! Checks of a policy before it is logged: its size, its files, and that it does not change fallback policies in use.
 
 use crate::fallback::{self, Files, Violation};
 use badgerramp_config::Diagnostics;
@@ -6,44 +6,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Most bytes of all files of a policy together, with their names.
+/// Maximum size of all files of a policy together, including their names.
 const MAX_POLICY_BYTES: usize = 1 << 20;
-/// Most files of a policy: one for each application.
+/// Maximum number of files of a policy. There is one file for each application.
 const MAX_FILES: usize = 4_096;
 
-/// What a publisher can do about violations of a fallback.
+/// Advice for a publisher whose policy would change a fallback policy.
 const FALLBACK_ADVICE: &str =
-    "Proxies that are cut off go by it. Make it in two steps: publish the policy in force with the \
-                 class taken out of policy.floor; when all proxies act under that, publish this one";
+    "Proxies without a lease may still apply that fallback policy. Make the change in two steps: publish the \
+                 policy in force with the class removed from policy.floor; when all proxies serve under it, publish this one";
 
-/// Why a policy is not taken.
+/// Why a policy is rejected.
 #[derive(Debug, Error)]
 pub(crate) enum PolicyError {
-    /// It has no files, too many, or too many bytes.
+    /// The policy has no files, too many files, or too many bytes.
     #[error(
         "found {files} files of {bytes} bytes, allowed are 1 to {MAX_FILES} of {MAX_POLICY_BYTES} bytes together"
     )]
     Size {
-        /// The number of its files.
+        /// Number of files.
         files: usize,
-        /// Their bytes with their names.
+        /// Size of the files, including their names.
         bytes: usize,
     },
-    /// Files of it are invalid.
-    #[error("{}", joined(.0, ""))]
+    /// Some files are invalid.
+    #[error("{}", join(.0, ""))]
     Invalid(Vec<Diagnostics>),
-    /// It would change fallback policies that proxies may act under.
-    #[error("{}\n{FALLBACK_ADVICE}", joined(.0, "\n"))]
+    /// The policy would change fallback policies that proxies may apply.
+    #[error("{}\n{FALLBACK_ADVICE}", join(.0, "\n"))]
     Fallback(Vec<Violation>),
-    /// Its files can't be decoded from a record.
-    #[error("the files of a generation can't be read: {0}")]
+    /// The files of a generation cannot be decoded from its text in the record.
+    #[error("cannot decode the files of the generation: {0}")]
     Decode(#[source] serde_json::Error),
-    /// Its files can't be encoded for a record.
-    #[error("the files can't be written down: {0}")]
+    /// The files cannot be encoded as a text for the record.
+    #[error("cannot encode the policy files: {0}")]
     Encode(#[source] serde_json::Error),
 }
 
-fn joined<T: ToString>(parts: &[T], separator: &str) -> String {
+fn join<T: ToString>(parts: &[T], separator: &str) -> String {
     let texts: Vec<String> = parts.iter().map(T::to_string).collect();
     texts.join(separator)
 }
@@ -51,7 +51,7 @@
 /// Decodes the files of a generation from its text in the record.
 ///
 /// # Errors
-/// If the text is not what [`encode_files`] writes.
+/// Returns an error if the text was not written by [`encode_files`].
 pub(crate) fn decode_files(text: &str) -> Result<BTreeMap<String, String>, PolicyError> {
     serde_json::from_str(text).map_err(PolicyError::Decode)
 }
@@ -59,7 +59,7 @@
 /// Encodes the files of a policy as its text in the record.
 ///
 /// # Errors
-/// If they can't be encoded.
+/// Returns an error if they cannot be encoded.
 pub(crate) fn encode_files(files: &BTreeMap<String, String>) -> Result<String, PolicyError> {
     serde_json::to_string(files).map_err(PolicyError::Encode)
 }
@@ -67,7 +67,7 @@
 /// Parses the files of a policy that is to be published.
 ///
 /// # Errors
-/// If they are too many or too large, or some are invalid.
+/// Returns an error if there are no files, if they are too many or too large, or if some are invalid.
 pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, PolicyError> {
     let bytes: usize = files
         .iter()
@@ -83,7 +83,7 @@
 /// Checks that a policy does not change the fallback policies of these generations of the record.
 ///
 /// # Errors
-/// All that it would change.
+/// Returns all the violations.
 pub(crate) fn check_fallbacks(
     record: &Record,
     generations: &BTreeSet<Generation>,
@@ -112,12 +112,12 @@
 /// Checks a policy that another region has published, from its text in that region's record.
 ///
 /// # Errors
-/// If it can't be published here.
+/// Returns an error if it cannot be published in this region.
 pub(crate) fn check_other_region(
     record: &Record,
-    fallbacks: &BTreeSet<Generation>,
+    fallback_generations: &BTreeSet<Generation>,
     text: &str,
 ) -> Result<(), PolicyError> {
     let files = parse(&decode_files(text)?)?;
-    check_fallbacks(record, fallbacks, &files)
+    check_fallbacks(record, fallback_generations, &files)
 }
--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `badgerramp-control`.
+//! Command line of `badgerramp-control`.
 
 use crate::server::{self, ServerError};
 use crate::settings::{Settings, SettingsError};
@@ -14,14 +14,14 @@
 use tracing_subscriber::filter::filter_fn;
 use tracing_subscriber::prelude::*;
 
-/// Exit code for bad usage.
+/// Exit code for invalid usage.
 const BAD_USAGE: u8 = 2;
 /// Threads that serve requests.
 const WORKER_THREADS: usize = 2;
 
-/// Control of the policy of a fleet of client proxies: one replica, three or five.
+/// Control plane for the policy of a fleet of client proxies, with one, three or five replicas.
 ///
-/// Exits 0 when it is told to stop (SIGTERM), 1 with what is wrong, 2 for bad usage.
+/// Exits with 0 after SIGTERM, with 1 and a message on an error, and with 2 on invalid usage.
 #[derive(Parser)]
 #[command(name = "badgerramp-control", version)]
 struct Cli {
@@ -31,9 +31,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check the file of a replica.
+    /// Check the settings file of a replica.
     Check { file: PathBuf },
-    /// Make the store of a replica that has never run.
+    /// Create the store of a replica that has never run.
     Create { file: PathBuf },
     /// Run a replica.
     Serve { file: PathBuf },
@@ -55,12 +55,12 @@
     Runtime(#[from] io::Error),
 }
 
-/// Runs the program with these arguments, its own name first.
+/// Runs the program with these arguments, of which the first is the program's name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
         Err(message) => {
-            // Help and version come this way too.
+            // Help and version output are also reported as an error.
             let _ = message.print();
             return ExitCode::from(u8::try_from(message.exit_code()).unwrap_or(BAD_USAGE));
         }
@@ -93,13 +93,13 @@
             source: Box::new(source),
         });
     }
-    println!("{}: made, for replica {replica}", store.display());
+    println!("{}: created for replica {replica}", store.display());
     Ok(())
 }
 
 fn serve(file: &Path) -> Result<(), CommandError> {
     let settings = Settings::load(file)?;
-    start_log();
+    init_logging();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
@@ -113,16 +113,17 @@
     })
 }
 
-fn start_log() {
+fn init_logging() {
     let events = tracing_subscriber::fmt::layer()
         .with_writer(io::stderr)
         .with_ansi(false)
         .with_target(false)
-        .with_filter(filter_fn(is_of_interest));
+        .with_filter(filter_fn(is_logged));
     tracing_subscriber::registry().with(events).init();
 }
 
-/// The consensus library logs much more than an operator wants to know.
-fn is_of_interest(metadata: &Metadata<'_>) -> bool {
+/// Returns whether an event is logged: all of this program's events, and only errors of the consensus library, which logs
+/// far more than operators need.
+fn is_logged(metadata: &Metadata<'_>) -> bool {
     metadata.target().starts_with("badgerramp") || *metadata.level() <= Level::ERROR
 }
--- a/crates/control-plane/src/cross_region.rs
+++ b/crates/control-plane/src/cross_region.rs
@@ -1,5 +1,5 @@
-//! Messages of changes of all regions, between the leaders of the regions. What is sent, logged and answered is decided
-//! by [`badgerramp_policy::regions`].
+//! Messages of cross-region changes between the leaders of the regions. [`badgerramp_policy::regions`] decides what is
+//! sent, logged and replied.
 
 mod client;
 mod server;
--- a/crates/control-plane/src/cross_region/client.rs
+++ b/crates/control-plane/src/cross_region/client.rs
@@ -1,4 +1,4 @@
-//! Sends what the own leader has to tell the leaders of the other regions.
+//! Sends the requests of this region's leader to the leaders of the other regions.
 
 use crate::leader::Leader;
 use crate::settings::RegionSettings;
@@ -13,31 +13,31 @@
 use tokio::task::JoinSet;
 use tracing::{info, warn};
 
-/// A call to another region that is not answered within this has failed.
+/// Time after which an unanswered call to another region fails.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first pause between two messages to one region. It doubles as long as nothing comes of them.
+/// First pause between two requests to one region. It doubles while the replies lead to no command.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause between two messages to one region.
+/// Longest pause between two requests to one region.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
-/// How often it is checked whether there is something to send.
+/// Interval at which to check whether there is a request to send.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends messages to the other regions. It runs in every replica and sends nothing while that does not lead.
+/// Sends requests to the other regions. It runs in every replica and sends nothing while that replica does not lead.
 pub(crate) struct CrossRegionClient {
-    /// The regions, and where they are reached.
+    /// The regions and the addresses of their replicas.
     pub(crate) settings: RegionSettings,
-    /// The own leader.
+    /// Leader functions of this replica.
     pub(crate) leader: Arc<Leader>,
-    /// The own store.
+    /// Store of this replica.
     pub(crate) store: Store,
-    /// The secret that messages are authenticated with.
+    /// Secret for the authentication of messages.
     pub(crate) secret: SharedSecret,
 }
 
-/// Whether a region answers, so that each failure is logged once.
+/// Whether a region is reachable, so that a repeated failure is logged only once.
 #[derive(Default)]
 struct Reachability {
-    /// What was logged last; `None`: the region answers.
+    /// The last logged failure; `None` while the region is reachable.
     failure: Option<String>,
 }
 
@@ -49,7 +49,7 @@
     }
 
     fn failed(&mut self, region: &Region, error: &ClientError) {
-        // An election in the other region is nothing to tell of.
+        // An election in the other region is normal and not logged.
         if is_not_leader(error) {
             return;
         }
@@ -66,7 +66,7 @@
 }
 
 impl CrossRegionClient {
-    /// Sends messages to all other regions, as long as this replica runs.
+    /// Sends requests to all other regions, as long as this replica runs.
     pub(crate) async fn run(self) {
         let mut tasks = JoinSet::new();
         let shared = Arc::new(self);
@@ -77,7 +77,7 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Sends messages to one region.
+    /// Sends requests to one region.
     async fn serve_region(&self, region: &Region) {
         let replicas = self.settings.replicas.get(region).cloned();
         let replicas = replicas.unwrap_or_default();
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Waits until the own record has a new revision, but no longer than this.
+    /// Waits until the record has a new revision, but no longer than `timeout`.
     async fn wait_for_revision(&self, timeout: Duration) {
         let mut revisions = self.store.revision_changes();
         let _ = tokio::time::timeout(timeout, revisions.changed()).await;
     }
 
-    /// What there is to tell a region now.
+    /// Returns the request to send to a region now, if any.
     fn next_request(&self, region: &Region) -> Option<request::Kind> {
         if !self.leader.is_leading() {
             return None;
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Logs what follows from a reply, and returns whether anything does.
+    /// Logs the command that follows from a reply, and returns whether a command was logged.
     async fn handle_reply(&self, region: &Region, reply: reply::Kind) -> bool {
         let Some(command) = self.command_for(region, reply) else {
             return false;
--- a/crates/control-plane/src/cross_region/server.rs
+++ b/crates/control-plane/src/cross_region/server.rs
@@ -1,4 +1,4 @@
-//! Answers the leaders of the other regions.
+//! Handles the requests of the leaders of other regions.
 
 use crate::check;
 use crate::leader::{Leader, NotLeader};
@@ -13,21 +13,21 @@
 use std::future::Future;
 use std::sync::Arc;
 
-/// Answers messages of the other regions.
+/// Handles requests of other regions.
 pub(crate) struct CrossRegionServer {
-    /// The names of the regions.
+    /// Names of the regions.
     pub(crate) regions: Regions,
-    /// The own leader.
+    /// Leader functions of this replica.
     pub(crate) leader: Arc<Leader>,
-    /// The own store.
+    /// Store of this replica.
     pub(crate) store: Store,
 }
 
 impl CrossRegionServer {
-    /// Answers a message of another region.
+    /// Handles a request of another region.
     ///
     /// # Errors
-    /// If this replica does not lead.
+    /// Returns an error if this replica does not lead.
     pub(crate) async fn answer(&self, request: request::Kind) -> Result<reply::Kind, NotLeader> {
         match request {
             request::Kind::Prepare(prepare) => {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Answers a message of the coordinator, if it is for this region.
+    /// Handles a request of the coordinator, if it is for this region.
     async fn vote<M, F>(
         &self,
         to: &str,
@@ -106,7 +106,7 @@
         let Ok(request) = OutcomeRequest::try_from(request) else {
             return Ok(malformed());
         };
-        // A leader that was replaced may not know of a change that its successor has started.
+        // A deposed leader may not know of a change that its successor has started.
         self.leader.confirm().await?;
         let outcome = self
             .store
@@ -114,14 +114,15 @@
         Ok(reply::Kind::Outcome(outcome.into()))
     }
 
-    /// Rejects a message for another region. It comes here if the sender's settings give that region these addresses.
+    /// Rejects a request for another region. Such a request arrives if the sender's settings list this region's addresses
+    /// for the other region.
     fn check_receiver(&self, to: &str) -> Option<reply::Kind> {
         let own = self.regions.own();
         if to == own.as_str() {
             return None;
         }
         let text = format!(
-            "this is a message for region {to:?}, and this replica is of region \"{own}\": see [regions]"
+            "the request is for region {to:?}, but this replica belongs to region \"{own}\": check [regions] in the sender's settings"
         );
         Some(reject(rejection::Code::OtherRegion, text))
     }
@@ -130,6 +131,6 @@
 fn malformed() -> reply::Kind {
     reject(
         rejection::Code::Invalid,
-        "no message between regions that this version knows",
+        "the message is not a cross-region request known to this version",
     )
 }
--- a/crates/control-plane/src/decommission.rs
+++ b/crates/control-plane/src/decommission.rs
@@ -1,12 +1,12 @@
-//! Regions that were taken out of the replicas' settings. By that an operator states that none of their proxies runs any
-//! more, so nobody waits for such a region.
+//! Decommissioned regions. By removing a region from the settings of the replicas, an operator asserts that none of its
+//! proxies is running any more, so no change has to wait for that region.
 
 use badgerramp_policy::regions::{CrossRegionChange, Region, Role};
 use badgerramp_policy::{Command, Record};
 use std::collections::BTreeSet;
 
-/// A decommissioned region and the command that stands for the acknowledgement that it can't give. `others` are the
-/// other regions of the settings.
+/// Returns a decommissioned region that has not acknowledged the commit, and the command that replaces its
+/// acknowledgement. `others` are the other regions in the settings.
 pub(crate) fn acknowledgement(
     record: &Record,
     others: &BTreeSet<Region>,
@@ -20,7 +20,7 @@
     Some((region.clone(), command))
 }
 
-/// The command that ends a change which only a decommissioned region could decide.
+/// Returns the command that aborts the pending change, if a decommissioned region coordinates it.
 pub(crate) fn abort(record: &Record, others: &BTreeSet<Region>) -> Option<Command> {
     let CrossRegionChange {
         change,
--- a/crates/control-plane/src/fallback.rs
+++ b/crates/control-plane/src/fallback.rs
@@ -1,19 +1,19 @@
-//! Fallback policies: what proxies that have lost their lease go on with. A policy declares classes for that (key
-//! `floor` of `[policy]`); a later policy may not change what becomes of their calls while a proxy may still act under
-//! the earlier one.
+//! Fallback policies, which proxies apply after the loss of their lease. A policy declares the classes of its fallback in
+//! the key `floor` of `[policy]`. A later policy must not change how their calls are handled while a proxy may still
+//! serve under the earlier one.
 
 use badgerramp_config::{Config, Diagnostics};
 use badgerramp_policy::Generation;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The files of a policy by application, parsed.
+/// Parsed files of a policy, by application.
 pub(crate) type Files = BTreeMap<String, Config>;
 
 /// Parses the files of a policy.
 ///
 /// # Errors
-/// All diagnostics of each file that has some, with file, line and key.
+/// Returns the diagnostics of each invalid file, with file, line and key.
 pub(crate) fn parse(files: &BTreeMap<String, String>) -> Result<Files, Vec<Diagnostics>> {
     let mut parsed = Files::new();
     let mut diagnostics = Vec::new();
@@ -32,45 +32,45 @@
     }
 }
 
-/// What a policy would change of an earlier one's fallback.
+/// A change to the fallback of an earlier policy.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// A class would no longer be handled as before.
+    /// The calls of a class would be handled differently.
     #[error("{application}: class {class:?} of the floor in force: {difference}")]
     Class {
-        /// The application.
+        /// Name of the application.
         application: String,
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// What would be different.
+        /// How the class would differ.
         difference: Difference,
     },
-    /// The earlier policy can't be compared with.
-    #[error("the floor of {0} can't be read any more")]
+    /// The earlier policy cannot be read, so the policies cannot be compared.
+    #[error("the floor of {0} cannot be read")]
     Unreadable(Generation),
 }
 
-/// How a class of a fallback differs between two policies.
+/// How a fallback class differs between two policies.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum Difference {
-    /// There is no file of the application any more.
-    #[error("its application goes")]
+    /// The file of the application is removed.
+    #[error("the application is removed")]
     ApplicationRemoved,
-    /// There is no such class any more.
-    #[error("it goes")]
+    /// The class is removed.
+    #[error("the class is removed")]
     ClassRemoved,
-    /// The settings of the class are others.
-    #[error("its terms change")]
+    /// The settings of the class change.
+    #[error("the settings of the class change")]
     ClassChanged,
-    /// Its routes, or routes that are tried before them, are others.
-    #[error("a route changes that it stands on, or one before it")]
+    /// A route of the class changes, or a route that is matched before it.
+    #[error("a route of the class changes, or a route before it")]
     RouteChanged,
 }
 
-/// What of the fallback of `old` would be different under `new`.
+/// Returns how the fallback of `old` would change under `new`.
 ///
-/// A class keeps its fallback if it is the same and the routes down to its last one are the same: a route before it
-/// could take its requests away. That rejects some changes that would do no harm, and none that would.
+/// A class is unchanged if its settings and all routes up to its last one are the same, because an earlier route could
+/// match its requests. This check rejects some harmless changes, but accepts no harmful one.
 pub(crate) fn violations(old: &Files, new: &Files) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (application, old) in old {
@@ -104,7 +104,7 @@
     differences
 }
 
-/// Whether the routes down to the last one of this class in `old` are the same in `new`.
+/// Returns whether all routes up to the last one of this class in `old` are the same in `new`.
 fn same_routes_up_to_last(class: usize, old: &Config, new: &Config) -> bool {
     let last = old
         .routes
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -1,7 +1,7 @@
-//! What a replica does while it leads: it grants leases, and drives each change from step to step.
+//! Functions of a replica while it leads: it grants leases and carries out the steps of each change.
 //!
-//! Leases live in the leader's memory, with the term that they were granted in. They are dropped when the replica no
-//! longer leads; the next leader waits for all of them to expire.
+//! Leases are kept in the leader's memory for the term in which they were granted. They are dropped when the replica no
+//! longer leads; the next leader waits until all of them have expired.
 
 mod changes;
 mod leases;
@@ -24,28 +24,28 @@
 use tokio::sync::{mpsc, Notify};
 use tracing::info;
 
-/// How many batches of lease requests may wait.
+/// Number of batches of lease requests that may be queued.
 const QUEUED_BATCHES: usize = 4;
 
-/// What a replica knows while it leads.
+/// State of a replica while it leads.
 struct LeaderState {
     term: u64,
     leases: Leases,
-    /// The present revision, and when this leader first saw it.
+    /// The current revision, and when this leader first saw it.
     revision_since: Option<(u64, Micros)>,
 }
 
-/// The part of a replica that acts while it leads. Every replica has one.
+/// The leader functions of a replica. Every replica has them, and uses them while it leads.
 pub(crate) struct Leader {
     raft: Raft<RaftTypes>,
     store: Store,
     lease_config: LeaseConfig,
     timeouts: ChangeTimeouts,
     other_regions: BTreeSet<Region>,
-    /// `None`: this replica does not lead.
+    /// `None` while this replica does not lead.
     state: Mutex<Option<LeaderState>>,
     lease_requests: mpsc::Sender<PendingLeaseRequest>,
-    /// Wakes [`Leader::run_changes`] when something has happened that may let a change take its next step.
+    /// Wakes [`Leader::run_changes`] after an event that may allow the next step of a change.
     wake: Notify,
 }
 
@@ -54,7 +54,8 @@
 }
 
 impl Leader {
-    /// The part of this replica. [`Leader::run_changes`] and [`Leader::answer_lease_requests`] must run beside it.
+    /// Creates the leader functions of a replica. The caller must run [`Leader::run_changes`] and
+    /// [`Leader::answer_lease_requests`] as tasks.
     pub(crate) fn new(
         raft: Raft<RaftTypes>,
         store: Store,
@@ -88,19 +89,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The term that this replica leads in, as far as it knows.
+    /// Returns the term in which this replica leads, as far as it knows.
     fn leading_term(&self) -> Option<u64> {
         let metrics = self.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(metrics.current_term)
     }
 
-    /// Drops the leases of a term that has ended, and starts with none in a new one.
+    /// Drops the state of a term that has ended, and creates new state, without leases, for a new term.
     fn refresh<'s>(&self, state: &'s mut Option<LeaderState>) -> Option<&'s mut LeaderState> {
         let Some(term) = self.leading_term() else {
             *state = None;
             return None;
         };
-        if state.as_ref().is_none_or(|known| known.term != term) {
+        if state.as_ref().is_none_or(|current| current.term != term) {
             info!(term, "became leader");
             *state = Some(LeaderState {
                 term,
@@ -111,19 +112,19 @@
         state.as_mut()
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Returns whether this replica leads, as far as it knows.
     pub(crate) fn is_leading(&self) -> bool {
         self.leading_term().is_some()
     }
 
-    /// Confirms with a quorum that this replica still leads, and waits until it has applied all that was agreed on
-    /// before the call.
+    /// Confirms with a quorum that this replica still leads, and waits until it has applied all commands committed before
+    /// the call.
     pub(crate) async fn confirm(&self) -> Result<(), NotLeader> {
         self.raft.ensure_linearizable().await?;
         Ok(())
     }
 
-    /// Has the replicas agree on a command.
+    /// Proposes a command to the replicas and returns its outcome once it is committed and applied.
     pub(crate) async fn propose(&self, command: Command) -> Result<Outcome, NotLeader> {
         let before = self.store.read(ChangeBefore::new);
         let written = self.raft.client_write(command.clone()).await;
--- a/crates/control-plane/src/leader/changes.rs
+++ b/crates/control-plane/src/leader/changes.rs
@@ -1,4 +1,4 @@
-//! The steps of a change, from its publication to its end.
+//! Steps of a change, from its publication until it is committed or aborted.
 
 use super::{Leader, NotLeader};
 use crate::decommission;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How often it is checked whether a change can take its next step, if nothing wakes the leader before. Leases expire
-/// without an event.
+/// Interval at which to check whether the next step of a change is possible, if no event wakes the leader earlier. The
+/// expiry of a lease causes no event.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Leader {
-    /// Drives changes as long as this replica runs.
+    /// Carries out the steps of changes, as long as this replica runs.
     pub(crate) async fn run_changes(&self) {
         loop {
             let Some(command) = self.check_progress() else {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The next step of the change under way, if it can be taken.
+    /// Returns the command for the next step of the pending change, if that step is possible.
     fn check_progress(&self) -> Option<Command> {
         let mut state = self.state();
         let state = self.refresh(&mut state)?;
@@ -35,7 +35,7 @@
         let record = self.store.record();
         let revision = record.revision();
         let since = match state.revision_since {
-            Some((known, since)) if known == revision => since,
+            Some((seen, since)) if seen == revision => since,
             _ => now,
         };
         state.revision_since = Some((revision, since));
@@ -47,7 +47,7 @@
         next_command(&record, &state.leases, now, since, self.timeouts)
     }
 
-    /// Aborts the change to this generation. `None`: no such change is under way.
+    /// Aborts the change to this generation. Returns `None` if no such change is pending.
     pub(crate) async fn abort(
         &self,
         generation: Generation,
--- a/crates/control-plane/src/leader/leases.rs
+++ b/crates/control-plane/src/leader/leases.rs
@@ -1,4 +1,4 @@
-//! The leases that a leader grants.
+//! Lease requests, answered while this replica leads.
 
 use super::not_leader::NotLeaderReason;
 use super::{Leader, NotLeader};
@@ -8,41 +8,41 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
 
-/// Most lease requests that are answered after leadership was confirmed once.
+/// Maximum number of lease requests that are answered after one confirmation of leadership.
 pub(super) const LEASE_BATCH: usize = 512;
 
-/// A lease request that waits for its answer.
+/// A queued lease request.
 pub(crate) struct PendingLeaseRequest {
     request: LeaseRequest,
     reply: oneshot::Sender<Result<GrantOutcome, NotLeader>>,
 }
 
-/// The lease requests that wait, the oldest first.
+/// Queue of lease requests, oldest first.
 pub(crate) type PendingLeaseRequests = mpsc::Receiver<PendingLeaseRequest>;
 
-/// What a leader knows of the proxies.
+/// The leader's view of the proxies.
 #[derive(Default)]
 pub(crate) struct ProxyView {
-    /// Who holds up the change under way.
+    /// Proxies that block the pending change.
     pub(crate) blockers: Vec<Blocker>,
-    /// The revision under which each proxy with a lease acts.
+    /// The revision that each proxy with a lease has confirmed.
     pub(crate) sessions: BTreeMap<Identity, u64>,
 }
 
 impl Leader {
-    /// Answers a lease request.
+    /// Queues a lease request and waits for its outcome.
     pub(crate) async fn request_lease(
         &self,
         request: LeaseRequest,
     ) -> Result<GrantOutcome, NotLeader> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         self.lease_requests
             .try_send(PendingLeaseRequest { request, reply })
             .map_err(|_| NotLeaderReason::Overloaded)?;
-        answer.await.map_err(|_| NotLeaderReason::Overloaded)?
+        outcome.await.map_err(|_| NotLeaderReason::Overloaded)?
     }
 
-    /// Answers lease requests as long as this replica runs, many after one confirmation that it leads.
+    /// Answers lease requests, as long as this replica runs. Leadership is confirmed once for each batch.
     pub(crate) async fn answer_lease_requests(&self, mut pending: PendingLeaseRequests) {
         let mut batch = Vec::new();
         while pending.recv_many(&mut batch, LEASE_BATCH).await > 0 {
@@ -52,21 +52,21 @@
                     Ok(()) => self.grant_lease(request).await,
                     Err(error) => Err(error.clone()),
                 };
-                // Whoever asked may have stopped waiting.
+                // The receiver may have stopped waiting for the outcome.
                 let _ = reply.send(outcome);
             }
             self.wake.notify_one();
         }
     }
 
-    /// Grants a lease. A proxy that may act without one is registered first.
+    /// Grants a lease. A proxy that may serve without one is registered first.
     async fn grant_lease(&self, request: LeaseRequest) -> Result<GrantOutcome, NotLeader> {
         let outcome = self.try_grant(&request)?;
         if outcome != GrantOutcome::RegisterFirst {
             return Ok(outcome);
         }
         let identity = request.identity.clone();
-        info!(%identity, "registering proxy that may act without a lease");
+        info!(%identity, "registering proxy that may serve without a lease");
         let on_lease_loss = request.on_lease_loss;
         self.propose(Command::Register {
             identity,
@@ -81,14 +81,14 @@
         let state = self
             .refresh(&mut state)
             .ok_or(NotLeaderReason::LostLeadership)?;
-        // The clock is read after the leases are those of this term.
+        // Reads the clock only after the refresh, so that no lease is granted before the start of this term.
         let now = clock::now();
         Ok(self
             .store
             .read(|record| state.leases.grant(now, record, request)))
     }
 
-    /// Forgets a proxy that has shut down.
+    /// Removes a proxy that has shut down.
     pub(crate) async fn unregister(&self, identity: Identity) -> Result<(), NotLeader> {
         self.confirm().await?;
         let is_registered = self
@@ -107,7 +107,8 @@
         Ok(())
     }
 
-    /// Who holds up the change under way, and who has a lease. Empty if this replica does not lead.
+    /// Returns the proxies that block the pending change and the proxies with a lease. Empty if this replica does not
+    /// lead.
     pub(crate) fn proxy_view(&self) -> ProxyView {
         let mut state = self.state();
         let Some(state) = self.refresh(&mut state) else {
--- a/crates/control-plane/src/leader/not_leader.rs
+++ b/crates/control-plane/src/leader/not_leader.rs
@@ -1,33 +1,33 @@
-//! Why a replica has not done what only a leader does.
+//! Errors of operations that only the leader can carry out.
 
 use crate::store::NodeId;
 use openraft::error::{CheckIsLeaderError, ClientWriteError, ForwardToLeader, RaftError};
 use openraft::BasicNode;
 use thiserror::Error;
 
-/// A replica that does not lead, or can't tell. The request may be sent to another one.
+/// Error of a replica that does not lead, or cannot confirm that it does. The request may be sent to another replica.
 #[derive(Clone, Debug, Error)]
 #[error("{reason}")]
 pub(crate) struct NotLeader {
-    /// Where the leader is, if that is known.
+    /// Address of the leader, if it is known.
     pub(crate) leader: Option<String>,
-    /// Why this replica has not done it.
+    /// Why this replica has not carried out the operation.
     pub(crate) reason: NotLeaderReason,
 }
 
-/// Why a replica has not done what only a leader does.
+/// Why a replica has not carried out an operation that only the leader can.
 #[derive(Clone, Debug, Error)]
 pub(crate) enum NotLeaderReason {
-    /// Too many lease requests wait.
-    #[error("too many requests at once")]
+    /// The queue of lease requests is full, or the task that answers them has stopped.
+    #[error("too many lease requests are queued")]
     Overloaded,
-    /// It was leader when the request came.
-    #[error("this replica leads no more")]
+    /// The replica led when the request arrived, but has lost leadership since.
+    #[error("this replica has lost leadership")]
     LostLeadership,
-    /// A quorum could not be reached in time, or another replica leads.
+    /// No quorum confirmed leadership in time, or another replica leads.
     #[error("{0}")]
     Quorum(Box<RaftError<NodeId, CheckIsLeaderError<NodeId, BasicNode>>>),
-    /// A command could not be logged.
+    /// A command could not be committed.
     #[error("{0}")]
     Write(Box<RaftError<NodeId, ClientWriteError<NodeId, BasicNode>>>),
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,10 +1,10 @@
-//! The control plane of the policy: a replicated service that says which generation of the policy is in force, grants
-//! leases to the proxies that act under it, and takes a change from one generation to the next.
+//! Control plane of the policy: a replicated service that determines which generation of the policy is in force, grants
+//! leases to the proxies that serve under it, and carries out changes from one generation to the next.
 //!
-//! The crate is one replica. It owns the agreement of the replicas (Raft, by [`openraft`]), the [`store`] of its log and
-//! snapshots, its [`settings`], and the gRPC [`server`]. The rules of leases and changes are those of
-//! [`badgerramp_policy`]; the messages are those of [`badgerramp_control_protocol`]. It never carries calls, and it
-//! never decides on a lease or a change without having confirmed that it leads.
+//! This crate implements one replica: consensus between the replicas (Raft, provided by [`openraft`]), the [`store`] for
+//! its log and snapshots, its [`settings`], and the gRPC [`server`]. [`badgerramp_policy`] defines the rules for leases
+//! and changes, and [`badgerramp_control_protocol`] the messages. A replica never forwards calls, and never decides on a
+//! lease or a change without having confirmed that it leads.
 //!
 //! ```no_run
 //! use badgerramp_control_plane::server;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgerramp-control`, a replica of the control plane.
+//! `badgerramp-control`, the program that runs a replica of the control plane.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/crates/control-plane/src/network.rs
+++ b/crates/control-plane/src/network.rs
@@ -1,4 +1,4 @@
-//! Messages between the replicas of one control plane: those of the consensus library as JSON, authenticated.
+//! Messages between the replicas of one control plane: the consensus library's messages as JSON, authenticated.
 
 use crate::store::{NodeId, RaftTypes};
 use badgerramp_control_protocol::wire::control_client::ControlClient;
@@ -19,12 +19,12 @@
 use std::time::Duration;
 use tonic::transport::{Channel, Endpoint};
 
-/// How long a connection to another replica may take to be made.
+/// Longest time to establish a connection to another replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Stands for an address that can't be connected to: the discard port, where nobody listens.
-const NOWHERE: &str = "http://127.0.0.1:9";
+/// Address used instead of an invalid one: the discard port, on which no process listens.
+const UNREACHABLE_ENDPOINT: &str = "http://127.0.0.1:9";
 
-/// A request of one replica to another. The names of its variants travel.
+/// A request of one replica to another. The variant names are part of the message format.
 #[derive(Serialize, Deserialize)]
 enum RaftRequest {
     Append(AppendEntriesRequest<RaftTypes>),
@@ -32,9 +32,9 @@
     Snapshot(InstallSnapshotRequest<RaftTypes>),
 }
 
-/// Makes connections to the other replicas.
+/// Creates connections to the other replicas.
 pub(crate) struct Network {
-    /// The secret that messages are authenticated with.
+    /// Secret for the authentication of messages.
     pub(crate) secret: SharedSecret,
 }
 
@@ -50,7 +50,7 @@
 
     async fn new_client(&mut self, target: NodeId, node: &BasicNode) -> Connection {
         let endpoint = Endpoint::from_shared(format!("http://{}", node.addr))
-            .unwrap_or_else(|_| Endpoint::from_static(NOWHERE))
+            .unwrap_or_else(|_| Endpoint::from_static(UNREACHABLE_ENDPOINT))
             .tcp_nodelay(true)
             .connect_timeout(CONNECT_TIMEOUT);
         Connection {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Why a call to another replica has no result; `E` is what that replica may say itself.
+/// Error of a call to another replica; `E` is the error that the other replica may return.
 type CallError<E> = RPCError<NodeId, BasicNode, E>;
 
 fn network_error<E: Error>(error: &(impl Error + 'static)) -> CallError<E> {
@@ -84,7 +84,8 @@
             .authenticate_bytes(Purpose::ReplicaRequest, body);
         let response = tokio::time::timeout(option.hard_ttl(), self.client.replica(message)).await;
         let Ok(response) = response else {
-            let error = io::Error::new(io::ErrorKind::TimedOut, "no answer in time");
+            let error =
+                io::Error::new(io::ErrorKind::TimedOut, "the replica did not reply in time");
             return Err(network_error(&error));
         };
         let message = response
@@ -127,10 +128,10 @@
     }
 }
 
-/// Answers a request of another replica. `body` has passed verification.
+/// Handles a request of another replica. The caller has verified the authenticity of `body`.
 ///
 /// # Errors
-/// If it is no request that this version knows.
+/// Returns an error if this version does not know the request, or if the reply cannot be encoded.
 pub(crate) async fn answer(
     raft: &Raft<RaftTypes>,
     body: &[u8],
--- a/crates/control-plane/src/network/tests.rs
+++ b/crates/control-plane/src/network/tests.rs
@@ -1,5 +1,5 @@
-//! The JSON of what replicas send each other. Replicas of an older and of a newer version are members of one group while
-//! it is upgraded, so it may not change.
+//! JSON format of the messages between replicas. During an upgrade a group has replicas of an older and of a newer
+//! version, so the format must not change.
 
 use super::RaftRequest;
 use crate::store::{NodeId, RaftTypes};
@@ -29,12 +29,12 @@
     )
 }
 
-/// The JSON of a value, after it was read back and written again.
+/// Returns the JSON of a value, after checking that it survives a round trip.
 fn json<T: Serialize + DeserializeOwned>(value: &T) -> String {
-    let text = serde_json::to_string(value).expect("it can be written");
-    let again: T = serde_json::from_str(&text).expect("it can be read");
+    let text = serde_json::to_string(value).expect("the value serializes");
+    let decoded: T = serde_json::from_str(&text).expect("the JSON deserializes");
     assert_eq!(
-        serde_json::to_string(&again).expect("it can be written"),
+        serde_json::to_string(&decoded).expect("the value serializes"),
         text
     );
     text
--- a/crates/control-plane/src/progress.rs
+++ b/crates/control-plane/src/progress.rs
@@ -1,19 +1,19 @@
-//! Log events of the steps of a change.
+//! Log events for the steps of a change.
 
 use badgerramp_policy::regions::{CrossRegionChange, Role};
 use badgerramp_policy::{Command, Generation, Outcome, Record};
 use tracing::field::display;
 use tracing::info;
 
-/// The change under way before a command was applied.
+/// The pending change before a command is applied.
 pub(crate) struct ChangeBefore {
-    /// The generation that the change leads to.
+    /// New generation of the change.
     generation: Option<Generation>,
     cross_region: Option<CrossRegionChange>,
 }
 
 impl ChangeBefore {
-    /// The change under way in this record.
+    /// Returns the pending change of this record.
     pub(crate) fn new(record: &Record) -> Self {
         ChangeBefore {
             generation: record.transition().map(|mode| mode.new),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Logs a command that has come to this outcome, if it is a step of a change.
+/// Logs a command that was applied with this outcome, if it is a step of a change.
 pub(crate) fn log_step(
     before: &ChangeBefore,
     command: &Command,
--- a/crates/control-plane/src/rejections.rs
+++ b/crates/control-plane/src/rejections.rs
@@ -1,4 +1,4 @@
-//! Replies to requests that are not carried out.
+//! Rejections of requests.
 
 use crate::leader::NotLeader;
 use badgerramp_control_protocol::wire::{rejection, reply, Rejection};
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use tonic::{Code, Status};
 
-/// A rejection with this code.
-pub(crate) fn reject(code: rejection::Code, text: impl Into<String>) -> reply::Kind {
+/// Returns a rejection with this code and message.
+pub(crate) fn reject(code: rejection::Code, message: impl Into<String>) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: code.into(),
-        message: text.into(),
+        message: message.into(),
         ..Rejection::default()
     })
 }
 
-/// The rejection of a replica that does not lead.
+/// Returns the rejection of a replica that does not lead.
 pub(crate) fn not_leader(error: NotLeader) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: rejection::Code::NotLeader.into(),
@@ -27,7 +27,7 @@
     })
 }
 
-/// The gRPC status of a message that does not pass verification.
+/// Returns the gRPC status for a message that does not pass verification.
 pub(crate) fn unverified(error: &MessageError) -> Status {
     let code = match error {
         MessageError::UnsupportedVersion(_) => Code::FailedPrecondition,
@@ -37,9 +37,9 @@
     Status::new(code, error.to_string())
 }
 
-/// The rejection of a command that had no effect.
-pub(crate) fn command_rejected(rejected: &CommandRejection) -> reply::Kind {
-    let code = match rejected {
+/// Returns the rejection for a command that was rejected and had no effect.
+pub(crate) fn command_rejected(rejection: &CommandRejection) -> reply::Kind {
+    let code = match rejection {
         CommandRejection::ChangePending(_)
         | CommandRejection::CrossRegionPending { .. }
         | CommandRejection::AwaitsDecision { .. } => rejection::Code::ChangePending,
@@ -48,14 +48,16 @@
             rejection::Code::Conflict
         }
     };
-    reject(code, rejected.to_string())
+    reject(code, rejection.to_string())
 }
 
-/// The rejection of a change of all regions by a region that does not coordinate them.
+/// Returns the rejection of a cross-region change that was published in a region that does not coordinate it.
 pub(crate) fn not_coordinator(coordinator: &Region, replicas: &[SocketAddr]) -> reply::Kind {
     reply::Kind::Rejection(Rejection {
         code: rejection::Code::NotCoordinator.into(),
-        message: format!("region {coordinator} coordinates changes of all regions: publish there"),
+        message: format!(
+            "region {coordinator} coordinates changes of all regions: publish the policy there"
+        ),
         replicas: replicas.iter().map(ToString::to_string).collect(),
         ..Rejection::default()
     })
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,4 +1,4 @@
-//! A replica as a server: starts its parts, and runs them until it is stopped or fails.
+//! Server of a replica: starts its tasks and services, and runs them until it is stopped or fails.
 
 mod error;
 mod requests;
@@ -27,21 +27,23 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tracing::info;
 
-/// Entries of the log after which a snapshot is taken, and that are kept beside one.
+/// Number of log entries after which a snapshot is taken, and of entries that are kept in addition to it.
 const LOG_ENTRIES_PER_SNAPSHOT: u64 = 500;
-/// Heartbeats in the shortest election timeout.
+/// Number of heartbeats per shortest election timeout.
 const HEARTBEATS_PER_ELECTION: u64 = 5;
-/// The shortest time between two heartbeats, in milliseconds.
+/// Shortest time between two heartbeats, in milliseconds.
 const MIN_HEARTBEAT_MS: u64 = 20;
-/// How many election timeouts the transfer of a snapshot may take.
+/// Longest transfer time of a snapshot, in election timeouts.
 const SNAPSHOT_TIMEOUT_ELECTIONS: u64 = 10;
-/// Most bytes of a snapshot in one message. They travel as a list of numbers in JSON, four bytes each at the most.
+/// Maximum size of a snapshot chunk per message. JSON encodes the bytes as a list of numbers, with up to four bytes for
+/// each.
 const SNAPSHOT_CHUNK_BYTES: u64 = 256 * 1024;
 
 /// Runs a replica until `stop` resolves.
 ///
 /// # Errors
-/// If it can't start, or can't go on: its store, its listener. See [`ServerError`].
+/// Returns an error if the replica cannot start or has to stop, for example because of its store or its listener. See
+/// [`ServerError`].
 pub async fn run(settings: Settings, stop: impl Future<Output = ()>) -> Result<(), ServerError> {
     let store = Store::open(&settings.store, settings.replica).map_err(|source| {
         let path = settings.store.clone();
@@ -114,7 +116,7 @@
         })
 }
 
-/// Gives a replica that has never run the addresses of all replicas. Any other has them in its store.
+/// Initializes the cluster membership of a replica that has never run. A replica that has run has it in its store.
 async fn initialize(settings: &Settings, raft: &Raft<RaftTypes>) -> Result<(), ServerError> {
     let initialized = raft.is_initialized().await;
     if initialized.map_err(|error| ServerError::Uninitialized(Box::new(error)))? {
@@ -138,10 +140,10 @@
     lease_requests: PendingLeaseRequests,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
-    let lessor = Arc::clone(leader);
-    tasks.spawn(async move { lessor.answer_lease_requests(lease_requests).await });
-    let changes = Arc::clone(leader);
-    tasks.spawn(async move { changes.run_changes().await });
+    let lease_leader = Arc::clone(leader);
+    tasks.spawn(async move { lease_leader.answer_lease_requests(lease_requests).await });
+    let change_leader = Arc::clone(leader);
+    tasks.spawn(async move { change_leader.run_changes().await });
     if let Some(regions) = settings.regions.clone() {
         let client = CrossRegionClient {
             settings: regions,
@@ -180,7 +182,7 @@
     }
 }
 
-/// Waits until the consensus library has stopped by itself.
+/// Waits until the consensus library stops because of an error.
 async fn raft_failure(raft: &Raft<RaftTypes>) -> Fatal<NodeId> {
     let mut metrics = raft.metrics();
     loop {
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica can't run.
+//! Errors of a running replica.
 
 use crate::store::{NodeId, StoreError};
 use openraft::error::Fatal;
@@ -8,48 +8,48 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a replica can't start, or can't go on.
+/// Why a replica cannot start or has stopped.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// Its store can't be used.
+    /// The store cannot be used.
     #[error("store {}: {source}", path.display())]
     Store {
-        /// The file of the store.
+        /// File of the store.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the store cannot be used.
         source: Box<StoreError>,
     },
-    /// The consensus library can't start from its store.
+    /// The consensus library cannot start with the contents of the store.
     #[error("store {}: {source}", path.display())]
     StartRaft {
-        /// The file of the store.
+        /// File of the store.
         path: PathBuf,
-        /// Why it can't.
+        /// Error of the consensus library.
         source: Box<Fatal<NodeId>>,
     },
-    /// It can't listen.
+    /// The replica cannot listen on its address.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// Where it was to listen.
+        /// Configured listen address.
         address: SocketAddr,
-        /// Why it can't.
+        /// Error of the listener.
         source: io::Error,
     },
-    /// Its server has failed.
+    /// The gRPC server has failed.
     #[error("listen on {address}: {source}")]
     Serve {
-        /// Where it listened.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why it has failed.
+        /// Error of the server.
         source: tonic::transport::Error,
     },
-    /// The consensus library does not take its settings.
+    /// The consensus library rejects its configuration.
     #[error(transparent)]
     Config(#[from] Box<ConfigError>),
-    /// The consensus library does not say whether this replica has run before.
+    /// The consensus library cannot determine whether this replica was initialized before.
     #[error(transparent)]
     Uninitialized(Box<Fatal<NodeId>>),
     /// The consensus library has stopped, for example because the disk is full.
-    #[error("this replica can't go on: {0}")]
+    #[error("the replica has stopped: {0}")]
     Stopped(Box<Fatal<NodeId>>),
 }
--- a/crates/control-plane/src/server/requests.rs
+++ b/crates/control-plane/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of proxies and publishers.
+//! Handles the requests of proxies and publishers.
 
 use crate::check;
 use crate::leader::{Leader, NotLeader};
@@ -17,18 +17,18 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// Answers the requests of proxies and publishers.
+/// Handles the requests of proxies and publishers.
 pub(super) struct RequestHandler {
     pub(super) store: Store,
     pub(super) leader: Arc<Leader>,
-    /// Where this replica is reached.
+    /// Address of this replica for clients and other replicas.
     pub(super) address: String,
-    /// `None`: there are no regions.
+    /// `None` if no regions are configured.
     pub(super) regions: Option<RegionSettings>,
 }
 
 impl RequestHandler {
-    /// Answers a request.
+    /// Handles a request and returns the reply.
     pub(super) async fn answer(&self, request: request::Kind) -> reply::Kind {
         self.try_answer(request).await.unwrap_or_else(not_leader)
     }
@@ -48,9 +48,12 @@
             request::Kind::PolicyFiles(files) => {
                 self.policy_files(Generation(files.generation)).await
             }
-            request::Kind::Prepare(_) | request::Kind::Commit(_) | request::Kind::Outcome(_) => Ok(
-                reject(rejection::Code::Invalid, "this passes between regions only"),
-            ),
+            request::Kind::Prepare(_) | request::Kind::Commit(_) | request::Kind::Outcome(_) => {
+                Ok(reject(
+                    rejection::Code::Invalid,
+                    "this request is accepted only from other regions",
+                ))
+            }
         }
     }
 
@@ -74,7 +77,7 @@
             Some(Err(error)) => reject(rejection::Code::Invalid, error.to_string()),
             None => reject(
                 rejection::Code::Invalid,
-                format!("{generation}: there is none, or it is kept no more"),
+                format!("{generation} does not exist or is no longer retained"),
             ),
         })
     }
@@ -83,7 +86,7 @@
         let Ok(lease_request) = LeaseRequest::try_from(request) else {
             return Ok(reject(
                 rejection::Code::Invalid,
-                "the request names no proxy, or no way to act when cut off",
+                "the request lacks the proxy's identity or its behaviour on lease loss",
             ));
         };
         if let Some(rejection) = self.check_region(&request.region) {
@@ -92,7 +95,10 @@
         let loaded = lease_request.loaded_generations.clone();
         Ok(match self.leader.request_lease(lease_request).await? {
             GrantOutcome::Granted(grant) => self.grant(grant, &loaded, &request.application),
-            GrantOutcome::RegisterFirst => reject(rejection::Code::Conflict, "ask again"),
+            GrantOutcome::RegisterFirst => reject(
+                rejection::Code::Conflict,
+                "the proxy is not registered yet: retry the request",
+            ),
             GrantOutcome::Denied(denial) => lease_denied(denial),
         })
     }
@@ -103,16 +109,15 @@
         if region.is_empty() || own.is_some_and(|own| own.as_str() == region) {
             return None;
         }
-        let here = own.map_or("has no region".to_owned(), |own| {
-            format!("is of region \"{own}\"")
+        let own = own.map_or("has no region".to_owned(), |own| {
+            format!("belongs to region \"{own}\"")
         });
-        let text = format!(
-            "policy.region of this proxy is {region:?}, and the control that it asks {here}"
-        );
-        Some(reject(rejection::Code::OtherRegion, text))
+        let message =
+            format!("policy.region of this proxy is {region:?}, but this control plane {own}");
+        Some(reject(rejection::Code::OtherRegion, message))
     }
 
-    /// A lease with the files of the application that the proxy has not loaded.
+    /// Returns a lease grant with the application's files that the proxy has not loaded.
     fn grant(
         &self,
         grant: LeaseGrant,
@@ -140,7 +145,8 @@
         })
     }
 
-    /// The file of an application in a generation. Without one the proxy reports that it can't load the generation.
+    /// Returns the file of an application in a generation. Without one the proxy reports that it cannot load the
+    /// generation.
     fn application_files(
         &self,
         generation: Generation,
@@ -154,11 +160,11 @@
         files.into_iter().collect()
     }
 
-    /// Publishes to all regions, if this one coordinates them.
+    /// Publishes a cross-region change, if this region coordinates these.
     async fn publish_all_regions(&self, publish: wire::Publish) -> Result<reply::Kind, NotLeader> {
         let Some(settings) = &self.regions else {
-            let text = "control has no regions: publish with the scope \"region\"";
-            return Ok(reject(rejection::Code::OtherRegion, text));
+            let message = "the control plane has no regions: publish with the scope \"region\"";
+            return Ok(reject(rejection::Code::OtherRegion, message));
         };
         if let Some(replicas) = settings.coordinator_replicas() {
             return Ok(not_coordinator(settings.regions.coordinator(), replicas));
@@ -184,8 +190,9 @@
         };
         let record = self.store.record();
         if record.revision() != publish.revision {
-            let text = "something has changed since this was looked at: look again";
-            return Ok(reject(rejection::Code::Conflict, text));
+            let message =
+                "the policy state changed in the meantime: read the status again and retry";
+            return Ok(reject(rejection::Code::Conflict, message));
         }
         let fallback_generations = record.fallback_generations();
         let text = check::check_fallbacks(&record, &fallback_generations, &parsed)
@@ -204,10 +211,10 @@
             Outcome::Started(generation) => reply::Kind::ChangeStarted(wire::ChangeStarted {
                 generation: generation.0,
             }),
-            Outcome::Rejected(rejected) => command_rejected(&rejected),
+            Outcome::Rejected(rejection) => command_rejected(&rejection),
             Outcome::Applied => reject(
                 rejection::Code::Conflict,
-                "something else came in between: look again",
+                "the policy state changed in the meantime: read the status again and retry",
             ),
         })
     }
@@ -216,12 +223,12 @@
         let generation = Generation(abort.generation);
         Ok(match self.leader.abort(generation, abort.reason).await? {
             Some(Outcome::Applied) => reply::Kind::Done(wire::Done {}),
-            Some(Outcome::Rejected(rejected @ Rejection::AwaitsDecision { .. })) => {
-                command_rejected(&rejected)
+            Some(Outcome::Rejected(rejection @ Rejection::AwaitsDecision { .. })) => {
+                command_rejected(&rejection)
             }
             _ => reject(
                 rejection::Code::Conflict,
-                format!("no change to {generation} is under way"),
+                format!("no change to {generation} is pending"),
             ),
         })
     }
@@ -242,13 +249,17 @@
 
 fn lease_denied(denial: LeaseDenial) -> reply::Kind {
     match denial {
-        LeaseDenial::OutOfOrder => {
-            reject(rejection::Code::Stale, "a later request has been answered")
-        }
-        LeaseDenial::NoPolicy => reject(rejection::Code::NoPolicy, "there is no policy yet"),
+        LeaseDenial::OutOfOrder => reject(
+            rejection::Code::Stale,
+            "a later request of this proxy has already been answered",
+        ),
+        LeaseDenial::NoPolicy => reject(
+            rejection::Code::NoPolicy,
+            "no policy has been published yet",
+        ),
         LeaseDenial::Evicted => reject(
             rejection::Code::Evicted,
-            "this start of the proxy was evicted: start it anew",
+            "this proxy process was evicted: restart the proxy",
         ),
     }
 }
--- a/crates/control-plane/src/server/service.rs
+++ b/crates/control-plane/src/server/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC service: verifies each message, has it answered, and authenticates the reply.
+//! gRPC service: verifies each message, dispatches it to its handler, and authenticates the reply.
 
 use super::requests::RequestHandler;
 use crate::cross_region::CrossRegionServer;
@@ -17,13 +17,13 @@
 use tonic::{Response, Status};
 use tracing::warn;
 
-/// The service of one replica.
+/// gRPC service of one replica.
 pub(super) struct ControlService {
     pub(super) secret: SharedSecret,
     pub(super) store: Store,
     pub(super) raft: Raft<RaftTypes>,
     pub(super) requests: RequestHandler,
-    /// `None`: there are no regions.
+    /// `None` if no regions are configured.
     pub(super) cross_region: Option<CrossRegionServer>,
 }
 
@@ -55,7 +55,7 @@
             Some(kind) => self.requests.answer(kind).await,
             None => reject(
                 rejection::Code::Invalid,
-                "an empty request, or one that this version does not know",
+                "the request is empty or unknown to this version",
             ),
         };
         Ok(self.reply(Purpose::Reply, nonce, reply))
@@ -111,11 +111,11 @@
             (Some(server), Some(kind)) => server.answer(kind).await.unwrap_or_else(not_leader),
             (Some(_), None) => reject(
                 rejection::Code::Invalid,
-                "an empty message, or one that this version does not know",
+                "the request is empty or unknown to this version",
             ),
             (None, _) => reject(
                 rejection::Code::OtherRegion,
-                "this control has no region: see its file",
+                "this control plane has no region: check the replica's settings",
             ),
         };
         Ok(self.reply(Purpose::RegionReply, nonce, reply))
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a replica, read from its file.
+//! Settings of a replica, read from its file.
 
 mod error;
 mod raw;
@@ -17,46 +17,50 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How many replicas one control plane may have.
+/// Allowed numbers of replicas of one control plane.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
-/// The longest time that a change may be given, in milliseconds: a day.
+/// Largest allowed timeout of a change, in milliseconds: one day.
 const MAX_CHANGE_TIMEOUT_MS: u64 = 86_400_000;
-const LEASE_MS: RangeInclusive<u64> = 200..=600_000;
-const DRIFT_PPM: RangeInclusive<u64> = 100..=100_000;
-const ELECTION_MS: RangeInclusive<u64> = 100..=60_000;
-/// Clocks are read in whole microseconds, and not at one moment: what is added to the drift for that.
-const CLOCK_READING_MICROS: u64 = 1_000;
+/// Allowed lease durations, in milliseconds.
+const LEASE_MS_RANGE: RangeInclusive<u64> = 200..=600_000;
+/// Allowed clock drifts, in parts per million.
+const DRIFT_PPM_RANGE: RangeInclusive<u64> = 100..=100_000;
+/// Allowed election timeouts, in milliseconds.
+const ELECTION_MS_RANGE: RangeInclusive<u64> = 100..=60_000;
+/// Allowance added to the drift, in microseconds: clocks are read in whole microseconds and not at the same moment.
+const CLOCK_READING_ALLOWANCE_MICROS: u64 = 1_000;
 
-/// The settings of a replica.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The replica's number.
+    /// Number of the replica.
     pub replica: u64,
-    /// Where each replica is reached, by number.
+    /// Address of each replica, by number.
     pub replicas: BTreeMap<u64, SocketAddr>,
-    /// Where this replica listens.
+    /// Address on which this replica listens.
     pub listen: SocketAddr,
-    /// The file of the replica's store.
+    /// File of the replica's store.
     pub store: PathBuf,
-    /// The secret that the fleet shares.
+    /// Shared secret of the fleet.
     pub secret: SharedSecret,
-    /// For how long a lease is granted.
+    /// Duration of a lease.
     pub lease_duration: Duration,
-    /// How much longer than granted a lease is taken to last, because clocks run at different speeds.
+    /// Time that the leader adds to the duration of a lease, because clocks run at different speeds.
     pub max_clock_drift: Duration,
-    /// A change that is not in force by then is aborted.
+    /// Time after which a change that is still pending is aborted.
     pub change_timeout: Duration,
-    /// Replicas elect a new leader when they have not heard of the present one for at least this long.
+    /// Shortest time without a message from the leader after which replicas elect a new one.
     pub election_timeout: Duration,
-    /// This region and the other ones; `None`: there are no regions.
+    /// Settings for this region and the other ones; `None` if no regions are configured.
     pub regions: Option<RegionSettings>,
 }
 
 impl Settings {
-    /// Reads a file, and the secret that it names.
+    /// Reads the settings file, and the secret from the file that it names.
     ///
     /// # Errors
-    /// If something is wrong with it. The text names the file, the line or key, what was found and what is allowed.
+    /// Returns an error if the file is invalid. The message names the file, the line or key, the value found and the
+    /// allowed values.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path).map_err(|problem| SettingsError {
             file: path.to_owned(),
@@ -74,10 +78,10 @@
     };
     let regions = RegionSettings::from_raw(&raw, &replicas)?;
     let secret = read_secret(relative_to(path, &raw.secret))?;
-    let lease = in_range("lease_ms", raw.lease_ms, LEASE_MS)?;
-    let drift = in_range("drift_ppm", raw.drift_ppm, DRIFT_PPM)?;
+    let lease = in_range("lease_ms", raw.lease_ms, LEASE_MS_RANGE)?;
+    let drift = in_range("drift_ppm", raw.drift_ppm, DRIFT_PPM_RANGE)?;
     let change = in_range("wait_ms", raw.wait_ms, lease..=MAX_CHANGE_TIMEOUT_MS)?;
-    let election = in_range("election_ms", raw.election_ms, ELECTION_MS)?;
+    let election = in_range("election_ms", raw.election_ms, ELECTION_MS_RANGE)?;
     Ok(Settings {
         replica: raw.replica,
         replicas,
@@ -85,19 +89,21 @@
         store: relative_to(path, &raw.store),
         secret,
         lease_duration: Duration::from_millis(lease),
-        // Milliseconds times parts per million are nanoseconds.
-        max_clock_drift: Duration::from_micros(lease * drift / 1_000 + CLOCK_READING_MICROS),
+        // Milliseconds times parts per million gives nanoseconds.
+        max_clock_drift: Duration::from_micros(
+            lease * drift / 1_000 + CLOCK_READING_ALLOWANCE_MICROS,
+        ),
         change_timeout: Duration::from_millis(change),
         election_timeout: Duration::from_millis(election),
         regions,
     })
 }
 
-/// The addresses of the replicas by number.
+/// Returns the addresses of the replicas by number.
 fn replica_addresses(raw: &RawSettings) -> Result<BTreeMap<u64, SocketAddr>, SettingsProblem> {
     let mut replicas: BTreeMap<u64, SocketAddr> = BTreeMap::new();
     for (name, &address) in &raw.replicas {
-        if let Some((other, _)) = replicas.iter().find(|(_, &known)| known == address) {
+        if let Some((other, _)) = replicas.iter().find(|(_, &existing)| existing == address) {
             return Err(SettingsProblem::DuplicateAddress {
                 key: format!("replicas.{name}"),
                 address,
@@ -146,7 +152,7 @@
     SharedSecret::read(&file).map_err(|source| SettingsProblem::Secret { file, source })
 }
 
-/// A path of the file of settings: a relative one starts at that file's directory.
+/// Resolves a path from the settings file. A relative path is relative to the directory of that file.
 fn relative_to(settings: &Path, path: &Path) -> PathBuf {
     match settings.parent() {
         Some(directory) => directory.join(path),
--- a/crates/control-plane/src/settings/error.rs
+++ b/crates/control-plane/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the file of a replica.
+//! Errors in the settings file of a replica.
 
 use badgerramp_control_protocol::SecretError;
 use badgerramp_policy::regions::InvalidRegion;
@@ -8,97 +8,97 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a replica can't run by a file.
+/// Why the settings of a replica cannot be loaded.
 #[derive(Debug, Error)]
 #[error("{}: {problem}", file.display())]
 pub struct SettingsError {
-    /// The file.
+    /// The settings file.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// The problem found in it.
     #[source]
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with a file of settings: the key, what was found and what is allowed.
+/// A problem in a settings file: the key, the value found and the allowed values.
 #[derive(Debug, Error)]
 pub enum SettingsProblem {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is no TOML, a key is unknown or missing, or a value has the wrong type.
+    /// The file is not valid TOML, a key is unknown or missing, or a value has the wrong type.
     #[error("{}", .0.to_string().trim_end())]
     Syntax(#[from] toml::de::Error),
-    /// A number is too small or too large.
+    /// The value of a key is too small or too large.
     #[error("{key}: found {found}, allowed is {} to {}", allowed.start(), allowed.end())]
     OutOfRange {
-        /// The key.
+        /// The key with the value.
         key: &'static str,
-        /// Its value.
+        /// The value found.
         found: u64,
-        /// The values that it may have.
+        /// Allowed values of the key.
         allowed: RangeInclusive<u64>,
     },
-    /// A replica's number is none.
+    /// The name of a replica is not a positive whole number.
     #[error(
         "replicas: found {0:?}, allowed are whole numbers from 1, like 1 = \"127.0.0.1:7400\""
     )]
     ReplicaNumber(String),
-    /// There is another number of replicas than can agree.
+    /// The number of replicas is not an allowed one.
     #[error("{key}: found {found}, allowed are 1, 3 or 5")]
     ReplicaCount {
-        /// The key.
+        /// The key that lists the replicas.
         key: String,
-        /// The number of replicas.
+        /// Number of replicas found.
         found: usize,
     },
-    /// The replica that the file is for is not among the replicas.
-    #[error("replica: found {0}, allowed is a number out of replicas")]
+    /// The replica of this file is not one of the listed replicas.
+    #[error("replica: found {0}, allowed is a number listed in replicas")]
     UnknownReplica(u64),
     /// Two replicas have the same address.
-    #[error("{key}: found {address}, which is that of {other} already")]
+    #[error("{key}: found {address}, which is already used by {other}")]
     DuplicateAddress {
-        /// The key of the second one.
+        /// Key of the second replica.
         key: String,
-        /// The address.
+        /// The duplicate address.
         address: SocketAddr,
-        /// The first one.
+        /// The replica that is listed first with this address.
         other: String,
     },
-    /// The fleet's secret can't be used.
+    /// The fleet's shared secret cannot be used.
     #[error("secret: {}: {source}", file.display())]
     Secret {
-        /// The file that should hold it.
+        /// File of the secret.
         file: PathBuf,
-        /// Why it can't be used.
+        /// Why the secret cannot be used.
         source: SecretError,
     },
     /// A region has an invalid name.
     #[error("{key}: found {source}")]
     RegionName {
-        /// The key.
+        /// Key of the region.
         key: String,
-        /// What is wrong with the name.
+        /// Why the name is invalid.
         source: InvalidRegion,
     },
-    /// The file names its own region and no other one.
+    /// The file names the region of the replica but no other region.
     #[error("regions: found none, allowed is a table [regions.NAME] for each other region")]
     NoOtherRegion,
-    /// The own region is also among the other ones.
+    /// The region of the replica is also listed as another region.
     #[error("{key}: found {name:?}, allowed are names of regions other than `region`")]
     OwnRegion {
-        /// The key.
+        /// Key of the duplicate region.
         key: String,
-        /// The name.
+        /// Name of the region.
         name: String,
     },
-    /// A key of regions stands in a file that does not name its own region.
+    /// The file has a key for regions but does not name the region of the replica.
     #[error(
-        "{key}: found {found}, allowed only beside `region`, the name of this replica's region"
+        "{key}: found {found}, allowed only together with `region`, the name of this replica's region"
     )]
     RegionMissing {
-        /// The key.
+        /// The key that requires `region`.
         key: String,
-        /// What it holds.
+        /// Value of the key.
         found: String,
     },
 }
--- a/crates/control-plane/src/settings/raw.rs
+++ b/crates/control-plane/src/settings/raw.rs
@@ -1,17 +1,21 @@
-//! The file of a replica as it is written, before its values are checked.
+//! Deserialized settings file of a replica, before its values are validated.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// Default duration of a lease, in milliseconds.
 const DEFAULT_LEASE_MS: u64 = 10_000;
-/// Clocks of well-kept machines stay within 100 parts per million; that of a virtual machine may be steered by 500.
+/// Default clock drift, in parts per million. The clock of a well-maintained machine stays within 100 ppm; that of a
+/// virtual machine may be slewed by 500 ppm.
 const DEFAULT_DRIFT_PPM: u64 = 2_000;
+/// Default timeout of a change, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 60_000;
+/// Default election timeout, in milliseconds.
 const DEFAULT_ELECTION_MS: u64 = 1_000;
 
-/// The keys of the file. Unknown ones are rejected.
+/// Keys of the settings file. Unknown keys are rejected.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawSettings {
@@ -34,7 +38,7 @@
     pub(super) regions_wait_ms: Option<u64>,
 }
 
-/// The keys of another region.
+/// Keys of another region.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawRegion {
--- a/crates/control-plane/src/settings/regions.rs
+++ b/crates/control-plane/src/settings/regions.rs
@@ -1,4 +1,4 @@
-//! The settings of a control plane that is one of several regions.
+//! Settings of a control plane that belongs to one of several regions.
 
 use super::raw::RawSettings;
 use super::{check_replica_count, in_range, SettingsProblem, MAX_CHANGE_TIMEOUT_MS};
@@ -7,24 +7,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// For how long the votes of the other regions are waited for, if the file does not say.
+/// Default time to wait for the votes of the other regions, in milliseconds.
 const DEFAULT_REGIONS_WAIT_MS: u64 = 10_000;
-/// The shortest wait for the votes of the other regions.
+/// Shortest allowed time to wait for the votes of the other regions, in milliseconds.
 const MIN_REGIONS_WAIT_MS: u64 = 200;
 
-/// The regions, as the control plane of one of them knows them.
+/// Settings for regions, from the view of one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionSettings {
-    /// Their names.
+    /// Names of the regions.
     pub regions: Regions,
-    /// Where the replicas of each other region are reached.
+    /// Addresses of the replicas of each other region.
     pub replicas: BTreeMap<Region, Vec<SocketAddr>>,
-    /// A change of all regions that lacks a region's vote by then is aborted.
+    /// Time after which a cross-region change is aborted if the vote of a region is missing.
     pub vote_timeout: Duration,
 }
 
 impl RegionSettings {
-    /// Reads the keys of regions; `None` if the file has none of them. `own` is where the own replicas are reached.
+    /// Reads the keys for regions; `None` if the file has none of them. `own` holds the addresses of this region's replicas.
     pub(super) fn from_raw(
         raw: &RawSettings,
         own: &BTreeMap<u64, SocketAddr>,
@@ -47,7 +47,7 @@
         }))
     }
 
-    /// Where the region is reached that coordinates changes of all regions; `None`: it is this one.
+    /// Returns the replica addresses of the coordinating region; `None` if this region coordinates.
     pub fn coordinator_replicas(&self) -> Option<&[SocketAddr]> {
         self.replicas
             .get(self.regions.coordinator())
@@ -55,7 +55,7 @@
     }
 }
 
-/// Where the replicas of each other region are reached. No address may be used twice.
+/// Returns the addresses of the replicas of each other region. No address may be used twice.
 fn other_regions(
     raw: &RawSettings,
     region: &Region,
@@ -81,7 +81,7 @@
     Ok(replicas)
 }
 
-/// Without a name for its own region a replica has no use for the other keys of regions.
+/// Checks that a file that does not name the replica's region has no other keys for regions.
 fn check_no_regions(raw: &RawSettings) -> Result<(), SettingsProblem> {
     if let Some(name) = raw.regions.keys().next() {
         return Err(SettingsProblem::RegionMissing {
@@ -105,7 +105,7 @@
     })
 }
 
-/// Checks that none of these addresses is another replica's, and notes the key of each.
+/// Checks that none of these addresses belongs to another replica, and records the key of each address.
 fn check_addresses(
     key: &str,
     addresses: &[SocketAddr],
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -1,4 +1,4 @@
-//! The status that operators see.
+//! Status of the control plane, as reported to operators.
 
 use crate::leader::ProxyView;
 use crate::settings::RegionSettings;
@@ -10,22 +10,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a status is made from.
+/// Inputs of a status report.
 pub(crate) struct View<'r> {
-    /// What the replicas have agreed on.
+    /// The replicated state.
     pub(crate) record: &'r Record,
-    /// What the leader knows of the proxies.
+    /// The leader's view of the proxies.
     pub(crate) proxies: ProxyView,
-    /// The regions, if there are any.
+    /// Settings for regions, if they are configured.
     pub(crate) regions: Option<&'r RegionSettings>,
-    /// Where the replica that answers is reached.
+    /// Address of the replica that reports.
     pub(crate) address: &'r str,
-    /// The present time.
+    /// The current time.
     pub(crate) now: Micros,
 }
 
 impl View<'_> {
-    /// The message that is sent.
+    /// Returns the status message.
     pub(crate) fn status(self) -> wire::Status {
         let ProxyView { blockers, sessions } = self.proxies;
         let proxies = proxies(self.record, sessions);
@@ -59,18 +59,18 @@
 fn proxy_blocker(blocker: Blocker, now: Micros) -> wire::Blocker {
     let (reason, remaining) = match blocker.reason {
         BlockReason::Lease(until) if blocker.identity.is_none() => (
-            "a leader before this one may have lent to any proxy".to_owned(),
+            "any proxy may hold a lease granted by a previous leader".to_owned(),
             until.saturating_sub(now),
         ),
         BlockReason::Lease(until) => (
-            "it has not told that it acts under it, and its lease runs".to_owned(),
+            "the proxy has not confirmed the change and its lease for an older mode has not expired".to_owned(),
             until.saturating_sub(now),
         ),
         BlockReason::ServesWithoutLease => (
-            "it goes on without a lease, and has not told that it acts under it".to_owned(),
+            "the proxy serves without a lease and has not confirmed the change".to_owned(),
             0,
         ),
-        BlockReason::GenerationRejected(reason) => (format!("it can't read it: {reason}"), 0),
+        BlockReason::GenerationRejected(reason) => (format!("the proxy cannot load the policy: {reason}"), 0),
     };
     wire::Blocker {
         identity: blocker.identity.map(Into::into),
@@ -80,12 +80,12 @@
     }
 }
 
-/// The regions that a change of all regions waits for.
+/// Returns the regions that the pending cross-region change waits for.
 fn region_blockers(cross: &CrossRegionChange) -> Vec<wire::Blocker> {
     let reason = match cross.role {
-        Role::Coordinator { .. } => "it has not voted that it is prepared",
+        Role::Coordinator { .. } => "the region has not voted that it is prepared",
         Role::Participant { voted: true } => {
-            "this region has voted, and that one has not told its decision"
+            "this region has voted and the coordinating region has not sent its decision"
         }
         Role::Participant { voted: false } => return Vec::new(),
     };
@@ -112,7 +112,7 @@
     }
 }
 
-/// Proxies that may act without a lease, and those that have one, with the latest revision known of each.
+/// Returns the proxies that may serve without a lease and those that have one, each with its latest known revision.
 fn proxies(record: &Record, sessions: BTreeMap<Identity, u64>) -> Vec<wire::Proxy> {
     let mut proxies: BTreeMap<Identity, wire::Proxy> = record
         .leaseless_proxies()
@@ -145,12 +145,12 @@
         name: settings.regions.own().to_string(),
         coordinator: settings.regions.coordinator().to_string(),
         coordinator_replicas: replicas.iter().map(SocketAddr::to_string).collect(),
-        change: under_way(record).or_else(|| unacknowledged(record, settings)),
+        change: pending_change(record).or_else(|| unacknowledged_change(record, settings)),
     }
 }
 
-/// The change of all regions that is under way here.
-fn under_way(record: &Record) -> Option<wire::CrossRegion> {
+/// Returns the cross-region change that is pending in this region.
+fn pending_change(record: &Record) -> Option<wire::CrossRegion> {
     let CrossRegionChange { change, role } = record.cross_region()?;
     let (voted, participants) = match role {
         Role::Participant { voted } => (*voted, Vec::new()),
@@ -174,8 +174,8 @@
     })
 }
 
-/// The change of all regions that is in force here, and that not all regions have acknowledged.
-fn unacknowledged(record: &Record, settings: &RegionSettings) -> Option<wire::CrossRegion> {
+/// Returns the cross-region change that is in force in this region and that some regions have not acknowledged.
+fn unacknowledged_change(record: &Record, settings: &RegionSettings) -> Option<wire::CrossRegion> {
     let commit = record.unacknowledged_commit()?;
     let all: BTreeSet<Region> = settings
         .regions
--- a/crates/control-plane/src/store.rs
+++ b/crates/control-plane/src/store.rs
@@ -1,8 +1,7 @@
-//! The durable state of a replica, in an embedded database: the agreed log, the votes, and snapshots of the state that
-//! the log has led to.
+//! Durable state of a replica, in an embedded database: the replicated log, the vote, and snapshots of the state machine.
 //!
 //! A [`Store`] is a handle: clones share the database and the state in memory. Only the consensus library changes that
-//! state, by applying entries of the log or installing a snapshot.
+//! state, by applying log entries or by installing a snapshot.
 
 mod codec;
 mod database;
@@ -28,15 +27,15 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// What a store says of its format.
+/// Format identifier of a store.
 const FORMAT: &str = "badgerramp control store 1";
-/// Permissions of a store's file: the owner's alone.
+/// Permissions of a store's file: only its owner has access.
 const FILE_MODE: u32 = 0o600;
 
-/// How a failure is reported to the consensus library.
+/// Error type for failures reported to the consensus library.
 type RaftError = StorageError<NodeId>;
 
-/// The store of one replica.
+/// Store of one replica.
 #[derive(Clone, Debug)]
 pub struct Store {
     tables: Tables,
@@ -45,10 +44,10 @@
 }
 
 impl Store {
-    /// Makes a store for a replica that has never run.
+    /// Creates a store for a replica that has never run.
     ///
     /// # Errors
-    /// If there is one, or it can't be written.
+    /// Returns an error if there is a store already, or if it cannot be written.
     pub fn create(path: &Path, replica: NodeId) -> Result<(), StoreError> {
         if path.exists() {
             return Err(StoreError::AlreadyExists);
@@ -59,10 +58,10 @@
         Ok(())
     }
 
-    /// Opens the store of this replica, and checks all that is in it.
+    /// Opens the store of this replica and checks all of its contents.
     ///
     /// # Errors
-    /// If there is none, it is another replica's, or it is damaged. See [`StoreError`].
+    /// Returns an error if there is no store, if it belongs to another replica, or if it is damaged. See [`StoreError`].
     pub fn open(path: &Path, replica: NodeId) -> Result<Self, StoreError> {
         if !path.exists() {
             return Err(StoreError::Missing);
@@ -78,7 +77,7 @@
         Ok(store)
     }
 
-    /// Checks the contents, and takes the state from the newest snapshot that can be read.
+    /// Checks the contents and loads the state from the newest readable snapshot.
     fn load(&self, replica: NodeId) -> Result<(), StoreError> {
         let purged = integrity::check_metadata(&self.tables, replica)?;
         integrity::check_log(&self.tables, purged)?;
@@ -86,7 +85,7 @@
         if let Some(stored) = search.newest {
             *self.state_machine() = stored.state_machine;
         }
-        // What was purged from the log has to be in a snapshot.
+        // All purged log entries must be contained in a snapshot.
         if purged > self.state_machine().applied {
             return Err(Defect::NoSnapshot(search.unreadable.into_iter().next()).into());
         }
@@ -100,23 +99,23 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A copy of what the replicas have agreed on, as far as this one knows.
+    /// Returns a copy of the replicated state, as far as this replica has applied the log.
     pub fn record(&self) -> Record {
         self.state_machine().record.clone()
     }
 
-    /// Reads from what the replicas have agreed on, as far as this one knows. The state is locked meanwhile.
+    /// Reads from the replicated state, as far as this replica has applied the log. The state is locked during the read.
     pub fn read<T>(&self, read: impl FnOnce(&Record) -> T) -> T {
         read(&self.state_machine().record)
     }
 
-    /// Notifies of each new revision of the record.
+    /// Returns a receiver that is notified of each new revision of the record.
     pub fn revision_changes(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 }
 
-/// Names the part of the store that an error concerns, for the consensus library.
+/// Converts an error for the consensus library, with the part of the store and the operation that it concerns.
 fn raft_error(
     subject: ErrorSubject<NodeId>,
     verb: ErrorVerb,
--- a/crates/control-plane/src/store/codec.rs
+++ b/crates/control-plane/src/store/codec.rs
@@ -1,5 +1,4 @@
-//! How values are stored: as JSON behind a checksum of their own, so that what a disk has changed is never taken for what
-//! was written.
+//! Encoding of stored values: JSON preceded by a checksum, so that data corrupted on disk is detected.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -7,23 +6,23 @@
 use std::io;
 use thiserror::Error;
 
-/// Bytes of a checksum: the first ones of a SHA-256.
+/// Length of a checksum in bytes. It is a truncated SHA-256.
 const CHECKSUM_LEN: usize = 16;
-/// Most bytes of a decompressed snapshot.
+/// Maximum size of a decompressed snapshot.
 const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// How strongly snapshots are compressed by Zstandard.
+/// Zstandard compression level for snapshots.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Why a value can't be decoded, or not be encoded.
+/// Why a value cannot be decoded or encoded.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// Its checksum is another one than that of its bytes.
-    #[error("its checksum does not match")]
+    /// The stored checksum differs from that of the value.
+    #[error("the checksum does not match")]
     Checksum,
-    /// It is not the JSON of such a value.
+    /// The JSON is not that of such a value, or the value cannot be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It can't be compressed or decompressed.
+    /// The value cannot be compressed or decompressed.
     #[error(transparent)]
     Compression(#[from] io::Error),
 }
@@ -50,19 +49,19 @@
     Ok(with_checksum(&serde_json::to_vec(value)?))
 }
 
-/// Decodes what [`encode`] gave.
+/// Decodes a value encoded by [`encode`].
 pub(super) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     Ok(serde_json::from_slice(without_checksum(bytes)?)?)
 }
 
-/// Encodes a large value, compressed.
+/// Encodes a large value with compression.
 pub(super) fn encode_compressed(value: &impl Serialize) -> Result<Vec<u8>, DecodeError> {
     let json = serde_json::to_vec(value)?;
     let compressed = zstd::bulk::compress(&json, COMPRESSION_LEVEL)?;
     Ok(with_checksum(&compressed))
 }
 
-/// Decodes what [`encode_compressed`] gave.
+/// Decodes a value encoded by [`encode_compressed`].
 pub(super) fn decode_compressed<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let compressed = without_checksum(bytes)?;
     let json = zstd::bulk::decompress(compressed, MAX_SNAPSHOT_BYTES)?;
--- a/crates/control-plane/src/store/database.rs
+++ b/crates/control-plane/src/store/database.rs
@@ -1,4 +1,4 @@
-//! The tables of the embedded database: metadata, the log, and snapshots. Every method is one transaction.
+//! Tables of the embedded database: metadata, the log, and snapshots. Every write is a single transaction.
 
 use super::codec::{decode, decode_compressed, encode};
 use super::error::{DatabaseError, SnapshotError};
@@ -15,8 +15,8 @@
 const LOG: TableDefinition<'static, u64, &[u8]> = TableDefinition::new("log");
 const SNAPSHOTS: TableDefinition<'static, u64, &[u8]> = TableDefinition::new("snapshots");
 
-/// Snapshots that are kept. Older ones serve if the newest can't be read.
-const SNAPSHOTS_KEPT: usize = 3;
+/// Number of snapshots that are retained. Older ones are used if the newest one cannot be read.
+const RETAINED_SNAPSHOTS: usize = 3;
 
 /// Keys of the metadata.
 pub(super) mod key {
@@ -27,33 +27,33 @@
     pub(in crate::store) const PURGED: &str = "purged";
 }
 
-/// A snapshot that was read.
+/// A snapshot read from the database.
 pub(super) struct StoredSnapshot {
-    /// As it is stored, and sent to other replicas.
+    /// Encoded snapshot, as stored and as sent to other replicas.
     pub(super) bytes: Vec<u8>,
-    /// What it contains.
+    /// Decoded contents of the snapshot.
     pub(super) state_machine: StateMachine,
 }
 
-/// What was found among the stored snapshots.
+/// Result of the search for the newest readable snapshot.
 pub(super) struct SnapshotSearch {
-    /// The newest one that can be read.
+    /// The newest readable snapshot, if any.
     pub(super) newest: Option<StoredSnapshot>,
-    /// Newer ones that can't be read, the newest first.
+    /// Newer snapshots that cannot be read, newest first.
     pub(super) unreadable: Vec<SnapshotError>,
 }
 
-/// The database of one replica.
+/// Database of one replica.
 #[derive(Clone, Debug)]
 pub(super) struct Tables(Arc<Database>);
 
 impl Tables {
-    /// The tables of an open database.
+    /// Wraps an open database.
     pub(super) fn new(database: Database) -> Self {
         Tables(Arc::new(database))
     }
 
-    /// Makes the tables of a replica that has never run.
+    /// Creates the tables of a replica that has never run.
     pub(super) fn create(&self, replica: NodeId) -> Result<(), DatabaseError> {
         let transaction = self.0.begin_write()?;
         transaction.open_table(LOG)?;
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Reads a value of the metadata.
+    /// Reads a metadata value.
     pub(super) fn read_meta<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -79,7 +79,7 @@
         Ok(Some(decode(value.value())?))
     }
 
-    /// Writes a value of the metadata.
+    /// Writes a metadata value.
     pub(super) fn write_meta(
         &self,
         key: &str,
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// The last entry of the log, and the last one that was purged.
+    /// Returns the identifiers of the last log entry and of the last purged one.
     pub(super) fn log_state(&self) -> Result<LogState<RaftTypes>, DatabaseError> {
         let purged: Option<LogId<NodeId>> = self.read_meta(key::PURGED)?;
         let transaction = self.0.begin_read()?;
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Reads entries of the log.
+    /// Reads the log entries in a range of indexes.
     pub(super) fn entries(
         &self,
         range: impl RangeBounds<u64>,
@@ -123,7 +123,7 @@
         Ok(entries)
     }
 
-    /// Writes entries of the log.
+    /// Appends log entries.
     pub(super) fn append(
         &self,
         entries: impl IntoIterator<Item = Entry<RaftTypes>>,
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    /// Removes the entries of the log from this one on.
+    /// Removes all log entries from `from` on.
     pub(super) fn truncate(&self, from: LogId<NodeId>) -> Result<(), DatabaseError> {
         let transaction = self.0.begin_write()?;
         let mut log = transaction.open_table(LOG)?;
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// Removes the entries of the log up to this one, and remembers that.
+    /// Removes the log entries up to and including `up_to`, and records it as the last purged entry.
     pub(super) fn purge(&self, up_to: LogId<NodeId>) -> Result<(), DatabaseError> {
         let transaction = self.0.begin_write()?;
         let mut meta = transaction.open_table(META)?;
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// Reads the newest snapshot that can be read.
+    /// Reads the newest readable snapshot.
     pub(super) fn newest_snapshot(&self) -> Result<SnapshotSearch, DatabaseError> {
         let transaction = self.0.begin_read()?;
         let snapshots = transaction.open_table(SNAPSHOTS)?;
@@ -188,12 +188,12 @@
         })
     }
 
-    /// Writes a snapshot that ends at this entry of the log, and removes the oldest ones beyond those that are kept.
+    /// Writes a snapshot whose last log entry has this index, and removes the oldest snapshots beyond the limit.
     pub(super) fn persist_snapshot(&self, index: u64, bytes: &[u8]) -> Result<(), DatabaseError> {
         let transaction = self.0.begin_write()?;
         let mut snapshots = transaction.open_table(SNAPSHOTS)?;
         snapshots.insert(index, bytes)?;
-        while snapshots.iter()?.count() > SNAPSHOTS_KEPT {
+        while snapshots.iter()?.count() > RETAINED_SNAPSHOTS {
             snapshots.pop_first()?;
         }
         drop(snapshots);
--- a/crates/control-plane/src/store/error.rs
+++ b/crates/control-plane/src/store/error.rs
@@ -1,28 +1,28 @@
-//! Why a store can't be used, read or written.
+//! Errors of opening, reading and writing a store.
 
 use super::codec::DecodeError;
 use super::{NodeId, FORMAT};
 use std::io;
 use thiserror::Error;
 
-/// Why a store can't be used.
+/// Why a store cannot be created or opened.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// There is no store, and none was to be made.
+    /// There is no store.
     #[error(
-        "there is no store. If this replica has never run, make one with `badgerramp-control create`. If its \
-         disk was lost, don't: it may have promised what it has forgotten. The others go on while they are a \
-         majority"
+        "there is no store. If this replica has never run, create one with `badgerramp-control create`. If its \
+         disk was lost, do not create one: the replica would have lost its votes and acknowledged log entries. \
+         The other replicas keep working as long as they are a majority"
     )]
     Missing,
-    /// A store is to be made where there is one.
-    #[error("there is a store already; it is left as it is")]
+    /// There is a store already, so none is created.
+    #[error("there is already a store; it was not changed")]
     AlreadyExists,
-    /// The store belongs to another replica, whose number this is.
-    #[error("it is the store of replica {0}")]
+    /// The store belongs to another replica, with this number.
+    #[error("the store belongs to replica {0}")]
     OtherReplica(NodeId),
-    /// The store can't be read or written, or its contents are damaged.
-    #[error("it can't be used: {0}")]
+    /// The store cannot be read or written, or its contents are damaged.
+    #[error("the store cannot be used: {0}")]
     Unusable(#[from] Defect),
 }
 
@@ -32,107 +32,107 @@
     }
 }
 
-/// What is wrong with a store.
+/// Why a store is unusable.
 #[derive(Debug, Error)]
 pub enum Defect {
-    /// The file can't be read, or its permissions can't be set.
+    /// The file cannot be read, or its permissions cannot be set.
     #[error(transparent)]
     File(#[from] io::Error),
-    /// The file has no bytes.
-    #[error("it is empty")]
+    /// The file is empty.
+    #[error("the file is empty")]
     Empty,
-    /// The embedded database does not open.
+    /// The embedded database cannot be opened.
     #[error(transparent)]
     Open(#[from] redb::DatabaseError),
     /// A page of the database is damaged.
-    #[error("a page's checksum does not match")]
+    #[error("the checksum of a database page does not match")]
     PageChecksum,
-    /// The file is so different from a database that the library gave up on it.
-    #[error("no store of this program, or a damaged one")]
+    /// The database library panicked on the contents of the file.
+    #[error("the file is not a store of this program, or it is damaged")]
     NotAStore,
     /// The store has another format.
     #[error("format: found {0:?}, allowed is {FORMAT:?}")]
     Format(Option<String>),
-    /// The store does not say which replica it belongs to.
-    #[error("it names no replica")]
+    /// The store lacks the number of its replica.
+    #[error("the replica number is missing")]
     NoReplica,
-    /// A value can't be read.
+    /// A stored value cannot be read.
     #[error("{key}: {source}")]
     Value {
-        /// What the value is.
+        /// Name of the value.
         key: &'static str,
-        /// Why it can't be read.
+        /// Why the value cannot be read.
         source: DatabaseError,
     },
-    /// The database can't be read or written.
+    /// The database cannot be read or written.
     #[error(transparent)]
     Database(#[from] DatabaseError),
-    /// Entries of the log are missing.
-    #[error("log: after entry {before} comes {after}")]
+    /// Log entries are missing.
+    #[error("log: entries are missing between {before} and {after}")]
     LogGap {
-        /// The last entry before the gap.
+        /// Index of the last entry before the gap.
         before: u64,
-        /// The first one after it.
+        /// Index of the first entry after the gap.
         after: u64,
     },
-    /// The log does not begin where its purged part ends.
-    #[error("log: it begins at {first}, after {purged} was purged")]
+    /// The log does not start directly after its purged part.
+    #[error("log: the first entry is {first}, but the last purged entry is {purged}")]
     LogStart {
-        /// The first entry.
+        /// Index of the first entry.
         first: u64,
-        /// The last one that was purged.
+        /// Index of the last purged entry.
         purged: u64,
     },
-    /// The log was purged beyond what any readable snapshot holds.
-    #[error("snapshot: none is left that reaches the log ({})", .0.as_ref().map_or("there is none".to_owned(), ToString::to_string))]
+    /// No readable snapshot contains all purged log entries.
+    #[error("snapshot: none contains all purged log entries ({})", .0.as_ref().map_or("no unreadable snapshot".to_owned(), ToString::to_string))]
     NoSnapshot(Option<SnapshotError>),
 }
 
-/// A snapshot that can't be read.
+/// Error of reading a snapshot.
 #[derive(Debug, Error)]
 #[error("snapshot {index}: {source}")]
 pub struct SnapshotError {
-    /// The last entry of the log that it contains.
+    /// Index of the last log entry that the snapshot contains.
     pub index: u64,
-    /// Why it can't be read.
+    /// Why the snapshot cannot be read.
     pub source: DecodeError,
 }
 
-/// Why a transaction of the database fails.
+/// Why a database transaction failed.
 #[derive(Debug, Error)]
 pub enum DatabaseError {
-    /// The transaction can't begin.
+    /// The transaction cannot be started.
     #[error(transparent)]
     Transaction(#[from] redb::TransactionError),
-    /// A table can't be opened.
+    /// A table cannot be opened.
     #[error(transparent)]
     Table(#[from] redb::TableError),
-    /// The file can't be read or written.
+    /// The file cannot be read or written.
     #[error(transparent)]
     Storage(#[from] redb::StorageError),
-    /// The transaction can't be committed.
+    /// The transaction cannot be committed.
     #[error(transparent)]
     Commit(#[from] redb::CommitError),
-    /// A value can't be decoded or encoded.
+    /// A value cannot be decoded or encoded.
     #[error(transparent)]
     Value(#[from] DecodeError),
-    /// An entry of the log can't be decoded.
+    /// A log entry cannot be decoded.
     #[error("entry {index}: {source}")]
     Entry {
-        /// Its place in the log.
+        /// Index of the entry in the log.
         index: u64,
-        /// Why it can't be decoded.
+        /// Why the entry cannot be decoded.
         source: DecodeError,
     },
-    /// An entry stands at another place of the log than it says.
-    #[error("entry {index}: it says that it is {found}")]
+    /// The index contained in a log entry differs from its key in the table.
+    #[error("entry {index}: it contains the index {found}")]
     EntryIndex {
-        /// Where it stands.
+        /// Key of the entry in the table.
         index: u64,
-        /// Where it says that it stands.
+        /// Index contained in the entry.
         found: u64,
     },
-    /// A snapshot from another replica does not reach the entry that its head names.
-    #[error("the snapshot ends at another entry than its metadata says")]
+    /// The last log entry of a received snapshot differs from its metadata.
+    #[error("the last log entry of the snapshot differs from its metadata")]
     SnapshotMetadata,
 }
--- a/crates/control-plane/src/store/integrity.rs
+++ b/crates/control-plane/src/store/integrity.rs
@@ -1,4 +1,5 @@
-//! Checks of a store before a replica runs on it. A damaged one is left as it is until somebody has looked at it.
+//! Integrity checks of a store before a replica uses it. A damaged store is not changed, so that an operator can examine
+//! it.
 
 use super::database::{key, Tables};
 use super::error::{DatabaseError, Defect, StoreError};
@@ -10,14 +11,14 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-/// Checks every page of the database in this file. It works on a copy in memory, because the library repairs what it
-/// finds.
+/// Checks every page of the database in this file. The check runs on a copy in memory, because the library repairs the
+/// damage that it finds.
 pub(super) fn check_pages(path: &Path) -> Result<(), Defect> {
     let bytes = std::fs::read(path)?;
     if bytes.is_empty() {
         return Err(Defect::Empty);
     }
-    // The library may panic over pages that it would never have written.
+    // The library may panic on pages that it did not write.
     match catch_unwind(AssertUnwindSafe(|| pages_are_intact(&bytes))) {
         Ok(Ok(true)) => Ok(()),
         Ok(Ok(false)) => Err(Defect::PageChecksum),
@@ -35,7 +36,7 @@
 }
 
 /// Checks that the store has this program's format and belongs to this replica, and that all its metadata can be read.
-/// Returns the last entry of the log that was purged.
+/// Returns the last purged log entry.
 pub(super) fn check_metadata(
     tables: &Tables,
     replica: NodeId,
@@ -49,21 +50,21 @@
         Some(other) => return Err(StoreError::OtherReplica(other)),
         None => return Err(Defect::NoReplica.into()),
     }
-    readable::<Vote<NodeId>>(tables, key::VOTE)?;
-    readable::<Option<LogId<NodeId>>>(tables, key::COMMITTED)?;
-    let purged = readable::<Option<LogId<NodeId>>>(tables, key::PURGED)?;
+    read_meta::<Vote<NodeId>>(tables, key::VOTE)?;
+    read_meta::<Option<LogId<NodeId>>>(tables, key::COMMITTED)?;
+    let purged = read_meta::<Option<LogId<NodeId>>>(tables, key::PURGED)?;
     Ok(purged.flatten())
 }
 
-fn readable<T: DeserializeOwned>(tables: &Tables, key: &'static str) -> Result<Option<T>, Defect> {
+fn read_meta<T: DeserializeOwned>(tables: &Tables, key: &'static str) -> Result<Option<T>, Defect> {
     tables
         .read_meta(key)
         .map_err(|source| Defect::Value { key, source })
 }
 
-/// Checks that every entry of the log can be read, and that none is missing.
+/// Checks that every log entry can be read and that none is missing.
 pub(super) fn check_log(tables: &Tables, purged: Option<LogId<NodeId>>) -> Result<(), Defect> {
-    let entries = tables.entries(..).map_err(unreadable_log)?;
+    let entries = tables.entries(..).map_err(log_defect)?;
     for (before, after) in entries.iter().zip(entries.iter().skip(1)) {
         if before.log_id.index + 1 != after.log_id.index {
             return Err(Defect::LogGap {
@@ -72,14 +73,14 @@
             });
         }
     }
-    check_start(entries.first(), purged)
+    check_log_start(entries.first(), purged)
 }
 
-fn unreadable_log(source: DatabaseError) -> Defect {
+fn log_defect(source: DatabaseError) -> Defect {
     Defect::Value { key: "log", source }
 }
 
-fn check_start(
+fn check_log_start(
     first: Option<&Entry<RaftTypes>>,
     purged: Option<LogId<NodeId>>,
 ) -> Result<(), Defect> {
--- a/crates/control-plane/src/store/log.rs
+++ b/crates/control-plane/src/store/log.rs
@@ -1,4 +1,4 @@
-//! The agreed log, and what a replica has to remember beside it, as the consensus library asks for them.
+//! Storage of the replicated log and of a replica's vote and commit index, as the consensus library requires it.
 
 use super::database::key;
 use super::{raft_error, NodeId, RaftError, RaftTypes, Store};
--- a/crates/control-plane/src/store/raft_types.rs
+++ b/crates/control-plane/src/store/raft_types.rs
@@ -1,10 +1,10 @@
-//! The types that the consensus library is used with.
+//! Type configuration of the consensus library.
 
 use badgerramp_policy::{Command, Outcome};
 use openraft::BasicNode;
 use std::io::Cursor;
 
-/// A replica's number.
+/// Number of a replica.
 pub type NodeId = u64;
 
 openraft::declare_raft_types!(
--- a/crates/control-plane/src/store/state_machine.rs
+++ b/crates/control-plane/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state that the agreed log leads to, and its snapshots.
+//! State machine that applies the replicated log, and its snapshots.
 
 use super::codec::{decode_compressed, encode_compressed};
 use super::error::DatabaseError;
@@ -12,14 +12,14 @@
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// What a snapshot holds. Its fields are part of the stored form.
+/// State that the replicated log produces. Snapshots contain it, so its field names are part of the stored format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct StateMachine {
-    /// What control knows for good.
+    /// Replicated state of the region's control plane.
     pub(super) record: Record,
-    /// The last entry of the log that was applied.
+    /// The last log entry that was applied.
     pub(super) applied: Option<LogId<NodeId>>,
-    /// The replicas that agree.
+    /// Cluster membership of the consensus group.
     membership: StoredMembership<NodeId, BasicNode>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Where in the table of snapshots one of this state belongs.
+    /// Returns the key of a snapshot of this state in the table of snapshots.
     fn snapshot_index(&self) -> u64 {
         self.applied.map_or(0, |applied| applied.index)
     }
@@ -80,11 +80,11 @@
         Ok(())
     }
 
-    /// Notifies the watchers of the revision, if it has changed.
+    /// Notifies receivers of the current revision, if it has changed.
     fn notify_revision(&self) {
         let revision = self.read(Record::revision);
         self.revision
-            .send_if_modified(|known| std::mem::replace(known, revision) != revision);
+            .send_if_modified(|last| std::mem::replace(last, revision) != revision);
     }
 }
 
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -230,7 +230,7 @@
         }
     };
     assert!(
-        ended.contains("can't go on") || ended.contains("can't be used"),
+        ended.contains("the replica has stopped") || ended.contains("cannot be used"),
         "{ended}"
     );
     replicas.again(0).await;
--- a/crates/control-plane/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -79,12 +79,12 @@
                 table.to_owned(),
                 &[
                     "regions.sur: found a region",
-                    "allowed only beside `region`",
+                    "allowed only together with `region`",
                 ],
             ),
             (
                 "regions_wait_ms = 5000\n".to_owned(),
-                &["regions_wait_ms: found 5000", "beside `region`"],
+                &["regions_wait_ms: found 5000", "together with `region`"],
             ),
             (
                 SUR.replace("\"norte\"", "\"El Norte\""),
@@ -119,7 +119,7 @@
                 SUR.replace("7501", "7401"),
                 &[
                     "regions.sur.replicas[0]: found 127.0.0.1:7401",
-                    "that of replicas.1 already",
+                    "already used by replicas.1",
                 ],
             ),
             (
@@ -134,7 +134,7 @@
                 format!("{SUR}[regions.oeste]\nreplicas = [\"127.0.0.1:7501\"]\n"),
                 &[
                     "regions.sur.replicas[0]: found 127.0.0.1:7501",
-                    "that of regions.oeste.replicas[0] already",
+                    "already used by regions.oeste.replicas[0]",
                 ],
             ),
             (
--- a/crates/control-protocol/build.rs
+++ b/crates/control-protocol/build.rs
@@ -1,4 +1,5 @@
-//! Generates the messages and the service from the schema. It is compiled in Rust, so no `protoc` is needed.
+//! Generates the messages and the service from the schema. The schema is compiled by a Rust library, so no `protoc` is
+//! needed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/control.proto");
--- a/crates/control-protocol/src/authentication.rs
+++ b/crates/control-protocol/src/authentication.rs
@@ -1,7 +1,7 @@
-//! Message authentication: without the shared secret nobody can send a request or a reply that is taken.
+//! Message authentication: a request or reply is accepted only if its sender has the shared secret.
 //!
-//! Messages over gRPC carry an HMAC-SHA256 (RFC 2104) over their [`Purpose`], version and body. Datagrams, which have
-//! little room, carry the first [`MAC_LEN`] bytes of one.
+//! Messages over gRPC carry an HMAC-SHA256 (RFC 2104) over their [`Purpose`], version and body. Datagrams, whose size is
+//! limited, carry an HMAC-SHA256 truncated to [`MAC_LEN`] bytes.
 
 use crate::secret::SharedSecret;
 use crate::wire::AuthenticatedMessage;
@@ -11,35 +11,35 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The version of the messages. Messages of another version are rejected.
+/// Version of the message format. Messages of any other version are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Most bytes of a message's body.
+/// Maximum size of a message's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 3 * 1024 * 1024;
-/// Most bytes of a message with the fields around its body, as gRPC limits it.
+/// Maximum size of a message including the fields besides its body, in bytes, as enforced by gRPC.
 pub const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 1024;
-/// Bytes of the truncated MAC of a datagram (RFC 2104, section 5).
+/// Length of the truncated MAC of a datagram, in bytes (RFC 2104, section 5).
 pub const MAC_LEN: usize = 16;
 
-/// What a message is for. It is part of what is authenticated, so a message can't be replayed for another purpose or
-/// reflected to its sender.
+/// Purpose of a message. The MAC covers it, so a message cannot be replayed for another purpose or reflected to its
+/// sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// From a proxy or a publisher to control.
+    /// A request of a proxy or a publisher to the control plane.
     Request,
-    /// From control to a proxy or a publisher.
+    /// The reply to a [`Purpose::Request`].
     Reply,
-    /// From one replica of control to another.
+    /// A request of one replica of the control plane to another.
     ReplicaRequest,
     /// The reply to a [`Purpose::ReplicaRequest`].
     ReplicaReply,
-    /// From the leader of one region to that of another.
+    /// A request of the leader of one region to the leader of another.
     RegionRequest,
     /// The reply to a [`Purpose::RegionRequest`].
     RegionReply,
 }
 
 impl Purpose {
-    /// What goes into the MAC.
+    /// Returns the label that the MAC covers for this purpose.
     fn label(self) -> &'static [u8] {
         match self {
             Purpose::Request => b"badgerramp control request",
@@ -52,19 +52,21 @@
     }
 }
 
-/// Why a message is rejected before anybody looks at its contents.
+/// Why a message is rejected before its contents are handled.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// It has another version than [`PROTOCOL_VERSION`]: the one found.
+    /// The message has this version instead of [`PROTOCOL_VERSION`].
     #[error("message version: found {0}, allowed is {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
-    /// Its MAC was made with another secret, for another purpose, or over another body.
-    #[error("the message authentication code does not match: this side has another secret")]
+    /// The MAC was computed with another secret, for another purpose, or over another body.
+    #[error(
+        "the message authentication code does not match: the peer probably has another secret"
+    )]
     BadMac,
-    /// Its body has more than [`MAX_BODY_BYTES`]: the number found.
-    #[error("found {0} bytes, allowed are {MAX_BODY_BYTES}")]
+    /// The body has this many bytes, which is more than [`MAX_BODY_BYTES`].
+    #[error("message body too large: found {0} bytes, allowed are {MAX_BODY_BYTES}")]
     TooLarge(usize),
-    /// Its body does not decode as the expected message.
+    /// The body does not decode as the expected message.
     #[error("malformed message: {0}")]
     Malformed(#[from] DecodeError),
 }
@@ -76,7 +78,7 @@
         HmacSha256::new_from_slice(self.as_bytes())
     }
 
-    /// The MAC over a message. HMAC takes keys of any length, so there is one.
+    /// Returns the HMAC state for a message. HMAC accepts keys of any length, so this never returns `None` in practice.
     fn message_hmac(&self, purpose: Purpose, version: u32, body: &[u8]) -> Option<HmacSha256> {
         let mut hmac = self.hmac().ok()?;
         update_with_length(&mut hmac, purpose.label());
@@ -94,7 +96,7 @@
         Some(hmac)
     }
 
-    /// The truncated MAC over the parts of a datagram. `label` tells datagrams of different kinds apart.
+    /// Returns the truncated MAC over the parts of a datagram. `label` distinguishes datagrams of different kinds.
     pub fn datagram_mac(&self, label: &str, parts: &[&[u8]]) -> [u8; MAC_LEN] {
         let mut mac = [0; MAC_LEN];
         if let Some(hmac) = self.datagram_hmac(label, parts) {
@@ -103,7 +105,7 @@
         mac
     }
 
-    /// Whether `mac` is that of [`SharedSecret::datagram_mac`] for these parts. Compares in constant time.
+    /// Returns whether `mac` equals [`SharedSecret::datagram_mac`] for these parts. The comparison takes constant time.
     pub fn verify_datagram_mac(&self, label: &str, parts: &[&[u8]], mac: &[u8]) -> bool {
         if mac.len() != MAC_LEN {
             return false;
@@ -128,10 +130,10 @@
         }
     }
 
-    /// The body of a message whose MAC is right.
+    /// Verifies a message and returns its body.
     ///
     /// # Errors
-    /// If the MAC does not match, the version is another one, or the body is too large.
+    /// Returns an error if the MAC does not match, if the version is not supported, or if the body is too large.
     pub fn verify_bytes(
         &self,
         purpose: Purpose,
@@ -151,10 +153,10 @@
         Ok(body)
     }
 
-    /// Decodes a message whose MAC is right.
+    /// Verifies a message and decodes its body.
     ///
     /// # Errors
-    /// As [`SharedSecret::verify_bytes`], and if the body does not decode as an `M`.
+    /// Returns the errors of [`SharedSecret::verify_bytes`], and an error if the body does not decode as an `M`.
     pub fn verify<M: Message + Default>(
         &self,
         purpose: Purpose,
@@ -165,7 +167,7 @@
     }
 }
 
-/// Adds bytes after their length, so that no two sequences of parts give the same MAC.
+/// Adds bytes preceded by their length, so that different sequences of parts are different inputs of the MAC.
 fn update_with_length(hmac: &mut HmacSha256, bytes: &[u8]) {
     hmac.update(&(bytes.len() as u64).to_le_bytes());
     hmac.update(bytes);
--- a/crates/control-protocol/src/authentication/tests.rs
+++ b/crates/control-protocol/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! Which messages pass verification.
+//! Verification of messages and datagrams.
 
 use super::{MessageError, Purpose, MAX_BODY_BYTES};
 use crate::secret::SharedSecret;
--- a/crates/control-protocol/src/client.rs
+++ b/crates/control-protocol/src/client.rs
@@ -1,4 +1,5 @@
-//! A client of control. It calls the replica that was last seen to lead, and goes on to another one when that fails.
+//! Client of the control plane. It calls the replica that was last known to lead, and switches to another replica if that
+//! fails.
 
 mod error;
 
@@ -15,14 +16,14 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Response, Status, Streaming};
 
-/// How often HTTP/2 pings go out on a connection.
+/// Interval between HTTP/2 pings on a connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// A connection whose ping is not answered within this is closed.
+/// Time after which a connection with an unanswered ping is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause before [`Client::call_with_retry`] calls again.
+/// Pause before [`Client::call_with_retry`] retries a call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A stream of the new revisions of control.
+/// Stream of the control plane's revisions.
 pub struct RevisionWatch {
     stream: Streaming<AuthenticatedMessage>,
     secret: SharedSecret,
@@ -32,7 +33,7 @@
     /// Waits for the next revision.
     ///
     /// # Errors
-    /// If the stream has ended, or its message is not one of control's.
+    /// Returns an error if the stream has ended or has failed, or if its message is not authentic or not a revision.
     pub async fn next(&mut self) -> Result<u64, ClientError> {
         let message = self.stream.message().await;
         let message = message.map_err(|status| Unavailable::Stream(status.message().to_owned()))?;
@@ -44,7 +45,7 @@
     }
 }
 
-/// Who a client speaks for. It decides the method that is called and the purpose of its messages.
+/// Kind of sender that a client calls for. It determines the method to call and the purpose of the messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sender {
     /// A proxy or a publisher.
@@ -53,21 +54,21 @@
     Region,
 }
 
-/// A client of the replicas of control, with a connection to each that it has called.
+/// Client of the control plane's replicas, with a connection to each replica that it has called.
 ///
-/// Every call names its own nonce, and only the reply that carries it back is taken.
+/// Each call has its own nonce, and only a reply with the same nonce is accepted.
 pub struct Client {
     replicas: Vec<SocketAddr>,
     secret: SharedSecret,
     call_timeout: Duration,
     sender: Sender,
-    /// Counts the replicas that were tried: modulo their number it is the one to call.
+    /// Index of the replica to call, modulo the number of replicas.
     current: usize,
     connections: HashMap<SocketAddr, ControlClient<Channel>>,
 }
 
 impl Client {
-    /// A client for proxies and publishers. Each single call fails after `call_timeout`.
+    /// Creates a client for proxies and publishers. Each single call fails after `call_timeout`.
     pub fn new(replicas: Vec<SocketAddr>, secret: SharedSecret, call_timeout: Duration) -> Self {
         Client {
             replicas,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A client for the leader of one region, which calls the `replicas` of another one.
+    /// Creates a client for the leader of one region, which calls the `replicas` of another region.
     pub fn between_regions(
         replicas: Vec<SocketAddr>,
         secret: SharedSecret,
@@ -91,11 +92,11 @@
         }
     }
 
-    /// Calls the replica that is taken to lead, once. If it does not lead or does not answer, the next call goes to
-    /// another one.
+    /// Calls the presumed leader once. If that replica does not lead or does not answer, the next call goes to another
+    /// one.
     ///
     /// # Errors
-    /// See [`ClientError`].
+    /// Returns a [`ClientError`] if there is no reply, or if the request is rejected.
     pub async fn call(&mut self, kind: &request::Kind) -> Result<reply::Kind, ClientError> {
         let address = self.current_replica()?;
         let reply = self.call_replica(address, kind).await;
@@ -113,10 +114,10 @@
         reply
     }
 
-    /// Calls until a leader has answered or `time` has passed. Only for idempotent requests.
+    /// Calls until a leader has answered or `time` has passed. Use this only for idempotent requests.
     ///
     /// # Errors
-    /// That of the last call, see [`ClientError`].
+    /// Returns the [`ClientError`] of the last call.
     pub async fn call_with_retry(
         &mut self,
         kind: &request::Kind,
@@ -133,15 +134,15 @@
         }
     }
 
-    /// Makes the next call go to another replica.
+    /// Switches to the next replica for subsequent calls.
     pub fn try_next_replica(&mut self) {
         self.current += 1;
     }
 
-    /// Watches the revision of the replica that is taken to lead.
+    /// Watches the revision of the presumed leader.
     ///
     /// # Errors
-    /// If it can't be reached.
+    /// Returns an error if that replica cannot be reached.
     pub async fn watch_revisions(&mut self) -> Result<RevisionWatch, ClientError> {
         let address = self.current_replica()?;
         let mut connection = self.connect(address)?;
@@ -169,14 +170,15 @@
             .ok_or(Unavailable::NoReplicas)
     }
 
-    /// Makes the next call go to the leader that a replica has named, or to the next replica if that is not known.
+    /// Switches to the leader that a replica has named, or to the next replica if that leader is not among the replicas.
     fn follow_leader(&mut self, leader: &str) {
-        let named: Option<SocketAddr> = leader.parse().ok();
-        let known = named.and_then(|leader| self.replicas.iter().position(|&a| a == leader));
-        self.current = known.unwrap_or(self.current + 1);
+        let address: Option<SocketAddr> = leader.parse().ok();
+        let index =
+            address.and_then(|leader| self.replicas.iter().position(|&replica| replica == leader));
+        self.current = index.unwrap_or(self.current + 1);
     }
 
-    /// The connection to a replica. It is made when it is first used, and again after it was lost.
+    /// Returns the connection to a replica. It is established on first use, and again after it was lost.
     fn connect(&mut self, address: SocketAddr) -> Result<ControlClient<Channel>, Unavailable> {
         if let Some(connection) = self.connections.get(&address) {
             return Ok(connection.clone());
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Sends a message to a replica and waits for its answer.
+    /// Sends a message to a replica and waits for its reply.
     async fn exchange(
         &mut self,
         address: SocketAddr,
@@ -232,7 +234,7 @@
             }
         };
         let Ok(response) = timeout(self.call_timeout, call).await else {
-            // A connection that hangs may do so for long: a new one can take another route.
+            // A stalled connection may stay stalled for a long time; a new one can take another network route.
             self.connections.remove(&address);
             return Err(Unavailable::Timeout(address).into());
         };
@@ -242,7 +244,7 @@
     }
 }
 
-/// A connection with the message sizes of this protocol. It is made when it is first used.
+/// Returns a connection with the message size limits of this protocol. It is established on first use.
 pub fn connect_lazy(endpoint: &Endpoint) -> ControlClient<Channel> {
     ControlClient::new(endpoint.connect_lazy())
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
--- a/crates/control-protocol/src/client/error.rs
+++ b/crates/control-protocol/src/client/error.rs
@@ -1,26 +1,26 @@
-//! Why a call to control has no result.
+//! Errors of calls to the control plane.
 
 use crate::authentication::MessageError;
 use crate::wire::{rejection, Rejection};
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a call to control has no result.
+/// Error of a call to the control plane.
 #[derive(Clone, Debug, Error)]
 pub enum ClientError {
-    /// No replica that leads could be reached in time. The request may have arrived all the same.
-    #[error("control can't be reached: {0}")]
+    /// No leading replica could be reached in time. The request may have arrived nevertheless.
+    #[error("the control plane is unreachable: {0}")]
     Unavailable(#[from] Unavailable),
-    /// A replica answered, and its answer can't be trusted or understood.
-    #[error("control answers oddly: {0}")]
+    /// A replica replied, but its reply is not authentic or not understood.
+    #[error("unexpected reply of the control plane: {0}")]
     UnexpectedReply(#[from] UnexpectedReply),
-    /// Control rejects the request.
+    /// The control plane rejected the request.
     #[error("{}", .0.message)]
     Rejected(Rejection),
 }
 
 impl ClientError {
-    /// Whether the same call can have a result later, because it has not met a leader.
+    /// Returns whether a retry can succeed, because no leader has answered the call.
     pub fn is_retryable(&self) -> bool {
         match self {
             ClientError::Unavailable(_) => true,
@@ -39,47 +39,47 @@
 /// Why no replica could be reached.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Unavailable {
-    /// The client was made without replicas.
-    #[error("no replica is named")]
+    /// The client has no replicas to call.
+    #[error("no replicas are configured")]
     NoReplicas,
-    /// The address of a replica is none that can be connected to.
+    /// The address of a replica is invalid.
     #[error("{0}")]
     Address(String),
-    /// A replica did not answer within the time of a call.
-    #[error("{0}: no answer in time")]
+    /// A replica did not reply within the timeout of a call.
+    #[error("{0}: no reply before the timeout")]
     Timeout(SocketAddr),
-    /// A call failed, for example because nobody listens.
+    /// A call failed, for example because the connection was refused.
     #[error("{replica}: {message}")]
     Call {
         /// The replica that was called.
         replica: SocketAddr,
-        /// The message of the gRPC status.
+        /// Message of the gRPC status.
         message: String,
     },
-    /// A watch of the revision failed: the message of the gRPC status.
+    /// A watch of the revision failed. The value is the message of the gRPC status.
     #[error("{0}")]
     Stream(String),
-    /// The replica has ended a watch of the revision.
-    #[error("the stream of revisions ended")]
+    /// The replica ended a watch of the revision.
+    #[error("the replica ended the stream of revisions")]
     StreamEnded,
 }
 
-/// What is wrong with an answer.
+/// Why a reply is unexpected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum UnexpectedReply {
-    /// It does not pass verification.
+    /// The reply does not pass verification.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The replica did not take this side's message as authentic: the message of the gRPC status.
+    /// The replica did not accept the request as authentic. The value is the message of the gRPC status.
     #[error("{0}")]
     Denied(String),
-    /// It carries the nonce of another request.
-    #[error("the answer is to another request")]
+    /// The reply has the nonce of another request.
+    #[error("the reply belongs to another request")]
     Nonce,
-    /// It has no contents that this version knows.
-    #[error("an empty answer")]
+    /// The reply is empty, or its contents are unknown to this version.
+    #[error("the reply is empty or unknown to this version")]
     Empty,
-    /// It is not of the kind that the request calls for, which is named.
-    #[error("no {0}")]
+    /// The reply is not of the expected kind. The value names what is missing.
+    #[error("the reply lacks the expected {0}")]
     Not(&'static str),
 }
--- a/crates/control-protocol/src/clock.rs
+++ b/crates/control-protocol/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that leases run on.
+//! Clock for the expiry of leases.
 
 use badgerramp_policy::Micros;
 use rustix::time::{clock_gettime, ClockId};
@@ -6,8 +6,8 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Microseconds since the machine started, including the time that it was suspended (`CLOCK_BOOTTIME`). Nobody can set
-/// this clock.
+/// Returns the microseconds since the machine booted, including the time for which it was suspended (`CLOCK_BOOTTIME`).
+/// This clock cannot be set.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/control-protocol/src/lease.rs
+++ b/crates/control-protocol/src/lease.rs
@@ -56,24 +56,30 @@
 }
 
 impl wire::LeaseRequest {
-    /// The request of a proxy that runs this application.
+    /// Creates the message for the request of a proxy that runs this application.
     pub fn new(own: LeaseRequest, application: &str) -> Self {
         wire::LeaseRequest {
             identity: Some(own.identity.into()),
             sequence: own.sequence,
             active_revision: own.active_revision,
-            loaded_generations: own.loaded_generations.into_iter().map(|g| g.0).collect(),
-            rejected_generation: own.rejected_generation.map(|u| wire::RejectedGeneration {
-                generation: u.generation.0,
-                reason: u.reason,
-            }),
+            loaded_generations: own
+                .loaded_generations
+                .into_iter()
+                .map(|generation| generation.0)
+                .collect(),
+            rejected_generation: own
+                .rejected_generation
+                .map(|rejected| wire::RejectedGeneration {
+                    generation: rejected.generation.0,
+                    reason: rejected.reason,
+                }),
             on_lease_loss: wire::OnLeaseLoss::from(own.on_lease_loss).into(),
             application: application.to_owned(),
             region: String::new(),
         }
     }
 
-    /// The same request, to be answered by the control of this region only; `None`: by that of any.
+    /// Restricts the request to the control plane of this region; with `None`, that of any region answers it.
     #[must_use]
     pub fn in_region(self, region: Option<&Region>) -> Self {
         wire::LeaseRequest {
@@ -87,7 +93,10 @@
     type Error = InvalidMessage;
 
     fn try_from(wire: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
-        let identity = wire.identity.clone().filter(|i| !i.name.is_empty());
+        let identity = wire
+            .identity
+            .clone()
+            .filter(|identity| !identity.name.is_empty());
         let on_lease_loss = match wire.on_lease_loss() {
             wire::OnLeaseLoss::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("on_lease_loss"))
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! The protocol between client proxies, publishers and the control plane: messages in protobuf over gRPC, each
-//! authenticated with a secret that all processes of a fleet share.
+//! Protocol between client proxies, publishers and the control plane: protobuf messages over gRPC, each authenticated with
+//! a secret that all processes of a fleet share.
 //!
-//! The crate owns the schema ([`wire`]), the authentication of messages ([`SharedSecret`], [`Purpose`]), a [`Client`]
+//! This crate contains the schema ([`wire`]), the authentication of messages ([`SharedSecret`], [`Purpose`]), a [`Client`]
 //! that finds the leader among the replicas, and the conversions between the schema's messages and those of
-//! [`badgerramp_policy`]. It never decides anything: what a request leads to is up to the control plane, and what a
-//! proxy does with a reply is up to the proxy. Nothing is encrypted; a reply is matched to its request by a nonce.
+//! [`badgerramp_policy`]. It makes no decisions: the control plane decides on requests, and the proxy decides how to use a
+//! reply. Messages are not encrypted. A nonce matches a reply to its request.
 //!
 //! ```no_run
 //! use badgerramp_control_protocol::wire::{reply, request, StatusRequest};
@@ -39,13 +39,13 @@
 pub use invalid_message::InvalidMessage;
 pub use secret::{SecretError, SharedSecret};
 
-/// The SHA-256 of a text.
+/// Returns the SHA-256 digest of a text.
 pub fn digest(text: &str) -> Vec<u8> {
     use sha2::Digest;
     sha2::Sha256::digest(text.as_bytes()).to_vec()
 }
 
-/// The messages and the service, generated from `proto/control.proto`. Its comments describe them.
+/// Messages and service generated from `proto/control.proto`, whose comments describe them.
 #[allow(
     missing_docs,
     clippy::doc_markdown,
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -1,5 +1,4 @@
-//! Conversions between the messages that pass between regions, as the schema and as [`badgerramp_policy::regions`] have
-//! them.
+//! Conversions between the cross-region messages of the schema and those of [`badgerramp_policy::regions`].
 
 use crate::wire::{self, outcome_reply, request, vote_reply};
 use crate::InvalidMessage;
@@ -35,7 +34,7 @@
     change.ok_or(InvalidMessage::Missing("change"))?.try_into()
 }
 
-/// The request that carries a coordinator's message to this participant.
+/// Returns the request message for a coordinator's request to this participant.
 pub fn participant_request(region: &Region, request: Request) -> request::Kind {
     let region = region.to_string();
     match request {
@@ -51,11 +50,11 @@
     }
 }
 
-/// The request that carries a participant's question about an outcome to this coordinator.
-pub fn coordinator_request(coordinator: &Region, asked: OutcomeRequest) -> request::Kind {
+/// Returns the request message for a participant's outcome request to this coordinator.
+pub fn coordinator_request(coordinator: &Region, request: OutcomeRequest) -> request::Kind {
     request::Kind::Outcome(wire::OutcomeRequest {
-        id: asked.id.0,
-        region: asked.region.into(),
+        id: request.id.0,
+        region: request.region.into(),
         coordinator: coordinator.to_string(),
     })
 }
--- a/crates/control-protocol/src/secret.rs
+++ b/crates/control-protocol/src/secret.rs
@@ -1,4 +1,4 @@
-//! The secret that all processes of a fleet share, and the file that holds it.
+//! Shared secret of a fleet, and the file that contains it.
 
 use std::fmt;
 use std::io::{self, Read};
@@ -6,18 +6,18 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Fewest bytes of a secret.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// Most bytes of a secret, and of the file that is read for it.
+/// Maximum length of a secret and of its file, in bytes.
 const MAX_SECRET_BYTES: u64 = 4096;
-/// Permission bits of group and others, none of which a secret's file may have.
-const GROUP_AND_OTHERS: u32 = 0o077;
+/// Permission bits for group and others, none of which may be set on the file of a secret.
+const GROUP_AND_OTHERS_BITS: u32 = 0o077;
 /// All permission bits of a file's mode.
 const PERMISSION_BITS: u32 = 0o777;
 
-/// The key that messages of a fleet are authenticated with.
+/// Key for the authentication of a fleet's messages.
 ///
-/// Its `Debug` form does not show the key.
+/// Its `Debug` output does not contain the key.
 #[derive(Clone)]
 pub struct SharedSecret(Vec<u8>);
 
@@ -27,32 +27,33 @@
     }
 }
 
-/// Why a secret can't be used.
+/// Why a secret cannot be used.
 #[derive(Debug, Error)]
 pub enum SecretError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// Group or others have access to the file. The value is the file's mode.
+    /// Group or others have access to the file. The value is the mode of the file.
     #[error(
         "found permissions {:03o}, allowed are none for group and others, like 600",
         .0 & PERMISSION_BITS
     )]
     Permissions(u32),
-    /// The secret has too few or too many bytes. The value is the number found.
+    /// The secret is too short or too long. The value is the number of bytes found.
     #[error("found {0} bytes, allowed are {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES}")]
     Length(usize),
 }
 
 impl SharedSecret {
-    /// Reads the secret from a file. White space around it does not belong to it.
+    /// Reads the secret from a file. White space at its start and end is ignored.
     ///
     /// # Errors
-    /// If the file can't be read, if group or others have access to it, or if the secret is too short or too long.
+    /// Returns an error if the file cannot be read, if group or others have access to it, or if the secret is too short or
+    /// too long.
     pub fn read(path: &Path) -> Result<Self, SecretError> {
         let file = std::fs::File::open(path)?;
         let mode = file.metadata()?.permissions().mode();
-        if mode & GROUP_AND_OTHERS != 0 {
+        if mode & GROUP_AND_OTHERS_BITS != 0 {
             return Err(SecretError::Permissions(mode));
         }
         let mut bytes = Vec::new();
@@ -60,10 +61,10 @@
         SharedSecret::new(bytes.trim_ascii())
     }
 
-    /// Makes a secret of these bytes.
+    /// Creates a secret from its bytes.
     ///
     /// # Errors
-    /// If there are too few or too many of them.
+    /// Returns an error if there are too few or too many bytes.
     pub fn new(bytes: &[u8]) -> Result<Self, SecretError> {
         let length = bytes.len();
         if length < MIN_SECRET_BYTES || length as u64 > MAX_SECRET_BYTES {
@@ -72,7 +73,7 @@
         Ok(SharedSecret(bytes.to_vec()))
     }
 
-    /// The key.
+    /// Returns the bytes of the key.
     pub(crate) fn as_bytes(&self) -> &[u8] {
         &self.0
     }
