--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,5 +1,5 @@
-//! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
-//! links between them are cut at any of its steps.
+//! Two regions whose replicas run as processes: a cross-region change comes into force in both regions or in none, even if
+//! the links between them are cut at any of its steps.
 
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
@@ -16,59 +16,71 @@
 
 const CONTROL: &str = env!("CARGO_BIN_EXE_badgerramp-control");
 const POLICY: &str = include_str!("../../../deploy/sidecar.example.toml");
+/// Longest time that a test waits for a state or for the reply to a request.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause between two checks of what a test waits for.
+/// Interval between two checks of a state that a test waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Index of the coordinating region.
 const NORTE: usize = 0;
+/// Index of the participant.
 const SUR: usize = 1;
-const NAMES: [&str; 2] = ["norte", "sur"];
+const REGION_NAMES: [&str; 2] = ["norte", "sur"];
 
 /// A replica of a region.
 struct Replica {
     process: Process,
-    at: watch::Sender<Option<SocketAddr>>,
-    /// Where proxies, publishers and the other replicas of its region reach it.
-    front: Link,
-    /// Where the other region reaches it.
-    between: Link,
+    /// Announces the address of the process to its links.
+    address: watch::Sender<Option<SocketAddr>>,
+    /// Link for proxies, publishers and the other replicas of its region.
+    local_link: Link,
+    /// Link for the other region.
+    region_link: Link,
 }
 
-/// The links to a replica that has not started yet.
+/// Links to a replica that has not started yet.
 struct ReplicaLinks {
-    at: watch::Sender<Option<SocketAddr>>,
-    front: Link,
-    between: Link,
+    address: watch::Sender<Option<SocketAddr>>,
+    local_link: Link,
+    region_link: Link,
 }
 
 impl ReplicaLinks {
     async fn new() -> ReplicaLinks {
-        let (at, known) = watch::channel(None);
-        let front = Link::to(known.clone()).await.expect("a link");
-        let between = Link::to(known).await.expect("a link");
-        ReplicaLinks { at, front, between }
+        let (address, target) = watch::channel(None);
+        let local_link = Link::to(target.clone()).await.expect("a link");
+        let region_link = Link::to(target).await.expect("a link");
+        ReplicaLinks {
+            address,
+            local_link,
+            region_link,
+        }
     }
 }
 
+/// Two regions with their replicas.
 struct Cluster {
     folder: Folder,
-    /// By place: the replicas of a region.
+    /// The replicas of each region, by index of the region.
     regions: Vec<Vec<Replica>>,
 }
 
-/// A replica's file.
+/// Returns the settings file of a replica, given the addresses of the replicas of its own and of the other region.
 fn settings(
-    place: usize,
+    region_index: usize,
     number: usize,
     (own, other): (&[SocketAddr], &[SocketAddr]),
     wait_ms: u64,
 ) -> String {
-    let (name, other_name) = (NAMES[place], NAMES[1 - place]);
+    let (name, other_name) = (REGION_NAMES[region_index], REGION_NAMES[1 - region_index]);
     let own: Vec<String> = own
         .iter()
         .enumerate()
-        .map(|(n, a)| format!("{} = \"{a}\"", n + 1))
+        .map(|(index, address)| format!("{} = \"{address}\"", index + 1))
+        .collect();
+    let other: Vec<String> = other
+        .iter()
+        .map(|address| format!("\"{address}\""))
         .collect();
-    let other: Vec<String> = other.iter().map(|a| format!("\"{a}\"")).collect();
     format!(
         "replica = {number}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{name}-{number}\"\n\
          secret = \"secret\"\nlease_ms = 300\nwait_ms = 20000\nelection_ms = 300\nregion = \"{name}\"\n\
@@ -78,21 +90,21 @@
     )
 }
 
-fn file_name(place: usize, number: usize) -> String {
-    format!("{}-{number}", NAMES[place])
+fn file_name(region_index: usize, number: usize) -> String {
+    format!("{}-{number}", REGION_NAMES[region_index])
 }
 
-/// Writes a replica's file, and its store if it has none. What starts it.
+/// Writes the settings file of a replica, creates its store if it has none, and returns the command that starts it.
 fn plan(folder: &Folder, name: &str, text: &str) -> Plan {
     let file = folder
         .write(&format!("{name}.toml"), text, false)
         .expect("a file");
     if !folder.path().join(format!("store-{name}")).exists() {
-        let made = std::process::Command::new(CONTROL)
+        let created = std::process::Command::new(CONTROL)
             .arg("create")
             .arg(&file)
             .output();
-        assert!(made.expect("it runs").status.success());
+        assert!(created.expect("the command runs").status.success());
     }
     let arguments = vec!["serve".to_owned(), file.display().to_string()];
     Plan {
@@ -104,45 +116,63 @@
 }
 
 impl Cluster {
-    /// Starts both regions, with so many replicas each and the stores that are in this folder. A change of all regions
-    /// that lacks a vote comes to nothing after `wait_ms`.
+    /// Starts both regions with this number of replicas each, on the stores in this folder. A cross-region change that
+    /// lacks a vote is aborted after `wait_ms`.
     async fn start(folder: Folder, count: usize, wait_ms: u64) -> Cluster {
         folder
             .write("secret", "a secret of the tests", true)
             .expect("a file");
         let mut links = Vec::new();
-        for _ in NAMES {
+        for _ in REGION_NAMES {
             let mut region = Vec::new();
             for _ in 0..count {
                 region.push(ReplicaLinks::new().await);
             }
             links.push(region);
         }
-        let front =
-            |region: &Vec<ReplicaLinks>| region.iter().map(|w| w.front.address).collect::<Vec<_>>();
-        let between = |region: &Vec<ReplicaLinks>| {
-            region.iter().map(|w| w.between.address).collect::<Vec<_>>()
+        let local = |region: &Vec<ReplicaLinks>| {
+            region
+                .iter()
+                .map(|links| links.local_link.address)
+                .collect::<Vec<_>>()
+        };
+        let remote = |region: &Vec<ReplicaLinks>| {
+            region
+                .iter()
+                .map(|links| links.region_link.address)
+                .collect::<Vec<_>>()
         };
-        let fronts: Vec<_> = links.iter().map(front).collect();
-        let betweens: Vec<_> = links.iter().map(between).collect();
+        let local_addresses: Vec<_> = links.iter().map(local).collect();
+        let region_addresses: Vec<_> = links.iter().map(remote).collect();
         let mut regions = Vec::new();
-        for (place, region) in links.into_iter().enumerate() {
+        for (region_index, region) in links.into_iter().enumerate() {
             let mut replicas = Vec::new();
-            for (number, ReplicaLinks { at, front, between }) in (1..).zip(region) {
+            for (
+                number,
+                ReplicaLinks {
+                    address,
+                    local_link,
+                    region_link,
+                },
+            ) in (1..).zip(region)
+            {
                 let text = settings(
-                    place,
+                    region_index,
                     number,
-                    (&fronts[place], &betweens[1 - place]),
+                    (
+                        &local_addresses[region_index],
+                        &region_addresses[1 - region_index],
+                    ),
                     wait_ms,
                 );
-                let plan = plan(&folder, &file_name(place, number), &text);
-                let mut process = Process::start(plan).await.expect("it starts");
-                at.send_replace(Some(process.listens().await.expect("it listens")));
+                let plan = plan(&folder, &file_name(region_index, number), &text);
+                let mut process = Process::start(plan).await.expect("the replica starts");
+                address.send_replace(Some(process.listens().await.expect("the replica listens")));
                 replicas.push(Replica {
                     process,
-                    at,
-                    front,
-                    between,
+                    address,
+                    local_link,
+                    region_link,
                 });
             }
             regions.push(replicas);
@@ -150,51 +180,51 @@
         Cluster { folder, regions }
     }
 
-    /// Starts both regions, of one replica each, with a first policy in force in each.
+    /// Starts both regions with one replica each and with a first policy in force.
     async fn with_policy(name: &str, wait_ms: u64) -> Cluster {
-        Cluster::of_replicas(name, 1, wait_ms).await
+        Cluster::with_replicas(name, 1, wait_ms).await
     }
 
-    /// As [`Cluster::with_policy`], with so many replicas in each region.
-    async fn of_replicas(name: &str, count: usize, wait_ms: u64) -> Cluster {
+    /// Starts both regions as [`Cluster::with_policy`] does, but with this number of replicas each.
+    async fn with_replicas(name: &str, count: usize, wait_ms: u64) -> Cluster {
         let folder = Folder::new(&format!("regions-{name}")).expect("a folder");
         let cluster = Cluster::start(folder, count, wait_ms).await;
         let done = cluster.publish(NORTE, Scope::All, 1).await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-        for place in [NORTE, SUR] {
+        for region_index in [NORTE, SUR] {
             cluster
-                .until(place, "the first policy", |s| {
-                    s.in_force == Some(1) && s.to_come.is_none()
+                .wait_until(region_index, "the first policy", |status| {
+                    status.in_force == Some(1) && status.to_come.is_none()
                 })
                 .await;
         }
         cluster
-            .until(NORTE, "no commit that is not acknowledged", |s| {
-                change(s).is_none()
+            .wait_until(NORTE, "acknowledgement of the first policy", |status| {
+                change(status).is_none()
             })
             .await;
         cluster
     }
 
-    fn addresses(&self, place: usize) -> Vec<SocketAddr> {
-        self.regions[place]
+    fn addresses(&self, region_index: usize) -> Vec<SocketAddr> {
+        self.regions[region_index]
             .iter()
-            .map(|replica| replica.front.address)
+            .map(|replica| replica.local_link.address)
             .collect()
     }
 
-    /// What the logs of a region say.
-    fn log(&self, place: usize) -> Vec<String> {
-        self.regions[place]
+    /// Returns the log lines of a region's replicas.
+    fn log(&self, region_index: usize) -> Vec<String> {
+        self.regions[region_index]
             .iter()
-            .flat_map(|r| r.process.log())
+            .flat_map(|replica| replica.process.log())
             .map(|(_, line)| line)
             .collect()
     }
 
-    fn control(&self, place: usize) -> Control {
+    fn control(&self, region_index: usize) -> Control {
         let secret = self.folder.path().join("secret");
-        let control = self.addresses(place);
+        let control = self.addresses(region_index);
         Control::new(&At {
             control,
             secret,
@@ -203,114 +233,151 @@
         .expect("a secret")
     }
 
-    fn client(&self, place: usize) -> Client {
+    fn client(&self, region_index: usize) -> Client {
         let secret = SharedSecret::read(&self.folder.path().join("secret")).expect("a secret");
-        Client::new(self.addresses(place), secret, Duration::from_secs(5))
+        Client::new(self.addresses(region_index), secret, Duration::from_secs(5))
     }
 
-    async fn standing(&self, place: usize) -> Standing {
-        self.control(place).standing().await.expect("a status")
+    async fn status(&self, region_index: usize) -> Standing {
+        self.control(region_index)
+            .standing()
+            .await
+            .expect("a status")
     }
 
-    /// Waits until a region stands so.
-    async fn until(&self, place: usize, what: &str, is_so: impl Fn(&Standing) -> bool) -> Standing {
-        let end = Instant::now() + TIMEOUT;
+    /// Waits until the status of a region satisfies a condition, and returns that status.
+    async fn wait_until(
+        &self,
+        region_index: usize,
+        awaited: &str,
+        condition: impl Fn(&Standing) -> bool,
+    ) -> Standing {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let standing = self.standing(place).await;
-            if is_so(&standing) {
-                return standing;
+            let status = self.status(region_index).await;
+            if condition(&status) {
+                return status;
             }
             assert!(
-                Instant::now() < end,
-                "no {what}: {standing:?} {:?}",
-                self.log(place)
+                Instant::now() < deadline,
+                "no {awaited}: {status:?} {:?}",
+                self.log(region_index)
             );
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Publishes as the tool does, by way of this region's control.
-    async fn publish(&self, place: usize, scope: Scope, number: u64) -> Done {
-        publish(self.control(place), scope, number).await
+    /// Publishes as the tool does, through the control plane of this region.
+    async fn publish(&self, region_index: usize, scope: Scope, number: u64) -> Done {
+        publish(self.control(region_index), scope, number).await
     }
 
-    fn publishing(&self, place: usize, scope: Scope, number: u64) -> JoinHandle<Done> {
-        tokio::spawn(publish(self.control(place), scope, number))
+    /// Publishes in a background task.
+    fn spawn_publish(&self, region_index: usize, scope: Scope, number: u64) -> JoinHandle<Done> {
+        tokio::spawn(publish(self.control(region_index), scope, number))
     }
 
-    /// Cuts or restores the link to this region from the other one, in both directions.
-    fn pass_to(&self, place: usize, forth: Pass, back: Pass) {
-        for replica in &self.regions[place] {
+    /// Cuts or restores the links from the other region to this one: requests (`forth`) and replies (`back`).
+    fn set_links_to(&self, region_index: usize, forth: Pass, back: Pass) {
+        for replica in &self.regions[region_index] {
             replica
-                .between
+                .region_link
                 .set(|state| (state.forth, state.back) = (forth, back));
         }
     }
 
-    fn cut(&self) {
+    /// Cuts all links between the regions.
+    fn partition(&self) {
         [NORTE, SUR]
             .into_iter()
-            .for_each(|place| self.pass_to(place, Pass::Cut, Pass::Cut));
+            .for_each(|region_index| self.set_links_to(region_index, Pass::Cut, Pass::Cut));
     }
 
-    fn mend(&self) {
+    /// Restores all links between the regions.
+    fn heal(&self) {
         [NORTE, SUR]
             .into_iter()
-            .for_each(|place| self.pass_to(place, Pass::Free, Pass::Free));
+            .for_each(|region_index| self.set_links_to(region_index, Pass::Free, Pass::Free));
     }
 
-    /// Takes the other region out of the file of this one's only replica. It holds from the next restart on.
-    fn remove_other(&self, place: usize) {
-        let own = self.addresses(place);
-        let text = settings(place, 1, (&own, &own), 1_000);
-        let (own, _) = text
+    /// Removes the other region from the settings of this region's only replica, with effect from its next restart.
+    fn remove_other_region(&self, region_index: usize) {
+        let own = self.addresses(region_index);
+        let text = settings(region_index, 1, (&own, &own), 1_000);
+        let (without_regions, _) = text
             .split_once("region = ")
-            .expect("the keys of regions come last");
+            .expect("the keys for regions come last");
         self.folder
-            .write(&format!("{}.toml", file_name(place, 1)), own, false)
+            .write(
+                &format!("{}.toml", file_name(region_index, 1)),
+                without_regions,
+                false,
+            )
             .expect("a file");
     }
 
     /// Kills the only replica of a region.
-    async fn kill(&mut self, place: usize) {
-        self.regions[place][0].process.kill().await;
+    async fn kill(&mut self, region_index: usize) {
+        self.regions[region_index][0].process.kill().await;
     }
 
-    /// Kills the only replica of a region, and starts it again from its disk.
-    async fn restart(&mut self, place: usize) {
-        self.kill(place).await;
-        let replica = &mut self.regions[place][0];
-        replica.process.again().expect("it starts");
-        let address = replica.process.listens().await.expect("it listens");
-        replica.at.send_replace(Some(address));
+    /// Kills the only replica of a region and restarts it from its store.
+    async fn restart(&mut self, region_index: usize) {
+        self.kill(region_index).await;
+        let replica = &mut self.regions[region_index][0];
+        replica.process.again().expect("the replica starts");
+        let address = replica
+            .process
+            .listens()
+            .await
+            .expect("the replica listens");
+        replica.address.send_replace(Some(address));
     }
 
     /// Kills the replica that leads a region.
-    async fn kill_leader(&mut self, place: usize) {
-        let leader = self.standing(place).await.leader;
-        let replicas = &mut self.regions[place];
-        let leads = |replica: &&mut Replica| replica.front.address.to_string() == leader;
+    async fn kill_leader(&mut self, region_index: usize) {
+        let leader = self.status(region_index).await.leader;
+        let replicas = &mut self.regions[region_index];
+        let is_leader = |replica: &&mut Replica| replica.local_link.address.to_string() == leader;
         replicas
             .iter_mut()
-            .find(leads)
-            .expect("one of them")
+            .find(is_leader)
+            .expect("the leader is one of the replicas")
             .process
             .kill()
             .await;
     }
 
-    /// Asks for a lease, for a proxy that goes on without one.
-    async fn lease(&self, place: usize, number: u64, acting: u64) -> wire::LeaseGrant {
-        let what = request::Kind::Lease(ask(number, acting, OnLeaseLoss::Keep));
-        match self.client(place).call_with_retry(&what, TIMEOUT).await {
+    /// Requests a lease for a proxy that keeps serving without one.
+    async fn lease(
+        &self,
+        region_index: usize,
+        sequence: u64,
+        active_revision: u64,
+    ) -> wire::LeaseGrant {
+        let request =
+            request::Kind::Lease(lease_request(sequence, active_revision, OnLeaseLoss::Keep));
+        match self
+            .client(region_index)
+            .call_with_retry(&request, TIMEOUT)
+            .await
+        {
             Ok(reply::Kind::Lease(grant)) => grant,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Sends a message to a region, and takes its rejection.
-    async fn refused(&self, place: usize, what: request::Kind) -> wire::Rejection {
-        match self.client(place).call_with_retry(&what, TIMEOUT).await {
+    /// Sends a request that the region has to reject, and returns the rejection.
+    async fn expect_rejection(
+        &self,
+        region_index: usize,
+        request: request::Kind,
+    ) -> wire::Rejection {
+        match self
+            .client(region_index)
+            .call_with_retry(&request, TIMEOUT)
+            .await
+        {
             Err(ClientError::Rejected(rejection)) => rejection,
             other => panic!("{other:?}"),
         }
@@ -334,35 +401,39 @@
     HashMap::from([("caja".to_owned(), format!("{POLICY}\n# {number}\n"))])
 }
 
-fn ask(number: u64, acting: u64, cut_off: OnLeaseLoss) -> wire::LeaseRequest {
+fn lease_request(
+    sequence: u64,
+    active_revision: u64,
+    on_lease_loss: OnLeaseLoss,
+) -> wire::LeaseRequest {
     let identity = Identity {
         name: "proxy".to_owned(),
         incarnation: 7,
     };
-    let ask = LeaseRequest {
+    let request = LeaseRequest {
         identity,
-        sequence: number,
-        active_revision: acting,
+        sequence,
+        active_revision,
         loaded_generations: BTreeSet::new(),
         rejected_generation: None,
-        on_lease_loss: cut_off,
+        on_lease_loss,
     };
-    wire::LeaseRequest::new(ask, "caja")
+    wire::LeaseRequest::new(request, "caja")
 }
 
-/// The change of all regions that a region tells of.
-fn change(standing: &Standing) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
-    standing.region.as_ref()?.change.as_ref()
+/// Returns the cross-region change in the status of a region.
+fn change(status: &Standing) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
+    status.region.as_ref()?.change.as_ref()
 }
 
-fn has_voted(standing: &Standing) -> bool {
-    change(standing).is_some_and(|change| change.voted)
+fn has_voted(status: &Standing) -> bool {
+    change(status).is_some_and(|change| change.voted)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn change_of_all_regions_commits_in_both_and_change_of_one_region_only_there() {
+async fn cross_region_change_commits_in_both_regions_and_local_change_in_one() {
     let cluster = Cluster::with_policy("both", 10_000).await;
-    // By way of the region that does not coordinate.
+    // Publishes through the region that does not coordinate.
     let done = cluster.publish(SUR, Scope::All, 2).await;
     assert_eq!(
         (done.outcome, done.generation),
@@ -371,14 +442,18 @@
         done.why
     );
     cluster
-        .until(SUR, "second policy", |s| s.in_force == Some(2))
+        .wait_until(SUR, "second policy", |status| status.in_force == Some(2))
         .await;
     cluster
-        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .wait_until(NORTE, "acknowledgement", |status| change(status).is_none())
         .await;
-    for place in [NORTE, SUR] {
+    for region_index in [NORTE, SUR] {
         assert_eq!(
-            cluster.control(place).files(2).await.expect("kept"),
+            cluster
+                .control(region_index)
+                .files(2)
+                .await
+                .expect("the files are retained"),
             files(2)
         );
     }
@@ -389,8 +464,8 @@
         "{}",
         done.why
     );
-    assert_eq!(cluster.standing(SUR).await.in_force, Some(3));
-    assert_eq!(cluster.standing(NORTE).await.in_force, Some(2));
+    assert_eq!(cluster.status(SUR).await.in_force, Some(3));
+    assert_eq!(cluster.status(NORTE).await.in_force, Some(2));
     let done = cluster.publish(NORTE, Scope::Region, 4).await;
     assert_eq!(
         (done.outcome, done.generation),
@@ -398,12 +473,13 @@
         "{}",
         done.why
     );
-    // Each has numbers of its own; a change of all is told apart by its identifier.
-    let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
-    let ids = |s: &Standing| {
-        s.changes
+    // Generations are numbered per region; a cross-region change has the same identifier in both regions.
+    let (norte, sur) = (cluster.status(NORTE).await, cluster.status(SUR).await);
+    let ids = |status: &Standing| {
+        status
+            .changes
             .iter()
-            .map(|c| c.all_regions.clone())
+            .map(|change| change.all_regions.clone())
             .collect::<Vec<_>>()
     };
     assert_eq!(ids(&norte), ids(&sur));
@@ -416,29 +492,29 @@
         done.why
     );
     cluster
-        .until(SUR, "fourth policy", |s| s.in_force == Some(4))
+        .wait_until(SUR, "fourth policy", |status| status.in_force == Some(4))
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn partition_before_the_vote_aborts_the_change_and_changes_of_one_region_go_on() {
+async fn partition_before_the_vote_aborts_the_change_and_allows_local_changes() {
     let cluster = Cluster::with_policy("cut", 1_000).await;
-    cluster.cut();
+    cluster.partition();
     let done = cluster.publish(NORTE, Scope::All, 2).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(done.why, "timed out without the vote of region sur");
-    for place in [NORTE, SUR] {
-        let standing = cluster.standing(place).await;
+    for region_index in [NORTE, SUR] {
+        let status = cluster.status(region_index).await;
         assert_eq!(
-            (standing.in_force, standing.to_come),
+            (status.in_force, status.to_come),
             (Some(1), None),
             "{}",
-            NAMES[place]
+            REGION_NAMES[region_index]
         );
-        assert!(change(&standing).is_none());
+        assert!(change(&status).is_none());
     }
-    for (place, generation) in [(NORTE, 3), (SUR, 2)] {
-        let done = cluster.publish(place, Scope::Region, 3).await;
+    for (region_index, generation) in [(NORTE, 3), (SUR, 2)] {
+        let done = cluster.publish(region_index, Scope::Region, 3).await;
         assert_eq!(
             (done.outcome, done.generation),
             (Outcome::InForce, Some(generation)),
@@ -446,25 +522,27 @@
             done.why
         );
     }
-    cluster.mend();
-    // A connection may have to be found dead first.
-    let end = Instant::now() + TIMEOUT;
+    cluster.heal();
+    // A change may fail until broken connections between the regions have been detected.
+    let deadline = Instant::now() + TIMEOUT;
     while cluster.publish(NORTE, Scope::All, 4).await.outcome != Outcome::InForce {
-        assert!(Instant::now() < end, "{:?}", cluster.log(NORTE));
+        assert!(Instant::now() < deadline, "{:?}", cluster.log(NORTE));
     }
     cluster
-        .until(SUR, "the policy of all", |s| {
-            s.changes
-                .iter()
-                .any(|c| c.outcome == "in force" && c.all_regions.is_some() && c.generation > 2)
+        .wait_until(SUR, "the cross-region policy", |status| {
+            status.changes.iter().any(|change| {
+                change.outcome == "in force"
+                    && change.all_regions.is_some()
+                    && change.generation > 2
+            })
         })
         .await;
     assert_eq!(
         cluster
             .control(SUR)
-            .files(cluster.standing(SUR).await.in_force.expect("one"))
+            .files(cluster.status(SUR).await.in_force.expect("one"))
             .await
-            .expect("kept"),
+            .expect("the files are retained"),
         files(4)
     );
 }
@@ -472,21 +550,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
     let mut cluster = Cluster::with_policy("voted", 1_500).await;
-    // The prepare comes through; neither its answer nor any question for the outcome does.
-    cluster.pass_to(SUR, Pass::Free, Pass::Cut);
-    cluster.pass_to(NORTE, Pass::Cut, Pass::Cut);
-    let publishing = cluster.publishing(NORTE, Scope::All, 2);
-    cluster.until(SUR, "vote", has_voted).await;
-    let done = publishing.await.expect("it ends");
+    // The prepare arrives, but neither its reply nor any request for the outcome does.
+    cluster.set_links_to(SUR, Pass::Free, Pass::Cut);
+    cluster.set_links_to(NORTE, Pass::Cut, Pass::Cut);
+    let publish_task = cluster.spawn_publish(NORTE, Scope::All, 2);
+    cluster.wait_until(SUR, "vote", has_voted).await;
+    let done = publish_task.await.expect("the publish task ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(done.why, "timed out without the vote of region sur");
-    let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
-    assert!(stays(&cluster.standing(SUR).await));
-    // It can neither be left nor be followed by another change here.
+    let is_still_pending = |status: &Standing| {
+        status.in_force == Some(1) && status.to_come == Some(2) && has_voted(status)
+    };
+    assert!(is_still_pending(&cluster.status(SUR).await));
+    // The participant can neither abort the change nor start another one.
     let rejection = cluster
-        .refused(
+        .expect_rejection(
             SUR,
-            publish_request(files(3), cluster.standing(SUR).await.revision),
+            publish_request(files(3), cluster.status(SUR).await.revision),
         )
         .await;
     assert_eq!(rejection.code(), rejection::Code::ChangePending);
@@ -497,14 +577,14 @@
     );
     let error = cluster
         .control(SUR)
-        .abort("by hand")
+        .abort("an operator")
         .await
-        .expect_err("not its to end");
+        .expect_err("a participant that has voted cannot abort");
     assert!(
         error.contains("only the coordinating region norte can end it"),
         "{error}"
     );
-    // The other region goes on.
+    // The coordinating region can publish a local change.
     let done = cluster.publish(NORTE, Scope::Region, 4).await;
     assert_eq!(
         (done.outcome, done.generation),
@@ -513,14 +593,17 @@
         done.why
     );
     cluster.restart(SUR).await;
-    assert!(stays(&cluster.standing(SUR).await), "it is on disk");
-    cluster.mend();
-    let standing = cluster
-        .until(SUR, "decision", |s| s.to_come.is_none())
+    assert!(
+        is_still_pending(&cluster.status(SUR).await),
+        "the vote is stored"
+    );
+    cluster.heal();
+    let status = cluster
+        .wait_until(SUR, "decision", |status| status.to_come.is_none())
         .await;
-    assert_eq!(standing.in_force, Some(1));
+    assert_eq!(status.in_force, Some(1));
     assert_eq!(
-        standing.changes.last().map(|c| c.outcome),
+        status.changes.last().map(|change| change.outcome),
         Some("not in force")
     );
     let done = cluster.publish(SUR, Scope::Region, 5).await;
@@ -538,43 +621,50 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn decision_made_during_a_partition_is_retried_until_it_is_acknowledged() {
-    let mut cluster = cut_after_the_decision("commit").await;
+    let mut cluster = partitioned_after_the_decision("commit").await;
     cluster.restart(SUR).await;
     cluster.restart(NORTE).await;
-    let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
+    let (norte, sur) = (cluster.status(NORTE).await, cluster.status(SUR).await);
     assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
     assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
-    // Until the other region has it, no further change of all begins.
-    let all = request::Kind::PublishAllRegions(wire::Publish {
+    // No further cross-region change can start until the other region has acknowledged the commit.
+    let publish = request::Kind::PublishAllRegions(wire::Publish {
         files: files(3),
         revision: norte.revision,
     });
-    let rejection = cluster.refused(NORTE, all).await;
+    let rejection = cluster.expect_rejection(NORTE, publish).await;
     assert_eq!(rejection.code(), rejection::Code::ChangePending);
     assert!(
         rejection.message.contains("waits for region sur"),
         "{}",
         rejection.message
     );
-    cluster.mend();
+    cluster.heal();
     let sur = cluster
-        .until(SUR, "decision", |s| s.to_come.is_none())
+        .wait_until(SUR, "decision", |status| status.to_come.is_none())
         .await;
     assert_eq!(sur.in_force, Some(2));
-    assert_eq!(cluster.control(SUR).files(2).await.expect("kept"), files(2));
+    assert_eq!(
+        cluster
+            .control(SUR)
+            .files(2)
+            .await
+            .expect("the files are retained"),
+        files(2)
+    );
     cluster
-        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .wait_until(NORTE, "acknowledgement", |status| change(status).is_none())
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn region_that_rejects_a_change_aborts_it_in_all_regions() {
     let cluster = Cluster::with_policy("refused", 10_000).await;
-    // A proxy that has not told holds a change of this region up.
+    // A proxy that has not confirmed the transition blocks a local change of this region.
     cluster.lease(SUR, 1, 0).await;
-    let publishing = cluster.publishing(SUR, Scope::Region, 2);
+    let publish_task = cluster.spawn_publish(SUR, Scope::Region, 2);
     cluster
-        .until(SUR, "change of its own", |s| s.to_come == Some(2))
+        .wait_until(SUR, "local change", |status| status.to_come == Some(2))
         .await;
     let done = cluster.publish(NORTE, Scope::All, 3).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
@@ -582,35 +672,38 @@
         done.why,
         "region sur rejected the change: the change to generation 2 is pending there"
     );
-    let revision = cluster.standing(SUR).await.revision;
+    let revision = cluster.status(SUR).await.revision;
     cluster.lease(SUR, 2, revision).await;
-    assert_eq!(publishing.await.expect("it ends").outcome, Outcome::InForce);
-    assert_eq!(cluster.standing(NORTE).await.in_force, Some(1));
+    assert_eq!(
+        publish_task.await.expect("the publish task ends").outcome,
+        Outcome::InForce
+    );
+    assert_eq!(cluster.status(NORTE).await.in_force, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn messages_for_another_region_are_rejected_and_change_nothing() {
     let cluster = Cluster::with_policy("messages", 10_000).await;
-    let revision = cluster.standing(SUR).await.revision;
-    let all = request::Kind::PublishAllRegions(wire::Publish {
+    let revision = cluster.status(SUR).await.revision;
+    let publish = request::Kind::PublishAllRegions(wire::Publish {
         files: files(2),
         revision,
     });
-    let rejection = cluster.refused(SUR, all).await;
+    let rejection = cluster.expect_rejection(SUR, publish).await;
     assert_eq!(rejection.code(), rejection::Code::NotCoordinator);
     assert_eq!(
         rejection.replicas,
-        [cluster.regions[NORTE][0].between.address.to_string()]
+        [cluster.regions[NORTE][0].region_link.address.to_string()]
     );
     rejects_lease_requests_for_another_region(&cluster).await;
     rejects_misdirected_or_wrongly_authenticated_messages(&cluster).await;
 }
 
 async fn rejects_lease_requests_for_another_region(cluster: &Cluster) {
-    let sur: Region = "sur".parse().expect("a name");
-    let misdirected = ask(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
+    let sur: Region = "sur".parse().expect("a valid region name");
+    let misdirected = lease_request(1, 0, OnLeaseLoss::Reject).in_region(Some(&sur));
     let rejection = cluster
-        .refused(NORTE, request::Kind::Lease(misdirected.clone()))
+        .expect_rejection(NORTE, request::Kind::Lease(misdirected.clone()))
         .await;
     assert_eq!(rejection.code(), rejection::Code::OtherRegion);
     assert!(
@@ -618,31 +711,31 @@
         "{}",
         rejection.message
     );
-    let lent = cluster
+    let granted = cluster
         .client(SUR)
         .call_with_retry(&request::Kind::Lease(misdirected), TIMEOUT)
         .await;
-    assert!(matches!(lent, Ok(reply::Kind::Lease(_))), "{lent:?}");
+    assert!(matches!(granted, Ok(reply::Kind::Lease(_))), "{granted:?}");
 }
 
 async fn rejects_misdirected_or_wrongly_authenticated_messages(cluster: &Cluster) {
-    // A message between regions, authenticated as that of a proxy.
-    let named = wire::ChangeRef {
+    // Sends a cross-region request that is authenticated as a proxy's request.
+    let change = wire::ChangeRef {
         id: 9,
         coordinator: "norte".to_owned(),
         generation: 9,
     };
     let text = serde_json::to_string(&files(9)).expect("JSON");
     let prepare = wire::Prepare {
-        change: Some(named),
+        change: Some(change),
         region: "sur".to_owned(),
         policy: text,
     };
     let rejection = cluster
-        .refused(SUR, request::Kind::Prepare(prepare.clone()))
+        .expect_rejection(SUR, request::Kind::Prepare(prepare.clone()))
         .await;
     assert_eq!(rejection.code(), rejection::Code::Invalid);
-    // One for another region than the one that it has come to, authenticated for its purpose.
+    // Sends a correctly authenticated cross-region request to the wrong region.
     let secret = SharedSecret::read(&cluster.folder.path().join("secret")).expect("a secret");
     let norte = cluster.addresses(NORTE);
     let mut leader = Client::between_regions(norte, secret.clone(), Duration::from_secs(5));
@@ -654,66 +747,76 @@
         error.to_string().contains("\"sur\"") && error.to_string().contains("\"norte\""),
         "{error}"
     );
-    // And a request of a proxy, authenticated as a message between regions.
-    let asked = leader
+    // Sends a proxy's request that is authenticated as a cross-region request.
+    let reply = leader
         .call(&request::Kind::Status(wire::StatusRequest {}))
         .await;
     assert!(
-        matches!(asked, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
+        matches!(reply, Err(ClientError::Rejected(rejection)) if rejection.code() == rejection::Code::Invalid)
     );
-    // A change that the coordinator does not know begins, and the coordinator's outcome aborts it.
+    // A change that the coordinator does not know starts in the participant, and the coordinator's reply to the outcome
+    // request aborts it.
     let sur = cluster.addresses(SUR);
     let mut leader = Client::between_regions(sur, secret, Duration::from_secs(5));
     assert!(matches!(
         leader.call(&request::Kind::Prepare(prepare)).await,
         Ok(reply::Kind::Vote(_))
     ));
-    let standing = cluster
-        .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
+    let status = cluster
+        .wait_until(SUR, "aborted change", |status| {
+            status.changes.len() == 2 && status.to_come.is_none()
+        })
         .await;
     assert_eq!(
-        (standing.in_force, standing.changes[1].outcome),
+        (status.in_force, status.changes[1].outcome),
         (Some(1), "not in force")
     );
 }
 
-/// Publishes a change of all that the other region has voted for, and that waits for a proxy of the coordinator's region
-/// alone. What comes of it, and the revision of the transition in the coordinator.
-async fn waits_for_a_proxy(cluster: &Cluster) -> (JoinHandle<Done>, u64) {
+/// Publishes a cross-region change that only waits for a proxy of the coordinating region: the other region has voted.
+/// Returns the publish task and the revision of the coordinator's transition.
+async fn publish_blocked_by_a_proxy(cluster: &Cluster) -> (JoinHandle<Done>, u64) {
     cluster.lease(NORTE, 1, 0).await;
-    let publishing = cluster.publishing(NORTE, Scope::All, 2);
-    let prepared =
-        |s: &Standing| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
-    let middle = cluster
-        .until(NORTE, "vote of the other region", prepared)
+    let publish_task = cluster.spawn_publish(NORTE, Scope::All, 2);
+    let has_all_votes = |status: &Standing| {
+        change(status).is_some_and(|change| {
+            change
+                .participants
+                .iter()
+                .all(|participant| participant.prepared)
+        })
+    };
+    let in_transition = cluster
+        .wait_until(NORTE, "vote of the other region", has_all_votes)
         .await;
-    (publishing, middle.revision)
+    (publish_task, in_transition.revision)
 }
 
-/// The change is in force in the coordinator, and the participant has voted and does not know it: the links are cut.
-async fn cut_after_the_decision(name: &str) -> Cluster {
+/// Returns a cluster whose links are cut after the coordinator has committed a change: the participant has voted and does
+/// not know the decision.
+async fn partitioned_after_the_decision(name: &str) -> Cluster {
     let cluster = Cluster::with_policy(name, 10_000).await;
-    let (publishing, middle) = waits_for_a_proxy(&cluster).await;
-    cluster.cut();
-    cluster.lease(NORTE, 2, middle).await;
-    let done = publishing.await.expect("it ends");
+    let (publish_task, transition_revision) = publish_blocked_by_a_proxy(&cluster).await;
+    cluster.partition();
+    cluster.lease(NORTE, 2, transition_revision).await;
+    let done = publish_task.await.expect("the publish task ends");
     assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-    assert!(has_voted(&cluster.standing(SUR).await));
+    assert!(has_voted(&cluster.status(SUR).await));
     cluster
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_leaders_finish_a_change_whose_leaders_died_between_its_steps() {
-    let mut cluster = Cluster::of_replicas("leaders", 3, 10_000).await;
-    let (publishing, middle) = waits_for_a_proxy(&cluster).await;
+async fn new_leaders_complete_a_change_whose_leaders_were_killed() {
+    let mut cluster = Cluster::with_replicas("leaders", 3, 10_000).await;
+    let (publish_task, transition_revision) = publish_blocked_by_a_proxy(&cluster).await;
     cluster.kill_leader(NORTE).await;
     cluster.kill_leader(SUR).await;
     assert!(
-        has_voted(&cluster.standing(SUR).await),
-        "the next leader knows of the vote"
+        has_voted(&cluster.status(SUR).await),
+        "the new leader has the vote in its log"
     );
-    cluster.lease(NORTE, 2, middle).await;
-    let done = publishing.await.expect("it ends");
+    cluster.lease(NORTE, 2, transition_revision).await;
+    let done = publish_task.await.expect("the publish task ends");
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
@@ -721,52 +824,52 @@
         done.why
     );
     cluster
-        .until(SUR, "decision", |s| s.in_force == Some(2))
+        .wait_until(SUR, "decision", |status| status.in_force == Some(2))
         .await;
     cluster
-        .until(NORTE, "acknowledgement", |s| change(s).is_none())
+        .wait_until(NORTE, "acknowledgement", |status| change(status).is_none())
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn commit_is_acknowledged_for_a_lost_region_once_it_is_decommissioned() {
-    let mut cluster = cut_after_the_decision("lost-sur").await;
+    let mut cluster = partitioned_after_the_decision("lost-sur").await;
     cluster.kill(SUR).await;
-    cluster.remove_other(NORTE);
+    cluster.remove_other_region(NORTE);
     cluster.restart(NORTE).await;
-    let acknowledged =
+    let is_acknowledged =
         |line: &String| line.contains("region acknowledged commit") && line.contains("region=sur");
-    let end = Instant::now() + TIMEOUT;
-    while !cluster.log(NORTE).iter().any(acknowledged) {
-        assert!(Instant::now() < end, "{:?}", cluster.log(NORTE));
+    let deadline = Instant::now() + TIMEOUT;
+    while !cluster.log(NORTE).iter().any(is_acknowledged) {
+        assert!(Instant::now() < deadline, "{:?}", cluster.log(NORTE));
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let standing = cluster.standing(NORTE).await;
-    assert_eq!(
-        (standing.in_force, standing.region.is_none()),
-        (Some(2), true)
-    );
+    let status = cluster.status(NORTE).await;
+    assert_eq!((status.in_force, status.region.is_none()), (Some(2), true));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn change_of_a_lost_coordinator_is_aborted_by_an_operator() {
-    let mut cluster = cut_after_the_decision("lost-norte").await;
+    let mut cluster = partitioned_after_the_decision("lost-norte").await;
     cluster
         .control(SUR)
-        .abort("it is down")
+        .abort("the coordinator is down")
         .await
-        .expect_err("it may come back");
+        .expect_err("the coordinator may recover");
     cluster.kill(NORTE).await;
-    cluster.remove_other(SUR);
+    cluster.remove_other_region(SUR);
     cluster.restart(SUR).await;
     assert_eq!(
-        cluster.standing(SUR).await.to_come,
+        cluster.status(SUR).await.to_come,
         Some(2),
-        "nothing ends by itself"
+        "the change stays pending until an operator aborts it"
     );
-    assert_eq!(cluster.control(SUR).abort("it is lost").await, Ok(2));
-    let standing = cluster.standing(SUR).await;
-    assert_eq!((standing.in_force, standing.to_come), (Some(1), None));
+    assert_eq!(
+        cluster.control(SUR).abort("the coordinator is lost").await,
+        Ok(2)
+    );
+    let status = cluster.status(SUR).await;
+    assert_eq!((status.in_force, status.to_come), (Some(1), None));
     let done = cluster.publish(SUR, Scope::Region, 3).await;
     assert_eq!(
         (done.outcome, done.generation),
@@ -776,19 +879,20 @@
     );
 }
 
-/// A store that the last version without regions has written: three policies, the third in force.
+/// Compressed store written by the last version without regions. It has three policies, of which the third is in force.
 const STORE_WITHOUT_REGIONS: &[u8] = include_bytes!("fixtures/store-without-regions.zst");
-const STORE_BYTES_MOST: usize = 1 << 20;
+/// Maximum size of the decompressed store, in bytes.
+const MAX_STORE_BYTES: usize = 1 << 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn store_of_a_version_without_regions_continues_as_that_of_a_region() {
+async fn store_of_a_version_without_regions_can_be_used_by_a_region() {
     let folder = Folder::new("regions-older").expect("a folder");
-    let store = zstd::bulk::decompress(STORE_WITHOUT_REGIONS, STORE_BYTES_MOST).expect("a store");
+    let store = zstd::bulk::decompress(STORE_WITHOUT_REGIONS, MAX_STORE_BYTES).expect("a store");
     std::fs::write(folder.path().join("store-norte-1"), store).expect("a file");
     let cluster = Cluster::start(folder, 1, 10_000).await;
-    let standing = cluster.standing(NORTE).await;
-    assert_eq!((standing.in_force, standing.changes.len()), (Some(3), 3));
-    assert!(standing
+    let status = cluster.status(NORTE).await;
+    assert_eq!((status.in_force, status.changes.len()), (Some(3), 3));
+    assert!(status
         .changes
         .iter()
         .all(|change| change.all_regions.is_none()));
@@ -800,7 +904,14 @@
         done.why
     );
     cluster
-        .until(SUR, "the first policy", |s| s.in_force == Some(1))
+        .wait_until(SUR, "the first policy", |status| status.in_force == Some(1))
         .await;
-    assert_eq!(cluster.control(SUR).files(1).await.expect("kept"), files(1));
+    assert_eq!(
+        cluster
+            .control(SUR)
+            .files(1)
+            .await
+            .expect("the files are retained"),
+        files(1)
+    );
 }
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,4 +1,5 @@
-//! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
+//! Replicas that run as processes: acknowledged changes survive kills, and unusable stores and invalid requests are
+//! rejected without any effect.
 
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_control_plane::store::{Store, StoreError};
@@ -15,12 +16,16 @@
 
 const CONTROL: &str = env!("CARGO_BIN_EXE_badgerramp-control");
 const POLICY: &str = include_str!("../../../deploy/sidecar.example.toml");
+/// Longest time that a test waits for the reply to a request.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The replicas of one control plane.
 struct Replicas {
     folder: Folder,
-    all: Vec<Process>,
-    at: Vec<watch::Sender<Option<SocketAddr>>>,
+    processes: Vec<Process>,
+    /// Announces the address of each process to its link.
+    process_addresses: Vec<watch::Sender<Option<SocketAddr>>>,
+    /// Links through which clients and other replicas reach each replica.
     links: Vec<Link>,
 }
 
@@ -32,32 +37,32 @@
             .expect("a file");
         let mut replicas = Replicas {
             folder,
-            all: Vec::new(),
-            at: Vec::new(),
+            processes: Vec::new(),
+            process_addresses: Vec::new(),
             links: Vec::new(),
         };
         for _ in 0..count {
-            let (at, known) = watch::channel(None);
-            replicas.links.push(Link::to(known).await.expect("a link"));
-            replicas.at.push(at);
+            let (address, target) = watch::channel(None);
+            replicas.links.push(Link::to(target).await.expect("a link"));
+            replicas.process_addresses.push(address);
         }
-        let named = |(n, l): (usize, &Link)| format!("{} = \"{}\"", n + 1, l.address);
-        let named: Vec<String> = replicas.links.iter().enumerate().map(named).collect();
+        let entry = |(index, link): (usize, &Link)| format!("{} = \"{}\"", index + 1, link.address);
+        let entries: Vec<String> = replicas.links.iter().enumerate().map(entry).collect();
         for number in 1..=count {
             let text = format!(
                 "replica = {number}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{number}\"\n\
                  secret = \"secret\"\nlease_ms = 300\nwait_ms = 5000\nelection_ms = 300\n",
-                named.join(", ")
+                entries.join(", ")
             );
             let file = replicas
                 .folder
                 .write(&format!("{number}.toml"), &text, false)
                 .expect("a file");
-            let made = std::process::Command::new(CONTROL)
+            let created = std::process::Command::new(CONTROL)
                 .arg("create")
                 .arg(&file)
                 .output();
-            assert!(made.expect("it runs").status.success());
+            assert!(created.expect("the command runs").status.success());
             let arguments = vec!["serve".to_owned(), file.display().to_string()];
             let plan = Plan {
                 program: CONTROL.into(),
@@ -65,22 +70,26 @@
                 keep: Vec::new(),
                 variables: Vec::new(),
             };
-            let mut process = Process::start(plan).await.expect("it starts");
-            replicas.at[number - 1]
-                .send_replace(Some(process.listens().await.expect("it listens")));
-            replicas.all.push(process);
+            let mut process = Process::start(plan).await.expect("the replica starts");
+            replicas.process_addresses[number - 1]
+                .send_replace(Some(process.listens().await.expect("the replica listens")));
+            replicas.processes.push(process);
         }
         replicas
     }
 
-    async fn again(&mut self, place: usize) {
-        self.all[place].again().expect("it starts");
-        let address = self.all[place].listens().await.expect("it listens");
-        self.at[place].send_replace(Some(address));
+    /// Restarts a replica that was killed.
+    async fn restart(&mut self, index: usize) {
+        self.processes[index].again().expect("the replica starts");
+        let address = self.processes[index]
+            .listens()
+            .await
+            .expect("the replica listens");
+        self.process_addresses[index].send_replace(Some(address));
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        self.links.iter().map(|l| l.address).collect()
+        self.links.iter().map(|link| link.address).collect()
     }
 
     fn control(&self) -> Control {
@@ -104,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn committed_changes_survive_the_death_of_the_leader() {
+async fn committed_changes_survive_a_kill_of_the_leader() {
     let mut replicas = Replicas::start("leader", 3).await;
     for number in 1..=3 {
         let revision = replicas
@@ -124,31 +133,35 @@
             .await
             .expect("a status")
             .leader;
-        let place = replicas
+        let leader_index = replicas
             .links
             .iter()
-            .position(|l| l.address.to_string() == leader)
-            .expect("one of them");
-        replicas.all[place].kill().await;
-        replicas.at[place].send_replace(None);
-        let standing = replicas
+            .position(|link| link.address.to_string() == leader)
+            .expect("the leader is one of the replicas");
+        replicas.processes[leader_index].kill().await;
+        replicas.process_addresses[leader_index].send_replace(None);
+        let status = replicas
             .control()
             .standing()
             .await
-            .expect("the others go on");
-        assert_eq!(standing.in_force, Some(number));
+            .expect("the other replicas answer");
+        assert_eq!(status.in_force, Some(number));
         assert_eq!(
-            replicas.control().files(number).await.expect("kept"),
+            replicas
+                .control()
+                .files(number)
+                .await
+                .expect("the files are retained"),
             files(number)
         );
-        replicas.again(place).await;
+        replicas.restart(leader_index).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn acknowledged_changes_survive_kills_at_any_moment() {
     let mut replicas = Replicas::start("kills", 1).await;
-    let mut answered = 0;
+    let mut last_acknowledged = 0;
     for round in 0..12_u64 {
         let revision = replicas
             .control()
@@ -158,44 +171,50 @@
             .revision;
         let mut control = replicas.control();
         let publish = tokio::spawn(async move {
-            let standing = control.standing().await.map(|s| s.revision == revision);
-            assert!(standing.expect("a status"));
+            let is_unchanged = control
+                .standing()
+                .await
+                .map(|status| status.revision == revision);
+            assert!(is_unchanged.expect("a status"));
             control.publish(&files(round), revision, |_| {}).await
         });
-        // Each round a little later in what it writes.
+        // Each round kills the replica a little later while it handles the change.
         tokio::time::sleep(Duration::from_micros(300 * round)).await;
-        replicas.all[0].kill().await;
-        replicas.again(0).await;
-        let done = publish.await.expect("it ends");
+        replicas.processes[0].kill().await;
+        replicas.restart(0).await;
+        let done = publish.await.expect("the publish task ends");
         if let Some(generation) = done.generation {
-            let standing = replicas.control().standing().await.expect("a status");
-            let change = standing
+            let status = replicas.control().standing().await.expect("a status");
+            let change = status
                 .changes
                 .iter()
-                .find(|c| c.generation == generation)
-                .expect("remembered");
-            assert!(generation > answered, "a number is given once");
+                .find(|change| change.generation == generation)
+                .expect("the change is retained");
+            assert!(
+                generation > last_acknowledged,
+                "a generation is used only once"
+            );
             assert_eq!(
                 change.outcome == "in force",
                 done.outcome == Outcome::InForce,
                 "{}",
                 done.why
             );
-            answered = generation;
+            last_acknowledged = generation;
         }
     }
-    assert!(answered > 0);
+    assert!(last_acknowledged > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn full_disk_is_reported_and_loses_no_acknowledged_change() {
     let mut replicas = Replicas::start("full", 1).await;
     let store = replicas.folder.path().join("store-1");
-    replicas.all[0].kill().await;
-    // A file may grow no further than that: a write beyond it fails as it does on a full disk.
-    let room = std::fs::metadata(&store).expect("a file").len() / 512 + 64;
+    replicas.processes[0].kill().await;
+    // Largest allowed file size, in blocks of 512 bytes. A write beyond it fails as on a full disk.
+    let max_blocks = std::fs::metadata(&store).expect("a file").len() / 512 + 64;
     let file = replicas.folder.path().join("1.toml").display().to_string();
-    let script = format!("trap '' XFSZ; ulimit -f {room}; exec \"$0\" serve \"$1\"");
+    let script = format!("trap '' XFSZ; ulimit -f {max_blocks}; exec \"$0\" serve \"$1\"");
     let arguments = vec!["-c".to_owned(), script, CONTROL.to_owned(), file];
     let plan = Plan {
         program: "/bin/sh".into(),
@@ -203,26 +222,27 @@
         keep: Vec::new(),
         variables: Vec::new(),
     };
-    let mut full = Process::start(plan).await.expect("it starts");
-    replicas.at[0].send_replace(Some(full.listens().await.expect("it listens")));
-    let mut answered = 0;
-    let ended = loop {
-        if let Some(ended) = full.ended() {
-            break ended;
+    let mut limited = Process::start(plan).await.expect("the replica starts");
+    replicas.process_addresses[0]
+        .send_replace(Some(limited.listens().await.expect("the replica listens")));
+    let mut last_revision = 0;
+    let exit_message = loop {
+        if let Some(exit_message) = limited.ended() {
+            break exit_message;
         }
-        let large = format!("{POLICY}\n# {answered}\n{}", "# room\n".repeat(20_000));
+        let large = format!("{POLICY}\n# {last_revision}\n{}", "# fill\n".repeat(20_000));
         let files = HashMap::from([("caja".to_owned(), large)]);
         let publish = request::Kind::Publish(Publish {
             files,
-            revision: answered,
+            revision: last_revision,
         });
         let mut client = replicas.client();
         match tokio::time::timeout(Duration::from_secs(10), client.call(&publish)).await {
             Ok(Ok(reply::Kind::ChangeStarted(_))) => {
-                // The next is published beside what has come of this one.
+                // The next policy is published at the revision that results from this one.
                 let mut control = replicas.control();
                 match tokio::time::timeout(Duration::from_secs(10), control.standing()).await {
-                    Ok(Ok(standing)) => answered = standing.revision,
+                    Ok(Ok(status)) => last_revision = status.revision,
                     _ => continue,
                 }
             }
@@ -230,19 +250,20 @@
         }
     };
     assert!(
-        ended.contains("the replica has stopped") || ended.contains("cannot be used"),
-        "{ended}"
+        exit_message.contains("the replica has stopped") || exit_message.contains("cannot be used"),
+        "{exit_message}"
     );
-    replicas.again(0).await;
-    let standing = replicas.control().standing().await.expect("a status");
+    replicas.restart(0).await;
+    let status = replicas.control().standing().await.expect("a status");
     assert!(
-        standing.revision >= answered,
-        "{} {answered}",
-        standing.revision
+        status.revision >= last_revision,
+        "{} {last_revision}",
+        status.revision
     );
 }
 
-async fn state(path: &Path) -> Result<String, Box<dyn std::error::Error>> {
+/// Opens a store and returns its log state, vote and record as text.
+async fn store_contents(path: &Path) -> Result<String, Box<dyn std::error::Error>> {
     let mut store = Store::open(path, 1)?;
     let log = store.get_log_state().await?;
     let vote = store.read_vote().await?;
@@ -265,9 +286,11 @@
             .await;
         assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
     }
-    replicas.all[0].kill().await;
+    replicas.processes[0].kill().await;
     let path = replicas.folder.path().join("store-1");
-    let intact = state(&path).await.expect("a kill leaves it good");
+    let intact = store_contents(&path)
+        .await
+        .expect("the store is intact after a kill");
     let bytes = std::fs::read(&path).expect("a file");
     assert!(matches!(
         Store::open(&path, 2),
@@ -279,75 +302,88 @@
     ));
     let copy = replicas.folder.path().join("copy");
     let (mut rejected, mut unchanged) = (0, 0);
-    let mut check = async |bytes: &[u8], what: String| {
+    let mut check = async |bytes: &[u8], damage: String| {
         std::fs::write(&copy, bytes).expect("a file");
-        match state(&copy).await {
+        match store_contents(&copy).await {
             Err(_) => rejected += 1,
             Ok(found) => {
-                assert_eq!(found, intact, "{what}");
+                assert_eq!(found, intact, "{damage}");
                 unchanged += 1;
             }
         }
     };
-    for place in (0..bytes.len()).step_by(bytes.len() / 40) {
-        check(&bytes[..place], format!("cut at {place}")).await;
+    for len in (0..bytes.len()).step_by(bytes.len() / 40) {
+        check(&bytes[..len], format!("truncated to {len} bytes")).await;
     }
-    // Every byte of the header, and a sample of the rest.
-    for place in (0..512).chain((512..bytes.len()).step_by(bytes.len() / 300)) {
+    // Flips a bit in every byte of the header and in a sample of the rest.
+    for offset in (0..512).chain((512..bytes.len()).step_by(bytes.len() / 300)) {
         let mut flipped = bytes.clone();
-        flipped[place] ^= 1 << (place % 8);
-        check(&flipped, format!("a bit at {place}")).await;
+        flipped[offset] ^= 1 << (offset % 8);
+        check(&flipped, format!("flipped bit in byte {offset}")).await;
     }
     assert!(rejected > 0 && unchanged > 0, "{rejected} {unchanged}");
     std::fs::remove_file(&copy).expect("a file");
-    let missing = state(&copy).await.expect_err("it was removed");
+    let missing = store_contents(&copy)
+        .await
+        .expect_err("the file was removed");
     assert!(matches!(missing.downcast_ref(), Some(StoreError::Missing)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_requests_are_rejected_and_change_nothing() {
-    let replicas = Replicas::start("bad", 1).await;
-    let refused = async |files: HashMap<String, String>, revision: u64| {
+    let replicas = Replicas::start("invalid", 1).await;
+    let expect_rejection = async |files: HashMap<String, String>, revision: u64| {
         let publish = request::Kind::Publish(Publish { files, revision });
         match replicas.client().call_with_retry(&publish, TIMEOUT).await {
             Err(ClientError::Rejected(rejection)) => (rejection.code(), rejection.message),
             other => panic!("{other:?}"),
         }
     };
-    let none = POLICY.replace("attempts = 3", "attempts = 0");
-    let (code, text) = refused(HashMap::from([("caja".to_owned(), none)]), 0).await;
+    let without_attempts = POLICY.replace("attempts = 3", "attempts = 0");
+    let (code, text) =
+        expect_rejection(HashMap::from([("caja".to_owned(), without_attempts)]), 0).await;
     assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("caja.toml") && text.contains("attempts") && text.contains("found 0"),
         "{text}"
     );
-    let (code, text) = refused(HashMap::from([("a".to_owned(), "#".repeat(1 << 21))]), 0).await;
+    let (code, text) =
+        expect_rejection(HashMap::from([("a".to_owned(), "#".repeat(1 << 21))]), 0).await;
     assert_eq!(code, rejection::Code::Invalid);
     assert!(
         text.contains("allowed are 1 to 4096 of 1048576 bytes"),
         "{text}"
     );
-    assert_eq!(refused(HashMap::new(), 0).await.0, rejection::Code::Invalid);
-    // Looked at beside what is no more.
-    assert_eq!(refused(files(2), 7).await.0, rejection::Code::Conflict);
+    assert_eq!(
+        expect_rejection(HashMap::new(), 0).await.0,
+        rejection::Code::Invalid
+    );
+    // Publishes at a revision that is not the current one.
+    assert_eq!(
+        expect_rejection(files(2), 7).await.0,
+        rejection::Code::Conflict
+    );
 
     replicas
         .folder
         .write("other", "another secret, as long", true)
         .expect("a file");
-    let other = SharedSecret::read(&replicas.folder.path().join("other")).expect("a secret");
-    let mut stranger = Client::new(replicas.addresses(), other, Duration::from_secs(5));
+    let other_secret = SharedSecret::read(&replicas.folder.path().join("other")).expect("a secret");
+    let mut unauthorized = Client::new(replicas.addresses(), other_secret, Duration::from_secs(5));
     let publish = request::Kind::Publish(Publish {
         files: files(2),
         revision: 0,
     });
-    let error = stranger.call(&publish).await.expect_err("no admittance");
+    let error = unauthorized
+        .call(&publish)
+        .await
+        .expect_err("the secret is another one");
     assert!(error.to_string().contains("another secret"), "{error}");
 
     let status = request::Kind::Status(StatusRequest {});
     let Ok(reply::Kind::Status(status)) = replicas.client().call_with_retry(&status, TIMEOUT).await
     else {
-        panic!("no status")
+        panic!("expected a status")
     };
     assert_eq!(
         (status.mode, status.revision, status.changes.len()),
--- a/crates/control-plane/tests/stored_state.rs
+++ b/crates/control-plane/tests/stored_state.rs
@@ -1,5 +1,5 @@
-//! A replica's store as this format's writer left it: policies in force, aborted and under way, proxies registered and
-//! evicted, a change of all regions, a snapshot and the log after it. Each version opens it and finds the same.
+//! Compatibility of the store format: a stored fixture has committed, aborted and pending policies, registered and evicted
+//! proxies, a cross-region change, a snapshot, and log entries after it. Each version has to read the same contents.
 
 use badgerramp_control_plane::store::{NodeId, RaftTypes, Store};
 use badgerramp_policy::regions::{AllRegions, ChangeId, Region};
@@ -13,22 +13,24 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Compressed; see [`write_store`] for what led to it.
+/// Compressed store that [`write_store`] of an older version has written.
 const STORE: &[u8] = include_bytes!("fixtures/store-with-regions.zst");
-const STORE_BYTES_MOST: usize = 8 << 20;
+/// Maximum size of the decompressed store, in bytes.
+const MAX_STORE_BYTES: usize = 8 << 20;
 const REPLICA: NodeId = 2;
 
-struct Folder(PathBuf);
+/// A temporary directory, which is removed on drop.
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("badgerramp-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -38,16 +40,16 @@
     LogId::new(CommittedLeaderId::new(3, 1), index)
 }
 
-fn entries(from: u64, payloads: Vec<EntryPayload<RaftTypes>>) -> Vec<Entry<RaftTypes>> {
+fn entries(first_index: u64, payloads: Vec<EntryPayload<RaftTypes>>) -> Vec<Entry<RaftTypes>> {
     let entry = |(index, payload)| Entry {
         log_id: log_id(index),
         payload,
     };
-    (from..).zip(payloads).map(entry).collect()
+    (first_index..).zip(payloads).map(entry).collect()
 }
 
 fn region(name: &str) -> Region {
-    name.parse().expect("a region")
+    name.parse().expect("a valid region name")
 }
 
 fn identity(name: &str) -> Identity {
@@ -57,18 +59,27 @@
     }
 }
 
-fn publish(revision: u64, text: &str, floors: &[u64], all_regions: Option<AllRegions>) -> Command {
-    let floors = floors.iter().copied().map(Generation).collect();
+fn publish(
+    revision: u64,
+    text: &str,
+    fallback_generations: &[u64],
+    all_regions: Option<AllRegions>,
+) -> Command {
+    let fallback_generations = fallback_generations
+        .iter()
+        .copied()
+        .map(Generation)
+        .collect();
     Command::Publish {
         revision,
         text: text.to_owned(),
-        fallback_generations: floors,
+        fallback_generations,
         all_regions,
     }
 }
 
-/// What the snapshot holds.
-fn before_the_snapshot() -> Vec<EntryPayload<RaftTypes>> {
+/// Returns the log entries that the snapshot contains.
+fn entries_in_snapshot() -> Vec<EntryPayload<RaftTypes>> {
     let nodes: BTreeMap<NodeId, BasicNode> = (1..=3)
         .map(|id| (id, BasicNode::new(format!("127.0.0.1:740{id}"))))
         .collect();
@@ -108,8 +119,8 @@
     payloads
 }
 
-/// What only the log holds: a change of all regions that waits for one of two votes.
-fn after_the_snapshot() -> Vec<EntryPayload<RaftTypes>> {
+/// Returns the log entries after the snapshot, which start a cross-region change that waits for one of two votes.
+fn entries_after_snapshot() -> Vec<EntryPayload<RaftTypes>> {
     let all_regions = AllRegions {
         id: ChangeId(0x1122_3344_5566_7788),
         coordinator: region("norte"),
@@ -128,7 +139,7 @@
     commands.map(EntryPayload::Normal).into()
 }
 
-/// Writes a store as the one of the fixture was written.
+/// Writes a store with the contents of the fixture.
 async fn write_store(path: &Path) {
     Store::create(path, REPLICA).expect("a store");
     let mut store = Store::open(path, REPLICA).expect("the store");
@@ -136,25 +147,31 @@
         .save_vote(&Vote::new_committed(3, 1))
         .await
         .expect("the vote");
-    let first = entries(0, before_the_snapshot());
-    let snapshot_at = first.len() as u64 - 1;
-    store.blocking_append(first.clone()).await.expect("the log");
-    store.apply(first).await.expect("applied");
+    let snapshot_entries = entries(0, entries_in_snapshot());
+    let snapshot_index = snapshot_entries.len() as u64 - 1;
+    store
+        .blocking_append(snapshot_entries.clone())
+        .await
+        .expect("the log");
+    store.apply(snapshot_entries).await.expect("applied");
     store.build_snapshot().await.expect("a snapshot");
-    let second = entries(snapshot_at + 1, after_the_snapshot());
-    store.blocking_append(second).await.expect("the log");
-    store.purge(log_id(snapshot_at - 3)).await.expect("purged");
+    let later_entries = entries(snapshot_index + 1, entries_after_snapshot());
+    store.blocking_append(later_entries).await.expect("the log");
+    store
+        .purge(log_id(snapshot_index - 3))
+        .await
+        .expect("purged");
     store
-        .save_committed(Some(log_id(snapshot_at + 2)))
+        .save_committed(Some(log_id(snapshot_index + 2)))
         .await
         .expect("committed");
 }
 
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("it can be written")
+    serde_json::to_string(value).expect("the value serializes")
 }
 
-/// All that a store holds, and the record that its log leads to.
+/// Returns the contents of a store and the record after its whole log has been applied, as text.
 async fn contents(path: &Path) -> String {
     let mut store = Store::open(path, REPLICA).expect("the store");
     let mut text = String::new();
@@ -165,9 +182,9 @@
         "committed",
         json(&store.read_committed().await.expect("committed")),
     );
-    let state = store.get_log_state().await.expect("the state");
-    line("purged", json(&state.last_purged_log_id));
-    line("last", json(&state.last_log_id));
+    let log_state = store.get_log_state().await.expect("the log state");
+    line("purged", json(&log_state.last_purged_log_id));
+    line("last", json(&log_state.last_log_id));
     let (applied, membership) = store.applied_state().await.expect("applied");
     line("applied", json(&applied));
     line("membership", json(&membership));
@@ -176,36 +193,36 @@
     for entry in &entries {
         line("entry", json(entry));
     }
-    let after = applied.map_or(0, |applied| applied.index + 1);
-    let rest: Vec<_> = entries
+    let first_unapplied = applied.map_or(0, |applied| applied.index + 1);
+    let unapplied: Vec<_> = entries
         .into_iter()
-        .filter(|entry| entry.log_id.index >= after)
+        .filter(|entry| entry.log_id.index >= first_unapplied)
         .collect();
-    let outcomes = store.apply(rest).await.expect("applied");
+    let outcomes = store.apply(unapplied).await.expect("applied");
     line("outcomes", json(&outcomes));
     line("record of the log", json(&store.record()));
     let snapshot = store
         .get_current_snapshot()
         .await
-        .expect("readable")
-        .expect("one");
+        .expect("the snapshots are readable")
+        .expect("there is a snapshot");
     line("snapshot", json(&snapshot.meta));
     text
 }
 
 #[tokio::test]
 async fn a_store_of_an_older_build_is_read_in_full() {
-    let folder = Folder::new("stored-state-read");
-    let path = folder.0.join("store");
-    let store = zstd::bulk::decompress(STORE, STORE_BYTES_MOST).expect("a store");
+    let directory = TempDirectory::new("stored-state-read");
+    let path = directory.0.join("store");
+    let store = zstd::bulk::decompress(STORE, MAX_STORE_BYTES).expect("a store");
     std::fs::write(&path, store).expect("a file");
     insta::assert_snapshot!("store_with_regions", contents(&path).await);
 }
 
 #[tokio::test]
 async fn a_store_written_now_holds_what_an_older_build_wrote() {
-    let folder = Folder::new("stored-state-written");
-    let path = folder.0.join("store");
+    let directory = TempDirectory::new("stored-state-written");
+    let path = directory.0.join("store");
     write_store(&path).await;
     insta::assert_snapshot!("store_with_regions", contents(&path).await);
 }
--- a/crates/control-protocol/tests/wire_format.rs
+++ b/crates/control-protocol/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message of the control protocol, and the names of its service. Processes of an older and of a newer
-//! version talk to each other while a fleet is upgraded, so neither may change.
+//! Encoded bytes of every message of the control protocol, and the names of its service. During the upgrade of a fleet,
+//! processes of an older and of a newer version communicate, so neither must change.
 
 use badgerramp_control_protocol::wire::{
     self, change, control_server, outcome_reply, rejection, reply, request, vote_reply, OnLeaseLoss,
@@ -9,33 +9,34 @@
 use std::collections::HashMap;
 use std::fmt::{Debug, Write};
 
-/// Collects messages as lines of `name: bytes`, and reads each one back.
+/// Collects encoded messages as lines of `name: bytes`, and checks that each one decodes to the same message. The names
+/// are part of the stored snapshots.
 #[derive(Default)]
-struct Pinned(String);
+struct PinnedMessages(String);
 
-impl Pinned {
+impl PinnedMessages {
     fn add<M: Message + Default + PartialEq + Debug>(&mut self, name: &str, message: &M) {
         let bytes = message.encode_to_vec();
         assert_eq!(M::decode(bytes.as_slice()).as_ref(), Ok(message), "{name}");
-        writeln!(self.0, "{name}: {}", hex(&bytes)).expect("written to memory");
+        writeln!(self.0, "{name}: {}", hex(&bytes)).expect("the text is written to memory");
     }
 
-    fn request(&mut self, name: &str, what: request::Kind) {
+    fn request(&mut self, name: &str, kind: request::Kind) {
         self.add(
             name,
             &wire::Request {
                 nonce: 0x0102_0304_0506_0708,
-                kind: Some(what),
+                kind: Some(kind),
             },
         );
     }
 
-    fn reply(&mut self, name: &str, what: reply::Kind) {
+    fn reply(&mut self, name: &str, kind: reply::Kind) {
         self.add(
             name,
             &wire::Reply {
                 nonce: 0x1112_1314_1516_1718,
-                kind: Some(what),
+                kind: Some(kind),
             },
         );
     }
@@ -64,7 +65,7 @@
     }
 }
 
-fn text() -> wire::PolicyFiles {
+fn policy_files() -> wire::PolicyFiles {
     wire::PolicyFiles {
         generation: 5,
         files: files(),
@@ -81,14 +82,14 @@
 
 #[test]
 fn requests_keep_their_bytes() {
-    let mut pinned = Pinned::default();
-    for (name, cut_off) in [
+    let mut pinned = PinnedMessages::default();
+    for (name, on_lease_loss) in [
         ("ask, cut off unspecified", OnLeaseLoss::Unspecified),
         ("ask, cut off refuse", OnLeaseLoss::Reject),
         ("ask, cut off narrow", OnLeaseLoss::Fallback),
         ("ask, cut off keep", OnLeaseLoss::Keep),
     ] {
-        let ask = wire::LeaseRequest {
+        let lease_request = wire::LeaseRequest {
             identity: Some(identity()),
             sequence: 7,
             active_revision: 299,
@@ -97,11 +98,11 @@
                 generation: 6,
                 reason: "line 3".to_owned(),
             }),
-            on_lease_loss: cut_off.into(),
+            on_lease_loss: on_lease_loss.into(),
             application: "tablet".to_owned(),
             region: "sur".to_owned(),
         };
-        pinned.request(name, request::Kind::Lease(ask));
+        pinned.request(name, request::Kind::Lease(lease_request));
     }
     pinned.request("leave", request::Kind::Unregister(identity()));
     let publish = || wire::Publish {
@@ -119,7 +120,7 @@
         }),
     );
     pinned.request("evict", request::Kind::Evict(identity()));
-    pinned.request("text", request::Kind::PolicyFiles(text()));
+    pinned.request("text", request::Kind::PolicyFiles(policy_files()));
     let prepare = wire::Prepare {
         change: Some(change_ref()),
         region: "sur".to_owned(),
@@ -142,12 +143,12 @@
 
 #[test]
 fn replies_keep_their_bytes() {
-    let mut pinned = Pinned::default();
+    let mut pinned = PinnedMessages::default();
     let grant = wire::LeaseGrant {
         sequence: 7,
         mode: Some(mode()),
         duration: 10_000_000,
-        policies: vec![text()],
+        policies: vec![policy_files()],
         digests: HashMap::from([(5, digest("listen = 1"))]),
     };
     pinned.reply("grant", reply::Kind::Lease(grant));
@@ -156,12 +157,12 @@
         "begun",
         reply::Kind::ChangeStarted(wire::ChangeStarted { generation: 5 }),
     );
-    pinned.reply("text", reply::Kind::PolicyFiles(text()));
+    pinned.reply("text", reply::Kind::PolicyFiles(policy_files()));
     pinned.reply(
         "word",
         reply::Kind::RevisionChanged(wire::RevisionChanged { revision: 300 }),
     );
-    pin_votes_and_decisions(&mut pinned);
+    add_votes_and_decisions(&mut pinned);
     for (name, code) in [
         ("refusal unspecified", rejection::Code::Unspecified),
         ("refusal not leader", rejection::Code::NotLeader),
@@ -174,18 +175,18 @@
         ("refusal other region", rejection::Code::OtherRegion),
         ("refusal not coordinator", rejection::Code::NotCoordinator),
     ] {
-        let refusal = wire::Rejection {
+        let rejection = wire::Rejection {
             code: code.into(),
             message: "another replica leads".to_owned(),
             leader: "127.0.0.1:7400".to_owned(),
             replicas: vec!["127.0.0.1:7401".to_owned(), "127.0.0.1:7402".to_owned()],
         };
-        pinned.reply(name, reply::Kind::Rejection(refusal));
+        pinned.reply(name, reply::Kind::Rejection(rejection));
     }
     insta::assert_snapshot!(pinned.0);
 }
 
-fn pin_votes_and_decisions(pinned: &mut Pinned) {
+fn add_votes_and_decisions(pinned: &mut PinnedMessages) {
     for (name, vote) in [
         ("vote unspecified", vote_reply::Vote::Unspecified),
         ("vote preparing", vote_reply::Vote::Preparing),
@@ -217,19 +218,19 @@
 
 #[test]
 fn the_status_keeps_its_bytes() {
-    let ended = [
+    let statuses = [
         change::Status::Unspecified,
         change::Status::Pending,
         change::Status::Committed,
         change::Status::Aborted,
     ];
-    let changes = ended
+    let changes = statuses
         .into_iter()
         .zip(1..)
-        .map(|(ended, generation)| wire::Change {
+        .map(|(status, generation)| wire::Change {
             generation,
             previous_generation: generation - 1,
-            status: ended.into(),
+            status: status.into(),
             reason: "unread".to_owned(),
             cross_region_id: 0x3132_3334_3536_3738,
         });
@@ -267,7 +268,7 @@
             change: Some(cross_region),
         }),
     };
-    let mut pinned = Pinned::default();
+    let mut pinned = PinnedMessages::default();
     pinned.reply("status", reply::Kind::Status(status));
     insta::assert_snapshot!(pinned.0);
 }
@@ -275,7 +276,7 @@
 #[test]
 fn the_mac_of_every_purpose_keeps_its_bytes() {
     let secret = SharedSecret::new(b"0123456789abcdef").expect("a secret");
-    let mut pinned = Pinned::default();
+    let mut pinned = PinnedMessages::default();
     for (name, purpose) in [
         ("request", Purpose::Request),
         ("reply", Purpose::Reply),
@@ -292,11 +293,11 @@
         pinned.add(name, &message);
     }
     let mac = secret.datagram_mac("badgerramp peers", &[b"north", b"body"]);
-    writeln!(pinned.0, "datagram: {}", hex(&mac)).expect("written to memory");
+    writeln!(pinned.0, "datagram: {}", hex(&mac)).expect("the text is written to memory");
     insta::assert_snapshot!(pinned.0);
 }
 
-/// What gRPC puts into the path of a call. The methods' names are those of the schema, which the next test pins.
+/// gRPC uses the service name in the path of each call. The next test checks the names of the methods.
 #[test]
 fn the_service_keeps_its_name() {
     assert_eq!(
@@ -305,8 +306,8 @@
     );
 }
 
-/// Every field of the schema by number and type, every value of its enumerations, every method of its service. Names of
-/// messages and fields do not travel and are free.
+/// Checks every field of the schema by number and type, and every method of its service. Names of messages and fields are
+/// not transmitted and may change.
 #[test]
 fn the_schema_keeps_its_numbers_and_methods() {
     let proto = concat!(env!("CARGO_MANIFEST_DIR"), "/proto");
@@ -314,14 +315,15 @@
     let file = &set.file[0];
     let mut pinned = format!("package {}\n", file.package());
     for service in &file.service {
-        writeln!(pinned, "service {}", service.name()).expect("written to memory");
+        writeln!(pinned, "service {}", service.name()).expect("the text is written to memory");
         for method in &service.method {
             let streams = if method.server_streaming() {
                 " streams"
             } else {
                 ""
             };
-            writeln!(pinned, "  rpc {}{streams}", method.name()).expect("written to memory");
+            writeln!(pinned, "  rpc {}{streams}", method.name())
+                .expect("the text is written to memory");
         }
     }
     for message in &file.message_type {
@@ -338,7 +340,7 @@
             })
             .collect();
         fields.sort();
-        writeln!(pinned, "message {}", fields.join(" ")).expect("written to memory");
+        writeln!(pinned, "message {}", fields.join(" ")).expect("the text is written to memory");
     }
     insta::assert_snapshot!(pinned);
 }
--- a/crates/policy/tests/cross_region_changes/fixture.rs
+++ b/crates/policy/tests/cross_region_changes/fixture.rs
@@ -1,4 +1,4 @@
-//! Two regions, norte (the coordinator) and sur, and the delivery of messages between them.
+//! Fixture of two regions, norte (the coordinator) and sur, with the delivery of messages between them.
 
 use badgerramp_policy::regions::participant::{self, OnCommit, OnPrepare};
 use badgerramp_policy::regions::{
@@ -18,11 +18,11 @@
     duration: 100,
     max_clock_drift: 10,
 };
-/// A time at which no lease of an earlier leader runs.
+/// A time at which all leases of earlier leaders have expired.
 pub(crate) const NOW: u64 = 10_000;
 
 pub(crate) fn region(name: &str) -> Region {
-    name.parse().expect("a name of a region")
+    name.parse().expect("a valid region name")
 }
 
 pub(crate) fn norte() -> Region {
@@ -37,8 +37,9 @@
     Regions::new(sur(), [norte(), sur()])
 }
 
+/// Returns the command that publishes a policy, as a cross-region change if `id` is given.
 pub(crate) fn publish(record: &Record, text: &str, id: Option<u64>) -> Command {
-    let all = |id| AllRegions {
+    let all_regions = |id| AllRegions {
         id: ChangeId(id),
         coordinator: norte(),
         participants: BTreeSet::from([sur()]),
@@ -47,7 +48,7 @@
         revision: record.revision(),
         text: text.to_owned(),
         fallback_generations: record.fallback_generations(),
-        all_regions: id.map(all),
+        all_regions: id.map(all_regions),
     }
 }
 
@@ -61,12 +62,13 @@
     record.apply(&command)
 }
 
+/// Returns the record after a restart: a round trip through JSON.
 pub(crate) fn restarted(record: &Record) -> Record {
-    let text = serde_json::to_string(record).expect("it can be written");
-    serde_json::from_str(&text).expect("it can be read")
+    let text = serde_json::to_string(record).expect("the record serializes");
+    serde_json::from_str(&text).expect("the record deserializes")
 }
 
-/// A record with one policy in force.
+/// Returns a record with one policy in force.
 pub(crate) fn record_with_policy() -> Record {
     let mut record = Record::default();
     publish_local(&mut record, "old");
@@ -77,30 +79,31 @@
     Leases::after_election(LEASE_CONFIG, 0)
 }
 
+/// Applies the next command of the leader, if any, and returns its outcome.
 pub(crate) fn log_next_command(record: &mut Record) -> Option<Outcome> {
     let command = next_command(record, &leases(), NOW, NOW, TIMEOUTS)?;
     Some(record.apply(&command))
 }
 
-pub(crate) fn prepare(coordinating: &Record) -> Prepare {
-    let requests = coordinator::requests(coordinating);
+pub(crate) fn prepare(coordinator_record: &Record) -> Prepare {
+    let requests = coordinator::requests(coordinator_record);
     let [(to, Request::Prepare(prepare))] = &requests[..] else {
-        panic!("one prepare: {requests:?}")
+        panic!("expected one prepare: {requests:?}")
     };
     assert_eq!(to, &sur());
     prepare.clone()
 }
 
-pub(crate) fn commit(coordinating: &Record) -> Commit {
-    let requests = coordinator::requests(coordinating);
+pub(crate) fn commit(coordinator_record: &Record) -> Commit {
+    let requests = coordinator::requests(coordinator_record);
     let [(to, Request::Commit(commit))] = &requests[..] else {
-        panic!("one commit: {requests:?}")
+        panic!("expected one commit: {requests:?}")
     };
     assert_eq!(to, &sur());
     commit.clone()
 }
 
-/// Delivers a prepare, as the control plane does.
+/// Handles a prepare in sur, as the control plane does.
 pub(crate) fn deliver_prepare(record: &mut Record, prepare: &Prepare) -> VoteReply {
     match participant::on_prepare(record, &regions_of_sur(), prepare) {
         OnPrepare::Reply(reply) => reply,
@@ -114,7 +117,7 @@
     }
 }
 
-/// Delivers a commit, as the control plane does.
+/// Handles a commit in sur, as the control plane does.
 pub(crate) fn deliver_commit(record: &mut Record, commit: &Commit) -> VoteReply {
     match participant::on_commit(record, commit) {
         OnCommit::Reply(reply) => reply,
@@ -130,16 +133,16 @@
     Some(record.apply(&command))
 }
 
-/// A participant requests the outcome and applies the reply.
-pub(crate) fn resolve_outcome(coordinating: &Record, record: &mut Record) -> Option<Outcome> {
+/// Requests the outcome for sur and applies the reply.
+pub(crate) fn resolve_outcome(coordinator_record: &Record, record: &mut Record) -> Option<Outcome> {
     let (to, request) = participant::outcome_request(record, &regions_of_sur())?;
     assert_eq!(to, norte());
-    let reply = coordinator::outcome(coordinating, &request);
+    let reply = coordinator::outcome(coordinator_record, &request);
     let command = participant::on_outcome(record, &reply)?;
     Some(record.apply(&command))
 }
 
-/// Both regions, with change 1 started at the coordinator.
+/// Returns both regions after change 1 has started in the coordinator.
 pub(crate) fn started() -> (Record, Record) {
     let (mut norte, sur) = (record_with_policy(), record_with_policy());
     assert_eq!(
@@ -149,7 +152,7 @@
     (norte, sur)
 }
 
-/// Both regions after the participant has voted.
+/// Returns both regions after the participant has voted.
 pub(crate) fn voted() -> (Record, Record) {
     let (norte, mut sur) = started();
     assert_eq!(
@@ -164,7 +167,7 @@
     (norte, sur)
 }
 
-/// Both regions after the coordinator has committed.
+/// Returns both regions after the coordinator has committed.
 pub(crate) fn committed() -> (Record, Record) {
     let (mut norte, mut sur) = voted();
     let vote = deliver_prepare(&mut sur, &prepare(&norte));
@@ -173,12 +176,13 @@
     (norte, sur)
 }
 
+/// Returns the statuses of all changes with this identifier.
 pub(crate) fn statuses(record: &Record, id: u64) -> Vec<ChangeStatus> {
-    let of = |change: &&badgerramp_policy::Change| change.id == Some(ChangeId(id));
+    let has_id = |change: &&badgerramp_policy::Change| change.id == Some(ChangeId(id));
     record
         .changes()
         .values()
-        .filter(of)
+        .filter(has_id)
         .map(|change| change.status.clone())
         .collect()
 }
--- a/crates/policy/tests/cross_region_changes/main.rs
+++ b/crates/policy/tests/cross_region_changes/main.rs
@@ -1,5 +1,5 @@
-//! Cross-region changes on the records of two regions: which commands are rejected, what survives a restart, and messages
-//! that are late, duplicated or out of order. A restart is a round trip through JSON: only the record survives it.
+//! Cross-region changes on the records of two regions: rejected commands, restarts, and messages that are late, duplicated
+//! or out of order. A restart is a round trip of the record through JSON, because only the record survives it.
 
 mod fixture;
 mod names;
@@ -44,7 +44,7 @@
         Outcome::Started(Generation(1))
     );
     assert_eq!(
-        (norte.mode(), norte.transition().map(|m| m.new)),
+        (norte.mode(), norte.transition().map(|mode| mode.new)),
         (None, Some(Generation(1)))
     );
     deliver_prepare(&mut sur, &prepare(&norte));
@@ -72,19 +72,22 @@
         regions: BTreeSet::from([sur()]),
     };
     assert_eq!(norte.apply(&advance), Outcome::Rejected(rejection));
-    let unknown = Command::Prepared {
+    let vote_of_unknown_region = Command::Prepared {
         revision: norte.revision(),
         region: region("este"),
     };
     assert_eq!(
-        norte.apply(&unknown),
+        norte.apply(&vote_of_unknown_region),
         Outcome::Rejected(Rejection::Conflict)
     );
-    let stale = Command::Prepared {
+    let stale_vote = Command::Prepared {
         revision: norte.revision() - 1,
         region: sur(),
     };
-    assert_eq!(norte.apply(&stale), Outcome::Rejected(Rejection::Conflict));
+    assert_eq!(
+        norte.apply(&stale_vote),
+        Outcome::Rejected(Rejection::Conflict)
+    );
     assert_eq!(
         norte.apply(&Command::Prepared {
             revision: norte.revision(),
@@ -99,7 +102,7 @@
 fn participant_that_has_voted_follows_only_the_decision() {
     let (norte, mut sur) = voted();
     let revision = sur.revision();
-    let awaits = || {
+    let awaits_decision = || {
         Outcome::Rejected(Rejection::AwaitsDecision {
             coordinator: self::norte(),
         })
@@ -109,14 +112,14 @@
             revision,
             reason: String::new()
         }),
-        awaits()
+        awaits_decision()
     );
-    assert_eq!(sur.apply(&Command::Advance { revision }), awaits());
-    // Neither a timeout nor a proxy that rejects the policy changes that.
+    assert_eq!(sur.apply(&Command::Advance { revision }), awaits_decision());
+    // Neither a timeout nor a proxy that rejects the policy ends the change.
     let mut leases = leases();
     let rejected = RejectedGeneration {
         generation: Generation(2),
-        reason: "odd".to_owned(),
+        reason: "unknown key".to_owned(),
     };
     leases.grant(NOW, &sur, &lease_request(Some(rejected)));
     assert_eq!(next_command(&sur, &leases, NOW, 0, TIMEOUTS), None);
@@ -162,18 +165,18 @@
 }
 
 #[test]
-fn participant_without_a_vote_may_abort_and_is_not_committed() {
+fn participant_that_has_not_voted_may_abort_and_cannot_commit() {
     let (mut norte, mut sur) = started();
     deliver_prepare(&mut sur, &prepare(&norte));
     assert_eq!(
         sur.apply(&Command::Committed { id: ChangeId(1) }),
         Outcome::Rejected(Rejection::Conflict)
     );
-    let early = OutcomeReply {
+    let premature_commit = OutcomeReply {
         id: ChangeId(1),
         decision: Decision::Committed,
     };
-    assert_eq!(participant::on_outcome(&sur, &early), None);
+    assert_eq!(participant::on_outcome(&sur, &premature_commit), None);
     let abort = Command::Abort {
         revision: sur.revision(),
         reason: "an operator".to_owned(),
@@ -225,8 +228,8 @@
 #[test]
 fn local_changes_are_rejected_during_a_cross_region_change_and_accepted_after_it() {
     let (mut norte, mut sur) = voted();
-    let rejection = |awaited_regions| {
-        let awaited_regions = BTreeSet::from([awaited_regions]);
+    let rejection = |awaited_region| {
+        let awaited_regions = BTreeSet::from([awaited_region]);
         Outcome::Rejected(Rejection::CrossRegionPending {
             generation: Generation(2),
             id: ChangeId(1),
@@ -239,7 +242,7 @@
     let vote = deliver_prepare(&mut sur, &prepare(&norte));
     deliver_vote(&mut norte, &vote);
     log_next_command(&mut norte);
-    // Until the commit is acknowledged only the next cross-region change has to wait.
+    // Until the commit is acknowledged, only the next cross-region change has to wait.
     assert_eq!(publish_cross_region(&mut norte, 2), rejection(self::sur()));
     assert_eq!(
         publish_local(&mut norte, "local"),
@@ -263,7 +266,7 @@
 }
 
 #[test]
-fn coordinator_aborts_when_votes_miss_the_timeout() {
+fn coordinator_aborts_when_a_vote_is_missing_at_the_timeout() {
     let (mut norte, _) = started();
     let started_at = NOW - TIMEOUTS.regions;
     assert_eq!(
@@ -279,7 +282,7 @@
         next_command(&norte, &leases(), NOW, started_at - 1, TIMEOUTS),
         Some(abort.clone())
     );
-    // A vote that is logged first wins over the timeout; an abort decided on before is still accepted.
+    // A vote that is logged before the abort prevents the timeout, but an abort decided on earlier is still accepted.
     norte.apply(&Command::Prepared {
         revision: norte.revision(),
         region: sur(),
@@ -296,7 +299,7 @@
 }
 
 #[test]
-fn abort_need_not_be_remembered() {
+fn participant_learns_of_an_abort_that_the_coordinator_does_not_retain() {
     let (mut norte, mut sur) = voted();
     norte.apply(&Command::Abort {
         revision: norte.revision(),
@@ -321,7 +324,7 @@
 }
 
 #[test]
-fn commit_is_remembered_until_it_is_acknowledged() {
+fn commit_is_retained_until_it_is_acknowledged() {
     let (mut norte, mut sur) = committed();
     for text in 0..40 {
         publish_local(&mut norte, &text.to_string());
@@ -335,11 +338,11 @@
         norte.apply(&unknown),
         Outcome::Rejected(Rejection::Conflict)
     );
-    let late = VoteReply {
+    let late_vote = VoteReply {
         id: ChangeId(1),
         vote: Vote::Prepared,
     };
-    assert_eq!(deliver_vote(&mut norte, &late), None);
+    assert_eq!(deliver_vote(&mut norte, &late_vote), None);
     assert_eq!(resolve_outcome(&norte, &mut sur), Some(Outcome::Applied));
     assert_eq!(statuses(&sur, 1), [ChangeStatus::Committed]);
     let acknowledged = deliver_commit(&mut sur, &commit(&norte));
@@ -356,7 +359,7 @@
     let (old_prepare, old_commit) = (prepare(&voted().0), commit(&norte));
     let acknowledged = deliver_commit(&mut sur, &old_commit);
     deliver_vote(&mut norte, &acknowledged);
-    // More local changes than the record retains.
+    // Makes more local changes than the record retains.
     for text in 0..200 {
         publish_local(&mut sur, &text.to_string());
         log_next_command(&mut sur);
@@ -368,13 +371,16 @@
         Vote::Committed
     );
     assert_eq!(deliver_commit(&mut sur, &old_commit).vote, Vote::Committed);
-    let forced = Command::Prepare {
+    let late_command = Command::Prepare {
         revision: sur.revision(),
         change: old_prepare.change.clone(),
         text: String::new(),
         fallback_generations: sur.fallback_generations(),
     };
-    assert_eq!(sur.apply(&forced), Outcome::Rejected(Rejection::Conflict));
+    assert_eq!(
+        sur.apply(&late_command),
+        Outcome::Rejected(Rejection::Conflict)
+    );
     assert_eq!(sur, before);
 }
 
@@ -389,7 +395,7 @@
         publish_cross_region(&mut norte, 2),
         Outcome::Started(Generation(3))
     );
-    // Not a rejection: that would abort the new change because of an old one that has ended.
+    // The vote is not a rejection, which would abort the new change because of an old one that has ended.
     assert_eq!(
         deliver_prepare(&mut sur, &prepare(&norte)).vote,
         Vote::Preparing
@@ -400,11 +406,11 @@
         Vote::Preparing
     );
     assert_eq!(log_next_command(&mut sur), Some(Outcome::Applied));
-    let late = VoteReply {
+    let late_vote = VoteReply {
         id: ChangeId(1),
         vote: Vote::Prepared,
     };
-    assert_eq!(deliver_vote(&mut norte, &late), None);
+    assert_eq!(deliver_vote(&mut norte, &late_vote), None);
     let vote = deliver_prepare(&mut sur, &prepare(&norte));
     assert_eq!(deliver_vote(&mut norte, &vote), Some(Outcome::Applied));
 }
@@ -436,25 +442,25 @@
         on_lease_loss: OnLeaseLoss::Fallback,
     });
     let prepare = prepare(&norte);
-    let unchecked = Command::Prepare {
+    let unvalidated = Command::Prepare {
         revision: sur.revision(),
         change: prepare.change.clone(),
         text: prepare.text.clone(),
         fallback_generations: BTreeSet::new(),
     };
     assert_eq!(
-        sur.apply(&unchecked),
+        sur.apply(&unvalidated),
         Outcome::Rejected(Rejection::Conflict)
     );
     assert_eq!(deliver_prepare(&mut sur, &prepare).vote, Vote::Preparing);
     assert!(matches!(
-        sur.cross_region().map(|c| &c.role),
+        sur.cross_region().map(|cross| &cross.role),
         Some(Role::Participant { voted: false })
     ));
 }
 
 #[test]
-fn restart_between_any_two_steps_loses_nothing() {
+fn change_commits_with_restarts_between_all_steps() {
     let (mut norte, mut sur) = (record_with_policy(), record_with_policy());
     publish_cross_region(&mut norte, 1);
     for _ in 0..12 {
--- a/crates/policy/tests/cross_region_changes/names.rs
+++ b/crates/policy/tests/cross_region_changes/names.rs
@@ -1,4 +1,4 @@
-//! Names of regions, and how rejections name what is awaited.
+//! Region names, and the texts of rejections that name awaited regions.
 
 use crate::fixture::*;
 use badgerramp_policy::regions::{ChangeId, Region, Regions};
@@ -33,32 +33,32 @@
 }
 
 #[test]
-fn rejection_names_what_is_awaited() {
+fn rejection_names_the_awaited_regions() {
     let pending = |awaited_regions: &[Region]| Rejection::CrossRegionPending {
         generation: Generation(7),
         id: ChangeId(255),
         awaited_regions: awaited_regions.iter().cloned().collect(),
     };
-    let head =
+    let prefix =
         "the change of all regions 00000000000000ff (generation 7 in this region) has not ended: ";
     assert_eq!(
         pending(&[sur()]).to_string(),
-        format!("{head}it waits for region sur")
+        format!("{prefix}it waits for region sur")
     );
     assert_eq!(
         pending(&[sur(), norte()]).to_string(),
-        format!("{head}it waits for regions norte, sur")
+        format!("{prefix}it waits for regions norte, sur")
     );
     assert_eq!(
         pending(&[]).to_string(),
-        format!("{head}it waits for proxies of this region")
+        format!("{prefix}it waits for proxies of this region")
     );
-    let awaits = Rejection::AwaitsDecision {
+    let awaits_decision = Rejection::AwaitsDecision {
         coordinator: norte(),
     }
     .to_string();
     assert_eq!(
-        awaits,
+        awaits_decision,
         "this region has voted for a change of all regions: only the coordinating region norte can end it"
     );
 }
--- a/crates/policy/tests/cross_region_changes/random_order.rs
+++ b/crates/policy/tests/cross_region_changes/random_order.rs
@@ -1,4 +1,4 @@
-//! Property test: messages and restarts in random order.
+//! Property test with messages and restarts in random order.
 
 use crate::fixture::*;
 use badgerramp_policy::regions::participant;
@@ -13,7 +13,7 @@
     PublishLocal(bool),
     LogNextCommand(bool),
     TimeOut(bool),
-    /// The coordinator sends its requests.
+    /// Sends the coordinator's requests.
     Send,
     /// Delivers one of the requests sent so far.
     Request(usize),
@@ -50,8 +50,9 @@
     outcomes: Vec<OutcomeReply>,
 }
 
-fn pick<T: Clone>(all: &[T], number: usize) -> Option<T> {
-    all.get(number.checked_rem(all.len())?).cloned()
+/// Returns the item at this index modulo the number of items, if there are any.
+fn pick<T: Clone>(items: &[T], index: usize) -> Option<T> {
+    items.get(index.checked_rem(items.len())?).cloned()
 }
 
 impl Simulation {
@@ -86,7 +87,7 @@
                 self.requests
                     .extend(sent.into_iter().map(|(_, request)| request));
             }
-            Event::Request(number) => match pick(&self.requests, number) {
+            Event::Request(index) => match pick(&self.requests, index) {
                 Some(Request::Prepare(prepare)) => {
                     self.replies.push(deliver_prepare(&mut self.sur, &prepare));
                 }
@@ -95,8 +96,8 @@
                 }
                 None => {}
             },
-            Event::Reply(number) => {
-                if let Some(reply) = pick(&self.replies, number) {
+            Event::Reply(index) => {
+                if let Some(reply) = pick(&self.replies, index) {
                     deliver_vote(&mut self.norte, &reply);
                 }
             }
@@ -106,8 +107,8 @@
                     request.map(|(_, request)| coordinator::outcome(&self.norte, &request)),
                 );
             }
-            Event::Outcome(number) => {
-                let command = pick(&self.outcomes, number)
+            Event::Outcome(index) => {
+                let command = pick(&self.outcomes, index)
                     .and_then(|reply| participant::on_outcome(&self.sur, &reply));
                 command.map(|command| self.sur.apply(&command));
             }
@@ -132,11 +133,14 @@
     }
 }
 
-/// Whether a change was committed (true) or aborted (false); `None` while it is pending.
+/// Returns whether a change was committed (true) or aborted (false); `None` while it is pending.
 fn is_committed(record: &Record, id: u64) -> Option<bool> {
-    let all = statuses(record, id);
-    assert!(all.len() <= 1, "a change begins once: {all:?}");
-    match all.first() {
+    let statuses = statuses(record, id);
+    assert!(
+        statuses.len() <= 1,
+        "the change started more than once: {statuses:?}"
+    );
+    match statuses.first() {
         Some(ChangeStatus::Committed) => Some(true),
         Some(ChangeStatus::Aborted { .. }) => Some(false),
         Some(ChangeStatus::Pending) | None => None,
@@ -147,15 +151,15 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_change_ends_alike_in_any_order_of_messages_and_restarts(
+    fn every_change_has_the_same_outcome_in_both_regions_for_any_order_of_messages_and_restarts(
         events in proptest::collection::vec(event(), 0..80),
     ) {
         let mut simulation = Simulation { norte: record_with_policy(), sur: record_with_policy(), ..Simulation::default() };
         for event in events {
             simulation.apply(event);
             for id in 1..=simulation.published {
-                let both = (is_committed(&simulation.norte, id), is_committed(&simulation.sur, id));
-                prop_assert!(!matches!(both, (Some(a), Some(b)) if a != b), "{id}: {both:?}");
+                let outcomes = (is_committed(&simulation.norte, id), is_committed(&simulation.sur, id));
+                prop_assert!(!matches!(outcomes, (Some(a), Some(b)) if a != b), "{id}: {outcomes:?}");
             }
         }
         simulation.finish();
--- a/crates/policy/tests/intersection.rs
+++ b/crates/policy/tests/intersection.rs
@@ -1,4 +1,4 @@
-//! The intersection allows only what both policies allow, for any two resolved calls of one request and any response.
+//! The intersection allows only what both policies allow, for any two resolved calls of a request and any response.
 
 use badgerramp_decisions::{CallPolicy, DedupScope, Hedge, Idempotency, RetryOn};
 use badgerramp_policy::{
@@ -14,12 +14,11 @@
         Just(DedupScope::Zone),
         Just(DedupScope::Cell)
     ];
-    let keyed_strategy =
-        (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
+    let keyed = (scope, 1..4u64).prop_map(|(scope, window)| Idempotency::Keyed { scope, window });
     prop_oneof![
         Just(Idempotency::Idempotent),
         Just(Idempotency::NonIdempotent),
-        keyed_strategy
+        keyed
     ]
 }
 
@@ -35,40 +34,40 @@
     fn call()(
         idempotency in idempotency(),
         key in prop_oneof![Just(IdempotencyKey::None), "[ab]".prop_map(IdempotencyKey::Value)],
-        time in 1..4u64,
-        (attempts, attempt_time, backoff) in (1..4u32, 1..4u64, 0..3u64),
+        timeout in 1..4u64,
+        (max_attempts, attempt_timeout, backoff) in (1..4u32, 1..4u64, 0..3u64),
         hedge in hedge(),
-        any in any::<bool>(),
-        (connect, body) in (1..4u64, 0..3usize),
+        retry_any_failure in any::<bool>(),
+        (connect_timeout, max_body_bytes) in (1..4u64, 0..3usize),
     ) -> ResolvedCall {
-        let resend = if any { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
-        let once = matches!(idempotency, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
-        let policy = CallPolicy { max_attempts: attempts, attempt_timeout: attempt_time, backoff, hedge, retry_on: resend, non_idempotent: once };
-        ResolvedCall { idempotency, key, timeout: time, policy, connect_timeout: connect, max_body_bytes: body }
+        let retry_on = if retry_any_failure { RetryOn::AnyFailure } else { RetryOn::NotExecuted };
+        let non_idempotent = matches!(idempotency, Idempotency::Keyed { .. }) && key == IdempotencyKey::None;
+        let policy = CallPolicy { max_attempts, attempt_timeout, backoff, hedge, retry_on, non_idempotent };
+        ResolvedCall { idempotency, key, timeout, policy, connect_timeout, max_body_bytes }
     }
 }
 
-/// Whether a call may be repeated at an endpoint of the same zone (and cell) or of another, this long after its first
-/// attempt.
-fn runs_again(
+/// Returns whether a call may be repeated this long after its first attempt, at an endpoint of the same or of another zone
+/// and cell.
+fn may_repeat(
     idempotency: Idempotency,
     policy: &CallPolicy,
-    (zone, cell): (bool, bool),
+    (same_zone, same_cell): (bool, bool),
     after: u64,
 ) -> bool {
-    let class = match idempotency {
+    let idempotency_allows = match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::Keyed { scope, window } => {
             let in_scope = match scope {
                 DedupScope::All => true,
-                DedupScope::Zone => zone,
-                DedupScope::Cell => cell,
+                DedupScope::Zone => same_zone,
+                DedupScope::Cell => same_cell,
             };
             in_scope && after < window && !policy.non_idempotent
         }
     };
-    class && !policy.non_idempotent && policy.retry_on == RetryOn::AnyFailure
+    idempotency_allows && !policy.non_idempotent && policy.retry_on == RetryOn::AnyFailure
 }
 
 proptest! {
@@ -77,17 +76,17 @@
         let intersection = intersect(Some(&old), Some(&new)).expect("both accept it").expect("both accept it");
         let chosen = if intersection.class == Side::Old { &old } else { &new };
         for own in [&old, &new] {
-            let (policy, its) = (&intersection.policy, &own.policy);
+            let (policy, own_policy) = (&intersection.policy, &own.policy);
             prop_assert!(intersection.timeout <= own.timeout && intersection.connect_timeout <= own.connect_timeout && intersection.max_body_bytes <= own.max_body_bytes);
-            prop_assert!(policy.max_attempts <= its.max_attempts && policy.attempt_timeout <= its.attempt_timeout);
-            prop_assert!(policy.backoff >= its.backoff);
-            prop_assert!(policy.hedge == Hedge::Never || policy.hedge == its.hedge);
-            prop_assert!(policy.retry_on == RetryOn::NotExecuted || its.retry_on == RetryOn::AnyFailure);
+            prop_assert!(policy.max_attempts <= own_policy.max_attempts && policy.attempt_timeout <= own_policy.attempt_timeout);
+            prop_assert!(policy.backoff >= own_policy.backoff);
+            prop_assert!(policy.hedge == Hedge::Never || policy.hedge == own_policy.hedge);
+            prop_assert!(policy.retry_on == RetryOn::NotExecuted || own_policy.retry_on == RetryOn::AnyFailure);
             for location in [(true, true), (true, false), (false, true), (false, false)] {
                 for after in 0..4 {
-                    if runs_again(chosen.idempotency, policy, location, after) {
-                        prop_assert!(runs_again(own.idempotency, its, location, after), "{location:?} {after}");
-                        // By the key that it carries, if repeats are recognised by one.
+                    if may_repeat(chosen.idempotency, policy, location, after) {
+                        prop_assert!(may_repeat(own.idempotency, own_policy, location, after), "{location:?} {after}");
+                        // If endpoints recognise repeats by a key, the call must carry that key.
                         if matches!(own.idempotency, Idempotency::Keyed { .. }) {
                             prop_assert!(own.key == chosen.key || chosen.idempotency == Idempotency::Idempotent);
                         }
@@ -104,12 +103,12 @@
     }
 
     #[test]
-    fn response_is_classified_as_by_both_or_may_have_run(old in answers(), new in answers()) {
+    fn response_is_classified_as_by_both_policies_or_is_an_error(old in answers(), new in answers()) {
         let intersection = intersect_answers(&old, &new);
-        let marked = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
+        let headers_with_proof = HeaderMap::from_iter([(HeaderName::from_static("x-n"), HeaderValue::from_static("1"))]);
         for status in [200, 201, 503, 504] {
-            let status = StatusCode::from_u16(status).expect("a status");
-            for headers in [&HeaderMap::new(), &marked] {
+            let status = StatusCode::from_u16(status).expect("a valid status code");
+            for headers in [&HeaderMap::new(), &headers_with_proof] {
                 let verdict = intersection.verdict(status, headers);
                 if verdict != Verdict::Error {
                     prop_assert_eq!(verdict, old.verdict(status, headers));
@@ -156,29 +155,29 @@
 
 #[test]
 fn keyed_and_non_idempotent_intersect_to_non_idempotent() {
-    let keyed_strategy = Idempotency::Keyed {
+    let idempotency = Idempotency::Keyed {
         scope: DedupScope::All,
         window: 3,
     };
     let policy = CallPolicy::default();
     let keyed = ResolvedCall {
-        idempotency: keyed_strategy,
+        idempotency,
         key: IdempotencyKey::Value("k".to_owned()),
         timeout: 1,
         policy,
         connect_timeout: 1,
         max_body_bytes: 1,
     };
-    let unsafe_ = ResolvedCall {
+    let non_idempotent = ResolvedCall {
         idempotency: Idempotency::NonIdempotent,
         key: IdempotencyKey::None,
         ..keyed.clone()
     };
-    let side = |old, new| {
+    let class = |old, new| {
         intersect(Some(old), Some(new))
-            .expect("both")
-            .map(|m| m.class)
+            .expect("both policies accept the request")
+            .map(|intersection| intersection.class)
     };
-    assert_eq!(side(&keyed, &unsafe_), Some(Side::New));
-    assert_eq!(side(&unsafe_, &keyed), Some(Side::Old));
+    assert_eq!(class(&keyed, &non_idempotent), Some(Side::New));
+    assert_eq!(class(&non_idempotent, &keyed), Some(Side::Old));
 }
--- a/crates/policy/tests/lease_model/main.rs
+++ b/crates/policy/tests/lease_model/main.rs
@@ -1,7 +1,7 @@
-//! Model check of leases and transitions in one region, on the decisions of the real crate: every order of events in
-//! small models, with messages that are lost, late, duplicated and reordered, crashes and restarts, leader changes, slow
-//! clocks, publishes and aborts. Each proxy starts a call at every moment at which it may. Then the same models with a
-//! seeded defect: each has to be found.
+//! Model check of leases and transitions in one region, using the decisions of the crate itself. It explores every order
+//! of events in small models: lost, late, duplicated and reordered messages, crashes and restarts, leader changes, slow
+//! clocks, publishes and aborts. Each proxy starts a call whenever it is allowed to. A second test adds seeded defects to
+//! the models, each of which the check has to find.
 
 mod model;
 mod mutant;
@@ -11,11 +11,11 @@
 use mutant::{Mutant, ALL};
 use stateright::{Checker, Model, Property};
 
-const NEVER_MIXED: &str = "never mixed, everywhere or nowhere";
-const CHANGE_ENDS: &str = "a change ends once faults end";
+const SAFETY: &str = "generations are never mixed and reported outcomes hold";
+const CHANGE_ENDS: &str = "every change ends when no more faults occur";
 const CHANGE_COMMITTED: &str = "a change is committed";
 
-/// Deeper than any state of the models that are searched completely.
+/// Depth that exceeds every state of the models that are searched completely.
 const COMPLETE_DEPTH: usize = 40;
 /// Depth at which every mutant is found.
 const MUTANT_DEPTH: usize = 14;
@@ -35,24 +35,25 @@
         let in_transition = state.record.mode().is_some_and(Mode::is_transition);
         if state.now < self.until {
             steps.push(Step::Tick(None));
-            // A clock lags by no more than the allowance during one lease.
-            let may = |&p: &usize| state.now >= state.clock_lags[p].1 + self.lease + CLOCK_DRIFT;
+            // A clock falls behind by no more than the allowance during one lease.
+            let may_lag =
+                |&proxy: &usize| state.now >= state.clock_lags[proxy].1 + self.lease + CLOCK_DRIFT;
             steps.extend(
                 (0..self.proxies.len())
-                    .filter(may)
-                    .map(|p| Step::Tick(Some(p))),
+                    .filter(may_lag)
+                    .map(|proxy| Step::Tick(Some(proxy))),
             );
         }
         steps.extend(
             (0..self.proxies.len())
-                .filter(|&p| state.last_requests[p] < self.max_requests)
+                .filter(|&proxy| state.last_requests[proxy] < self.max_requests)
                 .map(Step::SendRequest),
         );
         steps.extend(
             state
                 .requests_in_flight
                 .iter()
-                .map(|(p, request)| Step::DeliverRequest(*p, request.sequence)),
+                .map(|(proxy, request)| Step::DeliverRequest(*proxy, request.sequence)),
         );
         steps.extend((0..state.grants_in_flight.len()).map(Step::DeliverGrant));
         if state.remaining.publishes > 0 && !in_transition {
@@ -69,7 +70,7 @@
         }
         if state.remaining.aborts > 0
             && (in_transition
-                || (self.is(Mutant::AbortAfterCommit) && state.previous_record.is_some()))
+                || (self.has_defect(Mutant::AbortAfterCommit) && state.previous_record.is_some()))
         {
             steps.push(Step::Abort);
         }
@@ -89,17 +90,17 @@
                 state.last_requests[proxy] = request.sequence;
                 state.requests_in_flight.push((proxy, request));
             }
-            Step::DeliverRequest(proxy, number) => {
+            Step::DeliverRequest(proxy, sequence) => {
                 let found = state
                     .requests_in_flight
                     .iter()
-                    .find(|(p, request)| (*p, request.sequence) == (proxy, number));
+                    .find(|(sender, request)| (*sender, request.sequence) == (proxy, sequence));
                 let request = found?.1.clone();
                 self.deliver_request(&mut state, proxy, &request);
             }
-            Step::DeliverGrant(number) => {
-                // It may arrive again: the proxy itself has to detect that.
-                let (proxy, grant) = state.grants_in_flight[number];
+            Step::DeliverGrant(index) => {
+                // The grant stays in flight and may arrive again, which the proxy has to detect.
+                let (proxy, grant) = state.grants_in_flight[index];
                 self.deliver_grant(&mut state, proxy, grant);
             }
             Step::Publish => {
@@ -117,14 +118,14 @@
             }
             Step::Elect => {
                 state.remaining.elections -= 1;
-                let since = if self.is(Mutant::NoWaitAfterElection) {
+                let elected_at = if self.has_defect(Mutant::NoWaitAfterElection) {
                     0
                 } else {
                     state.now
                 };
                 let leases = std::mem::replace(
                     &mut state.leases,
-                    Leases::after_election(self.lease_config(), since),
+                    Leases::after_election(self.lease_config(), elected_at),
                 );
                 state.deposed = Some((leases, state.record.clone()));
             }
@@ -136,15 +137,16 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_MIXED, |_, s: &State| s.violation.is_none()),
-            Property::always(CHANGE_ENDS, |w: &LeaseModel, s: &State| {
-                w.mutant.is_some() || s.violation.is_some() || w.change_ends(s)
+            Property::always(SAFETY, |_, state: &State| state.violation.is_none()),
+            Property::always(CHANGE_ENDS, |model: &LeaseModel, state: &State| {
+                model.mutant.is_some() || state.violation.is_some() || model.change_ends(state)
             }),
-            Property::sometimes(CHANGE_COMMITTED, |_, s: &State| {
-                s.record
+            Property::sometimes(CHANGE_COMMITTED, |_, state: &State| {
+                state
+                    .record
                     .changes()
                     .values()
-                    .filter(|c| c.status == ChangeStatus::Committed)
+                    .filter(|change| change.status == ChangeStatus::Committed)
                     .count()
                     > 1
             }),
@@ -166,14 +168,14 @@
     }
 }
 
-/// A model and how deep it is searched.
+/// A model and the depth to which it is searched.
 struct Scenario {
     name: &'static str,
     model: LeaseModel,
     depth: usize,
 }
 
-/// Models of one proxy, searched completely.
+/// Returns models of one proxy, which are searched completely.
 fn complete_scenarios() -> Vec<Scenario> {
     use OnLeaseLoss::{Keep, Reject};
     let one = model(&[Reject]);
@@ -213,7 +215,7 @@
     ]
 }
 
-/// Models of several proxies, searched to a limited depth.
+/// Returns models of several proxies, which are searched to a limited depth.
 fn bounded_scenarios() -> Vec<Scenario> {
     use OnLeaseLoss::{Keep, Reject};
     let two = model(&[Reject, Reject]);
@@ -251,7 +253,7 @@
 
 #[test]
 fn every_interleaving_of_small_models_keeps_the_properties() {
-    // For a deeper search: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test lease_model
+    // For a deeper search, run: POLICY_DEEPER=4 cargo test --release -p badgerramp-policy --test lease_model
     let extra_depth = std::env::var("POLICY_DEEPER")
         .ok()
         .and_then(|d| d.parse().ok())
@@ -269,7 +271,7 @@
             "{name}: {} states to depth {depth}",
             checker.unique_state_count()
         );
-        checker.assert_no_discovery(NEVER_MIXED);
+        checker.assert_no_discovery(SAFETY);
         checker.assert_no_discovery(CHANGE_ENDS);
         if depth >= COMPLETE_DEPTH {
             checker.assert_any_discovery(CHANGE_COMMITTED);
@@ -315,8 +317,8 @@
             .target_max_depth(MUTANT_DEPTH)
             .spawn_bfs()
             .join();
-        let found = checker.discovery(NEVER_MIXED);
-        let steps = found.map(|path| path.into_actions());
+        let discovery = checker.discovery(SAFETY);
+        let steps = discovery.map(|path| path.into_actions());
         println!(
             "{mutant:?}: {} states, {:?}",
             checker.unique_state_count(),
--- a/crates/policy/tests/lease_model/model.rs
+++ b/crates/policy/tests/lease_model/model.rs
@@ -1,4 +1,4 @@
-//! The state of a fleet in one region with its control plane, and the events that change it.
+//! State of a fleet in one region with its control plane, and the events that change it.
 
 use crate::mutant::Mutant;
 use badgerramp_policy::{
@@ -8,34 +8,39 @@
 };
 use std::collections::BTreeSet;
 
-/// The bounds of a model.
+/// Bounds of a model.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseModel {
     /// What each proxy does when its lease has expired.
     pub(crate) proxies: Vec<OnLeaseLoss>,
+    /// Duration of a lease.
     pub(crate) lease: u64,
+    /// Maximum number of requests of each proxy process.
     pub(crate) max_requests: u64,
     pub(crate) publishes: u8,
     pub(crate) crashes: u8,
     pub(crate) elections: u8,
     pub(crate) aborts: u8,
+    /// Time at which the clock stops.
     pub(crate) until: u64,
+    /// The seeded defect.
     pub(crate) mutant: Option<Mutant>,
 }
 
-/// Most that a clock lags behind during one lease.
+/// Longest time that a clock falls behind during one lease.
 pub(crate) const CLOCK_DRIFT: u64 = 1;
-/// How long a proxy waits for a grant.
+/// Time after which a proxy's request times out.
 pub(crate) const REQUEST_TIMEOUT: u64 = 1;
 
-/// An event. Proxies go by their index.
+/// An event. Proxies are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Step {
-    /// Time passes; the clock of this proxy misses it.
+    /// Time advances by one tick, which the clock of this proxy, if any, misses.
     Tick(Option<usize>),
     SendRequest(usize),
-    /// A request arrives; it may arrive again.
+    /// The request of a proxy with this sequence number arrives. It may arrive again.
     DeliverRequest(usize, u64),
+    /// The grant at this index of the grants in flight arrives. It may arrive again.
     DeliverGrant(usize),
     Publish,
     Advance,
@@ -44,7 +49,7 @@
     Elect,
 }
 
-/// How many events of each kind may still happen.
+/// Number of events of each kind that may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Remaining {
     pub(crate) publishes: u8,
@@ -59,17 +64,18 @@
     pub(crate) now: u64,
     pub(crate) record: Record,
     pub(crate) leases: Leases,
-    /// The previous leader, which may not know that it was deposed: its leases, and the record as it knows it.
+    /// Leases and record of the previous leader, which may not know that it was deposed.
     pub(crate) deposed: Option<(Leases, Record)>,
     pub(crate) holders: Vec<LeaseHolder>,
-    /// How far each clock lags behind, and when it last missed a tick.
+    /// For each proxy, how far its clock is behind and when it last missed a tick.
     pub(crate) clock_lags: Vec<(u64, u64)>,
+    /// Sequence number of each proxy's last request.
     pub(crate) last_requests: Vec<u64>,
     pub(crate) requests_in_flight: Vec<(usize, LeaseRequest)>,
     pub(crate) grants_in_flight: Vec<(usize, LeaseGrant)>,
     pub(crate) invariants: InvariantChecker,
     pub(crate) remaining: Remaining,
-    /// For mutants: the record before the last change.
+    /// The record before the last change, for mutants.
     pub(crate) previous_record: Option<Record>,
     pub(crate) violation: Option<&'static str>,
 }
@@ -83,7 +89,7 @@
 
 impl LeaseModel {
     pub(crate) fn holder(&self, proxy: usize, incarnation: u64) -> LeaseHolder {
-        // The texts of policies do not matter here: all of them are loaded.
+        // Policy texts do not matter in this model, so all of them are loaded.
         let loaded = (0..4).map(Generation).collect();
         let config = LeaseHolderConfig {
             on_lease_loss: self.proxies[proxy],
@@ -126,7 +132,7 @@
         let mut state = State {
             now,
             record,
-            // Leases of earlier leaders have expired.
+            // All leases of earlier leaders have expired.
             leases: Leases::after_election(self.lease_config(), 0),
             deposed: None,
             holders: (0..self.proxies.len())
@@ -146,7 +152,7 @@
             previous_record: None,
             violation: None,
         };
-        // Every proxy has a lease in the initial state.
+        // Grants every proxy a lease in the initial state.
         for proxy in 0..self.proxies.len() {
             let request = state.holders[proxy].request(now);
             state.last_requests[proxy] = request.sequence;
@@ -157,32 +163,35 @@
         state
     }
 
-    /// Removes what can have no effect any more, so that equivalent states are equal.
+    /// Removes messages and leases that can no longer have an effect, so that equivalent states are equal.
     pub(crate) fn normalize(&self, state: &mut State) {
         let last_requests = &state.last_requests;
-        if !self.is(Mutant::AnyGrantAccepted) {
-            let is_pending = |p: usize| state.holders[p].request_deadline().is_some();
-            state
-                .grants_in_flight
-                .retain(|(p, grant)| grant.sequence == last_requests[*p] && is_pending(*p));
+        if !self.has_defect(Mutant::AnyGrantAccepted) {
+            let is_pending = |proxy: usize| state.holders[proxy].request_deadline().is_some();
+            state.grants_in_flight.retain(|(proxy, grant)| {
+                grant.sequence == last_requests[*proxy] && is_pending(*proxy)
+            });
         }
         state.leases.expire(state.now);
-        state.holders.iter_mut().for_each(|h| h.request_soon(0));
+        state
+            .holders
+            .iter_mut()
+            .for_each(|holder| holder.request_soon(0));
     }
 
-    pub(crate) fn is(&self, mutant: Mutant) -> bool {
+    pub(crate) fn has_defect(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
     pub(crate) fn can_advance(&self, state: &State) -> bool {
-        let Some(mode) = state.record.mode().filter(|m| m.is_transition()) else {
+        let Some(mode) = state.record.mode().filter(|mode| mode.is_transition()) else {
             return false;
         };
-        let is_ignored = |b: &badgerramp_policy::Blocker| {
-            self.is(Mutant::LeaselessForgotten)
-                && b.reason == badgerramp_policy::BlockReason::ServesWithoutLease
+        let is_ignored = |blocker: &badgerramp_policy::Blocker| {
+            self.has_defect(Mutant::LeaselessForgotten)
+                && blocker.reason == badgerramp_policy::BlockReason::ServesWithoutLease
         };
-        self.is(Mutant::AdvanceEarly)
+        self.has_defect(Mutant::AdvanceEarly)
             || (state
                 .leases
                 .blockers(state.now, &state.record)
@@ -193,33 +202,34 @@
 
     pub(crate) fn deliver_request(&self, state: &mut State, proxy: usize, request: &LeaseRequest) {
         let mut request = request.clone();
-        if self.is(Mutant::ConfirmsEarly) {
+        if self.has_defect(Mutant::ConfirmsEarly) {
             request.active_revision = state.record.revision();
         }
-        if self.is(Mutant::SameNameClearsLease) {
+        if self.has_defect(Mutant::SameNameClearsLease) {
             (0..self.proxies.len())
-                .filter(|&p| p != proxy)
-                .for_each(|p| state.leases.unregister(&identity(p, 1)));
+                .filter(|&other| other != proxy)
+                .for_each(|other| state.leases.unregister(&identity(other, 1)));
         }
         let deposed = state
             .deposed
             .iter_mut()
-            .filter(|_| self.is(Mutant::DeposedAnswers));
+            .filter(|_| self.has_defect(Mutant::DeposedAnswers));
         let leaders = deposed
-            .map(|(l, r)| (l, &*r))
+            .map(|(leases, record)| (leases, &*record))
             .chain([(&mut state.leases, &state.record)]);
         for (leases, record) in leaders {
             let previous_leases = leases.clone();
             let GrantOutcome::Granted(grant) = leases.grant(state.now, record, &request) else {
                 continue;
             };
-            if self.is(Mutant::GrantRecordedLate) && request.active_revision != grant.mode.revision
+            if self.has_defect(Mutant::GrantRecordedLate)
+                && request.active_revision != grant.mode.revision
             {
                 *leases = previous_leases;
             }
-            let answer = (proxy, grant);
-            if !state.grants_in_flight.contains(&answer) {
-                state.grants_in_flight.push(answer);
+            let in_flight = (proxy, grant);
+            if !state.grants_in_flight.contains(&in_flight) {
+                state.grants_in_flight.push(in_flight);
             }
         }
         state
@@ -230,12 +240,12 @@
     pub(crate) fn deliver_grant(&self, state: &mut State, proxy: usize, mut grant: LeaseGrant) {
         let clock = state.now - state.clock_lags[proxy].0;
         let holder = &mut state.holders[proxy];
-        if self.is(Mutant::AnyGrantAccepted) {
+        if self.has_defect(Mutant::AnyGrantAccepted) {
             grant.sequence = state.last_requests[proxy];
         }
         if let Some(deadline) = holder
             .request_deadline()
-            .filter(|_| self.is(Mutant::LeaseFromReceipt))
+            .filter(|_| self.has_defect(Mutant::LeaseFromReceipt))
         {
             grant.duration += clock - (deadline - REQUEST_TIMEOUT);
         }
@@ -246,11 +256,17 @@
         let lease = state.holders[proxy].lease();
         let incarnation = 2 + u64::from(self.crashes - state.remaining.crashes);
         let mut restarted = self.holder(proxy, incarnation);
-        // Sequence numbers restart; messages to and from the old process are lost.
+        // Sequence numbers restart at 0. Messages to and from the old process are lost.
         state.last_requests[proxy] = 0;
-        state.requests_in_flight.retain(|(p, _)| *p != proxy);
-        state.grants_in_flight.retain(|(p, _)| *p != proxy);
-        if let Some(Lease { mode, .. }) = lease.filter(|_| self.is(Mutant::DiskReplacesLease)) {
+        state
+            .requests_in_flight
+            .retain(|(sender, _)| *sender != proxy);
+        state
+            .grants_in_flight
+            .retain(|(receiver, _)| *receiver != proxy);
+        if let Some(Lease { mode, .. }) =
+            lease.filter(|_| self.has_defect(Mutant::DiskReplacesLease))
+        {
             let clock = state.now - state.clock_lags[proxy].0;
             let request = restarted.request(clock);
             state.last_requests[proxy] = request.sequence;
@@ -274,24 +290,24 @@
     }
 
     pub(crate) fn publish(&self, state: &mut State) {
-        if self.is(Mutant::GenerationReused) {
+        if self.has_defect(Mutant::GenerationReused) {
             state.previous_record = Some(state.record.clone());
         }
         let (revision, fallback_generations) =
             (state.record.revision(), state.record.fallback_generations());
-        let published = state.record.apply(&Command::Publish {
+        let outcome = state.record.apply(&Command::Publish {
             revision,
             text: String::new(),
             fallback_generations,
             all_regions: None,
         });
-        if self.is(Mutant::NoTransition) && matches!(published, Outcome::Started(_)) {
+        if self.has_defect(Mutant::NoTransition) && matches!(outcome, Outcome::Started(_)) {
             self.advance(state);
         }
     }
 
     pub(crate) fn advance(&self, state: &mut State) {
-        if self.is(Mutant::AbortAfterCommit) {
+        if self.has_defect(Mutant::AbortAfterCommit) {
             state.previous_record = Some(state.record.clone());
         }
         let Some(mode) = state.record.mode() else {
@@ -309,7 +325,7 @@
         if let Some(previous_record) = state
             .previous_record
             .clone()
-            .filter(|_| self.is(Mutant::AbortAfterCommit))
+            .filter(|_| self.has_defect(Mutant::AbortAfterCommit))
         {
             state.record = previous_record;
         }
@@ -323,18 +339,18 @@
         if state.record.apply(&command) == Outcome::Applied
             && !state.invariants.record_aborted(mode.new)
         {
-            state.violation = Some("a generation was aborted under which calls had started");
+            state.violation = Some("a generation was aborted after calls had started under it");
         }
         if let Some(previous_record) = state
             .previous_record
             .clone()
-            .filter(|_| self.is(Mutant::GenerationReused))
+            .filter(|_| self.has_defect(Mutant::GenerationReused))
         {
             state.record = previous_record;
         }
     }
 
-    /// Every proxy starts a call if it may.
+    /// Starts a call at every proxy that is allowed to start one.
     pub(crate) fn start_calls(&self, state: &mut State) {
         for proxy in 0..state.holders.len() {
             let clock = state.now - state.clock_lags[proxy].0;
@@ -344,25 +360,26 @@
                     mode,
                 };
                 if state.invariants.record_start(&call).is_some() && state.violation.is_none() {
-                    state.violation = Some("a call started that must not");
+                    state.violation = Some("a call started that violates the invariants");
                 }
             }
         }
     }
 
-    /// Whether the change ends within one lease and two rounds, without faults and with an operator that evicts dead proxies.
+    /// Returns whether the change ends within one lease and two more ticks, if no more faults occur and an operator evicts
+    /// dead proxies.
     pub(crate) fn change_ends(&self, state: &State) -> bool {
         let mut state = state.clone();
         let alive: Vec<Identity> = state
             .holders
             .iter_mut()
-            .map(|h| h.request(0).identity)
+            .map(|holder| holder.request(0).identity)
             .collect();
         let dead: Vec<Identity> = state
             .record
             .leaseless_proxies()
             .keys()
-            .filter(|i| !alive.contains(i))
+            .filter(|identity| !alive.contains(identity))
             .cloned()
             .collect();
         for identity in dead {
@@ -378,7 +395,7 @@
                     state.holders[proxy].on_grant(clock, grant);
                 }
             }
-            if state.record.mode().is_none_or(|m| !m.is_transition()) {
+            if state.record.mode().is_none_or(|mode| !mode.is_transition()) {
                 return true;
             }
             if self.can_advance(&state) {
--- a/crates/policy/tests/lease_model/mutant.rs
+++ b/crates/policy/tests/lease_model/mutant.rs
@@ -1,6 +1,6 @@
-//! Defects that the model check has to find.
+//! Seeded defects that the model check has to find.
 
-/// A defect in the use of the decisions. The model check has to find each of them.
+/// A seeded defect in the use of the crate's decisions. The model check has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     /// The old generation is replaced by the new one in one step.
@@ -9,13 +9,13 @@
     LeaseFromReceipt,
     /// The transition ends before every proxy has confirmed it.
     AdvanceEarly,
-    /// After a restart the lease on disk replaces a granted one.
+    /// After a restart, a proxy uses the lease on disk instead of a newly granted one.
     DiskReplacesLease,
     /// A new leader does not wait for the leases of its predecessors.
     NoWaitAfterElection,
     /// A deposed leader still grants leases.
     DeposedAnswers,
-    /// Leases are counted without an allowance for slow clocks.
+    /// The leader makes no allowance for slow clocks in the expiry of leases.
     NoDriftAllowance,
     /// A grant for an older request is accepted for the pending one.
     AnyGrantAccepted,
@@ -25,15 +25,15 @@
     AbortAfterCommit,
     /// The generation of an aborted change is reused.
     GenerationReused,
-    /// A request of one process clears the lease of another process of that name.
+    /// A request of one process clears the leases of other processes, as if they had the same name.
     SameNameClearsLease,
     /// A grant is recorded only when the proxy confirms it.
     GrantRecordedLate,
-    /// Proxies that serve without a lease are not waited for.
+    /// The transition does not wait for proxies that serve without a lease.
     LeaselessForgotten,
 }
 
-/// Every defect.
+/// All seeded defects.
 pub(crate) const ALL: [Mutant; 14] = [
     Mutant::NoTransition,
     Mutant::LeaseFromReceipt,
--- a/crates/policy/tests/next_command.rs
+++ b/crates/policy/tests/next_command.rs
@@ -1,4 +1,4 @@
-//! The next command of a leader for a change of one region.
+//! Selection of a leader's next command for a change of one region.
 
 use badgerramp_policy::{
     next_command, ChangeTimeouts, Command, Generation, GrantOutcome, Identity, LeaseConfig,
@@ -14,7 +14,7 @@
     duration: 100,
     max_clock_drift: 10,
 };
-/// A time at which no lease of an earlier leader runs.
+/// A time at which all leases of earlier leaders have expired.
 const NOW: u64 = 10_000;
 
 fn publish(record: &mut Record) {
@@ -57,7 +57,7 @@
     ));
 }
 
-/// A transition, with a proxy that has a lease for the mode before it.
+/// Returns a record in transition and the leases of its leader: a proxy has one for the mode before the transition.
 fn in_transition() -> (Record, Leases) {
     let (mut record, mut leases) = (Record::default(), Leases::after_election(LEASE_CONFIG, 0));
     publish(&mut record);
@@ -95,7 +95,7 @@
 #[test]
 fn blocked_change_is_aborted_after_its_timeout() {
     let (record, leases) = in_transition();
-    // The change waits for no other region, so that the timeout for regions does not apply.
+    // The change does not wait for another region, so the timeout for regions does not apply.
     assert_eq!(
         next_command(&record, &leases, NOW, NOW - TIMEOUTS.proxies, TIMEOUTS),
         None
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn change_is_aborted_at_once_when_a_proxy_rejects_it() {
+fn change_is_aborted_immediately_when_a_proxy_rejects_it() {
     let (record, mut leases) = in_transition();
     let rejected = Some(RejectedGeneration {
         generation: Generation(2),
@@ -164,7 +164,7 @@
         Some(advance.clone())
     );
     record.apply(&advance);
-    // Outside of a transition they are logged once most proxies have confirmed.
+    // Outside of a transition, confirmations are logged once a majority of the proxies has confirmed.
     assert_eq!(next_command(&record, &leases, NOW, NOW, TIMEOUTS), None);
     grant(
         &mut leases,
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn no_command_follows_without_a_policy() {
+fn no_command_is_needed_before_the_first_policy() {
     assert_eq!(
         next_command(
             &Record::default(),
--- a/crates/policy/tests/regions_model/main.rs
+++ b/crates/policy/tests/regions_model/main.rs
@@ -1,7 +1,7 @@
-//! Model check of cross-region changes, on the decisions of the real crate: messages between regions that are lost, late
-//! and duplicated, elections after which a leader has lost what is not logged, leases, timeouts, aborts and local changes.
-//! Each proxy starts a call at every moment at which it may. Then the same models with a seeded defect: each has to be
-//! found, with the property that it violates.
+//! Model check of cross-region changes, using the decisions of the crate itself. It explores lost, late and duplicated
+//! messages between regions, elections after which a leader has lost all state that is not logged, leases, timeouts,
+//! aborts and local changes. Each proxy starts a call whenever it is allowed to. A second test adds seeded defects to the
+//! models, each of which has to be found by the property that it violates.
 
 mod model;
 mod mutant;
@@ -11,15 +11,16 @@
 use properties::Violation;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const MIXED: &str = "no call starts under the old policy after one has started under the new one";
-const OUTCOMES_DIFFER: &str = "a cross-region change has the same outcome in every region";
-const WITHOUT_VOTES: &str =
+const NEVER_MIXED: &str =
+    "no call starts under the old policy after one has started under the new one";
+const SAME_OUTCOME: &str = "a cross-region change has the same outcome in every region";
+const COMMITTED_WITH_ALL_VOTES: &str =
     "a change is in force only when all participants have logged their votes";
-const COMMITTED_TWICE: &str = "a change is committed once";
-const STUCK: &str = "an end is reachable when messages pass again";
+const COMMITTED_ONCE: &str = "a change is committed at most once in a region";
+const CHANGES_END: &str = "every change can end once messages are delivered again";
 const COMMITTED: &str = "a cross-region change is committed";
 const ABORTED: &str = "a cross-region change is aborted";
-const BLOCKED: &str = "a region waits for a decision that another one has made";
+const BLOCKED: &str = "a region waits for a decision that the coordinator has made";
 
 impl Model for RegionsModel {
     type State = State;
@@ -40,29 +41,33 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(MIXED, |_, s: &State| {
-                !s.violations.contains(&Violation::MixedGenerations)
+            Property::always(NEVER_MIXED, |_, state: &State| {
+                !state.violations.contains(&Violation::MixedGenerations)
             }),
-            Property::always(OUTCOMES_DIFFER, |_, s: &State| {
-                !s.violations.contains(&Violation::OutcomesDiffer)
+            Property::always(SAME_OUTCOME, |_, state: &State| {
+                !state.violations.contains(&Violation::OutcomesDiffer)
             }),
-            Property::always(WITHOUT_VOTES, |_, s: &State| {
-                !s.violations.contains(&Violation::CommittedWithoutVotes)
+            Property::always(COMMITTED_WITH_ALL_VOTES, |_, state: &State| {
+                !state.violations.contains(&Violation::CommittedWithoutVotes)
             }),
-            Property::always(COMMITTED_TWICE, |_, s: &State| {
-                !s.violations.contains(&Violation::CommittedTwice)
+            Property::always(COMMITTED_ONCE, |_, state: &State| {
+                !state.violations.contains(&Violation::CommittedTwice)
             }),
-            Property::always(STUCK, |w: &RegionsModel, s: &State| {
-                !s.violations.is_empty() || w.all_changes_end(s)
+            Property::always(CHANGES_END, |model: &RegionsModel, state: &State| {
+                !state.violations.is_empty() || model.all_changes_end(state)
             }),
-            Property::sometimes(COMMITTED, |_, s: &State| properties::all_ended(s, true)),
-            Property::sometimes(ABORTED, |_, s: &State| properties::all_ended(s, false)),
-            Property::sometimes(BLOCKED, |_, s: &State| properties::is_blocked(s)),
+            Property::sometimes(COMMITTED, |_, state: &State| {
+                properties::all_ended(state, true)
+            }),
+            Property::sometimes(ABORTED, |_, state: &State| {
+                properties::all_ended(state, false)
+            }),
+            Property::sometimes(BLOCKED, |_, state: &State| properties::is_blocked(state)),
         ]
     }
 }
 
-/// Most threads of a check, which shares the machine with others.
+/// Maximum number of threads of a check, which shares the machine with other tests.
 const MAX_THREADS: usize = 4;
 
 fn threads() -> usize {
@@ -71,26 +76,26 @@
         .min(MAX_THREADS)
 }
 
-/// Deeper than any state of the models that are searched completely.
+/// Depth that exceeds every state of the models that are searched completely.
 const COMPLETE_DEPTH: usize = 100;
 
-/// A model and how deep it is searched.
+/// A model and the depth to which it is searched.
 struct Scenario {
     name: &'static str,
     model: RegionsModel,
     depth: usize,
     /// The search has to find more states than this.
-    states: usize,
+    min_states: usize,
 }
 
-/// Two regions with late grants, elections, aborts or several changes.
+/// Returns models of two regions with late grants, elections, aborts or several changes.
 fn fault_scenarios() -> Vec<Scenario> {
     let two = RegionsModel::default();
-    let scenario = |name, model, depth, states| Scenario {
+    let scenario = |name, model, depth, min_states| Scenario {
         name,
         model,
         depth,
-        states,
+        min_states,
     };
     vec![
         scenario("two regions", two.clone(), COMPLETE_DEPTH, 6_700),
@@ -135,7 +140,7 @@
     ]
 }
 
-/// Models with local changes, delayed logs, another number of policies or regions, and all of it together.
+/// Returns models with local changes, delayed logs, no initial policy, three regions, and a combination of faults.
 fn configuration_scenarios() -> Vec<Scenario> {
     let two = RegionsModel::default();
     let all_at_once = RegionsModel {
@@ -152,11 +157,11 @@
         publishes: 2,
         ..two.clone()
     };
-    let scenario = |name, model, depth, states| Scenario {
+    let scenario = |name, model, depth, min_states| Scenario {
         name,
         model,
         depth,
-        states,
+        min_states,
     };
     vec![
         scenario(
@@ -171,7 +176,7 @@
             31_000,
         ),
         scenario(
-            "slow logs",
+            "delayed logs",
             RegionsModel {
                 delayed_log: true,
                 ..two.clone()
@@ -197,7 +202,7 @@
 
 #[test]
 fn every_interleaving_of_small_models_keeps_the_properties() {
-    // For a deeper search: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
+    // For a deeper search, run: REGIONS_DEEPER=4 cargo test --release -p badgerramp-policy --test regions_model
     let extra_depth: usize = std::env::var("REGIONS_DEEPER")
         .ok()
         .and_then(|d| d.parse().ok())
@@ -206,7 +211,7 @@
         name,
         model,
         depth,
-        states: expected_minimum,
+        min_states,
     } in fault_scenarios()
         .into_iter()
         .chain(configuration_scenarios())
@@ -226,17 +231,17 @@
             started_at.elapsed()
         );
         for property in [
-            MIXED,
-            OUTCOMES_DIFFER,
-            WITHOUT_VOTES,
-            COMMITTED_TWICE,
-            STUCK,
+            NEVER_MIXED,
+            SAME_OUTCOME,
+            COMMITTED_WITH_ALL_VOTES,
+            COMMITTED_ONCE,
+            CHANGES_END,
         ] {
             checker.assert_no_discovery(property);
         }
         assert!(
-            states > expected_minimum,
-            "{name}: {states} states, expected are more than {expected_minimum}"
+            states > min_states,
+            "{name}: {states} states, expected more than {min_states}"
         );
         if depth >= COMPLETE_DEPTH {
             for property in [COMMITTED, ABORTED, BLOCKED] {
@@ -256,11 +261,11 @@
             .finish_when(HasDiscoveries::AnyOf([property].into()))
             .spawn_bfs();
         let checker = checker.join();
-        let found = checker.discovery(property).map(|path| path.into_actions());
+        let steps = checker.discovery(property).map(|path| path.into_actions());
         println!(
-            "{mutant:?}: {} states: {property:?} is broken by {found:?}",
+            "{mutant:?}: {} states: {property:?} is violated by {steps:?}",
             checker.unique_state_count()
         );
-        assert!(found.is_some(), "{mutant:?} is not found");
+        assert!(steps.is_some(), "{mutant:?} is not found");
     }
 }
--- a/crates/policy/tests/regions_model/model.rs
+++ b/crates/policy/tests/regions_model/model.rs
@@ -1,4 +1,4 @@
-//! Regions with a leader, a record and a proxy each, and the messages between them.
+//! Model of regions, each with a leader, a record and a proxy, and of the messages between them.
 
 use crate::mutant::Mutant;
 mod events;
@@ -18,45 +18,45 @@
 };
 use std::collections::BTreeSet;
 
-/// Names of regions in their order; the first one coordinates.
+/// Names of the regions in order. The first one coordinates.
 const REGION_NAMES: [&str; 3] = ["norte", "oeste", "sur"];
-/// Index of the coordinator.
+/// Index of the coordinating region.
 const COORDINATOR: usize = 0;
 const LEASE_DURATION: u64 = 1;
 const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     duration: LEASE_DURATION,
     max_clock_drift: 0,
 };
-/// A change that a leader has seen for one tick has timed out.
+/// A change times out one tick after a leader has first seen it.
 const TIMEOUTS: ChangeTimeouts = ChangeTimeouts {
     proxies: 0,
     regions: 0,
 };
-/// Rounds without faults in which every change has to end.
-const ROUNDS: usize = 8;
+/// Number of rounds without faults within which every change has to end.
+const RECOVERY_ROUNDS: usize = 8;
 
-/// The bounds of a model.
+/// Bounds of a model.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionsModel {
     /// Number of regions.
     pub regions: usize,
     /// Whether the regions have a policy in the initial state.
     pub has_policy: bool,
-    /// Cross-region changes.
+    /// Number of cross-region changes.
     pub publishes: u8,
-    /// Local changes, in each region.
+    /// Number of local changes in each region.
     pub local_publishes: u8,
-    /// Elections, in each region.
+    /// Number of elections in each region.
     pub elections: u8,
-    /// Aborts by operators, in each region.
+    /// Number of aborts by operators in each region.
     pub aborts: u8,
-    /// Lease renewals of the proxy, in each region.
+    /// Number of lease renewals of the proxy in each region.
     pub renewals: u8,
-    /// Grants that arrive late or never, in each region.
+    /// Number of grants that arrive late or never in each region.
     pub late_grants: u8,
-    /// Ticks of the clock.
+    /// Number of clock ticks.
     pub ticks: u64,
-    /// Whether commands are logged some time after the leader decided on them.
+    /// Whether commands are logged some time after the leader has decided on them.
     pub delayed_log: bool,
     /// The seeded defect.
     pub mutant: Option<Mutant>,
@@ -80,12 +80,12 @@
     }
 }
 
-/// An event. Regions go by their index.
+/// An event. Regions are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
-    /// Time passes.
+    /// Time advances by one tick.
     Tick,
-    /// A proxy renews its lease until it has the present mode and has confirmed it.
+    /// A proxy renews its lease until it holds the current mode and has confirmed it.
     RenewLease(usize),
     /// A proxy sends a request; the grant is delayed.
     SendRequest(usize),
@@ -97,15 +97,15 @@
     PublishLocal(usize),
     /// An operator aborts the pending change.
     Abort(usize),
-    /// The leader logs its next command.
-    Lead(usize),
+    /// The leader decides on its next command, which is logged at once unless logging is delayed.
+    LogNextCommand(usize),
     /// The leader aborts a change that has timed out.
     TimeOut(usize),
     /// Another leader is elected.
     Elect(usize),
     /// A delayed command is logged.
     Log(usize, Command),
-    /// A message arrives; it may arrive again.
+    /// A message arrives. It may arrive again.
     Deliver(Message),
 }
 
@@ -126,7 +126,7 @@
     Outcome(OutcomeReply),
 }
 
-/// How many events of each kind may still happen in a region.
+/// Number of events of each kind that may still occur in a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Remaining {
     publishes: u8,
@@ -139,39 +139,39 @@
 /// The state of a region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RegionState {
-    /// The replicated state: it survives an election.
+    /// The replicated state, which survives an election.
     pub record: Record,
-    /// Its proxy.
+    /// The proxy of the region.
     pub holder: LeaseHolder,
     leases: Leases,
     grant_in_flight: Option<LeaseGrant>,
-    /// Commands that the leader has decided on and that are not logged yet.
+    /// Commands that the leader has decided on but that are not logged yet.
     unlogged: BTreeSet<Command>,
     remaining: Remaining,
-    /// For a mutant: the record as a deposed leader knows it.
+    /// The record as known to a deposed leader, for a mutant.
     deposed: Option<Record>,
-    /// For a mutant: a vote that was sent and not logged.
+    /// The change for which a vote was sent but not logged, for a mutant.
     unlogged_vote: Option<ChangeId>,
 }
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct State {
-    /// The time.
+    /// Current time.
     pub now: u64,
-    /// The regions.
+    /// States of the regions, by index.
     pub regions: Vec<RegionState>,
-    /// Cross-region changes so far; their identifiers count from 1.
+    /// Number of cross-region changes published so far. Their identifiers start at 1.
     pub published: u8,
-    /// Changes under whose new policy a call has started.
+    /// Changes under whose new policy a call may have started.
     pub started_new: BTreeSet<ChangeId>,
-    /// The violated properties.
+    /// Properties that are violated.
     pub violations: BTreeSet<Violation>,
     messages: BTreeSet<Message>,
 }
 
 fn region(index: usize) -> Region {
-    REGION_NAMES[index].parse().expect("a name of a region")
+    REGION_NAMES[index].parse().expect("a valid region name")
 }
 
 fn index(region: &Region) -> usize {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Whether its vote for the pending change is logged.
+    /// Returns whether this region's vote for the pending change is logged.
     pub(crate) fn has_voted(&self) -> bool {
         matches!(
             self.record.cross_region(),
@@ -237,8 +237,8 @@
         self.record.cross_region().map(|cross| cross.change.id)
     }
 
-    fn next(&self, now: u64, started_at: u64) -> Option<Command> {
-        next_command(&self.record, &self.leases, now, started_at, TIMEOUTS)
+    fn next_command(&self, now: u64, revision_seen_at: u64) -> Option<Command> {
+        next_command(&self.record, &self.leases, now, revision_seen_at, TIMEOUTS)
     }
 
     fn is_idle(&self) -> bool {
@@ -247,7 +247,7 @@
 }
 
 impl RegionsModel {
-    fn is(&self, mutant: Mutant) -> bool {
+    fn has_defect(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
@@ -263,24 +263,24 @@
         }
     }
 
-    fn region_state(&self, number: usize) -> RegionState {
+    fn region_state(&self, index: usize) -> RegionState {
         let mut record = Record::default();
         if self.has_policy {
             record.apply(&publish(&record, None));
         }
-        let has = (0..8).map(Generation).collect();
+        let loaded_generations = (0..8).map(Generation).collect();
         let identity = Identity {
-            name: format!("p{number}"),
+            name: format!("p{index}"),
             incarnation: 1,
         };
-        let terms = LeaseHolderConfig {
+        let config = LeaseHolderConfig {
             on_lease_loss: OnLeaseLoss::Reject,
             request_timeout: 1,
             retry_delay: 1,
         };
         let mut region_state = RegionState {
             record,
-            holder: LeaseHolder::new(identity, terms, has),
+            holder: LeaseHolder::new(identity, config, loaded_generations),
             leases: Leases::after_election(LEASE_CONFIG, 0),
             grant_in_flight: None,
             unlogged: BTreeSet::new(),
@@ -298,12 +298,12 @@
         region_state
     }
 
-    /// All regions serve, if they have a policy; each has one of its own.
+    /// Returns the initial state. Each region has its own policy, if any, and its proxy has a lease for it.
     pub(crate) fn initial_state(&self) -> State {
         State {
             now: LEASE_DURATION,
             regions: (0..self.regions)
-                .map(|number| self.region_state(number))
+                .map(|index| self.region_state(index))
                 .collect(),
             published: 0,
             started_new: BTreeSet::new(),
--- a/crates/policy/tests/regions_model/model/events.rs
+++ b/crates/policy/tests/regions_model/model/events.rs
@@ -1,12 +1,12 @@
-//! The events that can happen in a state, and the state after each.
+//! Events that can occur in a state, and the state after each of them.
 
 use super::*;
 use crate::properties::check;
 
 impl RegionsModel {
-    /// What can happen next.
+    /// Adds the events that can occur next.
     pub(crate) fn steps(&self, state: &State, steps: &mut Vec<Step>) {
-        // A mutant may break several properties one after the other.
+        // With a mutant the search continues, because several properties may be violated one after the other.
         if self.mutant.is_none() && !state.violations.is_empty() {
             return;
         }
@@ -17,9 +17,9 @@
             steps.push(Step::PublishCrossRegion);
         }
         for (index, region_state) in state.regions.iter().enumerate() {
-            self.steps_of(state, index, region_state, steps);
+            self.region_steps(state, index, region_state, steps);
         }
-        let takes = |message: &&Message| {
+        let logs_command = |message: &&Message| {
             self.command_for(&state.regions[message.to], message)
                 .is_some()
         };
@@ -27,13 +27,13 @@
             state
                 .messages
                 .iter()
-                .filter(takes)
+                .filter(logs_command)
                 .cloned()
                 .map(Step::Deliver),
         );
     }
 
-    pub(super) fn steps_of(
+    pub(super) fn region_steps(
         &self,
         state: &State,
         index: usize,
@@ -42,7 +42,7 @@
     ) {
         let in_transition = region_state.record.transition().is_some();
         let remaining = region_state.remaining;
-        let may = [
+        let candidates = [
             (remaining.renewals > 0, Step::RenewLease(index)),
             (
                 remaining.late_grants > 0 && region_state.grant_in_flight.is_none(),
@@ -55,15 +55,16 @@
             (remaining.publishes > 0, Step::PublishLocal(index)),
             (remaining.aborts > 0 && in_transition, Step::Abort(index)),
             (remaining.elections > 0, Step::Elect(index)),
-            (in_transition, Step::Lead(index)),
+            (in_transition, Step::LogNextCommand(index)),
             (
-                in_transition && self.time_out(state, region_state).is_some(),
+                in_transition && self.timeout_abort(state, region_state).is_some(),
                 Step::TimeOut(index),
             ),
         ];
         steps.extend(
-            may.into_iter()
-                .filter(|(may, _)| *may)
+            candidates
+                .into_iter()
+                .filter(|(is_possible, _)| *is_possible)
                 .map(|(_, step)| step),
         );
         steps.extend(
@@ -75,18 +76,23 @@
         );
     }
 
-    pub(super) fn time_out(&self, state: &State, region_state: &RegionState) -> Option<Command> {
-        if self.is(Mutant::AbortAfterVote) && region_state.has_voted() {
+    /// Returns the command by which the leader aborts a change that has timed out.
+    pub(super) fn timeout_abort(
+        &self,
+        state: &State,
+        region_state: &RegionState,
+    ) -> Option<Command> {
+        if self.has_defect(Mutant::AbortAfterVote) && region_state.has_voted() {
             return region_state
                 .pending_change()
                 .map(|id| Command::Aborted { id });
         }
         region_state
-            .next(state.now, state.now - 1)
+            .next_command(state.now, state.now - 1)
             .filter(|command| matches!(command, Command::Abort { .. }))
     }
 
-    /// The state after an event.
+    /// Returns the state after an event.
     pub(crate) fn state_after(&self, last: &State, step: Step) -> State {
         let mut state = last.clone();
         let now = state.now;
@@ -105,8 +111,8 @@
                     state.regions[index].holder.on_grant(now, grant);
                 }
             }
-            Step::PublishCrossRegion => self.publish_all(&mut state),
-            Step::PublishLocal(index) => self.publish(&mut state.regions[index]),
+            Step::PublishCrossRegion => self.publish_cross_region(&mut state),
+            Step::PublishLocal(index) => self.publish_local(&mut state.regions[index]),
             Step::Abort(index) => {
                 let region_state = &mut state.regions[index];
                 region_state.remaining.aborts -= 1;
@@ -119,9 +125,9 @@
                     },
                 );
             }
-            Step::Lead(index) => self.lead(&mut state, index),
+            Step::LogNextCommand(index) => self.log_next_command(&mut state, index),
             Step::TimeOut(index) => {
-                if let Some(command) = self.time_out(&state, &state.regions[index]) {
+                if let Some(command) = self.timeout_abort(&state, &state.regions[index]) {
                     self.log(&mut state.regions[index], command);
                 }
             }
@@ -138,11 +144,11 @@
         state
     }
 
-    /// Sends every message that can be sent, and every reply: messages are delivered at any time or never, so that
-    /// sending early excludes no order of events. Removes what can have no effect any more.
+    /// Sends all messages that can be sent, and all replies. Messages are delivered at any time or never, so sending them
+    /// early excludes no order of events. Also removes leases that have expired.
     pub(super) fn normalize(&self, state: &mut State) {
         for index in 0..self.regions {
-            let sent = self.sent(&state.regions[index], index);
+            let sent = self.messages_to_send(&state.regions[index], index);
             state.messages.extend(sent);
             state.regions[index].leases.expire(state.now);
         }
@@ -154,16 +160,16 @@
         state.messages.extend(replies);
     }
 
-    pub(super) fn publish_all(&self, state: &mut State) {
-        let all = self.all_regions(state);
+    pub(super) fn publish_cross_region(&self, state: &mut State) {
+        let all_regions = self.all_regions(state);
         state.published += 1;
         let record = &mut state.regions[COORDINATOR].record;
-        record.apply(&publish(record, Some(all)));
+        record.apply(&publish(record, Some(all_regions)));
     }
 
-    pub(super) fn publish(&self, region_state: &mut RegionState) {
+    pub(super) fn publish_local(&self, region_state: &mut RegionState) {
         region_state.remaining.publishes -= 1;
-        if self.is(Mutant::LocalPublishAfterVote) && region_state.has_voted() {
+        if self.has_defect(Mutant::LocalPublishAfterVote) && region_state.has_voted() {
             if let Some(id) = region_state.pending_change() {
                 region_state.record.apply(&Command::Aborted { id });
             }
@@ -181,35 +187,35 @@
         }
     }
 
-    pub(super) fn lead(&self, state: &mut State, index: usize) {
+    pub(super) fn log_next_command(&self, state: &mut State, index: usize) {
         let now = state.now;
-        if self.is(Mutant::AdvanceWithoutVotes) {
+        if self.has_defect(Mutant::AdvanceWithoutVotes) {
             self.forge_votes(&mut state.regions[index].record);
         }
         let region_state = &mut state.regions[index];
-        let mut command = region_state.next(now, now);
-        if self.is(Mutant::VoteBeforePrepared) && region_state.awaits_vote() {
+        let mut command = region_state.next_command(now, now);
+        if self.has_defect(Mutant::VoteBeforePrepared) && region_state.awaits_vote() {
             command = Some(Command::Vote {
                 revision: region_state.record.revision(),
             });
         }
-        if self.is(Mutant::AdvanceAfterVote) && region_state.has_voted() {
+        if self.has_defect(Mutant::AdvanceAfterVote) && region_state.has_voted() {
             command = region_state
                 .pending_change()
                 .map(|id| Command::Committed { id });
         }
         match command {
-            Some(Command::Vote { .. }) if self.is(Mutant::VoteNotLogged) => {
+            Some(Command::Vote { .. }) if self.has_defect(Mutant::VoteNotLogged) => {
                 region_state.unlogged_vote = region_state.pending_change();
             }
             Some(command) => self.log(region_state, command),
             None => {}
         }
-        let forgets = self.is(Mutant::CommitForgotten);
+        let drops_commit = self.has_defect(Mutant::CommitForgotten);
         if let Some(commit) = region_state
             .record
             .unacknowledged_commit()
-            .filter(|_| forgets)
+            .filter(|_| drops_commit)
             .cloned()
         {
             for region in commit.regions {
@@ -235,7 +241,7 @@
         region_state.remaining.elections -= 1;
         region_state.leases = Leases::after_election(LEASE_CONFIG, now);
         region_state.unlogged_vote = None;
-        if self.is(Mutant::DeposedReplies) {
+        if self.has_defect(Mutant::DeposedReplies) {
             region_state.deposed = Some(region_state.record.clone());
         }
     }
--- a/crates/policy/tests/regions_model/model/messages.rs
+++ b/crates/policy/tests/regions_model/model/messages.rs
@@ -1,9 +1,10 @@
-//! What regions send, reply and log on each message.
+//! Messages between regions: what each region sends, replies and logs.
 
 use super::*;
 
 impl RegionsModel {
-    pub(super) fn sent(&self, region_state: &RegionState, from: usize) -> Vec<Message> {
+    /// Returns the messages that a region sends, given its record.
+    pub(super) fn messages_to_send(&self, region_state: &RegionState, from: usize) -> Vec<Message> {
         let requests = coordinator::requests(&region_state.record).into_iter();
         let requests = requests.map(|(to, request)| Message {
             from,
@@ -12,7 +13,8 @@
         });
         let outcome_request =
             participant::outcome_request(&region_state.record, &self.regions(from));
-        let outcome_request = outcome_request.filter(|_| !self.is(Mutant::NeverAsksForOutcome));
+        let outcome_request =
+            outcome_request.filter(|_| !self.has_defect(Mutant::NeverAsksForOutcome));
         let outcome_request = outcome_request.map(|(to, request)| Message {
             from,
             to: index(&to),
@@ -21,7 +23,7 @@
         requests.chain(outcome_request).collect()
     }
 
-    /// The command that a region logs on a message.
+    /// Returns the command that a region logs on a message.
     pub(super) fn command_for(
         &self,
         region_state: &RegionState,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The reply of a region to a message, given its record.
+    /// Returns the reply of a region to a message, given its record.
     pub(super) fn reply_to(
         &self,
         region_state: &RegionState,
@@ -65,7 +67,7 @@
             }
             Body::Request(Request::Commit(commit)) => {
                 match participant::on_commit(&region_state.record, commit) {
-                    OnCommit::Log(_) if self.is(Mutant::AcknowledgedBeforeLogged) => {
+                    OnCommit::Log(_) if self.has_defect(Mutant::AcknowledgedBeforeLogged) => {
                         Body::Vote(VoteReply {
                             id: commit.change.id,
                             vote: Vote::Committed,
@@ -91,9 +93,9 @@
         let Some(command) = self.command_for(region_state, message) else {
             return;
         };
-        let unlogged = region_state.unlogged_vote.is_some()
+        let vote_is_unlogged = region_state.unlogged_vote.is_some()
             && region_state.unlogged_vote == region_state.pending_change();
-        if matches!(command, Command::Committed { .. }) && unlogged {
+        if matches!(command, Command::Committed { .. }) && vote_is_unlogged {
             region_state.record.apply(&Command::Vote {
                 revision: region_state.record.revision(),
             });
@@ -107,7 +109,7 @@
         own: usize,
         prepare: &Prepare,
     ) -> OnPrepare {
-        if self.is(Mutant::LatePrepareRestartsChange) {
+        if self.has_defect(Mutant::LatePrepareRestartsChange) {
             if let Some(command) = restart_change(&region_state.record, prepare) {
                 return OnPrepare::Start {
                     fallback_generations: region_state.record.fallback_generations(),
@@ -126,7 +128,7 @@
 
     pub(super) fn vote(&self, region_state: &RegionState, reply: &VoteReply) -> VoteReply {
         let mut reply = reply.clone();
-        if self.is(Mutant::StaleVoteCounts) && reply.vote == Vote::Prepared {
+        if self.has_defect(Mutant::StaleVoteCounts) && reply.vote == Vote::Prepared {
             reply.id = region_state.pending_change().unwrap_or(reply.id);
         }
         reply
@@ -142,24 +144,26 @@
             .as_ref()
             .unwrap_or(&region_state.record);
         let mut reply = coordinator::outcome(record, request);
-        if self.is(Mutant::PresumedCommit) && reply.decision == Decision::Aborted {
+        if self.has_defect(Mutant::PresumedCommit) && reply.decision == Decision::Aborted {
             reply.decision = Decision::Committed;
         }
-        if self.is(Mutant::PendingReportedAborted) && reply.decision == Decision::Pending {
+        if self.has_defect(Mutant::PendingReportedAborted) && reply.decision == Decision::Pending {
             reply.decision = Decision::Aborted;
         }
-        let committed = |change: &badgerramp_policy::Change| {
+        let is_committed = |change: &badgerramp_policy::Change| {
             change.id == Some(request.id)
                 && change.status == badgerramp_policy::ChangeStatus::Committed
         };
-        if self.is(Mutant::LatePrepareRestartsChange) && record.changes().values().any(committed) {
+        if self.has_defect(Mutant::LatePrepareRestartsChange)
+            && record.changes().values().any(is_committed)
+        {
             reply.decision = Decision::Committed;
         }
         reply
     }
 }
 
-/// Whether a reply can change anything at its receiver.
+/// Returns whether a reply can have an effect at its receiver.
 fn has_effect(body: &Body) -> bool {
     match body {
         Body::Vote(reply) => reply.vote != Vote::Preparing,
@@ -168,7 +172,7 @@
     }
 }
 
-/// For a mutant: treats a change that has ended as a new one.
+/// Returns a command that restarts a change that has ended, for a mutant.
 fn restart_change(record: &Record, prepare: &Prepare) -> Option<Command> {
     let last = record.participation(&prepare.change.coordinator)?;
     let has_ended = last.change.id == prepare.change.id && last.decision != Decision::Pending;
--- a/crates/policy/tests/regions_model/mutant.rs
+++ b/crates/policy/tests/regions_model/mutant.rs
@@ -1,14 +1,14 @@
-//! Defects that the model check has to find.
+//! Seeded defects that the model check has to find.
 
 use crate::model::RegionsModel;
-use crate::{COMMITTED_TWICE, MIXED, OUTCOMES_DIFFER, STUCK};
+use crate::{CHANGES_END, COMMITTED_ONCE, NEVER_MIXED, SAME_OUTCOME};
 
-/// A defect in the use of the decisions.
+/// A seeded defect in the use of the crate's decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     /// The coordinator advances without the votes of all participants.
     AdvanceWithoutVotes,
-    /// A participant aborts on its time-out after it has voted.
+    /// A participant aborts on a timeout after it has voted.
     AbortAfterVote,
     /// A participant votes while proxies may serve under an older mode.
     VoteBeforePrepared,
@@ -18,17 +18,17 @@
     AdvanceAfterVote,
     /// The coordinator reports a change that it does not know as committed.
     PresumedCommit,
-    /// The coordinator forgets a commit before it is acknowledged.
+    /// The coordinator drops a commit before it is acknowledged.
     CommitForgotten,
     /// A participant acknowledges a commit before it is logged.
     AcknowledgedBeforeLogged,
-    /// A late prepare restarts a change that has ended, and the retained history tells its outcome.
+    /// A late prepare restarts a change that has ended, and the coordinator replies with the outcome from its history.
     LatePrepareRestartsChange,
-    /// A local change is accepted in a transition that the region has voted for.
+    /// A local change is accepted during a transition for which the region has voted.
     LocalPublishAfterVote,
     /// A deposed leader replies with the outcome of a change.
     DeposedReplies,
-    /// A late vote for an older change counts for the pending one.
+    /// A late vote for an older change is counted for the pending one.
     StaleVoteCounts,
     /// The coordinator reports an undecided change as aborted.
     PendingReportedAborted,
@@ -36,7 +36,7 @@
     NeverAsksForOutcome,
 }
 
-/// Every defect.
+/// All seeded defects.
 pub(crate) const ALL: [Mutant; 14] = [
     Mutant::AdvanceWithoutVotes,
     Mutant::AbortAfterVote,
@@ -55,7 +55,7 @@
 ];
 
 impl Mutant {
-    /// A model in which it does harm, and the property that it violates there.
+    /// Returns a model in which the defect violates a property, and that property.
     pub(crate) fn model(self) -> (RegionsModel, &'static str) {
         let model = RegionsModel {
             mutant: Some(self),
@@ -65,25 +65,25 @@
             Mutant::AdvanceWithoutVotes
             | Mutant::VoteBeforePrepared
             | Mutant::AdvanceAfterVote
-            | Mutant::PresumedCommit => (model, MIXED),
+            | Mutant::PresumedCommit => (model, NEVER_MIXED),
             Mutant::AbortAfterVote
             | Mutant::CommitForgotten
             | Mutant::AcknowledgedBeforeLogged
-            | Mutant::PendingReportedAborted => (model, OUTCOMES_DIFFER),
+            | Mutant::PendingReportedAborted => (model, SAME_OUTCOME),
             Mutant::VoteNotLogged | Mutant::DeposedReplies => (
                 RegionsModel {
                     elections: 1,
                     ..model
                 },
-                OUTCOMES_DIFFER,
+                SAME_OUTCOME,
             ),
-            Mutant::LatePrepareRestartsChange => (model, COMMITTED_TWICE),
+            Mutant::LatePrepareRestartsChange => (model, COMMITTED_ONCE),
             Mutant::LocalPublishAfterVote => (
                 RegionsModel {
                     local_publishes: 1,
                     ..model
                 },
-                OUTCOMES_DIFFER,
+                SAME_OUTCOME,
             ),
             Mutant::StaleVoteCounts => (
                 RegionsModel {
@@ -91,9 +91,9 @@
                     aborts: 1,
                     ..model
                 },
-                MIXED,
+                NEVER_MIXED,
             ),
-            Mutant::NeverAsksForOutcome => (model, STUCK),
+            Mutant::NeverAsksForOutcome => (model, CHANGES_END),
         }
     }
 }
--- a/crates/policy/tests/regions_model/properties.rs
+++ b/crates/policy/tests/regions_model/properties.rs
@@ -1,4 +1,4 @@
-//! The properties, checked against the calls that proxies may start and the status of changes in each region.
+//! Properties of the model, checked against the calls that proxies may start and the status of changes in each region.
 
 use crate::model::{RegionState, State};
 use badgerramp_policy::regions::ChangeId;
@@ -9,7 +9,7 @@
 pub(crate) enum Violation {
     /// A call may start under the old policy after one has started under the new one.
     MixedGenerations,
-    /// A change is committed in one region, and another one has not voted for it.
+    /// A change is committed in one region while another region has not voted for it.
     CommittedWithoutVotes,
     /// A change is committed in one region and aborted in another.
     OutcomesDiffer,
@@ -18,25 +18,25 @@
 }
 
 impl RegionState {
-    /// The generations of a cross-region change in this region, with their status.
+    /// Returns the generations of a cross-region change in this region, with their statuses.
     fn generations(&self, id: ChangeId) -> impl Iterator<Item = (Generation, &ChangeStatus)> {
-        let of = move |change: &badgerramp_policy::Change| change.id == Some(id);
+        let has_id = move |change: &badgerramp_policy::Change| change.id == Some(id);
         self.record
             .changes()
             .iter()
-            .filter(move |(_, c)| of(c))
-            .map(|(&g, c)| (g, &c.status))
+            .filter(move |(_, change)| has_id(change))
+            .map(|(&generation, change)| (generation, &change.status))
     }
 
-    fn committed(&self, id: ChangeId) -> usize {
+    fn commit_count(&self, id: ChangeId) -> usize {
         self.generations(id)
-            .filter(|(_, ended)| **ended == ChangeStatus::Committed)
+            .filter(|(_, status)| **status == ChangeStatus::Committed)
             .count()
     }
 
     fn is_aborted(&self, id: ChangeId) -> bool {
         self.generations(id)
-            .any(|(_, ended)| matches!(ended, ChangeStatus::Aborted { .. }))
+            .any(|(_, status)| matches!(status, ChangeStatus::Aborted { .. }))
     }
 
     fn is_pending(&self, id: ChangeId) -> bool {
@@ -53,28 +53,31 @@
     }
 }
 
+/// Returns the identifiers of all published cross-region changes.
 fn ids(state: &State) -> impl Iterator<Item = ChangeId> {
     (1..=u64::from(state.published)).map(ChangeId)
 }
 
-/// Adds the violations of a state that was just reached.
+/// Records the violations in a state that was just reached.
 pub(crate) fn check(state: &mut State) {
     let ids: Vec<ChangeId> = ids(state).collect();
     for id in ids {
         let regions = &state.regions;
-        let new = |s: &RegionState| {
-            s.admitted_mode(state.now)
-                .is_some_and(|mode| starts_new(s, id, mode))
+        let may_start_new = |region: &RegionState| {
+            region
+                .admitted_mode(state.now)
+                .is_some_and(|mode| starts_new(region, id, mode))
         };
-        if regions.iter().any(new) {
+        if regions.iter().any(may_start_new) {
             state.started_new.insert(id);
         }
-        let old = |s: &RegionState| {
-            s.admitted_mode(state.now)
-                .is_some_and(|mode| starts_old(s, id, mode))
+        let may_start_old = |region: &RegionState| {
+            region
+                .admitted_mode(state.now)
+                .is_some_and(|mode| starts_old(region, id, mode))
         };
-        let mixed = state.started_new.contains(&id) && regions.iter().any(old);
-        let twice = regions.iter().any(|s| s.committed(id) > 1);
+        let mixed = state.started_new.contains(&id) && regions.iter().any(may_start_old);
+        let twice = regions.iter().any(|region| region.commit_count(id) > 1);
         let found = [
             (mixed, Violation::MixedGenerations),
             (
@@ -93,48 +96,52 @@
     }
 }
 
-/// Whether a call under `mode` follows the new policy of a change, or a later one.
+/// Returns whether a call under `mode` follows the new policy of a change, or a later one.
 fn starts_new(region_state: &RegionState, id: ChangeId, mode: Mode) -> bool {
-    region_state.generations(id).any(|(generation, ended)| {
-        mode.old == generation || (mode.old > generation && *ended == ChangeStatus::Committed)
+    region_state.generations(id).any(|(generation, status)| {
+        mode.old == generation || (mode.old > generation && *status == ChangeStatus::Committed)
     })
 }
 
-/// Whether a call under `mode` follows only policies before that of a change.
+/// Returns whether a call under `mode` follows only policies before that of a change.
 fn starts_old(region_state: &RegionState, id: ChangeId, mode: Mode) -> bool {
     region_state
         .generations(id)
         .all(|(generation, _)| mode.new < generation)
 }
 
-/// Whether the change is committed in one region, while another one has neither committed nor voted.
+/// Returns whether the change is committed in one region while another has neither committed it nor voted for it.
 fn committed_without_votes(regions: &[RegionState], id: ChangeId) -> bool {
-    let follows = |s: &RegionState| s.committed(id) > 0 || (s.is_pending(id) && s.has_voted());
-    regions.iter().any(|s| s.committed(id) > 0) && !regions.iter().all(follows)
+    let has_committed_or_voted = |region: &RegionState| {
+        region.commit_count(id) > 0 || (region.is_pending(id) && region.has_voted())
+    };
+    regions.iter().any(|region| region.commit_count(id) > 0)
+        && !regions.iter().all(has_committed_or_voted)
 }
 
-/// Whether the change is committed in one region and aborted in another.
+/// Returns whether the change is committed in one region and aborted in another.
 fn outcomes_differ(regions: &[RegionState], id: ChangeId) -> bool {
-    regions.iter().any(|s| s.committed(id) > 0) && regions.iter().any(|s| s.is_aborted(id))
+    regions.iter().any(|region| region.commit_count(id) > 0)
+        && regions.iter().any(|region| region.is_aborted(id))
 }
 
-/// Whether the first cross-region change has ended in every region, committed or aborted.
+/// Returns whether the first cross-region change has ended in every region, either committed or aborted.
 pub(crate) fn all_ended(state: &State, committed: bool) -> bool {
     let id = ChangeId(1);
     state.published > 0
-        && state.regions.iter().all(|s| {
+        && state.regions.iter().all(|region| {
             if committed {
-                s.committed(id) > 0
+                region.commit_count(id) > 0
             } else {
-                s.is_aborted(id)
+                region.is_aborted(id)
             }
         })
 }
 
-/// Whether a participant is still in transition after the coordinator has decided.
+/// Returns whether a participant is still in transition after the coordinator has decided.
 pub(crate) fn is_blocked(state: &State) -> bool {
     ids(state).any(|id| {
         let (coordinator, participants) = (&state.regions[0], &state.regions[1..]);
-        !coordinator.is_pending(id) && participants.iter().any(|s| s.is_pending(id))
+        !coordinator.is_pending(id) && participants.iter().any(|region| region.is_pending(id))
     })
 }
--- a/crates/policy/tests/stored.rs
+++ b/crates/policy/tests/stored.rs
@@ -1,12 +1,12 @@
-//! Stored records and commands can be read, also those of versions without regions. The fixtures were written by the
-//! last such version.
+//! Compatibility with records and commands stored by older versions. The fixtures were written by the last version without
+//! regions.
 
 use badgerramp_policy::{
     ChangeStatus, Command, Generation, Identity, Mode, OnLeaseLoss, Outcome, Record,
 };
 use std::collections::BTreeSet;
 
-/// The commands of a log, in order, and the outcome of each.
+/// Commands of a log in order, each with its outcome.
 const LOG: [(&str, &str); 9] = [
     (
         r#"{"Publish":{"revision":0,"text":"one","floors":[]}}"#,
@@ -50,10 +50,10 @@
 );
 
 fn read<T: serde::de::DeserializeOwned>(text: &str) -> T {
-    serde_json::from_str(text).expect("it can be read")
+    serde_json::from_str(text).expect("the text deserializes")
 }
 
-fn replayed() -> Record {
+fn replay_log() -> Record {
     let mut record: Record = read(EMPTY);
     for (command, outcome) in LOG {
         assert_eq!(
@@ -68,7 +68,7 @@
 #[test]
 fn older_snapshot_equals_its_replayed_log() {
     let record: Record = read(RECORD);
-    assert_eq!(replayed(), record);
+    assert_eq!(replay_log(), record);
     assert_eq!(
         record.mode(),
         Some(Mode {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn older_record_can_finish_its_change() {
+fn pending_change_of_an_older_record_can_be_committed() {
     let mut record: Record = read(RECORD);
     assert_eq!(
         record.apply(&Command::Advance { revision: 6 }),
@@ -108,7 +108,7 @@
 
 #[test]
 fn record_with_leaseless_proxies_round_trips() {
-    let mut record = replayed();
+    let mut record = replay_log();
     for (name, incarnation) in [("p", 1), ("p", u64::MAX), ("a#b", 2), ("", 0)] {
         let identity = Identity {
             name: name.to_owned(),
@@ -120,25 +120,25 @@
         });
     }
     assert_eq!(record.leaseless_proxies().len(), 4);
-    let text = serde_json::to_string(&record).expect("it can be written");
+    let text = serde_json::to_string(&record).expect("the record serializes");
     assert_eq!(read::<Record>(&text), record);
 }
 
 #[test]
-fn malformed_proxy_key_is_an_error_that_shows_it() {
+fn malformed_proxy_key_is_reported_in_the_error() {
     for key in ["p", "p#", "p#g"] {
-        let damaged = EMPTY.replace(
+        let malformed = EMPTY.replace(
             r#""standing":{}"#,
             &format!(r#""standing":{{"{key}":{{"cut_off":"Keep","revision":0,"floor":0}}}}"#),
         );
-        let fault = serde_json::from_str::<Record>(&damaged)
+        let error = serde_json::from_str::<Record>(&malformed)
             .expect_err(key)
             .to_string();
         assert!(
-            fault.contains(&format!(
+            error.contains(&format!(
                 "invalid proxy identity {key:?}, expected name#incarnation"
             )),
-            "{fault}"
+            "{error}"
         );
     }
 }
@@ -151,7 +151,7 @@
         ..
     } = read(LOG[8].0)
     else {
-        panic!("a publish")
+        panic!("expected a publish command")
     };
     assert_eq!(
         (fallback_generations, all_regions),
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The JSON of every command, outcome and record that replicas log, store in snapshots and send each other. What one
-//! version wrote the next one reads, and writes the same again.
+//! JSON format of the commands, outcomes and records that replicas log, store in snapshots and send to each other. A new
+//! version must read what an older one wrote, and must write the same format.
 
 use badgerramp_policy::regions::{AllRegions, ChangeId, ChangeRef, Region};
 use badgerramp_policy::{Command, Generation, Identity, OnLeaseLoss, Outcome, Record, Rejection};
@@ -8,12 +8,12 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-/// Each value as a line of JSON, after it was read back.
+/// Returns each value as a line of JSON, after checking that it deserializes to the same value.
 fn lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(values: &[T]) -> String {
     let line = |value: &T| {
-        let text = serde_json::to_string(value).expect("it can be written");
+        let text = serde_json::to_string(value).expect("the value serializes");
         assert_eq!(
-            &serde_json::from_str::<T>(&text).expect("it can be read"),
+            &serde_json::from_str::<T>(&text).expect("the JSON deserializes"),
             value
         );
         text
@@ -22,7 +22,7 @@
 }
 
 fn region(name: &str) -> Region {
-    name.parse().expect("a region")
+    name.parse().expect("a valid region name")
 }
 
 fn change() -> ChangeRef {
@@ -116,7 +116,7 @@
 
 #[test]
 fn outcomes_keep_their_json() {
-    let refused = [
+    let rejections = [
         Rejection::ChangePending(Generation(2)),
         Rejection::CrossRegionPending {
             generation: Generation(2),
@@ -135,12 +135,12 @@
     let outcomes = [Outcome::Started(Generation(3)), Outcome::Applied];
     let outcomes: Vec<_> = outcomes
         .into_iter()
-        .chain(refused.map(Outcome::Rejected))
+        .chain(rejections.map(Outcome::Rejected))
         .collect();
     insta::assert_snapshot!(lines(&outcomes));
 }
 
-/// A record before its next cross-region change, with committed and aborted policies and proxies of each kind.
+/// Returns a record without a pending change, with committed and aborted policies and with leaseless proxies of each kind.
 fn record_with_history() -> Record {
     let mut record = Record::default();
     let publish = |record: &mut Record, text: &str, all_regions| {
@@ -153,14 +153,14 @@
         record.apply(&command)
     };
     publish(&mut record, "one", None);
-    for (name, cut_off) in [
+    for (name, on_lease_loss) in [
         ("caja", OnLeaseLoss::Fallback),
         ("a#b", OnLeaseLoss::Keep),
         ("gone", OnLeaseLoss::Keep),
     ] {
         record.apply(&Command::Register {
             identity: identity(name),
-            on_lease_loss: cut_off,
+            on_lease_loss,
         });
     }
     record.apply(&Command::Evict {
@@ -175,10 +175,10 @@
     record.apply(&Command::Advance {
         revision: record.revision(),
     });
-    let acting = BTreeSet::from([identity("a#b")]);
+    let proxies = BTreeSet::from([identity("a#b")]);
     record.apply(&Command::RecordActive {
         revision: record.revision(),
-        proxies: acting,
+        proxies,
     });
     record
 }
