--- a/crates/control-protocol/src/lease.rs
+++ b/crates/control-protocol/src/lease.rs
@@ -8,46 +8,46 @@
 };
 
 impl From<Identity> for wire::Identity {
-    fn from(own: Identity) -> Self {
+    fn from(value: Identity) -> Self {
         wire::Identity {
-            name: own.name,
-            incarnation: own.incarnation,
+            name: value.name,
+            incarnation: value.incarnation,
         }
     }
 }
 
 impl From<wire::Identity> for Identity {
-    fn from(wire: wire::Identity) -> Self {
+    fn from(message: wire::Identity) -> Self {
         Identity {
-            name: wire.name,
-            incarnation: wire.incarnation,
+            name: message.name,
+            incarnation: message.incarnation,
         }
     }
 }
 
 impl From<Mode> for wire::Mode {
-    fn from(own: Mode) -> Self {
+    fn from(value: Mode) -> Self {
         wire::Mode {
-            revision: own.revision,
-            old: own.old.0,
-            new: own.new.0,
+            revision: value.revision,
+            old: value.old.0,
+            new: value.new.0,
         }
     }
 }
 
 impl From<wire::Mode> for Mode {
-    fn from(wire: wire::Mode) -> Self {
+    fn from(message: wire::Mode) -> Self {
         Mode {
-            revision: wire.revision,
-            old: Generation(wire.old),
-            new: Generation(wire.new),
+            revision: message.revision,
+            old: Generation(message.old),
+            new: Generation(message.new),
         }
     }
 }
 
 impl From<OnLeaseLoss> for wire::OnLeaseLoss {
-    fn from(own: OnLeaseLoss) -> Self {
-        match own {
+    fn from(value: OnLeaseLoss) -> Self {
+        match value {
             OnLeaseLoss::Reject => wire::OnLeaseLoss::Reject,
             OnLeaseLoss::Fallback => wire::OnLeaseLoss::Fallback,
             OnLeaseLoss::Keep => wire::OnLeaseLoss::Keep,
@@ -57,23 +57,23 @@
 
 impl wire::LeaseRequest {
     /// Creates the message for the request of a proxy that runs this application.
-    pub fn new(own: LeaseRequest, application: &str) -> Self {
+    pub fn new(request: LeaseRequest, application: &str) -> Self {
         wire::LeaseRequest {
-            identity: Some(own.identity.into()),
-            sequence: own.sequence,
-            active_revision: own.active_revision,
-            loaded_generations: own
+            identity: Some(request.identity.into()),
+            sequence: request.sequence,
+            active_revision: request.active_revision,
+            loaded_generations: request
                 .loaded_generations
                 .into_iter()
                 .map(|generation| generation.0)
                 .collect(),
-            rejected_generation: own
-                .rejected_generation
-                .map(|rejected| wire::RejectedGeneration {
+            rejected_generation: request.rejected_generation.map(|rejected| {
+                wire::RejectedGeneration {
                     generation: rejected.generation.0,
                     reason: rejected.reason,
-                }),
-            on_lease_loss: wire::OnLeaseLoss::from(own.on_lease_loss).into(),
+                }
+            }),
+            on_lease_loss: wire::OnLeaseLoss::from(request.on_lease_loss).into(),
             application: application.to_owned(),
             region: String::new(),
         }
@@ -92,12 +92,12 @@
 impl TryFrom<&wire::LeaseRequest> for LeaseRequest {
     type Error = InvalidMessage;
 
-    fn try_from(wire: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
-        let identity = wire
+    fn try_from(message: &wire::LeaseRequest) -> Result<Self, InvalidMessage> {
+        let identity = message
             .identity
             .clone()
             .filter(|identity| !identity.name.is_empty());
-        let on_lease_loss = match wire.on_lease_loss() {
+        let on_lease_loss = match message.on_lease_loss() {
             wire::OnLeaseLoss::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("on_lease_loss"))
             }
@@ -106,7 +106,8 @@
             wire::OnLeaseLoss::Keep => OnLeaseLoss::Keep,
         };
         let rejected_generation =
-            wire.rejected_generation
+            message
+                .rejected_generation
                 .as_ref()
                 .map(|rejected| RejectedGeneration {
                     generation: Generation(rejected.generation),
@@ -114,9 +115,9 @@
                 });
         Ok(LeaseRequest {
             identity: identity.ok_or(InvalidMessage::Missing("identity"))?.into(),
-            sequence: wire.sequence,
-            active_revision: wire.active_revision,
-            loaded_generations: wire
+            sequence: message.sequence,
+            active_revision: message.active_revision,
+            loaded_generations: message
                 .loaded_generations
                 .iter()
                 .copied()
@@ -131,8 +132,8 @@
 impl TryFrom<&wire::LeaseGrant> for LeaseGrant {
     type Error = InvalidMessage;
 
-    fn try_from(wire: &wire::LeaseGrant) -> Result<Self, InvalidMessage> {
-        let mode = Mode::from(wire.mode.ok_or(InvalidMessage::Missing("mode"))?);
+    fn try_from(message: &wire::LeaseGrant) -> Result<Self, InvalidMessage> {
+        let mode = Mode::from(message.mode.ok_or(InvalidMessage::Missing("mode"))?);
         if mode.old > mode.new {
             return Err(InvalidMessage::BackwardMode {
                 old: mode.old.0,
@@ -140,9 +141,9 @@
             });
         }
         Ok(LeaseGrant {
-            sequence: wire.sequence,
+            sequence: message.sequence,
             mode,
-            duration: wire.duration,
+            duration: message.duration,
         })
     }
 }
--- a/crates/control-protocol/src/regions.rs
+++ b/crates/control-protocol/src/regions.rs
@@ -9,11 +9,11 @@
 use badgerramp_policy::Generation;
 
 impl From<ChangeRef> for wire::ChangeRef {
-    fn from(own: ChangeRef) -> Self {
+    fn from(value: ChangeRef) -> Self {
         wire::ChangeRef {
-            id: own.id.0,
-            coordinator: own.coordinator.into(),
-            generation: own.generation.0,
+            id: value.id.0,
+            coordinator: value.coordinator.into(),
+            generation: value.generation.0,
         }
     }
 }
@@ -21,11 +21,11 @@
 impl TryFrom<wire::ChangeRef> for ChangeRef {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::ChangeRef) -> Result<Self, InvalidMessage> {
+    fn try_from(message: wire::ChangeRef) -> Result<Self, InvalidMessage> {
         Ok(ChangeRef {
-            id: ChangeId(wire.id),
-            coordinator: wire.coordinator.parse()?,
-            generation: Generation(wire.generation),
+            id: ChangeId(message.id),
+            coordinator: message.coordinator.parse()?,
+            generation: Generation(message.generation),
         })
     }
 }
@@ -62,10 +62,10 @@
 impl TryFrom<wire::Prepare> for Prepare {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::Prepare) -> Result<Self, InvalidMessage> {
+    fn try_from(message: wire::Prepare) -> Result<Self, InvalidMessage> {
         Ok(Prepare {
-            change: required_change(wire.change)?,
-            text: wire.policy,
+            change: required_change(message.change)?,
+            text: message.policy,
         })
     }
 }
@@ -73,9 +73,9 @@
 impl TryFrom<wire::Commit> for Commit {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::Commit) -> Result<Self, InvalidMessage> {
+    fn try_from(message: wire::Commit) -> Result<Self, InvalidMessage> {
         Ok(Commit {
-            change: required_change(wire.change)?,
+            change: required_change(message.change)?,
         })
     }
 }
@@ -83,17 +83,17 @@
 impl TryFrom<wire::OutcomeRequest> for OutcomeRequest {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::OutcomeRequest) -> Result<Self, InvalidMessage> {
+    fn try_from(message: wire::OutcomeRequest) -> Result<Self, InvalidMessage> {
         Ok(OutcomeRequest {
-            id: ChangeId(wire.id),
-            region: wire.region.parse()?,
+            id: ChangeId(message.id),
+            region: message.region.parse()?,
         })
     }
 }
 
 impl From<VoteReply> for wire::VoteReply {
-    fn from(own: VoteReply) -> Self {
-        let (vote, reason) = match own.vote {
+    fn from(value: VoteReply) -> Self {
+        let (vote, reason) = match value.vote {
             Vote::Preparing => (vote_reply::Vote::Preparing, String::new()),
             Vote::Prepared => (vote_reply::Vote::Prepared, String::new()),
             Vote::Rejected { reason } => (vote_reply::Vote::Rejected, reason),
@@ -101,7 +101,7 @@
             Vote::Aborted => (vote_reply::Vote::Aborted, String::new()),
         };
         wire::VoteReply {
-            id: own.id.0,
+            id: value.id.0,
             vote: vote.into(),
             reason,
         }
@@ -111,33 +111,33 @@
 impl TryFrom<wire::VoteReply> for VoteReply {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::VoteReply) -> Result<Self, InvalidMessage> {
-        let vote = match wire.vote() {
+    fn try_from(message: wire::VoteReply) -> Result<Self, InvalidMessage> {
+        let vote = match message.vote() {
             vote_reply::Vote::Unspecified => return Err(InvalidMessage::UnknownValue("vote")),
             vote_reply::Vote::Preparing => Vote::Preparing,
             vote_reply::Vote::Prepared => Vote::Prepared,
             vote_reply::Vote::Rejected => Vote::Rejected {
-                reason: wire.reason,
+                reason: message.reason,
             },
             vote_reply::Vote::Committed => Vote::Committed,
             vote_reply::Vote::Aborted => Vote::Aborted,
         };
         Ok(VoteReply {
-            id: ChangeId(wire.id),
+            id: ChangeId(message.id),
             vote,
         })
     }
 }
 
 impl From<OutcomeReply> for wire::OutcomeReply {
-    fn from(own: OutcomeReply) -> Self {
-        let decision = match own.decision {
+    fn from(value: OutcomeReply) -> Self {
+        let decision = match value.decision {
             Decision::Pending => outcome_reply::Decision::Pending,
             Decision::Committed => outcome_reply::Decision::Committed,
             Decision::Aborted => outcome_reply::Decision::Aborted,
         };
         wire::OutcomeReply {
-            id: own.id.0,
+            id: value.id.0,
             decision: decision.into(),
         }
     }
@@ -146,8 +146,8 @@
 impl TryFrom<wire::OutcomeReply> for OutcomeReply {
     type Error = InvalidMessage;
 
-    fn try_from(wire: wire::OutcomeReply) -> Result<Self, InvalidMessage> {
-        let decision = match wire.decision() {
+    fn try_from(message: wire::OutcomeReply) -> Result<Self, InvalidMessage> {
+        let decision = match message.decision() {
             outcome_reply::Decision::Unspecified => {
                 return Err(InvalidMessage::UnknownValue("decision"))
             }
@@ -156,7 +156,7 @@
             outcome_reply::Decision::Aborted => Decision::Aborted,
         };
         Ok(OutcomeReply {
-            id: ChangeId(wire.id),
+            id: ChangeId(message.id),
             decision,
         })
     }
