--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -145,7 +145,7 @@
         let local_addresses: Vec<_> = links.iter().map(local).collect();
         let region_addresses: Vec<_> = links.iter().map(remote).collect();
         let mut regions = Vec::new();
-        for (region_index, region) in links.into_iter().enumerate() {
+        for (index, region) in links.into_iter().enumerate() {
             let mut replicas = Vec::new();
             for (
                 number,
@@ -157,15 +157,12 @@
             ) in (1..).zip(region)
             {
                 let text = settings(
-                    region_index,
+                    index,
                     number,
-                    (
-                        &local_addresses[region_index],
-                        &region_addresses[1 - region_index],
-                    ),
+                    (&local_addresses[index], &region_addresses[1 - index]),
                     wait_ms,
                 );
-                let plan = plan(&folder, &file_name(region_index, number), &text);
+                let plan = plan(&folder, &file_name(index, number), &text);
                 let mut process = Process::start(plan).await.expect("the replica starts");
                 address.send_replace(Some(process.listens().await.expect("the replica listens")));
                 replicas.push(Replica {
@@ -558,10 +555,10 @@
     let done = publish_task.await.expect("the publish task ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(done.why, "timed out without the vote of region sur");
-    let is_still_pending = |status: &Standing| {
+    let is_pending = |status: &Standing| {
         status.in_force == Some(1) && status.to_come == Some(2) && has_voted(status)
     };
-    assert!(is_still_pending(&cluster.status(SUR).await));
+    assert!(is_pending(&cluster.status(SUR).await));
     // The participant can neither abort the change nor start another one.
     let rejection = cluster
         .expect_rejection(
@@ -593,10 +590,7 @@
         done.why
     );
     cluster.restart(SUR).await;
-    assert!(
-        is_still_pending(&cluster.status(SUR).await),
-        "the vote is stored"
-    );
+    assert!(is_pending(&cluster.status(SUR).await), "the vote is stored");
     cluster.heal();
     let status = cluster
         .wait_until(SUR, "decision", |status| status.to_come.is_none())
