--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -4,8 +4,8 @@
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
-use badgerramp_fault_injection::link::{Link, Pass};
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::link::{Forwarding, Link};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{Identity, LeaseRequest, OnLeaseLoss};
 use std::collections::{BTreeSet, HashMap};
@@ -83,7 +83,7 @@
 }
 
 /// Writes a replica's file, and its store if it has none. What starts it.
-fn plan(folder: &Folder, name: &str, text: &str) -> Plan {
+fn plan(folder: &Folder, name: &str, text: &str) -> ProcessSpec {
     let file = folder
         .write(&format!("{name}.toml"), text, false)
         .expect("a file");
@@ -95,11 +95,11 @@
         assert!(made.expect("it runs").status.success());
     }
     let arguments = vec!["serve".to_owned(), file.display().to_string()];
-    Plan {
+    ProcessSpec {
         program: CONTROL.into(),
         arguments,
-        keep: Vec::new(),
-        variables: Vec::new(),
+        debug_filter: Vec::new(),
+        environment: Vec::new(),
     }
 }
 
@@ -137,7 +137,7 @@
                 );
                 let plan = plan(&folder, &file_name(place, number), &text);
                 let mut process = Process::start(plan).await.expect("it starts");
-                at.send_replace(Some(process.listens().await.expect("it listens")));
+                at.send_replace(Some(process.listen_address().await.expect("it listens")));
                 replicas.push(Replica {
                     process,
                     at,
@@ -239,24 +239,24 @@
     }
 
     /// Cuts or restores the link to this region from the other one, in both directions.
-    fn pass_to(&self, place: usize, forth: Pass, back: Pass) {
+    fn pass_to(&self, place: usize, forth: Forwarding, back: Forwarding) {
         for replica in &self.regions[place] {
             replica
                 .between
-                .set(|state| (state.forth, state.back) = (forth, back));
+                .set(|state| (state.forward, state.backward) = (forth, back));
         }
     }
 
     fn cut(&self) {
         [NORTE, SUR]
             .into_iter()
-            .for_each(|place| self.pass_to(place, Pass::Cut, Pass::Cut));
+            .for_each(|place| self.pass_to(place, Forwarding::Cut, Forwarding::Cut));
     }
 
     fn mend(&self) {
         [NORTE, SUR]
             .into_iter()
-            .for_each(|place| self.pass_to(place, Pass::Free, Pass::Free));
+            .for_each(|place| self.pass_to(place, Forwarding::Normal, Forwarding::Normal));
     }
 
     /// Takes the other region out of the file of this one's only replica. It holds from the next restart on.
@@ -280,8 +280,8 @@
     async fn restart(&mut self, place: usize) {
         self.kill(place).await;
         let replica = &mut self.regions[place][0];
-        replica.process.again().expect("it starts");
-        let address = replica.process.listens().await.expect("it listens");
+        replica.process.spawn().expect("it starts");
+        let address = replica.process.listen_address().await.expect("it listens");
         replica.at.send_replace(Some(address));
     }
 
@@ -473,8 +473,8 @@
 async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
     let mut cluster = Cluster::with_policy("voted", 1_500).await;
     // The prepare comes through; neither its answer nor any question for the outcome does.
-    cluster.pass_to(SUR, Pass::Free, Pass::Cut);
-    cluster.pass_to(NORTE, Pass::Cut, Pass::Cut);
+    cluster.pass_to(SUR, Forwarding::Normal, Forwarding::Cut);
+    cluster.pass_to(NORTE, Forwarding::Cut, Forwarding::Cut);
     let publishing = cluster.publishing(NORTE, Scope::All, 2);
     cluster.until(SUR, "vote", has_voted).await;
     let done = publishing.await.expect("it ends");
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -5,7 +5,7 @@
 use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use openraft::storage::RaftLogStorage;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -59,23 +59,23 @@
                 .output();
             assert!(made.expect("it runs").status.success());
             let arguments = vec!["serve".to_owned(), file.display().to_string()];
-            let plan = Plan {
+            let plan = ProcessSpec {
                 program: CONTROL.into(),
                 arguments,
-                keep: Vec::new(),
-                variables: Vec::new(),
+                debug_filter: Vec::new(),
+                environment: Vec::new(),
             };
             let mut process = Process::start(plan).await.expect("it starts");
             replicas.at[number - 1]
-                .send_replace(Some(process.listens().await.expect("it listens")));
+                .send_replace(Some(process.listen_address().await.expect("it listens")));
             replicas.all.push(process);
         }
         replicas
     }
 
     async fn again(&mut self, place: usize) {
-        self.all[place].again().expect("it starts");
-        let address = self.all[place].listens().await.expect("it listens");
+        self.all[place].spawn().expect("it starts");
+        let address = self.all[place].listen_address().await.expect("it listens");
         self.at[place].send_replace(Some(address));
     }
 
@@ -197,17 +197,17 @@
     let file = replicas.folder.path().join("1.toml").display().to_string();
     let script = format!("trap '' XFSZ; ulimit -f {room}; exec \"$0\" serve \"$1\"");
     let arguments = vec!["-c".to_owned(), script, CONTROL.to_owned(), file];
-    let plan = Plan {
+    let plan = ProcessSpec {
         program: "/bin/sh".into(),
         arguments,
-        keep: Vec::new(),
-        variables: Vec::new(),
+        debug_filter: Vec::new(),
+        environment: Vec::new(),
     };
     let mut full = Process::start(plan).await.expect("it starts");
-    replicas.at[0].send_replace(Some(full.listens().await.expect("it listens")));
+    replicas.at[0].send_replace(Some(full.listen_address().await.expect("it listens")));
     let mut answered = 0;
     let ended = loop {
-        if let Some(ended) = full.ended() {
+        if let Some(ended) = full.exit_report() {
             break ended;
         }
         let large = format!("{POLICY}\n# {answered}\n{}", "# room\n".repeat(20_000));
--- a/crates/fault-injection/src/contender.rs
+++ b/crates/fault-injection/src/baseline.rs
@@ -1,15 +1,15 @@
 //! Other ways to bring a policy to a fleet, under the same faults: files that are pushed and a signal, two phases, a spread
 //! in its own time. No control, no leases: a proxy goes by the file that it read last.
 
+use crate::checker::StartRecord;
 use crate::clients::{Ended, Try};
-use crate::judge::Line;
-use crate::process::Line as LogLine;
+use crate::process::LogLine;
 use badgerramp_policy::{Generation, Micros, Mode};
 use std::time::Duration;
 
 /// How a policy comes to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Distribution {
     /// By control: everywhere or nowhere.
     Control,
     /// The file of each proxy is written and it gets a signal; one that can't be reached is tried again for a while.
@@ -20,34 +20,43 @@
     Spread,
 }
 
-impl Way {
+impl Distribution {
     /// Its name.
     pub const NAMES: [&'static str; 4] = ["control", "files", "two-phase", "spread"];
 
     /// The way of this name.
-    pub fn named(name: &str) -> Option<Self> {
-        let all = [Way::Control, Way::Files, Way::TwoPhase, Way::Spread];
+    pub fn from_name(name: &str) -> Option<Self> {
+        let all = [
+            Distribution::Control,
+            Distribution::Files,
+            Distribution::TwoPhase,
+            Distribution::Spread,
+        ];
         Self::NAMES
             .iter()
             .position(|n| *n == name)
-            .map(|place| all[place])
+            .map(|index| all[index])
     }
 }
 
 /// How long the pusher tries to reach one that it can't, and a spread takes when all is well.
-pub const TRIES: Duration = Duration::from_secs(2);
+pub const RETRY_DURATION: Duration = Duration::from_secs(2);
 
 /// A file that was written: when, for which proxy, of which generation.
-pub type Written = (Micros, usize, u64);
+pub type WrittenFile = (Micros, usize, u64);
 
 /// The calls that began, where no proxy tells its generation: a proxy goes by the file that it had last read when a try
 /// came that was not refused.
-pub fn begun(tries: &[Try], logs: &[Vec<LogLine>], written: &[Written]) -> Vec<Line> {
+pub fn started_calls(
+    attempts: &[Try],
+    logs: &[Vec<LogLine>],
+    written: &[WrittenFile],
+) -> Vec<StartRecord> {
     let read = |proxy: usize| -> Vec<(Micros, u64)> {
         let reads = |line: &&LogLine| {
             line.1.contains("listening on") || line.1.contains("the new configuration holds")
         };
-        let had = |at: Micros| {
+        let generation_at = |at: Micros| {
             let before = written
                 .iter()
                 .filter(|w| w.1 == proxy && w.0 <= at)
@@ -57,7 +66,7 @@
         logs[proxy]
             .iter()
             .filter(reads)
-            .map(|(at, _)| (*at, had(*at)))
+            .map(|(at, _)| (*at, generation_at(*at)))
             .collect()
     };
     let read: Vec<_> = (0..logs.len()).map(read).collect();
@@ -68,7 +77,7 @@
             .take_while(|(at, _)| *at <= t.from)
             .last()?;
         let mode = Mode::stable(0, Generation(held.1));
-        Some(Line {
+        Some(StartRecord {
             at: t.from,
             proxy: t.proxy,
             mode,
@@ -76,7 +85,7 @@
             request: t.key.clone(),
         })
     };
-    tries.iter().filter(answered).filter_map(line).collect()
+    attempts.iter().filter(answered).filter_map(line).collect()
 }
 
 #[cfg(test)]
@@ -98,14 +107,14 @@
             until: from + 1,
             ended: Ended::Status(status),
         };
-        let tries = [
+        let attempts = [
             call(10, 200),
             call(25, 200),
             call(35, 200),
             call(50, 200),
             call(60, 503),
         ];
-        let held: Vec<u64> = begun(&tries, &logs, &written)
+        let held: Vec<u64> = started_calls(&attempts, &logs, &written)
             .iter()
             .map(|l| l.mode.new.0)
             .collect();
--- a/crates/fault-injection/src/judge.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -9,7 +9,7 @@
 
 /// What a publisher heard, and when.
 #[derive(Clone, Debug, Serialize)]
-pub struct Heard {
+pub struct PublishRecord {
     /// The change.
     pub generation: u64,
     /// When.
@@ -24,7 +24,7 @@
 
 /// A call that began, out of a proxy's log.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct StartRecord {
     /// When.
     pub at: Micros,
     /// Where.
@@ -37,9 +37,9 @@
     pub request: String,
 }
 
-impl Line {
+impl StartRecord {
     /// Reads a line of a log; `None` if it tells of something else.
-    pub fn read(proxy: usize, line: &str) -> Option<Line> {
+    pub fn parse(proxy: usize, line: &str) -> Option<StartRecord> {
         if !line.contains("badgerramp::begun") {
             return None;
         }
@@ -50,7 +50,7 @@
             old: Generation(number("old")?),
             new: Generation(number("new")?),
         };
-        Some(Line {
+        Some(StartRecord {
             at: number("at")?,
             proxy,
             mode,
@@ -107,33 +107,33 @@
 }
 
 /// Judges a course. `well` tells whether a proxy was well all through a span, `calm` whether control was too.
-pub fn judge(
-    mut begun: Vec<Line>,
-    heard: &[Heard],
-    tries: &[Try],
+pub fn check(
+    mut begun: Vec<StartRecord>,
+    heard: &[PublishRecord],
+    attempts: &[Try],
     executed: &HashMap<String, u32>,
-    well: impl Fn(usize, Micros, Micros) -> bool,
-    calm: impl Fn(usize, Micros, Micros) -> bool,
+    proxy_healthy: impl Fn(usize, Micros, Micros) -> bool,
+    all_healthy: impl Fn(usize, Micros, Micros) -> bool,
 ) -> Verdict {
     let mut verdict = Verdict {
-        calls: tries.len(),
+        calls: attempts.len(),
         begun: begun.len(),
         ..Verdict::default()
     };
     let mut first = None;
     // What falls on one microsecond has no order: the older first.
     begun.sort_by_key(|line| (line.at, line.mode.old, line.mode.new));
-    let mut judge = InvariantChecker::default();
-    let mut told: Vec<&Heard> = heard.iter().filter(|h| h.in_force).collect();
-    told.sort_by_key(|h| h.at);
-    let mut told = told.into_iter().peekable();
+    let mut checker = InvariantChecker::default();
+    let mut committed: Vec<&PublishRecord> = heard.iter().filter(|h| h.in_force).collect();
+    committed.sort_by_key(|h| h.at);
+    let mut committed = committed.into_iter().peekable();
     let (mut newest, mut since) = (Generation(0), 0);
     for line in begun.iter().filter(|line| !line.floor) {
         if line.mode.old > newest {
             (newest, since) = (line.mode.old, line.at);
         }
-        while let Some(heard) = told.next_if(|h| h.at < line.at) {
-            judge.record_committed(Generation(heard.generation));
+        while let Some(heard) = committed.next_if(|h| h.at < line.at) {
+            checker.record_committed(Generation(heard.generation));
         }
         let identity = Identity {
             name: line.proxy.to_string(),
@@ -142,30 +142,30 @@
         if line.mode.new < newest {
             verdict.mixed_ms = verdict.mixed_ms.max((line.at - since) / 1_000);
         }
-        let Some(fault) = judge.record_start(&StartedCall {
+        let Some(violation) = checker.record_start(&StartedCall {
             identity,
             mode: line.mode,
         }) else {
             continue;
         };
-        match fault {
+        match violation {
             Violation::MixedGenerations { .. } => verdict.begun_mixed += 1,
             Violation::AbortedGeneration(_) | Violation::BehindCommitted { .. } => {
                 verdict.begun_wrong += 1;
             }
         }
-        first.get_or_insert_with(|| format!("{} at {}: {fault:?}", line.request, line.at));
+        first.get_or_insert_with(|| format!("{} at {}: {violation:?}", line.request, line.at));
     }
     for heard in heard.iter().filter(|h| !h.in_force) {
-        let under = begun
+        let count = begun
             .iter()
             .filter(|l| l.mode.old == Generation(heard.generation))
             .count();
-        verdict.begun_wrong += under;
-        if under > 0 {
+        verdict.begun_wrong += count;
+        if count > 0 {
             first.get_or_insert_with(|| {
                 format!(
-                    "{under} began under {}, which never was in force",
+                    "{count} began under {}, which never was in force",
                     heard.generation
                 )
             });
@@ -175,15 +175,16 @@
         verdict.executed_twice += 1;
         first.get_or_insert_with(|| format!("{key} was executed {count} times"));
     }
-    for done in tries {
-        let silent = matches!(done.ended, Ended::Silence | Ended::Cut | Ended::Nobody);
-        if silent && well(done.proxy, done.from, done.until) {
+    for attempt in attempts {
+        let unanswered = matches!(attempt.ended, Ended::Silence | Ended::Cut | Ended::Nobody);
+        if unanswered && proxy_healthy(attempt.proxy, attempt.from, attempt.until) {
             verdict.lost += 1;
-            first.get_or_insert_with(|| format!("{done:?}: no answer of a proxy that was well"));
+            first.get_or_insert_with(|| format!("{attempt:?}: no answer of a proxy that was well"));
         }
-        if done.ended == Ended::Status(503) {
+        if attempt.ended == Ended::Status(503) {
             verdict.refused += 1;
-            verdict.refused_well += usize::from(calm(done.proxy, done.from, done.until));
+            verdict.refused_well +=
+                usize::from(all_healthy(attempt.proxy, attempt.from, attempt.until));
         }
     }
     verdict.first = first;
@@ -194,16 +195,16 @@
 mod tests {
     use super::*;
 
-    fn line(at: Micros, old: u64, new: u64) -> Line {
+    fn line(at: Micros, old: u64, new: u64) -> StartRecord {
         let text = format!(
             "{{\"level\":\"DEBUG\",\"message\":\"begun\",\"at\":{at},\"old\":{old},\"new\":{new},\
              \"floor\":false,\"request\":\"r\",\"target\":\"badgerramp::begun\"}}"
         );
-        Line::read(0, &text).expect("a line")
+        StartRecord::parse(0, &text).expect("a line")
     }
 
-    fn verdict(begun: Vec<Line>, heard: &[Heard]) -> Verdict {
-        judge(
+    fn verdict(begun: Vec<StartRecord>, heard: &[PublishRecord]) -> Verdict {
+        check(
             begun,
             heard,
             &[],
@@ -221,7 +222,7 @@
         mixed.push(line(4_009, 1, 1));
         let judged = verdict(mixed, &[]);
         assert_eq!((judged.begun_mixed, judged.mixed_ms), (1, 4));
-        let heard = |generation, at, in_force| Heard {
+        let heard = |generation, at, in_force| PublishRecord {
             generation,
             at,
             in_force,
@@ -231,17 +232,17 @@
         assert_eq!(verdict(good.clone(), &[heard(2, 6, true)]).begun_wrong, 1);
         assert_eq!(verdict(good, &[heard(2, 20, false)]).begun_wrong, 1);
         let executed = HashMap::from([("k".to_owned(), 2)]);
-        let silent = Try {
+        let unanswered = Try {
             key: "k".to_owned(),
             proxy: 0,
             from: 1,
             until: 2,
             ended: Ended::Silence,
         };
-        let judged = judge(
+        let judged = check(
             Vec::new(),
             &[],
-            &[silent],
+            &[unanswered],
             &executed,
             |_, _, _| true,
             |_, _, _| true,
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -14,31 +14,31 @@
 
 /// How one direction passes datagrams on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pass {
+pub struct Impairment {
     /// None goes through.
     pub cut: bool,
     /// Share of those that are lost.
-    pub lost: f64,
+    pub loss: f64,
     /// Share of those that come twice.
-    pub doubled: f64,
+    pub duplication: f64,
     /// Each is late by a time up to this, so that they overtake each other.
-    pub late: Duration,
+    pub max_delay: Duration,
 }
 
 /// Both directions.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct LinkState {
     /// From whom sends first.
-    pub forth: Pass,
+    pub forward: Impairment,
     /// To whom sent first.
-    pub back: Pass,
+    pub backward: Impairment,
     /// Nothing goes forth from these.
-    pub refused: Arc<HashSet<SocketAddr>>,
+    pub blocked_sources: Arc<HashSet<SocketAddr>>,
 }
 
 /// What came to a link on its way forth, whatever became of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct Received {
     /// Bytes of the datagrams, without what the network adds.
     pub bytes: u64,
     /// Datagrams.
@@ -53,18 +53,18 @@
 
 /// A link for datagrams to one target, wherever that is at the moment; answers go to whom it last heard from. It ends
 /// with its owner.
-pub struct Datagrams {
+pub struct DatagramLink {
     /// Where it hears.
     pub address: SocketAddr,
-    state: watch::Sender<State>,
+    state: watch::Sender<LinkState>,
     counters: Arc<Counters>,
     tasks: [AbortHandle; 2],
 }
 
 /// Longest datagram.
-const MOST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-impl Datagrams {
+impl DatagramLink {
     /// A link to `target`, with draws of this seed.
     ///
     /// # Errors
@@ -72,109 +72,118 @@
     pub async fn to(
         target: watch::Receiver<Option<SocketAddr>>,
         seed: u64,
-    ) -> io::Result<Datagrams> {
-        let near = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
-        let far = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
-        let address = near.local_addr()?;
-        let (state, _) = watch::channel(State::default());
-        let (heard, hears) = watch::channel(None);
+    ) -> io::Result<DatagramLink> {
+        let inbound = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
+        let outbound = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
+        let address = inbound.local_addr()?;
+        let (state, _) = watch::channel(LinkState::default());
+        let (sender_updates, last_sender) = watch::channel(None);
         let counters = Arc::new(Counters::default());
         let counts = Arc::clone(&counters);
-        let forth = {
-            let (near, far, state) = (Arc::clone(&near), Arc::clone(&far), state.subscribe());
+        let forward = {
+            let (inbound, outbound, state) = (
+                Arc::clone(&inbound),
+                Arc::clone(&outbound),
+                state.subscribe(),
+            );
             tokio::spawn(async move {
-                let (mut buffer, mut draws) = (vec![0; MOST], Pcg32::seed_from_u64(seed));
+                let (mut buffer, mut rng) =
+                    (vec![0; MAX_DATAGRAM_BYTES], Pcg32::seed_from_u64(seed));
                 loop {
                     // An error tells of an earlier datagram that found nobody.
-                    let Ok((count, from)) = near.recv_from(&mut buffer).await else {
+                    let Ok((count, from)) = inbound.recv_from(&mut buffer).await else {
                         continue;
                     };
-                    heard.send_replace(Some(from));
+                    sender_updates.send_replace(Some(from));
                     counts.bytes.fetch_add(count as u64, Ordering::Relaxed);
                     counts.datagrams.fetch_add(1, Ordering::Relaxed);
-                    let (pass, refused) = {
+                    let (impairment, blocked) = {
                         let state = state.borrow();
-                        (state.forth, state.refused.contains(&from))
+                        (state.forward, state.blocked_sources.contains(&from))
                     };
-                    for late in copies(pass, &mut draws).into_iter().filter(|_| !refused) {
+                    for delay in copy_delays(impairment, &mut rng)
+                        .into_iter()
+                        .filter(|_| !blocked)
+                    {
                         let Some(to) = *target.borrow() else { continue };
-                        if late.is_zero() {
-                            let _ = far.send_to(&buffer[..count], to).await;
+                        if delay.is_zero() {
+                            let _ = outbound.send_to(&buffer[..count], to).await;
                             continue;
                         }
-                        let (far, text) = (Arc::clone(&far), buffer[..count].to_vec());
+                        let (outbound, payload) = (Arc::clone(&outbound), buffer[..count].to_vec());
                         tokio::spawn(async move {
-                            tokio::time::sleep(late).await;
-                            let _ = far.send_to(&text, to).await;
+                            tokio::time::sleep(delay).await;
+                            let _ = outbound.send_to(&payload, to).await;
                         });
                     }
                 }
             })
         };
-        let back = {
+        let backward = {
             let state = state.subscribe();
             tokio::spawn(async move {
-                let (mut buffer, mut draws) = (vec![0; MOST], Pcg32::seed_from_u64(!seed));
+                let (mut buffer, mut rng) =
+                    (vec![0; MAX_DATAGRAM_BYTES], Pcg32::seed_from_u64(!seed));
                 loop {
-                    let Ok(count) = far.recv(&mut buffer).await else {
+                    let Ok(count) = outbound.recv(&mut buffer).await else {
                         continue;
                     };
-                    let (pass, to) = (state.borrow().back, *hears.borrow());
+                    let (impairment, to) = (state.borrow().backward, *last_sender.borrow());
                     let Some(to) = to else { continue };
-                    for late in copies(pass, &mut draws) {
-                        let (near, text) = (Arc::clone(&near), buffer[..count].to_vec());
+                    for delay in copy_delays(impairment, &mut rng) {
+                        let (inbound, payload) = (Arc::clone(&inbound), buffer[..count].to_vec());
                         tokio::spawn(async move {
-                            tokio::time::sleep(late).await;
-                            let _ = near.send_to(&text, to).await;
+                            tokio::time::sleep(delay).await;
+                            let _ = inbound.send_to(&payload, to).await;
                         });
                     }
                 }
             })
         };
-        Ok(Datagrams {
+        Ok(DatagramLink {
             address,
             state,
             counters,
-            tasks: [forth.abort_handle(), back.abort_handle()],
+            tasks: [forward.abort_handle(), backward.abort_handle()],
         })
     }
 
     /// Changes how it passes datagrams on.
-    pub fn set(&self, change: impl FnOnce(&mut State)) {
+    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
     /// What came to it so far on its way forth.
-    pub fn sent(&self) -> Sent {
+    pub fn received(&self) -> Received {
         let Counters { bytes, datagrams } = &*self.counters;
-        Sent {
+        Received {
             bytes: bytes.load(Ordering::Relaxed),
             datagrams: datagrams.load(Ordering::Relaxed),
         }
     }
 }
 
-impl Drop for Datagrams {
+impl Drop for DatagramLink {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
 /// When each copy of one datagram goes on; none: it is lost.
-fn copies(pass: Pass, draws: &mut Pcg32) -> Vec<Duration> {
+fn copy_delays(impairment: Impairment, rng: &mut Pcg32) -> Vec<Duration> {
     // As many draws whatever comes of them: one datagram's lot does not move the next one's.
-    let (lost, doubled) = (
-        draws.gen_bool(pass.lost.clamp(0.0, 1.0)),
-        draws.gen_bool(pass.doubled.clamp(0.0, 1.0)),
+    let (lost, duplicated) = (
+        rng.gen_bool(impairment.loss.clamp(0.0, 1.0)),
+        rng.gen_bool(impairment.duplication.clamp(0.0, 1.0)),
     );
-    let late = [draws.gen_range(0.0..=1.0), draws.gen_range(0.0..=1.0)]
-        .map(|share| pass.late.mul_f64(share));
-    let count = if pass.cut || lost {
+    let delay = [rng.gen_range(0.0..=1.0), rng.gen_range(0.0..=1.0)]
+        .map(|share| impairment.max_delay.mul_f64(share));
+    let count = if impairment.cut || lost {
         0
     } else {
-        1 + usize::from(doubled)
+        1 + usize::from(duplicated)
     };
-    late[..count].to_vec()
+    delay[..count].to_vec()
 }
 
 #[cfg(test)]
@@ -195,7 +204,7 @@
 
     #[tokio::test]
     async fn each_direction_has_its_own_lot() {
-        let link = Datagrams::to(watch::channel(Some(echo().await)).1, 1)
+        let link = DatagramLink::to(watch::channel(Some(echo().await)).1, 1)
             .await
             .expect("a link");
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -204,7 +213,7 @@
         socket.send(b"a").await.expect("sent");
         assert_eq!(socket.recv(&mut buffer).await.expect("echoed"), 1);
         // Doubled forth and back: four.
-        link.set(|s| (s.forth.doubled, s.back.doubled) = (1.0, 1.0));
+        link.set(|s| (s.forward.duplication, s.backward.duplication) = (1.0, 1.0));
         socket.send(b"b").await.expect("sent");
         for _ in 0..4 {
             socket.recv(&mut buffer).await.expect("echoed");
@@ -212,13 +221,13 @@
         }
         // It hears and is not heard; what was lost does not come later.
         link.set(|s| {
-            s.forth = Pass {
+            s.forward = Impairment {
                 cut: true,
-                ..Pass::default()
+                ..Impairment::default()
             }
         });
         socket.send(b"c").await.expect("sent");
-        link.set(|s| *s = State::default());
+        link.set(|s| *s = LinkState::default());
         loop {
             // What was sent in the cut may be read by the link after the cut is mended: it is sent again until it comes.
             socket.send(b"d").await.expect("sent");
@@ -231,27 +240,30 @@
 
     #[test]
     fn lots_are_drawn_by_seed() {
-        let pass = Pass {
+        let impairment = Impairment {
             cut: false,
-            lost: 0.3,
-            doubled: 0.2,
-            late: Duration::from_millis(10),
+            loss: 0.3,
+            duplication: 0.2,
+            max_delay: Duration::from_millis(10),
         };
         let all = |seed| {
-            let mut draws = Pcg32::seed_from_u64(seed);
+            let mut rng = Pcg32::seed_from_u64(seed);
             (0..1_000)
-                .map(|_| copies(pass, &mut draws))
+                .map(|_| copy_delays(impairment, &mut rng))
                 .collect::<Vec<_>>()
         };
         assert_eq!(all(7), all(7));
         assert_ne!(all(7), all(8));
-        let of = |count: usize| all(7).iter().filter(|c| c.len() == count).count();
+        let with_copies = |count: usize| all(7).iter().filter(|c| c.len() == count).count();
         assert!(
-            (250..350).contains(&of(0)) && (90..190).contains(&of(2)),
+            (250..350).contains(&with_copies(0)) && (90..190).contains(&with_copies(2)),
             "{} {}",
-            of(0),
-            of(2)
+            with_copies(0),
+            with_copies(2)
         );
-        assert!(all(7).iter().flatten().all(|late| *late <= pass.late));
+        assert!(all(7)
+            .iter()
+            .flatten()
+            .all(|delay| *delay <= impairment.max_delay));
     }
 }
--- a/crates/fault-injection/src/drains/mod.rs
+++ b/crates/fault-injection/src/drains/mod.rs
@@ -1,19 +1,19 @@
 //! The trial of hosts that leave: several proxies on the platform's terms, a list service whose open watches fall silent,
 //! and whatever else a course names. What came to the hosts is held against what each proxy had been told.
 
-mod course;
-mod judge;
+mod checker;
+mod schedule;
 mod service;
 
-pub use course::{Course, Kind, KINDS};
-pub use judge::Verdict;
+pub use checker::Verdict;
+pub use schedule::{FaultSchedule, Kind, KINDS};
 
-use crate::clients::{ask_and_leave, once, Ended, Try};
+use crate::clients::{call_and_disconnect, call_once, Ended, Try};
 use crate::hosts::Hosts;
 use crate::now;
-use crate::process::{Folder, Plan, Process};
+use crate::process::{Folder, Process, ProcessSpec};
 use badgerramp_policy::Micros;
-use judge::Histories;
+use checker::Histories;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::Signal;
@@ -30,11 +30,11 @@
 const SLACK: Micros = 400_000;
 
 /// What a question that begins a watch takes the service; and, where it is slow, what one of each proxy takes together.
-const QUICK: Duration = Duration::from_millis(5);
-const SLOW_FOR_ALL: Duration = Duration::from_millis(1_500);
+const POLL_WORK: Duration = Duration::from_millis(5);
+const SLOW_POLL_WORK_FOR_ALL: Duration = Duration::from_millis(1_500);
 
 /// New connections go on coming for so long after a proxy was told to end (the protocol's most is 0.4 s).
-const CLIENTS_GO_ON: Duration = Duration::from_millis(300);
+const CLIENTS_CONTINUE_FOR: Duration = Duration::from_millis(300);
 
 /// How large a course is.
 #[derive(Clone, Copy, Debug)]
@@ -49,9 +49,10 @@
 
 /// What a course came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct RunReport {
     /// What was played.
-    pub course: Course,
+    #[serde(rename = "course")]
+    pub schedule: FaultSchedule,
     /// What came too late.
     pub verdict: Verdict,
     /// Calls, and those without an answer from a proxy that ran all the time.
@@ -66,7 +67,7 @@
     pub crashed: Vec<String>,
 }
 
-impl Played {
+impl RunReport {
     /// Did all hold?
     pub fn held(&self) -> bool {
         self.verdict.late == 0
@@ -78,26 +79,26 @@
 }
 
 fn configuration(
-    course: &Course,
-    door: SocketAddr,
-    known: &str,
+    schedule: &FaultSchedule,
+    listener: SocketAddr,
+    initial_list: &str,
     proxies: usize,
     seed: u64,
 ) -> String {
-    let (grace, discovery) = (
-        course.grace.as_micros(),
-        if course.pushed { "push" } else { "ask" },
+    let (drain_grace, discovery) = (
+        schedule.drain_grace.as_micros(),
+        if schedule.pushed { "push" } else { "ask" },
     );
     format!(
-        r#"{{"name":"p","listen":"127.0.0.1:0","discovery":"{door}","seed":"{seed:016x}",
-"limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{known},
+        r#"{{"name":"p","listen":"127.0.0.1:0","discovery":"{listener}","seed":"{seed:016x}",
+"limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{initial_list},
 "settings":{{"balancers":{proxies},"tick_us":1000,"discovery":"{discovery}","locality":"",
 "classes":[{{"name":"do","objective_us":800000,"deadline_us":1500000,"worth":1,"idempotency":"guarded",
 "dedup_scope":"all","repeat_window_us":2500000}}],
 "limits":{{"cancel":true,"max_attempts":3,"second_copies":false,"retry_after":true,"max_retry_after_us":700000,
 "conn_idle_us":60000000,"connect_timeout_us":1000000,"max_open":1000}},
 "invariants":{{"cold_from":0.3,"cold_us":2000000,"tip_after_us":2000000,"ask_every_us":10000000,
-"drain_grace_us":{grace}}}}}}}"#
+"drain_grace_us":{drain_grace}}}}}}}"#
     )
 }
 
@@ -105,82 +106,91 @@
 ///
 /// # Errors
 /// If it could not be played.
-pub async fn play(
+pub async fn run(
     program: &(PathBuf, Vec<String>),
     size: Size,
-    course: &Course,
-) -> Result<Played, String> {
-    let folder = Folder::new(&format!("drains-{}", course.seed))?;
-    let hosts = Hosts::start(size.hosts, 0.0, &["/do"], course.seed).await?;
-    let work = course.has(Kind::Slow).map_or(QUICK, |_| {
-        SLOW_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX)
+    schedule: &FaultSchedule,
+) -> Result<RunReport, String> {
+    let folder = Folder::new(&format!("drains-{}", schedule.seed))?;
+    let hosts = Hosts::start(size.hosts, 0.0, &["/do"], schedule.seed).await?;
+    let poll_work = schedule.target_of(Kind::Slow).map_or(POLL_WORK, |_| {
+        SLOW_POLL_WORK_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX)
     });
-    let work = (!course.pushed).then_some(work);
-    let mut service = Service::new(hosts.addresses.clone(), work);
-    let known = service.known();
-    let (mut proxies, mut doors) = (Vec::new(), Vec::new());
+    let poll_work = (!schedule.pushed).then_some(poll_work);
+    let mut service = Service::new(hosts.addresses.clone(), poll_work);
+    let initial_list = service.initial_list();
+    let (mut proxies, mut listeners) = (Vec::new(), Vec::new());
     for proxy in 0..size.proxies {
-        let door = service.door(proxy).await?;
-        let seed = course.seed.wrapping_mul(1_000).wrapping_add(proxy as u64);
-        let text = configuration(course, door, &known, size.proxies, seed);
+        let listener = service.add_listener(proxy).await?;
+        let seed = schedule.seed.wrapping_mul(1_000).wrapping_add(proxy as u64);
+        let text = configuration(schedule, listener, &initial_list, size.proxies, seed);
         let path = folder.write(&format!("p{proxy}.json"), &text, false)?;
-        let variables = vec![("RELAY_CONFIG", path)];
-        let plan = Plan {
+        let environment = vec![("RELAY_CONFIG", path)];
+        let spec = ProcessSpec {
             program: program.0.clone(),
             arguments: program.1.clone(),
-            keep: Vec::new(),
-            variables,
+            debug_filter: Vec::new(),
+            environment,
         };
-        proxies.push(Process::start(plan).await?);
-        doors.push((door, text));
+        proxies.push(Process::start(spec).await?);
+        listeners.push((listener, text));
     }
     let mut at = Vec::new();
     for proxy in &mut proxies {
-        at.push(proxy.listens().await?);
+        at.push(proxy.listen_address().await?);
     }
     let addresses = Arc::new(RwLock::new(at));
-    let left = Arc::new(Mutex::new(HashMap::new()));
-    let clients = tokio::spawn(call(
+    let disconnected_at = Arc::new(Mutex::new(HashMap::new()));
+    let clients = tokio::spawn(send_calls(
         Arc::clone(&addresses),
         size.rate,
-        course.clone(),
-        Arc::clone(&left),
+        schedule.clone(),
+        Arc::clone(&disconnected_at),
     ));
-    let Done { down, signalled } = faults(
-        course,
+    let AppliedSteps { outages, signals } = apply_schedule(
+        schedule,
         &folder,
         &mut service,
         &mut proxies,
-        (&doors, &addresses),
+        (&listeners, &addresses),
     )
     .await?;
-    let tries = clients.await.map_err(|e| e.to_string())?;
-    let (notes, log) = service.history();
+    let attempts = clients.await.map_err(|e| e.to_string())?;
+    let (records, changes) = service.history();
     let arrivals = hosts.arrivals();
-    let grace = u64::try_from(course.grace.as_micros()).unwrap_or(u64::MAX);
+    let drain_grace = u64::try_from(schedule.drain_grace.as_micros()).unwrap_or(u64::MAX);
     let histories = Histories {
-        notes: &notes,
-        log: &log,
+        records: &records,
+        changes: &changes,
         arrivals: &arrivals,
-        grace,
-        pushed: course.pushed,
-        down: &down,
-        left: &left.lock().unwrap_or_else(PoisonError::into_inner).clone(),
+        drain_grace,
+        pushed: schedule.pushed,
+        outages: &outages,
+        disconnected_at: &disconnected_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone(),
     };
     // A proxy that stood still or was killed has lost what it held. One that was told to end has not, but takes no more.
-    let excused = [course.has(Kind::Stop), course.has(Kind::Kill)];
-    let ends = course.has(Kind::Restart);
-    let lost = tries.iter().filter(|tried| match tried.ended {
-        Ended::Cut | Ended::Silence => !excused.contains(&Some(tried.proxy)),
-        Ended::Nobody => !excused.contains(&Some(tried.proxy)) && ends != Some(tried.proxy),
+    let exempt = [
+        schedule.target_of(Kind::Stop),
+        schedule.target_of(Kind::Kill),
+    ];
+    let ends = schedule.target_of(Kind::Restart);
+    let lost = attempts.iter().filter(|attempt| match attempt.ended {
+        Ended::Cut | Ended::Silence => !exempt.contains(&Some(attempt.proxy)),
+        Ended::Nobody => !exempt.contains(&Some(attempt.proxy)) && ends != Some(attempt.proxy),
         Ended::Status(_) => false,
     });
-    let lost_calls: Vec<String> = lost.map(|tried| describe(tried, &signalled)).collect();
-    let crashed = proxies.iter_mut().filter_map(Process::ended).collect();
-    Ok(Played {
-        course: course.clone(),
-        verdict: histories.judge(SLACK),
-        calls: tries.len(),
+    let lost_calls: Vec<String> = lost.map(|attempt| describe(attempt, &signals)).collect();
+    let crashed = proxies
+        .iter_mut()
+        .filter_map(Process::exit_report)
+        .collect();
+    Ok(RunReport {
+        schedule: schedule.clone(),
+        verdict: histories.check(SLACK),
+        calls: attempts.len(),
         lost: lost_calls.len(),
         lost_calls,
         twice: hosts.executed().values().filter(|&&n| n > 1).count(),
@@ -189,111 +199,120 @@
 }
 
 /// A lost call in words.
-fn describe(tried: &Try, signalled: &[(Micros, usize, Signal)]) -> String {
+fn describe(attempt: &Try, signals: &[(Micros, usize, Signal)]) -> String {
     let Try {
         key,
         proxy,
         from,
         until,
         ended,
-    } = tried;
-    let last = signalled
+    } = attempt;
+    let last = signals
         .iter()
         .rev()
-        .find(|(at, whom, _)| whom == proxy && at <= until);
+        .find(|(at, target, _)| target == proxy && at <= until);
     let Some((at, _, signal)) = last else {
         return format!(
             "call {key} to proxy {proxy}: {ended:?} after {} us",
             until - from
         );
     };
-    let [began, over] = [from, until].map(|moment| moment.cast_signed() - at.cast_signed());
-    format!("call {key} to proxy {proxy}: {ended:?}, began {began} us and ended {over} us after {signal:?}")
+    let [began, finished] = [from, until].map(|moment| moment.cast_signed() - at.cast_signed());
+    format!("call {key} to proxy {proxy}: {ended:?}, began {began} us and ended {finished} us after {signal:?}")
 }
 
 /// What came of a course's steps.
 #[derive(Default)]
-struct Done {
+struct AppliedSteps {
     /// When the service was down.
-    down: Vec<(Micros, Micros)>,
+    outages: Vec<(Micros, Micros)>,
     /// When which proxy was sent which signal.
-    signalled: Vec<(Micros, usize, Signal)>,
+    signals: Vec<(Micros, usize, Signal)>,
 }
 
 /// Carries the course out.
-async fn faults(
-    course: &Course,
+async fn apply_schedule(
+    schedule: &FaultSchedule,
     folder: &Folder,
     service: &mut Service,
     proxies: &mut [Process],
-    (doors, addresses): (&[(SocketAddr, String)], &RwLock<Vec<SocketAddr>>),
-) -> Result<Done, String> {
+    (listeners, addresses): (&[(SocketAddr, String)], &RwLock<Vec<SocketAddr>>),
+) -> Result<AppliedSteps, String> {
     let start = tokio::time::Instant::now();
-    let mut draws = Pcg32::seed_from_u64(course.seed ^ 1);
+    let mut rng = Pcg32::seed_from_u64(schedule.seed ^ 1);
     // What is to be done when, in order.
-    let mut due: Vec<(Duration, Step)> = vec![(course.silent, Step::Silence)];
-    due.extend(
-        course
+    let mut steps: Vec<(Duration, Step)> = vec![(schedule.silent_at, Step::SilenceWatches)];
+    steps.extend(
+        schedule
             .drains
             .iter()
             .map(|&(at, host)| (at, Step::Drain(host))),
     );
-    let first = course
+    let first = schedule
         .drains
         .iter()
         .map(|d| d.0)
         .min()
-        .unwrap_or(course.silent);
+        .unwrap_or(schedule.silent_at);
     let ms = Duration::from_millis;
-    for &(kind, whom) in &course.faults {
+    for &(kind, target) in &schedule.faults {
         match kind {
-            Kind::Reset => due.push((first.saturating_sub(ms(100)), Step::Reset)),
-            Kind::Late => due.push((Duration::ZERO, Step::Late(ms(draws.gen_range(50..900))))),
-            Kind::SilentAgain => due.push((
-                course.silent + ms(draws.gen_range(7_000..9_000)),
-                Step::Silence,
+            Kind::Reset => steps.push((first.saturating_sub(ms(100)), Step::ResetConnections)),
+            Kind::Late => steps.push((
+                Duration::ZERO,
+                Step::DelayAnswers(ms(rng.gen_range(50..900))),
+            )),
+            Kind::SilentAgain => steps.push((
+                schedule.silent_at + ms(rng.gen_range(7_000..9_000)),
+                Step::SilenceWatches,
             )),
             Kind::Down => {
-                let from = first.saturating_sub(ms(draws.gen_range(0..300)));
-                due.push((from, Step::Down));
-                due.push((from + ms(draws.gen_range(500..4_000)), Step::Back));
+                let from = first.saturating_sub(ms(rng.gen_range(0..300)));
+                steps.push((from, Step::ServiceDown));
+                steps.push((from + ms(rng.gen_range(500..4_000)), Step::ServiceUp));
             }
-            Kind::Move => due.push((first + ms(draws.gen_range(0..2_000)), Step::Move)),
+            Kind::Move => steps.push((first + ms(rng.gen_range(0..2_000)), Step::MoveService)),
             Kind::Stop => {
-                let from = first.saturating_sub(ms(draws.gen_range(0..300)));
-                due.push((from, Step::Signal(whom, Signal::STOP)));
-                due.push((
-                    from + ms(draws.gen_range(500..5_000)),
-                    Step::Signal(whom, Signal::CONT),
+                let from = first.saturating_sub(ms(rng.gen_range(0..300)));
+                steps.push((from, Step::Signal(target, Signal::STOP)));
+                steps.push((
+                    from + ms(rng.gen_range(500..5_000)),
+                    Step::Signal(target, Signal::CONT),
                 ));
             }
-            Kind::Kill => due.push((first + ms(draws.gen_range(0..1_500)), Step::Kill(whom))),
+            Kind::Kill => steps.push((
+                first + ms(rng.gen_range(0..1_500)),
+                Step::KillAndRestart(target),
+            )),
             Kind::Again => {
-                let (at, host) = course.drains[0];
-                due.push((at + ms(draws.gen_range(50..1_000)), Step::Up(host)));
+                let (at, host) = schedule.drains[0];
+                steps.push((at + ms(rng.gen_range(50..1_000)), Step::MarkUp(host)));
             }
             Kind::Restart => {
-                let from = first + ms(draws.gen_range(0..1_500));
-                due.push((from, Step::Signal(whom, Signal::TERM)));
-                due.push((from + CLIENTS_GO_ON, Step::Away(whom)));
-                due.push((from + CLIENTS_GO_ON + ms(2_000), Step::Again(whom)));
+                let from = first + ms(rng.gen_range(0..1_500));
+                steps.push((from, Step::Signal(target, Signal::TERM)));
+                steps.push((from + CLIENTS_CONTINUE_FOR, Step::StopClients(target)));
+                steps.push((
+                    from + CLIENTS_CONTINUE_FOR + ms(2_000),
+                    Step::AwaitExitAndRestart(target),
+                ));
             }
             Kind::Slow | Kind::Leave => {}
         }
     }
-    due.sort_by_key(|d| d.0);
-    let Done {
-        mut down,
-        mut signalled,
-    } = Done::default();
-    for (at, step) in due {
+    steps.sort_by_key(|d| d.0);
+    let AppliedSteps {
+        mut outages,
+        mut signals,
+    } = AppliedSteps::default();
+    for (at, step) in steps {
         tokio::time::sleep_until(start + at).await;
         match step {
-            Step::Silence => service.silence(),
-            Step::Reset => service.reset(),
-            Step::Late(late) => service.late(late),
+            Step::SilenceWatches => service.silence_watches(),
+            Step::ResetConnections => service.reset_connections(),
+            Step::DelayAnswers(delay) => service.set_first_answer_delay(delay),
             Step::Drain(host) => service.change(host, Status::Draining),
-            Step::Up(host) => {
+            Step::MarkUp(host) => {
                 let unix = SystemTime::now()
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default();
@@ -302,88 +321,88 @@
                     Status::Up(u64::try_from(unix.as_millis()).unwrap_or(0)),
                 );
             }
-            Step::Down => {
-                down.push((now(), Micros::MAX));
-                service.down(true);
+            Step::ServiceDown => {
+                outages.push((now(), Micros::MAX));
+                service.set_down(true);
             }
-            Step::Back => {
-                service.down(false);
-                if let Some(last) = down.last_mut() {
+            Step::ServiceUp => {
+                service.set_down(false);
+                if let Some(last) = outages.last_mut() {
                     last.1 = now();
                 }
             }
-            Step::Move => {
-                for (proxy, (door, text)) in doors.iter().enumerate() {
-                    let other = service.door(proxy).await?.to_string();
+            Step::MoveService => {
+                for (proxy, (listener, text)) in listeners.iter().enumerate() {
+                    let other = service.add_listener(proxy).await?.to_string();
                     folder.write(
                         &format!("p{proxy}.json"),
-                        &text.replace(&door.to_string(), &other),
+                        &text.replace(&listener.to_string(), &other),
                         false,
                     )?;
                     proxies[proxy].signal(Signal::HUP);
                 }
             }
             Step::Signal(proxy, signal) => {
-                signalled.push((now(), proxy, signal));
+                signals.push((now(), proxy, signal));
                 proxies[proxy].signal(signal);
             }
-            Step::Away(proxy) => {
+            Step::StopClients(proxy) => {
                 if let Ok(mut all) = addresses.write() {
                     all[proxy].set_port(0);
                 }
             }
-            Step::Kill(proxy) | Step::Again(proxy) => {
-                if matches!(step, Step::Kill(_)) {
+            Step::KillAndRestart(proxy) | Step::AwaitExitAndRestart(proxy) => {
+                if matches!(step, Step::KillAndRestart(_)) {
                     proxies[proxy].kill().await;
                 } else {
                     proxies[proxy].terminate().await?;
                 }
-                proxies[proxy].again()?;
-                let address = proxies[proxy].listens().await?;
+                proxies[proxy].spawn()?;
+                let address = proxies[proxy].listen_address().await?;
                 if let Ok(mut all) = addresses.write() {
                     all[proxy] = address;
                 }
             }
         }
     }
-    tokio::time::sleep_until(start + course.length).await;
-    Ok(Done { down, signalled })
+    tokio::time::sleep_until(start + schedule.length).await;
+    Ok(AppliedSteps { outages, signals })
 }
 
 /// Something that is done to the system.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Silence,
-    Reset,
-    Late(Duration),
+    SilenceWatches,
+    ResetConnections,
+    DelayAnswers(Duration),
     Drain(usize),
-    Up(usize),
-    Down,
-    Back,
-    Move,
+    MarkUp(usize),
+    ServiceDown,
+    ServiceUp,
+    MoveService,
     Signal(usize, Signal),
-    Kill(usize),
+    KillAndRestart(usize),
     /// Clients come to it no more.
-    Away(usize),
+    StopClients(usize),
     /// It is waited for until it has ended, and started again.
-    Again(usize),
+    AwaitExitAndRestart(usize),
 }
 
 /// Calls each proxy in turn, until a little before the end of the course. Who leaves, and when, comes into `left`.
-async fn call(
+async fn send_calls(
     addresses: Arc<RwLock<Vec<SocketAddr>>>,
     rate: f64,
-    course: Course,
-    left: Arc<Mutex<HashMap<String, Micros>>>,
+    schedule: FaultSchedule,
+    disconnected_at: Arc<Mutex<HashMap<String, Micros>>>,
 ) -> Vec<Try> {
-    let mut beat = tokio::time::interval(Duration::from_secs_f64(1.0 / rate));
-    let (mut open, mut tries) = (tokio::task::JoinSet::new(), Vec::new());
-    let end = sleep(course.length.saturating_sub(Duration::from_millis(1_600)));
+    let mut interval = tokio::time::interval(Duration::from_secs_f64(1.0 / rate));
+    let (mut in_flight, mut attempts) = (tokio::task::JoinSet::new(), Vec::new());
+    let end = sleep(schedule.length.saturating_sub(Duration::from_millis(1_600)));
     tokio::pin!(end);
     for number in 0.. {
         tokio::select! {
             () = &mut end => break,
-            _ = beat.tick() => {}
+            _ = interval.tick() => {}
         }
         let Some((proxy, address)) = addresses.read().ok().and_then(|all| {
             let proxy = number % all.len();
@@ -394,19 +413,21 @@
         if address.port() == 0 {
             continue;
         }
-        if course.has(Kind::Leave).is_some() && number % 3 == 0 {
-            let (left, key) = (Arc::clone(&left), format!("p{proxy}-{number}"));
+        if schedule.target_of(Kind::Leave).is_some() && number % 3 == 0 {
+            let (disconnected_at, key) =
+                (Arc::clone(&disconnected_at), format!("p{proxy}-{number}"));
             tokio::spawn(async move {
-                ask_and_leave(address, "/do", &key, number % 2 == 0).await;
-                left.lock()
+                call_and_disconnect(address, "/do", &key, number % 2 == 0).await;
+                disconnected_at
+                    .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .insert(key, now());
             });
             continue;
         }
-        open.spawn(async move {
+        in_flight.spawn(async move {
             let (key, from) = (format!("p{proxy}-{number}"), now());
-            let (ended, _) = once(address, "/do", &key).await;
+            let (ended, _) = call_once(address, "/do", &key).await;
             Try {
                 key,
                 proxy,
@@ -415,12 +436,12 @@
                 ended,
             }
         });
-        while let Some(done) = open.try_join_next() {
-            tries.extend(done.ok());
+        while let Some(done) = in_flight.try_join_next() {
+            attempts.extend(done.ok());
         }
     }
-    while let Some(done) = open.join_next().await {
-        tries.extend(done.ok());
+    while let Some(done) = in_flight.join_next().await {
+        attempts.extend(done.ok());
     }
-    tries
+    attempts
 }
--- a/crates/fault-injection/src/drains/course.rs
+++ b/crates/fault-injection/src/drains/schedule.rs
@@ -59,22 +59,24 @@
     }
 
     /// The kind of this name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 }
 
 /// A course. All times count from when the proxies are ready.
 #[derive(Clone, Debug, Serialize)]
-pub struct Course {
+pub struct FaultSchedule {
     /// It was drawn from this.
     pub seed: u64,
     /// Lists are pushed.
     pub pushed: bool,
     /// Time in which sends to a host that drains must end.
-    pub grace: Duration,
+    #[serde(rename = "grace")]
+    pub drain_grace: Duration,
     /// When all open watches fall silent.
-    pub silent: Duration,
+    #[serde(rename = "silent")]
+    pub silent_at: Duration,
     /// When each of these hosts begins to drain.
     pub drains: Vec<(Duration, usize)>,
     /// What else goes wrong, and whom it concerns.
@@ -83,45 +85,45 @@
     pub length: Duration,
 }
 
-impl Course {
+impl FaultSchedule {
     /// The course of this seed, for so many proxies and hosts. `only`: this fault, and no other.
-    pub fn draw(seed: u64, (proxies, hosts): (usize, usize), only: Option<Kind>) -> Course {
-        let mut draws = Pcg32::seed_from_u64(seed);
-        let mut ms = |from: u64, to: u64| Duration::from_millis(draws.gen_range(from..=to));
-        let (silent, drains_after, grace) = (ms(100, 2_500), ms(1, 900), ms(500, 1_000));
-        let (pushed, count) = (draws.gen_bool(0.3), draws.gen_range(0..=2));
+    pub fn draw(seed: u64, (proxies, hosts): (usize, usize), only: Option<Kind>) -> FaultSchedule {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut ms = |from: u64, to: u64| Duration::from_millis(rng.gen_range(from..=to));
+        let (silent_at, drains_after, drain_grace) = (ms(100, 2_500), ms(1, 900), ms(500, 1_000));
+        let (pushed, count) = (rng.gen_bool(0.3), rng.gen_range(0..=2));
         let mut order: Vec<usize> = (0..hosts).collect();
-        order.shuffle(&mut draws);
+        order.shuffle(&mut rng);
         let drains = order[..(hosts / 4).max(1)]
             .iter()
             .map(|&host| {
                 (
-                    silent + drains_after + Duration::from_millis(draws.gen_range(0..600)),
+                    silent_at + drains_after + Duration::from_millis(rng.gen_range(0..600)),
                     host,
                 )
             })
             .collect();
         let kinds: Vec<Kind> = match only {
             Some(kind) => vec![kind],
-            None => KINDS.choose_multiple(&mut draws, count).copied().collect(),
+            None => KINDS.choose_multiple(&mut rng, count).copied().collect(),
         };
         let faults = kinds
             .into_iter()
-            .map(|kind| (kind, draws.gen_range(0..proxies)))
+            .map(|kind| (kind, rng.gen_range(0..proxies)))
             .collect();
-        Course {
+        FaultSchedule {
             seed,
             pushed,
-            grace,
-            silent,
+            drain_grace,
+            silent_at,
             drains,
             faults,
-            length: silent + Duration::from_secs(11),
+            length: silent_at + Duration::from_secs(11),
         }
     }
 
     /// Does this go wrong in it?
-    pub fn has(&self, kind: Kind) -> Option<usize> {
+    pub fn target_of(&self, kind: Kind) -> Option<usize> {
         self.faults.iter().find(|f| f.0 == kind).map(|f| f.1)
     }
 }
--- a/crates/fault-injection/src/drains/service.rs
+++ b/crates/fault-injection/src/drains/service.rs
@@ -1,7 +1,7 @@
 //! A list service with a door for each proxy, whose open watches can be made silent; it notes what it was asked and what
 //! it wrote to whom.
 
-use crate::link::{message, send};
+use crate::link::{read_message, send};
 use crate::now;
 use badgerramp_policy::Micros;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{watch, Mutex as Turn};
+use tokio::sync::{watch, Mutex as AsyncMutex};
 use tokio::task::AbortHandle;
 
 /// What the list says of a host.
@@ -23,23 +23,23 @@
 
 /// What a proxy and the service said to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum What {
+pub(super) enum Event {
     /// Asked on this connection, for so long.
-    Asked {
+    Polled {
         /// Number of the connection.
         connection: u64,
         /// How long the answer may wait.
         wait: Micros,
     },
     /// Written on it: the list up to this version.
-    Wrote {
+    Answered {
         /// Number of the connection.
         connection: u64,
         /// The version.
         version: u64,
     },
     /// From now on nothing comes on it.
-    Silent {
+    Silenced {
         /// Number of the connection.
         connection: u64,
     },
@@ -47,46 +47,46 @@
 
 /// A note of the service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Note {
+pub(super) struct ServiceRecord {
     /// When.
     pub at: Micros,
     /// The proxy.
     pub proxy: usize,
     /// What.
-    pub what: What,
+    pub event: Event,
 }
 
 struct Shared {
     /// Each version: when, which host, what it is.
-    log: Vec<(Micros, usize, Status)>,
+    changes: Vec<(Micros, usize, Status)>,
     addresses: Vec<SocketAddr>,
-    notes: Vec<Note>,
+    records: Vec<ServiceRecord>,
     connections: u64,
     /// An answer to what a watch did not wait for takes so long, one after the other.
     work: Duration,
     /// The first answer on a new connection is so late.
-    late: Duration,
+    first_answer_delay: Duration,
     /// Down, it is silent, as an agent on the proxy's machine is; otherwise connections end.
     agent: bool,
 }
 
 /// What all connections look at.
 #[derive(Clone, Copy, Debug, Default)]
-struct Now {
+struct ServiceState {
     version: u64,
     /// Connections up to this number are silent.
-    silent: u64,
+    silent_up_to: u64,
     /// ... or are reset.
-    reset: u64,
+    reset_up_to: u64,
     down: bool,
 }
 
 /// The service.
 pub(super) struct Service {
     shared: Arc<Mutex<Shared>>,
-    now: watch::Sender<Now>,
-    turn: Arc<Turn<()>>,
-    doors: Vec<AbortHandle>,
+    state: watch::Sender<ServiceState>,
+    work_lock: Arc<AsyncMutex<()>>,
+    listeners: Vec<AbortHandle>,
 }
 
 fn locked(shared: &Mutex<Shared>) -> MutexGuard<'_, Shared> {
@@ -97,30 +97,31 @@
     /// One that lists these hosts as up for long. A question that begins a watch takes `work` of it, one after the other;
     /// `None`: it is an agent of pushed lists, which answers at once.
     pub(super) fn new(addresses: Vec<SocketAddr>, work: Option<Duration>) -> Service {
-        let log = (0..addresses.len())
+        let changes = (0..addresses.len())
             .map(|host| (now(), host, Status::Up(0)))
             .collect();
-        let (agent, work, late) = (work.is_none(), work.unwrap_or_default(), Duration::ZERO);
+        let (agent, work, first_answer_delay) =
+            (work.is_none(), work.unwrap_or_default(), Duration::ZERO);
         let shared = Shared {
-            log,
+            changes,
             addresses,
-            notes: Vec::new(),
+            records: Vec::new(),
             connections: 0,
             work,
-            late,
+            first_answer_delay,
             agent,
         };
-        let first = Now {
-            version: shared.log.len() as u64,
-            ..Now::default()
+        let first = ServiceState {
+            version: shared.changes.len() as u64,
+            ..ServiceState::default()
         };
-        let doors = Vec::new();
-        let turn = Arc::default();
+        let listeners = Vec::new();
+        let work_lock = Arc::default();
         Service {
             shared: Arc::new(Mutex::new(shared)),
-            now: watch::channel(first).0,
-            turn,
-            doors,
+            state: watch::channel(first).0,
+            work_lock,
+            listeners,
         }
     }
 
@@ -128,20 +129,20 @@
     ///
     /// # Errors
     /// If no port can be had.
-    pub(super) async fn door(&mut self, proxy: usize) -> Result<SocketAddr, String> {
+    pub(super) async fn add_listener(&mut self, proxy: usize) -> Result<SocketAddr, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(|e| e.to_string())?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
-        let (shared, states, turn) = (
+        let (shared, states, work_lock) = (
             Arc::clone(&self.shared),
-            self.now.subscribe(),
-            Arc::clone(&self.turn),
+            self.state.subscribe(),
+            Arc::clone(&self.work_lock),
         );
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (shared, states, turn) =
-                    (Arc::clone(&shared), states.clone(), Arc::clone(&turn));
+                let (shared, states, work_lock) =
+                    (Arc::clone(&shared), states.clone(), Arc::clone(&work_lock));
                 tokio::spawn(async move {
                     let number = {
                         let mut shared = locked(&shared);
@@ -151,70 +152,70 @@
                     let (mut gone, agent) = (states.clone(), locked(&shared).agent);
                     let ended = async {
                         let _ = gone
-                            .wait_for(|n| n.reset >= number || n.down && !agent)
+                            .wait_for(|n| n.reset_up_to >= number || n.down && !agent)
                             .await;
                     };
                     tokio::select! {
-                        () = serve(stream, (proxy, number), &shared, states, &turn) => {}
+                        () = serve(stream, (proxy, number), &shared, states, &work_lock) => {}
                         () = ended => {}
                     }
                 });
             }
         });
-        self.doors.push(task.abort_handle());
+        self.listeners.push(task.abort_handle());
         Ok(address)
     }
 
     /// The first list, in the form of a configuration's.
-    pub(super) fn known(&self) -> String {
+    pub(super) fn initial_list(&self) -> String {
         let shared = locked(&self.shared);
-        list(&shared, None, shared.log.len() as u64)
+        list(&shared, None, shared.changes.len() as u64)
     }
 
     /// A host's status changes.
     pub(super) fn change(&self, host: usize, status: Status) {
         let mut shared = locked(&self.shared);
-        shared.log.push((now(), host, status));
-        let version = shared.log.len() as u64;
+        shared.changes.push((now(), host, status));
+        let version = shared.changes.len() as u64;
         drop(shared);
-        self.now.send_modify(|n| n.version = version);
+        self.state.send_modify(|n| n.version = version);
     }
 
     /// All that is open falls silent: nothing comes on it any more, and it stays open.
-    pub(super) fn silence(&self) {
+    pub(super) fn silence_watches(&self) {
         let connections = locked(&self.shared).connections;
-        self.now.send_modify(|n| n.silent = connections);
+        self.state.send_modify(|n| n.silent_up_to = connections);
     }
 
     /// All that is open is reset.
-    pub(super) fn reset(&self) {
+    pub(super) fn reset_connections(&self) {
         let connections = locked(&self.shared).connections;
-        self.now.send_modify(|n| n.reset = connections);
+        self.state.send_modify(|n| n.reset_up_to = connections);
     }
 
     /// It is down, or back.
-    pub(super) fn down(&self, down: bool) {
+    pub(super) fn set_down(&self, down: bool) {
         if down && locked(&self.shared).agent {
-            self.silence();
+            self.silence_watches();
         }
-        self.now.send_modify(|n| n.down = down);
+        self.state.send_modify(|n| n.down = down);
     }
 
     /// New connections are so late.
-    pub(super) fn late(&self, late: Duration) {
-        locked(&self.shared).late = late;
+    pub(super) fn set_first_answer_delay(&self, first_answer_delay: Duration) {
+        locked(&self.shared).first_answer_delay = first_answer_delay;
     }
 
     /// Notes so far, and each version: when, which host, what it is.
-    pub(super) fn history(&self) -> (Vec<Note>, Vec<(Micros, usize, Status)>) {
+    pub(super) fn history(&self) -> (Vec<ServiceRecord>, Vec<(Micros, usize, Status)>) {
         let shared = locked(&self.shared);
-        (shared.notes.clone(), shared.log.clone())
+        (shared.records.clone(), shared.changes.clone())
     }
 }
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.doors.iter().for_each(AbortHandle::abort);
+        self.listeners.iter().for_each(AbortHandle::abort);
     }
 }
 
@@ -222,21 +223,21 @@
     mut stream: TcpStream,
     (proxy, connection): (usize, u64),
     shared: &Mutex<Shared>,
-    mut states: watch::Receiver<Now>,
-    turn: &Turn<()>,
+    mut states: watch::Receiver<ServiceState>,
+    work_lock: &AsyncMutex<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let note = |what| {
-        locked(shared).notes.push(Note {
+    let record = |event| {
+        locked(shared).records.push(ServiceRecord {
             at: now(),
             proxy,
-            what,
+            event,
         });
     };
-    let late = locked(shared).late;
-    tokio::time::sleep(late).await;
-    let (mut held, mut first) = (Vec::new(), true);
-    while let Some((head, _)) = message(&mut stream, &mut held).await {
+    let first_answer_delay = locked(shared).first_answer_delay;
+    tokio::time::sleep(first_answer_delay).await;
+    let (mut buffered, mut first) = (Vec::new(), true);
+    while let Some((head, _)) = read_message(&mut stream, &mut buffered).await {
         let number = |name: &str| {
             let (_, rest) = head.lines().next()?.split_once(name)?;
             rest.split(|c: char| !c.is_ascii_digit())
@@ -248,10 +249,10 @@
             number("index="),
             Duration::from_millis(number("wait=").unwrap_or(0)),
         );
-        let asked = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX);
-        note(What::Asked {
+        let wait_us = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX);
+        record(Event::Polled {
             connection,
-            wait: asked,
+            wait: wait_us,
         });
         let mut silences = states.clone();
         let answer = async {
@@ -261,20 +262,20 @@
             }
             // A watch that goes on costs nothing; a new one waits for its turn.
             if first {
-                let _turn = turn.lock().await;
+                let _turn = work_lock.lock().await;
                 let work = locked(shared).work;
                 tokio::time::sleep(work).await;
             }
         };
         let silenced = async {
-            let _ = silences.wait_for(|n| n.silent >= connection).await;
+            let _ = silences.wait_for(|n| n.silent_up_to >= connection).await;
         };
         tokio::select! {
             biased;
             () = silenced => {
-                note(What::Silent { connection });
+                record(Event::Silenced { connection });
                 // It stays open until the proxy closes it.
-                let _ = message(&mut stream, &mut held).await;
+                let _ = read_message(&mut stream, &mut buffered).await;
                 return;
             }
             () = answer => {}
@@ -282,10 +283,10 @@
         first = false;
         let (body, version) = {
             let shared = locked(shared);
-            let version = shared.log.len() as u64;
+            let version = shared.changes.len() as u64;
             (list(&shared, index, version), version)
         };
-        note(What::Wrote {
+        record(Event::Answered {
             connection,
             version,
         });
@@ -302,8 +303,9 @@
 fn list(shared: &Shared, index: Option<u64>, version: u64) -> String {
     let from = usize::try_from(index.unwrap_or(0))
         .unwrap_or(usize::MAX)
-        .min(shared.log.len());
-    let changed: BTreeMap<usize, Status> = shared.log[from..].iter().map(|l| (l.1, l.2)).collect();
+        .min(shared.changes.len());
+    let changed: BTreeMap<usize, Status> =
+        shared.changes[from..].iter().map(|l| (l.1, l.2)).collect();
     let entries: Vec<String> = changed
         .into_iter()
         .map(|(host, status)| {
@@ -317,9 +319,9 @@
             )
         })
         .collect();
-    let whole = index.is_none();
+    let snapshot = index.is_none();
     format!(
-        r#"{{"index":{version},"snapshot":{whole},"endpoints":[{}]}}"#,
+        r#"{{"index":{version},"snapshot":{snapshot},"endpoints":[{}]}}"#,
         entries.join(",")
     )
 }
--- a/crates/fault-injection/src/hosts.rs
+++ b/crates/fault-injection/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts behind the proxies, which count what they execute. Those of one group drop repeats of a key for a window, as
 //! long as they are told to: a host of the next release may do it no more.
 
-use crate::link::{header, message, send};
+use crate::link::{header_value, read_message, send};
 use crate::now;
 use badgerramp_policy::Micros;
 use rand::{Rng, SeedableRng};
@@ -14,17 +14,17 @@
 use tokio::task::AbortHandle;
 
 /// How long a key is remembered.
-const WINDOW: Duration = Duration::from_millis(2_500);
+const DEDUP_WINDOW: Duration = Duration::from_millis(2_500);
 /// Work of a request.
-const WORK: Duration = Duration::from_millis(5);
+const REQUEST_DURATION: Duration = Duration::from_millis(5);
 
 struct Shared {
-    drops: HashSet<String>,
+    dedup_paths: HashSet<String>,
     seen: HashMap<String, Instant>,
     executed: HashMap<String, u32>,
     arrivals: Vec<Arrival>,
-    draws: Pcg32,
-    spoilt: f64,
+    rng: Pcg32,
+    answer_loss: f64,
 }
 
 /// A request that came to a host.
@@ -58,20 +58,20 @@
     /// If no port can be had.
     pub async fn start(
         count: usize,
-        spoilt: f64,
-        drops: &[&str],
+        answer_loss: f64,
+        dedup_paths: &[&str],
         seed: u64,
     ) -> Result<Hosts, String> {
         let shared = Arc::new(Mutex::new(Shared {
-            drops: drops.iter().map(|d| (*d).to_owned()).collect(),
+            dedup_paths: dedup_paths.iter().map(|d| (*d).to_owned()).collect(),
             seen: HashMap::new(),
             executed: HashMap::new(),
             arrivals: Vec::new(),
-            draws: Pcg32::seed_from_u64(seed),
-            spoilt,
+            rng: Pcg32::seed_from_u64(seed),
+            answer_loss,
         }));
         let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
-        for place in 0..count {
+        for index in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")
                 .await
                 .map_err(|e| e.to_string())?;
@@ -79,7 +79,7 @@
             let shared = Arc::clone(&shared);
             let task = tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(serve(stream, place, Arc::clone(&shared)));
+                    tokio::spawn(serve(stream, index, Arc::clone(&shared)));
                 }
             });
             listeners.push(task.abort_handle());
@@ -92,12 +92,12 @@
     }
 
     /// From now on they drop repeats of this path, or no more.
-    pub fn drop_repeats(&self, path: &str, drops: bool) {
+    pub fn set_dedup(&self, path: &str, enabled: bool) {
         let mut shared = locked(&self.shared);
-        if drops {
-            shared.drops.insert(path.to_owned());
+        if enabled {
+            shared.dedup_paths.insert(path.to_owned());
         } else {
-            shared.drops.remove(path);
+            shared.dedup_paths.remove(path);
         }
     }
 
@@ -120,33 +120,35 @@
 
 async fn serve(mut stream: TcpStream, host: usize, shared: Arc<Mutex<Shared>>) {
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::new();
-    while let Some((head, _)) = message(&mut stream, &mut held).await {
+    let mut buffered = Vec::new();
+    while let Some((head, _)) = read_message(&mut stream, &mut buffered).await {
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        let key = header(&head, "idempotency-key")
+        let key = header_value(&head, "idempotency-key")
+            .unwrap_or_default()
+            .to_owned();
+        let request = header_value(&head, "x-request-id")
             .unwrap_or_default()
             .to_owned();
-        let request = header(&head, "x-request-id").unwrap_or_default().to_owned();
         locked(&shared).arrivals.push(Arrival {
             at: now(),
             host,
             request,
         });
         let post = head.starts_with("POST");
-        tokio::time::sleep(WORK).await;
-        let spoilt = {
+        tokio::time::sleep(REQUEST_DURATION).await;
+        let lose_answer = {
             let mut shared = locked(&shared);
             let moment = Instant::now();
             let seen = shared.seen.insert(key.clone(), moment);
-            let repeat = seen.is_some_and(|at| moment.duration_since(at) < WINDOW);
-            let dropped = shared.drops.contains(&path) && repeat;
+            let repeat = seen.is_some_and(|at| moment.duration_since(at) < DEDUP_WINDOW);
+            let dropped = shared.dedup_paths.contains(&path) && repeat;
             if post && !dropped {
                 *shared.executed.entry(key).or_default() += 1;
             }
-            let share = shared.spoilt;
-            post && shared.draws.gen_bool(share)
+            let share = shared.answer_loss;
+            post && shared.rng.gen_bool(share)
         };
-        if spoilt {
+        if lose_answer {
             return;
         }
         if send(
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -2,12 +2,12 @@
 //! restarts, torn disks. A course of faults is drawn from a seed and written down; what the processes and the hosts did
 //! is noted on one clock, and judged from those notes alone.
 //!
-//! - [`course`]: what goes wrong when, drawn from a seed.
+//! - [`schedule`]: what goes wrong when, drawn from a seed.
 //! - [`link`], [`datagrams`]: the way between two processes.
 //! - [`process`]: a process and its log.
 //! - [`hosts`], [`clients`]: what is behind the proxies and before them.
-//! - [`contender`]: other ways to bring a policy to a fleet.
-//! - [`judge`]: what broke.
+//! - [`baseline`]: other ways to bring a policy to a fleet.
+//! - [`checker`]: what broke.
 //! - [`policy`]: the trial of a change of policy.
 //! - [`drains`]: the trial of hosts that leave while watches on the list are silent.
 //! - [`scale`]: the trial of a fleet of many proxies and what control costs there.
@@ -28,18 +28,19 @@
     reason = "long functions are still to be split"
 )]
 
+pub mod baseline;
+pub mod checker;
 pub mod clients;
-pub mod contender;
-pub mod course;
+
 pub mod datagrams;
 pub mod drains;
 pub mod hosts;
-pub mod judge;
 pub mod link;
 pub mod policy;
 pub mod process;
 pub mod report;
 pub mod scale;
+pub mod schedule;
 pub mod start;
 
 /// The clock of all notes, which is the one that leases run on.
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -13,10 +13,10 @@
 
 /// How one direction of a link passes bytes on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Pass {
+pub enum Forwarding {
     /// As they come.
     #[default]
-    Free,
+    Normal,
     /// Not at all; they wait, as they do while a network is cut.
     Cut,
     /// After a time.
@@ -27,35 +27,35 @@
 
 /// Both directions of a link, and how often its connections were reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct LinkState {
     /// From whom connects.
-    pub forth: Pass,
+    pub forward: Forwarding,
     /// To whom connects.
-    pub back: Pass,
+    pub backward: Forwarding,
     /// All connections that are up when it grows are reset.
     pub resets: u64,
 }
 
 /// What has passed a link in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct Forwarded {
     /// Bytes of the streams, without what the network adds.
     pub bytes: u64,
     /// Pieces in which they were read: about as many as there were messages.
-    pub pieces: u64,
+    pub chunks: u64,
 }
 
 #[derive(Default)]
 struct Counters {
     bytes: AtomicU64,
-    pieces: AtomicU64,
+    chunks: AtomicU64,
 }
 
 /// A link. It ends with its owner.
 pub struct Link {
     /// Where it listens.
     pub address: SocketAddr,
-    state: watch::Sender<State>,
+    state: watch::Sender<LinkState>,
     counters: Arc<Counters>,
     listener: AbortHandle,
 }
@@ -71,13 +71,13 @@
     pub async fn to(target: watch::Receiver<Option<SocketAddr>>) -> io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (state, _) = watch::channel(State::default());
+        let (state, _) = watch::channel(LinkState::default());
         let states = state.clone();
         let counters = Arc::new(Counters::default());
         let counts = Arc::clone(&counters);
         let task = tokio::spawn(async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else {
+                let Ok((inbound, _)) = listener.accept().await else {
                     // Out of descriptors, or a connection that has gone already.
                     tokio::time::sleep(Duration::from_millis(10)).await;
                     continue;
@@ -86,8 +86,8 @@
                 let counts = Arc::clone(&counts);
                 tokio::spawn(async move {
                     let Some(target) = target else { return };
-                    if let Ok(far) = TcpStream::connect(target).await {
-                        carry(near, far, state, &counts).await;
+                    if let Ok(outbound) = TcpStream::connect(target).await {
+                        forward_connection(inbound, outbound, state, &counts).await;
                     }
                 });
             }
@@ -101,16 +101,16 @@
     }
 
     /// Changes how it passes bytes on.
-    pub fn set(&self, change: impl FnOnce(&mut State)) {
+    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
     /// What has passed it so far.
-    pub fn passed(&self) -> Passed {
-        let Counters { bytes, pieces } = &*self.counters;
-        Passed {
+    pub fn forwarded(&self) -> Forwarded {
+        let Counters { bytes, chunks } = &*self.counters;
+        Forwarded {
             bytes: bytes.load(Ordering::Relaxed),
-            pieces: pieces.load(Ordering::Relaxed),
+            chunks: chunks.load(Ordering::Relaxed),
         }
     }
 }
@@ -122,31 +122,31 @@
     }
 }
 
-async fn carry(
-    near: TcpStream,
-    far: TcpStream,
-    mut state: watch::Receiver<State>,
+async fn forward_connection(
+    inbound: TcpStream,
+    outbound: TcpStream,
+    mut state: watch::Receiver<LinkState>,
     counters: &Counters,
 ) {
     let resets = state.borrow().resets;
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (sockets, ways) = (
-        (Arc::new(near), Arc::new(far)),
+    let _ = (inbound.set_nodelay(true), outbound.set_nodelay(true));
+    let (sockets, states) = (
+        (Arc::new(inbound), Arc::new(outbound)),
         (state.clone(), state.clone()),
     );
     let (a, b) = (Arc::clone(&sockets.0), Arc::clone(&sockets.1));
-    let forth = pass((a, b), ways.0, |s| s.forth, counters);
-    let back = pass(
+    let forward = forward_direction((a, b), states.0, |s| s.forward, counters);
+    let backward = forward_direction(
         (Arc::clone(&sockets.1), Arc::clone(&sockets.0)),
-        ways.1,
-        |s| s.back,
+        states.1,
+        |s| s.backward,
         counters,
     );
     let reset = async {
         let _ = state.wait_for(|s| s.resets != resets).await;
     };
     tokio::select! {
-        () = async { tokio::join!(forth, back); } => {}
+        () = async { tokio::join!(forward, backward); } => {}
         () = reset => {
             // Closed at once, with a reset instead of an end.
             for socket in [&*sockets.0, &*sockets.1] {
@@ -156,10 +156,10 @@
     }
 }
 
-async fn pass(
+async fn forward_direction(
     (from, to): (Arc<TcpStream>, Arc<TcpStream>),
-    mut state: watch::Receiver<State>,
-    way: fn(&State) -> Pass,
+    mut state: watch::Receiver<LinkState>,
+    direction: fn(&LinkState) -> Forwarding,
     counters: &Counters,
 ) {
     let mut buffer = vec![0; 16 * 1024];
@@ -167,35 +167,35 @@
         let read = read(&from, &mut buffer).await;
         let Ok(count @ 1..) = read else {
             // An end passes through a cut no more than bytes do.
-            let _ = state.wait_for(|s| way(s) != Pass::Cut).await;
+            let _ = state.wait_for(|s| direction(s) != Forwarding::Cut).await;
             let _ = SockRef::from(&*to).shutdown(std::net::Shutdown::Write);
             return;
         };
-        let Ok(now) = state
-            .wait_for(|s| way(s) != Pass::Cut)
+        let Ok(forwarding) = state
+            .wait_for(|s| direction(s) != Forwarding::Cut)
             .await
-            .map(|s| way(&s))
+            .map(|s| direction(&s))
         else {
             return;
         };
         counters.bytes.fetch_add(count as u64, Ordering::Relaxed);
-        counters.pieces.fetch_add(1, Ordering::Relaxed);
-        let done = match now {
-            Pass::Trickle => {
-                let mut done = Ok(());
-                for some in buffer[..count].chunks(TRICKLE.0) {
+        counters.chunks.fetch_add(1, Ordering::Relaxed);
+        let written = match forwarding {
+            Forwarding::Trickle => {
+                let mut written = Ok(());
+                for chunk in buffer[..count].chunks(TRICKLE.0) {
                     tokio::time::sleep(TRICKLE.1).await;
-                    done = write(&to, some).await;
+                    written = write(&to, chunk).await;
                 }
-                done
+                written
             }
-            Pass::Delayed(time) => {
+            Forwarding::Delayed(time) => {
                 tokio::time::sleep(time).await;
                 write(&to, &buffer[..count]).await
             }
-            Pass::Free | Pass::Cut => write(&to, &buffer[..count]).await,
+            Forwarding::Normal | Forwarding::Cut => write(&to, &buffer[..count]).await,
         };
-        if done.is_err() {
+        if written.is_err() {
             return;
         }
     }
@@ -205,8 +205,8 @@
     loop {
         from.readable().await?;
         match from.try_read(buffer) {
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            written => return written,
         }
     }
 }
@@ -216,40 +216,40 @@
         to.writable().await?;
         match to.try_write(bytes) {
             Ok(count) => bytes = &bytes[count..],
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-            Err(fault) => return Err(fault),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
 /// Reads one HTTP message, head and body, from a stream; `None` at its end.
-pub(crate) async fn message(
+pub(crate) async fn read_message(
     stream: &mut TcpStream,
-    held: &mut Vec<u8>,
+    buffered: &mut Vec<u8>,
 ) -> Option<(String, Vec<u8>)> {
     let mut buffer = [0; 4096];
     loop {
-        if let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
-            let length = header(&head, "content-length")
+        if let Some(end) = buffered.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffered[..end]).into_owned();
+            let length = header_value(&head, "content-length")
                 .and_then(|v| v.parse().ok())
                 .unwrap_or(0);
-            if held.len() >= end + 4 + length {
-                let body = held[end + 4..end + 4 + length].to_vec();
-                held.drain(..end + 4 + length);
+            if buffered.len() >= end + 4 + length {
+                let body = buffered[end + 4..end + 4 + length].to_vec();
+                buffered.drain(..end + 4 + length);
                 return Some((head, body));
             }
         }
         match stream.read(&mut buffer).await {
-            Ok(count @ 1..) => held.extend_from_slice(&buffer[..count]),
+            Ok(count @ 1..) => buffered.extend_from_slice(&buffer[..count]),
             _ => return None,
         }
     }
 }
 
 /// The value of a header.
-pub(crate) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+pub(crate) fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().skip(1).filter_map(|l| l.split_once(':'));
     lines
         .find(|(n, _)| n.eq_ignore_ascii_case(name))
@@ -287,7 +287,7 @@
         let mut byte = [0; 1];
         stream.write_all(b"a").await.expect("up");
         stream.read_exact(&mut byte).await.expect("echoed");
-        link.set(|s| s.back = Pass::Cut);
+        link.set(|s| s.backward = Forwarding::Cut);
         stream.write_all(b"b").await.expect("up");
         assert!(
             tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte))
@@ -295,7 +295,7 @@
                 .is_err(),
             "nothing comes back"
         );
-        link.set(|s| s.back = Pass::Free);
+        link.set(|s| s.backward = Forwarding::Normal);
         stream
             .read_exact(&mut byte)
             .await
@@ -303,9 +303,14 @@
         assert_eq!(&byte, b"b");
         link.set(|s| s.resets += 1);
         assert!(stream.read_exact(&mut byte).await.is_err());
-        let mut anew = TcpStream::connect(link.address).await.expect("it listens");
-        link.set(|s| (s.forth, s.back) = (Pass::Trickle, Pass::Delayed(Duration::from_millis(5))));
-        anew.write_all(&[7; 200]).await.expect("up");
-        anew.read_exact(&mut [0; 200]).await.expect("all of it");
+        let mut second = TcpStream::connect(link.address).await.expect("it listens");
+        link.set(|s| {
+            (s.forward, s.backward) = (
+                Forwarding::Trickle,
+                Forwarding::Delayed(Duration::from_millis(5)),
+            )
+        });
+        second.write_all(&[7; 200]).await.expect("up");
+        second.read_exact(&mut [0; 200]).await.expect("all of it");
     }
 }
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -2,14 +2,14 @@
 //! count what they execute, clients that try again elsewhere. The policy makes `cobro-mensual` unsafe and keyed by
 //! turns; hosts drop its repeats while it may be keyed and no longer once it is unsafe everywhere.
 
-use crate::clients::{self, Addresses, Ended, TIME};
-use crate::contender::{self, Way, Written};
-use crate::course::{Course, Fault, Kind};
+use crate::baseline::{self, Distribution, WrittenFile};
+use crate::checker::{check, PublishRecord, StartRecord, Verdict};
+use crate::clients::{self, Addresses, Ended, CALL_TIMEOUT};
 use crate::hosts::Hosts;
-use crate::judge::{judge, Heard, Line, Verdict};
-use crate::link::{Link, Pass};
+use crate::link::{Forwarding, Link};
 use crate::now;
-use crate::process::{Folder, Plan, Process};
+use crate::process::{Folder, Process, ProcessSpec};
+use crate::schedule::{Fault, FaultSchedule, Kind};
 use badgerramp_config_tool::fleet::{At, Control, Outcome};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
@@ -28,9 +28,9 @@
 const WAIT_MS: u64 = 6_000;
 const ELECTION_MS: u64 = 400;
 /// Longest wait for what must come.
-const LONG: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Share of the answers to unsafe and keyed calls that are lost after the call ran.
-const SPOILT: f64 = 0.05;
+const ANSWER_LOSS: f64 = 0.05;
 const CHARGE: &str = "/cobro-mensual";
 const ENTRY: &str = "/registro-entrada";
 
@@ -55,14 +55,14 @@
     /// Changes of the policy in a course.
     pub publishes: usize,
     /// Some proxies go on by a floor, or keep on, when cut off.
-    pub mixed_terms: bool,
+    pub mixed_on_lease_loss: bool,
     /// How the policy comes to them.
-    pub way: Way,
+    pub distribution: Distribution,
 }
 
 /// What a fleet costs with no change under way and no calls.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Calm {
+pub struct IdleCost {
     /// CPU time of all replicas of control together, in microseconds for a proxy and second.
     pub control_us: f64,
     /// CPU time of a proxy, in microseconds a second.
@@ -74,11 +74,11 @@
 }
 
 /// How long calm is measured.
-const CALM: Duration = Duration::from_secs(6);
+const IDLE_MEASUREMENT: Duration = Duration::from_secs(6);
 
 /// What a course came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct RunReport {
     /// The course's seed.
     pub seed: u64,
     /// Its faults.
@@ -93,12 +93,13 @@
     /// Why others were not.
     pub why: Vec<String>,
     /// What the fleet costs in calm; measured where no faults are drawn.
-    pub calm: Option<Calm>,
+    #[serde(rename = "calm")]
+    pub idle_cost: Option<IdleCost>,
     /// Changes that had not ended long after the last fault had.
     pub unended: usize,
 }
 
-impl Played {
+impl RunReport {
     /// Did all hold?
     pub fn held(&self) -> bool {
         self.verdict.held() && self.unended == 0
@@ -170,11 +171,11 @@
 }
 
 /// The file of one proxy: the policy's, with what is its own.
-fn own_file(
+fn proxy_config(
     hosts: &[SocketAddr],
     control: &[SocketAddr],
     folder: &Path,
-    (name, cut_off): (&str, &str),
+    (name, lease_loss_setting): (&str, &str),
 ) -> String {
     let quoted = |all: &[SocketAddr]| {
         all.iter()
@@ -189,7 +190,7 @@
     let secret = folder.join("secret");
     let state = folder.join(format!("state-{name}"));
     let own = format!(
-        "control = [{}]\nsecret = \"{}\"\nname = \"{name}\"\ncut_off = \"{cut_off}\"\nstate = \"{}\"",
+        "control = [{}]\nsecret = \"{}\"\nname = \"{name}\"\ncut_off = \"{lease_loss_setting}\"\nstate = \"{}\"",
         quoted(control),
         secret.display(),
         state.display()
@@ -210,7 +211,7 @@
 }
 
 /// A proxy's file without control: the policy is its own.
-fn alone(text: &str, keyed: bool) -> String {
+fn config_without_control(text: &str, keyed: bool) -> String {
     let part = |text: &str| {
         let from = text.find("[defaults]").unwrap_or(text.len());
         (text[..from].to_owned(), text[from..].to_owned())
@@ -224,12 +225,12 @@
 /// The replicas of control, and the ways to them.
 struct Replicas {
     all: Vec<tokio::sync::Mutex<Process>>,
-    at: Vec<watch::Sender<Option<SocketAddr>>>,
+    addresses_by_replica: Vec<watch::Sender<Option<SocketAddr>>>,
     links: Vec<Link>,
 }
 
 /// A fleet that runs.
-struct World {
+struct Fleet {
     folder: Folder,
     hosts: Hosts,
     replicas: Replicas,
@@ -238,28 +239,28 @@
     /// By proxy and replica.
     links: Vec<Vec<Link>>,
     /// What holds at the links of each proxy and before each replica.
-    passes: Mutex<Passes>,
+    link_states: Mutex<LinkStates>,
     /// When proxies were not well, and when the way from one to control, or control itself, was not.
-    unwell: Mutex<Vec<Unwell>>,
+    outages: Mutex<Vec<Outage>>,
     /// Without control: files that were written, and the generation that comes next.
-    written: Mutex<Vec<Written>>,
+    written_files: Mutex<Vec<WrittenFile>>,
 }
 
 /// What holds at links.
 #[derive(Default)]
-struct Passes {
+struct LinkStates {
     /// Between a proxy and control, by the proxy: forth and back.
-    proxies: HashMap<usize, (Pass, Pass)>,
+    proxies: HashMap<usize, (Forwarding, Forwarding)>,
     /// Replicas that nothing reaches.
     cut: HashSet<usize>,
     /// Proxies that do not run, or stand still.
     down: HashSet<usize>,
-    still: HashSet<usize>,
+    stopped: HashSet<usize>,
 }
 
 /// A span in which something was not well.
 #[derive(Clone, Copy)]
-struct Unwell {
+struct Outage {
     /// Which proxy; `None`: control.
     proxy: Option<usize>,
     /// The proxy itself, and not only its way to control.
@@ -268,8 +269,8 @@
     until: Micros,
 }
 
-impl Unwell {
-    fn touches(&self, from: Micros, until: Micros, after: Micros) -> bool {
+impl Outage {
+    fn overlaps(&self, from: Micros, until: Micros, after: Micros) -> bool {
         self.from <= until && from <= self.until + after
     }
 }
@@ -278,21 +279,21 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn cut_off(place: usize, size: Size) -> &'static str {
-    match place % 10 {
-        8 if size.mixed_terms => "narrow",
-        9 if size.mixed_terms => "keep",
+fn lease_loss_setting(index: usize, size: Size) -> &'static str {
+    match index % 10 {
+        8 if size.mixed_on_lease_loss => "narrow",
+        9 if size.mixed_on_lease_loss => "keep",
         _ => "refuse",
     }
 }
 
-impl World {
+impl Fleet {
     async fn start(
         programs: &Programs,
         size: Size,
         seed: u64,
         keep: bool,
-    ) -> Result<World, String> {
+    ) -> Result<Fleet, String> {
         let mut folder = Folder::new(&format!("{seed:x}"))?;
         folder.keep = keep;
         folder.write(
@@ -300,62 +301,66 @@
             &format!("a secret of the trial {seed:016x}"),
             true,
         )?;
-        let hosts = Hosts::start(3, SPOILT, &[CHARGE, ENTRY], seed).await?;
+        let hosts = Hosts::start(3, ANSWER_LOSS, &[CHARGE, ENTRY], seed).await?;
         let replicas = Replicas::start(programs, size, &folder).await?;
         let mut links = Vec::new();
         let mut starts = tokio::task::JoinSet::new();
-        for place in 0..size.proxies {
+        for index in 0..size.proxies {
             let mut own = Vec::new();
-            for at in &replicas.at {
-                own.push(Link::to(at.subscribe()).await.map_err(|e| e.to_string())?);
+            for addresses_by_replica in &replicas.addresses_by_replica {
+                own.push(
+                    Link::to(addresses_by_replica.subscribe())
+                        .await
+                        .map_err(|e| e.to_string())?,
+                );
             }
             let control: Vec<SocketAddr> = own.iter().map(|l| l.address).collect();
             links.push(own);
-            let named = format!("p{place}");
-            let text = own_file(
+            let named = format!("p{index}");
+            let text = proxy_config(
                 &hosts.addresses,
                 &control,
                 folder.path(),
-                (&named, cut_off(place, size)),
+                (&named, lease_loss_setting(index, size)),
             );
-            let text = if size.way == Way::Control {
+            let text = if size.distribution == Distribution::Control {
                 text
             } else {
-                alone(&text, true)
+                config_without_control(&text, true)
             };
             let file = folder.write(&format!("{named}.toml"), &text, false)?;
             let mut arguments = programs.proxy.1.clone();
             arguments.extend(["run".to_owned(), file.display().to_string()]);
-            let keep = vec!["badgerramp::begun"];
-            let plan = Plan {
+            let debug_filter = vec!["badgerramp::begun"];
+            let spec = ProcessSpec {
                 program: programs.proxy.0.clone(),
                 arguments,
-                keep,
-                variables: Vec::new(),
+                debug_filter,
+                environment: Vec::new(),
             };
-            starts.spawn(async move { (place, Process::start(plan).await) });
+            starts.spawn(async move { (index, Process::start(spec).await) });
         }
         let mut proxies: Vec<Option<Process>> = (0..size.proxies).map(|_| None).collect();
         while let Some(started) = starts.join_next().await {
-            let (place, started) = started.map_err(|e| e.to_string())?;
-            proxies[place] = Some(started?);
+            let (index, started) = started.map_err(|e| e.to_string())?;
+            proxies[index] = Some(started?);
         }
         let mut addresses = Vec::new();
         let mut all = Vec::new();
         for mut proxy in proxies.into_iter().flatten() {
-            addresses.push(proxy.listens().await?);
+            addresses.push(proxy.listen_address().await?);
             all.push(tokio::sync::Mutex::new(proxy));
         }
-        Ok(World {
+        Ok(Fleet {
             folder,
             hosts,
             replicas,
             proxies: all,
             addresses: Arc::new(RwLock::new(addresses)),
             links,
-            passes: Mutex::default(),
-            unwell: Mutex::default(),
-            written: Mutex::default(),
+            link_states: Mutex::default(),
+            outages: Mutex::default(),
+            written_files: Mutex::default(),
         })
     }
 
@@ -363,59 +368,79 @@
         Control::new(&At {
             control: self.replicas.links.iter().map(|l| l.address).collect(),
             secret: self.folder.path().join("secret"),
-            timeout: LONG.as_secs(),
+            timeout: WAIT_TIMEOUT.as_secs(),
         })
     }
 
     /// Publishes the policy, and notes what is heard.
-    async fn publish(self: &Arc<Self>, way: Way, keyed: bool) -> Result<(Heard, Outcome), String> {
-        if way != Way::Control {
-            return self.push(way, keyed).await;
+    async fn publish(
+        self: &Arc<Self>,
+        distribution: Distribution,
+        keyed: bool,
+    ) -> Result<(PublishRecord, Outcome), String> {
+        if distribution != Distribution::Control {
+            return self.distribute_files(distribution, keyed).await;
         }
         let mut control = self.control()?;
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let standing = control.standing().await.map_err(|e| e.to_string())?;
         let files = HashMap::from([("caja".to_owned(), policy(keyed))]);
         let done = control.publish(&files, standing.revision, |_| {}).await;
-        let heard = Heard {
+        let record = PublishRecord {
             generation: done.generation.unwrap_or(0),
             at: now(),
             in_force: done.outcome == Outcome::InForce,
-            took_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
+            took_ms: u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             why: done.why,
         };
-        Ok((heard, done.outcome))
+        Ok((record, done.outcome))
     }
 
     /// Writes the file of a proxy and has it read, if it can be reached.
-    async fn reach(&self, proxy: usize, keyed: bool, generation: u64) -> Result<bool, String> {
-        let away = {
-            let passes = locked(&self.passes);
-            let (forth, back) = passes.proxies.get(&proxy).copied().unwrap_or_default();
-            passes.down.contains(&proxy) || [forth, back].contains(&Pass::Cut)
+    async fn deliver_file(
+        &self,
+        proxy: usize,
+        keyed: bool,
+        generation: u64,
+    ) -> Result<bool, String> {
+        let unreachable_now = {
+            let link_states = locked(&self.link_states);
+            let (forward, backward) = link_states.proxies.get(&proxy).copied().unwrap_or_default();
+            link_states.down.contains(&proxy) || [forward, backward].contains(&Forwarding::Cut)
         };
-        if away {
+        if unreachable_now {
             return Ok(false);
         }
         let process = self.proxies[proxy].lock().await;
         let path = self.folder.path().join(format!("p{proxy}.toml"));
         let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
-        let fresh = self
-            .folder
-            .write(&format!("p{proxy}.new"), &alone(&text, keyed), false)?;
-        locked(&self.written).push((now(), proxy, generation));
-        std::fs::rename(&fresh, &path).map_err(|e| e.to_string())?;
+        let new_path = self.folder.write(
+            &format!("p{proxy}.new"),
+            &config_without_control(&text, keyed),
+            false,
+        )?;
+        locked(&self.written_files).push((now(), proxy, generation));
+        std::fs::rename(&new_path, &path).map_err(|e| e.to_string())?;
         process.signal(Signal::HUP);
         Ok(true)
     }
 
     /// Brings the policy to each proxy without control.
-    async fn push(self: &Arc<Self>, way: Way, keyed: bool) -> Result<(Heard, Outcome), String> {
-        let begun = Instant::now();
-        let generation = locked(&self.written).iter().map(|w| w.2).max().unwrap_or(1) + 1;
+    async fn distribute_files(
+        self: &Arc<Self>,
+        distribution: Distribution,
+        keyed: bool,
+    ) -> Result<(PublishRecord, Outcome), String> {
+        let started_at = Instant::now();
+        let generation = locked(&self.written_files)
+            .iter()
+            .map(|w| w.2)
+            .max()
+            .unwrap_or(1)
+            + 1;
         let done = |in_force: bool, why: &str| {
-            let took_ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-            let heard = Heard {
+            let took_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+            let record = PublishRecord {
                 generation,
                 at: now(),
                 in_force,
@@ -423,7 +448,7 @@
                 why: why.to_owned(),
             };
             (
-                heard,
+                record,
                 if in_force {
                     Outcome::InForce
                 } else {
@@ -432,17 +457,17 @@
             )
         };
         let pause = Duration::from_millis(100);
-        if way == Way::TwoPhase {
+        if distribution == Distribution::TwoPhase {
             let missing = || {
-                let passes = locked(&self.passes);
-                let cut = passes
+                let link_states = locked(&self.link_states);
+                let cut = link_states
                     .proxies
                     .values()
-                    .any(|(a, b)| [a, b].contains(&&Pass::Cut));
-                cut || !passes.down.is_empty() || !passes.still.is_empty()
+                    .any(|(a, b)| [a, b].contains(&&Forwarding::Cut));
+                cut || !link_states.down.is_empty() || !link_states.stopped.is_empty()
             };
             while missing() {
-                if begun.elapsed() > contender::TRIES {
+                if started_at.elapsed() > baseline::RETRY_DURATION {
                     return Ok(done(false, "not all are there"));
                 }
                 tokio::time::sleep(pause).await;
@@ -450,16 +475,18 @@
         }
         let mut tasks = tokio::task::JoinSet::new();
         for proxy in 0..self.proxies.len() {
-            let world = Arc::clone(self);
+            let fleet = Arc::clone(self);
             // Files go out one after another, some at a time; a spread takes what it takes.
-            let first = match way {
-                Way::Spread => Duration::from_millis(proxy as u64 * 7_919 % 2_000),
+            let first = match distribution {
+                Distribution::Spread => Duration::from_millis(proxy as u64 * 7_919 % 2_000),
                 _ => Duration::from_millis(2 * proxy as u64),
             };
             tasks.spawn(async move {
                 tokio::time::sleep(first).await;
-                while !world.reach(proxy, keyed, generation).await? {
-                    if way == Way::Files && begun.elapsed() > contender::TRIES {
+                while !fleet.deliver_file(proxy, keyed, generation).await? {
+                    if distribution == Distribution::Files
+                        && started_at.elapsed() > baseline::RETRY_DURATION
+                    {
                         break;
                     }
                     tokio::time::sleep(pause).await;
@@ -467,9 +494,9 @@
                 Ok::<_, String>(())
             });
         }
-        if way == Way::Spread {
+        if distribution == Distribution::Spread {
             // Nobody knows when it is through: it is taken to be after as long as it takes when all is well.
-            tokio::time::sleep(contender::TRIES).await;
+            tokio::time::sleep(baseline::RETRY_DURATION).await;
             tokio::spawn(async move { while tasks.join_next().await.is_some() {} });
             return Ok(done(true, ""));
         }
@@ -480,22 +507,22 @@
     }
 
     /// Waits until each proxy acts under what is in force.
-    async fn settled(&self) -> Result<(), String> {
-        let end = Instant::now() + LONG;
+    async fn wait_until_settled(&self) -> Result<(), String> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let mut control = self.control()?;
         loop {
             let standing = control.standing().await.map_err(|e| e.to_string())?;
-            let there = standing
+            let settled_count = standing
                 .proxies
                 .iter()
                 .filter(|p| p.acting == standing.revision)
                 .count();
-            if there >= self.proxies.len() && standing.to_come.is_none() {
+            if settled_count >= self.proxies.len() && standing.to_come.is_none() {
                 return Ok(());
             }
             if Instant::now() >= end {
                 return Err(format!(
-                    "{there} of {} proxies have a lease",
+                    "{settled_count} of {} proxies have a lease",
                     self.proxies.len()
                 ));
             }
@@ -504,7 +531,7 @@
     }
 
     /// What the fleet costs while nothing happens.
-    async fn calm(&self) -> Calm {
+    async fn measure_idle_cost(&self) -> IdleCost {
         async fn sum(all: &[tokio::sync::Mutex<Process>]) -> (u64, u64) {
             let (mut time, mut held) = (0, Vec::new());
             for process in all {
@@ -516,10 +543,12 @@
             (time, held.get(held.len() / 2).copied().unwrap_or(0))
         }
         let before = (sum(&self.proxies).await, sum(&self.replicas.all).await);
-        tokio::time::sleep(CALM).await;
+        tokio::time::sleep(IDLE_MEASUREMENT).await;
         let after = (sum(&self.proxies).await, sum(&self.replicas.all).await);
-        let each = |a: u64, b: u64| (b - a) as f64 / CALM.as_secs_f64() / self.proxies.len() as f64;
-        Calm {
+        let each = |a: u64, b: u64| {
+            (b - a) as f64 / IDLE_MEASUREMENT.as_secs_f64() / self.proxies.len() as f64
+        };
+        IdleCost {
             control_us: each(before.1 .0, after.1 .0),
             proxy_us: each(before.0 .0, after.0 .0),
             proxy_kib: after.0 .1,
@@ -527,140 +556,152 @@
         }
     }
 
-    fn pass(&self) {
-        let passes = locked(&self.passes);
+    fn apply_link_states(&self) {
+        let link_states = locked(&self.link_states);
         for (proxy, links) in self.links.iter().enumerate() {
-            let (forth, back) = passes.proxies.get(&proxy).copied().unwrap_or_default();
+            let (forward, backward) = link_states.proxies.get(&proxy).copied().unwrap_or_default();
             for (replica, link) in links.iter().enumerate() {
-                let cut = passes.cut.contains(&replica);
-                link.set(|s| (s.forth, s.back) = (if cut { Pass::Cut } else { forth }, back));
+                let cut = link_states.cut.contains(&replica);
+                link.set(|s| {
+                    (s.forward, s.backward) =
+                        (if cut { Forwarding::Cut } else { forward }, backward)
+                });
             }
         }
         for (replica, link) in self.replicas.links.iter().enumerate() {
-            let cut = passes.cut.contains(&replica);
-            link.set(|s| s.forth = if cut { Pass::Cut } else { Pass::Free });
+            let cut = link_states.cut.contains(&replica);
+            link.set(|s| {
+                s.forward = if cut {
+                    Forwarding::Cut
+                } else {
+                    Forwarding::Normal
+                }
+            });
         }
     }
 
-    async fn inflict(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
+    async fn inject(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
         tokio::time::sleep_until(began + fault.from).await;
         let from = now();
         let end = began + fault.until;
-        let ways = |way| {
-            locked(&self.passes).proxies.insert(fault.whom, way);
-            self.pass();
+        let set_links = |forwarding| {
+            locked(&self.link_states)
+                .proxies
+                .insert(fault.target, forwarding);
+            self.apply_link_states();
         };
-        let slow = Pass::Delayed(Duration::from_millis(120));
+        let delayed = Forwarding::Delayed(Duration::from_millis(120));
         match fault.kind {
             Kind::KillAll => {
                 let all: Vec<usize> = (0..self.proxies.len()).collect();
-                locked(&self.passes).down.extend(&all);
+                locked(&self.link_states).down.extend(&all);
                 let mut killed = tokio::task::JoinSet::new();
-                for &whom in &all {
-                    let world = Arc::clone(&self);
-                    killed
-                        .spawn(async move { world.kill_proxy(Fault { whom, ..fault }, end).await });
+                for &target in &all {
+                    let fleet = Arc::clone(&self);
+                    killed.spawn(
+                        async move { fleet.kill_proxy(Fault { target, ..fault }, end).await },
+                    );
                 }
                 while let Some(done) = killed.join_next().await {
                     done.map_err(|e| e.to_string())??;
                 }
-                locked(&self.passes).down.clear();
+                locked(&self.link_states).down.clear();
             }
             Kind::KillProxy | Kind::TearProxy => {
-                locked(&self.passes).down.insert(fault.whom);
+                locked(&self.link_states).down.insert(fault.target);
                 self.kill_proxy(fault, end).await?;
-                locked(&self.passes).down.remove(&fault.whom);
+                locked(&self.link_states).down.remove(&fault.target);
             }
             Kind::StopProxy => {
-                locked(&self.passes).still.insert(fault.whom);
-                self.proxies[fault.whom].lock().await.signal(Signal::STOP);
+                locked(&self.link_states).stopped.insert(fault.target);
+                self.proxies[fault.target].lock().await.signal(Signal::STOP);
                 tokio::time::sleep_until(end).await;
-                self.proxies[fault.whom].lock().await.signal(Signal::CONT);
-                locked(&self.passes).still.remove(&fault.whom);
+                self.proxies[fault.target].lock().await.signal(Signal::CONT);
+                locked(&self.link_states).stopped.remove(&fault.target);
             }
-            Kind::CutProxy => ways((Pass::Cut, Pass::Cut)),
-            Kind::UnheardProxy => ways((Pass::Cut, Pass::Free)),
-            Kind::DeafProxy => ways((Pass::Free, Pass::Cut)),
-            Kind::DelayProxy => ways((slow, slow)),
-            Kind::TrickleProxy => ways((Pass::Trickle, Pass::Trickle)),
-            Kind::ResetProxy => self.links[fault.whom]
+            Kind::CutProxy => set_links((Forwarding::Cut, Forwarding::Cut)),
+            Kind::UnheardProxy => set_links((Forwarding::Cut, Forwarding::Normal)),
+            Kind::DeafProxy => set_links((Forwarding::Normal, Forwarding::Cut)),
+            Kind::DelayProxy => set_links((delayed, delayed)),
+            Kind::TrickleProxy => set_links((Forwarding::Trickle, Forwarding::Trickle)),
+            Kind::ResetProxy => self.links[fault.target]
                 .iter()
                 .for_each(|l| l.set(|s| s.resets += 1)),
             Kind::KillReplica => {
-                let mut replica = self.replicas.all[fault.whom].lock().await;
+                let mut replica = self.replicas.all[fault.target].lock().await;
                 replica.kill().await;
-                self.replicas.at[fault.whom].send_replace(None);
+                self.replicas.addresses_by_replica[fault.target].send_replace(None);
                 tokio::time::sleep_until(end).await;
-                replica.again()?;
-                let address = replica.listens().await?;
-                self.replicas.at[fault.whom].send_replace(Some(address));
+                replica.spawn()?;
+                let address = replica.listen_address().await?;
+                self.replicas.addresses_by_replica[fault.target].send_replace(Some(address));
             }
             Kind::StopReplica => {
-                self.replicas.all[fault.whom]
+                self.replicas.all[fault.target]
                     .lock()
                     .await
                     .signal(Signal::STOP);
                 tokio::time::sleep_until(end).await;
-                self.replicas.all[fault.whom]
+                self.replicas.all[fault.target]
                     .lock()
                     .await
                     .signal(Signal::CONT);
             }
             Kind::CutReplica => {
-                locked(&self.passes).cut.insert(fault.whom);
-                self.pass();
+                locked(&self.link_states).cut.insert(fault.target);
+                self.apply_link_states();
                 tokio::time::sleep_until(end).await;
-                locked(&self.passes).cut.remove(&fault.whom);
-                self.pass();
+                locked(&self.link_states).cut.remove(&fault.target);
+                self.apply_link_states();
             }
             Kind::ResetReplica => {
                 let reset = |link: &Link| link.set(|s| s.resets += 1);
-                reset(&self.replicas.links[fault.whom]);
+                reset(&self.replicas.links[fault.target]);
                 self.links
                     .iter()
-                    .for_each(|links| reset(&links[fault.whom]));
+                    .for_each(|links| reset(&links[fault.target]));
             }
         }
         tokio::time::sleep_until(end).await;
-        if !fault.kind.of_replica() {
-            ways((Pass::Free, Pass::Free));
+        if !fault.kind.targets_replica() {
+            set_links((Forwarding::Normal, Forwarding::Normal));
         }
         let process = matches!(
             fault.kind,
             Kind::KillProxy | Kind::KillAll | Kind::TearProxy | Kind::StopProxy
         );
-        let whom = match fault.kind {
+        let affected = match fault.kind {
             Kind::KillAll => (0..self.proxies.len()).map(Some).collect(),
-            kind if kind.of_replica() => vec![None],
-            _ => vec![Some(fault.whom)],
+            kind if kind.targets_replica() => vec![None],
+            _ => vec![Some(fault.target)],
         };
         let until = now();
-        let unwell = whom.into_iter().map(|proxy| Unwell {
+        let outages = affected.into_iter().map(|proxy| Outage {
             proxy,
             process,
             from,
             until,
         });
-        locked(&self.unwell).extend(unwell);
+        locked(&self.outages).extend(outages);
         Ok(())
     }
 
     async fn kill_proxy(&self, fault: Fault, end: Instant) -> Result<(), String> {
-        let mut proxy = self.proxies[fault.whom].lock().await;
+        let mut proxy = self.proxies[fault.target].lock().await;
         // Its port may be another process's at once, and of another course's fleet: until it listens nobody is there.
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
+        let unreachable = SocketAddr::from(([127, 0, 0, 1], 9));
         self.addresses
             .write()
-            .unwrap_or_else(PoisonError::into_inner)[fault.whom] = nobody;
+            .unwrap_or_else(PoisonError::into_inner)[fault.target] = unreachable;
         proxy.kill().await;
-        let name = format!("p{}", fault.whom);
+        let name = format!("p{}", fault.target);
         // One that goes on without a lease holds changes up until the operator answers for its end.
         let log = proxy.log();
-        let tells = |l: &str| {
+        let start_of = |l: &str| {
             l.contains("policy from control, as")
                 .then(|| l.split(['(', ')']).nth(1).map(str::to_owned))
         };
-        let start = log.iter().rev().find_map(|(_, l)| tells(l)).flatten();
+        let start = log.iter().rev().find_map(|(_, l)| start_of(l)).flatten();
         let start = start.and_then(|s| u64::from_str_radix(&s, 16).ok());
         if !self.replicas.all.is_empty() {
             let mut control = self.control()?;
@@ -672,35 +713,35 @@
             let path = self
                 .folder
                 .path()
-                .join(format!("state-p{}", fault.whom))
+                .join(format!("state-p{}", fault.target))
                 .join("caja.policy");
             if let Ok(bytes) = std::fs::read(&path) {
                 let _ = std::fs::write(&path, &bytes[..bytes.len() / 2]);
             }
         }
         tokio::time::sleep_until(end).await;
-        proxy.again()?;
-        let address = proxy.listens().await?;
+        proxy.spawn()?;
+        let address = proxy.listen_address().await?;
         self.addresses
             .write()
-            .unwrap_or_else(PoisonError::into_inner)[fault.whom] = address;
+            .unwrap_or_else(PoisonError::into_inner)[fault.target] = address;
         Ok(())
     }
 }
 
 impl Replicas {
     async fn start(programs: &Programs, size: Size, folder: &Folder) -> Result<Replicas, String> {
-        let (mut at, mut links) = (Vec::new(), Vec::new());
+        let (mut addresses_by_replica, mut links) = (Vec::new(), Vec::new());
         for _ in 0..size.replicas {
-            let (known, place) = watch::channel(None);
-            links.push(Link::to(place).await.map_err(|e| e.to_string())?);
-            at.push(known);
+            let (known, index) = watch::channel(None);
+            links.push(Link::to(index).await.map_err(|e| e.to_string())?);
+            addresses_by_replica.push(known);
         }
         let named = |(n, link): (usize, &Link)| format!("{} = \"{}\"", n + 1, link.address);
         let named: Vec<String> = links.iter().enumerate().map(named).collect();
         let mut all = Vec::new();
-        for (place, known) in at.iter().enumerate() {
-            let number = place + 1;
+        for (index, known) in addresses_by_replica.iter().enumerate() {
+            let number = index + 1;
             let text = format!(
                 "replica = {number}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{number}\"\n\
                  secret = \"secret\"\nlease_ms = {LEASE_MS}\nwait_ms = {WAIT_MS}\nelection_ms = {ELECTION_MS}\n",
@@ -722,17 +763,21 @@
             }
             let mut arguments = before.clone();
             arguments.extend(["serve".to_owned(), file]);
-            let plan = Plan {
+            let spec = ProcessSpec {
                 program: program.clone(),
                 arguments,
-                keep: Vec::new(),
-                variables: Vec::new(),
+                debug_filter: Vec::new(),
+                environment: Vec::new(),
             };
-            let mut process = Process::start(plan).await?;
-            known.send_replace(Some(process.listens().await?));
+            let mut process = Process::start(spec).await?;
+            known.send_replace(Some(process.listen_address().await?));
             all.push(tokio::sync::Mutex::new(process));
         }
-        Ok(Replicas { all, at, links })
+        Ok(Replicas {
+            all,
+            addresses_by_replica,
+            links,
+        })
     }
 }
 
@@ -740,74 +785,74 @@
 ///
 /// # Errors
 /// If the fleet could not be started or asked: the trial itself failed, and says nothing of the program.
-pub async fn play(
+pub async fn run(
     programs: &Programs,
     size: Size,
-    course: &Course,
+    schedule: &FaultSchedule,
     keep: bool,
-) -> Result<Played, String> {
-    let world = Arc::new(World::start(programs, size, course.seed, keep).await?);
-    let mut all_heard = Vec::new();
-    if size.way == Way::Control {
-        let (heard, first) = world.publish(size.way, true).await?;
+) -> Result<RunReport, String> {
+    let fleet = Arc::new(Fleet::start(programs, size, schedule.seed, keep).await?);
+    let mut publishes = Vec::new();
+    if size.distribution == Distribution::Control {
+        let (record, first) = fleet.publish(size.distribution, true).await?;
         if first != Outcome::InForce {
-            return Err(format!("the first policy: {}", heard.why));
+            return Err(format!("the first policy: {}", record.why));
         }
-        all_heard.push(heard);
-        world.settled().await?;
+        publishes.push(record);
+        fleet.wait_until_settled().await?;
     }
 
-    let calm = if course.faults.is_empty() {
-        Some(world.calm().await)
+    let idle_cost = if schedule.faults.is_empty() {
+        Some(fleet.measure_idle_cost().await)
     } else {
         None
     };
     let (stop, stopped) = watch::channel(false);
     let load = tokio::spawn(clients::run(
-        Arc::clone(&world.addresses),
+        Arc::clone(&fleet.addresses),
         (&[CHARGE, ENTRY], size.rate),
-        course.seed,
+        schedule.seed,
         stopped,
     ));
     let began = Instant::now();
     let mut faults = tokio::task::JoinSet::new();
-    for &fault in course
+    for &fault in schedule
         .faults
         .iter()
-        .filter(|f| size.way == Way::Control || !f.kind.of_replica())
+        .filter(|f| size.distribution == Distribution::Control || !f.kind.targets_replica())
     {
-        faults.spawn(Arc::clone(&world).inflict(fault, began));
+        faults.spawn(Arc::clone(&fleet).inject(fault, began));
     }
     let (mut keyed, mut outcome, mut why, mut unended) = (true, Vec::new(), Vec::new(), 0);
-    for &pause in &course.pauses {
+    for &pause in &schedule.pauses {
         tokio::time::sleep(pause).await;
         if !keyed {
             // Hosts know repeats again before anybody may send them.
-            world.hosts.drop_repeats(CHARGE, true);
+            fleet.hosts.set_dedup(CHARGE, true);
         }
-        let (heard, end) = world.publish(size.way, !keyed).await?;
+        let (record, end) = fleet.publish(size.distribution, !keyed).await?;
         match end {
             Outcome::InForce => {
                 outcome.push("in-force");
                 keyed = !keyed;
                 if !keyed {
                     // Calls that began before go on by the terms they began with, to the end of their time.
-                    tokio::time::sleep(TIME + Duration::from_millis(300)).await;
-                    world.hosts.drop_repeats(CHARGE, false);
+                    tokio::time::sleep(CALL_TIMEOUT + Duration::from_millis(300)).await;
+                    fleet.hosts.set_dedup(CHARGE, false);
                 }
             }
             Outcome::NotInForce => {
                 outcome.push("not-in-force");
-                why.push(heard.why.clone());
+                why.push(record.why.clone());
             }
             Outcome::NotKnown => {
                 outcome.push("not-known");
                 unended += 1;
-                why.push(heard.why.clone());
+                why.push(record.why.clone());
             }
         }
-        if end != Outcome::NotKnown && heard.generation > 0 {
-            all_heard.push(heard);
+        if end != Outcome::NotKnown && record.generation > 0 {
+            publishes.push(record);
         }
     }
     while let Some(done) = faults.join_next().await {
@@ -815,9 +860,9 @@
     }
     // All is well again: a change comes into force.
     if !keyed {
-        world.hosts.drop_repeats(CHARGE, true);
+        fleet.hosts.set_dedup(CHARGE, true);
     }
-    let (heard, end) = world.publish(size.way, !keyed).await?;
+    let (record, end) = fleet.publish(size.distribution, !keyed).await?;
     unended += usize::from(end != Outcome::InForce);
     outcome.push(if end == Outcome::InForce {
         "in-force"
@@ -825,28 +870,31 @@
         "not-in-force-though-well"
     });
     if end != Outcome::InForce {
-        why.push(heard.why.clone());
+        why.push(record.why.clone());
     }
-    all_heard.push(heard);
+    publishes.push(record);
     let _ = stop.send(true);
-    let tries = load.await.map_err(|e| e.to_string())?;
+    let attempts = load.await.map_err(|e| e.to_string())?;
 
     let (mut begun, mut logs) = (Vec::new(), Vec::new());
-    for (place, proxy) in world.proxies.iter().enumerate() {
+    for (index, proxy) in fleet.proxies.iter().enumerate() {
         let mut proxy = proxy.lock().await;
-        if let Some(end) = proxy.ended() {
-            return Err(format!("p{place} ended by itself: {end}"));
+        if let Some(end) = proxy.exit_report() {
+            return Err(format!("p{index} ended by itself: {end}"));
         }
         proxy.kill().await;
         let log = proxy.log();
-        begun.extend(log.iter().filter_map(|(_, line)| Line::read(place, line)));
+        begun.extend(
+            log.iter()
+                .filter_map(|(_, line)| StartRecord::parse(index, line)),
+        );
         logs.push(log);
     }
-    if size.way != Way::Control {
-        begun = contender::begun(&tries, &logs, &locked(&world.written));
+    if size.distribution != Distribution::Control {
+        begun = baseline::started_calls(&attempts, &logs, &locked(&fleet.written_files));
     }
     // What was served had begun, and is in the logs: else nothing would be judged.
-    let served = tries
+    let served = attempts
         .iter()
         .filter(|t| t.ended == Ended::Status(200))
         .count();
@@ -856,42 +904,42 @@
             begun.len()
         ));
     }
-    let unwell = locked(&world.unwell).clone();
-    let well = |proxy: usize, from: Micros, until: Micros| {
-        !unwell
+    let outages = locked(&fleet.outages).clone();
+    let proxy_healthy = |proxy: usize, from: Micros, until: Micros| {
+        !outages
             .iter()
-            .any(|u| u.process && u.proxy == Some(proxy) && u.touches(from, until, 0))
+            .any(|u| u.process && u.proxy == Some(proxy) && u.overlaps(from, until, 0))
     };
     // A lease and an election after a fault of control, or of the way to it, all is well again.
     let after = (LEASE_MS + 4 * ELECTION_MS) * 1_000;
-    let quiet = |proxy: usize, from: Micros, until: Micros| {
-        let concerns = |u: &&Unwell| u.proxy.is_none_or(|p| p == proxy);
-        !unwell
+    let all_healthy = |proxy: usize, from: Micros, until: Micros| {
+        let concerns = |u: &&Outage| u.proxy.is_none_or(|p| p == proxy);
+        !outages
             .iter()
             .filter(concerns)
-            .any(|u| u.touches(from, until, after))
+            .any(|u| u.overlaps(from, until, after))
     };
-    let verdict = judge(
+    let verdict = check(
         begun,
-        &all_heard,
-        &tries,
-        &world.hosts.executed(),
-        well,
-        quiet,
+        &publishes,
+        &attempts,
+        &fleet.hosts.executed(),
+        proxy_healthy,
+        all_healthy,
     );
-    let in_force_ms = all_heard
+    let in_force_ms = publishes
         .iter()
         .filter(|h| h.in_force && h.generation > 1)
         .map(|h| h.took_ms)
         .collect();
-    Ok(Played {
-        seed: course.seed,
-        faults: course.faults.clone(),
+    Ok(RunReport {
+        seed: schedule.seed,
+        faults: schedule.faults.clone(),
         verdict,
         outcome,
         in_force_ms,
         why,
-        calm,
+        idle_cost,
         unended,
     })
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -13,31 +13,31 @@
 use tokio::sync::watch;
 
 /// Longest wait for a process to say that it listens.
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A line of a log and when it was read.
-pub type Line = (Micros, String);
+pub type LogLine = (Micros, String);
 
 /// What is started: a program, its arguments, where its log goes.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ProcessSpec {
     /// The program.
     pub program: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
     /// Lines that hold one of these words are kept.
-    pub keep: Vec<&'static str>,
+    pub debug_filter: Vec<&'static str>,
     /// Variables of its own.
-    pub variables: Vec<(&'static str, PathBuf)>,
+    pub environment: Vec<(&'static str, PathBuf)>,
 }
 
 /// A process; killed with its owner.
 pub struct Process {
-    plan: Plan,
+    spec: ProcessSpec,
     child: Option<(Child, Pid)>,
     listening: watch::Receiver<Option<SocketAddr>>,
-    hearing: watch::Sender<Option<SocketAddr>>,
-    log: Arc<Mutex<Vec<Line>>>,
+    datagram_address: watch::Sender<Option<SocketAddr>>,
+    log: Arc<Mutex<Vec<LogLine>>>,
     readers: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -46,23 +46,26 @@
     ///
     /// # Errors
     /// If it does not start, or does not listen: with the end of its log.
-    pub async fn start(plan: Plan) -> Result<Process, String> {
-        let mut process = Process::waiting(plan, watch::channel(None).0);
-        process.again()?;
-        process.listens().await?;
+    pub async fn start(spec: ProcessSpec) -> Result<Process, String> {
+        let mut process = Process::unstarted(spec, watch::channel(None).0);
+        process.spawn()?;
+        process.listen_address().await?;
         Ok(process)
     }
 
     /// One that is not started yet: see [`Process::again`]. Where it hears datagrams comes into `hearing`, with each
     /// start.
-    pub fn waiting(plan: Plan, hearing: watch::Sender<Option<SocketAddr>>) -> Process {
+    pub fn unstarted(
+        spec: ProcessSpec,
+        datagram_address: watch::Sender<Option<SocketAddr>>,
+    ) -> Process {
         let (_, listening) = watch::channel(None);
         let (log, readers) = (Arc::new(Mutex::new(Vec::new())), Vec::new());
         Process {
-            plan,
+            spec,
             child: None,
             listening,
-            hearing,
+            datagram_address,
             log,
             readers,
         }
@@ -72,13 +75,20 @@
     ///
     /// # Errors
     /// If it does not.
-    pub async fn listens(&mut self) -> Result<SocketAddr, String> {
-        let listens = tokio::time::timeout(LONG, self.listening.wait_for(Option::is_some)).await;
-        let address = listens
+    pub async fn listen_address(&mut self) -> Result<SocketAddr, String> {
+        let listening =
+            tokio::time::timeout(TIMEOUT, self.listening.wait_for(Option::is_some)).await;
+        let address = listening
             .ok()
             .and_then(Result::ok)
             .and_then(|address| *address);
-        address.ok_or_else(|| format!("{:?} does not listen: {}", self.plan.arguments, self.end()))
+        address.ok_or_else(|| {
+            format!(
+                "{:?} does not listen: {}",
+                self.spec.arguments,
+                self.log_tail()
+            )
+        })
     }
 
     /// Sends a signal. One to a process that has ended does nothing.
@@ -105,9 +115,9 @@
     pub async fn terminate(&mut self) -> Result<(), String> {
         self.signal(Signal::TERM);
         if let Some((child, _)) = &mut self.child {
-            let ended = tokio::time::timeout(LONG, child.wait()).await;
+            let ended = tokio::time::timeout(TIMEOUT, child.wait()).await;
             ended
-                .map_err(|_| format!("{:?} does not end", self.plan.arguments))?
+                .map_err(|_| format!("{:?} does not end", self.spec.arguments))?
                 .map_err(|e| e.to_string())?;
         }
         Ok(())
@@ -117,8 +127,9 @@
     ///
     /// # Errors
     /// If it does not start.
-    pub fn again(&mut self) -> Result<(), String> {
-        let (child, pid, listening, reader) = spawn(&self.plan, &self.log, &self.hearing)?;
+    pub fn spawn(&mut self) -> Result<(), String> {
+        let (child, pid, listening, reader) =
+            spawn_process(&self.spec, &self.log, &self.datagram_address)?;
         (self.child, self.listening) = (Some((child, pid)), listening);
         self.readers.push(reader);
         Ok(())
@@ -135,7 +146,7 @@
     }
 
     /// The lines kept so far.
-    pub fn log(&self) -> Vec<Line> {
+    pub fn log(&self) -> Vec<LogLine> {
         self.log
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -143,12 +154,12 @@
     }
 
     /// Has it ended by itself? With the end of its log.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_report(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.0.try_wait().ok().flatten()?;
-        Some(format!("{status}: {}", self.end()))
+        Some(format!("{status}: {}", self.log_tail()))
     }
 
-    fn end(&self) -> String {
+    fn log_tail(&self) -> String {
         let log = self.log();
         let last: Vec<&str> = log.iter().rev().take(5).map(|(_, l)| l.as_str()).collect();
         last.join(" / ")
@@ -157,17 +168,17 @@
 
 /// CPU time that a process has used so far, in microseconds, and memory that it holds, in KiB.
 pub(crate) fn usage_of(pid: Pid) -> Option<(u64, u64)> {
-    let own =
+    let proc_file =
         |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero())).ok();
-    let stat = own("stat")?;
+    let stat = proc_file("stat")?;
     // The name, in brackets, may have blanks of its own.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-    let hertz = rustix::param::clock_ticks_per_second();
-    let status = own("status")?;
-    let held = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-    let held = held.split_whitespace().next()?.parse().ok()?;
-    Some((ticks * 1_000_000 / hertz.max(1), held))
+    let ticks_per_second = rustix::param::clock_ticks_per_second();
+    let status = proc_file("status")?;
+    let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+    let resident = resident.split_whitespace().next()?.parse().ok()?;
+    Some((ticks * 1_000_000 / ticks_per_second.max(1), resident))
 }
 
 type Spawned = (
@@ -177,14 +188,14 @@
     tokio::task::JoinHandle<()>,
 );
 
-fn spawn(
-    plan: &Plan,
-    log: &Arc<Mutex<Vec<Line>>>,
-    hearing: &watch::Sender<Option<SocketAddr>>,
+fn spawn_process(
+    spec: &ProcessSpec,
+    log: &Arc<Mutex<Vec<LogLine>>>,
+    datagram_address: &watch::Sender<Option<SocketAddr>>,
 ) -> Result<Spawned, String> {
-    let mut command = Command::new(&plan.program);
+    let mut command = Command::new(&spec.program);
     command
-        .args(&plan.arguments)
+        .args(&spec.arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
@@ -196,28 +207,32 @@
     ] {
         command.env_remove(name);
     }
-    command.envs(plan.variables.iter().map(|(name, value)| (name, value)));
+    command.envs(spec.environment.iter().map(|(name, value)| (name, value)));
     let mut child = command
         .kill_on_drop(true)
         .spawn()
-        .map_err(|e| format!("{}: {e}", plan.program.display()))?;
+        .map_err(|e| format!("{}: {e}", spec.program.display()))?;
     let pid = child
         .id()
         .and_then(|id| Pid::from_raw(id as i32))
         .ok_or("a process without a number")?;
     let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
-    let (says, listening) = watch::channel(None);
-    let (log, keep, hearing) = (Arc::clone(log), plan.keep.clone(), hearing.clone());
+    let (listening_updates, listening) = watch::channel(None);
+    let (log, debug_filter, datagram_address) = (
+        Arc::clone(log),
+        spec.debug_filter.clone(),
+        datagram_address.clone(),
+    );
     let reader = tokio::spawn(async move {
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some(address) = address(&line, "listening on ") {
-                let _ = says.send(Some(address));
+            if let Some(address) = address_after(&line, "listening on ") {
+                let _ = listening_updates.send(Some(address));
             }
-            if let Some(address) = address(&line, "hearing on ") {
-                hearing.send_replace(Some(address));
+            if let Some(address) = address_after(&line, "hearing on ") {
+                datagram_address.send_replace(Some(address));
             }
-            let loud = !line.contains("\"DEBUG\"");
-            if loud || keep.iter().any(|word| line.contains(word)) {
+            let above_debug = !line.contains("\"DEBUG\"");
+            if above_debug || debug_filter.iter().any(|word| line.contains(word)) {
                 log.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push((now(), line));
@@ -228,7 +243,7 @@
 }
 
 /// The address that follows on these words.
-pub(crate) fn address(line: &str, words: &str) -> Option<SocketAddr> {
+pub(crate) fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, after) = line.split_once(words)?;
     let text: String = after
         .chars()
@@ -238,7 +253,7 @@
 }
 
 /// Lets this process have as many descriptors as the system allows: a trial has thousands of links. Tells how many.
-pub fn all_descriptors() -> u64 {
+pub fn raise_descriptor_limit() -> u64 {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
     let _ = setrlimit(
@@ -255,11 +270,11 @@
 ///
 /// # Errors
 /// If they are fewer.
-pub fn want_descriptors(wanted: u64) -> Result<(), String> {
-    let allowed = all_descriptors();
-    if wanted > allowed {
+pub fn require_descriptors(required: u64) -> Result<(), String> {
+    let allowed = raise_descriptor_limit();
+    if required > allowed {
         return Err(format!(
-            "{wanted} descriptors are wanted and the system allows {allowed}: fewer courses at once, or fewer proxies"
+            "{required} descriptors are wanted and the system allows {allowed}: fewer courses at once, or fewer proxies"
         ));
     }
     Ok(())
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,6 +1,6 @@
 //! What courses came to, as a table and as a plot.
 
-use crate::policy::Played;
+use crate::policy::RunReport;
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
@@ -12,7 +12,7 @@
 }
 
 /// All times from publish to in force, sorted.
-pub fn times(all: &[Played]) -> Vec<u64> {
+pub fn times(all: &[RunReport]) -> Vec<u64> {
     let mut times: Vec<u64> = all
         .iter()
         .flat_map(|p| p.in_force_ms.iter().copied())
@@ -22,8 +22,8 @@
 }
 
 /// The sums of all courses.
-pub fn table(all: &[Played]) -> String {
-    let sum = |of: fn(&Played) -> usize| all.iter().map(of).sum::<usize>();
+pub fn table(all: &[RunReport]) -> String {
+    let sum = |of: fn(&RunReport) -> usize| all.iter().map(of).sum::<usize>();
     let ended = |word: &str| {
         all.iter()
             .flat_map(|p| &p.outcome)
@@ -61,14 +61,14 @@
     row("changes in force", ended("in-force").to_string());
     row("changes not in force", ended("not-in-force").to_string());
     row("changes that did not end", sum(|p| p.unended).to_string());
-    if let Some(calm) = all.iter().find_map(|p| p.calm) {
+    if let Some(idle) = all.iter().find_map(|p| p.idle_cost) {
         row(
             "calm: control, us a proxy and s",
-            format!("{:.0}", calm.control_us),
+            format!("{:.0}", idle.control_us),
         );
-        row("calm: a proxy, us a s", format!("{:.0}", calm.proxy_us));
-        row("memory of a proxy, KiB", calm.proxy_kib.to_string());
-        row("memory of a replica, KiB", calm.control_kib.to_string());
+        row("calm: a proxy, us a s", format!("{:.0}", idle.proxy_us));
+        row("memory of a proxy, KiB", idle.proxy_kib.to_string());
+        row("memory of a replica, KiB", idle.control_kib.to_string());
     }
     let times = times(all);
     for (name, share) in [("half", 0.5), ("nine tenths", 0.9), ("longest", 1.0)] {
@@ -84,11 +84,11 @@
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn plot(all: &[Played], file: &Path) -> Result<(), String> {
+pub fn plot(all: &[RunReport], file: &Path) -> Result<(), String> {
     let times = times(all);
     let most = times.last().copied().unwrap_or(1).max(1);
     let root = SVGBackend::new(file, (640, 360)).into_drawing_area();
-    let drawn = || -> Result<(), Box<dyn std::error::Error>> {
+    let draw = || -> Result<(), Box<dyn std::error::Error>> {
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
@@ -109,7 +109,7 @@
         root.present()?;
         Ok(())
     };
-    drawn().map_err(|e| format!("{}: {e}", file.display()))
+    draw().map_err(|e| format!("{}: {e}", file.display()))
 }
 
 #[cfg(test)]
--- a/crates/fault-injection/src/scale/across.rs
+++ b/crates/fault-injection/src/scale/across.rs
@@ -4,8 +4,8 @@
 use super::fleet::Fleet;
 use super::layout::Size;
 use super::publisher::{Publisher, COORDINATOR};
+use crate::checker::{check, PublishRecord, StartRecord, Verdict};
 use crate::clients::Try;
-use crate::judge::{judge, Heard, Line, Verdict};
 use badgerramp_config_tool::fleet::Change;
 use badgerramp_policy::{Generation, Micros};
 use serde::Serialize;
@@ -60,7 +60,7 @@
 
 impl Across {
     /// Holds the regions' histories against each other, and the calls that began against both.
-    pub fn of(size: &Size, histories: &[Vec<Change>], lines: &[Line]) -> Across {
+    pub fn of(size: &Size, histories: &[Vec<Change>], lines: &[StartRecord]) -> Across {
         let mut across = Across::default();
         let mut by_id: HashMap<&str, Vec<Seen<'_>>> = HashMap::new();
         for (region, history) in histories.iter().enumerate() {
@@ -86,7 +86,7 @@
 }
 
 /// Did a call begin under the old policy alone in one region after one had begun under the new one alone in another?
-fn mixed(size: &Size, seen: &[Seen<'_>], lines: &[Line]) -> bool {
+fn mixed(size: &Size, seen: &[Seen<'_>], lines: &[StartRecord]) -> bool {
     let in_region = |region: usize| {
         lines
             .iter()
@@ -114,7 +114,7 @@
 
 /// What was heard of a region's changes: what its own publisher was told, and what its control says of changes of all
 /// regions that never came into force.
-fn heard(publisher: &Publisher, region: usize, history: &[Change]) -> Vec<Heard> {
+fn heard(publisher: &Publisher, region: usize, history: &[Change]) -> Vec<PublishRecord> {
     let mut heard = publisher.heard_in(region);
     if region == COORDINATOR {
         return heard;
@@ -122,7 +122,7 @@
     let never = history
         .iter()
         .filter(|c| c.all_regions.is_some() && c.outcome == NOT_IN_FORCE);
-    heard.extend(never.map(|change| Heard {
+    heard.extend(never.map(|change| PublishRecord {
         generation: change.generation,
         at: 0,
         in_force: false,
@@ -136,7 +136,7 @@
 pub fn judge_regions(
     size: &Size,
     (publisher, histories): (&Publisher, &[Vec<Change>]),
-    (lines, tries): (&[Line], &[Try]),
+    (lines, tries): (&[StartRecord], &[Try]),
     executed: &HashMap<String, u32>,
     well: impl Fn(usize, Micros, Micros) -> bool,
 ) -> Verdict {
@@ -160,7 +160,7 @@
             HashMap::new()
         };
         let heard = heard(publisher, region, history);
-        sum.add(judge(lines, &heard, &tries, &executed, &well, &well));
+        sum.add(check(lines, &heard, &tries, &executed, &well, &well));
     }
     sum
 }
--- a/crates/fault-injection/src/scale/fleet.rs
+++ b/crates/fault-injection/src/scale/fleet.rs
@@ -8,7 +8,7 @@
 use crate::clients::Addresses;
 use crate::hosts::Hosts;
 use crate::now;
-use crate::process::{Folder, Plan, Process};
+use crate::process::{Folder, Process, ProcessSpec};
 use badgerramp_config_tool::fleet::{At, Control};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
@@ -80,13 +80,13 @@
     name.strip_prefix('p')?.parse().ok()
 }
 
-fn plan((program, before): &(PathBuf, Vec<String>), arguments: &[String]) -> Plan {
+fn plan((program, before): &(PathBuf, Vec<String>), arguments: &[String]) -> ProcessSpec {
     let arguments = before.iter().chain(arguments).cloned().collect();
-    Plan {
+    ProcessSpec {
         program: program.clone(),
         arguments,
-        keep: vec!["badgerramp::begun"],
-        variables: Vec::new(),
+        debug_filter: vec!["badgerramp::begun"],
+        environment: Vec::new(),
     }
 }
 
@@ -128,7 +128,7 @@
                 .to_string();
             let tells = hearing.remove(&proxy).ok_or("a proxy without a way in")?;
             let plan = plan(&programs.proxy, &["run".to_owned(), file]);
-            real.push(AsyncMutex::new(Process::waiting(plan, tells)));
+            real.push(AsyncMutex::new(Process::unstarted(plan, tells)));
         }
         let mut hollow = Vec::new();
         let places: Vec<usize> = (size.real..size.proxies).collect();
@@ -192,8 +192,8 @@
         let mut process = self.real[proxy].lock().await;
         let address = match order {
             Order::Start(_) => {
-                process.again()?;
-                process.listens().await?
+                process.spawn()?;
+                process.listen_address().await?
             }
             _ => NOBODY,
         };
@@ -266,8 +266,8 @@
     /// If it does not start.
     pub async fn start_replica(&self, replica: usize) -> Result<(), String> {
         let mut process = self.replicas[replica].lock().await;
-        process.again()?;
-        let address = process.listens().await?;
+        process.spawn()?;
+        let address = process.listen_address().await?;
         self.replica_at[replica].send_replace(Some(address));
         Ok(())
     }
@@ -384,7 +384,7 @@
         .display()
         .to_string();
     let mut process = Process::start(plan(&programs.list, &[file])).await?;
-    let address = process.listens().await?;
+    let address = process.listen_address().await?;
     Ok((process, address))
 }
 
@@ -456,7 +456,7 @@
             return Err(format!("{file}: its store could not be made"));
         }
         let plan = plan(&programs.control, &["serve".to_owned(), file]);
-        all.push(AsyncMutex::new(Process::waiting(
+        all.push(AsyncMutex::new(Process::unstarted(
             plan,
             watch::channel(None).0,
         )));
--- a/crates/fault-injection/src/scale/hollow.rs
+++ b/crates/fault-injection/src/scale/hollow.rs
@@ -273,7 +273,7 @@
             continue;
         };
         if let (Some(address), Some(tells)) = (
-            crate::process::address(&line, "hearing on "),
+            crate::process::address_after(&line, "hearing on "),
             hearing.get(&proxy),
         ) {
             tells.send_replace(Some(address));
--- a/crates/fault-injection/src/scale/meters.rs
+++ b/crates/fault-injection/src/scale/meters.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::Fleet;
 use super::wiring::Traffic;
-use crate::link::Passed;
+use crate::link::Forwarded;
 use serde::Serialize;
 use std::time::Instant;
 
@@ -17,7 +17,7 @@
     list: (u64, u64),
     real_traffic: Traffic,
     hollow_traffic: Traffic,
-    at_replicas: Vec<Passed>,
+    at_replicas: Vec<Forwarded>,
 }
 
 /// What a proxy spends, on the average of its kind.
@@ -172,10 +172,10 @@
         control: rate(now.control.bytes, then.control.bytes),
         list: rate(now.list.bytes, then.list.bytes),
         peers: rate(now.peers.bytes, then.peers.bytes),
-        datagrams: rate(now.peers.pieces, then.peers.pieces),
+        datagrams: rate(now.peers.chunks, then.peers.chunks),
         pieces: rate(
-            now.control.pieces + now.list.pieces,
-            then.control.pieces + then.list.pieces,
+            now.control.chunks + now.list.chunks,
+            then.control.chunks + then.list.chunks,
         ),
     }
 }
--- a/crates/fault-injection/src/scale/mod.rs
+++ b/crates/fault-injection/src/scale/mod.rs
@@ -28,8 +28,8 @@
 pub mod verdict;
 pub mod wiring;
 
+use crate::checker::StartRecord;
 use crate::clients;
-use crate::judge::Line;
 use across::{judge_regions, Across};
 use badgerramp_config_tool::fleet::Outcome;
 use badgerramp_policy::Micros;
@@ -175,7 +175,7 @@
 
 /// Ends the fleet, and gathers what its proxies noted: calls that began, spans in which hollow ones admitted nothing
 /// though they had before, and when those that were started again were ready.
-async fn notes(fleet: &mut Fleet) -> Result<(Vec<Line>, Vec<Span>, Ready), String> {
+async fn notes(fleet: &mut Fleet) -> Result<(Vec<StartRecord>, Vec<Span>, Ready), String> {
     let (mut lines, mut closed) = (Vec::new(), Vec::new());
     for process in &fleet.hollow {
         let mut process = process.lock().await;
@@ -200,7 +200,7 @@
         lines.extend(
             logs[&proxy]
                 .iter()
-                .filter_map(|(_, line)| Line::read(proxy, line)),
+                .filter_map(|(_, line)| StartRecord::parse(proxy, line)),
         );
     }
     let ready = Ready::of(&downs, |proxy| {
--- a/crates/fault-injection/src/scale/played.rs
+++ b/crates/fault-injection/src/scale/played.rs
@@ -7,7 +7,7 @@
 use super::meters::{Cost, ProxyCost};
 use super::publisher::Published;
 use super::verdict::{Ready, Refused};
-use crate::judge::Verdict;
+use crate::checker::Verdict;
 use badgerramp_config_tool::fleet::Outcome;
 use serde::Serialize;
 
--- a/crates/fault-injection/src/scale/publisher.rs
+++ b/crates/fault-injection/src/scale/publisher.rs
@@ -2,7 +2,7 @@
 
 use super::files;
 use super::fleet::Fleet;
-use crate::judge::Heard;
+use crate::checker::PublishRecord;
 use crate::now;
 use badgerramp_config_tool::fleet::{Outcome, Scope};
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
     /// For whom.
     pub scope: For,
     /// What was heard.
-    pub heard: Heard,
+    pub heard: PublishRecord,
     /// How it ended.
     pub outcome: Outcome,
 }
@@ -74,7 +74,7 @@
             }
             Err(fault) => (Outcome::NotKnown, 0, fault.to_string()),
         };
-        let heard = Heard {
+        let heard = PublishRecord {
             generation,
             at: now(),
             in_force: outcome == Outcome::InForce,
@@ -90,7 +90,7 @@
     }
 
     /// What was heard of the changes whose end is known and whose generations are those of a region.
-    pub fn heard_in(&self, region: usize) -> Vec<Heard> {
+    pub fn heard_in(&self, region: usize) -> Vec<PublishRecord> {
         let numbered_here = |scope: For| match scope {
             For::All => region == COORDINATOR,
             For::Region(own) => own == region,
--- a/crates/fault-injection/src/scale/verdict.rs
+++ b/crates/fault-injection/src/scale/verdict.rs
@@ -3,8 +3,8 @@
 use super::fleet::{proxy_named, Down};
 use super::hollow::{Admits, Event, Line as LogLine};
 use super::layout::Size;
+use crate::checker::StartRecord;
 use crate::clients::{Ended, Try};
-use crate::judge::Line;
 use badgerramp_policy::{Generation, Micros, Mode};
 
 /// The status of a refusal.
@@ -107,7 +107,7 @@
 }
 
 /// What the hollow proxies admitted: as calls that began at the first and at the last look at each.
-pub fn begun(events: &[Event]) -> Vec<Line> {
+pub fn begun(events: &[Event]) -> Vec<StartRecord> {
     let mut lines = Vec::new();
     for event in events {
         let Event::Admitted {
@@ -128,7 +128,7 @@
             new: Generation(*new),
         };
         let request = format!("a look at p{proxy}");
-        let line = |at| Line {
+        let line = |at| StartRecord {
             at,
             proxy,
             mode,
--- a/crates/fault-injection/src/scale/wiring.rs
+++ b/crates/fault-injection/src/scale/wiring.rs
@@ -1,8 +1,8 @@
 //! All ways between proxies, replicas and the list service: what passes them is counted, and a region can be cut off.
 
 use super::layout::Size;
-use crate::datagrams::Datagrams;
-use crate::link::{Link, Pass, Passed};
+use crate::datagrams::DatagramLink;
+use crate::link::{Forwarded, Forwarding, Link};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 
 /// A proxy's way in for datagrams.
 struct Inbound {
-    datagrams: Datagrams,
+    datagrams: DatagramLink,
     hears: Target,
     region: usize,
 }
@@ -47,11 +47,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Between proxies and control.
-    pub control: Passed,
+    pub control: Forwarded,
     /// Between proxies and the list service.
-    pub list: Passed,
+    pub list: Forwarded,
     /// Datagrams that came to proxies.
-    pub peers: Passed,
+    pub peers: Forwarded,
 }
 
 /// All links.
@@ -99,7 +99,7 @@
         let between_regions = between_regions(replicas, &regions_of_replicas, size.regions).await?;
         let mut inbound = Vec::new();
         for (proxy, hears) in hears.into_iter().enumerate() {
-            let datagrams = Datagrams::to(hears.clone(), seed ^ proxy as u64)
+            let datagrams = DatagramLink::to(hears.clone(), seed ^ proxy as u64)
                 .await
                 .map_err(text)?;
             inbound.push(Inbound {
@@ -182,8 +182,12 @@
     pub fn cut_first_region(&self, cut: bool) {
         let apart = |a: usize, b: usize| cut && (a == 0) != (b == 0);
         let set = |link: &Link, apart: bool| {
-            let pass = if apart { Pass::Cut } else { Pass::Free };
-            link.set(|state| (state.forth, state.back) = (pass, pass));
+            let pass = if apart {
+                Forwarding::Cut
+            } else {
+                Forwarding::Normal
+            };
+            link.set(|state| (state.forward, state.backward) = (pass, pass));
         };
         for way in &self.between_regions {
             way.replicas
@@ -197,7 +201,8 @@
                 .filter(|from| apart(from.region, to.region));
             let refused: HashSet<SocketAddr> =
                 refused.filter_map(|from| *from.hears.borrow()).collect();
-            to.datagrams.set(|state| state.refused = Arc::new(refused));
+            to.datagrams
+                .set(|state| state.blocked_sources = Arc::new(refused));
         }
     }
 
@@ -208,17 +213,17 @@
             links
                 .control
                 .iter()
-                .for_each(|link| add(&mut traffic.control, link.passed()));
-            add(&mut traffic.list, links.list.passed());
+                .for_each(|link| add(&mut traffic.control, link.forwarded()));
+            add(&mut traffic.list, links.list.forwarded());
         }
         for (proxy, inbound) in self.inbound.iter().enumerate() {
             if (proxy < self.real) == real {
-                let sent = inbound.datagrams.sent();
+                let sent = inbound.datagrams.received();
                 add(
                     &mut traffic.peers,
-                    Passed {
+                    Forwarded {
                         bytes: sent.bytes,
-                        pieces: sent.datagrams,
+                        chunks: sent.datagrams,
                     },
                 );
             }
@@ -228,24 +233,24 @@
 
     /// What passed at each replica's listener so far: from proxies, publishers and other replicas. What a replica opens
     /// itself counts at the other end.
-    pub fn at_replicas(&self) -> Vec<Passed> {
-        let mut all = vec![Passed::default(); self.replicas.len()];
+    pub fn at_replicas(&self) -> Vec<Forwarded> {
+        let mut all = vec![Forwarded::default(); self.replicas.len()];
         let groups = self.groups.iter().map(|links| &links.control);
         for links in groups.chain([&self.publisher, &self.replicas]) {
             all.iter_mut()
                 .zip(links)
-                .for_each(|(sum, link)| add(sum, link.passed()));
+                .for_each(|(sum, link)| add(sum, link.forwarded()));
         }
         for (replica, link) in self.between_regions.iter().flat_map(|way| &way.replicas) {
-            add(&mut all[*replica], link.passed());
+            add(&mut all[*replica], link.forwarded());
         }
         all
     }
 }
 
-fn add(sum: &mut Passed, more: Passed) {
+fn add(sum: &mut Forwarded, more: Forwarded) {
     sum.bytes += more.bytes;
-    sum.pieces += more.pieces;
+    sum.chunks += more.chunks;
 }
 
 async fn links(targets: &[Target]) -> Result<Vec<Link>, String> {
--- a/crates/fault-injection/src/course.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -59,7 +59,7 @@
 ];
 
 impl Kind {
-    /// Its name, as it stands in a course that was written down.
+    /// Its name, as it stands in a schedule that was written down.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -68,12 +68,12 @@
     }
 
     /// The kind of this name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 
     /// Does it concern a replica of control?
-    pub fn of_replica(self) -> bool {
+    pub fn targets_replica(self) -> bool {
         matches!(
             self,
             Kind::KillReplica | Kind::StopReplica | Kind::CutReplica | Kind::ResetReplica
@@ -81,22 +81,23 @@
     }
 }
 
-/// One fault of a course.
+/// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
     /// What.
     pub kind: Kind,
     /// Whom: the place of a proxy or of a replica.
-    pub whom: usize,
-    /// From when on, since the beginning of the course.
+    #[serde(rename = "whom")]
+    pub target: usize,
+    /// From when on, since the beginning of the schedule.
     pub from: Duration,
     /// Until when.
     pub until: Duration,
 }
 
-/// What is drawn for a course.
+/// What is drawn for a schedule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Course {
+pub struct FaultSchedule {
     /// All chance is drawn from it.
     pub seed: u64,
     /// Faults, in the order of their beginnings.
@@ -106,15 +107,15 @@
 }
 
 /// Faults begin within this time.
-const BEGIN_WITHIN: u64 = 5_000;
+const FAULT_START_WINDOW_MS: u64 = 5_000;
 /// A fault lasts so many milliseconds: some much less than a lease of the trial, some several.
-const LASTS: std::ops::RangeInclusive<u64> = 100..=4_000;
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 100..=4_000;
 
 /// All are down for so long at the most.
-const ALL_LASTS: Duration = Duration::from_secs(1);
+const MAX_KILL_ALL_DURATION: Duration = Duration::from_secs(1);
 
-impl Course {
-    /// Draws a course for so many proxies and replicas. `only`: faults of no other kind. Faults of one process do not
+impl FaultSchedule {
+    /// Draws a schedule for so many proxies and replicas. `only`: faults of no other kind. Faults of one process do not
     /// overlap; those of different ones may.
     pub fn draw(
         seed: u64,
@@ -122,45 +123,52 @@
         publishes: usize,
         only: Option<Kind>,
     ) -> Self {
-        let mut draws = Pcg32::seed_from_u64(seed);
+        let mut rng = Pcg32::seed_from_u64(seed);
         let mut kinds: Vec<Kind> = only.map_or(KINDS.to_vec(), |kind| vec![kind]);
-        kinds.shuffle(&mut draws);
+        kinds.shuffle(&mut rng);
         // At least four kinds, and several proxies of each.
-        let kinds: Vec<Kind> = kinds.into_iter().take(draws.gen_range(4..=6)).collect();
-        let count = draws.gen_range(8..=16);
+        let kinds: Vec<Kind> = kinds.into_iter().take(rng.gen_range(4..=6)).collect();
+        let count = rng.gen_range(8..=16);
         let mut faults: Vec<Fault> = Vec::new();
-        for place in 0..count {
-            let kind = kinds[place % kinds.len()];
-            let whom = draws.gen_range(0..if kind.of_replica() { replicas } else { proxies });
-            let from = Duration::from_millis(draws.gen_range(0..BEGIN_WITHIN));
-            let mut until = from + Duration::from_millis(draws.gen_range(LASTS));
+        for index in 0..count {
+            let kind = kinds[index % kinds.len()];
+            let target = rng.gen_range(
+                0..if kind.targets_replica() {
+                    replicas
+                } else {
+                    proxies
+                },
+            );
+            let from = Duration::from_millis(rng.gen_range(0..FAULT_START_WINDOW_MS));
+            let mut until = from + Duration::from_millis(rng.gen_range(FAULT_DURATION_MS));
             if kind == Kind::KillAll {
                 // Shortly, and once beside others: while all are down nothing else can happen to a proxy.
-                until = until.min(from + ALL_LASTS);
+                until = until.min(from + MAX_KILL_ALL_DURATION);
                 if only.is_none() && faults.iter().any(|f| f.kind == kind) {
                     continue;
                 }
             }
             let fault = Fault {
                 kind,
-                whom,
+                target,
                 from,
                 until,
             };
-            let beside = |f: &Fault| {
+            let overlaps = |f: &Fault| {
                 let all = f.kind == Kind::KillAll || kind == Kind::KillAll;
-                let same = f.kind.of_replica() == kind.of_replica() && (f.whom == whom || all);
-                same && f.from < until && from < f.until
+                let same_target = f.kind.targets_replica() == kind.targets_replica()
+                    && (f.target == target || all);
+                same_target && f.from < until && from < f.until
             };
-            if !faults.iter().any(beside) {
+            if !faults.iter().any(overlaps) {
                 faults.push(fault);
             }
         }
         faults.sort_by_key(|f| f.from);
         let pauses = (0..publishes)
-            .map(|_| Duration::from_millis(draws.gen_range(0..2_500)))
+            .map(|_| Duration::from_millis(rng.gen_range(0..2_500)))
             .collect();
-        Course {
+        FaultSchedule {
             seed,
             faults,
             pauses,
@@ -175,19 +183,19 @@
     #[test]
     fn a_seed_draws_one_course_and_faults_of_one_process_do_not_overlap() {
         for seed in 0..200 {
-            let course = Course::draw(seed, (50, 3), 3, None);
-            assert_eq!(course, Course::draw(seed, (50, 3), 3, None));
-            let mut kinds: Vec<Kind> = course.faults.iter().map(|f| f.kind).collect();
+            let schedule = FaultSchedule::draw(seed, (50, 3), 3, None);
+            assert_eq!(schedule, FaultSchedule::draw(seed, (50, 3), 3, None));
+            let mut kinds: Vec<Kind> = schedule.faults.iter().map(|f| f.kind).collect();
             kinds.sort();
             kinds.dedup();
             assert!(kinds.len() >= 3, "{kinds:?}");
-            for (place, a) in course.faults.iter().enumerate() {
-                assert!(a.whom < if a.kind.of_replica() { 3 } else { 50 });
-                for b in &course.faults[place + 1..] {
+            for (index, a) in schedule.faults.iter().enumerate() {
+                assert!(a.target < if a.kind.targets_replica() { 3 } else { 50 });
+                for b in &schedule.faults[index + 1..] {
                     let all = a.kind == Kind::KillAll || b.kind == Kind::KillAll;
-                    let same =
-                        a.kind.of_replica() == b.kind.of_replica() && (a.whom == b.whom || all);
-                    assert!(!same || a.until <= b.from, "{a:?} {b:?}");
+                    let same_target = a.kind.targets_replica() == b.kind.targets_replica()
+                        && (a.target == b.target || all);
+                    assert!(!same_target || a.until <= b.from, "{a:?} {b:?}");
                 }
             }
         }
@@ -197,7 +205,7 @@
     fn names_lead_back() {
         assert!(KINDS
             .into_iter()
-            .all(|kind| Kind::named(&kind.name()) == Some(kind)));
-        assert_eq!(Kind::named("meteor"), None);
+            .all(|kind| Kind::from_name(&kind.name()) == Some(kind)));
+        assert_eq!(Kind::from_name("meteor"), None);
     }
 }
--- a/crates/fault-injection/src/start/cold.rs
+++ b/crates/fault-injection/src/start/cold_hosts.rs
@@ -1,7 +1,7 @@
 //! Hosts that are cold after their start: a core each, which does a share of its work at first; a new connection is work
 //! too. They count what they are sent, and know when that is more than a cold host bears.
 
-use crate::link::{header, message, send};
+use crate::link::{header_value, read_message, send};
 use crate::now;
 use badgerramp_policy::Micros;
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 
 /// What a host is.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct HostModel {
     /// Work of a request when warm.
     pub work: Duration,
     /// Work of a new connection when warm.
@@ -25,15 +25,15 @@
     /// Sent more than this multiple of what it can then do over [`FALL_TIME`] it falls over.
     pub fall_multiple: f64,
     /// Longest that a request waits for its turn; one that would wait longer is turned away.
-    pub waiting: Duration,
+    pub max_wait: Duration,
 }
 
 /// See [`Kind::fall_multiple`].
 pub const FALL_TIME: Micros = 2_000_000;
 /// How long a key is remembered.
-const WINDOW: Micros = 2_500_000;
+const DEDUP_WINDOW: Micros = 2_500_000;
 
-impl Kind {
+impl HostModel {
     /// Its speed at a time since its start, against warm.
     pub fn speed(&self, age: Micros) -> f64 {
         let share = age as f64 / self.cold_time.as_micros() as f64;
@@ -48,7 +48,7 @@
 
 /// What a host was sent.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct HostRecord {
     /// When it started.
     pub started: Micros,
     /// When each connection came.
@@ -59,9 +59,9 @@
     pub turned_away: u32,
 }
 
-impl Seen {
+impl HostRecord {
     /// Most connections within a second.
-    pub fn connects_most(&self) -> usize {
+    pub fn max_connects_per_second(&self) -> usize {
         (0..self.connects.len())
             .map(|n| {
                 self.connects[n..]
@@ -74,28 +74,28 @@
     }
 
     /// The most that came within [`FALL_TIME`], against what the host could then do.
-    pub fn multiple(&self, kind: &Kind) -> f64 {
-        let mut most: f64 = 0.0;
+    pub fn max_overload(&self, model: &HostModel) -> f64 {
+        let mut highest: f64 = 0.0;
         for (n, &from) in self.requests.iter().enumerate() {
-            let came = self.requests[n..]
+            let received = self.requests[n..]
                 .iter()
                 .take_while(|at| **at < from + FALL_TIME)
                 .count();
-            let does = kind.capacity((from + FALL_TIME / 2).saturating_sub(self.started))
+            let capacity = model.capacity((from + FALL_TIME / 2).saturating_sub(self.started))
                 * FALL_TIME as f64
                 / 1e6;
-            most = most.max(came as f64 / does);
+            highest = highest.max(received as f64 / capacity);
         }
-        most
+        highest
     }
 }
 
 struct Shared {
-    kind: Kind,
-    seen: Vec<Seen>,
+    model: HostModel,
+    records: Vec<HostRecord>,
     /// When the core of each has done what it was given.
-    free: Vec<Micros>,
-    keys: HashMap<String, Micros>,
+    free_at: Vec<Micros>,
+    executed_at: HashMap<String, Micros>,
     executed: HashMap<String, u32>,
 }
 
@@ -113,12 +113,12 @@
 
 impl Hosts {
     /// Hosts of this kind, none yet.
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(model: HostModel) -> Self {
         let shared = Shared {
-            kind,
-            seen: Vec::new(),
-            free: Vec::new(),
-            keys: HashMap::new(),
+            model,
+            records: Vec::new(),
+            free_at: Vec::new(),
+            executed_at: HashMap::new(),
             executed: HashMap::new(),
         };
         Hosts {
@@ -138,29 +138,29 @@
             .map_err(|e| e.to_string())?;
         self.addresses
             .push(listener.local_addr().map_err(|e| e.to_string())?);
-        let place = self.addresses.len() - 1;
+        let index = self.addresses.len() - 1;
         {
             let mut shared = locked(&self.shared);
-            shared.seen.push(Seen {
+            shared.records.push(HostRecord {
                 started: now(),
-                ..Seen::default()
+                ..HostRecord::default()
             });
-            shared.free.push(0);
+            shared.free_at.push(0);
         }
         let shared = Arc::clone(&self.shared);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                locked(&shared).seen[place].connects.push(now());
-                tokio::spawn(serve(stream, Arc::clone(&shared), place));
+                locked(&shared).records[index].connects.push(now());
+                tokio::spawn(serve(stream, Arc::clone(&shared), index));
             }
         });
         self.listeners.push(task.abort_handle());
-        Ok(place)
+        Ok(index)
     }
 
     /// What each was sent.
-    pub fn seen(&self) -> Vec<Seen> {
-        locked(&self.shared).seen.clone()
+    pub fn records(&self) -> Vec<HostRecord> {
+        locked(&self.shared).records.clone()
     }
 
     /// How often each key was executed.
@@ -176,43 +176,48 @@
 }
 
 /// Takes the host's core for this work; how long until it is done, or `None` if the wait is too long.
-fn taken(shared: &mut Shared, place: usize, work: Duration, most: Duration) -> Option<Duration> {
+fn occupy_core(
+    shared: &mut Shared,
+    index: usize,
+    work: Duration,
+    max_wait: Duration,
+) -> Option<Duration> {
     let at = now();
     let speed = shared
-        .kind
-        .speed(at.saturating_sub(shared.seen[place].started));
-    let free = shared.free[place].max(at);
-    if free - at > most.as_micros() as Micros {
+        .model
+        .speed(at.saturating_sub(shared.records[index].started));
+    let free_at = shared.free_at[index].max(at);
+    if free_at - at > max_wait.as_micros() as Micros {
         return None;
     }
-    let done = free + (work.as_micros() as f64 / speed) as Micros;
-    shared.free[place] = done;
+    let done = free_at + (work.as_micros() as f64 / speed) as Micros;
+    shared.free_at[index] = done;
     Some(Duration::from_micros(done - at))
 }
 
-async fn serve(mut stream: TcpStream, shared: Arc<Mutex<Shared>>, place: usize) {
+async fn serve(mut stream: TcpStream, shared: Arc<Mutex<Shared>>, index: usize) {
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::new();
-    let mut fresh = true;
-    while let Some((head, _)) = message(&mut stream, &mut held).await {
-        let key = header(&head, "idempotency-key")
+    let mut buffered = Vec::new();
+    let mut new_connection = true;
+    while let Some((head, _)) = read_message(&mut stream, &mut buffered).await {
+        let key = header_value(&head, "idempotency-key")
             .unwrap_or_default()
             .to_owned();
         let keyed = head.contains("/registro-entrada");
         let (takes, runs) = {
             let mut shared = locked(&shared);
             let at = now();
-            shared.seen[place].requests.push(at);
-            let kind = shared.kind;
+            shared.records[index].requests.push(at);
+            let model = shared.model;
             // A connection is worked on before its first request, whatever becomes of that.
-            if std::mem::take(&mut fresh) {
-                taken(&mut shared, place, kind.handshake, Duration::MAX / 4);
+            if std::mem::take(&mut new_connection) {
+                occupy_core(&mut shared, index, model.handshake, Duration::MAX / 4);
             }
-            let takes = taken(&mut shared, place, kind.work, kind.waiting);
-            let seen = takes.and_then(|_| shared.keys.insert(key.clone(), at));
-            let repeat = keyed && seen.is_some_and(|s| at < s + WINDOW);
+            let takes = occupy_core(&mut shared, index, model.work, model.max_wait);
+            let records = takes.and_then(|_| shared.executed_at.insert(key.clone(), at));
+            let repeat = keyed && records.is_some_and(|s| at < s + DEDUP_WINDOW);
             if takes.is_none() {
-                shared.seen[place].turned_away += 1;
+                shared.records[index].turned_away += 1;
             }
             (takes, takes.is_some() && !repeat)
         };
@@ -238,28 +243,28 @@
 
     #[test]
     fn what_came_is_held_against_what_a_cold_host_can_do() {
-        let kind = Kind {
+        let model = HostModel {
             work: Duration::from_millis(10),
             handshake: Duration::ZERO,
             cold_share: 0.1,
             cold_time: Duration::from_secs(10),
             fall_multiple: 3.0,
-            waiting: Duration::from_secs(1),
+            max_wait: Duration::from_secs(1),
         };
         assert!(
-            (kind.capacity(0) - 10.0).abs() < 1e-6
-                && (kind.capacity(20_000_000) - 100.0).abs() < 1e-6
+            (model.capacity(0) - 10.0).abs() < 1e-6
+                && (model.capacity(20_000_000) - 100.0).abs() < 1e-6
         );
         // 19 a second in its second second.
         let requests = (0..38).map(|n| n * 52_000).collect();
-        let seen = Seen {
+        let records = HostRecord {
             started: 0,
             requests,
             connects: vec![0, 10, 999_999, 1_000_000],
-            ..Seen::default()
+            ..HostRecord::default()
         };
-        let multiple = seen.multiple(&kind);
-        assert!((0.9..1.1).contains(&multiple), "{multiple}");
-        assert_eq!(seen.connects_most(), 3);
+        let max_overload = records.max_overload(&model);
+        assert!((0.9..1.1).contains(&max_overload), "{max_overload}");
+        assert_eq!(records.max_connects_per_second(), 3);
     }
 }
