--- a/crates/fault-injection/src/start/mod.rs
+++ b/crates/fault-injection/src/start/mod.rs
@@ -2,25 +2,25 @@
 //! that are all cold, clients that come as fast as the hosts can bear. Side by side: each proxy asks for itself, takes
 //! its turn, or hears the list from its peers.
 
-pub mod cold;
-pub mod course;
+pub mod cold_hosts;
 pub mod report;
+pub mod schedule;
 pub mod service;
 
-use crate::clients::{once, Ended};
-use crate::datagrams::Datagrams;
-use crate::link::{Link, Pass};
+use crate::clients::{call_once, Ended};
+use crate::datagrams::DatagramLink;
+use crate::link::{Forwarding, Link};
 use crate::now;
-use crate::process::{Folder, Plan, Process};
+use crate::process::{Folder, Process, ProcessSpec};
 use badgerramp_policy::Micros;
-use cold::Hosts;
-use course::{Course, Fault, Kind};
+use cold_hosts::Hosts;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::Signal;
+use schedule::{Fault, FaultSchedule, Kind};
 use serde::Serialize;
-use service::{Listed, Mood, Service};
+use service::{ListEntry, Service, ServiceState};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,19 +32,19 @@
 const CHARGE: &str = "/cobro-mensual";
 const ENTRY: &str = "/registro-entrada";
 /// Longest wait for what must come.
-const LONG: Duration = Duration::from_secs(60);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Seeds of the fleet.
 const SEEDS: usize = 3;
 /// Share of what the hosts can do at each moment that clients want.
-const LOAD: f64 = 0.8;
+const LOAD_SHARE: f64 = 0.8;
 /// Tries of a client, and its longest pause before the next.
-const TRIES: usize = 3;
-const PAUSE_MOST: Duration = Duration::from_secs(1);
+const MAX_ATTEMPTS: usize = 3;
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// How a proxy comes to its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum ListSource {
     /// Each asks at once.
     None,
     /// Each takes its turn in a round that the operator has reckoned (`[list]`).
@@ -53,15 +53,15 @@
     Peers,
 }
 
-impl Way {
+impl ListSource {
     /// The names of all.
     pub const NAMES: [&'static str; 3] = ["none", "turns", "peers"];
 
     /// The way of this name.
-    pub fn named(name: &str) -> Option<Way> {
-        [Way::None, Way::Turns, Way::Peers]
+    pub fn from_name(name: &str) -> Option<ListSource> {
+        [ListSource::None, ListSource::Turns, ListSource::Peers]
             .into_iter()
-            .zip(Way::NAMES)
+            .zip(ListSource::NAMES)
             .find(|(_, n)| *n == name)
             .map(|(w, _)| w)
     }
@@ -77,24 +77,25 @@
     /// Questions a second that the list service bears.
     pub capacity: f64,
     /// How a proxy comes to its list.
-    pub way: Way,
+    pub list_source: ListSource,
     /// Proxies start within this time.
-    pub within: Duration,
+    pub start_window: Duration,
     /// How long clients call.
-    pub lasts: Duration,
+    pub load_duration: Duration,
     /// What a host is.
-    pub host: cold::Kind,
+    pub host: cold_hosts::HostModel,
     /// Hosts that each proxy keeps to (`[subset]`); 0: all.
     pub subset: usize,
 }
 
 /// What a course came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct RunReport {
     /// The course's seed.
     pub seed: u64,
     /// How proxies came to their lists.
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub list_source: ListSource,
     /// What went wrong.
     pub faults: Vec<Fault>,
     /// From the service's first answer, or from a proxy's own start where that was later, to its list: of half of
@@ -140,7 +141,7 @@
     pub tenths: Vec<usize>,
 }
 
-impl Played {
+impl RunReport {
     /// Did the rules hold, and do all have the newest list in the end?
     pub fn held(&self) -> bool {
         self.first.is_none()
@@ -149,7 +150,7 @@
 
 /// One call.
 #[derive(Clone, Debug)]
-struct Call {
+struct CallRecord {
     key: String,
     from: Micros,
     served: Option<Micros>,
@@ -162,13 +163,13 @@
 struct Proxy {
     process: tokio::sync::Mutex<Process>,
     address: Mutex<Option<SocketAddr>>,
-    hearing: watch::Receiver<Option<SocketAddr>>,
+    datagram_address: watch::Receiver<Option<SocketAddr>>,
     service: Link,
-    peers: Datagrams,
+    peers: DatagramLink,
     file: PathBuf,
 }
 
-struct World {
+struct Fleet {
     size: Size,
     programs: (PathBuf, Vec<String>),
     folder: Folder,
@@ -176,45 +177,45 @@
     service: Service,
     proxies: Vec<Proxy>,
     /// What holds at the links between proxies.
-    ways: Mutex<Ways>,
+    link_faults: Mutex<LinkFaults>,
     /// Proxies that were killed or stood still: who, from when, until when.
     down: Mutex<Vec<(usize, Micros, Micros)>>,
     /// Hosts that drained, by place, and the version that said so.
     drained: Mutex<Vec<(usize, u64)>>,
     /// What the list says of each host.
-    listed: Mutex<Vec<Listed>>,
-    strangers: Mutex<Vec<Process>>,
+    listed: Mutex<Vec<ListEntry>>,
+    other_fleet_proxies: Mutex<Vec<Process>>,
 }
 
 #[derive(Default)]
-struct Ways {
-    lossy: bool,
-    doubled: bool,
-    late: bool,
-    apart: Vec<HashSet<usize>>,
+struct LinkFaults {
+    lose: bool,
+    duplicate: bool,
+    delay: bool,
+    partitions: Vec<HashSet<usize>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn file(
-    (size, place): (&Size, usize),
+fn proxy_config(
+    (size, index): (&Size, usize),
     service: SocketAddr,
     (name, advertise, seeds): (&str, SocketAddr, &str),
     fleet: &str,
 ) -> String {
-    let list = match size.way {
-        Way::None => String::new(),
-        Way::Turns => format!("[list]\nrate = {}\nwait = \"30s\"\n", size.capacity * 0.8),
-        Way::Peers => format!(
+    let list = match size.list_source {
+        ListSource::None => String::new(),
+        ListSource::Turns => format!("[list]\nrate = {}\nwait = \"30s\"\n", size.capacity * 0.8),
+        ListSource::Peers => format!(
             "[peers]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{advertise}\"\nseeds = [{seeds}]\nsecret = \"{name}\"\n\
              fleet = \"{fleet}\"\n"
         ),
     };
     let subset = match size.subset {
         0 => String::new(),
-        hosts => format!("[subset]\ninstance = {place}\nsize = {hosts}\n"),
+        hosts => format!("[subset]\ninstance = {index}\nsize = {hosts}\n"),
     };
     format!(
         r#"listen = "127.0.0.1:0"
@@ -278,15 +279,15 @@
     u64::try_from(since.as_millis()).unwrap_or(0)
 }
 
-impl World {
+impl Fleet {
     async fn build(
         programs: &(PathBuf, Vec<String>),
         size: Size,
         seed: u64,
         keep: bool,
-    ) -> Result<World, String> {
+    ) -> Result<Fleet, String> {
         let text = |e: std::io::Error| e.to_string();
-        let mut folder = Folder::new(&format!("start-{seed:x}-{:?}", size.way))?;
+        let mut folder = Folder::new(&format!("start-{seed:x}-{:?}", size.list_source))?;
         folder.keep = keep;
         let secret = folder.write(
             "secret",
@@ -296,20 +297,20 @@
         let mut hosts = Hosts::new(size.host);
         let mut listed = Vec::new();
         for _ in 0..size.hosts {
-            let place = hosts.add().await?;
-            listed.push(Some((hosts.addresses[place], false, unix_ms())));
+            let index = hosts.add().await?;
+            listed.push(Some((hosts.addresses[index], false, unix_ms())));
         }
         let service =
             Service::start(listed.iter().copied().enumerate().collect(), size.capacity).await?;
         let (_, at) = watch::channel(Some(service.address));
         let mut built = Vec::new();
-        for place in 0..size.proxies {
-            let (tells, hearing) = watch::channel(None);
+        for index in 0..size.proxies {
+            let (datagram_address_updates, datagram_address) = watch::channel(None);
             let link = Link::to(at.clone()).await.map_err(text)?;
-            let peers = Datagrams::to(hearing.clone(), seed ^ place as u64)
+            let peers = DatagramLink::to(datagram_address.clone(), seed ^ index as u64)
                 .await
                 .map_err(text)?;
-            built.push((tells, hearing, link, peers));
+            built.push((datagram_address_updates, datagram_address, link, peers));
         }
         let seeds: Vec<String> = built
             .iter()
@@ -317,103 +318,110 @@
             .map(|b| format!("\"{}\"", b.3.address))
             .collect();
         let mut proxies = Vec::new();
-        for (place, (tells, hearing, service, peers)) in built.into_iter().enumerate() {
+        for (index, (datagram_address_updates, datagram_address, service, peers)) in
+            built.into_iter().enumerate()
+        {
             let own = (
                 &*secret.display().to_string(),
                 peers.address,
                 &*seeds.join(", "),
             );
             let file = folder.write(
-                &format!("p{place}.toml"),
-                &file((&size, place), service.address, own, "trial"),
+                &format!("p{index}.toml"),
+                &proxy_config((&size, index), service.address, own, "trial"),
                 false,
             )?;
             let mut arguments = programs.1.clone();
             arguments.extend(["run".to_owned(), file.display().to_string()]);
-            let plan = Plan {
+            let spec = ProcessSpec {
                 program: programs.0.clone(),
                 arguments,
-                keep: Vec::new(),
-                variables: Vec::new(),
+                debug_filter: Vec::new(),
+                environment: Vec::new(),
             };
             // Started later, when its moment has come.
-            let process = tokio::sync::Mutex::new(Process::waiting(plan, tells));
+            let process =
+                tokio::sync::Mutex::new(Process::unstarted(spec, datagram_address_updates));
             proxies.push(Proxy {
                 process,
                 address: Mutex::new(None),
-                hearing,
+                datagram_address,
                 service,
                 peers,
                 file,
             });
         }
-        Ok(World {
+        Ok(Fleet {
             size,
             programs: programs.clone(),
             folder,
             hosts: tokio::sync::Mutex::new(hosts),
             service,
             proxies,
-            ways: Mutex::default(),
+            link_faults: Mutex::default(),
             down: Mutex::default(),
             drained: Mutex::default(),
             listed: Mutex::new(listed),
-            strangers: Mutex::default(),
+            other_fleet_proxies: Mutex::default(),
         })
     }
 
-    async fn start(&self, place: usize) -> Result<(), String> {
-        let proxy = &self.proxies[place];
+    async fn start(&self, index: usize) -> Result<(), String> {
+        let proxy = &self.proxies[index];
         let mut process = proxy.process.lock().await;
-        process.again()?;
-        let address = process.listens().await?;
+        process.spawn()?;
+        let address = process.listen_address().await?;
         *locked(&proxy.address) = Some(address);
         drop(process);
-        self.pass();
+        self.apply_link_faults();
         Ok(())
     }
 
-    async fn kill(&self, place: usize) {
-        *locked(&self.proxies[place].address) = None;
-        self.proxies[place].process.lock().await.kill().await;
+    async fn kill(&self, index: usize) {
+        *locked(&self.proxies[index].address) = None;
+        self.proxies[index].process.lock().await.kill().await;
     }
 
     /// Sets all links between proxies by what holds.
-    fn pass(&self) {
-        let ways = locked(&self.ways);
-        let heard: Vec<Option<SocketAddr>> =
-            self.proxies.iter().map(|p| *p.hearing.borrow()).collect();
+    fn apply_link_faults(&self) {
+        let link_faults = locked(&self.link_faults);
+        let peer_addresses: Vec<Option<SocketAddr>> = self
+            .proxies
+            .iter()
+            .map(|p| *p.datagram_address.borrow())
+            .collect();
         for (to, proxy) in self.proxies.iter().enumerate() {
-            let apart = |from: usize| {
-                ways.apart
+            let separated = |from: usize| {
+                link_faults
+                    .partitions
                     .iter()
                     .any(|half| half.contains(&from) != half.contains(&to))
             };
-            let refused: HashSet<SocketAddr> = if ways.apart.is_empty() {
+            let blocked: HashSet<SocketAddr> = if link_faults.partitions.is_empty() {
                 HashSet::new()
             } else {
-                (0..heard.len())
-                    .filter(|from| apart(*from))
-                    .filter_map(|from| heard[from])
+                (0..peer_addresses.len())
+                    .filter(|from| separated(*from))
+                    .filter_map(|from| peer_addresses[from])
                     .collect()
             };
             proxy.peers.set(|state| {
-                state.forth.lost = if ways.lossy { 0.33 } else { 0.0 };
-                state.forth.doubled = if ways.doubled { 0.33 } else { 0.0 };
-                state.forth.late = if ways.late {
+                state.forward.loss = if link_faults.lose { 0.33 } else { 0.0 };
+                state.forward.duplication = if link_faults.duplicate { 0.33 } else { 0.0 };
+                state.forward.max_delay = if link_faults.delay {
                     Duration::from_secs(2)
                 } else {
                     Duration::ZERO
                 };
-                state.refused = Arc::new(refused);
+                state.blocked_sources = Arc::new(blocked);
             });
         }
     }
 
     /// Proxies that ask the list service for all, by their logs.
-    async fn asking(&self) -> Vec<usize> {
-        let mut asking = Vec::new();
-        for (place, proxy) in self.proxies.iter().enumerate() {
+    async fn pollers(&self) -> Vec<usize> {
+        let mut pollers = Vec::new();
+        for (index, proxy) in self.proxies.iter().enumerate() {
             let log = proxy.process.lock().await.log();
             let last = log.iter().rev().find(|(_, l)| {
                 l.contains("became poller")
@@ -421,134 +429,146 @@
                     || l.contains("listening on")
             });
             if last.is_some_and(|(_, l)| l.contains("became poller")) {
-                asking.push(place);
+                pollers.push(index);
             }
         }
-        asking
+        pollers
     }
 
-    fn some(&self, lot: u64, share: f64) -> Vec<usize> {
-        let mut draws = Pcg32::seed_from_u64(lot);
+    fn choose_proxies(&self, target_seed: u64, share: f64) -> Vec<usize> {
+        let mut rng = Pcg32::seed_from_u64(target_seed);
         (0..self.proxies.len())
-            .filter(|_| draws.gen_bool(share))
+            .filter(|_| rng.gen_bool(share))
             .collect()
     }
 
-    async fn restart(&self, whom: &[usize], until: Instant) -> Result<(), String> {
+    async fn restart(&self, targets: &[usize], until: Instant) -> Result<(), String> {
         let from = now();
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::KILL);
         }
-        for &place in whom {
-            self.kill(place).await;
+        for &index in targets {
+            self.kill(index).await;
         }
         tokio::time::sleep_until(until).await;
-        for &place in whom {
-            self.start(place).await?;
+        for &index in targets {
+            self.start(index).await?;
         }
         let until = now();
-        locked(&self.down).extend(whom.iter().map(|place| (*place, from, until)));
+        locked(&self.down).extend(targets.iter().map(|index| (*index, from, until)));
         Ok(())
     }
 
-    async fn stand(&self, whom: &[usize], until: Instant) {
+    async fn stop_and_continue(&self, targets: &[usize], until: Instant) {
         let from = now();
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::STOP);
         }
         tokio::time::sleep_until(until).await;
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::CONT);
         }
         let until = now();
-        locked(&self.down).extend(whom.iter().map(|place| (*place, from, until)));
+        locked(&self.down).extend(targets.iter().map(|index| (*index, from, until)));
     }
 
-    async fn inflict(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
+    async fn inject(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
         tokio::time::sleep_until(began + fault.from).await;
         let until = began + fault.until;
-        let ways = |change: &dyn Fn(&mut Ways)| {
-            change(&mut locked(&self.ways));
-            self.pass();
+        let change_link_faults = |change: &dyn Fn(&mut LinkFaults)| {
+            change(&mut locked(&self.link_faults));
+            self.apply_link_faults();
         };
         match fault.kind {
-            Kind::KillMany => self.restart(&self.some(fault.lot, 0.7), until).await?,
-            Kind::KillAll => self.restart(&self.some(fault.lot, 1.0), until).await?,
+            Kind::KillMany => {
+                self.restart(&self.choose_proxies(fault.target_seed, 0.7), until)
+                    .await?
+            }
+            Kind::KillAll => {
+                self.restart(&self.choose_proxies(fault.target_seed, 1.0), until)
+                    .await?
+            }
             Kind::KillSeeds => {
                 let seeds: Vec<usize> = (0..SEEDS.min(self.proxies.len())).collect();
                 self.restart(&seeds, until).await?;
             }
-            Kind::KillAskers => self.restart(&self.asking().await, until).await?,
-            Kind::StopAskers => self.stand(&self.asking().await, until).await,
-            Kind::StopSome => self.stand(&self.some(fault.lot, 0.3), until).await,
+            Kind::KillAskers => self.restart(&self.pollers().await, until).await?,
+            Kind::StopAskers => self.stop_and_continue(&self.pollers().await, until).await,
+            Kind::StopSome => {
+                self.stop_and_continue(&self.choose_proxies(fault.target_seed, 0.3), until)
+                    .await
+            }
             Kind::Roll => {
-                let whom = self.some(fault.lot, 0.3);
-                let pause = (fault.until - fault.from) / whom.len().max(1) as u32;
-                for place in whom {
+                let targets = self.choose_proxies(fault.target_seed, 0.3);
+                let pause = (fault.until - fault.from) / targets.len().max(1) as u32;
+                for index in targets {
                     let from = now();
-                    *locked(&self.proxies[place].address) = None;
-                    self.proxies[place].process.lock().await.terminate().await?;
-                    self.start(place).await?;
-                    locked(&self.down).push((place, from, now()));
+                    *locked(&self.proxies[index].address) = None;
+                    self.proxies[index].process.lock().await.terminate().await?;
+                    self.start(index).await?;
+                    locked(&self.down).push((index, from, now()));
                     tokio::time::sleep(pause).await;
                 }
             }
             Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld => {
-                let mood = match fault.kind {
-                    Kind::ServiceDown => Mood::Down,
-                    Kind::ServiceSlow => Mood::Slow,
-                    _ => Mood::Old(1 + fault.lot % 2),
+                let state = match fault.kind {
+                    Kind::ServiceDown => ServiceState::Down,
+                    Kind::ServiceSlow => ServiceState::Slow,
+                    _ => ServiceState::Stale(1 + fault.target_seed % 2),
                 };
-                self.service.mood(mood);
+                self.service.set_state(state);
                 tokio::time::sleep_until(until).await;
-                self.service.mood(Mood::Well);
+                self.service.set_state(ServiceState::Healthy);
             }
             Kind::CutFromService => {
-                let whom = self.some(fault.lot, 0.5);
-                let set = |pass| {
-                    whom.iter().for_each(|p| {
+                let targets = self.choose_proxies(fault.target_seed, 0.5);
+                let set = |forwarding| {
+                    targets.iter().for_each(|p| {
                         self.proxies[*p]
                             .service
-                            .set(|s| (s.forth, s.back) = (pass, pass));
+                            .set(|s| (s.forward, s.backward) = (forwarding, forwarding));
                     });
                 };
-                set(Pass::Cut);
+                set(Forwarding::Cut);
                 tokio::time::sleep_until(until).await;
-                set(Pass::Free);
+                set(Forwarding::Normal);
             }
             Kind::CutFromPeers | Kind::Halves => {
                 let share = if fault.kind == Kind::Halves { 0.5 } else { 0.2 };
                 let halves = match fault.kind {
-                    Kind::Halves => vec![self.some(fault.lot, share).into_iter().collect()],
+                    Kind::Halves => vec![self
+                        .choose_proxies(fault.target_seed, share)
+                        .into_iter()
+                        .collect()],
                     // Each by itself.
                     _ => self
-                        .some(fault.lot, share)
+                        .choose_proxies(fault.target_seed, share)
                         .into_iter()
                         .map(|p| HashSet::from([p]))
                         .collect(),
                 };
-                ways(&|w| w.apart.extend(halves.iter().cloned()));
+                change_link_faults(&|w| w.partitions.extend(halves.iter().cloned()));
                 tokio::time::sleep_until(until).await;
-                ways(&|w| w.apart.retain(|h| !halves.contains(h)));
+                change_link_faults(&|w| w.partitions.retain(|h| !halves.contains(h)));
             }
             Kind::Lossy | Kind::Doubled | Kind::Late => {
                 let set = |on: bool| {
-                    ways(&|w| match fault.kind {
-                        Kind::Lossy => w.lossy = on,
-                        Kind::Doubled => w.doubled = on,
-                        _ => w.late = on,
+                    change_link_faults(&|w| match fault.kind {
+                        Kind::Lossy => w.lose = on,
+                        Kind::Doubled => w.duplicate = on,
+                        _ => w.delay = on,
                     });
                 };
                 set(true);
@@ -557,7 +577,7 @@
             }
             Kind::Replace => self.replace().await?,
             Kind::Drain => self.drain(fault, until).await,
-            Kind::OtherFleet => self.stranger(fault.lot).await?,
+            Kind::OtherFleet => self.start_other_fleet_proxy(fault.target_seed).await?,
         }
         Ok(())
     }
@@ -567,100 +587,105 @@
         let mut hosts = self.hosts.lock().await;
         let mut changes = Vec::new();
         let count = locked(&self.listed).len();
-        for place in 0..count / 2 {
+        for index in 0..count / 2 {
             let new = hosts.add().await?;
-            changes.push((place, None));
+            changes.push((index, None));
             changes.push((new, Some((hosts.addresses[new], false, unix_ms()))));
         }
         let mut listed = locked(&self.listed);
-        for (place, entry) in &changes {
-            match listed.get_mut(*place) {
+        for (index, entry) in &changes {
+            match listed.get_mut(*index) {
                 Some(old) => *old = *entry,
                 None => listed.push(*entry),
             }
         }
         let version = self.service.change(changes);
-        locked(&self.drained).extend((0..count / 2).map(|place| (place, version)));
+        locked(&self.drained).extend((0..count / 2).map(|index| (index, version)));
         Ok(())
     }
 
     async fn drain(&self, fault: Fault, until: Instant) {
-        let place = {
+        let index = {
             let mut listed = locked(&self.listed);
             let up: Vec<usize> = (0..listed.len())
                 .filter(|p| matches!(listed[*p], Some((_, false, _))))
                 .collect();
-            let Some(&place) = up.choose(&mut Pcg32::seed_from_u64(fault.lot)) else {
+            let Some(&index) = up.choose(&mut Pcg32::seed_from_u64(fault.target_seed)) else {
                 return;
             };
-            if let Some((_, drains, _)) = &mut listed[place] {
+            if let Some((_, drains, _)) = &mut listed[index] {
                 *drains = true;
             }
-            let version = self.service.change(vec![(place, listed[place])]);
-            locked(&self.drained).push((place, version));
-            place
+            let version = self.service.change(vec![(index, listed[index])]);
+            locked(&self.drained).push((index, version));
+            index
         };
         tokio::time::sleep_until(until).await;
         let mut listed = locked(&self.listed);
-        if listed[place].take().is_some() {
-            self.service.change(vec![(place, None)]);
+        if listed[index].take().is_some() {
+            self.service.change(vec![(index, None)]);
         }
     }
 
     /// A proxy of another fleet comes to the same seeds.
-    async fn stranger(&self, lot: u64) -> Result<(), String> {
+    async fn start_other_fleet_proxy(&self, target_seed: u64) -> Result<(), String> {
         let text = std::fs::read_to_string(&self.proxies[0].file).map_err(|e| e.to_string())?;
         let text = text.replace("fleet = \"trial\"", "fleet = \"another\"");
         let own = format!("advertise = \"{}\"\n", self.proxies[0].peers.address);
         let file = self.folder.write(
-            &format!("stranger-{lot:x}.toml"),
+            &format!("stranger-{target_seed:x}.toml"),
             &text.replace(&own, ""),
             false,
         )?;
         let mut arguments = self.programs.1.clone();
         arguments.extend(["run".to_owned(), file.display().to_string()]);
-        let plan = Plan {
+        let spec = ProcessSpec {
             program: self.programs.0.clone(),
             arguments,
-            keep: Vec::new(),
-            variables: Vec::new(),
+            debug_filter: Vec::new(),
+            environment: Vec::new(),
         };
-        let process = Process::start(plan).await?;
-        locked(&self.strangers).push(process);
+        let process = Process::start(spec).await?;
+        locked(&self.other_fleet_proxies).push(process);
         Ok(())
     }
 
     /// Clients call as fast as the hosts can bear, times [`LOAD`], each by its own proxy once that listens.
-    async fn load(self: Arc<Self>, seed: u64, began: Instant) -> Vec<Call> {
-        let mut draws = Pcg32::seed_from_u64(seed);
-        let (mut open, mut calls) = (tokio::task::JoinSet::new(), Vec::new());
-        let (mut owed, mut last, mut number) = (0.0, Instant::now(), 0);
-        let mut beat = tokio::time::interval(Duration::from_millis(5));
-        while began.elapsed() < self.size.lasts {
-            beat.tick().await;
-            let there: Vec<(usize, SocketAddr)> = self
+    async fn load(self: Arc<Self>, seed: u64, began: Instant) -> Vec<CallRecord> {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let (mut in_flight, mut calls) = (tokio::task::JoinSet::new(), Vec::new());
+        let (mut due, mut last, mut number) = (0.0, Instant::now(), 0);
+        let mut interval = tokio::time::interval(Duration::from_millis(5));
+        while began.elapsed() < self.size.load_duration {
+            interval.tick().await;
+            let listening: Vec<(usize, SocketAddr)> = self
                 .proxies
                 .iter()
                 .enumerate()
-                .filter_map(|(place, p)| Some((place, (*locked(&p.address))?)))
+                .filter_map(|(index, p)| Some((index, (*locked(&p.address))?)))
                 .collect();
             let age = Micros::try_from(began.elapsed().as_micros()).unwrap_or(Micros::MAX);
-            let share = there.len() as f64 / self.proxies.len() as f64;
-            let rate = LOAD * self.size.hosts as f64 * self.size.host.capacity(age) * share;
-            owed += rate * last.elapsed().as_secs_f64();
+            let share = listening.len() as f64 / self.proxies.len() as f64;
+            let rate = LOAD_SHARE * self.size.hosts as f64 * self.size.host.capacity(age) * share;
+            due += rate * last.elapsed().as_secs_f64();
             last = Instant::now();
-            while owed >= 1.0 && !there.is_empty() {
-                owed -= 1.0;
+            while due >= 1.0 && !listening.is_empty() {
+                due -= 1.0;
                 number += 1;
-                let (proxy, address) = there[draws.gen_range(0..there.len())];
-                let path = if draws.gen_bool(0.62) { ENTRY } else { CHARGE };
-                open.spawn(one(format!("{seed:x}-{number}"), path, proxy, address));
+                let (proxy, address) = listening[rng.gen_range(0..listening.len())];
+                let path = if rng.gen_bool(0.62) { ENTRY } else { CHARGE };
+                in_flight.spawn(call_with_retries(
+                    format!("{seed:x}-{number}"),
+                    path,
+                    proxy,
+                    address,
+                ));
             }
-            while let Some(done) = open.try_join_next() {
+            while let Some(done) = in_flight.try_join_next() {
                 calls.extend(done);
             }
         }
-        while let Some(done) = open.join_next().await {
+        while let Some(done) = in_flight.join_next().await {
             calls.extend(done);
         }
         calls
@@ -668,15 +693,15 @@
 
     /// Proxies whose list is not the newest, waited for.
     async fn behind(&self) -> Result<usize, String> {
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + CONVERGENCE_TIMEOUT;
         let newest = self.service.newest();
         let mut behind: Vec<usize> = (0..self.proxies.len()).collect();
         loop {
-            let mut still = Vec::new();
-            for place in behind {
-                let proxy = &self.proxies[place];
-                let Some(at) = *proxy.hearing.borrow() else {
-                    still.push(place);
+            let mut remaining = Vec::new();
+            for index in behind {
+                let proxy = &self.proxies[index];
+                let Some(at) = *proxy.datagram_address.borrow() else {
+                    remaining.push(index);
                     continue;
                 };
                 let mut command = tokio::process::Command::new(&self.programs.0);
@@ -686,14 +711,14 @@
                     .arg(&proxy.file)
                     .args(["--json", "--at"])
                     .arg(at.to_string());
-                let told = command.output().await.map_err(|e| e.to_string())?;
-                let told: Option<serde_json::Value> = serde_json::from_slice(&told.stdout).ok();
-                let index = told.and_then(|t| t["standing"]["list"][0]["index"].as_u64());
-                if index != Some(newest) {
-                    still.push(place);
+                let output = command.output().await.map_err(|e| e.to_string())?;
+                let status: Option<serde_json::Value> = serde_json::from_slice(&output.stdout).ok();
+                let list_version = status.and_then(|t| t["standing"]["list"][0]["index"].as_u64());
+                if list_version != Some(newest) {
+                    remaining.push(index);
                 }
             }
-            behind = still;
+            behind = remaining;
             if behind.is_empty() || Instant::now() >= end {
                 return Ok(behind.len());
             }
@@ -702,9 +727,14 @@
     }
 }
 
-async fn one(key: String, path: &'static str, proxy: usize, address: SocketAddr) -> Call {
+async fn call_with_retries(
+    key: String,
+    path: &'static str,
+    proxy: usize,
+    address: SocketAddr,
+) -> CallRecord {
     let from = now();
-    let mut call = Call {
+    let mut call = CallRecord {
         key,
         from,
         served: None,
@@ -712,9 +742,9 @@
         proxy,
         last: from,
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         call.last = now();
-        let (ended, again) = once(address, path, &call.key).await;
+        let (ended, retry_after) = call_once(address, path, &call.key).await;
         call.ended = ended;
         match ended {
             Ended::Status(200) => {
@@ -722,7 +752,8 @@
                 break;
             }
             Ended::Status(429 | 503) => {
-                tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await;
+                tokio::time::sleep(retry_after.unwrap_or(MAX_RETRY_PAUSE).min(MAX_RETRY_PAUSE))
+                    .await;
             }
             // Its proxy has gone, or it may have run.
             _ => break,
@@ -735,32 +766,32 @@
 ///
 /// # Errors
 /// If the trial itself failed: it says nothing of the program.
-pub async fn play(
+pub async fn run(
     programs: &(PathBuf, Vec<String>),
     size: Size,
-    course: &Course,
+    schedule: &FaultSchedule,
     keep: bool,
-) -> Result<Played, String> {
-    let world = Arc::new(World::build(programs, size, course.seed, keep).await?);
+) -> Result<RunReport, String> {
+    let fleet = Arc::new(Fleet::build(programs, size, schedule.seed, keep).await?);
     let (began, zero) = (Instant::now(), now());
     let mut tasks = tokio::task::JoinSet::new();
     let mut order: Vec<usize> = (0..size.proxies).collect();
-    order.shuffle(&mut Pcg32::seed_from_u64(course.seed));
-    for (n, place) in order.into_iter().enumerate() {
-        let (world, at) = (
-            Arc::clone(&world),
-            began + size.within.mul_f64(n as f64 / size.proxies as f64),
+    order.shuffle(&mut Pcg32::seed_from_u64(schedule.seed));
+    for (n, index) in order.into_iter().enumerate() {
+        let (fleet, at) = (
+            Arc::clone(&fleet),
+            began + size.start_window.mul_f64(n as f64 / size.proxies as f64),
         );
         tasks.spawn(async move {
             tokio::time::sleep_until(at).await;
-            world.start(place).await
+            fleet.start(index).await
         });
     }
     let mut faults = tokio::task::JoinSet::new();
-    for &fault in &course.faults {
+    for &fault in &schedule.faults {
         // Processes end only after they have started.
-        let from = if fault.kind.of_processes() {
-            fault.from.max(size.within)
+        let from = if fault.kind.targets_processes() {
+            fault.from.max(size.start_window)
         } else {
             fault.from
         };
@@ -769,9 +800,9 @@
             until: fault.until.max(from + Duration::from_millis(300)),
             ..fault
         };
-        faults.spawn(Arc::clone(&world).inflict(fault, began));
+        faults.spawn(Arc::clone(&fleet).inject(fault, began));
     }
-    let load = tokio::spawn(Arc::clone(&world).load(course.seed, began));
+    let load = tokio::spawn(Arc::clone(&fleet).load(schedule.seed, began));
     while let Some(done) = tasks.join_next().await {
         done.map_err(|e| e.to_string())??;
     }
@@ -779,10 +810,10 @@
         done.map_err(|e| e.to_string())??;
     }
     let calls = load.await.map_err(|e| e.to_string())?;
-    let behind = if size.way == Way::Peers {
-        world.behind().await?
+    let behind = if size.list_source == ListSource::Peers {
+        fleet.behind().await?
     } else {
         0
     };
-    report::judge(&world, course, (zero, calls), behind).await
+    report::evaluate(&fleet, schedule, (zero, calls), behind).await
 }
--- a/crates/fault-injection/src/start/report.rs
+++ b/crates/fault-injection/src/start/report.rs
@@ -1,7 +1,7 @@
 //! What a start came to.
 
-use super::cold::Seen;
-use super::{locked, Call, Course, Played, World};
+use super::cold_hosts::HostRecord;
+use super::{locked, CallRecord, FaultSchedule, Fleet, RunReport};
 use crate::clients::Ended;
 use badgerramp_policy::Micros;
 use plotters::prelude::*;
@@ -13,44 +13,44 @@
 }
 
 /// The lives of a proxy by its log: when it listened, and when it first had a list.
-fn lives(log: &[(Micros, String)]) -> Vec<(Micros, Option<Micros>)> {
-    let mut lives: Vec<(Micros, Option<Micros>)> = Vec::new();
+fn lifetimes(log: &[(Micros, String)]) -> Vec<(Micros, Option<Micros>)> {
+    let mut lifetimes: Vec<(Micros, Option<Micros>)> = Vec::new();
     let mut waiting = None;
     for (at, line) in log {
         // The list may be told before the listener is.
         if line.contains("endpoint list received") || line.contains("discovery: list ") {
-            match lives.last_mut().filter(|l| l.1.is_none()) {
-                Some(life) => life.1 = Some(*at),
+            match lifetimes.last_mut().filter(|l| l.1.is_none()) {
+                Some(lifetime) => lifetime.1 = Some(*at),
                 None => waiting = Some(*at),
             }
         } else if line.contains("listening on") {
-            lives.push((*at, waiting.take()));
+            lifetimes.push((*at, waiting.take()));
         }
     }
-    lives
+    lifetimes
 }
 
-pub(super) async fn judge(
-    world: &World,
-    course: &Course,
-    (zero, calls): (Micros, Vec<Call>),
+pub(super) async fn evaluate(
+    fleet: &Fleet,
+    schedule: &FaultSchedule,
+    (zero, calls): (Micros, Vec<CallRecord>),
     behind: usize,
-) -> Result<Played, String> {
-    let mut all_lives = Vec::new();
-    for (place, proxy) in world.proxies.iter().enumerate() {
+) -> Result<RunReport, String> {
+    let mut all_lifetimes = Vec::new();
+    for (index, proxy) in fleet.proxies.iter().enumerate() {
         let mut process = proxy.process.lock().await;
-        if let Some(end) = process.ended() {
-            return Err(format!("p{place} ended by itself: {end}"));
+        if let Some(end) = process.exit_report() {
+            return Err(format!("p{index} ended by itself: {end}"));
         }
         process.kill().await;
-        all_lives.push(lives(&process.log()));
+        all_lifetimes.push(lifetimes(&process.log()));
     }
-    let counts = world.service.counts();
+    let counts = fleet.service.counts();
     let first = counts.first_answer.unwrap_or(zero);
-    let last_lives = || all_lives.iter().filter_map(|l| l.last());
-    let unlisted = last_lives().filter(|l| l.1.is_none()).count();
+    let last_lifetimes = || all_lifetimes.iter().filter_map(|l| l.last());
+    let unlisted = last_lifetimes().filter(|l| l.1.is_none()).count();
     let listed = || {
-        all_lives
+        all_lifetimes
             .iter()
             .flatten()
             .filter_map(|(from, at)| Some((*from, (*at)?)))
@@ -60,40 +60,44 @@
         .collect();
     waits.sort_unstable();
     let quantile = |share: f64| {
-        let place = ((waits.len() as f64 - 1.0) * share).ceil().max(0.0) as usize;
-        ms(waits.get(place).copied().unwrap_or(0))
+        let index = ((waits.len() as f64 - 1.0) * share).ceil().max(0.0) as usize;
+        ms(waits.get(index).copied().unwrap_or(0))
     };
     // Of the first start of each.
-    let firsts: Vec<Micros> = all_lives.iter().filter_map(|l| l.first()?.1).collect();
+    let firsts: Vec<Micros> = all_lifetimes.iter().filter_map(|l| l.first()?.1).collect();
     let all_at = firsts.iter().copied().max().unwrap_or(zero);
-    let seen: Vec<Seen> = world.hosts.lock().await.seen();
-    let executed = world.hosts.lock().await.executed();
+    let host_records: Vec<HostRecord> = fleet.hosts.lock().await.records();
+    let executed = fleet.hosts.lock().await.executed();
     let executed_twice = executed.values().filter(|times| **times > 1).count();
-    let down = locked(&world.down).clone();
+    let down = locked(&fleet.down).clone();
     // One that was killed under the call, or stood still, is no proxy's fault; nor one that had not come up.
-    let well = |call: &Call| {
+    let proxy_healthy = |call: &CallRecord| {
         !down.iter().any(|(who, from, until)| {
             *who == call.proxy && *until >= call.last && *from <= call.last + 6_000_000
         })
     };
-    let lost: Vec<&Call> = calls
+    let lost: Vec<&CallRecord> = calls
         .iter()
-        .filter(|c| matches!(c.ended, Ended::Cut | Ended::Silence) && well(c))
+        .filter(|c| matches!(c.ended, Ended::Cut | Ended::Silence) && proxy_healthy(c))
         .collect();
-    let early: Vec<&Call> = calls
+    let early: Vec<&CallRecord> = calls
         .iter()
         .filter(|c| c.from < zero + 10_000_000)
         .collect();
     let served_early = early.iter().filter(|c| c.served.is_some()).count();
-    let drained = locked(&world.drained).clone();
-    let last_call = |place: usize, version: u64| {
-        let told = counts.told.get(version as usize - 1).copied().flatten()?;
-        let last = seen.get(place)?.requests.last().copied()?;
-        Some(ms(last.saturating_sub(told)))
+    let drained = locked(&fleet.drained).clone();
+    let last_call = |index: usize, version: u64| {
+        let announced = counts
+            .first_served_at
+            .get(version as usize - 1)
+            .copied()
+            .flatten()?;
+        let last = host_records.get(index)?.requests.last().copied()?;
+        Some(ms(last.saturating_sub(announced)))
     };
     let drained_ms = drained
         .iter()
-        .filter_map(|(place, version)| last_call(*place, *version))
+        .filter_map(|(index, version)| last_call(*index, *version))
         .max();
     let mut problems = Vec::new();
     if unlisted > 0 {
@@ -123,8 +127,9 @@
             row[what] += 1;
         }
     };
-    counts.questions.iter().for_each(|at| count(*at, 0));
-    seen.iter()
+    counts.polls.iter().for_each(|at| count(*at, 0));
+    host_records
+        .iter()
         .flat_map(|s| &s.connects)
         .for_each(|at| count(*at, 1));
     calls.iter().for_each(|c| count(c.from, 2));
@@ -137,29 +142,33 @@
         .map(|n| {
             let at = zero + (n as Micros + 1) * 100_000;
             let has = |l: &&(Micros, Option<Micros>)| l.1.is_some_and(|listed| listed <= at);
-            all_lives
+            all_lifetimes
                 .iter()
-                .filter(|lives| lives.iter().rfind(|l| l.0 <= at).filter(has).is_some())
+                .filter(|lifetimes| lifetimes.iter().rfind(|l| l.0 <= at).filter(has).is_some())
                 .count()
         })
         .collect();
-    Ok(Played {
-        seed: course.seed,
-        way: world.size.way,
-        faults: course.faults.clone(),
+    Ok(RunReport {
+        seed: schedule.seed,
+        list_source: fleet.size.list_source,
+        faults: schedule.faults.clone(),
         listed_ms: [quantile(0.5), quantile(0.99), quantile(1.0)],
         all_listed_ms: ms(all_at.saturating_sub(first)),
         unlisted,
         behind,
-        questions_start: counts.questions.iter().filter(|at| **at <= all_at).count(),
-        questions: counts.questions.len(),
+        questions_start: counts.polls.iter().filter(|at| **at <= all_at).count(),
+        questions: counts.polls.len(),
         questions_most,
-        given_up: counts.given_up,
-        connects_most: seen.iter().map(Seen::connects_most).max().unwrap_or(0),
-        connects: seen.iter().map(|s| s.connects.len()).sum(),
-        multiple_most: seen
+        given_up: counts.timed_out,
+        connects_most: host_records
+            .iter()
+            .map(HostRecord::max_connects_per_second)
+            .max()
+            .unwrap_or(0),
+        connects: host_records.iter().map(|s| s.connects.len()).sum(),
+        multiple_most: host_records
             .iter()
-            .map(|s| s.multiple(&world.size.host))
+            .map(|s| s.max_overload(&fleet.size.host))
             .fold(0.0, f64::max),
         calls: calls.len(),
         served: calls.iter().filter(|c| c.served.is_some()).count(),
@@ -174,20 +183,20 @@
 }
 
 /// The figures of some courses, one column each.
-pub fn table(all: &[Played]) -> String {
+pub fn table(all: &[RunReport]) -> String {
     let mut text = String::new();
-    let mut row = |name: &str, of: &dyn Fn(&Played) -> String| {
+    let mut row = |name: &str, of: &dyn Fn(&RunReport) -> String| {
         let _ = write!(text, "{name:<36}");
         for played in all {
             let _ = write!(text, "{:>10}", of(played));
         }
         text.push('\n');
     };
-    row("way", &|p| format!("{:?}", p.way).to_lowercase());
+    row("way", &|p| format!("{:?}", p.list_source).to_lowercase());
     row("seed", &|p| p.seed.to_string());
-    for (place, name) in ["half", "99 in 100", "all"].into_iter().enumerate() {
+    for (index, name) in ["half", "99 in 100", "all"].into_iter().enumerate() {
         row(&format!("listed, {name}, ms"), &|p| {
-            p.listed_ms[place].to_string()
+            p.listed_ms[index].to_string()
         });
     }
     row("first answer to the last list, ms", &|p| {
@@ -222,10 +231,10 @@
 }
 
 /// The sums of many courses.
-pub fn sums(all: &[Played]) -> String {
+pub fn sums(all: &[RunReport]) -> String {
     let mut text = String::new();
-    let sum = |of: fn(&Played) -> usize| all.iter().map(of).sum::<usize>();
-    let most = |of: fn(&Played) -> u64| all.iter().map(of).max().unwrap_or(0);
+    let sum = |of: fn(&RunReport) -> usize| all.iter().map(of).sum::<usize>();
+    let most = |of: fn(&RunReport) -> u64| all.iter().map(of).max().unwrap_or(0);
     let mut row = |name: &str, value: u64| {
         let _ = writeln!(text, "{name:<36}{value:>10}");
     };
@@ -256,27 +265,27 @@
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn plot(all: &[Played], proxies: usize, file: &Path) -> Result<(), String> {
+pub fn plot(all: &[RunReport], proxies: usize, file: &Path) -> Result<(), String> {
     let root = SVGBackend::new(file, (900, 640)).into_drawing_area();
     let drawn = || -> Result<(), Box<dyn std::error::Error>> {
         root.fill(&WHITE)?;
         let most = all.iter().map(|p| p.seconds.len()).max().unwrap_or(1) as f64;
         type Line = Vec<(f64, f64)>;
-        let by_second = |p: &Played, of: &dyn Fn(&[usize; 4]) -> f64| -> Line {
+        let by_second = |p: &RunReport, of: &dyn Fn(&[usize; 4]) -> f64| -> Line {
             p.seconds
                 .iter()
                 .enumerate()
                 .map(|(n, s)| (n as f64 + 0.5, of(s)))
                 .collect()
         };
-        let share = |p: &Played| -> Line {
+        let share = |p: &RunReport| -> Line {
             p.tenths
                 .iter()
                 .enumerate()
                 .map(|(n, c)| (n as f64 / 10.0, *c as f64 / proxies as f64))
                 .collect()
         };
-        type Panel<'a> = (&'static str, Box<dyn Fn(&Played) -> Line + 'a>);
+        type Panel<'a> = (&'static str, Box<dyn Fn(&RunReport) -> Line + 'a>);
         let panels: [Panel<'_>; 4] = [
             (
                 "questions a second",
@@ -306,12 +315,12 @@
                 .x_desc("s since the first start")
                 .draw()?;
             for (line, played) in lines.into_iter().zip(all) {
-                let colour = match played.way {
-                    super::Way::None => RED,
-                    super::Way::Turns => BLACK,
-                    super::Way::Peers => BLUE,
+                let colour = match played.list_source {
+                    super::ListSource::None => RED,
+                    super::ListSource::Turns => BLACK,
+                    super::ListSource::Peers => BLUE,
                 };
-                let label = format!("{:?}", played.way).to_lowercase();
+                let label = format!("{:?}", played.list_source).to_lowercase();
                 chart
                     .draw_series(LineSeries::new(line, &colour))?
                     .label(label)
@@ -345,6 +354,6 @@
             ),
             line(9, "listening on 127.0.0.1:1"),
         ];
-        assert_eq!(lives(&log), vec![(1, Some(5)), (7, Some(8)), (9, None)]);
+        assert_eq!(lifetimes(&log), vec![(1, Some(5)), (7, Some(8)), (9, None)]);
     }
 }
--- a/crates/fault-injection/src/start/course.rs
+++ b/crates/fault-injection/src/start/schedule.rs
@@ -74,7 +74,7 @@
 ];
 
 impl Kind {
-    /// Its name, as it stands in a course that was written down.
+    /// Its name, as it stands in a schedule that was written down.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -83,12 +83,12 @@
     }
 
     /// The kind of this name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 
     /// Do proxies stop or end by it?
-    pub fn of_processes(self) -> bool {
+    pub fn targets_processes(self) -> bool {
         use Kind::{KillAll, KillAskers, KillMany, KillSeeds, Roll, StopAskers, StopSome};
         matches!(
             self,
@@ -97,7 +97,7 @@
     }
 
     /// Does it change what the service tells?
-    pub fn of_service(self) -> bool {
+    pub fn targets_service(self) -> bool {
         matches!(
             self,
             Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld
@@ -115,12 +115,13 @@
     /// Until when.
     pub until: Duration,
     /// Draws whom it concerns.
-    pub lot: u64,
+    #[serde(rename = "lot")]
+    pub target_seed: u64,
 }
 
-/// A course.
+/// A schedule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Course {
+pub struct FaultSchedule {
     /// All chance is drawn from it.
     pub seed: u64,
     /// In the order of their beginnings.
@@ -128,47 +129,47 @@
 }
 
 /// Faults begin within this time, and last so many milliseconds.
-const BEGIN_WITHIN: u64 = 6_000;
-const LASTS: std::ops::RangeInclusive<u64> = 300..=4_000;
+const FAULT_START_WINDOW_MS: u64 = 6_000;
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 300..=4_000;
 
-impl Course {
+impl FaultSchedule {
     /// Draws one; `only`: faults of no other kind. Faults of one concern do not overlap: of processes, of the service,
     /// of one kind.
     pub fn draw(seed: u64, only: Option<Kind>) -> Self {
-        let mut draws = Pcg32::seed_from_u64(seed);
+        let mut rng = Pcg32::seed_from_u64(seed);
         let mut kinds: Vec<Kind> = only.map_or(KINDS.to_vec(), |kind| vec![kind]);
-        kinds.shuffle(&mut draws);
-        kinds.truncate(draws.gen_range(3..=6));
+        kinds.shuffle(&mut rng);
+        kinds.truncate(rng.gen_range(3..=6));
         let mut faults: Vec<Fault> = Vec::new();
         for kind in kinds {
             // Half of them meet the start itself.
-            let from = if draws.gen_bool(0.5) {
+            let from = if rng.gen_bool(0.5) {
                 0
             } else {
-                draws.gen_range(0..BEGIN_WITHIN)
+                rng.gen_range(0..FAULT_START_WINDOW_MS)
             };
             let from = Duration::from_millis(from);
-            let until = from + Duration::from_millis(draws.gen_range(LASTS));
-            let lot = draws.gen();
-            let same = |f: &&Fault| {
-                (f.kind.of_processes() && kind.of_processes())
-                    || (f.kind.of_service() && kind.of_service())
+            let until = from + Duration::from_millis(rng.gen_range(FAULT_DURATION_MS));
+            let target_seed = rng.gen();
+            let same_group = |f: &&Fault| {
+                (f.kind.targets_processes() && kind.targets_processes())
+                    || (f.kind.targets_service() && kind.targets_service())
             };
-            let beside = faults
+            let overlaps = faults
                 .iter()
-                .filter(same)
+                .filter(same_group)
                 .any(|f| f.from < until && from < f.until);
-            if !beside {
+            if !overlaps {
                 faults.push(Fault {
                     kind,
                     from,
                     until,
-                    lot,
+                    target_seed,
                 });
             }
         }
         faults.sort_by_key(|f| f.from);
-        Course { seed, faults }
+        FaultSchedule { seed, faults }
     }
 }
 
@@ -178,21 +179,21 @@
 
     #[test]
     fn a_seed_draws_one_course_and_faults_of_one_concern_do_not_overlap() {
-        let mut met = std::collections::BTreeSet::new();
+        let mut kinds_drawn = std::collections::BTreeSet::new();
         for seed in 0..300 {
-            let course = Course::draw(seed, None);
-            assert_eq!(course, Course::draw(seed, None));
-            met.extend(course.faults.iter().map(|f| f.kind));
-            for (place, a) in course.faults.iter().enumerate() {
-                for b in &course.faults[place + 1..] {
-                    let same = a.kind.of_processes() && b.kind.of_processes();
-                    assert!(!same || a.until <= b.from, "{a:?} {b:?}");
+            let schedule = FaultSchedule::draw(seed, None);
+            assert_eq!(schedule, FaultSchedule::draw(seed, None));
+            kinds_drawn.extend(schedule.faults.iter().map(|f| f.kind));
+            for (index, a) in schedule.faults.iter().enumerate() {
+                for b in &schedule.faults[index + 1..] {
+                    let same_group = a.kind.targets_processes() && b.kind.targets_processes();
+                    assert!(!same_group || a.until <= b.from, "{a:?} {b:?}");
                 }
             }
         }
-        assert_eq!(met.len(), KINDS.len());
+        assert_eq!(kinds_drawn.len(), KINDS.len());
         assert!(KINDS
             .into_iter()
-            .all(|kind| Kind::named(&kind.name()) == Some(kind)));
+            .all(|kind| Kind::from_name(&kind.name()) == Some(kind)));
     }
 }
--- a/crates/fault-injection/src/start/service.rs
+++ b/crates/fault-injection/src/start/service.rs
@@ -1,6 +1,6 @@
 //! A list service that works on one question after the other, and counts what it is asked.
 
-use crate::link::{message, send};
+use crate::link::{read_message, send};
 use crate::now;
 use badgerramp_policy::Micros;
 use std::collections::VecDeque;
@@ -12,31 +12,31 @@
 use tokio::task::AbortHandle;
 
 /// A question that has waited for longer is given up.
-const PATIENCE: Duration = Duration::from_secs(3);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How the service fares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum ServiceState {
     /// It answers.
-    Well,
+    Healthy,
     /// It is down: connections end at once.
     Down,
     /// A question takes ten times its work.
     Slow,
     /// It answers with the list as it was so many versions ago.
-    Old(u64),
+    Stale(u64),
 }
 
 /// An entry: host, its address, does it drain, Unix time of its start in milliseconds. `None`: it has gone.
-pub type Listed = Option<(SocketAddr, bool, u64)>;
+pub type ListEntry = Option<(SocketAddr, bool, u64)>;
 
 struct Shared {
-    mood: Mood,
+    state: ServiceState,
     work: Duration,
     /// What each version changed, from version 1 on, and when.
-    log: Vec<(Micros, Vec<(usize, Listed)>)>,
+    log: Vec<(Micros, Vec<(usize, ListEntry)>)>,
     waiting: VecDeque<Arc<Notify>>,
-    working: bool,
+    busy: bool,
     counts: Counts,
 }
 
@@ -44,13 +44,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// When each question came.
-    pub questions: Vec<Micros>,
+    pub polls: Vec<Micros>,
     /// Questions that waited in vain.
-    pub given_up: u32,
+    pub timed_out: u32,
     /// When the first answer went out.
     pub first_answer: Option<Micros>,
     /// For each version: when it was first told.
-    pub told: Vec<Option<Micros>>,
+    pub first_served_at: Vec<Option<Micros>>,
 }
 
 /// The service.
@@ -71,19 +71,19 @@
     ///
     /// # Errors
     /// If no port can be had.
-    pub async fn start(first: Vec<(usize, Listed)>, capacity: f64) -> Result<Service, String> {
+    pub async fn start(first: Vec<(usize, ListEntry)>, capacity: f64) -> Result<Service, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(|e| e.to_string())?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         let shared = Arc::new(Mutex::new(Shared {
-            mood: Mood::Well,
+            state: ServiceState::Healthy,
             work: Duration::from_secs_f64(1.0 / capacity),
             log: vec![(now(), first)],
             waiting: VecDeque::new(),
-            working: false,
+            busy: false,
             counts: Counts {
-                told: vec![None],
+                first_served_at: vec![None],
                 ..Counts::default()
             },
         }));
@@ -103,11 +103,11 @@
     }
 
     /// The list changes; tells which version this is.
-    pub fn change(&self, entries: Vec<(usize, Listed)>) -> u64 {
+    pub fn change(&self, entries: Vec<(usize, ListEntry)>) -> u64 {
         let version = {
             let mut shared = locked(&self.shared);
             shared.log.push((now(), entries));
-            shared.counts.told.push(None);
+            shared.counts.first_served_at.push(None);
             shared.log.len() as u64
         };
         self.version.send_replace(version);
@@ -115,8 +115,8 @@
     }
 
     /// From now on it fares like this.
-    pub fn mood(&self, mood: Mood) {
-        locked(&self.shared).mood = mood;
+    pub fn set_state(&self, state: ServiceState) {
+        locked(&self.shared).state = state;
         // Watches look at it.
         self.version.send_modify(|_| {});
     }
@@ -144,17 +144,17 @@
     mut version: watch::Receiver<u64>,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::new();
-    while let Some((head, _)) = message(&mut stream, &mut held).await {
+    let mut buffered = Vec::new();
+    while let Some((head, _)) = read_message(&mut stream, &mut buffered).await {
         let down = {
             let mut shared = locked(&shared);
-            shared.counts.questions.push(now());
-            shared.mood == Mood::Down
+            shared.counts.polls.push(now());
+            shared.state == ServiceState::Down
         };
         if down {
             return;
         }
-        if !turn(&shared).await {
+        if !wait_for_turn(&shared).await {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
             if send(&mut stream, busy).await.is_err() {
                 return;
@@ -175,27 +175,27 @@
 }
 
 /// Waits for this question's turn and its work; false if it took too long.
-async fn turn(shared: &Mutex<Shared>) -> bool {
-    let mine = {
+async fn wait_for_turn(shared: &Mutex<Shared>) -> bool {
+    let ticket = {
         let mut shared = locked(shared);
-        if std::mem::replace(&mut shared.working, true) {
-            let mine = Arc::new(Notify::new());
-            shared.waiting.push_back(Arc::clone(&mine));
-            Some(mine)
+        if std::mem::replace(&mut shared.busy, true) {
+            let ticket = Arc::new(Notify::new());
+            shared.waiting.push_back(Arc::clone(&ticket));
+            Some(ticket)
         } else {
             None
         }
     };
-    if let Some(mine) = mine {
-        if tokio::time::timeout(PATIENCE, mine.notified())
+    if let Some(ticket) = ticket {
+        if tokio::time::timeout(QUEUE_TIMEOUT, ticket.notified())
             .await
             .is_err()
         {
             let mut shared = locked(shared);
             let before = shared.waiting.len();
-            shared.waiting.retain(|other| !Arc::ptr_eq(other, &mine));
+            shared.waiting.retain(|other| !Arc::ptr_eq(other, &ticket));
             if shared.waiting.len() < before {
-                shared.counts.given_up += 1;
+                shared.counts.timed_out += 1;
                 return false;
             }
             // Its turn came at the same moment.
@@ -203,7 +203,7 @@
     }
     let work = {
         let shared = locked(shared);
-        if shared.mood == Mood::Slow {
+        if shared.state == ServiceState::Slow {
             shared.work * 10
         } else {
             shared.work
@@ -213,13 +213,13 @@
     let mut shared = locked(shared);
     match shared.waiting.pop_front() {
         Some(next) => next.notify_one(),
-        None => shared.working = false,
+        None => shared.busy = false,
     }
     true
 }
 
-fn entry((host, listed): &(usize, Listed)) -> String {
-    let (address, status, since) = match listed {
+fn entry((host, entry_state): &(usize, ListEntry)) -> String {
+    let (address, status, since) = match entry_state {
         Some((address, drains, since)) => (
             address.to_string(),
             if *drains { "draining" } else { "up" },
@@ -245,39 +245,39 @@
             .ok()
     };
     let (index, wait) = (number("index="), number("wait=").unwrap_or(0));
-    let told = |shared: &Shared| match shared.mood {
-        Mood::Old(by) => (shared.log.len() as u64).saturating_sub(by).max(1),
+    let visible_version = |shared: &Shared| match shared.state {
+        ServiceState::Stale(by) => (shared.log.len() as u64).saturating_sub(by).max(1),
         _ => shared.log.len() as u64,
     };
     if let Some(index) = index {
-        let news = version.wait_for(|_| {
+        let changed = version.wait_for(|_| {
             let shared = locked(shared);
-            told(&shared) != index || shared.mood == Mood::Down
+            visible_version(&shared) != index || shared.state == ServiceState::Down
         });
-        let _ = tokio::time::timeout(Duration::from_millis(wait), news).await;
+        let _ = tokio::time::timeout(Duration::from_millis(wait), changed).await;
     }
     let mut shared = locked(shared);
-    if shared.mood == Mood::Down {
+    if shared.state == ServiceState::Down {
         return None;
     }
-    let newest = told(&shared);
+    let newest = visible_version(&shared);
     let at = now();
     shared.counts.first_answer.get_or_insert(at);
-    shared.counts.told[newest as usize - 1].get_or_insert(at);
+    shared.counts.first_served_at[newest as usize - 1].get_or_insert(at);
     let known = index.filter(|i| *i <= newest);
     let mut entries = std::collections::BTreeMap::new();
     for (_, changes) in &shared.log[known.unwrap_or(0) as usize..newest as usize] {
         entries.extend(changes.iter().copied());
     }
-    let whole = known.is_none();
+    let snapshot = known.is_none();
     let entries: Vec<String> = entries
         .iter()
         .map(|(h, l)| (*h, *l))
-        .filter(|(_, l)| !whole || l.is_some())
+        .filter(|(_, l)| !snapshot || l.is_some())
         .map(|e| entry(&e))
         .collect();
     Some(format!(
-        r#"{{"index":{newest},"snapshot":{whole},"endpoints":[{}]}}"#,
+        r#"{{"index":{newest},"snapshot":{snapshot},"endpoints":[{}]}}"#,
         entries.join(",")
     ))
 }
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -1,8 +1,8 @@
 //! The trial of a fleet of many proxies: where its parts stand, what its notes are judged as, and its fits.
 
 use badgerramp_config_tool::fleet::Change;
+use badgerramp_fault_injection::checker::StartRecord;
 use badgerramp_fault_injection::clients::{Ended, Try};
-use badgerramp_fault_injection::judge::Line;
 use badgerramp_fault_injection::scale::across::Across;
 use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
 use badgerramp_fault_injection::scale::files::ControlTimes;
@@ -206,13 +206,13 @@
 }
 
 /// A call at a proxy under one generation, or between two.
-fn call(proxy: usize, at: Micros, old: u64, new: u64) -> Line {
+fn call(proxy: usize, at: Micros, old: u64, new: u64) -> StartRecord {
     let mode = Mode {
         revision: 0,
         old: Generation(old),
         new: Generation(new),
     };
-    Line {
+    StartRecord {
         at,
         proxy,
         mode,
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -5,7 +5,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use badgerramp_testkit::{Catalog, Listed};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -79,17 +79,17 @@
 async fn started(file: &Path) -> (Process, SocketAddr) {
     let arguments = vec!["run".to_owned(), file.display().to_string()];
     let (tells, mut hears) = watch::channel(None);
-    let mut process = Process::waiting(
-        Plan {
+    let mut process = Process::unstarted(
+        ProcessSpec {
             program: PROXY.into(),
             arguments,
-            keep: Vec::new(),
-            variables: Vec::new(),
+            debug_filter: Vec::new(),
+            environment: Vec::new(),
         },
         tells,
     );
-    process.again().expect("it starts");
-    process.listens().await.expect("it listens");
+    process.spawn().expect("it starts");
+    process.listen_address().await.expect("it listens");
     let hearing = *hears.wait_for(Option::is_some).await.expect("it runs");
     (process, hearing.expect("an address"))
 }
@@ -179,7 +179,7 @@
         assert!(text.contains(word), "{text}");
     }
     for (file, at, process) in &mut all {
-        if let Some(end) = process.ended().filter(|_| *at != seeds[0]) {
+        if let Some(end) = process.exit_report().filter(|_| *at != seeds[0]) {
             panic!("{file:?} ended: {end}");
         }
     }
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -5,7 +5,7 @@
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::sidecar;
 use badgerramp_fault_injection::now;
-use badgerramp_fault_injection::process::all_descriptors;
+use badgerramp_fault_injection::process::raise_descriptor_limit;
 use badgerramp_fault_injection::scale::hollow::{Admits, Event, Order};
 use badgerramp_policy::Admission;
 use std::cell::RefCell;
@@ -51,7 +51,7 @@
         eprintln!("badgerramp-sim: hollow proxies: no folder");
         return ExitCode::from(2);
     };
-    all_descriptors();
+    raise_descriptor_limit();
     match run(PathBuf::from(folder)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
--- a/crates/simulator/src/list_service.rs
+++ b/crates/simulator/src/list_service.rs
@@ -19,7 +19,7 @@
 }
 
 fn run(file: PathBuf) -> Result<(), String> {
-    badgerramp_fault_injection::process::all_descriptors();
+    badgerramp_fault_injection::process::raise_descriptor_limit();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/crates/simulator/src/trial.rs
+++ b/crates/simulator/src/trial.rs
@@ -2,11 +2,11 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_fault_injection::contender::Way;
-use badgerramp_fault_injection::course::{Course, Fault, Kind, KINDS};
-use badgerramp_fault_injection::policy::{play, Played, Programs, Size};
-use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::baseline::Distribution;
+use badgerramp_fault_injection::policy::{run as run_policy, Programs, RunReport, Size};
+use badgerramp_fault_injection::process::require_descriptors;
 use badgerramp_fault_injection::report;
+use badgerramp_fault_injection::schedule::{Fault, FaultSchedule, Kind, KINDS};
 use clap::{Args, Subcommand};
 use std::io::Write;
 use std::path::PathBuf;
@@ -55,7 +55,7 @@
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
     /// How the policy comes to the proxies: by control, or by another way, to be held against it.
-    #[arg(long, default_value = "control", value_parser = Way::NAMES)]
+    #[arg(long, default_value = "control", value_parser = Distribution::NAMES)]
     way: String,
     /// Courses that run beside each other.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=64))]
@@ -72,7 +72,11 @@
 }
 
 fn kind(name: &str) -> Result<Only<Kind>, String> {
-    Only::read(name, Kind::named(name), KINDS.into_iter().map(Kind::name))
+    Only::read(
+        name,
+        Kind::from_name(name),
+        KINDS.into_iter().map(Kind::name),
+    )
 }
 
 /// Runs a trial. True if all held.
@@ -129,12 +133,12 @@
         },
         rate: terms.rate.clamp(1.0, 5_000.0),
         publishes: count(terms.publishes),
-        mixed_terms: !matches!(terms.only, Some(Only::Nothing)) && !terms.one,
-        way: Way::named(&terms.way).unwrap_or(Way::Control),
+        mixed_on_lease_loss: !matches!(terms.only, Some(Only::Nothing)) && !terms.one,
+        distribution: Distribution::from_name(&terms.way).unwrap_or(Distribution::Control),
     };
     // Each proxy has a listener for each replica, and two connections through one of them, both ends of which are here.
     let each = size.proxies * (size.replicas + 6) + 32 * size.replicas + 200;
-    want_descriptors(each as u64 * terms.at_once)?;
+    require_descriptors(each as u64 * terms.at_once)?;
     let mut json = match &terms.json {
         Some(path) => {
             Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
@@ -143,11 +147,11 @@
     };
     let mut seeds = terms.seed..terms.seed.saturating_add(terms.courses);
     let mut running = tokio::task::JoinSet::new();
-    let (mut all, mut failed): (Vec<Played>, Option<String>) = (Vec::new(), None);
+    let (mut all, mut failed): (Vec<RunReport>, Option<String>) = (Vec::new(), None);
     loop {
         while running.len() < count(terms.at_once) && failed.is_none() {
             let Some(seed) = seeds.next() else { break };
-            let mut course = Course::draw(
+            let mut course = FaultSchedule::draw(
                 seed,
                 // The same courses for all ways.
                 (size.proxies, terms.replicas.parse().unwrap_or(3)),
@@ -160,7 +164,7 @@
                     let until = Duration::from_secs(6 * terms.publishes);
                     course.faults = vec![Fault {
                         kind,
-                        whom: 0,
+                        target: 0,
                         from: Duration::ZERO,
                         until,
                     }];
@@ -168,7 +172,7 @@
                 _ => {}
             }
             let (programs, keep) = (Arc::clone(&programs), terms.keep);
-            running.spawn(async move { (seed, play(&programs, size, &course, keep).await) });
+            running.spawn(async move { (seed, run_policy(&programs, size, &course, keep).await) });
         }
         let Some(done) = running.join_next().await else {
             break;
@@ -209,6 +213,6 @@
     }
     match failed {
         Some(fault) => Err(fault),
-        None => Ok(all.iter().all(Played::held)),
+        None => Ok(all.iter().all(RunReport::held)),
     }
 }
--- a/crates/simulator/src/trial_drains.rs
+++ b/crates/simulator/src/trial_drains.rs
@@ -2,8 +2,10 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_fault_injection::drains::{play as play_drains, Course, Kind, Played, Size, KINDS};
-use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::drains::{
+    run as run_drains, FaultSchedule, Kind, RunReport, Size, KINDS,
+};
+use badgerramp_fault_injection::process::require_descriptors;
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
@@ -42,7 +44,11 @@
 }
 
 fn kind(name: &str) -> Result<Only<Kind>, String> {
-    Only::read(name, Kind::named(name), KINDS.into_iter().map(Kind::name))
+    Only::read(
+        name,
+        Kind::from_name(name),
+        KINDS.into_iter().map(Kind::name),
+    )
 }
 
 /// Runs the trial. True if all held.
@@ -71,7 +77,7 @@
     };
     // A log, two doors, four ends of watches, and ends of connections of clients and hosts.
     let each = size.proxies * 16 + size.hosts * (1 + size.proxies.min(64)) + 200;
-    want_descriptors(each as u64 * terms.at_once)?;
+    require_descriptors(each as u64 * terms.at_once)?;
     let mut json = match &terms.json {
         Some(path) => {
             Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
@@ -83,12 +89,13 @@
     loop {
         while running.len() < count(terms.at_once) {
             let Some(seed) = seeds.next() else { break };
-            let mut course = Course::draw(seed, (size.proxies, size.hosts), Only::kind(terms.only));
+            let mut course =
+                FaultSchedule::draw(seed, (size.proxies, size.hosts), Only::kind(terms.only));
             if matches!(terms.only, Some(Only::Nothing)) {
                 course.faults.clear();
             }
             let program = Arc::clone(&program);
-            running.spawn(async move { (seed, play_drains(&program, size, &course).await) });
+            running.spawn(async move { (seed, run_drains(&program, size, &course).await) });
         }
         let Some(done) = running.join_next().await else {
             break;
@@ -104,7 +111,7 @@
         all.push(played);
     }
     let held = all.iter().filter(|p| p.held()).count();
-    let sum = |of: fn(&Played) -> usize| all.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&RunReport) -> usize| all.iter().map(of).sum::<usize>();
     println!(
         "{held} of {} held; {} calls, {} late at a host that leaves, {} for clients that had left, {} lost, {} run twice, \
          {} questions",
@@ -119,8 +126,8 @@
     Ok(held == all.len())
 }
 
-fn show(played: &Played, terms: &Drains) {
-    let (course, verdict) = (&played.course, &played.verdict);
+fn show(played: &RunReport, terms: &Drains) {
+    let (course, verdict) = (&played.schedule, &played.verdict);
     let faults: Vec<String> = course.faults.iter().map(|f| f.0.name()).collect();
     println!(
         "course {}: {}; lists {}, {}; {} calls, last one at a host that leaves {} ms after its drain, {} questions",
--- a/crates/simulator/src/trial_scale.rs
+++ b/crates/simulator/src/trial_scale.rs
@@ -2,7 +2,7 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_fault_injection::process::want_descriptors;
+use badgerramp_fault_injection::process::require_descriptors;
 use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
 use badgerramp_fault_injection::scale::files::ControlTimes;
 use badgerramp_fault_injection::scale::layout::Size;
@@ -184,7 +184,7 @@
     for &proxies in &terms.proxies {
         let size = terms.size(proxies)?;
         // Ways in, both ends of three connections each, a host's listener.
-        want_descriptors(proxies * 10 + 1_000)?;
+        require_descriptors(proxies * 10 + 1_000)?;
         for number in 0..count(terms.courses) {
             let seed = terms.seed.saturating_add(number as u64);
             let fault = terms.fault(number);
--- a/crates/simulator/src/trial_start.rs
+++ b/crates/simulator/src/trial_start.rs
@@ -2,10 +2,10 @@
 
 use crate::only::Only;
 use crate::play;
-use badgerramp_fault_injection::process::want_descriptors;
-use badgerramp_fault_injection::start::cold;
-use badgerramp_fault_injection::start::course::{Course, Kind, KINDS};
-use badgerramp_fault_injection::start::{play as play_start, report, Played, Size, Way};
+use badgerramp_fault_injection::process::require_descriptors;
+use badgerramp_fault_injection::start::cold_hosts;
+use badgerramp_fault_injection::start::schedule::{FaultSchedule, Kind, KINDS};
+use badgerramp_fault_injection::start::{report, run as run_start, ListSource, RunReport, Size};
 use badgerramp_gossip::polling::Mechanism;
 use badgerramp_gossip::simulation::{random_config, simulate, SimConfig};
 use clap::Args;
@@ -28,7 +28,7 @@
     capacity: f64,
     /// How a proxy comes to its list: asks at once, takes its turn ([list]), hears it from peers ([peers]). Several,
     /// with commas, are played one after the other with the same seed.
-    #[arg(long, default_value = "peers", value_delimiter = ',', value_parser = Way::NAMES)]
+    #[arg(long, default_value = "peers", value_delimiter = ',', value_parser = ListSource::NAMES)]
     way: Vec<String>,
     /// Courses; the first is drawn from --seed, the others from those that follow it.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=100_000))]
@@ -76,35 +76,39 @@
 }
 
 fn only(name: &str) -> Result<Only<Kind>, String> {
-    Only::read(name, Kind::named(name), KINDS.into_iter().map(Kind::name))
+    Only::read(
+        name,
+        Kind::from_name(name),
+        KINDS.into_iter().map(Kind::name),
+    )
 }
 
 impl ColdStart {
-    fn size(&self, way: Way) -> Size {
+    fn size(&self, way: ListSource) -> Size {
         let count = |n: u64| usize::try_from(n).unwrap_or(usize::MAX);
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 10_000.0) / 1e3);
-        let host = cold::Kind {
+        let host = cold_hosts::HostModel {
             work: ms(self.work_ms[0].max(0.1)),
             handshake: ms(self.work_ms[1]),
             cold_share: self.cold[0].clamp(0.01, 1.0),
             cold_time: Duration::from_secs_f64(self.cold[1].clamp(0.1, 600.0)),
             fall_multiple: 3.0,
-            waiting: Duration::from_millis(700),
+            max_wait: Duration::from_millis(700),
         };
         Size {
             proxies: count(self.proxies),
             hosts: count(self.hosts),
             capacity: self.capacity.clamp(0.1, 1e5),
-            way,
-            within: Duration::from_millis(self.within_ms),
-            lasts: Duration::from_secs(self.seconds),
+            list_source: way,
+            start_window: Duration::from_millis(self.within_ms),
+            load_duration: Duration::from_secs(self.seconds),
             host,
             subset: count(self.subset),
         }
     }
 
     /// The command that plays one course again.
-    fn again(&self, played: &Played) -> String {
+    fn again(&self, played: &RunReport) -> String {
         let only = Only::option(self.only, Kind::name);
         format!(
             "badgerramp-sim fault-test cold-start --seed {} --proxies {} --hosts {} --capacity {} --way {}{only}",
@@ -112,12 +116,12 @@
             self.proxies,
             self.hosts,
             self.capacity,
-            format!("{:?}", played.way).to_lowercase()
+            format!("{:?}", played.list_source).to_lowercase()
         )
     }
 
-    fn course(&self, seed: u64) -> Course {
-        let mut course = Course::draw(seed, Only::kind(self.only));
+    fn course(&self, seed: u64) -> FaultSchedule {
+        let mut course = FaultSchedule::draw(seed, Only::kind(self.only));
         if matches!(self.only, Some(Only::Nothing)) {
             course.faults.clear();
         }
@@ -221,22 +225,22 @@
         terms.hosts
     };
     let each = terms.proxies * (8 + held.min(24)) + 4 * terms.hosts + 1_000;
-    want_descriptors(each * terms.at_once)?;
+    require_descriptors(each * terms.at_once)?;
     let mut json = match &terms.json {
         Some(path) => {
             Some(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
         }
         None => None,
     };
-    let ways: Vec<Way> = terms
+    let ways: Vec<ListSource> = terms
         .way
         .iter()
-        .filter_map(|name| Way::named(name))
+        .filter_map(|name| ListSource::from_name(name))
         .collect();
     let seeds = terms.seed..terms.seed.saturating_add(terms.courses);
     let mut plays = seeds.flat_map(|seed| ways.iter().map(move |way| (seed, *way)));
     let mut running = tokio::task::JoinSet::new();
-    let (mut all, mut failed): (Vec<Played>, Option<String>) = (Vec::new(), None);
+    let (mut all, mut failed): (Vec<RunReport>, Option<String>) = (Vec::new(), None);
     loop {
         while running.len() < terms.at_once as usize && failed.is_none() {
             let Some((seed, way)) = plays.next() else {
@@ -244,7 +248,7 @@
             };
             let (course, size) = (terms.course(seed), terms.size(way));
             let (programs, keep) = (Arc::clone(&programs), terms.keep);
-            running.spawn(async move { (seed, play_start(&programs, size, &course, keep).await) });
+            running.spawn(async move { (seed, run_start(&programs, size, &course, keep).await) });
         }
         let Some(done) = running.join_next().await else {
             break;
@@ -258,7 +262,7 @@
                 }
                 println!(
                     "course {seed} ({:?}): {}; listed {:?} ms, {} questions, goodput {:.3}",
-                    played.way,
+                    played.list_source,
                     if played.held() { "held" } else { "BROKE" },
                     played.listed_ms,
                     played.questions,
@@ -282,6 +286,6 @@
     }
     match failed {
         Some(fault) => Err(fault),
-        None => Ok(all.iter().all(Played::held)),
+        None => Ok(all.iter().all(RunReport::held)),
     }
 }
