--- a/crates/fault-injection/src/baseline.rs
+++ b/crates/fault-injection/src/baseline.rs
@@ -1,5 +1,6 @@
-//! Other ways to bring a policy to a fleet, under the same faults: files that are pushed and a signal, two phases, a spread
-//! in its own time. No control, no leases: a proxy goes by the file that it read last.
+//! Ways to distribute a policy without the control plane, tested under the same faults: configuration files pushed with
+//! a signal, two-phase distribution, and gradual distribution. There are no leases; each proxy uses the file that it
+//! read last.
 
 use crate::checker::StartRecord;
 use crate::clients::{Ended, Try};
@@ -7,24 +8,26 @@
 use badgerramp_policy::{Generation, Micros, Mode};
 use std::time::Duration;
 
-/// How a policy comes to the fleet.
+/// How a policy is distributed to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distribution {
-    /// By control: everywhere or nowhere.
+    /// By the control plane: the policy is in force everywhere or nowhere.
     Control,
-    /// The file of each proxy is written and it gets a signal; one that can't be reached is tried again for a while.
+    /// The file of each proxy is replaced and the proxy gets a SIGHUP; an unreachable proxy is retried for
+    /// [`RETRY_DURATION`].
     Files,
-    /// First all must be there, then all are told; one that is lost in between is told when it is back.
+    /// All proxies must be reachable before the file of any is replaced; one that becomes unreachable in between gets
+    /// its file when it is reachable again.
     TwoPhase,
-    /// Each proxy fetches it in its own time, when it can.
+    /// Each proxy gets the file at its own time, when it is reachable.
     Spread,
 }
 
 impl Distribution {
-    /// Its name.
+    /// The command-line names of all variants, in order.
     pub const NAMES: [&'static str; 4] = ["control", "files", "two-phase", "spread"];
 
-    /// The way of this name.
+    /// The variant with this command-line name.
     pub fn from_name(name: &str) -> Option<Self> {
         let all = [
             Distribution::Control,
@@ -39,20 +42,20 @@
     }
 }
 
-/// How long the pusher tries to reach one that it can't, and a spread takes when all is well.
+/// How long an unreachable proxy is retried, and how long gradual distribution takes without faults.
 pub const RETRY_DURATION: Duration = Duration::from_secs(2);
 
-/// A file that was written: when, for which proxy, of which generation.
+/// A configuration file that was written: the time, the proxy and the generation.
 pub type WrittenFile = (Micros, usize, u64);
 
-/// The calls that began, where no proxy tells its generation: a proxy goes by the file that it had last read when a try
-/// came that was not refused.
+/// Derives the calls that started, and under which generation, for proxies that do not log their generation: an attempt
+/// that was not rejected ran under the file that the proxy had last read.
 pub fn started_calls(
     attempts: &[Try],
     logs: &[Vec<LogLine>],
     written: &[WrittenFile],
 ) -> Vec<StartRecord> {
-    let read = |proxy: usize| -> Vec<(Micros, u64)> {
+    let files_read = |proxy: usize| -> Vec<(Micros, u64)> {
         let reads = |line: &&LogLine| {
             line.1.contains("listening on") || line.1.contains("the new configuration holds")
         };
@@ -69,14 +72,14 @@
             .map(|(at, _)| (*at, generation_at(*at)))
             .collect()
     };
-    let read: Vec<_> = (0..logs.len()).map(read).collect();
+    let read_by_proxy: Vec<_> = (0..logs.len()).map(files_read).collect();
     let answered = |t: &&Try| matches!(t.ended, Ended::Status(status) if status != 503);
     let line = |t: &Try| {
-        let held = read[t.proxy]
+        let file = read_by_proxy[t.proxy]
             .iter()
             .take_while(|(at, _)| *at <= t.from)
             .last()?;
-        let mode = Mode::stable(0, Generation(held.1));
+        let mode = Mode::stable(0, Generation(file.1));
         Some(StartRecord {
             at: t.from,
             proxy: t.proxy,
@@ -93,7 +96,7 @@
     use super::*;
 
     #[test]
-    fn a_call_is_of_the_file_that_was_read_last() {
+    fn a_call_runs_under_the_file_that_the_proxy_read_last() {
         let line = |at, text: &str| (at, text.to_owned());
         let logs = vec![vec![
             line(1, "listening on x"),
@@ -114,10 +117,10 @@
             call(50, 200),
             call(60, 503),
         ];
-        let held: Vec<u64> = started_calls(&attempts, &logs, &written)
+        let generations: Vec<u64> = started_calls(&attempts, &logs, &written)
             .iter()
             .map(|l| l.mode.new.0)
             .collect();
-        assert_eq!(held, [1, 1, 2, 2]);
+        assert_eq!(generations, [1, 1, 2, 2]);
     }
 }
--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -1,4 +1,5 @@
-//! What broke, judged from what the processes and the hosts did, in the order of the one clock.
+//! Invariant checker of policy runs. It reads the records of publishers, proxies, clients and hosts, ordered by one
+//! clock, and returns a verdict.
 
 use crate::clients::{Ended, Try};
 use badgerramp_policy::{
@@ -7,38 +8,38 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// What a publisher heard, and when.
+/// The outcome of a publish, as its publisher saw it.
 #[derive(Clone, Debug, Serialize)]
 pub struct PublishRecord {
-    /// The change.
+    /// Generation of the change.
     pub generation: u64,
-    /// When.
+    /// When the publisher got the outcome.
     pub at: Micros,
-    /// In force, or not and never.
+    /// Whether the change is in force; otherwise it never was and never will be.
     pub in_force: bool,
-    /// From the first question to its end.
+    /// Time from the request to its outcome.
     pub took_ms: u64,
-    /// Why not.
+    /// Why the change is not in force.
     pub why: String,
 }
 
-/// A call that began, out of a proxy's log.
+/// The start of a call, as logged by a proxy.
 #[derive(Clone, Debug)]
 pub struct StartRecord {
-    /// When.
+    /// When the call started.
     pub at: Micros,
-    /// Where.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Under what.
+    /// The mode under which the call started.
     pub mode: Mode,
-    /// Under the floor alone, which all policies have alike while it may be acted under.
+    /// Whether the call started under the fallback policy, which all policies have in common while it may be used.
     pub floor: bool,
-    /// Its request's id.
+    /// The request id of the call.
     pub request: String,
 }
 
 impl StartRecord {
-    /// Reads a line of a log; `None` if it tells of something else.
+    /// Parses a log line; `None` if the line does not record the start of a call.
     pub fn parse(proxy: usize, line: &str) -> Option<StartRecord> {
         if !line.contains("badgerramp::begun") {
             return None;
@@ -60,33 +61,34 @@
     }
 }
 
-/// What broke in a course, and its sums.
+/// The violations found in a run, and its totals.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Tries at proxies.
+    /// Attempts of clients at proxies.
     pub calls: usize,
-    /// Calls that began.
+    /// Calls that started.
     pub begun: usize,
-    /// P1: calls that began under what was past.
+    /// Invariant P1: calls that started under a generation older than one under which a call had already started.
     pub begun_mixed: usize,
-    /// From the first call under a generation to the last under an older one, in milliseconds: the longest.
+    /// Longest time between the first call under a generation and the last call under an older one, in milliseconds.
     pub mixed_ms: u64,
-    /// P2: calls that began under what was not in force, or no more.
+    /// Invariant P2: calls that started under a generation that was not in force, or no longer.
     pub begun_wrong: usize,
-    /// Keys executed more than once.
+    /// Idempotency keys that were executed more than once.
     pub executed_twice: usize,
-    /// Tries at a proxy that was well and gave no answer.
+    /// Attempts that got no answer from a healthy proxy.
     pub lost: usize,
-    /// Refusals.
+    /// Attempts that were rejected.
     pub refused: usize,
-    /// Refusals of proxies that were well, beside control that was: they are the change's.
+    /// Attempts rejected while both the proxy and the control plane were healthy. Only the policy change can have
+    /// caused these.
     pub refused_well: usize,
-    /// What broke first, in words.
+    /// Description of the first violation.
     pub first: Option<String>,
 }
 
 impl Verdict {
-    /// Adds what another part of the fleet came to.
+    /// Adds the verdict on another part of the fleet.
     pub fn add(&mut self, other: Verdict) {
         self.calls += other.calls;
         self.begun += other.begun;
@@ -100,13 +102,14 @@
         self.first = self.first.take().or(other.first);
     }
 
-    /// Did all hold?
+    /// Whether no invariant was violated.
     pub fn held(&self) -> bool {
         self.begun_mixed + self.begun_wrong + self.executed_twice + self.lost == 0
     }
 }
 
-/// Judges a course. `well` tells whether a proxy was well all through a span, `calm` whether control was too.
+/// Checks one run. `proxy_healthy` tells whether a proxy was healthy during a whole time span, `all_healthy` whether
+/// its connection to the control plane and the control plane were, too.
 pub fn check(
     mut begun: Vec<StartRecord>,
     heard: &[PublishRecord],
@@ -121,7 +124,7 @@
         ..Verdict::default()
     };
     let mut first = None;
-    // What falls on one microsecond has no order: the older first.
+    // Calls of the same microsecond have no order. The older mode is taken first, which is not a violation.
     begun.sort_by_key(|line| (line.at, line.mode.old, line.mode.new));
     let mut checker = InvariantChecker::default();
     let mut committed: Vec<&PublishRecord> = heard.iter().filter(|h| h.in_force).collect();
@@ -165,7 +168,7 @@
         if count > 0 {
             first.get_or_insert_with(|| {
                 format!(
-                    "{count} began under {}, which never was in force",
+                    "{count} calls started under generation {}, which never was in force",
                     heard.generation
                 )
             });
@@ -173,13 +176,13 @@
     }
     for (key, count) in executed.iter().filter(|(_, &count)| count > 1) {
         verdict.executed_twice += 1;
-        first.get_or_insert_with(|| format!("{key} was executed {count} times"));
+        first.get_or_insert_with(|| format!("idempotency key {key} was executed {count} times"));
     }
     for attempt in attempts {
         let unanswered = matches!(attempt.ended, Ended::Silence | Ended::Cut | Ended::Nobody);
         if unanswered && proxy_healthy(attempt.proxy, attempt.from, attempt.until) {
             verdict.lost += 1;
-            first.get_or_insert_with(|| format!("{attempt:?}: no answer of a proxy that was well"));
+            first.get_or_insert_with(|| format!("{attempt:?}: no answer from a healthy proxy"));
         }
         if attempt.ended == Ended::Status(503) {
             verdict.refused += 1;
@@ -200,7 +203,7 @@
             "{{\"level\":\"DEBUG\",\"message\":\"begun\",\"at\":{at},\"old\":{old},\"new\":{new},\
              \"floor\":false,\"request\":\"r\",\"target\":\"badgerramp::begun\"}}"
         );
-        StartRecord::parse(0, &text).expect("a line")
+        StartRecord::parse(0, &text).expect("a start record")
     }
 
     fn verdict(begun: Vec<StartRecord>, heard: &[PublishRecord]) -> Verdict {
@@ -215,13 +218,13 @@
     }
 
     #[test]
-    fn each_break_is_seen() {
+    fn each_violation_is_counted() {
         let good = vec![line(5, 1, 2), line(1, 1, 1), line(9, 2, 2), line(7, 1, 1)];
         assert!(verdict(good.clone(), &[]).held());
         let mut mixed = good.clone();
         mixed.push(line(4_009, 1, 1));
-        let judged = verdict(mixed, &[]);
-        assert_eq!((judged.begun_mixed, judged.mixed_ms), (1, 4));
+        let checked = verdict(mixed, &[]);
+        assert_eq!((checked.begun_mixed, checked.mixed_ms), (1, 4));
         let heard = |generation, at, in_force| PublishRecord {
             generation,
             at,
@@ -239,7 +242,7 @@
             until: 2,
             ended: Ended::Silence,
         };
-        let judged = check(
+        let checked = check(
             Vec::new(),
             &[],
             &[unanswered],
@@ -247,7 +250,7 @@
             |_, _, _| true,
             |_, _, _| true,
         );
-        assert_eq!((judged.executed_twice, judged.lost), (1, 1));
-        assert!(!judged.held());
+        assert_eq!((checked.executed_twice, checked.lost), (1, 1));
+        assert!(!checked.held());
     }
 }
--- a/crates/fault-injection/src/clients.rs
+++ b/crates/fault-injection/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that call through the proxies, and try again at another one when they are refused or find nobody.
+//! Clients that send calls through the proxies, and retry at another proxy when a call is rejected or the connection is
+//! refused.
 
 use crate::link::{header_value, read_message, send};
 use crate::now;
@@ -11,45 +12,45 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The client's time: the proxy answers within it.
+/// The deadline that clients send with a call (`X-Timeout`).
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An answer that has not come by then has not come in its time, on a machine that is busy with a trial.
+/// How long a client waits for an answer. Longer than the deadline, because a machine that runs a whole fleet is busy.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 const MAX_ATTEMPTS: usize = 4;
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What became of one try at one proxy.
+/// How one attempt at one proxy ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// With this status.
+    /// The proxy answered with this status.
     Status(u16),
-    /// Nobody took the connection.
+    /// The connection was refused.
     Nobody,
-    /// The connection ended without an answer.
+    /// The connection was closed without a valid answer.
     Cut,
-    /// No answer came.
+    /// No answer arrived in time.
     Silence,
 }
 
-/// One try.
+/// One attempt of a call.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// What the call is known by.
+    /// Idempotency key and request id of the call.
     pub key: String,
-    /// The place of the proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// When it began, and ended.
+    /// When the attempt began.
     pub from: Micros,
-    /// ...
+    /// When the attempt ended.
     pub until: Micros,
-    /// How.
+    /// How the attempt ended.
     pub ended: Ended,
 }
 
-/// Where the proxies listen now.
+/// Current listen addresses of the proxies, by index.
 pub type Addresses = Arc<RwLock<Vec<SocketAddr>>>;
 
-/// Calls at `rate` a second until `stop` says true, then waits for those that are out.
+/// Sends `rate` calls per second until `stop` is true, then waits for the calls in flight. Returns all attempts.
 pub async fn run(
     proxies: Addresses,
     (paths, rate): (&'static [&'static str], f64),
@@ -88,7 +89,7 @@
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(attempt);
-                // Elsewhere only what provably never ran.
+                // Only a call that certainly has not run is retried at another proxy.
                 if !matches!(ended, Ended::Status(503) | Ended::Nobody) {
                     return;
                 }
@@ -102,7 +103,7 @@
     std::mem::take(&mut *attempts)
 }
 
-/// What a call looks like.
+/// The HTTP request of a call.
 fn request(path: &str, key: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: x\r\nX-Timeout: {}m\r\nX-Request-ID: {key}\r\nIdempotency-Key: {key}\r\n\
@@ -111,7 +112,8 @@
     )
 }
 
-/// Calls and leaves without waiting for the answer, some with more bytes behind the request.
+/// Sends a call and closes the connection without waiting for the answer; with `trailing_bytes` after sending the
+/// beginning of another request.
 pub(crate) async fn call_and_disconnect(
     address: SocketAddr,
     path: &str,
@@ -121,7 +123,7 @@
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return;
     };
-    // Whether the proxy takes it is all the same.
+    // It does not matter whether the proxy accepts the call.
     let _ = send(&mut stream, request(path, key).as_bytes()).await;
     if trailing_bytes {
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -129,7 +131,7 @@
     }
 }
 
-/// Calls once; with what the proxy says of coming back.
+/// Makes one attempt. Also returns the `Retry-After` of the answer, if it has one.
 pub(crate) async fn call_once(
     address: SocketAddr,
     path: &str,
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -1,4 +1,5 @@
-//! The way of datagrams between two processes: some are lost, doubled or late, by draws from a seed.
+//! A fault-injecting UDP link between two processes. Datagrams are lost, duplicated or delayed according to a seeded
+//! random number generator.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,36 +13,36 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// How one direction passes datagrams on.
+/// What one direction of a link does to datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Impairment {
-    /// None goes through.
+    /// All datagrams are lost.
     pub cut: bool,
-    /// Share of those that are lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// Share of those that come twice.
+    /// Share of datagrams that are delivered twice.
     pub duplication: f64,
-    /// Each is late by a time up to this, so that they overtake each other.
+    /// Each copy is delayed by a random time up to this one, so that datagrams are reordered.
     pub max_delay: Duration,
 }
 
-/// Both directions.
+/// What a link does to datagrams in both directions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// From whom sends first.
+    /// From the senders to the target.
     pub forward: Impairment,
-    /// To whom sent first.
+    /// From the target to the sender.
     pub backward: Impairment,
-    /// Nothing goes forth from these.
+    /// Datagrams from these addresses are not forwarded to the target.
     pub blocked_sources: Arc<HashSet<SocketAddr>>,
 }
 
-/// What came to a link on its way forth, whatever became of it.
+/// Datagrams that senders sent to a link, whether or not they were forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Bytes of the datagrams, without what the network adds.
+    /// Payload bytes, without the overhead of the network protocols.
     pub bytes: u64,
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
 }
 
@@ -51,24 +52,25 @@
     datagrams: AtomicU64,
 }
 
-/// A link for datagrams to one target, wherever that is at the moment; answers go to whom it last heard from. It ends
-/// with its owner.
+/// A fault-injecting UDP link to the current address of one target. Replies go to the address that sent the last
+/// datagram. Dropping the link closes it.
 pub struct DatagramLink {
-    /// Where it hears.
+    /// The address the link receives on.
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
     counters: Arc<Counters>,
     tasks: [AbortHandle; 2],
 }
 
-/// Longest datagram.
+/// Largest possible UDP datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 impl DatagramLink {
-    /// A link to `target`, with draws of this seed.
+    /// Creates a link to the current address in `target`; `seed` determines which datagrams are lost, duplicated and
+    /// delayed.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn to(
         target: watch::Receiver<Option<SocketAddr>>,
         seed: u64,
@@ -90,7 +92,7 @@
                 let (mut buffer, mut rng) =
                     (vec![0; MAX_DATAGRAM_BYTES], Pcg32::seed_from_u64(seed));
                 loop {
-                    // An error tells of an earlier datagram that found nobody.
+                    // The error belongs to an earlier datagram whose destination was unreachable.
                     let Ok((count, from)) = inbound.recv_from(&mut buffer).await else {
                         continue;
                     };
@@ -148,12 +150,12 @@
         })
     }
 
-    /// Changes how it passes datagrams on.
+    /// Changes the state of the link.
     pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
-    /// What came to it so far on its way forth.
+    /// What senders sent to the link so far.
     pub fn received(&self) -> Received {
         let Counters { bytes, datagrams } = &*self.counters;
         Received {
@@ -169,9 +171,10 @@
     }
 }
 
-/// When each copy of one datagram goes on; none: it is lost.
+/// The delay of each copy of one datagram that is to be delivered; empty if the datagram is lost.
 fn copy_delays(impairment: Impairment, rng: &mut Pcg32) -> Vec<Duration> {
-    // As many draws whatever comes of them: one datagram's lot does not move the next one's.
+    // The number of draws does not depend on their results, so that the fate of one datagram does not change that of
+    // the next.
     let (lost, duplicated) = (
         rng.gen_bool(impairment.loss.clamp(0.0, 1.0)),
         rng.gen_bool(impairment.duplication.clamp(0.0, 1.0)),
@@ -192,7 +195,7 @@
 
     async fn echo() -> SocketAddr {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-        let address = socket.local_addr().expect("its address");
+        let address = socket.local_addr().expect("a local address");
         tokio::spawn(async move {
             let mut buffer = [0; 64];
             while let Ok((count, from)) = socket.recv_from(&mut buffer).await {
@@ -203,35 +206,51 @@
     }
 
     #[tokio::test]
-    async fn each_direction_has_its_own_lot() {
+    async fn directions_are_impaired_independently() {
         let link = DatagramLink::to(watch::channel(Some(echo().await)).1, 1)
             .await
             .expect("a link");
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-        socket.connect(link.address).await.expect("it hears");
+        socket
+            .connect(link.address)
+            .await
+            .expect("the socket connects to the link");
         let mut buffer = [0; 64];
-        socket.send(b"a").await.expect("sent");
-        assert_eq!(socket.recv(&mut buffer).await.expect("echoed"), 1);
-        // Doubled forth and back: four.
+        socket.send(b"a").await.expect("the datagram is sent");
+        assert_eq!(
+            socket
+                .recv(&mut buffer)
+                .await
+                .expect("the datagram is echoed"),
+            1
+        );
+        // Duplicated in both directions, one datagram yields four replies.
         link.set(|s| (s.forward.duplication, s.backward.duplication) = (1.0, 1.0));
-        socket.send(b"b").await.expect("sent");
+        socket.send(b"b").await.expect("the datagram is sent");
         for _ in 0..4 {
-            socket.recv(&mut buffer).await.expect("echoed");
+            socket
+                .recv(&mut buffer)
+                .await
+                .expect("the datagram is echoed");
             assert_eq!(buffer[0], b'b');
         }
-        // It hears and is not heard; what was lost does not come later.
+        // With the forward direction cut the datagram is lost; it is not delivered later.
         link.set(|s| {
             s.forward = Impairment {
                 cut: true,
                 ..Impairment::default()
             }
         });
-        socket.send(b"c").await.expect("sent");
+        socket.send(b"c").await.expect("the datagram is sent");
         link.set(|s| *s = LinkState::default());
         loop {
-            // What was sent in the cut may be read by the link after the cut is mended: it is sent again until it comes.
-            socket.send(b"d").await.expect("sent");
-            socket.recv(&mut buffer).await.expect("echoed");
+            // The link may read a datagram only after the cut has ended, so the next one is sent until its reply
+            // arrives.
+            socket.send(b"d").await.expect("the datagram is sent");
+            socket
+                .recv(&mut buffer)
+                .await
+                .expect("the datagram is echoed");
             if buffer[0] == b'd' {
                 break;
             }
@@ -239,7 +258,7 @@
     }
 
     #[test]
-    fn lots_are_drawn_by_seed() {
+    fn impairments_are_determined_by_the_seed() {
         let impairment = Impairment {
             cut: false,
             loss: 0.3,
--- a/crates/fault-injection/src/hosts.rs
+++ b/crates/fault-injection/src/hosts.rs
@@ -1,5 +1,6 @@
-//! Hosts behind the proxies, which count what they execute. Those of one group drop repeats of a key for a window, as
-//! long as they are told to: a host of the next release may do it no more.
+//! Hosts behind the proxies, which count the requests they execute. All hosts are one dedup scope: they drop a repeated
+//! idempotency key within a window. Deduplication can be switched off per path, as a new release of a service may no
+//! longer support it.
 
 use crate::link::{header_value, read_message, send};
 use crate::now;
@@ -13,9 +14,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// How long a key is remembered.
+/// How long an idempotency key is remembered.
 const DEDUP_WINDOW: Duration = Duration::from_millis(2_500);
-/// Work of a request.
+/// How long a host works on a request.
 const REQUEST_DURATION: Duration = Duration::from_millis(5);
 
 struct Shared {
@@ -27,20 +28,20 @@
     answer_loss: f64,
 }
 
-/// A request that came to a host.
+/// A request received by a host.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it had come whole.
+    /// When the request had been received completely.
     pub at: Micros,
-    /// Place of the host.
+    /// Index of the host.
     pub host: usize,
     /// Its `X-Request-ID`.
     pub request: String,
 }
 
-/// All hosts.
+/// All hosts of a run.
 pub struct Hosts {
-    /// Where each listens.
+    /// Listen address of each host.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     listeners: Vec<AbortHandle>,
@@ -51,11 +52,11 @@
 }
 
 impl Hosts {
-    /// So many of one group. This share of their answers to `POST` is lost after the request ran: the connection ends.
-    /// They drop repeats of the paths in `drops`.
+    /// Starts `count` hosts that deduplicate requests to the paths in `dedup_paths`. For the share `answer_loss` of the
+    /// `POST` requests the connection is closed after the request was executed, without an answer.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn start(
         count: usize,
         answer_loss: f64,
@@ -91,7 +92,7 @@
         })
     }
 
-    /// From now on they drop repeats of this path, or no more.
+    /// Switches deduplication of requests to this path on or off.
     pub fn set_dedup(&self, path: &str, enabled: bool) {
         let mut shared = locked(&self.shared);
         if enabled {
@@ -101,12 +102,12 @@
         }
     }
 
-    /// What came, in order.
+    /// The requests received so far, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         locked(&self.shared).arrivals.clone()
     }
 
-    /// How often each key was executed.
+    /// How often each idempotency key was executed.
     pub fn executed(&self) -> HashMap<String, u32> {
         locked(&self.shared).executed.clone()
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,18 +1,19 @@
-//! Several processes of the program on one machine, with faults between them: links that cut, delay and reset, signals,
-//! restarts, torn disks. A course of faults is drawn from a seed and written down; what the processes and the hosts did
-//! is noted on one clock, and judged from those notes alone.
+//! Fault-injection tests: real proxies, control-plane replicas and stand-in services run as processes on one machine
+//! while faults are injected between them (links that block, delay or reset traffic, signals, restarts, truncated
+//! files). A fault schedule is generated from a seed. Processes and hosts record what they do against one clock, and
+//! the invariants are checked from these records alone.
 //!
-//! - [`schedule`]: what goes wrong when, drawn from a seed.
-//! - [`link`], [`datagrams`]: the way between two processes.
-//! - [`process`]: a process and its log.
-//! - [`hosts`], [`clients`]: what is behind the proxies and before them.
-//! - [`baseline`]: other ways to bring a policy to a fleet.
-//! - [`checker`]: what broke.
-//! - [`policy`]: the trial of a change of policy.
-//! - [`drains`]: the trial of hosts that leave while watches on the list are silent.
-//! - [`scale`]: the trial of a fleet of many proxies and what control costs there.
-//! - [`start`]: the trial of a start of all proxies together.
-//! - [`report`]: tables and plots.
+//! - [`schedule`]: the seeded fault schedule of a policy run.
+//! - [`link`], [`datagrams`]: fault-injecting links between two processes, for TCP and UDP.
+//! - [`process`]: a child process and its log.
+//! - [`hosts`], [`clients`]: the endpoints behind the proxies and the clients in front of them.
+//! - [`baseline`]: other ways to distribute a policy, for comparison.
+//! - [`checker`]: the invariant checker of policy runs.
+//! - [`policy`]: test of policy changes.
+//! - [`drains`]: test of hosts that drain while the watches on the endpoint list are silent.
+//! - [`scale`]: test of a large fleet and of what the control plane costs there.
+//! - [`start`]: test of a simultaneous start of all proxies.
+//! - [`report`]: tables and plots of policy runs.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::items_after_statements,
@@ -43,5 +44,5 @@
 pub mod schedule;
 pub mod start;
 
-/// The clock of all notes, which is the one that leases run on.
+/// The clock of all records, which is also the clock that leases are measured with.
 pub use badgerramp_control_protocol::clock::now;
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -1,4 +1,5 @@
-//! The way between two processes: a listener that passes on what comes, as its state allows.
+//! A fault-injecting TCP link between two processes: a listener that forwards each connection to a target, as its state
+//! allows.
 
 use socket2::SockRef;
 use std::io;
@@ -11,37 +12,37 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// How one direction of a link passes bytes on.
+/// How one direction of a link forwards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Forwarding {
-    /// As they come.
+    /// Forwards bytes as they arrive.
     #[default]
     Normal,
-    /// Not at all; they wait, as they do while a network is cut.
+    /// Forwards nothing. Bytes are held back until the direction is no longer cut, as in a network partition.
     Cut,
-    /// After a time.
+    /// Forwards bytes after this delay.
     Delayed(Duration),
-    /// Some at a time.
+    /// Forwards a few bytes at a time, with pauses in between.
     Trickle,
 }
 
-/// Both directions of a link, and how often its connections were reset.
+/// How both directions of a link forward bytes, and how often its connections were reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// From whom connects.
+    /// From the connecting process to the target.
     pub forward: Forwarding,
-    /// To whom connects.
+    /// From the target to the connecting process.
     pub backward: Forwarding,
-    /// All connections that are up when it grows are reset.
+    /// Each increment resets all connections that are open at that moment.
     pub resets: u64,
 }
 
-/// What has passed a link in both directions.
+/// What a link has forwarded in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Forwarded {
-    /// Bytes of the streams, without what the network adds.
+    /// Payload bytes, without the overhead of the network protocols.
     pub bytes: u64,
-    /// Pieces in which they were read: about as many as there were messages.
+    /// Reads from a socket that returned data; close to the number of messages.
     pub chunks: u64,
 }
 
@@ -51,23 +52,24 @@
     chunks: AtomicU64,
 }
 
-/// A link. It ends with its owner.
+/// A fault-injecting TCP link. Dropping it closes the listener and resets all connections.
 pub struct Link {
-    /// Where it listens.
+    /// The address the link listens on.
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
     counters: Arc<Counters>,
     listener: AbortHandle,
 }
 
-/// Bytes of a trickle at a time, and the pause after them.
+/// Bytes per write of [`Forwarding::Trickle`], and the pause before each write.
 const TRICKLE: (usize, Duration) = (48, Duration::from_millis(2));
 
 impl Link {
-    /// A link to where `target` says; a connection that finds nobody there ends.
+    /// Creates a link to the current address in `target`. A connection is closed at once while there is no target
+    /// address or the target does not accept connections.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn to(target: watch::Receiver<Option<SocketAddr>>) -> io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -78,7 +80,7 @@
         let task = tokio::spawn(async move {
             loop {
                 let Ok((inbound, _)) = listener.accept().await else {
-                    // Out of descriptors, or a connection that has gone already.
+                    // The process is out of file descriptors, or the client has already closed the connection.
                     tokio::time::sleep(Duration::from_millis(10)).await;
                     continue;
                 };
@@ -100,12 +102,12 @@
         })
     }
 
-    /// Changes how it passes bytes on.
+    /// Changes the state of the link.
     pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
-    /// What has passed it so far.
+    /// What the link has forwarded so far.
     pub fn forwarded(&self) -> Forwarded {
         let Counters { bytes, chunks } = &*self.counters;
         Forwarded {
@@ -148,7 +150,7 @@
     tokio::select! {
         () = async { tokio::join!(forward, backward); } => {}
         () = reset => {
-            // Closed at once, with a reset instead of an end.
+            // A linger time of zero makes the close send a reset instead of a FIN.
             for socket in [&*sockets.0, &*sockets.1] {
                 let _ = SockRef::from(socket).set_linger(Some(Duration::ZERO));
             }
@@ -166,7 +168,7 @@
     loop {
         let read = read(&from, &mut buffer).await;
         let Ok(count @ 1..) = read else {
-            // An end passes through a cut no more than bytes do.
+            // A cut direction holds back the end of the stream just as it holds back bytes.
             let _ = state.wait_for(|s| direction(s) != Forwarding::Cut).await;
             let _ = SockRef::from(&*to).shutdown(std::net::Shutdown::Write);
             return;
@@ -223,7 +225,8 @@
     Ok(())
 }
 
-/// Reads one HTTP message, head and body, from a stream; `None` at its end.
+/// Reads one HTTP message from a stream and returns its head and body, or `None` at the end of the stream. `buffered`
+/// keeps bytes of the next message.
 pub(crate) async fn read_message(
     stream: &mut TcpStream,
     buffered: &mut Vec<u8>,
@@ -248,7 +251,7 @@
     }
 }
 
-/// The value of a header.
+/// The value of the header `name`, compared without regard to case.
 pub(crate) fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().skip(1).filter_map(|l| l.split_once(':'));
     lines
@@ -256,7 +259,7 @@
         .map(|(_, value)| value.trim())
 }
 
-/// Writes all.
+/// Writes all bytes to a stream.
 pub(crate) async fn send(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     stream.write_all(bytes).await
 }
@@ -267,7 +270,7 @@
 
     async fn echo() -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("a local address");
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 tokio::spawn(async move {
@@ -280,37 +283,56 @@
     }
 
     #[tokio::test]
-    async fn a_cut_holds_back_in_its_direction_alone_and_a_reset_ends() {
+    async fn a_cut_blocks_one_direction_and_a_reset_closes_connections() {
         let (_known, target) = watch::channel(Some(echo().await));
         let link = Link::to(target).await.expect("a link");
-        let mut stream = TcpStream::connect(link.address).await.expect("it listens");
+        let mut stream = TcpStream::connect(link.address)
+            .await
+            .expect("the link accepts the connection");
         let mut byte = [0; 1];
-        stream.write_all(b"a").await.expect("up");
-        stream.read_exact(&mut byte).await.expect("echoed");
+        stream
+            .write_all(b"a")
+            .await
+            .expect("the connection is open");
+        stream
+            .read_exact(&mut byte)
+            .await
+            .expect("the byte is echoed");
         link.set(|s| s.backward = Forwarding::Cut);
-        stream.write_all(b"b").await.expect("up");
+        stream
+            .write_all(b"b")
+            .await
+            .expect("the connection is open");
         assert!(
             tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte))
                 .await
                 .is_err(),
-            "nothing comes back"
+            "a byte arrived through the cut direction"
         );
         link.set(|s| s.backward = Forwarding::Normal);
         stream
             .read_exact(&mut byte)
             .await
-            .expect("it comes when the cut is mended");
+            .expect("the byte arrives once the cut has ended");
         assert_eq!(&byte, b"b");
         link.set(|s| s.resets += 1);
         assert!(stream.read_exact(&mut byte).await.is_err());
-        let mut second = TcpStream::connect(link.address).await.expect("it listens");
+        let mut second = TcpStream::connect(link.address)
+            .await
+            .expect("the link accepts the connection");
         link.set(|s| {
             (s.forward, s.backward) = (
                 Forwarding::Trickle,
                 Forwarding::Delayed(Duration::from_millis(5)),
             )
         });
-        second.write_all(&[7; 200]).await.expect("up");
-        second.read_exact(&mut [0; 200]).await.expect("all of it");
+        second
+            .write_all(&[7; 200])
+            .await
+            .expect("the connection is open");
+        second
+            .read_exact(&mut [0; 200])
+            .await
+            .expect("all bytes are echoed");
     }
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! A process and its log.
+//! A child process and its log.
 
 use crate::now;
 use badgerramp_policy::Micros;
@@ -12,26 +12,26 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-/// Longest wait for a process to say that it listens.
+/// Longest wait for a process to listen after its start, or to end after SIGTERM.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A line of a log and when it was read.
+/// The time at which a log line was read, and the line.
 pub type LogLine = (Micros, String);
 
-/// What is started: a program, its arguments, where its log goes.
+/// The program to start, its arguments and environment, and which of its log lines are kept.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
-    /// The program.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Lines that hold one of these words are kept.
+    /// DEBUG lines are kept only if they contain one of these strings; all other lines are kept.
     pub debug_filter: Vec<&'static str>,
-    /// Variables of its own.
+    /// Additional environment variables.
     pub environment: Vec<(&'static str, PathBuf)>,
 }
 
-/// A process; killed with its owner.
+/// A child process, which is killed when this value is dropped.
 pub struct Process {
     spec: ProcessSpec,
     child: Option<(Child, Pid)>,
@@ -42,10 +42,10 @@
 }
 
 impl Process {
-    /// Starts it, and waits until it listens.
+    /// Starts a process and waits until it listens.
     ///
     /// # Errors
-    /// If it does not start, or does not listen: with the end of its log.
+    /// Returns an error with the end of the log if the process does not start or does not listen in time.
     pub async fn start(spec: ProcessSpec) -> Result<Process, String> {
         let mut process = Process::unstarted(spec, watch::channel(None).0);
         process.spawn()?;
@@ -53,8 +53,8 @@
         Ok(process)
     }
 
-    /// One that is not started yet: see [`Process::again`]. Where it hears datagrams comes into `hearing`, with each
-    /// start.
+    /// A process that has not been started; see [`Process::spawn`]. Each time it starts, the address it receives
+    /// datagrams on is sent to `datagram_address`.
     pub fn unstarted(
         spec: ProcessSpec,
         datagram_address: watch::Sender<Option<SocketAddr>>,
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Waits until it listens, and tells where.
+    /// Waits until the process listens, and returns its address.
     ///
     /// # Errors
-    /// If it does not.
+    /// Returns an error with the end of the log if it does not listen in time.
     pub async fn listen_address(&mut self) -> Result<SocketAddr, String> {
         let listening =
             tokio::time::timeout(TIMEOUT, self.listening.wait_for(Option::is_some)).await;
@@ -84,21 +84,21 @@
             .and_then(|address| *address);
         address.ok_or_else(|| {
             format!(
-                "{:?} does not listen: {}",
+                "process {:?} did not start to listen in time: {}",
                 self.spec.arguments,
                 self.log_tail()
             )
         })
     }
 
-    /// Sends a signal. One to a process that has ended does nothing.
+    /// Sends a signal. Does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some((_, pid)) = &self.child {
             let _ = kill_process(*pid, signal);
         }
     }
 
-    /// Ends it (SIGKILL), and waits until it has gone and its log was read.
+    /// Kills the process (SIGKILL) and waits until it has ended and its log has been read to the end.
     pub async fn kill(&mut self) {
         if let Some((child, _)) = &mut self.child {
             let _ = child.kill().await;
@@ -108,25 +108,30 @@
         }
     }
 
-    /// Asks it to end (SIGTERM), and waits until it has.
+    /// Asks the process to end (SIGTERM) and waits until it has.
     ///
     /// # Errors
-    /// If it does not.
+    /// Returns an error if it does not end in time.
     pub async fn terminate(&mut self) -> Result<(), String> {
         self.signal(Signal::TERM);
         if let Some((child, _)) = &mut self.child {
             let ended = tokio::time::timeout(TIMEOUT, child.wait()).await;
             ended
-                .map_err(|_| format!("{:?} does not end", self.spec.arguments))?
+                .map_err(|_| {
+                    format!(
+                        "process {:?} did not end after SIGTERM in time",
+                        self.spec.arguments
+                    )
+                })?
                 .map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
-    /// Starts it, also again after its end. It is not waited for.
+    /// Starts the process, or restarts it after it has ended. Does not wait until it listens.
     ///
     /// # Errors
-    /// If it does not start.
+    /// Returns an error if it cannot be started.
     pub fn spawn(&mut self) -> Result<(), String> {
         let (child, pid, listening, reader) =
             spawn_process(&self.spec, &self.log, &self.datagram_address)?;
@@ -135,17 +140,17 @@
         Ok(())
     }
 
-    /// CPU time that it has used so far, in microseconds, and memory that it holds, in KiB, as the system counts them.
+    /// CPU time used so far, in microseconds, and resident memory, in KiB.
     pub fn usage(&self) -> Option<(u64, u64)> {
         usage_of(self.child.as_ref()?.1)
     }
 
-    /// Its number, while it runs.
+    /// The process id, while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref()?.0.id()
     }
 
-    /// The lines kept so far.
+    /// The log lines kept so far.
     pub fn log(&self) -> Vec<LogLine> {
         self.log
             .lock()
@@ -153,7 +158,7 @@
             .clone()
     }
 
-    /// Has it ended by itself? With the end of its log.
+    /// The exit status and the end of the log, if the process has ended without being killed by the test.
     pub fn exit_report(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.0.try_wait().ok().flatten()?;
         Some(format!("{status}: {}", self.log_tail()))
@@ -166,12 +171,12 @@
     }
 }
 
-/// CPU time that a process has used so far, in microseconds, and memory that it holds, in KiB.
+/// CPU time used so far by a process, in microseconds, and its resident memory, in KiB.
 pub(crate) fn usage_of(pid: Pid) -> Option<(u64, u64)> {
     let proc_file =
         |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero())).ok();
     let stat = proc_file("stat")?;
-    // The name, in brackets, may have blanks of its own.
+    // The process name, in parentheses, may contain spaces.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
     let ticks_per_second = rustix::param::clock_ticks_per_second();
@@ -215,8 +220,14 @@
     let pid = child
         .id()
         .and_then(|id| Pid::from_raw(id as i32))
-        .ok_or("a process without a number")?;
-    let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
+        .ok_or("the process has no process id")?;
+    let mut lines = BufReader::new(
+        child
+            .stderr
+            .take()
+            .ok_or("the process has no standard error stream")?,
+    )
+    .lines();
     let (listening_updates, listening) = watch::channel(None);
     let (log, debug_filter, datagram_address) = (
         Arc::clone(log),
@@ -242,7 +253,7 @@
     Ok((child, pid, listening, reader))
 }
 
-/// The address that follows on these words.
+/// Parses the socket address that follows `words` in a log line.
 pub(crate) fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, after) = line.split_once(words)?;
     let text: String = after
@@ -252,7 +263,8 @@
     text.parse().ok()
 }
 
-/// Lets this process have as many descriptors as the system allows: a trial has thousands of links. Tells how many.
+/// Raises the soft limit of open file descriptors to the hard limit, since a run has thousands of links. Returns the
+/// new limit.
 pub fn raise_descriptor_limit() -> u64 {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
@@ -266,32 +278,32 @@
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
-/// Lets this process have as many descriptors as the system allows, if these are so many.
+/// Raises the limit of open file descriptors as far as the system allows.
 ///
 /// # Errors
-/// If they are fewer.
+/// Returns an error if fewer than `required` are allowed.
 pub fn require_descriptors(required: u64) -> Result<(), String> {
     let allowed = raise_descriptor_limit();
     if required > allowed {
         return Err(format!(
-            "{required} descriptors are wanted and the system allows {allowed}: fewer courses at once, or fewer proxies"
+            "{required} file descriptors are needed and the system allows {allowed}: use fewer proxies or fewer concurrent runs"
         ));
     }
     Ok(())
 }
 
-/// A folder for one course; it goes with its owner, unless it is to be kept.
+/// A temporary directory for one run, removed when dropped unless [`Folder::keep`] is set.
 pub struct Folder {
     path: PathBuf,
-    /// It stays.
+    /// Keeps the directory when this value is dropped.
     pub keep: bool,
 }
 
 impl Folder {
-    /// A new one.
+    /// Creates an empty directory.
     ///
     /// # Errors
-    /// If it can't be made.
+    /// Returns an error if it cannot be created.
     pub fn new(name: &str) -> Result<Folder, String> {
         let path =
             std::env::temp_dir().join(format!("badgerramp-trial-{}-{name}", std::process::id()));
@@ -300,15 +312,15 @@
         Ok(Folder { path, keep: false })
     }
 
-    /// Where it is.
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Writes a file in it; `private`: for its owner alone.
+    /// Writes a file in the directory; `private` makes it readable by its owner alone.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// Returns an error if the file cannot be written.
     pub fn write(&self, name: &str, text: &str, private: bool) -> Result<PathBuf, String> {
         use std::os::unix::fs::PermissionsExt;
         let path = self.path.join(name);
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,4 +1,4 @@
-//! What courses came to, as a table and as a plot.
+//! Table and plot of policy runs.
 
 use crate::policy::RunReport;
 use plotters::prelude::*;
@@ -11,7 +11,7 @@
     sorted.get(place.max(0.0) as usize).copied().unwrap_or(0)
 }
 
-/// All times from publish to in force, sorted.
+/// The times from publish to in force of all runs, sorted, in milliseconds.
 pub fn times(all: &[RunReport]) -> Vec<u64> {
     let mut times: Vec<u64> = all
         .iter()
@@ -21,10 +21,10 @@
     times
 }
 
-/// The sums of all courses.
+/// The totals of all runs as a text table.
 pub fn table(all: &[RunReport]) -> String {
     let sum = |of: fn(&RunReport) -> usize| all.iter().map(of).sum::<usize>();
-    let ended = |word: &str| {
+    let outcomes = |word: &str| {
         all.iter()
             .flat_map(|p| &p.outcome)
             .filter(|o| **o == word)
@@ -34,18 +34,18 @@
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:<34}{value:>12}");
     };
-    row("courses", all.len().to_string());
+    row("runs", all.len().to_string());
     row("faults", sum(|p| p.faults.len()).to_string());
-    row("tries of clients", sum(|p| p.verdict.calls).to_string());
-    row("calls begun", sum(|p| p.verdict.begun).to_string());
+    row("attempts of clients", sum(|p| p.verdict.calls).to_string());
+    row("calls started", sum(|p| p.verdict.begun).to_string());
     row(
-        "begun mixed (P1)",
+        "started mixed (P1)",
         sum(|p| p.verdict.begun_mixed).to_string(),
     );
     let mixed = all.iter().map(|p| p.verdict.mixed_ms).max();
-    row("mixed for, the longest, ms", mixed.unwrap_or(0).to_string());
+    row("longest mixed period, ms", mixed.unwrap_or(0).to_string());
     row(
-        "begun wrong (P2)",
+        "started wrong (P2)",
         sum(|p| p.verdict.begun_wrong).to_string(),
     );
     row(
@@ -53,25 +53,25 @@
         sum(|p| p.verdict.executed_twice).to_string(),
     );
     row("lost", sum(|p| p.verdict.lost).to_string());
-    row("refused", sum(|p| p.verdict.refused).to_string());
+    row("rejected", sum(|p| p.verdict.refused).to_string());
     row(
-        "refused with all well",
+        "rejected while all healthy",
         sum(|p| p.verdict.refused_well).to_string(),
     );
-    row("changes in force", ended("in-force").to_string());
-    row("changes not in force", ended("not-in-force").to_string());
-    row("changes that did not end", sum(|p| p.unended).to_string());
+    row("changes in force", outcomes("in-force").to_string());
+    row("changes not in force", outcomes("not-in-force").to_string());
+    row("changes without an outcome", sum(|p| p.unended).to_string());
     if let Some(idle) = all.iter().find_map(|p| p.idle_cost) {
         row(
-            "calm: control, us a proxy and s",
+            "idle: control us per proxy and s",
             format!("{:.0}", idle.control_us),
         );
-        row("calm: a proxy, us a s", format!("{:.0}", idle.proxy_us));
+        row("idle: proxy us per s", format!("{:.0}", idle.proxy_us));
         row("memory of a proxy, KiB", idle.proxy_kib.to_string());
         row("memory of a replica, KiB", idle.control_kib.to_string());
     }
     let times = times(all);
-    for (name, share) in [("half", 0.5), ("nine tenths", 0.9), ("longest", 1.0)] {
+    for (name, share) in [("p50", 0.5), ("p90", 0.9), ("max", 1.0)] {
         row(
             &format!("publish to in force, {name}, ms"),
             quantile(&times, share).to_string(),
@@ -80,15 +80,15 @@
     text
 }
 
-/// The share of changes that were in force after so long, as SVG.
+/// Plots the share of changes that are in force after a given time, as SVG.
 ///
 /// # Errors
-/// If the file can't be written.
+/// Returns an error if the file cannot be written.
 pub fn plot(all: &[RunReport], file: &Path) -> Result<(), String> {
     let times = times(all);
     let most = times.last().copied().unwrap_or(1).max(1);
     let root = SVGBackend::new(file, (640, 360)).into_drawing_area();
-    let draw = || -> Result<(), Box<dyn std::error::Error>> {
+    let render = || -> Result<(), Box<dyn std::error::Error>> {
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
@@ -109,7 +109,7 @@
         root.present()?;
         Ok(())
     };
-    draw().map_err(|e| format!("{}: {e}", file.display()))
+    render().map_err(|e| format!("{}: {e}", file.display()))
 }
 
 #[cfg(test)]
@@ -117,7 +117,7 @@
     use super::*;
 
     #[test]
-    fn quantiles_of_few() {
+    fn quantiles_of_few_values() {
         assert_eq!(quantile(&[], 0.5), 0);
         assert_eq!(
             (quantile(&[1, 2, 9], 0.5), quantile(&[1, 2, 9], 1.0)),
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when.
+//! The fault schedule of a policy run: which faults occur when.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -10,37 +10,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A proxy is killed (SIGKILL) and started again.
+    /// A proxy is killed (SIGKILL) and restarted.
     KillProxy,
-    /// All proxies are killed at once and started again.
+    /// All proxies are killed at once and restarted.
     KillAll,
-    /// A proxy stands still (SIGSTOP) and goes on.
+    /// A proxy is suspended (SIGSTOP) and resumed.
     StopProxy,
-    /// A proxy is killed, and its copy of the policy is torn before it starts again.
+    /// A proxy is killed, and its stored copy of the policy is truncated before the restart.
     TearProxy,
-    /// Nothing passes between a proxy and control.
+    /// The links between a proxy and the control plane are cut in both directions.
     CutProxy,
-    /// A proxy hears control and is not heard.
+    /// The links are cut from a proxy to the control plane; the other direction works.
     UnheardProxy,
-    /// A proxy is heard by control and does not hear.
+    /// The links are cut from the control plane to a proxy; the other direction works.
     DeafProxy,
-    /// What passes between a proxy and control takes its time.
+    /// Traffic between a proxy and the control plane is delayed.
     DelayProxy,
-    /// The connections between a proxy and control are reset.
+    /// The connections between a proxy and the control plane are reset.
     ResetProxy,
-    /// What passes between a proxy and control comes some bytes at a time.
+    /// Traffic between a proxy and the control plane is forwarded a few bytes at a time.
     TrickleProxy,
-    /// A replica of control is killed and started again.
+    /// A replica of the control plane is killed and restarted.
     KillReplica,
-    /// A replica stands still and goes on.
+    /// A replica is suspended (SIGSTOP) and resumed.
     StopReplica,
-    /// Nothing reaches a replica: no proxy, no publisher, no other replica.
+    /// No proxy, publisher or other replica reaches a replica.
     CutReplica,
     /// The connections to a replica are reset.
     ResetReplica,
 }
 
-/// All kinds.
+/// All kinds of faults.
 pub const KINDS: [Kind; 14] = [
     Kind::KillProxy,
     Kind::KillAll,
@@ -59,7 +59,7 @@
 ];
 
 impl Kind {
-    /// Its name, as it stands in a schedule that was written down.
+    /// The name of the kind in a serialized schedule and on the command line.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -67,12 +67,12 @@
             .unwrap_or_default()
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 
-    /// Does it concern a replica of control?
+    /// Whether the fault affects a replica of the control plane rather than a proxy.
     pub fn targets_replica(self) -> bool {
         matches!(
             self,
@@ -84,39 +84,39 @@
 /// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// What.
+    /// The kind of fault.
     pub kind: Kind,
-    /// Whom: the place of a proxy or of a replica.
+    /// Index of the affected proxy or replica.
     #[serde(rename = "whom")]
     pub target: usize,
-    /// From when on, since the beginning of the schedule.
+    /// When the fault begins, from the beginning of the run.
     pub from: Duration,
-    /// Until when.
+    /// When the fault ends.
     pub until: Duration,
 }
 
-/// What is drawn for a schedule.
+/// What is generated from a seed for one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FaultSchedule {
-    /// All chance is drawn from it.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Faults, in the order of their beginnings.
+    /// The faults, ordered by when they begin.
     pub faults: Vec<Fault>,
-    /// Before each publish.
+    /// The pause before each publish.
     pub pauses: Vec<Duration>,
 }
 
-/// Faults begin within this time.
+/// Faults begin within this time from the beginning of the run.
 const FAULT_START_WINDOW_MS: u64 = 5_000;
-/// A fault lasts so many milliseconds: some much less than a lease of the trial, some several.
+/// How long a fault lasts: from much less than a lease of the test to several leases.
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 100..=4_000;
 
-/// All are down for so long at the most.
+/// Longest time for which all proxies are down.
 const MAX_KILL_ALL_DURATION: Duration = Duration::from_secs(1);
 
 impl FaultSchedule {
-    /// Draws a schedule for so many proxies and replicas. `only`: faults of no other kind. Faults of one process do not
-    /// overlap; those of different ones may.
+    /// Generates the schedule of a seed for this many proxies and replicas; `only` restricts it to one kind of fault.
+    /// Faults of the same process do not overlap; faults of different processes may.
     pub fn draw(
         seed: u64,
         (proxies, replicas): (usize, usize),
@@ -126,7 +126,7 @@
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut kinds: Vec<Kind> = only.map_or(KINDS.to_vec(), |kind| vec![kind]);
         kinds.shuffle(&mut rng);
-        // At least four kinds, and several proxies of each.
+        // At least four kinds, each at several targets.
         let kinds: Vec<Kind> = kinds.into_iter().take(rng.gen_range(4..=6)).collect();
         let count = rng.gen_range(8..=16);
         let mut faults: Vec<Fault> = Vec::new();
@@ -142,7 +142,8 @@
             let from = Duration::from_millis(rng.gen_range(0..FAULT_START_WINDOW_MS));
             let mut until = from + Duration::from_millis(rng.gen_range(FAULT_DURATION_MS));
             if kind == Kind::KillAll {
-                // Shortly, and once beside others: while all are down nothing else can happen to a proxy.
+                // Short, and at most once among other kinds: while all proxies are down no other fault can happen to a
+                // proxy.
                 until = until.min(from + MAX_KILL_ALL_DURATION);
                 if only.is_none() && faults.iter().any(|f| f.kind == kind) {
                     continue;
@@ -181,7 +182,7 @@
     use super::*;
 
     #[test]
-    fn a_seed_draws_one_course_and_faults_of_one_process_do_not_overlap() {
+    fn a_seed_determines_the_schedule_and_faults_of_one_process_do_not_overlap() {
         for seed in 0..200 {
             let schedule = FaultSchedule::draw(seed, (50, 3), 3, None);
             assert_eq!(schedule, FaultSchedule::draw(seed, (50, 3), 3, None));
@@ -202,7 +203,7 @@
     }
 
     #[test]
-    fn names_lead_back() {
+    fn kinds_are_found_by_their_names() {
         assert!(KINDS
             .into_iter()
             .all(|kind| Kind::from_name(&kind.name()) == Some(kind)));
