--- a/crates/fault-injection/src/drains/mod.rs
+++ b/crates/fault-injection/src/drains/mod.rs
@@ -113,9 +113,11 @@
 ) -> Result<RunReport, String> {
     let folder = Folder::new(&format!("drains-{}", schedule.seed))?;
     let hosts = Hosts::start(size.hosts, 0.0, &["/do"], schedule.seed).await?;
-    let poll_work = schedule.target_of(Kind::Slow).map_or(POLL_WORK, |_| {
-        SLOW_POLL_WORK_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX)
-    });
+    let poll_work = schedule
+        .target_of(Kind::SlowService)
+        .map_or(POLL_WORK, |_| {
+            SLOW_POLL_WORK_FOR_ALL / u32::try_from(size.proxies).unwrap_or(u32::MAX)
+        });
     let poll_work = (!schedule.pushed).then_some(poll_work);
     let mut service = Service::new(hosts.addresses.clone(), poll_work);
     let initial_list = service.initial_list();
@@ -258,7 +260,7 @@
     for &(kind, target) in &schedule.faults {
         match kind {
             Kind::Reset => steps.push((first.saturating_sub(ms(100)), Step::ResetConnections)),
-            Kind::Late => steps.push((
+            Kind::DelayedAnswers => steps.push((
                 Duration::ZERO,
                 Step::DelayAnswers(ms(rng.gen_range(50..900))),
             )),
@@ -271,7 +273,9 @@
                 steps.push((from, Step::ServiceDown));
                 steps.push((from + ms(rng.gen_range(500..4_000)), Step::ServiceUp));
             }
-            Kind::Move => steps.push((first + ms(rng.gen_range(0..2_000)), Step::MoveService)),
+            Kind::MoveService => {
+                steps.push((first + ms(rng.gen_range(0..2_000)), Step::MoveService))
+            }
             Kind::Stop => {
                 let from = first.saturating_sub(ms(rng.gen_range(0..300)));
                 steps.push((from, Step::Signal(target, Signal::STOP)));
@@ -284,7 +288,7 @@
                 first + ms(rng.gen_range(0..1_500)),
                 Step::KillAndRestart(target),
             )),
-            Kind::Again => {
+            Kind::HostReturns => {
                 let (at, host) = schedule.drains[0];
                 steps.push((at + ms(rng.gen_range(50..1_000)), Step::MarkUp(host)));
             }
@@ -297,7 +301,7 @@
                     Step::AwaitExitAndRestart(target),
                 ));
             }
-            Kind::Slow | Kind::Leave => {}
+            Kind::SlowService | Kind::ClientsDisconnect => {}
         }
     }
     steps.sort_by_key(|d| d.0);
@@ -413,7 +417,7 @@
         if address.port() == 0 {
             continue;
         }
-        if schedule.target_of(Kind::Leave).is_some() && number % 3 == 0 {
+        if schedule.target_of(Kind::ClientsDisconnect).is_some() && number % 3 == 0 {
             let (disconnected_at, key) =
                 (Arc::clone(&disconnected_at), format!("p{proxy}-{number}"));
             tokio::spawn(async move {
--- a/crates/fault-injection/src/drains/schedule.rs
+++ b/crates/fault-injection/src/drains/schedule.rs
@@ -13,40 +13,45 @@
     /// All connections to the service are reset shortly before hosts drain.
     Reset,
     /// What a fresh connection brings is late, by up to 0.9 s.
-    Late,
+    #[serde(rename = "late")]
+    DelayedAnswers,
     /// A second silence, of what was opened after the first.
     SilentAgain,
     /// The service is down for some seconds, and hosts drain meanwhile.
     Down,
     /// SIGHUP moves the service while watches are silent.
-    Move,
+    #[serde(rename = "move")]
+    MoveService,
     /// A proxy stands still (SIGSTOP) for up to five seconds and goes on.
     Stop,
     /// A proxy is killed and started again, with the list of its first start.
     Kill,
     /// A host that drains is up again within a second, as another process.
-    Again,
+    #[serde(rename = "again")]
+    HostReturns,
     /// One question of each proxy that begins a watch takes the service a second and a half together.
-    Slow,
+    #[serde(rename = "slow")]
+    SlowService,
     /// A proxy is told to end (SIGTERM) while hosts drain; clients go on for 0.3 s. Then it is started again.
     Restart,
     /// A third of the clients leave right after they asked, half of these with more bytes behind their request.
-    Leave,
+    #[serde(rename = "leave")]
+    ClientsDisconnect,
 }
 
 /// All kinds.
 pub const KINDS: [Kind; 11] = [
     Kind::Reset,
-    Kind::Late,
+    Kind::DelayedAnswers,
     Kind::SilentAgain,
     Kind::Down,
-    Kind::Move,
+    Kind::MoveService,
     Kind::Stop,
     Kind::Kill,
-    Kind::Again,
-    Kind::Slow,
+    Kind::HostReturns,
+    Kind::SlowService,
     Kind::Restart,
-    Kind::Leave,
+    Kind::ClientsDisconnect,
 ];
 
 impl Kind {
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -1,6 +1,7 @@
-//! A change of policy that takes hold everywhere or nowhere, with processes: proxies, replicas of control, hosts that
-//! count what they execute, clients that try again elsewhere. The policy makes `cobro-mensual` unsafe and keyed by
-//! turns; hosts drop its repeats while it may be keyed and no longer once it is unsafe everywhere.
+//! Test of policy changes, which must be in force everywhere or nowhere. Proxies and replicas of the control plane run
+//! as processes; hosts count what they execute, and clients retry at other proxies. The published policies alternate:
+//! calls of `cobro-mensual` are idempotent by key under one and unsafe under the next. The hosts deduplicate them as
+//! long as any proxy may treat them as keyed, and stop once they are unsafe everywhere.
 
 use crate::baseline::{self, Distribution, WrittenFile};
 use crate::checker::{check, PublishRecord, StartRecord, Verdict};
@@ -22,91 +23,93 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A lease of the trial's control, in milliseconds: the product's is ten times that.
+/// Lease duration of the tested control plane, in milliseconds. A tenth of the default, so that leases expire within a
+/// run.
 const LEASE_MS: u64 = 1_000;
-/// A change that is not in force by then comes to nothing.
+/// A change that is not in force after this time is aborted, in milliseconds.
 const WAIT_MS: u64 = 6_000;
 const ELECTION_MS: u64 = 400;
-/// Longest wait for what must come.
+/// Longest wait for a reply of the control plane and for all proxies to get a lease.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Share of the answers to unsafe and keyed calls that are lost after the call ran.
+/// Share of the answers to keyed and unsafe calls that are lost after the call was executed.
 const ANSWER_LOSS: f64 = 0.05;
 const CHARGE: &str = "/cobro-mensual";
 const ENTRY: &str = "/registro-entrada";
 
-/// How the programs are started.
+/// How the processes are started: a program and the arguments that precede its own.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The client proxy, and what stands before its own arguments.
+    /// The client proxy.
     pub proxy: (PathBuf, Vec<String>),
-    /// A replica of control.
+    /// A replica of the control plane.
     pub control: (PathBuf, Vec<String>),
 }
 
-/// A fleet.
+/// Size and settings of the tested fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Replicas of control: 1, 3 or 5.
+    /// Number of replicas of the control plane: 1, 3 or 5.
     pub replicas: usize,
-    /// Calls a second over all proxies.
+    /// Calls per second over all proxies.
     pub rate: f64,
-    /// Changes of the policy in a course.
+    /// Policy changes per run, besides the final one.
     pub publishes: usize,
-    /// Some proxies go on by a floor, or keep on, when cut off.
+    /// Some proxies switch to the fallback policy, or keep their policy, when they lose their lease. Otherwise all
+    /// reject calls.
     pub mixed_on_lease_loss: bool,
-    /// How the policy comes to them.
+    /// How the policy is distributed to the proxies.
     pub distribution: Distribution,
 }
 
-/// What a fleet costs with no change under way and no calls.
+/// Resource usage of an idle fleet: no policy change in progress and no calls.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct IdleCost {
-    /// CPU time of all replicas of control together, in microseconds for a proxy and second.
+    /// CPU time of all replicas together, in microseconds per proxy and second.
     pub control_us: f64,
-    /// CPU time of a proxy, in microseconds a second.
+    /// CPU time of a proxy, in microseconds per second.
     pub proxy_us: f64,
-    /// Memory that a proxy holds, in KiB: the middle of all.
+    /// Median resident memory of the proxies, in KiB.
     pub proxy_kib: u64,
-    /// The same for a replica of control.
+    /// Median resident memory of the replicas, in KiB.
     pub control_kib: u64,
 }
 
-/// How long calm is measured.
+/// How long the idle fleet is measured.
 const IDLE_MEASUREMENT: Duration = Duration::from_secs(6);
 
-/// What a course came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// The course's seed.
+    /// Seed of the fault schedule.
     pub seed: u64,
-    /// Its faults.
+    /// The faults that were injected.
     pub faults: Vec<Fault>,
-    /// What broke.
+    /// The violations that were found.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// How the changes ended, in their order.
+    /// The outcome of each change, in order.
     pub outcome: Vec<&'static str>,
-    /// For those in force: from publish to its end, in milliseconds.
+    /// For each change in force, the time from its publish to its outcome, in milliseconds.
     pub in_force_ms: Vec<u64>,
-    /// Why others were not.
+    /// Why the other changes are not in force.
     pub why: Vec<String>,
-    /// What the fleet costs in calm; measured where no faults are drawn.
+    /// Resource usage of the idle fleet; measured only in runs without faults.
     #[serde(rename = "calm")]
     pub idle_cost: Option<IdleCost>,
-    /// Changes that had not ended long after the last fault had.
+    /// Changes that had no outcome long after the last fault had ended.
     pub unended: usize,
 }
 
 impl RunReport {
-    /// Did all hold?
+    /// Whether no invariant was violated and every change had an outcome.
     pub fn held(&self) -> bool {
         self.verdict.held() && self.unended == 0
     }
 }
 
-/// The policy: charges are keyed, or unsafe.
+/// The policy: calls of `cobro-mensual` are keyed, or unsafe.
 fn policy(keyed: bool) -> String {
     let effect = if keyed {
         "effect = \"keyed\"\ngroup = \"group\"\nwindow = \"1200ms\""
@@ -170,7 +173,7 @@
     )
 }
 
-/// The file of one proxy: the policy's, with what is its own.
+/// The configuration file of one proxy: the first policy together with the settings of this proxy.
 fn proxy_config(
     hosts: &[SocketAddr],
     control: &[SocketAddr],
@@ -210,7 +213,7 @@
     )
 }
 
-/// A proxy's file without control: the policy is its own.
+/// The configuration file of a proxy that runs without the control plane and has the policy in its own file.
 fn config_without_control(text: &str, keyed: bool) -> String {
     let part = |text: &str| {
         let from = text.find("[defaults]").unwrap_or(text.len());
@@ -222,48 +225,48 @@
     format!("{own}{}{}", &policy[..from], &policy[until..])
 }
 
-/// The replicas of control, and the ways to them.
+/// The replicas of the control plane, and the links to them.
 struct Replicas {
     all: Vec<tokio::sync::Mutex<Process>>,
     addresses_by_replica: Vec<watch::Sender<Option<SocketAddr>>>,
     links: Vec<Link>,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 struct Fleet {
     folder: Folder,
     hosts: Hosts,
     replicas: Replicas,
     proxies: Vec<tokio::sync::Mutex<Process>>,
     addresses: Addresses,
-    /// By proxy and replica.
+    /// The links from each proxy to each replica, by proxy and replica.
     links: Vec<Vec<Link>>,
-    /// What holds at the links of each proxy and before each replica.
+    /// The current faults of the links.
     link_states: Mutex<LinkStates>,
-    /// When proxies were not well, and when the way from one to control, or control itself, was not.
+    /// When a proxy, its links to the control plane, or the control plane was affected by a fault.
     outages: Mutex<Vec<Outage>>,
-    /// Without control: files that were written, and the generation that comes next.
+    /// Configuration files written without the control plane. The next generation follows the highest of these.
     written_files: Mutex<Vec<WrittenFile>>,
 }
 
-/// What holds at links.
+/// The current faults of the links and the unavailable proxies.
 #[derive(Default)]
 struct LinkStates {
-    /// Between a proxy and control, by the proxy: forth and back.
+    /// Forward and backward state of the links between a proxy and the control plane, by proxy.
     proxies: HashMap<usize, (Forwarding, Forwarding)>,
-    /// Replicas that nothing reaches.
+    /// Replicas that cannot be reached.
     cut: HashSet<usize>,
-    /// Proxies that do not run, or stand still.
+    /// Proxies that are not running, and proxies that are suspended.
     down: HashSet<usize>,
     stopped: HashSet<usize>,
 }
 
-/// A span in which something was not well.
+/// A time span in which a proxy or the control plane was affected by a fault.
 #[derive(Clone, Copy)]
 struct Outage {
-    /// Which proxy; `None`: control.
+    /// Index of the proxy; `None` for the control plane.
     proxy: Option<usize>,
-    /// The proxy itself, and not only its way to control.
+    /// Whether the proxy process itself was affected, and not only its links to the control plane.
     process: bool,
     from: Micros,
     until: Micros,
@@ -372,7 +375,7 @@
         })
     }
 
-    /// Publishes the policy, and notes what is heard.
+    /// Publishes a policy and records the outcome.
     async fn publish(
         self: &Arc<Self>,
         distribution: Distribution,
@@ -396,19 +399,19 @@
         Ok((record, done.outcome))
     }
 
-    /// Writes the file of a proxy and has it read, if it can be reached.
+    /// Replaces the configuration file of a proxy and sends it a SIGHUP. Returns false if the proxy cannot be reached.
     async fn deliver_file(
         &self,
         proxy: usize,
         keyed: bool,
         generation: u64,
     ) -> Result<bool, String> {
-        let unreachable_now = {
+        let unreachable = {
             let link_states = locked(&self.link_states);
             let (forward, backward) = link_states.proxies.get(&proxy).copied().unwrap_or_default();
             link_states.down.contains(&proxy) || [forward, backward].contains(&Forwarding::Cut)
         };
-        if unreachable_now {
+        if unreachable {
             return Ok(false);
         }
         let process = self.proxies[proxy].lock().await;
@@ -425,7 +428,7 @@
         Ok(true)
     }
 
-    /// Brings the policy to each proxy without control.
+    /// Distributes a policy without the control plane.
     async fn distribute_files(
         self: &Arc<Self>,
         distribution: Distribution,
@@ -458,7 +461,7 @@
         };
         let pause = Duration::from_millis(100);
         if distribution == Distribution::TwoPhase {
-            let missing = || {
+            let any_unreachable = || {
                 let link_states = locked(&self.link_states);
                 let cut = link_states
                     .proxies
@@ -466,9 +469,9 @@
                     .any(|(a, b)| [a, b].contains(&&Forwarding::Cut));
                 cut || !link_states.down.is_empty() || !link_states.stopped.is_empty()
             };
-            while missing() {
+            while any_unreachable() {
                 if started_at.elapsed() > baseline::RETRY_DURATION {
-                    return Ok(done(false, "not all are there"));
+                    return Ok(done(false, "not all proxies were reachable"));
                 }
                 tokio::time::sleep(pause).await;
             }
@@ -476,7 +479,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         for proxy in 0..self.proxies.len() {
             let fleet = Arc::clone(self);
-            // Files go out one after another, some at a time; a spread takes what it takes.
+            // Files are written to the proxies at intervals of 2 ms; gradual distribution spreads them over 2 s.
             let first = match distribution {
                 Distribution::Spread => Duration::from_millis(proxy as u64 * 7_919 % 2_000),
                 _ => Duration::from_millis(2 * proxy as u64),
@@ -495,7 +498,8 @@
             });
         }
         if distribution == Distribution::Spread {
-            // Nobody knows when it is through: it is taken to be after as long as it takes when all is well.
+            // Gradual distribution has no completion signal. It is taken as complete after the time it needs without
+            // faults.
             tokio::time::sleep(baseline::RETRY_DURATION).await;
             tokio::spawn(async move { while tasks.join_next().await.is_some() {} });
             return Ok(done(true, ""));
@@ -506,7 +510,7 @@
         Ok(done(true, ""))
     }
 
-    /// Waits until each proxy acts under what is in force.
+    /// Waits until each proxy acts under the revision in force.
     async fn wait_until_settled(&self) -> Result<(), String> {
         let end = Instant::now() + WAIT_TIMEOUT;
         let mut control = self.control()?;
@@ -522,7 +526,7 @@
             }
             if Instant::now() >= end {
                 return Err(format!(
-                    "{settled_count} of {} proxies have a lease",
+                    "only {settled_count} of {} proxies got a lease in time",
                     self.proxies.len()
                 ));
             }
@@ -530,7 +534,7 @@
         }
     }
 
-    /// What the fleet costs while nothing happens.
+    /// Measures the resource usage of the idle fleet.
     async fn measure_idle_cost(&self) -> IdleCost {
         async fn sum(all: &[tokio::sync::Mutex<Process>]) -> (u64, u64) {
             let (mut time, mut held) = (0, Vec::new());
@@ -607,7 +611,7 @@
                 }
                 locked(&self.link_states).down.clear();
             }
-            Kind::KillProxy | Kind::TearProxy => {
+            Kind::KillProxy | Kind::TruncatePolicy => {
                 locked(&self.link_states).down.insert(fault.target);
                 self.kill_proxy(fault, end).await?;
                 locked(&self.link_states).down.remove(&fault.target);
@@ -620,8 +624,8 @@
                 locked(&self.link_states).stopped.remove(&fault.target);
             }
             Kind::CutProxy => set_links((Forwarding::Cut, Forwarding::Cut)),
-            Kind::UnheardProxy => set_links((Forwarding::Cut, Forwarding::Normal)),
-            Kind::DeafProxy => set_links((Forwarding::Normal, Forwarding::Cut)),
+            Kind::CutFromProxy => set_links((Forwarding::Cut, Forwarding::Normal)),
+            Kind::CutToProxy => set_links((Forwarding::Normal, Forwarding::Cut)),
             Kind::DelayProxy => set_links((delayed, delayed)),
             Kind::TrickleProxy => set_links((Forwarding::Trickle, Forwarding::Trickle)),
             Kind::ResetProxy => self.links[fault.target]
@@ -666,9 +670,9 @@
         if !fault.kind.targets_replica() {
             set_links((Forwarding::Normal, Forwarding::Normal));
         }
-        let process = matches!(
+        let affects_process = matches!(
             fault.kind,
-            Kind::KillProxy | Kind::KillAll | Kind::TearProxy | Kind::StopProxy
+            Kind::KillProxy | Kind::KillAll | Kind::TruncatePolicy | Kind::StopProxy
         );
         let affected = match fault.kind {
             Kind::KillAll => (0..self.proxies.len()).map(Some).collect(),
@@ -678,7 +682,7 @@
         let until = now();
         let outages = affected.into_iter().map(|proxy| Outage {
             proxy,
-            process,
+            process: affects_process,
             from,
             until,
         });
@@ -688,14 +692,16 @@
 
     async fn kill_proxy(&self, fault: Fault, end: Instant) -> Result<(), String> {
         let mut proxy = self.proxies[fault.target].lock().await;
-        // Its port may be another process's at once, and of another course's fleet: until it listens nobody is there.
+        // Another process, even one of a concurrent run's fleet, may get the port of this proxy at once. Until the
+        // proxy listens again, its address is one that refuses connections.
         let unreachable = SocketAddr::from(([127, 0, 0, 1], 9));
         self.addresses
             .write()
             .unwrap_or_else(PoisonError::into_inner)[fault.target] = unreachable;
         proxy.kill().await;
         let name = format!("p{}", fault.target);
-        // One that goes on without a lease holds changes up until the operator answers for its end.
+        // A proxy that may continue without a lease blocks changes until an operator confirms that it has ended, by
+        // evicting it.
         let log = proxy.log();
         let start_of = |l: &str| {
             l.contains("policy from control, as")
@@ -709,7 +715,7 @@
                 let _ = control.evict(&name, start).await;
             });
         }
-        if fault.kind == Kind::TearProxy {
+        if fault.kind == Kind::TruncatePolicy {
             let path = self
                 .folder
                 .path()
@@ -759,7 +765,9 @@
                 .status()
                 .await;
             if !made.map_err(|e| e.to_string())?.success() {
-                return Err(format!("{file}: its store could not be made"));
+                return Err(format!(
+                    "{file}: the store of the replica could not be created"
+                ));
             }
             let mut arguments = before.clone();
             arguments.extend(["serve".to_owned(), file]);
@@ -781,10 +789,11 @@
     }
 }
 
-/// Plays one course.
+/// Runs one fault schedule.
 ///
 /// # Errors
-/// If the fleet could not be started or asked: the trial itself failed, and says nothing of the program.
+/// Returns an error if the fleet could not be started or queried. The test itself failed then, which says nothing about
+/// the tested programs.
 pub async fn run(
     programs: &Programs,
     size: Size,
@@ -796,7 +805,10 @@
     if size.distribution == Distribution::Control {
         let (record, first) = fleet.publish(size.distribution, true).await?;
         if first != Outcome::InForce {
-            return Err(format!("the first policy: {}", record.why));
+            return Err(format!(
+                "the first policy did not come into force: {}",
+                record.why
+            ));
         }
         publishes.push(record);
         fleet.wait_until_settled().await?;
@@ -827,7 +839,7 @@
     for &pause in &schedule.pauses {
         tokio::time::sleep(pause).await;
         if !keyed {
-            // Hosts know repeats again before anybody may send them.
+            // The hosts deduplicate again before any proxy may retry these calls.
             fleet.hosts.set_dedup(CHARGE, true);
         }
         let (record, end) = fleet.publish(size.distribution, !keyed).await?;
@@ -836,7 +848,7 @@
                 outcome.push("in-force");
                 keyed = !keyed;
                 if !keyed {
-                    // Calls that began before go on by the terms they began with, to the end of their time.
+                    // Calls that are already running keep their policy until their deadline.
                     tokio::time::sleep(CALL_TIMEOUT + Duration::from_millis(300)).await;
                     fleet.hosts.set_dedup(CHARGE, false);
                 }
@@ -858,7 +870,7 @@
     while let Some(done) = faults.join_next().await {
         done.map_err(|e| e.to_string())??;
     }
-    // All is well again: a change comes into force.
+    // All faults have ended, so this change must come into force.
     if !keyed {
         fleet.hosts.set_dedup(CHARGE, true);
     }
@@ -880,7 +892,7 @@
     for (index, proxy) in fleet.proxies.iter().enumerate() {
         let mut proxy = proxy.lock().await;
         if let Some(end) = proxy.exit_report() {
-            return Err(format!("p{index} ended by itself: {end}"));
+            return Err(format!("proxy p{index} ended unexpectedly: {end}"));
         }
         proxy.kill().await;
         let log = proxy.log();
@@ -893,14 +905,14 @@
     if size.distribution != Distribution::Control {
         begun = baseline::started_calls(&attempts, &logs, &locked(&fleet.written_files));
     }
-    // What was served had begun, and is in the logs: else nothing would be judged.
+    // Every served call has started and must be in the logs. With records missing, the invariants would pass unchecked.
     let served = attempts
         .iter()
         .filter(|t| t.ended == Ended::Status(200))
         .count();
     if begun.len() < served {
         return Err(format!(
-            "{served} calls were served, and the logs have {} that began",
+            "{served} calls were served, but the logs contain only {} started calls",
             begun.len()
         ));
     }
@@ -910,7 +922,8 @@
             .iter()
             .any(|u| u.process && u.proxy == Some(proxy) && u.overlaps(from, until, 0))
     };
-    // A lease and an election after a fault of control, or of the way to it, all is well again.
+    // After a fault of the control plane or of a link to it, all is healthy again once a lease and an election have
+    // passed.
     let after = (LEASE_MS + 4 * ELECTION_MS) * 1_000;
     let all_healthy = |proxy: usize, from: Micros, until: Micros| {
         let concerns = |u: &&Outage| u.proxy.is_none_or(|p| p == proxy);
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -17,13 +17,16 @@
     /// A proxy is suspended (SIGSTOP) and resumed.
     StopProxy,
     /// A proxy is killed, and its stored copy of the policy is truncated before the restart.
-    TearProxy,
+    #[serde(rename = "tear-proxy")]
+    TruncatePolicy,
     /// The links between a proxy and the control plane are cut in both directions.
     CutProxy,
     /// The links are cut from a proxy to the control plane; the other direction works.
-    UnheardProxy,
+    #[serde(rename = "unheard-proxy")]
+    CutFromProxy,
     /// The links are cut from the control plane to a proxy; the other direction works.
-    DeafProxy,
+    #[serde(rename = "deaf-proxy")]
+    CutToProxy,
     /// Traffic between a proxy and the control plane is delayed.
     DelayProxy,
     /// The connections between a proxy and the control plane are reset.
@@ -45,10 +48,10 @@
     Kind::KillProxy,
     Kind::KillAll,
     Kind::StopProxy,
-    Kind::TearProxy,
+    Kind::TruncatePolicy,
     Kind::CutProxy,
-    Kind::UnheardProxy,
-    Kind::DeafProxy,
+    Kind::CutFromProxy,
+    Kind::CutToProxy,
     Kind::DelayProxy,
     Kind::ResetProxy,
     Kind::TrickleProxy,
--- a/crates/fault-injection/src/start/cold_hosts.rs
+++ b/crates/fault-injection/src/start/cold_hosts.rs
@@ -1,5 +1,6 @@
-//! Hosts that are cold after their start: a core each, which does a share of its work at first; a new connection is work
-//! too. They count what they are sent, and know when that is more than a cold host bears.
+//! Hosts that are slow after their start. Each has one core, which begins with a share of its full speed and warms up;
+//! accepting a connection costs work, too. Hosts record connections and requests, from which the load is compared with
+//! the capacity of a cold host.
 
 use crate::link::{header_value, read_message, send};
 use crate::now;
@@ -11,56 +12,56 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// What a host is.
+/// The model of a host's speed.
 #[derive(Clone, Copy, Debug)]
 pub struct HostModel {
-    /// Work of a request when warm.
+    /// Work of a request on a warm host.
     pub work: Duration,
-    /// Work of a new connection when warm.
+    /// Work of a new connection on a warm host.
     pub handshake: Duration,
-    /// Share of its speed at its start.
+    /// Speed at the start, as a share of the full speed.
     pub cold_share: f64,
-    /// Until it is warm.
+    /// Time until a host has its full speed.
     pub cold_time: Duration,
-    /// Sent more than this multiple of what it can then do over [`FALL_TIME`] it falls over.
+    /// A host collapses when its load over [`FALL_TIME`] exceeds this multiple of its capacity.
     pub fall_multiple: f64,
-    /// Longest that a request waits for its turn; one that would wait longer is turned away.
+    /// Longest time a request waits for the core. A request that would wait longer is rejected.
     pub max_wait: Duration,
 }
 
-/// See [`Kind::fall_multiple`].
+/// The period for [`HostModel::fall_multiple`], in microseconds.
 pub const FALL_TIME: Micros = 2_000_000;
-/// How long a key is remembered.
+/// How long an idempotency key is remembered, in microseconds.
 const DEDUP_WINDOW: Micros = 2_500_000;
 
 impl HostModel {
-    /// Its speed at a time since its start, against warm.
+    /// Speed at this time after the start, relative to a warm host.
     pub fn speed(&self, age: Micros) -> f64 {
         let share = age as f64 / self.cold_time.as_micros() as f64;
         (self.cold_share + (1.0 - self.cold_share) * share).min(1.0)
     }
 
-    /// Requests a second that it can do at this time since its start.
+    /// Requests per second that a host can serve at this time after its start.
     pub fn capacity(&self, age: Micros) -> f64 {
         self.speed(age) / self.work.as_secs_f64()
     }
 }
 
-/// What a host was sent.
+/// What a host received.
 #[derive(Clone, Debug, Default)]
 pub struct HostRecord {
-    /// When it started.
+    /// When the host started.
     pub started: Micros,
-    /// When each connection came.
+    /// When each connection was accepted.
     pub connects: Vec<Micros>,
-    /// When each request came.
+    /// When each request was received.
     pub requests: Vec<Micros>,
-    /// Requests that were turned away.
+    /// Number of rejected requests.
     pub turned_away: u32,
 }
 
 impl HostRecord {
-    /// Most connections within a second.
+    /// Highest number of connections within a second.
     pub fn max_connects_per_second(&self) -> usize {
         (0..self.connects.len())
             .map(|n| {
@@ -73,7 +74,7 @@
             .unwrap_or(0)
     }
 
-    /// The most that came within [`FALL_TIME`], against what the host could then do.
+    /// Highest number of requests within [`FALL_TIME`], as a multiple of the host's capacity at that time.
     pub fn max_overload(&self, model: &HostModel) -> f64 {
         let mut highest: f64 = 0.0;
         for (n, &from) in self.requests.iter().enumerate() {
@@ -93,15 +94,15 @@
 struct Shared {
     model: HostModel,
     records: Vec<HostRecord>,
-    /// When the core of each has done what it was given.
+    /// When the core of each host has finished the work accepted so far.
     free_at: Vec<Micros>,
     executed_at: HashMap<String, Micros>,
     executed: HashMap<String, u32>,
 }
 
-/// All hosts.
+/// All hosts of a run.
 pub struct Hosts {
-    /// Where each listens.
+    /// Listen address of each host.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     listeners: Vec<AbortHandle>,
@@ -112,7 +113,7 @@
 }
 
 impl Hosts {
-    /// Hosts of this kind, none yet.
+    /// Creates an empty set of hosts of this model.
     pub fn new(model: HostModel) -> Self {
         let shared = Shared {
             model,
@@ -128,10 +129,10 @@
         }
     }
 
-    /// One more starts now.
+    /// Starts another host and returns its index.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn add(&mut self) -> Result<usize, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -158,12 +159,12 @@
         Ok(index)
     }
 
-    /// What each was sent.
+    /// What each host received so far.
     pub fn records(&self) -> Vec<HostRecord> {
         locked(&self.shared).records.clone()
     }
 
-    /// How often each key was executed.
+    /// How often each idempotency key was executed.
     pub fn executed(&self) -> HashMap<String, u32> {
         locked(&self.shared).executed.clone()
     }
@@ -175,7 +176,8 @@
     }
 }
 
-/// Takes the host's core for this work; how long until it is done, or `None` if the wait is too long.
+/// Occupies the core of a host for this work. Returns the time until the work is done, or `None` if it would have to
+/// wait for longer than `max_wait`.
 fn occupy_core(
     shared: &mut Shared,
     index: usize,
@@ -209,7 +211,7 @@
             let at = now();
             shared.records[index].requests.push(at);
             let model = shared.model;
-            // A connection is worked on before its first request, whatever becomes of that.
+            // The work of a new connection precedes its first request, even if that request is rejected.
             if std::mem::take(&mut new_connection) {
                 occupy_core(&mut shared, index, model.handshake, Duration::MAX / 4);
             }
@@ -242,7 +244,7 @@
     use super::*;
 
     #[test]
-    fn what_came_is_held_against_what_a_cold_host_can_do() {
+    fn load_is_compared_with_the_capacity_of_a_cold_host() {
         let model = HostModel {
             work: Duration::from_millis(10),
             handshake: Duration::ZERO,
@@ -255,7 +257,7 @@
             (model.capacity(0) - 10.0).abs() < 1e-6
                 && (model.capacity(20_000_000) - 100.0).abs() < 1e-6
         );
-        // 19 a second in its second second.
+        // 19 requests per second, around the second second after the start.
         let requests = (0..38).map(|n| n * 52_000).collect();
         let records = HostRecord {
             started: 0,
--- a/crates/fault-injection/src/start/mod.rs
+++ b/crates/fault-injection/src/start/mod.rs
@@ -1,6 +1,6 @@
-//! A start of all proxies together, with processes: proxies, a list service that takes one question at a time, hosts
-//! that are all cold, clients that come as fast as the hosts can bear. Side by side: each proxy asks for itself, takes
-//! its turn, or hears the list from its peers.
+//! Test of a simultaneous start of all proxies, as processes: a list service that handles one poll at a time, hosts
+//! that are all cold, and clients that call as fast as the hosts can serve. Three ways to get the endpoint list are
+//! compared: every proxy polls at once, polls in its turn, or receives the list from its peers.
 
 pub mod cold_hosts;
 pub mod report;
@@ -31,33 +31,33 @@
 
 const CHARGE: &str = "/cobro-mensual";
 const ENTRY: &str = "/registro-entrada";
-/// Longest wait for what must come.
+/// Longest wait for all proxies to have the newest list.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Seeds of the fleet.
+/// Number of proxies that are gossip seeds of the fleet.
 const SEEDS: usize = 3;
-/// Share of what the hosts can do at each moment that clients want.
+/// Share of the current capacity of all hosts that clients use.
 const LOAD_SHARE: f64 = 0.8;
-/// Tries of a client, and its longest pause before the next.
+/// Attempts per call, and the longest pause between two of them.
 const MAX_ATTEMPTS: usize = 3;
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// How a proxy comes to its list.
+/// How the proxies get the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListSource {
-    /// Each asks at once.
+    /// Every proxy polls the list service at once.
     None,
-    /// Each takes its turn in a round that the operator has reckoned (`[list]`).
+    /// Every proxy polls in its turn, within a round computed from the rate in the operator's file (`[list]`).
     Turns,
-    /// Some ask for all (`[peers]`).
+    /// A few proxies poll for all, and the others receive the list by gossip (`[peers]`).
     Peers,
 }
 
 impl ListSource {
-    /// The names of all.
+    /// The command-line names of all variants, in order.
     pub const NAMES: [&'static str; 3] = ["none", "turns", "peers"];
 
-    /// The way of this name.
+    /// The variant with this command-line name.
     pub fn from_name(name: &str) -> Option<ListSource> {
         [ListSource::None, ListSource::Turns, ListSource::Peers]
             .into_iter()
@@ -67,94 +67,96 @@
     }
 }
 
-/// A fleet.
+/// Size and settings of the tested fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Questions a second that the list service bears.
+    /// Polls per second that the list service can handle.
     pub capacity: f64,
-    /// How a proxy comes to its list.
+    /// How the proxies get the endpoint list.
     pub list_source: ListSource,
-    /// Proxies start within this time.
+    /// All proxies start within this time.
     pub start_window: Duration,
-    /// How long clients call.
+    /// How long clients send calls.
     pub load_duration: Duration,
-    /// What a host is.
+    /// The model of a host's speed.
     pub host: cold_hosts::HostModel,
-    /// Hosts that each proxy keeps to (`[subset]`); 0: all.
+    /// Number of hosts that each proxy uses (`[subset]`); 0 means all.
     pub subset: usize,
 }
 
-/// What a course came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// The course's seed.
+    /// Seed of the fault schedule.
     pub seed: u64,
-    /// How proxies came to their lists.
+    /// How the proxies got the endpoint list.
     #[serde(rename = "way")]
     pub list_source: ListSource,
-    /// What went wrong.
+    /// The faults that were injected.
     pub faults: Vec<Fault>,
-    /// From the service's first answer, or from a proxy's own start where that was later, to its list: of half of
-    /// them, of 99 in 100, of all, in milliseconds.
+    /// Time until a proxy has the list, from the first answer of the list service or, if later, from the start of the
+    /// proxy: median, 99th percentile and maximum, in milliseconds.
     pub listed_ms: [u64; 3],
-    /// From the first answer to the last list, whenever proxies started.
+    /// Time from the first answer of the list service until the last proxy has the list, in milliseconds, whenever
+    /// proxies started.
     pub all_listed_ms: u64,
-    /// Proxies without a list in the end.
+    /// Proxies without a list at the end of the run.
     pub unlisted: usize,
-    /// Proxies whose list is not the newest long after the last fault.
+    /// Proxies that do not have the newest list long after the last fault.
     pub behind: usize,
-    /// Questions to the list service until all had their list, and in all.
+    /// Polls of the list service until all proxies had the list.
     pub questions_start: usize,
-    /// ...
+    /// All polls of the list service.
     pub questions: usize,
-    /// Most of them in a second.
+    /// Highest number of polls within a second.
     pub questions_most: usize,
-    /// Questions that the service gave up.
+    /// Polls that the list service rejected because they waited too long.
     pub given_up: u32,
-    /// Most connections that a host was opened in a second.
+    /// Highest number of connections that one host accepted within a second.
     pub connects_most: usize,
-    /// Connections that all hosts were opened.
+    /// Connections that all hosts accepted.
     pub connects: usize,
-    /// The most that a host was sent within its fall time, against what it could then do.
+    /// Highest load of a host over [`cold_hosts::FALL_TIME`], as a multiple of its capacity at that time.
     pub multiple_most: f64,
-    /// Calls, and those that were served in their time.
+    /// All calls.
     pub calls: usize,
-    /// ...
+    /// Calls that were served.
     pub served: usize,
     /// Share of the calls of the first ten seconds that were served.
     pub goodput: f64,
-    /// Calls that a proxy took and gave no final answer.
+    /// Calls that a healthy proxy accepted and did not answer.
     pub lost: usize,
-    /// Requests that ran twice.
+    /// Requests that were executed more than once.
     pub executed_twice: usize,
-    /// From a drain's first word to the last call that came to that host, in milliseconds, if one drained.
+    /// Longest time from the first list that announced the drain or removal of a host to the last request at that host,
+    /// in milliseconds; `None` if no host drained.
     pub drained_ms: Option<u64>,
-    /// What broke first.
+    /// Description of the violations; `None` if there are none.
     pub first: Option<String>,
-    /// By second since the first start: questions, connections, calls, served.
+    /// For each second since the first start: polls, connections, calls, served calls.
     pub seconds: Vec<[usize; 4]>,
-    /// By tenth of a second: proxies that have a list.
+    /// For each tenth of a second: proxies that have a list.
     pub tenths: Vec<usize>,
 }
 
 impl RunReport {
-    /// Did the rules hold, and do all have the newest list in the end?
+    /// Whether no invariant was violated and all proxies have the newest list at the end.
     pub fn held(&self) -> bool {
         self.first.is_none()
     }
 }
 
-/// One call.
+/// One call of a client.
 #[derive(Clone, Debug)]
 struct CallRecord {
     key: String,
     from: Micros,
     served: Option<Micros>,
-    /// The last try's end, and where.
+    /// How the last attempt ended; `proxy` and `last` are its proxy and start.
     ended: Ended,
     proxy: usize,
     last: Micros,
@@ -176,14 +178,14 @@
     hosts: tokio::sync::Mutex<Hosts>,
     service: Service,
     proxies: Vec<Proxy>,
-    /// What holds at the links between proxies.
+    /// The current faults of the links between proxies.
     link_faults: Mutex<LinkFaults>,
-    /// Proxies that were killed or stood still: who, from when, until when.
+    /// Proxies that were killed or suspended: index, from, until.
     down: Mutex<Vec<(usize, Micros, Micros)>>,
-    /// Hosts that drained, by place, and the version that said so.
+    /// Hosts that drained or were removed: index, and the list version that announced it.
     drained: Mutex<Vec<(usize, u64)>>,
-    /// What the list says of each host.
-    listed: Mutex<Vec<ListEntry>>,
+    /// The current list entry of each host.
+    list_entries: Mutex<Vec<ListEntry>>,
     other_fleet_proxies: Mutex<Vec<Process>>,
 }
 
@@ -295,13 +297,16 @@
             true,
         )?;
         let mut hosts = Hosts::new(size.host);
-        let mut listed = Vec::new();
+        let mut list_entries = Vec::new();
         for _ in 0..size.hosts {
             let index = hosts.add().await?;
-            listed.push(Some((hosts.addresses[index], false, unix_ms())));
+            list_entries.push(Some((hosts.addresses[index], false, unix_ms())));
         }
-        let service =
-            Service::start(listed.iter().copied().enumerate().collect(), size.capacity).await?;
+        let service = Service::start(
+            list_entries.iter().copied().enumerate().collect(),
+            size.capacity,
+        )
+        .await?;
         let (_, at) = watch::channel(Some(service.address));
         let mut built = Vec::new();
         for index in 0..size.proxies {
@@ -321,14 +326,14 @@
         for (index, (datagram_address_updates, datagram_address, service, peers)) in
             built.into_iter().enumerate()
         {
-            let own = (
+            let addresses = (
                 &*secret.display().to_string(),
                 peers.address,
                 &*seeds.join(", "),
             );
             let file = folder.write(
                 &format!("p{index}.toml"),
-                &proxy_config((&size, index), service.address, own, "trial"),
+                &proxy_config((&size, index), service.address, addresses, "trial"),
                 false,
             )?;
             let mut arguments = programs.1.clone();
@@ -339,7 +344,7 @@
                 debug_filter: Vec::new(),
                 environment: Vec::new(),
             };
-            // Started later, when its moment has come.
+            // The process is started later, at its time within the start window.
             let process =
                 tokio::sync::Mutex::new(Process::unstarted(spec, datagram_address_updates));
             proxies.push(Proxy {
@@ -361,7 +366,7 @@
             link_faults: Mutex::default(),
             down: Mutex::default(),
             drained: Mutex::default(),
-            listed: Mutex::new(listed),
+            list_entries: Mutex::new(list_entries),
             other_fleet_proxies: Mutex::default(),
         })
     }
@@ -382,7 +387,7 @@
         self.proxies[index].process.lock().await.kill().await;
     }
 
-    /// Sets all links between proxies by what holds.
+    /// Applies the current faults to all links between proxies.
     fn apply_link_faults(&self) {
         let link_faults = locked(&self.link_faults);
         let peer_addresses: Vec<Option<SocketAddr>> = self
@@ -418,7 +423,7 @@
         }
     }
 
-    /// Proxies that ask the list service for all, by their logs.
+    /// The proxies that currently poll the list service for the fleet, according to their logs.
     async fn pollers(&self) -> Vec<usize> {
         let mut pollers = Vec::new();
         for (index, proxy) in self.proxies.iter().enumerate() {
@@ -504,13 +509,13 @@
                 let seeds: Vec<usize> = (0..SEEDS.min(self.proxies.len())).collect();
                 self.restart(&seeds, until).await?;
             }
-            Kind::KillAskers => self.restart(&self.pollers().await, until).await?,
-            Kind::StopAskers => self.stop_and_continue(&self.pollers().await, until).await,
+            Kind::KillPollers => self.restart(&self.pollers().await, until).await?,
+            Kind::StopPollers => self.stop_and_continue(&self.pollers().await, until).await,
             Kind::StopSome => {
                 self.stop_and_continue(&self.choose_proxies(fault.target_seed, 0.3), until)
                     .await
             }
-            Kind::Roll => {
+            Kind::RollingRestart => {
                 let targets = self.choose_proxies(fault.target_seed, 0.3);
                 let pause = (fault.until - fault.from) / targets.len().max(1) as u32;
                 for index in targets {
@@ -522,7 +527,7 @@
                     tokio::time::sleep(pause).await;
                 }
             }
-            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld => {
+            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceStale => {
                 let state = match fault.kind {
                     Kind::ServiceDown => ServiceState::Down,
                     Kind::ServiceSlow => ServiceState::Slow,
@@ -545,14 +550,18 @@
                 tokio::time::sleep_until(until).await;
                 set(Forwarding::Normal);
             }
-            Kind::CutFromPeers | Kind::Halves => {
-                let share = if fault.kind == Kind::Halves { 0.5 } else { 0.2 };
+            Kind::CutFromPeers | Kind::Partition => {
+                let share = if fault.kind == Kind::Partition {
+                    0.5
+                } else {
+                    0.2
+                };
                 let halves = match fault.kind {
-                    Kind::Halves => vec![self
+                    Kind::Partition => vec![self
                         .choose_proxies(fault.target_seed, share)
                         .into_iter()
                         .collect()],
-                    // Each by itself.
+                    // Each of these proxies is separated from all others.
                     _ => self
                         .choose_proxies(fault.target_seed, share)
                         .into_iter()
@@ -563,11 +572,11 @@
                 tokio::time::sleep_until(until).await;
                 change_link_faults(&|w| w.partitions.retain(|h| !halves.contains(h)));
             }
-            Kind::Lossy | Kind::Doubled | Kind::Late => {
+            Kind::Lossy | Kind::Duplicated | Kind::Late => {
                 let set = |on: bool| {
                     change_link_faults(&|w| match fault.kind {
                         Kind::Lossy => w.lose = on,
-                        Kind::Doubled => w.duplicate = on,
+                        Kind::Duplicated => w.duplicate = on,
                         _ => w.delay = on,
                     });
                 };
@@ -582,21 +591,21 @@
         Ok(())
     }
 
-    /// Half of the hosts go, and others come.
+    /// Replaces half of the hosts by new ones.
     async fn replace(&self) -> Result<(), String> {
         let mut hosts = self.hosts.lock().await;
         let mut changes = Vec::new();
-        let count = locked(&self.listed).len();
+        let count = locked(&self.list_entries).len();
         for index in 0..count / 2 {
             let new = hosts.add().await?;
             changes.push((index, None));
             changes.push((new, Some((hosts.addresses[new], false, unix_ms()))));
         }
-        let mut listed = locked(&self.listed);
+        let mut list_entries = locked(&self.list_entries);
         for (index, entry) in &changes {
-            match listed.get_mut(*index) {
+            match list_entries.get_mut(*index) {
                 Some(old) => *old = *entry,
-                None => listed.push(*entry),
+                None => list_entries.push(*entry),
             }
         }
         let version = self.service.change(changes);
@@ -606,28 +615,28 @@
 
     async fn drain(&self, fault: Fault, until: Instant) {
         let index = {
-            let mut listed = locked(&self.listed);
-            let up: Vec<usize> = (0..listed.len())
-                .filter(|p| matches!(listed[*p], Some((_, false, _))))
+            let mut list_entries = locked(&self.list_entries);
+            let up: Vec<usize> = (0..list_entries.len())
+                .filter(|p| matches!(list_entries[*p], Some((_, false, _))))
                 .collect();
             let Some(&index) = up.choose(&mut Pcg32::seed_from_u64(fault.target_seed)) else {
                 return;
             };
-            if let Some((_, drains, _)) = &mut listed[index] {
+            if let Some((_, drains, _)) = &mut list_entries[index] {
                 *drains = true;
             }
-            let version = self.service.change(vec![(index, listed[index])]);
+            let version = self.service.change(vec![(index, list_entries[index])]);
             locked(&self.drained).push((index, version));
             index
         };
         tokio::time::sleep_until(until).await;
-        let mut listed = locked(&self.listed);
-        if listed[index].take().is_some() {
+        let mut list_entries = locked(&self.list_entries);
+        if list_entries[index].take().is_some() {
             self.service.change(vec![(index, None)]);
         }
     }
 
-    /// A proxy of another fleet comes to the same seeds.
+    /// Starts a proxy of another fleet with the same seeds.
     async fn start_other_fleet_proxy(&self, target_seed: u64) -> Result<(), String> {
         let text = std::fs::read_to_string(&self.proxies[0].file).map_err(|e| e.to_string())?;
         let text = text.replace("fleet = \"trial\"", "fleet = \"another\"");
@@ -650,7 +659,7 @@
         Ok(())
     }
 
-    /// Clients call as fast as the hosts can bear, times [`LOAD`], each by its own proxy once that listens.
+    /// Sends calls at the share [`LOAD_SHARE`] of the hosts' current capacity, each to a random listening proxy.
     async fn load(self: Arc<Self>, seed: u64, began: Instant) -> Vec<CallRecord> {
         let mut rng = Pcg32::seed_from_u64(seed);
         let (mut in_flight, mut calls) = (tokio::task::JoinSet::new(), Vec::new());
@@ -691,8 +700,8 @@
         calls
     }
 
-    /// Proxies whose list is not the newest, waited for.
-    async fn behind(&self) -> Result<usize, String> {
+    /// Waits until all proxies have the newest list, at most [`CONVERGENCE_TIMEOUT`]. Returns the number that do not.
+    async fn count_outdated_proxies(&self) -> Result<usize, String> {
         let end = Instant::now() + CONVERGENCE_TIMEOUT;
         let newest = self.service.newest();
         let mut behind: Vec<usize> = (0..self.proxies.len()).collect();
@@ -755,17 +764,17 @@
                 tokio::time::sleep(retry_after.unwrap_or(MAX_RETRY_PAUSE).min(MAX_RETRY_PAUSE))
                     .await;
             }
-            // Its proxy has gone, or it may have run.
+            // The proxy is gone, or the call may have run: it must not be retried.
             _ => break,
         }
     }
     call
 }
 
-/// Plays one course.
+/// Runs one fault schedule.
 ///
 /// # Errors
-/// If the trial itself failed: it says nothing of the program.
+/// Returns an error if the test itself failed, which says nothing about the tested program.
 pub async fn run(
     programs: &(PathBuf, Vec<String>),
     size: Size,
@@ -773,7 +782,7 @@
     keep: bool,
 ) -> Result<RunReport, String> {
     let fleet = Arc::new(Fleet::build(programs, size, schedule.seed, keep).await?);
-    let (began, zero) = (Instant::now(), now());
+    let (began, start_time) = (Instant::now(), now());
     let mut tasks = tokio::task::JoinSet::new();
     let mut order: Vec<usize> = (0..size.proxies).collect();
     order.shuffle(&mut Pcg32::seed_from_u64(schedule.seed));
@@ -789,7 +798,7 @@
     }
     let mut faults = tokio::task::JoinSet::new();
     for &fault in &schedule.faults {
-        // Processes end only after they have started.
+        // Faults that end or suspend processes begin once all have been started.
         let from = if fault.kind.targets_processes() {
             fault.from.max(size.start_window)
         } else {
@@ -811,9 +820,9 @@
     }
     let calls = load.await.map_err(|e| e.to_string())?;
     let behind = if size.list_source == ListSource::Peers {
-        fleet.behind().await?
+        fleet.count_outdated_proxies().await?
     } else {
         0
     };
-    report::evaluate(&fleet, schedule, (zero, calls), behind).await
+    report::evaluate(&fleet, schedule, (start_time, calls), behind).await
 }
--- a/crates/fault-injection/src/start/report.rs
+++ b/crates/fault-injection/src/start/report.rs
@@ -1,4 +1,4 @@
-//! What a start came to.
+//! Evaluation of the runs of a simultaneous start.
 
 use super::cold_hosts::HostRecord;
 use super::{locked, CallRecord, FaultSchedule, Fleet, RunReport};
@@ -12,12 +12,12 @@
     micros / 1_000
 }
 
-/// The lives of a proxy by its log: when it listened, and when it first had a list.
+/// The lifetimes of a proxy process according to its log: when it listened, and when it first had a list.
 fn lifetimes(log: &[(Micros, String)]) -> Vec<(Micros, Option<Micros>)> {
     let mut lifetimes: Vec<(Micros, Option<Micros>)> = Vec::new();
     let mut waiting = None;
     for (at, line) in log {
-        // The list may be told before the listener is.
+        // The list can be logged before the listener is.
         if line.contains("endpoint list received") || line.contains("discovery: list ") {
             match lifetimes.last_mut().filter(|l| l.1.is_none()) {
                 Some(lifetime) => lifetime.1 = Some(*at),
@@ -33,20 +33,20 @@
 pub(super) async fn evaluate(
     fleet: &Fleet,
     schedule: &FaultSchedule,
-    (zero, calls): (Micros, Vec<CallRecord>),
+    (start_time, calls): (Micros, Vec<CallRecord>),
     behind: usize,
 ) -> Result<RunReport, String> {
     let mut all_lifetimes = Vec::new();
     for (index, proxy) in fleet.proxies.iter().enumerate() {
         let mut process = proxy.process.lock().await;
         if let Some(end) = process.exit_report() {
-            return Err(format!("p{index} ended by itself: {end}"));
+            return Err(format!("proxy p{index} ended unexpectedly: {end}"));
         }
         process.kill().await;
         all_lifetimes.push(lifetimes(&process.log()));
     }
     let counts = fleet.service.counts();
-    let first = counts.first_answer.unwrap_or(zero);
+    let first = counts.first_answer.unwrap_or(start_time);
     let last_lifetimes = || all_lifetimes.iter().filter_map(|l| l.last());
     let unlisted = last_lifetimes().filter(|l| l.1.is_none()).count();
     let listed = || {
@@ -63,14 +63,14 @@
         let index = ((waits.len() as f64 - 1.0) * share).ceil().max(0.0) as usize;
         ms(waits.get(index).copied().unwrap_or(0))
     };
-    // Of the first start of each.
-    let firsts: Vec<Micros> = all_lifetimes.iter().filter_map(|l| l.first()?.1).collect();
-    let all_at = firsts.iter().copied().max().unwrap_or(zero);
+    // The first lifetime of each proxy.
+    let first_listed: Vec<Micros> = all_lifetimes.iter().filter_map(|l| l.first()?.1).collect();
+    let all_at = first_listed.iter().copied().max().unwrap_or(start_time);
     let host_records: Vec<HostRecord> = fleet.hosts.lock().await.records();
     let executed = fleet.hosts.lock().await.executed();
     let executed_twice = executed.values().filter(|times| **times > 1).count();
     let down = locked(&fleet.down).clone();
-    // One that was killed under the call, or stood still, is no proxy's fault; nor one that had not come up.
+    // A call is not lost by the proxy if the proxy was killed, suspended or starting at that time.
     let proxy_healthy = |call: &CallRecord| {
         !down.iter().any(|(who, from, until)| {
             *who == call.proxy && *until >= call.last && *from <= call.last + 6_000_000
@@ -82,7 +82,7 @@
         .collect();
     let early: Vec<&CallRecord> = calls
         .iter()
-        .filter(|c| c.from < zero + 10_000_000)
+        .filter(|c| c.from < start_time + 10_000_000)
         .collect();
     let served_early = early.iter().filter(|c| c.served.is_some()).count();
     let drained = locked(&fleet.drained).clone();
@@ -101,14 +101,16 @@
         .max();
     let mut problems = Vec::new();
     if unlisted > 0 {
-        problems.push(format!("{unlisted} proxies have no list"));
+        problems.push(format!("{unlisted} proxies have no endpoint list"));
     }
     if behind > 0 {
-        problems.push(format!("{behind} proxies do not have the newest list"));
+        problems.push(format!(
+            "{behind} proxies do not have the newest endpoint list"
+        ));
     }
     if let Some(call) = lost.first() {
         problems.push(format!(
-            "call {} at p{} was lost: {:?}",
+            "call {} at p{} got no answer: {:?}",
             call.key, call.proxy, call.ended
         ));
     }
@@ -117,11 +119,14 @@
             .iter()
             .find(|(_, times)| **times > 1)
             .map(|(key, _)| key.clone());
-        problems.push(format!("call {} ran twice", twice.unwrap_or_default()));
+        problems.push(format!(
+            "call {} was executed more than once",
+            twice.unwrap_or_default()
+        ));
     }
-    let second = |at: Micros| (at.saturating_sub(zero) / 1_000_000) as usize;
-    let most = calls.iter().map(|c| second(c.last)).max().unwrap_or(0);
-    let mut seconds = vec![[0; 4]; most + 1];
+    let second = |at: Micros| (at.saturating_sub(start_time) / 1_000_000) as usize;
+    let last_second = calls.iter().map(|c| second(c.last)).max().unwrap_or(0);
+    let mut seconds = vec![[0; 4]; last_second + 1];
     let mut count = |at: Micros, what: usize| {
         if let Some(row) = seconds.get_mut(second(at)) {
             row[what] += 1;
@@ -138,9 +143,9 @@
         .filter_map(|c| c.served)
         .for_each(|at| count(at, 3));
     let questions_most = seconds.iter().map(|s| s[0]).max().unwrap_or(0);
-    let tenths = (0..(most + 1) * 10)
+    let tenths = (0..(last_second + 1) * 10)
         .map(|n| {
-            let at = zero + (n as Micros + 1) * 100_000;
+            let at = start_time + (n as Micros + 1) * 100_000;
             let has = |l: &&(Micros, Option<Micros>)| l.1.is_some_and(|listed| listed <= at);
             all_lifetimes
                 .iter()
@@ -182,7 +187,7 @@
     })
 }
 
-/// The figures of some courses, one column each.
+/// The results of a few runs, one column each.
 pub fn table(all: &[RunReport]) -> String {
     let mut text = String::new();
     let mut row = |name: &str, of: &dyn Fn(&RunReport) -> String| {
@@ -192,31 +197,31 @@
         }
         text.push('\n');
     };
-    row("way", &|p| format!("{:?}", p.list_source).to_lowercase());
+    row("list source", &|p| {
+        format!("{:?}", p.list_source).to_lowercase()
+    });
     row("seed", &|p| p.seed.to_string());
-    for (index, name) in ["half", "99 in 100", "all"].into_iter().enumerate() {
-        row(&format!("listed, {name}, ms"), &|p| {
+    for (index, name) in ["p50", "p99", "max"].into_iter().enumerate() {
+        row(&format!("time to list, {name}, ms"), &|p| {
             p.listed_ms[index].to_string()
         });
     }
-    row("first answer to the last list, ms", &|p| {
+    row("first answer to last list, ms", &|p| {
         p.all_listed_ms.to_string()
     });
-    row("without a list", &|p| p.unlisted.to_string());
-    row("not the newest list", &|p| p.behind.to_string());
-    row("questions until all had their list", &|p| {
+    row("proxies without a list", &|p| p.unlisted.to_string());
+    row("proxies with an outdated list", &|p| p.behind.to_string());
+    row("polls until all had a list", &|p| {
         p.questions_start.to_string()
     });
-    row("questions", &|p| p.questions.to_string());
-    row("questions, most in a second", &|p| {
-        p.questions_most.to_string()
-    });
-    row("questions given up", &|p| p.given_up.to_string());
-    row("connections at hosts", &|p| p.connects.to_string());
-    row("connections at one, most in a second", &|p| {
+    row("polls", &|p| p.questions.to_string());
+    row("polls, max per second", &|p| p.questions_most.to_string());
+    row("polls timed out", &|p| p.given_up.to_string());
+    row("connections to hosts", &|p| p.connects.to_string());
+    row("connections to one host, max per s", &|p| {
         p.connects_most.to_string()
     });
-    row("sent over what a host can do, most", &|p| {
+    row("host load over capacity, max", &|p| {
         format!("{:.2}", p.multiple_most)
     });
     row("calls", &|p| p.calls.to_string());
@@ -224,13 +229,13 @@
     row("goodput, first 10 s", &|p| format!("{:.3}", p.goodput));
     row("lost", &|p| p.lost.to_string());
     row("executed twice", &|p| p.executed_twice.to_string());
-    row("last call after a drain, ms", &|p| {
+    row("last request after a drain, ms", &|p| {
         p.drained_ms.map_or("-".to_owned(), |ms| ms.to_string())
     });
     text
 }
 
-/// The sums of many courses.
+/// The totals of many runs.
 pub fn sums(all: &[RunReport]) -> String {
     let mut text = String::new();
     let sum = |of: fn(&RunReport) -> usize| all.iter().map(of).sum::<usize>();
@@ -238,20 +243,20 @@
     let mut row = |name: &str, value: u64| {
         let _ = writeln!(text, "{name:<36}{value:>10}");
     };
-    row("courses", all.len() as u64);
-    row("that held", all.iter().filter(|p| p.held()).count() as u64);
-    row("faults", sum(|p| p.faults.len()) as u64);
-    row("without a list", sum(|p| p.unlisted) as u64);
-    row("not the newest list", sum(|p| p.behind) as u64);
-    row("listed, all, ms, the longest", most(|p| p.listed_ms[2]));
-    row("questions", sum(|p| p.questions) as u64);
+    row("runs", all.len() as u64);
     row(
-        "questions in a second, most",
-        most(|p| p.questions_most as u64),
+        "without violation",
+        all.iter().filter(|p| p.held()).count() as u64,
     );
-    row("questions given up", sum(|p| p.given_up as usize) as u64);
+    row("faults", sum(|p| p.faults.len()) as u64);
+    row("proxies without a list", sum(|p| p.unlisted) as u64);
+    row("proxies with an outdated list", sum(|p| p.behind) as u64);
+    row("time to list, max, ms", most(|p| p.listed_ms[2]));
+    row("polls", sum(|p| p.questions) as u64);
+    row("polls, max per second", most(|p| p.questions_most as u64));
+    row("polls timed out", sum(|p| p.given_up as usize) as u64);
     row(
-        "connections at one host, most in 1 s",
+        "connections to one host, max per s",
         most(|p| p.connects_most as u64),
     );
     row("calls", sum(|p| p.calls) as u64);
@@ -261,10 +266,10 @@
     text
 }
 
-/// Questions, share of proxies with a list, connections and goodput by time since the start, as SVG.
+/// Plots polls, the share of proxies with a list, connections and served calls over the time since the start, as SVG.
 ///
 /// # Errors
-/// If the file can't be written.
+/// Returns an error if the file cannot be written.
 pub fn plot(all: &[RunReport], proxies: usize, file: &Path) -> Result<(), String> {
     let root = SVGBackend::new(file, (900, 640)).into_drawing_area();
     let drawn = || -> Result<(), Box<dyn std::error::Error>> {
@@ -288,16 +293,16 @@
         type Panel<'a> = (&'static str, Box<dyn Fn(&RunReport) -> Line + 'a>);
         let panels: [Panel<'_>; 4] = [
             (
-                "questions a second",
+                "polls per second",
                 Box::new(move |p| by_second(p, &|s| s[0] as f64)),
             ),
             ("share of proxies with a list", Box::new(share)),
             (
-                "connections opened a second",
+                "connections opened per second",
                 Box::new(move |p| by_second(p, &|s| s[1] as f64)),
             ),
             (
-                "served a second",
+                "calls served per second",
                 Box::new(move |p| by_second(p, &|s| s[3] as f64)),
             ),
         ];
@@ -339,7 +344,7 @@
     use super::*;
 
     #[test]
-    fn lives_are_told_apart_by_their_listening() {
+    fn each_listening_line_begins_a_lifetime() {
         let line = |at: Micros, text: &str| (at, text.to_owned());
         let log = [
             line(1, "listening on 127.0.0.1:1"),
--- a/crates/fault-injection/src/start/schedule.rs
+++ b/crates/fault-injection/src/start/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a start, drawn from a seed.
+//! The fault schedule of a simultaneous start: which faults occur when, generated from a seed.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -10,63 +10,69 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Seven in ten proxies are killed at once and started again.
+    /// Seven in ten proxies are killed at once and restarted.
     KillMany,
-    /// All proxies are killed at once and started again.
+    /// All proxies are killed at once and restarted.
     KillAll,
-    /// All seeds are killed and started again.
+    /// All gossip seeds are killed and restarted.
     KillSeeds,
-    /// All that ask the list service are killed and started again.
-    KillAskers,
-    /// All that ask the list service stand still (SIGSTOP) and go on.
-    StopAskers,
-    /// Some proxies stand still and go on.
+    /// All pollers of the list service are killed and restarted.
+    #[serde(rename = "kill-askers")]
+    KillPollers,
+    /// All pollers of the list service are suspended (SIGSTOP) and resumed.
+    #[serde(rename = "stop-askers")]
+    StopPollers,
+    /// Some proxies are suspended and resumed.
     StopSome,
-    /// One proxy after the other is told to end (SIGTERM) and started again.
-    Roll,
+    /// Some proxies are restarted with SIGTERM, one after the other.
+    #[serde(rename = "roll")]
+    RollingRestart,
     /// The list service is down.
     ServiceDown,
     /// The list service has a tenth of its capacity.
     ServiceSlow,
     /// The list service answers with an older list.
-    ServiceOld,
-    /// Some proxies do not reach the list service, and hear their peers.
+    #[serde(rename = "service-old")]
+    ServiceStale,
+    /// Some proxies cannot reach the list service, but can reach their peers.
     CutFromService,
-    /// Some proxies hear the list service, and no peer.
+    /// Some proxies can reach the list service, but no peer.
     CutFromPeers,
-    /// The fleet is cut in halves.
-    Halves,
+    /// The fleet is partitioned into two parts.
+    #[serde(rename = "halves")]
+    Partition,
     /// A third of the datagrams is lost.
     Lossy,
-    /// A third of the datagrams comes twice.
-    Doubled,
-    /// Datagrams are late by up to two seconds.
+    /// A third of the datagrams is duplicated.
+    #[serde(rename = "doubled")]
+    Duplicated,
+    /// Datagrams are delayed by up to two seconds.
     Late,
     /// Half of the hosts are replaced by new ones at other addresses.
     Replace,
     /// A host drains and is removed.
     Drain,
-    /// A proxy of another fleet, with the same secret, has the same seeds.
+    /// A proxy of another fleet, with the same secret, uses the same seeds.
     OtherFleet,
 }
 
-/// All kinds.
+/// All kinds of faults.
 pub const KINDS: [Kind; 19] = [
     Kind::KillMany,
     Kind::KillAll,
     Kind::KillSeeds,
-    Kind::KillAskers,
-    Kind::StopAskers,
+    Kind::KillPollers,
+    Kind::StopPollers,
     Kind::StopSome,
-    Kind::Roll,
+    Kind::RollingRestart,
     Kind::ServiceDown,
     Kind::ServiceSlow,
-    Kind::ServiceOld,
+    Kind::ServiceStale,
     Kind::CutFromService,
     Kind::CutFromPeers,
-    Kind::Halves,
+    Kind::Partition,
     Kind::Lossy,
-    Kind::Doubled,
+    Kind::Duplicated,
     Kind::Late,
     Kind::Replace,
     Kind::Drain,
@@ -74,7 +80,7 @@
 ];
 
 impl Kind {
-    /// Its name, as it stands in a schedule that was written down.
+    /// The name of the kind in a serialized schedule and on the command line.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -82,59 +88,61 @@
             .unwrap_or_default()
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 
-    /// Do proxies stop or end by it?
+    /// Whether the fault ends or suspends proxy processes.
     pub fn targets_processes(self) -> bool {
-        use Kind::{KillAll, KillAskers, KillMany, KillSeeds, Roll, StopAskers, StopSome};
+        use Kind::{
+            KillAll, KillMany, KillPollers, KillSeeds, RollingRestart, StopPollers, StopSome,
+        };
         matches!(
             self,
-            KillMany | KillAll | KillSeeds | KillAskers | StopAskers | StopSome | Roll
+            KillMany | KillAll | KillSeeds | KillPollers | StopPollers | StopSome | RollingRestart
         )
     }
 
-    /// Does it change what the service tells?
+    /// Whether the fault affects the answers of the list service.
     pub fn targets_service(self) -> bool {
         matches!(
             self,
-            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld
+            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceStale
         )
     }
 }
 
-/// A fault.
+/// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// What.
+    /// The kind of fault.
     pub kind: Kind,
-    /// From when on, since the first start.
+    /// When the fault begins, from the start of the first proxy.
     pub from: Duration,
-    /// Until when.
+    /// When the fault ends.
     pub until: Duration,
-    /// Draws whom it concerns.
+    /// Seed that determines the affected proxies or hosts.
     #[serde(rename = "lot")]
     pub target_seed: u64,
 }
 
-/// A schedule.
+/// The faults of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FaultSchedule {
-    /// All chance is drawn from it.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// In the order of their beginnings.
+    /// The faults, ordered by when they begin.
     pub faults: Vec<Fault>,
 }
 
-/// Faults begin within this time, and last so many milliseconds.
+/// Faults begin within this time from the start of the first proxy, and last this long, in milliseconds.
 const FAULT_START_WINDOW_MS: u64 = 6_000;
 const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 300..=4_000;
 
 impl FaultSchedule {
-    /// Draws one; `only`: faults of no other kind. Faults of one concern do not overlap: of processes, of the service,
-    /// of one kind.
+    /// Generates the schedule of a seed; `only` restricts it to one kind of fault. At any time there is at most one
+    /// fault of processes, one of the list service and one of each other kind.
     pub fn draw(seed: u64, only: Option<Kind>) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut kinds: Vec<Kind> = only.map_or(KINDS.to_vec(), |kind| vec![kind]);
@@ -142,7 +150,7 @@
         kinds.truncate(rng.gen_range(3..=6));
         let mut faults: Vec<Fault> = Vec::new();
         for kind in kinds {
-            // Half of them meet the start itself.
+            // Half of the faults coincide with the start of the fleet.
             let from = if rng.gen_bool(0.5) {
                 0
             } else {
@@ -178,7 +186,7 @@
     use super::*;
 
     #[test]
-    fn a_seed_draws_one_course_and_faults_of_one_concern_do_not_overlap() {
+    fn a_seed_determines_the_schedule_and_faults_of_one_group_do_not_overlap() {
         let mut kinds_drawn = std::collections::BTreeSet::new();
         for seed in 0..300 {
             let schedule = FaultSchedule::draw(seed, None);
--- a/crates/fault-injection/src/start/service.rs
+++ b/crates/fault-injection/src/start/service.rs
@@ -1,4 +1,4 @@
-//! A list service that works on one question after the other, and counts what it is asked.
+//! A list service that handles one poll at a time and counts the polls.
 
 use crate::link::{read_message, send};
 use crate::now;
@@ -11,51 +11,52 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::AbortHandle;
 
-/// A question that has waited for longer is given up.
+/// A poll that has waited for longer than this is rejected.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How the service fares.
+/// Condition of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It answers.
+    /// The service answers normally.
     Healthy,
-    /// It is down: connections end at once.
+    /// The service is down: it closes connections without an answer.
     Down,
-    /// A question takes ten times its work.
+    /// A poll takes ten times its normal work.
     Slow,
-    /// It answers with the list as it was so many versions ago.
+    /// The service answers with a list that is this many versions old.
     Stale(u64),
 }
 
-/// An entry: host, its address, does it drain, Unix time of its start in milliseconds. `None`: it has gone.
+/// List entry of a host: address, whether it is draining, and start time as Unix time in milliseconds. `None` if the
+/// host has been removed.
 pub type ListEntry = Option<(SocketAddr, bool, u64)>;
 
 struct Shared {
     state: ServiceState,
     work: Duration,
-    /// What each version changed, from version 1 on, and when.
+    /// When each version was published and what it changed, from version 1 on.
     log: Vec<(Micros, Vec<(usize, ListEntry)>)>,
     waiting: VecDeque<Arc<Notify>>,
     busy: bool,
     counts: Counts,
 }
 
-/// What it was asked.
+/// The polls of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// When each question came.
+    /// When each poll was received.
     pub polls: Vec<Micros>,
-    /// Questions that waited in vain.
+    /// Polls that were rejected because they waited too long.
     pub timed_out: u32,
-    /// When the first answer went out.
+    /// When the first answer was sent.
     pub first_answer: Option<Micros>,
-    /// For each version: when it was first told.
+    /// For each version, when it was first sent to a proxy.
     pub first_served_at: Vec<Option<Micros>>,
 }
 
-/// The service.
+/// The list service.
 pub struct Service {
-    /// Where it listens.
+    /// Listen address of the service.
     pub address: SocketAddr,
     shared: Arc<Mutex<Shared>>,
     version: watch::Sender<u64>,
@@ -67,10 +68,10 @@
 }
 
 impl Service {
-    /// One that lists these, and bears so many questions a second.
+    /// Starts a service with this list that can handle `capacity` polls per second.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn start(first: Vec<(usize, ListEntry)>, capacity: f64) -> Result<Service, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -102,7 +103,7 @@
         })
     }
 
-    /// The list changes; tells which version this is.
+    /// Changes the list and returns its new version.
     pub fn change(&self, entries: Vec<(usize, ListEntry)>) -> u64 {
         let version = {
             let mut shared = locked(&self.shared);
@@ -114,19 +115,19 @@
         version
     }
 
-    /// From now on it fares like this.
+    /// Sets the condition of the service.
     pub fn set_state(&self, state: ServiceState) {
         locked(&self.shared).state = state;
-        // Watches look at it.
+        // Wakes up the open watches, which check the condition.
         self.version.send_modify(|_| {});
     }
 
-    /// What it was asked so far.
+    /// The polls received so far.
     pub fn counts(&self) -> Counts {
         locked(&self.shared).counts.clone()
     }
 
-    /// The newest version.
+    /// The newest version of the list.
     pub fn newest(&self) -> u64 {
         *self.version.borrow()
     }
@@ -174,7 +175,7 @@
     }
 }
 
-/// Waits for this question's turn and its work; false if it took too long.
+/// Waits until it is this poll's turn, and for its work. Returns false if the turn did not come in time.
 async fn wait_for_turn(shared: &Mutex<Shared>) -> bool {
     let ticket = {
         let mut shared = locked(shared);
@@ -198,7 +199,7 @@
                 shared.counts.timed_out += 1;
                 return false;
             }
-            // Its turn came at the same moment.
+            // The turn came at the moment of the time-out.
         }
     }
     let work = {
