--- a/crates/fault-injection/src/drains/checker.rs
+++ b/crates/fault-injection/src/drains/checker.rs
@@ -1,4 +1,4 @@
-//! When each proxy counts as told, and what it sent after that.
+//! Determines when each proxy counts as notified of a list version, and checks what it sent after that.
 
 use super::service::{Event, ServiceRecord, Status};
 use crate::hosts::Arrival;
@@ -6,51 +6,52 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// What a silent watch misses counts as told so long after it fell silent, and after its wait (the protocol's figures,
-/// written down here anew so that the program's own are held against them).
+/// A change that a silent watch misses counts as notified this long after the watch became silent, or this long after
+/// the end of its wait, whichever is later. The figures are those of the protocol. They are repeated here so that the
+/// program's own values are checked against them.
 const MAX_AFTER_SILENCE: Micros = 6_000_000;
 const MAX_AFTER_WAIT: Micros = 2_000_000;
-/// A client that has left has gone: nothing is sent for it that begins so much later.
+/// After the client has closed its connection, a request sent for it may begin only within this time.
 const MAX_AFTER_DISCONNECT: Micros = 100_000;
 
-/// The histories of a course.
+/// The history records of a run.
 pub(super) struct Histories<'a> {
-    /// Of the service.
+    /// Records of the list service.
     pub records: &'a [ServiceRecord],
-    /// Each version: when, which host, what it is.
+    /// What each list version changed: time, host and new status.
     pub changes: &'a [(Micros, usize, Status)],
-    /// Of the hosts.
+    /// Requests received by the hosts.
     pub arrivals: &'a [Arrival],
-    /// Sends must end so long after the drain is told.
+    /// Requests to a host must stop this long after the proxy was notified of its drain.
     pub drain_grace: Micros,
-    /// Lists are pushed: what the agent has counts as told, but for what a silent watch misses.
+    /// Whether lists are pushed. If so, everything the agent has counts as notified, except what a silent watch misses.
     pub pushed: bool,
-    /// Times in which the service was down.
+    /// Time spans in which the service was down.
     pub outages: &'a [(Micros, Micros)],
-    /// When clients left that did not wait for their answers, by request.
+    /// For each client that did not wait for its answer, when it closed its connection, by request id.
     pub disconnected_at: &'a HashMap<String, Micros>,
 }
 
-/// What came of a course.
+/// The violations found in a run, and its totals.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Requests that came to hosts.
+    /// Requests received by hosts.
     pub arrivals: usize,
-    /// Those that came too late to a host that drains.
+    /// Requests received by a draining host after the allowed time.
     pub late: usize,
-    /// The first of them, in words.
+    /// Description of the first violation.
     pub first: Option<String>,
-    /// Latest request at a host that drains, in milliseconds after its drain; what the proxy had been told does not
-    /// matter here.
+    /// Longest time from the drain of a host to a request at that host, in milliseconds, whether or not the proxy had
+    /// been notified.
     pub last_ms: u64,
-    /// Questions to the service.
+    /// Polls of the list service.
     pub questions: usize,
-    /// Requests that came to hosts though their clients had left long before.
+    /// Requests received by hosts too long after their clients had closed the connection.
     pub gone: usize,
 }
 
 impl Histories<'_> {
-    /// When this version counts as told to this proxy.
+    /// When this version counts as notified to this proxy.
     fn notified_at(&self, proxy: usize, version: u64) -> Micros {
         let changed_at = self.changes[version as usize - 1].0;
         let own_records = || self.records.iter().filter(|n| n.proxy == proxy);
@@ -59,7 +60,7 @@
                 && matches!(n.event, Event::Answered { version: v, .. } if v >= version)
         });
         let answered = answered.map(|n| n.at).next().unwrap_or(Micros::MAX);
-        // The watch that was silent when this version was made, if there is one.
+        // The watch that was silent when this version was published, if there was one.
         let silent = own_records().filter_map(|n| match n.event {
             Event::Silenced { connection } if n.at <= changed_at => Some((n.at, connection)),
             _ => None,
@@ -74,7 +75,8 @@
             });
             let wait_end = polls.max().unwrap_or(since);
             let notified_at = (since + MAX_AFTER_SILENCE).max(wait_end + MAX_AFTER_WAIT);
-            // A service that goes down ends its watches, the silent ones as well; then only what it writes is told.
+            // A service that goes down closes its watches, including silent ones. After that, only an answer notifies
+            // the proxy.
             if !self.pushed
                 && self
                     .outages
@@ -88,18 +90,18 @@
         });
         let agent = match silent {
             None if self.pushed => {
-                let outages = self
+                let outage = self
                     .outages
                     .iter()
                     .find(|d| d.0 <= changed_at && changed_at < d.1);
-                outages.map_or(changed_at, |d| d.1)
+                outage.map_or(changed_at, |d| d.1)
             }
             _ => Micros::MAX,
         };
         answered.min(silent.unwrap_or(Micros::MAX)).min(agent)
     }
 
-    /// The verdict; `slack` is for the ways of a busy machine.
+    /// Checks the records. `slack` is an allowance for delays on a busy machine.
     pub(super) fn check(&self, slack: Micros) -> Verdict {
         let mut verdict = Verdict {
             arrivals: self.arrivals.len(),
@@ -119,7 +121,7 @@
                 let Arrival { request, host, at } = arrival;
                 let after = (at - disconnected_at) / 1_000;
                 verdict.first.get_or_insert(format!(
-                    "request {request} came to host {host} {after} ms after its client left"
+                    "request {request} reached host {host} {after} ms after its client closed the connection"
                 ));
             }
             let proxy = arrival
@@ -127,7 +129,7 @@
                 .strip_prefix('p')
                 .and_then(|r| r.split('-').next()?.parse().ok());
             let Some(proxy) = proxy else { continue };
-            // When the drain that holds was told, and made.
+            // When the proxy was notified of the current drain of the host, and when the drain began.
             let mut draining: Option<(Micros, Micros)> = None;
             for (index, (changed_at, host, status)) in self.changes.iter().enumerate() {
                 if *host != arrival.host || *changed_at > arrival.at {
@@ -153,7 +155,7 @@
                 verdict.first.get_or_insert_with(|| {
                     let after = (arrival.at - notified_at) / 1_000;
                     let Arrival { request, host, .. } = arrival;
-                    format!("request {request} came to host {host} {after} ms after proxy {proxy} was told of its drain")
+                    format!("request {request} reached host {host} {after} ms after proxy {proxy} was notified of its drain")
                 });
             }
         }
@@ -201,9 +203,9 @@
     }
 
     #[test]
-    fn a_client_that_left_is_gone_a_tenth_of_a_second_later() {
+    fn requests_begin_at_most_100_ms_after_their_client_disconnected() {
         let disconnected_at = HashMap::from([("p0-1".to_owned(), S)]);
-        let late_requests = |request: &str, at| {
+        let after_disconnect = |request: &str, at| {
             let arrivals = [Arrival {
                 at,
                 host: 0,
@@ -224,16 +226,16 @@
         };
         assert_eq!(
             [
-                late_requests("p0-1", S + 100_000),
-                late_requests("p0-1", S + 100_001),
-                late_requests("p0-2", 9 * S)
+                after_disconnect("p0-1", S + 100_000),
+                after_disconnect("p0-1", S + 100_001),
+                after_disconnect("p0-2", 9 * S)
             ],
             [0, 1, 0]
         );
     }
 
     #[test]
-    fn what_counts_as_told_goes_by_what_was_written_by_silence_and_by_the_agent() {
+    fn notification_follows_from_answers_silence_and_the_agent() {
         let answered = [record(
             3 * S,
             Event::Answered {
@@ -269,9 +271,9 @@
         assert_eq!(
             late_requests(&silent(2 * S), false, &outages, 99 * S),
             0,
-            "its watches have ended"
+            "the outage closed the silent watch"
         );
-        // The agent is silent while the service is down, and has what it missed when that is over.
+        // The agent is silent while the service is down, and gets the changes it missed when the service is back.
         assert_eq!(
             [6 * S, 6 * S + 1].map(|at| late_requests(&[], true, &outages, at)),
             [0, 1]
@@ -279,7 +281,7 @@
         assert_eq!(
             late_requests(&[], false, &[], 99 * S),
             0,
-            "told nothing, held to nothing"
+            "a proxy that was not notified violates nothing"
         );
     }
 }
--- a/crates/fault-injection/src/drains/mod.rs
+++ b/crates/fault-injection/src/drains/mod.rs
@@ -1,5 +1,6 @@
-//! The trial of hosts that leave: several proxies on the platform's terms, a list service whose open watches fall silent,
-//! and whatever else a course names. What came to the hosts is held against what each proxy had been told.
+//! Test of draining hosts: several proxies with the platform's settings and a list service whose open watches become
+//! silent, under the faults of a schedule. The requests received by the hosts are compared with what each proxy had
+//! been notified of.
 
 mod checker;
 mod schedule;
@@ -26,49 +27,51 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// The ways of a busy machine, from a proxy's last look at its list to the host's note.
+/// Allowance for delays on a busy machine, between the last time a proxy reads its list and the time a host records the
+/// request, in microseconds.
 const SLACK: Micros = 400_000;
 
-/// What a question that begins a watch takes the service; and, where it is slow, what one of each proxy takes together.
+/// Work of the list service for a poll that begins a watch; and, with the fault [`Kind::SlowService`], the total work
+/// for one such poll of each proxy.
 const POLL_WORK: Duration = Duration::from_millis(5);
 const SLOW_POLL_WORK_FOR_ALL: Duration = Duration::from_millis(1_500);
 
-/// New connections go on coming for so long after a proxy was told to end (the protocol's most is 0.4 s).
+/// New connections keep arriving for this long after a proxy received SIGTERM (the protocol allows up to 0.4 s).
 const CLIENTS_CONTINUE_FOR: Duration = Duration::from_millis(300);
 
-/// How large a course is.
+/// Size of the tested fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Calls a second over all proxies.
+    /// Calls per second over all proxies.
     pub rate: f64,
 }
 
-/// What a course came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// What was played.
+    /// The fault schedule of the run.
     #[serde(rename = "course")]
     pub schedule: FaultSchedule,
-    /// What came too late.
+    /// The violations that were found.
     pub verdict: Verdict,
-    /// Calls, and those without an answer from a proxy that ran all the time.
+    /// All calls.
     pub calls: usize,
-    /// See `calls`.
+    /// Calls without an answer from a proxy that was neither suspended nor killed.
     pub lost: usize,
-    /// The lost calls, in words: which, how each ended, and its times since the proxy's last signal.
+    /// Description of each lost call: how it ended, and its times relative to the last signal sent to the proxy.
     pub lost_calls: Vec<String>,
-    /// Keys that hosts executed more than once.
+    /// Idempotency keys that hosts executed more than once.
     pub twice: usize,
-    /// Proxies that ended by themselves, with the ends of their logs.
+    /// Exit status and end of the log of each proxy that ended unexpectedly.
     pub crashed: Vec<String>,
 }
 
 impl RunReport {
-    /// Did all hold?
+    /// Whether no invariant was violated.
     pub fn held(&self) -> bool {
         self.verdict.late == 0
             && self.verdict.gone == 0
@@ -102,10 +105,10 @@
     )
 }
 
-/// Plays one course with this program and the arguments before its own.
+/// Runs one fault schedule with this program and the arguments that precede its own.
 ///
 /// # Errors
-/// If it could not be played.
+/// Returns an error if the test itself failed.
 pub async fn run(
     program: &(PathBuf, Vec<String>),
     size: Size,
@@ -173,7 +176,8 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone(),
     };
-    // A proxy that stood still or was killed has lost what it held. One that was told to end has not, but takes no more.
+    // A proxy that was suspended or killed may lose the calls it holds. One that received SIGTERM must answer them, but
+    // accepts no new ones.
     let exempt = [
         schedule.target_of(Kind::Stop),
         schedule.target_of(Kind::Kill),
@@ -200,7 +204,7 @@
     })
 }
 
-/// A lost call in words.
+/// Describes a lost call.
 fn describe(attempt: &Try, signals: &[(Micros, usize, Signal)]) -> String {
     let Try {
         key,
@@ -223,16 +227,16 @@
     format!("call {key} to proxy {proxy}: {ended:?}, began {began} us and ended {finished} us after {signal:?}")
 }
 
-/// What came of a course's steps.
+/// What was done to the processes during a run.
 #[derive(Default)]
 struct AppliedSteps {
     /// When the service was down.
     outages: Vec<(Micros, Micros)>,
-    /// When which proxy was sent which signal.
+    /// The signals sent: time, proxy and signal.
     signals: Vec<(Micros, usize, Signal)>,
 }
 
-/// Carries the course out.
+/// Carries out the fault schedule.
 async fn apply_schedule(
     schedule: &FaultSchedule,
     folder: &Folder,
@@ -242,7 +246,7 @@
 ) -> Result<AppliedSteps, String> {
     let start = tokio::time::Instant::now();
     let mut rng = Pcg32::seed_from_u64(schedule.seed ^ 1);
-    // What is to be done when, in order.
+    // The steps and their times, in order.
     let mut steps: Vec<(Duration, Step)> = vec![(schedule.silent_at, Step::SilenceWatches)];
     steps.extend(
         schedule
@@ -273,9 +277,7 @@
                 steps.push((from, Step::ServiceDown));
                 steps.push((from + ms(rng.gen_range(500..4_000)), Step::ServiceUp));
             }
-            Kind::MoveService => {
-                steps.push((first + ms(rng.gen_range(0..2_000)), Step::MoveService))
-            }
+            Kind::MoveService => steps.push((first + ms(rng.gen_range(0..2_000)), Step::Move)),
             Kind::Stop => {
                 let from = first.saturating_sub(ms(rng.gen_range(0..300)));
                 steps.push((from, Step::Signal(target, Signal::STOP)));
@@ -335,7 +337,7 @@
                     last.1 = now();
                 }
             }
-            Step::MoveService => {
+            Step::Move => {
                 for (proxy, (listener, text)) in listeners.iter().enumerate() {
                     let other = service.add_listener(proxy).await?.to_string();
                     folder.write(
@@ -373,7 +375,7 @@
     Ok(AppliedSteps { outages, signals })
 }
 
-/// Something that is done to the system.
+/// One action of a fault schedule.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     SilenceWatches,
@@ -383,16 +385,17 @@
     MarkUp(usize),
     ServiceDown,
     ServiceUp,
-    MoveService,
+    Move,
     Signal(usize, Signal),
     KillAndRestart(usize),
-    /// Clients come to it no more.
+    /// Clients send no more calls to this proxy.
     StopClients(usize),
-    /// It is waited for until it has ended, and started again.
+    /// Waits until the proxy has ended, and restarts it.
     AwaitExitAndRestart(usize),
 }
 
-/// Calls each proxy in turn, until a little before the end of the course. Who leaves, and when, comes into `left`.
+/// Calls the proxies in turn until shortly before the end of the run. Records in `disconnected_at` which clients close
+/// their connection without waiting for the answer, and when.
 async fn send_calls(
     addresses: Arc<RwLock<Vec<SocketAddr>>>,
     rate: f64,
--- a/crates/fault-injection/src/drains/schedule.rs
+++ b/crates/fault-injection/src/drains/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong while hosts leave, drawn from a seed.
+//! The fault schedule of a run with draining hosts: which faults occur when, generated from a seed.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -6,40 +6,41 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A kind of fault, beside the silence of all watches.
+/// A kind of fault. In every run, in addition, all watches become silent once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// All connections to the service are reset shortly before hosts drain.
+    /// All connections to the list service are reset shortly before hosts drain.
     Reset,
-    /// What a fresh connection brings is late, by up to 0.9 s.
+    /// The first answer on a new connection is delayed by up to 0.9 s.
     #[serde(rename = "late")]
     DelayedAnswers,
-    /// A second silence, of what was opened after the first.
+    /// Watches become silent a second time, including those opened after the first time.
     SilentAgain,
-    /// The service is down for some seconds, and hosts drain meanwhile.
+    /// The list service is down for some seconds, during which hosts drain.
     Down,
-    /// SIGHUP moves the service while watches are silent.
+    /// A reload with SIGHUP moves the list service to another address while watches are silent.
     #[serde(rename = "move")]
     MoveService,
-    /// A proxy stands still (SIGSTOP) for up to five seconds and goes on.
+    /// A proxy is suspended (SIGSTOP) for up to five seconds and resumed.
     Stop,
-    /// A proxy is killed and started again, with the list of its first start.
+    /// A proxy is killed and restarted with the list of its first start.
     Kill,
-    /// A host that drains is up again within a second, as another process.
+    /// A draining host is up again within a second, as another process.
     #[serde(rename = "again")]
     HostReturns,
-    /// One question of each proxy that begins a watch takes the service a second and a half together.
+    /// The first polls of all proxies together take the list service 1.5 s.
     #[serde(rename = "slow")]
     SlowService,
-    /// A proxy is told to end (SIGTERM) while hosts drain; clients go on for 0.3 s. Then it is started again.
+    /// A proxy receives SIGTERM while hosts drain, and clients keep connecting for 0.3 s. Then it is restarted.
     Restart,
-    /// A third of the clients leave right after they asked, half of these with more bytes behind their request.
+    /// A third of the clients close their connection right after sending the request, half of them after sending more
+    /// bytes.
     #[serde(rename = "leave")]
     ClientsDisconnect,
 }
 
-/// All kinds.
+/// All kinds of faults.
 pub const KINDS: [Kind; 11] = [
     Kind::Reset,
     Kind::DelayedAnswers,
@@ -55,7 +56,7 @@
 ];
 
 impl Kind {
-    /// Its name, as it stands in a course that was written down.
+    /// The name of the kind in a serialized schedule and on the command line.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -63,35 +64,36 @@
             .unwrap_or_default()
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         KINDS.into_iter().find(|k| k.name() == name)
     }
 }
 
-/// A course. All times count from when the proxies are ready.
+/// The fault schedule of one run. All times are relative to the moment when the proxies are ready.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultSchedule {
-    /// It was drawn from this.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Lists are pushed.
+    /// Whether lists are pushed.
     pub pushed: bool,
-    /// Time in which sends to a host that drains must end.
+    /// Time within which requests to a draining host must stop.
     #[serde(rename = "grace")]
     pub drain_grace: Duration,
-    /// When all open watches fall silent.
+    /// When all open watches become silent.
     #[serde(rename = "silent")]
     pub silent_at: Duration,
-    /// When each of these hosts begins to drain.
+    /// Which hosts drain, and when.
     pub drains: Vec<(Duration, usize)>,
-    /// What else goes wrong, and whom it concerns.
+    /// Additional faults, each with the index of the affected proxy.
     pub faults: Vec<(Kind, usize)>,
-    /// How long it lasts.
+    /// Length of the run.
     pub length: Duration,
 }
 
 impl FaultSchedule {
-    /// The course of this seed, for so many proxies and hosts. `only`: this fault, and no other.
+    /// Generates the schedule of a seed for this many proxies and hosts; `only` replaces the random faults by one of
+    /// this kind.
     pub fn draw(seed: u64, (proxies, hosts): (usize, usize), only: Option<Kind>) -> FaultSchedule {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut ms = |from: u64, to: u64| Duration::from_millis(rng.gen_range(from..=to));
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Does this go wrong in it?
+    /// The proxy affected by a fault of this kind, if the schedule has one.
     pub fn target_of(&self, kind: Kind) -> Option<usize> {
         self.faults.iter().find(|f| f.0 == kind).map(|f| f.1)
     }
--- a/crates/fault-injection/src/drains/service.rs
+++ b/crates/fault-injection/src/drains/service.rs
@@ -1,5 +1,5 @@
-//! A list service with a door for each proxy, whose open watches can be made silent; it notes what it was asked and what
-//! it wrote to whom.
+//! A list service with a listener for each proxy, whose open watches can be made silent. It records all polls and
+//! answers.
 
 use crate::link::{read_message, send};
 use crate::now;
@@ -12,76 +12,77 @@
 use tokio::sync::{watch, Mutex as AsyncMutex};
 use tokio::task::AbortHandle;
 
-/// What the list says of a host.
+/// Status of a host in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Status {
-    /// It takes calls; its process started then, Unix time in milliseconds.
+    /// The host accepts calls. Contains the start time of its process, as Unix time in milliseconds.
     Up(u64),
-    /// It finishes what it has.
+    /// The host finishes the requests it has.
     Draining,
 }
 
-/// What a proxy and the service said to each other.
+/// An event on a connection between a proxy and the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Event {
-    /// Asked on this connection, for so long.
+    /// The proxy polled the service.
     Polled {
         /// Number of the connection.
         connection: u64,
-        /// How long the answer may wait.
+        /// How long the service may hold back the answer.
         wait: Micros,
     },
-    /// Written on it: the list up to this version.
+    /// The service sent the list.
     Answered {
         /// Number of the connection.
         connection: u64,
-        /// The version.
+        /// Version of the list.
         version: u64,
     },
-    /// From now on nothing comes on it.
+    /// The service sends nothing more on this connection.
     Silenced {
         /// Number of the connection.
         connection: u64,
     },
 }
 
-/// A note of the service.
+/// A history record of the service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceRecord {
-    /// When.
+    /// When the event happened.
     pub at: Micros,
-    /// The proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
 struct Shared {
-    /// Each version: when, which host, what it is.
+    /// What each version changed: time, host and new status.
     changes: Vec<(Micros, usize, Status)>,
     addresses: Vec<SocketAddr>,
     records: Vec<ServiceRecord>,
     connections: u64,
-    /// An answer to what a watch did not wait for takes so long, one after the other.
+    /// Work for a poll that begins a watch; the service handles one such poll at a time.
     work: Duration,
-    /// The first answer on a new connection is so late.
+    /// Delay of each new connection before its first poll is read.
     first_answer_delay: Duration,
-    /// Down, it is silent, as an agent on the proxy's machine is; otherwise connections end.
+    /// Whether the service stands for an agent on the proxy's machine, which becomes silent when it is down. Otherwise
+    /// connections are closed.
     agent: bool,
 }
 
-/// What all connections look at.
+/// The state that all connections react to.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceState {
     version: u64,
     /// Connections up to this number are silent.
     silent_up_to: u64,
-    /// ... or are reset.
+    /// Connections up to this number are reset.
     reset_up_to: u64,
     down: bool,
 }
 
-/// The service.
+/// The list service.
 pub(super) struct Service {
     shared: Arc<Mutex<Shared>>,
     state: watch::Sender<ServiceState>,
@@ -94,8 +95,8 @@
 }
 
 impl Service {
-    /// One that lists these hosts as up for long. A question that begins a watch takes `work` of it, one after the other;
-    /// `None`: it is an agent of pushed lists, which answers at once.
+    /// Creates a service that lists these hosts as up since long ago. A poll that begins a watch takes `work`, one at a
+    /// time. With `None` the service stands for an agent that receives pushed lists and answers at once.
     pub(super) fn new(addresses: Vec<SocketAddr>, work: Option<Duration>) -> Service {
         let changes = (0..addresses.len())
             .map(|host| (now(), host, Status::Up(0)))
@@ -125,10 +126,10 @@
         }
     }
 
-    /// Another door for this proxy.
+    /// Opens another listener for this proxy.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub(super) async fn add_listener(&mut self, proxy: usize) -> Result<SocketAddr, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -149,9 +150,9 @@
                         shared.connections += 1;
                         shared.connections
                     };
-                    let (mut gone, agent) = (states.clone(), locked(&shared).agent);
+                    let (mut closing, agent) = (states.clone(), locked(&shared).agent);
                     let ended = async {
-                        let _ = gone
+                        let _ = closing
                             .wait_for(|n| n.reset_up_to >= number || n.down && !agent)
                             .await;
                     };
@@ -166,13 +167,13 @@
         Ok(address)
     }
 
-    /// The first list, in the form of a configuration's.
+    /// The first version of the list, in the format of the proxy's configuration.
     pub(super) fn initial_list(&self) -> String {
         let shared = locked(&self.shared);
         list(&shared, None, shared.changes.len() as u64)
     }
 
-    /// A host's status changes.
+    /// Changes the status of a host.
     pub(super) fn change(&self, host: usize, status: Status) {
         let mut shared = locked(&self.shared);
         shared.changes.push((now(), host, status));
@@ -181,19 +182,19 @@
         self.state.send_modify(|n| n.version = version);
     }
 
-    /// All that is open falls silent: nothing comes on it any more, and it stays open.
+    /// Makes all open connections silent: they stay open, but nothing more is sent on them.
     pub(super) fn silence_watches(&self) {
         let connections = locked(&self.shared).connections;
         self.state.send_modify(|n| n.silent_up_to = connections);
     }
 
-    /// All that is open is reset.
+    /// Resets all open connections.
     pub(super) fn reset_connections(&self) {
         let connections = locked(&self.shared).connections;
         self.state.send_modify(|n| n.reset_up_to = connections);
     }
 
-    /// It is down, or back.
+    /// Takes the service down, or up again.
     pub(super) fn set_down(&self, down: bool) {
         if down && locked(&self.shared).agent {
             self.silence_watches();
@@ -201,12 +202,12 @@
         self.state.send_modify(|n| n.down = down);
     }
 
-    /// New connections are so late.
+    /// Sets the delay of new connections.
     pub(super) fn set_first_answer_delay(&self, first_answer_delay: Duration) {
         locked(&self.shared).first_answer_delay = first_answer_delay;
     }
 
-    /// Notes so far, and each version: when, which host, what it is.
+    /// The records so far, and what each version changed: time, host and new status.
     pub(super) fn history(&self) -> (Vec<ServiceRecord>, Vec<(Micros, usize, Status)>) {
         let shared = locked(&self.shared);
         (shared.records.clone(), shared.changes.clone())
@@ -260,7 +261,7 @@
             if let Some(index) = index {
                 let _ = tokio::time::timeout(wait, states.wait_for(|n| n.version > index)).await;
             }
-            // A watch that goes on costs nothing; a new one waits for its turn.
+            // Continuing a watch costs nothing; the first poll of a connection waits for the service to be idle.
             if first {
                 let _turn = work_lock.lock().await;
                 let work = locked(shared).work;
@@ -274,7 +275,7 @@
             biased;
             () = silenced => {
                 record(Event::Silenced { connection });
-                // It stays open until the proxy closes it.
+                // The connection stays open until the proxy closes it.
                 let _ = read_message(&mut stream, &mut buffered).await;
                 return;
             }
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -324,7 +324,7 @@
             (s.forward, s.backward) = (
                 Forwarding::Trickle,
                 Forwarding::Delayed(Duration::from_millis(5)),
-            )
+            );
         });
         second
             .write_all(&[7; 200])
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -480,12 +480,12 @@
         for proxy in 0..self.proxies.len() {
             let fleet = Arc::clone(self);
             // Files are written to the proxies at intervals of 2 ms; gradual distribution spreads them over 2 s.
-            let first = match distribution {
+            let initial_delay = match distribution {
                 Distribution::Spread => Duration::from_millis(proxy as u64 * 7_919 % 2_000),
                 _ => Duration::from_millis(2 * proxy as u64),
             };
             tasks.spawn(async move {
-                tokio::time::sleep(first).await;
+                tokio::time::sleep(initial_delay).await;
                 while !fleet.deliver_file(proxy, keyed, generation).await? {
                     if distribution == Distribution::Files
                         && started_at.elapsed() > baseline::RETRY_DURATION
@@ -537,14 +537,14 @@
     /// Measures the resource usage of the idle fleet.
     async fn measure_idle_cost(&self) -> IdleCost {
         async fn sum(all: &[tokio::sync::Mutex<Process>]) -> (u64, u64) {
-            let (mut time, mut held) = (0, Vec::new());
+            let (mut cpu_time, mut memory) = (0, Vec::new());
             for process in all {
                 let usage = process.lock().await.usage().unwrap_or_default();
-                time += usage.0;
-                held.push(usage.1);
+                cpu_time += usage.0;
+                memory.push(usage.1);
             }
-            held.sort_unstable();
-            (time, held.get(held.len() / 2).copied().unwrap_or(0))
+            memory.sort_unstable();
+            (cpu_time, memory.get(memory.len() / 2).copied().unwrap_or(0))
         }
         let before = (sum(&self.proxies).await, sum(&self.replicas.all).await);
         tokio::time::sleep(IDLE_MEASUREMENT).await;
@@ -568,7 +568,7 @@
                 let cut = link_states.cut.contains(&replica);
                 link.set(|s| {
                     (s.forward, s.backward) =
-                        (if cut { Forwarding::Cut } else { forward }, backward)
+                        (if cut { Forwarding::Cut } else { forward }, backward);
                 });
             }
         }
@@ -739,14 +739,14 @@
     async fn start(programs: &Programs, size: Size, folder: &Folder) -> Result<Replicas, String> {
         let (mut addresses_by_replica, mut links) = (Vec::new(), Vec::new());
         for _ in 0..size.replicas {
-            let (known, index) = watch::channel(None);
-            links.push(Link::to(index).await.map_err(|e| e.to_string())?);
-            addresses_by_replica.push(known);
+            let (address_updates, address) = watch::channel(None);
+            links.push(Link::to(address).await.map_err(|e| e.to_string())?);
+            addresses_by_replica.push(address_updates);
         }
         let named = |(n, link): (usize, &Link)| format!("{} = \"{}\"", n + 1, link.address);
         let named: Vec<String> = links.iter().enumerate().map(named).collect();
         let mut all = Vec::new();
-        for (index, known) in addresses_by_replica.iter().enumerate() {
+        for (index, address_updates) in addresses_by_replica.iter().enumerate() {
             let number = index + 1;
             let text = format!(
                 "replica = {number}\nreplicas = {{ {} }}\nlisten = \"127.0.0.1:0\"\nstore = \"store-{number}\"\n\
@@ -757,19 +757,19 @@
                 .write(&format!("control-{number}.toml"), &text, false)?
                 .display()
                 .to_string();
-            let (program, before) = &programs.control;
-            let made = tokio::process::Command::new(program)
-                .args(before)
+            let (program, leading_arguments) = &programs.control;
+            let created = tokio::process::Command::new(program)
+                .args(leading_arguments)
                 .args(["create", &file])
                 .stdout(std::process::Stdio::null())
                 .status()
                 .await;
-            if !made.map_err(|e| e.to_string())?.success() {
+            if !created.map_err(|e| e.to_string())?.success() {
                 return Err(format!(
                     "{file}: the store of the replica could not be created"
                 ));
             }
-            let mut arguments = before.clone();
+            let mut arguments = leading_arguments.clone();
             arguments.extend(["serve".to_owned(), file]);
             let spec = ProcessSpec {
                 program: program.clone(),
@@ -778,7 +778,7 @@
                 environment: Vec::new(),
             };
             let mut process = Process::start(spec).await?;
-            known.send_replace(Some(process.listen_address().await?));
+            address_updates.send_replace(Some(process.listen_address().await?));
             all.push(tokio::sync::Mutex::new(process));
         }
         Ok(Replicas {
--- a/crates/fault-injection/src/start/mod.rs
+++ b/crates/fault-injection/src/start/mod.rs
@@ -440,8 +440,9 @@
         pollers
     }
 
-    fn choose_proxies(&self, target_seed: u64, share: f64) -> Vec<usize> {
-        let mut rng = Pcg32::seed_from_u64(target_seed);
+    /// Chooses a share of the proxies, determined by `seed`.
+    fn choose(&self, seed: u64, share: f64) -> Vec<usize> {
+        let mut rng = Pcg32::seed_from_u64(seed);
         (0..self.proxies.len())
             .filter(|_| rng.gen_bool(share))
             .collect()
@@ -468,7 +469,7 @@
         Ok(())
     }
 
-    async fn stop_and_continue(&self, targets: &[usize], until: Instant) {
+    async fn suspend(&self, targets: &[usize], until: Instant) {
         let from = now();
         for &index in targets {
             self.proxies[index]
@@ -497,26 +498,17 @@
             self.apply_link_faults();
         };
         match fault.kind {
-            Kind::KillMany => {
-                self.restart(&self.choose_proxies(fault.target_seed, 0.7), until)
-                    .await?
-            }
-            Kind::KillAll => {
-                self.restart(&self.choose_proxies(fault.target_seed, 1.0), until)
-                    .await?
-            }
+            Kind::KillMany => self.restart(&self.choose(fault.seed, 0.7), until).await?,
+            Kind::KillAll => self.restart(&self.choose(fault.seed, 1.0), until).await?,
             Kind::KillSeeds => {
                 let seeds: Vec<usize> = (0..SEEDS.min(self.proxies.len())).collect();
                 self.restart(&seeds, until).await?;
             }
             Kind::KillPollers => self.restart(&self.pollers().await, until).await?,
-            Kind::StopPollers => self.stop_and_continue(&self.pollers().await, until).await,
-            Kind::StopSome => {
-                self.stop_and_continue(&self.choose_proxies(fault.target_seed, 0.3), until)
-                    .await
-            }
+            Kind::StopPollers => self.suspend(&self.pollers().await, until).await,
+            Kind::StopSome => self.suspend(&self.choose(fault.seed, 0.3), until).await,
             Kind::RollingRestart => {
-                let targets = self.choose_proxies(fault.target_seed, 0.3);
+                let targets = self.choose(fault.seed, 0.3);
                 let pause = (fault.until - fault.from) / targets.len().max(1) as u32;
                 for index in targets {
                     let from = now();
@@ -531,14 +523,14 @@
                 let state = match fault.kind {
                     Kind::ServiceDown => ServiceState::Down,
                     Kind::ServiceSlow => ServiceState::Slow,
-                    _ => ServiceState::Stale(1 + fault.target_seed % 2),
+                    _ => ServiceState::Stale(1 + fault.seed % 2),
                 };
                 self.service.set_state(state);
                 tokio::time::sleep_until(until).await;
                 self.service.set_state(ServiceState::Healthy);
             }
             Kind::CutFromService => {
-                let targets = self.choose_proxies(fault.target_seed, 0.5);
+                let targets = self.choose(fault.seed, 0.5);
                 let set = |forwarding| {
                     targets.iter().for_each(|p| {
                         self.proxies[*p]
@@ -557,13 +549,12 @@
                     0.2
                 };
                 let halves = match fault.kind {
-                    Kind::Partition => vec![self
-                        .choose_proxies(fault.target_seed, share)
-                        .into_iter()
-                        .collect()],
+                    Kind::Partition => {
+                        vec![self.choose(fault.seed, share).into_iter().collect()]
+                    }
                     // Each of these proxies is separated from all others.
                     _ => self
-                        .choose_proxies(fault.target_seed, share)
+                        .choose(fault.seed, share)
                         .into_iter()
                         .map(|p| HashSet::from([p]))
                         .collect(),
@@ -586,7 +577,7 @@
             }
             Kind::Replace => self.replace().await?,
             Kind::Drain => self.drain(fault, until).await,
-            Kind::OtherFleet => self.start_other_fleet_proxy(fault.target_seed).await?,
+            Kind::OtherFleet => self.start_other_fleet_proxy(fault.seed).await?,
         }
         Ok(())
     }
@@ -619,7 +610,7 @@
             let up: Vec<usize> = (0..list_entries.len())
                 .filter(|p| matches!(list_entries[*p], Some((_, false, _))))
                 .collect();
-            let Some(&index) = up.choose(&mut Pcg32::seed_from_u64(fault.target_seed)) else {
+            let Some(&index) = up.choose(&mut Pcg32::seed_from_u64(fault.seed)) else {
                 return;
             };
             if let Some((_, drains, _)) = &mut list_entries[index] {
@@ -637,12 +628,12 @@
     }
 
     /// Starts a proxy of another fleet with the same seeds.
-    async fn start_other_fleet_proxy(&self, target_seed: u64) -> Result<(), String> {
+    async fn start_other_fleet_proxy(&self, seed: u64) -> Result<(), String> {
         let text = std::fs::read_to_string(&self.proxies[0].file).map_err(|e| e.to_string())?;
         let text = text.replace("fleet = \"trial\"", "fleet = \"another\"");
         let own = format!("advertise = \"{}\"\n", self.proxies[0].peers.address);
         let file = self.folder.write(
-            &format!("stranger-{target_seed:x}.toml"),
+            &format!("stranger-{seed:x}.toml"),
             &text.replace(&own, ""),
             false,
         )?;
--- a/crates/fault-injection/src/start/report.rs
+++ b/crates/fault-injection/src/start/report.rs
@@ -46,7 +46,7 @@
         all_lifetimes.push(lifetimes(&process.log()));
     }
     let counts = fleet.service.counts();
-    let first = counts.first_answer.unwrap_or(start_time);
+    let first_answer = counts.first_answer.unwrap_or(start_time);
     let last_lifetimes = || all_lifetimes.iter().filter_map(|l| l.last());
     let unlisted = last_lifetimes().filter(|l| l.1.is_none()).count();
     let listed = || {
@@ -56,7 +56,7 @@
             .filter_map(|(from, at)| Some((*from, (*at)?)))
     };
     let mut waits: Vec<Micros> = listed()
-        .map(|(from, at)| at.saturating_sub(first.max(from)))
+        .map(|(from, at)| at.saturating_sub(first_answer.max(from)))
         .collect();
     waits.sort_unstable();
     let quantile = |share: f64| {
@@ -65,12 +65,13 @@
     };
     // The first lifetime of each proxy.
     let first_listed: Vec<Micros> = all_lifetimes.iter().filter_map(|l| l.first()?.1).collect();
-    let all_at = first_listed.iter().copied().max().unwrap_or(start_time);
+    let all_listed_at = first_listed.iter().copied().max().unwrap_or(start_time);
     let host_records: Vec<HostRecord> = fleet.hosts.lock().await.records();
     let executed = fleet.hosts.lock().await.executed();
     let executed_twice = executed.values().filter(|times| **times > 1).count();
     let down = locked(&fleet.down).clone();
-    // A call is not lost by the proxy if the proxy was killed, suspended or starting at that time.
+    // A call does not count as lost if its proxy was killed or suspended at that time, or refused the connection because
+    // it had not started yet.
     let proxy_healthy = |call: &CallRecord| {
         !down.iter().any(|(who, from, until)| {
             *who == call.proxy && *until >= call.last && *from <= call.last + 6_000_000
@@ -86,13 +87,13 @@
         .collect();
     let served_early = early.iter().filter(|c| c.served.is_some()).count();
     let drained = locked(&fleet.drained).clone();
-    let last_call = |index: usize, version: u64| {
+    let last_call = |host: usize, version: u64| {
         let announced = counts
             .first_served_at
             .get(version as usize - 1)
             .copied()
             .flatten()?;
-        let last = host_records.get(index)?.requests.last().copied()?;
+        let last = host_records.get(host)?.requests.last().copied()?;
         Some(ms(last.saturating_sub(announced)))
     };
     let drained_ms = drained
@@ -127,9 +128,9 @@
     let second = |at: Micros| (at.saturating_sub(start_time) / 1_000_000) as usize;
     let last_second = calls.iter().map(|c| second(c.last)).max().unwrap_or(0);
     let mut seconds = vec![[0; 4]; last_second + 1];
-    let mut count = |at: Micros, what: usize| {
+    let mut count = |at: Micros, column: usize| {
         if let Some(row) = seconds.get_mut(second(at)) {
-            row[what] += 1;
+            row[column] += 1;
         }
     };
     counts.polls.iter().for_each(|at| count(*at, 0));
@@ -158,10 +159,14 @@
         list_source: fleet.size.list_source,
         faults: schedule.faults.clone(),
         listed_ms: [quantile(0.5), quantile(0.99), quantile(1.0)],
-        all_listed_ms: ms(all_at.saturating_sub(first)),
+        all_listed_ms: ms(all_listed_at.saturating_sub(first_answer)),
         unlisted,
         behind,
-        questions_start: counts.polls.iter().filter(|at| **at <= all_at).count(),
+        questions_start: counts
+            .polls
+            .iter()
+            .filter(|at| **at <= all_listed_at)
+            .count(),
         questions: counts.polls.len(),
         questions_most,
         given_up: counts.timed_out,
--- a/crates/fault-injection/src/start/schedule.rs
+++ b/crates/fault-injection/src/start/schedule.rs
@@ -124,7 +124,7 @@
     pub until: Duration,
     /// Seed that determines the affected proxies or hosts.
     #[serde(rename = "lot")]
-    pub target_seed: u64,
+    pub seed: u64,
 }
 
 /// The faults of one run.
@@ -158,7 +158,7 @@
             };
             let from = Duration::from_millis(from);
             let until = from + Duration::from_millis(rng.gen_range(FAULT_DURATION_MS));
-            let target_seed = rng.gen();
+            let fault_seed = rng.gen();
             let same_group = |f: &&Fault| {
                 (f.kind.targets_processes() && kind.targets_processes())
                     || (f.kind.targets_service() && kind.targets_service())
@@ -172,7 +172,7 @@
                     kind,
                     from,
                     until,
-                    target_seed,
+                    seed: fault_seed,
                 });
             }
         }
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The trial of a fleet of many proxies: where its parts stand, what its notes are judged as, and its fits.
+//! Unit tests of the scale test: placement of its processes, evaluation of its records, and its linear fits.
 
 use badgerramp_config_tool::fleet::Change;
 use badgerramp_fault_injection::checker::StartRecord;
@@ -22,7 +22,7 @@
 };
 
 #[test]
-fn zones_are_alike_and_regions_have_zones_of_their_own() {
+fn zones_have_equal_sizes_and_belong_to_one_region() {
     for zone in 0..SIZE.zones {
         let proxies = SIZE.proxies_in(zone);
         assert_eq!(proxies.len(), 20);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_region_has_a_group_of_replicas_of_its_own() {
+fn each_region_has_its_own_replicas_spread_over_its_zones() {
     let places = SIZE.replica_places();
     let regions: Vec<usize> = places.iter().map(|place| place.region).collect();
     assert_eq!(regions, [0, 0, 0, 1, 1, 1]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_seed_draws_one_course_and_hits_what_is_there() {
+fn a_seed_determines_the_fault_schedule_and_targets_exist() {
     for kind in KINDS.into_iter().map(Some).chain([None]) {
         for seed in 0..50 {
             let draw = || Course::draw(seed, kind, &SIZE, ControlTimes::default(), 30);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_region_is_cut_off_for_longer_than_every_time_of_control() {
+fn a_region_is_cut_off_for_longer_than_all_control_plane_timeouts() {
     let times = ControlTimes {
         lease_ms: 3_000,
         wait_ms: 6_000,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn looks_at_hollow_proxies_are_calls_that_began() {
+fn admission_checks_of_hollow_proxies_count_as_started_calls() {
     let events = [
         admitted("p9", Admits::Nothing, 1, 2),
         admitted("p9", Admits::Under { old: 3, new: 4 }, 5, 8),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_proxy_is_ready_with_list_and_lease_of_its_own_start() {
+fn a_restarted_proxy_is_ready_once_it_has_a_list_and_a_lease() {
     let line = |at: Micros, text: &str| (at, format!("{{\"message\":\"{text}\"}}"));
     let log = [
         line(10, "policy: generation 1"),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn refusals_of_proxies_that_were_well_count_in_their_region() {
+fn rejections_of_healthy_proxies_count_in_their_region() {
     let attempt = |proxy, status| Try {
         key: String::new(),
         proxy,
@@ -157,27 +157,27 @@
         unwell: vec![(4, 40, 70)],
         ..Ready::default()
     };
-    let tries = [
+    let attempts = [
         attempt(0, 503),
         attempt(0, 200),
         attempt(2, 503),
         attempt(3, 503),
         attempt(4, 503),
     ];
-    let refused = Refused::of(&SIZE, &tries, &[(11, 1, 2), (4, 41, 42)], &ready);
+    let refused = Refused::of(&SIZE, &attempts, &[(11, 1, 2), (4, 41, 42)], &ready);
     assert_eq!((refused.by_region, refused.hollow), (vec![1, 3], 1));
 }
 
 #[test]
-fn orders_and_events_lead_back() {
+fn orders_and_events_round_trip_through_json() {
     let order = Order::Kill("p7".to_owned());
-    let text = serde_json::to_string(&order).expect("JSON");
+    let text = serde_json::to_string(&order).expect("serializable");
     assert_eq!(
         serde_json::from_str::<Order>(&text).expect("an order"),
         order
     );
     let event = admitted("p7", Admits::Under { old: 1, new: 2 }, 3, 4);
-    let text = serde_json::to_string(&event).expect("JSON");
+    let text = serde_json::to_string(&event).expect("serializable");
     assert_eq!(
         serde_json::from_str::<Event>(&text).expect("an event"),
         event
@@ -185,13 +185,13 @@
 }
 
 #[test]
-fn a_line_is_found_and_points_beside_it_show_as_error() {
-    let straight = Fit::of(&[(100.0, 7.0), (200.0, 9.0), (400.0, 13.0)]).expect("a line");
-    assert!((straight.constant - 5.0).abs() < 1e-9 && (straight.slope - 0.02).abs() < 1e-9);
-    assert!(straight.residual.expect("three points") < 1e-9);
-    let bent = Fit::of(&[(1.0, 0.0), (2.0, 3.0), (3.0, 0.0)]).expect("a line");
-    assert!((bent.residual.expect("three points") - 6f64.sqrt()).abs() < 1e-9);
-    assert!((bent.slope_error.expect("three points") - 3f64.sqrt()).abs() < 1e-9);
+fn a_linear_fit_finds_the_line_and_the_error_of_scattered_points() {
+    let exact = Fit::of(&[(100.0, 7.0), (200.0, 9.0), (400.0, 13.0)]).expect("a line");
+    assert!((exact.constant - 5.0).abs() < 1e-9 && (exact.slope - 0.02).abs() < 1e-9);
+    assert!(exact.residual.expect("three points") < 1e-9);
+    let scattered = Fit::of(&[(1.0, 0.0), (2.0, 3.0), (3.0, 0.0)]).expect("a line");
+    assert!((scattered.residual.expect("three points") - 6f64.sqrt()).abs() < 1e-9);
+    assert!((scattered.slope_error.expect("three points") - 3f64.sqrt()).abs() < 1e-9);
     assert_eq!(Fit::of(&[(5.0, 1.0), (5.0, 2.0)]), None);
 }
 
@@ -205,7 +205,7 @@
     }
 }
 
-/// A call at a proxy under one generation, or between two.
+/// The start of a call at a proxy, under one generation or in the transition between two.
 fn call(proxy: usize, at: Micros, old: u64, new: u64) -> StartRecord {
     let mode = Mode {
         revision: 0,
@@ -222,20 +222,20 @@
 }
 
 #[test]
-fn changes_of_all_regions_are_held_against_each_other_though_numbered_differently() {
+fn cross_region_changes_are_compared_though_regions_number_them_differently() {
     let (first, second) = (SIZE.proxies_of(0)[0], SIZE.proxies_of(1)[0]);
     let histories = [
         vec![change(4, "in force", "a")],
         vec![change(7, "in force", "a")],
     ];
-    // The second region is still between its policies when the first has left the old one.
-    let good = [
+    // The second region is still in transition when the first region has left the old policy.
+    let consistent = [
         call(second, 10, 6, 6),
         call(second, 15, 6, 7),
         call(first, 20, 4, 4),
         call(second, 30, 6, 7),
     ];
-    let across = Across::of(&SIZE, &histories, &good);
+    let across = Across::of(&SIZE, &histories, &consistent);
     assert_eq!(
         (
             across.mixed_across,
@@ -244,13 +244,13 @@
         ),
         (0, 0, 1)
     );
-    let late = [call(first, 20, 4, 4), call(second, 21, 6, 6)];
-    assert_eq!(Across::of(&SIZE, &histories, &late).mixed_across, 1);
+    let violating = [call(first, 20, 4, 4), call(second, 21, 6, 6)];
+    assert_eq!(Across::of(&SIZE, &histories, &violating).mixed_across, 1);
 }
 
 #[test]
-fn a_change_that_ended_differently_in_two_regions_is_seen() {
-    let ended = |first, second| {
+fn a_change_with_different_outcomes_in_two_regions_is_counted() {
+    let count = |first, second| {
         let across = Across::of(
             &SIZE,
             &[vec![change(2, first, "a")], vec![change(2, second, "a")]],
@@ -258,12 +258,15 @@
         );
         across.ended_apart
     };
-    assert_eq!(ended("in force", "in force"), 0);
-    assert_eq!(ended("not in force", "not in force"), 0);
-    assert_eq!(ended("in force", "not in force"), 1);
-    assert_eq!(ended("in force", "under way"), 1);
-    // One that a region never heard of has to have come to nothing.
-    let unheard =
+    assert_eq!(count("in force", "in force"), 0);
+    assert_eq!(count("not in force", "not in force"), 0);
+    assert_eq!(count("in force", "not in force"), 1);
+    assert_eq!(count("in force", "under way"), 1);
+    // A change unknown to one region must not be in force in the others.
+    let unknown_to_one =
         |outcome| Across::of(&SIZE, &[vec![change(2, outcome, "a")], Vec::new()], &[]).ended_apart;
-    assert_eq!((unheard("not in force"), unheard("in force")), (0, 1));
+    assert_eq!(
+        (unknown_to_one("not in force"), unknown_to_one("in force")),
+        (0, 1)
+    );
 }
