--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -112,7 +112,7 @@
 /// its connection to the control plane and the control plane were, too.
 pub fn check(
     mut begun: Vec<StartRecord>,
-    heard: &[PublishRecord],
+    publishes: &[PublishRecord],
     attempts: &[Try],
     executed: &HashMap<String, u32>,
     proxy_healthy: impl Fn(usize, Micros, Micros) -> bool,
@@ -125,29 +125,29 @@
     };
     let mut first = None;
     // Calls of the same microsecond have no order. The older mode is taken first, which is not a violation.
-    begun.sort_by_key(|line| (line.at, line.mode.old, line.mode.new));
+    begun.sort_by_key(|record| (record.at, record.mode.old, record.mode.new));
     let mut checker = InvariantChecker::default();
-    let mut committed: Vec<&PublishRecord> = heard.iter().filter(|h| h.in_force).collect();
+    let mut committed: Vec<&PublishRecord> = publishes.iter().filter(|h| h.in_force).collect();
     committed.sort_by_key(|h| h.at);
     let mut committed = committed.into_iter().peekable();
     let (mut newest, mut since) = (Generation(0), 0);
-    for line in begun.iter().filter(|line| !line.floor) {
-        if line.mode.old > newest {
-            (newest, since) = (line.mode.old, line.at);
+    for record in begun.iter().filter(|record| !record.floor) {
+        if record.mode.old > newest {
+            (newest, since) = (record.mode.old, record.at);
         }
-        while let Some(heard) = committed.next_if(|h| h.at < line.at) {
-            checker.record_committed(Generation(heard.generation));
+        while let Some(publish) = committed.next_if(|h| h.at < record.at) {
+            checker.record_committed(Generation(publish.generation));
         }
         let identity = Identity {
-            name: line.proxy.to_string(),
+            name: record.proxy.to_string(),
             incarnation: 0,
         };
-        if line.mode.new < newest {
-            verdict.mixed_ms = verdict.mixed_ms.max((line.at - since) / 1_000);
+        if record.mode.new < newest {
+            verdict.mixed_ms = verdict.mixed_ms.max((record.at - since) / 1_000);
         }
         let Some(violation) = checker.record_start(&StartedCall {
             identity,
-            mode: line.mode,
+            mode: record.mode,
         }) else {
             continue;
         };
@@ -157,19 +157,19 @@
                 verdict.begun_wrong += 1;
             }
         }
-        first.get_or_insert_with(|| format!("{} at {}: {violation:?}", line.request, line.at));
+        first.get_or_insert_with(|| format!("{} at {}: {violation:?}", record.request, record.at));
     }
-    for heard in heard.iter().filter(|h| !h.in_force) {
+    for publish in publishes.iter().filter(|h| !h.in_force) {
         let count = begun
             .iter()
-            .filter(|l| l.mode.old == Generation(heard.generation))
+            .filter(|l| l.mode.old == Generation(publish.generation))
             .count();
         verdict.begun_wrong += count;
         if count > 0 {
             first.get_or_insert_with(|| {
                 format!(
                     "{count} calls started under generation {}, which never was in force",
-                    heard.generation
+                    publish.generation
                 )
             });
         }
@@ -206,10 +206,10 @@
         StartRecord::parse(0, &text).expect("a start record")
     }
 
-    fn verdict(begun: Vec<StartRecord>, heard: &[PublishRecord]) -> Verdict {
+    fn verdict(begun: Vec<StartRecord>, publishes: &[PublishRecord]) -> Verdict {
         check(
             begun,
-            heard,
+            publishes,
             &[],
             &HashMap::new(),
             |_, _, _| true,
@@ -225,15 +225,15 @@
         mixed.push(line(4_009, 1, 1));
         let checked = verdict(mixed, &[]);
         assert_eq!((checked.begun_mixed, checked.mixed_ms), (1, 4));
-        let heard = |generation, at, in_force| PublishRecord {
+        let publish = |generation, at, in_force| PublishRecord {
             generation,
             at,
             in_force,
             took_ms: 0,
             why: String::new(),
         };
-        assert_eq!(verdict(good.clone(), &[heard(2, 6, true)]).begun_wrong, 1);
-        assert_eq!(verdict(good, &[heard(2, 20, false)]).begun_wrong, 1);
+        assert_eq!(verdict(good.clone(), &[publish(2, 6, true)]).begun_wrong, 1);
+        assert_eq!(verdict(good, &[publish(2, 20, false)]).begun_wrong, 1);
         let executed = HashMap::from([("k".to_owned(), 2)]);
         let unanswered = Try {
             key: "k".to_owned(),
--- a/crates/fault-injection/src/start/report.rs
+++ b/crates/fault-injection/src/start/report.rs
@@ -197,8 +197,8 @@
     let mut text = String::new();
     let mut row = |name: &str, of: &dyn Fn(&RunReport) -> String| {
         let _ = write!(text, "{name:<36}");
-        for played in all {
-            let _ = write!(text, "{:>10}", of(played));
+        for report in all {
+            let _ = write!(text, "{:>10}", of(report));
         }
         text.push('\n');
     };
@@ -324,13 +324,13 @@
                 .configure_mesh()
                 .x_desc("s since the first start")
                 .draw()?;
-            for (line, played) in lines.into_iter().zip(all) {
-                let colour = match played.list_source {
+            for (line, report) in lines.into_iter().zip(all) {
+                let colour = match report.list_source {
                     super::ListSource::None => RED,
                     super::ListSource::Turns => BLACK,
                     super::ListSource::Peers => BLUE,
                 };
-                let label = format!("{:?}", played.list_source).to_lowercase();
+                let label = format!("{:?}", report.list_source).to_lowercase();
                 chart
                     .draw_series(LineSeries::new(line, &colour))?
                     .label(label)
