--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -4,8 +4,8 @@
 use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
-use badgerramp_fault_injection::link::{Link, Pass};
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::link::{Forwarding, Link};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use badgerramp_policy::regions::Region;
 use badgerramp_policy::{Identity, LeaseRequest, OnLeaseLoss};
 use std::collections::{BTreeSet, HashMap};
@@ -107,11 +107,11 @@
         assert!(created.expect("the command runs").status.success());
     }
     let arguments = vec!["serve".to_owned(), file.display().to_string()];
-    Plan {
+    ProcessSpec {
         program: CONTROL.into(),
         arguments,
-        keep: Vec::new(),
-        variables: Vec::new(),
+        debug_filter: Vec::new(),
+        environment: Vec::new(),
     }
 }
 
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -6,7 +6,7 @@
 use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::Link;
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use openraft::storage::RaftLogStorage;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -64,11 +64,11 @@
                 .output();
             assert!(created.expect("the command runs").status.success());
             let arguments = vec!["serve".to_owned(), file.display().to_string()];
-            let plan = Plan {
+            let plan = ProcessSpec {
                 program: CONTROL.into(),
                 arguments,
-                keep: Vec::new(),
-                variables: Vec::new(),
+                debug_filter: Vec::new(),
+                environment: Vec::new(),
             };
             let mut process = Process::start(plan).await.expect("the replica starts");
             replicas.process_addresses[number - 1]
@@ -216,11 +216,11 @@
     let file = replicas.folder.path().join("1.toml").display().to_string();
     let script = format!("trap '' XFSZ; ulimit -f {max_blocks}; exec \"$0\" serve \"$1\"");
     let arguments = vec!["-c".to_owned(), script, CONTROL.to_owned(), file];
-    let plan = Plan {
+    let plan = ProcessSpec {
         program: "/bin/sh".into(),
         arguments,
-        keep: Vec::new(),
-        variables: Vec::new(),
+        debug_filter: Vec::new(),
+        environment: Vec::new(),
     };
     let mut limited = Process::start(plan).await.expect("the replica starts");
     replicas.process_addresses[0]
--- a/crates/fault-injection/src/hosts.rs
+++ b/crates/fault-injection/src/hosts.rs
@@ -1,7 +1,8 @@
-//! Hosts behind the proxies, which count what they execute. Those of one group drop repeats of a key for a window, as
-//! long as they are told to: a host of the next release may do it no more.
+//! Hosts behind the proxies, which count the requests they execute. All hosts are one dedup scope: they drop a repeated
+//! idempotency key within a window. Deduplication can be switched off per path, as a new release of a service may no
+//! longer support it.
 
-use crate::link::{header, message, send};
+use crate::link::{header_value, read_message, send};
 use crate::now;
 use badgerramp_policy::Micros;
 use rand::{Rng, SeedableRng};
@@ -13,34 +14,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// How long a key is remembered.
-const WINDOW: Duration = Duration::from_millis(2_500);
-/// Work of a request.
-const WORK: Duration = Duration::from_millis(5);
+/// How long an idempotency key is remembered.
+const DEDUP_WINDOW: Duration = Duration::from_millis(2_500);
+/// How long a host works on a request.
+const REQUEST_DURATION: Duration = Duration::from_millis(5);
 
 struct Shared {
-    drops: HashSet<String>,
+    dedup_paths: HashSet<String>,
     seen: HashMap<String, Instant>,
     executed: HashMap<String, u32>,
     arrivals: Vec<Arrival>,
-    draws: Pcg32,
-    spoilt: f64,
+    rng: Pcg32,
+    answer_loss: f64,
 }
 
-/// A request that came to a host.
+/// A request received by a host.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it had come whole.
+    /// When the request had been received completely.
     pub at: Micros,
-    /// Place of the host.
+    /// Index of the host.
     pub host: usize,
     /// Its `X-Request-ID`.
     pub request: String,
 }
 
-/// All hosts.
+/// All hosts of a run.
 pub struct Hosts {
-    /// Where each listens.
+    /// Listen address of each host.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     listeners: Vec<AbortHandle>,
@@ -51,27 +52,27 @@
 }
 
 impl Hosts {
-    /// So many of one group. This share of their answers to `POST` is lost after the request ran: the connection ends.
-    /// They drop repeats of the paths in `drops`.
+    /// Starts `count` hosts that deduplicate requests to the paths in `dedup_paths`. For the share `answer_loss` of the
+    /// `POST` requests the connection is closed after the request was executed, without an answer.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no local port can be bound.
     pub async fn start(
         count: usize,
-        spoilt: f64,
-        drops: &[&str],
+        answer_loss: f64,
+        dedup_paths: &[&str],
         seed: u64,
     ) -> Result<Hosts, String> {
         let shared = Arc::new(Mutex::new(Shared {
-            drops: drops.iter().map(|d| (*d).to_owned()).collect(),
+            dedup_paths: dedup_paths.iter().map(|d| (*d).to_owned()).collect(),
             seen: HashMap::new(),
             executed: HashMap::new(),
             arrivals: Vec::new(),
-            draws: Pcg32::seed_from_u64(seed),
-            spoilt,
+            rng: Pcg32::seed_from_u64(seed),
+            answer_loss,
         }));
         let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
-        for place in 0..count {
+        for index in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")
                 .await
                 .map_err(|e| e.to_string())?;
@@ -79,7 +80,7 @@
             let shared = Arc::clone(&shared);
             let task = tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(serve(stream, place, Arc::clone(&shared)));
+                    tokio::spawn(serve(stream, index, Arc::clone(&shared)));
                 }
             });
             listeners.push(task.abort_handle());
@@ -91,22 +92,22 @@
         })
     }
 
-    /// From now on they drop repeats of this path, or no more.
-    pub fn drop_repeats(&self, path: &str, drops: bool) {
+    /// Switches deduplication of requests to this path on or off.
+    pub fn set_dedup(&self, path: &str, enabled: bool) {
         let mut shared = locked(&self.shared);
-        if drops {
-            shared.drops.insert(path.to_owned());
+        if enabled {
+            shared.dedup_paths.insert(path.to_owned());
         } else {
-            shared.drops.remove(path);
+            shared.dedup_paths.remove(path);
         }
     }
 
-    /// What came, in order.
+    /// The requests received so far, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         locked(&self.shared).arrivals.clone()
     }
 
-    /// How often each key was executed.
+    /// How often each idempotency key was executed.
     pub fn executed(&self) -> HashMap<String, u32> {
         locked(&self.shared).executed.clone()
     }
@@ -120,33 +121,35 @@
 
 async fn serve(mut stream: TcpStream, host: usize, shared: Arc<Mutex<Shared>>) {
     let _ = stream.set_nodelay(true);
-    let mut held = Vec::new();
-    while let Some((head, _)) = message(&mut stream, &mut held).await {
+    let mut buffered = Vec::new();
+    while let Some((head, _)) = read_message(&mut stream, &mut buffered).await {
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        let key = header(&head, "idempotency-key")
+        let key = header_value(&head, "idempotency-key")
+            .unwrap_or_default()
+            .to_owned();
+        let request = header_value(&head, "x-request-id")
             .unwrap_or_default()
             .to_owned();
-        let request = header(&head, "x-request-id").unwrap_or_default().to_owned();
         locked(&shared).arrivals.push(Arrival {
             at: now(),
             host,
             request,
         });
         let post = head.starts_with("POST");
-        tokio::time::sleep(WORK).await;
-        let spoilt = {
+        tokio::time::sleep(REQUEST_DURATION).await;
+        let lose_answer = {
             let mut shared = locked(&shared);
             let moment = Instant::now();
             let seen = shared.seen.insert(key.clone(), moment);
-            let repeat = seen.is_some_and(|at| moment.duration_since(at) < WINDOW);
-            let dropped = shared.drops.contains(&path) && repeat;
+            let repeat = seen.is_some_and(|at| moment.duration_since(at) < DEDUP_WINDOW);
+            let dropped = shared.dedup_paths.contains(&path) && repeat;
             if post && !dropped {
                 *shared.executed.entry(key).or_default() += 1;
             }
-            let share = shared.spoilt;
-            post && shared.draws.gen_bool(share)
+            let share = shared.answer_loss;
+            post && shared.rng.gen_bool(share)
         };
-        if spoilt {
+        if lose_answer {
             return;
         }
         if send(
--- a/crates/fault-injection/src/start/mod.rs
+++ b/crates/fault-injection/src/start/mod.rs
@@ -1,26 +1,26 @@
-//! A start of all proxies together, with processes: proxies, a list service that takes one question at a time, hosts
-//! that are all cold, clients that come as fast as the hosts can bear. Side by side: each proxy asks for itself, takes
-//! its turn, or hears the list from its peers.
+//! Test of a simultaneous start of all proxies, as processes: a list service that handles one poll at a time, hosts
+//! that are all cold, and clients that call as fast as the hosts can serve. Three ways to get the endpoint list are
+//! compared: every proxy polls at once, polls in its turn, or receives the list from its peers.
 
-pub mod cold;
-pub mod course;
+pub mod cold_hosts;
 pub mod report;
+pub mod schedule;
 pub mod service;
 
-use crate::clients::{once, Ended};
-use crate::datagrams::Datagrams;
-use crate::link::{Link, Pass};
+use crate::clients::{call_once, Ended};
+use crate::datagrams::DatagramLink;
+use crate::link::{Forwarding, Link};
 use crate::now;
-use crate::process::{Folder, Plan, Process};
+use crate::process::{Folder, Process, ProcessSpec};
 use badgerramp_policy::Micros;
-use cold::Hosts;
-use course::{Course, Fault, Kind};
+use cold_hosts::Hosts;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::Signal;
+use schedule::{Fault, FaultSchedule, Kind};
 use serde::Serialize;
-use service::{Listed, Mood, Service};
+use service::{ListEntry, Service, ServiceState};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,129 +31,132 @@
 
 const CHARGE: &str = "/cobro-mensual";
 const ENTRY: &str = "/registro-entrada";
-/// Longest wait for what must come.
-const LONG: Duration = Duration::from_secs(60);
-/// Seeds of the fleet.
+/// Longest wait for all proxies to have the newest list.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of proxies that are gossip seeds of the fleet.
 const SEEDS: usize = 3;
-/// Share of what the hosts can do at each moment that clients want.
-const LOAD: f64 = 0.8;
-/// Tries of a client, and its longest pause before the next.
-const TRIES: usize = 3;
-const PAUSE_MOST: Duration = Duration::from_secs(1);
+/// Share of the current capacity of all hosts that clients use.
+const LOAD_SHARE: f64 = 0.8;
+/// Attempts per call, and the longest pause between two of them.
+const MAX_ATTEMPTS: usize = 3;
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// How a proxy comes to its list.
+/// How the proxies get the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
-    /// Each asks at once.
+pub enum ListSource {
+    /// Every proxy polls the list service at once.
     None,
-    /// Each takes its turn in a round that the operator has reckoned (`[list]`).
+    /// Every proxy polls in its turn, within a round computed from the rate in the operator's file (`[list]`).
     Turns,
-    /// Some ask for all (`[peers]`).
+    /// A few proxies poll for all, and the others receive the list by gossip (`[peers]`).
     Peers,
 }
 
-impl Way {
-    /// The names of all.
+impl ListSource {
+    /// The command-line names of all variants, in order.
     pub const NAMES: [&'static str; 3] = ["none", "turns", "peers"];
 
-    /// The way of this name.
-    pub fn named(name: &str) -> Option<Way> {
-        [Way::None, Way::Turns, Way::Peers]
+    /// The variant with this command-line name.
+    pub fn from_name(name: &str) -> Option<ListSource> {
+        [ListSource::None, ListSource::Turns, ListSource::Peers]
             .into_iter()
-            .zip(Way::NAMES)
+            .zip(ListSource::NAMES)
             .find(|(_, n)| *n == name)
             .map(|(w, _)| w)
     }
 }
 
-/// A fleet.
+/// Size and settings of the tested fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Questions a second that the list service bears.
+    /// Polls per second that the list service can handle.
     pub capacity: f64,
-    /// How a proxy comes to its list.
-    pub way: Way,
-    /// Proxies start within this time.
-    pub within: Duration,
-    /// How long clients call.
-    pub lasts: Duration,
-    /// What a host is.
-    pub host: cold::Kind,
-    /// Hosts that each proxy keeps to (`[subset]`); 0: all.
+    /// How the proxies get the endpoint list.
+    pub list_source: ListSource,
+    /// All proxies start within this time.
+    pub start_window: Duration,
+    /// How long clients send calls.
+    pub load_duration: Duration,
+    /// The model of a host's speed.
+    pub host: cold_hosts::HostModel,
+    /// Number of hosts that each proxy uses (`[subset]`); 0 means all.
     pub subset: usize,
 }
 
-/// What a course came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
-    /// The course's seed.
+pub struct RunReport {
+    /// Seed of the fault schedule.
     pub seed: u64,
-    /// How proxies came to their lists.
-    pub way: Way,
-    /// What went wrong.
+    /// How the proxies got the endpoint list.
+    #[serde(rename = "way")]
+    pub list_source: ListSource,
+    /// The faults that were injected.
     pub faults: Vec<Fault>,
-    /// From the service's first answer, or from a proxy's own start where that was later, to its list: of half of
-    /// them, of 99 in 100, of all, in milliseconds.
+    /// Time until a proxy has the list, from the first answer of the list service or, if later, from the start of the
+    /// proxy: median, 99th percentile and maximum, in milliseconds.
     pub listed_ms: [u64; 3],
-    /// From the first answer to the last list, whenever proxies started.
+    /// Time from the first answer of the list service until the last proxy has the list, in milliseconds, whenever
+    /// proxies started.
     pub all_listed_ms: u64,
-    /// Proxies without a list in the end.
+    /// Proxies without a list at the end of the run.
     pub unlisted: usize,
-    /// Proxies whose list is not the newest long after the last fault.
+    /// Proxies that do not have the newest list long after the last fault.
     pub behind: usize,
-    /// Questions to the list service until all had their list, and in all.
+    /// Polls of the list service until all proxies had the list.
     pub questions_start: usize,
-    /// ...
+    /// All polls of the list service.
     pub questions: usize,
-    /// Most of them in a second.
+    /// Highest number of polls within a second.
     pub questions_most: usize,
-    /// Questions that the service gave up.
+    /// Polls that the list service rejected because they waited too long.
     pub given_up: u32,
-    /// Most connections that a host was opened in a second.
+    /// Highest number of connections that one host accepted within a second.
     pub connects_most: usize,
-    /// Connections that all hosts were opened.
+    /// Connections that all hosts accepted.
     pub connects: usize,
-    /// The most that a host was sent within its fall time, against what it could then do.
+    /// Highest load of a host over [`cold_hosts::FALL_TIME`], as a multiple of its capacity at that time.
     pub multiple_most: f64,
-    /// Calls, and those that were served in their time.
+    /// All calls.
     pub calls: usize,
-    /// ...
+    /// Calls that were served.
     pub served: usize,
     /// Share of the calls of the first ten seconds that were served.
     pub goodput: f64,
-    /// Calls that a proxy took and gave no final answer.
+    /// Calls that a healthy proxy accepted and did not answer.
     pub lost: usize,
-    /// Requests that ran twice.
+    /// Requests that were executed more than once.
     pub executed_twice: usize,
-    /// From a drain's first word to the last call that came to that host, in milliseconds, if one drained.
+    /// Longest time from the first list that announced the drain or removal of a host to the last request at that host,
+    /// in milliseconds; `None` if no host drained.
     pub drained_ms: Option<u64>,
-    /// What broke first.
+    /// Description of the violations; `None` if there are none.
     pub first: Option<String>,
-    /// By second since the first start: questions, connections, calls, served.
+    /// For each second since the first start: polls, connections, calls, served calls.
     pub seconds: Vec<[usize; 4]>,
-    /// By tenth of a second: proxies that have a list.
+    /// For each tenth of a second: proxies that have a list.
     pub tenths: Vec<usize>,
 }
 
-impl Played {
-    /// Did the rules hold, and do all have the newest list in the end?
+impl RunReport {
+    /// Whether no invariant was violated and all proxies have the newest list at the end.
     pub fn held(&self) -> bool {
         self.first.is_none()
     }
 }
 
-/// One call.
+/// One call of a client.
 #[derive(Clone, Debug)]
-struct Call {
+struct CallRecord {
     key: String,
     from: Micros,
     served: Option<Micros>,
-    /// The last try's end, and where.
+    /// How the last attempt ended; `proxy` and `last` are its proxy and start.
     ended: Ended,
     proxy: usize,
     last: Micros,
@@ -162,59 +165,59 @@
 struct Proxy {
     process: tokio::sync::Mutex<Process>,
     address: Mutex<Option<SocketAddr>>,
-    hearing: watch::Receiver<Option<SocketAddr>>,
+    datagram_address: watch::Receiver<Option<SocketAddr>>,
     service: Link,
-    peers: Datagrams,
+    peers: DatagramLink,
     file: PathBuf,
 }
 
-struct World {
+struct Fleet {
     size: Size,
     programs: (PathBuf, Vec<String>),
     folder: Folder,
     hosts: tokio::sync::Mutex<Hosts>,
     service: Service,
     proxies: Vec<Proxy>,
-    /// What holds at the links between proxies.
-    ways: Mutex<Ways>,
-    /// Proxies that were killed or stood still: who, from when, until when.
+    /// The current faults of the links between proxies.
+    link_faults: Mutex<LinkFaults>,
+    /// Proxies that were killed or suspended: index, from, until.
     down: Mutex<Vec<(usize, Micros, Micros)>>,
-    /// Hosts that drained, by place, and the version that said so.
+    /// Hosts that drained or were removed: index, and the list version that announced it.
     drained: Mutex<Vec<(usize, u64)>>,
-    /// What the list says of each host.
-    listed: Mutex<Vec<Listed>>,
-    strangers: Mutex<Vec<Process>>,
+    /// The current list entry of each host.
+    list_entries: Mutex<Vec<ListEntry>>,
+    other_fleet_proxies: Mutex<Vec<Process>>,
 }
 
 #[derive(Default)]
-struct Ways {
-    lossy: bool,
-    doubled: bool,
-    late: bool,
-    apart: Vec<HashSet<usize>>,
+struct LinkFaults {
+    lose: bool,
+    duplicate: bool,
+    delay: bool,
+    partitions: Vec<HashSet<usize>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn file(
-    (size, place): (&Size, usize),
+fn proxy_config(
+    (size, index): (&Size, usize),
     service: SocketAddr,
     (name, advertise, seeds): (&str, SocketAddr, &str),
     fleet: &str,
 ) -> String {
-    let list = match size.way {
-        Way::None => String::new(),
-        Way::Turns => format!("[list]\nrate = {}\nwait = \"30s\"\n", size.capacity * 0.8),
-        Way::Peers => format!(
+    let list = match size.list_source {
+        ListSource::None => String::new(),
+        ListSource::Turns => format!("[list]\nrate = {}\nwait = \"30s\"\n", size.capacity * 0.8),
+        ListSource::Peers => format!(
             "[peers]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{advertise}\"\nseeds = [{seeds}]\nsecret = \"{name}\"\n\
              fleet = \"{fleet}\"\n"
         ),
     };
     let subset = match size.subset {
         0 => String::new(),
-        hosts => format!("[subset]\ninstance = {place}\nsize = {hosts}\n"),
+        hosts => format!("[subset]\ninstance = {index}\nsize = {hosts}\n"),
     };
     format!(
         r#"listen = "127.0.0.1:0"
@@ -278,15 +281,15 @@
     u64::try_from(since.as_millis()).unwrap_or(0)
 }
 
-impl World {
+impl Fleet {
     async fn build(
         programs: &(PathBuf, Vec<String>),
         size: Size,
         seed: u64,
         keep: bool,
-    ) -> Result<World, String> {
+    ) -> Result<Fleet, String> {
         let text = |e: std::io::Error| e.to_string();
-        let mut folder = Folder::new(&format!("start-{seed:x}-{:?}", size.way))?;
+        let mut folder = Folder::new(&format!("start-{seed:x}-{:?}", size.list_source))?;
         folder.keep = keep;
         let secret = folder.write(
             "secret",
@@ -294,22 +297,25 @@
             true,
         )?;
         let mut hosts = Hosts::new(size.host);
-        let mut listed = Vec::new();
+        let mut list_entries = Vec::new();
         for _ in 0..size.hosts {
-            let place = hosts.add().await?;
-            listed.push(Some((hosts.addresses[place], false, unix_ms())));
+            let index = hosts.add().await?;
+            list_entries.push(Some((hosts.addresses[index], false, unix_ms())));
         }
-        let service =
-            Service::start(listed.iter().copied().enumerate().collect(), size.capacity).await?;
+        let service = Service::start(
+            list_entries.iter().copied().enumerate().collect(),
+            size.capacity,
+        )
+        .await?;
         let (_, at) = watch::channel(Some(service.address));
         let mut built = Vec::new();
-        for place in 0..size.proxies {
-            let (tells, hearing) = watch::channel(None);
+        for index in 0..size.proxies {
+            let (datagram_address_updates, datagram_address) = watch::channel(None);
             let link = Link::to(at.clone()).await.map_err(text)?;
-            let peers = Datagrams::to(hearing.clone(), seed ^ place as u64)
+            let peers = DatagramLink::to(datagram_address.clone(), seed ^ index as u64)
                 .await
                 .map_err(text)?;
-            built.push((tells, hearing, link, peers));
+            built.push((datagram_address_updates, datagram_address, link, peers));
         }
         let seeds: Vec<String> = built
             .iter()
@@ -317,103 +323,110 @@
             .map(|b| format!("\"{}\"", b.3.address))
             .collect();
         let mut proxies = Vec::new();
-        for (place, (tells, hearing, service, peers)) in built.into_iter().enumerate() {
-            let own = (
+        for (index, (datagram_address_updates, datagram_address, service, peers)) in
+            built.into_iter().enumerate()
+        {
+            let addresses = (
                 &*secret.display().to_string(),
                 peers.address,
                 &*seeds.join(", "),
             );
             let file = folder.write(
-                &format!("p{place}.toml"),
-                &file((&size, place), service.address, own, "trial"),
+                &format!("p{index}.toml"),
+                &proxy_config((&size, index), service.address, addresses, "trial"),
                 false,
             )?;
             let mut arguments = programs.1.clone();
             arguments.extend(["run".to_owned(), file.display().to_string()]);
-            let plan = Plan {
+            let spec = ProcessSpec {
                 program: programs.0.clone(),
                 arguments,
-                keep: Vec::new(),
-                variables: Vec::new(),
+                debug_filter: Vec::new(),
+                environment: Vec::new(),
             };
-            // Started later, when its moment has come.
-            let process = tokio::sync::Mutex::new(Process::waiting(plan, tells));
+            // The process is started later, at its time within the start window.
+            let process =
+                tokio::sync::Mutex::new(Process::unstarted(spec, datagram_address_updates));
             proxies.push(Proxy {
                 process,
                 address: Mutex::new(None),
-                hearing,
+                datagram_address,
                 service,
                 peers,
                 file,
             });
         }
-        Ok(World {
+        Ok(Fleet {
             size,
             programs: programs.clone(),
             folder,
             hosts: tokio::sync::Mutex::new(hosts),
             service,
             proxies,
-            ways: Mutex::default(),
+            link_faults: Mutex::default(),
             down: Mutex::default(),
             drained: Mutex::default(),
-            listed: Mutex::new(listed),
-            strangers: Mutex::default(),
+            list_entries: Mutex::new(list_entries),
+            other_fleet_proxies: Mutex::default(),
         })
     }
 
-    async fn start(&self, place: usize) -> Result<(), String> {
-        let proxy = &self.proxies[place];
+    async fn start(&self, index: usize) -> Result<(), String> {
+        let proxy = &self.proxies[index];
         let mut process = proxy.process.lock().await;
-        process.again()?;
-        let address = process.listens().await?;
+        process.spawn()?;
+        let address = process.listen_address().await?;
         *locked(&proxy.address) = Some(address);
         drop(process);
-        self.pass();
+        self.apply_link_faults();
         Ok(())
     }
 
-    async fn kill(&self, place: usize) {
-        *locked(&self.proxies[place].address) = None;
-        self.proxies[place].process.lock().await.kill().await;
+    async fn kill(&self, index: usize) {
+        *locked(&self.proxies[index].address) = None;
+        self.proxies[index].process.lock().await.kill().await;
     }
 
-    /// Sets all links between proxies by what holds.
-    fn pass(&self) {
-        let ways = locked(&self.ways);
-        let heard: Vec<Option<SocketAddr>> =
-            self.proxies.iter().map(|p| *p.hearing.borrow()).collect();
+    /// Applies the current faults to all links between proxies.
+    fn apply_link_faults(&self) {
+        let link_faults = locked(&self.link_faults);
+        let peer_addresses: Vec<Option<SocketAddr>> = self
+            .proxies
+            .iter()
+            .map(|p| *p.datagram_address.borrow())
+            .collect();
         for (to, proxy) in self.proxies.iter().enumerate() {
-            let apart = |from: usize| {
-                ways.apart
+            let separated = |from: usize| {
+                link_faults
+                    .partitions
                     .iter()
                     .any(|half| half.contains(&from) != half.contains(&to))
             };
-            let refused: HashSet<SocketAddr> = if ways.apart.is_empty() {
+            let blocked: HashSet<SocketAddr> = if link_faults.partitions.is_empty() {
                 HashSet::new()
             } else {
-                (0..heard.len())
-                    .filter(|from| apart(*from))
-                    .filter_map(|from| heard[from])
+                (0..peer_addresses.len())
+                    .filter(|from| separated(*from))
+                    .filter_map(|from| peer_addresses[from])
                     .collect()
             };
             proxy.peers.set(|state| {
-                state.forth.lost = if ways.lossy { 0.33 } else { 0.0 };
-                state.forth.doubled = if ways.doubled { 0.33 } else { 0.0 };
-                state.forth.late = if ways.late {
+                state.forward.loss = if link_faults.lose { 0.33 } else { 0.0 };
+                state.forward.duplication = if link_faults.duplicate { 0.33 } else { 0.0 };
+                state.forward.max_delay = if link_faults.delay {
                     Duration::from_secs(2)
                 } else {
                     Duration::ZERO
                 };
-                state.refused = Arc::new(refused);
+                state.blocked_sources = Arc::new(blocked);
             });
         }
     }
 
-    /// Proxies that ask the list service for all, by their logs.
-    async fn asking(&self) -> Vec<usize> {
-        let mut asking = Vec::new();
-        for (place, proxy) in self.proxies.iter().enumerate() {
+    /// The proxies that currently poll the list service for the fleet, according to their logs.
+    async fn pollers(&self) -> Vec<usize> {
+        let mut pollers = Vec::new();
+        for (index, proxy) in self.proxies.iter().enumerate() {
             let log = proxy.process.lock().await.log();
             let last = log.iter().rev().find(|(_, l)| {
                 l.contains("became poller")
@@ -421,134 +434,141 @@
                     || l.contains("listening on")
             });
             if last.is_some_and(|(_, l)| l.contains("became poller")) {
-                asking.push(place);
+                pollers.push(index);
             }
         }
-        asking
+        pollers
     }
 
-    fn some(&self, lot: u64, share: f64) -> Vec<usize> {
-        let mut draws = Pcg32::seed_from_u64(lot);
+    /// Chooses a share of the proxies, determined by `seed`.
+    fn choose(&self, seed: u64, share: f64) -> Vec<usize> {
+        let mut rng = Pcg32::seed_from_u64(seed);
         (0..self.proxies.len())
-            .filter(|_| draws.gen_bool(share))
+            .filter(|_| rng.gen_bool(share))
             .collect()
     }
 
-    async fn restart(&self, whom: &[usize], until: Instant) -> Result<(), String> {
+    async fn restart(&self, targets: &[usize], until: Instant) -> Result<(), String> {
         let from = now();
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::KILL);
         }
-        for &place in whom {
-            self.kill(place).await;
+        for &index in targets {
+            self.kill(index).await;
         }
         tokio::time::sleep_until(until).await;
-        for &place in whom {
-            self.start(place).await?;
+        for &index in targets {
+            self.start(index).await?;
         }
         let until = now();
-        locked(&self.down).extend(whom.iter().map(|place| (*place, from, until)));
+        locked(&self.down).extend(targets.iter().map(|index| (*index, from, until)));
         Ok(())
     }
 
-    async fn stand(&self, whom: &[usize], until: Instant) {
+    async fn suspend(&self, targets: &[usize], until: Instant) {
         let from = now();
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::STOP);
         }
         tokio::time::sleep_until(until).await;
-        for &place in whom {
-            self.proxies[place]
+        for &index in targets {
+            self.proxies[index]
                 .process
                 .lock()
                 .await
                 .signal(Signal::CONT);
         }
         let until = now();
-        locked(&self.down).extend(whom.iter().map(|place| (*place, from, until)));
+        locked(&self.down).extend(targets.iter().map(|index| (*index, from, until)));
     }
 
-    async fn inflict(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
+    async fn inject(self: Arc<Self>, fault: Fault, began: Instant) -> Result<(), String> {
         tokio::time::sleep_until(began + fault.from).await;
         let until = began + fault.until;
-        let ways = |change: &dyn Fn(&mut Ways)| {
-            change(&mut locked(&self.ways));
-            self.pass();
+        let change_link_faults = |change: &dyn Fn(&mut LinkFaults)| {
+            change(&mut locked(&self.link_faults));
+            self.apply_link_faults();
         };
         match fault.kind {
-            Kind::KillMany => self.restart(&self.some(fault.lot, 0.7), until).await?,
-            Kind::KillAll => self.restart(&self.some(fault.lot, 1.0), until).await?,
+            Kind::KillMany => self.restart(&self.choose(fault.seed, 0.7), until).await?,
+            Kind::KillAll => self.restart(&self.choose(fault.seed, 1.0), until).await?,
             Kind::KillSeeds => {
                 let seeds: Vec<usize> = (0..SEEDS.min(self.proxies.len())).collect();
                 self.restart(&seeds, until).await?;
             }
-            Kind::KillAskers => self.restart(&self.asking().await, until).await?,
-            Kind::StopAskers => self.stand(&self.asking().await, until).await,
-            Kind::StopSome => self.stand(&self.some(fault.lot, 0.3), until).await,
-            Kind::Roll => {
-                let whom = self.some(fault.lot, 0.3);
-                let pause = (fault.until - fault.from) / whom.len().max(1) as u32;
-                for place in whom {
+            Kind::KillPollers => self.restart(&self.pollers().await, until).await?,
+            Kind::StopPollers => self.suspend(&self.pollers().await, until).await,
+            Kind::StopSome => self.suspend(&self.choose(fault.seed, 0.3), until).await,
+            Kind::RollingRestart => {
+                let targets = self.choose(fault.seed, 0.3);
+                let pause = (fault.until - fault.from) / targets.len().max(1) as u32;
+                for index in targets {
                     let from = now();
-                    *locked(&self.proxies[place].address) = None;
-                    self.proxies[place].process.lock().await.terminate().await?;
-                    self.start(place).await?;
-                    locked(&self.down).push((place, from, now()));
+                    *locked(&self.proxies[index].address) = None;
+                    self.proxies[index].process.lock().await.terminate().await?;
+                    self.start(index).await?;
+                    locked(&self.down).push((index, from, now()));
                     tokio::time::sleep(pause).await;
                 }
             }
-            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceOld => {
-                let mood = match fault.kind {
-                    Kind::ServiceDown => Mood::Down,
-                    Kind::ServiceSlow => Mood::Slow,
-                    _ => Mood::Old(1 + fault.lot % 2),
+            Kind::ServiceDown | Kind::ServiceSlow | Kind::ServiceStale => {
+                let state = match fault.kind {
+                    Kind::ServiceDown => ServiceState::Down,
+                    Kind::ServiceSlow => ServiceState::Slow,
+                    _ => ServiceState::Stale(1 + fault.seed % 2),
                 };
-                self.service.mood(mood);
+                self.service.set_state(state);
                 tokio::time::sleep_until(until).await;
-                self.service.mood(Mood::Well);
+                self.service.set_state(ServiceState::Healthy);
             }
             Kind::CutFromService => {
-                let whom = self.some(fault.lot, 0.5);
-                let set = |pass| {
-                    whom.iter().for_each(|p| {
+                let targets = self.choose(fault.seed, 0.5);
+                let set = |forwarding| {
+                    targets.iter().for_each(|p| {
                         self.proxies[*p]
                             .service
-                            .set(|s| (s.forth, s.back) = (pass, pass));
+                            .set(|s| (s.forward, s.backward) = (forwarding, forwarding));
                     });
                 };
-                set(Pass::Cut);
+                set(Forwarding::Cut);
                 tokio::time::sleep_until(until).await;
-                set(Pass::Free);
+                set(Forwarding::Normal);
             }
-            Kind::CutFromPeers | Kind::Halves => {
-                let share = if fault.kind == Kind::Halves { 0.5 } else { 0.2 };
+            Kind::CutFromPeers | Kind::Partition => {
+                let share = if fault.kind == Kind::Partition {
+                    0.5
+                } else {
+                    0.2
+                };
                 let halves = match fault.kind {
-                    Kind::Halves => vec![self.some(fault.lot, share).into_iter().collect()],
-                    // Each by itself.
+                    Kind::Partition => {
+                        vec![self.choose(fault.seed, share).into_iter().collect()]
+                    }
+                    // Each of these proxies is separated from all others.
                     _ => self
-                        .some(fault.lot, share)
+                        .choose(fault.seed, share)
                         .into_iter()
                         .map(|p| HashSet::from([p]))
                         .collect(),
                 };
-                ways(&|w| w.apart.extend(halves.iter().cloned()));
+                change_link_faults(&|w| w.partitions.extend(halves.iter().cloned()));
                 tokio::time::sleep_until(until).await;
-                ways(&|w| w.apart.retain(|h| !halves.contains(h)));
+                change_link_faults(&|w| w.partitions.retain(|h| !halves.contains(h)));
             }
-            Kind::Lossy | Kind::Doubled | Kind::Late => {
+            Kind::Lossy | Kind::Duplicated | Kind::Late => {
                 let set = |on: bool| {
-                    ways(&|w| match fault.kind {
-                        Kind::Lossy => w.lossy = on,
-                        Kind::Doubled => w.doubled = on,
-                        _ => w.late = on,
+                    change_link_faults(&|w| match fault.kind {
+                        Kind::Lossy => w.lose = on,
+                        Kind::Duplicated => w.duplicate = on,
+                        _ => w.delay = on,
                     });
                 };
                 set(true);
@@ -557,126 +577,131 @@
             }
             Kind::Replace => self.replace().await?,
             Kind::Drain => self.drain(fault, until).await,
-            Kind::OtherFleet => self.stranger(fault.lot).await?,
+            Kind::OtherFleet => self.start_other_fleet_proxy(fault.seed).await?,
         }
         Ok(())
     }
 
-    /// Half of the hosts go, and others come.
+    /// Replaces half of the hosts by new ones.
     async fn replace(&self) -> Result<(), String> {
         let mut hosts = self.hosts.lock().await;
         let mut changes = Vec::new();
-        let count = locked(&self.listed).len();
-        for place in 0..count / 2 {
+        let count = locked(&self.list_entries).len();
+        for index in 0..count / 2 {
             let new = hosts.add().await?;
-            changes.push((place, None));
+            changes.push((index, None));
             changes.push((new, Some((hosts.addresses[new], false, unix_ms()))));
         }
-        let mut listed = locked(&self.listed);
-        for (place, entry) in &changes {
-            match listed.get_mut(*place) {
+        let mut list_entries = locked(&self.list_entries);
+        for (index, entry) in &changes {
+            match list_entries.get_mut(*index) {
                 Some(old) => *old = *entry,
-                None => listed.push(*entry),
+                None => list_entries.push(*entry),
             }
         }
         let version = self.service.change(changes);
-        locked(&self.drained).extend((0..count / 2).map(|place| (place, version)));
+        locked(&self.drained).extend((0..count / 2).map(|index| (index, version)));
         Ok(())
     }
 
     async fn drain(&self, fault: Fault, until: Instant) {
-        let place = {
-            let mut listed = locked(&self.listed);
-            let up: Vec<usize> = (0..listed.len())
-                .filter(|p| matches!(listed[*p], Some((_, false, _))))
+        let index = {
+            let mut list_entries = locked(&self.list_entries);
+            let up: Vec<usize> = (0..list_entries.len())
+                .filter(|p| matches!(list_entries[*p], Some((_, false, _))))
                 .collect();
-            let Some(&place) = up.choose(&mut Pcg32::seed_from_u64(fault.lot)) else {
+            let Some(&index) = up.choose(&mut Pcg32::seed_from_u64(fault.seed)) else {
                 return;
             };
-            if let Some((_, drains, _)) = &mut listed[place] {
+            if let Some((_, drains, _)) = &mut list_entries[index] {
                 *drains = true;
             }
-            let version = self.service.change(vec![(place, listed[place])]);
-            locked(&self.drained).push((place, version));
-            place
+            let version = self.service.change(vec![(index, list_entries[index])]);
+            locked(&self.drained).push((index, version));
+            index
         };
         tokio::time::sleep_until(until).await;
-        let mut listed = locked(&self.listed);
-        if listed[place].take().is_some() {
-            self.service.change(vec![(place, None)]);
+        let mut list_entries = locked(&self.list_entries);
+        if list_entries[index].take().is_some() {
+            self.service.change(vec![(index, None)]);
         }
     }
 
-    /// A proxy of another fleet comes to the same seeds.
-    async fn stranger(&self, lot: u64) -> Result<(), String> {
+    /// Starts a proxy of another fleet with the same seeds.
+    async fn start_other_fleet_proxy(&self, seed: u64) -> Result<(), String> {
         let text = std::fs::read_to_string(&self.proxies[0].file).map_err(|e| e.to_string())?;
         let text = text.replace("fleet = \"trial\"", "fleet = \"another\"");
         let own = format!("advertise = \"{}\"\n", self.proxies[0].peers.address);
         let file = self.folder.write(
-            &format!("stranger-{lot:x}.toml"),
+            &format!("stranger-{seed:x}.toml"),
             &text.replace(&own, ""),
             false,
         )?;
         let mut arguments = self.programs.1.clone();
         arguments.extend(["run".to_owned(), file.display().to_string()]);
-        let plan = Plan {
+        let spec = ProcessSpec {
             program: self.programs.0.clone(),
             arguments,
-            keep: Vec::new(),
-            variables: Vec::new(),
+            debug_filter: Vec::new(),
+            environment: Vec::new(),
         };
-        let process = Process::start(plan).await?;
-        locked(&self.strangers).push(process);
+        let process = Process::start(spec).await?;
+        locked(&self.other_fleet_proxies).push(process);
         Ok(())
     }
 
-    /// Clients call as fast as the hosts can bear, times [`LOAD`], each by its own proxy once that listens.
-    async fn load(self: Arc<Self>, seed: u64, began: Instant) -> Vec<Call> {
-        let mut draws = Pcg32::seed_from_u64(seed);
-        let (mut open, mut calls) = (tokio::task::JoinSet::new(), Vec::new());
-        let (mut owed, mut last, mut number) = (0.0, Instant::now(), 0);
-        let mut beat = tokio::time::interval(Duration::from_millis(5));
-        while began.elapsed() < self.size.lasts {
-            beat.tick().await;
-            let there: Vec<(usize, SocketAddr)> = self
+    /// Sends calls at the share [`LOAD_SHARE`] of the hosts' current capacity, each to a random listening proxy.
+    async fn load(self: Arc<Self>, seed: u64, began: Instant) -> Vec<CallRecord> {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let (mut in_flight, mut calls) = (tokio::task::JoinSet::new(), Vec::new());
+        let (mut due, mut last, mut number) = (0.0, Instant::now(), 0);
+        let mut interval = tokio::time::interval(Duration::from_millis(5));
+        while began.elapsed() < self.size.load_duration {
+            interval.tick().await;
+            let listening: Vec<(usize, SocketAddr)> = self
                 .proxies
                 .iter()
                 .enumerate()
-                .filter_map(|(place, p)| Some((place, (*locked(&p.address))?)))
+                .filter_map(|(index, p)| Some((index, (*locked(&p.address))?)))
                 .collect();
             let age = Micros::try_from(began.elapsed().as_micros()).unwrap_or(Micros::MAX);
-            let share = there.len() as f64 / self.proxies.len() as f64;
-            let rate = LOAD * self.size.hosts as f64 * self.size.host.capacity(age) * share;
-            owed += rate * last.elapsed().as_secs_f64();
+            let share = listening.len() as f64 / self.proxies.len() as f64;
+            let rate = LOAD_SHARE * self.size.hosts as f64 * self.size.host.capacity(age) * share;
+            due += rate * last.elapsed().as_secs_f64();
             last = Instant::now();
-            while owed >= 1.0 && !there.is_empty() {
-                owed -= 1.0;
+            while due >= 1.0 && !listening.is_empty() {
+                due -= 1.0;
                 number += 1;
-                let (proxy, address) = there[draws.gen_range(0..there.len())];
-                let path = if draws.gen_bool(0.62) { ENTRY } else { CHARGE };
-                open.spawn(one(format!("{seed:x}-{number}"), path, proxy, address));
+                let (proxy, address) = listening[rng.gen_range(0..listening.len())];
+                let path = if rng.gen_bool(0.62) { ENTRY } else { CHARGE };
+                in_flight.spawn(call_with_retries(
+                    format!("{seed:x}-{number}"),
+                    path,
+                    proxy,
+                    address,
+                ));
             }
-            while let Some(done) = open.try_join_next() {
+            while let Some(done) = in_flight.try_join_next() {
                 calls.extend(done);
             }
         }
-        while let Some(done) = open.join_next().await {
+        while let Some(done) = in_flight.join_next().await {
             calls.extend(done);
         }
         calls
     }
 
-    /// Proxies whose list is not the newest, waited for.
-    async fn behind(&self) -> Result<usize, String> {
-        let end = Instant::now() + LONG;
+    /// Waits until all proxies have the newest list, at most [`CONVERGENCE_TIMEOUT`]. Returns the number that do not.
+    async fn count_outdated_proxies(&self) -> Result<usize, String> {
+        let end = Instant::now() + CONVERGENCE_TIMEOUT;
         let newest = self.service.newest();
         let mut behind: Vec<usize> = (0..self.proxies.len()).collect();
         loop {
-            let mut still = Vec::new();
-            for place in behind {
-                let proxy = &self.proxies[place];
-                let Some(at) = *proxy.hearing.borrow() else {
-                    still.push(place);
+            let mut remaining = Vec::new();
+            for index in behind {
+                let proxy = &self.proxies[index];
+                let Some(at) = *proxy.datagram_address.borrow() else {
+                    remaining.push(index);
                     continue;
                 };
                 let mut command = tokio::process::Command::new(&self.programs.0);
@@ -686,14 +711,14 @@
                     .arg(&proxy.file)
                     .args(["--json", "--at"])
                     .arg(at.to_string());
-                let told = command.output().await.map_err(|e| e.to_string())?;
-                let told: Option<serde_json::Value> = serde_json::from_slice(&told.stdout).ok();
-                let index = told.and_then(|t| t["standing"]["list"][0]["index"].as_u64());
-                if index != Some(newest) {
-                    still.push(place);
+                let output = command.output().await.map_err(|e| e.to_string())?;
+                let status: Option<serde_json::Value> = serde_json::from_slice(&output.stdout).ok();
+                let list_version = status.and_then(|t| t["standing"]["list"][0]["index"].as_u64());
+                if list_version != Some(newest) {
+                    remaining.push(index);
                 }
             }
-            behind = still;
+            behind = remaining;
             if behind.is_empty() || Instant::now() >= end {
                 return Ok(behind.len());
             }
@@ -702,9 +727,14 @@
     }
 }
 
-async fn one(key: String, path: &'static str, proxy: usize, address: SocketAddr) -> Call {
+async fn call_with_retries(
+    key: String,
+    path: &'static str,
+    proxy: usize,
+    address: SocketAddr,
+) -> CallRecord {
     let from = now();
-    let mut call = Call {
+    let mut call = CallRecord {
         key,
         from,
         served: None,
@@ -712,9 +742,9 @@
         proxy,
         last: from,
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         call.last = now();
-        let (ended, again) = once(address, path, &call.key).await;
+        let (ended, retry_after) = call_once(address, path, &call.key).await;
         call.ended = ended;
         match ended {
             Ended::Status(200) => {
@@ -722,45 +752,46 @@
                 break;
             }
             Ended::Status(429 | 503) => {
-                tokio::time::sleep(again.unwrap_or(PAUSE_MOST).min(PAUSE_MOST)).await;
+                tokio::time::sleep(retry_after.unwrap_or(MAX_RETRY_PAUSE).min(MAX_RETRY_PAUSE))
+                    .await;
             }
-            // Its proxy has gone, or it may have run.
+            // The proxy is gone, or the call may have run: it must not be retried.
             _ => break,
         }
     }
     call
 }
 
-/// Plays one course.
+/// Runs one fault schedule.
 ///
 /// # Errors
-/// If the trial itself failed: it says nothing of the program.
-pub async fn play(
+/// Returns an error if the test itself failed, which says nothing about the tested program.
+pub async fn run(
     programs: &(PathBuf, Vec<String>),
     size: Size,
-    course: &Course,
+    schedule: &FaultSchedule,
     keep: bool,
-) -> Result<Played, String> {
-    let world = Arc::new(World::build(programs, size, course.seed, keep).await?);
-    let (began, zero) = (Instant::now(), now());
+) -> Result<RunReport, String> {
+    let fleet = Arc::new(Fleet::build(programs, size, schedule.seed, keep).await?);
+    let (began, start_time) = (Instant::now(), now());
     let mut tasks = tokio::task::JoinSet::new();
     let mut order: Vec<usize> = (0..size.proxies).collect();
-    order.shuffle(&mut Pcg32::seed_from_u64(course.seed));
-    for (n, place) in order.into_iter().enumerate() {
-        let (world, at) = (
-            Arc::clone(&world),
-            began + size.within.mul_f64(n as f64 / size.proxies as f64),
+    order.shuffle(&mut Pcg32::seed_from_u64(schedule.seed));
+    for (n, index) in order.into_iter().enumerate() {
+        let (fleet, at) = (
+            Arc::clone(&fleet),
+            began + size.start_window.mul_f64(n as f64 / size.proxies as f64),
         );
         tasks.spawn(async move {
             tokio::time::sleep_until(at).await;
-            world.start(place).await
+            fleet.start(index).await
         });
     }
     let mut faults = tokio::task::JoinSet::new();
-    for &fault in &course.faults {
-        // Processes end only after they have started.
-        let from = if fault.kind.of_processes() {
-            fault.from.max(size.within)
+    for &fault in &schedule.faults {
+        // Faults that end or suspend processes begin once all have been started.
+        let from = if fault.kind.targets_processes() {
+            fault.from.max(size.start_window)
         } else {
             fault.from
         };
@@ -769,9 +800,9 @@
             until: fault.until.max(from + Duration::from_millis(300)),
             ..fault
         };
-        faults.spawn(Arc::clone(&world).inflict(fault, began));
+        faults.spawn(Arc::clone(&fleet).inject(fault, began));
     }
-    let load = tokio::spawn(Arc::clone(&world).load(course.seed, began));
+    let load = tokio::spawn(Arc::clone(&fleet).load(schedule.seed, began));
     while let Some(done) = tasks.join_next().await {
         done.map_err(|e| e.to_string())??;
     }
@@ -779,10 +810,10 @@
         done.map_err(|e| e.to_string())??;
     }
     let calls = load.await.map_err(|e| e.to_string())?;
-    let behind = if size.way == Way::Peers {
-        world.behind().await?
+    let behind = if size.list_source == ListSource::Peers {
+        fleet.count_outdated_proxies().await?
     } else {
         0
     };
-    report::judge(&world, course, (zero, calls), behind).await
+    report::evaluate(&fleet, schedule, (start_time, calls), behind).await
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -79,8 +79,8 @@
         Plan {
             program: PROXY.into(),
             arguments,
-            keep: Vec::new(),
-            variables: Vec::new(),
+            debug_filter: Vec::new(),
+            environment: Vec::new(),
         },
         gossip_address_sender,
     );
