--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -95,7 +95,7 @@
 }
 
 /// Writes the settings file of a replica, creates its store if it has none, and returns the command that starts it.
-fn plan(folder: &Folder, name: &str, text: &str) -> Plan {
+fn plan(folder: &Folder, name: &str, text: &str) -> ProcessSpec {
     let file = folder
         .write(&format!("{name}.toml"), text, false)
         .expect("a file");
@@ -164,7 +164,9 @@
                 );
                 let plan = plan(&folder, &file_name(index, number), &text);
                 let mut process = Process::start(plan).await.expect("the replica starts");
-                address.send_replace(Some(process.listens().await.expect("the replica listens")));
+                address.send_replace(Some(
+                    process.listen_address().await.expect("the replica listens"),
+                ));
                 replicas.push(Replica {
                     process,
                     address,
@@ -275,26 +277,26 @@
     }
 
     /// Cuts or restores the links from the other region to this one: requests (`forth`) and replies (`back`).
-    fn set_links_to(&self, region_index: usize, forth: Pass, back: Pass) {
+    fn set_links_to(&self, region_index: usize, forth: Forwarding, back: Forwarding) {
         for replica in &self.regions[region_index] {
             replica
                 .region_link
-                .set(|state| (state.forth, state.back) = (forth, back));
+                .set(|state| (state.forward, state.backward) = (forth, back));
         }
     }
 
     /// Cuts all links between the regions.
     fn partition(&self) {
-        [NORTE, SUR]
-            .into_iter()
-            .for_each(|region_index| self.set_links_to(region_index, Pass::Cut, Pass::Cut));
+        [NORTE, SUR].into_iter().for_each(|region_index| {
+            self.set_links_to(region_index, Forwarding::Cut, Forwarding::Cut)
+        });
     }
 
     /// Restores all links between the regions.
     fn heal(&self) {
-        [NORTE, SUR]
-            .into_iter()
-            .for_each(|region_index| self.set_links_to(region_index, Pass::Free, Pass::Free));
+        [NORTE, SUR].into_iter().for_each(|region_index| {
+            self.set_links_to(region_index, Forwarding::Normal, Forwarding::Normal)
+        });
     }
 
     /// Removes the other region from the settings of this region's only replica, with effect from its next restart.
@@ -322,10 +324,10 @@
     async fn restart(&mut self, region_index: usize) {
         self.kill(region_index).await;
         let replica = &mut self.regions[region_index][0];
-        replica.process.again().expect("the replica starts");
+        replica.process.spawn().expect("the replica starts");
         let address = replica
             .process
-            .listens()
+            .listen_address()
             .await
             .expect("the replica listens");
         replica.address.send_replace(Some(address));
@@ -548,8 +550,8 @@
 async fn region_that_voted_waits_for_the_decision_and_applies_it_without_an_operator() {
     let mut cluster = Cluster::with_policy("voted", 1_500).await;
     // The prepare arrives, but neither its reply nor any request for the outcome does.
-    cluster.set_links_to(SUR, Pass::Free, Pass::Cut);
-    cluster.set_links_to(NORTE, Pass::Cut, Pass::Cut);
+    cluster.set_links_to(SUR, Forwarding::Normal, Forwarding::Cut);
+    cluster.set_links_to(NORTE, Forwarding::Cut, Forwarding::Cut);
     let publish_task = cluster.spawn_publish(NORTE, Scope::All, 2);
     cluster.wait_until(SUR, "vote", has_voted).await;
     let done = publish_task.await.expect("the publish task ends");
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -71,8 +71,9 @@
                 environment: Vec::new(),
             };
             let mut process = Process::start(plan).await.expect("the replica starts");
-            replicas.process_addresses[number - 1]
-                .send_replace(Some(process.listens().await.expect("the replica listens")));
+            replicas.process_addresses[number - 1].send_replace(Some(
+                process.listen_address().await.expect("the replica listens"),
+            ));
             replicas.processes.push(process);
         }
         replicas
@@ -80,9 +81,9 @@
 
     /// Restarts a replica that was killed.
     async fn restart(&mut self, index: usize) {
-        self.processes[index].again().expect("the replica starts");
+        self.processes[index].spawn().expect("the replica starts");
         let address = self.processes[index]
-            .listens()
+            .listen_address()
             .await
             .expect("the replica listens");
         self.process_addresses[index].send_replace(Some(address));
@@ -223,11 +224,12 @@
         environment: Vec::new(),
     };
     let mut limited = Process::start(plan).await.expect("the replica starts");
-    replicas.process_addresses[0]
-        .send_replace(Some(limited.listens().await.expect("the replica listens")));
+    replicas.process_addresses[0].send_replace(Some(
+        limited.listen_address().await.expect("the replica listens"),
+    ));
     let mut last_revision = 0;
     let exit_message = loop {
-        if let Some(exit_message) = limited.ended() {
+        if let Some(exit_message) = limited.exit_report() {
             break exit_message;
         }
         let large = format!("{POLICY}\n# {last_revision}\n{}", "# fill\n".repeat(20_000));
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,7 +1,7 @@
 //! The program with `[peers]`: gossip of the endpoint list, invalid datagrams, and the `peers` command.
 #![expect(clippy::too_many_lines, reason = "a test is one sequence of events")]
 
-use badgerramp_fault_injection::process::{Folder, Plan, Process};
+use badgerramp_fault_injection::process::{Folder, Process, ProcessSpec};
 use badgerramp_testkit::{ListEntry, ListService};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -75,8 +75,8 @@
 async fn start_proxy(file: &Path) -> (Process, SocketAddr) {
     let arguments = vec!["run".to_owned(), file.display().to_string()];
     let (gossip_address_sender, mut gossip_address_receiver) = watch::channel(None);
-    let mut process = Process::waiting(
-        Plan {
+    let mut process = Process::unstarted(
+        ProcessSpec {
             program: PROXY.into(),
             arguments,
             debug_filter: Vec::new(),
@@ -84,8 +84,8 @@
         },
         gossip_address_sender,
     );
-    process.again().expect("it starts");
-    process.listens().await.expect("it listens");
+    process.spawn().expect("it starts");
+    process.listen_address().await.expect("it listens");
     let gossip_address = *gossip_address_receiver
         .wait_for(Option::is_some)
         .await
@@ -180,7 +180,7 @@
         assert!(text.contains(text_part), "{text}");
     }
     for (file, address, process) in &mut proxies {
-        if let Some(end) = process.ended().filter(|_| *address != seeds[0]) {
+        if let Some(end) = process.exit_report().filter(|_| *address != seeds[0]) {
             panic!("{file:?} ended: {end}");
         }
     }
