--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -3,7 +3,7 @@
 use crate::Fault;
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::net::rules::{Platform, Rules};
-use badgerramp_config_tool::fleet::{At, Control as Asked, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient as Asked, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
@@ -84,18 +84,18 @@
 
     /// Brings a policy into force.
     pub(crate) async fn publish(&self, text: String) -> Result<(), Fault> {
-        let at = At {
+        let at = ControlArgs {
             control: vec![self.address],
             secret: self.folder.join("secret"),
             timeout: 30,
         };
         let mut control = Asked::new(&at)?;
-        let revision = control.standing().await?.revision;
+        let revision = control.status().await?.revision;
         let files = HashMap::from([("bench".to_owned(), text)]);
         let done = control.publish(&files, revision, |_| {}).await;
         match done.outcome {
             Outcome::InForce => Ok(()),
-            _ => Err(done.why.into()),
+            _ => Err(done.reason.into()),
         }
     }
 }
--- a/crates/config-tool/benches/chain.rs
+++ b/crates/config-tool/benches/chain.rs
@@ -1,18 +1,21 @@
-//! What writing and checking cost with 5, 200 and 2,000 applications: time on one core, and the most memory held. Each
-//! size runs in a process of its own, as memory is told for a whole process.
+//! Benchmark of generating and checking the files of 5, 200 and 2,000 applications: time on one core and peak memory. Each
+//! size runs in its own process because peak memory is only known per process.
 
-use badgerramp_config_tool::commands::{carry_out, check, compose, plan};
+use badgerramp_config_tool::commands::{apply, check, generate, plan};
 use std::path::Path;
 use std::process::Command;
 use std::time::Instant;
 
+/// Numbers of applications.
 const SIZES: [usize; 3] = [5, 200, 2_000];
-const SIZE: &str = "BADGERRAMP_BENCH_APPLICATIONS";
+/// Environment variable with the number of applications for a child process.
+const SIZE_VARIABLE: &str = "BADGERRAMP_BENCH_APPLICATIONS";
+/// Runs of each operation, of which the median is reported.
 const RUNS: usize = 5;
 
 const CLASSES: &str = include_str!("../../../examples/cordillera/shared/classes.toml");
 
-/// Applications that send entries, charges and look-ups, half of them with timing of their own.
+/// A description of applications with keyed, unsafe and safe requests, half of which override a class's timing.
 fn description(count: usize) -> String {
     let mut text = "include = [\"classes.toml\"]\n[upstream.access]\nendpoints = [\n".to_owned();
     for n in 0..40 {
@@ -41,7 +44,8 @@
     text
 }
 
-fn milliseconds(mut run: impl FnMut()) -> f64 {
+/// The median duration of several runs, in milliseconds.
+fn median_milliseconds(mut run: impl FnMut()) -> f64 {
     let times = (0..RUNS).map(|_| {
         let started = Instant::now();
         run();
@@ -57,29 +61,32 @@
     std::fs::write(folder.join("classes.toml"), CLASSES).expect("a file");
     std::fs::write(folder.join("apps.toml"), description(count)).expect("a file");
     let (apps, out) = (folder.join("apps.toml"), folder.join("out"));
-    let composed =
-        milliseconds(|| drop(compose(&apps).unwrap_or_else(|r| panic!("{}", r.human()))));
-    let written = compose(&apps).unwrap_or_else(|r| panic!("{}", r.human()));
-    carry_out(&plan(&written, &out), &out).expect("a disk");
-    drop(written);
-    let checked = milliseconds(|| {
+    let generate_time =
+        median_milliseconds(|| drop(generate(&apps).unwrap_or_else(|r| panic!("{}", r.human()))));
+    let generated = generate(&apps).unwrap_or_else(|r| panic!("{}", r.human()));
+    apply(&plan(&generated, &out), &out).expect("files are written");
+    drop(generated);
+    let check_time = median_milliseconds(|| {
         let (report, set) = check(&[&out]);
         assert!(
-            report.good() && set.applications.len() == count,
+            report.is_clean() && set.applications.len() == count,
             "{}",
             report.human()
         );
     });
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let most = status
+    let peak_memory = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:"))
-        .map_or("not told here", str::trim);
-    println!("{count:>12} {composed:>14.1} {checked:>14.1} {most:>16}");
+        .map_or("unknown", str::trim);
+    println!("{count:>12} {generate_time:>14.1} {check_time:>14.1} {peak_memory:>16}");
 }
 
 fn main() {
-    if let Some(count) = std::env::var(SIZE).ok().and_then(|v| v.parse().ok()) {
+    if let Some(count) = std::env::var(SIZE_VARIABLE)
+        .ok()
+        .and_then(|v| v.parse().ok())
+    {
         let folder = std::env::temp_dir().join(format!("badgerramp-chain-{}", std::process::id()));
         measure(count, &folder);
         let _ = std::fs::remove_dir_all(folder);
@@ -87,14 +94,14 @@
     }
     println!(
         "{:>12} {:>14} {:>14} {:>16}",
-        "applications", "compose, ms", "check, ms", "most memory"
+        "applications", "generate, ms", "check, ms", "peak memory"
     );
     for size in SIZES {
-        let own = std::env::current_exe().expect("this program's path");
-        let done = Command::new(own)
-            .env(SIZE, size.to_string())
+        let program = std::env::current_exe().expect("the path of this program");
+        let status = Command::new(program)
+            .env(SIZE_VARIABLE, size.to_string())
             .status()
-            .expect("it starts");
-        assert!(done.success(), "{size} applications");
+            .expect("the child process starts");
+        assert!(status.success(), "{size} applications");
     }
 }
--- a/crates/config-tool/src/commands.rs
+++ b/crates/config-tool/src/commands.rs
@@ -1,97 +1,100 @@
-//! What the command line does, without its words.
+//! The operations behind the command line.
 
+use crate::config_set::{Application, ConfigSet, DescribedUpstream};
 use crate::description::{self, Description};
-use crate::finding::{Finding, Place, Report};
-use crate::manifest::{self, digest, digests, file_name, read_folder};
-use crate::render::{render, to_description, Rendered, Sources};
+use crate::finding::{Finding, Location, Report};
+use crate::manifest::{self, digest, file_name, read_digests, read_folder};
+use crate::render::{map_to_description, render, Rendered, Sources};
 use crate::rollout;
-use crate::set::{Application, Described, Set};
 use badgerramp_config::read_upstream;
 use badgerramp_toml_diagnostics::{parse_document, DiagnosticSink, Section};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-/// What a description gives: names and texts of files, the manifest among them.
+/// The files that are generated from a description, including the manifest.
 #[derive(Debug)]
-pub struct Written {
-    /// By name, in the order of writing: the manifest last.
+pub struct Generated {
+    /// Names and contents, in the order of writing, with the manifest last.
     pub files: Vec<(String, String)>,
-    /// What is worth knowing.
+    /// The report, which has no findings but may have sink.
     pub report: Report,
 }
 
-/// All files of a description, read and checked one by one and together.
+/// Generates all files of a description, and checks them one by one and together.
 ///
 /// # Errors
-/// All that is wrong, at its place in the description.
-pub fn compose(path: &Path) -> Result<Written, Report> {
+/// Returns a report with all findings, located in the description.
+pub fn generate(path: &Path) -> Result<Generated, Report> {
     let mut report = description::load(path)?;
     let description = Description::read(&mut report);
-    let sources = report.files.len();
-    let named = Sources::new(&report);
+    let description_files = report.files.len();
+    let sources = Sources::new(&report);
     let mut proxies: HashMap<&str, u64> = HashMap::new();
-    for facts in description.apps.iter().filter_map(|a| a.facts.as_ref()) {
-        *proxies.entry(&facts.upstream.value).or_default() += u64::from(facts.instances);
+    for contract in description.apps.iter().filter_map(|a| a.contract.as_ref()) {
+        *proxies.entry(&contract.upstream.value).or_default() += u64::from(contract.instances);
     }
     let mut rendered: Vec<Rendered> = Vec::new();
-    let mut set = Set::default();
+    let mut set = ConfigSet::default();
     for app in &description.apps {
-        let upstream = app.facts.as_ref().and_then(|f| {
+        let upstream = app.contract.as_ref().and_then(|c| {
             description
                 .upstreams
                 .iter()
-                .find(|u| u.name == f.upstream.value)
+                .find(|u| u.name == c.upstream.value)
         });
         let sidecars = app
-            .facts
+            .contract
             .as_ref()
-            .and_then(|f| proxies.get(f.upstream.value.as_str()))
+            .and_then(|c| proxies.get(c.upstream.value.as_str()))
             .copied()
             .unwrap_or(1);
-        let file = render(&named, &description, app, upstream, sidecars);
-        // Without its upstream each file would be told to want one; that is told once, below.
-        if app.facts.is_none() || upstream.is_some() {
-            let facts = app.facts.clone().map(|f| (app.place.file, f));
-            manifest::application(
+        let file = render(&sources, &description, app, upstream, sidecars);
+        // Without its upstream, the file itself would also be reported as incomplete. The unknown upstream is reported
+        // once instead.
+        if app.contract.is_none() || upstream.is_some() {
+            let contract = app.contract.clone().map(|c| (app.location.file, c));
+            manifest::add_application(
                 &mut report,
                 &mut set,
                 &app.name,
                 Path::new(&file_name(&app.name)),
                 &file.text,
-                facts,
+                contract,
             );
         } else {
-            report.file(file_name(&app.name), file.text.clone());
-            set.broken = true;
-            unknown_upstream(&mut report, &description, app);
+            report.add_file(file_name(&app.name), file.text.clone());
+            set.incomplete = true;
+            report_unknown_upstream(&mut report, &description, app);
         }
         rendered.push(file);
     }
-    set.broken |= description.apps.iter().any(|a| a.facts.is_none());
-    upstreams(
+    set.incomplete |= description.apps.iter().any(|a| a.contract.is_none());
+    read_upstreams(
         &mut report,
         &mut set,
         &description,
-        sources + rendered.len(),
+        description_files + rendered.len(),
     );
     set.check(&mut report);
-    to_description(&mut report.findings, sources, &rendered);
+    map_to_description(&mut report.findings, description_files, &rendered);
     report.merge();
-    unused(&mut report, &description);
-    if !report.good() {
+    note_unused(&mut report, &description);
+    if !report.is_clean() {
         return Err(report);
     }
     let texts: Vec<String> = rendered.into_iter().map(|r| r.text).collect();
     let manifest = manifest::render(&description, &texts);
     let names = description.apps.iter().map(|a| file_name(&a.name));
     let mut files: Vec<(String, String)> = names.zip(texts).collect();
-    files.push((manifest::NAME.to_owned(), manifest));
-    report.files.truncate(sources);
-    Ok(Written { files, report })
+    files.push((manifest::FILE_NAME.to_owned(), manifest));
+    report.files.truncate(description_files);
+    Ok(Generated { files, report })
 }
 
-fn unknown_upstream(report: &mut Report, description: &Description, app: &description::App) {
-    let Some(facts) = &app.facts else { return };
+fn report_unknown_upstream(report: &mut Report, description: &Description, app: &description::App) {
+    let Some(contract) = &app.contract else {
+        return;
+    };
     let known: Vec<&str> = description
         .upstreams
         .iter()
@@ -101,68 +104,75 @@
         code: "upstream-unknown",
         key: format!("app.{}.upstream", app.name),
         reason: "this upstream is used but not described".to_owned(),
-        found: format!("{:?}", facts.upstream.value),
-        allowed: badgerramp_toml_diagnostics::suggest_names(&facts.upstream.value, &known),
-        place: Place::new(app.place.file, &facts.upstream.span),
+        found: format!("{:?}", contract.upstream.value),
+        allowed: badgerramp_toml_diagnostics::suggest_names(&contract.upstream.value, &known),
+        location: Location::new(app.location.file, &contract.upstream.span),
         related: Vec::new(),
         apps: [app.name.clone()].into(),
     });
 }
 
-/// The figures of the upstreams, read as they are read in the operators' files.
-fn upstreams(report: &mut Report, set: &mut Set, description: &Description, file: usize) {
+/// Reads the settings of the upstreams as they are read from the operators' files.
+fn read_upstreams(
+    report: &mut Report,
+    set: &mut ConfigSet,
+    description: &Description,
+    file: usize,
+) {
     let mut text = String::new();
     for upstream in &description.upstreams {
         text += &format!(
             "[upstream.{:?}]\n{}",
             upstream.name,
-            manifest::figures(upstream)
+            manifest::render_upstream_keys(upstream)
         );
     }
-    let mut notes = DiagnosticSink::default();
-    let table = parse_document(&mut notes, &text);
-    let top = Section::new(&mut notes, &table, "", 0..0, &["upstream"]);
+    let mut sink = DiagnosticSink::default();
+    let table = parse_document(&mut sink, &text);
+    let top = Section::new(&mut sink, &table, "", 0..0, &["upstream"]);
     let names: Vec<&str> = description
         .upstreams
         .iter()
         .map(|u| u.name.as_str())
         .collect();
-    let parent = top.section(&mut notes, "upstream", &names);
+    let parent = top.section(&mut sink, "upstream", &names);
     for upstream in &description.upstreams {
-        let before = notes.len();
-        let figures = parent
+        let before = sink.len();
+        let settings = parent
             .as_ref()
-            .and_then(|p| read_upstream(&mut notes, p, &upstream.name));
-        // A mistake in it shows in each file too; one that nobody uses shows here alone.
-        for mistake in &notes.diagnostics()[before..] {
-            let mut finding = Finding::of_mistake(file, mistake, None);
-            let key = mistake.key.rsplit('.').next().unwrap_or_default();
+            .and_then(|p| read_upstream(&mut sink, p, &upstream.name));
+        // An error in a used upstream is found in each application's file too; in an unused upstream, it is only found
+        // here.
+        for diagnostic in &sink.diagnostics()[before..] {
+            let mut finding = Finding::from_diagnostic(file, diagnostic, None);
+            let key = diagnostic.key.rsplit('.').next().unwrap_or_default();
             let raw = upstream.keys.iter().find(|k| key.starts_with(&k.key));
-            finding.place = raw.map_or_else(|| upstream.place.clone(), |r| r.place.clone());
-            finding.key = mistake
+            finding.location =
+                raw.map_or_else(|| upstream.location.clone(), |r| r.location.clone());
+            finding.key = diagnostic
                 .key
                 .replace(&format!("upstream.{}", upstream.name), "upstream");
             finding.related.clear();
             report.findings.push(finding);
         }
-        if let Some(figures) = figures.filter(|_| notes.len() == before) {
-            let (name, place, facts) = (
+        if let Some(settings) = settings.filter(|_| sink.len() == before) {
+            let (name, location, contract) = (
                 upstream.name.clone(),
-                upstream.place.clone(),
-                upstream.facts.clone(),
+                upstream.location.clone(),
+                upstream.contract.clone(),
             );
-            set.upstreams.push(Described {
+            set.upstreams.push(DescribedUpstream {
                 name,
-                place,
-                facts,
-                upstream: figures,
+                location,
+                contract,
+                upstream: settings,
             });
         }
     }
 }
 
-/// Classes and upstreams that nobody uses.
-fn unused(report: &mut Report, description: &Description) {
+/// Adds a note for each class and upstream that is not used.
+fn note_unused(report: &mut Report, description: &Description) {
     let inherited = |name: &str| {
         description.classes.iter().any(|c| {
             c.name != name
@@ -181,72 +191,74 @@
             .flat_map(|a| &a.sends)
             .any(|s| s.class.as_deref() == Some(&class.name));
         if !sent && !inherited(&class.name) {
-            report
-                .notes
-                .push(format!("class {:?} is sent by nobody", class.name));
+            report.notes.push(format!(
+                "class {:?} is not used by any application",
+                class.name
+            ));
         }
     }
     for upstream in &description.upstreams {
         let used = description
             .apps
             .iter()
-            .filter_map(|a| a.facts.as_ref())
-            .any(|f| f.upstream.value == upstream.name);
+            .filter_map(|a| a.contract.as_ref())
+            .any(|c| c.upstream.value == upstream.name);
         if !used {
-            report
-                .notes
-                .push(format!("upstream {:?} is used by nobody", upstream.name));
+            report.notes.push(format!(
+                "upstream {:?} is not used by any application",
+                upstream.name
+            ));
         }
     }
 }
 
-/// What a writing does to a folder.
+/// The changes that writing generated files makes to a folder.
 #[derive(Debug, Default)]
 pub struct Plan {
-    /// Files with their new texts.
+    /// Names and new contents of the files to write.
     pub write: Vec<(String, String)>,
-    /// Files that an earlier writing made and this one does not.
+    /// Files to remove: they were generated earlier and no longer are.
     pub remove: Vec<String>,
-    /// Files that were changed by hand since they were written, or are not this program's.
-    pub by_hand: Vec<String>,
-    /// The differences, as `diff -u` shows them.
+    /// Files that were changed by hand since they were generated, or were not generated by this program.
+    pub changed_by_hand: Vec<String>,
+    /// The changes as a unified diff.
     pub diff: String,
 }
 
-/// What writing these files there would do.
-pub fn plan(written: &Written, folder: &Path) -> Plan {
-    let known = digests(folder);
-    let present = |name: &str| std::fs::read_to_string(folder.join(name)).ok();
+/// Plans the changes that writing generated files to a folder would make.
+pub fn plan(generated: &Generated, folder: &Path) -> Plan {
+    let known = read_digests(folder);
+    let read_existing = |name: &str| std::fs::read_to_string(folder.join(name)).ok();
     let mut plan = Plan::default();
-    for (name, text) in &written.files {
-        let old = present(name);
+    for (name, text) in &generated.files {
+        let old = read_existing(name);
         if old.as_ref() == Some(text) {
             continue;
         }
-        if let Some(old) = old.as_ref().filter(|_| name != manifest::NAME) {
+        if let Some(old) = old.as_ref().filter(|_| name != manifest::FILE_NAME) {
             if known.get(name) != Some(&digest(old)) {
-                plan.by_hand.push(name.clone());
+                plan.changed_by_hand.push(name.clone());
             }
         }
-        plan.diff += &difference(name, old.as_deref().unwrap_or_default(), text);
+        plan.diff += &unified_diff(name, old.as_deref().unwrap_or_default(), text);
         plan.write.push((name.clone(), text.clone()));
     }
-    for (name, sum) in &known {
-        if written.files.iter().any(|(n, _)| n == name) || name.contains(['/', '\\']) {
+    for (name, known_digest) in &known {
+        if generated.files.iter().any(|(n, _)| n == name) || name.contains(['/', '\\']) {
             continue;
         }
-        if let Some(old) = present(name) {
-            if *sum != digest(&old) {
-                plan.by_hand.push(name.clone());
+        if let Some(old) = read_existing(name) {
+            if *known_digest != digest(&old) {
+                plan.changed_by_hand.push(name.clone());
             }
-            plan.diff += &difference(name, &old, "");
+            plan.diff += &unified_diff(name, &old, "");
             plan.remove.push(name.clone());
         }
     }
     plan
 }
 
-fn difference(name: &str, old: &str, new: &str) -> String {
+fn unified_diff(name: &str, old: &str, new: &str) -> String {
     let diff = similar::TextDiff::from_lines(old, new);
     diff.unified_diff()
         .context_radius(2)
@@ -254,20 +266,21 @@
         .to_string()
 }
 
-/// Carries a plan out: all texts are on disk before the first takes its place, the manifest takes its place last.
+/// Applies a plan. All contents are synced to temporary files before the first file is replaced, and the manifest is
+/// replaced last.
 ///
 /// # Errors
-/// What the disk says. Files that were there before are then either old or new, never torn.
-pub fn carry_out(plan: &Plan, folder: &Path) -> std::io::Result<()> {
+/// Returns the first I/O error. Each existing file then has either its old or its new content, never a part of it.
+pub fn apply(plan: &Plan, folder: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let beside = |name: &str| folder.join(format!(".{name}.new"));
+    let temporary_path = |name: &str| folder.join(format!(".{name}.new"));
     for (name, text) in &plan.write {
-        let file = std::fs::File::create(beside(name))?;
+        let file = std::fs::File::create(temporary_path(name))?;
         std::io::Write::write_all(&mut &file, text.as_bytes())?;
         file.sync_all()?;
     }
     for (name, _) in &plan.write {
-        std::fs::rename(beside(name), folder.join(name))?;
+        std::fs::rename(temporary_path(name), folder.join(name))?;
     }
     for name in &plan.remove {
         std::fs::remove_file(folder.join(name))?;
@@ -275,33 +288,35 @@
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// Reads and checks folders and files, one by one and together.
-pub fn check(paths: &[&Path]) -> (Report, Set) {
+/// Checks folders and files, one by one and together.
+pub fn check(paths: &[&Path]) -> (Report, ConfigSet) {
     let mut report = Report::default();
-    let mut set = Set::default();
+    let mut set = ConfigSet::default();
     for path in paths {
         if path.is_dir() {
-            let own = read_folder(&mut report, path);
-            own.check(&mut report);
-            set.applications.extend(own.applications);
-            set.upstreams.extend(own.upstreams);
+            let folder_set = read_folder(&mut report, path);
+            folder_set.check(&mut report);
+            set.applications.extend(folder_set.applications);
+            set.upstreams.extend(folder_set.upstreams);
         } else {
             let name = path.file_stem().map_or_else(
                 || path.display().to_string(),
                 |n| n.to_string_lossy().into_owned(),
             );
             match std::fs::read_to_string(path) {
-                Ok(text) => manifest::application(&mut report, &mut set, &name, path, &text, None),
-                Err(fault) => {
+                Ok(text) => {
+                    manifest::add_application(&mut report, &mut set, &name, path, &text, None)
+                }
+                Err(error) => {
                     let shown = path.display().to_string();
-                    let file = report.file(shown.clone(), "");
+                    let file = report.add_file(shown.clone(), "");
                     report.findings.push(Finding {
                         code: "file",
                         key: "the file".to_owned(),
                         reason: "this file can't be read".to_owned(),
-                        found: fault.to_string(),
+                        found: error.to_string(),
                         allowed: "a readable TOML file in UTF-8".to_owned(),
-                        place: Place::new(file, &(0..0)),
+                        location: Location::new(file, &(0..0)),
                         related: Vec::new(),
                         apps: [shown].into(),
                     });
@@ -309,43 +324,49 @@
             }
         }
     }
-    // A folder was checked by itself; what is checked here is what lies between.
+    // Each folder was checked by itself above. This checks the applications of all paths against one another.
     if paths.len() > 1 || paths.iter().any(|p| !p.is_dir()) {
-        let bare = |a: Application| Application { facts: None, ..a };
-        let applications = set.applications.into_iter().map(bare).collect();
-        let together = Set {
+        let without_contract = |a: Application| Application {
+            contract: None,
+            ..a
+        };
+        let applications = set.applications.into_iter().map(without_contract).collect();
+        let combined = ConfigSet {
             applications,
-            ..Set::default()
+            ..ConfigSet::default()
         };
-        together.check(&mut report);
-        set = together;
+        combined.check(&mut report);
+        set = combined;
     }
     report.merge();
     (report, set)
 }
 
-/// Checks a folder, and what a change from another one to it would do.
+/// Checks a folder, and whether a rollout from another folder to it is safe.
 pub fn check_against(old: &Path, new: &Path) -> Report {
-    let (mut report, set) = check(&[new]);
-    let first = report.files.len();
-    let mut before = Report::default();
-    let mut known = read_folder(&mut before, old);
-    // What was wrong with the old one is of no interest but where it can't be read at all.
+    let (mut report, new_set) = check(&[new]);
+    let first_old_file = report.files.len();
+    let mut old_report = Report::default();
+    let mut old_set = read_folder(&mut old_report, old);
+    // Only the errors in reading the old folder matter, and they are sink: the old folder itself is not checked.
     report.notes.extend(
-        before
+        old_report
             .findings
             .iter()
-            .map(|f| format!("before: {}: {}", f.key, f.reason)),
+            .map(|f| format!("old folder: {}: {}", f.key, f.reason)),
     );
-    report.files.extend(before.files);
-    known.applications.iter_mut().for_each(|a| a.file += first);
-    rollout::compare(&mut report, &known, &set);
+    report.files.extend(old_report.files);
+    old_set
+        .applications
+        .iter_mut()
+        .for_each(|a| a.file += first_old_file);
+    rollout::compare(&mut report, &old_set, &new_set);
     report.merge();
     report
 }
 
-/// How many findings each kind has.
-pub fn counts(report: &Report) -> BTreeMap<&'static str, usize> {
+/// Counts the findings of each kind.
+pub fn count_by_code(report: &Report) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for finding in &report.findings {
         *counts.entry(finding.code).or_default() += 1;
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -1,92 +1,93 @@
-//! The description of all applications: classes once for the chain, upstreams, then each application. It may include
-//! other files, and classes may inherit from one another. Values of keys that go into the operators' files are not
-//! read here: they are carried over as they stand, and the one reader of those files tells what is wrong with them.
+//! The description of all applications: the shared classes, the upstreams and each application. It may include other
+//! files, and classes may inherit from one another. Values of keys that go into the operators' files are copied
+//! verbatim, and `badgerramp-config` checks them when it parses the generated files.
 
-use crate::facts;
-use crate::finding::{Finding, Place, Report};
-use crate::set::folded;
+use crate::config_set::fold_name;
+use crate::contract::{self, ApplicationContract, UpstreamContract};
+use crate::finding::{Finding, Location, Report};
 use badgerramp_toml_diagnostics::{
     parse_document, suggest_names, DeTable, DeValue, DiagnosticSink, Section, Span,
 };
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
-/// Keys of an application that go into `[limits]`.
-pub const LIMITS: [&str; 5] = ["memory", "descriptors", "open_calls", "body", "retry_after"];
-/// Other keys of an application that are no facts.
-const APP: [&str; 4] = ["listen", "zone", "send", "class"];
-const FILE: [&str; 4] = ["include", "class", "upstream", "app"];
-/// Longest name of an application: it is the name of a file too.
-const NAME_MOST: usize = 64;
+/// Keys of an application that go into `[limits]` of its file.
+pub const LIMIT_KEYS: [&str; 5] = ["memory", "descriptors", "open_calls", "body", "retry_after"];
+/// Other keys of an application that are not part of its contract.
+const APPLICATION_KEYS: [&str; 4] = ["listen", "zone", "send", "class"];
+/// Keys at the top of a description file.
+const TOP_LEVEL_KEYS: [&str; 4] = ["include", "class", "upstream", "app"];
+/// Longest name in characters. The name of an application is also the name of its file.
+const MAX_NAME_CHARS: usize = 64;
 
-/// A key and its value as they stand in the description.
+/// A key and the verbatim text of its value in the description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Raw {
     /// The key.
     pub key: String,
     /// The value's text.
     pub text: String,
-    /// Where it stands.
-    pub place: Place,
+    /// Where the value is.
+    pub location: Location,
 }
 
-/// A class with all that it inherits.
+/// A class with all keys that it inherits.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Where it is named.
-    pub place: Place,
-    /// Its keys.
+    /// Where it is defined.
+    pub location: Location,
+    /// Its own and inherited keys.
     pub keys: Vec<Raw>,
 }
 
-/// An upstream.
+/// An upstream of the description.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// Its name.
     pub name: String,
-    /// Where it is named.
-    pub place: Place,
+    /// Where it is defined.
+    pub location: Location,
     /// Keys that go into the operators' files.
     pub keys: Vec<Raw>,
-    /// What it bears and honours.
-    pub facts: facts::Upstream,
+    /// Its contract.
+    pub contract: UpstreamContract,
 }
 
-/// Requests that an application sends.
+/// A `send` entry: requests that an application sends, which become one route of its file.
 #[derive(Clone, Debug)]
 pub struct Send {
-    /// Where that begins.
-    pub place: Place,
-    /// The class's name, if it is there.
+    /// Where the entry starts.
+    pub location: Location,
+    /// The name of its class, if it is given.
     pub class: Option<String>,
     /// Keys of the route.
     pub keys: Vec<Raw>,
 }
 
-/// An application.
+/// An application of the description.
 #[derive(Clone, Debug)]
 pub struct App {
     /// Its name.
     pub name: String,
-    /// Where it is named.
-    pub place: Place,
-    /// Keys that stand at the top of its file.
+    /// Where it is defined.
+    pub location: Location,
+    /// Keys at the top of its file.
     pub top: Vec<Raw>,
-    /// ... and in `[limits]`.
+    /// Keys in `[limits]` of its file.
     pub limits: Vec<Raw>,
-    /// Its own zone.
+    /// Its zone, if it is given.
     pub zone: Option<Raw>,
-    /// What else is known of it.
-    pub facts: Option<facts::App>,
-    /// What it sends, in order.
+    /// Its contract; `None` if a required key is missing or invalid.
+    pub contract: Option<ApplicationContract>,
+    /// The requests that it sends, in the order of the description.
     pub sends: Vec<Send>,
-    /// Its own timing of classes.
+    /// Class names with the keys that the application overrides.
     pub overrides: Vec<(String, Vec<Raw>)>,
 }
 
-/// All of it.
+/// A complete description with all its includes.
 #[derive(Clone, Debug, Default)]
 pub struct Description {
     /// Classes, in the order of the files.
@@ -97,50 +98,53 @@
     pub apps: Vec<App>,
 }
 
-/// Reads a description and all that it includes. The files are in the report, the description's own first.
+/// Reads a description and all files that it includes into a report. The description itself is the report's first file.
 ///
 /// # Errors
-/// A file that can't be read, is no TOML, includes itself or one outside the description's folder.
+/// Returns the report if a file can't be read, is not TOML, includes itself, or is outside the description's folder.
 pub fn load(path: &Path) -> Result<Report, Report> {
     let mut report = Report::default();
     let shown = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(fault) => {
-            let file = report.file(shown, "");
+        Err(error) => {
+            let file = report.add_file(shown, "");
             report.findings.push(unreadable(
-                Place::new(file, &(0..0)),
+                Location::new(file, &(0..0)),
                 "the description",
-                &fault.to_string(),
+                &error.to_string(),
             ));
             return Err(report);
         }
     };
-    let own = path.canonicalize().unwrap_or_else(|_| path.to_owned());
-    let root = own.parent().map(Path::to_owned).unwrap_or_default();
-    report.file(shown, text);
+    let canonical_path = path.canonicalize().unwrap_or_else(|_| path.to_owned());
+    let root = canonical_path
+        .parent()
+        .map(Path::to_owned)
+        .unwrap_or_default();
+    report.add_file(shown, text);
     let mut loader = Loader {
         root,
         report,
-        known: vec![own.clone()],
-        stack: vec![own],
+        loaded: vec![canonical_path.clone()],
+        stack: vec![canonical_path],
     };
-    loader.includes(0);
-    if loader.report.good() {
+    loader.load_includes(0);
+    if loader.report.is_clean() {
         Ok(loader.report)
     } else {
         Err(loader.report)
     }
 }
 
-fn unreadable(place: Place, key: &str, why: &str) -> Finding {
+fn unreadable(location: Location, key: &str, why: &str) -> Finding {
     Finding {
         code: "file",
         key: key.to_owned(),
         reason: "this file can't be read".to_owned(),
         found: why.to_owned(),
         allowed: "a readable TOML file in UTF-8".to_owned(),
-        place,
+        location,
         related: Vec::new(),
         apps: Default::default(),
     }
@@ -149,41 +153,40 @@
 struct Loader {
     root: PathBuf,
     report: Report,
-    /// Files that are in the report.
-    known: Vec<PathBuf>,
-    /// Those that are being read, the description first.
+    /// Files that are in the report already.
+    loaded: Vec<PathBuf>,
+    /// The chain of includes that is being read, with the description first.
     stack: Vec<PathBuf>,
 }
 
 impl Loader {
-    fn includes(&mut self, file: usize) {
+    fn load_includes(&mut self, file: usize) {
         let text = self.report.files[file].1.clone();
-        let mut notes = DiagnosticSink::default();
-        let table = parse_document(&mut notes, &text);
-        let mut wanted = Vec::new();
-        if notes.is_empty() {
+        let mut sink = DiagnosticSink::default();
+        let table = parse_document(&mut sink, &text);
+        let mut includes = Vec::new();
+        if sink.is_empty() {
             if let Some(value) = table.get("include") {
                 match value.get_ref() {
                     DeValue::Array(list) => {
-                        wanted.extend(list.iter().map(|v| (v.get_ref().as_str(), v.span())));
+                        includes.extend(list.iter().map(|v| (v.get_ref().as_str(), v.span())));
                     }
-                    _ => wanted.push((None, value.span())),
+                    _ => includes.push((None, value.span())),
                 }
             }
         }
         self.report.findings.extend(
-            notes
-                .diagnostics()
+            sink.diagnostics()
                 .iter()
-                .map(|m| Finding::of_mistake(file, m, None)),
+                .map(|m| Finding::from_diagnostic(file, m, None)),
         );
-        for (name, span) in wanted {
-            self.include(file, name, &span);
+        for (name, span) in includes {
+            self.load_include(file, name, &span);
         }
     }
 
-    fn include(&mut self, file: usize, name: Option<&str>, span: &Span) {
-        let mut refuse = |reason: &str, found: String| {
+    fn load_include(&mut self, file: usize, name: Option<&str>, span: &Span) {
+        let mut report_error = |reason: &str, found: String| {
             self.report.findings.push(Finding {
                 code: "include",
                 key: "include".to_owned(),
@@ -192,13 +195,13 @@
                 allowed:
                     "a list of files in the description's folder or below, like [\"shared/classes.toml\"]"
                         .to_owned(),
-                place: Place::new(file, span),
+                location: Location::new(file, span),
                 related: Vec::new(),
                 apps: Default::default(),
             });
         };
         let Some(name) = name else {
-            return refuse("this names no file", "no text".to_owned());
+            return report_error("this is not a file name", "not a string".to_owned());
         };
         let folder = self
             .stack
@@ -208,22 +211,24 @@
             .unwrap_or_default();
         let path = match folder.join(name).canonicalize() {
             Ok(path) => path,
-            Err(fault) => return refuse("this file is not there", format!("{name:?}: {fault}")),
+            Err(error) => {
+                return report_error("this file does not exist", format!("{name:?}: {error}"))
+            }
         };
         if Path::new(name).is_absolute() || !path.starts_with(&self.root) {
-            return refuse(
-                "this file lies outside the description's folder",
+            return report_error(
+                "this file is outside the description's folder",
                 format!("{name:?}"),
             );
         }
         if self.stack.contains(&path) {
-            return refuse(
-                "this file includes itself, by way of others or at once",
+            return report_error(
+                "this file includes itself, directly or through other files",
                 format!("{name:?}"),
             );
         }
-        // Included twice is included once.
-        if self.known.contains(&path) {
+        // A file that is included several times is read once.
+        if self.loaded.contains(&path) {
             return;
         }
         match std::fs::read_to_string(&path) {
@@ -233,32 +238,32 @@
                     .unwrap_or(&path)
                     .display()
                     .to_string();
-                let number = self.report.file(shown, text);
-                self.known.push(path.clone());
+                let index = self.report.add_file(shown, text);
+                self.loaded.push(path.clone());
                 self.stack.push(path);
-                self.includes(number);
+                self.load_includes(index);
                 self.stack.pop();
             }
-            Err(fault) => refuse("this file can't be read", format!("{name:?}: {fault}")),
+            Err(error) => report_error("this file can't be read", format!("{name:?}: {error}")),
         }
     }
 }
 
-/// A class as it stands, before it has what it inherits.
-struct Own {
-    place: Place,
-    inherits: Option<(String, Place)>,
+/// A class before inheritance is resolved.
+struct UnresolvedClass {
+    location: Location,
+    inherits: Option<(String, Location)>,
     keys: Vec<Raw>,
 }
 
 impl Description {
-    /// Reads the description out of the report's files. What is wrong is added to the report.
+    /// Reads the description from the report's files. Findings are added to the report.
     pub fn read(report: &mut Report) -> Self {
         let mut reader = Reader::default();
         for (file, (_, text)) in report.files.iter().enumerate() {
-            reader.file(file, text);
+            reader.read_file(file, text);
         }
-        let classes = reader.resolve();
+        let classes = reader.resolve_inheritance();
         let mut description = Description {
             classes,
             upstreams: reader.upstreams,
@@ -270,62 +275,76 @@
         description
     }
 
-    /// Names of applications that are no names of files, and names that are alike.
+    /// Reports names that can't be file names, and names that differ only in case or Unicode form.
     fn check_names(&self, report: &mut Report) {
-        let mut add = |place: &Place, key: String, reason: &str, found: String, allowed: &str| {
-            report.findings.push(Finding {
-                code: "name-alike",
-                key,
-                reason: reason.to_owned(),
-                found,
-                allowed: allowed.to_owned(),
-                place: place.clone(),
-                related: Vec::new(),
-                apps: Default::default(),
-            });
-        };
+        let mut add =
+            |location: &Location, key: String, reason: &str, found: String, allowed: &str| {
+                report.findings.push(Finding {
+                    code: "name-alike",
+                    key,
+                    reason: reason.to_owned(),
+                    found,
+                    allowed: allowed.to_owned(),
+                    location: location.clone(),
+                    related: Vec::new(),
+                    apps: Default::default(),
+                });
+            };
         let kinds = [
             (
                 "app",
                 self.apps
                     .iter()
-                    .map(|a| (&a.name, &a.place))
+                    .map(|a| (&a.name, &a.location))
                     .collect::<Vec<_>>(),
             ),
             (
                 "class",
-                self.classes.iter().map(|c| (&c.name, &c.place)).collect(),
+                self.classes
+                    .iter()
+                    .map(|c| (&c.name, &c.location))
+                    .collect(),
             ),
             (
                 "upstream",
-                self.upstreams.iter().map(|u| (&u.name, &u.place)).collect(),
+                self.upstreams
+                    .iter()
+                    .map(|u| (&u.name, &u.location))
+                    .collect(),
             ),
         ];
         for (kind, names) in kinds {
             let mut seen: HashMap<String, &str> = HashMap::new();
-            for (name, place) in names {
+            for (name, location) in names {
                 let key = format!("{kind}.{name}");
-                if let Some(other) = seen.insert(folded(name), name) {
-                    let found = format!("{name:?} beside {other:?}");
-                    let reason = "two names that are one, or differ only in case or form";
+                if let Some(other) = seen.insert(fold_name(name), name) {
+                    let found = format!("{name:?} and {other:?}");
+                    let reason =
+                        "the same name twice, or names that differ only in case or Unicode form";
                     add(
-                        place,
+                        location,
                         key.clone(),
                         reason,
                         found,
-                        "names that nobody takes for one another",
+                        "names that differ in more than case and Unicode form",
                     );
                 }
-                let plain = name
+                let allowed_characters = name
                     .chars()
                     .all(|c| c.is_alphanumeric() || "-_".contains(c));
-                if !plain
+                if !allowed_characters
                     || name.is_empty()
-                    || name.chars().count() > NAME_MOST
-                    || folded(name) == "manifest"
+                    || name.chars().count() > MAX_NAME_CHARS
+                    || fold_name(name) == "manifest"
                 {
-                    let allowed = "letters, digits, '-' and '_', 64 at the most; not \"manifest\"";
-                    add(place, key, "this is no name", format!("{name:?}"), allowed);
+                    let allowed = "at most 64 letters, digits, '-' and '_'; not \"manifest\"";
+                    add(
+                        location,
+                        key,
+                        "this is not a valid name",
+                        format!("{name:?}"),
+                        allowed,
+                    );
                 }
             }
         }
@@ -335,209 +354,219 @@
 #[derive(Default)]
 struct Reader {
     findings: Vec<Finding>,
-    /// In the order of the files.
-    order: Vec<String>,
-    classes: HashMap<String, Own>,
+    /// Names of the classes, in the order of the files.
+    class_order: Vec<String>,
+    classes: HashMap<String, UnresolvedClass>,
     upstreams: Vec<Upstream>,
     apps: Vec<App>,
 }
 
-/// The keys of a table as they stand.
-fn raw(file: usize, text: &str, table: &DeTable<'_>, but: &[&str]) -> Vec<Raw> {
-    let wanted = table
+/// The keys of a table with the verbatim text of their values, except those in `excluded`.
+fn raw_keys(file: usize, text: &str, table: &DeTable<'_>, excluded: &[&str]) -> Vec<Raw> {
+    let included = table
         .iter()
-        .filter(|(name, _)| !but.contains(&&**name.get_ref()));
-    wanted
+        .filter(|(name, _)| !excluded.contains(&&**name.get_ref()));
+    included
         .map(|(name, value)| Raw {
             key: name.get_ref().to_string(),
             text: text.get(value.span()).unwrap_or_default().to_owned(),
-            place: Place::new(file, &value.span()),
+            location: Location::new(file, &value.span()),
         })
         .collect()
 }
 
 impl Reader {
-    fn file(&mut self, file: usize, text: &str) {
-        let mut notes = DiagnosticSink::default();
-        let table = parse_document(&mut notes, text);
-        if notes.is_empty() {
-            let top = Section::new(&mut notes, &table, "", 0..0, &FILE);
-            for (key, part, section) in tables(&mut notes, &top, "class") {
-                self.class(&mut notes, file, text, (key, part), &section);
+    fn read_file(&mut self, file: usize, text: &str) {
+        let mut sink = DiagnosticSink::default();
+        let table = parse_document(&mut sink, text);
+        if sink.is_empty() {
+            let top = Section::new(&mut sink, &table, "", 0..0, &TOP_LEVEL_KEYS);
+            for (key, part, section) in subtables(&mut sink, &top, "class") {
+                self.read_class(&mut sink, file, text, (key, part), &section);
             }
-            for (key, part, section) in tables(&mut notes, &top, "upstream") {
-                self.upstream(&mut notes, file, text, (key, part), &section);
+            for (key, part, section) in subtables(&mut sink, &top, "upstream") {
+                self.read_upstream(&mut sink, file, text, (key, part), &section);
             }
-            for (key, part, section) in tables(&mut notes, &top, "app") {
-                self.app(&mut notes, file, text, (key, part), &section);
+            for (key, part, section) in subtables(&mut sink, &top, "app") {
+                self.read_application(&mut sink, file, text, (key, part), &section);
             }
         }
         self.findings.extend(
-            notes
-                .diagnostics()
+            sink.diagnostics()
                 .iter()
-                .map(|m| Finding::of_mistake(file, m, None)),
+                .map(|m| Finding::from_diagnostic(file, m, None)),
         );
     }
 
-    fn class(
+    fn read_class(
         &mut self,
-        notes: &mut DiagnosticSink,
+        sink: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
         section: &Section<'_>,
     ) {
         let inherits = section
-            .text(notes, "inherits")
-            .map(|s| (s.value, Place::new(file, &s.span)));
-        let place = Place::new(file, &section.span);
-        let own = Own {
-            place: place.clone(),
+            .text(sink, "inherits")
+            .map(|s| (s.value, Location::new(file, &s.span)));
+        let location = Location::new(file, &section.span);
+        let class = UnresolvedClass {
+            location: location.clone(),
             inherits,
-            keys: raw(file, text, table, &["inherits"]),
+            keys: raw_keys(file, text, table, &["inherits"]),
         };
         if self.classes.contains_key(name) {
             let key = format!("class.{name}");
-            notes.add(
+            sink.add(
                 &key,
                 &section.span,
-                "a class of this name stands in another file too",
+                "another file defines a class of this name too",
                 format!("{name:?}"),
-                "each class once",
+                "a unique name",
             );
             return;
         }
-        self.order.push(name.to_owned());
-        self.classes.insert(name.to_owned(), own);
+        self.class_order.push(name.to_owned());
+        self.classes.insert(name.to_owned(), class);
     }
 
-    /// Each class with all that it inherits, from the nearest on.
-    fn resolve(&mut self) -> Vec<Class> {
+    /// Resolves inheritance. A key of a class takes precedence over the same key of the classes that it inherits from.
+    fn resolve_inheritance(&mut self) -> Vec<Class> {
         let mut resolved = Vec::new();
-        let known: Vec<&str> = self.order.iter().map(String::as_str).collect();
-        for name in &self.order {
+        let known: Vec<&str> = self.class_order.iter().map(String::as_str).collect();
+        for name in &self.class_order {
             let mut keys: Vec<Raw> = Vec::new();
-            let (mut at, mut path) = (name.as_str(), vec![name.as_str()]);
+            let (mut current, mut chain) = (name.as_str(), vec![name.as_str()]);
             loop {
-                let own = &self.classes[at];
-                let new: Vec<Raw> = own
+                let class = &self.classes[current];
+                let inherited: Vec<Raw> = class
                     .keys
                     .iter()
                     .filter(|k| keys.iter().all(|o| o.key != k.key))
                     .cloned()
                     .collect();
-                keys.extend(new);
-                let Some((parent, place)) = &own.inherits else {
+                keys.extend(inherited);
+                let Some((parent, location)) = &class.inherits else {
                     break;
                 };
-                let mut refuse = |reason: &str, found: String, allowed: String| {
+                let mut report_error = |reason: &str, found: String, allowed: String| {
                     self.findings.push(Finding {
                         code: "inherits",
-                        key: format!("class.{at}.inherits"),
+                        key: format!("class.{current}.inherits"),
                         reason: reason.to_owned(),
                         found,
                         allowed,
-                        place: place.clone(),
+                        location: location.clone(),
                         related: Vec::new(),
                         apps: Default::default(),
                     });
                 };
                 if !self.classes.contains_key(parent) {
-                    refuse(
-                        "no class has this name",
+                    report_error(
+                        "there is no class of this name",
                         format!("{parent:?}"),
                         suggest_names(parent, &known),
                     );
                     break;
                 }
-                if path.contains(&parent.as_str()) {
-                    refuse(
+                if chain.contains(&parent.as_str()) {
+                    report_error(
                         "a class can't inherit from itself",
-                        path.join(" from "),
-                        "a class further out".to_owned(),
+                        chain.join(" from "),
+                        "a class that does not inherit from this one".to_owned(),
                     );
                     break;
                 }
-                at = parent;
-                path.push(at);
+                current = parent;
+                chain.push(current);
             }
             resolved.push(Class {
                 name: name.clone(),
-                place: self.classes[name].place.clone(),
+                location: self.classes[name].location.clone(),
                 keys,
             });
         }
         resolved
     }
 
-    fn upstream(
+    fn read_upstream(
         &mut self,
-        notes: &mut DiagnosticSink,
+        sink: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
         section: &Section<'_>,
     ) {
-        let facts = facts::Upstream::read(notes, section);
-        for own in ["proxies", "zone"].into_iter().filter(|k| section.has(k)) {
-            let span = section.get(own).map_or(0..0, |v| v.span());
-            let reason = "this is not the upstream's to say";
-            let allowed = "`proxies` is reckoned from the instances; `zone` is an application's";
-            notes.add(
-                &section.key_path(own),
+        let contract = UpstreamContract::read(sink, section);
+        for key in ["proxies", "zone"].into_iter().filter(|k| section.has(k)) {
+            let span = section.get(key).map_or(0..0, |v| v.span());
+            let reason = "an upstream can't set this key";
+            let allowed =
+                "`proxies` is calculated from the instances; `zone` is a key of applications";
+            sink.add(
+                &section.key_path(key),
                 &span,
                 reason,
-                format!("`{own}`"),
+                format!("`{key}`"),
                 allowed,
             );
         }
-        let keys = raw(
+        let keys = raw_keys(
             file,
             text,
             table,
-            &[&facts::UPSTREAM[..], &["proxies", "zone"]].concat(),
+            &[&contract::UPSTREAM_KEYS[..], &["proxies", "zone"]].concat(),
         );
-        let place = Place::new(file, &section.span);
+        let location = Location::new(file, &section.span);
         self.upstreams.push(Upstream {
             name: name.to_owned(),
-            place,
+            location,
             keys,
-            facts,
+            contract,
         });
     }
 
-    fn app(
+    fn read_application(
         &mut self,
-        notes: &mut DiagnosticSink,
+        sink: &mut DiagnosticSink,
         file: usize,
         text: &str,
         (name, table): (&str, &DeTable<'_>),
         section: &Section<'_>,
     ) {
-        let known: Vec<&str> = [&facts::APP[..], &LIMITS[..], &APP[..]].concat();
-        let section = Section::new(notes, table, &section.key, section.span.clone(), &known);
-        section.require(notes, "listen", "an address and a port");
-        section.require(notes, "send", "a list of what it sends: [[app.NAME.send]]");
-        let facts = facts::App::read(notes, &section);
-        let all = raw(file, text, table, &[]);
+        let known: Vec<&str> = [
+            &contract::APPLICATION_KEYS[..],
+            &LIMIT_KEYS[..],
+            &APPLICATION_KEYS[..],
+        ]
+        .concat();
+        let section = Section::new(sink, table, &section.key, section.span.clone(), &known);
+        section.require(sink, "listen", "an address and a port");
+        section.require(
+            sink,
+            "send",
+            "the requests that it sends: [[app.NAME.send]]",
+        );
+        let contract = ApplicationContract::read(sink, &section);
+        let all_keys = raw_keys(file, text, table, &[]);
         let pick = |names: &[&str]| {
-            all.iter()
+            all_keys
+                .iter()
                 .filter(|r| names.contains(&r.key.as_str()))
                 .cloned()
                 .collect::<Vec<_>>()
         };
         let mut sends = Vec::new();
         for (key, value) in section
-            .list(notes, "send", "what it sends")
+            .list(sink, "send", "what it sends")
             .unwrap_or_default()
         {
             let Some(part) = value.get_ref().as_table() else {
                 let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
-                    "this is no route",
+                    "this is not a route",
                     found,
                     "a table: [[app.NAME.send]]",
                 );
@@ -547,34 +576,34 @@
                 .get("class")
                 .and_then(|v| v.get_ref().as_str())
                 .map(str::to_owned);
-            // The span of a table in a list begins with its first line.
+            // The span of a table in a list starts at its first line.
             let span = value.span().start..value.span().start;
             sends.push(Send {
-                place: Place::new(file, &span),
+                location: Location::new(file, &span),
                 class,
-                keys: raw(file, text, part, &[]),
+                keys: raw_keys(file, text, part, &[]),
             });
         }
         let mut overrides = Vec::new();
-        for (class, part, _) in tables(notes, &section, "class") {
-            overrides.push((class.to_owned(), raw(file, text, part, &[])));
+        for (class, part, _) in subtables(sink, &section, "class") {
+            overrides.push((class.to_owned(), raw_keys(file, text, part, &[])));
         }
         self.apps.push(App {
             name: name.to_owned(),
-            place: Place::new(file, &section.span),
+            location: Location::new(file, &section.span),
             top: pick(&["listen"]),
-            limits: pick(&LIMITS),
+            limits: pick(&LIMIT_KEYS),
             zone: pick(&["zone"]).pop(),
-            facts,
+            contract,
             sends,
             overrides,
         });
     }
 }
 
-/// The tables in a table, each with its name.
-fn tables<'t>(
-    notes: &mut DiagnosticSink,
+/// The subtables of a table, each with its name.
+fn subtables<'t>(
+    sink: &mut DiagnosticSink,
     parent: &Section<'t>,
     name: &str,
 ) -> Vec<(&'t str, &'t DeTable<'t>, Section<'t>)> {
@@ -584,7 +613,7 @@
     let key = parent.key_path(name);
     let Some(table) = value.get_ref().as_table() else {
         let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
-        notes.add(
+        sink.add(
             &key,
             &value.span(),
             "this is not a table",
@@ -598,7 +627,7 @@
         let path = format!("{key}.{}", name.get_ref());
         let Some(inner) = part.get_ref().as_table() else {
             let found = badgerramp_toml_diagnostics::display_value(part.get_ref());
-            notes.add(
+            sink.add(
                 &path,
                 &part.span(),
                 "this is not a table",
@@ -607,11 +636,11 @@
             );
             continue;
         };
-        let every: Vec<&str> = inner.keys().map(|k| &**k.get_ref()).collect();
+        let keys: Vec<&str> = inner.keys().map(|k| &**k.get_ref()).collect();
         parts.push((
             &**name.get_ref(),
             inner,
-            Section::new(notes, inner, &path, name.span(), &every),
+            Section::new(sink, inner, &path, name.span(), &keys),
         ));
     }
     parts
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -1,4 +1,4 @@
-//! What a file makes of a request and why, and the longest course that a call of a class may take.
+//! Explains how a file handles a request, and shows the worst-case timeline of a call of a class.
 
 use badgerramp_config::{Config, TimingValue, RESPONSE_RESERVE};
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
@@ -10,41 +10,44 @@
 use std::fmt::Write;
 use std::net::IpAddr;
 
-/// One figure and where it comes from.
+/// A timing setting of a route.
 #[derive(Debug, PartialEq, Eq, Serialize)]
-pub struct Told {
-    /// Its key.
+pub struct TimingSetting {
+    /// The key of the setting.
     pub name: String,
-    /// Its value.
+    /// Its effective value.
     pub value: String,
-    /// Why it has that.
-    pub from: String,
+    /// Where the value is set.
+    #[serde(rename = "from")]
+    pub origin: String,
 }
 
-/// What is told of a request.
+/// How a file handles a request.
 #[derive(Debug, PartialEq, Eq, Serialize)]
-pub struct Request {
+pub struct RequestExplanation {
     /// The path in its normal form.
     pub path: String,
-    /// The route that takes it, and its line; none: the answer without a route.
+    /// The matching route and its line; `None` if no route matches and the proxy responds by itself.
     pub route: Option<(String, usize)>,
-    /// Routes before it, and what about each does not fit.
-    pub passed_over: Vec<(String, String)>,
-    /// Its class, and what that means.
+    /// Earlier routes that don't match, each with the reason.
+    #[serde(rename = "passed_over")]
+    pub skipped_routes: Vec<(String, String)>,
+    /// Its class, and the effect of the class.
     pub class: Option<(String, String)>,
-    /// The parts of the route's condition and of its key, the outer ones first, with their values.
-    pub parts: Vec<(String, String)>,
-    /// What is said of its key.
+    /// Subexpressions of the route's condition and key with their values, outer ones first.
+    #[serde(rename = "parts")]
+    pub subexpressions: Vec<(String, String)>,
+    /// Its idempotency key and the source of the key.
     pub key: Option<String>,
-    /// Its timing.
-    pub timing: Vec<Told>,
+    /// The timing of its route.
+    pub timing: Vec<TimingSetting>,
 }
 
-/// A request out of words like `POST /x` and `Name: value`.
+/// Parses a request from texts like `POST /x` and `Name: value`.
 ///
 /// # Errors
-/// What is odd about them.
-pub fn request_of(
+/// Returns a message if the method, a header or the form is invalid.
+pub fn parse_request(
     request: &str,
     headers: &[String],
 ) -> Result<(Method, String, HeaderMap), String> {
@@ -54,7 +57,7 @@
         .ok_or("a request is a method and a path, like 'POST /x'")?;
     let method = method
         .parse::<Method>()
-        .map_err(|_| format!("{method:?} is no method"))?;
+        .map_err(|_| format!("{method:?} is not a method"))?;
     let path = target
         .trim()
         .split('#')
@@ -65,17 +68,18 @@
     for header in headers {
         let (name, value) = header
             .split_once(':')
-            .ok_or_else(|| format!("{header:?} is no header: 'Name: value'"))?;
+            .ok_or_else(|| format!("{header:?} is not a header like 'Name: value'"))?;
         let name = HeaderName::from_bytes(name.trim().as_bytes())
-            .map_err(|_| format!("{name:?} is no header name"))?;
+            .map_err(|_| format!("{name:?} is not a header name"))?;
         let value = HeaderValue::from_str(value.trim())
-            .map_err(|_| format!("{value:?} is no header value"))?;
+            .map_err(|_| format!("{value:?} is not a header value"))?;
         map.append(name, value);
     }
     Ok((method, path, map))
 }
 
-fn line(config: &Config, start: usize) -> usize {
+/// The line of a byte offset, starting at 1.
+fn line_number(config: &Config, start: usize) -> usize {
     config
         .text()
         .get(..start)
@@ -85,111 +89,111 @@
         + 1
 }
 
-fn told(config: &Config, figures: Vec<TimingValue>) -> Vec<Told> {
-    let from = |figure: &TimingValue| match &figure.set_by {
-        Some((key, span)) => format!("{key}, line {}", line(config, span.start)),
+fn timing_settings(config: &Config, values: Vec<TimingValue>) -> Vec<TimingSetting> {
+    let origin = |value: &TimingValue| match &value.set_by {
+        Some((key, span)) => format!("{key}, line {}", line_number(config, span.start)),
         None => "not set".to_owned(),
     };
-    figures
+    values
         .iter()
-        .map(|f| Told {
-            name: f.name.to_owned(),
-            value: f.value.clone(),
-            from: from(f),
+        .map(|v| TimingSetting {
+            name: v.name.to_owned(),
+            value: v.value.clone(),
+            origin: origin(v),
         })
         .collect()
 }
 
-fn effect(repeat: Idempotency) -> String {
-    match repeat {
-        Idempotency::Idempotent => "safe: it may run again".to_owned(),
+fn describe_effect(idempotency: Idempotency) -> String {
+    match idempotency {
+        Idempotency::Idempotent => "safe: it may run more than once".to_owned(),
         Idempotency::NonIdempotent => {
-            "unsafe: it goes again only if every attempt provably never ran".to_owned()
+            "unsafe: it is retried only if every attempt provably never ran".to_owned()
         }
         Idempotency::Keyed { window, .. } => {
             format!(
-                "keyed: it may go again within its group, for {}",
+                "keyed: it may be retried within its group, for {}",
                 format_duration(window)
             )
         }
     }
 }
 
-/// Why a route does not take a request; None: it does.
-fn misfit(config: &Config, route: &Route, head: &Head<'_>) -> Option<String> {
+/// The reason why a route does not match a request; `None` if it matches.
+fn mismatch_reason(config: &Config, route: &Route, head: &Head<'_>) -> Option<String> {
     let Head {
         method,
         path,
         headers,
         ..
     } = *head;
-    let fits = match &route.path {
-        PathPattern::Exact(own) => own == path,
-        PathPattern::Prefix(own) if own.ends_with('/') => path.starts_with(own.as_str()),
-        PathPattern::Prefix(own) => path
-            .strip_prefix(own.as_str())
+    let path_matches = match &route.path {
+        PathPattern::Exact(exact) => exact == path,
+        PathPattern::Prefix(prefix) if prefix.ends_with('/') => path.starts_with(prefix.as_str()),
+        PathPattern::Prefix(prefix) => path
+            .strip_prefix(prefix.as_str())
             .is_some_and(|r| r.is_empty() || r.starts_with('/')),
-        PathPattern::Regex(own) => own.is_match(path),
+        PathPattern::Regex(regex) => regex.is_match(path),
     };
-    if !fits {
+    if !path_matches {
         return Some("its path".to_owned());
     }
     if !route.methods.is_empty() && !route.methods.contains(method) {
         return Some("its methods".to_owned());
     }
-    let wanted = route.headers.iter().find(|h| {
+    let missing = route.headers.iter().find(|h| {
         !headers
             .get_all(&h.name)
             .iter()
             .any(|v| h.value.as_ref().is_none_or(|w| w == v))
     });
-    if let Some(wanted) = wanted {
-        return Some(format!("header {}", wanted.name));
+    if let Some(header) = missing {
+        return Some(format!("header {}", header.name));
     }
     let when = route.when.as_ref()?;
     (!config.routes.program().holds(when.id, head))
         .then(|| format!("its condition, {}", when.text.trim()))
 }
 
-/// The parts of an expression with their values, the outer ones first.
-fn parts(text: &str, head: &Head<'_>, told: &mut Vec<(String, String)>) {
+/// Evaluates the subexpressions of an expression, outer ones first.
+fn evaluate_subexpressions(text: &str, head: &Head<'_>, values: &mut Vec<(String, String)>) {
     let Ok(ast) = badgerramp_expr::parse(text) else {
         return;
     };
-    let mut open = vec![&ast];
-    while let Some(part) = open.pop() {
-        open.extend(part.parts().into_iter().rev().filter(|p| !p.literal()));
+    let mut pending = vec![&ast];
+    while let Some(part) = pending.pop() {
+        pending.extend(part.parts().into_iter().rev().filter(|p| !p.literal()));
         let mut builder = Builder::default();
         let Ok(id) = builder.add_ast(part, Wanted::Any) else {
             continue;
         };
         let program = builder.build();
-        let words = text
+        let expression = text
             .get(part.span.clone())
             .unwrap_or_default()
             .split_whitespace()
             .collect::<Vec<_>>()
             .join(" ");
-        told.push((words, program.evaluate(id, head).show()));
+        values.push((expression, program.evaluate(id, head).show()));
     }
 }
 
-/// What a file makes of a request.
+/// Explains how a file handles a request.
 ///
 /// # Errors
-/// If its path has no normal form: the sidecar answers 400 then.
-pub fn request(
+/// Returns a message if the request's path has no normal form. The sidecar responds with 400 to such a request.
+pub fn explain_request(
     config: &Config,
     method: &Method,
     target: &str,
     headers: &HeaderMap,
     client: IpAddr,
-) -> Result<Request, String> {
+) -> Result<RequestExplanation, String> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let normal = normalize(path).map_err(|fault| format!("answered 400: {fault}"))?;
+    let normalized = normalize(path).map_err(|error| format!("answered 400: {error}"))?;
     let head = Head {
         method,
-        path: &normal,
+        path: &normalized,
         query,
         headers,
         client,
@@ -197,157 +201,168 @@
     let found = config
         .routes
         .find_head(&head)
-        .map_err(|fault| format!("answered 400: {fault}"))?;
-    let upto = found.map_or(config.routes.routes().len(), |f| f.0);
-    let passed = config.routes.routes()[..upto].iter().filter_map(|r| {
-        // Routes of other paths are told only where nothing was found.
-        let why = misfit(config, r, &head)?;
-        (found.is_none() || why != "its path").then(|| (r.name.clone(), why))
-    });
-    let mut told_of = Request {
-        path: normal.to_string(),
+        .map_err(|error| format!("answered 400: {error}"))?;
+    let searched_routes = found.map_or(config.routes.routes().len(), |f| f.0);
+    let skipped_routes = config.routes.routes()[..searched_routes]
+        .iter()
+        .filter_map(|r| {
+            // Routes with other paths are only listed if no route matches.
+            let reason = mismatch_reason(config, r, &head)?;
+            (found.is_none() || reason != "its path").then(|| (r.name.clone(), reason))
+        });
+    let mut explanation = RequestExplanation {
+        path: normalized.to_string(),
         route: None,
-        passed_over: passed.collect(),
+        skipped_routes: skipped_routes.collect(),
         class: None,
-        parts: Vec::new(),
+        subexpressions: Vec::new(),
         key: None,
         timing: Vec::new(),
     };
-    if let Some((place, route)) = found {
+    if let Some((index, route)) = found {
         let class = &config.classes[route.class];
-        let guarded = matches!(class.class.idempotency, Idempotency::Keyed { .. });
-        told_of.route = Some((
+        let is_keyed = matches!(class.class.idempotency, Idempotency::Keyed { .. });
+        explanation.route = Some((
             route.name.clone(),
-            line(config, config.route_span(place).start),
+            line_number(config, config.route_span(index).start),
         ));
-        told_of.class = Some((class.name.clone(), effect(class.class.idempotency)));
-        told_of.key = route.key.as_ref().filter(|_| guarded).map(|source| {
-            let place = match source {
+        explanation.class = Some((class.name.clone(), describe_effect(class.class.idempotency)));
+        explanation.key = route.key.as_ref().filter(|_| is_keyed).map(|source| {
+            let source_name = match source {
                 Source::Header(name) => format!("header {name}"),
                 Source::Cookie(name) => format!("cookie {name}"),
-                Source::Expression(own) => format!("expression {}", own.text),
+                Source::Expression(expression) => format!("expression {}", expression.text),
             };
             match config.routes.source_value(source, &head) {
-                Some(key) => format!("{key:?}, from {place}"),
-                None => format!("missing or not one alone in {place}: never sent twice"),
+                Some(key) => format!("{key:?}, from {source_name}"),
+                None => format!("missing or not unique in {source_name}: never retried"),
             }
         });
         let key = route.key.as_ref().and_then(|k| match k {
-            Source::Expression(own) => Some(own),
+            Source::Expression(expression) => Some(expression),
             _ => None,
         });
-        for own in route.when.iter().chain(key) {
-            parts(&own.text, &head, &mut told_of.parts);
+        for expression in route.when.iter().chain(key) {
+            evaluate_subexpressions(&expression.text, &head, &mut explanation.subexpressions);
         }
-        told_of.timing = told(config, config.route_timing_values(place));
+        explanation.timing = timing_settings(config, config.route_timing_values(index));
     }
-    Ok(told_of)
+    Ok(explanation)
 }
 
-impl Request {
-    /// For people.
+impl RequestExplanation {
+    /// Formats the explanation for people.
     pub fn human(&self, config: &Config) -> String {
         let mut text = format!("path    {} (normal form)\n", self.path);
-        for (route, why) in &self.passed_over {
-            let _ = writeln!(text, "        not {route:?}: {why}");
+        for (route, reason) in &self.skipped_routes {
+            let _ = writeln!(text, "        not {route:?}: {reason}");
         }
         match (&self.route, &self.class) {
-            (Some((route, line)), Some((class, means))) => {
+            (Some((route, line)), Some((class, effect))) => {
                 let _ = writeln!(text, "route   {route:?}, {}:{line}", config.name());
-                let _ = writeln!(text, "class   {class}; {means}");
+                let _ = writeln!(text, "class   {class}; {effect}");
             }
             _ => {
                 let _ = writeln!(text, "route   none: answered {}", config.no_route.status);
             }
         }
-        for (part, value) in &self.parts {
-            let _ = writeln!(text, "        {part}  =  {value}");
+        for (expression, value) in &self.subexpressions {
+            let _ = writeln!(text, "        {expression}  =  {value}");
         }
         if let Some(key) = &self.key {
             let _ = writeln!(text, "key     {key}");
         }
-        for told in &self.timing {
+        for setting in &self.timing {
             let _ = writeln!(
                 text,
                 "        {:<12} {:<14} {}",
-                told.name, told.value, told.from
+                setting.name, setting.value, setting.origin
             );
         }
         text
     }
 }
 
-/// One step of a course.
+/// One event of a timeline.
 #[derive(Debug, PartialEq, Eq, Serialize)]
-pub struct Step {
-    /// Microseconds after the request's last byte, at the latest.
+pub struct TimelineEvent {
+    /// The latest time of the event, in microseconds after the request's last byte.
     pub at_us: Micros,
-    /// What happens.
-    pub what: String,
+    /// Description of the event.
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
-/// The longest course of one route of a class.
+/// The worst-case timeline of a call of a class, or of a route that overrides the class's timing.
 #[derive(Debug, PartialEq, Eq, Serialize)]
-pub struct Course {
-    /// The route; none: the class by itself.
+pub struct Timeline {
+    /// The route; `None` for the class itself.
     pub route: Option<String>,
-    /// Step by step.
-    pub steps: Vec<Step>,
+    /// The events, in the order of the attempts.
+    #[serde(rename = "steps")]
+    pub events: Vec<TimelineEvent>,
 }
 
-/// The longest courses of a class: by itself and by each route that overrides it.
+/// The worst-case timelines of a class: of the class itself and of each route that overrides its timing.
 ///
 /// # Errors
-/// If the file has no such class.
-pub fn class(config: &Config, name: &str) -> Result<Vec<Course>, String> {
-    let Some(place) = config.classes.iter().position(|c| c.name == name) else {
+/// Returns a message if the file has no such class.
+pub fn class_timelines(config: &Config, name: &str) -> Result<Vec<Timeline>, String> {
+    let Some(index) = config.classes.iter().position(|c| c.name == name) else {
         let known: Vec<&str> = config.classes.iter().map(|c| c.name.as_str()).collect();
         return Err(format!(
-            "no class {name:?}: {}",
+            "there is no class {name:?}: {}",
             badgerramp_toml_diagnostics::suggest_names(name, &known)
         ));
     };
-    let class = &config.classes[place];
-    let course = |timing: &Timing| steps(timing, class.class.idempotency, class.class.deadline);
-    let mut courses = vec![Course {
+    let class = &config.classes[index];
+    let events =
+        |timing: &Timing| timeline_events(timing, class.class.idempotency, class.class.deadline);
+    let mut timelines = vec![Timeline {
         route: None,
-        steps: course(&class.timing),
+        events: events(&class.timing),
     }];
     for route in config
         .routes
         .routes()
         .iter()
-        .filter(|r| r.class == place && r.timing != class.timing)
+        .filter(|r| r.class == index && r.timing != class.timing)
     {
-        courses.push(Course {
+        timelines.push(Timeline {
             route: Some(route.name.clone()),
-            steps: course(&route.timing),
+            events: events(&route.timing),
         });
     }
-    Ok(courses)
+    Ok(timelines)
 }
 
-fn steps(timing: &Timing, repeat: Idempotency, deadline: Micros) -> Vec<Step> {
-    let mut steps = Vec::new();
-    let mut add = |at_us: Micros, what: String| steps.push(Step { at_us, what });
-    let only_proven =
-        repeat == Idempotency::NonIdempotent || timing.retry_on == RetryOn::NotExecuted;
+fn timeline_events(
+    timing: &Timing,
+    idempotency: Idempotency,
+    deadline: Micros,
+) -> Vec<TimelineEvent> {
+    let mut events = Vec::new();
+    let mut add =
+        |at_us: Micros, description: String| events.push(TimelineEvent { at_us, description });
+    let requires_proof =
+        idempotency == Idempotency::NonIdempotent || timing.retry_on == RetryOn::NotExecuted;
     let mut at = 0;
     for number in 1..=timing.attempts {
         if at >= timing.total {
             break;
         }
-        let condition = match (number, repeat) {
+        let condition = match (number, idempotency) {
             (1, _) => "",
-            _ if only_proven => ", if all before it provably never ran",
-            (_, Idempotency::Keyed { .. }) => ", if it is keyed, within its group",
-            _ => ", if none before it was served",
+            _ if requires_proof => ", if all earlier attempts provably never ran",
+            (_, Idempotency::Keyed { .. }) => ", if the request has a key, within its group",
+            _ => ", if no earlier attempt was served",
         };
-        if let Idempotency::Keyed { window, .. } = repeat {
+        if let Idempotency::Keyed { window, .. } = idempotency {
             if number > 1 && at >= window {
                 add(
                     at,
-                    "the window is over: nothing goes out that may have run".to_owned(),
+                    "the deduplication window is over: a call that may have run is not retried"
+                        .to_owned(),
                 );
                 break;
             }
@@ -355,7 +370,7 @@
         add(
             at,
             format!(
-                "attempt {number} goes out{condition}; its connection is up within {}",
+                "attempt {number} starts{condition}; its connection is established within {}",
                 format_duration(timing.connect)
             ),
         );
@@ -364,17 +379,17 @@
                 Hedge::Never => {}
                 Hedge::Auto => add(
                     at,
-                    "a second copy may follow, as late as can be in time".to_owned(),
+                    "a second copy may follow, as late as it can still be in time".to_owned(),
                 ),
                 Hedge::After(wait) => add(
                     at + wait,
-                    "a second copy goes out, if no answer has come".to_owned(),
+                    "a second copy is sent if there is no response".to_owned(),
                 ),
                 Hedge::Quantile(share) => {
                     add(
                         at,
                         format!(
-                            "a second copy may follow once {}% of answers would have come",
+                            "a second copy may follow once {}% of responses would have arrived",
                             share * 100.0
                         ),
                     );
@@ -385,29 +400,31 @@
         add(end, format!("attempt {number} has ended"));
         at = end.saturating_add(timing.backoff);
     }
-    add(
-        timing.total,
-        "the final answer has gone out at the latest".to_owned(),
-    );
+    add(timing.total, "the final response has been sent".to_owned());
     add(
         deadline,
         format!(
-            "the client gives up; {} were kept for the answer's way",
+            "the client gives up; {} were reserved for sending the response",
             format_duration(RESPONSE_RESERVE)
         ),
     );
-    steps
+    events
 }
 
-impl Course {
-    /// For people.
+impl Timeline {
+    /// Formats the timeline for people.
     pub fn human(&self) -> String {
         let mut text = match &self.route {
-            Some(route) => format!("by route {route:?}\n"),
-            None => "by the class itself\n".to_owned(),
+            Some(route) => format!("route {route:?}\n"),
+            None => "the class itself\n".to_owned(),
         };
-        for step in &self.steps {
-            let _ = writeln!(text, "  {:>14}  {}", format_duration(step.at_us), step.what);
+        for event in &self.events {
+            let _ = writeln!(
+                text,
+                "  {:>14}  {}",
+                format_duration(event.at_us),
+                event.description
+            );
         }
         text
     }
--- a/crates/config-tool/src/finding.rs
+++ b/crates/config-tool/src/finding.rs
@@ -1,4 +1,4 @@
-//! What is wrong in a set of files, with all places that have to do with it, and how that is told.
+//! Findings of the checks over a set of files, with all related locations, and their output as text and JSON.
 
 use badgerramp_toml_diagnostics::{Diagnostic, Span};
 use codespan_reporting::diagnostic::{Diagnostic as CodespanDiagnostic, Label};
@@ -8,21 +8,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Write;
 
-/// A place in one of the files of a [`Report`].
+/// A location in one of the files of a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Place {
-    /// Which file, by its number in the report.
+pub struct Location {
+    /// Index of the file in [`Report::files`].
     pub file: usize,
-    /// Where it begins, in bytes.
+    /// Byte offset of its start.
     pub start: usize,
-    /// Where it ends.
+    /// Byte offset of its end.
     pub end: usize,
 }
 
-impl Place {
-    /// A place in a file.
+impl Location {
+    /// Creates the location of a span in a file.
     pub fn new(file: usize, span: &Span) -> Self {
-        Place {
+        Location {
             file,
             start: span.start,
             end: span.end,
@@ -30,12 +30,12 @@
     }
 }
 
-/// One thing that is wrong.
+/// One problem that a check found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Its kind: a stable word.
+    /// The kind of problem, as a stable identifier.
     pub code: &'static str,
-    /// The key that it is about.
+    /// The key that is wrong.
     pub key: String,
     /// What is wrong.
     pub reason: String,
@@ -43,50 +43,50 @@
     pub found: String,
     /// What is allowed.
     pub allowed: String,
-    /// Where.
-    pub place: Place,
-    /// What else has to do with it.
-    pub related: Vec<(Place, String)>,
-    /// The applications that it reaches.
+    /// Where the key is.
+    pub location: Location,
+    /// Related locations, each with a message.
+    pub related: Vec<(Location, String)>,
+    /// The applications that are affected.
     pub apps: BTreeSet<String>,
 }
 
 impl Finding {
-    /// A mistake of a single file.
-    pub fn of_mistake(file: usize, mistake: &Diagnostic, app: Option<&str>) -> Self {
+    /// Converts a diagnostic of a single file.
+    pub fn from_diagnostic(file: usize, diagnostic: &Diagnostic, app: Option<&str>) -> Self {
         Finding {
             code: "file",
-            key: mistake.key.clone(),
-            reason: mistake.reason.clone(),
-            found: mistake.found.clone(),
-            allowed: mistake.allowed.clone(),
-            place: Place::new(file, &mistake.span),
-            related: mistake
+            key: diagnostic.key.clone(),
+            reason: diagnostic.reason.clone(),
+            found: diagnostic.found.clone(),
+            allowed: diagnostic.allowed.clone(),
+            location: Location::new(file, &diagnostic.span),
+            related: diagnostic
                 .related
                 .iter()
-                .map(|other| (Place::new(file, &other.span), other.message.clone()))
+                .map(|other| (Location::new(file, &other.span), other.message.clone()))
                 .collect(),
             apps: app.map(str::to_owned).into_iter().collect(),
         }
     }
 }
 
-/// Files and all that is wrong with them.
+/// The files that were checked and all findings.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Names and texts.
+    /// Names and contents of the files.
     pub files: Vec<(String, String)>,
-    /// What is wrong.
+    /// All findings.
     pub findings: Vec<Finding>,
-    /// What is worth knowing and no mistake.
+    /// Information that is not a finding.
     pub notes: Vec<String>,
 }
 
-/// Applications that are named in words; of more than that the number is told.
-const NAMED_MOST: usize = 5;
+/// The most applications that are listed by name; of the others, only the number is shown.
+const MAX_NAMED_APPLICATIONS: usize = 5;
 
 #[derive(Serialize)]
-struct JsonPlace<'r> {
+struct JsonLocation<'r> {
     file: &'r str,
     line: usize,
     column: usize,
@@ -102,8 +102,8 @@
     found: &'r str,
     allowed: &'r str,
     applications: &'r BTreeSet<String>,
-    place: JsonPlace<'r>,
-    related: Vec<JsonPlace<'r>>,
+    place: JsonLocation<'r>,
+    related: Vec<JsonLocation<'r>>,
 }
 
 #[derive(Serialize)]
@@ -115,21 +115,23 @@
 }
 
 impl Report {
-    /// Is nothing wrong?
-    pub fn good(&self) -> bool {
+    /// Whether there are no findings.
+    pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Takes a file in and tells its number.
-    pub fn file(&mut self, name: impl Into<String>, text: impl Into<String>) -> usize {
+    /// Adds a file and returns its index.
+    pub fn add_file(&mut self, name: impl Into<String>, text: impl Into<String>) -> usize {
         self.files.push((name.into(), text.into()));
         self.files.len() - 1
     }
 
-    /// The same thing in many files, or at one place for many applications, is told once.
+    /// Merges findings that are the same in many files, or at one location for many applications, and sorts all by
+    /// location.
     pub fn merge(&mut self) {
         let mut merged: Vec<Finding> = Vec::new();
-        let mut known: HashMap<(&'static str, String, String, String), usize> = HashMap::new();
+        let mut first_by_id: HashMap<(&'static str, String, String, String), usize> =
+            HashMap::new();
         for finding in std::mem::take(&mut self.findings) {
             let id = (
                 finding.code,
@@ -137,22 +139,22 @@
                 finding.reason.clone(),
                 finding.found.clone(),
             );
-            match known.get(&id) {
+            match first_by_id.get(&id) {
                 Some(&first) => merged[first].apps.extend(finding.apps),
                 None => {
-                    known.insert(id, merged.len());
+                    first_by_id.insert(id, merged.len());
                     merged.push(finding);
                 }
             }
         }
-        merged.sort_by(|a, b| (&a.place, &a.key).cmp(&(&b.place, &b.key)));
+        merged.sort_by(|a, b| (&a.location, &a.key).cmp(&(&b.location, &b.key)));
         self.findings = merged;
     }
 
-    /// Line and column of a place, from 1.
-    pub fn line_of(&self, place: &Place) -> (usize, usize) {
-        let text = self.files.get(place.file).map_or("", |f| f.1.as_str());
-        let before = text.get(..place.start).unwrap_or_default();
+    /// Line and column of a location, both starting at 1.
+    pub fn line_and_column(&self, location: &Location) -> (usize, usize) {
+        let text = self.files.get(location.file).map_or("", |f| f.1.as_str());
+        let before = text.get(..location.start).unwrap_or_default();
         let line = before.rfind('\n').map_or(0, |at| at + 1);
         (
             before.matches('\n').count() + 1,
@@ -160,7 +162,7 @@
         )
     }
 
-    /// For people, with excerpts.
+    /// Formats the report for people, with excerpts of the files.
     pub fn human(&self) -> String {
         let mut files = SimpleFiles::new();
         for (name, text) in &self.files {
@@ -170,11 +172,13 @@
             chars: Chars::ascii(),
             ..term::Config::default()
         };
-        let mut told = String::new();
+        let mut output = String::new();
         for finding in &self.findings {
-            let range = |p: &Place| p.start..p.end;
-            let mut labels = vec![Label::primary(finding.place.file, range(&finding.place))
-                .with_message(format!("found {}", finding.found))];
+            let range = |p: &Location| p.start..p.end;
+            let mut labels = vec![
+                Label::primary(finding.location.file, range(&finding.location))
+                    .with_message(format!("found {}", finding.found)),
+            ];
             labels.extend(
                 finding
                     .related
@@ -183,7 +187,7 @@
             );
             let mut notes = vec![format!("allowed: {}", finding.allowed)];
             if !finding.apps.is_empty() {
-                notes.push(format!("reaches: {}", names(&finding.apps)));
+                notes.push(format!("affects: {}", format_names(&finding.apps)));
             }
             let diagnostic = CodespanDiagnostic::error()
                 .with_code(finding.code)
@@ -191,24 +195,24 @@
                 .with_labels(labels)
                 .with_notes(notes);
             match term::emit_into_string(&config, &files, &diagnostic) {
-                Ok(text) => told += &text,
-                // A place that lies in no text still has its reason told.
+                Ok(text) => output += &text,
+                // A finding whose location is outside its file is shown without an excerpt.
                 Err(_) => {
-                    let _ = writeln!(told, "error: {}: {}", finding.key, finding.reason);
+                    let _ = writeln!(output, "error: {}: {}", finding.key, finding.reason);
                 }
             }
         }
         for note in &self.notes {
-            let _ = writeln!(told, "note: {note}");
+            let _ = writeln!(output, "note: {note}");
         }
-        told
+        output
     }
 
-    /// For machines; the form is stable within its `version`.
+    /// Formats the report as JSON. The format is stable within its `version`.
     pub fn json(&self) -> String {
-        let place = |p: &Place| {
-            let (line, column) = self.line_of(p);
-            JsonPlace {
+        let location = |p: &Location| {
+            let (line, column) = self.line_and_column(p);
+            JsonLocation {
                 file: self.files.get(p.file).map_or("", |f| f.0.as_str()),
                 line,
                 column,
@@ -222,19 +226,19 @@
             found: &f.found,
             allowed: &f.allowed,
             applications: &f.apps,
-            place: place(&f.place),
+            place: location(&f.location),
             related: f
                 .related
                 .iter()
-                .map(|(p, what)| JsonPlace {
+                .map(|(p, what)| JsonLocation {
                     what: Some(what),
-                    ..place(p)
+                    ..location(p)
                 })
                 .collect(),
         });
         let json = Json {
             version: 1,
-            good: self.good(),
+            good: self.is_clean(),
             findings: findings.collect(),
             notes: &self.notes,
         };
@@ -243,14 +247,18 @@
     }
 }
 
-/// A few names, or how many there are.
-pub fn names(apps: &BTreeSet<String>) -> String {
-    let few: Vec<&str> = apps.iter().take(NAMED_MOST).map(String::as_str).collect();
+/// Formats application names: the first few, and the number of the others.
+pub fn format_names(apps: &BTreeSet<String>) -> String {
+    let few: Vec<&str> = apps
+        .iter()
+        .take(MAX_NAMED_APPLICATIONS)
+        .map(String::as_str)
+        .collect();
     match apps.len() {
-        n if n > NAMED_MOST => format!(
+        n if n > MAX_NAMED_APPLICATIONS => format!(
             "{} and {} more applications",
             few.join(", "),
-            n - NAMED_MOST
+            n - MAX_NAMED_APPLICATIONS
         ),
         _ => few.join(", "),
     }
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The policy of a fleet, by its control: published, looked at, taken back. What is in force is control's word alone.
+//! Publishes, inspects and rolls back the policy of a fleet through its control plane. Only the control plane decides
+//! which policy is in force.
 
 use badgerramp_control_protocol::wire::{
     self, change::Status as ChangeStatus, rejection, reply, request,
@@ -11,131 +12,142 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// How often a change that is under way is looked at.
-const LOOK: Duration = Duration::from_millis(30);
-/// One question is given up after this.
-const QUESTION: Duration = Duration::from_secs(2);
+/// How often the status of a change under way is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// Timeout of one request to the control plane.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a change stands that has not ended.
+/// Outcome of a change that has not ended.
 const UNDER_WAY: &str = "under way";
 
-/// Where control is.
+/// How to reach the control plane.
 #[derive(Debug, clap::Args)]
-pub struct At {
-    /// A replica of control; once for each, or with commas between.
+pub struct ControlArgs {
+    /// A replica of the control plane; repeat the option or separate several with commas.
     #[arg(long, required = true, value_delimiter = ',', value_name = "ADDR")]
     pub control: Vec<SocketAddr>,
-    /// The file with the secret that the fleet shares.
+    /// The file that contains the fleet's shared secret.
     #[arg(long, value_name = "FILE")]
     pub secret: PathBuf,
-    /// For how many seconds control is waited for, and a change followed.
+    /// How many seconds to wait for the control plane, or for the outcome of a change.
     #[arg(long, default_value_t = 120, value_parser = clap::value_parser!(u64).range(1..=86_400))]
     pub timeout: u64,
 }
 
-/// Which regions a change is for.
+/// The regions that a change applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Scope {
-    /// The region of the control that is asked; all proxies, where control has no regions.
+    /// The region of the given replicas; all proxies if the control plane has no regions.
     #[default]
     Region,
-    /// All regions: in force in each of them, or in none.
+    /// All regions: the change is in force in each of them or in none.
     All,
 }
 
-/// How a change ended, as far as is known.
+/// The outcome of a change, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Every proxy that takes calls takes them under it.
+    /// Every proxy that admits calls admits them under the change.
     InForce,
-    /// No call ever began under it, and none will.
+    /// No call was ever admitted under the change, and none will be.
     NotInForce,
-    /// Control could not be asked, or has not ended it yet. It becomes one of the two by itself.
+    /// The control plane was unreachable or has not ended the change yet. The change will become one of the other two
+    /// without further requests.
     NotKnown,
 }
 
-/// One that holds a change up.
+/// A proxy or region that holds up a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Held {
-    /// Which proxy; `None`: any, or a region.
+pub struct Blocker {
+    /// The proxy; `None` if any proxy or a region holds up the change.
     pub proxy: Option<String>,
-    /// Which region, if it is no proxy.
+    /// The region, if it is not a proxy that holds up the change.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub region: Option<String>,
-    /// Why.
-    pub why: String,
-    /// For how long at the most, in milliseconds; `None`: until it is heard of, evicted, or the change given up.
-    pub left_ms: Option<u64>,
+    /// Why the change has to wait.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The longest remaining wait in milliseconds; `None` if it only ends when the blocker responds, is evicted, or the
+    /// change is aborted.
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: Option<u64>,
 }
 
-/// What a change came to.
+/// The result of publishing a policy.
 #[derive(Clone, Debug, Serialize)]
-pub struct Done {
-    /// How it ended.
+pub struct PublishResult {
+    /// The outcome of the change.
     pub outcome: Outcome,
-    /// Its number, once it has one.
+    /// The generation of the change, if one was assigned.
     pub generation: Option<u64>,
-    /// Why it is not in force, or not known.
-    pub why: String,
-    /// Who held it up when it was last looked at.
-    pub held_up: Vec<Held>,
-    /// From the first question to its end, in milliseconds.
-    pub took_ms: u64,
+    /// Why the change is not in force, or its outcome is not known.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The blockers of the change when its status was last polled.
+    #[serde(rename = "held_up")]
+    pub blockers: Vec<Blocker>,
+    /// Time from the first request to the end of the change, in milliseconds.
+    #[serde(rename = "took_ms")]
+    pub elapsed_ms: u64,
 }
 
-/// A proxy that control knows.
+/// A proxy that the control plane knows.
 #[derive(Clone, Debug, Serialize)]
 pub struct Proxy {
     /// Its name.
     pub name: String,
-    /// This start of it.
+    /// Its incarnation, in hexadecimal.
     pub incarnation: String,
-    /// The revision that it acts under; 0: not told yet.
-    pub acting: u64,
-    /// What it does when cut off.
-    pub cut_off: &'static str,
+    /// The revision that it last reported as active; 0 if it has not reported any.
+    #[serde(rename = "acting")]
+    pub active_revision: u64,
+    /// What it does when it loses its lease.
+    #[serde(rename = "cut_off")]
+    pub on_lease_loss: &'static str,
 }
 
-/// A change that is remembered.
+/// A change in the control plane's history.
 #[derive(Clone, Debug, Serialize)]
 pub struct Change {
     /// Its generation.
     pub generation: u64,
-    /// The generation in force before.
-    pub from: u64,
-    /// How it ended.
+    /// The generation that was in force before.
+    #[serde(rename = "from")]
+    pub previous_generation: u64,
+    /// Its outcome.
     pub outcome: &'static str,
-    /// Why not.
-    pub why: String,
-    /// Identifies it, if it is a change of all regions.
+    /// Why it is not in force.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The identifier of the change of all regions that it belongs to, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub all_regions: Option<String>,
 }
 
-/// The region of the control that was asked.
+/// The region of the queried control plane.
 #[derive(Clone, Debug, Serialize)]
-pub struct RegionStanding {
+pub struct RegionStatus {
     /// Its name.
     pub name: String,
     /// The region that coordinates changes of all regions.
     pub coordinator: String,
-    /// The change of all regions under way, or in force and not acknowledged by all regions.
+    /// The change of all regions that is under way, or in force but not acknowledged by all regions.
     pub change: Option<AllRegionsChange>,
 }
 
-/// A change of all regions, as one of them knows it.
+/// The state of a change of all regions in the queried region.
 #[derive(Clone, Debug, Serialize)]
 pub struct AllRegionsChange {
-    /// Identifies it; the same in all regions.
+    /// Its identifier, which is the same in all regions.
     pub id: String,
-    /// Its generation in the region that was asked.
+    /// Its generation in the queried region.
     pub generation: u64,
     /// The region that coordinates it.
     pub coordinator: String,
-    /// The region that was asked has voted, and only the coordinator can end it.
+    /// Whether the queried region has voted, so that only the coordinator can end the change.
     pub voted: bool,
-    /// The other regions, where the region that was asked coordinates.
+    /// The other regions, if the queried region is the coordinator.
     pub participants: Vec<Participant>,
 }
 
@@ -144,69 +156,71 @@
 pub struct Participant {
     /// Its name.
     pub region: String,
-    /// It has voted that it is prepared.
+    /// Whether it has voted that it is prepared.
     pub prepared: bool,
-    /// It has taken the commit into its log.
+    /// Whether it has logged the commit.
     pub acknowledged: bool,
 }
 
-/// How the fleet stands.
+/// The status of the fleet.
 #[derive(Clone, Debug, Serialize)]
-pub struct Standing {
-    /// Where the leader is.
+pub struct FleetStatus {
+    /// The address of the leader.
     pub leader: String,
-    /// The generation in force; `None`: there is no policy yet.
+    /// The generation in force; `None` before the first policy.
     pub in_force: Option<u64>,
-    /// The one that is to come.
-    pub to_come: Option<u64>,
-    /// The revision.
+    /// The generation of the change under way.
+    #[serde(rename = "to_come")]
+    pub pending_generation: Option<u64>,
+    /// The revision of the policy state.
     pub revision: u64,
-    /// Who holds the change under way up.
-    pub held_up: Vec<Held>,
-    /// Proxies with a lease, or that may act without one.
+    /// The blockers of the change under way.
+    #[serde(rename = "held_up")]
+    pub blockers: Vec<Blocker>,
+    /// Proxies that have a lease or may admit calls without one.
     pub proxies: Vec<Proxy>,
-    /// Changes, the oldest first.
+    /// The recent changes, oldest first.
     pub changes: Vec<Change>,
-    /// The region; `None`: control has no regions.
+    /// The queried region; `None` if the control plane has no regions.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub region: Option<RegionStanding>,
+    pub region: Option<RegionStatus>,
 }
 
-/// An identifier of a change of all regions, as operators see it.
-fn change_id(id: u64) -> String {
+/// Formats the identifier of a change of all regions.
+fn format_change_id(id: u64) -> String {
     format!("{id:016x}")
 }
 
-impl From<&wire::RegionStatus> for RegionStanding {
-    fn from(told: &wire::RegionStatus) -> Self {
-        let (name, coordinator) = (told.name.clone(), told.coordinator.clone());
-        RegionStanding {
+impl From<&wire::RegionStatus> for RegionStatus {
+    fn from(status: &wire::RegionStatus) -> Self {
+        let (name, coordinator) = (status.name.clone(), status.coordinator.clone());
+        RegionStatus {
             name,
             coordinator,
-            change: told.change.as_ref().map(AllRegionsChange::from),
+            change: status.change.as_ref().map(AllRegionsChange::from),
         }
     }
 }
 
 impl From<&wire::CrossRegion> for AllRegionsChange {
-    fn from(told: &wire::CrossRegion) -> Self {
+    fn from(status: &wire::CrossRegion) -> Self {
         let participant = |p: &wire::ParticipantStatus| Participant {
             region: p.region.clone(),
             prepared: p.prepared,
             acknowledged: p.acknowledged,
         };
         AllRegionsChange {
-            id: change_id(told.id),
-            generation: told.generation,
-            coordinator: told.coordinator.clone(),
-            voted: told.voted,
-            participants: told.participants.iter().map(participant).collect(),
+            id: format_change_id(status.id),
+            generation: status.generation,
+            coordinator: status.coordinator.clone(),
+            voted: status.voted,
+            participants: status.participants.iter().map(participant).collect(),
         }
     }
 }
 
-impl RegionStanding {
-    /// As text.
+impl RegionStatus {
+    /// Formats it for people.
     fn human(&self) -> String {
         let mut text = format!("region {}, coordinator {}\n", self.name, self.coordinator);
         let Some(change) = &self.change else {
@@ -224,7 +238,7 @@
         );
         match (coordinator == &self.name, change.voted) {
             (true, _) => change.participants.iter().for_each(|p| {
-                let _ = writeln!(text, "  region {}: {}", p.region, p.step());
+                let _ = writeln!(text, "  region {}: {}", p.region, p.progress());
             }),
             (false, true) => {
                 let _ = writeln!(
@@ -244,32 +258,32 @@
 }
 
 impl Participant {
-    /// How far it is.
-    fn step(&self) -> &'static str {
+    /// Its progress in the change.
+    fn progress(&self) -> &'static str {
         match (self.prepared, self.acknowledged) {
             (false, _) => "not prepared yet",
             (true, false) => "prepared",
-            (true, true) => "has acknowledged",
+            (true, true) => "acknowledged",
         }
     }
 }
 
-fn held(blockers: &[wire::Blocker]) -> Vec<Held> {
-    let one = |b: &wire::Blocker| Held {
+fn blockers_from_wire(blockers: &[wire::Blocker]) -> Vec<Blocker> {
+    let blocker = |b: &wire::Blocker| Blocker {
         proxy: b
             .identity
             .as_ref()
             .map(|i| format!("{} ({:016x})", i.name, i.incarnation)),
         region: Some(b.region.clone()).filter(|region| !region.is_empty()),
-        why: b.reason.clone(),
-        left_ms: (b.remaining > 0).then_some(b.remaining / 1_000),
+        reason: b.reason.clone(),
+        remaining_ms: (b.remaining > 0).then_some(b.remaining / 1_000),
     };
-    blockers.iter().map(one).collect()
+    blockers.iter().map(blocker).collect()
 }
 
-impl Standing {
-    fn of(status: &wire::Status) -> Self {
-        let cut_off = |p: &wire::Proxy| match p.on_lease_loss() {
+impl FleetStatus {
+    fn from_wire(status: &wire::Status) -> Self {
+        let on_lease_loss = |p: &wire::Proxy| match p.on_lease_loss() {
             wire::OnLeaseLoss::Fallback => "narrow",
             wire::OnLeaseLoss::Keep => "keep",
             wire::OnLeaseLoss::Reject | wire::OnLeaseLoss::Unspecified => "refuse",
@@ -280,8 +294,8 @@
             Proxy {
                 name: identity.name,
                 incarnation,
-                acting: p.active_revision,
-                cut_off: cut_off(p),
+                active_revision: p.active_revision,
+                on_lease_loss: on_lease_loss(p),
             }
         };
         let change = |c: &wire::Change| {
@@ -290,134 +304,142 @@
                 ChangeStatus::Aborted => "not in force",
                 ChangeStatus::Pending | ChangeStatus::Unspecified => UNDER_WAY,
             };
-            let all_regions = (c.cross_region_id != 0).then(|| change_id(c.cross_region_id));
+            let all_regions = (c.cross_region_id != 0).then(|| format_change_id(c.cross_region_id));
             Change {
                 generation: c.generation,
-                from: c.previous_generation,
+                previous_generation: c.previous_generation,
                 outcome,
-                why: c.reason.clone(),
+                reason: c.reason.clone(),
                 all_regions,
             }
         };
         let mode = status.mode;
-        Standing {
+        FleetStatus {
             leader: status.leader.clone(),
             in_force: mode.map(|m| m.old),
-            to_come: mode.filter(|m| m.old != m.new).map(|m| m.new),
+            pending_generation: mode.filter(|m| m.old != m.new).map(|m| m.new),
             revision: status.revision,
-            held_up: held(&status.blockers),
+            blockers: blockers_from_wire(&status.blockers),
             proxies: status.proxies.iter().map(proxy).collect(),
             changes: status.changes.iter().map(change).collect(),
-            region: status.region.as_ref().map(RegionStanding::from),
+            region: status.region.as_ref().map(RegionStatus::from),
         }
     }
 
-    /// As text.
+    /// Formats it for people.
     pub fn human(&self) -> String {
-        let mut text = match (self.in_force, self.to_come) {
+        let mut text = match (self.in_force, self.pending_generation) {
             (None, _) => "no policy yet\n".to_owned(),
             (Some(old), None) => format!("generation {old} is in force\n"),
             (Some(old), Some(new)) => {
-                format!("between generation {old}, in force, and {new}, which is to come\n")
+                format!(
+                    "generation {old} is in force, the change to generation {new} is under way\n"
+                )
             }
         };
         let _ = writeln!(text, "leader {}, revision {}", self.leader, self.revision);
-        text.extend(self.region.as_ref().map(RegionStanding::human));
-        for held in &self.held_up {
-            let _ = writeln!(text, "held up by {}", held.human());
+        text.extend(self.region.as_ref().map(RegionStatus::human));
+        for blocker in &self.blockers {
+            let _ = writeln!(text, "held up by {}", blocker.human());
         }
         let behind = self
             .proxies
             .iter()
-            .filter(|p| p.acting < self.revision)
+            .filter(|p| p.active_revision < self.revision)
             .count();
         let _ = writeln!(
             text,
-            "{} proxies, {behind} that have not told of this revision yet",
+            "{} proxies, {behind} of which have not reported this revision yet",
             self.proxies.len()
         );
         for proxy in &self.proxies {
             let (name, incarnation) = (&proxy.name, &proxy.incarnation);
             let _ = writeln!(
                 text,
-                "  {name} ({incarnation}) at {}, cut off: {}",
-                proxy.acting, proxy.cut_off
+                "  {name} ({incarnation}) at revision {}, on lease loss: {}",
+                proxy.active_revision, proxy.on_lease_loss
             );
         }
         text
     }
 
-    /// Its changes as text.
+    /// Formats the recent changes for people.
     pub fn history(&self) -> String {
         let mut text = String::new();
         for change in &self.changes {
             let _ = write!(
                 text,
                 "generation {}, after {}: {}",
-                change.generation, change.from, change.outcome
+                change.generation, change.previous_generation, change.outcome
             );
             if let Some(id) = &change.all_regions {
                 let _ = write!(text, " (all regions, {id})");
             }
-            let _ = if change.why.is_empty() {
+            let _ = if change.reason.is_empty() {
                 writeln!(text)
             } else {
-                writeln!(text, ": {}", change.why)
+                writeln!(text, ": {}", change.reason)
             };
         }
         text
     }
 }
 
-impl Held {
-    /// As text.
+impl Blocker {
+    /// Formats it for people.
     pub fn human(&self) -> String {
         let region = self
             .region
             .as_ref()
             .map(|region| format!("region {region}"));
-        let who = region
+        let blocker = region
             .or_else(|| self.proxy.clone())
             .unwrap_or_else(|| "any proxy".to_owned());
-        match self.left_ms {
-            Some(left) => format!("{who}: {} (at most {left} ms more)", self.why),
-            None => format!("{who}: {}", self.why),
+        match self.remaining_ms {
+            Some(remaining) => format!("{blocker}: {} (at most {remaining} ms more)", self.reason),
+            None => format!("{blocker}: {}", self.reason),
         }
     }
 }
 
-/// The way to control.
-pub struct Control {
+/// A client of the control plane.
+pub struct ControlClient {
     client: Client,
     secret: SharedSecret,
-    time: Duration,
+    /// How long to wait for the control plane, or for the outcome of a change.
+    timeout: Duration,
 }
 
+/// Contents of the applications' files by application name.
 type Files = HashMap<String, String>;
 
-impl Control {
-    /// The way there.
+impl ControlClient {
+    /// Creates a client.
     ///
     /// # Errors
-    /// If the secret is none.
-    pub fn new(at: &At) -> Result<Self, String> {
-        let secret =
-            SharedSecret::read(&at.secret).map_err(|e| format!("{}: {e}", at.secret.display()))?;
-        let client = Client::new(at.control.clone(), secret.clone(), QUESTION);
-        Ok(Control {
+    /// Returns a message if the file of the shared secret can't be read or is invalid.
+    pub fn new(control_args: &ControlArgs) -> Result<Self, String> {
+        let secret = SharedSecret::read(&control_args.secret)
+            .map_err(|e| format!("{}: {e}", control_args.secret.display()))?;
+        let client = Client::new(
+            control_args.control.clone(),
+            secret.clone(),
+            REQUEST_TIMEOUT,
+        );
+        Ok(ControlClient {
             client,
             secret,
-            time: Duration::from_secs(at.timeout),
+            timeout: Duration::from_secs(control_args.timeout),
         })
     }
 
-    async fn asked(&mut self, what: request::Kind) -> Result<reply::Kind, ClientError> {
-        self.client.call_with_retry(&what, self.time).await
+    async fn call(&mut self, request: request::Kind) -> Result<reply::Kind, ClientError> {
+        self.client.call_with_retry(&request, self.timeout).await
     }
 
-    async fn raw_status(&mut self) -> Result<wire::Status, ClientError> {
+    async fn wire_status(&mut self) -> Result<wire::Status, ClientError> {
         match self
-            .asked(request::Kind::Status(wire::StatusRequest {}))
+            .call(request::Kind::Status(wire::StatusRequest {}))
             .await?
         {
             reply::Kind::Status(status) => Ok(status),
@@ -425,211 +447,220 @@
         }
     }
 
-    /// How the fleet stands.
+    /// Queries the status of the fleet.
     ///
     /// # Errors
-    /// If control can't be asked.
-    pub async fn standing(&mut self) -> Result<Standing, ClientError> {
-        Ok(Standing::of(&self.raw_status().await?))
+    /// Returns an error if the control plane can't be reached.
+    pub async fn status(&mut self) -> Result<FleetStatus, ClientError> {
+        Ok(FleetStatus::from_wire(&self.wire_status().await?))
     }
 
-    /// From now on asks the region that coordinates changes of all regions. Tells its name.
+    /// Directs all further requests to the region that coordinates changes of all regions, and returns its name.
     ///
     /// # Errors
-    /// If control can't be asked, or has no regions.
-    pub async fn go_to_coordinator(&mut self) -> Result<String, String> {
-        let status = self.raw_status().await.map_err(|e| e.to_string())?;
+    /// Returns a message if the control plane can't be reached or has no regions.
+    pub async fn use_coordinator(&mut self) -> Result<String, String> {
+        let status = self.wire_status().await.map_err(|e| e.to_string())?;
         let region = status
             .region
-            .ok_or("control has no regions: the scope can only be \"region\"")?;
+            .ok_or("the control plane has no regions: the scope can only be \"region\"")?;
         if !region.coordinator_replicas.is_empty() {
-            self.go_to(&region.coordinator_replicas)?;
+            self.use_replicas(&region.coordinator_replicas)?;
         }
         Ok(region.coordinator)
     }
 
-    /// From now on asks these replicas.
-    fn go_to(&mut self, replicas: &[String]) -> Result<(), String> {
+    /// Directs all further requests to these replicas.
+    fn use_replicas(&mut self, replicas: &[String]) -> Result<(), String> {
         let address = |text: &String| {
             text.parse()
-                .map_err(|_| format!("{text:?} is no address of a replica"))
+                .map_err(|_| format!("{text:?} is not the address of a replica"))
         };
         let replicas: Vec<SocketAddr> = replicas
             .iter()
             .map(address)
             .collect::<Result<_, String>>()?;
-        self.client = Client::new(replicas, self.secret.clone(), QUESTION);
+        self.client = Client::new(replicas, self.secret.clone(), REQUEST_TIMEOUT);
         Ok(())
     }
 
-    /// The files of a generation by application.
+    /// Fetches the files of a generation.
     ///
     /// # Errors
-    /// If control can't be asked, or has them no more.
+    /// Returns an error if the control plane can't be reached or no longer stores the generation.
     pub async fn files(&mut self, generation: u64) -> Result<Files, ClientError> {
-        let text = wire::PolicyFiles {
+        let request = wire::PolicyFiles {
             generation,
             files: HashMap::new(),
         };
-        match self.asked(request::Kind::PolicyFiles(text)).await? {
-            reply::Kind::PolicyFiles(text) => Ok(text.files),
+        match self.call(request::Kind::PolicyFiles(request)).await? {
+            reply::Kind::PolicyFiles(reply) => Ok(reply.files),
             _ => Err(UnexpectedReply::Not("files").into()),
         }
     }
 
-    /// Takes a proxy that runs no more out of what a change waits for. The operator answers for that.
+    /// Evicts a proxy that no longer runs, so that changes stop waiting for it. The operator is responsible for the claim
+    /// that it no longer runs.
     ///
     /// # Errors
-    /// If control can't be asked, or knows none or several of the name.
+    /// Returns a message if the control plane can't be reached, or knows no proxy or several proxies of this name.
     pub async fn evict(&mut self, name: &str, incarnation: Option<u64>) -> Result<(), String> {
-        let standing = self.standing().await.map_err(|e| e.to_string())?;
-        let word = incarnation.map(|i| format!("{i:016x}"));
-        let known = standing.proxies.iter().filter(|p| p.name == name);
+        let status = self.status().await.map_err(|e| e.to_string())?;
+        let incarnation_text = incarnation.map(|i| format!("{i:016x}"));
+        let known = status.proxies.iter().filter(|p| p.name == name);
         let known: Vec<&Proxy> = known
-            .filter(|p| word.as_ref().is_none_or(|w| *w == p.incarnation))
+            .filter(|p| {
+                incarnation_text
+                    .as_ref()
+                    .is_none_or(|i| *i == p.incarnation)
+            })
             .collect();
-        let [one] = known.as_slice() else {
-            let found: Vec<&str> = known.iter().map(|p| p.incarnation.as_str()).collect();
-            let all: Vec<String> = standing
+        let [proxy] = known.as_slice() else {
+            let incarnations: Vec<&str> = known.iter().map(|p| p.incarnation.as_str()).collect();
+            let all_proxies: Vec<String> = status
                 .proxies
                 .iter()
                 .map(|p| format!("{} {}", p.name, p.incarnation))
                 .collect();
-            return Err(if found.is_empty() {
-                format!("no proxy {name:?}; control knows: {}", all.join(", "))
+            return Err(if incarnations.is_empty() {
+                format!(
+                    "no proxy {name:?}; the control plane knows: {}",
+                    all_proxies.join(", ")
+                )
             } else {
                 format!(
-                    "{name:?} runs more than once: name its start too: {}",
-                    found.join(", ")
+                    "there are several proxies {name:?}: select one by its incarnation: {}",
+                    incarnations.join(", ")
                 )
             });
         };
-        let incarnation = u64::from_str_radix(&one.incarnation, 16).map_err(|e| e.to_string())?;
+        let incarnation = u64::from_str_radix(&proxy.incarnation, 16).map_err(|e| e.to_string())?;
         let identity = wire::Identity {
             name: name.to_owned(),
             incarnation,
         };
-        self.asked(request::Kind::Evict(identity))
+        self.call(request::Kind::Evict(identity))
             .await
             .map(|_| ())
             .map_err(|e| e.to_string())
     }
 
-    /// Gives the change under way up.
+    /// Aborts the change under way and returns its generation.
     ///
     /// # Errors
-    /// If control can't be asked, or there is none.
-    pub async fn abort(&mut self, why: &str) -> Result<u64, String> {
-        let standing = self.standing().await.map_err(|e| e.to_string())?;
-        // Before the first policy is in force, a change of all regions shows among the changes alone.
-        let open = || {
-            standing
+    /// Returns a message if the control plane can't be reached or there is no such change.
+    pub async fn abort(&mut self, reason: &str) -> Result<u64, String> {
+        let status = self.status().await.map_err(|e| e.to_string())?;
+        // Before the first policy is in force, a change of all regions is only listed among the changes.
+        let change_under_way = || {
+            status
                 .changes
                 .iter()
                 .find(|c| c.outcome == UNDER_WAY)
                 .map(|c| c.generation)
         };
-        let generation = standing
-            .to_come
-            .or_else(open)
+        let generation = status
+            .pending_generation
+            .or_else(change_under_way)
             .ok_or("no change is under way")?;
         let abort = wire::Abort {
             generation,
-            reason: why.to_owned(),
+            reason: reason.to_owned(),
         };
-        self.asked(request::Kind::Abort(abort))
+        self.call(request::Kind::Abort(abort))
             .await
             .map_err(|e| e.to_string())?;
         Ok(generation)
     }
 
-    /// Publishes files for the region that is asked, beside what stands at `revision`, and follows the change to its end.
-    /// `told` hears of each who holds it up.
+    /// Publishes files in the queried region, on the condition that its revision is `revision`, and waits for the outcome
+    /// of the change. Calls `on_blockers` whenever the blockers of the change differ from the previous ones.
     pub async fn publish(
         &mut self,
         files: &Files,
         revision: u64,
-        told: impl FnMut(&[Held]),
-    ) -> Done {
-        self.publish_for(Scope::Region, files, revision, told).await
+        on_blockers: impl FnMut(&[Blocker]),
+    ) -> PublishResult {
+        self.publish_for(Scope::Region, files, revision, on_blockers)
+            .await
     }
 
-    /// As [`Control::publish`], for these regions. One of all regions has to go to the coordinator
-    /// ([`Control::go_to_coordinator`]); `revision` is the one there.
+    /// Like [`ControlClient::publish`], for the regions of `scope`. A change of all regions has to be sent to the
+    /// coordinator ([`ControlClient::use_coordinator`]), and `revision` is the coordinator's.
     pub async fn publish_for(
         &mut self,
         scope: Scope,
         files: &Files,
         revision: u64,
-        mut told: impl FnMut(&[Held]),
-    ) -> Done {
-        let begun = Instant::now();
-        let end = begun + self.time;
-        let took = || u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let mut done = Done {
+        mut on_blockers: impl FnMut(&[Blocker]),
+    ) -> PublishResult {
+        let started = Instant::now();
+        let deadline = started + self.timeout;
+        let elapsed_ms = || u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let mut result = PublishResult {
             outcome: Outcome::NotInForce,
             generation: None,
-            why: String::new(),
-            held_up: Vec::new(),
-            took_ms: 0,
+            reason: String::new(),
+            blockers: Vec::new(),
+            elapsed_ms: 0,
         };
         let policy = wire::Publish {
             files: files.clone(),
             revision,
         };
-        let what = match scope {
+        let request = match scope {
             Scope::Region => request::Kind::Publish(policy),
             Scope::All => request::Kind::PublishAllRegions(policy),
         };
-        // Asked again it changes nothing more: it names the revision that it stands beside.
-        let mut lost = false;
+        // Retrying is safe: the request names the expected revision, so that at most one of its attempts succeeds.
+        let mut reply_lost = false;
         loop {
-            let fault = match self.client.call(&what).await {
-                Ok(reply::Kind::ChangeStarted(number)) => {
-                    done.generation = Some(number.generation);
+            let error = match self.client.call(&request).await {
+                Ok(reply::Kind::ChangeStarted(started)) => {
+                    result.generation = Some(started.generation);
                     break;
                 }
                 Ok(_) => UnexpectedReply::Not("number of a generation").into(),
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            done.why = fault.to_string();
-            match fault {
+            result.reason = error.to_string();
+            match error {
                 ClientError::Rejected(rejection)
                     if rejection.code() == rejection::Code::NotLeader => {}
                 ClientError::Rejected(rejection)
-                    if lost
+                    if reply_lost
                         && [rejection::Code::ChangePending, rejection::Code::Conflict]
                             .contains(&rejection.code()) =>
                 {
-                    match self.own(files, revision).await {
+                    match self.find_started_change(files, revision).await {
                         Ok(Some(generation)) => {
-                            done.generation = Some(generation);
+                            result.generation = Some(generation);
                             break;
                         }
                         Ok(None) => {
-                            done.took_ms = took();
-                            return done;
+                            result.elapsed_ms = elapsed_ms();
+                            return result;
                         }
-                        Err(fault) => done.why = fault.to_string(),
+                        Err(error) => result.reason = error.to_string(),
                     }
                 }
                 ClientError::Rejected(_) => {
-                    done.took_ms = took();
-                    return done;
+                    result.elapsed_ms = elapsed_ms();
+                    return result;
                 }
-                // It may have got there.
-                ClientError::Unavailable(_) | ClientError::UnexpectedReply(_) => lost = true,
+                // The request may have been executed.
+                ClientError::Unavailable(_) | ClientError::UnexpectedReply(_) => reply_lost = true,
             }
-            if Instant::now() >= end {
-                done.outcome = Outcome::NotKnown;
-                done.took_ms = took();
-                return done;
+            if Instant::now() >= deadline {
+                result.outcome = Outcome::NotKnown;
+                result.elapsed_ms = elapsed_ms();
+                return result;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        done.outcome = Outcome::NotKnown;
-        let mut last = Vec::new();
-        while Instant::now() < end {
+        result.outcome = Outcome::NotKnown;
+        let mut last_blocker_ids = Vec::new();
+        while Instant::now() < deadline {
             if let Ok(status) = self
                 .client
                 .call(&request::Kind::Status(wire::StatusRequest {}))
@@ -641,51 +672,57 @@
                 let change = status
                     .changes
                     .iter()
-                    .find(|c| Some(c.generation) == done.generation);
-                let ended = change.map(|c| (c.status(), c.reason.clone()));
-                match ended {
+                    .find(|c| Some(c.generation) == result.generation);
+                let status_and_reason = change.map(|c| (c.status(), c.reason.clone()));
+                match status_and_reason {
                     Some((ChangeStatus::Committed, _)) => {
-                        (done.outcome, done.why) = (Outcome::InForce, String::new());
+                        (result.outcome, result.reason) = (Outcome::InForce, String::new());
                     }
-                    Some((ChangeStatus::Aborted, why)) => {
-                        (done.outcome, done.why) = (Outcome::NotInForce, why);
+                    Some((ChangeStatus::Aborted, reason)) => {
+                        (result.outcome, result.reason) = (Outcome::NotInForce, reason);
                     }
                     Some(_) => {}
                     None => {
-                        done.why =
-                            "control does not know this change: it has lost its store".to_owned();
+                        result.reason =
+                            "the control plane does not know this change: its store was lost"
+                                .to_owned();
                     }
                 }
-                if done.outcome != Outcome::NotKnown {
+                if result.outcome != Outcome::NotKnown {
                     break;
                 }
-                done.held_up = held(&status.blockers);
-                let name = |h: &Held| (h.proxy.clone(), h.region.clone(), h.why.clone());
-                let names: Vec<_> = done.held_up.iter().map(name).collect();
-                if names != last {
-                    told(&done.held_up);
-                    last = names;
+                result.blockers = blockers_from_wire(&status.blockers);
+                let id = |b: &Blocker| (b.proxy.clone(), b.region.clone(), b.reason.clone());
+                let blocker_ids: Vec<_> = result.blockers.iter().map(id).collect();
+                if blocker_ids != last_blocker_ids {
+                    on_blockers(&result.blockers);
+                    last_blocker_ids = blocker_ids;
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        if done.outcome == Outcome::NotKnown && done.why.is_empty() {
-            done.why = "it is under way still".to_owned();
+        if result.outcome == Outcome::NotKnown && result.reason.is_empty() {
+            result.reason = "the change is still under way".to_owned();
         }
-        done.took_ms = took();
-        done
+        result.elapsed_ms = elapsed_ms();
+        result
     }
 
-    /// The change that came of these files beside this revision, if one did.
-    async fn own(&mut self, files: &Files, revision: u64) -> Result<Option<u64>, ClientError> {
-        let status = self.raw_status().await?;
+    /// Looks for a change that an earlier attempt to publish these files at this revision has started.
+    async fn find_started_change(
+        &mut self,
+        files: &Files,
+        revision: u64,
+    ) -> Result<Option<u64>, ClientError> {
+        let status = self.wire_status().await?;
         if status.revision == revision {
             return Ok(None);
         }
-        // A publish takes the revision on by one, and the number of its change is greater than all before.
+        // Publishing increments the revision, and the generation of its change is greater than all earlier ones: the newest
+        // change with the same files is the one.
         for change in status.changes.iter().rev() {
-            if let Ok(theirs) = self.files(change.generation).await {
-                if theirs == *files {
+            if let Ok(published) = self.files(change.generation).await {
+                if published == *files {
                     return Ok(Some(change.generation));
                 }
             }
@@ -694,18 +731,19 @@
     }
 }
 
-/// What the tool itself writes into a folder beside the files.
+/// The manifest, which is in a generated folder but is not published.
 const MANIFEST: &str = "manifest.toml";
 
-/// What of a folder is to be checked: the folder, if the tool wrote it, else each file that would be published.
+/// The paths to check before a folder is published: the folder itself if it has a manifest, or else each file that would
+/// be published.
 ///
 /// # Errors
-/// If it can't be read.
-pub fn to_check(path: &Path) -> Result<Vec<PathBuf>, String> {
+/// Returns a message if the folder can't be read.
+pub fn paths_to_check(path: &Path) -> Result<Vec<PathBuf>, String> {
     if path.join(MANIFEST).exists() {
         return Ok(vec![path.to_owned()]);
     }
-    let mut files: Vec<PathBuf> = folder(path)?
+    let mut files: Vec<PathBuf> = read_folder(path)?
         .into_keys()
         .map(|name| path.join(format!("{name}.toml")))
         .collect();
@@ -713,39 +751,39 @@
     Ok(files)
 }
 
-/// The files of a folder by application: each `NAME.toml`.
+/// Reads the files of a folder: each `NAME.toml` but the manifest.
 ///
 /// # Errors
-/// If it can't be read, or holds none.
-pub fn folder(path: &Path) -> Result<Files, String> {
+/// Returns a message if the folder can't be read or contains no such file.
+pub fn read_folder(path: &Path) -> Result<Files, String> {
     let shown = path.display();
-    let listed = std::fs::read_dir(path).map_err(|e| format!("{shown}: {e}"))?;
+    let entries = std::fs::read_dir(path).map_err(|e| format!("{shown}: {e}"))?;
     let mut files = Files::new();
-    for entry in listed {
+    for entry in entries {
         let path = entry.map_err(|e| format!("{shown}: {e}"))?.path();
-        let own = path.file_name().is_some_and(|name| name == MANIFEST);
-        if !own && path.extension().is_some_and(|e| e == "toml") {
+        let is_manifest = path.file_name().is_some_and(|name| name == MANIFEST);
+        if !is_manifest && path.extension().is_some_and(|e| e == "toml") {
             let name = path.file_stem().and_then(|n| n.to_str());
-            let name = name.ok_or_else(|| format!("{}: its name is no text", path.display()))?;
+            let name = name.ok_or_else(|| format!("{}: its name is not UTF-8", path.display()))?;
             let text =
                 std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
             files.insert(name.to_owned(), text);
         }
     }
     if files.is_empty() {
-        Err(format!("{shown}: no file that ends in .toml"))
+        Err(format!("{shown}: contains no .toml file"))
     } else {
         Ok(files)
     }
 }
 
-/// What is different between two sets of files, as a unified diff.
-pub fn difference(old: &Files, new: &Files) -> String {
+/// The difference between two sets of files as a unified diff.
+pub fn unified_diff(old: &Files, new: &Files) -> String {
     let names: BTreeMap<&String, ()> = old.keys().chain(new.keys()).map(|n| (n, ())).collect();
     let mut text = String::new();
     for name in names.into_keys() {
-        let of = |files: &Files| files.get(name).cloned().unwrap_or_default();
-        let (a, b) = (of(old), of(new));
+        let content = |files: &Files| files.get(name).cloned().unwrap_or_default();
+        let (a, b) = (content(old), content(new));
         if a != b {
             let diff = similar::TextDiff::from_lines(&a, &b);
             let shown = diff
--- a/crates/config-tool/src/lib.rs
+++ b/crates/config-tool/src/lib.rs
@@ -1,13 +1,17 @@
-//! Writes the operator's file of every application from one description, and checks them one by one and together.
-//! The files themselves are read by `badgerramp-config` alone; what this crate adds is what no single file can tell.
+//! Generates the operator's file of every application from one description, and checks the files one by one and
+//! together. `badgerramp-config` parses and checks each file; this crate adds the checks that need several files.
 //!
-//! - [`description`]: the description with its includes and inheritance.
-//! - [`render`]: one application's file, with the place that each line came from.
-//! - [`set`]: all files with what is known of their clients and upstreams, and the checks over them.
-//! - [`manifest`]: what was written, and what the checks need to know later.
-//! - [`rollout`]: two sets side by side.
-//! - [`fleet`]: a set brought into force for a whole fleet, through its control.
-//! - [`explain`]: what a file makes of a request, and the longest course of a class.
+//! - [`description`]: reads the description with its includes and class inheritance.
+//! - [`contract`]: what the checks know of clients and upstreams beyond the operators' files.
+//! - [`render`]: generates one application's file and maps its lines back to the description.
+//! - [`config_set`]: all files with the contracts of their clients and upstreams, and the checks across files.
+//! - [`overlap`]: which routes can match requests under a path.
+//! - [`finding`]: the report of a check and its output formats.
+//! - [`manifest`]: the list of generated files, with the contracts that later checks need.
+//! - [`rollout`]: compares two sets of files for a rollout from one to the other.
+//! - [`commands`]: the operations behind the command line.
+//! - [`fleet`]: publishes a policy to a whole fleet through its control plane.
+//! - [`explain`]: shows how a file handles a request, and the worst-case timeline of a class.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::needless_pass_by_value,
@@ -20,16 +24,16 @@
 )]
 
 pub mod commands;
+pub mod config_set;
+pub mod contract;
 pub mod description;
 pub mod explain;
-pub mod facts;
 pub mod finding;
 pub mod fleet;
 pub mod manifest;
 pub mod overlap;
 pub mod render;
 pub mod rollout;
-pub mod set;
 
-/// A starting description, with comments.
-pub const STARTING: &str = include_str!("../../../examples/starting.toml");
+/// A commented description to start from, as `init` writes it.
+pub const STARTING_DESCRIPTION: &str = include_str!("../../../examples/starting.toml");
--- a/crates/config-tool/src/main.rs
+++ b/crates/config-tool/src/main.rs
@@ -3,19 +3,20 @@
 
 use badgerramp_config_tool::commands::{self, Plan};
 use badgerramp_config_tool::finding::Report;
-use badgerramp_config_tool::fleet::{self, At, Control, Outcome, Scope};
-use badgerramp_config_tool::{explain, STARTING};
+use badgerramp_config_tool::fleet::{self, ControlArgs, ControlClient, Outcome, Scope};
+use badgerramp_config_tool::{explain, STARTING_DESCRIPTION};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Writes every application's file from one description, and checks them together.
+/// Generates every application's file from one description, and checks the files together.
 ///
-/// Exits 0 if all is good, 1 with what is wrong, 2 for bad usage, 3 if the end of a change is not known yet.
+/// Exits with 0 on success, 1 if a check or operation failed, 2 on wrong usage, and 3 if the outcome of a change is not
+/// known yet.
 #[derive(Parser)]
 #[command(name = "badgerramp-config", version)]
 struct Cli {
-    /// How findings are told.
+    /// The output format.
     #[arg(long, value_enum, default_value_t = Format::Human, global = true)]
     format: Format,
     /// The same as `--format json`.
@@ -33,37 +34,38 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Write a starting description, with comments; - for standard output.
+    /// Write a commented description to start from; - for standard output.
     Init {
-        /// The file; it must not be there yet.
+        /// The file, which must not exist yet.
         file: PathBuf,
     },
-    /// Write all files of a description, if nothing is wrong with any of them.
+    /// Generate all files of a description, if the checks find no errors.
     Write {
-        /// The description.
+        /// The file of the description.
         description: PathBuf,
-        /// The folder that they go to.
+        /// The folder for the generated files.
         #[arg(long)]
         out: PathBuf,
-        /// Show what would change, and change nothing.
+        /// Show the changes without writing them.
         #[arg(long)]
         dry_run: bool,
-        /// Also over files that were changed by hand.
+        /// Overwrite files that were changed by hand.
         #[arg(long)]
         force: bool,
     },
-    /// Check folders that were written, or single files, by themselves and together.
+    /// Check generated folders or single files, one by one and together.
     Check {
-        /// A folder that is in use: tell what a change from it would do, and refuse what is unsafe while both run.
+        /// A folder that is in use: show the changes from it, and reject those that are unsafe while old and new files
+        /// are in use.
         #[arg(long, value_name = "OLD_DIR")]
         against: Option<PathBuf>,
-        /// Folders or files.
+        /// The folders or files to check.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
     },
-    /// Tell what a file makes of a request, or the longest course of a class.
+    /// Explain how a file handles a request, or show the worst-case timeline of a class.
     Explain {
-        /// The file.
+        /// The file of an application.
         file: PathBuf,
         /// A method and a path, like 'POST /x'.
         #[arg(long, required_unless_present = "class", conflicts_with = "class")]
@@ -71,63 +73,64 @@
         /// A header of the request, like 'Name: value'.
         #[arg(long, requires = "request")]
         header: Vec<String>,
-        /// Where the request's client is.
+        /// The address of the request's client.
         #[arg(long, requires = "request", default_value = "127.0.0.1")]
         client: std::net::IpAddr,
-        /// The name of a class.
+        /// The name of the class.
         #[arg(long)]
         class: Option<String>,
     },
-    /// Check a folder and bring it into force for the whole fleet, or not at all.
+    /// Check a folder and publish it atomically to the whole fleet.
     ///
-    /// Exits 0 if it is in force, 1 if it is not and will not be, 3 if that is not known yet, 2 for bad usage.
+    /// Exits with 0 if the change is in force, 1 if it is not and will not be, 2 on wrong usage, and 3 if that is not known
+    /// yet.
     Publish {
-        /// The folder: a file NAME.toml for each application.
+        /// The folder, with a file NAME.toml for each application.
         folder: PathBuf,
-        /// Which regions it is for. With all, any region's control may be named: the change goes to the one that
-        /// coordinates.
+        /// The regions to publish to. With all, replicas of any region may be given: the change is sent to the
+        /// coordinator.
         #[arg(long, value_enum, default_value_t)]
         scope: Scope,
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
-    /// Tell what is in force, what is under way, who holds it up, and which proxies there are.
+    /// Show the policy in force, the change under way with its blockers, and the known proxies.
     Status {
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
-    /// Tell the changes that control remembers.
+    /// Show the recent changes that the control plane remembers.
     History {
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
-    /// Publish an earlier generation again. Exits as publish does.
+    /// Publish an earlier generation again, with the exit status of publish.
     Rollback {
-        /// Its number.
+        /// The number of the generation.
         generation: u64,
-        /// Which regions it is for; with all, the number is the coordinator's.
+        /// The regions to publish to. With all, the number is a generation of the coordinator.
         #[arg(long, value_enum, default_value_t)]
         scope: Scope,
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
-    /// Give the change under way up.
+    /// Abort the change under way.
     Abort {
-        /// Why, for the history.
+        /// The reason, for the history.
         #[arg(long, default_value = "given up by an operator")]
         why: String,
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
-    /// Answer for it that a proxy runs no more: changes wait for it no longer, and it gets no lease any more.
+    /// Evict a proxy that, as the operator confirms, no longer runs: changes stop waiting for it, and it gets no lease.
     Evict {
-        /// Its name.
+        /// The name of the proxy.
         name: String,
-        /// Which start of it, as status shows it.
+        /// The incarnation of the proxy, as status shows it.
         #[arg(long, value_parser = |text: &str| u64::from_str_radix(text, 16))]
         incarnation: Option<u64>,
         #[command(flatten)]
-        at: At,
+        control_args: ControlArgs,
     },
 }
 
@@ -150,24 +153,32 @@
             client,
             class,
         } => explain(&file, request, (&header, client), class, format),
-        Command::Publish { folder, scope, at } => publish(&folder, scope, &at, format),
-        Command::Status { at } => standing(&at, format, fleet::Standing::human),
-        Command::History { at } => standing(&at, format, fleet::Standing::history),
+        Command::Publish {
+            folder,
+            scope,
+            control_args,
+        } => publish(&folder, scope, &control_args, format),
+        Command::Status { control_args } => {
+            show_status(&control_args, format, fleet::FleetStatus::human)
+        }
+        Command::History { control_args } => {
+            show_status(&control_args, format, fleet::FleetStatus::history)
+        }
         Command::Rollback {
             generation,
             scope,
-            at,
-        } => rollback(generation, scope, &at, format),
-        Command::Abort { why, at } => with_control(&at, async |control| {
+            control_args,
+        } => rollback(generation, scope, &control_args, format),
+        Command::Abort { why, control_args } => with_control(&control_args, async |control| {
             let generation = control.abort(&why).await?;
-            println!("the change to generation {generation} comes to nothing");
+            println!("the change to generation {generation} is aborted");
             Ok(ExitCode::SUCCESS)
         }),
         Command::Evict {
             name,
             incarnation,
-            at,
-        } => with_control(&at, async |control| {
+            control_args,
+        } => with_control(&control_args, async |control| {
             control.evict(&name, incarnation).await?;
             println!("{name} is evicted");
             Ok(ExitCode::SUCCESS)
@@ -175,139 +186,148 @@
     }
 }
 
-/// Asks control.
+/// Runs an operation with a client of the control plane.
 fn with_control(
-    at: &At,
-    ask: impl AsyncFnOnce(&mut Control) -> Result<ExitCode, String>,
+    control_args: &ControlArgs,
+    operation: impl AsyncFnOnce(&mut ControlClient) -> Result<ExitCode, String>,
 ) -> ExitCode {
-    let asked = || {
-        let mut control = Control::new(at)?;
+    let run = || {
+        let mut control = ControlClient::new(control_args)?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         runtime
             .map_err(|e| e.to_string())?
-            .block_on(ask(&mut control))
+            .block_on(operation(&mut control))
     };
-    asked().unwrap_or_else(failed)
+    run().unwrap_or_else(fail)
 }
 
-fn standing(at: &At, format: Format, human: fn(&fleet::Standing) -> String) -> ExitCode {
-    with_control(at, async |control| {
-        let standing = control.standing().await.map_err(|e| e.to_string())?;
+fn show_status(
+    control_args: &ControlArgs,
+    format: Format,
+    human: fn(&fleet::FleetStatus) -> String,
+) -> ExitCode {
+    with_control(control_args, async |control| {
+        let status = control.status().await.map_err(|e| e.to_string())?;
         match format {
-            Format::Human => print!("{}", human(&standing)),
-            Format::Json => print!("{}", json(&standing)),
+            Format::Human => print!("{}", human(&status)),
+            Format::Json => print!("{}", json(&status)),
         }
         Ok(ExitCode::SUCCESS)
     })
 }
 
-fn publish(folder: &Path, scope: Scope, at: &At, format: Format) -> ExitCode {
-    let paths = match fleet::to_check(folder) {
+fn publish(folder: &Path, scope: Scope, control_args: &ControlArgs, format: Format) -> ExitCode {
+    let paths = match fleet::paths_to_check(folder) {
         Ok(paths) => paths,
-        Err(fault) => return failed(fault),
+        Err(error) => return fail(error),
     };
     let report = commands::check(&paths.iter().map(PathBuf::as_path).collect::<Vec<_>>()).0;
-    if !report.good() {
-        return tell(&report, format);
+    if !report.is_clean() {
+        return print_report(&report, format);
     }
-    let files = match fleet::folder(folder) {
+    let files = match fleet::read_folder(folder) {
         Ok(files) => files,
-        Err(fault) => return failed(fault),
+        Err(error) => return fail(error),
     };
-    with_control(at, async |control| {
-        go_where(control, scope, format).await?;
-        follow(control, scope, files, format).await
+    with_control(control_args, async |control| {
+        select_region(control, scope, format).await?;
+        publish_and_wait(control, scope, files, format).await
     })
 }
 
-fn rollback(generation: u64, scope: Scope, at: &At, format: Format) -> ExitCode {
-    with_control(at, async |control| {
-        go_where(control, scope, format).await?;
+fn rollback(generation: u64, scope: Scope, control_args: &ControlArgs, format: Format) -> ExitCode {
+    with_control(control_args, async |control| {
+        select_region(control, scope, format).await?;
         let files = control.files(generation).await.map_err(|e| e.to_string())?;
-        follow(control, scope, files, format).await
+        publish_and_wait(control, scope, files, format).await
     })
 }
 
-/// Goes where a change of this scope is published.
-async fn go_where(control: &mut Control, scope: Scope, format: Format) -> Result<(), String> {
+/// Directs the client to the region that accepts changes of this scope.
+async fn select_region(
+    control: &mut ControlClient,
+    scope: Scope,
+    format: Format,
+) -> Result<(), String> {
     if scope == Scope::All {
-        let coordinator = control.go_to_coordinator().await?;
+        let coordinator = control.use_coordinator().await?;
         if format == Format::Human {
-            println!("a change of all regions, by region {coordinator}");
+            println!("publishing to all regions, coordinated by region {coordinator}");
         }
     }
     Ok(())
 }
 
-/// Shows the difference to what is in force, publishes, and follows the change to its end.
-async fn follow(
-    control: &mut Control,
+/// Shows the difference to the policy in force, publishes the files, and waits for the outcome of the change.
+async fn publish_and_wait(
+    control: &mut ControlClient,
     scope: Scope,
     files: std::collections::HashMap<String, String>,
     format: Format,
 ) -> Result<ExitCode, String> {
-    let standing = control.standing().await.map_err(|e| e.to_string())?;
+    let status = control.status().await.map_err(|e| e.to_string())?;
     let human = format == Format::Human;
-    if let Some(generation) = standing.in_force.filter(|_| human) {
+    if let Some(generation) = status.in_force.filter(|_| human) {
         let old = control.files(generation).await.map_err(|e| e.to_string())?;
-        print!("{}", fleet::difference(&old, &files));
+        print!("{}", fleet::unified_diff(&old, &files));
     }
-    let done = control
-        .publish_for(scope, &files, standing.revision, |held| {
-            held.iter()
+    let result = control
+        .publish_for(scope, &files, status.revision, |blockers| {
+            blockers
+                .iter()
                 .filter(|_| human)
-                .for_each(|h| println!("held up by {}", h.human()));
+                .for_each(|blocker| println!("held up by {}", blocker.human()));
         })
         .await;
-    let number = done
+    let generation = result
         .generation
-        .map_or("it".to_owned(), |g| format!("generation {g}"));
+        .map_or("the change".to_owned(), |g| format!("generation {g}"));
     if !human {
-        print!("{}", json(&done));
+        print!("{}", json(&result));
     }
-    Ok(match done.outcome {
+    Ok(match result.outcome {
         Outcome::InForce => {
             if human {
-                println!("{number} is in force, after {} ms", done.took_ms);
+                println!("{generation} is in force, after {} ms", result.elapsed_ms);
             }
             ExitCode::SUCCESS
         }
-        Outcome::NotInForce => failed(format!(
-            "{number} is not in force, and will not be: {}",
-            done.why
+        Outcome::NotInForce => fail(format!(
+            "{generation} is not in force, and will not be: {}",
+            result.reason
         )),
         Outcome::NotKnown => {
             eprintln!(
-                "badgerramp-config: whether {number} is in force is not known yet: {}",
-                done.why
+                "badgerramp-config: whether {generation} is in force is not known yet: {}",
+                result.reason
             );
             ExitCode::from(3)
         }
     })
 }
 
-fn failed(text: impl std::fmt::Display) -> ExitCode {
-    eprintln!("badgerramp-config: {text}");
+fn fail(message: impl std::fmt::Display) -> ExitCode {
+    eprintln!("badgerramp-config: {message}");
     ExitCode::FAILURE
 }
 
-/// Tells a report; its exit says whether it is good.
-fn tell(report: &Report, format: Format) -> ExitCode {
+/// Prints a report. The exit status says whether there are findings.
+fn print_report(report: &Report, format: Format) -> ExitCode {
     match format {
         Format::Human => print!("{}", report.human()),
         Format::Json => println!("{}", report.json()),
     }
-    if report.good() {
+    if report.is_clean() {
         return ExitCode::SUCCESS;
     }
-    let counts: Vec<String> = commands::counts(report)
+    let counts: Vec<String> = commands::count_by_code(report)
         .iter()
         .map(|(code, n)| format!("{n} {code}"))
         .collect();
-    failed(format!(
-        "{} found: {}",
+    fail(format!(
+        "{} findings: {}",
         report.findings.len(),
         counts.join(", ")
     ))
@@ -315,21 +335,21 @@
 
 fn init(file: &Path) -> ExitCode {
     if file == Path::new("-") {
-        print!("{STARTING}");
+        print!("{STARTING_DESCRIPTION}");
         return ExitCode::SUCCESS;
     }
-    let made = std::fs::File::create_new(file)
-        .and_then(|mut f| std::io::Write::write_all(&mut f, STARTING.as_bytes()));
-    match made {
+    let written = std::fs::File::create_new(file)
+        .and_then(|mut f| std::io::Write::write_all(&mut f, STARTING_DESCRIPTION.as_bytes()));
+    match written {
         Ok(()) => {
             println!(
-                "{}: written; next: badgerramp-config write {} --out sidecars",
+                "{}: written; next, run badgerramp-config write {} --out sidecars",
                 file.display(),
                 file.display()
             );
             ExitCode::SUCCESS
         }
-        Err(fault) => failed(format!("{}: {fault}", file.display())),
+        Err(error) => fail(format!("{}: {error}", file.display())),
     }
 }
 
@@ -339,44 +359,44 @@
     (dry_run, force): (bool, bool),
     format: Format,
 ) -> ExitCode {
-    let written = match commands::compose(description) {
-        Ok(written) => written,
-        Err(report) => return tell(&report, format),
+    let generated = match commands::generate(description) {
+        Ok(generated) => generated,
+        Err(report) => return print_report(&report, format),
     };
-    let plan = commands::plan(&written, out);
+    let plan = commands::plan(&generated, out);
     let Plan {
         write,
         remove,
-        by_hand,
+        changed_by_hand,
         diff,
     } = &plan;
     if dry_run {
         print!("{diff}");
     }
-    if !by_hand.is_empty() && !force {
-        return failed(format!(
-            "changed by hand since they were written, or not written by this program: {}; nothing was written. \
-             Carry the change into the description, or write with --force",
-            by_hand.join(", ")
+    if !changed_by_hand.is_empty() && !force {
+        return fail(format!(
+            "changed by hand since they were generated, or not generated by this program: {}; nothing was written. \
+             Apply the changes to the description, or overwrite them with --force",
+            changed_by_hand.join(", ")
         ));
     }
     if !dry_run {
-        if let Err(fault) = commands::carry_out(&plan, out) {
-            return failed(format!("{}: {fault}", out.display()));
+        if let Err(error) = commands::apply(&plan, out) {
+            return fail(format!("{}: {error}", out.display()));
         }
     }
     if format == Format::Json {
-        return tell(&written.report, format);
+        return print_report(&generated.report, format);
     }
-    let done = if dry_run { "would be" } else { "were" };
+    let verb = if dry_run { "would be" } else { "were" };
     println!(
-        "{} of {} files {done} written, {} removed, in {}",
+        "{} of {} files {verb} written, {} removed, in {}",
         write.len(),
-        written.files.len(),
+        generated.files.len(),
         remove.len(),
         out.display()
     );
-    tell(&written.report, format)
+    print_report(&generated.report, format)
 }
 
 fn check(against: Option<&Path>, paths: &[PathBuf], format: Format) -> ExitCode {
@@ -384,11 +404,11 @@
         (None, paths) => commands::check(&paths.iter().map(PathBuf::as_path).collect::<Vec<_>>()).0,
         (Some(old), [new]) if new.is_dir() => commands::check_against(old, new),
         (Some(_), _) => {
-            eprintln!("badgerramp-config: --against takes one folder to check");
+            eprintln!("badgerramp-config: --against requires exactly one folder to check");
             return ExitCode::from(2);
         }
     };
-    tell(&report, format)
+    print_report(&report, format)
 }
 
 fn explain(
@@ -400,29 +420,31 @@
 ) -> ExitCode {
     let config = match badgerramp_config::load(file) {
         Ok(config) => config,
-        Err(mistakes) => {
-            eprint!("{mistakes}");
-            return failed(format!("{} mistakes", mistakes.count()));
+        Err(diagnostics) => {
+            eprint!("{diagnostics}");
+            return fail(format!("{} errors", diagnostics.count()));
         }
     };
     let text = match (request, class) {
-        (Some(request), _) => match explain::request_of(&request, headers) {
-            Ok((method, path, headers)) => {
-                explain::request(&config, &method, &path, &headers, client).map(|told| match format
-                {
-                    Format::Human => told.human(&config),
-                    Format::Json => json(&told),
-                })
-            }
-            Err(fault) => {
-                eprintln!("badgerramp-config: {fault}");
+        (Some(request), _) => match explain::parse_request(&request, headers) {
+            Ok((method, path, headers)) => explain::explain_request(
+                &config, &method, &path, &headers, client,
+            )
+            .map(|explanation| match format {
+                Format::Human => explanation.human(&config),
+                Format::Json => json(&explanation),
+            }),
+            Err(error) => {
+                eprintln!("badgerramp-config: {error}");
                 return ExitCode::from(2);
             }
         },
-        (None, Some(class)) => explain::class(&config, &class).map(|courses| match format {
-            Format::Human => courses.iter().map(explain::Course::human).collect(),
-            Format::Json => json(&courses),
-        }),
+        (None, Some(class)) => {
+            explain::class_timelines(&config, &class).map(|timelines| match format {
+                Format::Human => timelines.iter().map(explain::Timeline::human).collect(),
+                Format::Json => json(&timelines),
+            })
+        }
         (None, None) => return ExitCode::from(2),
     };
     match text {
@@ -430,7 +452,7 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => failed(fault),
+        Err(error) => fail(error),
     }
 }
 
--- a/crates/config-tool/src/manifest.rs
+++ b/crates/config-tool/src/manifest.rs
@@ -1,9 +1,10 @@
-//! What was written for whom, and what the checks have to know beside the files.
+//! The manifest: the files that were generated for each application with their digests, and the contracts that later
+//! checks need.
 
+use crate::config_set::{Application, ConfigSet, DescribedUpstream};
+use crate::contract::{self, ApplicationContract, UpstreamContract};
 use crate::description::{Description, Upstream};
-use crate::facts;
-use crate::finding::{Finding, Place, Report};
-use crate::set::{Application, Described, Set};
+use crate::finding::{Finding, Location, Report};
 use badgerramp_config::read_upstream;
 use badgerramp_toml_diagnostics::{parse_document, DiagnosticSink, Section};
 use sha2::{Digest, Sha256};
@@ -11,26 +12,26 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Its name in the folder.
-pub const NAME: &str = "manifest.toml";
-/// The form that this program writes and reads.
-const VERSION: u64 = 1;
+/// Name of the manifest in the folder of generated files.
+pub const FILE_NAME: &str = "manifest.toml";
+/// Version of the manifest's format.
+const FORMAT_VERSION: u64 = 1;
 
-/// A file's digest as it stands in a manifest.
+/// The digest of a file in the format of the manifest.
 pub fn digest(text: &str) -> String {
-    let sum = Sha256::digest(text.as_bytes());
-    sum.iter().fold("sha256:".to_owned(), |mut shown, byte| {
-        let _ = write!(shown, "{byte:02x}");
-        shown
+    let hash = Sha256::digest(text.as_bytes());
+    hash.iter().fold("sha256:".to_owned(), |mut digest, byte| {
+        let _ = write!(digest, "{byte:02x}");
+        digest
     })
 }
 
-/// The text of a manifest. `files` are the applications' texts, in the order of the description.
+/// Renders a manifest. `files` are the contents of the applications' files, in the order of the description.
 pub fn render(description: &Description, files: &[String]) -> String {
     let mut text =
         "# Written by badgerramp-config: what it wrote, and what `check` knows beside the files.\n"
             .to_owned();
-    let _ = writeln!(text, "version = {VERSION}");
+    let _ = writeln!(text, "version = {FORMAT_VERSION}");
     for (app, file) in description.apps.iter().zip(files) {
         let _ = writeln!(
             text,
@@ -39,21 +40,21 @@
             file_name(&app.name),
             digest(file)
         );
-        if let Some(facts) = &app.facts {
-            facts.write(&mut text);
+        if let Some(contract) = &app.contract {
+            contract.write(&mut text);
         }
     }
     for upstream in &description.upstreams {
         let _ = writeln!(text, "\n[contract.{:?}]", upstream.name);
-        upstream.facts.write(&mut text);
+        upstream.contract.write(&mut text);
         let _ = writeln!(text, "\n[upstream.{:?}]", upstream.name);
-        text += &figures(upstream);
+        text += &render_upstream_keys(upstream);
     }
     text
 }
 
-/// The keys of an upstream that the operators' files hold too.
-pub fn figures(upstream: &Upstream) -> String {
+/// Renders the keys of an upstream that go into the operators' files.
+pub fn render_upstream_keys(upstream: &Upstream) -> String {
     let line = |raw: &crate::description::Raw| {
         format!("{} = {}\n", raw.key, raw.text.replace("\r\n", "\n"))
     };
@@ -65,13 +66,13 @@
     format!("{app}.toml")
 }
 
-/// Files and digests that a manifest names; empty if there is none or it can't be read.
-pub fn digests(folder: &Path) -> BTreeMap<String, String> {
-    let Ok(text) = std::fs::read_to_string(folder.join(NAME)) else {
+/// Files and digests of the manifest in a folder; empty if there is none or it can't be read.
+pub fn read_digests(folder: &Path) -> BTreeMap<String, String> {
+    let Ok(text) = std::fs::read_to_string(folder.join(FILE_NAME)) else {
         return BTreeMap::new();
     };
-    let mut notes = DiagnosticSink::default();
-    let table = parse_document(&mut notes, &text);
+    let mut sink = DiagnosticSink::default();
+    let table = parse_document(&mut sink, &text);
     let apps = table.get("app").and_then(|a| a.get_ref().as_table());
     let entry = |app: &badgerramp_toml_diagnostics::DeTable<'_>| {
         let text = |name: &str| {
@@ -87,160 +88,160 @@
     tables.filter_map(entry).collect()
 }
 
-/// Reads all files of a folder with what its manifest tells. What is wrong goes into the report.
-pub fn read_folder(report: &mut Report, folder: &Path) -> Set {
-    let path = folder.join(NAME);
+/// Reads all files of a folder and the contracts of its manifest. Findings are added to the report.
+pub fn read_folder(report: &mut Report, folder: &Path) -> ConfigSet {
+    let path = folder.join(FILE_NAME);
     let shown = path.display().to_string();
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
-        Err(fault) => {
-            let file = report.file(shown, "");
-            report.findings.push(missing(
-                Place::new(file, &(0..0)),
+        Err(error) => {
+            let file = report.add_file(shown, "");
+            report.findings.push(unreadable(
+                Location::new(file, &(0..0)),
                 "manifest",
-                &fault.to_string(),
+                &error.to_string(),
             ));
-            return Set::default();
+            return ConfigSet::default();
         }
     };
-    let file = report.file(shown, text.clone());
-    let mut notes = DiagnosticSink::default();
-    let table = parse_document(&mut notes, &text);
-    let mut set = Set::default();
-    if notes.is_empty() {
+    let file = report.add_file(shown, text.clone());
+    let mut sink = DiagnosticSink::default();
+    let table = parse_document(&mut sink, &text);
+    let mut set = ConfigSet::default();
+    if sink.is_empty() {
         let known = ["version", "app", "contract", "upstream"];
-        let top = Section::new(&mut notes, &table, "", 0..0, &known);
-        top.require(&mut notes, "version", "1");
-        top.integer(&mut notes, "version", VERSION..=VERSION);
-        set = read(report, &mut notes, file, folder, &top);
+        let top = Section::new(&mut sink, &table, "", 0..0, &known);
+        top.require(&mut sink, "version", "1");
+        top.integer(&mut sink, "version", FORMAT_VERSION..=FORMAT_VERSION);
+        set = read_manifest(report, &mut sink, file, folder, &top);
     }
     report.findings.extend(
-        notes
-            .diagnostics()
+        sink.diagnostics()
             .iter()
-            .map(|m| Finding::of_mistake(file, m, None)),
+            .map(|m| Finding::from_diagnostic(file, m, None)),
     );
     set
 }
 
-fn missing(place: Place, key: &str, why: &str) -> Finding {
+fn unreadable(location: Location, key: &str, why: &str) -> Finding {
     Finding {
         code: "file",
         key: key.to_owned(),
         reason: "this file can't be read".to_owned(),
         found: why.to_owned(),
-        allowed: "a file that `write` has written".to_owned(),
-        place,
+        allowed: "a file that `write` has generated".to_owned(),
+        location,
         related: Vec::new(),
         apps: Default::default(),
     }
 }
 
-fn read(
+fn read_manifest(
     report: &mut Report,
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     file: usize,
     folder: &Path,
     top: &Section<'_>,
-) -> Set {
-    let mut set = Set::default();
+) -> ConfigSet {
+    let mut set = ConfigSet::default();
     let mut listed = std::collections::HashSet::new();
-    for (name, section) in parts(
-        notes,
+    for (name, section) in subsections(
+        sink,
         top,
         "app",
-        &[&["file", "digest"][..], &facts::APP[..]].concat(),
+        &[&["file", "digest"][..], &contract::APPLICATION_KEYS[..]].concat(),
     ) {
-        section.require(notes, "file", "the name of its file");
-        section.require(notes, "digest", "the digest of its file");
-        let facts = facts::App::read(notes, &section);
-        set.broken |= facts.is_none();
-        let (Some(own), Some(sum)) = (section.text(notes, "file"), section.text(notes, "digest"))
+        section.require(sink, "file", "the name of its file");
+        section.require(sink, "digest", "the digest of its file");
+        let contract = ApplicationContract::read(sink, &section);
+        set.incomplete |= contract.is_none();
+        let (Some(file_name), Some(expected_digest)) =
+            (section.text(sink, "file"), section.text(sink, "digest"))
         else {
             continue;
         };
-        if own.value.contains(['/', '\\']) {
+        if file_name.value.contains(['/', '\\']) {
             let allowed = "a file in the manifest's folder";
-            notes.add(
-                &own.key,
-                &own.span,
-                "this is no name of a file",
-                format!("{:?}", own.value),
+            sink.add(
+                &file_name.key,
+                &file_name.span,
+                "this is not a file name",
+                format!("{:?}", file_name.value),
                 allowed,
             );
             continue;
         }
-        listed.insert(own.value.clone());
-        let path = folder.join(&own.value);
+        listed.insert(file_name.value.clone());
+        let path = folder.join(&file_name.value);
         match std::fs::read_to_string(&path) {
             Ok(text) => {
-                if digest(&text) != sum.value {
+                if digest(&text) != expected_digest.value {
                     report.notes.push(format!(
-                        "{} was changed by hand since it was written",
+                        "{} was changed by hand since it was generated",
                         path.display()
                     ));
                 }
-                application(
+                add_application(
                     report,
                     &mut set,
                     name,
                     &path,
                     &text,
-                    facts.map(|f| (file, f)),
+                    contract.map(|c| (file, c)),
                 );
             }
-            Err(fault) => {
-                set.broken = true;
-                let place = Place::new(file, &own.span);
-                report.findings.push(missing(
-                    place,
+            Err(error) => {
+                set.incomplete = true;
+                let location = Location::new(file, &file_name.span);
+                report.findings.push(unreadable(
+                    location,
                     &format!("app.{name}.file"),
-                    &format!("{}: {fault}", path.display()),
+                    &format!("{}: {error}", path.display()),
                 ));
             }
         }
     }
-    let mut contracts: BTreeMap<String, facts::Upstream> = BTreeMap::new();
-    for (name, section) in parts(notes, top, "contract", &facts::UPSTREAM) {
-        contracts.insert(name.to_owned(), facts::Upstream::read(notes, &section));
+    let mut contracts: BTreeMap<String, UpstreamContract> = BTreeMap::new();
+    for (name, section) in subsections(sink, top, "contract", &contract::UPSTREAM_KEYS) {
+        contracts.insert(name.to_owned(), UpstreamContract::read(sink, &section));
     }
     if let Some(upstreams) = top.get("upstream").and_then(|u| u.get_ref().as_table()) {
         let names: Vec<&str> = upstreams.keys().map(|k| &**k.get_ref()).collect();
-        if let Some(parent) = top.section(notes, "upstream", &names) {
+        if let Some(parent) = top.section(sink, "upstream", &names) {
             for (name, span, _) in parent.iter() {
-                let place = Place::new(file, &span);
-                let Some(upstream) = read_upstream(notes, &parent, name) else {
+                let location = Location::new(file, &span);
+                let Some(upstream) = read_upstream(sink, &parent, name) else {
                     continue;
                 };
-                let Some(facts) = contracts.remove(name) else {
+                let Some(contract) = contracts.remove(name) else {
                     let key = format!("contract.{name}");
-                    notes.add(
+                    sink.add(
                         &key,
                         &span,
                         "this upstream has no contract",
-                        "nothing",
+                        "none",
                         format!("[{key}]"),
                     );
                     continue;
                 };
-                set.upstreams.push(Described {
+                set.upstreams.push(DescribedUpstream {
                     name: name.to_owned(),
-                    place,
-                    facts,
+                    location,
+                    contract,
                     upstream,
                 });
             }
         }
     }
-    let others = std::fs::read_dir(folder)
+    let folder_files = std::fs::read_dir(folder)
         .into_iter()
         .flatten()
         .filter_map(|e| e.ok()?.file_name().into_string().ok());
-    let mut strange: Vec<String> = others
-        .filter(|n| n.ends_with(".toml") && n != NAME && !listed.contains(n))
+    let mut unlisted: Vec<String> = folder_files
+        .filter(|n| n.ends_with(".toml") && n != FILE_NAME && !listed.contains(n))
         .collect();
-    strange.sort();
-    for name in strange {
+    unlisted.sort();
+    for name in unlisted {
         report.notes.push(format!(
             "{} is not in the manifest and was not checked",
             folder.join(name).display()
@@ -250,43 +251,43 @@
     set
 }
 
-/// Takes one application in, if its file is good by itself.
-pub fn application(
+/// Adds an application to the set if its file has no errors; otherwise, the errors are added to the report.
+pub fn add_application(
     report: &mut Report,
-    set: &mut Set,
+    set: &mut ConfigSet,
     name: &str,
     path: &Path,
     text: &str,
-    facts: Option<(usize, facts::App)>,
+    contract: Option<(usize, ApplicationContract)>,
 ) {
     let shown = path.display().to_string();
-    let file = report.file(shown.clone(), text);
+    let file = report.add_file(shown.clone(), text);
     match badgerramp_config::parse(&shown, text) {
         Ok(config) if config.deployment == badgerramp_config::Deployment::Standalone => {
             set.applications.push(Application {
                 name: name.to_owned(),
                 file,
                 config,
-                facts,
+                contract,
             });
         }
         Ok(_) => report.notes.push(format!(
-            "{shown} is for the platform: it was checked by itself only"
+            "{shown} is a file for the platform and was only checked by itself"
         )),
-        Err(mistakes) => {
-            set.broken = true;
+        Err(diagnostics) => {
+            set.incomplete = true;
             report.findings.extend(
-                mistakes
+                diagnostics
                     .iter()
-                    .map(|m| Finding::of_mistake(file, m, Some(name))),
+                    .map(|m| Finding::from_diagnostic(file, m, Some(name))),
             );
         }
     }
 }
 
-/// The tables in a table of the manifest.
-fn parts<'t>(
-    notes: &mut DiagnosticSink,
+/// The subtables of a table of the manifest, each with its name.
+fn subsections<'t>(
+    sink: &mut DiagnosticSink,
     top: &Section<'t>,
     name: &str,
     known: &[&str],
@@ -295,16 +296,16 @@
         Some(table) => table.keys().map(|k| &**k.get_ref()).collect(),
         None => Vec::new(),
     };
-    let Some(parent) = top.section(notes, name, &names) else {
+    let Some(parent) = top.section(sink, name, &names) else {
         return Vec::new();
     };
-    let mut parts = Vec::new();
+    let mut sections = Vec::new();
     for (name, ..) in parent.iter() {
-        parts.extend(
+        sections.extend(
             parent
-                .section(notes, name, known)
+                .section(sink, name, known)
                 .map(|section| (name, section)),
         );
     }
-    parts
+    sections
 }
--- a/crates/config-tool/src/overlap.rs
+++ b/crates/config-tool/src/overlap.rs
@@ -1,4 +1,4 @@
-//! Which routes can take a request under a path: exactly, also for patterns.
+//! Decides which routes can match a request under a path. The answer is exact, also for regular expressions.
 
 use badgerramp_route::{PathPattern, Route};
 use http::Method;
@@ -7,95 +7,99 @@
 use regex_automata::Anchored;
 use std::collections::HashSet;
 
-/// Sizes beyond which a pattern is taken to match anything: rather a false alarm than a charge that slips through.
-const DFA_BYTES: usize = 1 << 20;
-const BUILD_BYTES: usize = 8 << 20;
+/// Size limit of a pattern's automaton. A pattern that exceeds a limit is assumed to match any path: a false alarm is
+/// better than an unsafe request that is missed.
+const MAX_DFA_BYTES: usize = 1 << 20;
+/// Memory limit for building a pattern's automaton.
+const MAX_DETERMINIZE_BYTES: usize = 8 << 20;
 
-/// Is `path` the prefix itself or below it?
-pub fn under(path: &str, prefix: &str) -> bool {
+/// Whether `path` is the prefix itself or below it.
+pub fn is_under(path: &str, prefix: &str) -> bool {
     prefix == "/"
         || path
             .strip_prefix(prefix)
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// Can the route take some path that is `prefix` or below it?
-pub fn takes_under(route: &Route, prefix: &str) -> bool {
+/// Whether the route can match any path that is `prefix` or below it.
+pub fn matches_under(route: &Route, prefix: &str) -> bool {
     match &route.path {
-        PathPattern::Exact(path) => under(path, prefix),
+        PathPattern::Exact(path) => is_under(path, prefix),
         PathPattern::Prefix(path) => {
-            let bare = if path.len() > 1 {
+            let without_trailing_slash = if path.len() > 1 {
                 path.trim_end_matches('/')
             } else {
                 path
             };
-            under(path, prefix) || under(bare, prefix) || under(prefix, bare)
+            is_under(path, prefix)
+                || is_under(without_trailing_slash, prefix)
+                || is_under(prefix, without_trailing_slash)
         }
-        PathPattern::Regex(regex) => pattern_reaches(regex.as_str(), prefix),
+        PathPattern::Regex(regex) => pattern_matches_under(regex.as_str(), prefix),
     }
 }
 
-/// Does it take all that is `prefix` or below it, whatever else the request says?
-pub fn covers(route: &Route, prefix: &str) -> bool {
+/// Whether the route matches every path that is `prefix` or below it, whatever the request's headers are.
+pub fn matches_all_under(route: &Route, prefix: &str) -> bool {
     let path = match &route.path {
         PathPattern::Exact(_) | PathPattern::Regex(_) => return false,
         PathPattern::Prefix(path) => path,
     };
-    route.headers.is_empty() && route.when.is_none() && under(prefix, path)
+    route.headers.is_empty() && route.when.is_none() && is_under(prefix, path)
 }
 
-/// Can it take a request that does something, by its method?
+/// Whether the route's methods include one that is not read-only.
 pub fn may_write(route: &Route) -> bool {
-    let reads = [Method::GET, Method::HEAD, Method::OPTIONS, Method::TRACE];
-    route.methods.is_empty() || route.methods.iter().any(|m| !reads.contains(m))
+    let read_only = [Method::GET, Method::HEAD, Method::OPTIONS, Method::TRACE];
+    route.methods.is_empty() || route.methods.iter().any(|m| !read_only.contains(m))
 }
 
-/// Does `earlier` take every method of `later` that does something?
-pub fn takes_writes_of(earlier: &Route, later: &Route) -> bool {
+/// Whether `earlier` matches every method of `later`.
+pub fn matches_writes_of(earlier: &Route, later: &Route) -> bool {
     earlier.methods.is_empty()
         || (!later.methods.is_empty() && later.methods.iter().all(|m| earlier.methods.contains(m)))
 }
 
-/// Does the pattern match the prefix, or anything that goes on with a slash behind it? The automaton is walked along the
-/// prefix; from there all that can be reached is looked at.
-fn pattern_reaches(pattern: &str, prefix: &str) -> bool {
+/// Whether the pattern matches the prefix or any path that continues it after a slash. Runs the automaton over the prefix
+/// and then searches all states that are reachable from there.
+fn pattern_matches_under(pattern: &str, prefix: &str) -> bool {
     let config = dense::Config::new()
         .start_kind(StartKind::Anchored)
-        .dfa_size_limit(Some(DFA_BYTES))
-        .determinize_size_limit(Some(BUILD_BYTES));
+        .dfa_size_limit(Some(MAX_DFA_BYTES))
+        .determinize_size_limit(Some(MAX_DETERMINIZE_BYTES));
     let Ok(dfa) = dense::Builder::new().configure(config).build(pattern) else {
         return true;
     };
     let Ok(mut state) = dfa.start_state(&start::Config::new().anchored(Anchored::Yes)) else {
         return true;
     };
-    let walk = if prefix == "/" { "" } else { prefix };
-    for &byte in walk.as_bytes() {
+    let path = if prefix == "/" { "" } else { prefix };
+    for &byte in path.as_bytes() {
         state = dfa.next_state(state, byte);
         if dfa.is_quit_state(state) {
             return true;
         }
     }
-    if !walk.is_empty() && dfa.is_match_state(dfa.next_eoi_state(state)) {
+    if !path.is_empty() && dfa.is_match_state(dfa.next_eoi_state(state)) {
         return true;
     }
     let mut seen = HashSet::new();
-    let mut open = vec![dfa.next_state(state, b'/')];
-    while let Some(state) = open.pop() {
+    let mut pending = vec![dfa.next_state(state, b'/')];
+    while let Some(state) = pending.pop() {
         if dfa.is_quit_state(state) || dfa.is_match_state(dfa.next_eoi_state(state)) {
             return true;
         }
         if dfa.is_dead_state(state) || !seen.insert(state) {
             continue;
         }
-        open.extend((0..=u8::MAX).map(|byte| dfa.next_state(state, byte)));
+        pending.extend((0..=u8::MAX).map(|byte| dfa.next_state(state, byte)));
     }
     false
 }
 
-/// A form under which paths are alike that some host may take for one: letters of one case, all escapes decoded,
-/// parameters and the slash at the end dropped.
-pub fn loose(path: &str) -> String {
+/// Normalizes a path as the most lenient endpoint might: lower case, all escapes decoded, path parameters, empty
+/// segments and the trailing slash removed. Paths with the same result may be the same to some endpoint.
+pub fn loosely_normalize(path: &str) -> String {
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
@@ -143,11 +147,11 @@
     }
 
     #[test]
-    fn what_a_route_can_take_under_a_path() {
+    fn matches_under_agrees_with_the_kinds_of_route_paths() {
         let exact = |p: &str| route(PathPattern::Exact(p.to_owned()));
         let prefix = |p: &str| route(PathPattern::Prefix(p.to_owned()));
         let regex = |p: &str| route(PathPattern::Regex(compile_pattern(p).expect("a pattern")));
-        for (route, takes) in [
+        for (route, expected) in [
             (exact("/fee"), true),
             (exact("/fee/x"), true),
             (exact("/fees"), false),
@@ -167,14 +171,14 @@
             (regex("/(entry|fee/special)"), true),
             (regex("/entry(/.*)?"), false),
         ] {
-            assert_eq!(takes_under(&route, "/fee"), takes, "{:?}", route.path);
+            assert_eq!(matches_under(&route, "/fee"), expected, "{:?}", route.path);
         }
-        assert!(takes_under(&regex("/x"), "/") && takes_under(&exact("/x"), "/"));
+        assert!(matches_under(&regex("/x"), "/") && matches_under(&exact("/x"), "/"));
     }
 
-    /// The automaton's answer against what the pattern itself says of many paths.
+    /// Compares the automaton's answer with matching the pattern against sample paths.
     #[test]
-    fn a_pattern_that_matches_under_a_path_is_always_told() {
+    fn a_pattern_that_matches_a_path_under_the_prefix_is_always_found() {
         for text in [
             "/fee/a+",
             "/(f|g)ee",
@@ -196,13 +200,13 @@
                 "/fee/z",
             ];
             let matches = paths.iter().any(|p| regex.is_match(p));
-            let told = takes_under(&route(PathPattern::Regex(regex)), "/fee");
-            assert!(told || !matches, "{text}");
+            let found = matches_under(&route(PathPattern::Regex(regex)), "/fee");
+            assert!(found || !matches, "{text}");
         }
     }
 
     #[test]
-    fn alike_paths_have_one_loose_form() {
+    fn paths_that_an_endpoint_may_confuse_normalize_to_the_same_path() {
         for path in [
             "/Cobro-Mensual",
             "/cobro%2Dmensual/",
@@ -210,8 +214,8 @@
             "/COBRO-MENSUAL//",
             "/cobro-mensual",
         ] {
-            assert_eq!(loose(path), "/cobro-mensual", "{path}");
+            assert_eq!(loosely_normalize(path), "/cobro-mensual", "{path}");
         }
-        assert_eq!(loose("/a%2Fb"), "/a/b");
+        assert_eq!(loosely_normalize("/a%2Fb"), "/a/b");
     }
 }
