--- a/crates/config-tool/src/rollout.rs
+++ b/crates/config-tool/src/rollout.rs
@@ -1,36 +1,38 @@
-//! Two sets side by side: what a reload would change, and whether both may run at once.
+//! Compares two sets of files: what a rollout from one to the other changes, and whether proxies with the old files and
+//! proxies with the new files can safely run at the same time.
 
-use crate::finding::{Finding, Place, Report};
-use crate::set::{show_repeat, Application, Set};
+use crate::config_set::{display_idempotency, Application, ConfigSet};
+use crate::finding::{Finding, Location, Report};
 use badgerramp_config::Config;
 use badgerramp_decisions::Idempotency;
 use badgerramp_route::{PathPattern, Route};
 use badgerramp_toml_diagnostics::units::format_duration;
 use http::{HeaderMap, HeaderValue, Method};
 
-/// Compares; what must not be is a finding, what changes is a note.
-pub fn compare(report: &mut Report, old: &Set, new: &Set) {
+/// Compares two sets. Unsafe changes are reported as findings, all other changes as notes.
+pub fn compare(report: &mut Report, old: &ConfigSet, new: &ConfigSet) {
     for app in &new.applications {
         match old.applications.iter().find(|o| o.name == app.name) {
-            Some(before) => application(report, before, app),
-            None => report.notes.push(format!("{}: new", app.name)),
+            Some(before) => compare_applications(report, before, app),
+            None => report.notes.push(format!("{}: added", app.name)),
         }
     }
     for before in &old.applications {
         if !new.applications.iter().any(|a| a.name == before.name) {
-            report.notes.push(format!("{}: gone", before.name));
+            report.notes.push(format!("{}: removed", before.name));
         }
     }
 }
 
-struct Change<'c> {
+/// The comparison of one application's old and new file.
+struct Comparison<'c> {
     report: &'c mut Report,
     old: &'c Application,
     new: &'c Application,
 }
 
-impl Change<'_> {
-    fn refuse(
+impl Comparison<'_> {
+    fn report_unsafe(
         &mut self,
         code: &'static str,
         (key, path): (String, &[&str]),
@@ -38,33 +40,37 @@
         found: String,
         allowed: String,
     ) {
-        let at =
-            |app: &Application| Place::new(app.file, &app.config.value_span(path).unwrap_or(0..0));
+        let location = |app: &Application| {
+            Location::new(app.file, &app.config.value_span(path).unwrap_or(0..0))
+        };
         self.report.findings.push(Finding {
             code,
             key,
             reason: reason.to_owned(),
             found,
             allowed,
-            place: at(self.new),
-            related: vec![(at(self.old), "before".to_owned())],
+            location: location(self.new),
+            related: vec![(location(self.old), "before".to_owned())],
             apps: [self.new.name.clone()].into(),
         });
     }
 
-    fn note(&mut self, text: String) {
+    fn add_note(&mut self, text: String) {
         self.report.notes.push(format!("{}: {text}", self.new.name));
     }
 }
 
-fn application(report: &mut Report, old: &Application, new: &Application) {
+fn compare_applications(report: &mut Report, old: &Application, new: &Application) {
     let (before, after) = (&old.config, &new.config);
-    let mut change = Change { report, old, new };
+    let mut comparison = Comparison { report, old, new };
     if before.listen != after.listen {
         let reason =
-            "a listener that moves leaves its clients behind: a running program can't move it";
-        let allowed = format!("{}, or a new application beside the old one", before.listen);
-        change.refuse(
+            "a running proxy can't change its listener, and its clients use the old address";
+        let allowed = format!(
+            "{}, or a new application in addition to the old one",
+            before.listen
+        );
+        comparison.report_unsafe(
             "listener-moved",
             ("listen".to_owned(), &["listen"]),
             reason,
@@ -72,7 +78,7 @@
             allowed,
         );
     }
-    for (key, same) in [
+    for (key, unchanged) in [
         ("limits.memory", before.limits.memory == after.limits.memory),
         (
             "limits.descriptors",
@@ -85,13 +91,13 @@
         ),
         ("peers", before.peers == after.peers),
     ] {
-        if !same {
-            change.note(format!(
-                "{key} changes: a reload refuses that, it wants a new start"
+        if !unchanged {
+            comparison.add_note(format!(
+                "{key} changes, which requires a restart: a reload rejects it"
             ));
         }
     }
-    classes(&mut change, before, after);
+    compare_classes(&mut comparison, before, after);
     for endpoint in &after.upstream.endpoints {
         let known = before
             .upstream
@@ -102,13 +108,13 @@
             known.filter(|k| (k.group, &k.zone) != (endpoint.group, &endpoint.zone))
         {
             let reason =
-                "while both run, a keyed call could go again to a group that does not know it";
+                "while old and new files are in use, a keyed call could be retried in a group that has not seen its key";
             let found = format!(
                 "{} in group {}, zone {:?}",
                 endpoint.address, endpoint.group, endpoint.zone
             );
             let allowed = format!("group {}, zone {:?}, as before", known.group, known.zone);
-            change.refuse(
+            comparison.report_unsafe(
                 "group-moved",
                 ("upstream.endpoints".to_owned(), &["upstream", "endpoints"]),
                 reason,
@@ -125,70 +131,72 @@
             .collect::<Vec<_>>()
     };
     let (theirs, own) = (addresses(before), addresses(after));
-    for gone in theirs.iter().filter(|a| !own.contains(a)) {
-        change.note(format!("endpoint {gone} goes"));
+    for removed in theirs.iter().filter(|a| !own.contains(a)) {
+        comparison.add_note(format!("endpoint {removed} is removed"));
     }
-    for come in own.iter().filter(|a| !theirs.contains(a)) {
-        change.note(format!("endpoint {come} comes, and counts as cold"));
+    for added in own.iter().filter(|a| !theirs.contains(a)) {
+        comparison.add_note(format!(
+            "endpoint {added} is added, and begins with slow start"
+        ));
     }
-    paths(&mut change, before, after);
-    routes(&mut change, before, after);
+    compare_paths(&mut comparison, before, after);
+    compare_route_timing(&mut comparison, before, after);
 }
 
-/// Effects and windows of the classes that both have.
-fn classes(change: &mut Change<'_>, before: &Config, after: &Config) {
+/// Compares the classes of both files.
+fn compare_classes(comparison: &mut Comparison<'_>, before: &Config, after: &Config) {
     for class in &after.classes {
         let name = class.name.as_str();
         let Some(known) = before.classes.iter().find(|c| c.name == name) else {
-            change.note(format!("class {name} comes"));
+            comparison.add_note(format!("class {name} is added"));
             continue;
         };
         let (own, theirs) = (class.class, known.class);
-        let key = |what: &str| format!("class.{name}.{what}");
-        let same_kind = match (theirs.idempotency, own.idempotency) {
+        let key_path = |key: &str| format!("class.{name}.{key}");
+        let same_effect = match (theirs.idempotency, own.idempotency) {
             (Idempotency::Keyed { scope: a, .. }, Idempotency::Keyed { scope: b, .. }) => a == b,
             (a, b) => a == b,
         };
-        if !same_kind {
-            let reason = "while both run, one would send again what the other holds for unsafe";
+        if !same_effect {
+            let reason = "while old and new files are in use, some proxies would retry calls that the others treat differently";
             let path = ["class", name, "effect"];
-            let found = show_repeat(own.idempotency);
-            change.refuse(
+            let found = display_idempotency(own.idempotency);
+            comparison.report_unsafe(
                 "effect-changed",
-                (key("effect"), &path),
+                (key_path("effect"), &path),
                 reason,
                 found,
-                show_repeat(theirs.idempotency),
+                display_idempotency(theirs.idempotency),
             );
         } else if let (Idempotency::Keyed { window: a, .. }, Idempotency::Keyed { window: b, .. }) =
             (theirs.idempotency, own.idempotency)
         {
             if b < a {
-                let reason = "while both run, the old one would send again what the hosts may have forgotten";
+                let reason = "while old and new files are in use, proxies with the old window would retry calls whose keys the endpoints may have forgotten";
                 let path = ["class", name, "window"];
                 let allowed = format!("{} or more", format_duration(a));
-                change.refuse(
+                comparison.report_unsafe(
                     "window-shrinks",
-                    (key("window"), &path),
+                    (key_path("window"), &path),
                     reason,
                     format_duration(b),
                     allowed,
                 );
             } else if b > a {
-                change.note(format!(
+                comparison.add_note(format!(
                     "class {name}: window {} -> {}",
                     format_duration(a),
                     format_duration(b)
                 ));
             }
         }
-        for (what, a, b) in [
+        for (key, a, b) in [
             ("aim", theirs.latency_objective, own.latency_objective),
             ("deadline", theirs.deadline, own.deadline),
         ] {
             if a != b {
-                change.note(format!(
-                    "class {name}: {what} {} -> {}",
+                comparison.add_note(format!(
+                    "class {name}: {key} {} -> {}",
                     format_duration(a),
                     format_duration(b)
                 ));
@@ -197,13 +205,13 @@
     }
     for known in &before.classes {
         if !after.classes.iter().any(|c| c.name == known.name) {
-            change.note(format!("class {} goes", known.name));
+            comparison.add_note(format!("class {} is removed", known.name));
         }
     }
 }
 
-/// Requests that a route takes, as far as they can be told without trying all.
-fn samples(route: &Route) -> Vec<(Method, String, HeaderMap)> {
+/// Sample requests that match a route's path, methods and headers; none for a regular expression.
+fn sample_requests(route: &Route) -> Vec<(Method, String, HeaderMap)> {
     let paths = match &route.path {
         PathPattern::Exact(path) => vec![path.clone()],
         PathPattern::Prefix(path) => {
@@ -216,14 +224,14 @@
     } else {
         route.methods.clone()
     };
-    let any = HeaderValue::from_static("1");
+    let any_value = HeaderValue::from_static("1");
     let headers: HeaderMap = route
         .headers
         .iter()
         .map(|h| {
             (
                 h.name.clone(),
-                h.value.clone().unwrap_or_else(|| any.clone()),
+                h.value.clone().unwrap_or_else(|| any_value.clone()),
             )
         })
         .collect();
@@ -235,11 +243,11 @@
         .collect()
 }
 
-/// What the same request is to both.
-fn paths(change: &mut Change<'_>, before: &Config, after: &Config) {
-    let mut told = std::collections::BTreeSet::new();
+/// Compares how both files handle sample requests of all routes.
+fn compare_paths(comparison: &mut Comparison<'_>, before: &Config, after: &Config) {
+    let mut reported = std::collections::BTreeSet::new();
     for route in before.routes.routes().iter().chain(after.routes.routes()) {
-        for (method, path, headers) in samples(route) {
+        for (method, path, headers) in sample_requests(route) {
             let find = |c: &Config| {
                 let (_, route) = c.routes.find(&method, &path, &headers).ok().flatten()?;
                 let class = &c.classes[route.class];
@@ -252,41 +260,47 @@
             };
             let (theirs, own) = (find(before), find(after));
             let request = format!("{method} {path}");
-            let number = |name: &str| after.routes.routes().iter().position(|r| r.name == name);
+            let route_index =
+                |name: &str| after.routes.routes().iter().position(|r| r.name == name);
             match (theirs, own) {
                 (Some(theirs), Some(own)) => {
-                    // The same class is looked at as a class.
-                    let effect = theirs.0 != own.0 && theirs.1 != own.1;
-                    let key = theirs.2 != own.2 && matches!(own.1, Idempotency::Keyed { .. });
-                    if (effect || key) && told.insert(request.clone()) {
-                        let reason = if effect {
-                            format!("while both run, {request} would be two things")
+                    // A change within one class is compared in `compare_classes`.
+                    let effect_changed = theirs.0 != own.0 && theirs.1 != own.1;
+                    let key_changed =
+                        theirs.2 != own.2 && matches!(own.1, Idempotency::Keyed { .. });
+                    if (effect_changed || key_changed) && reported.insert(request.clone()) {
+                        let reason = if effect_changed {
+                            format!("while old and new files are in use, {request} would have different effects")
                         } else {
-                            format!("while both run, {request} would have two keys")
+                            format!("while old and new files are in use, {request} would have different keys")
                         };
-                        let found =
-                            format!("class {} ({}), key {:?}", own.0, show_repeat(own.1), own.2);
+                        let found = format!(
+                            "class {} ({}), key {:?}",
+                            own.0,
+                            display_idempotency(own.1),
+                            own.2
+                        );
                         let allowed = format!(
                             "class {} ({}), key {:?}",
                             theirs.0,
-                            show_repeat(theirs.1),
+                            display_idempotency(theirs.1),
                             theirs.2
                         );
-                        let place = number(&own.3).unwrap_or(0).to_string();
-                        change.refuse(
+                        let index = route_index(&own.3).unwrap_or(0).to_string();
+                        comparison.report_unsafe(
                             "path-changed",
-                            (format!("route[{place}]"), &["route", &place]),
+                            (format!("route[{index}]"), &["route", &index]),
                             &reason,
                             found,
                             allowed,
                         );
                     }
                 }
-                (Some(_), None) if told.insert(request.clone()) => {
-                    change.note(format!("{request} has no route any more"));
+                (Some(_), None) if reported.insert(request.clone()) => {
+                    comparison.add_note(format!("{request} no longer has a route"));
                 }
-                (None, Some(_)) if told.insert(request.clone()) => {
-                    change.note(format!("{request} has a route now"));
+                (None, Some(_)) if reported.insert(request.clone()) => {
+                    comparison.add_note(format!("{request} now has a route"));
                 }
                 _ => {}
             }
@@ -294,9 +308,9 @@
     }
 }
 
-/// Timing of the routes that both have.
-fn routes(change: &mut Change<'_>, before: &Config, after: &Config) {
-    for (place, route) in after.routes.routes().iter().enumerate() {
+/// Compares the timing of the routes of both files.
+fn compare_route_timing(comparison: &mut Comparison<'_>, before: &Config, after: &Config) {
+    for (index, route) in after.routes.routes().iter().enumerate() {
         let Some(known) = before
             .routes
             .routes()
@@ -308,9 +322,9 @@
         let pairs = before
             .route_timing_values(known)
             .into_iter()
-            .zip(after.route_timing_values(place));
+            .zip(after.route_timing_values(index));
         for (theirs, own) in pairs.filter(|(a, b)| a.value != b.value) {
-            change.note(format!(
+            comparison.add_note(format!(
                 "route {}: {} {} -> {}",
                 route.name, own.name, theirs.value, own.value
             ));
--- a/crates/config-tool/tests/keys.rs
+++ b/crates/config-tool/tests/keys.rs
@@ -1,10 +1,10 @@
-//! Every key that a table of a description may hold. An unknown key is refused with the list of the known ones, so one
-//! unknown key in each table shows them all. Keys of classes and routes go into the operator's files as they stand:
-//! those are pinned beside their reader.
+//! Pins the keys of each table of a description. An unknown key is rejected with a list of the known ones, so one unknown
+//! key in each table shows them all. Keys of classes and routes are copied verbatim to the operator's files; the tests of
+//! `badgerramp-config` pin those.
 
 use badgerramp_config_tool::description::{load, Description};
 
-const FILE: &str = r#"
+const DESCRIPTION: &str = r#"
 zzzz = 1
 [class.a]
 aim = "500ms"
@@ -23,12 +23,12 @@
 "#;
 
 #[test]
-fn every_table_of_a_description_takes_the_keys_it_took() {
+fn each_table_of_a_description_accepts_exactly_the_pinned_keys() {
     let path = std::env::temp_dir().join(format!("badgerramp-keys-{}.toml", std::process::id()));
-    std::fs::write(&path, FILE).expect("a file");
-    let mut report = load(&path).unwrap_or_else(|_| panic!("it can be read"));
+    std::fs::write(&path, DESCRIPTION).expect("file operation");
+    let mut report = load(&path).unwrap_or_else(|_| panic!("load failed"));
     let description = Description::read(&mut report);
-    std::fs::remove_file(&path).expect("a file");
+    std::fs::remove_file(&path).expect("file operation");
     let known: Vec<&str> = description.upstreams[0]
         .keys
         .iter()
@@ -37,7 +37,7 @@
     assert_eq!(
         known,
         ["zzzz"],
-        "the facts of an upstream are read here, the rest goes into the files"
+        "keys of an upstream that are not part of its contract are copied to the operators' files"
     );
     let lines: Vec<String> = report
         .findings
--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -1,18 +1,18 @@
-//! The heart of the checks: from a correct set, single edits to any value. Each edited set that is accepted is driven
-//! through the decisions without sockets, with adversarial outcomes and the clients that it is written for. No charge
-//! runs twice, no keyed entry runs twice, no answer is owed.
+//! Mutation test of the checks: makes single edits of any value in correct files. Each edited set of files that the checks
+//! accept is run through the decisions without sockets, with adversarial outcomes and the clients of its contracts. No
+//! unsafe request may run twice, no keyed request may run twice, and every client has to get a response in time.
 #![expect(
     clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
+    reason = "a test covers one scenario from start to end"
 )]
 
 mod common;
 
 use badgerramp_config::Config;
 use badgerramp_config_tool::commands;
-use badgerramp_config_tool::facts::RetryOn;
-use badgerramp_config_tool::overlap::under;
-use badgerramp_config_tool::set::Set;
+use badgerramp_config_tool::config_set::ConfigSet;
+use badgerramp_config_tool::contract::RetryOn;
+use badgerramp_config_tool::overlap::is_under;
 use badgerramp_decisions::Micros;
 use badgerramp_testkit::decision_driver::{Answer, Request, World};
 use common::*;
@@ -23,23 +23,24 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What is true of the hosts, whatever any file says.
-const CHARGES: &str = "/cobro-mensual";
-const ENTRIES: &str = "/registro-entrada";
-const WINDOW: Micros = 1_200_000;
+/// The endpoints' behaviour, which doesn't depend on any file: paths that are unsafe, paths whose retries the endpoints
+/// deduplicate, and how long they remember a key.
+const UNSAFE_PATH: &str = "/cobro-mensual";
+const KEYED_PATH: &str = "/registro-entrada";
+const KEY_WINDOW: Micros = 1_200_000;
 
-/// Which hosts drop each other's repeats, by address.
+/// The deduplication group of each endpoint.
 type Groups = HashMap<SocketAddr, u32>;
 
-/// The groups of the hosts as the correct description has them, or as an edited one describes its world: that is the
-/// one place that tells them, so that nothing can show a slip there.
-fn groups(set: &Set) -> Groups {
+/// The endpoints' groups, from the upstreams of the correct or the edited set. Nothing else contains them, so no check can
+/// detect an error in them.
+fn groups(set: &ConfigSet) -> Groups {
     let endpoints = set.upstreams.iter().flat_map(|u| &u.upstream.endpoints);
     endpoints.map(|e| (e.address, e.group)).collect()
 }
 
-/// What each application's client sends, whatever any file says.
-fn sends(app: &str) -> &'static [(&'static str, &'static str)] {
+/// The requests of each application's client, which don't depend on any file.
+fn client_requests(app: &str) -> &'static [(&'static str, &'static str)] {
     match app {
         "kiosko" => &[
             ("POST", "/registro-entrada"),
@@ -66,34 +67,34 @@
     }
 }
 
-/// How an application's client waits and tries again.
+/// The timeout and retries of an application's client.
 #[derive(Clone, Copy, Debug)]
 struct Client {
-    waits: Micros,
+    timeout: Micros,
     retries: u64,
     retry_on: RetryOn,
-    pause: Micros,
+    max_retry_pause: Micros,
 }
 
-fn clients(set: &Set) -> HashMap<String, Client> {
-    let client = |a: &badgerramp_config_tool::set::Application| {
-        let facts = &a.facts.as_ref()?.1;
-        let (waits, retries) = (facts.waits.value, facts.retries.value);
+fn clients(set: &ConfigSet) -> HashMap<String, Client> {
+    let client = |a: &badgerramp_config_tool::config_set::Application| {
+        let contract = &a.contract.as_ref()?.1;
+        let (timeout, retries) = (contract.client_timeout.value, contract.retries.value);
         Some((
             a.name.clone(),
             Client {
-                waits,
+                timeout,
                 retries,
-                retry_on: facts.retry_on,
-                pause: facts.pause,
+                retry_on: contract.retry_on,
+                max_retry_pause: contract.max_retry_pause,
             },
         ))
     };
     set.applications.iter().filter_map(client).collect()
 }
 
-/// One client's request with all its tries. Err: the rule that broke.
-fn visit(
+/// Runs one client's request with all its retries. Returns the violated invariant as an error.
+fn run_request(
     config: &Config,
     world: &mut World<'_>,
     (client, groups): (Client, &Groups),
@@ -118,38 +119,40 @@
             .key
             .as_ref()
             .is_none_or(|key| key.read(&headers).is_none());
-        let guarded = matches!(
+        let is_keyed = matches!(
             config.classes[taken.class].class.idempotency,
             badgerramp_decisions::Idempotency::Keyed { .. }
         );
         let asked = world.now();
         let call = world.ask(Request {
             route,
-            once: once && guarded,
+            once: once && is_keyed,
             told: None,
         });
-        world.run(asked + client.waits);
+        world.run(asked + client.timeout);
         let Some((answer, at)) = world.call(call).answered else {
-            return Err(format!("{method} {path}: no answer while the client waits"));
+            return Err(format!(
+                "{method} {path}: no response before the client's timeout"
+            ));
         };
-        assert!(at <= asked + client.waits);
-        // Late ends of its attempts come in, too.
+        assert!(at <= asked + client.timeout);
+        // Attempts that have not ended yet count too.
         for tried in world.call(call).tried.iter().filter(|t| t.may_have_run()) {
             let address = config.upstream.endpoints[tried.server.0 as usize].address;
-            // What listens elsewhere drops no repeats of anybody's.
+            // An unknown address is a deduplication group of its own.
             let group = groups
                 .get(&address)
                 .copied()
                 .unwrap_or(u32::from(address.port()));
             executed.push((tried.sent, group));
         }
-        let again = answer == Answer::Refused
+        let retry = answer == Answer::Refused
             || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
-        if !again {
+        if !retry {
             break;
         }
-        let pause = if client.pause > 0 {
-            world.random().gen_range(0..=client.pause)
+        let pause = if client.max_retry_pause > 0 {
+            world.random().gen_range(0..=client.max_retry_pause)
         } else {
             0
         };
@@ -158,33 +161,35 @@
     if method == Method::GET {
         return Ok(());
     }
-    if under(path, CHARGES) && executed.len() > 1 {
+    if is_under(path, UNSAFE_PATH) && executed.len() > 1 {
         return Err(format!(
-            "{method} {path}: a charge ran {} times",
+            "{method} {path}: an unsafe request ran {} times",
             executed.len()
         ));
     }
-    if under(path, ENTRIES) {
-        // The hosts of a group drop what they have seen within the window.
+    if is_under(path, KEYED_PATH) {
+        // The endpoints of a group drop requests whose key they have seen within the window.
         executed.sort();
         let mut first: HashMap<u32, Micros> = HashMap::new();
         let mut runs = 0;
         for (at, group) in executed {
-            let known = first.get(&group).is_some_and(|&since| at < since + WINDOW);
-            if !known {
+            let is_duplicate = first
+                .get(&group)
+                .is_some_and(|&since| at < since + KEY_WINDOW);
+            if !is_duplicate {
                 runs += 1;
                 first.insert(group, at);
             }
         }
         if runs > 1 {
-            return Err(format!("{method} {path}: an entry ran {runs} times"));
+            return Err(format!("{method} {path}: a keyed request ran {runs} times"));
         }
     }
     Ok(())
 }
 
-/// Plays all requests of an application some times over. Err: the rule that broke.
-fn play(
+/// Runs all requests of an application's client several times. Returns the violated invariant as an error.
+fn run_client(
     app: &str,
     config: &Config,
     client: (Client, &Groups),
@@ -193,8 +198,8 @@
 ) -> Result<(), String> {
     let mut world = World::new(config, seed);
     for _ in 0..times {
-        for request in sends(app) {
-            visit(config, &mut world, client, *request)?;
+        for request in client_requests(app) {
+            run_request(config, &mut world, client, *request)?;
             let pause = world.random().gen_range(0..400_000);
             world.run(world.now() + pause);
         }
@@ -202,7 +207,7 @@
     Ok(())
 }
 
-/// Values of all kinds; an edit takes one of the same kind or any.
+/// Values by kind. An edit replaces a value by one of the same or of any kind.
 const VALUES: &[&[&str]] = &[
     &[
         "\"1ms\"",
@@ -281,7 +286,7 @@
     ],
 ];
 
-/// Lines that a hand might add to a table.
+/// Lines that an edit may insert.
 const LINES: &[&str] = &[
     "second_copy = \"auto\"",
     "second_copy = \"after 100ms\"",
@@ -315,9 +320,9 @@
     "[[route]]\nname = \"extra\"\nregex = \"/cobro.*\"\nclass = \"consulta\"",
 ];
 
-/// Places of values in a text: after `=`, up to the end of the value.
-fn values(text: &str) -> Vec<std::ops::Range<usize>> {
-    let mut places = Vec::new();
+/// Finds the ranges of the values in a text: from after `=` to the end of the value.
+fn value_ranges(text: &str) -> Vec<std::ops::Range<usize>> {
+    let mut ranges = Vec::new();
     let (mut at, mut comment) = (0, false);
     let bytes = text.as_bytes();
     while at < bytes.len() {
@@ -335,17 +340,17 @@
                     _ => rest.find([',', ' ', '\n', '}']).unwrap_or(rest.len()),
                 };
                 if length > 0 {
-                    places.push(start..start + length);
+                    ranges.push(start..start + length);
                 }
             }
             _ => {}
         }
         at += 1;
     }
-    places
+    ranges
 }
 
-/// One edit: a value replaced, a line dropped, a line added.
+/// Makes one edit: replaces a value, removes a line or inserts a line.
 fn edit(text: &str, random: &mut Pcg32) -> String {
     let lines: Vec<&str> = text.lines().collect();
     match random.gen_range(0..10) {
@@ -365,26 +370,26 @@
             lines.join("\n") + "\n"
         }
         kind => {
-            let places = values(text);
-            let place = places.choose(random).expect("a value").clone();
-            let old = &text[place.clone()];
-            let same = VALUES
+            let ranges = value_ranges(text);
+            let range = ranges.choose(random).expect("a value").clone();
+            let old = &text[range.clone()];
+            let same_kind = VALUES
                 .iter()
                 .filter(|v| v.contains(&old))
                 .copied()
                 .collect::<Vec<_>>();
-            let pool = match (same.choose(random), kind) {
+            let pool = match (same_kind.choose(random), kind) {
                 (Some(pool), 3..=7) => pool,
                 _ => VALUES.choose(random).expect("some"),
             };
             let new = pool.choose(random).expect("some");
-            format!("{}{new}{}", &text[..place.start], &text[place.end..])
+            format!("{}{new}{}", &text[..range.start], &text[range.end..])
         }
     }
 }
 
-/// How many edits, and the seed: a longer run than CI's is a matter of two variables.
-fn run_of(edits: usize, seed: u64) -> (usize, u64) {
+/// The number of edits and the seed. Two environment variables allow longer runs than those of CI.
+fn edits_and_seed(edits: usize, seed: u64) -> (usize, u64) {
     let variable = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     let times = variable("BADGERRAMP_MUTATION_TIMES").unwrap_or(1) as usize;
     (
@@ -393,7 +398,7 @@
     )
 }
 
-/// What was tried.
+/// The number of edits that were made, and of those that the checks accepted.
 #[derive(Debug, Default)]
 struct Count {
     tried: usize,
@@ -401,39 +406,39 @@
 }
 
 #[test]
-fn the_correct_set_keeps_the_rules_and_the_world_can_break_them() {
+fn correct_files_hold_the_invariants_and_incorrect_ones_violate_them() {
     let folder = examples().join("cordillera/sidecars");
     let (report, set) = commands::check(&[&folder]);
-    assert!(report.good(), "{}", report.human());
+    assert!(report.is_clean(), "{}", report.human());
     let (clients, groups) = (clients(&set), groups(&set));
     for app in &set.applications {
-        play(
+        run_client(
             &app.name,
             &app.config,
             (clients[&app.name], &groups),
             1,
             100,
         )
-        .unwrap_or_else(|broken| panic!("{}: {broken}", app.name));
+        .unwrap_or_else(|violation| panic!("{}: {violation}", app.name));
     }
-    // Without the checks the same world shows each rule broken: it can tell.
+    // The simulation detects a violation of each invariant when the checks are bypassed.
     let text = |name: &str| std::fs::read_to_string(folder.join(name)).expect("a file");
-    for (app, from, to, broken) in [
-        ("tableta", "effect = \"unsafe\"", "effect = \"safe\"", "charge ran"),
-        ("kiosko", "group = \"group\"", "group = \"all\"", "entry ran"),
-        ("kiosko", "effect = \"keyed\"  # shared/classes.toml:14\ngroup = \"group\"  # shared/classes.toml:15\nwindow = \"1200ms\"  # shared/classes.toml:16", "effect = \"safe\"", "entry ran"),
+    for (app, from, to, expected) in [
+        ("tableta", "effect = \"unsafe\"", "effect = \"safe\"", "unsafe request ran"),
+        ("kiosko", "group = \"group\"", "group = \"all\"", "keyed request ran"),
+        ("kiosko", "effect = \"keyed\"  # shared/classes.toml:14\ngroup = \"group\"  # shared/classes.toml:15\nwindow = \"1200ms\"  # shared/classes.toml:16", "effect = \"safe\"", "keyed request ran"),
     ] {
         let text = text(&format!("{app}.toml"));
         assert!(text.contains(from), "{from}");
         let config = badgerramp_config::parse("x", &text.replace(from, to)).unwrap_or_else(|m| panic!("{m}"));
-        let told = (0..20).find_map(|seed| play(app, &config, (clients[app], &groups), seed, 40).err());
-        assert!(told.as_ref().is_some_and(|t| t.contains(broken)), "{app} {to}: {told:?}");
+        let violation = (0..20).find_map(|seed| run_client(app, &config, (clients[app], &groups), seed, 40).err());
+        assert!(violation.as_ref().is_some_and(|v| v.contains(expected)), "{app} {to}: {violation:?}");
     }
-    let hasty = Client {
-        waits: 700_000,
+    let impatient = Client {
+        timeout: 700_000,
         ..clients["tableta"]
     };
-    let failing = Client {
+    let retrying = Client {
         retry_on: RetryOn::Failed,
         ..clients["tableta"]
     };
@@ -444,19 +449,19 @@
         .expect("it is there")
         .config;
     assert!(
-        (0..20).any(|seed| play("tableta", config, (failing, &groups), seed, 40).is_err()),
-        "a client that sends again"
+        (0..20).any(|seed| run_client("tableta", config, (retrying, &groups), seed, 40).is_err()),
+        "a client that retries failed requests"
     );
     assert!(
-        (0..20).any(|seed| play("tableta", config, (hasty, &groups), seed, 40).is_err()),
-        "one that goes early"
+        (0..20).any(|seed| run_client("tableta", config, (impatient, &groups), seed, 40).is_err()),
+        "a client with a short timeout"
     );
 }
 
-/// Edits of the files that were written, and of their manifest.
+/// Edits the generated files and their manifest.
 #[test]
-fn no_accepted_edit_of_a_written_file_breaks_a_rule() {
-    let (edits, seed) = run_of(2_500, 7);
+fn no_accepted_edit_of_a_generated_file_violates_an_invariant() {
+    let (edits, seed) = edits_and_seed(2_500, 7);
     let correct = examples().join("cordillera/sidecars");
     let (_, set) = commands::check(&[&correct]);
     let (clients, groups) = (clients(&set), groups(&set));
@@ -468,7 +473,7 @@
         "torniquete.toml",
         "manifest.toml",
     ];
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let texts: Vec<String> = names
         .iter()
         .map(|n| std::fs::read_to_string(correct.join(n)).expect("a file"))
@@ -476,7 +481,7 @@
     names
         .iter()
         .zip(&texts)
-        .for_each(|(name, text)| drop(folder.put(name, text)));
+        .for_each(|(name, text)| drop(folder.write(name, text)));
     let mut random = Pcg32::seed_from_u64(seed);
     let mut count = Count::default();
     while count.tried < edits {
@@ -486,19 +491,19 @@
             continue;
         }
         count.tried += 1;
-        folder.put(names[file], &edited);
+        folder.write(names[file], &edited);
         let (report, set) = commands::check(&[&folder.0]);
-        folder.put(names[file], &texts[file]);
-        if !report.good() {
+        folder.write(names[file], &texts[file]);
+        if !report.is_clean() {
             continue;
         }
         count.accepted += 1;
         for app in &set.applications {
-            // An edited manifest changes nothing for the sidecars.
+            // Sidecars don't read the manifest, so only the application with the edited file behaves differently.
             if names[file] != format!("{}.toml", app.name) {
                 continue;
             }
-            if let Err(broken) = play(
+            if let Err(violation) = run_client(
                 &app.name,
                 &app.config,
                 (clients[&app.name], &groups),
@@ -506,7 +511,7 @@
                 25,
             ) {
                 let diff = similar::TextDiff::from_lines(&texts[file], &edited);
-                panic!("{broken}\n{}", diff.unified_diff().context_radius(1));
+                panic!("{violation}\n{}", diff.unified_diff().context_radius(1));
             }
         }
     }
@@ -517,11 +522,11 @@
     );
 }
 
-/// Edits of the description, from which all files are written anew.
+/// Edits the description and generates all files from it.
 #[test]
-fn no_accepted_edit_of_the_description_breaks_a_rule() {
-    let (edits, seed) = run_of(1_200, 8);
-    let folder = Folder::new();
+fn no_accepted_edit_of_the_description_violates_an_invariant() {
+    let (edits, seed) = edits_and_seed(1_200, 8);
+    let folder = TempFolder::new();
     let mut random = Pcg32::seed_from_u64(seed);
     let mut count = Count::default();
     while count.tried < edits {
@@ -541,30 +546,30 @@
             .context_radius(1)
             .to_string();
         count.tried += 1;
-        folder.put("shared/classes.toml", &classes);
-        let description = folder.put("apps.toml", &apps);
-        let Ok(written) = commands::compose(&description) else {
+        folder.write("shared/classes.toml", &classes);
+        let description = folder.write("apps.toml", &apps);
+        let Ok(generated) = commands::generate(&description) else {
             continue;
         };
         count.accepted += 1;
-        let out = Folder::new();
-        written
+        let out = TempFolder::new();
+        generated
             .files
             .iter()
-            .for_each(|(name, text)| drop(out.put(name, text)));
-        // What was written is found good where it lies, too.
+            .for_each(|(name, text)| drop(out.write(name, text)));
+        // The generated files also pass the checks by themselves.
         let (report, set) = commands::check(&[&out.0]);
-        assert!(report.good(), "{}\n{diff}", report.human());
+        assert!(report.is_clean(), "{}\n{diff}", report.human());
         let (clients, groups) = (clients(&set), groups(&set));
         for app in &set.applications {
-            if let Err(broken) = play(
+            if let Err(violation) = run_client(
                 &app.name,
                 &app.config,
                 (clients[&app.name], &groups),
                 count.tried as u64,
                 12,
             ) {
-                panic!("{}: {broken}\n{diff}", app.name);
+                panic!("{}: {violation}\n{diff}", app.name);
             }
         }
     }
--- a/crates/config-tool/tests/tool.rs
+++ b/crates/config-tool/tests/tool.rs
@@ -1,18 +1,20 @@
-//! The tool as its user meets it: what it writes, what it refuses and where, what a change would do.
+//! Tests of the tool's operations and command line: generated files, findings and their locations, and rollouts.
 #![expect(
     clippy::too_many_lines,
-    reason = "a test plays one course of events from its start to its end"
+    reason = "a test covers one scenario from start to end"
 )]
 
 mod common;
 
-use badgerramp_config_tool::commands::{check, check_against, compose, counts};
+use badgerramp_config_tool::commands::{check, check_against, count_by_code, generate};
 use badgerramp_config_tool::finding::Report;
 use common::*;
 use std::process::{Command, Output};
 
-const NONE: (&str, &str) = ("", "");
+/// An edit that changes nothing.
+const NO_EDIT: (&str, &str) = ("", "");
 
+/// Runs the tool.
 fn run(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_badgerramp-config"))
         .args(arguments)
@@ -24,32 +26,33 @@
     String::from_utf8(bytes.to_vec()).expect("text")
 }
 
-/// The files under `examples/` are what the description there gives, to the byte.
+/// The generated files under `examples/` match their description byte by byte.
 #[test]
-fn the_examples_are_what_is_written() {
+fn generated_examples_match_their_description() {
     let folder = examples().join("cordillera");
-    let written = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
-    assert_eq!(written.files.len(), 6);
-    for (name, text) in &written.files {
-        let golden = std::fs::read_to_string(folder.join("sidecars").join(name)).expect("a file");
-        assert!(golden == *text, "{name} differs: badgerramp-config write examples/cordillera/apps.toml --out examples/cordillera/sidecars");
+    let generated = generate(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    assert_eq!(generated.files.len(), 6);
+    for (name, text) in &generated.files {
+        let expected = std::fs::read_to_string(folder.join("sidecars").join(name)).expect("a file");
+        assert!(expected == *text, "{name} differs: badgerramp-config write examples/cordillera/apps.toml --out examples/cordillera/sidecars");
     }
-    let again = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    let regenerated =
+        generate(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
     assert_eq!(
-        written.files, again.files,
-        "the same description, the same bytes"
+        generated.files, regenerated.files,
+        "generation is deterministic"
     );
     let (report, set) = check(&[&folder.join("sidecars")]);
     assert!(
-        report.good() && report.notes.is_empty() && set.applications.len() == 5,
+        report.is_clean() && report.notes.is_empty() && set.applications.len() == 5,
         "{}",
         report.human()
     );
 }
 
-/// A class that inherits over two levels has the nearest word for each key.
+/// A class that inherits over two levels gets the nearest definition of each key.
 #[test]
-fn a_class_inherits_over_two_levels() {
+fn the_nearest_definition_of_a_key_is_inherited_over_two_levels() {
     let night = text(
         &std::fs::read(examples().join("cordillera/sidecars/lote-cuotas.toml")).expect("a file"),
     );
@@ -70,9 +73,9 @@
     assert!(!class.contains("1500ms") && !class.contains("late_worth = 0"));
 }
 
-/// One edit of the description, in apps.toml or in shared/classes.toml; the kind of what is found, and the line of the
-/// description that it is told at, by words on it.
-type Mistake = (
+/// An invalid edit of the description: its name, the replacements in apps.toml and in shared/classes.toml, the expected
+/// code of the finding, and a part of the line where it is expected.
+type InvalidEdit = (
     &'static str,
     (&'static str, &'static str),
     (&'static str, &'static str),
@@ -80,69 +83,67 @@
     &'static str,
 );
 
-const MISTAKES: &[Mistake] = &[
-    // The ten that were known.
-    ("a second copy of a charge", NONE, ("worth = 10", "worth = 10\nsecond_copy = \"auto\""), "file", "second_copy = \"auto\""),
-    ("a resend of a charge", NONE, ("worth = 10", "worth = 10\nretry = \"failed\""), "file", "retry = \"failed\""),
-    ("a proof that proves nothing", NONE, ("worth = 10", "worth = 10\nnever_ran = [{ status = 500 }]"), "file", "never_ran"),
-    ("a charge by a lax class", ("class = \"cobro-mensual\" },", "class = \"consulta\" },"), NONE, "charge-lax", "name = \"charges\""),
-    ("two on one listener", ("listen = \"127.0.0.1:8082\"", "listen = \"127.0.0.1:8081\""), NONE, "listener-shared", "listen = \"127.0.0.1:8081\""),
-    ("an upstream that is not described", ("upstream = \"access\"\ninstances = 6", "upstream = \"acess\"\ninstances = 6"), NONE, "upstream-unknown", "upstream = \"acess\""),
-    ("a window that the hosts do not keep", NONE, ("window = \"1200ms\"", "window = \"2s\""), "keyed-unhonoured", "name = \"entries\""),
-    ("a client that sends again what may have run", ("retries = 1\n", "retries = 1\nretry_on = \"failed\"\n"), NONE, "client-resends", "retries = 1"),
-    ("more connections than an endpoint holds", ("instances = 6", "instances = 60"), NONE, "connections", "connections = 76"),
-    ("a total beyond the client's wait", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\ntotal = \"1199ms\""), NONE, "file", "total = \"1199ms\""),
-    // And more.
-    ("an own total beyond the client's wait", ("send = [\n    { name = \"fees\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-nocturno\" }", "send = [\n    { name = \"fees\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-nocturno\", total = \"21s\" }"), NONE, "file", "name = \"fees\""),
-    ("a route that outlasts its client", ("{ name = \"charges\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-mensual\" }", "{ name = \"charges\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-mensual\", total = \"1450ms\" }"), NONE, "client-gives-up", "total = \"1450ms\""),
-    ("a catch-all that takes charges", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", prefix = \"/\", class = \"consulta\" }"), NONE, "charge-lax", "name = \"members\", prefix = \"/\""),
-    ("a pattern that takes charges", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", regex = '/(socios|cobro-[a-z]+/x[0-9])', class = \"consulta\" }"), NONE, "charge-lax", "regex"),
-    ("a path that hosts may take for a charge", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", prefix = \"/Cobro-Mensual\", class = \"consulta\" }"), NONE, "path-alike", "/Cobro-Mensual"),
-    ("an escaped path that hosts may take for a charge", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", path = \"/cobro-mensual%2F7\", class = \"consulta\" }"), NONE, "path-alike", "%2F7"),
-    ("a charge by an odd method", ("methods = [\"GET\"], class = \"consulta\" },\n    { name = \"members\", prefix = \"/socios\", class", "methods = [\"GET\", \"DELETE\"], class = \"consulta\" },\n    { name = \"members\", prefix = \"/socios\", class"), NONE, "charge-lax", "\"DELETE\""),
-    ("a keyed class where nobody drops repeats", ("{ name = \"members\", prefix = \"/socios\", methods = [\"GET\"], class = \"consulta\" }", "{ name = \"members\", prefix = \"/socios\", methods = [\"PUT\"], class = \"registro-entrada\" }"), NONE, "keyed-unhonoured", "\"PUT\""),
-    ("a group that the hosts do not have", NONE, ("group = \"group\"", "group = \"all\""), "keyed-unhonoured", "name = \"entries\""),
-    ("a key from elsewhere", ("class = \"registro-entrada\" },\n    { name = \"charges\"", "class = \"registro-entrada\", key = { cookie = \"k\" } },\n    { name = \"charges\""), NONE, "class-differs", "cookie = \"k\""),
-    ("a deadline of its own", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\ndeadline = \"1300ms\""), NONE, "class-differs", "deadline = \"1300ms\""),
-    ("an effect of its own", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\nwindow = \"1100ms\""), NONE, "class-differs", "effect = \"keyed\""),
-    ("more than the endpoints bear", ("rate = 40\n", "rate = 4000\n"), NONE, "rate", "rate = 100"),
-    ("more than a cold endpoint bears", ("rate = 100\n", "rate = 38\n"), NONE, "cold", "rate = 38"),
-    ("names that are one but for case", ("[app.oficina]", "[app.Kiosko]"), NONE, "name-alike", "[app."),
-    ("names that are one but for their form", ("[app.oficina]", "[app.\"\u{212a}iosko\"]"), NONE, "name-alike", "[app."),
-    ("a name that is no file's", ("[app.oficina]", "[app.\"../oficina\"]"), NONE, "name-alike", "[app.\"../"),
-    ("a class that is not there", ("class = \"consulta\" },\n]\n\n# Turn", "class = \"consultas\" },\n]\n\n# Turn"), NONE, "file", "consultas"),
-    ("a class that inherits from nobody", NONE, ("inherits = \"cobro-mensual\"", "inherits = \"cobro\""), "inherits", "inherits = \"cobro\""),
-    ("classes that inherit in a circle", NONE, ("[class.interactive]", "[class.interactive]\ninherits = \"consulta\""), "inherits", "inherits = "),
-    ("an include that is not there", ("shared/classes.toml", "shared/class.toml"), NONE, "include", "include = "),
-    ("an include outside the folder", ("\"shared/classes.toml\"", "\"shared/classes.toml\", \"/etc/hostname\""), NONE, "include", "include = "),
-    ("an include that includes itself", NONE, ("[class.interactive]", "include = [\"../apps.toml\"]\n[class.interactive]"), "include", "include = "),
-    ("a key that nobody knows", ("instances = 6", "instance = 6"), NONE, "file", "instance = 6"),
-    ("an application that sends nothing", ("rate = 20\nmemory", "rates = 20\nmemory"), NONE, "file", "rates = 20"),
-    ("limits that do not hold", ("rate = 20\nmemory = \"32MiB\"", "rate = 20\nopen_calls = 200\nmemory = \"32MiB\""), NONE, "file", "open_calls = 200"),
-    ("a route that another one takes", ("{ name = \"members\", prefix = \"/socios\", methods = [\"GET\"], class = \"consulta\" }", "{ name = \"members\", prefix = \"/cobro-mensual/x\", methods = [\"POST\"], class = \"cobro-nocturno\" }"), NONE, "file", "/cobro-mensual/x"),
-    ("what is no TOML", ("[app.oficina]", "[app.oficina"), NONE, "file", "[app.oficina"),
+const INVALID_EDITS: &[InvalidEdit] = &[
+    ("a second copy for an unsafe class", NO_EDIT, ("worth = 10", "worth = 10\nsecond_copy = \"auto\""), "file", "second_copy = \"auto\""),
+    ("retry on failure for an unsafe class", NO_EDIT, ("worth = 10", "worth = 10\nretry = \"failed\""), "file", "retry = \"failed\""),
+    ("a status alone as proof that an attempt never ran", NO_EDIT, ("worth = 10", "worth = 10\nnever_ran = [{ status = 500 }]"), "file", "never_ran"),
+    ("unsafe requests in a safe class", ("class = \"cobro-mensual\" },", "class = \"consulta\" },"), NO_EDIT, "charge-lax", "name = \"charges\""),
+    ("two applications on one listener", ("listen = \"127.0.0.1:8082\"", "listen = \"127.0.0.1:8081\""), NO_EDIT, "listener-shared", "listen = \"127.0.0.1:8081\""),
+    ("an unknown upstream", ("upstream = \"access\"\ninstances = 6", "upstream = \"acess\"\ninstances = 6"), NO_EDIT, "upstream-unknown", "upstream = \"acess\""),
+    ("a window longer than the endpoints remember keys", NO_EDIT, ("window = \"1200ms\"", "window = \"2s\""), "keyed-unhonoured", "name = \"entries\""),
+    ("a client that retries failed unsafe calls", ("retries = 1\n", "retries = 1\nretry_on = \"failed\"\n"), NO_EDIT, "client-resends", "retries = 1"),
+    ("more connections than an endpoint can hold", ("instances = 6", "instances = 60"), NO_EDIT, "connections", "connections = 76"),
+    ("a class total that exceeds the client's timeout", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\ntotal = \"1199ms\""), NO_EDIT, "file", "total = \"1199ms\""),
+    ("a route total that exceeds the deadline", ("send = [\n    { name = \"fees\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-nocturno\" }", "send = [\n    { name = \"fees\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-nocturno\", total = \"21s\" }"), NO_EDIT, "file", "name = \"fees\""),
+    ("a route total that exceeds the client's timeout", ("{ name = \"charges\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-mensual\" }", "{ name = \"charges\", prefix = \"/cobro-mensual\", methods = [\"POST\"], class = \"cobro-mensual\", total = \"1450ms\" }"), NO_EDIT, "client-gives-up", "total = \"1450ms\""),
+    ("a catch-all route that matches unsafe requests", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", prefix = \"/\", class = \"consulta\" }"), NO_EDIT, "charge-lax", "name = \"members\", prefix = \"/\""),
+    ("a pattern that matches unsafe requests", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", regex = '/(socios|cobro-[a-z]+/x[0-9])', class = \"consulta\" }"), NO_EDIT, "charge-lax", "regex"),
+    ("a path that differs from an unsafe path only in case", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", prefix = \"/Cobro-Mensual\", class = \"consulta\" }"), NO_EDIT, "path-alike", "/Cobro-Mensual"),
+    ("a path that is unsafe after decoding", ("{ name = \"members\", prefix = \"/socios\", class = \"consulta\" }", "{ name = \"members\", path = \"/cobro-mensual%2F7\", class = \"consulta\" }"), NO_EDIT, "path-alike", "%2F7"),
+    ("an unsafe request with an unusual method", ("methods = [\"GET\"], class = \"consulta\" },\n    { name = \"members\", prefix = \"/socios\", class", "methods = [\"GET\", \"DELETE\"], class = \"consulta\" },\n    { name = \"members\", prefix = \"/socios\", class"), NO_EDIT, "charge-lax", "\"DELETE\""),
+    ("a keyed class where retries are not deduplicated", ("{ name = \"members\", prefix = \"/socios\", methods = [\"GET\"], class = \"consulta\" }", "{ name = \"members\", prefix = \"/socios\", methods = [\"PUT\"], class = \"registro-entrada\" }"), NO_EDIT, "keyed-unhonoured", "\"PUT\""),
+    ("a wider deduplication scope than the upstream's", NO_EDIT, ("group = \"group\"", "group = \"all\""), "keyed-unhonoured", "name = \"entries\""),
+    ("a key from another source", ("class = \"registro-entrada\" },\n    { name = \"charges\"", "class = \"registro-entrada\", key = { cookie = \"k\" } },\n    { name = \"charges\""), NO_EDIT, "class-differs", "cookie = \"k\""),
+    ("an application-specific deadline", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\ndeadline = \"1300ms\""), NO_EDIT, "class-differs", "deadline = \"1300ms\""),
+    ("an application-specific window", ("[app.torniquete.class.registro-entrada]", "[app.torniquete.class.registro-entrada]\nwindow = \"1100ms\""), NO_EDIT, "class-differs", "effect = \"keyed\""),
+    ("a higher rate than the endpoints can serve", ("rate = 40\n", "rate = 4000\n"), NO_EDIT, "rate", "rate = 100"),
+    ("a higher rate than an endpoint in slow start can serve", ("rate = 100\n", "rate = 38\n"), NO_EDIT, "cold", "rate = 38"),
+    ("names that differ only in case", ("[app.oficina]", "[app.Kiosko]"), NO_EDIT, "name-alike", "[app."),
+    ("names that differ only in Unicode form", ("[app.oficina]", "[app.\"\u{212a}iosko\"]"), NO_EDIT, "name-alike", "[app."),
+    ("a name that can't be a file name", ("[app.oficina]", "[app.\"../oficina\"]"), NO_EDIT, "name-alike", "[app.\"../"),
+    ("an unknown class", ("class = \"consulta\" },\n]\n\n# Turn", "class = \"consultas\" },\n]\n\n# Turn"), NO_EDIT, "file", "consultas"),
+    ("a class that inherits from an unknown class", NO_EDIT, ("inherits = \"cobro-mensual\"", "inherits = \"cobro\""), "inherits", "inherits = \"cobro\""),
+    ("classes with cyclic inheritance", NO_EDIT, ("[class.interactive]", "[class.interactive]\ninherits = \"consulta\""), "inherits", "inherits = "),
+    ("an include that does not exist", ("shared/classes.toml", "shared/class.toml"), NO_EDIT, "include", "include = "),
+    ("an include outside the folder", ("\"shared/classes.toml\"", "\"shared/classes.toml\", \"/etc/hostname\""), NO_EDIT, "include", "include = "),
+    ("an include that includes itself", NO_EDIT, ("[class.interactive]", "include = [\"../apps.toml\"]\n[class.interactive]"), "include", "include = "),
+    ("an unknown key", ("instances = 6", "instance = 6"), NO_EDIT, "file", "instance = 6"),
+    ("an application without a rate", ("rate = 20\nmemory", "rates = 20\nmemory"), NO_EDIT, "file", "rates = 20"),
+    ("limits that contradict each other", ("rate = 20\nmemory = \"32MiB\"", "rate = 20\nopen_calls = 200\nmemory = \"32MiB\""), NO_EDIT, "file", "open_calls = 200"),
+    ("a route that an earlier one shadows", ("{ name = \"members\", prefix = \"/socios\", methods = [\"GET\"], class = \"consulta\" }", "{ name = \"members\", prefix = \"/cobro-mensual/x\", methods = [\"POST\"], class = \"cobro-nocturno\" }"), NO_EDIT, "file", "/cobro-mensual/x"),
+    ("a TOML syntax error", ("[app.oficina]", "[app.oficina"), NO_EDIT, "file", "[app.oficina"),
 ];
 
 #[test]
-fn each_mistake_is_refused_at_its_line_and_nothing_is_written() {
-    assert!(MISTAKES.len() >= 30);
-    for (what, apps, classes, code, words) in MISTAKES {
-        let folder = Folder::new();
-        let description = chain(&folder, *apps, *classes);
-        let report = compose(&description).expect_err(what);
-        let at = |f: &badgerramp_config_tool::finding::Finding| {
-            let (line, _) = report.line_of(&f.place);
-            let (name, text) = &report.files[f.place.file];
+fn each_invalid_edit_is_reported_at_its_line_and_nothing_is_written() {
+    assert!(INVALID_EDITS.len() >= 30);
+    for (what, apps, classes, code, words) in INVALID_EDITS {
+        let folder = TempFolder::new();
+        let description = write_description(&folder, *apps, *classes);
+        let report = generate(&description).expect_err(what);
+        let line_text = |f: &badgerramp_config_tool::finding::Finding| {
+            let (line, _) = report.line_and_column(&f.location);
+            let (name, text) = &report.files[f.location.file];
             assert!(
                 name.ends_with("apps.toml") || name.ends_with("classes.toml"),
-                "{what}: told in {name}"
+                "{what}: reported in {name}"
             );
             text.lines().nth(line - 1).unwrap_or_default().to_owned()
         };
         let found = report
             .findings
             .iter()
-            .any(|f| f.code == *code && at(f).contains(words));
+            .any(|f| f.code == *code && line_text(f).contains(words));
         assert!(found, "{what}: no {code} at {words:?}\n{}", report.human());
         assert!(
             report
@@ -163,9 +164,9 @@
     }
 }
 
-/// What is checked over files that were changed by hand: the same kinds, told in the files.
+/// Invalid changes that were made by hand in generated files are reported in those files.
 #[test]
-fn a_hand_in_a_written_file_is_found() {
+fn an_invalid_manual_change_of_a_generated_file_is_reported_in_it() {
     for (file, from, to, code) in [
         (
             "tableta.toml",
@@ -236,47 +237,47 @@
         ),
         ("manifest.toml", "version = 1", "version = 2", "file"),
     ] {
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         for entry in std::fs::read_dir(examples().join("cordillera/sidecars"))
             .expect("a folder")
             .flatten()
         {
             let text = std::fs::read_to_string(entry.path()).expect("a file");
-            folder.put(entry.file_name().to_str().expect("a name"), &text);
+            folder.write(entry.file_name().to_str().expect("a name"), &text);
         }
-        let text = folder.get(file);
+        let text = folder.read(file);
         assert!(text.contains(from), "{file}: {from}");
-        folder.put(file, &text.replacen(from, to, 1));
+        folder.write(file, &text.replacen(from, to, 1));
         let (report, _) = check(&[&folder.0]);
         let found = report.findings.iter().find(|f| f.code == code);
         let found = found.unwrap_or_else(|| panic!("{file} {to}: no {code}\n{}", report.human()));
-        let (line, _) = report.line_of(&found.place);
+        let (line, _) = report.line_and_column(&found.location);
         assert!(
             line > 1 || file == "manifest.toml",
             "{file} {to}\n{}",
             report.human()
         );
         let output = run(&["check", folder.0.to_str().expect("a path")]);
-        assert_eq!(output.status.code(), Some(1), "{}", text_of(&output));
+        assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     }
 }
 
-fn text_of(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     text(&output.stdout) + &text(&output.stderr)
 }
 
-/// Single files are held against one another, as far as they tell.
+/// Single files are checked against one another without their contracts.
 #[test]
 fn files_without_a_manifest_are_checked_together() {
     let folder = examples().join("cordillera/sidecars");
     let file = |name: &str| folder.join(name).to_str().expect("a path").to_owned();
     let output = run(&["check", &file("kiosko.toml"), &file("tableta.toml")]);
-    assert_eq!(output.status.code(), Some(0), "{}", text_of(&output));
-    let own = Folder::new();
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let other_folder = TempFolder::new();
     let changed = std::fs::read_to_string(file("tableta.toml"))
         .expect("a file")
         .replace("window = \"1200ms\"", "window = \"1250ms\"");
-    let changed = own.put("tableta.toml", &changed);
+    let changed = other_folder.write("tableta.toml", &changed);
     let output = run(&[
         "check",
         &file("kiosko.toml"),
@@ -285,14 +286,14 @@
     assert!(
         output.status.code() == Some(1) && text(&output.stdout).contains("class-differs"),
         "{}",
-        text_of(&output)
+        output_text(&output)
     );
 }
 
 #[test]
-fn a_file_that_was_changed_by_hand_is_not_written_over() {
-    let folder = Folder::new();
-    let description = chain(&folder, NONE, NONE);
+fn a_file_that_was_changed_by_hand_is_only_overwritten_with_force() {
+    let folder = TempFolder::new();
+    let description = write_description(&folder, NO_EDIT, NO_EDIT);
     let (description, out) = (
         description.to_str().expect("a path").to_owned(),
         folder.0.join("out"),
@@ -303,54 +304,54 @@
     assert!(
         output.status.success() && text(&output.stdout).contains("+listen = \"127.0.0.1:8081\""),
         "{}",
-        text_of(&output)
+        output_text(&output)
     );
     assert!(!folder.0.join("out").exists());
     assert!(write(&[]).status.success());
-    let before = folder.get("out/kiosko.toml");
-    // Nothing new, nothing done.
+    let before = folder.read("out/kiosko.toml");
+    // Writing again without a change writes no file.
     assert!(text(&write(&[]).stdout).starts_with("0 of 6 files were written"));
-    folder.put("out/kiosko.toml", &format!("{before}# by hand\n"));
+    folder.write("out/kiosko.toml", &format!("{before}# by hand\n"));
     let output = write(&[]);
     assert!(
         output.status.code() == Some(1) && text(&output.stderr).contains("kiosko.toml"),
         "{}",
-        text_of(&output)
+        output_text(&output)
     );
-    assert!(folder.get("out/kiosko.toml").ends_with("# by hand\n"));
+    assert!(folder.read("out/kiosko.toml").ends_with("# by hand\n"));
     let output = run(&["check", out]);
     assert!(
         output.status.success() && text(&output.stdout).contains("kiosko.toml was changed by hand"),
         "{}",
-        text_of(&output)
+        output_text(&output)
     );
     let output = write(&["--dry-run", "--force"]);
     assert!(
         text(&output.stdout).contains("-# by hand"),
         "{}",
-        text_of(&output)
+        output_text(&output)
     );
     assert!(write(&["--force"]).status.success());
-    assert_eq!(folder.get("out/kiosko.toml"), before);
-    // An application that goes takes its file along, but not one that was changed by hand, nor a stranger's.
-    folder.put("out/notes.txt", "mine");
-    let apps = folder.get("apps.toml");
+    assert_eq!(folder.read("out/kiosko.toml"), before);
+    // The file of a removed application is removed too, unless it was changed by hand. Other files stay.
+    folder.write("out/notes.txt", "mine");
+    let apps = folder.read("apps.toml");
     let without = apps
         .split("# The office reads")
         .next()
         .expect("the beginning");
-    folder.put("apps.toml", without);
-    folder.put("out/oficina.toml", "# by hand\n");
+    folder.write("apps.toml", without);
+    folder.write("out/oficina.toml", "# by hand\n");
     assert_eq!(write(&[]).status.code(), Some(1));
     assert!(write(&["--force"]).status.success());
     assert!(!folder.0.join("out/oficina.toml").exists() && folder.0.join("out/notes.txt").exists());
     assert!(run(&["check", out]).status.success());
 }
 
-/// A mistake in a shared part is told once, with the applications that it reaches.
+/// An error in a shared class is reported once, with the applications that it affects.
 #[test]
-fn a_shared_mistake_is_told_once_for_two_hundred_applications() {
-    let folder = Folder::new();
+fn an_error_in_a_shared_class_is_reported_once_for_two_hundred_applications() {
+    let folder = TempFolder::new();
     let mut apps = APPS
         .split("# At the doors.")
         .next()
@@ -363,30 +364,30 @@
             10_000 + n
         );
     }
-    folder.put("shared/classes.toml", CLASSES);
-    let description = folder.put("apps.toml", &apps);
-    let written = compose(&description).unwrap_or_else(|r| panic!("{}", r.human()));
-    assert_eq!(written.files.len(), 201);
-    folder.put(
+    folder.write("shared/classes.toml", CLASSES);
+    let description = folder.write("apps.toml", &apps);
+    let generated = generate(&description).unwrap_or_else(|r| panic!("{}", r.human()));
+    assert_eq!(generated.files.len(), 201);
+    folder.write(
         "shared/classes.toml",
         &CLASSES.replace("attempt = \"350ms\"", "attempt = \"700ms\""),
     );
-    let report = compose(&description).expect_err("attempts that do not fit");
-    // They do not fit the total, and the last would come after the window: two things wrong, each told once.
+    let report = generate(&description).expect_err("attempts that do not fit");
+    // The attempts exceed the total, and the last one would start after the window: two findings, each reported once.
     assert!(report.findings.len() <= 2, "{}", report.human());
     assert!(report
         .findings
         .iter()
-        .all(|f| f.apps.len() == 200 && report.files[f.place.file].0.ends_with("classes.toml")));
+        .all(|f| f.apps.len() == 200 && report.files[f.location.file].0.ends_with("classes.toml")));
     assert!(
         report.human().contains("and 195 more applications"),
         "{}",
         report.human()
     );
-    // Also where only the files are there: the mistake is in each of them.
-    let out = Folder::new();
-    for (name, text) in &written.files {
-        out.put(
+    // Without the description, each generated file contains the error, and it is still reported once.
+    let out = TempFolder::new();
+    for (name, text) in &generated.files {
+        out.write(
             name,
             &text.replace(
                 "second_copy = \"after 200ms\"",
@@ -402,31 +403,31 @@
     );
 }
 
-/// At the edge: a last attempt that starts with the window's end is outside it, one before is not.
+/// A last attempt that starts exactly at the end of the window is outside it, one that starts earlier is not.
 #[test]
-fn a_window_is_over_at_its_end() {
+fn an_attempt_at_the_end_of_the_window_is_outside_it() {
     for (window, good) in [("1050ms", true), ("701ms", true), ("700ms", false)] {
-        let folder = Folder::new();
-        let description = chain(
+        let folder = TempFolder::new();
+        let description = write_description(
             &folder,
-            NONE,
+            NO_EDIT,
             ("window = \"1200ms\"", &format!("window = \"{window}\"")),
         );
-        assert_eq!(compose(&description).is_ok(), good, "{window}");
+        assert_eq!(generate(&description).is_ok(), good, "{window}");
     }
 }
 
-// Two sets side by side.
+// Rollouts.
 
-/// What a change of the description, in apps.toml or in the classes, makes of the set.
-fn rollout(apps: (&str, &str), classes: (&str, &str)) -> Report {
-    let folder = Folder::new();
-    let description = chain(&folder, apps, classes);
-    let written = compose(&description).unwrap_or_else(|r| panic!("{}", r.human()));
-    written
+/// Checks the rollout from the example's files to the files of an edited description.
+fn rollout(apps_edit: (&str, &str), classes_edit: (&str, &str)) -> Report {
+    let folder = TempFolder::new();
+    let description = write_description(&folder, apps_edit, classes_edit);
+    let generated = generate(&description).unwrap_or_else(|r| panic!("{}", r.human()));
+    generated
         .files
         .iter()
-        .for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
+        .for_each(|(name, text)| drop(folder.write(&format!("new/{name}"), text)));
     check_against(
         &examples().join("cordillera/sidecars"),
         &folder.0.join("new"),
@@ -434,44 +435,45 @@
 }
 
 #[test]
-fn a_change_that_is_unsafe_while_both_run_is_refused() {
+fn a_rollout_that_is_unsafe_while_old_and_new_files_are_in_use_is_reported() {
     let keyed = "effect = \"keyed\"\ngroup = \"group\"\nwindow = \"1200ms\"\nattempts = 3\nattempt = \"350ms\"\nsecond_copy = \"after 200ms\"";
     for (apps, classes, code) in [
-        (("listen = \"127.0.0.1:8081\"", "listen = \"127.0.0.1:8091\""), NONE, "listener-moved"),
-        (NONE, ("window = \"1200ms\"", "window = \"1100ms\""), "window-shrinks"),
-        (("group = 3 },\n]", "group = 2 },\n]"), NONE, "group-moved"),
+        (("listen = \"127.0.0.1:8081\"", "listen = \"127.0.0.1:8091\""), NO_EDIT, "listener-moved"),
+        (NO_EDIT, ("window = \"1200ms\"", "window = \"1100ms\""), "window-shrinks"),
+        (("group = 3 },\n]", "group = 2 },\n]"), NO_EDIT, "group-moved"),
         (
             ("{ name = \"entries\", prefix = \"/registro-entrada\", methods = [\"POST\"], class = \"registro-entrada\" },\n]", "{ name = \"entries\", prefix = \"/registro-entrada\", methods = [\"POST\"], class = \"cobro-mensual\" },\n]"),
-            NONE,
+            NO_EDIT,
             "path-changed",
         ),
     ] {
         let report = rollout(apps, classes);
-        assert!(counts(&report).contains_key(code), "{code}\n{}", report.human());
+        assert!(count_by_code(&report).contains_key(code), "{code}\n{}", report.human());
     }
-    // A class that turns from keyed to unsafe: no second copies, and nothing of its own beside it.
-    let folder = Folder::new();
+    // A class that changes from keyed to unsafe. Its second copies and the application's overrides have to go too.
+    let folder = TempFolder::new();
     let apps = APPS.replace(
         "[app.torniquete.class.registro-entrada]\nsecond_copy = \"off\"\nattempts = 2\n",
         "",
     );
-    folder.put("apps.toml", &apps);
+    folder.write("apps.toml", &apps);
     assert!(CLASSES.contains(keyed));
-    folder.put(
+    folder.write(
         "shared/classes.toml",
         &CLASSES.replace(keyed, "effect = \"unsafe\""),
     );
-    let written = compose(&folder.0.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
-    written
+    let generated =
+        generate(&folder.0.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    generated
         .files
         .iter()
-        .for_each(|(name, text)| drop(folder.put(&format!("new/{name}"), text)));
+        .for_each(|(name, text)| drop(folder.write(&format!("new/{name}"), text)));
     let report = check_against(
         &examples().join("cordillera/sidecars"),
         &folder.0.join("new"),
     );
     assert!(
-        counts(&report).contains_key("effect-changed"),
+        count_by_code(&report).contains_key("effect-changed"),
         "{}",
         report.human()
     );
@@ -486,12 +488,12 @@
 }
 
 #[test]
-fn a_change_that_is_safe_is_told_application_by_application() {
+fn a_safe_rollout_has_notes_for_each_application() {
     let report = rollout(
         ("waits = \"1400ms\"", "waits = \"1450ms\""),
         ("attempt = \"350ms\"", "attempt = \"340ms\""),
     );
-    assert!(report.good(), "{}", report.human());
+    assert!(report.is_clean(), "{}", report.human());
     for note in [
         "kiosko: route entries: attempt 350ms -> 340ms",
         "tableta: route charges: total 1s 398ms -> 1s 448ms",
@@ -507,15 +509,15 @@
         "{}",
         report.human()
     );
-    let report = rollout(NONE, NONE);
+    let report = rollout(NO_EDIT, NO_EDIT);
     assert!(
-        report.good() && report.notes.is_empty(),
+        report.is_clean() && report.notes.is_empty(),
         "{}",
         report.human()
     );
-    let report = rollout(("memory = \"32MiB\"", "memory = \"48MiB\""), NONE);
+    let report = rollout(("memory = \"32MiB\"", "memory = \"48MiB\""), NO_EDIT);
     assert!(
-        report.good() && report.human().contains("limits.memory changes"),
+        report.is_clean() && report.human().contains("limits.memory changes"),
         "{}",
         report.human()
     );
@@ -524,15 +526,16 @@
 // The command line.
 
 #[test]
-fn explain_tells_route_class_timing_and_why() {
+fn explain_shows_route_class_timing_and_reasons() {
     let folder = examples().join("cordillera/sidecars");
     let file = folder
         .join("tableta.toml")
         .to_str()
         .expect("a path")
         .to_owned();
-    let told = |arguments: &[&str]| text_of(&run(&[&["explain", &file], arguments].concat()));
-    let entry = told(&[
+    let explain =
+        |arguments: &[&str]| output_text(&run(&[&["explain", &file], arguments].concat()));
+    let entry = explain(&[
         "--request",
         "POST //registro-entrada/7?x",
         "--header",
@@ -547,23 +550,23 @@
     ] {
         assert!(entry.contains(words), "{words}\n{entry}");
     }
-    assert!(told(&["--request", "POST /registro-entrada"]).contains("never sent twice"));
-    let other = told(&["--request", "PUT /socios"]);
+    assert!(explain(&["--request", "POST /registro-entrada"]).contains("never retried"));
+    let other = explain(&["--request", "PUT /socios"]);
     assert!(
         other.contains("not \"members\": its methods") && other.contains("answered 404"),
         "{other}"
     );
-    let course = told(&["--class", "registro-entrada"]);
+    let timeline = explain(&["--class", "registro-entrada"]);
     for words in [
-        "attempt 1 goes out",
+        "attempt 1 starts",
         "200ms  a second copy",
         "attempt 3 has ended",
         "the client gives up",
     ] {
-        assert!(course.contains(words), "{words}\n{course}");
+        assert!(timeline.contains(words), "{words}\n{timeline}");
     }
-    assert!(told(&["--class", "registro"]).contains("did you mean \"registro-entrada\"?"));
-    let json: serde_json::Value = serde_json::from_str(&told(&[
+    assert!(explain(&["--class", "registro"]).contains("did you mean \"registro-entrada\"?"));
+    let json: serde_json::Value = serde_json::from_str(&explain(&[
         "--format",
         "json",
         "--request",
@@ -571,14 +574,14 @@
     ]))
     .expect("JSON");
     assert_eq!(json["class"][0], "cobro-mensual");
-    let own = examples()
+    let expressions = examples()
         .join("../deploy/expressions.example.toml")
         .to_str()
         .expect("a path")
         .to_owned();
     let arguments = [
         "explain",
-        &own,
+        &expressions,
         "--request",
         "POST /visits",
         "--header",
@@ -586,26 +589,26 @@
         "--header",
         "X-Branch: CR-7",
     ];
-    let told = text_of(&run(&arguments));
+    let explanation = output_text(&run(&arguments));
     for words in [
         "method in [\"POST\", \"PUT\"]  =  true",
         "header[\"x-visit\"]  =  \"81\"",
         "concat(header[\"x-branch\"], header[\"x-visit\"])  =  \"4:CR-72:81\"",
         "\"4:CR-72:81\", from expression concat",
     ] {
-        assert!(told.contains(words), "{words}\n{told}");
+        assert!(explanation.contains(words), "{words}\n{explanation}");
     }
-    let told = text_of(&run(&[
+    let explanation = output_text(&run(&[
         "explain",
-        &own,
+        &expressions,
         "--request",
         "POST /fees",
         "--header",
         "X-Branch: CR-7",
     ]));
     assert!(
-        told.contains("not \"charges\": its condition, method == \"POST\""),
-        "{told}"
+        explanation.contains("not \"charges\": its condition, method == \"POST\""),
+        "{explanation}"
     );
     assert_eq!(
         run(&["explain", &file, "--request", "POST"]).status.code(),
@@ -615,12 +618,12 @@
 }
 
 #[test]
-fn findings_are_told_to_machines_in_a_stable_form() {
-    let folder = Folder::new();
-    let description = chain(
+fn findings_as_json_have_a_stable_format() {
+    let folder = TempFolder::new();
+    let description = write_description(
         &folder,
         ("listen = \"127.0.0.1:8082\"", "listen = \"127.0.0.1:8081\""),
-        NONE,
+        NO_EDIT,
     );
     let output = run(&[
         "--format",
@@ -650,8 +653,8 @@
 }
 
 #[test]
-fn the_way_from_init_to_files_is_open() {
-    let folder = Folder::new();
+fn init_write_and_check_succeed_in_sequence() {
+    let folder = TempFolder::new();
     let (description, out) = (folder.0.join("apps.toml"), folder.0.join("sidecars"));
     let (description, out) = (
         description.to_str().expect("a path"),
@@ -661,11 +664,11 @@
     assert_eq!(
         run(&["init", description]).status.code(),
         Some(1),
-        "nothing is written over"
+        "an existing file is not overwritten"
     );
-    assert_eq!(text(&run(&["init", "-"]).stdout), folder.get("apps.toml"));
+    assert_eq!(text(&run(&["init", "-"]).stdout), folder.read("apps.toml"));
     let output = run(&["write", description, "--out", out]);
-    assert!(output.status.success(), "{}", text_of(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     assert!(run(&["check", out]).status.success());
     for bad in [
         &["write", description][..],
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,7 +1,9 @@
 //! Two regions, each with replicas as processes: a change of all regions is in force in both or in none, also when the
 //! links between them are cut at any of its steps.
 
-use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
+use badgerramp_config_tool::fleet::{
+    ControlArgs, ControlClient, FleetStatus, Outcome, PublishResult, Scope,
+};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::{Link, Pass};
@@ -160,11 +162,11 @@
         let folder = Folder::new(&format!("regions-{name}")).expect("a folder");
         let cluster = Cluster::start(folder, count, wait_ms).await;
         let done = cluster.publish(NORTE, Scope::All, 1).await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
         for place in [NORTE, SUR] {
             cluster
                 .until(place, "the first policy", |s| {
-                    s.in_force == Some(1) && s.to_come.is_none()
+                    s.in_force == Some(1) && s.pending_generation.is_none()
                 })
                 .await;
         }
@@ -192,10 +194,10 @@
             .collect()
     }
 
-    fn control(&self, place: usize) -> Control {
+    fn control(&self, place: usize) -> ControlClient {
         let secret = self.folder.path().join("secret");
         let control = self.addresses(place);
-        Control::new(&At {
+        ControlClient::new(&ControlArgs {
             control,
             secret,
             timeout: TIMEOUT.as_secs(),
@@ -208,12 +210,17 @@
         Client::new(self.addresses(place), secret, Duration::from_secs(5))
     }
 
-    async fn standing(&self, place: usize) -> Standing {
-        self.control(place).standing().await.expect("a status")
+    async fn standing(&self, place: usize) -> FleetStatus {
+        self.control(place).status().await.expect("a status")
     }
 
     /// Waits until a region stands so.
-    async fn until(&self, place: usize, what: &str, is_so: impl Fn(&Standing) -> bool) -> Standing {
+    async fn until(
+        &self,
+        place: usize,
+        what: &str,
+        is_so: impl Fn(&FleetStatus) -> bool,
+    ) -> FleetStatus {
         let end = Instant::now() + TIMEOUT;
         loop {
             let standing = self.standing(place).await;
@@ -230,11 +237,11 @@
     }
 
     /// Publishes as the tool does, by way of this region's control.
-    async fn publish(&self, place: usize, scope: Scope, number: u64) -> Done {
+    async fn publish(&self, place: usize, scope: Scope, number: u64) -> PublishResult {
         publish(self.control(place), scope, number).await
     }
 
-    fn publishing(&self, place: usize, scope: Scope, number: u64) -> JoinHandle<Done> {
+    fn publishing(&self, place: usize, scope: Scope, number: u64) -> JoinHandle<PublishResult> {
         tokio::spawn(publish(self.control(place), scope, number))
     }
 
@@ -317,14 +324,14 @@
     }
 }
 
-async fn publish(mut control: Control, scope: Scope, number: u64) -> Done {
+async fn publish(mut control: ControlClient, scope: Scope, number: u64) -> PublishResult {
     if scope == Scope::All {
         assert_eq!(
-            control.go_to_coordinator().await.expect("a coordinator"),
+            control.use_coordinator().await.expect("a coordinator"),
             "norte"
         );
     }
-    let revision = control.standing().await.expect("a status").revision;
+    let revision = control.status().await.expect("a status").revision;
     control
         .publish_for(scope, &files(number), revision, |_| {})
         .await
@@ -351,11 +358,11 @@
 }
 
 /// The change of all regions that a region tells of.
-fn change(standing: &Standing) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
+fn change(standing: &FleetStatus) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
     standing.region.as_ref()?.change.as_ref()
 }
 
-fn has_voted(standing: &Standing) -> bool {
+fn has_voted(standing: &FleetStatus) -> bool {
     change(standing).is_some_and(|change| change.voted)
 }
 
@@ -368,7 +375,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .until(SUR, "second policy", |s| s.in_force == Some(2))
@@ -387,7 +394,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     assert_eq!(cluster.standing(SUR).await.in_force, Some(3));
     assert_eq!(cluster.standing(NORTE).await.in_force, Some(2));
@@ -396,11 +403,11 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     // Each has numbers of its own; a change of all is told apart by its identifier.
     let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
-    let ids = |s: &Standing| {
+    let ids = |s: &FleetStatus| {
         s.changes
             .iter()
             .map(|c| c.all_regions.clone())
@@ -413,7 +420,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .until(SUR, "fourth policy", |s| s.in_force == Some(4))
@@ -426,11 +433,11 @@
     cluster.cut();
     let done = cluster.publish(NORTE, Scope::All, 2).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "not in force in time; no vote of region sur");
+    assert_eq!(done.reason, "not in force in time; no vote of region sur");
     for place in [NORTE, SUR] {
         let standing = cluster.standing(place).await;
         assert_eq!(
-            (standing.in_force, standing.to_come),
+            (standing.in_force, standing.pending_generation),
             (Some(1), None),
             "{}",
             NAMES[place]
@@ -443,7 +450,7 @@
             (done.outcome, done.generation),
             (Outcome::InForce, Some(generation)),
             "{}",
-            done.why
+            done.reason
         );
     }
     cluster.mend();
@@ -479,8 +486,9 @@
     cluster.until(SUR, "vote", has_voted).await;
     let done = publishing.await.expect("it ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "not in force in time; no vote of region sur");
-    let stays = |s: &Standing| s.in_force == Some(1) && s.to_come == Some(2) && has_voted(s);
+    assert_eq!(done.reason, "not in force in time; no vote of region sur");
+    let stays =
+        |s: &FleetStatus| s.in_force == Some(1) && s.pending_generation == Some(2) && has_voted(s);
     assert!(stays(&cluster.standing(SUR).await));
     // It can neither be left nor be followed by another change here.
     let rejection = cluster
@@ -510,13 +518,13 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     cluster.restart(SUR).await;
     assert!(stays(&cluster.standing(SUR).await), "it is on disk");
     cluster.mend();
     let standing = cluster
-        .until(SUR, "decision", |s| s.to_come.is_none())
+        .until(SUR, "decision", |s| s.pending_generation.is_none())
         .await;
     assert_eq!(standing.in_force, Some(1));
     assert_eq!(
@@ -528,7 +536,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
 }
 
@@ -542,8 +550,8 @@
     cluster.restart(SUR).await;
     cluster.restart(NORTE).await;
     let (norte, sur) = (cluster.standing(NORTE).await, cluster.standing(SUR).await);
-    assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
-    assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
+    assert_eq!((norte.in_force, norte.pending_generation), (Some(2), None));
+    assert_eq!((sur.in_force, sur.pending_generation), (Some(1), Some(2)));
     // Until the other region has it, no further change of all begins.
     let all = request::Kind::PublishAllRegions(wire::Publish {
         files: files(3),
@@ -558,7 +566,7 @@
     );
     cluster.mend();
     let sur = cluster
-        .until(SUR, "decision", |s| s.to_come.is_none())
+        .until(SUR, "decision", |s| s.pending_generation.is_none())
         .await;
     assert_eq!(sur.in_force, Some(2));
     assert_eq!(cluster.control(SUR).files(2).await.expect("kept"), files(2));
@@ -574,12 +582,14 @@
     cluster.lease(SUR, 1, 0).await;
     let publishing = cluster.publishing(SUR, Scope::Region, 2);
     cluster
-        .until(SUR, "change of its own", |s| s.to_come == Some(2))
+        .until(SUR, "change of its own", |s| {
+            s.pending_generation == Some(2)
+        })
         .await;
     let done = cluster.publish(NORTE, Scope::All, 3).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(
-        done.why,
+        done.reason,
         "region sur refuses it: the change to generation 2 is under way there"
     );
     let revision = cluster.standing(SUR).await.revision;
@@ -669,7 +679,9 @@
         Ok(reply::Kind::Vote(_))
     ));
     let standing = cluster
-        .until(SUR, "end", |s| s.changes.len() == 2 && s.to_come.is_none())
+        .until(SUR, "end", |s| {
+            s.changes.len() == 2 && s.pending_generation.is_none()
+        })
         .await;
     assert_eq!(
         (standing.in_force, standing.changes[1].outcome),
@@ -679,11 +691,11 @@
 
 /// Publishes a change of all that the other region has voted for, and that waits for a proxy of the coordinator's region
 /// alone. What comes of it, and the revision of the transition in the coordinator.
-async fn waits_for_a_proxy(cluster: &Cluster) -> (JoinHandle<Done>, u64) {
+async fn waits_for_a_proxy(cluster: &Cluster) -> (JoinHandle<PublishResult>, u64) {
     cluster.lease(NORTE, 1, 0).await;
     let publishing = cluster.publishing(NORTE, Scope::All, 2);
     let prepared =
-        |s: &Standing| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
+        |s: &FleetStatus| change(s).is_some_and(|c| c.participants.iter().all(|p| p.prepared));
     let middle = cluster
         .until(NORTE, "vote of the other region", prepared)
         .await;
@@ -697,7 +709,7 @@
     cluster.cut();
     cluster.lease(NORTE, 2, middle).await;
     let done = publishing.await.expect("it ends");
-    assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+    assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
     assert!(has_voted(&cluster.standing(SUR).await));
     cluster
 }
@@ -718,7 +730,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .until(SUR, "decision", |s| s.in_force == Some(2))
@@ -760,19 +772,22 @@
     cluster.remove_other(SUR);
     cluster.restart(SUR).await;
     assert_eq!(
-        cluster.standing(SUR).await.to_come,
+        cluster.standing(SUR).await.pending_generation,
         Some(2),
         "nothing ends by itself"
     );
     assert_eq!(cluster.control(SUR).abort("it is lost").await, Ok(2));
     let standing = cluster.standing(SUR).await;
-    assert_eq!((standing.in_force, standing.to_come), (Some(1), None));
+    assert_eq!(
+        (standing.in_force, standing.pending_generation),
+        (Some(1), None)
+    );
     let done = cluster.publish(SUR, Scope::Region, 3).await;
     assert_eq!(
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
 }
 
@@ -797,7 +812,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .until(SUR, "the first policy", |s| s.in_force == Some(1))
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,6 +1,6 @@
 //! Replicas as processes: what they have answered holds over kills; what they can't use they say, and change nothing.
 
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_control_plane::store::{Store, StoreError};
 use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
@@ -83,9 +83,9 @@
         self.links.iter().map(|l| l.address).collect()
     }
 
-    fn control(&self) -> Control {
+    fn control(&self) -> ControlClient {
         let secret = self.folder.path().join("secret");
-        Control::new(&At {
+        ControlClient::new(&ControlArgs {
             control: self.addresses(),
             secret,
             timeout: TIMEOUT.as_secs(),
@@ -109,7 +109,7 @@
     for number in 1..=3 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
@@ -117,13 +117,8 @@
             .control()
             .publish(&files(number), revision, |_| {})
             .await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-        let leader = replicas
-            .control()
-            .standing()
-            .await
-            .expect("a status")
-            .leader;
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
+        let leader = replicas.control().status().await.expect("a status").leader;
         let place = replicas
             .links
             .iter()
@@ -131,11 +126,7 @@
             .expect("one of them");
         replicas.all[place].kill().await;
         replicas.at[place].send_replace(None);
-        let standing = replicas
-            .control()
-            .standing()
-            .await
-            .expect("the others go on");
+        let standing = replicas.control().status().await.expect("the others go on");
         assert_eq!(standing.in_force, Some(number));
         assert_eq!(
             replicas.control().files(number).await.expect("kept"),
@@ -152,13 +143,13 @@
     for round in 0..12_u64 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
         let mut control = replicas.control();
         let publish = tokio::spawn(async move {
-            let standing = control.standing().await.map(|s| s.revision == revision);
+            let standing = control.status().await.map(|s| s.revision == revision);
             assert!(standing.expect("a status"));
             control.publish(&files(round), revision, |_| {}).await
         });
@@ -168,7 +159,7 @@
         replicas.again(0).await;
         let done = publish.await.expect("it ends");
         if let Some(generation) = done.generation {
-            let standing = replicas.control().standing().await.expect("a status");
+            let standing = replicas.control().status().await.expect("a status");
             let change = standing
                 .changes
                 .iter()
@@ -179,7 +170,7 @@
                 change.outcome == "in force",
                 done.outcome == Outcome::InForce,
                 "{}",
-                done.why
+                done.reason
             );
             answered = generation;
         }
@@ -221,7 +212,7 @@
             Ok(Ok(reply::Kind::ChangeStarted(_))) => {
                 // The next is published beside what has come of this one.
                 let mut control = replicas.control();
-                match tokio::time::timeout(Duration::from_secs(10), control.standing()).await {
+                match tokio::time::timeout(Duration::from_secs(10), control.status()).await {
                     Ok(Ok(standing)) => answered = standing.revision,
                     _ => continue,
                 }
@@ -234,7 +225,7 @@
         "{ended}"
     );
     replicas.again(0).await;
-    let standing = replicas.control().standing().await.expect("a status");
+    let standing = replicas.control().status().await.expect("a status");
     assert!(
         standing.revision >= answered,
         "{} {answered}",
@@ -255,7 +246,7 @@
     for number in 1..=3 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
@@ -263,7 +254,7 @@
             .control()
             .publish(&files(number), revision, |_| {})
             .await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
     }
     replicas.all[0].kill().await;
     let path = replicas.folder.path().join("store-1");
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -10,7 +10,7 @@
 use crate::link::{Link, Pass};
 use crate::now;
 use crate::process::{Folder, Plan, Process};
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
 use serde::Serialize;
@@ -359,8 +359,8 @@
         })
     }
 
-    fn control(&self) -> Result<Control, String> {
-        Control::new(&At {
+    fn control(&self) -> Result<ControlClient, String> {
+        ControlClient::new(&ControlArgs {
             control: self.replicas.links.iter().map(|l| l.address).collect(),
             secret: self.folder.path().join("secret"),
             timeout: LONG.as_secs(),
@@ -374,7 +374,7 @@
         }
         let mut control = self.control()?;
         let begun = std::time::Instant::now();
-        let standing = control.standing().await.map_err(|e| e.to_string())?;
+        let standing = control.status().await.map_err(|e| e.to_string())?;
         let files = HashMap::from([("caja".to_owned(), policy(keyed))]);
         let done = control.publish(&files, standing.revision, |_| {}).await;
         let heard = Heard {
@@ -382,7 +382,7 @@
             at: now(),
             in_force: done.outcome == Outcome::InForce,
             took_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
-            why: done.why,
+            why: done.reason,
         };
         Ok((heard, done.outcome))
     }
@@ -484,13 +484,13 @@
         let end = Instant::now() + LONG;
         let mut control = self.control()?;
         loop {
-            let standing = control.standing().await.map_err(|e| e.to_string())?;
+            let standing = control.status().await.map_err(|e| e.to_string())?;
             let there = standing
                 .proxies
                 .iter()
-                .filter(|p| p.acting == standing.revision)
+                .filter(|p| p.active_revision == standing.revision)
                 .count();
-            if there >= self.proxies.len() && standing.to_come.is_none() {
+            if there >= self.proxies.len() && standing.pending_generation.is_none() {
                 return Ok(());
             }
             if Instant::now() >= end {
--- a/crates/fault-injection/src/scale/across.rs
+++ b/crates/fault-injection/src/scale/across.rs
@@ -50,7 +50,7 @@
     for region in 0..fleet.size.regions {
         let standing = fleet
             .publisher(region)?
-            .standing()
+            .status()
             .await
             .map_err(|e| e.to_string())?;
         all.push(standing.changes);
@@ -127,7 +127,7 @@
         at: 0,
         in_force: false,
         took_ms: 0,
-        why: change.why.clone(),
+        why: change.reason.clone(),
     }));
     heard
 }
--- a/crates/fault-injection/src/scale/fleet.rs
+++ b/crates/fault-injection/src/scale/fleet.rs
@@ -9,7 +9,7 @@
 use crate::hosts::Hosts;
 use crate::now;
 use crate::process::{Folder, Plan, Process};
-use badgerramp_config_tool::fleet::{At, Control};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
 use std::collections::{HashMap, HashSet};
@@ -284,8 +284,8 @@
     ///
     /// # Errors
     /// If there is no secret.
-    pub fn publisher(&self, region: usize) -> Result<Control, String> {
-        Control::new(&At {
+    pub fn publisher(&self, region: usize) -> Result<ControlClient, String> {
+        ControlClient::new(&ControlArgs {
             control: self.wiring.publisher(region),
             secret: self.folder.path().join("secret"),
             timeout: LONG.as_secs(),
@@ -321,13 +321,13 @@
             .count();
         let mut control = self.publisher(region)?;
         loop {
-            let standing = control.standing().await.map_err(|e| e.to_string())?;
+            let standing = control.status().await.map_err(|e| e.to_string())?;
             let there = standing
                 .proxies
                 .iter()
-                .filter(|p| p.acting == standing.revision)
+                .filter(|p| p.active_revision == standing.revision)
                 .count();
-            if there >= proxies && standing.to_come.is_none() {
+            if there >= proxies && standing.pending_generation.is_none() {
                 let replicas = 0..self.replicas.len();
                 return Ok(replicas
                     .into_iter()
--- a/crates/fault-injection/src/scale/publisher.rs
+++ b/crates/fault-injection/src/scale/publisher.rs
@@ -63,14 +63,14 @@
             For::Region(region) => (region, Scope::Region),
         };
         let mut control = fleet.publisher(region)?;
-        let (outcome, generation, why) = match control.standing().await {
+        let (outcome, generation, why) = match control.status().await {
             Ok(standing) => {
                 let policy = files::policy(self.number);
                 let files = HashMap::from([(files::APPLICATION.to_owned(), policy)]);
                 let done = control
                     .publish_for(asked, &files, standing.revision, |_| {})
                     .await;
-                (done.outcome, done.generation.unwrap_or(0), done.why)
+                (done.outcome, done.generation.unwrap_or(0), done.reason)
             }
             Err(fault) => (Outcome::NotKnown, 0, fault.to_string()),
         };
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -198,9 +198,9 @@
 fn change(generation: u64, outcome: &'static str, id: &str) -> Change {
     Change {
         generation,
-        from: 1,
+        previous_generation: 1,
         outcome,
-        why: String::new(),
+        reason: String::new(),
         all_regions: Some(id.to_owned()),
     }
 }
--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -4,7 +4,7 @@
     reason = "a test plays one course of events from its start to its end"
 )]
 
-use badgerramp_config_tool::commands::compose;
+use badgerramp_config_tool::commands::generate;
 use badgerramp_testkit::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_badgerramp");
@@ -30,7 +30,7 @@
     std::fs::create_dir_all(folder.join("shared")).expect("a folder");
     std::fs::write(folder.join("apps.toml"), apps).expect("a file");
     std::fs::write(folder.join("shared/classes.toml"), CLASSES).expect("a file");
-    let written = compose(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    let written = generate(&folder.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
     let _ = std::fs::remove_dir_all(&folder);
     let own = [
         (
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The program with `[policy]`, beside a replica of control: what begins, when, and what its copy on disk is worth.
 
-use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome, PublishResult};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
@@ -117,29 +117,29 @@
         Proxy::sidecar(PROXY, &[], &self.file(name, "/own", cut_off))
     }
 
-    fn at(&self) -> At {
+    fn at(&self) -> ControlArgs {
         let secret = self.folder.path().join("secret");
-        At {
+        ControlArgs {
             control: vec![self.replica.address],
             secret,
             timeout: 20,
         }
     }
 
-    fn publish(&self, application: &str, path: &str) -> Done {
+    fn publish(&self, application: &str, path: &str) -> PublishResult {
         let files = HashMap::from([(application.to_owned(), self.file("any", path, "refuse"))]);
         ask(&self.at(), async |control| {
-            let revision = control.standing().await.expect("a status").revision;
+            let revision = control.status().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         })
     }
 }
 
-fn ask<T>(at: &At, ask: impl AsyncFnOnce(&mut Control) -> T) -> T {
+fn ask<T>(at: &ControlArgs, ask: impl AsyncFnOnce(&mut ControlClient) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let mut control = Control::new(at).expect("a secret");
+    let mut control = ControlClient::new(at).expect("a secret");
     runtime.expect("a runtime").block_on(ask(&mut control))
 }
 
@@ -199,9 +199,9 @@
     let done = world.publish("otra", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert!(
-        done.why.contains("p-7") && done.why.contains("\"caja\""),
+        done.reason.contains("p-7") && done.reason.contains("\"caja\""),
         "{}",
-        done.why
+        done.reason
     );
     becomes(&proxy, "/one", "200");
     // The next takes another number, and comes into force.
@@ -225,9 +225,9 @@
     let done = world.publish("caja", "/two");
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert!(
-        done.why.contains("\"entry\" of the floor") && done.why.contains("two steps"),
+        done.reason.contains("\"entry\" of the floor") && done.reason.contains("two steps"),
         "{}",
-        done.why
+        done.reason
     );
     world.replica.end();
     let began = Instant::now();
@@ -250,7 +250,7 @@
     becomes(&first, "/one", "200");
     becomes(&second, "/one", "200");
     let standing = ask(&world.at(), async |control| {
-        control.standing().await.expect("a status")
+        control.status().await.expect("a status")
     });
     assert_eq!(standing.proxies.iter().filter(|p| p.name == "p").count(), 2);
     // One word does not do for both.
@@ -259,7 +259,7 @@
     let keeps = standing
         .proxies
         .iter()
-        .find(|p| p.cut_off == "keep")
+        .find(|p| p.on_lease_loss == "keep")
         .expect("it is written down");
     let start = u64::from_str_radix(&keeps.incarnation, 16).expect("a number");
     ask(&world.at(), async |control| {
@@ -290,11 +290,11 @@
         });
     }
     drop(sender);
-    let ended: Vec<Done> = done.iter().collect();
+    let ended: Vec<PublishResult> = done.iter().collect();
     let begun: Vec<_> = ended.iter().filter_map(|d| d.generation).collect();
     assert_eq!(begun, [2]);
     assert!(ended
         .iter()
-        .any(|d| d.outcome == Outcome::NotInForce && !d.why.is_empty()));
+        .any(|d| d.outcome == Outcome::NotInForce && !d.reason.is_empty()));
     world.replica.end();
 }
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -1,6 +1,6 @@
 //! A proxy that moves to the control of another region: its copy of the policy is no copy of the one there.
 
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
@@ -49,25 +49,25 @@
     }
 
     fn publish(&self, secret: &Path, text: String) {
-        let at = At {
+        let at = ControlArgs {
             control: vec![self.address],
             secret: secret.to_owned(),
             timeout: LONG.as_secs(),
         };
-        let mut control = Control::new(&at).expect("a secret");
+        let mut control = ControlClient::new(&at).expect("a secret");
         let files = HashMap::from([("caja".to_owned(), text)]);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         let done = runtime.expect("a runtime").block_on(async {
-            let revision = control.standing().await.expect("a status").revision;
+            let revision = control.status().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         });
         assert_eq!(
             (done.outcome, done.generation),
             (Outcome::InForce, Some(1)),
             "{}",
-            done.why
+            done.reason
         );
     }
 }
