--- a/crates/config-tool/src/commands.rs
+++ b/crates/config-tool/src/commands.rs
@@ -16,7 +16,7 @@
 pub struct Generated {
     /// Names and contents, in the order of writing, with the manifest last.
     pub files: Vec<(String, String)>,
-    /// The report, which has no findings but may have sink.
+    /// The report, which has no findings but may have notes.
     pub report: Report,
 }
 
@@ -305,7 +305,7 @@
             );
             match std::fs::read_to_string(path) {
                 Ok(text) => {
-                    manifest::add_application(&mut report, &mut set, &name, path, &text, None)
+                    manifest::add_application(&mut report, &mut set, &name, path, &text, None);
                 }
                 Err(error) => {
                     let shown = path.display().to_string();
@@ -348,7 +348,7 @@
     let first_old_file = report.files.len();
     let mut old_report = Report::default();
     let mut old_set = read_folder(&mut old_report, old);
-    // Only the errors in reading the old folder matter, and they are sink: the old folder itself is not checked.
+    // Only the errors in reading the old folder matter, and they become notes: the old folder itself is not checked.
     report.notes.extend(
         old_report
             .findings
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -2,7 +2,7 @@
 
 use badgerramp_config::{Config, TimingValue, RESPONSE_RESERVE};
 use badgerramp_decisions::{Hedge, Idempotency, Micros, RetryOn};
-use badgerramp_expr::{Builder, Wanted};
+use badgerramp_expr::{Builder, ExpectedType};
 use badgerramp_route::{normalize, Head, PathPattern, Route, Source, Timing};
 use badgerramp_toml_diagnostics::units::format_duration;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
@@ -162,9 +162,14 @@
     };
     let mut pending = vec![&ast];
     while let Some(part) = pending.pop() {
-        pending.extend(part.parts().into_iter().rev().filter(|p| !p.literal()));
+        pending.extend(
+            part.children()
+                .into_iter()
+                .rev()
+                .filter(|c| !c.is_literal()),
+        );
         let mut builder = Builder::default();
-        let Ok(id) = builder.add_ast(part, Wanted::Any) else {
+        let Ok(id) = builder.add_ast(part, ExpectedType::Any) else {
             continue;
         };
         let program = builder.build();
@@ -174,7 +179,7 @@
             .split_whitespace()
             .collect::<Vec<_>>()
             .join(" ");
-        values.push((expression, program.evaluate(id, head).show()));
+        values.push((expression, program.evaluate(id, head).display()));
     }
 }
 
--- a/crates/config-tool/src/lib.rs
+++ b/crates/config-tool/src/lib.rs
@@ -17,7 +17,6 @@
     clippy::needless_pass_by_value,
     reason = "signatures are still to be narrowed"
 )]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
     clippy::too_many_lines,
     reason = "long functions are still to be split"
--- a/crates/config/src/expressions.rs
+++ b/crates/config/src/expressions.rs
@@ -1,7 +1,7 @@
 //! Compiles the expressions of routes, with diagnostics at their places in the file. Also checks the requests that
 //! `[[expect]]` lists, and warns of routes whose conditions overlap.
 
-use badgerramp_expr::{both, Builder, Head, Id, Program, Wanted, BUDGET};
+use badgerramp_expr::{find_common_request, Builder, ExpectedType, Head, Id, Program, STEP_BUDGET};
 use badgerramp_route::{Expression, PathPattern, Route, Table};
 use badgerramp_toml_diagnostics::{DeValue, DiagnosticSink, Section, Span, Value};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
@@ -48,7 +48,7 @@
         section: &Section<'_>,
         name: &str,
         text: &str,
-        kind: Wanted,
+        kind: ExpectedType,
     ) -> Option<Expression> {
         let expression = section.text(sink, name)?;
         let start = section.get(name).and_then(|v| value_text_offset(text, v));
@@ -88,7 +88,7 @@
     pub(crate) fn program(self, sink: &mut DiagnosticSink) -> Program {
         let all: Vec<Id> = self.entries.iter().map(|p| p.0).collect();
         let cost = self.builder.cost(&all);
-        if cost > BUDGET {
+        if cost > STEP_BUDGET {
             let most_expensive = self
                 .entries
                 .iter()
@@ -99,7 +99,7 @@
                     self.builder.cost(&[*id])
                 );
                 let allowed = format!(
-                    "{BUDGET} steps: fewer patterns, splits and searches, or the same ones in all routes"
+                    "{STEP_BUDGET} steps: fewer patterns, splits and searches, or the same ones in all routes"
                 );
                 sink.add(
                     key,
@@ -310,7 +310,7 @@
                 .cloned()
                 .collect(),
         };
-        let Some(request) = both(
+        let Some(request) = find_common_request(
             table.program(),
             (a_condition.id, b_condition.id),
             &paths,
@@ -337,7 +337,7 @@
                 classes[a.class],
                 b.name,
                 classes[b.class],
-                request.show()
+                request.display()
             ));
         }
     }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -11,7 +11,7 @@
     self as decisions, settings, CellId, DedupScope, EndpointEntry, EndpointId, EndpointStatus,
     Idempotency, Micros,
 };
-use badgerramp_expr::{Program, Wanted};
+use badgerramp_expr::{ExpectedType, Program};
 use badgerramp_route::{
     compile_pattern, normalize, HeaderPattern, PathPattern, ResponseRules, Route, Source, Table,
     Timing, MAX_PATTERN_BYTES,
@@ -915,7 +915,7 @@
             let path = path(sink, &section);
             let methods = methods(sink, &section);
             let headers = headers(sink, &section);
-            let when = expressions.read(sink, &section, "when", text, Wanted::Condition);
+            let when = expressions.read(sink, &section, "when", text, ExpectedType::Condition);
             let tenant = source(sink, &section, "tenant", text, expressions);
             let key = source(sink, &section, "key", text, expressions);
             let class = section.text(sink, "class").and_then(|class| {
@@ -1408,7 +1408,7 @@
         .is_some_and(|v| v.get_ref().as_str().is_some())
     {
         return expressions
-            .read(sink, section, name, text, Wanted::Text)
+            .read(sink, section, name, text, ExpectedType::Text)
             .map(Source::Expression);
     }
     let entry = section.section(sink, name, &["header", "cookie"])?;
--- a/crates/expr/benches/evaluate.rs
+++ b/crates/expr/benches/evaluate.rs
@@ -1,15 +1,19 @@
-//! Evaluation: typical tables beside conditions in plain Rust, and the worst case over an adversarial corpus.
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
+//! Benchmarks of evaluation: typical route tables compared with hand-written conditions, and worst cases with adversarial
+//! headers.
+#![expect(
+    clippy::similar_names,
+    reason = "names are still to be made more distinct"
+)]
 #![expect(
     clippy::too_many_lines,
     reason = "long functions are still to be split"
 )]
 #![expect(
     missing_docs,
-    reason = "the macro of the benchmark library makes a function without docs"
+    reason = "the macro of the benchmark library generates a function without docs"
 )]
 
-use badgerramp_expr::{Builder, Head, Id, Program, Scratch, Unmetered, Wanted, BUDGET};
+use badgerramp_expr::{Builder, ExpectedType, Head, Id, Program, Scratch, Unmetered, STEP_BUDGET};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use http::{HeaderMap, HeaderValue, Method};
 use std::hint::black_box;
@@ -24,6 +28,7 @@
     }
 }
 
+/// A program with `count` similar conditions.
 fn table(count: usize) -> (Program, Vec<Id>) {
     let mut builder = Builder::default();
     let condition = |n: usize| {
@@ -34,15 +39,15 @@
     let ids = (0..count)
         .map(|n| {
             builder
-                .add(&condition(n), Wanted::Condition)
+                .add(&condition(n), ExpectedType::Condition)
                 .expect("well typed")
         })
         .collect();
     (builder.build(), ids)
 }
 
-/// The same by hand.
-fn by_hand(prefix: &str, head: &Head<'_>) -> bool {
+/// The same condition in hand-written Rust.
+fn hand_written(prefix: &str, head: &Head<'_>) -> bool {
     let text = |name: &str| {
         let mut all = head.headers.get_all(name).iter();
         let only = all.next().filter(|_| all.next().is_none());
@@ -55,7 +60,7 @@
         && text("content-type") == "application/json"
 }
 
-fn tables(c: &mut Criterion) {
+fn bench_tables(c: &mut Criterion) {
     let mut headers = HeaderMap::new();
     headers.insert("content-type", HeaderValue::from_static("application/json"));
     headers.insert("x-branch", HeaderValue::from_static("CR-none"));
@@ -78,17 +83,17 @@
         group.bench_function(BenchmarkId::new("plain Rust", count), |b| {
             b.iter(|| {
                 let head = head(&headers);
-                black_box(prefixes.iter().filter(|p| by_hand(p, &head)).count())
+                black_box(prefixes.iter().filter(|p| hand_written(p, &head)).count())
             });
         });
     }
     group.finish();
 }
 
-/// Expressions near the budget, and 64 KB of headers made for each.
-fn worst(c: &mut Criterion) {
-    let big = |byte: &str| byte.repeat(64 * 1024 / byte.len());
-    let one = |value: &str| {
+/// Expressions near the step budget, each with adversarial headers of up to 64 KB.
+fn bench_worst_cases(c: &mut Criterion) {
+    let fill_head = |unit: &str| unit.repeat(64 * 1024 / unit.len());
+    let one_header = |value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(
             "x",
@@ -96,9 +101,9 @@
         );
         headers
     };
-    let mut thousand = HeaderMap::new();
+    let mut many_headers = HeaderMap::new();
     for _ in 0..1_000 {
-        thousand.append(
+        many_headers.append(
             "x",
             HeaderValue::from_static(
                 "64 bytes of a header that is given a thousand times, nearly so.",
@@ -112,27 +117,27 @@
         (
             "lower and contains",
             r#"lower(header["x"] ?? "") contains "aaaaaaaaaaaaaaab""#.to_owned(),
-            one(&big("A")),
+            one_header(&fill_head("A")),
         ),
         (
             "two bytes a letter",
             r#"(header["x"] ?? "") ends_with "b""#.to_owned(),
-            one(&big("\u{f1}")),
+            one_header(&fill_head("\u{f1}")),
         ),
         (
             "eleven patterns",
             patterns.join(" or "),
-            one(&"a".repeat(1_024)),
+            one_header(&"a".repeat(1_024)),
         ),
         (
             "split",
             r#""b" in split(header["x"] ?? "", ",")"#.to_owned(),
-            one(&",".repeat(2_048)),
+            one_header(&",".repeat(2_048)),
         ),
         (
             "hash",
             r#"hash(header["x"] ?? "", 100) == 100"#.to_owned(),
-            one(&big("h")),
+            one_header(&fill_head("h")),
         ),
         ("cookie", r#"(cookie["b"] ?? "") == "x""#.to_owned(), {
             let mut headers = HeaderMap::new();
@@ -145,15 +150,17 @@
         (
             "a thousand headers",
             r#""none" in headers["x"]"#.to_owned(),
-            thousand,
+            many_headers,
         ),
     ];
     let mut group = c.benchmark_group("worst");
     for (name, text, headers) in &corpus {
         let mut builder = Builder::default();
-        let id = builder.add(text, Wanted::Condition).expect("well typed");
+        let id = builder
+            .add(text, ExpectedType::Condition)
+            .expect("well typed");
         assert!(
-            builder.cost(&[id]) <= BUDGET,
+            builder.cost(&[id]) <= STEP_BUDGET,
             "{name}: {}",
             builder.cost(&[id])
         );
@@ -165,5 +172,5 @@
     group.finish();
 }
 
-criterion_group!(benches, tables, worst);
+criterion_group!(benches, bench_tables, bench_worst_cases);
 criterion_main!(benches);
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -1,24 +1,24 @@
-//! What an expression says, with its places.
+//! The syntax tree of an expression, with spans.
 
 use std::ops::Range;
 
-/// A place in an expression's text, in bytes.
+/// A byte range of an expression's text.
 pub type Span = Range<usize>;
 
-/// One thing that is wrong with an expression.
+/// A syntax or type error of an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
-    /// Where.
+pub struct ExpressionError {
+    /// Where the error is.
     pub span: Span,
-    /// What.
+    /// What is wrong.
     pub reason: String,
-    /// What is allowed there.
+    /// What is allowed instead.
     pub allowed: String,
 }
 
-impl Mistake {
+impl ExpressionError {
     pub(crate) fn new(span: &Span, reason: impl Into<String>, allowed: impl Into<String>) -> Self {
-        Mistake {
+        ExpressionError {
             span: span.clone(),
             reason: reason.into(),
             allowed: allowed.into(),
@@ -26,17 +26,17 @@
     }
 }
 
-/// A part of an expression.
+/// A node of the syntax tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ast {
-    pub(crate) kind: Kind,
-    /// Where it stands.
+    pub(crate) kind: AstKind,
+    /// The range of its text.
     pub span: Span,
 }
 
-/// Words that stand between two values.
+/// Binary operators other than `and`, `or` and `??`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Infix {
+pub(crate) enum Operator {
     Equal,
     Unequal,
     Less,
@@ -50,51 +50,55 @@
     Matches,
 }
 
+/// The kind of a syntax tree node, with its children.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Kind {
+pub(crate) enum AstKind {
     Bool(bool),
     Int(i64),
     Duration(i64),
     Str(String),
     Bytes(Vec<u8>),
     List(Vec<Ast>),
-    /// `method`
+    /// An input, like `method`.
     Name(String),
-    /// `header["x"]`
+    /// A named value of an input, like `header["x"]`.
     Index(String, Box<Ast>),
     Call(String, Vec<Ast>),
     Not(Box<Ast>),
     And(Box<Ast>, Box<Ast>),
     Or(Box<Ast>, Box<Ast>),
-    Infix(Infix, Box<Ast>, Box<Ast>),
+    Binary(Operator, Box<Ast>, Box<Ast>),
     Default(Box<Ast>, Box<Ast>),
-    /// Something that was not understood, and was told.
+    /// A part with a syntax error, which has been reported.
     Unknown,
 }
 
 impl Ast {
-    /// Its own parts, in order.
-    pub fn parts(&self) -> Vec<&Ast> {
+    /// The children of the node, in the order of the text.
+    pub fn children(&self) -> Vec<&Ast> {
         match &self.kind {
-            Kind::List(all) | Kind::Call(_, all) => all.iter().collect(),
-            Kind::Index(_, one) | Kind::Not(one) => vec![one],
-            Kind::And(a, b) | Kind::Or(a, b) | Kind::Infix(_, a, b) | Kind::Default(a, b) => {
+            AstKind::List(children) | AstKind::Call(_, children) => children.iter().collect(),
+            AstKind::Index(_, child) | AstKind::Not(child) => vec![child],
+            AstKind::And(a, b)
+            | AstKind::Or(a, b)
+            | AstKind::Binary(_, a, b)
+            | AstKind::Default(a, b) => {
                 vec![a, b]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Is it written out, so that its value needs no telling?
-    pub fn literal(&self) -> bool {
+    /// Whether the node is a literal.
+    pub fn is_literal(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Bool(_)
-                | Kind::Int(_)
-                | Kind::Duration(_)
-                | Kind::Str(_)
-                | Kind::Bytes(_)
-                | Kind::List(_)
+            AstKind::Bool(_)
+                | AstKind::Int(_)
+                | AstKind::Duration(_)
+                | AstKind::Str(_)
+                | AstKind::Bytes(_)
+                | AstKind::List(_)
         )
     }
 }
--- a/crates/expr/src/bounds.rs
+++ b/crates/expr/src/bounds.rs
@@ -1,33 +1,38 @@
-//! How large things may be and what they cost, at the most.
+//! Limits on the size of inputs, and the cost model in steps.
 
-/// Bytes of the largest head that the bound is reckoned for.
-pub const HEAD_BYTES: u32 = 64 * 1024;
-/// A value that is longer matches no pattern: the cost of one stays small whatever comes.
-pub const MATCH_BYTES: usize = 1_024;
-/// A text that is longer has no parts, and a hash goes by so many bytes at the most.
-pub const PARTS_BYTES: usize = 2 * 1024;
-/// Of a query or of cookies that are longer in all nothing is read.
-pub const PAIRS_BYTES: usize = 1024;
-/// Parts of a list, and segments of a path, that are looked at.
-pub const PARTS_MOST: usize = 1024;
-pub(crate) const SEGMENTS_MOST: usize = 64;
-/// Steps for a byte that a pattern looks at, for one of a query or of cookies, and for a part of a list.
-pub(crate) const MATCH_STEPS: u64 = 3;
-pub(crate) const PAIR_STEPS: u64 = 10;
-pub(crate) const PART_STEPS: u64 = 13;
-/// Steps that all expressions of a file together may take for one request. A step is about a nanosecond: a node, 16 bytes
-/// that are looked at by words, 8 that are looked at one by one.
-pub const BUDGET: u64 = 40_000;
-/// Bytes of a path at the most.
-pub(crate) const PATH_BYTES: u32 = 8 * 1024;
-/// ... and of a method.
-pub(crate) const METHOD_BYTES: u32 = 64;
+/// Size of the largest request head that the static cost bound covers.
+pub const MAX_HEAD_BYTES: u32 = 64 * 1024;
+/// Longest string that a pattern can match. A longer string doesn't match, which bounds the cost of a match.
+pub const MAX_MATCH_BYTES: usize = 1_024;
+/// Longest string that `split` splits; a longer one is treated as empty. `hash` uses at most this many bytes of its input.
+pub const MAX_SPLIT_BYTES: usize = 2 * 1024;
+/// Largest query, and largest total size of the cookie headers, that are parsed. The values of
+/// larger ones are absent.
+pub const MAX_PAIRS_BYTES: usize = 1024;
+/// The most elements of a list that are visited.
+pub const MAX_LIST_ELEMENTS: usize = 1024;
+/// The most segments of a path that are visited.
+pub(crate) const MAX_PATH_SEGMENTS: usize = 64;
+/// Steps for each byte that a pattern is matched against.
+pub(crate) const STEPS_PER_MATCH_BYTE: u64 = 3;
+/// Steps for each byte of a query or of cookies.
+pub(crate) const STEPS_PER_PAIR_BYTE: u64 = 10;
+/// Steps for each visited element of a list.
+pub(crate) const STEPS_PER_LIST_ELEMENT: u64 = 13;
+/// The most steps that all expressions of a file together may take for one request. A step is about a nanosecond: one node,
+/// 16 bytes that are processed in words, or 8 bytes that are processed one by one.
+pub const STEP_BUDGET: u64 = 40_000;
+/// Longest path in bytes.
+pub(crate) const MAX_PATH_BYTES: u32 = 8 * 1024;
+/// Longest method in bytes.
+pub(crate) const MAX_METHOD_BYTES: u32 = 64;
 
-/// Steps for so many bytes that are looked at by words, and by each.
-pub(crate) fn words(bytes: u32) -> u64 {
+/// Steps for bytes that are processed in words.
+pub(crate) fn word_steps(bytes: u32) -> u64 {
     u64::from(bytes / 16) + 1
 }
 
-pub(crate) fn each(bytes: u32) -> u64 {
+/// Steps for bytes that are processed one by one.
+pub(crate) fn byte_steps(bytes: u32) -> u64 {
     u64::from(bytes / 8) + 1
 }
--- a/crates/expr/src/build.rs
+++ b/crates/expr/src/build.rs
@@ -1,11 +1,11 @@
-//! Types, folding, interning and the static bound of cost: from trees to a program.
+//! Compiles syntax trees to a program: type checking, constant folding, interning and the static bound on cost.
 //!
-//! All expressions of a file share one arena. Equal parts are one node, so that a part that several routes ask for is
-//! evaluated once a request at the most.
+//! All expressions of a file share one arena. Equal subexpressions are one node, so that a subexpression that several routes
+//! use is evaluated at most once per request.
 
-use crate::ast::{Ast, Infix, Kind, Mistake};
+use crate::ast::{Ast, AstKind, ExpressionError, Operator};
 use crate::eval::{Memo, Unmetered};
-use crate::program::{Base, Node, Program, Type};
+use crate::program::{BaseType, Node, Program, Type};
 use crate::value::{Head, Value};
 use crate::{parse, Id};
 use http::header::HeaderName;
@@ -13,31 +13,32 @@
 use regex::RegexBuilder;
 use std::collections::HashMap;
 
-/// Bytes that one compiled pattern may take, and all of a program.
-const PATTERN_BYTES: usize = 128 * 1024;
-const PATTERNS_BYTES: usize = 4 * 1024 * 1024;
+/// Largest compiled size of one pattern.
+const MAX_PATTERN_BYTES: usize = 128 * 1024;
+/// Largest estimated size of all patterns of a program.
+const MAX_ALL_PATTERNS_BYTES: usize = 4 * 1024 * 1024;
 
-/// What an expression is for.
+/// The type that an expression has to have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
-    /// Whether a route takes a request: a bool.
+pub enum ExpectedType {
+    /// A bool, for the match condition of a route.
     Condition,
-    /// A key or a tenant: a string, which may be absent.
+    /// A string that may be absent, for a key or a tenant.
     Text,
-    /// Anything, as a part of an expression that is explained.
+    /// Any type, for a subexpression that is explained.
     Any,
 }
 
-/// Collects the expressions of a file.
+/// Compiles the expressions of a file.
 #[derive(Debug, Default)]
 pub struct Builder {
     program: Program,
-    known: HashMap<Node, Id>,
+    interned: HashMap<Node, Id>,
     patterns: HashMap<String, u32>,
     pattern_bytes: usize,
 }
 
-/// Names of inputs, for whoever mistypes one.
+/// Names of the inputs, for the error on an unknown name.
 const INPUTS: [&str; 12] = [
     "method",
     "path",
@@ -52,112 +53,124 @@
     "query",
     "query_all",
 ];
+/// The functions with example arguments, for errors on calls.
 const FUNCTIONS: &str =
     "present(x), lower(s), trim(s), split(s, \",\"), nth(list, 0), int(s), len(x), hash(s, 100), concat(a, b, ...)";
 
 impl Builder {
-    /// Takes an expression in.
+    /// Parses and compiles an expression.
     ///
     /// # Errors
-    /// All that is wrong with it, each with its place in the text.
-    pub fn add(&mut self, text: &str, wanted: Wanted) -> Result<Id, Vec<Mistake>> {
-        self.add_ast(&parse(text)?, wanted)
+    /// Returns all syntax or type errors with their spans.
+    pub fn add(
+        &mut self,
+        text: &str,
+        expected_type: ExpectedType,
+    ) -> Result<Id, Vec<ExpressionError>> {
+        self.add_ast(&parse(text)?, expected_type)
     }
 
-    /// Takes a parsed expression in, or a part of one.
+    /// Compiles a parsed expression or a subexpression.
     ///
     /// # Errors
-    /// All that is wrong with it.
-    pub fn add_ast(&mut self, ast: &Ast, wanted: Wanted) -> Result<Id, Vec<Mistake>> {
-        let mut mistakes = Vec::new();
-        let (id, kind) = self.node(&mut mistakes, ast);
-        let fits = match wanted {
-            Wanted::Condition => kind == Type::plain(Base::Bool),
-            Wanted::Text => kind.base == Base::Str,
-            Wanted::Any => true,
+    /// Returns all type errors with their spans.
+    pub fn add_ast(
+        &mut self,
+        ast: &Ast,
+        expected_type: ExpectedType,
+    ) -> Result<Id, Vec<ExpressionError>> {
+        let mut errors = Vec::new();
+        let (id, kind) = self.compile(&mut errors, ast);
+        let has_expected_type = match expected_type {
+            ExpectedType::Condition => kind == Type::required(BaseType::Bool),
+            ExpectedType::Text => kind.base == BaseType::Str,
+            ExpectedType::Any => true,
         };
-        if mistakes.is_empty() && !fits {
-            let allowed = match wanted {
-                Wanted::Condition => "a bool, like method == \"POST\"",
+        if errors.is_empty() && !has_expected_type {
+            let allowed = match expected_type {
+                ExpectedType::Condition => "a bool, like method == \"POST\"",
                 _ => "a string, like header[\"x-invoice\"] or concat(...)",
             };
-            mistakes.push(Mistake::new(
+            errors.push(ExpressionError::new(
                 &ast.span,
-                format!("this is a {}", kind.show()),
+                format!("this is a {}", kind.display()),
                 allowed,
             ));
         }
-        if mistakes.is_empty()
-            && wanted == Wanted::Condition
+        if errors.is_empty()
+            && expected_type == ExpectedType::Condition
             && self.program.nodes[id.0 as usize] == Node::Bool(false)
         {
-            mistakes.push(Mistake::new(
+            errors.push(ExpressionError::new(
                 &ast.span,
-                "this is never true",
-                "a condition that some request meets",
+                "this condition is never true",
+                "a condition that some request can satisfy",
             ));
         }
-        if !mistakes.is_empty() {
-            return Err(mistakes);
+        if !errors.is_empty() {
+            return Err(errors);
         }
-        if wanted != Wanted::Any {
+        if expected_type != ExpectedType::Any {
             self.program.roots.push(id);
         }
         Ok(id)
     }
 
-    /// The most steps that these expressions can take together for one request.
-    pub fn cost(&self, of: &[Id]) -> u64 {
-        self.program.cost(of)
+    /// The maximum number of steps that these expressions take together for one request.
+    pub fn cost(&self, ids: &[Id]) -> u64 {
+        self.program.cost(ids)
     }
 
-    /// All expressions, ready to be evaluated.
+    /// Finishes the program.
     pub fn build(mut self) -> Program {
         let mut uses = vec![0_u32; self.program.nodes.len()];
         for root in &self.program.roots {
             uses[root.0 as usize] += 1;
         }
         for node in &self.program.nodes {
-            node.parts()
+            node.children()
                 .iter()
-                .for_each(|part| uses[part.0 as usize] += 1);
+                .for_each(|child| uses[child.0 as usize] += 1);
         }
-        // What the bound counts once is evaluated once.
-        let literal = |n: usize| self.program.literal(Id(n as u32));
+        // The cost bound counts a node once, so a node with several uses has to be evaluated once.
+        let is_literal = |n: usize| self.program.is_literal(Id(n as u32));
         self.program.shared = uses
             .iter()
             .enumerate()
-            .map(|(n, &uses)| uses > 1 && !literal(n))
+            .map(|(n, &uses)| uses > 1 && !is_literal(n))
             .collect();
         self.program
     }
 
+    /// Adds a node to the arena, or finds the equal one.
     fn intern(&mut self, node: Node, kind: Type) -> (Id, Type) {
-        if let Some(&id) = self.known.get(&node) {
+        if let Some(&id) = self.interned.get(&node) {
             return (id, self.program.types[id.0 as usize]);
         }
         let program = &mut self.program;
         let id = Id(program.nodes.len() as u32);
-        let (own, size) = program.measure(&node);
-        let below: u64 = node
-            .parts()
+        let (cost, size) = program.cost_and_size(&node);
+        let children_steps: u64 = node
+            .children()
             .iter()
-            .map(|p| program.costs[p.0 as usize])
+            .map(|c| program.subtree_steps[c.0 as usize])
             .sum();
-        program.costs.push(own.most().saturating_add(below));
-        program.own.push(own);
+        program
+            .subtree_steps
+            .push(cost.max_steps().saturating_add(children_steps));
+        program.node_costs.push(cost);
         program.sizes.push(size);
         program.types.push(kind);
         program.nodes.push(node.clone());
-        self.known.insert(node, id);
+        self.interned.insert(node, id);
         (id, kind)
     }
 
-    /// Takes a node in. One that no request can change is evaluated here and now.
+    /// Interns a node after constant folding: a node whose operands are all literals is evaluated now.
     fn fold(&mut self, node: Node, kind: Type) -> (Id, Type) {
-        let literal = |id: &Id| self.program.literal(*id);
-        let parts = node.parts();
-        let simpler = match &node {
+        let is_literal = |id: &Id| self.program.is_literal(*id);
+        let children = node.children();
+        let simplified = match &node {
             Node::And(a, b) => match (
                 &self.program.nodes[a.0 as usize],
                 &self.program.nodes[b.0 as usize],
@@ -178,13 +191,13 @@
             },
             _ => None,
         };
-        match simpler {
+        match simplified {
             Some(Ok(id)) => return (id, self.program.types[id.0 as usize]),
-            Some(Err(truth)) => return self.intern(Node::Bool(truth), kind),
+            Some(Err(value)) => return self.intern(Node::Bool(value), kind),
             None => {}
         }
-        // A value that may be absent keeps its type: folded, it would be taken for a literal.
-        if kind.optional || parts.is_empty() || !parts.iter().all(literal) {
+        // An optional value is not folded, because it would lose its type.
+        if kind.optional || children.is_empty() || !children.iter().all(is_literal) {
             return self.intern(node, kind);
         }
         let (id, _) = self.intern(node, kind);
@@ -200,7 +213,7 @@
             .program
             .value(id, &head, &mut Memo::default(), &mut Unmetered)
         {
-            Value::Bool(truth) => Some(Node::Bool(truth)),
+            Value::Bool(value) => Some(Node::Bool(value)),
             Value::Int(number) => Some(Node::Int(number)),
             Value::Str(text) => Some(Node::Str(text.into())),
             _ => None,
@@ -211,71 +224,77 @@
         }
     }
 
-    fn node(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast) -> (Id, Type) {
+    /// Compiles a syntax tree node and returns its type.
+    fn compile(&mut self, errors: &mut Vec<ExpressionError>, ast: &Ast) -> (Id, Type) {
         let span = &ast.span;
         match &ast.kind {
-            Kind::Bool(truth) => self.intern(Node::Bool(*truth), Type::plain(Base::Bool)),
-            Kind::Int(number) => self.intern(Node::Int(*number), Type::plain(Base::Int)),
-            Kind::Duration(micros) => {
-                self.intern(Node::Duration(*micros), Type::plain(Base::Duration))
+            AstKind::Bool(value) => self.intern(Node::Bool(*value), Type::required(BaseType::Bool)),
+            AstKind::Int(number) => self.intern(Node::Int(*number), Type::required(BaseType::Int)),
+            AstKind::Duration(micros) => {
+                self.intern(Node::Duration(*micros), Type::required(BaseType::Duration))
             }
-            Kind::Str(text) => self.intern(Node::Str(text.as_str().into()), Type::plain(Base::Str)),
-            Kind::Bytes(bytes) => self.intern(
+            AstKind::Str(text) => self.intern(
+                Node::Str(text.as_str().into()),
+                Type::required(BaseType::Str),
+            ),
+            AstKind::Bytes(bytes) => self.intern(
                 Node::Bytes(bytes.as_slice().into()),
-                Type::plain(Base::Bytes),
+                Type::required(BaseType::Bytes),
             ),
-            Kind::List(_) => {
-                mistakes.push(Mistake::new(
+            AstKind::List(_) => {
+                errors.push(ExpressionError::new(
                     span,
-                    "a list stands only behind 'in'",
+                    "a list is only allowed after 'in'",
                     "x in [\"a\", \"b\"]",
                 ));
                 self.unknown()
             }
-            Kind::Name(name) => self.input(mistakes, ast, name),
-            Kind::Index(name, index) => self.index(mistakes, ast, name, index),
-            Kind::Call(name, parts) => self.call(mistakes, ast, name, parts),
-            Kind::Not(inner) => {
-                let inner = self.truth(mistakes, inner);
+            AstKind::Name(name) => self.compile_input(errors, ast, name),
+            AstKind::Index(name, index) => self.compile_index(errors, ast, name, index),
+            AstKind::Call(name, arguments) => self.compile_call(errors, ast, name, arguments),
+            AstKind::Not(inner) => {
+                let inner = self.compile_bool(errors, inner);
                 match self.program.nodes[inner.0 as usize] {
-                    Node::Not(twice) => (twice, Type::plain(Base::Bool)),
-                    _ => self.fold(Node::Not(inner), Type::plain(Base::Bool)),
+                    Node::Not(operand) => (operand, Type::required(BaseType::Bool)),
+                    _ => self.fold(Node::Not(inner), Type::required(BaseType::Bool)),
                 }
             }
-            Kind::And(a, b) => {
-                let (a, b) = (self.truth(mistakes, a), self.truth(mistakes, b));
-                // Neither can fail: the cheaper goes first.
-                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize]
+            AstKind::And(a, b) => {
+                let (a, b) = (self.compile_bool(errors, a), self.compile_bool(errors, b));
+                // Evaluation can't fail and has no side effects, so the cheaper operand is evaluated first.
+                let (a, b) = if self.program.subtree_steps[b.0 as usize]
+                    < self.program.subtree_steps[a.0 as usize]
                 {
                     (b, a)
                 } else {
                     (a, b)
                 };
-                self.fold(Node::And(a, b), Type::plain(Base::Bool))
+                self.fold(Node::And(a, b), Type::required(BaseType::Bool))
             }
-            Kind::Or(a, b) => {
-                let (a, b) = (self.truth(mistakes, a), self.truth(mistakes, b));
-                let (a, b) = if self.program.costs[b.0 as usize] < self.program.costs[a.0 as usize]
+            AstKind::Or(a, b) => {
+                let (a, b) = (self.compile_bool(errors, a), self.compile_bool(errors, b));
+                let (a, b) = if self.program.subtree_steps[b.0 as usize]
+                    < self.program.subtree_steps[a.0 as usize]
                 {
                     (b, a)
                 } else {
                     (a, b)
                 };
-                self.fold(Node::Or(a, b), Type::plain(Base::Bool))
+                self.fold(Node::Or(a, b), Type::required(BaseType::Bool))
             }
-            Kind::Infix(infix, a, b) => self.infix(mistakes, ast, *infix, a, b),
-            Kind::Default(a, b) => {
-                let (left, kind) = self.node(mistakes, a);
-                let (right, other) = self.node(mistakes, b);
-                if kind.base == Base::Unknown || other.base == Base::Unknown {
+            AstKind::Binary(operator, a, b) => self.compile_binary(errors, ast, *operator, a, b),
+            AstKind::Default(a, b) => {
+                let (left, kind) = self.compile(errors, a);
+                let (right, other) = self.compile(errors, b);
+                if kind.base == BaseType::Unknown || other.base == BaseType::Unknown {
                     return self.unknown();
                 }
                 if !kind.optional {
                     let reason = format!(
-                        "this is a {} and never absent: '??' says nothing",
-                        kind.show()
+                        "this is a {}, which is never absent: '??' has no effect",
+                        kind.display()
                     );
-                    mistakes.push(Mistake::new(
+                    errors.push(ExpressionError::new(
                         &a.span,
                         reason,
                         "a header, a cookie or another value that may be absent",
@@ -285,78 +304,97 @@
                 if kind.base != other.base {
                     let reason = format!(
                         "the default is a {}, not a {}",
-                        other.show(),
-                        Type::plain(kind.base).show()
+                        other.display(),
+                        Type::required(kind.base).display()
                     );
-                    mistakes.push(Mistake::new(&b.span, reason, Type::plain(kind.base).show()));
+                    errors.push(ExpressionError::new(
+                        &b.span,
+                        reason,
+                        Type::required(kind.base).display(),
+                    ));
                     return self.unknown();
                 }
                 self.fold(Node::Default(left, right), other)
             }
-            Kind::Unknown => self.unknown(),
+            AstKind::Unknown => self.unknown(),
         }
     }
 
     fn unknown(&mut self) -> (Id, Type) {
-        self.intern(Node::Bool(false), Type::plain(Base::Bool))
+        self.intern(Node::Bool(false), Type::required(BaseType::Bool))
             .0
-            .with(Type::plain(Base::Unknown))
+            .with_type(Type::required(BaseType::Unknown))
     }
 
-    fn truth(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast) -> Id {
-        let (id, kind) = self.node(mistakes, ast);
-        if kind != Type::plain(Base::Bool) && kind.base != Base::Unknown {
+    /// Compiles an operand that has to be a bool.
+    fn compile_bool(&mut self, errors: &mut Vec<ExpressionError>, ast: &Ast) -> Id {
+        let (id, kind) = self.compile(errors, ast);
+        if kind != Type::required(BaseType::Bool) && kind.base != BaseType::Unknown {
             let allowed = match kind.base {
-                Base::Str if kind.optional => {
+                BaseType::Str if kind.optional => {
                     "a bool: present(...), or a comparison with a default: (... ?? \"\") == \"x\""
                 }
                 _ => "a bool: a comparison, present(...)",
             };
-            mistakes.push(Mistake::new(
+            errors.push(ExpressionError::new(
                 &ast.span,
-                format!("this is a {}, not a truth", kind.show()),
+                format!("this is a {}, not a bool", kind.display()),
                 allowed,
             ));
         }
         id
     }
 
-    /// A value of this kind that is never absent.
-    fn plain(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast, base: Base) -> Option<Id> {
-        let (id, kind) = self.node(mistakes, ast);
-        if kind.base == Base::Unknown {
+    /// Compiles an operand that has to be of type `base` and not optional.
+    fn compile_required(
+        &mut self,
+        errors: &mut Vec<ExpressionError>,
+        ast: &Ast,
+        base: BaseType,
+    ) -> Option<Id> {
+        let (id, kind) = self.compile(errors, ast);
+        if kind.base == BaseType::Unknown {
             return None;
         }
         if kind.base != base {
             let (reason, allowed) = (
-                format!("this is a {}", kind.show()),
-                Type::plain(base).show(),
+                format!("this is a {}", kind.display()),
+                Type::required(base).display(),
             );
-            mistakes.push(Mistake::new(&ast.span, reason, allowed));
+            errors.push(ExpressionError::new(&ast.span, reason, allowed));
             return None;
         }
         if kind.optional {
-            mistakes.push(absent(ast, kind));
+            errors.push(absent_error(ast, kind));
             return None;
         }
         Some(id)
     }
 
-    fn input(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast, name: &str) -> (Id, Type) {
+    fn compile_input(
+        &mut self,
+        errors: &mut Vec<ExpressionError>,
+        ast: &Ast,
+        name: &str,
+    ) -> (Id, Type) {
         let (node, kind) = match name {
-            "method" => (Node::Method, Type::plain(Base::Str)),
-            "path" => (Node::Path, Type::plain(Base::Str)),
-            "segments" => (Node::Segments, Type::plain(Base::List)),
-            "length" => (Node::Length, Type::optional(Base::Int)),
-            "timeout" => (Node::Timeout, Type::optional(Base::Duration)),
-            "client" => (Node::Client, Type::plain(Base::Ip)),
+            "method" => (Node::Method, Type::required(BaseType::Str)),
+            "path" => (Node::Path, Type::required(BaseType::Str)),
+            "segments" => (Node::Segments, Type::required(BaseType::List)),
+            "length" => (Node::Length, Type::optional(BaseType::Int)),
+            "timeout" => (Node::Timeout, Type::optional(BaseType::Duration)),
+            "client" => (Node::Client, Type::required(BaseType::Ip)),
             "header" | "headers" | "header_bytes" | "cookie" | "query" | "query_all" => {
-                let reason = format!("'{name}' wants a name");
-                mistakes.push(Mistake::new(&ast.span, reason, format!("{name}[\"name\"]")));
+                let reason = format!("'{name}' requires a name");
+                errors.push(ExpressionError::new(
+                    &ast.span,
+                    reason,
+                    format!("{name}[\"name\"]"),
+                ));
                 return self.unknown();
             }
             other => {
-                mistakes.push(Mistake::new(
+                errors.push(ExpressionError::new(
                     &ast.span,
                     format!("'{other}' is not known"),
                     INPUTS.join(", "),
@@ -367,45 +405,47 @@
         self.intern(node, kind)
     }
 
-    fn index(
+    fn compile_index(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
         name: &str,
         index: &Ast,
     ) -> (Id, Type) {
-        let Kind::Str(of) = &index.kind else {
-            mistakes.push(Mistake::new(
+        let AstKind::Str(key) = &index.kind else {
+            errors.push(ExpressionError::new(
                 &index.span,
-                "a name is a text that is written out",
+                "a name must be a literal string",
                 "like \"x-branch\"",
             ));
             return self.unknown();
         };
-        let mut header = || match HeaderName::from_bytes(of.as_bytes()) {
+        let mut header = || match HeaderName::from_bytes(key.as_bytes()) {
             Ok(name) => Some(name),
             Err(_) => {
-                mistakes.push(Mistake::new(
+                errors.push(ExpressionError::new(
                     &index.span,
-                    "this is no header name",
+                    "this is not a header name",
                     "letters, digits and '-'",
                 ));
                 None
             }
         };
-        let text: Box<str> = of.as_str().into();
+        let text: Box<str> = key.as_str().into();
         let found = match name {
-            "header" => header().map(|n| (Node::Header(n), Type::optional(Base::Str))),
-            "header_bytes" => header().map(|n| (Node::HeaderBytes(n), Type::optional(Base::Bytes))),
-            "headers" => header().map(|n| (Node::Headers(n), Type::plain(Base::List))),
-            "cookie" => Some((Node::Cookie(text), Type::optional(Base::Str))),
-            "query" => Some((Node::Query(text), Type::optional(Base::Str))),
-            "query_all" => Some((Node::QueryAll(text), Type::plain(Base::List))),
+            "header" => header().map(|n| (Node::Header(n), Type::optional(BaseType::Str))),
+            "header_bytes" => {
+                header().map(|n| (Node::HeaderBytes(n), Type::optional(BaseType::Bytes)))
+            }
+            "headers" => header().map(|n| (Node::Headers(n), Type::required(BaseType::List))),
+            "cookie" => Some((Node::Cookie(text), Type::optional(BaseType::Str))),
+            "query" => Some((Node::Query(text), Type::optional(BaseType::Str))),
+            "query_all" => Some((Node::QueryAll(text), Type::required(BaseType::List))),
             other => {
-                let reason = format!("'{other}' has no parts by name");
+                let reason = format!("'{other}' has no named values");
                 let allowed =
                     "header, headers, header_bytes, cookie, query, query_all; nth(segments, 0)";
-                mistakes.push(Mistake::new(&ast.span, reason, allowed));
+                errors.push(ExpressionError::new(&ast.span, reason, allowed));
                 None
             }
         };
@@ -415,115 +455,128 @@
         }
     }
 
-    fn call(
+    fn compile_call(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
         name: &str,
-        parts: &[Ast],
+        arguments: &[Ast],
     ) -> (Id, Type) {
-        let counts = match name {
+        let argument_counts = match name {
             "present" | "lower" | "trim" | "int" | "len" => 1..=1,
             "split" | "nth" | "hash" => 2..=2,
             "concat" => 1..=16,
             other => {
                 let reason = format!("there is no function '{other}'");
-                mistakes.push(Mistake::new(&ast.span, reason, FUNCTIONS));
+                errors.push(ExpressionError::new(&ast.span, reason, FUNCTIONS));
                 return self.unknown();
             }
         };
-        if !counts.contains(&parts.len()) {
-            let reason = format!("{name} takes {} values, not {}", counts.end(), parts.len());
-            mistakes.push(Mistake::new(&ast.span, reason, FUNCTIONS));
+        if !argument_counts.contains(&arguments.len()) {
+            let reason = format!(
+                "{name} takes {} arguments, not {}",
+                argument_counts.end(),
+                arguments.len()
+            );
+            errors.push(ExpressionError::new(&ast.span, reason, FUNCTIONS));
             return self.unknown();
         }
         let node = match name {
             "present" => {
-                let (id, kind) = self.node(mistakes, &parts[0]);
-                if kind.base != Base::Unknown && !kind.optional {
-                    let reason = format!("this is a {} and never absent", kind.show());
-                    mistakes.push(Mistake::new(
-                        &parts[0].span,
+                let (id, kind) = self.compile(errors, &arguments[0]);
+                if kind.base != BaseType::Unknown && !kind.optional {
+                    let reason = format!("this is a {}, which is never absent", kind.display());
+                    errors.push(ExpressionError::new(
+                        &arguments[0].span,
                         reason,
                         "a header, a cookie or another value that may be absent",
                     ));
                 }
-                (Some(Node::Present(id)), Type::plain(Base::Bool))
+                (Some(Node::Present(id)), Type::required(BaseType::Bool))
             }
             "lower" => (
-                self.plain(mistakes, &parts[0], Base::Str).map(Node::Lower),
-                Type::plain(Base::Str),
+                self.compile_required(errors, &arguments[0], BaseType::Str)
+                    .map(Node::Lower),
+                Type::required(BaseType::Str),
             ),
             "trim" => (
-                self.plain(mistakes, &parts[0], Base::Str).map(Node::Trim),
-                Type::plain(Base::Str),
+                self.compile_required(errors, &arguments[0], BaseType::Str)
+                    .map(Node::Trim),
+                Type::required(BaseType::Str),
             ),
             "int" => (
-                self.plain(mistakes, &parts[0], Base::Str).map(Node::IntOf),
-                Type::optional(Base::Int),
+                self.compile_required(errors, &arguments[0], BaseType::Str)
+                    .map(Node::ParseInt),
+                Type::optional(BaseType::Int),
             ),
             "len" => {
-                let (id, kind) = self.node(mistakes, &parts[0]);
-                let known =
-                    [Base::Str, Base::Bytes, Base::List, Base::Unknown].contains(&kind.base);
-                if !known {
-                    let reason = format!("this is a {}", kind.show());
-                    mistakes.push(Mistake::new(
-                        &parts[0].span,
+                let (id, kind) = self.compile(errors, &arguments[0]);
+                let has_length = [
+                    BaseType::Str,
+                    BaseType::Bytes,
+                    BaseType::List,
+                    BaseType::Unknown,
+                ]
+                .contains(&kind.base);
+                if !has_length {
+                    let reason = format!("this is a {}", kind.display());
+                    errors.push(ExpressionError::new(
+                        &arguments[0].span,
                         reason,
                         "a string, bytes or a list",
                     ));
                 } else if kind.optional {
-                    mistakes.push(absent(&parts[0], kind));
+                    errors.push(absent_error(&arguments[0], kind));
                 }
-                (Some(Node::Len(id)), Type::plain(Base::Int))
+                (Some(Node::Len(id)), Type::required(BaseType::Int))
             }
             "split" => {
-                let text = self.plain(mistakes, &parts[0], Base::Str);
-                let separator = self.written(
-                    mistakes,
-                    &parts[1],
-                    "a separator that is written out, like \",\"",
-                );
+                let text = self.compile_required(errors, &arguments[0], BaseType::Str);
+                let separator =
+                    self.string_literal(errors, &arguments[1], "a literal separator, like \",\"");
                 (
                     text.zip(separator).map(|(t, s)| Node::Split(t, s)),
-                    Type::plain(Base::List),
+                    Type::required(BaseType::List),
                 )
             }
             "nth" => {
-                let list = self.plain(mistakes, &parts[0], Base::List);
-                let place = self.number(
-                    mistakes,
-                    &parts[1],
+                let list = self.compile_required(errors, &arguments[0], BaseType::List);
+                let index = self.int_literal(
+                    errors,
+                    &arguments[1],
                     0..=1_000,
-                    "a place from 0 to 1000 that is written out",
+                    "a literal index from 0 to 1000",
                 );
                 (
-                    list.zip(place).map(|(l, n)| Node::Nth(l, n)),
-                    Type::optional(Base::Str),
+                    list.zip(index).map(|(l, n)| Node::Nth(l, n)),
+                    Type::optional(BaseType::Str),
                 )
             }
             "hash" => {
-                let text = self.plain(mistakes, &parts[0], Base::Str);
-                let most = self.number(
-                    mistakes,
-                    &parts[1],
+                let text = self.compile_required(errors, &arguments[0], BaseType::Str);
+                let modulus = self.int_literal(
+                    errors,
+                    &arguments[1],
                     1..=1_000_000,
-                    "a number from 1 to 1000000 that is written out",
+                    "a literal number from 1 to 1000000",
                 );
                 (
-                    text.zip(most).map(|(t, n)| Node::Hash(t, n)),
-                    Type::plain(Base::Int),
+                    text.zip(modulus).map(|(t, n)| Node::Hash(t, n)),
+                    Type::required(BaseType::Int),
                 )
             }
             _ => {
                 let mut ids = Vec::new();
                 let mut optional = false;
-                for part in parts {
-                    let (id, kind) = self.node(mistakes, part);
-                    if ![Base::Str, Base::Int, Base::Unknown].contains(&kind.base) {
-                        let reason = format!("this is a {}", kind.show());
-                        mistakes.push(Mistake::new(&part.span, reason, "a string or an int"));
+                for argument in arguments {
+                    let (id, kind) = self.compile(errors, argument);
+                    if ![BaseType::Str, BaseType::Int, BaseType::Unknown].contains(&kind.base) {
+                        let reason = format!("this is a {}", kind.display());
+                        errors.push(ExpressionError::new(
+                            &argument.span,
+                            reason,
+                            "a string or an int",
+                        ));
                     }
                     optional |= kind.optional;
                     ids.push(id);
@@ -531,252 +584,267 @@
                 (
                     Some(Node::Concat(ids.into())),
                     Type {
-                        base: Base::Str,
+                        base: BaseType::Str,
                         optional,
                     },
                 )
             }
         };
         match node {
-            (Some(node), kind) if mistakes.is_empty() => self.fold(node, kind),
+            (Some(node), kind) if errors.is_empty() => self.fold(node, kind),
             _ => self.unknown(),
         }
     }
 
-    fn written(
+    fn string_literal(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
         allowed: &str,
     ) -> Option<Box<str>> {
         match &ast.kind {
-            Kind::Str(text) if !text.is_empty() => Some(text.as_str().into()),
+            AstKind::Str(text) if !text.is_empty() => Some(text.as_str().into()),
             _ => {
-                mistakes.push(Mistake::new(&ast.span, "this must be written out", allowed));
+                errors.push(ExpressionError::new(
+                    &ast.span,
+                    "this must be a literal",
+                    allowed,
+                ));
                 None
             }
         }
     }
 
-    fn number(
+    fn int_literal(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
         range: std::ops::RangeInclusive<i64>,
         allowed: &str,
     ) -> Option<u32> {
         match &ast.kind {
-            Kind::Int(number) if range.contains(number) => Some(*number as u32),
+            AstKind::Int(number) if range.contains(number) => Some(*number as u32),
             _ => {
-                mistakes.push(Mistake::new(&ast.span, "this is no such number", allowed));
+                errors.push(ExpressionError::new(
+                    &ast.span,
+                    "this is not an allowed number",
+                    allowed,
+                ));
                 None
             }
         }
     }
 
-    fn infix(
+    fn compile_binary(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
-        infix: Infix,
+        operator: Operator,
         a: &Ast,
         b: &Ast,
     ) -> (Id, Type) {
-        let truth = Type::plain(Base::Bool);
-        let node = match infix {
-            Infix::In => return self.is_in(mistakes, a, b),
-            Infix::Matches => {
-                let text = self.plain(mistakes, a, Base::Str);
-                let pattern = self.pattern(mistakes, b);
+        let bool_type = Type::required(BaseType::Bool);
+        let node = match operator {
+            Operator::In => return self.compile_in(errors, a, b),
+            Operator::Matches => {
+                let text = self.compile_required(errors, a, BaseType::Str);
+                let pattern = self.compile_pattern(errors, b);
                 text.zip(pattern).map(|(t, p)| Node::Matches(t, p))
             }
-            Infix::StartsWith | Infix::EndsWith | Infix::Contains => {
-                let (left, kind) = self.node(mistakes, a);
-                if infix == Infix::Contains && kind == Type::plain(Base::List) {
-                    let inner = self.plain(mistakes, b, Base::Str);
+            Operator::StartsWith | Operator::EndsWith | Operator::Contains => {
+                let (left, kind) = self.compile(errors, a);
+                if operator == Operator::Contains && kind == Type::required(BaseType::List) {
+                    let inner = self.compile_required(errors, b, BaseType::Str);
                     inner.map(|inner| Node::InList(inner, left))
                 } else {
                     let (text, inner) = (
-                        self.plain(mistakes, a, Base::Str),
-                        self.plain(mistakes, b, Base::Str),
+                        self.compile_required(errors, a, BaseType::Str),
+                        self.compile_required(errors, b, BaseType::Str),
                     );
-                    text.zip(inner).map(|(t, i)| match infix {
-                        Infix::StartsWith => Node::StartsWith(t, i),
-                        Infix::EndsWith => Node::EndsWith(t, i),
+                    text.zip(inner).map(|(t, i)| match operator {
+                        Operator::StartsWith => Node::StartsWith(t, i),
+                        Operator::EndsWith => Node::EndsWith(t, i),
                         _ => Node::Contains(t, i),
                     })
                 }
             }
-            _ => return self.compare(mistakes, ast, infix, a, b),
+            _ => return self.compile_comparison(errors, ast, operator, a, b),
         };
         match node {
-            Some(node) => self.fold(node, truth),
+            Some(node) => self.fold(node, bool_type),
             None => self.unknown(),
         }
     }
 
-    fn compare(
+    fn compile_comparison(
         &mut self,
-        mistakes: &mut Vec<Mistake>,
+        errors: &mut Vec<ExpressionError>,
         ast: &Ast,
-        infix: Infix,
+        operator: Operator,
         a: &Ast,
         b: &Ast,
     ) -> (Id, Type) {
-        let truth = Type::plain(Base::Bool);
-        let (left, kind) = self.node(mistakes, a);
-        let (right, other) = self.node(mistakes, b);
-        if kind.base == Base::Unknown || other.base == Base::Unknown {
+        let bool_type = Type::required(BaseType::Bool);
+        let (left, kind) = self.compile(errors, a);
+        let (right, other) = self.compile(errors, b);
+        if kind.base == BaseType::Unknown || other.base == BaseType::Unknown {
             return self.unknown();
         }
-        let before = mistakes.len();
+        let before = errors.len();
         for (side, kind) in [(a, kind), (b, other)] {
             if kind.optional {
-                mistakes.push(absent(side, kind));
+                errors.push(absent_error(side, kind));
             }
         }
-        let ordered = !matches!(infix, Infix::Equal | Infix::Unequal);
-        let sorted = [Base::Int, Base::Duration];
+        let needs_order = !matches!(operator, Operator::Equal | Operator::Unequal);
+        let ordered_types = [BaseType::Int, BaseType::Duration];
         if kind.base != other.base {
-            let reason = format!("a {} is compared with a {}", kind.show(), other.show());
-            mistakes.push(Mistake::new(
+            let reason = format!(
+                "a {} is compared with a {}",
+                kind.display(),
+                other.display()
+            );
+            errors.push(ExpressionError::new(
                 &ast.span,
                 reason,
                 "two values of one type; int(...) reads a number",
             ));
-        } else if ordered && !sorted.contains(&kind.base) {
-            let reason = format!("{} has no order", kind.show());
-            mistakes.push(Mistake::new(
+        } else if needs_order && !ordered_types.contains(&kind.base) {
+            let reason = format!("values of type {} have no order", kind.display());
+            errors.push(ExpressionError::new(
                 &ast.span,
                 reason,
                 "ints or durations; == and != for others",
             ));
-        } else if kind.base == Base::List {
-            mistakes.push(Mistake::new(
+        } else if kind.base == BaseType::List {
+            errors.push(ExpressionError::new(
                 &ast.span,
-                "lists are not compared",
+                "lists can't be compared",
                 "x in list, len(list), nth(list, 0)",
             ));
         }
-        if mistakes.len() > before {
+        if errors.len() > before {
             return self.unknown();
         }
-        match infix {
-            Infix::Equal => {
-                // One order for both ways to write it.
+        match operator {
+            Operator::Equal => {
+                // Operands are ordered so that `a == b` and `b == a` are interned as one node.
                 let (left, right) = if left <= right {
                     (left, right)
                 } else {
                     (right, left)
                 };
-                self.fold(Node::Equal(left, right), truth)
+                self.fold(Node::Equal(left, right), bool_type)
             }
-            Infix::Unequal => {
+            Operator::Unequal => {
                 let (left, right) = if left <= right {
                     (left, right)
                 } else {
                     (right, left)
                 };
-                let (equal, _) = self.fold(Node::Equal(left, right), truth);
-                self.fold(Node::Not(equal), truth)
+                let (equal, _) = self.fold(Node::Equal(left, right), bool_type);
+                self.fold(Node::Not(equal), bool_type)
             }
-            Infix::Less => self.fold(Node::Less(left, right), truth),
-            Infix::LessEqual => self.fold(Node::LessEqual(left, right), truth),
-            Infix::Greater => self.fold(Node::Less(right, left), truth),
-            _ => self.fold(Node::LessEqual(right, left), truth),
+            Operator::Less => self.fold(Node::Less(left, right), bool_type),
+            Operator::LessEqual => self.fold(Node::LessEqual(left, right), bool_type),
+            Operator::Greater => self.fold(Node::Less(right, left), bool_type),
+            _ => self.fold(Node::LessEqual(right, left), bool_type),
         }
     }
 
-    fn is_in(&mut self, mistakes: &mut Vec<Mistake>, a: &Ast, b: &Ast) -> (Id, Type) {
-        let truth = Type::plain(Base::Bool);
-        let (left, kind) = self.node(mistakes, a);
-        if kind.base == Base::Unknown {
+    fn compile_in(&mut self, errors: &mut Vec<ExpressionError>, a: &Ast, b: &Ast) -> (Id, Type) {
+        let bool_type = Type::required(BaseType::Bool);
+        let (left, kind) = self.compile(errors, a);
+        if kind.base == BaseType::Unknown {
             return self.unknown();
         }
         if kind.optional {
-            mistakes.push(absent(a, kind));
+            errors.push(absent_error(a, kind));
             return self.unknown();
         }
-        let before = mistakes.len();
-        // One address range may stand alone.
-        let one = std::slice::from_ref(b);
+        let before = errors.len();
+        // A single address or range needs no brackets.
+        let single = std::slice::from_ref(b);
         let list = match &b.kind {
-            Kind::List(parts) => parts.as_slice(),
-            Kind::Str(_) if kind.base == Base::Ip => one,
+            AstKind::List(elements) => elements.as_slice(),
+            AstKind::Str(_) if kind.base == BaseType::Ip => single,
             _ => {
-                let Some(list) = self.plain(mistakes, b, Base::List) else {
+                let Some(list) = self.compile_required(errors, b, BaseType::List) else {
                     return self.unknown();
                 };
-                if kind.base != Base::Str {
-                    let reason = format!("a {} is no text of a list", kind.show());
-                    mistakes.push(Mistake::new(&a.span, reason, "string"));
+                if kind.base != BaseType::Str {
+                    let reason = format!(
+                        "a {} can't be an element of a list of strings",
+                        kind.display()
+                    );
+                    errors.push(ExpressionError::new(&a.span, reason, "string"));
                     return self.unknown();
                 }
-                return self.fold(Node::InList(left, list), truth);
+                return self.fold(Node::InList(left, list), bool_type);
             }
         };
         if list.is_empty() {
-            mistakes.push(Mistake::new(
+            errors.push(ExpressionError::new(
                 &b.span,
-                "nothing is in an empty list",
+                "the list is empty",
                 "one value or more",
             ));
         }
-        let mut wrong = |part: &Ast, allowed: &str| {
-            mistakes.push(Mistake::new(
-                &part.span,
-                "this does not belong in the list",
+        let mut add_error = |element: &Ast, allowed: &str| {
+            errors.push(ExpressionError::new(
+                &element.span,
+                "this is not allowed in the list",
                 allowed,
             ));
         };
         let node = match kind.base {
-            Base::Str => {
-                let mut texts: Vec<Box<str>> = Vec::new();
-                for part in list {
-                    match &part.kind {
-                        Kind::Str(text) => texts.push(text.as_str().into()),
-                        _ => wrong(part, "texts that are written out"),
+            BaseType::Str => {
+                let mut strings: Vec<Box<str>> = Vec::new();
+                for element in list {
+                    match &element.kind {
+                        AstKind::Str(text) => strings.push(text.as_str().into()),
+                        _ => add_error(element, "literal strings"),
                     }
                 }
-                texts.sort();
-                texts.dedup();
-                Node::InTexts(left, texts.into())
+                strings.sort();
+                strings.dedup();
+                Node::InStrings(left, strings.into())
             }
-            Base::Int => {
+            BaseType::Int => {
                 let mut numbers = Vec::new();
-                for part in list {
-                    match &part.kind {
-                        Kind::Int(number) => numbers.push(*number),
-                        _ => wrong(part, "numbers that are written out"),
+                for element in list {
+                    match &element.kind {
+                        AstKind::Int(number) => numbers.push(*number),
+                        _ => add_error(element, "literal ints"),
                     }
                 }
                 numbers.sort_unstable();
                 numbers.dedup();
                 Node::InInts(left, numbers.into())
             }
-            Base::Ip => {
-                let mut nets = Vec::new();
-                for part in list {
-                    let net = match &part.kind {
-                        Kind::Str(text) => text
+            BaseType::Ip => {
+                let mut networks = Vec::new();
+                for element in list {
+                    let network = match &element.kind {
+                        AstKind::Str(text) => text
                             .parse::<IpNet>()
                             .ok()
                             .or_else(|| text.parse::<std::net::IpAddr>().ok().map(IpNet::from)),
                         _ => None,
                     };
-                    match net {
-                        Some(net) => nets.push(net),
-                        None => wrong(
-                            part,
+                    match network {
+                        Some(network) => networks.push(network),
+                        None => add_error(
+                            element,
                             "an address or a range, like \"10.0.0.0/8\" or \"::1\"",
                         ),
                     }
                 }
-                Node::InNets(left, nets.into())
+                Node::InNetworks(left, networks.into())
             }
             _ => {
-                let reason = format!("a {} is in no list", kind.show());
-                mistakes.push(Mistake::new(
+                let reason = format!("a {} can't be an element of a list", kind.display());
+                errors.push(ExpressionError::new(
                     &a.span,
                     reason,
                     "a string, an int or an address",
@@ -784,17 +852,17 @@
                 return self.unknown();
             }
         };
-        if mistakes.len() > before {
+        if errors.len() > before {
             return self.unknown();
         }
-        self.fold(node, truth)
+        self.fold(node, bool_type)
     }
 
-    fn pattern(&mut self, mistakes: &mut Vec<Mistake>, ast: &Ast) -> Option<u32> {
-        let Kind::Str(text) = &ast.kind else {
-            mistakes.push(Mistake::new(
+    fn compile_pattern(&mut self, errors: &mut Vec<ExpressionError>, ast: &Ast) -> Option<u32> {
+        let AstKind::Str(text) = &ast.kind else {
+            errors.push(ExpressionError::new(
                 &ast.span,
-                "a pattern must be written out",
+                "a pattern must be a literal string",
                 "like \"^CR-[0-9]+$\"",
             ));
             return None;
@@ -802,64 +870,65 @@
         if let Some(&known) = self.patterns.get(text) {
             return Some(known);
         }
-        // Bytes, not letters of all scripts: classes stay small. A pattern is found anywhere, unless it says ^ and $.
+        // A pattern matches anywhere in the string, unless it is anchored with ^ and $.
         let regex = RegexBuilder::new(text)
-            .size_limit(PATTERN_BYTES)
-            .dfa_size_limit(PATTERN_BYTES * 4)
+            .size_limit(MAX_PATTERN_BYTES)
+            .dfa_size_limit(MAX_PATTERN_BYTES * 4)
             .build();
         let regex = match regex {
             Ok(regex) => regex,
-            Err(fault) => {
-                let told = fault.to_string();
-                let reason = match fault {
+            Err(error) => {
+                let message = error.to_string();
+                let reason = match error {
                     regex::Error::CompiledTooBig(_) => {
-                        "this pattern takes too much room compiled".to_owned()
+                        "the compiled pattern is too large".to_owned()
                     }
                     _ => format!(
-                        "this is no pattern: {}",
-                        told.lines().last().unwrap_or_default().trim()
+                        "this is not a valid pattern: {}",
+                        message.lines().last().unwrap_or_default().trim()
                     ),
                 };
-                mistakes.push(Mistake::new(
+                errors.push(ExpressionError::new(
                     &ast.span,
                     reason,
-                    "a regular expression without look-around, 128 KiB compiled at the most",
+                    "a regular expression without look-around, at most 128 KiB compiled",
                 ));
                 return None;
             }
         };
         self.pattern_bytes += text.len() * 64;
-        if self.pattern_bytes > PATTERNS_BYTES {
-            mistakes.push(Mistake::new(
+        if self.pattern_bytes > MAX_ALL_PATTERNS_BYTES {
+            errors.push(ExpressionError::new(
                 &ast.span,
-                "all patterns together take too much room",
+                "all patterns together are too large",
                 "fewer or shorter patterns",
             ));
             return None;
         }
-        let number = self.program.patterns.len() as u32;
+        let index = self.program.patterns.len() as u32;
         self.program.patterns.push(regex);
-        self.patterns.insert(text.clone(), number);
-        Some(number)
+        self.patterns.insert(text.clone(), index);
+        Some(index)
     }
 }
 
 impl Id {
-    fn with(self, kind: Type) -> (Id, Type) {
+    fn with_type(self, kind: Type) -> (Id, Type) {
         (self, kind)
     }
 }
 
-fn absent(ast: &Ast, kind: Type) -> Mistake {
+/// The error for an optional value where a required one is needed.
+fn absent_error(ast: &Ast, kind: Type) -> ExpressionError {
     let default = match kind.base {
-        Base::Int => "?? 0",
-        Base::Duration => "?? 0ms",
+        BaseType::Int => "?? 0",
+        BaseType::Duration => "?? 0ms",
         _ => "?? \"\"",
     };
     let allowed = format!("a default ({default}), or present(...)");
-    Mistake::new(
+    ExpressionError::new(
         &ast.span,
-        "this value may be absent, and nothing says what that means",
+        "this value may be absent, and it has no default",
         allowed,
     )
 }
--- a/crates/expr/src/harness.rs
+++ b/crates/expr/src/harness.rs
@@ -1,26 +1,31 @@
-//! What a fuzzer drives, and a seeded run of the same in the tests: any bytes as expressions and as requests. Nothing may
-//! panic, loop, or take more steps than the static bound.
+//! Entry points for fuzzing, which the unit tests also run with seeded input. Arbitrary bytes are used as expressions and as
+//! requests: none may cause a panic, an endless loop, or more steps than the static bound.
 
-use crate::{Builder, Head, Scratch, Steps, Wanted};
+use crate::{Builder, ExpectedType, Head, Scratch, Steps};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-/// Any bytes as an expression. True: it was accepted.
+/// Compiles arbitrary bytes as an expression. Returns whether it is valid.
 pub fn parse_any(data: &[u8]) -> bool {
     let text = String::from_utf8_lossy(data);
-    [Wanted::Condition, Wanted::Text, Wanted::Any]
-        .into_iter()
-        .any(|w| Builder::default().add(&text, w).is_ok())
+    [
+        ExpectedType::Condition,
+        ExpectedType::Text,
+        ExpectedType::Any,
+    ]
+    .into_iter()
+    .any(|w| Builder::default().add(&text, w).is_ok())
 }
 
-/// Any bytes as an expression (up to the first NUL) and a request behind it.
+/// Compiles the bytes before the first NUL as an expression and evaluates it for a request that is built from the other
+/// bytes. Returns whether the expression is valid.
 ///
 /// # Panics
-/// If more steps were taken than the bound allows.
+/// Panics if the evaluation takes more steps than the bound.
 pub fn evaluate_any(data: &[u8]) -> bool {
     let mut parts = data.split(|&b| b == 0);
     let text = String::from_utf8_lossy(parts.next().unwrap_or_default());
     let mut builder = Builder::default();
-    let Ok(id) = builder.add(&text, Wanted::Any) else {
+    let Ok(id) = builder.add(&text, ExpectedType::Any) else {
         return false;
     };
     let target = String::from_utf8_lossy(parts.next().unwrap_or_default()).into_owned();
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -1,24 +1,23 @@
-//! A small typed language over the head of a request: which requests a route takes, and how their keys are formed. An
-//! expression is parsed, typed, folded and bounded in cost when a file is loaded; evaluating it reads neither clock nor
-//! socket, can't fail and ends within its bound.
+//! A small typed expression language over the head of a request. Routes use it for their match conditions and for
+//! idempotency keys and tenants. An expression is parsed, type-checked, constant-folded and given a bound on its cost when a
+//! file is loaded. Its evaluation does no I/O, can't fail and stays within the bound.
 //!
 //! ```
-//! use badgerramp_expr::{Builder, Head, Wanted};
+//! use badgerramp_expr::{Builder, Head, ExpectedType};
 //!
 //! let mut builder = Builder::default();
 //! let text = r#"method == "POST" and (header["x-branch"] ?? "") starts_with "CR-""#;
-//! let charge = builder.add(text, Wanted::Condition).expect("it is well typed");
+//! let charge = builder.add(text, ExpectedType::Condition).expect("it is well typed");
 //! let program = builder.build();
 //! let headers = [("x-branch".parse().unwrap(), "CR-7".parse().unwrap())].into_iter().collect();
 //! let head = Head { method: &http::Method::POST, path: "/fees", query: "", headers: &headers, client: [127, 0, 0, 1].into() };
 //! assert!(program.holds(charge, &head));
 //!
-//! // A header that may be missing is no text: what its absence means must be said.
-//! let mistakes = Builder::default().add(r#"header["x-branch"] == "CR-7""#, Wanted::Condition).unwrap_err();
-//! assert!(mistakes[0].reason.contains("may be absent"));
+//! // A header may be absent, so that it needs a default before it can be compared.
+//! let errors = Builder::default().add(r#"header["x-branch"] == "CR-7""#, ExpectedType::Condition).unwrap_err();
+//! assert!(errors[0].reason.contains("may be absent"));
 //! ```
 #![forbid(unsafe_code)]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
     clippy::too_many_lines,
     reason = "long functions are still to be split"
@@ -36,15 +35,18 @@
 mod value;
 mod witness;
 
-pub use ast::{Ast, Mistake, Span};
-pub use bounds::{BUDGET, HEAD_BYTES, MATCH_BYTES, PAIRS_BYTES, PARTS_BYTES, PARTS_MOST};
-pub use build::{Builder, Wanted};
+pub use ast::{Ast, ExpressionError, Span};
+pub use bounds::{
+    MAX_HEAD_BYTES, MAX_LIST_ELEMENTS, MAX_MATCH_BYTES, MAX_PAIRS_BYTES, MAX_SPLIT_BYTES,
+    STEP_BUDGET,
+};
+pub use build::{Builder, ExpectedType};
 pub use eval::{Meter, Scratch, Steps, Unmetered};
-pub use parse::{parse, DEPTH_MOST, TEXT_MOST, VALUES_MOST};
+pub use parse::{parse, MAX_DEPTH, MAX_TEXT_BYTES, MAX_VALUES};
 pub use program::Program;
 pub use value::{hash, Head, Value};
-pub use witness::{both, Request};
+pub use witness::{find_common_request, ExampleRequest};
 
-/// The number of an expression in its program.
+/// Identifies an expression in its program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Id(pub(crate) u32);
--- a/crates/expr/src/parse.rs
+++ b/crates/expr/src/parse.rs
@@ -1,17 +1,17 @@
-//! The parser: tokens by `logos`, then precedence climbing. It goes on behind what it does not understand, so that
-//! several mistakes are told at once.
+//! The parser: a `logos` lexer and recursive descent with one function per precedence level. It continues after a syntax
+//! error, so that several errors are reported at once.
 
-use crate::ast::{Ast, Infix, Kind, Mistake, Span};
+use crate::ast::{Ast, AstKind, ExpressionError, Operator, Span};
 use logos::Logos;
 
 /// Longest text of an expression, in bytes.
-pub const TEXT_MOST: usize = 8 * 1024;
-/// Deepest nesting.
-pub const DEPTH_MOST: usize = 48;
-/// Most values in an expression.
-pub const VALUES_MOST: usize = 512;
-/// Mistakes that are told of one expression.
-const MISTAKES_MOST: usize = 8;
+pub const MAX_TEXT_BYTES: usize = 8 * 1024;
+/// The deepest nesting of parentheses, brackets and calls.
+pub const MAX_DEPTH: usize = 48;
+/// The most values in an expression.
+pub const MAX_VALUES: usize = 512;
+/// The most errors that are reported for one expression.
+const MAX_ERRORS: usize = 8;
 
 #[derive(Logos, Clone, Copy, Debug, PartialEq)]
 #[logos(skip r"[ \t\r\n]+")]
@@ -55,238 +55,242 @@
 struct Parser<'t> {
     text: &'t str,
     tokens: Vec<(Token, Span)>,
-    at: usize,
+    /// Index of the next token.
+    position: usize,
     depth: usize,
     values: usize,
-    mistakes: Vec<Mistake>,
+    errors: Vec<ExpressionError>,
 }
 
-/// Parses an expression. What is not understood is `Unknown` in the tree, and told.
+/// Parses an expression.
 ///
 /// # Errors
-/// All mistakes of form, eight at the most.
-pub fn parse(text: &str) -> Result<Ast, Vec<Mistake>> {
+/// Returns all syntax errors, up to a limit of eight.
+pub fn parse(text: &str) -> Result<Ast, Vec<ExpressionError>> {
     let mut parser = Parser {
         text,
         tokens: Vec::new(),
-        at: 0,
+        position: 0,
         depth: 0,
         values: 0,
-        mistakes: Vec::new(),
+        errors: Vec::new(),
     };
-    if text.len() > TEXT_MOST {
-        parser.fault(
+    if text.len() > MAX_TEXT_BYTES {
+        parser.add_error(
             &(0..text.len()),
             "the expression is too long",
-            "8 KiB at the most",
+            "at most 8 KiB",
         );
-        return Err(parser.mistakes);
+        return Err(parser.errors);
     }
     for (token, span) in Token::lexer(text).spanned() {
         match token {
             Ok(token) => parser.tokens.push((token, span)),
             Err(()) => {
                 let reason = match text[span.clone()].chars().next() {
-                    Some('"') => "this text has no end".to_owned(),
-                    Some('=') => "one '=' compares nothing".to_owned(),
-                    _ => format!("{:?} means nothing here", &text[span.clone()]),
+                    Some('"') => "this string is not terminated".to_owned(),
+                    Some('=') => "a single '=' is not an operator".to_owned(),
+                    _ => format!("unexpected {:?}", &text[span.clone()]),
                 };
-                parser.fault(
+                parser.add_error(
                     &span,
                     &reason,
-                    "names, texts in double quotes, numbers, ( ) [ ] , and the operators",
+                    "names, strings in double quotes, numbers, ( ) [ ] , and the operators",
                 );
             }
         }
     }
-    let ast = parser.either();
-    if let Some((_, span)) = parser.tokens.get(parser.at).cloned() {
-        parser.fault(
+    let ast = parser.parse_or();
+    if let Some((_, span)) = parser.tokens.get(parser.position).cloned() {
+        parser.add_error(
             &span,
-            "the expression has ended before this",
-            "and, or, or nothing",
+            "unexpected text after the end of the expression",
+            "'and', 'or', or the end of the expression",
         );
     }
-    if parser.mistakes.is_empty() {
+    if parser.errors.is_empty() {
         Ok(ast)
     } else {
-        Err(parser.mistakes)
+        Err(parser.errors)
     }
 }
 
 impl Parser<'_> {
-    fn fault(&mut self, span: &Span, reason: &str, allowed: &str) {
-        // What follows at the same place follows from it.
-        let known = self.mistakes.iter().any(|m| m.span.start == span.start);
-        if !known && self.mistakes.len() < MISTAKES_MOST {
-            self.mistakes.push(Mistake::new(span, reason, allowed));
+    fn add_error(&mut self, span: &Span, reason: &str, allowed: &str) {
+        // Later errors at the same position are consequences of the first one.
+        let is_consequence = self.errors.iter().any(|m| m.span.start == span.start);
+        if !is_consequence && self.errors.len() < MAX_ERRORS {
+            self.errors
+                .push(ExpressionError::new(span, reason, allowed));
         }
     }
 
     fn peek(&self) -> Option<Token> {
-        self.tokens.get(self.at).map(|t| t.0)
+        self.tokens.get(self.position).map(|t| t.0)
     }
 
-    fn here(&self) -> Span {
+    fn current_span(&self) -> Span {
         self.tokens
-            .get(self.at)
+            .get(self.position)
             .map_or(self.text.len()..self.text.len(), |t| t.1.clone())
     }
 
-    fn word(&self) -> Option<&str> {
-        match self.tokens.get(self.at) {
+    fn current_word(&self) -> Option<&str> {
+        match self.tokens.get(self.position) {
             Some((Token::Word, span)) => Some(&self.text[span.clone()]),
             _ => None,
         }
     }
 
-    fn take(&mut self, token: Token) -> bool {
-        let taken = self.peek() == Some(token);
-        self.at += usize::from(taken);
-        taken
+    /// Consumes the next token if it is `token`.
+    fn accept(&mut self, token: Token) -> bool {
+        let accepted = self.peek() == Some(token);
+        self.position += usize::from(accepted);
+        accepted
     }
 
-    fn want(&mut self, token: Token, what: &str) {
-        if !self.take(token) {
-            let here = self.here();
-            self.fault(&here, &format!("{what} is missing"), what);
+    /// Consumes the next token, which has to be `token`.
+    fn expect(&mut self, token: Token, name: &str) {
+        if !self.accept(token) {
+            let next_span = self.current_span();
+            self.add_error(&next_span, &format!("{name} is missing"), name);
         }
     }
 
-    fn either(&mut self) -> Ast {
-        let mut left = self.all();
-        while self.word() == Some("or") {
-            self.at += 1;
-            let right = self.all();
+    fn parse_or(&mut self) -> Ast {
+        let mut left = self.parse_and();
+        while self.current_word() == Some("or") {
+            self.position += 1;
+            let right = self.parse_and();
             let span = left.span.start..right.span.end;
             left = Ast {
-                kind: Kind::Or(Box::new(left), Box::new(right)),
+                kind: AstKind::Or(Box::new(left), Box::new(right)),
                 span,
             };
         }
         left
     }
 
-    fn all(&mut self) -> Ast {
-        let mut left = self.negated();
-        while self.word() == Some("and") {
-            self.at += 1;
-            let right = self.negated();
+    fn parse_and(&mut self) -> Ast {
+        let mut left = self.parse_not();
+        while self.current_word() == Some("and") {
+            self.position += 1;
+            let right = self.parse_not();
             let span = left.span.start..right.span.end;
             left = Ast {
-                kind: Kind::And(Box::new(left), Box::new(right)),
+                kind: AstKind::And(Box::new(left), Box::new(right)),
                 span,
             };
         }
         left
     }
 
-    fn negated(&mut self) -> Ast {
-        let start = self.here().start;
+    fn parse_not(&mut self) -> Ast {
+        let start = self.current_span().start;
         let mut count = 0;
-        while self.word() == Some("not") {
-            self.at += 1;
+        while self.current_word() == Some("not") {
+            self.position += 1;
             count += 1;
         }
-        let mut inner = self.compared();
-        // Two of them are none.
+        let mut inner = self.parse_comparison();
+        // Pairs of `not` cancel out.
         if count % 2 == 1 {
             let span = start..inner.span.end;
             inner = Ast {
-                kind: Kind::Not(Box::new(inner)),
+                kind: AstKind::Not(Box::new(inner)),
                 span,
             };
         }
         inner
     }
 
-    fn infix(&self) -> Option<Infix> {
+    fn peek_operator(&self) -> Option<Operator> {
         Some(match self.peek()? {
-            Token::Equal => Infix::Equal,
-            Token::Unequal => Infix::Unequal,
-            Token::Less => Infix::Less,
-            Token::LessEqual => Infix::LessEqual,
-            Token::Greater => Infix::Greater,
-            Token::GreaterEqual => Infix::GreaterEqual,
-            Token::Word => match self.word()? {
-                "in" => Infix::In,
-                "starts_with" => Infix::StartsWith,
-                "ends_with" => Infix::EndsWith,
-                "contains" => Infix::Contains,
-                "matches" => Infix::Matches,
+            Token::Equal => Operator::Equal,
+            Token::Unequal => Operator::Unequal,
+            Token::Less => Operator::Less,
+            Token::LessEqual => Operator::LessEqual,
+            Token::Greater => Operator::Greater,
+            Token::GreaterEqual => Operator::GreaterEqual,
+            Token::Word => match self.current_word()? {
+                "in" => Operator::In,
+                "starts_with" => Operator::StartsWith,
+                "ends_with" => Operator::EndsWith,
+                "contains" => Operator::Contains,
+                "matches" => Operator::Matches,
                 _ => return None,
             },
             _ => return None,
         })
     }
 
-    fn compared(&mut self) -> Ast {
-        let left = self.defaulted();
-        let Some(infix) = self.infix() else {
+    fn parse_comparison(&mut self) -> Ast {
+        let left = self.parse_default();
+        let Some(operator) = self.peek_operator() else {
             return left;
         };
-        self.at += 1;
-        let right = self.defaulted();
+        self.position += 1;
+        let right = self.parse_default();
         let span = left.span.start..right.span.end;
-        if self.infix().is_some() {
-            let here = self.here();
-            self.fault(
-                &here,
-                "a comparison of a comparison",
+        if self.peek_operator().is_some() {
+            let next_span = self.current_span();
+            self.add_error(
+                &next_span,
+                "comparisons can't be chained",
                 "parentheses, or two comparisons with 'and'",
             );
-            self.at += 1;
-            self.defaulted();
+            self.position += 1;
+            self.parse_default();
         }
         Ast {
-            kind: Kind::Infix(infix, Box::new(left), Box::new(right)),
+            kind: AstKind::Binary(operator, Box::new(left), Box::new(right)),
             span,
         }
     }
 
-    fn defaulted(&mut self) -> Ast {
-        let mut left = self.primary();
-        while self.take(Token::Default) {
-            let right = self.primary();
+    fn parse_default(&mut self) -> Ast {
+        let mut left = self.parse_primary();
+        while self.accept(Token::Default) {
+            let right = self.parse_primary();
             let span = left.span.start..right.span.end;
             left = Ast {
-                kind: Kind::Default(Box::new(left), Box::new(right)),
+                kind: AstKind::Default(Box::new(left), Box::new(right)),
                 span,
             };
         }
         left
     }
 
-    fn primary(&mut self) -> Ast {
-        let span = self.here();
+    fn parse_primary(&mut self) -> Ast {
+        let span = self.current_span();
         let unknown = Ast {
-            kind: Kind::Unknown,
+            kind: AstKind::Unknown,
             span: span.clone(),
         };
-        if self.depth >= DEPTH_MOST {
-            self.fault(
+        if self.depth >= MAX_DEPTH {
+            self.add_error(
                 &span,
                 "the expression is nested too deeply",
-                "48 levels at the most",
+                "at most 48 levels",
             );
-            self.at = self.tokens.len();
+            self.position = self.tokens.len();
             return unknown;
         }
         self.values += 1;
-        if self.values > VALUES_MOST {
-            self.fault(
+        if self.values > MAX_VALUES {
+            self.add_error(
                 &span,
                 "the expression has too many parts",
-                "512 values at the most",
+                "at most 512 values",
             );
-            self.at = self.tokens.len();
+            self.position = self.tokens.len();
             return unknown;
         }
         let Some(token) = self.peek() else {
-            self.fault(
+            self.add_error(
                 &span,
                 "a value is missing",
-                "a name, a text, a number, or an expression in parentheses",
+                "a name, a string, a number, or an expression in parentheses",
             );
             return unknown;
         };
@@ -297,15 +301,15 @@
         };
         match token {
             Token::Str | Token::Bytes => {
-                self.at += 1;
-                self.quoted(token, span)
+                self.position += 1;
+                self.parse_quoted(token, span)
             }
             Token::Int => {
-                self.at += 1;
+                self.position += 1;
                 match text.parse::<i64>() {
-                    Ok(number) => literal(Kind::Int(number)),
+                    Ok(number) => literal(AstKind::Int(number)),
                     Err(_) => {
-                        self.fault(
+                        self.add_error(
                             &span,
                             "this number is too large",
                             "up to 9223372036854775807",
@@ -315,13 +319,13 @@
                 }
             }
             Token::Duration => {
-                self.at += 1;
-                match duration(text) {
-                    Some(micros) => literal(Kind::Duration(micros)),
+                self.position += 1;
+                match parse_duration(text) {
+                    Some(micros) => literal(AstKind::Duration(micros)),
                     None => {
-                        self.fault(
+                        self.add_error(
                             &span,
-                            "this time is too long",
+                            "this duration is too long",
                             "up to 9223372036854775807us",
                         );
                         unknown
@@ -329,23 +333,23 @@
                 }
             }
             Token::Open => {
-                self.at += 1;
+                self.position += 1;
                 self.depth += 1;
-                let mut inner = self.either();
+                let mut inner = self.parse_or();
                 self.depth -= 1;
-                self.want(Token::Close, "')'");
-                inner.span = span.start..self.end();
+                self.expect(Token::Close, "')'");
+                inner.span = span.start..self.previous_end();
                 inner
             }
             Token::OpenList => {
-                self.at += 1;
+                self.position += 1;
                 self.depth += 1;
-                let parts = self.parts(Token::CloseList);
+                let elements = self.parse_list(Token::CloseList);
                 self.depth -= 1;
-                self.want(Token::CloseList, "']'");
+                self.expect(Token::CloseList, "']'");
                 Ast {
-                    kind: Kind::List(parts),
-                    span: span.start..self.end(),
+                    kind: AstKind::List(elements),
+                    span: span.start..self.previous_end(),
                 }
             }
             Token::Word => {
@@ -361,101 +365,101 @@
                 ]
                 .contains(&name.as_str())
                 {
-                    self.fault(
+                    self.add_error(
                         &span,
                         &format!("a value is missing before '{name}'"),
-                        "a name, a text or a number",
+                        "a name, a string or a number",
                     );
                     return unknown;
                 }
-                self.at += 1;
+                self.position += 1;
                 match name.as_str() {
-                    "true" => return literal(Kind::Bool(true)),
-                    "false" => return literal(Kind::Bool(false)),
+                    "true" => return literal(AstKind::Bool(true)),
+                    "false" => return literal(AstKind::Bool(false)),
                     _ => {}
                 }
-                if self.take(Token::Open) {
+                if self.accept(Token::Open) {
                     self.depth += 1;
-                    let parts = self.parts(Token::Close);
+                    let arguments = self.parse_list(Token::Close);
                     self.depth -= 1;
-                    self.want(Token::Close, "')'");
+                    self.expect(Token::Close, "')'");
                     return Ast {
-                        kind: Kind::Call(name, parts),
-                        span: span.start..self.end(),
+                        kind: AstKind::Call(name, arguments),
+                        span: span.start..self.previous_end(),
                     };
                 }
-                if self.take(Token::OpenList) {
+                if self.accept(Token::OpenList) {
                     self.depth += 1;
-                    let index = self.either();
+                    let index = self.parse_or();
                     self.depth -= 1;
-                    self.want(Token::CloseList, "']'");
+                    self.expect(Token::CloseList, "']'");
                     return Ast {
-                        kind: Kind::Index(name, Box::new(index)),
-                        span: span.start..self.end(),
+                        kind: AstKind::Index(name, Box::new(index)),
+                        span: span.start..self.previous_end(),
                     };
                 }
-                literal(Kind::Name(name))
+                literal(AstKind::Name(name))
             }
             _ => {
-                self.fault(
+                self.add_error(
                     &span,
                     &format!("a value is missing before {text:?}"),
-                    "a name, a text or a number",
+                    "a name, a string or a number",
                 );
-                // What closes something is left for it.
+                // Closing tokens and commas are left for the enclosing expression.
                 if !matches!(token, Token::Close | Token::CloseList | Token::Comma) {
-                    self.at += 1;
+                    self.position += 1;
                 }
                 unknown
             }
         }
     }
 
-    /// Parts with commas between them.
-    fn parts(&mut self, close: Token) -> Vec<Ast> {
-        let mut parts = Vec::new();
+    /// Parses comma-separated expressions up to a closing token.
+    fn parse_list(&mut self, close: Token) -> Vec<Ast> {
+        let mut list = Vec::new();
         while self.peek().is_some() && self.peek() != Some(close) {
-            let before = self.at;
-            parts.push(self.either());
-            if !self.take(Token::Comma) || self.at == before {
+            let before = self.position;
+            list.push(self.parse_or());
+            if !self.accept(Token::Comma) || self.position == before {
                 break;
             }
         }
-        parts
+        list
     }
 
-    /// The end of what was taken last.
-    fn end(&self) -> usize {
-        self.at
+    /// The end of the previous token.
+    fn previous_end(&self) -> usize {
+        self.position
             .checked_sub(1)
             .and_then(|n| self.tokens.get(n))
             .map_or(0, |t| t.1.end)
     }
 
-    fn quoted(&mut self, token: Token, span: Span) -> Ast {
+    fn parse_quoted(&mut self, token: Token, span: Span) -> Ast {
         let text = self.text[span.clone()].trim_start_matches('b');
         let inner = &text[1..text.len() - 1];
         let mut bytes = Vec::with_capacity(inner.len());
         let mut rest = inner.chars();
         while let Some(char) = rest.next() {
-            let plain = match char {
+            let character = match char {
                 '\\' => match rest.next() {
                     Some('n') => '\n',
                     Some('t') => '\t',
-                    Some(same @ ('"' | '\\')) => same,
+                    Some(escaped @ ('"' | '\\')) => escaped,
                     Some('x') if token == Token::Bytes => {
                         let digits: String = rest.by_ref().take(2).collect();
                         match u8::from_str_radix(&digits, 16) {
                             Ok(byte) if digits.len() == 2 => bytes.push(byte),
-                            _ => self.fault(
+                            _ => self.add_error(
                                 &span,
-                                "'\\x' wants two hexadecimal digits",
+                                "'\\x' requires two hexadecimal digits",
                                 "like \\x7f",
                             ),
                         }
                         continue;
                     }
-                    // A pattern's escapes are the pattern's.
+                    // Other escapes are kept for the regular expression.
                     Some(other) => {
                         bytes.push(b'\\');
                         other
@@ -464,18 +468,18 @@
                 },
                 other => other,
             };
-            bytes.extend(plain.encode_utf8(&mut [0; 4]).as_bytes());
+            bytes.extend(character.encode_utf8(&mut [0; 4]).as_bytes());
         }
         let kind = match token {
-            Token::Bytes => Kind::Bytes(bytes),
-            _ => Kind::Str(String::from_utf8_lossy(&bytes).into_owned()),
+            Token::Bytes => AstKind::Bytes(bytes),
+            _ => AstKind::Str(String::from_utf8_lossy(&bytes).into_owned()),
         };
         Ast { kind, span }
     }
 }
 
-/// A span of time in microseconds.
-pub(crate) fn duration(text: &str) -> Option<i64> {
+/// Parses a duration literal into microseconds.
+pub(crate) fn parse_duration(text: &str) -> Option<i64> {
     let unit = text.trim_start_matches(|c: char| c.is_ascii_digit());
     let number = text[..text.len() - unit.len()].parse::<i64>().ok()?;
     let scale = match unit {
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,4 +1,4 @@
-//! The compiled form: an arena of nodes, and what each may cost.
+//! The compiled form of expressions: an arena of nodes with their costs.
 
 use crate::bounds::*;
 use crate::Id;
@@ -7,9 +7,9 @@
 use regex::Regex;
 use std::collections::HashMap;
 
-/// What kinds of values there are.
+/// The type of a value, regardless of whether it may be absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Base {
+pub(crate) enum BaseType {
     Bool,
     Int,
     Duration,
@@ -17,42 +17,42 @@
     Bytes,
     Ip,
     List,
-    /// What is wrong already.
+    /// The type of an expression with an error that has been reported.
     Unknown,
 }
 
-/// A kind of value that may be absent or not.
+/// The type of an expression.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Type {
-    pub(crate) base: Base,
+    pub(crate) base: BaseType,
     pub(crate) optional: bool,
 }
 
 impl Type {
-    pub(crate) const fn plain(base: Base) -> Self {
+    pub(crate) const fn required(base: BaseType) -> Self {
         Type {
             base,
             optional: false,
         }
     }
 
-    pub(crate) const fn optional(base: Base) -> Self {
+    pub(crate) const fn optional(base: BaseType) -> Self {
         Type {
             base,
             optional: true,
         }
     }
 
-    pub(crate) fn show(self) -> String {
+    pub(crate) fn display(self) -> String {
         let base = match self.base {
-            Base::Bool => "bool",
-            Base::Int => "int",
-            Base::Duration => "duration",
-            Base::Str => "string",
-            Base::Bytes => "bytes",
-            Base::Ip => "address",
-            Base::List => "list of strings",
-            Base::Unknown => "unknown",
+            BaseType::Bool => "bool",
+            BaseType::Int => "int",
+            BaseType::Duration => "duration",
+            BaseType::Str => "string",
+            BaseType::Bytes => "bytes",
+            BaseType::Ip => "address",
+            BaseType::List => "list of strings",
+            BaseType::Unknown => "unknown",
         };
         if self.optional {
             format!("{base} that may be absent")
@@ -62,6 +62,7 @@
     }
 }
 
+/// A node of a compiled expression. Its operands are ids of other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Node {
     Bool(bool),
@@ -85,7 +86,7 @@
     Trim(Id),
     Split(Id, Box<str>),
     Nth(Id, u32),
-    IntOf(Id),
+    ParseInt(Id),
     Len(Id),
     Hash(Id, u32),
     Concat(Box<[Id]>),
@@ -97,79 +98,87 @@
     Equal(Id, Id),
     Less(Id, Id),
     LessEqual(Id, Id),
-    /// Sorted texts.
-    InTexts(Id, Box<[Box<str>]>),
+    /// The strings are sorted.
+    InStrings(Id, Box<[Box<str>]>),
     InInts(Id, Box<[i64]>),
     InList(Id, Id),
-    InNets(Id, Box<[IpNet]>),
+    InNetworks(Id, Box<[IpNet]>),
     StartsWith(Id, Id),
     EndsWith(Id, Id),
     Contains(Id, Id),
     Matches(Id, u32),
 }
 
-/// How large a value may be: so many bytes, and those of some headers. All headers together are no larger than the head.
+/// An upper bound on the size of a value: a fixed part and the values of some headers. All headers together are no larger
+/// than the request head.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Size {
-    fixed: u32,
+    fixed_bytes: u32,
     headers: Vec<HeaderName>,
 }
 
-/// Most steps: so many, and so many more if the whole head is this one header.
+/// An upper bound on the steps of a node: a fixed part, and for some headers the additional steps if that header fills the
+/// whole request head.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cost {
-    fixed: u64,
-    headers: Vec<(HeaderName, u64)>,
+    fixed_steps: u64,
+    header_steps: Vec<(HeaderName, u64)>,
 }
 
 impl Cost {
-    /// What looking at a value costs, where each step looks at so many bytes.
-    fn of(fixed: u64, size: &Size, bytes_a_step: u32) -> Self {
-        let all = u64::from(HEAD_BYTES / bytes_a_step);
-        let headers = size.headers.iter().map(|h| (h.clone(), all)).collect();
+    /// The cost of processing a value, where each step processes `bytes_per_step` bytes.
+    fn for_bytes(fixed_steps: u64, size: &Size, bytes_per_step: u32) -> Self {
+        let whole_head = u64::from(MAX_HEAD_BYTES / bytes_per_step);
+        let header_steps = size
+            .headers
+            .iter()
+            .map(|h| (h.clone(), whole_head))
+            .collect();
         Cost {
-            fixed: fixed + u64::from(size.fixed / bytes_a_step) + 1,
-            headers,
+            fixed_steps: fixed_steps + u64::from(size.fixed_bytes / bytes_per_step) + 1,
+            header_steps,
         }
     }
 
-    pub(crate) fn most(&self) -> u64 {
-        self.fixed + self.headers.iter().map(|h| h.1).max().unwrap_or(0)
+    /// The maximum number of steps.
+    pub(crate) fn max_steps(&self) -> u64 {
+        self.fixed_steps + self.header_steps.iter().map(|h| h.1).max().unwrap_or(0)
     }
 }
 
-/// Compiled expressions.
+/// The compiled expressions of a file.
 #[derive(Debug, Default)]
 pub struct Program {
     pub(crate) nodes: Vec<Node>,
     pub(crate) types: Vec<Type>,
-    /// Most steps of each node with all below it, to order by; and of it alone.
-    pub(crate) costs: Vec<u64>,
-    pub(crate) own: Vec<Cost>,
-    /// Where the bytes of each node's value come from.
+    /// Maximum number of steps of each node with all its descendants, which decides the order of operands.
+    pub(crate) subtree_steps: Vec<u64>,
+    /// The cost of each node without its descendants.
+    pub(crate) node_costs: Vec<Cost>,
+    /// Maximum size of each node's value.
     pub(crate) sizes: Vec<Size>,
     pub(crate) patterns: Vec<Regex>,
-    /// Nodes that stand in more than one place and cost something.
+    /// Whether a node is used several times and is not a literal. The values of such nodes are memoized.
     pub(crate) shared: Vec<bool>,
     pub(crate) roots: Vec<Id>,
 }
 
 impl Node {
-    /// The nodes that it is made of.
-    pub(crate) fn parts(&self) -> Vec<Id> {
+    /// The operands of the node.
+    pub(crate) fn children(&self) -> Vec<Id> {
         match self {
             Node::Lower(a)
             | Node::Trim(a)
-            | Node::IntOf(a)
+            | Node::ParseInt(a)
             | Node::Len(a)
             | Node::Present(a)
             | Node::Not(a) => vec![*a],
             Node::Split(a, _) | Node::Nth(a, _) | Node::Hash(a, _) | Node::Matches(a, _) => {
                 vec![*a]
             }
-            Node::InTexts(a, _) => vec![*a],
+            Node::InStrings(a, _) => vec![*a],
             Node::InInts(a, _) => vec![*a],
-            Node::InNets(a, _) => vec![*a],
+            Node::InNetworks(a, _) => vec![*a],
             Node::Concat(all) => all.to_vec(),
             Node::Default(a, b)
             | Node::And(a, b)
@@ -187,157 +196,179 @@
 }
 
 impl Program {
-    pub(crate) fn literal(&self, id: Id) -> bool {
+    /// Whether a node is a literal.
+    pub(crate) fn is_literal(&self, id: Id) -> bool {
         matches!(
             self.nodes[id.0 as usize],
             Node::Bool(_) | Node::Int(_) | Node::Duration(_) | Node::Str(_) | Node::Bytes(_)
         )
     }
 
-    /// Most steps of a node by itself, and the size of its value.
-    pub(crate) fn measure(&self, node: &Node) -> (Cost, Size) {
+    /// The cost of a node without its descendants, and the maximum size of its value.
+    pub(crate) fn cost_and_size(&self, node: &Node) -> (Cost, Size) {
         let size = |id: &Id| &self.sizes[id.0 as usize];
-        let fixed = |steps: u64| Cost {
-            fixed: steps,
-            headers: Vec::new(),
+        let fixed_cost = |steps: u64| Cost {
+            fixed_steps: steps,
+            header_steps: Vec::new(),
         };
-        let plain = |bytes: u32| Size {
-            fixed: bytes,
+        let fixed_size = |bytes: u32| Size {
+            fixed_bytes: bytes,
             headers: Vec::new(),
         };
-        let small = || plain(8);
-        // Of two that are compared the shorter counts.
-        let shorter =
+        let scalar_size = || fixed_size(8);
+        // A comparison ends with the shorter operand.
+        let shorter_cost =
             |a: &Id, b: &Id| match (size(a).headers.is_empty(), size(b).headers.is_empty()) {
-                (true, true) => Cost::of(0, &plain(size(a).fixed.min(size(b).fixed)), 16),
-                (true, false) => Cost::of(0, size(a), 16),
-                _ => Cost::of(0, size(b), 16),
+                (true, true) => Cost::for_bytes(
+                    0,
+                    &fixed_size(size(a).fixed_bytes.min(size(b).fixed_bytes)),
+                    16,
+                ),
+                (true, false) => Cost::for_bytes(0, size(a), 16),
+                _ => Cost::for_bytes(0, size(b), 16),
             };
-        let pairs = (PAIRS_BYTES as u64 + 1) * PAIR_STEPS;
-        // What looking at so many parts of a list costs, and reading it out of a query before.
-        let list = |id: &Id, most: usize| {
+        let parse_pairs_steps = (MAX_PAIRS_BYTES as u64 + 1) * STEPS_PER_PAIR_BYTE;
+        // The cost of visiting up to `max_elements` elements of a list, and of parsing the query if it comes from one.
+        let list_cost = |id: &Id, max_elements: usize| {
             let node = &self.nodes[id.0 as usize];
-            let most = if *node == Node::Segments {
-                most.min(SEGMENTS_MOST)
+            let max_elements = if *node == Node::Segments {
+                max_elements.min(MAX_PATH_SEGMENTS)
             } else {
-                most
+                max_elements
             };
-            let mut cost = Cost::of(most as u64 * PART_STEPS + 1, size(id), 16);
-            cost.fixed += if matches!(node, Node::QueryAll(_)) {
-                pairs
+            let mut cost = Cost::for_bytes(
+                max_elements as u64 * STEPS_PER_LIST_ELEMENT + 1,
+                size(id),
+                16,
+            );
+            cost.fixed_steps += if matches!(node, Node::QueryAll(_)) {
+                parse_pairs_steps
             } else {
                 0
             };
             cost
         };
         match node {
-            Node::Bool(_) | Node::Int(_) | Node::Duration(_) => (fixed(1), small()),
-            Node::Str(text) => (fixed(1), plain(text.len() as u32)),
-            Node::Bytes(all) => (fixed(1), plain(all.len() as u32)),
-            Node::Method => (fixed(1), plain(METHOD_BYTES)),
-            Node::Path | Node::Segments => (fixed(1), plain(PATH_BYTES)),
-            Node::Client => (fixed(1), plain(16)),
-            Node::Length | Node::Timeout => (fixed(4), small()),
-            // Whether its bytes are a text is looked at, too.
+            Node::Bool(_) | Node::Int(_) | Node::Duration(_) => (fixed_cost(1), scalar_size()),
+            Node::Str(text) => (fixed_cost(1), fixed_size(text.len() as u32)),
+            Node::Bytes(all) => (fixed_cost(1), fixed_size(all.len() as u32)),
+            Node::Method => (fixed_cost(1), fixed_size(MAX_METHOD_BYTES)),
+            Node::Path | Node::Segments => (fixed_cost(1), fixed_size(MAX_PATH_BYTES)),
+            Node::Client => (fixed_cost(1), fixed_size(16)),
+            Node::Length | Node::Timeout => (fixed_cost(4), scalar_size()),
+            // Includes the UTF-8 validation.
             Node::Header(name) | Node::HeaderBytes(name) => {
-                let own = Size {
-                    fixed: 0,
+                let header_size = Size {
+                    fixed_bytes: 0,
                     headers: vec![name.clone()],
                 };
-                (Cost::of(2, &own, 16), own)
+                (Cost::for_bytes(2, &header_size, 16), header_size)
             }
             Node::Headers(name) => (
-                fixed(1),
+                fixed_cost(1),
                 Size {
-                    fixed: 0,
+                    fixed_bytes: 0,
                     headers: vec![name.clone()],
                 },
             ),
-            Node::Cookie(_) | Node::Query(_) => (fixed(pairs), plain(PAIRS_BYTES as u32)),
-            Node::QueryAll(_) => (fixed(1), plain(PAIRS_BYTES as u32)),
-            Node::Lower(a) => (Cost::of(0, size(a), 8), size(a).clone()),
-            Node::Trim(a) => (Cost::of(0, size(a), 16), size(a).clone()),
-            Node::Split(..) => (fixed(1), plain(PARTS_BYTES as u32)),
-            Node::Nth(a, place) => (list(a, *place as usize + 1), size(a).clone()),
+            Node::Cookie(_) | Node::Query(_) => (
+                fixed_cost(parse_pairs_steps),
+                fixed_size(MAX_PAIRS_BYTES as u32),
+            ),
+            Node::QueryAll(_) => (fixed_cost(1), fixed_size(MAX_PAIRS_BYTES as u32)),
+            Node::Lower(a) => (Cost::for_bytes(0, size(a), 8), size(a).clone()),
+            Node::Trim(a) => (Cost::for_bytes(0, size(a), 16), size(a).clone()),
+            Node::Split(..) => (fixed_cost(1), fixed_size(MAX_SPLIT_BYTES as u32)),
+            Node::Nth(a, index) => (list_cost(a, *index as usize + 1), size(a).clone()),
             Node::Len(a) => match self.types[a.0 as usize].base {
-                Base::List => (list(a, PARTS_MOST), small()),
-                _ => (fixed(1), small()),
+                BaseType::List => (list_cost(a, MAX_LIST_ELEMENTS), scalar_size()),
+                _ => (fixed_cost(1), scalar_size()),
             },
-            Node::IntOf(_) => (fixed(4), small()),
-            Node::Hash(..) => (fixed(2 * PARTS_BYTES as u64 + 2), small()),
+            Node::ParseInt(_) => (fixed_cost(4), scalar_size()),
+            Node::Hash(..) => (fixed_cost(2 * MAX_SPLIT_BYTES as u64 + 2), scalar_size()),
             Node::Concat(all) => {
-                let mut sum = plain(32 * all.len() as u32);
+                let mut total_size = fixed_size(32 * all.len() as u32);
                 for part in all {
-                    sum.fixed = sum.fixed.saturating_add(size(part).fixed);
-                    sum.headers.extend(
+                    total_size.fixed_bytes = total_size
+                        .fixed_bytes
+                        .saturating_add(size(part).fixed_bytes);
+                    total_size.headers.extend(
                         size(part)
                             .headers
                             .iter()
-                            .filter(|h| !sum.headers.contains(h))
+                            .filter(|h| !total_size.headers.contains(h))
                             .cloned()
                             .collect::<Vec<_>>(),
                     );
                 }
-                // The same header may stand in it several times.
-                let mut cost = Cost::of(all.len() as u64, &sum, 16);
-                cost.headers
+                // The same header may be concatenated several times.
+                let mut cost = Cost::for_bytes(all.len() as u64, &total_size, 16);
+                cost.header_steps
                     .iter_mut()
                     .for_each(|h| h.1 *= all.len() as u64);
-                (cost, sum)
+                (cost, total_size)
+            }
+            Node::Present(_) | Node::Not(_) | Node::And(..) | Node::Or(..) => {
+                (fixed_cost(1), fixed_size(1))
             }
-            Node::Present(_) | Node::Not(_) | Node::And(..) | Node::Or(..) => (fixed(1), plain(1)),
             Node::Default(a, b) => {
                 let mut either = size(a).clone();
-                either.fixed = either.fixed.max(size(b).fixed);
+                either.fixed_bytes = either.fixed_bytes.max(size(b).fixed_bytes);
                 either.headers.extend(size(b).headers.iter().cloned());
-                (fixed(1), either)
+                (fixed_cost(1), either)
             }
             Node::Equal(a, b) | Node::StartsWith(a, b) | Node::EndsWith(a, b) => {
-                (shorter(a, b), plain(1))
+                (shorter_cost(a, b), fixed_size(1))
             }
-            Node::Less(..) | Node::LessEqual(..) => (fixed(1), plain(1)),
-            Node::InTexts(_, all) => {
+            Node::Less(..) | Node::LessEqual(..) => (fixed_cost(1), fixed_size(1)),
+            Node::InStrings(_, all) => {
                 let longest = all.iter().map(|t| t.len() as u32).max().unwrap_or(0);
                 (
-                    fixed(u64::from(all.len().max(1).ilog2() + 1) * words(longest)),
-                    plain(1),
+                    fixed_cost(u64::from(all.len().max(1).ilog2() + 1) * word_steps(longest)),
+                    fixed_size(1),
                 )
             }
-            Node::InInts(_, all) => (fixed(u64::from(all.len().max(1).ilog2() + 1)), plain(1)),
-            Node::InList(_, b) => (list(b, PARTS_MOST), plain(1)),
-            Node::InNets(_, all) => (fixed(all.len() as u64), plain(1)),
+            Node::InInts(_, all) => (
+                fixed_cost(u64::from(all.len().max(1).ilog2() + 1)),
+                fixed_size(1),
+            ),
+            Node::InList(_, b) => (list_cost(b, MAX_LIST_ELEMENTS), fixed_size(1)),
+            Node::InNetworks(_, all) => (fixed_cost(all.len() as u64), fixed_size(1)),
             Node::Contains(a, b) => {
-                let mut cost = Cost::of(1, size(a), 8);
-                let other = Cost::of(0, size(b), 16);
-                cost.fixed += other.fixed;
-                cost.headers.extend(other.headers);
-                (cost, plain(1))
+                let mut cost = Cost::for_bytes(1, size(a), 8);
+                let other = Cost::for_bytes(0, size(b), 16);
+                cost.fixed_steps += other.fixed_steps;
+                cost.header_steps.extend(other.header_steps);
+                (cost, fixed_size(1))
             }
-            Node::Matches(..) => (fixed((MATCH_BYTES as u64 + 1) * MATCH_STEPS), plain(1)),
+            Node::Matches(..) => (
+                fixed_cost((MAX_MATCH_BYTES as u64 + 1) * STEPS_PER_MATCH_BYTE),
+                fixed_size(1),
+            ),
         }
     }
 
-    /// The most steps that these expressions can take together for one request: each part once, and all headers together
-    /// no larger than the head.
-    pub fn cost(&self, of: &[Id]) -> u64 {
+    /// The maximum number of steps that these expressions take together for one request. Each shared node counts once, and
+    /// all headers together are assumed to be no larger than the request head.
+    pub fn cost(&self, ids: &[Id]) -> u64 {
         let mut seen = vec![false; self.nodes.len()];
-        let mut open = of.to_vec();
-        let mut fixed = 0_u64;
-        let mut headers: HashMap<&HeaderName, u64> = HashMap::new();
-        while let Some(id) = open.pop() {
+        let mut pending = ids.to_vec();
+        let mut fixed_steps = 0_u64;
+        let mut header_steps: HashMap<&HeaderName, u64> = HashMap::new();
+        while let Some(id) = pending.pop() {
             if !std::mem::replace(&mut seen[id.0 as usize], true) {
-                let own = &self.own[id.0 as usize];
-                fixed = fixed.saturating_add(own.fixed);
-                for (name, steps) in &own.headers {
-                    *headers.entry(name).or_default() += steps;
+                let node_cost = &self.node_costs[id.0 as usize];
+                fixed_steps = fixed_steps.saturating_add(node_cost.fixed_steps);
+                for (name, steps) in &node_cost.header_steps {
+                    *header_steps.entry(name).or_default() += steps;
                 }
-                open.extend(self.nodes[id.0 as usize].parts());
+                pending.extend(self.nodes[id.0 as usize].children());
             }
         }
-        fixed.saturating_add(headers.values().copied().max().unwrap_or(0))
+        fixed_steps.saturating_add(header_steps.values().copied().max().unwrap_or(0))
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn size(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/expr/src/tests.rs
+++ b/crates/expr/src/tests.rs
@@ -1,15 +1,18 @@
-//! The language against a second evaluator: a plain walk over the tree, written without any of the compiled form's ideas.
+//! Tests of the language. A reference evaluator walks the syntax tree directly and shares no code with the compiled form.
 
-use crate::ast::{Ast, Infix, Kind};
-use crate::{harness, hash, parse, Builder, Head, Mistake, Scratch, Steps, Value, Wanted, BUDGET};
+use crate::ast::{Ast, AstKind, Operator};
+use crate::{
+    harness, hash, parse, Builder, ExpectedType, ExpressionError, Head, Scratch, Steps, Value,
+    STEP_BUDGET,
+};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A value as the plain walk has it.
+/// A value of the reference evaluator.
 #[derive(Clone, Debug, PartialEq)]
-enum Plain {
+enum ReferenceValue {
     Absent,
     Bool(bool),
     Int(i64),
@@ -20,8 +23,9 @@
     List(Vec<String>),
 }
 
-fn plain(ast: &Ast, head: &Head<'_>) -> Plain {
-    let text = |v: Option<String>| v.map_or(Plain::Absent, Plain::Str);
+/// Evaluates a syntax tree without compiling it.
+fn evaluate_reference(ast: &Ast, head: &Head<'_>) -> ReferenceValue {
+    let string = |v: Option<String>| v.map_or(ReferenceValue::Absent, ReferenceValue::Str);
     let values = |name: &str| {
         head.headers
             .get_all(name)
@@ -69,7 +73,7 @@
                 let (name, value) = p.split_once('=').unwrap_or((p, ""));
                 (decode(name), decode(value))
             });
-        if head.query.len() > crate::PAIRS_BYTES {
+        if head.query.len() > crate::MAX_PAIRS_BYTES {
             Vec::new()
         } else {
             all.collect::<Vec<_>>()
@@ -77,16 +81,16 @@
     };
     let Ast { kind, .. } = ast;
     match kind {
-        Kind::Bool(b) => Plain::Bool(*b),
-        Kind::Int(n) => Plain::Int(*n),
-        Kind::Duration(n) => Plain::Duration(*n),
-        Kind::Str(t) => Plain::Str(t.clone()),
-        Kind::Bytes(b) => Plain::Bytes(b.clone()),
-        Kind::List(_) | Kind::Unknown => unreachable!("not by itself"),
-        Kind::Name(name) => match name.as_str() {
-            "method" => Plain::Str(head.method.to_string()),
-            "path" => Plain::Str(head.path.to_owned()),
-            "segments" => Plain::List(
+        AstKind::Bool(b) => ReferenceValue::Bool(*b),
+        AstKind::Int(n) => ReferenceValue::Int(*n),
+        AstKind::Duration(n) => ReferenceValue::Duration(*n),
+        AstKind::Str(t) => ReferenceValue::Str(t.clone()),
+        AstKind::Bytes(b) => ReferenceValue::Bytes(b.clone()),
+        AstKind::List(_) | AstKind::Unknown => unreachable!("not evaluated by itself"),
+        AstKind::Name(name) => match name.as_str() {
+            "method" => ReferenceValue::Str(head.method.to_string()),
+            "path" => ReferenceValue::Str(head.path.to_owned()),
+            "segments" => ReferenceValue::List(
                 head.path
                     .split('/')
                     .skip(1)
@@ -96,7 +100,7 @@
             ),
             "length" => only("content-length")
                 .and_then(|v| String::from_utf8(v).ok()?.parse().ok())
-                .map_or(Plain::Absent, Plain::Int),
+                .map_or(ReferenceValue::Absent, ReferenceValue::Int),
             "timeout" => only("x-timeout")
                 .and_then(|v| {
                     let text = String::from_utf8(v).ok()?;
@@ -112,22 +116,22 @@
                         .ok()
                         .map(|n| i64::from(n) * scale)
                 })
-                .map_or(Plain::Absent, Plain::Duration),
-            "client" => Plain::Ip(head.client),
+                .map_or(ReferenceValue::Absent, ReferenceValue::Duration),
+            "client" => ReferenceValue::Ip(head.client),
             other => unreachable!("{other}"),
         },
-        Kind::Index(of, name) => {
-            let Kind::Str(name) = &name.kind else {
-                unreachable!("a written name")
+        AstKind::Index(of, name) => {
+            let AstKind::Str(name) = &name.kind else {
+                unreachable!("a literal name")
             };
             match of.as_str() {
-                "header" => text(only(name).and_then(|v| String::from_utf8(v).ok())),
-                "header_bytes" => only(name).map_or(Plain::Absent, Plain::Bytes),
-                "headers" => Plain::List(texts(name)),
+                "header" => string(only(name).and_then(|v| String::from_utf8(v).ok())),
+                "header_bytes" => only(name).map_or(ReferenceValue::Absent, ReferenceValue::Bytes),
+                "headers" => ReferenceValue::List(texts(name)),
                 "cookie" => {
                     let all: Vec<String> = texts("cookie");
-                    if all.iter().map(String::len).sum::<usize>() > crate::PAIRS_BYTES {
-                        return Plain::Absent;
+                    if all.iter().map(String::len).sum::<usize>() > crate::MAX_PAIRS_BYTES {
+                        return ReferenceValue::Absent;
                     }
                     let found: Vec<String> = all
                         .iter()
@@ -136,7 +140,7 @@
                         .filter(|(n, _)| n == name)
                         .map(|(_, v)| v.to_owned())
                         .collect();
-                    text(if found.len() == 1 {
+                    string(if found.len() == 1 {
                         found.first().cloned()
                     } else {
                         None
@@ -148,13 +152,13 @@
                         .filter(|(n, _)| n == name)
                         .map(|p| p.1)
                         .collect();
-                    text(if found.len() == 1 {
+                    string(if found.len() == 1 {
                         found.first().cloned()
                     } else {
                         None
                     })
                 }
-                _ => Plain::List(
+                _ => ReferenceValue::List(
                     pairs()
                         .into_iter()
                         .filter(|(n, _)| n == name)
@@ -163,122 +167,137 @@
                 ),
             }
         }
-        Kind::Not(a) => Plain::Bool(plain(a, head) != Plain::Bool(true)),
-        Kind::And(a, b) => {
-            Plain::Bool(plain(a, head) == Plain::Bool(true) && plain(b, head) == Plain::Bool(true))
+        AstKind::Not(a) => {
+            ReferenceValue::Bool(evaluate_reference(a, head) != ReferenceValue::Bool(true))
         }
-        Kind::Or(a, b) => {
-            Plain::Bool(plain(a, head) == Plain::Bool(true) || plain(b, head) == Plain::Bool(true))
-        }
-        Kind::Default(a, b) => match plain(a, head) {
-            Plain::Absent => plain(b, head),
+        AstKind::And(a, b) => ReferenceValue::Bool(
+            evaluate_reference(a, head) == ReferenceValue::Bool(true)
+                && evaluate_reference(b, head) == ReferenceValue::Bool(true),
+        ),
+        AstKind::Or(a, b) => ReferenceValue::Bool(
+            evaluate_reference(a, head) == ReferenceValue::Bool(true)
+                || evaluate_reference(b, head) == ReferenceValue::Bool(true),
+        ),
+        AstKind::Default(a, b) => match evaluate_reference(a, head) {
+            ReferenceValue::Absent => evaluate_reference(b, head),
             other => other,
         },
-        Kind::Call(name, parts) => call(name, parts, head),
-        Kind::Infix(infix, a, b) => Plain::Bool(infix_holds(*infix, a, b, head)),
+        AstKind::Call(name, arguments) => call_reference(name, arguments, head),
+        AstKind::Binary(operator, a, b) => {
+            ReferenceValue::Bool(binary_holds(*operator, a, b, head))
+        }
     }
 }
 
-fn call(name: &str, parts: &[Ast], head: &Head<'_>) -> Plain {
-    let first = plain(&parts[0], head);
+fn call_reference(name: &str, arguments: &[Ast], head: &Head<'_>) -> ReferenceValue {
+    let first = evaluate_reference(&arguments[0], head);
     match (name, first) {
-        ("present", v) => Plain::Bool(v != Plain::Absent),
-        ("lower", Plain::Str(t)) => Plain::Str(t.to_ascii_lowercase()),
-        ("trim", Plain::Str(t)) => {
-            Plain::Str(t.trim_matches(|c: char| c.is_ascii_whitespace()).to_owned())
+        ("present", v) => ReferenceValue::Bool(v != ReferenceValue::Absent),
+        ("lower", ReferenceValue::Str(t)) => ReferenceValue::Str(t.to_ascii_lowercase()),
+        ("trim", ReferenceValue::Str(t)) => {
+            ReferenceValue::Str(t.trim_matches(|c: char| c.is_ascii_whitespace()).to_owned())
         }
-        ("int", Plain::Str(t)) => {
+        ("int", ReferenceValue::Str(t)) => {
             let digits = t.strip_prefix('-').unwrap_or(&t);
-            let good =
+            let is_int =
                 !digits.is_empty() && t.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
-            good.then(|| t.parse().ok())
+            is_int
+                .then(|| t.parse().ok())
                 .flatten()
-                .map_or(Plain::Absent, Plain::Int)
+                .map_or(ReferenceValue::Absent, ReferenceValue::Int)
         }
-        ("len", Plain::Str(t)) => Plain::Int(t.len() as i64),
-        ("len", Plain::Bytes(b)) => Plain::Int(b.len() as i64),
-        ("len", Plain::List(l)) => Plain::Int(l.len() as i64),
-        ("split", Plain::Str(t)) => {
-            let Kind::Str(separator) = &parts[1].kind else {
-                unreachable!("written")
+        ("len", ReferenceValue::Str(t)) => ReferenceValue::Int(t.len() as i64),
+        ("len", ReferenceValue::Bytes(b)) => ReferenceValue::Int(b.len() as i64),
+        ("len", ReferenceValue::List(l)) => ReferenceValue::Int(l.len() as i64),
+        ("split", ReferenceValue::Str(t)) => {
+            let AstKind::Str(separator) = &arguments[1].kind else {
+                unreachable!("a literal")
             };
-            Plain::List(t.split(separator.as_str()).map(str::to_owned).collect())
+            ReferenceValue::List(t.split(separator.as_str()).map(str::to_owned).collect())
         }
-        ("nth", Plain::List(l)) => {
-            let Kind::Int(place) = &parts[1].kind else {
-                unreachable!("written")
+        ("nth", ReferenceValue::List(l)) => {
+            let AstKind::Int(index) = &arguments[1].kind else {
+                unreachable!("a literal")
             };
-            l.get(*place as usize)
-                .map_or(Plain::Absent, |t| Plain::Str(t.clone()))
+            l.get(*index as usize)
+                .map_or(ReferenceValue::Absent, |t| ReferenceValue::Str(t.clone()))
         }
-        ("hash", Plain::Str(t)) => {
-            let Kind::Int(most) = &parts[1].kind else {
-                unreachable!("written")
+        ("hash", ReferenceValue::Str(t)) => {
+            let AstKind::Int(modulus) = &arguments[1].kind else {
+                unreachable!("a literal")
             };
-            Plain::Int((hash(t.as_bytes()) % *most as u64) as i64)
+            ReferenceValue::Int((hash(t.as_bytes()) % *modulus as u64) as i64)
         }
         ("concat", _) => {
             let mut key = String::new();
-            for part in parts {
-                let text = match plain(part, head) {
-                    Plain::Str(t) => t,
-                    Plain::Int(n) => n.to_string(),
-                    _ => return Plain::Absent,
+            for argument in arguments {
+                let text = match evaluate_reference(argument, head) {
+                    ReferenceValue::Str(t) => t,
+                    ReferenceValue::Int(n) => n.to_string(),
+                    _ => return ReferenceValue::Absent,
                 };
                 key += &format!("{}:{text}", text.len());
             }
-            Plain::Str(key)
+            ReferenceValue::Str(key)
         }
         (name, value) => unreachable!("{name} of {value:?}"),
     }
 }
 
-fn infix_holds(infix: Infix, a: &Ast, b: &Ast, head: &Head<'_>) -> bool {
-    let left = plain(a, head);
-    if infix == Infix::In {
-        if let Kind::List(all) = &b.kind {
+fn binary_holds(operator: Operator, a: &Ast, b: &Ast, head: &Head<'_>) -> bool {
+    let left = evaluate_reference(a, head);
+    if operator == Operator::In {
+        if let AstKind::List(all) = &b.kind {
             return match left {
-                Plain::Ip(ip) => all.iter().any(|n| net(n, ip)),
-                other => all.iter().any(|v| plain(v, head) == other),
+                ReferenceValue::Ip(ip) => all.iter().any(|n| network_contains(n, ip)),
+                other => all.iter().any(|v| evaluate_reference(v, head) == other),
             };
         }
-        if let Plain::Ip(ip) = left {
-            return net(b, ip);
+        if let ReferenceValue::Ip(ip) = left {
+            return network_contains(b, ip);
         }
     }
-    if infix == Infix::Matches {
-        let (Plain::Str(text), Kind::Str(pattern)) = (&left, &b.kind) else {
-            unreachable!("typed")
+    if operator == Operator::Matches {
+        let (ReferenceValue::Str(text), AstKind::Str(pattern)) = (&left, &b.kind) else {
+            unreachable!("type-checked")
         };
-        return text.len() <= crate::MATCH_BYTES
+        return text.len() <= crate::MAX_MATCH_BYTES
             && regex::Regex::new(pattern)
                 .expect("a pattern")
                 .is_match(text);
     }
-    let right = plain(b, head);
-    match (infix, &left, &right) {
-        (Infix::Equal, a, b) => a == b,
-        (Infix::Unequal, a, b) => a != b,
-        (Infix::Less, Plain::Int(a), Plain::Int(b))
-        | (Infix::Less, Plain::Duration(a), Plain::Duration(b)) => a < b,
-        (Infix::LessEqual, Plain::Int(a), Plain::Int(b))
-        | (Infix::LessEqual, Plain::Duration(a), Plain::Duration(b)) => a <= b,
-        (Infix::Greater, Plain::Int(a), Plain::Int(b))
-        | (Infix::Greater, Plain::Duration(a), Plain::Duration(b)) => a > b,
-        (Infix::GreaterEqual, Plain::Int(a), Plain::Int(b))
-        | (Infix::GreaterEqual, Plain::Duration(a), Plain::Duration(b)) => a >= b,
-        (Infix::In, Plain::Str(a), Plain::List(b)) => b.contains(a),
-        (Infix::StartsWith, Plain::Str(a), Plain::Str(b)) => a.starts_with(b.as_str()),
-        (Infix::EndsWith, Plain::Str(a), Plain::Str(b)) => a.ends_with(b.as_str()),
-        (Infix::Contains, Plain::Str(a), Plain::Str(b)) => a.contains(b.as_str()),
-        (Infix::Contains, Plain::List(a), Plain::Str(b)) => a.contains(b),
+    let right = evaluate_reference(b, head);
+    match (operator, &left, &right) {
+        (Operator::Equal, a, b) => a == b,
+        (Operator::Unequal, a, b) => a != b,
+        (Operator::Less, ReferenceValue::Int(a), ReferenceValue::Int(b))
+        | (Operator::Less, ReferenceValue::Duration(a), ReferenceValue::Duration(b)) => a < b,
+        (Operator::LessEqual, ReferenceValue::Int(a), ReferenceValue::Int(b))
+        | (Operator::LessEqual, ReferenceValue::Duration(a), ReferenceValue::Duration(b)) => a <= b,
+        (Operator::Greater, ReferenceValue::Int(a), ReferenceValue::Int(b))
+        | (Operator::Greater, ReferenceValue::Duration(a), ReferenceValue::Duration(b)) => a > b,
+        (Operator::GreaterEqual, ReferenceValue::Int(a), ReferenceValue::Int(b))
+        | (Operator::GreaterEqual, ReferenceValue::Duration(a), ReferenceValue::Duration(b)) => {
+            a >= b
+        }
+        (Operator::In, ReferenceValue::Str(a), ReferenceValue::List(b)) => b.contains(a),
+        (Operator::StartsWith, ReferenceValue::Str(a), ReferenceValue::Str(b)) => {
+            a.starts_with(b.as_str())
+        }
+        (Operator::EndsWith, ReferenceValue::Str(a), ReferenceValue::Str(b)) => {
+            a.ends_with(b.as_str())
+        }
+        (Operator::Contains, ReferenceValue::Str(a), ReferenceValue::Str(b)) => {
+            a.contains(b.as_str())
+        }
+        (Operator::Contains, ReferenceValue::List(a), ReferenceValue::Str(b)) => a.contains(b),
         other => unreachable!("{other:?}"),
     }
 }
 
-fn net(ast: &Ast, ip: std::net::IpAddr) -> bool {
-    let Kind::Str(text) = &ast.kind else {
-        unreachable!("written")
+fn network_contains(ast: &Ast, ip: std::net::IpAddr) -> bool {
+    let AstKind::Str(text) = &ast.kind else {
+        unreachable!("a literal")
     };
     match text.parse::<ipnet::IpNet>() {
         Ok(net) => net.contains(&ip),
@@ -286,7 +305,7 @@
     }
 }
 
-/// Well-typed conditions; with what is joined out of them below, far more than a hundred.
+/// Well-typed conditions. Tests also combine them.
 const CONDITIONS: &[&str] = &[
     "true",
     "false",
@@ -366,8 +385,8 @@
     "len(\"\u{f1}\") == 2",
 ];
 
-/// Heads of all kinds.
-fn some_head(random: &mut Pcg32) -> (Method, String, String, HeaderMap) {
+/// A random request head.
+fn random_head(random: &mut Pcg32) -> (Method, String, String, HeaderMap) {
     let pick = |random: &mut Pcg32, all: &[&'static str]| *all.choose(random).expect("some");
     let method: Method = pick(random, &["GET", "POST", "PUT", "HEAD"])
         .parse()
@@ -400,7 +419,7 @@
         ],
     );
     let mut headers = HeaderMap::new();
-    let mut put = |random: &mut Pcg32, name: &'static str, values: &[&'static [u8]]| {
+    let mut append_random = |random: &mut Pcg32, name: &'static str, values: &[&'static [u8]]| {
         for _ in 0..random.gen_range(0..3) {
             let value = *values.choose(random).expect("some");
             headers.append(
@@ -409,8 +428,8 @@
             );
         }
     };
-    put(random, "x-branch", &[b"CR-7", b"cr-7", b"", b"PA-1"]);
-    put(
+    append_random(random, "x-branch", &[b"CR-7", b"cr-7", b"", b"PA-1"]);
+    append_random(
         random,
         "x-pad",
         &[
@@ -423,10 +442,10 @@
             b"\t",
         ],
     );
-    put(random, "x-many", &[b"a", b"b", b"\xff", b"c"]);
-    put(random, "x-raw", &[b"\xff", b"\xc3\xb1", b"a"]);
-    put(random, "x-list", &[b"one,two", b"one, two", b",", b"two"]);
-    put(
+    append_random(random, "x-many", &[b"a", b"b", b"\xff", b"c"]);
+    append_random(random, "x-raw", &[b"\xff", b"\xc3\xb1", b"a"]);
+    append_random(random, "x-list", &[b"one,two", b"one, two", b",", b"two"]);
+    append_random(
         random,
         "cookie",
         &[
@@ -438,13 +457,13 @@
             b" user=7f3a ;b",
         ],
     );
-    put(
+    append_random(
         random,
         "content-type",
         &[b"application/json", b"text/plain"],
     );
-    put(random, "content-length", &[b"4", b"4096", b"x"]);
-    put(
+    append_random(random, "content-length", &[b"4", b"4096", b"x"]);
+    append_random(
         random,
         "x-timeout",
         &[b"250m", b"100u", b"soon", b"m", b"9m"],
@@ -452,20 +471,21 @@
     (method, path.to_owned(), query.to_owned(), headers)
 }
 
-fn same(value: &Value<'_>, plain: &Plain) -> bool {
-    match (value, plain) {
-        (Value::Absent, Plain::Absent) => true,
-        (Value::Bool(a), Plain::Bool(b)) => a == b,
-        (Value::Int(a), Plain::Int(b)) | (Value::Duration(a), Plain::Duration(b)) => a == b,
-        (Value::Str(a), Plain::Str(b)) => *a == b.as_str(),
+fn is_equal(value: &Value<'_>, reference: &ReferenceValue) -> bool {
+    match (value, reference) {
+        (Value::Absent, ReferenceValue::Absent) => true,
+        (Value::Bool(a), ReferenceValue::Bool(b)) => a == b,
+        (Value::Int(a), ReferenceValue::Int(b))
+        | (Value::Duration(a), ReferenceValue::Duration(b)) => a == b,
+        (Value::Str(a), ReferenceValue::Str(b)) => *a == b.as_str(),
         _ => false,
     }
 }
 
-/// A hundred thousand requests, over single conditions and joined ones, all in one program so that parts are shared: no
-/// difference from the plain walk, and never more steps than the bound.
+/// Evaluates single and combined conditions for 100,000 cases. All are compiled into one program, so that they share nodes.
+/// The results are those of the reference evaluator, and no evaluation exceeds its bound.
 #[test]
-fn the_compiled_form_says_what_a_plain_walk_says() {
+fn compiled_expressions_agree_with_the_reference_evaluator() {
     let mut random = Pcg32::seed_from_u64(7);
     let mut texts: Vec<String> = CONDITIONS.iter().map(|t| (*t).to_owned()).collect();
     while texts.len() < 250 {
@@ -473,23 +493,26 @@
             CONDITIONS.choose(&mut random).expect("some"),
             CONDITIONS.choose(&mut random).expect("some"),
         );
-        let joined = match random.gen_range(0..3) {
+        let combined = match random.gen_range(0..3) {
             0 => format!("({a}) and ({b})"),
             1 => format!("({a}) or not ({b})"),
             _ => format!("not (({a}) and ({b})) or ({a})"),
         };
-        // One that no request meets is refused, which is right.
-        if Builder::default().add(&joined, Wanted::Condition).is_ok() {
-            texts.push(joined);
+        // A combination that is never true is correctly rejected.
+        if Builder::default()
+            .add(&combined, ExpectedType::Condition)
+            .is_ok()
+        {
+            texts.push(combined);
         }
     }
     let mut builder = Builder::default();
     let mut all = Vec::new();
     for text in &texts {
         let ast = parse(text).unwrap_or_else(|m| panic!("{text}: {m:?}"));
-        match builder.add(text, Wanted::Any) {
+        match builder.add(text, ExpectedType::Any) {
             Ok(id) => all.push((text, ast, id, Builder::default())),
-            Err(mistakes) => panic!("{text}: {mistakes:?}"),
+            Err(errors) => panic!("{text}: {errors:?}"),
         }
     }
     let bounds: Vec<u64> = all
@@ -499,7 +522,7 @@
     let program = builder.build();
     let mut cases = 0;
     while cases < 100_000 {
-        let (method, path, query, headers) = some_head(&mut random);
+        let (method, path, query, headers) = random_head(&mut random);
         let client = std::net::IpAddr::from([10, 0, 0, random.gen()]);
         let head = Head {
             method: &method,
@@ -512,10 +535,10 @@
         for ((text, ast, id, _), bound) in all.iter().zip(&bounds) {
             let mut steps = Steps::default();
             let value = program.evaluate_with(*id, &head, &mut scratch, &mut steps);
-            let wanted = plain(ast, &head);
+            let expected = evaluate_reference(ast, &head);
             assert!(
-                same(&value, &wanted),
-                "{text}: {value:?}, plainly {wanted:?}, for {head:?}"
+                is_equal(&value, &expected),
+                "{text}: {value:?}, expected {expected:?}, for {head:?}"
             );
             assert!(steps.0 <= *bound, "{text}: {} steps of {bound}", steps.0);
             cases += 1;
@@ -523,8 +546,8 @@
     }
 }
 
-/// Expressions that are refused, each with the text that its mistake points at.
-const REFUSED: &[(&str, &str)] = &[
+/// Invalid expressions, each with the text that its first error points at.
+const INVALID: &[(&str, &str)] = &[
     ("header[\"x\"] == \"a\"", "header[\"x\"]"),
     ("\"a\" == header[\"x\"]", "header[\"x\"]"),
     ("header[\"x\"] starts_with \"a\"", "header[\"x\"]"),
@@ -610,94 +633,103 @@
     ("", ""),
 ];
 
-fn underlined(text: &str, mistakes: &[Mistake]) -> String {
-    let mut told = format!("  {text}\n");
-    for mistake in mistakes {
-        let before = text[..mistake.span.start].chars().count();
+/// Formats errors below the text that they point at.
+fn format_errors(text: &str, errors: &[ExpressionError]) -> String {
+    let mut output = format!("  {text}\n");
+    for error in errors {
+        let before = text[..error.span.start].chars().count();
         let marks = text
-            .get(mistake.span.clone())
+            .get(error.span.clone())
             .map_or(1, |t| t.chars().count().max(1));
-        told += &format!(
+        output += &format!(
             "  {}{}\n    {}\n    allowed: {}\n",
             " ".repeat(before),
             "^".repeat(marks),
-            mistake.reason,
-            mistake.allowed
+            error.reason,
+            error.allowed
         );
     }
-    told
+    output
 }
 
 #[test]
-fn what_is_mistyped_is_refused_at_its_place() {
-    assert!(REFUSED.len() >= 60);
-    let mut told = String::new();
-    for (text, place) in REFUSED {
-        let mistakes = Builder::default()
-            .add(text, Wanted::Condition)
+fn invalid_expressions_are_rejected_at_the_invalid_text() {
+    assert!(INVALID.len() >= 60);
+    let mut output = String::new();
+    for (text, expected) in INVALID {
+        let errors = Builder::default()
+            .add(text, ExpectedType::Condition)
             .expect_err(text);
-        let first = &mistakes[0];
+        let first = &errors[0];
         assert!(
-            text.get(first.span.clone()).is_some_and(|t| t == *place) || place.is_empty(),
+            text.get(first.span.clone()).is_some_and(|t| t == *expected) || expected.is_empty(),
             "{}",
-            underlined(text, &mistakes)
+            format_errors(text, &errors)
         );
-        told += &underlined(text, &mistakes);
+        output += &format_errors(text, &errors);
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(output);
 }
 
 #[test]
-fn several_mistakes_are_told_at_once() {
+fn several_errors_are_reported_at_once() {
     let text = "metod == \"POST\" and header[\"x\"] == 5 and lower(7) contains \"a\"";
-    let mistakes = Builder::default()
-        .add(text, Wanted::Condition)
-        .expect_err("three mistakes");
-    assert!(mistakes.len() >= 3, "{}", underlined(text, &mistakes));
+    let errors = Builder::default()
+        .add(text, ExpectedType::Condition)
+        .expect_err("three errors");
+    assert!(errors.len() >= 3, "{}", format_errors(text, &errors));
     let text = "method == and (path == ) or len( == 5";
-    let mistakes = parse(text).expect_err("three mistakes");
-    assert!(mistakes.len() >= 3, "{}", underlined(text, &mistakes));
+    let errors = parse(text).expect_err("three errors");
+    assert!(errors.len() >= 3, "{}", format_errors(text, &errors));
 }
 
-/// Nesting and length have stated ends; up to them nothing overflows.
+/// Nesting, length and the number of values are limited, and no expression overflows the stack.
 #[test]
-fn nesting_is_bounded() {
+fn nesting_length_and_number_of_values_are_limited() {
     let nested = |depth: usize| format!("{}true{}", "(".repeat(depth), ")".repeat(depth));
     assert!(Builder::default()
-        .add(&nested(crate::DEPTH_MOST - 1), Wanted::Condition)
+        .add(&nested(crate::MAX_DEPTH - 1), ExpectedType::Condition)
         .is_ok());
     for text in [
-        nested(crate::DEPTH_MOST + 1),
+        nested(crate::MAX_DEPTH + 1),
         nested(4_000),
         "(".repeat(8_000),
         "not ".repeat(2_000),
         "lower(".repeat(1_300),
     ] {
-        assert!(Builder::default().add(&text, Wanted::Condition).is_err());
+        assert!(Builder::default()
+            .add(&text, ExpectedType::Condition)
+            .is_err());
     }
     assert!(Builder::default()
-        .add(&format!("{}true", "not ".repeat(2_000)), Wanted::Condition)
+        .add(
+            &format!("{}true", "not ".repeat(2_000)),
+            ExpectedType::Condition
+        )
         .is_ok());
     let chain = |count: usize| vec!["client in \"::1\""; count].join(" or ");
     assert!(Builder::default()
-        .add(&chain(200), Wanted::Condition)
+        .add(&chain(200), ExpectedType::Condition)
         .is_ok());
     assert!(
         Builder::default()
-            .add(&chain(500), Wanted::Condition)
+            .add(&chain(500), ExpectedType::Condition)
             .is_err(),
         "too many values"
     );
     assert!(Builder::default()
-        .add(&" ".repeat(crate::TEXT_MOST + 1), Wanted::Condition)
+        .add(
+            &" ".repeat(crate::MAX_TEXT_BYTES + 1),
+            ExpectedType::Condition
+        )
         .is_err());
 }
 
 #[test]
-fn parts_of_a_key_are_kept_apart() {
+fn concat_gives_different_keys_for_different_parts() {
     let key = |text: &str| {
         let mut builder = Builder::default();
-        let id = builder.add(text, Wanted::Text).expect("a key");
+        let id = builder.add(text, ExpectedType::Text).expect("a key");
         let (program, headers) = (builder.build(), HeaderMap::new());
         let head = Head {
             method: &Method::POST,
@@ -706,25 +738,25 @@
             headers: &headers,
             client: [127, 0, 0, 1].into(),
         };
-        program.evaluate(id, &head).show()
+        program.evaluate(id, &head).display()
     };
     assert_ne!(key("concat(\"a\", \"bc\")"), key("concat(\"ab\", \"c\")"));
     assert_ne!(key("concat(\"a\", \"1:b\")"), key("concat(\"a1:b\")"));
     assert_eq!(
         key("concat(\"a\", header[\"x\"])"),
         "absent",
-        "no key out of half of one"
+        "a key with an absent part is absent"
     );
     assert_eq!(key("concat(\"a\", 7)"), "\"1:a1:7\"");
 }
 
-/// The stated hash never changes: these are its values.
+/// The documented hash must never change.
 #[test]
 fn the_hash_is_stable() {
     assert_eq!(hash(b""), 0xefd0_1f60_ba99_2926);
-    let of = |n: u32| hash(n.to_string().as_bytes()) % 100;
+    let sample = |n: u32| hash(n.to_string().as_bytes()) % 100;
     let counts = (0..100_000).fold([0_u32; 100], |mut counts, n| {
-        counts[of(n) as usize] += 1;
+        counts[sample(n) as usize] += 1;
         counts
     });
     assert!(
@@ -733,10 +765,10 @@
     );
 }
 
-/// Heads at their largest, made against each kind of input: the bound holds, counted in steps.
+/// Request heads of the largest size, adversarial to each kind of input, never need more steps than the bound.
 #[test]
-fn the_bound_holds_over_the_largest_heads() {
-    let size = crate::HEAD_BYTES as usize;
+fn evaluation_of_the_largest_heads_stays_within_the_bound() {
+    let size = crate::MAX_HEAD_BYTES as usize;
     let mut worst = Vec::new();
     let one = |name: &'static str, value: String| {
         HeaderMap::from_iter([(
@@ -752,23 +784,23 @@
                 .for_each(|n| worst.push(one(n, value.clone())));
         }
     }
-    let mut many = HeaderMap::new();
+    let mut many_values = HeaderMap::new();
     (0..1_000).for_each(|n| {
-        many.append(
+        many_values.append(
             "x-many",
             HeaderValue::from_str(&"m".repeat(n % 60)).expect("a value"),
         );
     });
-    worst.push(many);
+    worst.push(many_values);
     let (path, query) = (format!("/{}", "a/".repeat(4_000)), "a=1&".repeat(255));
     for text in CONDITIONS {
         let mut builder = Builder::default();
-        let Ok(id) = builder.add(text, Wanted::Any) else {
+        let Ok(id) = builder.add(text, ExpectedType::Any) else {
             panic!("{text}")
         };
         let bound = builder.cost(&[id]);
         let program = builder.build();
-        assert!(bound <= BUDGET, "{text}: {bound}");
+        assert!(bound <= STEP_BUDGET, "{text}: {bound}");
         for headers in &worst {
             let head = Head {
                 method: &Method::POST,
@@ -784,9 +816,9 @@
     }
 }
 
-/// A bounded, seeded run of what the fuzzer drives: any bytes, and expressions with bytes changed.
+/// A bounded, seeded run of the fuzz targets, with random bytes and with mutated expressions.
 #[test]
-fn no_bytes_do_harm() {
+fn arbitrary_bytes_are_parsed_and_evaluated_without_panics() {
     let mut random = Pcg32::seed_from_u64(9);
     let (mut parsed, mut evaluated) = (0, 0);
     for n in 0..30_000 {
@@ -823,9 +855,9 @@
 }
 
 #[test]
-fn a_request_that_both_take_is_found() {
+fn a_request_that_satisfies_both_conditions_is_found() {
     let mut builder = Builder::default();
-    let mut add = |text: &str| builder.add(text, Wanted::Condition).expect(text);
+    let mut add = |text: &str| builder.add(text, ExpectedType::Condition).expect(text);
     let json =
         add("method == \"POST\" and (header[\"content-type\"] ?? \"\") == \"application/json\"");
     let branch =
@@ -833,12 +865,15 @@
     let other = add("method == \"GET\"");
     let program = builder.build();
     let (paths, methods) = (["/fees".to_owned()], [Method::POST, Method::GET]);
-    let found =
-        crate::both(&program, (json, branch), &paths, &methods).expect("one that both take");
+    let found = crate::find_common_request(&program, (json, branch), &paths, &methods)
+        .expect("a common request");
     assert!(
-        found.show().contains("content-type: application/json"),
+        found.display().contains("content-type: application/json"),
         "{}",
-        found.show()
+        found.display()
+    );
+    assert_eq!(
+        crate::find_common_request(&program, (json, other), &paths, &methods),
+        None
     );
-    assert_eq!(crate::both(&program, (json, other), &paths, &methods), None);
 }
--- a/crates/expr/src/value.rs
+++ b/crates/expr/src/value.rs
@@ -1,98 +1,98 @@
-//! Values, and what an expression sees of a request.
+//! Values of expressions, and the inputs that are read from a request.
 
-use crate::bounds::{PARTS_MOST, SEGMENTS_MOST};
+use crate::bounds::{MAX_LIST_ELEMENTS, MAX_PATH_SEGMENTS};
 use http::header::{HeaderMap, HeaderName, COOKIE};
 use http::Method;
 use std::borrow::Cow;
 use std::net::IpAddr;
 
-/// The head of a request.
+/// The head of a request, as expressions see it.
 #[derive(Clone, Copy, Debug)]
 pub struct Head<'r> {
-    /// Its method.
+    /// The method.
     pub method: &'r Method,
-    /// Its path, in normal form.
+    /// The path in normal form.
     pub path: &'r str,
-    /// Its query, without the mark; empty: none.
+    /// The query without the question mark; empty if there is none.
     pub query: &'r str,
-    /// Its headers.
+    /// The headers.
     pub headers: &'r HeaderMap,
-    /// Where its client connected from.
+    /// The address of the client's connection.
     pub client: IpAddr,
 }
 
-/// A value. An expression of a type that can't be absent never has `Absent`.
+/// A value. `Absent` only occurs for expressions whose type is optional.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value<'r> {
-    /// Nothing.
+    /// No value.
     Absent,
-    /// A truth.
+    /// A boolean.
     Bool(bool),
-    /// A number.
+    /// An integer.
     Int(i64),
-    /// A span of time, in microseconds.
+    /// A duration in microseconds.
     Duration(i64),
-    /// A text.
+    /// A string.
     Str(Cow<'r, str>),
     /// Bytes.
     Bytes(Cow<'r, [u8]>),
-    /// An address.
+    /// An IP address.
     Ip(IpAddr),
-    /// Texts.
+    /// A list of strings.
     List(List<'r>),
 }
 
-/// A list of texts, taken apart as it is looked at.
+/// A list of strings that is parsed while it is iterated.
 #[derive(Clone, Debug, PartialEq)]
 pub enum List<'r> {
-    /// Parts of a path.
+    /// Segments of a path.
     Segments(&'r str),
-    /// All values of a header that are texts.
+    /// All values of a header that are valid UTF-8.
     Headers(&'r HeaderMap, &'r HeaderName),
     /// All values of a query parameter.
     Query(&'r str, &'r str),
-    /// Parts of a text.
+    /// Parts of a string between separators.
     Split(Cow<'r, str>, &'r str),
 }
 
 impl<'r> List<'r> {
-    /// Looks at each text until `look` wants no more.
-    pub(crate) fn each(&self, mut look: impl FnMut(Cow<'_, str>) -> bool) {
+    /// Calls `visit` for each element until it returns false.
+    pub(crate) fn for_each_while(&self, mut visit: impl FnMut(Cow<'_, str>) -> bool) {
         match self {
             List::Segments(path) => {
                 let mut parts = path
                     .split('/')
                     .skip(1)
-                    .take(SEGMENTS_MOST)
+                    .take(MAX_PATH_SEGMENTS)
                     .filter(|s| !s.is_empty());
-                parts.all(|s| look(Cow::Borrowed(s)));
+                parts.all(|s| visit(Cow::Borrowed(s)));
             }
             List::Headers(headers, name) => {
                 let texts = headers
                     .get_all(*name)
                     .iter()
                     .filter_map(|v| simdutf8::basic::from_utf8(v.as_bytes()).ok());
-                texts.take(PARTS_MOST).map(Cow::Borrowed).all(look);
+                texts.take(MAX_LIST_ELEMENTS).map(Cow::Borrowed).all(visit);
             }
             List::Query(query, name) => {
                 pairs(query)
                     .filter(|(n, _)| n == name)
-                    .take(PARTS_MOST)
-                    .all(|(_, value)| look(value));
+                    .take(MAX_LIST_ELEMENTS)
+                    .all(|(_, value)| visit(value));
             }
             List::Split(text, separator) => {
-                let mut letters = separator.chars();
+                let mut characters = separator.chars();
                 if separator.is_empty() {
-                    look(Cow::Borrowed(text));
-                } else if let (Some(one), None) = (letters.next(), letters.next()) {
-                    // By far the most, and much faster to find.
+                    visit(Cow::Borrowed(text));
+                } else if let (Some(one), None) = (characters.next(), characters.next()) {
+                    // Most separators are one character, for which the search is much faster.
                     text.split(one)
-                        .take(PARTS_MOST)
-                        .all(|s| look(Cow::Borrowed(s)));
+                        .take(MAX_LIST_ELEMENTS)
+                        .all(|s| visit(Cow::Borrowed(s)));
                 } else {
                     text.split(separator)
-                        .take(PARTS_MOST)
-                        .all(|s| look(Cow::Borrowed(s)));
+                        .take(MAX_LIST_ELEMENTS)
+                        .all(|s| visit(Cow::Borrowed(s)));
                 }
             }
         }
@@ -100,76 +100,82 @@
 }
 
 impl Value<'_> {
-    /// As it is shown to people.
-    pub fn show(&self) -> String {
+    /// Formats the value for messages. Of a list, only the first elements are shown.
+    pub fn display(&self) -> String {
         match self {
             Value::Absent => "absent".to_owned(),
-            Value::Bool(truth) => truth.to_string(),
+            Value::Bool(value) => value.to_string(),
             Value::Int(number) => number.to_string(),
             Value::Duration(micros) => format!("{micros}us"),
             Value::Str(text) => format!("{text:?}"),
             Value::Bytes(bytes) => format!("b\"{}\"", bytes.escape_ascii()),
             Value::Ip(address) => address.to_string(),
             Value::List(list) => {
-                let mut all = Vec::new();
-                list.each(|text| {
-                    all.push(format!("{text:?}"));
-                    all.len() < 16
+                let mut elements = Vec::new();
+                list.for_each_while(|text| {
+                    elements.push(format!("{text:?}"));
+                    elements.len() < 16
                 });
-                format!("[{}]", all.join(", "))
+                format!("[{}]", elements.join(", "))
             }
         }
     }
 }
 
-/// The only value of a header, if it is a text. Two values are none: nothing tells which the host will go by.
+/// The value of a header, if it is the only one and valid UTF-8. Several values count as none because it is unknown which
+/// one the endpoint will use.
 pub(crate) fn header<'r>(headers: &'r HeaderMap, name: &HeaderName) -> Option<&'r str> {
-    let mut all = headers.get_all(name).iter();
-    let only = all.next().filter(|_| all.next().is_none())?;
+    let mut values = headers.get_all(name).iter();
+    let only = values.next().filter(|_| values.next().is_none())?;
     simdutf8::basic::from_utf8(only.as_bytes()).ok()
 }
 
+/// The value of a header as bytes, if it is the only one.
 pub(crate) fn header_bytes<'r>(headers: &'r HeaderMap, name: &HeaderName) -> Option<&'r [u8]> {
-    let mut all = headers.get_all(name).iter();
-    all.next()
-        .filter(|_| all.next().is_none())
+    let mut values = headers.get_all(name).iter();
+    values
+        .next()
+        .filter(|_| values.next().is_none())
         .map(|v| v.as_bytes())
 }
 
+/// The value of a cookie, if it is the only one of its name.
 pub(crate) fn cookie<'r>(headers: &'r HeaderMap, name: &str) -> Option<&'r str> {
     let lines = headers
         .get_all(COOKIE)
         .iter()
         .filter_map(|line| simdutf8::basic::from_utf8(line.as_bytes()).ok());
-    let mut all = lines.flat_map(|line| line.split(';')).filter_map(|pair| {
+    let mut values = lines.flat_map(|line| line.split(';')).filter_map(|pair| {
         pair.trim_ascii_start()
             .strip_prefix(name)?
             .strip_prefix('=')
             .map(str::trim_ascii_end)
     });
-    all.next().filter(|_| all.next().is_none())
+    values.next().filter(|_| values.next().is_none())
 }
 
-/// The only value of a query parameter.
+/// The value of a query parameter, if it is the only one of its name.
 pub(crate) fn query<'r>(query: &'r str, name: &str) -> Option<Cow<'r, str>> {
-    let mut all = pairs(query).filter(|(own, _)| own == name);
-    all.next()
-        .filter(|_| all.next().is_none())
+    let mut values = pairs(query).filter(|(n, _)| n == name);
+    values
+        .next()
+        .filter(|_| values.next().is_none())
         .map(|(_, value)| value)
 }
 
+/// The decoded names and values of a query.
 fn pairs(query: &str) -> impl Iterator<Item = (Cow<'_, str>, Cow<'_, str>)> {
     query
         .split('&')
         .filter(|pair| !pair.is_empty())
         .map(|pair| {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            (decoded(name), decoded(value))
+            (percent_decode(name), percent_decode(value))
         })
 }
 
-/// Escapes and `+` as forms write them; what is no escape stays as it is, and so does what would be no text.
-fn decoded(text: &str) -> Cow<'_, str> {
+/// Decodes a form-encoded string. Invalid escapes are kept, and the string is unchanged if the result is not UTF-8.
+fn percent_decode(text: &str) -> Cow<'_, str> {
     if !text.contains(['%', '+']) {
         return Cow::Borrowed(text);
     }
@@ -198,7 +204,7 @@
     }
 }
 
-/// The stated hash for sampling: FNV-1a over the bytes, 64 bits, mixed by the finalizer of `MurmurHash3`. It never changes.
+/// The documented hash for sampling: 64-bit FNV-1a, mixed by the finalizer of `MurmurHash3`. It must never change.
 pub fn hash(text: &[u8]) -> u64 {
     let fnv = text.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -209,8 +215,8 @@
     mixed ^ (mixed >> 33)
 }
 
-/// One part of a key: its length in front, so that no two lists of parts give one key.
-pub(crate) fn push_part(key: &mut String, part: &str) {
+/// Appends a part to a key, prefixed by its length so that different lists of parts always give different keys.
+pub(crate) fn push_key_part(key: &mut String, part: &str) {
     use std::fmt::Write;
     let _ = write!(key, "{}:{part}", part.len());
 }
--- a/crates/expr/src/witness.rs
+++ b/crates/expr/src/witness.rs
@@ -1,13 +1,14 @@
-//! A request that two conditions both take, where one can be found: from the texts that they are written with.
+//! Searches for a request that satisfies two conditions, built from the literals in the conditions. The search is a
+//! heuristic and may miss such a request.
 
 use crate::program::{Node, Program};
 use crate::value::Head;
 use crate::Id;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-/// A request that was made up.
+/// A request that [`find_common_request`] has built.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
+pub struct ExampleRequest {
     /// Its method.
     pub method: Method,
     /// Its path.
@@ -18,16 +19,16 @@
     pub headers: HeaderMap,
 }
 
-impl Request {
-    /// As it is shown to people.
-    pub fn show(&self) -> String {
-        let mark = if self.query.is_empty() { "" } else { "?" };
+impl ExampleRequest {
+    /// Formats the request for messages.
+    pub fn display(&self) -> String {
+        let query_mark = if self.query.is_empty() { "" } else { "?" };
         let headers = self
             .headers
             .iter()
             .map(|(n, v)| format!(", {n}: {}", v.to_str().unwrap_or_default()));
         format!(
-            "{} {}{mark}{}{}",
+            "{} {}{query_mark}{}{}",
             self.method,
             self.path,
             self.query,
@@ -36,21 +37,21 @@
     }
 }
 
-/// Requests that are tried at the most.
-const TRIES: usize = 64;
+/// The most candidate requests that each condition changes.
+const MAX_CANDIDATES: usize = 64;
 
-/// Looks for a request that both take, on one of these paths and by one of these methods.
-pub fn both(
+/// Searches for a request that satisfies both conditions, starting with the given paths and methods.
+pub fn find_common_request(
     program: &Program,
     (a, b): (Id, Id),
     paths: &[String],
     methods: &[Method],
-) -> Option<Request> {
-    let mut tries = Vec::new();
+) -> Option<ExampleRequest> {
+    let mut candidates = Vec::new();
     for path in paths {
         for method in methods {
             let (method, path) = (method.clone(), path.clone());
-            tries.push(Request {
+            candidates.push(ExampleRequest {
                 method,
                 path,
                 query: String::new(),
@@ -58,19 +59,19 @@
             });
         }
     }
-    // Each condition moves each try towards itself, in turn.
+    // Each condition in turn changes each candidate so that it is more likely to be satisfied.
     for id in [a, b] {
-        let mut moved = Vec::new();
-        for request in tries.iter().take(TRIES) {
-            moved.push(request.clone());
-            let mut towards = vec![request.clone()];
-            program.towards(id, true, &mut towards);
-            moved.extend(towards);
+        let mut changed = Vec::new();
+        for request in candidates.iter().take(MAX_CANDIDATES) {
+            changed.push(request.clone());
+            let mut variants = vec![request.clone()];
+            program.satisfy(id, true, &mut variants);
+            changed.extend(variants);
         }
-        tries = moved;
+        candidates = changed;
     }
-    tries.into_iter().find(|request| {
-        let Request {
+    candidates.into_iter().find(|request| {
+        let ExampleRequest {
             method,
             path,
             query,
@@ -88,48 +89,49 @@
 }
 
 impl Program {
-    /// Changes requests so that a condition may come out as wanted; `or` gives each a second one.
-    fn towards(&self, id: Id, wanted: bool, requests: &mut Vec<Request>) {
-        match (&self.nodes[id.0 as usize], wanted) {
-            (Node::Not(a), _) => self.towards(*a, !wanted, requests),
+    /// Changes requests so that a condition is more likely to have the expected result. An `or` adds a variant of each
+    /// request for its second operand.
+    fn satisfy(&self, id: Id, expected: bool, requests: &mut Vec<ExampleRequest>) {
+        match (&self.nodes[id.0 as usize], expected) {
+            (Node::Not(a), _) => self.satisfy(*a, !expected, requests),
             (Node::And(a, b), true) | (Node::Or(a, b), false) => {
-                self.towards(*a, wanted, requests);
-                self.towards(*b, wanted, requests);
+                self.satisfy(*a, expected, requests);
+                self.satisfy(*b, expected, requests);
             }
             (Node::Or(a, b), true) | (Node::And(a, b), false) => {
-                let mut other = requests.clone();
-                self.towards(*a, wanted, requests);
-                if requests.len() < TRIES {
-                    self.towards(*b, wanted, &mut other);
-                    requests.extend(other);
+                let mut variants = requests.clone();
+                self.satisfy(*a, expected, requests);
+                if requests.len() < MAX_CANDIDATES {
+                    self.satisfy(*b, expected, &mut variants);
+                    requests.extend(variants);
                 }
             }
             (Node::Equal(a, b), true) => {
-                for (from, to) in [(a, b), (b, a)] {
-                    if let Node::Str(text) = &self.nodes[to.0 as usize] {
-                        self.set(*from, text, requests);
+                for (input, literal) in [(a, b), (b, a)] {
+                    if let Node::Str(text) = &self.nodes[literal.0 as usize] {
+                        self.assign(*input, text, requests);
                     }
                 }
             }
-            (Node::InTexts(a, all), true) => {
+            (Node::InStrings(a, all), true) => {
                 if let Some(first) = all.first() {
-                    self.set(*a, first, requests);
+                    self.assign(*a, first, requests);
                 }
             }
             (Node::StartsWith(a, b) | Node::EndsWith(a, b) | Node::Contains(a, b), true) => {
                 if let Node::Str(text) = &self.nodes[b.0 as usize] {
-                    self.set(*a, text, requests);
+                    self.assign(*a, text, requests);
                 }
             }
-            (Node::Present(a), true) => self.set(*a, "1", requests),
+            (Node::Present(a), true) => self.assign(*a, "1", requests),
             _ => {}
         }
     }
 
-    /// Gives an input a text, by way of defaults and small letters.
-    fn set(&self, id: Id, text: &str, requests: &mut [Request]) {
+    /// Assigns a string to the input behind a node. Defaults, `lower` and `trim` are passed through.
+    fn assign(&self, id: Id, text: &str, requests: &mut [ExampleRequest]) {
         match &self.nodes[id.0 as usize] {
-            Node::Default(a, _) | Node::Lower(a) | Node::Trim(a) => self.set(*a, text, requests),
+            Node::Default(a, _) | Node::Lower(a) | Node::Trim(a) => self.assign(*a, text, requests),
             Node::Header(name) => {
                 if let Ok(value) = HeaderValue::from_str(text) {
                     requests
