--- a/crates/config-tool/src/config_set.rs
+++ b/crates/config-tool/src/config_set.rs
@@ -15,26 +15,26 @@
 /// An application with its parsed file.
 #[derive(Debug)]
 pub struct Application {
-    /// Its name.
+    /// The name of the application.
     pub name: String,
     /// Index of its file in the report.
     pub file: usize,
-    /// Its parsed file.
+    /// The parsed file of the application.
     pub config: Config,
-    /// Its contract, with the index of the file that contains it.
+    /// The contract of the application, with the index of the file that contains it.
     pub contract: Option<(usize, ApplicationContract)>,
 }
 
 /// An upstream with its contract.
 #[derive(Debug)]
 pub struct DescribedUpstream {
-    /// Its name.
+    /// The name of the upstream.
     pub name: String,
     /// Where its description is.
     pub location: Location,
-    /// Its contract.
+    /// The contract of the upstream.
     pub contract: UpstreamContract,
-    /// Its endpoints and settings.
+    /// The endpoints and settings of the upstream.
     pub upstream: Upstream,
 }
 
@@ -345,8 +345,8 @@
                     reason,
                 );
                 finding.found = a.map_or("none".to_owned(), |a| a.to_string());
-                let wanted = b.map_or("none".to_owned(), |b| b.to_string());
-                finding.allowed = format!("{wanted}, or another peers.fleet");
+                let other_discovery = b.map_or("none".to_owned(), |b| b.to_string());
+                finding.allowed = format!("{other_discovery}, or another peers.fleet");
                 finding.related.push((
                     other.location(&["upstream", "discovery"]),
                     "the other application".to_owned(),
--- a/crates/config-tool/src/description.rs
+++ b/crates/config-tool/src/description.rs
@@ -34,24 +34,24 @@
 /// A class with all keys that it inherits.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
     /// Where it is defined.
     pub location: Location,
-    /// Its own and inherited keys.
+    /// The own and inherited keys of the class.
     pub keys: Vec<Raw>,
 }
 
 /// An upstream of the description.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its name.
+    /// The name of the upstream.
     pub name: String,
     /// Where it is defined.
     pub location: Location,
     /// Keys that go into the operators' files.
     pub keys: Vec<Raw>,
-    /// Its contract.
+    /// The contract of the upstream.
     pub contract: UpstreamContract,
 }
 
@@ -69,7 +69,7 @@
 /// An application of the description.
 #[derive(Clone, Debug)]
 pub struct App {
-    /// Its name.
+    /// The name of the application.
     pub name: String,
     /// Where it is defined.
     pub location: Location,
@@ -77,9 +77,9 @@
     pub top: Vec<Raw>,
     /// Keys in `[limits]` of its file.
     pub limits: Vec<Raw>,
-    /// Its zone, if it is given.
+    /// The zone of the application, if it is given.
     pub zone: Option<Raw>,
-    /// Its contract; `None` if a required key is missing or invalid.
+    /// The contract of the application; `None` if a required key is missing or invalid.
     pub contract: Option<ApplicationContract>,
     /// The requests that it sends, in the order of the description.
     pub sends: Vec<Send>,
@@ -92,7 +92,7 @@
 pub struct Description {
     /// Classes, in the order of the files.
     pub classes: Vec<Class>,
-    /// Upstreams.
+    /// Upstreams, in the order of the files.
     pub upstreams: Vec<Upstream>,
     /// Applications, sorted by name.
     pub apps: Vec<App>,
--- a/crates/config-tool/src/explain.rs
+++ b/crates/config-tool/src/explain.rs
@@ -32,7 +32,7 @@
     /// Earlier routes that don't match, each with the reason.
     #[serde(rename = "passed_over")]
     pub skipped_routes: Vec<(String, String)>,
-    /// Its class, and the effect of the class.
+    /// The class of the request, and the effect of the class.
     pub class: Option<(String, String)>,
     /// Subexpressions of the route's condition and key with their values, outer ones first.
     #[serde(rename = "parts")]
--- a/crates/config-tool/src/fleet.rs
+++ b/crates/config-tool/src/fleet.rs
@@ -95,9 +95,9 @@
 /// A proxy that the control plane knows.
 #[derive(Clone, Debug, Serialize)]
 pub struct Proxy {
-    /// Its name.
+    /// The name of the proxy.
     pub name: String,
-    /// Its incarnation, in hexadecimal.
+    /// The incarnation of the proxy, in hexadecimal.
     pub incarnation: String,
     /// The revision that it last reported as active; 0 if it has not reported any.
     #[serde(rename = "acting")]
@@ -110,12 +110,12 @@
 /// A change in the control plane's history.
 #[derive(Clone, Debug, Serialize)]
 pub struct Change {
-    /// Its generation.
+    /// The generation of the change.
     pub generation: u64,
     /// The generation that was in force before.
     #[serde(rename = "from")]
     pub previous_generation: u64,
-    /// Its outcome.
+    /// The outcome of the change.
     pub outcome: &'static str,
     /// Why it is not in force.
     #[serde(rename = "why")]
@@ -128,7 +128,7 @@
 /// The region of the queried control plane.
 #[derive(Clone, Debug, Serialize)]
 pub struct RegionStatus {
-    /// Its name.
+    /// The name of the region.
     pub name: String,
     /// The region that coordinates changes of all regions.
     pub coordinator: String,
@@ -139,9 +139,9 @@
 /// The state of a change of all regions in the queried region.
 #[derive(Clone, Debug, Serialize)]
 pub struct AllRegionsChange {
-    /// Its identifier, which is the same in all regions.
+    /// The identifier of the change, which is the same in all regions.
     pub id: String,
-    /// Its generation in the queried region.
+    /// The generation of the change in the queried region.
     pub generation: u64,
     /// The region that coordinates it.
     pub coordinator: String,
@@ -154,7 +154,7 @@
 /// Another region in a change of all regions.
 #[derive(Clone, Debug, Serialize)]
 pub struct Participant {
-    /// Its name.
+    /// The name of the region.
     pub region: String,
     /// Whether it has voted that it is prepared.
     pub prepared: bool,
--- a/crates/config-tool/src/render.rs
+++ b/crates/config-tool/src/render.rs
@@ -8,7 +8,7 @@
 /// A rendered file.
 #[derive(Clone, Debug)]
 pub struct Rendered {
-    /// Its content.
+    /// The content of the file.
     pub text: String,
     /// The origin of each line in the description; `None` for lines without a specific origin.
     origins: Vec<Option<Location>>,
--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -23,10 +23,12 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The endpoints' behaviour, which doesn't depend on any file: paths that are unsafe, paths whose retries the endpoints
-/// deduplicate, and how long they remember a key.
+/// A path prefix under which the endpoints must not run a request twice. This and the following constants describe the
+/// endpoints and don't depend on any file.
 const UNSAFE_PATH: &str = "/cobro-mensual";
+/// A path prefix under which the endpoints deduplicate retries by their key.
 const KEYED_PATH: &str = "/registro-entrada";
+/// How long the endpoints remember a key.
 const KEY_WINDOW: Micros = 1_200_000;
 
 /// The deduplication group of each endpoint.
@@ -76,6 +78,7 @@
     max_retry_pause: Micros,
 }
 
+/// The clients of the applications, by application name.
 fn clients(set: &ConfigSet) -> HashMap<String, Client> {
     let client = |a: &badgerramp_config_tool::config_set::Application| {
         let contract = &a.contract.as_ref()?.1;
@@ -108,43 +111,43 @@
     );
     let mut executed: Vec<(Micros, u32)> = Vec::new();
     for _ in 0..=client.retries {
-        let Some((route, taken)) = config
+        let Some((route, matched)) = config
             .routes
             .find(&method, path, &headers)
             .expect("a normal form")
         else {
             return Ok(());
         };
-        let once = taken
+        let has_no_key = matched
             .key
             .as_ref()
             .is_none_or(|key| key.read(&headers).is_none());
         let is_keyed = matches!(
-            config.classes[taken.class].class.idempotency,
+            config.classes[matched.class].class.idempotency,
             badgerramp_decisions::Idempotency::Keyed { .. }
         );
-        let asked = world.now();
+        let sent_at = world.now();
         let call = world.ask(Request {
             route,
-            once: once && is_keyed,
+            once: has_no_key && is_keyed,
             told: None,
         });
-        world.run(asked + client.timeout);
+        world.run(sent_at + client.timeout);
         let Some((answer, at)) = world.call(call).answered else {
             return Err(format!(
                 "{method} {path}: no response before the client's timeout"
             ));
         };
-        assert!(at <= asked + client.timeout);
-        // Attempts that have not ended yet count too.
-        for tried in world.call(call).tried.iter().filter(|t| t.may_have_run()) {
-            let address = config.upstream.endpoints[tried.server.0 as usize].address;
+        assert!(at <= sent_at + client.timeout);
+        // Includes attempts that have ended after the response.
+        for attempt in world.call(call).tried.iter().filter(|t| t.may_have_run()) {
+            let address = config.upstream.endpoints[attempt.server.0 as usize].address;
             // An unknown address is a deduplication group of its own.
             let group = groups
                 .get(&address)
                 .copied()
                 .unwrap_or(u32::from(address.port()));
-            executed.push((tried.sent, group));
+            executed.push((attempt.sent, group));
         }
         let retry = answer == Answer::Refused
             || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
@@ -366,7 +369,7 @@
         1 | 2 => {
             let at = random.gen_range(0..=lines.len());
             let mut lines = lines;
-            lines.insert(at, LINES.choose(random).expect("some"));
+            lines.insert(at, LINES.choose(random).expect("not empty"));
             lines.join("\n") + "\n"
         }
         kind => {
@@ -380,9 +383,9 @@
                 .collect::<Vec<_>>();
             let pool = match (same_kind.choose(random), kind) {
                 (Some(pool), 3..=7) => pool,
-                _ => VALUES.choose(random).expect("some"),
+                _ => VALUES.choose(random).expect("not empty"),
             };
-            let new = pool.choose(random).expect("some");
+            let new = pool.choose(random).expect("not empty");
             format!("{}{new}{}", &text[..range.start], &text[range.end..])
         }
     }
@@ -446,7 +449,7 @@
         .applications
         .iter()
         .find(|a| a.name == "tableta")
-        .expect("it is there")
+        .expect("the application exists")
         .config;
     assert!(
         (0..20).any(|seed| run_client("tableta", config, (retrying, &groups), seed, 40).is_err()),
--- a/crates/config-tool/tests/tool.rs
+++ b/crates/config-tool/tests/tool.rs
@@ -127,30 +127,34 @@
 #[test]
 fn each_invalid_edit_is_reported_at_its_line_and_nothing_is_written() {
     assert!(INVALID_EDITS.len() >= 30);
-    for (what, apps, classes, code, words) in INVALID_EDITS {
+    for (case, apps_edit, classes_edit, code, line_part) in INVALID_EDITS {
         let folder = TempFolder::new();
-        let description = write_description(&folder, *apps, *classes);
-        let report = generate(&description).expect_err(what);
+        let description = write_description(&folder, *apps_edit, *classes_edit);
+        let report = generate(&description).expect_err(case);
         let line_text = |f: &badgerramp_config_tool::finding::Finding| {
             let (line, _) = report.line_and_column(&f.location);
             let (name, text) = &report.files[f.location.file];
             assert!(
                 name.ends_with("apps.toml") || name.ends_with("classes.toml"),
-                "{what}: reported in {name}"
+                "{case}: reported in {name}"
             );
             text.lines().nth(line - 1).unwrap_or_default().to_owned()
         };
         let found = report
             .findings
             .iter()
-            .any(|f| f.code == *code && line_text(f).contains(words));
-        assert!(found, "{what}: no {code} at {words:?}\n{}", report.human());
+            .any(|f| f.code == *code && line_text(f).contains(line_part));
+        assert!(
+            found,
+            "{case}: no {code} at {line_part:?}\n{}",
+            report.human()
+        );
         assert!(
             report
                 .findings
                 .iter()
                 .all(|f| !f.reason.is_empty() && !f.allowed.is_empty()),
-            "{what}"
+            "{case}"
         );
         let out = folder.0.join("out");
         let output = run(&[
@@ -159,8 +163,8 @@
             "--out",
             out.to_str().expect("a path"),
         ]);
-        assert_eq!(output.status.code(), Some(1), "{what}");
-        assert!(!out.exists(), "{what}: something was written");
+        assert_eq!(output.status.code(), Some(1), "{case}");
+        assert!(!out.exists(), "{case}: something was written");
     }
 }
 
--- a/crates/expr/src/build.rs
+++ b/crates/expr/src/build.rs
@@ -80,10 +80,10 @@
         expected_type: ExpectedType,
     ) -> Result<Id, Vec<ExpressionError>> {
         let mut errors = Vec::new();
-        let (id, kind) = self.compile(&mut errors, ast);
+        let (id, value_type) = self.compile(&mut errors, ast);
         let has_expected_type = match expected_type {
-            ExpectedType::Condition => kind == Type::required(BaseType::Bool),
-            ExpectedType::Text => kind.base == BaseType::Str,
+            ExpectedType::Condition => value_type == Type::required(BaseType::Bool),
+            ExpectedType::Text => value_type.base == BaseType::Str,
             ExpectedType::Any => true,
         };
         if errors.is_empty() && !has_expected_type {
@@ -93,7 +93,7 @@
             };
             errors.push(ExpressionError::new(
                 &ast.span,
-                format!("this is a {}", kind.display()),
+                format!("this is a {}", value_type.display()),
                 allowed,
             ));
         }
@@ -143,7 +143,7 @@
     }
 
     /// Adds a node to the arena, or finds the equal one.
-    fn intern(&mut self, node: Node, kind: Type) -> (Id, Type) {
+    fn intern(&mut self, node: Node, value_type: Type) -> (Id, Type) {
         if let Some(&id) = self.interned.get(&node) {
             return (id, self.program.types[id.0 as usize]);
         }
@@ -160,14 +160,14 @@
             .push(cost.max_steps().saturating_add(children_steps));
         program.node_costs.push(cost);
         program.sizes.push(size);
-        program.types.push(kind);
+        program.types.push(value_type);
         program.nodes.push(node.clone());
         self.interned.insert(node, id);
-        (id, kind)
+        (id, value_type)
     }
 
     /// Interns a node after constant folding: a node whose operands are all literals is evaluated now.
-    fn fold(&mut self, node: Node, kind: Type) -> (Id, Type) {
+    fn fold(&mut self, node: Node, value_type: Type) -> (Id, Type) {
         let is_literal = |id: &Id| self.program.is_literal(*id);
         let children = node.children();
         let simplified = match &node {
@@ -193,14 +193,14 @@
         };
         match simplified {
             Some(Ok(id)) => return (id, self.program.types[id.0 as usize]),
-            Some(Err(value)) => return self.intern(Node::Bool(value), kind),
+            Some(Err(value)) => return self.intern(Node::Bool(value), value_type),
             None => {}
         }
         // An optional value is not folded, because it would lose its type.
-        if kind.optional || children.is_empty() || !children.iter().all(is_literal) {
-            return self.intern(node, kind);
+        if value_type.optional || children.is_empty() || !children.iter().all(is_literal) {
+            return self.intern(node, value_type);
         }
-        let (id, _) = self.intern(node, kind);
+        let (id, _) = self.intern(node, value_type);
         let (method, headers) = (http::Method::GET, http::HeaderMap::new());
         let head = Head {
             method: &method,
@@ -219,8 +219,8 @@
             _ => None,
         };
         match folded {
-            Some(node) => self.intern(node, kind),
-            None => (id, kind),
+            Some(node) => self.intern(node, value_type),
+            None => (id, value_type),
         }
     }
 
@@ -284,15 +284,15 @@
             }
             AstKind::Binary(operator, a, b) => self.compile_binary(errors, ast, *operator, a, b),
             AstKind::Default(a, b) => {
-                let (left, kind) = self.compile(errors, a);
+                let (left, value_type) = self.compile(errors, a);
                 let (right, other) = self.compile(errors, b);
-                if kind.base == BaseType::Unknown || other.base == BaseType::Unknown {
+                if value_type.base == BaseType::Unknown || other.base == BaseType::Unknown {
                     return self.unknown();
                 }
-                if !kind.optional {
+                if !value_type.optional {
                     let reason = format!(
                         "this is a {}, which is never absent: '??' has no effect",
-                        kind.display()
+                        value_type.display()
                     );
                     errors.push(ExpressionError::new(
                         &a.span,
@@ -301,16 +301,16 @@
                     ));
                     return self.unknown();
                 }
-                if kind.base != other.base {
+                if value_type.base != other.base {
                     let reason = format!(
                         "the default is a {}, not a {}",
                         other.display(),
-                        Type::required(kind.base).display()
+                        Type::required(value_type.base).display()
                     );
                     errors.push(ExpressionError::new(
                         &b.span,
                         reason,
-                        Type::required(kind.base).display(),
+                        Type::required(value_type.base).display(),
                     ));
                     return self.unknown();
                 }
@@ -328,17 +328,17 @@
 
     /// Compiles an operand that has to be a bool.
     fn compile_bool(&mut self, errors: &mut Vec<ExpressionError>, ast: &Ast) -> Id {
-        let (id, kind) = self.compile(errors, ast);
-        if kind != Type::required(BaseType::Bool) && kind.base != BaseType::Unknown {
-            let allowed = match kind.base {
-                BaseType::Str if kind.optional => {
+        let (id, value_type) = self.compile(errors, ast);
+        if value_type != Type::required(BaseType::Bool) && value_type.base != BaseType::Unknown {
+            let allowed = match value_type.base {
+                BaseType::Str if value_type.optional => {
                     "a bool: present(...), or a comparison with a default: (... ?? \"\") == \"x\""
                 }
                 _ => "a bool: a comparison, present(...)",
             };
             errors.push(ExpressionError::new(
                 &ast.span,
-                format!("this is a {}, not a bool", kind.display()),
+                format!("this is a {}, not a bool", value_type.display()),
                 allowed,
             ));
         }
@@ -352,20 +352,20 @@
         ast: &Ast,
         base: BaseType,
     ) -> Option<Id> {
-        let (id, kind) = self.compile(errors, ast);
-        if kind.base == BaseType::Unknown {
+        let (id, value_type) = self.compile(errors, ast);
+        if value_type.base == BaseType::Unknown {
             return None;
         }
-        if kind.base != base {
+        if value_type.base != base {
             let (reason, allowed) = (
-                format!("this is a {}", kind.display()),
+                format!("this is a {}", value_type.display()),
                 Type::required(base).display(),
             );
             errors.push(ExpressionError::new(&ast.span, reason, allowed));
             return None;
         }
-        if kind.optional {
-            errors.push(absent_error(ast, kind));
+        if value_type.optional {
+            errors.push(absent_error(ast, value_type));
             return None;
         }
         Some(id)
@@ -377,7 +377,7 @@
         ast: &Ast,
         name: &str,
     ) -> (Id, Type) {
-        let (node, kind) = match name {
+        let (node, value_type) = match name {
             "method" => (Node::Method, Type::required(BaseType::Str)),
             "path" => (Node::Path, Type::required(BaseType::Str)),
             "segments" => (Node::Segments, Type::required(BaseType::List)),
@@ -402,7 +402,7 @@
                 return self.unknown();
             }
         };
-        self.intern(node, kind)
+        self.intern(node, value_type)
     }
 
     fn compile_index(
@@ -450,7 +450,7 @@
             }
         };
         match found {
-            Some((node, kind)) => self.intern(node, kind),
+            Some((node, value_type)) => self.intern(node, value_type),
             None => self.unknown(),
         }
     }
@@ -483,9 +483,10 @@
         }
         let node = match name {
             "present" => {
-                let (id, kind) = self.compile(errors, &arguments[0]);
-                if kind.base != BaseType::Unknown && !kind.optional {
-                    let reason = format!("this is a {}, which is never absent", kind.display());
+                let (id, value_type) = self.compile(errors, &arguments[0]);
+                if value_type.base != BaseType::Unknown && !value_type.optional {
+                    let reason =
+                        format!("this is a {}, which is never absent", value_type.display());
                     errors.push(ExpressionError::new(
                         &arguments[0].span,
                         reason,
@@ -510,23 +511,23 @@
                 Type::optional(BaseType::Int),
             ),
             "len" => {
-                let (id, kind) = self.compile(errors, &arguments[0]);
+                let (id, value_type) = self.compile(errors, &arguments[0]);
                 let has_length = [
                     BaseType::Str,
                     BaseType::Bytes,
                     BaseType::List,
                     BaseType::Unknown,
                 ]
-                .contains(&kind.base);
+                .contains(&value_type.base);
                 if !has_length {
-                    let reason = format!("this is a {}", kind.display());
+                    let reason = format!("this is a {}", value_type.display());
                     errors.push(ExpressionError::new(
                         &arguments[0].span,
                         reason,
                         "a string, bytes or a list",
                     ));
-                } else if kind.optional {
-                    errors.push(absent_error(&arguments[0], kind));
+                } else if value_type.optional {
+                    errors.push(absent_error(&arguments[0], value_type));
                 }
                 (Some(Node::Len(id)), Type::required(BaseType::Int))
             }
@@ -569,16 +570,17 @@
                 let mut ids = Vec::new();
                 let mut optional = false;
                 for argument in arguments {
-                    let (id, kind) = self.compile(errors, argument);
-                    if ![BaseType::Str, BaseType::Int, BaseType::Unknown].contains(&kind.base) {
-                        let reason = format!("this is a {}", kind.display());
+                    let (id, value_type) = self.compile(errors, argument);
+                    if ![BaseType::Str, BaseType::Int, BaseType::Unknown].contains(&value_type.base)
+                    {
+                        let reason = format!("this is a {}", value_type.display());
                         errors.push(ExpressionError::new(
                             &argument.span,
                             reason,
                             "a string or an int",
                         ));
                     }
-                    optional |= kind.optional;
+                    optional |= value_type.optional;
                     ids.push(id);
                 }
                 (
@@ -591,7 +593,7 @@
             }
         };
         match node {
-            (Some(node), kind) if errors.is_empty() => self.fold(node, kind),
+            (Some(node), value_type) if errors.is_empty() => self.fold(node, value_type),
             _ => self.unknown(),
         }
     }
@@ -652,8 +654,8 @@
                 text.zip(pattern).map(|(t, p)| Node::Matches(t, p))
             }
             Operator::StartsWith | Operator::EndsWith | Operator::Contains => {
-                let (left, kind) = self.compile(errors, a);
-                if operator == Operator::Contains && kind == Type::required(BaseType::List) {
+                let (left, value_type) = self.compile(errors, a);
+                if operator == Operator::Contains && value_type == Type::required(BaseType::List) {
                     let inner = self.compile_required(errors, b, BaseType::Str);
                     inner.map(|inner| Node::InList(inner, left))
                 } else {
@@ -685,23 +687,23 @@
         b: &Ast,
     ) -> (Id, Type) {
         let bool_type = Type::required(BaseType::Bool);
-        let (left, kind) = self.compile(errors, a);
+        let (left, value_type) = self.compile(errors, a);
         let (right, other) = self.compile(errors, b);
-        if kind.base == BaseType::Unknown || other.base == BaseType::Unknown {
+        if value_type.base == BaseType::Unknown || other.base == BaseType::Unknown {
             return self.unknown();
         }
         let before = errors.len();
-        for (side, kind) in [(a, kind), (b, other)] {
-            if kind.optional {
-                errors.push(absent_error(side, kind));
+        for (side, value_type) in [(a, value_type), (b, other)] {
+            if value_type.optional {
+                errors.push(absent_error(side, value_type));
             }
         }
         let needs_order = !matches!(operator, Operator::Equal | Operator::Unequal);
         let ordered_types = [BaseType::Int, BaseType::Duration];
-        if kind.base != other.base {
+        if value_type.base != other.base {
             let reason = format!(
                 "a {} is compared with a {}",
-                kind.display(),
+                value_type.display(),
                 other.display()
             );
             errors.push(ExpressionError::new(
@@ -709,14 +711,14 @@
                 reason,
                 "two values of one type; int(...) reads a number",
             ));
-        } else if needs_order && !ordered_types.contains(&kind.base) {
-            let reason = format!("values of type {} have no order", kind.display());
+        } else if needs_order && !ordered_types.contains(&value_type.base) {
+            let reason = format!("values of type {} have no order", value_type.display());
             errors.push(ExpressionError::new(
                 &ast.span,
                 reason,
                 "ints or durations; == and != for others",
             ));
-        } else if kind.base == BaseType::List {
+        } else if value_type.base == BaseType::List {
             errors.push(ExpressionError::new(
                 &ast.span,
                 "lists can't be compared",
@@ -754,12 +756,12 @@
 
     fn compile_in(&mut self, errors: &mut Vec<ExpressionError>, a: &Ast, b: &Ast) -> (Id, Type) {
         let bool_type = Type::required(BaseType::Bool);
-        let (left, kind) = self.compile(errors, a);
-        if kind.base == BaseType::Unknown {
+        let (left, value_type) = self.compile(errors, a);
+        if value_type.base == BaseType::Unknown {
             return self.unknown();
         }
-        if kind.optional {
-            errors.push(absent_error(a, kind));
+        if value_type.optional {
+            errors.push(absent_error(a, value_type));
             return self.unknown();
         }
         let before = errors.len();
@@ -767,15 +769,15 @@
         let single = std::slice::from_ref(b);
         let list = match &b.kind {
             AstKind::List(elements) => elements.as_slice(),
-            AstKind::Str(_) if kind.base == BaseType::Ip => single,
+            AstKind::Str(_) if value_type.base == BaseType::Ip => single,
             _ => {
                 let Some(list) = self.compile_required(errors, b, BaseType::List) else {
                     return self.unknown();
                 };
-                if kind.base != BaseType::Str {
+                if value_type.base != BaseType::Str {
                     let reason = format!(
                         "a {} can't be an element of a list of strings",
-                        kind.display()
+                        value_type.display()
                     );
                     errors.push(ExpressionError::new(&a.span, reason, "string"));
                     return self.unknown();
@@ -797,7 +799,7 @@
                 allowed,
             ));
         };
-        let node = match kind.base {
+        let node = match value_type.base {
             BaseType::Str => {
                 let mut strings: Vec<Box<str>> = Vec::new();
                 for element in list {
@@ -843,7 +845,7 @@
                 Node::InNetworks(left, networks.into())
             }
             _ => {
-                let reason = format!("a {} can't be an element of a list", kind.display());
+                let reason = format!("a {} can't be an element of a list", value_type.display());
                 errors.push(ExpressionError::new(
                     &a.span,
                     reason,
@@ -913,14 +915,14 @@
 }
 
 impl Id {
-    fn with_type(self, kind: Type) -> (Id, Type) {
-        (self, kind)
+    fn with_type(self, value_type: Type) -> (Id, Type) {
+        (self, value_type)
     }
 }
 
 /// The error for an optional value where a required one is needed.
-fn absent_error(ast: &Ast, kind: Type) -> ExpressionError {
-    let default = match kind.base {
+fn absent_error(ast: &Ast, value_type: Type) -> ExpressionError {
+    let default = match value_type.base {
         BaseType::Int => "?? 0",
         BaseType::Duration => "?? 0ms",
         _ => "?? \"\"",
--- a/crates/expr/src/parse.rs
+++ b/crates/expr/src/parse.rs
@@ -17,7 +17,7 @@
 #[logos(skip r"[ \t\r\n]+")]
 enum Token {
     #[regex(r"[A-Za-z_][A-Za-z0-9_]*")]
-    Word,
+    Name,
     #[regex(r"-?[0-9]+")]
     Int,
     #[regex(r"[0-9]+(us|ms|s|min)")]
@@ -41,13 +41,13 @@
     #[token("??")]
     Default,
     #[token("(")]
-    Open,
+    OpenParen,
     #[token(")")]
-    Close,
+    CloseParen,
     #[token("[")]
-    OpenList,
+    OpenBracket,
     #[token("]")]
-    CloseList,
+    CloseBracket,
     #[token(",")]
     Comma,
 }
@@ -137,7 +137,7 @@
 
     fn current_word(&self) -> Option<&str> {
         match self.tokens.get(self.position) {
-            Some((Token::Word, span)) => Some(&self.text[span.clone()]),
+            Some((Token::Name, span)) => Some(&self.text[span.clone()]),
             _ => None,
         }
     }
@@ -212,7 +212,7 @@
             Token::LessEqual => Operator::LessEqual,
             Token::Greater => Operator::Greater,
             Token::GreaterEqual => Operator::GreaterEqual,
-            Token::Word => match self.current_word()? {
+            Token::Name => match self.current_word()? {
                 "in" => Operator::In,
                 "starts_with" => Operator::StartsWith,
                 "ends_with" => Operator::EndsWith,
@@ -332,27 +332,27 @@
                     }
                 }
             }
-            Token::Open => {
+            Token::OpenParen => {
                 self.position += 1;
                 self.depth += 1;
                 let mut inner = self.parse_or();
                 self.depth -= 1;
-                self.expect(Token::Close, "')'");
+                self.expect(Token::CloseParen, "')'");
                 inner.span = span.start..self.previous_end();
                 inner
             }
-            Token::OpenList => {
+            Token::OpenBracket => {
                 self.position += 1;
                 self.depth += 1;
-                let elements = self.parse_list(Token::CloseList);
+                let elements = self.parse_list(Token::CloseBracket);
                 self.depth -= 1;
-                self.expect(Token::CloseList, "']'");
+                self.expect(Token::CloseBracket, "']'");
                 Ast {
                     kind: AstKind::List(elements),
                     span: span.start..self.previous_end(),
                 }
             }
-            Token::Word => {
+            Token::Name => {
                 let name = text.to_owned();
                 if [
                     "and",
@@ -378,21 +378,21 @@
                     "false" => return literal(AstKind::Bool(false)),
                     _ => {}
                 }
-                if self.accept(Token::Open) {
+                if self.accept(Token::OpenParen) {
                     self.depth += 1;
-                    let arguments = self.parse_list(Token::Close);
+                    let arguments = self.parse_list(Token::CloseParen);
                     self.depth -= 1;
-                    self.expect(Token::Close, "')'");
+                    self.expect(Token::CloseParen, "')'");
                     return Ast {
                         kind: AstKind::Call(name, arguments),
                         span: span.start..self.previous_end(),
                     };
                 }
-                if self.accept(Token::OpenList) {
+                if self.accept(Token::OpenBracket) {
                     self.depth += 1;
                     let index = self.parse_or();
                     self.depth -= 1;
-                    self.expect(Token::CloseList, "']'");
+                    self.expect(Token::CloseBracket, "']'");
                     return Ast {
                         kind: AstKind::Index(name, Box::new(index)),
                         span: span.start..self.previous_end(),
@@ -407,7 +407,10 @@
                     "a name, a string or a number",
                 );
                 // Closing tokens and commas are left for the enclosing expression.
-                if !matches!(token, Token::Close | Token::CloseList | Token::Comma) {
+                if !matches!(
+                    token,
+                    Token::CloseParen | Token::CloseBracket | Token::Comma
+                ) {
                     self.position += 1;
                 }
                 unknown
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -312,10 +312,10 @@
                 (fixed_cost(1), fixed_size(1))
             }
             Node::Default(a, b) => {
-                let mut either = size(a).clone();
-                either.fixed_bytes = either.fixed_bytes.max(size(b).fixed_bytes);
-                either.headers.extend(size(b).headers.iter().cloned());
-                (fixed_cost(1), either)
+                let mut default_size = size(a).clone();
+                default_size.fixed_bytes = default_size.fixed_bytes.max(size(b).fixed_bytes);
+                default_size.headers.extend(size(b).headers.iter().cloned());
+                (fixed_cost(1), default_size)
             }
             Node::Equal(a, b) | Node::StartsWith(a, b) | Node::EndsWith(a, b) => {
                 (shorter_cost(a, b), fixed_size(1))
--- a/crates/expr/src/witness.rs
+++ b/crates/expr/src/witness.rs
@@ -9,13 +9,13 @@
 /// A request that [`find_common_request`] has built.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExampleRequest {
-    /// Its method.
+    /// The method of the request.
     pub method: Method,
-    /// Its path.
+    /// The path of the request.
     pub path: String,
-    /// Its query.
+    /// The query of the request.
     pub query: String,
-    /// Its headers.
+    /// The headers of the request.
     pub headers: HeaderMap,
 }
 
