--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -1,7 +1,9 @@
 //! Two regions whose replicas run as processes: a cross-region change comes into force in both regions or in none, even if
 //! the links between them are cut at any of its steps.
 
-use badgerramp_config_tool::fleet::{At, Control, Done, Outcome, Scope, Standing};
+use badgerramp_config_tool::fleet::{
+    ControlArgs, ControlClient, FleetStatus, Outcome, PublishResult, Scope,
+};
 use badgerramp_control_protocol::wire::{self, rejection, reply, request};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
 use badgerramp_fault_injection::link::{Forwarding, Link};
@@ -383,14 +385,14 @@
     }
 }
 
-async fn publish(mut control: Control, scope: Scope, number: u64) -> Done {
+async fn publish(mut control: ControlClient, scope: Scope, number: u64) -> PublishResult {
     if scope == Scope::All {
         assert_eq!(
-            control.go_to_coordinator().await.expect("a coordinator"),
+            control.use_coordinator().await.expect("a coordinator"),
             "norte"
         );
     }
-    let revision = control.standing().await.expect("a status").revision;
+    let revision = control.status().await.expect("a status").revision;
     control
         .publish_for(scope, &files(number), revision, |_| {})
         .await
@@ -438,7 +440,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .wait_until(SUR, "second policy", |status| status.in_force == Some(2))
@@ -461,7 +463,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     assert_eq!(cluster.status(SUR).await.in_force, Some(3));
     assert_eq!(cluster.status(NORTE).await.in_force, Some(2));
@@ -470,7 +472,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     // Generations are numbered per region; a cross-region change has the same identifier in both regions.
     let (norte, sur) = (cluster.status(NORTE).await, cluster.status(SUR).await);
@@ -488,7 +490,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .wait_until(SUR, "fourth policy", |status| status.in_force == Some(4))
@@ -518,7 +520,7 @@
             (done.outcome, done.generation),
             (Outcome::InForce, Some(generation)),
             "{}",
-            done.why
+            done.reason
         );
     }
     cluster.heal();
@@ -589,7 +591,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
     cluster.restart(SUR).await;
     assert!(is_pending(&cluster.status(SUR).await), "the vote is stored");
@@ -607,7 +609,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
 }
 
@@ -817,7 +819,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(2)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .wait_until(SUR, "decision", |status| status.in_force == Some(2))
@@ -871,7 +873,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(3)),
         "{}",
-        done.why
+        done.reason
     );
 }
 
@@ -897,7 +899,7 @@
         (done.outcome, done.generation),
         (Outcome::InForce, Some(4)),
         "{}",
-        done.why
+        done.reason
     );
     cluster
         .wait_until(SUR, "the first policy", |status| status.in_force == Some(1))
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -1,7 +1,7 @@
 //! Replicas that run as processes: acknowledged changes survive kills, and unusable stores and invalid requests are
 //! rejected without any effect.
 
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_control_plane::store::{Store, StoreError};
 use badgerramp_control_protocol::wire::{rejection, reply, request, Publish, StatusRequest};
 use badgerramp_control_protocol::{Client, ClientError, SharedSecret};
@@ -93,9 +93,9 @@
         self.links.iter().map(|link| link.address).collect()
     }
 
-    fn control(&self) -> Control {
+    fn control(&self) -> ControlClient {
         let secret = self.folder.path().join("secret");
-        Control::new(&At {
+        ControlClient::new(&ControlArgs {
             control: self.addresses(),
             secret,
             timeout: TIMEOUT.as_secs(),
@@ -119,7 +119,7 @@
     for number in 1..=3 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
@@ -166,7 +166,7 @@
     for round in 0..12_u64 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
@@ -199,7 +199,7 @@
                 change.outcome == "in force",
                 done.outcome == Outcome::InForce,
                 "{}",
-                done.why
+                done.reason
             );
             last_acknowledged = generation;
         }
@@ -278,7 +278,7 @@
     for number in 1..=3 {
         let revision = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("a status")
             .revision;
@@ -286,7 +286,7 @@
             .control()
             .publish(&files(number), revision, |_| {})
             .await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
     }
     replicas.processes[0].kill().await;
     let path = replicas.folder.path().join("store-1");
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -367,8 +367,8 @@
         })
     }
 
-    fn control(&self) -> Result<Control, String> {
-        Control::new(&At {
+    fn control(&self) -> Result<ControlClient, String> {
+        ControlClient::new(&ControlArgs {
             control: self.replicas.links.iter().map(|l| l.address).collect(),
             secret: self.folder.path().join("secret"),
             timeout: WAIT_TIMEOUT.as_secs(),
@@ -519,7 +519,7 @@
             let settled_count = standing
                 .proxies
                 .iter()
-                .filter(|p| p.acting == standing.revision)
+                .filter(|p| p.active_revision == standing.revision)
                 .count();
             if settled_count >= self.proxies.len() && standing.to_come.is_none() {
                 return Ok(());
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -198,9 +198,9 @@
 fn change(generation: u64, outcome: &'static str, id: &str) -> Change {
     Change {
         generation,
-        from: 1,
+        previous_generation: 1,
         outcome,
-        why: String::new(),
+        reason: String::new(),
         all_regions: Some(id.to_owned()),
     }
 }
--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -1,7 +1,7 @@
 //! Sidecars with the files that the configuration tool writes: each starts on loopback and serves its own classes only.
 #![expect(clippy::too_many_lines, reason = "a test is one sequence of events")]
 
-use badgerramp_config_tool::commands::compose;
+use badgerramp_config_tool::commands::generate;
 use badgerramp_testkit::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_badgerramp");
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The program with `[policy]` and a replica of the control plane: which calls it admits, and what its copy on disk is good
 //! for.
 
-use badgerramp_config_tool::fleet::{At, Control, Done, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome, PublishResult};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
@@ -120,14 +120,14 @@
 
     fn control_address(&self) -> At {
         let secret = self.folder.path().join("secret");
-        At {
+        ControlArgs {
             control: vec![self.replica.address],
             secret,
             timeout: 20,
         }
     }
 
-    fn publish(&self, application: &str, path: &str) -> Done {
+    fn publish(&self, application: &str, path: &str) -> PublishResult {
         let files = HashMap::from([(application.to_owned(), self.file("any", path, "refuse"))]);
         with_control(&self.control_address(), async |control| {
             let revision = control.standing().await.expect("a status").revision;
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -1,6 +1,6 @@
 //! A proxy that moves to the control plane of another region must not use its copy of the old region's policy.
 
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::SharedSecret;
