--- a/crates/config-tool/tests/mutation.rs
+++ b/crates/config-tool/tests/mutation.rs
@@ -126,33 +126,33 @@
             config.classes[matched.class].class.idempotency,
             badgerramp_decisions::Idempotency::Keyed { .. }
         );
-        let asked = world.now();
+        let sent_at = world.now();
         let call = world.request(Request {
             route,
-            key_missing: once && guarded,
+            key_missing: has_no_key && is_keyed,
             client_timeout: None,
         });
-        world.run_until(asked + client.waits);
+        world.run_until(sent_at + client.timeout);
         let Some((answer, at)) = world.call(call).answered else {
             return Err(format!(
                 "{method} {path}: no response before the client's timeout"
             ));
         };
-        assert!(at <= asked + client.waits);
-        // Late ends of its attempts come in, too.
-        for tried in world
+        assert!(at <= sent_at + client.timeout);
+        // Includes attempts that have ended after the response.
+        for attempt in world
             .call(call)
             .attempts
             .iter()
             .filter(|t| t.may_have_executed())
         {
-            let address = config.upstream.endpoints[tried.endpoint.0 as usize].address;
-            // What listens elsewhere drops no repeats of anybody's.
+            let address = config.upstream.endpoints[attempt.endpoint.0 as usize].address;
+            // An unknown address is a deduplication group of its own.
             let group = groups
                 .get(&address)
                 .copied()
                 .unwrap_or(u32::from(address.port()));
-            executed.push((tried.sent_at, group));
+            executed.push((attempt.sent_at, group));
         }
         let retry = answer == Answer::Refused
             || answer == Answer::Failed && client.retry_on == RetryOn::Failed;
--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -191,11 +191,11 @@
         let folder = Folder::new(&format!("regions-{name}")).expect("a folder");
         let cluster = Cluster::start(folder, count, wait_ms).await;
         let done = cluster.publish(NORTE, Scope::All, 1).await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
         for region_index in [NORTE, SUR] {
             cluster
                 .wait_until(region_index, "the first policy", |status| {
-                    status.in_force == Some(1) && status.to_come.is_none()
+                    status.in_force == Some(1) && status.pending_generation.is_none()
                 })
                 .await;
         }
@@ -223,10 +223,10 @@
             .collect()
     }
 
-    fn control(&self, region_index: usize) -> Control {
+    fn control(&self, region_index: usize) -> ControlClient {
         let secret = self.folder.path().join("secret");
         let control = self.addresses(region_index);
-        Control::new(&At {
+        ControlClient::new(&ControlArgs {
             control,
             secret,
             timeout: TIMEOUT.as_secs(),
@@ -239,11 +239,8 @@
         Client::new(self.addresses(region_index), secret, Duration::from_secs(5))
     }
 
-    async fn status(&self, region_index: usize) -> Standing {
-        self.control(region_index)
-            .standing()
-            .await
-            .expect("a status")
+    async fn status(&self, region_index: usize) -> FleetStatus {
+        self.control(region_index).status().await.expect("a status")
     }
 
     /// Waits until the status of a region satisfies a condition, and returns that status.
@@ -251,8 +248,8 @@
         &self,
         region_index: usize,
         awaited: &str,
-        condition: impl Fn(&Standing) -> bool,
-    ) -> Standing {
+        condition: impl Fn(&FleetStatus) -> bool,
+    ) -> FleetStatus {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let status = self.status(region_index).await;
@@ -269,12 +266,17 @@
     }
 
     /// Publishes as the tool does, through the control plane of this region.
-    async fn publish(&self, region_index: usize, scope: Scope, number: u64) -> Done {
+    async fn publish(&self, region_index: usize, scope: Scope, number: u64) -> PublishResult {
         publish(self.control(region_index), scope, number).await
     }
 
     /// Publishes in a background task.
-    fn spawn_publish(&self, region_index: usize, scope: Scope, number: u64) -> JoinHandle<Done> {
+    fn spawn_publish(
+        &self,
+        region_index: usize,
+        scope: Scope,
+        number: u64,
+    ) -> JoinHandle<PublishResult> {
         tokio::spawn(publish(self.control(region_index), scope, number))
     }
 
@@ -423,11 +425,11 @@
 }
 
 /// Returns the cross-region change in the status of a region.
-fn change(status: &Standing) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
+fn change(status: &FleetStatus) -> Option<&badgerramp_config_tool::fleet::AllRegionsChange> {
     status.region.as_ref()?.change.as_ref()
 }
 
-fn has_voted(status: &Standing) -> bool {
+fn has_voted(status: &FleetStatus) -> bool {
     change(status).is_some_and(|change| change.voted)
 }
 
@@ -476,7 +478,7 @@
     );
     // Generations are numbered per region; a cross-region change has the same identifier in both regions.
     let (norte, sur) = (cluster.status(NORTE).await, cluster.status(SUR).await);
-    let ids = |status: &Standing| {
+    let ids = |status: &FleetStatus| {
         status
             .changes
             .iter()
@@ -503,11 +505,11 @@
     cluster.partition();
     let done = cluster.publish(NORTE, Scope::All, 2).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "timed out without the vote of region sur");
+    assert_eq!(done.reason, "timed out without the vote of region sur");
     for region_index in [NORTE, SUR] {
         let status = cluster.status(region_index).await;
         assert_eq!(
-            (status.in_force, status.to_come),
+            (status.in_force, status.pending_generation),
             (Some(1), None),
             "{}",
             REGION_NAMES[region_index]
@@ -558,9 +560,9 @@
     cluster.wait_until(SUR, "vote", has_voted).await;
     let done = publish_task.await.expect("the publish task ends");
     assert_eq!(done.outcome, Outcome::NotInForce);
-    assert_eq!(done.why, "timed out without the vote of region sur");
-    let is_pending = |status: &Standing| {
-        status.in_force == Some(1) && status.to_come == Some(2) && has_voted(status)
+    assert_eq!(done.reason, "timed out without the vote of region sur");
+    let is_pending = |status: &FleetStatus| {
+        status.in_force == Some(1) && status.pending_generation == Some(2) && has_voted(status)
     };
     assert!(is_pending(&cluster.status(SUR).await));
     // The participant can neither abort the change nor start another one.
@@ -597,7 +599,9 @@
     assert!(is_pending(&cluster.status(SUR).await), "the vote is stored");
     cluster.heal();
     let status = cluster
-        .wait_until(SUR, "decision", |status| status.to_come.is_none())
+        .wait_until(SUR, "decision", |status| {
+            status.pending_generation.is_none()
+        })
         .await;
     assert_eq!(status.in_force, Some(1));
     assert_eq!(
@@ -623,8 +627,8 @@
     cluster.restart(SUR).await;
     cluster.restart(NORTE).await;
     let (norte, sur) = (cluster.status(NORTE).await, cluster.status(SUR).await);
-    assert_eq!((norte.in_force, norte.to_come), (Some(2), None));
-    assert_eq!((sur.in_force, sur.to_come), (Some(1), Some(2)));
+    assert_eq!((norte.in_force, norte.pending_generation), (Some(2), None));
+    assert_eq!((sur.in_force, sur.pending_generation), (Some(1), Some(2)));
     // No further cross-region change can start until the other region has acknowledged the commit.
     let publish = request::Kind::PublishAllRegions(wire::Publish {
         files: files(3),
@@ -639,7 +643,9 @@
     );
     cluster.heal();
     let sur = cluster
-        .wait_until(SUR, "decision", |status| status.to_come.is_none())
+        .wait_until(SUR, "decision", |status| {
+            status.pending_generation.is_none()
+        })
         .await;
     assert_eq!(sur.in_force, Some(2));
     assert_eq!(
@@ -662,12 +668,14 @@
     cluster.lease(SUR, 1, 0).await;
     let publish_task = cluster.spawn_publish(SUR, Scope::Region, 2);
     cluster
-        .wait_until(SUR, "local change", |status| status.to_come == Some(2))
+        .wait_until(SUR, "local change", |status| {
+            status.pending_generation == Some(2)
+        })
         .await;
     let done = cluster.publish(NORTE, Scope::All, 3).await;
     assert_eq!(done.outcome, Outcome::NotInForce);
     assert_eq!(
-        done.why,
+        done.reason,
         "region sur rejected the change: the change to generation 2 is pending there"
     );
     let revision = cluster.status(SUR).await.revision;
@@ -762,7 +770,7 @@
     ));
     let status = cluster
         .wait_until(SUR, "aborted change", |status| {
-            status.changes.len() == 2 && status.to_come.is_none()
+            status.changes.len() == 2 && status.pending_generation.is_none()
         })
         .await;
     assert_eq!(
@@ -773,10 +781,10 @@
 
 /// Publishes a cross-region change that only waits for a proxy of the coordinating region: the other region has voted.
 /// Returns the publish task and the revision of the coordinator's transition.
-async fn publish_blocked_by_a_proxy(cluster: &Cluster) -> (JoinHandle<Done>, u64) {
+async fn publish_blocked_by_a_proxy(cluster: &Cluster) -> (JoinHandle<PublishResult>, u64) {
     cluster.lease(NORTE, 1, 0).await;
     let publish_task = cluster.spawn_publish(NORTE, Scope::All, 2);
-    let has_all_votes = |status: &Standing| {
+    let has_all_votes = |status: &FleetStatus| {
         change(status).is_some_and(|change| {
             change
                 .participants
@@ -798,7 +806,7 @@
     cluster.partition();
     cluster.lease(NORTE, 2, transition_revision).await;
     let done = publish_task.await.expect("the publish task ends");
-    assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
+    assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
     assert!(has_voted(&cluster.status(SUR).await));
     cluster
 }
@@ -858,7 +866,7 @@
     cluster.remove_other_region(SUR);
     cluster.restart(SUR).await;
     assert_eq!(
-        cluster.status(SUR).await.to_come,
+        cluster.status(SUR).await.pending_generation,
         Some(2),
         "the change stays pending until an operator aborts it"
     );
@@ -867,7 +875,10 @@
         Ok(2)
     );
     let status = cluster.status(SUR).await;
-    assert_eq!((status.in_force, status.to_come), (Some(1), None));
+    assert_eq!(
+        (status.in_force, status.pending_generation),
+        (Some(1), None)
+    );
     let done = cluster.publish(SUR, Scope::Region, 3).await;
     assert_eq!(
         (done.outcome, done.generation),
--- a/crates/control-plane/tests/replica.rs
+++ b/crates/control-plane/tests/replica.rs
@@ -127,13 +127,8 @@
             .control()
             .publish(&files(number), revision, |_| {})
             .await;
-        assert_eq!(done.outcome, Outcome::InForce, "{}", done.why);
-        let leader = replicas
-            .control()
-            .standing()
-            .await
-            .expect("a status")
-            .leader;
+        assert_eq!(done.outcome, Outcome::InForce, "{}", done.reason);
+        let leader = replicas.control().status().await.expect("a status").leader;
         let leader_index = replicas
             .links
             .iter()
@@ -143,7 +138,7 @@
         replicas.process_addresses[leader_index].send_replace(None);
         let status = replicas
             .control()
-            .standing()
+            .status()
             .await
             .expect("the other replicas answer");
         assert_eq!(status.in_force, Some(number));
@@ -173,7 +168,7 @@
         let mut control = replicas.control();
         let publish = tokio::spawn(async move {
             let is_unchanged = control
-                .standing()
+                .status()
                 .await
                 .map(|status| status.revision == revision);
             assert!(is_unchanged.expect("a status"));
@@ -185,7 +180,7 @@
         replicas.restart(0).await;
         let done = publish.await.expect("the publish task ends");
         if let Some(generation) = done.generation {
-            let status = replicas.control().standing().await.expect("a status");
+            let status = replicas.control().status().await.expect("a status");
             let change = status
                 .changes
                 .iter()
@@ -243,7 +238,7 @@
             Ok(Ok(reply::Kind::ChangeStarted(_))) => {
                 // The next policy is published at the revision that results from this one.
                 let mut control = replicas.control();
-                match tokio::time::timeout(Duration::from_secs(10), control.standing()).await {
+                match tokio::time::timeout(Duration::from_secs(10), control.status()).await {
                     Ok(Ok(status)) => last_revision = status.revision,
                     _ => continue,
                 }
@@ -256,7 +251,7 @@
         "{exit_message}"
     );
     replicas.restart(0).await;
-    let status = replicas.control().standing().await.expect("a status");
+    let status = replicas.control().status().await.expect("a status");
     assert!(
         status.revision >= last_revision,
         "{} {last_revision}",
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -11,7 +11,7 @@
 use crate::now;
 use crate::process::{Folder, Process, ProcessSpec};
 use crate::schedule::{Fault, FaultSchedule, Kind};
-use badgerramp_config_tool::fleet::{At, Control, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
 use serde::Serialize;
@@ -386,7 +386,7 @@
         }
         let mut control = self.control()?;
         let started_at = std::time::Instant::now();
-        let standing = control.standing().await.map_err(|e| e.to_string())?;
+        let standing = control.status().await.map_err(|e| e.to_string())?;
         let files = HashMap::from([("caja".to_owned(), policy(keyed))]);
         let done = control.publish(&files, standing.revision, |_| {}).await;
         let record = PublishRecord {
@@ -394,7 +394,7 @@
             at: now(),
             in_force: done.outcome == Outcome::InForce,
             took_ms: u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
-            why: done.why,
+            why: done.reason,
         };
         Ok((record, done.outcome))
     }
@@ -515,13 +515,13 @@
         let end = Instant::now() + WAIT_TIMEOUT;
         let mut control = self.control()?;
         loop {
-            let standing = control.standing().await.map_err(|e| e.to_string())?;
+            let standing = control.status().await.map_err(|e| e.to_string())?;
             let settled_count = standing
                 .proxies
                 .iter()
                 .filter(|p| p.active_revision == standing.revision)
                 .count();
-            if settled_count >= self.proxies.len() && standing.to_come.is_none() {
+            if settled_count >= self.proxies.len() && standing.pending_generation.is_none() {
                 return Ok(());
             }
             if Instant::now() >= end {
--- a/crates/fault-injection/src/scale/fleet.rs
+++ b/crates/fault-injection/src/scale/fleet.rs
@@ -9,7 +9,7 @@
 use crate::hosts::Hosts;
 use crate::now;
 use crate::process::{Folder, Process, ProcessSpec};
-use badgerramp_config_tool::fleet::{At, Control};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient};
 use badgerramp_policy::Micros;
 use rustix::process::Signal;
 use std::collections::{HashMap, HashSet};
--- a/crates/proxy/tests/applications.rs
+++ b/crates/proxy/tests/applications.rs
@@ -27,7 +27,8 @@
     std::fs::create_dir_all(directory.join("shared")).expect("a folder");
     std::fs::write(directory.join("apps.toml"), apps).expect("a file");
     std::fs::write(directory.join("shared/classes.toml"), CLASSES).expect("a file");
-    let written = compose(&directory.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
+    let written =
+        generate(&directory.join("apps.toml")).unwrap_or_else(|r| panic!("{}", r.human()));
     let _ = std::fs::remove_dir_all(&directory);
     let cases = [
         (
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -118,7 +118,7 @@
         Proxy::sidecar(PROXY, &[], &self.file(name, "/own", cut_off))
     }
 
-    fn control_address(&self) -> At {
+    fn control_address(&self) -> ControlArgs {
         let secret = self.folder.path().join("secret");
         ControlArgs {
             control: vec![self.replica.address],
@@ -130,17 +130,17 @@
     fn publish(&self, application: &str, path: &str) -> PublishResult {
         let files = HashMap::from([(application.to_owned(), self.file("any", path, "refuse"))]);
         with_control(&self.control_address(), async |control| {
-            let revision = control.standing().await.expect("a status").revision;
+            let revision = control.status().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         })
     }
 }
 
-fn with_control<T>(address: &At, action: impl AsyncFnOnce(&mut Control) -> T) -> T {
+fn with_control<T>(address: &ControlArgs, action: impl AsyncFnOnce(&mut ControlClient) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let mut control = Control::new(address).expect("a secret");
+    let mut control = ControlClient::new(address).expect("a secret");
     runtime.expect("a runtime").block_on(action(&mut control))
 }
 
@@ -204,9 +204,9 @@
     let published = fixture.publish("otra", "/two");
     assert_eq!(published.outcome, Outcome::NotInForce);
     assert!(
-        published.why.contains("p-7") && published.why.contains("\"caja\""),
+        published.reason.contains("p-7") && published.reason.contains("\"caja\""),
         "{}",
-        published.why
+        published.reason
     );
     get_until_status(&proxy, "/one", "200");
     // The next change gets another generation number and comes into force.
@@ -239,9 +239,10 @@
     let published = fixture.publish("caja", "/two");
     assert_eq!(published.outcome, Outcome::NotInForce);
     assert!(
-        published.why.contains("\"entry\" of the floor") && published.why.contains("two steps"),
+        published.reason.contains("\"entry\" of the floor")
+            && published.reason.contains("two steps"),
         "{}",
-        published.why
+        published.reason
     );
     fixture.replica.shut_down();
     let started = Instant::now();
@@ -264,7 +265,7 @@
     get_until_status(&first, "/one", "200");
     get_until_status(&second, "/one", "200");
     let status = with_control(&fixture.control_address(), async |control| {
-        control.standing().await.expect("a status")
+        control.status().await.expect("a status")
     });
     assert_eq!(status.proxies.iter().filter(|p| p.name == "p").count(), 2);
     // The name alone does not identify one of them.
@@ -276,7 +277,7 @@
     let keep_proxy = status
         .proxies
         .iter()
-        .find(|p| p.cut_off == "keep")
+        .find(|p| p.on_lease_loss == "keep")
         .expect("the status lists the proxy");
     let incarnation = u64::from_str_radix(&keep_proxy.incarnation, 16).expect("a number");
     with_control(&fixture.control_address(), async |control| {
@@ -310,11 +311,11 @@
         });
     }
     drop(sender);
-    let results: Vec<Done> = receiver.iter().collect();
+    let results: Vec<PublishResult> = receiver.iter().collect();
     let generations: Vec<_> = results.iter().filter_map(|d| d.generation).collect();
     assert_eq!(generations, [2]);
     assert!(results
         .iter()
-        .any(|d| d.outcome == Outcome::NotInForce && !d.why.is_empty()));
+        .any(|d| d.outcome == Outcome::NotInForce && !d.reason.is_empty()));
     fixture.replica.shut_down();
 }
--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -49,25 +49,25 @@
     }
 
     fn publish(&self, secret: &Path, text: String) {
-        let control_address = At {
+        let control_address = ControlArgs {
             control: vec![self.address],
             secret: secret.to_owned(),
             timeout: EVENT_TIMEOUT.as_secs(),
         };
-        let mut control = Control::new(&control_address).expect("a secret");
+        let mut control = ControlClient::new(&control_address).expect("a secret");
         let files = HashMap::from([("caja".to_owned(), text)]);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         let published = runtime.expect("a runtime").block_on(async {
-            let revision = control.standing().await.expect("a status").revision;
+            let revision = control.status().await.expect("a status").revision;
             control.publish(&files, revision, |_| {}).await
         });
         assert_eq!(
             (published.outcome, published.generation),
             (Outcome::InForce, Some(1)),
             "{}",
-            published.why
+            published.reason
         );
     }
 }
