--- a/crates/simulator/src/bench.rs
+++ b/crates/simulator/src/bench.rs
@@ -1,7 +1,7 @@
 //! How fast scenarios are played, and in how much memory.
 
 use crate::generate;
-use crate::play::{virtually, Fault, Options};
+use crate::simulation::{run_in_virtual_time, RunOptions, SimulationError};
 use badgerramp_sim_model::{Effect, Hedging, Scenario};
 use std::sync::Arc;
 use std::time::Instant;
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// If one can't be played.
-pub fn speed(large: bool) -> Result<(), Fault> {
+pub fn speed(large: bool) -> Result<(), SimulationError> {
     println!(
         "{:<28}{:>10}{:>12}{:>16}{:>18}",
         "world", "requests", "seconds", "requests a s", "memory MiB, most"
@@ -91,11 +91,11 @@
     for world in worlds {
         let world = Arc::new(world);
         let began = Instant::now();
-        let course = virtually(
+        let course = run_in_virtual_time(
             &world,
-            Options {
+            RunOptions {
                 seed: 1,
-                ..Options::default()
+                ..RunOptions::default()
             },
         )?;
         let (took, total) = (began.elapsed().as_secs_f64(), course.total());
--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -52,14 +52,14 @@
 #[derive(Clone, Debug)]
 pub struct Counterexample {
     /// What broke.
-    pub what: String,
+    pub violation: String,
     /// The steps that lead there.
     pub steps: Vec<Step>,
 }
 
 /// What a check saw.
 #[derive(Clone, Debug, Default)]
-pub struct Checked {
+pub struct Exploration {
     /// Different states.
     pub states: usize,
     /// Steps taken between them.
@@ -67,9 +67,9 @@
     /// All orders to this depth were gone through.
     pub depth: usize,
     /// The bound of states was met before the depth was.
-    pub cut: bool,
+    pub truncated: bool,
     /// The first broken rule.
-    pub broken: Option<Counterexample>,
+    pub counterexample: Option<Counterexample>,
 }
 
 const DEADLINE: Micros = 1_000_000;
@@ -516,13 +516,13 @@
 }
 
 /// Goes through all orders, breadth first: the first counterexample is one of the shortest.
-pub fn check(world: &World) -> Checked {
-    let mut checked = Checked::default();
+pub fn check(world: &World) -> Exploration {
+    let mut checked = Exploration::default();
     let mut level = match Node::first(world) {
         Ok(node) => vec![node],
-        Err(what) => {
-            checked.broken = Some(Counterexample {
-                what,
+        Err(violation) => {
+            checked.counterexample = Some(Counterexample {
+                violation,
                 steps: Vec::new(),
             });
             return checked;
@@ -535,9 +535,9 @@
             for step in node.next(world) {
                 checked.steps += 1;
                 let mut after = node.clone();
-                if let Err(what) = after.take(world, step).and_then(|()| after.audit()) {
-                    checked.broken = Some(Counterexample {
-                        what,
+                if let Err(violation) = after.take(world, step).and_then(|()| after.audit()) {
+                    checked.counterexample = Some(Counterexample {
+                        violation,
                         steps: after.steps,
                     });
                     checked.states = seen.len();
@@ -548,12 +548,12 @@
                         next.push(after);
                     }
                 } else {
-                    checked.cut = true;
+                    checked.truncated = true;
                 }
             }
         }
         checked.states = seen.len();
-        if checked.cut {
+        if checked.truncated {
             break;
         }
         checked.depth = depth;
@@ -565,7 +565,7 @@
 /// A counterexample as a test that can be kept.
 pub fn as_test(world: &World, found: &Counterexample) -> String {
     let mut out = String::from("#[test]\nfn found_by_the_model_check() {\n");
-    let _ = writeln!(out, "    // {}", found.what);
+    let _ = writeln!(out, "    // {}", found.violation);
     let _ = writeln!(out, "    let world = {world:?};");
     let _ = writeln!(out, "    let steps = {:?};", found.steps);
     out + "    assert_eq!(badgerramp_simulator::check::replay(&world, &steps), Ok(()));\n}\n"
@@ -585,7 +585,7 @@
 }
 
 /// The worlds that are checked by default.
-pub fn worlds(depth: usize, most: usize) -> Vec<World> {
+pub fn default_worlds(depth: usize, most: usize) -> Vec<World> {
     let keyed = Idempotency::Keyed {
         scope: DedupScope::Cell,
         window: WINDOW,
--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
-use crate::course::{Course, Summary};
-use crate::experiment::{self, Compared, Point, Template};
-use crate::play::{Fault, Options, Way};
+use crate::experiment::{self, Comparison, SweepPoint, Template};
+use crate::run_result::{RunResult, Summary};
+use crate::simulation::{Backend, RunOptions, SimulationError};
 use crate::{bench, check, defects, generate, hunt, report, scenario_file};
 use badgerramp_sim_model::{Invariant, OpId, Scenario};
 use clap::{Args, Parser, Subcommand};
@@ -29,8 +29,8 @@
 #[derive(Args, Clone)]
 struct Played {
     /// How it is played.
-    #[arg(long, value_enum, default_value_t = Way::Virtual)]
-    play: Way,
+    #[arg(long, value_enum, default_value_t = Backend::Virtual)]
+    play: Backend,
     /// What falls on one instant comes in a drawn order.
     #[arg(long)]
     shuffle: bool,
@@ -132,8 +132,8 @@
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
         /// How they are played.
-        #[arg(long, value_enum, default_value_t = Way::Virtual)]
-        play: Way,
+        #[arg(long, value_enum, default_value_t = Backend::Virtual)]
+        play: Backend,
     },
     /// Play the random scenario of this number again.
     Replay {
@@ -193,8 +193,8 @@
         #[arg(long, default_value_t = 100)]
         count: u64,
         /// How they are played.
-        #[arg(long, value_enum, default_value_t = Way::Virtual)]
-        play: Way,
+        #[arg(long, value_enum, default_value_t = Backend::Virtual)]
+        play: Backend,
     },
     /// Build this program with each seeded defect and hunt for it.
     Defects {
@@ -258,7 +258,7 @@
 }
 
 /// True if no rule broke.
-fn command(command: Command, stop: &AtomicBool) -> Result<bool, Fault> {
+fn command(command: Command, stop: &AtomicBool) -> Result<bool, SimulationError> {
     match command {
         Command::Run {
             scenario,
@@ -361,15 +361,16 @@
     }
 }
 
-fn changed(template: &Template, changes: &[String]) -> Result<Scenario, Fault> {
+fn changed(template: &Template, changes: &[String]) -> Result<Scenario, SimulationError> {
     let changed = changes
         .iter()
-        .try_fold(template.clone(), |t, change| t.with(change))?;
+        .try_fold(template.clone(), |t, change| t.with_override(change))?;
     changed.scenario()
 }
 
-fn save(path: &Path, text: &str) -> Result<(), Fault> {
-    std::fs::write(path, text).map_err(|e| Fault::Other(format!("{}: {e}", path.display())))
+fn save(path: &Path, text: &str) -> Result<(), SimulationError> {
+    std::fs::write(path, text)
+        .map_err(|e| SimulationError::Other(format!("{}: {e}", path.display())))
 }
 
 fn bar(length: u64) -> ProgressBar {
@@ -380,32 +381,37 @@
 }
 
 /// A scenario's file, or the number of a random one, with the options that it is played with.
-fn named(name: &str, seed: u64, shuffle: bool) -> Result<(Scenario, Options), Fault> {
+fn named(name: &str, seed: u64, shuffle: bool) -> Result<(Scenario, RunOptions), SimulationError> {
     match name.parse::<u64>() {
         Ok(number) => Ok((generate::scenario(number), hunt::options(number))),
         Err(_) => {
             let scenario = scenario_file::load(Path::new(name))?;
             Ok((
                 scenario,
-                Options {
+                RunOptions {
                     seed,
                     shuffle,
-                    ..Options::default()
+                    ..RunOptions::default()
                 },
             ))
         }
     }
 }
 
-fn run(scenario: &Scenario, seed: u64, played: &Played, told: &Told) -> Result<bool, Fault> {
+fn run(
+    scenario: &Scenario,
+    seed: u64,
+    played: &Played,
+    told: &Told,
+) -> Result<bool, SimulationError> {
     let scenario = Arc::new(scenario.clone());
     let began = Instant::now();
-    let course = played.play.play(
+    let course = played.play.run(
         &scenario,
-        Options {
+        RunOptions {
             seed,
             shuffle: played.shuffle,
-            ..Options::default()
+            ..RunOptions::default()
         },
     )?;
     let took = began.elapsed().as_secs_f64();
@@ -423,10 +429,10 @@
             &report::page(&scenario.name, &[report::course(&course, &summary)]),
         )?;
     }
-    Ok(summary.broken == 0)
+    Ok(summary.violation_count == 0)
 }
 
-fn show(course: &Course, summary: &Summary) {
+fn show(course: &RunResult, summary: &Summary) {
     let head = [
         "class", "wanted", "in time", "late", "refused", "failed", "lost", "p50 ms", "p99 ms",
         "p99.9 ms",
@@ -440,16 +446,16 @@
             .collect::<String>()
     );
     for (class, t) in course.scenario().classes.iter().zip(&course.classes) {
-        let ms = |share| t.times.within(share) as f64 / 1e3;
+        let ms = |share| t.latencies.quantile(share) as f64 / 1e3;
         println!(
             "{:<20}{:>10}{:>10}{:>10}{:>10}{:>10}{:>10}{:>10.1}{:>10.1}{:>10.1}",
             class.name,
-            t.wanted,
-            t.good,
+            t.operations,
+            t.on_time,
             t.late,
-            t.refused,
+            t.rejected,
             t.failed,
-            t.lost,
+            t.unanswered,
             ms(0.5),
             ms(0.99),
             ms(0.999)
@@ -458,25 +464,25 @@
     println!(
         "\ngoodput {:.4}, worst class {:.4}, worst ten seconds {:.4}; {:.3} attempts a request; utilisation {:.2}",
         summary.goodput,
-        summary.worst_class,
-        summary.worst_window,
+        summary.worst_class_goodput,
+        summary.worst_window_goodput,
         summary.amplification,
         course.scenario().utilisation()
     );
     println!(
         "{} questions to the list service, at most {} connections at a host",
-        summary.list_asked, summary.connections_most
+        summary.list_requests, summary.max_connections
     );
-    if summary.descriptors_most > 0 {
+    if summary.max_descriptors > 0 {
         println!(
             "a proxy had at most {} KiB and {} descriptors",
-            summary.memory_most, summary.descriptors_most
+            summary.max_memory_kib, summary.max_descriptors
         );
     }
     if !summary.digest.is_empty() {
         println!("digest {}", summary.digest);
     }
-    for broken in &course.broken {
+    for broken in &course.violations {
         let op = broken
             .op
             .map_or(String::new(), |op| format!(", call {}", op.0));
@@ -487,15 +493,16 @@
             broken.text
         );
     }
-    if course.broken_count > course.broken.len() as u64 {
-        println!("... {} times in all", course.broken_count);
+    if course.violation_count > course.violations.len() as u64 {
+        println!("... {} times in all", course.violation_count);
     }
 }
 
 /// Writes results as JSON lines.
-fn lines<T: Serialize>(path: Option<&Path>, all: &[T]) -> Result<(), Fault> {
+fn lines<T: Serialize>(path: Option<&Path>, all: &[T]) -> Result<(), SimulationError> {
     let Some(path) = path else { return Ok(()) };
-    let name = |e: &dyn std::fmt::Display| Fault::Other(format!("{}: {e}", path.display()));
+    let name =
+        |e: &dyn std::fmt::Display| SimulationError::Other(format!("{}: {e}", path.display()));
     let mut file = std::fs::File::create(path).map_err(|e| name(&e))?;
     for one in all {
         let line = serde_json::to_string(one).map_err(|e| name(&e))?;
@@ -511,22 +518,26 @@
     played: &Played,
     stop: &AtomicBool,
     bar: &ProgressBar,
-) -> Result<Vec<Summary>, Fault> {
+) -> Result<Vec<Summary>, SimulationError> {
     let scenario = Arc::new(scenario);
-    let threads = if played.play.alone() { 1 } else { many.threads };
+    let threads = if played.play.needs_idle_machine() {
+        1
+    } else {
+        many.threads
+    };
     let play = |n: usize| {
         let seed = n as u64 + 1;
-        let course = played.play.play(
+        let course = played.play.run(
             &scenario,
-            Options {
+            RunOptions {
                 seed,
                 shuffle: played.shuffle,
-                ..Options::default()
+                ..RunOptions::default()
             },
         )?;
         Ok(course.summary(played.play.name(), seed))
     };
-    let all = experiment::all(many.seeds as usize, threads, stop, play, || bar.inc(1))?;
+    let all = experiment::run_all(many.seeds as usize, threads, stop, play, || bar.inc(1))?;
     Ok(all.into_iter().map(|(_, summary)| summary).collect())
 }
 
@@ -537,12 +548,19 @@
     played: &Played,
     told: &Told,
     stop: &AtomicBool,
-) -> Result<bool, Fault> {
-    let first = experiment::values(&over[0])?;
+) -> Result<bool, SimulationError> {
+    let first = experiment::sweep_values(&over[0])?;
     let second = match over {
         [_] => vec![None],
-        [_, second] => experiment::values(second)?.into_iter().map(Some).collect(),
-        _ => return Err(Fault::Other("--over: once or twice, not more".to_owned())),
+        [_, second] => experiment::sweep_values(second)?
+            .into_iter()
+            .map(Some)
+            .collect(),
+        _ => {
+            return Err(SimulationError::Other(
+                "--over: once or twice, not more".to_owned(),
+            ))
+        }
     };
     let mut settings: Vec<Vec<String>> = Vec::new();
     for b in &second {
@@ -564,7 +582,7 @@
         if summaries.is_empty() {
             break;
         }
-        points.push(Point::of(changes, &summaries));
+        points.push(SweepPoint::of(changes, &summaries));
         all.extend(summaries);
     }
     bar.finish_and_clear();
@@ -579,8 +597,8 @@
             p.goodput.to_string(),
             p.worst_class.to_string(),
             p.amplification.to_string(),
-            format!("{:.1} ± {:.1}", p.p99_ms.mean, p.p99_ms.half),
-            p.broken
+            format!("{:.1} ± {:.1}", p.p99_ms.mean, p.p99_ms.half_width),
+            p.violation_count
         );
     }
     lines(told.json.as_deref(), &all)?;
@@ -593,7 +611,7 @@
             ),
         )?;
     }
-    Ok(points.iter().all(|p| p.broken == 0))
+    Ok(points.iter().all(|p| p.violation_count == 0))
 }
 
 fn compare(
@@ -604,7 +622,7 @@
     played: &Played,
     told: &Told,
     stop: &AtomicBool,
-) -> Result<bool, Fault> {
+) -> Result<bool, SimulationError> {
     let bar = bar(many.seeds * 2);
     let a = over_seeds(Template::load(first)?.scenario()?, many, played, stop, &bar)?;
     let b = match binary {
@@ -618,8 +636,11 @@
         )?,
     };
     bar.finish_and_clear();
-    let (one, two) = (Point::of(Vec::new(), &a), Point::of(set.to_vec(), &b));
-    let difference = Compared::of(&a, &b);
+    let (one, two) = (
+        SweepPoint::of(Vec::new(), &a),
+        SweepPoint::of(set.to_vec(), &b),
+    );
+    let difference = Comparison::of(&a, &b);
     println!(
         "{:<16}{:>22}{:>22}{:>22}",
         "", "first", "second", "second over first"
@@ -650,7 +671,7 @@
     }
     println!(
         "rules broken: {} and {}; {} pairs",
-        one.broken, two.broken, difference.goodput.count
+        one.violation_count, two.violation_count, difference.goodput.count
     );
     let all: Vec<&Summary> = a.iter().chain(&b).collect();
     lines(told.json.as_deref(), &all)?;
@@ -660,7 +681,7 @@
             &report::page("Compared", &[report::sweep(&[one.clone(), two.clone()])]),
         )?;
     }
-    Ok(one.broken + two.broken == 0)
+    Ok(one.violation_count + two.violation_count == 0)
 }
 
 /// The second half of a comparison, by another build of this program.
@@ -672,7 +693,7 @@
     played: &Played,
     stop: &AtomicBool,
     bar: &ProgressBar,
-) -> Result<Vec<Summary>, Fault> {
+) -> Result<Vec<Summary>, SimulationError> {
     let out = std::env::temp_dir().join(format!("badgerramp-sim-{}.jsonl", std::process::id()));
     let mut all = Vec::new();
     for seed in 1..=many.seeds {
@@ -693,15 +714,15 @@
         let shown = binary.display();
         let told = command
             .output()
-            .map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
+            .map_err(|e| SimulationError::Other(format!("{shown}: {e}")))?;
         let text = std::fs::read_to_string(&out).map_err(|e| {
-            Fault::Other(format!(
+            SimulationError::Other(format!(
                 "{shown} wrote no results ({e}): {}",
                 String::from_utf8_lossy(&told.stderr)
             ))
         })?;
-        let summary =
-            serde_json::from_str(text.trim()).map_err(|e| Fault::Other(format!("{shown}: {e}")))?;
+        let summary = serde_json::from_str(text.trim())
+            .map_err(|e| SimulationError::Other(format!("{shown}: {e}")))?;
         all.push(summary);
         bar.inc(1);
     }
@@ -711,13 +732,13 @@
 
 fn hunting(
     wanted: hunt::Hunt,
-    play: Way,
+    play: Backend,
     out: Option<&Path>,
     stop: &AtomicBool,
-) -> Result<bool, Fault> {
+) -> Result<bool, SimulationError> {
     let bar = bar(wanted.count);
     let began = Instant::now();
-    let found = hunt::hunt(play.function(), wanted, stop, |played, kinds| {
+    let found = hunt::hunt(play.run_function(), wanted, stop, |played, kinds| {
         bar.set_position(played);
         bar.set_message(format!("{kinds} kinds found,"));
     })?;
@@ -731,7 +752,7 @@
     );
     if let Some(dir) = out {
         std::fs::create_dir_all(dir)
-            .map_err(|e| Fault::Other(format!("{}: {e}", dir.display())))?;
+            .map_err(|e| SimulationError::Other(format!("{}: {e}", dir.display())))?;
     }
     for (signature, find) in &found.finds {
         println!(
@@ -742,7 +763,7 @@
             let scenario = generate::scenario(find.number);
             let options = hunt::options(find.number);
             match hunt::shrink(
-                play.function(),
+                play.run_function(),
                 &scenario,
                 options,
                 find.broken.invariant,
@@ -771,7 +792,7 @@
 
 /// A scenario that was cut down, with how it fails.
 fn kept(shrunk: &hunt::Shrunk) -> String {
-    let Options { seed, shuffle, .. } = shrunk.options;
+    let RunOptions { seed, shuffle, .. } = shrunk.options;
     let how = if shuffle { " --shuffle" } else { "" };
     let Violation {
         invariant: rule,
@@ -793,15 +814,15 @@
     plays: u64,
     write: Option<&Path>,
     played: &Played,
-) -> Result<bool, Fault> {
+) -> Result<bool, SimulationError> {
     let (scenario, options) = named(name, seed, played.shuffle)?;
-    let course = played.play.play(&Arc::new(scenario.clone()), options)?;
+    let course = played.play.run(&Arc::new(scenario.clone()), options)?;
     let rule = match rule {
         Some(word) => Invariant::from_name(word).ok_or_else(|| {
             let known: Vec<String> = Invariant::ALL.iter().map(ToString::to_string).collect();
-            Fault::Other(format!("--rule {word}: allowed are {}", known.join(", ")))
+            SimulationError::Other(format!("--rule {word}: allowed are {}", known.join(", ")))
         })?,
-        None => match course.broken.first() {
+        None => match course.violations.first() {
             Some(broken) => broken.invariant,
             None => {
                 println!("it breaks no rule");
@@ -809,7 +830,8 @@
             }
         },
     };
-    let Some(shrunk) = hunt::shrink(played.play.function(), &scenario, options, rule, plays) else {
+    let Some(shrunk) = hunt::shrink(played.play.run_function(), &scenario, options, rule, plays)
+    else {
         println!("it does not break {rule} as single requests");
         return Ok(true);
     };
@@ -827,15 +849,20 @@
     Ok(false)
 }
 
-fn trace(name: &str, call: Option<u64>, seed: u64, played: &Played) -> Result<bool, Fault> {
+fn trace(
+    name: &str,
+    call: Option<u64>,
+    seed: u64,
+    played: &Played,
+) -> Result<bool, SimulationError> {
     let (scenario, options) = named(name, seed, played.shuffle)?;
     let scenario = Arc::new(scenario);
     let op = match call {
         Some(call) => OpId(call),
         None => {
-            let course = played.play.play(&scenario, options)?;
-            let broken = course.broken.iter().find_map(|b| b.op);
-            match broken.or(course.unserved) {
+            let course = played.play.run(&scenario, options)?;
+            let broken = course.violations.iter().find_map(|b| b.op);
+            match broken.or(course.first_unserved) {
                 Some(op) => op,
                 None => {
                     println!("all were served and no rule broke: name a call with --call");
@@ -844,19 +871,26 @@
             }
         }
     };
-    let course = played.play.play(
+    let course = played.play.run(
         &scenario,
-        Options {
+        RunOptions {
             trace: Some(op),
             ..options
         },
     )?;
-    if course.trace.is_empty() {
+    if course.trace_lines.is_empty() {
         println!("no call {} in this course", op.0);
     }
     println!("call {}", op.0);
-    course.trace.iter().for_each(|line| println!("{line}"));
-    let broken: Vec<&Violation> = course.broken.iter().filter(|b| b.op == Some(op)).collect();
+    course
+        .trace_lines
+        .iter()
+        .for_each(|line| println!("{line}"));
+    let broken: Vec<&Violation> = course
+        .violations
+        .iter()
+        .filter(|b| b.op == Some(op))
+        .collect();
     broken.iter().for_each(|b| {
         println!(
             "{:>12.3} ms  BROKEN {}: {}",
@@ -868,8 +902,9 @@
     Ok(broken.is_empty())
 }
 
-fn page_of(results: &Path, html: &Path) -> Result<bool, Fault> {
-    let name = |e: &dyn std::fmt::Display| Fault::Other(format!("{}: {e}", results.display()));
+fn page_of(results: &Path, html: &Path) -> Result<bool, SimulationError> {
+    let name =
+        |e: &dyn std::fmt::Display| SimulationError::Other(format!("{}: {e}", results.display()));
     let text = std::fs::read_to_string(results).map_err(|e| name(&e))?;
     let mut groups: Vec<(String, Vec<Summary>)> = Vec::new();
     for (n, line) in text
@@ -878,24 +913,24 @@
         .filter(|(_, l)| !l.trim().is_empty())
     {
         let summary: Summary = serde_json::from_str(line)
-            .map_err(|e| Fault::Other(format!("{}:{}: {e}", results.display(), n + 1)))?;
-        let key = format!("{}, {}", summary.scenario, summary.play);
+            .map_err(|e| SimulationError::Other(format!("{}:{}: {e}", results.display(), n + 1)))?;
+        let key = format!("{}, {}", summary.scenario, summary.backend);
         match groups.iter_mut().find(|g| g.0 == key) {
             Some(group) => group.1.push(summary),
             None => groups.push((key, vec![summary])),
         }
     }
-    let points: Vec<Point> = groups
+    let points: Vec<SweepPoint> = groups
         .iter()
-        .map(|(key, all)| Point::of(vec![key.clone()], all))
+        .map(|(key, all)| SweepPoint::of(vec![key.clone()], all))
         .collect();
     save(html, &report::page("Results", &[report::sweep(&points)]))?;
-    Ok(points.iter().all(|p| p.broken == 0))
+    Ok(points.iter().all(|p| p.violation_count == 0))
 }
 
 fn checked(depth: usize, states: usize) -> bool {
     let mut good = true;
-    for world in check::worlds(depth, states) {
+    for world in check::default_worlds(depth, states) {
         let began = Instant::now();
         let told = check::check(&world);
         println!(
@@ -906,28 +941,32 @@
             told.states,
             told.steps,
             told.depth,
-            if told.cut { " (cut at the bound of states)" } else { "" },
+            if told.truncated { " (cut at the bound of states)" } else { "" },
             began.elapsed().as_secs_f64()
         );
-        if let Some(found) = &told.broken {
+        if let Some(found) = &told.counterexample {
             good = false;
-            println!("BROKEN {}\n{}", found.what, check::as_test(&world, found));
+            println!(
+                "BROKEN {}\n{}",
+                found.violation,
+                check::as_test(&world, found)
+            );
         }
     }
     good
 }
 
-fn determinism(count: u64, play: Way, stop: &AtomicBool) -> Result<bool, Fault> {
-    let digests = |threads: usize| -> Result<Vec<String>, Fault> {
+fn determinism(count: u64, play: Backend, stop: &AtomicBool) -> Result<bool, SimulationError> {
+    let digests = |threads: usize| -> Result<Vec<String>, SimulationError> {
         let bar = bar(count);
         let one = |n: usize| {
-            let course = play.play(
+            let course = play.run(
                 &Arc::new(generate::scenario(n as u64)),
                 hunt::options(n as u64),
             )?;
             Ok(course.digest())
         };
-        let all = experiment::all(count as usize, threads, stop, one, || bar.inc(1))?;
+        let all = experiment::run_all(count as usize, threads, stop, one, || bar.inc(1))?;
         bar.finish_and_clear();
         Ok(all.into_iter().map(|d| d.1).collect())
     };
--- a/crates/simulator/src/defects.rs
+++ b/crates/simulator/src/defects.rs
@@ -3,7 +3,7 @@
 
 mod source_match;
 
-use crate::play::Fault;
+use crate::simulation::SimulationError;
 use source_match::find_all;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -337,7 +337,7 @@
 ///
 /// # Errors
 /// If the copy can't be made, or the tree does not build.
-pub fn table(root: &Path, only: Option<&str>, seconds: u64) -> Result<bool, Fault> {
+pub fn table(root: &Path, only: Option<&str>, seconds: u64) -> Result<bool, SimulationError> {
     let copy = std::env::temp_dir().join(format!("badgerramp-defects-{}", std::process::id()));
     copy_tree(root, &copy)?;
     println!(
@@ -366,19 +366,20 @@
     }
     let count = chosen().count();
     println!("{found} of {count} found; {short} cut down to under {SHORT} events");
-    std::fs::remove_dir_all(&copy).map_err(|e| Fault::Other(format!("{}: {e}", copy.display())))?;
+    std::fs::remove_dir_all(&copy)
+        .map_err(|e| SimulationError::Other(format!("{}: {e}", copy.display())))?;
     Ok(found + 2 >= count)
 }
 
-fn hunted(copy: &Path, defect: &Defect, seconds: u64) -> Result<Hunted, Fault> {
+fn hunted(copy: &Path, defect: &Defect, seconds: u64) -> Result<Hunted, SimulationError> {
     let mut sound = Vec::new();
     for (file, from, to) in defect.edits {
         let path = copy.join(file);
-        let io = |e: std::io::Error| Fault::Other(format!("{}: {e}", path.display()));
+        let io = |e: std::io::Error| SimulationError::Other(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(&path).map_err(io)?;
         let places = find_all(&text, from);
         let [place] = places.as_slice() else {
-            return Err(Fault::Other(format!(
+            return Err(SimulationError::Other(format!(
                 "{}: its place is not in {file} once",
                 defect.name
             )));
@@ -391,12 +392,12 @@
     // In reverse: a file may have been changed twice.
     for (path, text) in sound.into_iter().rev() {
         std::fs::write(&path, text)
-            .map_err(|e| Fault::Other(format!("{}: {e}", path.display())))?;
+            .map_err(|e| SimulationError::Other(format!("{}: {e}", path.display())))?;
     }
     hunted
 }
 
-fn build(copy: &Path) -> Result<PathBuf, Fault> {
+fn build(copy: &Path) -> Result<PathBuf, SimulationError> {
     let mut command = Command::new("cargo");
     command
         .args([
@@ -416,9 +417,9 @@
     command.env("CARGO_TARGET_DIR", copy.join("target"));
     let done = command
         .output()
-        .map_err(|e| Fault::Other(format!("cargo: {e}")))?;
+        .map_err(|e| SimulationError::Other(format!("cargo: {e}")))?;
     if !done.status.success() {
-        return Err(Fault::Other(format!(
+        return Err(SimulationError::Other(format!(
             "it does not build: {}",
             String::from_utf8_lossy(&done.stderr)
         )));
@@ -426,7 +427,7 @@
     Ok(copy.join("target/release/badgerramp-sim"))
 }
 
-fn hunt(program: &Path, defect: &Defect, seconds: u64) -> Result<Hunted, Fault> {
+fn hunt(program: &Path, defect: &Defect, seconds: u64) -> Result<Hunted, SimulationError> {
     let out = program.with_file_name("finds");
     let _ = std::fs::remove_dir_all(&out);
     let began = Instant::now();
@@ -442,7 +443,7 @@
     command.args(["--count", "1000000", "--out"]).arg(&out);
     let done = command
         .output()
-        .map_err(|e| Fault::Other(format!("{}: {e}", program.display())))?;
+        .map_err(|e| SimulationError::Other(format!("{}: {e}", program.display())))?;
     let text = String::from_utf8_lossy(&done.stdout);
     let number = |line: &str, after: &str| -> Option<f64> {
         line.split_once(after)?
@@ -483,8 +484,9 @@
 }
 
 /// Copies what a build needs.
-fn copy_tree(root: &Path, to: &Path) -> Result<(), Fault> {
-    let io = |path: &Path, e: std::io::Error| Fault::Other(format!("{}: {e}", path.display()));
+fn copy_tree(root: &Path, to: &Path) -> Result<(), SimulationError> {
+    let io =
+        |path: &Path, e: std::io::Error| SimulationError::Other(format!("{}: {e}", path.display()));
     let mut folders = vec![PathBuf::new()];
     while let Some(folder) = folders.pop() {
         std::fs::create_dir_all(to.join(&folder)).map_err(|e| io(&to.join(&folder), e))?;
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -1,8 +1,8 @@
 //! Scenarios played again and again: over values of one or two keys, over seeds, and side by side.
 
-use crate::course::Summary;
-use crate::play::Fault;
+use crate::run_result::Summary;
 use crate::scenario_file;
+use crate::simulation::SimulationError;
 use badgerramp_sim_model::Scenario;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -22,14 +22,14 @@
     ///
     /// # Errors
     /// If it can't be read, or is no good scenario as it stands.
-    pub fn load(path: &Path) -> Result<Self, Fault> {
+    pub fn load(path: &Path) -> Result<Self, SimulationError> {
         scenario_file::load(path)?;
         let name = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|e| Fault::Other(format!("{name}: {e}")))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| SimulationError::Other(format!("{name}: {e}")))?;
         let table = text
             .parse()
-            .map_err(|e| Fault::Other(format!("{name}: {e}")))?;
+            .map_err(|e| SimulationError::Other(format!("{name}: {e}")))?;
         Ok(Template { name, table })
     }
 
@@ -38,9 +38,9 @@
     ///
     /// # Errors
     /// If the text has no value or the key names no place; what the value may be is told by [`Template::scenario`].
-    pub fn with(&self, change: &str) -> Result<Self, Fault> {
+    pub fn with_override(&self, change: &str) -> Result<Self, SimulationError> {
         let (key, value) = change.split_once('=').ok_or_else(|| {
-            Fault::Other(format!(
+            SimulationError::Other(format!(
                 "{change:?}: allowed is KEY=VALUE, like clients.rate=400"
             ))
         })?;
@@ -55,8 +55,9 @@
             read(value.trim()).unwrap_or_else(|| toml::Value::String(value.trim().to_owned()));
         let parts: Vec<&str> = key.trim().split('.').collect();
         let mut file = toml::Value::Table(self.table.clone());
-        put(&mut file, &parts, &value)
-            .map_err(|at| Fault::Other(format!("{key}: {at:?} is no table of the file")))?;
+        put(&mut file, &parts, &value).map_err(|at| {
+            SimulationError::Other(format!("{key}: {at:?} is no table of the file"))
+        })?;
         let table = match file {
             toml::Value::Table(table) => table,
             _ => self.table.clone(),
@@ -71,7 +72,7 @@
     ///
     /// # Errors
     /// All mistakes, at their places in the file as it was changed.
-    pub fn scenario(&self) -> Result<Scenario, Fault> {
+    pub fn scenario(&self) -> Result<Scenario, SimulationError> {
         Ok(scenario_file::parse(&self.name, &self.table.to_string())?)
     }
 }
@@ -103,7 +104,8 @@
     /// The mean.
     pub mean: f64,
     /// Half the width of the interval; 0 for a single value, of which nothing can be said.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub half_width: f64,
     /// Values.
     pub count: usize,
 }
@@ -119,7 +121,7 @@
         if count == 1 {
             return Mean {
                 mean,
-                half: 0.0,
+                half_width: 0.0,
                 count,
             };
         }
@@ -128,7 +130,7 @@
         let t = StudentsT::new(0.0, 1.0, degrees).map_or(1.96, |t| t.inverse_cdf(0.975));
         Mean {
             mean,
-            half: t * (variance / count as f64).sqrt(),
+            half_width: t * (variance / count as f64).sqrt(),
             count,
         }
     }
@@ -136,7 +138,7 @@
 
 impl std::fmt::Display for Mean {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:.4} ± {:.4}", self.mean, self.half)
+        write!(f, "{:.4} ± {:.4}", self.mean, self.half_width)
     }
 }
 
@@ -144,15 +146,15 @@
 ///
 /// # Errors
 /// The first fault of a play.
-pub fn all<T: Send>(
+pub fn run_all<T: Send>(
     count: usize,
     threads: usize,
     stop: &AtomicBool,
-    play: impl Fn(usize) -> Result<T, Fault> + Sync,
+    play: impl Fn(usize) -> Result<T, SimulationError> + Sync,
     progress: impl Fn() + Sync,
-) -> Result<Vec<(usize, T)>, Fault> {
+) -> Result<Vec<(usize, T)>, SimulationError> {
     let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<(usize, Result<T, Fault>)>> = Mutex::default();
+    let done: Mutex<Vec<(usize, Result<T, SimulationError>)>> = Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, count.max(1)) {
             scope.spawn(|| loop {
@@ -177,7 +179,7 @@
 
 /// What is told of the courses of one point of a sweep.
 #[derive(Clone, Debug, Serialize)]
-pub struct Point {
+pub struct SweepPoint {
     /// The changes that make it.
     pub changes: Vec<String>,
     /// Worth earned over worth wanted.
@@ -189,28 +191,29 @@
     /// Milliseconds within which 99 of 100 that were served were.
     pub p99_ms: Mean,
     /// How often any rule was broken, over all seeds.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violation_count: u64,
 }
 
-impl Point {
+impl SweepPoint {
     /// Of these courses.
     pub fn of(changes: Vec<String>, all: &[Summary]) -> Self {
         let mean =
             |figure: fn(&Summary) -> f64| Mean::of(&all.iter().map(figure).collect::<Vec<_>>());
-        Point {
+        SweepPoint {
             changes,
             goodput: mean(|s| s.goodput),
-            worst_class: mean(|s| s.worst_class),
+            worst_class: mean(|s| s.worst_class_goodput),
             amplification: mean(|s| s.amplification),
             p99_ms: mean(|s| s.p99_ms),
-            broken: all.iter().map(|s| s.broken).sum(),
+            violation_count: all.iter().map(|s| s.violation_count).sum(),
         }
     }
 }
 
 /// Two sets of courses, paired by seed: what the second has over the first.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     /// Difference of goodput.
     pub goodput: Mean,
     /// Of the worst-served class.
@@ -220,10 +223,11 @@
     /// Of the time within which 99 of 100 were served, in milliseconds.
     pub p99_ms: Mean,
     /// Rules broken in either.
-    pub broken: (u64, u64),
+    #[serde(rename = "broken")]
+    pub violation_counts: (u64, u64),
 }
 
-impl Compared {
+impl Comparison {
     /// Of two sets, in the same order of seeds.
     pub fn of(first: &[Summary], second: &[Summary]) -> Self {
         let mean = |figure: fn(&Summary) -> f64| {
@@ -234,13 +238,13 @@
                     .collect::<Vec<_>>(),
             )
         };
-        let broken = |all: &[Summary]| all.iter().map(|s| s.broken).sum();
-        Compared {
+        let violations = |all: &[Summary]| all.iter().map(|s| s.violation_count).sum();
+        Comparison {
             goodput: mean(|s| s.goodput),
-            worst_class: mean(|s| s.worst_class),
+            worst_class: mean(|s| s.worst_class_goodput),
             amplification: mean(|s| s.amplification),
             p99_ms: mean(|s| s.p99_ms),
-            broken: (broken(first), broken(second)),
+            violation_counts: (violations(first), violations(second)),
         }
     }
 }
@@ -249,9 +253,9 @@
 ///
 /// # Errors
 /// What is odd in the text.
-pub fn values(text: &str) -> Result<Vec<String>, Fault> {
+pub fn sweep_values(text: &str) -> Result<Vec<String>, SimulationError> {
     let odd = |why: &str| {
-        Fault::Other(format!(
+        SimulationError::Other(format!(
             "{text:?}: {why}; allowed: KEY=FROM..TO:STEPS or KEY=A,B,C"
         ))
     };
@@ -302,14 +306,15 @@
         // Two degrees of freedom: 4.303 standard errors.
         let mean = Mean::of(&[1.0, 2.0, 3.0]);
         assert!(
-            (mean.mean - 2.0).abs() < 1e-9 && (mean.half - 4.302_65 / 3f64.sqrt()).abs() < 1e-3,
+            (mean.mean - 2.0).abs() < 1e-9
+                && (mean.half_width - 4.302_65 / 3f64.sqrt()).abs() < 1e-3,
             "{mean}"
         );
         assert_eq!(
             Mean::of(&[5.0]),
             Mean {
                 mean: 5.0,
-                half: 0.0,
+                half_width: 0.0,
                 count: 1
             }
         );
@@ -318,12 +323,12 @@
     #[test]
     fn values_of_a_sweep_are_read_or_refused() {
         assert_eq!(
-            values("clients.rate=100..300:3").unwrap(),
+            sweep_values("clients.rate=100..300:3").unwrap(),
             ["clients.rate=100", "clients.rate=200", "clients.rate=300"]
         );
-        assert_eq!(values("a=1s,2s").unwrap(), ["a=1s", "a=2s"]);
+        assert_eq!(sweep_values("a=1s,2s").unwrap(), ["a=1s", "a=2s"]);
         for bad in ["a", "a=1..2", "a=1..x:3", "a=1..2:1", "a=1..2:x"] {
-            assert!(values(bad).is_err(), "{bad}");
+            assert!(sweep_values(bad).is_err(), "{bad}");
         }
     }
 }
--- a/crates/simulator/src/generate.rs
+++ b/crates/simulator/src/generate.rs
@@ -1,6 +1,6 @@
 //! Random scenarios: small worlds with much trouble, each made by its seed alone.
 
-use crate::operator;
+use crate::operator_file;
 use badgerramp_sim_model::{
     Class, ClientsSpec, ColdStart, ConcurrencyPenalty, CongestionCollapse, Criteria, DedupGroup,
     Effect, Fault, FaultKind, Hedging, HostSpec, ListSpec, Micros, NetworkSpec, Scenario,
@@ -17,7 +17,7 @@
     loop {
         let scenario = draw(&mut random, number);
         // What a file may not say is no world that can be met.
-        if operator::read(&scenario).is_ok() {
+        if operator_file::parse(&scenario).is_ok() {
             return scenario;
         }
     }
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -1,8 +1,8 @@
 //! Looks for broken rules in random scenarios, tells each kind once, and cuts what it finds down.
 
-use crate::course::Course;
 use crate::generate;
-use crate::play::{Fault, Options};
+use crate::run_result::RunResult;
+use crate::simulation::{RunOptions, SimulationError};
 use badgerramp_sim_model::{Invariant, LoadGenerator, Micros, RandomStreams, Scenario, Violation};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -11,25 +11,29 @@
 use std::time::{Duration, Instant};
 
 /// A way to play a scenario.
-pub type Play = fn(&Arc<Scenario>, Options) -> Result<Course, Fault>;
+pub type Play = fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError>;
 
 /// Plays a scenario; code that panics is a find like any other.
-fn guarded(play: Play, scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
+fn guarded(
+    play: Play,
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
     let played = catch_unwind(AssertUnwindSafe(|| play(scenario, options)));
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text
             .or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()))
             .unwrap_or_default();
-        let mut course = Course::new(Arc::clone(scenario));
+        let mut course = RunResult::new(Arc::clone(scenario));
         // When it was is not known: nothing that comes later may be left out because of it.
-        course.broken = vec![Violation {
+        course.violations = vec![Violation {
             invariant: Invariant::Crashed,
             at: Micros::MAX,
             op: None,
             text,
         }];
-        course.broken_count = 1;
+        course.violation_count = 1;
         Ok(course)
     })
 }
@@ -90,11 +94,11 @@
 const LOSSES: usize = 5;
 
 /// How a drawn scenario is played: half of them with a drawn order of what falls on one instant.
-pub fn options(number: u64) -> Options {
-    Options {
+pub fn options(number: u64) -> RunOptions {
+    RunOptions {
         seed: number,
         shuffle: number % 2 == 1,
-        ..Options::default()
+        ..RunOptions::default()
     }
 }
 
@@ -107,7 +111,7 @@
     hunt: Hunt,
     stop: &AtomicBool,
     progress: impl Fn(u64, usize) + Sync,
-) -> Result<Found, Fault> {
+) -> Result<Found, SimulationError> {
     let next = AtomicU64::new(hunt.first);
     let end = hunt.first.saturating_add(hunt.count);
     let began = Instant::now();
@@ -155,12 +159,12 @@
     }
 }
 
-fn take(found: &mut Found, number: u64, course: &Course) {
+fn take(found: &mut Found, number: u64, course: &RunResult) {
     found.played += 1;
     let total = course.total();
     found.requests += total.tries;
     let mut seen = Vec::new();
-    for broken in &course.broken {
+    for broken in &course.violations {
         let signature = signature(broken);
         if seen.contains(&signature) {
             continue;
@@ -195,7 +199,7 @@
     /// What still fails.
     pub scenario: Scenario,
     /// With which seed.
-    pub options: Options,
+    pub options: RunOptions,
     /// What is broken there.
     pub broken: Violation,
     /// Plays that it took.
@@ -209,15 +213,15 @@
 pub fn shrink(
     play: Play,
     scenario: &Scenario,
-    options: Options,
+    options: RunOptions,
     rule: Invariant,
     most: u64,
 ) -> Option<Shrunk> {
     let mut search = Search {
         play,
         rule,
-        options: Options {
-            stop: false,
+        options: RunOptions {
+            stop_at_violation: false,
             ..options
         },
         plays: 0,
@@ -266,7 +270,7 @@
 struct Search {
     play: Play,
     rule: Invariant,
-    options: Options,
+    options: RunOptions,
     plays: u64,
     most: u64,
 }
@@ -281,12 +285,12 @@
                 return None;
             }
             self.plays += 1;
-            let options = Options {
+            let options = RunOptions {
                 seed,
                 ..self.options
             };
             let course = guarded(self.play, &scenario, options).ok()?;
-            if let Some(broken) = course.broken.iter().find(|b| b.invariant == self.rule) {
+            if let Some(broken) = course.violations.iter().find(|b| b.invariant == self.rule) {
                 self.options = options;
                 let scenario = Scenario::clone(&scenario);
                 return Some(Shrunk {
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator_file.rs
@@ -14,7 +14,7 @@
 
 /// The text of the file of this proxy, which is in `zone`: clients connect at `listen`, the list service is at
 /// `discovery`.
-pub fn text(
+pub fn render(
     scenario: &Scenario,
     (proxy, zone): (u32, &str),
     listen: SocketAddr,
@@ -102,7 +102,7 @@
 }
 
 /// What is added to the file of a proxy whose calls are to be followed in its log.
-pub const FOLLOWED: &str =
+pub const CALL_LOG_SECTION: &str =
     "\n[log]\nformat = \"json\"\nrate = 100000\ntargets = { \"badgerramp::calls\" = \"debug\" }\n";
 
 /// The file as the program reads it. The list service's address is one that nothing is sent to.
@@ -110,12 +110,12 @@
 /// # Errors
 /// All mistakes of the file that the scenario makes: what it asks for is not allowed, such as an unsafe class with a
 /// second copy.
-pub fn read(scenario: &Scenario) -> Result<Config, Diagnostics> {
+pub fn parse(scenario: &Scenario) -> Result<Config, Diagnostics> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let name = format!("the operator's file of {:?}", scenario.name);
     badgerramp_config::parse(
         &name,
-        &text(
+        &render(
             scenario,
             (0, "z"),
             SocketAddr::from(([127, 0, 0, 1], 0)),
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,7 +1,7 @@
 //! Results as one HTML page that needs nothing else: figures, plots as SVG, and the lines that made them.
 
-use crate::course::{Course, Summary};
-use crate::experiment::Point;
+use crate::experiment::SweepPoint;
+use crate::run_result::{RunResult, Summary};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -100,30 +100,30 @@
 }
 
 /// The part of a course.
-pub fn course(course: &Course, summary: &Summary) -> String {
+pub fn course(course: &RunResult, summary: &Summary) -> String {
     let mut out = format!(
         "<h2>{}, {} play, seed {}</h2>\n",
         escape(&summary.scenario),
-        summary.play,
+        summary.backend,
         summary.seed
     );
     out += &format!(
         "<p>Goodput {:.4}; worst class {:.4}; worst ten seconds {:.4}; {:.3} attempts for each request; {} questions to the \
          list service; at most {} connections at a host.</p>\n",
         summary.goodput,
-        summary.worst_class,
-        summary.worst_window,
+        summary.worst_class_goodput,
+        summary.worst_window_goodput,
         summary.amplification,
-        summary.list_asked,
-        summary.connections_most
+        summary.list_requests,
+        summary.max_connections
     );
-    if summary.broken > 0 {
+    if summary.violation_count > 0 {
         let _ = write!(
             out,
             "<p class=\"bad\">Rules broken: {}</p><ul>",
-            summary.broken
+            summary.violation_count
         );
-        for broken in &course.broken {
+        for broken in &course.violations {
             let _ = write!(
                 out,
                 "<li>{:.3} s, {}: {}</li>",
@@ -138,17 +138,17 @@
     }
     out += "<table><tr><th>class<th>wanted<th>in time<th>late<th>refused<th>failed<th>lost<th>p50 ms<th>p99 ms<th>p99.9 ms</tr>\n";
     for (class, tally) in course.scenario().classes.iter().zip(&course.classes) {
-        let ms = |share| tally.times.within(share) as f64 / 1e3;
+        let ms = |share| tally.latencies.quantile(share) as f64 / 1e3;
         let _ = writeln!(
             out,
             "<tr><td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{:.1}<td>{:.1}<td>{:.1}</tr>",
             escape(&class.name),
-            tally.wanted,
-            tally.good,
+            tally.operations,
+            tally.on_time,
             tally.late,
-            tally.refused,
+            tally.rejected,
             tally.failed,
-            tally.lost,
+            tally.unanswered,
             ms(0.5),
             ms(0.99),
             ms(0.999)
@@ -162,7 +162,7 @@
             .enumerate()
             .map(|(n, b)| (n as f64 + 0.5, b))
     };
-    let line = |name: &str, figure: &dyn Fn(&crate::course::Tally) -> f64| Line {
+    let line = |name: &str, figure: &dyn Fn(&crate::run_result::OperationStats) -> f64| Line {
         name: name.to_owned(),
         points: bins().map(|(at, b)| (at, figure(b))).collect(),
     };
@@ -172,10 +172,10 @@
         &[line("goodput", &|b| b.goodput())],
     );
     let counts = [
-        line("wanted", &|b| b.wanted as f64),
-        line("in time", &|b| b.good as f64),
+        line("wanted", &|b| b.operations as f64),
+        line("in time", &|b| b.on_time as f64),
         line("late", &|b| b.late as f64),
-        line("refused", &|b| b.refused as f64),
+        line("refused", &|b| b.rejected as f64),
         line("failed", &|b| b.failed as f64),
         line("attempts", &|b| b.attempts as f64),
     ];
@@ -184,7 +184,9 @@
         ("s", "a second"),
         &counts,
     );
-    let times = |share: f64| move |b: &crate::course::Tally| b.times.within(share) as f64 / 1e3;
+    let times = |share: f64| {
+        move |b: &crate::run_result::OperationStats| b.latencies.quantile(share) as f64 / 1e3
+    };
     let waits = [
         line("p50", &times(0.5)),
         line("p99", &times(0.99)),
@@ -198,35 +200,42 @@
     out += &plot(
         "Calls in hand for each core",
         ("s", "calls"),
-        &hosts(course, |s| s.load.clone()),
+        &hosts(course, |s| s.in_flight_per_core.clone()),
     );
     let connections =
-        |s: &crate::course::Sample| s.connections.iter().map(|c| f64::from(*c)).collect();
+        |s: &crate::run_result::Sample| s.connections.iter().map(|c| f64::from(*c)).collect();
     out += &plot(
         "Connections",
         ("s", "at a host"),
         &hosts(course, connections),
     );
-    let calls = |name: &str, pick: fn(&crate::course::Sample) -> u64| Line {
+    let calls = |name: &str, pick: fn(&crate::run_result::Sample) -> u64| Line {
         name: name.to_owned(),
         points: course
             .samples
             .iter()
-            .map(|s| (s.at, pick(s) as f64))
+            .map(|s| (s.at_seconds, pick(s) as f64))
             .collect(),
     };
     out += &plot(
         "Calls at the proxies",
         ("s", "calls"),
-        &[calls("open", |s| s.open), calls("held", |s| s.held)],
+        &[
+            calls("open", |s| s.open_calls),
+            calls("held", |s| s.queued_calls),
+        ],
     );
     out
 }
 
 /// A line for each host, or three for all of them.
-fn hosts(course: &Course, pick: impl Fn(&crate::course::Sample) -> Vec<f64>) -> Vec<Line> {
+fn hosts(course: &RunResult, pick: impl Fn(&crate::run_result::Sample) -> Vec<f64>) -> Vec<Line> {
     let count = course.scenario().hosts.len();
-    let samples: Vec<(f64, Vec<f64>)> = course.samples.iter().map(|s| (s.at, pick(s))).collect();
+    let samples: Vec<(f64, Vec<f64>)> = course
+        .samples
+        .iter()
+        .map(|s| (s.at_seconds, pick(s)))
+        .collect();
     if count <= LINES_MOST {
         let one = |n: usize| Line {
             name: course.scenario().hosts[n].name.clone(),
@@ -262,7 +271,7 @@
 }
 
 /// The part of a sweep over one key, or over two, of which the second makes lines.
-pub fn sweep(points: &[Point]) -> String {
+pub fn sweep(points: &[SweepPoint]) -> String {
     let mut out =
         "<table><tr><th>changes<th>goodput<th>worst class<th>attempts<th>p99 ms<th>broken</tr>\n"
             .to_owned();
@@ -275,7 +284,7 @@
             p.worst_class,
             p.amplification,
             p.p99_ms,
-            p.broken
+            p.violation_count
         );
     }
     out += "</table>\n";
--- a/crates/simulator/src/play/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,14 +1,14 @@
 //! Ways to play a scenario.
 
-mod among;
-mod events;
-mod shell;
-mod virtually;
+mod event_queue;
+mod gossip;
+mod proxy;
+mod virtual_time;
 
-pub use shell::zone as proxy_zone;
-pub use virtually::play as virtually;
+pub use proxy::zone as proxy_zone;
+pub use virtual_time::run as run_in_virtual_time;
 
-use crate::course::Course;
+use crate::run_result::RunResult;
 use badgerramp_config::Diagnostics;
 use badgerramp_sim_model::{Invariant, InvariantChecker, Micros, OpId, Scenario};
 use std::fmt;
@@ -16,7 +16,7 @@
 
 /// How a course is played.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Options {
+pub struct RunOptions {
     /// All chance is drawn from it.
     pub seed: u64,
     /// A call whose course is written down.
@@ -24,12 +24,12 @@
     /// What happens at one instant comes in a drawn order, in place of the order in which it was caused.
     pub shuffle: bool,
     /// Stop at the first broken rule.
-    pub stop: bool,
+    pub stop_at_violation: bool,
 }
 
 /// How a scenario is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Way {
+pub enum Backend {
     /// The decisions, routes and operator's files in virtual time.
     Virtual,
     /// The program's own socket code over a network in memory, under paused time.
@@ -38,30 +38,32 @@
     Real,
 }
 
-impl Way {
+impl Backend {
     /// Its name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Virtual => "virtual",
-            Way::Sockets => "sockets",
-            Way::Real => "real",
+            Backend::Virtual => "virtual",
+            Backend::Sockets => "sockets",
+            Backend::Real => "real",
         }
     }
 
     /// Does it want the machine to itself?
-    pub fn alone(self) -> bool {
+    pub fn needs_idle_machine(self) -> bool {
         match self {
-            Way::Virtual | Way::Sockets => false,
-            Way::Real => true,
+            Backend::Virtual | Backend::Sockets => false,
+            Backend::Real => true,
         }
     }
 
     /// The play itself.
-    pub fn function(self) -> fn(&Arc<Scenario>, Options) -> Result<Course, Fault> {
+    pub fn run_function(
+        self,
+    ) -> fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError> {
         match self {
-            Way::Virtual => virtually,
-            Way::Sockets => crate::sockets::play,
-            Way::Real => crate::sockets::really,
+            Backend::Virtual => run_in_virtual_time,
+            Backend::Sockets => crate::sockets::run_in_memory,
+            Backend::Real => crate::sockets::run_on_loopback,
         }
     }
 
@@ -69,34 +71,38 @@
     ///
     /// # Errors
     /// If it can't be played.
-    pub fn play(self, scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-        self.function()(scenario, options)
+    pub fn run(
+        self,
+        scenario: &Arc<Scenario>,
+        options: RunOptions,
+    ) -> Result<RunResult, SimulationError> {
+        self.run_function()(scenario, options)
     }
 }
 
 /// Why a scenario can't be played.
 #[derive(Debug)]
-pub enum Fault {
+pub enum SimulationError {
     /// The operator's file that it makes is not good.
-    Operator(Diagnostics),
+    OperatorFile(Diagnostics),
     /// Anything else.
     Other(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SimulationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Operator(mistakes) => write!(f, "{mistakes}"),
-            Fault::Other(text) => f.write_str(text),
+            SimulationError::OperatorFile(mistakes) => write!(f, "{mistakes}"),
+            SimulationError::Other(text) => f.write_str(text),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SimulationError {}
 
-impl From<Diagnostics> for Fault {
+impl From<Diagnostics> for SimulationError {
     fn from(mistakes: Diagnostics) -> Self {
-        Fault::Operator(mistakes)
+        SimulationError::OperatorFile(mistakes)
     }
 }
 
@@ -104,7 +110,7 @@
 const RECOVERY_TOLD: u64 = 30;
 
 /// The liveness judge: after the last fault goodput is back within the stated time.
-pub fn judge_recovery(scenario: &Scenario, course: &Course, judge: &mut InvariantChecker) {
+pub fn check_recovery(scenario: &Scenario, course: &RunResult, judge: &mut InvariantChecker) {
     let Some(within) = scenario.criteria.recovery_time else {
         return;
     };
@@ -113,8 +119,8 @@
     if wanted >= RECOVERY_TOLD && goodput < scenario.criteria.recovered_share {
         let text = format!(
             "goodput {goodput:.3} from {:.1} s on, {:.1} s after the last fault; {:.3} is asked",
-            seconds(from),
-            seconds(within),
+            to_seconds(from),
+            to_seconds(within),
             scenario.criteria.recovered_share
         );
         judge.record(Invariant::NotRecovered, from, None, text);
@@ -122,6 +128,6 @@
 }
 
 /// Microseconds in seconds.
-pub fn seconds(at: Micros) -> f64 {
+pub fn to_seconds(at: Micros) -> f64 {
     at as f64 / 1e6
 }
--- a/crates/simulator/src/play/virtually.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -1,11 +1,11 @@
 //! A scenario in virtual time: the real decisions, routes and operator's files of all proxies on modelled hosts.
 
-use super::among;
-use super::events::{Events, Rank};
-use super::shell::{self, Attempt, Call, Known, Link, Proxy, Routed};
-use super::{judge_recovery, Fault, Options};
-use crate::course::{Course, Sample, BIN};
-use crate::operator;
+use super::event_queue::{Events, Rank};
+use super::gossip;
+use super::proxy::{self, Attempt, Call, Known, Link, Proxy, Routed};
+use super::{check_recovery, RunOptions, SimulationError};
+use crate::operator_file;
+use crate::run_result::{RunResult, Sample, BIN_WIDTH};
 use badgerramp_config::{connections_kept, Config, ANSWER_ROOM};
 use badgerramp_decisions::{
     self as decisions, settings, Action, Balancer, CallId, CellId, EndpointId, EndpointStatus,
@@ -113,7 +113,7 @@
 
 struct Play {
     scenario: Arc<Scenario>,
-    options: Options,
+    options: RunOptions,
     draws: RandomStreams,
     now: Micros,
     events: Events<Ev>,
@@ -128,7 +128,7 @@
     network: Network,
     clients: LoadGenerator,
     judge: InvariantChecker,
-    course: Course,
+    course: RunResult,
     proxies: Vec<Proxy>,
     proxy_zones: Vec<u32>,
     routed: Vec<Routed>,
@@ -147,9 +147,9 @@
 ///
 /// # Errors
 /// If the operator's file that it makes is refused.
-pub fn play(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    let config = operator::read(scenario)?;
-    let routed = shell::routes(scenario, &config).map_err(Fault::Other)?;
+pub fn run(scenario: &Arc<Scenario>, options: RunOptions) -> Result<RunResult, SimulationError> {
+    let config = operator_file::parse(scenario)?;
+    let routed = proxy::routes(scenario, &config).map_err(SimulationError::Other)?;
     let mut play = Play::new(Arc::clone(scenario), options, &config, routed);
     play.run();
     Ok(play.finish())
@@ -158,7 +158,7 @@
 impl Play {
     fn new(
         scenario: Arc<Scenario>,
-        options: Options,
+        options: RunOptions,
         config: &Config,
         routed: Vec<Routed>,
     ) -> Self {
@@ -191,9 +191,9 @@
             network: Network::new(scenario.network, &scenario.faults, draws),
             clients: LoadGenerator::new(Arc::clone(&scenario), draws),
             judge: InvariantChecker::new(Arc::clone(&scenario), 0),
-            course: Course::new(Arc::clone(&scenario)),
+            course: RunResult::new(Arc::clone(&scenario)),
             proxy_zones: (0..scenario.proxies)
-                .map(|n| zone(shell::zone(&scenario, n)))
+                .map(|n| zone(proxy::zone(&scenario, n)))
                 .collect(),
             proxies: Vec::new(),
             routed,
@@ -235,10 +235,10 @@
         if let Some(ask) = self.clients.next_operation() {
             self.at(ask.due, Ev::First(ask));
         }
-        self.at(BIN, Ev::Sample);
+        self.at(BIN_WIDTH, Ev::Sample);
         let end = self.scenario.duration + self.scenario.max_deadline() + AFTERMATH;
         while let Some((at, event)) = self.events.pop() {
-            if at > end || (self.options.stop && self.judge.violation_count() > 0) {
+            if at > end || (self.options.stop_at_violation && self.judge.violation_count() > 0) {
                 break;
             }
             self.now = at;
@@ -247,19 +247,19 @@
         self.now = end;
     }
 
-    fn finish(mut self) -> Course {
+    fn finish(mut self) -> RunResult {
         self.judge.advance(Micros::MAX / 2);
-        if !(self.options.stop && self.judge.violation_count() > 0) {
+        if !(self.options.stop_at_violation && self.judge.violation_count() > 0) {
             self.look_for_leaks(true);
             let mut course =
-                std::mem::replace(&mut self.course, Course::new(Arc::clone(&self.scenario)));
-            judge_recovery(&self.scenario, &course, &mut self.judge);
-            course.list_asked = self.list.request_count;
+                std::mem::replace(&mut self.course, RunResult::new(Arc::clone(&self.scenario)));
+            check_recovery(&self.scenario, &course, &mut self.judge);
+            course.list_requests = self.list.request_count;
             self.course = course;
         }
-        self.course.broken = self.judge.violations().to_vec();
-        self.course.broken_count = self.judge.violation_count();
-        self.course.worked.0 = self.hosts.iter().map(|h| h.work_done).sum();
+        self.course.violations = self.judge.violations().to_vec();
+        self.course.violation_count = self.judge.violation_count();
+        self.course.host_work.0 = self.hosts.iter().map(|h| h.work_done).sum();
         self.course
     }
 
@@ -440,7 +440,7 @@
             let id = self
                 .draws
                 .integer((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
-            let peer = among::start(self.now, (place, self.scenario.gossip_seeds), id);
+            let peer = gossip::start(self.now, (place, self.scenario.gossip_seeds), id);
             self.proxies[place as usize].peer = Some(peer);
             self.among(place, Input::Timer);
         }
@@ -453,7 +453,7 @@
         let Some(peer) = shell.peer.as_mut().filter(|_| shell.up) else {
             return;
         };
-        let out = among::tell(peer, self.now, input);
+        let out = gossip::tell(peer, self.now, input);
         let (due, epoch) = (peer.next_deadline().max(self.now + 1), shell.epoch);
         if due != shell.peer_due {
             shell.peer_due = due;
@@ -469,7 +469,7 @@
         for output in out {
             match output {
                 Output::Send(to, bytes) => {
-                    let (shell, to) = (&mut self.proxies[place as usize], among::place(to));
+                    let (shell, to) = (&mut self.proxies[place as usize], gossip::place(to));
                     shell.letters += 1;
                     let name = (
                         0xda7a,
@@ -488,7 +488,7 @@
                     self.ask_list_for(place, wait);
                 }
                 Output::ListChanged { complete, changes } => {
-                    let entries = changes.iter().filter_map(among::entry).collect();
+                    let entries = changes.iter().filter_map(gossip::entry).collect();
                     self.learn(
                         place,
                         if complete {
@@ -589,16 +589,17 @@
     // Clients.
 
     fn asks(&mut self, ask: ClientRequest) {
-        self.course.asked(&ask);
+        self.course.record_try(&ask);
         self.course
-            .step(self.now, 1, ask.op.0, u64::from(ask.try_number));
+            .record_event(self.now, 1, ask.op.0, u64::from(ask.try_number));
         let class = &self.scenario.classes[ask.class].name;
-        self.course.note(self.options.trace, ask.op, self.now, || {
-            format!(
-                "try {} of {class} at proxy {}, waits {} us",
-                ask.try_number, ask.proxy, ask.timeout
-            )
-        });
+        self.course
+            .trace_call(self.options.trace, ask.op, self.now, || {
+                format!(
+                    "try {} of {class} at proxy {}, waits {} us",
+                    ask.try_number, ask.proxy, ask.timeout
+                )
+            });
         let shell = &self.proxies[ask.proxy as usize];
         if !shell.up {
             // Nobody is there: that nothing ran is plain.
@@ -675,15 +676,15 @@
         told: Option<Micros>,
     ) {
         self.course
-            .step(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
+            .record_event(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
         self.course
-            .note(self.options.trace, ask.op, self.now, || match answered {
+            .trace_call(self.options.trace, ask.op, self.now, || match answered {
                 Some(answer) => format!("try {}: {answer:?}", ask.try_number),
                 None => format!("try {}: no answer", ask.try_number),
             });
         match self.clients.after_answer(&ask, answered, self.now, told) {
             RetryDecision::Retry(next) => self.at(next.due, Ev::Again(next)),
-            RetryDecision::Stop => self.course.ended(&ask, self.now, answered),
+            RetryDecision::Stop => self.course.record_operation_end(&ask, self.now, answered),
         }
     }
 
@@ -700,11 +701,13 @@
         shell.open -= 1;
         self.judge.client_left(self.now, ask.op, ask.try_number);
         self.course
-            .step(self.now, 3, ask.op.0, u64::from(ask.try_number));
-        self.course.ended(&ask, self.now, Some(FinalAnswer::Failed));
-        self.course.note(self.options.trace, ask.op, self.now, || {
-            "its client leaves".to_owned()
-        });
+            .record_event(self.now, 3, ask.op.0, u64::from(ask.try_number));
+        self.course
+            .record_operation_end(&ask, self.now, Some(FinalAnswer::Failed));
+        self.course
+            .trace_call(self.options.trace, ask.op, self.now, || {
+                "its client leaves".to_owned()
+            });
         self.tell(proxy, Event::ClientDisconnected { call });
         let count = self.proxies[proxy as usize]
             .calls
@@ -786,8 +789,8 @@
             token: None,
         });
         let known = shell.hosts.get(host).copied().unwrap_or_default();
-        self.course.sent(&ask);
-        self.course.step(
+        self.course.record_attempt(&ask);
+        self.course.record_event(
             self.now,
             4,
             ask.op.0,
@@ -811,7 +814,7 @@
             });
             let line = format!("attempt {attempt} to {name} until {until}{knew}");
             self.course
-                .note(self.options.trace, ask.op, self.now, || line);
+                .trace_call(self.options.trace, ask.op, self.now, || line);
         }
         self.judge
             .attempt_sent(self.now, ask.op, ask.try_number, host);
@@ -905,9 +908,9 @@
         self.settle(host);
         let taken = self.hosts[host].connect(self.now);
         self.watch_host(host);
-        self.course.connections_most = self
+        self.course.max_connections = self
             .course
-            .connections_most
+            .max_connections
             .max(self.hosts[host].connections());
         let process = self.hosts[host].started_at();
         let link = taken.then_some(Link {
@@ -1018,15 +1021,16 @@
             expected_work: ask.expected_work,
             sender_knows_start: known.started == self.hosts[host].started_at(),
         };
-        self.course.step(self.now, 5, ask.op.0, host as u64);
+        self.course.record_event(self.now, 5, ask.op.0, host as u64);
         let fell = self.hosts[host].collapsed().is_some();
         let arrival = self.hosts[host].arrive(self.now, job, &mut self.memory);
-        self.course.note(self.options.trace, ask.op, self.now, || {
-            format!(
-                "attempt {} reaches {}: {arrival:?}",
-                wire.attempt, self.scenario.hosts[host].name
-            )
-        });
+        self.course
+            .trace_call(self.options.trace, ask.op, self.now, || {
+                format!(
+                    "attempt {} reaches {}: {arrival:?}",
+                    wire.attempt, self.scenario.hosts[host].name
+                )
+            });
         if let (false, Some(pushed)) = (fell, self.hosts[host].collapsed()) {
             if pushed {
                 let text = format!("{} was pushed over", self.scenario.hosts[host].name);
@@ -1065,21 +1069,23 @@
             let Some((wire, _, ask)) = self.jobs.remove(&ended.job.token) else {
                 continue;
             };
-            self.course.step(ended.at, 6, ended.job.op.0, host as u64);
+            self.course
+                .record_event(ended.at, 6, ended.job.op.0, host as u64);
             if ended.took_effect {
                 self.judge.effect_executed(ended.at, ended.job.op, host);
             }
-            self.course.note(self.options.trace, ask.op, ended.at, || {
-                let ran = if ended.took_effect {
-                    ", its effect came about"
-                } else {
-                    ""
-                };
-                format!(
-                    "attempt {} ends at {}: {:?}{ran}",
-                    wire.attempt, self.scenario.hosts[host].name, ended.outcome
-                )
-            });
+            self.course
+                .trace_call(self.options.trace, ask.op, ended.at, || {
+                    let ran = if ended.took_effect {
+                        ", its effect came about"
+                    } else {
+                        ""
+                    };
+                    format!(
+                        "attempt {} ends at {}: {:?}{ran}",
+                        wire.attempt, self.scenario.hosts[host].name, ended.outcome
+                    )
+                });
             self.goes_back(wire, ended.outcome, ended.load);
         }
         self.done = done;
@@ -1230,15 +1236,16 @@
             number as usize,
             outcome.proves_not_executed(),
         );
-        self.course.step(
+        self.course.record_event(
             self.now,
             7,
             ask.op.0,
             (u64::from(number) << 8) | outcome as u64,
         );
-        self.course.note(self.options.trace, ask.op, self.now, || {
-            format!("attempt {number} is over: {outcome:?} after {elapsed} us")
-        });
+        self.course
+            .trace_call(self.options.trace, ask.op, self.now, || {
+                format!("attempt {number} is over: {outcome:?} after {elapsed} us")
+            });
         let mut closed = call.answered;
         if outcome == Outcome::Served && !call.answered {
             call.answered = true;
@@ -1336,7 +1343,7 @@
         }
         if self.scenario.gossip_seeds > 0 {
             self.proxies[question.proxy as usize].asking = None;
-            let answer = among::answer(told, self.now - question.asked, question.known.is_none());
+            let answer = gossip::answer(told, self.now - question.asked, question.known.is_none());
             let input = answer.map_or(Input::PollFailed { retry_after: None }, Input::PollAnswered);
             return self.among(question.proxy, input);
         }
@@ -1347,7 +1354,8 @@
             ListResponse::Unchanged | ListResponse::NoResponse => return,
         };
         let proxy = question.proxy;
-        self.course.step(self.now, 8, u64::from(proxy), version);
+        self.course
+            .record_event(self.now, 8, u64::from(proxy), version);
         let shell = &mut self.proxies[proxy as usize];
         shell.version = Some(version);
         shell.asking = None;
@@ -1439,7 +1447,7 @@
 
     fn host_starts(&mut self, host: usize) {
         self.hosts[host].start(self.now);
-        self.course.step(self.now, 9, host as u64, 0);
+        self.course.record_event(self.now, 9, host as u64, 0);
         let started = self.hosts[host].started_at();
         self.list_changes(ListEntry {
             host,
@@ -1460,7 +1468,7 @@
 
     fn fault_begins(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
-        self.course.step(self.now, 10, n as u64, 0);
+        self.course.record_event(self.now, 10, n as u64, 0);
         if let Some(host) = fault.kind.host() {
             self.settle(host);
         }
@@ -1520,7 +1528,7 @@
 
     fn fault_ends(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
-        self.course.step(self.now, 11, n as u64, 0);
+        self.course.record_event(self.now, 11, n as u64, 0);
         if let Some(host) = fault.kind.host() {
             self.settle(host);
         }
@@ -1556,14 +1564,14 @@
         self.look_for_leaks(false);
         let load = |h: &Host| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1));
         self.course.samples.push(Sample {
-            at: self.now as f64 / 1e6,
-            load: self.hosts.iter().map(load).collect(),
+            at_seconds: self.now as f64 / 1e6,
+            in_flight_per_core: self.hosts.iter().map(load).collect(),
             connections: self.hosts.iter().map(Host::connections).collect(),
-            open,
-            held,
+            open_calls: open,
+            queued_calls: held,
         });
         if self.now < self.scenario.duration + self.scenario.max_deadline() {
-            self.at(self.now + BIN, Ev::Sample);
+            self.at(self.now + BIN_WIDTH, Ev::Sample);
         }
     }
 }
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -3,15 +3,14 @@
 //! clock, so that the same seed gives the same course. Really: the built program, as processes on loopback. Hosts, list
 //! service and clients are the same code in both.
 
-mod around;
-mod memory;
-mod peers;
-mod wire;
+mod http_message;
+mod memory_network;
+mod stand_ins;
+mod transport;
 
-use crate::course::{Course, Sample, BIN};
-use crate::operator;
-use crate::play::{judge_recovery, proxy_zone, Fault, Options};
-use around::{Around, Door, Io, Loopback};
+use crate::operator_file;
+use crate::run_result::{RunResult, Sample, BIN_WIDTH};
+use crate::simulation::{check_recovery, proxy_zone, RunOptions, SimulationError};
 use badgerramp::net::clock::Clock;
 use badgerramp::net::driver::Driver;
 use badgerramp::net::Descriptors;
@@ -22,8 +21,8 @@
     ListService, LoadGenerator, Micros, Network as Ways, OpId, RandomStreams, Scenario,
 };
 use badgerramp_testkit::Proxy;
-use memory::{Time, Who, World};
-use peers::{host_address, list_address, proxy_address, HostCell};
+use memory_network::{Time, Who, World};
+use stand_ins::{host_address, list_address, proxy_address, HostCell};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,6 +32,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet};
+use transport::{Around, Door, Io, Loopback};
 
 /// The Unix time at which each course starts, in microseconds.
 const UNIX: Micros = 1_700_000_000_000_000;
@@ -67,7 +67,7 @@
 struct Shared {
     scenario: Arc<Scenario>,
     draws: RandomStreams,
-    options: Options,
+    options: RunOptions,
     around: Around,
     /// Unix time at the start of the course.
     unix: Micros,
@@ -83,7 +83,7 @@
     listed: Notify,
     clients: RefCell<LoadGenerator>,
     judge: RefCell<InvariantChecker>,
-    course: RefCell<Course>,
+    course: RefCell<RunResult>,
     /// Tries by their names.
     asks: RefCell<BTreeMap<(OpId, u32), ClientRequest>>,
     /// Connections that clients keep to each proxy.
@@ -116,15 +116,18 @@
 ///
 /// # Errors
 /// If the operator's file that it makes is refused, or the runtime can't be made.
-pub fn play(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    operator::read(scenario)?;
+pub fn run_in_memory(
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
+    operator_file::parse(scenario)?;
     note_panics();
     PANICS.with(|p| p.borrow_mut().clear());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
     set.block_on(&runtime, course(Arc::clone(scenario), options, None))
 }
@@ -134,11 +137,14 @@
 ///
 /// # Errors
 /// If the operator's file that it makes is refused, the program does not start, or the load would be beyond all bounds.
-pub fn really(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    operator::read(scenario)?;
+pub fn run_on_loopback(
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
+    operator_file::parse(scenario)?;
     let requests = scenario.clients.rate * scenario.duration as f64 / 1e6;
     if requests > REQUESTS_MOST || scenario.duration > REAL_MOST {
-        return Err(Fault::Other(format!(
+        return Err(SimulationError::Other(format!(
             "{requests:.0} requests in {} s: a real play has at most {REQUESTS_MOST:.0} and {} s",
             scenario.duration / 1_000_000,
             REAL_MOST / 1_000_000
@@ -146,12 +152,13 @@
     }
     let named = std::env::var_os("BADGERRAMP_PROGRAM").map(PathBuf::from);
     let own = || {
-        std::env::current_exe().map_err(|e| Fault::Other(format!("this program's own path: {e}")))
+        std::env::current_exe()
+            .map_err(|e| SimulationError::Other(format!("this program's own path: {e}")))
     };
     let program = match named {
         Some(path) if path.is_file() => (path, Vec::new()),
         Some(path) => {
-            return Err(Fault::Other(format!(
+            return Err(SimulationError::Other(format!(
                 "BADGERRAMP_PROGRAM: {} is no file",
                 path.display()
             )));
@@ -161,7 +168,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
     set.block_on(
         &runtime,
@@ -171,9 +178,9 @@
 
 async fn course(
     scenario: Arc<Scenario>,
-    options: Options,
+    options: RunOptions,
     program: Option<Program>,
-) -> Result<Course, Fault> {
+) -> Result<RunResult, SimulationError> {
     let (draws, time) = (RandomStreams::new(options.seed), Time::start());
     let zone = |name: &str| {
         scenario
@@ -229,7 +236,7 @@
         listed: Notify::new(),
         clients: RefCell::new(LoadGenerator::new(Arc::clone(&scenario), draws)),
         judge: RefCell::new(InvariantChecker::external(Arc::clone(&scenario), slack)),
-        course: RefCell::new(Course::new(Arc::clone(&scenario))),
+        course: RefCell::new(RunResult::new(Arc::clone(&scenario))),
         asks: RefCell::default(),
         kept: RefCell::default(),
         told: RefCell::default(),
@@ -238,11 +245,11 @@
         tokens: Cell::new(0),
         scenario,
     });
-    let io = |e: std::io::Error| Fault::Other(format!("loopback: {e}"));
+    let io = |e: std::io::Error| SimulationError::Other(format!("loopback: {e}"));
     match &shared.around {
         Around::Memory(world) => {
             let door = Door::Memory(world.listen(list_address(), Who::List));
-            tokio::task::spawn_local(peers::list(Rc::clone(&shared), door));
+            tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
         }
         // Each proxy has a door of its own: so it is known who asks.
         Around::Real(loopback) => {
@@ -253,7 +260,7 @@
                     .borrow_mut()
                     .insert(proxy, listener.local_addr().map_err(io)?);
                 let door = Door::Real(listener, Who::Proxy(proxy), loopback.time);
-                tokio::task::spawn_local(peers::list(Rc::clone(&shared), door));
+                tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
             }
         }
     }
@@ -269,14 +276,14 @@
     for proxy in 0..shared.scenario.proxies {
         shared.start_proxy(proxy).await;
     }
-    tokio::task::spawn_local(peers::troubles(Rc::clone(&shared)));
-    tokio::task::spawn_local(peers::clients(Rc::clone(&shared)));
+    tokio::task::spawn_local(stand_ins::troubles(Rc::clone(&shared)));
+    tokio::task::spawn_local(stand_ins::clients(Rc::clone(&shared)));
     let end = shared.scenario.duration + shared.scenario.max_deadline();
-    let mut at = BIN;
+    let mut at = BIN_WIDTH;
     while at <= end {
         tokio::time::sleep_until(time.instant(at)).await;
         shared.sample();
-        at += BIN;
+        at += BIN_WIDTH;
     }
     tokio::time::sleep_until(time.instant(end) + AFTERMATH).await;
     // Clients go; what the proxies still hold then is their own.
@@ -309,7 +316,7 @@
     fn note(&self, op: OpId, line: impl FnOnce() -> String) {
         self.course
             .borrow_mut()
-            .note(self.options.trace, op, self.now(), line);
+            .trace_call(self.options.trace, op, self.now(), line);
     }
 
     /// Are answers being spoilt now?
@@ -388,7 +395,7 @@
         let zone = proxy_zone(&self.scenario, proxy);
         let running = match &self.around {
             Around::Memory(world) => {
-                let text = operator::text(
+                let text = operator_file::render(
                     &self.scenario,
                     (proxy, zone),
                     proxy_address(proxy),
@@ -404,9 +411,9 @@
                     .get(&proxy)
                     .copied()
                     .unwrap_or_else(list_address);
-                let mut text = operator::text(&self.scenario, (proxy, zone), listen, list);
+                let mut text = operator_file::render(&self.scenario, (proxy, zone), listen, list);
                 if self.options.trace.is_some() {
-                    text.push_str(operator::FOLLOWED);
+                    text.push_str(operator_file::CALL_LOG_SECTION);
                 }
                 let (program, before) =
                     (self.program.0.display().to_string(), self.program.1.clone());
@@ -442,7 +449,7 @@
             .integer((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
         let setup = sidecar::setup_once(config, seed);
         let listener = world.listen(proxy_address(proxy), Who::Proxy(proxy));
-        let network = Rc::new(memory::From(Rc::clone(world), Who::Proxy(proxy)));
+        let network = Rc::new(memory_network::From(Rc::clone(world), Who::Proxy(proxy)));
         let clock = Clock::starting_at(self.unix + self.now());
         let seen = Seen::default();
         let shown = Rc::clone(&seen);
@@ -512,11 +519,11 @@
         }
         let at = now as f64 / 1e6;
         self.course.borrow_mut().samples.push(Sample {
-            at,
-            load,
+            at_seconds: at,
+            in_flight_per_core: load,
             connections,
-            open,
-            held: 0,
+            open_calls: open,
+            queued_calls: 0,
         });
         self.audit();
         // What ended long ago is asked for no more.
@@ -535,9 +542,9 @@
             .unwrap_or(0);
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
         let mut course = self.course.borrow_mut();
-        course.memory_most = course.memory_most.max(kib);
-        course.descriptors_most = course.descriptors_most.max(descriptors);
-        if kib > operator::MEMORY_MIB << 10 || descriptors > operator::DESCRIPTORS {
+        course.max_memory_kib = course.max_memory_kib.max(kib);
+        course.max_descriptors = course.max_descriptors.max(descriptors);
+        if kib > operator_file::MEMORY_MIB << 10 || descriptors > operator_file::DESCRIPTORS {
             let text = format!("a proxy has {kib} KiB and {descriptors} descriptors");
             self.judge
                 .borrow_mut()
@@ -563,7 +570,7 @@
         }
     }
 
-    fn finish(&self) -> Course {
+    fn finish(&self) -> RunResult {
         let now = self.now();
         self.audit();
         let mut judge = self.judge.borrow_mut();
@@ -575,7 +582,7 @@
                     if let Some(op) = self.options.trace {
                         self.course
                             .borrow_mut()
-                            .trace
+                            .trace_lines
                             .extend(followed(&process.unread_log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
@@ -622,12 +629,14 @@
         for panicked in PANICS.with(|p| std::mem::take(&mut *p.borrow_mut())) {
             judge.record(Invariant::Crashed, now, None, panicked);
         }
-        let mut course = self.course.replace(Course::new(Arc::clone(&self.scenario)));
-        judge_recovery(&self.scenario, &course, &mut judge);
-        course.list_asked = self.list.borrow().request_count;
-        course.broken = judge.violations().to_vec();
-        course.broken_count = judge.violation_count();
-        course.worked.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
+        let mut course = self
+            .course
+            .replace(RunResult::new(Arc::clone(&self.scenario)));
+        check_recovery(&self.scenario, &course, &mut judge);
+        course.list_requests = self.list.borrow().request_count;
+        course.violations = judge.violations().to_vec();
+        course.violation_count = judge.violation_count();
+        course.host_work.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
         // What refers to itself in a circle is let go.
         if let Around::Memory(world) = &self.around {
             world.close();
--- a/crates/simulator/src/sockets/peers.rs
+++ b/crates/simulator/src/sockets/stand_ins.rs
@@ -1,9 +1,9 @@
 //! Who stands round the program on sockets: hosts out of the model, the list service, and clients. In a simulation they
 //! run on its network and time; the model is the one of the virtual play.
 
-use super::around::{Door, Io};
-use super::memory::Who;
-use super::wire::{self, Message};
+use super::http_message::{self, Message};
+use super::memory_network::Who;
+use super::transport::{Door, Io};
 use super::Shared;
 use badgerramp_sim_model::{
     Arrival, ClientRequest, Completion, FaultKind, FinalAnswer, Host, HostLoad, Invariant, Job,
@@ -60,7 +60,7 @@
             shared
                 .course
                 .borrow_mut()
-                .step(ended.at, 6, ended.job.op.0, self.place as u64);
+                .record_event(ended.at, 6, ended.job.op.0, self.place as u64);
             if let Some(waiter) = self.waiters.borrow_mut().remove(&ended.job.token) {
                 let _ = waiter.send(ended);
             }
@@ -138,7 +138,7 @@
         let taken = self.host.borrow_mut().connect(shared.now());
         let count = self.host.borrow().connections();
         let mut course = shared.course.borrow_mut();
-        course.connections_most = course.connections_most.max(count);
+        course.max_connections = course.max_connections.max(count);
         self.stirred();
         taken
     }
@@ -149,7 +149,7 @@
         loop {
             // It closes what is idle for too long, without a word.
             let Ok(Ok(Some(message))) =
-                tokio::time::timeout(idle, wire::read(&mut stream, &mut rest, false)).await
+                tokio::time::timeout(idle, http_message::read(&mut stream, &mut rest, false)).await
             else {
                 return;
             };
@@ -190,11 +190,11 @@
             number,
             self.place,
         );
-        shared.course.borrow_mut().sent(&ask);
+        shared.course.borrow_mut().record_attempt(&ask);
         shared
             .course
             .borrow_mut()
-            .step(shared.now(), 5, op.0, self.place as u64);
+            .record_event(shared.now(), 5, op.0, self.place as u64);
         shared.note(op, || {
             format!(
                 "attempt {attempt} reaches {}",
@@ -238,7 +238,10 @@
                 self.stirred();
                 // One that hangs up meanwhile is seen: what only waits is dropped.
                 let gone = async {
-                    while !matches!(wire::read(stream, rest, false).await, Ok(None) | Err(_)) {}
+                    while !matches!(
+                        http_message::read(stream, rest, false).await,
+                        Ok(None) | Err(_)
+                    ) {}
                 };
                 tokio::select! {
                     biased;
@@ -379,7 +382,7 @@
         let shared = Rc::clone(&shared);
         tokio::task::spawn_local(async move {
             let mut rest = Vec::new();
-            while let Ok(Some(message)) = wire::read(&mut stream, &mut rest, false).await {
+            while let Ok(Some(message)) = http_message::read(&mut stream, &mut rest, false).await {
                 let Who::Proxy(proxy) = stream.peer else {
                     return;
                 };
@@ -501,11 +504,13 @@
     let mut ask = first;
     loop {
         tokio::time::sleep_until(shared.time().instant(ask.due)).await;
-        shared.course.borrow_mut().asked(&ask);
-        shared
-            .course
-            .borrow_mut()
-            .step(shared.now(), 1, ask.op.0, u64::from(ask.try_number));
+        shared.course.borrow_mut().record_try(&ask);
+        shared.course.borrow_mut().record_event(
+            shared.now(),
+            1,
+            ask.op.0,
+            u64::from(ask.try_number),
+        );
         shared.note(ask.op, || {
             format!(
                 "try {} at proxy {}, waits {} us",
@@ -522,7 +527,7 @@
         shared
             .course
             .borrow_mut()
-            .step(now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
+            .record_event(now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
         shared.note(ask.op, || {
             format!(
                 "try {}: {answered:?}{}",
@@ -534,7 +539,7 @@
             shared
                 .course
                 .borrow_mut()
-                .ended(&ask, now, Some(FinalAnswer::Failed));
+                .record_operation_end(&ask, now, Some(FinalAnswer::Failed));
             return;
         }
         let next = shared
@@ -544,7 +549,10 @@
         match next {
             RetryDecision::Retry(again) => ask = again,
             RetryDecision::Stop => {
-                shared.course.borrow_mut().ended(&ask, now, answered);
+                shared
+                    .course
+                    .borrow_mut()
+                    .record_operation_end(&ask, now, answered);
                 return;
             }
         }
@@ -695,7 +703,9 @@
     }
     stream.write_all(b"body").await.ok()?;
     let mut rest = Vec::new();
-    let message = wire::read(&mut stream, &mut rest, true).await.ok()??;
+    let message = http_message::read(&mut stream, &mut rest, true)
+        .await
+        .ok()??;
     if !rest.is_empty() {
         let text = format!("{} bytes behind an answer", rest.len());
         shared.judge.borrow_mut().record(
@@ -732,10 +742,12 @@
             shared.host_starts(usize::MAX - n);
             continue;
         }
-        shared
-            .course
-            .borrow_mut()
-            .step(shared.now(), if begins { 10 } else { 11 }, n as u64, 0);
+        shared.course.borrow_mut().record_event(
+            shared.now(),
+            if begins { 10 } else { 11 },
+            n as u64,
+            0,
+        );
         let fault = shared.scenario.faults[n];
         if let Some(host) = fault.kind.host() {
             shared.hosts[host].settle(&shared);
--- a/crates/simulator/src/sockets/around.rs
+++ b/crates/simulator/src/sockets/transport.rs
@@ -1,6 +1,6 @@
 //! What peers run in: the network in memory, or the machine's loopback. Peers are the same in both.
 
-use super::memory::{Accepting, End, Time, Who, World};
+use super::memory_network::{Accepting, End, Time, Who, World};
 use badgerramp::net::socket::Stream;
 use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as Ways};
 use std::cell::RefCell;
@@ -195,7 +195,7 @@
     pub(crate) async fn to_proxy(&self, proxy: u32) -> io::Result<Io> {
         match self {
             Around::Memory(world) => {
-                let address = super::peers::proxy_address(proxy);
+                let address = super::stand_ins::proxy_address(proxy);
                 Rc::clone(world)
                     .connect(Who::Client, address)
                     .await
--- a/crates/simulator/src/trial.rs
+++ b/crates/simulator/src/trial.rs
@@ -1,7 +1,7 @@
 //! `trial`: several processes of the real program with faults between them.
 
 use crate::only::Only;
-use crate::play;
+use crate::simulation;
 use badgerramp_fault_injection::contender::Way;
 use badgerramp_fault_injection::course::{Course, Fault, Kind, KINDS};
 use badgerramp_fault_injection::policy::{play, Played, Programs, Size};
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// If the trial itself could not be played.
-pub fn run(trial: Trial) -> Result<bool, play::Fault> {
+pub fn run(trial: Trial) -> Result<bool, simulation::SimulationError> {
     let terms = match trial {
         Trial::Policy(terms) => terms,
         Trial::ColdStart(terms) => return crate::trial_start::run(&terms),
@@ -89,8 +89,10 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
-    runtime.block_on(policy(&terms)).map_err(play::Fault::Other)
+    let runtime = runtime.map_err(|e| simulation::SimulationError::Other(e.to_string()))?;
+    runtime
+        .block_on(policy(&terms))
+        .map_err(simulation::SimulationError::Other)
 }
 
 /// The command that plays one course again.
--- a/crates/simulator/src/trial_drains.rs
+++ b/crates/simulator/src/trial_drains.rs
@@ -1,7 +1,7 @@
 //! `trial drains`: hosts leave while the watches of all proxies are silent.
 
 use crate::only::Only;
-use crate::play;
+use crate::simulation;
 use badgerramp_fault_injection::drains::{play as play_drains, Course, Kind, Played, Size, KINDS};
 use badgerramp_fault_injection::process::want_descriptors;
 use clap::Args;
@@ -49,12 +49,14 @@
 ///
 /// # Errors
 /// If it could not be played.
-pub(crate) fn run(terms: &Drains) -> Result<bool, play::Fault> {
+pub(crate) fn run(terms: &Drains) -> Result<bool, simulation::SimulationError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
-    runtime.block_on(trial(terms)).map_err(play::Fault::Other)
+    let runtime = runtime.map_err(|e| simulation::SimulationError::Other(e.to_string()))?;
+    runtime
+        .block_on(trial(terms))
+        .map_err(simulation::SimulationError::Other)
 }
 
 async fn trial(terms: &Drains) -> Result<bool, String> {
--- a/crates/simulator/src/trial_scale.rs
+++ b/crates/simulator/src/trial_scale.rs
@@ -1,7 +1,7 @@
 //! `trial scale`: a fleet of many proxies on one machine, and what control costs there.
 
 use crate::only::Only;
-use crate::play;
+use crate::simulation;
 use badgerramp_fault_injection::process::want_descriptors;
 use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
 use badgerramp_fault_injection::scale::files::ControlTimes;
@@ -77,14 +77,14 @@
 ///
 /// # Errors
 /// If it could not be played.
-pub(crate) fn run(terms: &Scale) -> Result<bool, play::Fault> {
+pub(crate) fn run(terms: &Scale) -> Result<bool, simulation::SimulationError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
+    let runtime = runtime.map_err(|e| simulation::SimulationError::Other(e.to_string()))?;
     runtime
         .block_on(until_told_to_end(terms))
-        .map_err(play::Fault::Other)
+        .map_err(simulation::SimulationError::Other)
 }
 
 /// Plays until all is played, or SIGTERM or SIGINT comes: its processes end with it in either case.
--- a/crates/simulator/src/trial_start.rs
+++ b/crates/simulator/src/trial_start.rs
@@ -1,7 +1,7 @@
 //! `trial cold-start`: all proxies start together, side by side by several ways.
 
 use crate::only::Only;
-use crate::play;
+use crate::simulation;
 use badgerramp_fault_injection::process::want_descriptors;
 use badgerramp_fault_injection::start::cold;
 use badgerramp_fault_injection::start::course::{Course, Kind, KINDS};
@@ -129,15 +129,17 @@
 ///
 /// # Errors
 /// If the trial itself could not be played.
-pub(crate) fn run(terms: &ColdStart) -> Result<bool, play::Fault> {
+pub(crate) fn run(terms: &ColdStart) -> Result<bool, simulation::SimulationError> {
     if terms.in_virtual_time {
         return Ok(virtually(terms));
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| play::Fault::Other(e.to_string()))?;
-    runtime.block_on(trial(terms)).map_err(play::Fault::Other)
+    let runtime = runtime.map_err(|e| simulation::SimulationError::Other(e.to_string()))?;
+    runtime
+        .block_on(trial(terms))
+        .map_err(simulation::SimulationError::Other)
 }
 
 /// The same start in virtual time. True if all had a list in the end, the newest one, and no question was given up.
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -3,11 +3,11 @@
 
 use badgerramp_sim_model::{FaultKind, Invariant, Scenario, Violation};
 use badgerramp_simulator::check;
-use badgerramp_simulator::course::Course;
 use badgerramp_simulator::experiment::Template;
 use badgerramp_simulator::hunt::{self, Hunt};
-use badgerramp_simulator::play::{Fault, Options, Way};
-use badgerramp_simulator::{generate, operator, report, scenario_file};
+use badgerramp_simulator::run_result::RunResult;
+use badgerramp_simulator::simulation::{Backend, RunOptions, SimulationError};
+use badgerramp_simulator::{generate, operator_file, report, scenario_file};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::AtomicBool;
@@ -36,7 +36,7 @@
         .collect()
 }
 
-fn keeps_the_rules(way: Way, numbers: std::ops::Range<u64>) {
+fn keeps_the_rules(way: Backend, numbers: std::ops::Range<u64>) {
     let wanted = Hunt {
         first: numbers.start,
         count: numbers.end - numbers.start,
@@ -44,37 +44,42 @@
         threads: 2,
         stop: false,
     };
-    let found =
-        hunt::hunt(way.function(), wanted, &AtomicBool::new(false), |_, _| {}).expect("a play");
+    let found = hunt::hunt(
+        way.run_function(),
+        wanted,
+        &AtomicBool::new(false),
+        |_, _| {},
+    )
+    .expect("a play");
     assert_eq!(found.played, wanted.count);
     assert!(found.finds.is_empty(), "{:#?}", found.finds);
 }
 
 #[test]
 fn the_decisions_keep_the_rules_in_drawn_scenarios() {
-    keeps_the_rules(Way::Virtual, 0..200);
+    keeps_the_rules(Backend::Virtual, 0..200);
 }
 
 #[test]
 fn the_socket_code_keeps_the_rules_in_drawn_scenarios() {
-    keeps_the_rules(Way::Sockets, 1_000..1_040);
+    keeps_the_rules(Backend::Sockets, 1_000..1_040);
 }
 
 #[test]
 fn what_was_found_stays_mended() {
     for (name, scenario) in scenarios(&folder().join("kept")) {
         let scenario = Arc::new(scenario);
-        for way in [Way::Virtual, Way::Sockets] {
+        for way in [Backend::Virtual, Backend::Sockets] {
             let course = way
-                .play(
+                .run(
                     &scenario,
-                    Options {
+                    RunOptions {
                         seed: 1,
-                        ..Options::default()
+                        ..RunOptions::default()
                     },
                 )
                 .expect("a play");
-            assert_eq!(course.broken, [], "{name}, {}", way.name());
+            assert_eq!(course.violations, [], "{name}, {}", way.name());
         }
     }
 }
@@ -83,13 +88,13 @@
 /// unread, which broke it and could take the refusal with it.
 #[test]
 fn an_early_answer_arrives_though_its_request_is_still_coming_in() {
-    keeps_the_rules(Way::Sockets, 65..66);
+    keeps_the_rules(Backend::Sockets, 65..66);
 }
 
 /// A keyed call waited for its connection until its window was over, and went out all the same.
 #[test]
 fn a_keyed_attempt_that_waits_for_its_connection_does_not_start_after_its_window() {
-    keeps_the_rules(Way::Sockets, 332..333);
+    keeps_the_rules(Backend::Sockets, 332..333);
 }
 
 #[test]
@@ -98,21 +103,21 @@
         // Cut short here; their full length is for the command.
         scenario.clients.rate = 150.0;
         let scenario = Arc::new(scenario);
-        let options = Options {
+        let options = RunOptions {
             seed: 3,
-            ..Options::default()
+            ..RunOptions::default()
         };
-        let [a, b] =
-            [Way::Virtual, Way::Sockets].map(|way| way.play(&scenario, options).expect("a play"));
+        let [a, b] = [Backend::Virtual, Backend::Sockets]
+            .map(|way| way.run(&scenario, options).expect("a play"));
         assert_eq!(
-            (a.broken.len(), b.broken.len()),
+            (a.violations.len(), b.violations.len()),
             (0, 0),
             "{name}: {:?} {:?}",
-            a.broken,
-            b.broken
+            a.violations,
+            b.violations
         );
         let (a, b) = (a.total(), b.total());
-        assert_eq!(a.wanted, b.wanted, "{name}: the load is the same");
+        assert_eq!(a.operations, b.operations, "{name}: the load is the same");
         assert!(
             (a.goodput() - b.goodput()).abs() < 0.05,
             "{name}: {} and {}",
@@ -132,21 +137,21 @@
         let scenario = Arc::new(scenario);
         // The socket code is slow in a test's build: two of them are enough to see that it does the same.
         let both = name.contains("lost-answers") || name.contains("cold-burst");
-        let sockets = both.then_some((Way::Sockets, 1));
-        for (way, seed) in [(Way::Virtual, 1), (Way::Virtual, 2)]
+        let sockets = both.then_some((Backend::Sockets, 1));
+        for (way, seed) in [(Backend::Virtual, 1), (Backend::Virtual, 2)]
             .into_iter()
             .chain(sockets)
         {
             let course = way
-                .play(
+                .run(
                     &scenario,
-                    Options {
+                    RunOptions {
                         seed,
-                        ..Options::default()
+                        ..RunOptions::default()
                     },
                 )
                 .expect("a play");
-            assert_eq!(course.broken, [], "{name}, {}, {seed}", way.name());
+            assert_eq!(course.violations, [], "{name}, {}, {seed}", way.name());
             // Proxies without a list serve nothing: what a crowded list service leaves is not judged here.
             let listed = !name.contains("list") && !name.contains("restart");
             assert!(
@@ -160,16 +165,16 @@
 
 #[test]
 fn the_same_seed_gives_the_same_course_and_another_does_not() {
-    for way in [Way::Virtual, Way::Sockets] {
+    for way in [Backend::Virtual, Backend::Sockets] {
         for number in 0..8 {
             let scenario = Arc::new(generate::scenario(number));
             let digest = |seed| {
-                way.play(
+                way.run(
                     &scenario,
-                    Options {
+                    RunOptions {
                         seed,
                         shuffle: true,
-                        ..Options::default()
+                        ..RunOptions::default()
                     },
                 )
                 .expect("a play")
@@ -188,8 +193,8 @@
 }
 
 /// A play that breaks a rule whenever one request is there while one fault is.
-fn faulty(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    let mut course = Course::new(Arc::clone(scenario));
+fn faulty(scenario: &Arc<Scenario>, options: RunOptions) -> Result<RunResult, SimulationError> {
+    let mut course = RunResult::new(Arc::clone(scenario));
     let resets = scenario
         .faults
         .iter()
@@ -205,13 +210,13 @@
             scenario.hosts.len(),
             scenario.duration
         );
-        course.broken = vec![Violation {
+        course.violations = vec![Violation {
             invariant: Invariant::RanTwice,
             at: scenario.duration,
             op: None,
             text,
         }];
-        course.broken_count = 1;
+        course.violation_count = 1;
     }
     Ok(course)
 }
@@ -249,7 +254,7 @@
     assert_eq!(
         faulty(&Arc::new(read), shrunk.options)
             .expect("a play")
-            .broken_count,
+            .violation_count,
         1
     );
     assert!(hunt::shrink(
@@ -264,12 +269,12 @@
 
 #[test]
 fn small_worlds_keep_the_rules_in_every_order() {
-    for world in check::worlds(4, 100_000) {
+    for world in check::default_worlds(4, 100_000) {
         let told = check::check(&world);
         assert!(
-            told.broken.is_none(),
+            told.counterexample.is_none(),
             "{}",
-            check::as_test(&world, &told.broken.expect("one"))
+            check::as_test(&world, &told.counterexample.expect("one"))
         );
         assert!(told.depth == 4 && told.states > 1_000, "{told:?}");
     }
@@ -277,9 +282,9 @@
 
 #[test]
 fn a_counterexample_prints_as_a_test() {
-    let world = check::worlds(1, 10).remove(0);
+    let world = check::default_worlds(1, 10).remove(0);
     let found = check::Counterexample {
-        what: "why".to_owned(),
+        violation: "why".to_owned(),
         steps: vec![check::Step::Asks(0), check::Step::Passes],
     };
     let text = check::as_test(&world, &found);
@@ -324,13 +329,13 @@
 fn a_scenario_that_no_operators_file_may_ask_for_is_refused() {
     let mut scenario = scenarios(&folder()).remove(0).1;
     scenario.classes[1].hedging = badgerramp_sim_model::Hedging::Auto;
-    let refused = operator::read(&scenario)
+    let refused = operator_file::parse(&scenario)
         .expect_err("an unsafe class has no second copy")
         .to_string();
     assert!(refused.contains("second_copy"), "{refused}");
-    for way in [Way::Virtual, Way::Sockets, Way::Real] {
+    for way in [Backend::Virtual, Backend::Sockets, Backend::Real] {
         assert!(way
-            .play(&Arc::new(scenario.clone()), Options::default())
+            .run(&Arc::new(scenario.clone()), RunOptions::default())
             .is_err());
     }
 }
@@ -339,14 +344,14 @@
 fn values_are_changed_by_their_keys_and_checked_like_the_file() {
     let template = Template::load(&folder().join("calm.toml")).expect("a scenario");
     let changed = template
-        .with("clients.rate=77")
-        .and_then(|t| t.with("host.cores=2"))
+        .with_override("clients.rate=77")
+        .and_then(|t| t.with_override("host.cores=2"))
         .expect("good values");
     let scenario = changed.scenario().expect("a scenario");
     assert_eq!(scenario.clients.rate, 77.0);
     assert!(scenario.hosts.iter().all(|h| h.cores == 2));
     let timed = template
-        .with("class.cobro-mensual.attempt=300ms")
+        .with_override("class.cobro-mensual.attempt=300ms")
         .expect("a value")
         .scenario()
         .expect("a scenario");
@@ -355,7 +360,7 @@
         .iter()
         .any(|c| c.attempt_timeout == Some(300_000)));
     let bad = template
-        .with("clients.rate=much")
+        .with_override("clients.rate=much")
         .expect("a value")
         .scenario()
         .expect_err("no number")
@@ -364,18 +369,20 @@
         bad.contains("clients.rate") && bad.contains("a number from"),
         "{bad}"
     );
-    assert!(template.with("duration.x=1").is_err() && template.with("rate").is_err());
+    assert!(
+        template.with_override("duration.x=1").is_err() && template.with_override("rate").is_err()
+    );
 }
 
 #[test]
 fn the_page_needs_nothing_else() {
     let scenario = Arc::new(generate::scenario(5));
-    let course = Way::Virtual
-        .play(
+    let course = Backend::Virtual
+        .run(
             &scenario,
-            Options {
+            RunOptions {
                 seed: 5,
-                ..Options::default()
+                ..RunOptions::default()
             },
         )
         .expect("a play");
