--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -1,6 +1,6 @@
-//! Every order of events in a small world, to a stated depth, on the decisions alone: what may be told next is told, one
-//! after the other, and each state that was met before is not gone into again. States are compared by what is
-//! observable and by all that the decisions remember.
+//! Model checker for the decisions: explores every order of events in a small world up to a bounded depth. States that were
+//! reached before are not explored again. Two states are equal if everything observable and the whole state of the
+//! decisions are equal.
 
 use badgerramp_decisions::{
     Action, Balancer, CallId, CallPolicy, Class, ClassId, DedupScope, EndpointEntry, EndpointId,
@@ -12,103 +12,107 @@
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
 
-/// What is checked: how many servers, the classes of the calls, how deep, and how far apart events are.
+/// The bounded world to explore. Its `Debug` text becomes part of generated tests.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// Servers.
+    /// Number of endpoints.
     pub servers: u32,
-    /// What each call is.
+    /// Idempotency of each call.
     pub calls: Vec<Idempotency>,
-    /// Events in a row.
+    /// Maximum number of steps from the initial state.
     pub depth: usize,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts of a call.
     pub attempts: u32,
-    /// Second copies are allowed, where the class lets them.
+    /// Whether hedged requests are allowed for classes that permit them.
     pub copies: bool,
-    /// Time that passes in one step.
+    /// Time that passes in a [`Step::Passes`].
     pub step: Micros,
-    /// States at the most.
+    /// Maximum number of states.
     pub most: usize,
 }
 
-/// One thing that may happen.
+/// One transition between states. Its `Debug` text becomes part of generated tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// The call of this place comes in.
+    /// The call with this index arrives.
     Asks(usize),
-    /// An attempt ends so.
+    /// The call's attempt with this number ends with this outcome.
     Ends(usize, u32, Outcome),
-    /// Its client leaves.
+    /// The client of the call with this index disconnects.
     Leaves(usize),
-    /// Time passes; timers and deadlines that come by are told in the program's order.
+    /// Time passes; timers and deadlines that become due meanwhile fire in the order that the driver guarantees.
     Passes,
-    /// The list says that a server drains.
+    /// A list update reports that an endpoint is draining.
     Drains(u32),
-    /// ... or that it is back, anew.
+    /// A list update reports that an endpoint has restarted and is ready.
     Restarts(u32),
 }
 
-/// A broken rule and the way to it.
+/// A violation and the steps that lead to it.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// What broke.
+    /// Description of the violation.
     pub violation: String,
-    /// The steps that lead there.
+    /// Steps from the initial state to the violation.
     pub steps: Vec<Step>,
 }
 
-/// What a check saw.
+/// Result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Exploration {
-    /// Different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps taken between them.
+    /// Number of steps that were executed.
     pub steps: usize,
-    /// All orders to this depth were gone through.
+    /// Depth up to which all orders of events were explored.
     pub depth: usize,
-    /// The bound of states was met before the depth was.
+    /// Whether the maximum number of states was reached before the maximum depth.
     pub truncated: bool,
-    /// The first broken rule.
+    /// The first violation that was found.
     pub counterexample: Option<Counterexample>,
 }
 
+/// Deadline of each call.
 const DEADLINE: Micros = 1_000_000;
-const WINDOW: Micros = 600_000;
+/// Deduplication window of keyed calls.
+const DEDUP_WINDOW: Micros = 600_000;
 
 #[derive(Clone)]
-struct Tried {
-    server: u32,
-    sent: Micros,
-    until: Micros,
-    over: Option<Outcome>,
+struct Attempt {
+    endpoint: u32,
+    sent_at: Micros,
+    deadline: Micros,
+    /// How the attempt ended; `None` while it is in flight.
+    outcome: Option<Outcome>,
 }
 
 #[derive(Clone, Default)]
 struct Call {
-    asked: Option<Micros>,
+    arrived_at: Option<Micros>,
+    /// Whether the call has its final answer, or its client has disconnected.
     answered: bool,
-    tried: Vec<Tried>,
+    attempts: Vec<Attempt>,
 }
 
-/// One state: the decisions, and what the program would keep.
+/// One state: the decisions, and the state that their driver would keep.
 #[derive(Clone)]
-struct Node {
+struct State {
     balancer: Balancer,
     now: Micros,
-    wake: Option<Micros>,
+    timer: Option<Micros>,
     calls: Vec<Call>,
-    /// For each server: takes calls, its start, and since when it is known to drain.
-    servers: Vec<(bool, Micros, Option<Micros>)>,
+    /// For each endpoint: whether it is ready, when it started, and since when it is known to drain.
+    endpoints: Vec<(bool, Micros, Option<Micros>)>,
     steps: Vec<Step>,
 }
 
 fn settings(world: &World) -> Settings {
-    let class = |repeat: &Idempotency| Class {
+    let class = |idempotency: &Idempotency| Class {
         latency_objective: DEADLINE / 2,
         deadline: DEADLINE,
         priority_weight: 1.0,
         late_value: 1.0,
-        idempotency: *repeat,
+        idempotency: *idempotency,
     };
     let mut settings = Settings {
         classes: world.calls.iter().map(class).collect(),
@@ -119,36 +123,37 @@
     settings
 }
 
-fn group(server: u32) -> u32 {
-    // The first two are one group.
-    server / 2
+/// The cell of an endpoint: two endpoints share one.
+fn cell(endpoint: u32) -> u32 {
+    endpoint / 2
 }
 
-impl Node {
-    fn first(world: &World) -> Result<Node, String> {
-        let mut node = Node {
+impl State {
+    fn initial(world: &World) -> Result<State, String> {
+        let mut state = State {
             balancer: Balancer::new(7, settings(world)),
             now: 10_000_000,
-            wake: None,
+            timer: None,
             calls: vec![Call::default(); world.calls.len()],
-            servers: vec![(true, 0, None); world.servers as usize],
+            endpoints: vec![(true, 0, None); world.servers as usize],
             steps: Vec::new(),
         };
-        node.tell(world, Event::Start)?;
+        state.handle_event(world, Event::Start)?;
         let entries = (0..world.servers)
             .map(|n| entry(n, EndpointStatus::Ready, 0))
             .collect();
-        node.tell(
+        state.handle_event(
             world,
             Event::EndpointList {
                 kind: ListUpdateKind::Full,
                 entries,
             },
         )?;
-        Ok(node)
+        Ok(state)
     }
 
-    fn tell(&mut self, world: &World, event: Event) -> Result<(), String> {
+    /// Passes an event to the decisions and executes the resulting actions.
+    fn handle_event(&mut self, world: &World, event: Event) -> Result<(), String> {
         let mut queue = VecDeque::from([event]);
         while let Some(event) = queue.pop_front() {
             let mut actions = Vec::new();
@@ -157,20 +162,29 @@
                 match action {
                     Action::Send {
                         call,
-                        endpoint: server,
-                        attempt_deadline: until,
+                        endpoint,
+                        attempt_deadline,
                         ..
                     } => {
-                        queue.extend(self.send(world, call.0 as usize, server.0, until)?);
+                        queue.extend(self.send(
+                            world,
+                            call.0 as usize,
+                            endpoint.0,
+                            attempt_deadline,
+                        )?);
                     }
                     Action::Reject { call, .. } => self.answer(world, call.0 as usize, true)?,
                     Action::Fail { call } => self.answer(world, call.0 as usize, false)?,
                     Action::Cancel { call, attempt } => {
-                        queue.extend(self.ends(call.0 as usize, attempt, Outcome::Cancelled));
+                        queue.extend(self.end_attempt(
+                            call.0 as usize,
+                            attempt,
+                            Outcome::Cancelled,
+                        ));
                     }
                     Action::Wake { after } => {
                         let at = self.now + after;
-                        self.wake = Some(self.wake.map_or(at, |old| old.min(at)));
+                        self.timer = Some(self.timer.map_or(at, |old| old.min(at)));
                     }
                     Action::Probe { .. } | Action::Subscribe | Action::Log { .. } => {}
                 }
@@ -179,115 +193,127 @@
         Ok(())
     }
 
+    /// Sends an attempt, and checks that it may be sent. Returns the event of an attempt that ends at once.
     fn send(
         &mut self,
         world: &World,
-        place: usize,
-        server: u32,
-        until: Option<Micros>,
+        index: usize,
+        endpoint: u32,
+        attempt_deadline: Option<Micros>,
     ) -> Result<Option<Event>, String> {
-        let (now, repeat) = (self.now, world.calls[place]);
-        let call = &mut self.calls[place];
-        let asked = call
-            .asked
-            .ok_or("an attempt for a call that has not come")?;
+        let (now, idempotency) = (self.now, world.calls[index]);
+        let call = &mut self.calls[index];
+        let arrived_at = call
+            .arrived_at
+            .ok_or("attempt for a call that has not arrived")?;
         if call.answered {
-            return Err(format!("call {place}: an attempt after its end"));
+            return Err(format!("call {index}: attempt after the final answer"));
         }
-        if now >= asked + DEADLINE {
-            return Err(format!("call {place}: an attempt after its client's time"));
+        if now >= arrived_at + DEADLINE {
+            return Err(format!("call {index}: attempt after the client's deadline"));
         }
-        if call.tried.len() as u32 >= world.attempts {
-            return Err(format!("call {place}: more attempts than are allowed"));
+        if call.attempts.len() as u32 >= world.attempts {
+            return Err(format!(
+                "call {index}: more than the maximum number of attempts"
+            ));
         }
-        let out = call.tried.iter().filter(|t| t.over.is_none()).count();
-        if out > 0 && (!world.copies || repeat == Idempotency::NonIdempotent) {
-            return Err(format!("call {place}: a second copy that is not allowed"));
+        let in_flight = call.attempts.iter().filter(|a| a.outcome.is_none()).count();
+        if in_flight > 0 && (!world.copies || idempotency == Idempotency::NonIdempotent) {
+            return Err(format!("call {index}: hedged request that is not allowed"));
         }
         if let Some(first) = call
-            .tried
+            .attempts
             .iter()
-            .find(|t| t.over.is_none_or(|o| !o.proves_not_executed()))
+            .find(|a| a.outcome.is_none_or(|o| !o.proves_not_executed()))
         {
-            match repeat {
+            match idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
-                    return Err(format!("call {place}: it may run twice"))
+                    return Err(format!(
+                        "call {index}: retry of a non-idempotent call that may have been executed"
+                    ))
                 }
                 Idempotency::Keyed { scope, window } => {
-                    if scope == DedupScope::Cell && group(first.server) != group(server) {
-                        return Err(format!("call {place}: it goes again outside its group"));
+                    if scope == DedupScope::Cell && cell(first.endpoint) != cell(endpoint) {
+                        return Err(format!(
+                            "call {index}: retry outside the cell of the first attempt"
+                        ));
                     }
-                    if now >= first.sent + window {
-                        return Err(format!("call {place}: it goes again outside its window"));
+                    if now >= first.sent_at + window {
+                        return Err(format!(
+                            "call {index}: retry after the deduplication window"
+                        ));
                     }
                 }
             }
         }
-        let (ready, _, drains) = self.servers[server as usize];
-        if !ready && drains.is_some_and(|at| now > at) {
+        let (ready, _, draining_since) = self.endpoints[endpoint as usize];
+        if !ready && draining_since.is_some_and(|at| now > at) {
             return Err(format!(
-                "call {place}: sent to a server that is known to drain"
+                "call {index}: attempt sent to an endpoint that is known to drain"
             ));
         }
-        let until = until
-            .filter(|&u| u > 0)
+        let deadline = attempt_deadline
+            .filter(|&at| at > 0)
             .unwrap_or(Micros::MAX)
-            .min(asked + DEADLINE);
-        call.tried.push(Tried {
-            server,
-            sent: now,
-            until,
-            over: None,
+            .min(arrived_at + DEADLINE);
+        call.attempts.push(Attempt {
+            endpoint,
+            sent_at: now,
+            deadline,
+            outcome: None,
         });
-        let number = call.tried.len() as u32 - 1;
-        Ok(if until <= now {
-            self.ends(place, number, Outcome::NotSent)
+        let number = call.attempts.len() as u32 - 1;
+        Ok(if deadline <= now {
+            self.end_attempt(index, number, Outcome::NotSent)
         } else {
             None
         })
     }
 
-    fn answer(&mut self, world: &World, place: usize, refused: bool) -> Result<(), String> {
-        let call = &mut self.calls[place];
+    /// Gives a call its final answer, and checks that it may have this answer.
+    fn answer(&mut self, world: &World, index: usize, rejected: bool) -> Result<(), String> {
+        let call = &mut self.calls[index];
         if std::mem::replace(&mut call.answered, true) {
-            return Err(format!("call {place}: a second final answer"));
+            return Err(format!("call {index}: second final answer"));
         }
-        let harmless = matches!(
-            world.calls[place],
+        let repeatable = matches!(
+            world.calls[index],
             Idempotency::Idempotent
                 | Idempotency::Keyed {
                     scope: DedupScope::All,
                     ..
                 }
         );
-        let ran = call
-            .tried
+        let may_have_executed = call
+            .attempts
             .iter()
-            .any(|t| t.over.is_none_or(|o| !o.proves_not_executed()));
-        if refused && ran && !harmless {
-            return Err(format!("call {place}: refused though it may have run"));
+            .any(|a| a.outcome.is_none_or(|o| !o.proves_not_executed()));
+        if rejected && may_have_executed && !repeatable {
+            return Err(format!(
+                "call {index}: rejected although it may have been executed"
+            ));
         }
         Ok(())
     }
 
-    /// Notes the end of an attempt; the event that tells of it.
-    fn ends(&mut self, place: usize, number: u32, outcome: Outcome) -> Option<Event> {
+    /// Ends an attempt that is in flight; returns the event that reports its outcome.
+    fn end_attempt(&mut self, index: usize, number: u32, outcome: Outcome) -> Option<Event> {
         let now = self.now;
-        let call = &mut self.calls[place];
-        let tried = call
-            .tried
+        let call = &mut self.calls[index];
+        let attempt = call
+            .attempts
             .get_mut(number as usize)
-            .filter(|t| t.over.is_none())?;
-        tried.over = Some(outcome);
-        let elapsed = now - tried.sent;
+            .filter(|a| a.outcome.is_none())?;
+        attempt.outcome = Some(outcome);
+        let elapsed = now - attempt.sent_at;
         if outcome == Outcome::Served {
             call.answered = true;
         }
         let closed = call.answered;
         let load = LoadReport::default();
         Some(Event::Outcome {
-            call: CallId(place as u64),
+            call: CallId(index as u64),
             attempt: number,
             outcome,
             elapsed,
@@ -296,8 +322,8 @@
         })
     }
 
-    /// What may happen next.
-    fn next(&self, world: &World) -> Vec<Step> {
+    /// All steps that are possible in this state.
+    fn possible_steps(&self, world: &World) -> Vec<Step> {
         const OUTCOMES: [Outcome; 6] = [
             Outcome::Served,
             Outcome::Error,
@@ -307,91 +333,92 @@
             Outcome::NotSent,
         ];
         let mut steps = vec![Step::Passes];
-        for (place, call) in self.calls.iter().enumerate() {
-            if call.asked.is_none() {
-                steps.push(Step::Asks(place));
-                // Calls that have not come are alike only if their classes are: each may come first.
+        for (index, call) in self.calls.iter().enumerate() {
+            if call.arrived_at.is_none() {
+                // Calls of different classes are not interchangeable, so any of them may arrive next.
+                steps.push(Step::Asks(index));
                 continue;
             }
             for (number, _) in call
-                .tried
+                .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, t)| t.over.is_none())
+                .filter(|(_, a)| a.outcome.is_none())
             {
                 steps.extend(
                     OUTCOMES
                         .iter()
-                        .map(|o| Step::Ends(place, number as u32, *o)),
+                        .map(|o| Step::Ends(index, number as u32, *o)),
                 );
             }
             if !call.answered {
-                steps.push(Step::Leaves(place));
+                steps.push(Step::Leaves(index));
             }
         }
-        for (server, (ready, ..)) in (0..).zip(&self.servers) {
+        for (endpoint, (ready, ..)) in (0..).zip(&self.endpoints) {
             steps.push(if *ready {
-                Step::Drains(server)
+                Step::Drains(endpoint)
             } else {
-                Step::Restarts(server)
+                Step::Restarts(endpoint)
             });
         }
         debug_assert!(steps.len() < 64, "{world:?}");
         steps
     }
 
-    fn take(&mut self, world: &World, step: Step) -> Result<(), String> {
+    /// Executes a step.
+    fn apply(&mut self, world: &World, step: Step) -> Result<(), String> {
         self.steps.push(step);
         match step {
-            Step::Asks(place) => {
-                self.calls[place].asked = Some(self.now);
+            Step::Asks(index) => {
+                self.calls[index].arrived_at = Some(self.now);
                 let hedge = if world.copies {
                     Hedge::Auto
                 } else {
                     Hedge::Never
                 };
-                let terms = CallPolicy {
+                let policy = CallPolicy {
                     max_attempts: world.attempts,
                     hedge,
                     ..CallPolicy::default()
                 };
-                self.tell(
+                self.handle_event(
                     world,
                     Event::Request {
-                        call: CallId(place as u64),
-                        class: ClassId(place),
+                        call: CallId(index as u64),
+                        class: ClassId(index),
                         tenant: None,
                         time_left: DEADLINE,
                         is_retry: false,
-                        policy: terms,
+                        policy,
                     },
                 )
             }
-            Step::Ends(place, number, outcome) => match self.ends(place, number, outcome) {
-                Some(event) => self.tell(world, event),
+            Step::Ends(index, number, outcome) => match self.end_attempt(index, number, outcome) {
+                Some(event) => self.handle_event(world, event),
                 None => Ok(()),
             },
-            Step::Leaves(place) => {
-                self.calls[place].answered = true;
-                self.tell(
+            Step::Leaves(index) => {
+                self.calls[index].answered = true;
+                self.handle_event(
                     world,
                     Event::ClientDisconnected {
-                        call: CallId(place as u64),
+                        call: CallId(index as u64),
                     },
                 )?;
-                for number in 0..self.calls[place].tried.len() as u32 {
-                    if let Some(event) = self.ends(place, number, Outcome::Cancelled) {
-                        self.tell(world, event)?;
+                for number in 0..self.calls[index].attempts.len() as u32 {
+                    if let Some(event) = self.end_attempt(index, number, Outcome::Cancelled) {
+                        self.handle_event(world, event)?;
                     }
                 }
                 Ok(())
             }
-            Step::Passes => self.pass(world),
-            Step::Drains(server) => {
-                let started = self.servers[server as usize].1;
-                self.servers[server as usize] = (false, started, Some(self.now));
-                let entries = vec![entry(server, EndpointStatus::Draining, started)];
-                self.tell(
+            Step::Passes => self.advance_time(world),
+            Step::Drains(endpoint) => {
+                let started = self.endpoints[endpoint as usize].1;
+                self.endpoints[endpoint as usize] = (false, started, Some(self.now));
+                let entries = vec![entry(endpoint, EndpointStatus::Draining, started)];
+                self.handle_event(
                     world,
                     Event::EndpointList {
                         kind: ListUpdateKind::Delta,
@@ -399,10 +426,10 @@
                     },
                 )
             }
-            Step::Restarts(server) => {
-                self.servers[server as usize] = (true, self.now, None);
-                let entries = vec![entry(server, EndpointStatus::Ready, self.now)];
-                self.tell(
+            Step::Restarts(endpoint) => {
+                self.endpoints[endpoint as usize] = (true, self.now, None);
+                let entries = vec![entry(endpoint, EndpointStatus::Ready, self.now)];
+                self.handle_event(
                     world,
                     Event::EndpointList {
                         kind: ListUpdateKind::Delta,
@@ -413,156 +440,163 @@
         }
     }
 
-    /// A step of time: attempts that time out, then the decisions' timer, and at a deadline the call must have ended.
-    fn pass(&mut self, world: &World) -> Result<(), String> {
+    /// Lets one step of time pass. At the same time, attempts time out before the decisions' timer fires, as in the driver.
+    /// Checks that each call has ended by its deadline.
+    fn advance_time(&mut self, world: &World) -> Result<(), String> {
         let end = self.now + world.step;
         loop {
-            let attempts = self.calls.iter().enumerate().flat_map(|(place, call)| {
-                let out = call
-                    .tried
+            let attempts = self.calls.iter().enumerate().flat_map(|(index, call)| {
+                let in_flight = call
+                    .attempts
                     .iter()
                     .enumerate()
-                    .filter(|(_, t)| t.over.is_none());
-                out.map(move |(number, t)| (t.until, place, number as u32))
+                    .filter(|(_, a)| a.outcome.is_none());
+                in_flight.map(move |(number, a)| (a.deadline, index, number as u32))
             });
-            let first = attempts.min().filter(|a| a.0 <= end);
-            let wake = self.wake.filter(|&at| at <= end);
-            match (first, wake) {
-                (Some((at, place, number)), wake) if wake.is_none_or(|w| at <= w) => {
+            let next_timeout = attempts.min().filter(|a| a.0 <= end);
+            let timer = self.timer.filter(|&at| at <= end);
+            match (next_timeout, timer) {
+                (Some((at, call, number)), timer) if timer.is_none_or(|w| at <= w) => {
                     self.now = self.now.max(at);
-                    if let Some(event) = self.ends(place, number, Outcome::TimedOut) {
-                        self.tell(world, event)?;
+                    if let Some(event) = self.end_attempt(call, number, Outcome::TimedOut) {
+                        self.handle_event(world, event)?;
                     }
                 }
                 (_, Some(at)) => {
                     self.now = self.now.max(at);
-                    self.wake = None;
-                    self.tell(world, Event::Timer)?;
+                    self.timer = None;
+                    self.handle_event(world, Event::Timer)?;
                 }
                 _ => break,
             }
-            self.overdue()?;
+            self.check_deadlines()?;
         }
         self.now = end;
-        self.overdue()
+        self.check_deadlines()
     }
 
-    fn overdue(&self) -> Result<(), String> {
-        for (place, call) in self.calls.iter().enumerate() {
-            if !call.answered && call.asked.is_some_and(|at| self.now > at + DEADLINE) {
+    /// Checks that no call is without a final answer after its deadline.
+    fn check_deadlines(&self) -> Result<(), String> {
+        for (index, call) in self.calls.iter().enumerate() {
+            if !call.answered && call.arrived_at.is_some_and(|at| self.now > at + DEADLINE) {
                 return Err(format!(
-                    "call {place}: no final answer in its client's time"
+                    "call {index}: no final answer by the client's deadline"
                 ));
             }
         }
         Ok(())
     }
 
-    /// What the decisions count against what is there.
-    fn audit(&self) -> Result<(), String> {
-        for server in 0..self.servers.len() as u32 {
-            let tried = self.calls.iter().flat_map(|c| &c.tried);
-            let out = tried
-                .filter(|t| t.server == server && t.over.is_none())
+    /// Compares the counters of the decisions with the actual numbers.
+    fn check_counters(&self) -> Result<(), String> {
+        for endpoint in 0..self.endpoints.len() as u32 {
+            let attempts = self.calls.iter().flat_map(|c| &c.attempts);
+            let in_flight = attempts
+                .filter(|a| a.endpoint == endpoint && a.outcome.is_none())
                 .count() as u32;
             if let Some(view) = self
                 .balancer
-                .view(self.now, EndpointId(server))
-                .filter(|v| v.in_flight != out)
+                .view(self.now, EndpointId(endpoint))
+                .filter(|v| v.in_flight != in_flight)
             {
                 return Err(format!(
-                    "server {server}: {} counted in flight, {out} are",
+                    "endpoint {endpoint}: the decisions count {} attempts in flight, actual number {in_flight}",
                     view.in_flight
                 ));
             }
         }
-        let open = self.calls.iter().filter(|c| c.asked.is_some());
+        let open = self.calls.iter().filter(|c| c.arrived_at.is_some());
         let open = open
-            .filter(|c| !c.answered || c.tried.iter().any(|t| t.over.is_none()))
+            .filter(|c| !c.answered || c.attempts.iter().any(|a| a.outcome.is_none()))
             .count();
         match self.balancer.call_totals().open {
-            known if known > open => Err(format!("{known} calls known, {open} there")),
+            known if known > open => Err(format!(
+                "the decisions know {known} calls, actual number {open}"
+            )),
             _ => Ok(()),
         }
     }
 
     fn hash(&self) -> u64 {
         let mut hasher = FxHasher::default();
-        // All that the decisions remember shows in their debug form; times in it are those of this world.
+        // The debug text of the decisions contains their whole state.
         let mut text = String::new();
         let _ = write!(text, "{:?}", self.balancer);
         text.hash(&mut hasher);
-        (self.now, self.wake).hash(&mut hasher);
+        (self.now, self.timer).hash(&mut hasher);
         for call in &self.calls {
-            (call.asked, call.answered).hash(&mut hasher);
-            call.tried
+            (call.arrived_at, call.answered).hash(&mut hasher);
+            call.attempts
                 .iter()
-                .for_each(|t| (t.server, t.sent, t.until, t.over).hash(&mut hasher));
+                .for_each(|a| (a.endpoint, a.sent_at, a.deadline, a.outcome).hash(&mut hasher));
         }
-        self.servers.hash(&mut hasher);
+        self.endpoints.hash(&mut hasher);
         hasher.finish()
     }
 }
 
-fn entry(server: u32, state: EndpointStatus, started: Micros) -> EndpointEntry {
-    let cell = badgerramp_decisions::CellId(group(server));
+fn entry(endpoint: u32, status: EndpointStatus, started: Micros) -> EndpointEntry {
+    let cell = badgerramp_decisions::CellId(cell(endpoint));
     EndpointEntry {
-        endpoint: EndpointId(server),
-        status: state,
+        endpoint: EndpointId(endpoint),
+        status,
         cell,
         started,
         ..EndpointEntry::default()
     }
 }
 
-/// Goes through all orders, breadth first: the first counterexample is one of the shortest.
+/// Explores all orders of events, breadth first, so that the counterexample is one of the shortest.
 pub fn check(world: &World) -> Exploration {
-    let mut checked = Exploration::default();
-    let mut level = match Node::first(world) {
-        Ok(node) => vec![node],
+    let mut exploration = Exploration::default();
+    let mut level = match State::initial(world) {
+        Ok(state) => vec![state],
         Err(violation) => {
-            checked.counterexample = Some(Counterexample {
+            exploration.counterexample = Some(Counterexample {
                 violation,
                 steps: Vec::new(),
             });
-            return checked;
+            return exploration;
         }
     };
     let mut seen: FxHashSet<u64> = FxHashSet::default();
     for depth in 1..=world.depth {
         let mut next = Vec::new();
-        for node in &level {
-            for step in node.next(world) {
-                checked.steps += 1;
-                let mut after = node.clone();
-                if let Err(violation) = after.take(world, step).and_then(|()| after.audit()) {
-                    checked.counterexample = Some(Counterexample {
+        for state in &level {
+            for step in state.possible_steps(world) {
+                exploration.steps += 1;
+                let mut after = state.clone();
+                if let Err(violation) = after
+                    .apply(world, step)
+                    .and_then(|()| after.check_counters())
+                {
+                    exploration.counterexample = Some(Counterexample {
                         violation,
                         steps: after.steps,
                     });
-                    checked.states = seen.len();
-                    return checked;
+                    exploration.states = seen.len();
+                    return exploration;
                 }
                 if seen.len() < world.most {
                     if seen.insert(after.hash()) {
                         next.push(after);
                     }
                 } else {
-                    checked.truncated = true;
+                    exploration.truncated = true;
                 }
             }
         }
-        checked.states = seen.len();
-        if checked.truncated {
+        exploration.states = seen.len();
+        if exploration.truncated {
             break;
         }
-        checked.depth = depth;
+        exploration.depth = depth;
         level = next;
     }
-    checked
+    exploration
 }
 
-/// A counterexample as a test that can be kept.
+/// Formats a counterexample as the source of a regression test.
 pub fn as_test(world: &World, found: &Counterexample) -> String {
     let mut out = String::from("#[test]\nfn found_by_the_model_check() {\n");
     let _ = writeln!(out, "    // {}", found.violation);
@@ -571,28 +605,28 @@
     out + "    assert_eq!(badgerramp_simulator::check::replay(&world, &steps), Ok(()));\n}\n"
 }
 
-/// Takes these steps one after the other.
+/// Executes these steps from the initial state.
 ///
 /// # Errors
-/// What breaks, in words.
+/// The description of the first violation.
 pub fn replay(world: &World, steps: &[Step]) -> Result<(), String> {
-    let mut node = Node::first(world)?;
+    let mut state = State::initial(world)?;
     for step in steps {
-        node.take(world, *step)?;
-        node.audit()?;
+        state.apply(world, *step)?;
+        state.check_counters()?;
     }
     Ok(())
 }
 
-/// The worlds that are checked by default.
-pub fn default_worlds(depth: usize, most: usize) -> Vec<World> {
+/// The worlds that are checked by default, with these bounds.
+pub fn default_worlds(depth: usize, max_states: usize) -> Vec<World> {
     let keyed = Idempotency::Keyed {
         scope: DedupScope::Cell,
-        window: WINDOW,
+        window: DEDUP_WINDOW,
     };
     let all = Idempotency::Keyed {
         scope: DedupScope::All,
-        window: WINDOW,
+        window: DEDUP_WINDOW,
     };
     let world = |servers, calls: &[Idempotency], copies| World {
         servers,
@@ -601,7 +635,7 @@
         attempts: 3,
         copies,
         step: 130_000,
-        most,
+        most: max_states,
     };
     vec![
         world(2, &[Idempotency::NonIdempotent, keyed], false),
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Scenarios played again and again: over values of one or two keys, over seeds, and side by side.
+//! Repeated simulation runs of a scenario: over many seeds, over the values of one or two keys, and in comparison with
+//! another scenario.
 
 use crate::run_result::Summary;
 use crate::scenario_file;
@@ -10,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// A scenario's file as it may be changed: each change is read and checked like the file itself.
+/// A scenario file whose values can be overridden. The result is parsed and checked like a file.
 #[derive(Clone, Debug)]
 pub struct Template {
     name: String,
@@ -18,10 +19,10 @@
 }
 
 impl Template {
-    /// Reads a file.
+    /// Reads a scenario file.
     ///
     /// # Errors
-    /// If it can't be read, or is no good scenario as it stands.
+    /// If the file can't be read, or is not a valid scenario without any override.
     pub fn load(path: &Path) -> Result<Self, SimulationError> {
         scenario_file::load(path)?;
         let name = path.display().to_string();
@@ -33,30 +34,33 @@
         Ok(Template { name, table })
     }
 
-    /// The same with another value for a key, such as `clients.rate=400`, `class.x.attempt="200ms"` or `host.cores=2`,
-    /// which changes all hosts.
+    /// A copy with another value for a key, such as `clients.rate=400`, `class.x.attempt="200ms"` or `host.cores=2`. The
+    /// last one changes all hosts.
     ///
     /// # Errors
-    /// If the text has no value or the key names no place; what the value may be is told by [`Template::scenario`].
+    /// If the text has no value, or the key does not lead to a table of the file. The value itself is checked by
+    /// [`Template::scenario`].
     pub fn with_override(&self, change: &str) -> Result<Self, SimulationError> {
         let (key, value) = change.split_once('=').ok_or_else(|| {
             SimulationError::Other(format!(
-                "{change:?}: allowed is KEY=VALUE, like clients.rate=400"
+                "{change:?}: expected KEY=VALUE, such as clients.rate=400"
             ))
         })?;
-        // A time or a word may come without its quotes, as a shell takes them away.
-        let read = |text: &str| {
+        // Shells remove quotes, so a value that is not valid TOML counts as a string.
+        let parse_value = |text: &str| {
             format!("v = {text}")
                 .parse::<toml::Table>()
                 .ok()
                 .and_then(|mut t| t.remove("v"))
         };
-        let value =
-            read(value.trim()).unwrap_or_else(|| toml::Value::String(value.trim().to_owned()));
+        let value = parse_value(value.trim())
+            .unwrap_or_else(|| toml::Value::String(value.trim().to_owned()));
         let parts: Vec<&str> = key.trim().split('.').collect();
         let mut file = toml::Value::Table(self.table.clone());
-        put(&mut file, &parts, &value).map_err(|at| {
-            SimulationError::Other(format!("{key}: {at:?} is no table of the file"))
+        set_value(&mut file, &parts, &value).map_err(|part| {
+            SimulationError::Other(format!(
+                "{key}: {part:?} is not a table of the scenario file"
+            ))
         })?;
         let table = match file {
             toml::Value::Table(table) => table,
@@ -68,50 +72,50 @@
         })
     }
 
-    /// The scenario.
+    /// Parses the file with its overrides.
     ///
     /// # Errors
-    /// All mistakes, at their places in the file as it was changed.
+    /// All mistakes, with their positions in the overridden file.
     pub fn scenario(&self) -> Result<Scenario, SimulationError> {
         Ok(scenario_file::parse(&self.name, &self.table.to_string())?)
     }
 }
 
-/// Sets a value; the error names the part that leads nowhere.
-fn put(value: &mut toml::Value, parts: &[&str], to: &toml::Value) -> Result<(), String> {
+/// Sets the value at a dotted key. The error is the part of the key that is not a table.
+fn set_value(value: &mut toml::Value, parts: &[&str], new: &toml::Value) -> Result<(), String> {
     match (value, parts) {
         (toml::Value::Table(table), [last]) => {
-            table.insert((*last).to_owned(), to.clone());
+            table.insert((*last).to_owned(), new.clone());
             Ok(())
         }
         (toml::Value::Table(table), [first, rest @ ..]) => {
             let inner = table
                 .entry(*first)
                 .or_insert_with(|| toml::Value::Table(toml::Table::new()));
-            put(inner, rest, to)
-        }
-        // All tables of a list alike.
-        (toml::Value::Array(list), parts) => {
-            list.iter_mut().try_for_each(|part| put(part, parts, to))
+            set_value(inner, rest, new)
         }
+        // Sets the value in each table of an array.
+        (toml::Value::Array(list), parts) => list
+            .iter_mut()
+            .try_for_each(|table| set_value(table, parts, new)),
         (_, parts) => Err(parts.first().copied().unwrap_or_default().to_owned()),
     }
 }
 
-/// A mean and the half of its interval of confidence (95 %), over independent seeds.
+/// A mean over independent seeds, with half the width of its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Mean {
     /// The mean.
     pub mean: f64,
-    /// Half the width of the interval; 0 for a single value, of which nothing can be said.
+    /// Half the width of the confidence interval; 0 for a single value, which gives no interval.
     #[serde(rename = "half")]
     pub half_width: f64,
-    /// Values.
+    /// Number of values.
     pub count: usize,
 }
 
 impl Mean {
-    /// Of these values.
+    /// The mean of these values.
     pub fn of(values: &[f64]) -> Self {
         let count = values.len();
         if count == 0 {
@@ -142,15 +146,16 @@
     }
 }
 
-/// Plays `count` courses on so many threads; what is done when `stop` comes is kept. In the order of their numbers.
+/// Calls `run` with each number below `count`, on several threads. Returns the results in the order of their numbers. Once
+/// `stop` is set, no further run starts; the finished ones are returned.
 ///
 /// # Errors
-/// The first fault of a play.
+/// The first error of a run.
 pub fn run_all<T: Send>(
     count: usize,
     threads: usize,
     stop: &AtomicBool,
-    play: impl Fn(usize) -> Result<T, SimulationError> + Sync,
+    run: impl Fn(usize) -> Result<T, SimulationError> + Sync,
     progress: impl Fn() + Sync,
 ) -> Result<Vec<(usize, T)>, SimulationError> {
     let next = AtomicUsize::new(0);
@@ -162,10 +167,10 @@
                 if number >= count || stop.load(Ordering::Relaxed) {
                     return;
                 }
-                let played = play(number);
+                let result = run(number);
                 done.lock()
                     .unwrap_or_else(PoisonError::into_inner)
-                    .push((number, played));
+                    .push((number, result));
                 progress();
             });
         }
@@ -173,30 +178,30 @@
     let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
     done.sort_by_key(|d| d.0);
     done.into_iter()
-        .map(|(n, played)| played.map(|p| (n, p)))
+        .map(|(number, result)| result.map(|r| (number, r)))
         .collect()
 }
 
-/// What is told of the courses of one point of a sweep.
+/// The figures of one point of a sweep, over all of its runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct SweepPoint {
-    /// The changes that make it.
+    /// The overrides of this point.
     pub changes: Vec<String>,
-    /// Worth earned over worth wanted.
+    /// Share of the operations' priority weight that was earned by serving them.
     pub goodput: Mean,
-    /// That of the worst-served class.
+    /// Goodput of the class with the lowest goodput.
     pub worst_class: Mean,
-    /// Attempts for each thing wanted.
+    /// Attempts per operation.
     pub amplification: Mean,
-    /// Milliseconds within which 99 of 100 that were served were.
+    /// 99th percentile of the latency of served operations, in milliseconds.
     pub p99_ms: Mean,
-    /// How often any rule was broken, over all seeds.
+    /// Number of violations of invariants over all runs.
     #[serde(rename = "broken")]
     pub violation_count: u64,
 }
 
 impl SweepPoint {
-    /// Of these courses.
+    /// The point with these overrides, from the summaries of its runs.
     pub fn of(changes: Vec<String>, all: &[Summary]) -> Self {
         let mean =
             |figure: fn(&Summary) -> f64| Mean::of(&all.iter().map(figure).collect::<Vec<_>>());
@@ -211,24 +216,24 @@
     }
 }
 
-/// Two sets of courses, paired by seed: what the second has over the first.
+/// Two sets of runs, paired by seed. A difference is the second run's value minus the first one's.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// Difference of goodput.
+    /// Difference of the goodput.
     pub goodput: Mean,
-    /// Of the worst-served class.
+    /// Difference of the lowest goodput of any class.
     pub worst_class: Mean,
-    /// Of attempts for each thing wanted.
+    /// Difference of the attempts per operation.
     pub amplification: Mean,
-    /// Of the time within which 99 of 100 were served, in milliseconds.
+    /// Difference of the 99th percentile of the latency, in milliseconds.
     pub p99_ms: Mean,
-    /// Rules broken in either.
+    /// Number of violations of invariants in each set.
     #[serde(rename = "broken")]
     pub violation_counts: (u64, u64),
 }
 
 impl Comparison {
-    /// Of two sets, in the same order of seeds.
+    /// Compares two sets of summaries that have the same order of seeds.
     pub fn of(first: &[Summary], second: &[Summary]) -> Self {
         let mean = |figure: fn(&Summary) -> f64| {
             let pairs = first.iter().zip(second);
@@ -249,47 +254,47 @@
     }
 }
 
-/// The values of a sweep: `KEY=FROM..TO:STEPS` or `KEY=A,B,C`, as changes for [`Template::with`].
+/// Parses the values of a sweep, `KEY=FROM..TO:STEPS` or `KEY=A,B,C`, into overrides for [`Template::with_override`].
 ///
 /// # Errors
-/// What is odd in the text.
+/// If the text has neither form.
 pub fn sweep_values(text: &str) -> Result<Vec<String>, SimulationError> {
-    let odd = |why: &str| {
+    let invalid = |reason: &str| {
         SimulationError::Other(format!(
-            "{text:?}: {why}; allowed: KEY=FROM..TO:STEPS or KEY=A,B,C"
+            "{text:?}: {reason}; expected KEY=FROM..TO:STEPS or KEY=A,B,C"
         ))
     };
     let (key, values) = text
         .split_once('=')
-        .ok_or_else(|| odd("there is no value"))?;
+        .ok_or_else(|| invalid("value missing"))?;
     if let Some((from, rest)) = values.split_once("..") {
         let (to, steps) = rest
             .split_once(':')
-            .ok_or_else(|| odd("the steps are not told"))?;
+            .ok_or_else(|| invalid("number of steps missing"))?;
         let number = |t: &str| {
             t.trim()
                 .parse::<f64>()
-                .map_err(|_| odd("this is no number"))
+                .map_err(|_| invalid("FROM or TO is not a number"))
         };
         let (from, to) = (number(from)?, number(to)?);
         let steps: usize = steps
             .trim()
             .parse()
-            .map_err(|_| odd("the steps are no whole number"))?;
+            .map_err(|_| invalid("number of steps is not a whole number"))?;
         if !(2..=1_000).contains(&steps) {
-            return Err(odd("from 2 to 1000 steps"));
+            return Err(invalid("number of steps must be from 2 to 1000"));
         }
-        let whole = from.fract() == 0.0 && to.fract() == 0.0;
-        let at = |n: usize| from + (to - from) * n as f64 / (steps - 1) as f64;
-        // Keys that want whole numbers get them where both ends are whole.
-        let shown = |v: f64| {
-            if whole {
+        let integers = from.fract() == 0.0 && to.fract() == 0.0;
+        let value_at = |n: usize| from + (to - from) * n as f64 / (steps - 1) as f64;
+        // Some keys take whole numbers only; they get them if both ends are whole.
+        let format_override = |v: f64| {
+            if integers {
                 format!("{key}={}", v.round())
             } else {
                 format!("{key}={v}")
             }
         };
-        return Ok((0..steps).map(|n| shown(at(n))).collect());
+        return Ok((0..steps).map(|n| format_override(value_at(n))).collect());
     }
     Ok(values
         .split(',')
@@ -302,8 +307,8 @@
     use super::*;
 
     #[test]
-    fn a_mean_has_the_interval_that_students_t_gives() {
-        // Two degrees of freedom: 4.303 standard errors.
+    fn mean_has_the_confidence_interval_of_students_t() {
+        // With two degrees of freedom the 95 % interval is 4.303 standard errors wide on each side.
         let mean = Mean::of(&[1.0, 2.0, 3.0]);
         assert!(
             (mean.mean - 2.0).abs() < 1e-9
@@ -321,7 +326,7 @@
     }
 
     #[test]
-    fn values_of_a_sweep_are_read_or_refused() {
+    fn sweep_values_are_parsed_or_rejected() {
         assert_eq!(
             sweep_values("clients.rate=100..300:3").unwrap(),
             ["clients.rate=100", "clients.rate=200", "clients.rate=300"]
--- a/crates/simulator/src/operator_file.rs
+++ b/crates/simulator/src/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator's file of a scenario: what its proxies go by, in either play. It is made as text and read by the same
-//! reader as any operator's, so that routes and timing under test are those of the program.
+//! The operator's file that the proxies of a scenario run with, in all backends. It is generated as text and parsed like
+//! any operator's file, so that simulation runs test the proxy's own routes and timing.
 
 use badgerramp_config::{Config, Diagnostics};
 use badgerramp_sim_model::{DedupGroup, Effect, Hedging, Scenario};
@@ -7,13 +7,12 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// What each file promises of memory, in MiB, and of descriptors.
+/// Memory limit of each generated file, in MiB.
 pub const MEMORY_MIB: u64 = 64;
-/// As above.
+/// Limit of file descriptors of each generated file.
 pub const DESCRIPTORS: usize = 1_024;
 
-/// The text of the file of this proxy, which is in `zone`: clients connect at `listen`, the list service is at
-/// `discovery`.
+/// The text of a proxy's file. The proxy is in `zone` and accepts clients at `listen`; the list service is at `discovery`.
 pub fn render(
     scenario: &Scenario,
     (proxy, zone): (u32, &str),
@@ -24,7 +23,7 @@
     let mut out = format!("listen = \"{listen}\"\n\n{limits}\n[upstream]\n");
     let time = |micros: u64| format!("\"{}\"", format_duration(micros));
     let cold = scenario.hosts.iter().find_map(|h| h.cold_start);
-    // Writing to a String does not fail.
+    // Writing to a String can't fail.
     let _ = write!(
         out,
         "discovery = \"{discovery}\"\nzone = {zone:?}\nproxies = {}\nidle = {}\ndrain_grace = {}\n",
@@ -101,17 +100,17 @@
     out
 }
 
-/// What is added to the file of a proxy whose calls are to be followed in its log.
+/// Section that is appended to a proxy's file so that its log contains the events of each call.
 pub const CALL_LOG_SECTION: &str =
     "\n[log]\nformat = \"json\"\nrate = 100000\ntargets = { \"badgerramp::calls\" = \"debug\" }\n";
 
-/// The file as the program reads it. The list service's address is one that nothing is sent to.
+/// The parsed file of a scenario. Nothing connects to the addresses in it.
 ///
 /// # Errors
-/// All mistakes of the file that the scenario makes: what it asks for is not allowed, such as an unsafe class with a
-/// second copy.
+/// All mistakes of the generated file: the scenario asks for something that the proxy does not allow, such as hedged
+/// requests for an unsafe class.
 pub fn parse(scenario: &Scenario) -> Result<Config, Diagnostics> {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     let name = format!("the operator's file of {:?}", scenario.name);
     badgerramp_config::parse(
         &name,
@@ -119,7 +118,7 @@
             scenario,
             (0, "z"),
             SocketAddr::from(([127, 0, 0, 1], 0)),
-            nowhere,
+            unused_address,
         ),
     )
 }
--- a/crates/simulator/src/run_result.rs
+++ b/crates/simulator/src/run_result.rs
@@ -1,4 +1,4 @@
-//! What is measured of a course, in either play.
+//! The measurements of a simulation run. All backends produce the same ones.
 
 use badgerramp_sim_model::{ClientRequest, FinalAnswer, Micros, OpId, Scenario, Violation};
 use hdrhistogram::Histogram;
@@ -6,17 +6,17 @@
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
-/// Longest time that a histogram tells from others: ten minutes.
+/// Upper bound of the latency histograms: ten minutes. Longer latencies count as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// One bin of a course's figures over time.
+/// Width of the bins in which a run is measured over time, and interval between two samples.
 pub const BIN_WIDTH: Micros = 1_000_000;
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 2)
-        .unwrap_or_else(|_| unreachable!("the bounds are good"))
+        .unwrap_or_else(|_| unreachable!("the histogram bounds are constants and valid"))
 }
 
-/// Times of a class or a bin, in microseconds from when the first try was due.
+/// Latencies of a class or a bin, in microseconds since the operation's first try was due.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
@@ -27,53 +27,53 @@
 }
 
 impl LatencyHistogram {
-    /// Takes a time in.
-    pub fn record(&mut self, time: Micros) {
-        self.0.saturating_record(time.max(1));
+    /// Records a latency.
+    pub fn record(&mut self, latency: Micros) {
+        self.0.saturating_record(latency.max(1));
     }
 
-    /// The time within which this share came, in microseconds; 0 where none did.
-    pub fn quantile(&self, share: f64) -> Micros {
+    /// The latency at this quantile, from 0 to 1, in microseconds; 0 if nothing was recorded.
+    pub fn quantile(&self, quantile: f64) -> Micros {
         if self.0.is_empty() {
             0
         } else {
-            self.0.value_at_quantile(share)
+            self.0.value_at_quantile(quantile)
         }
     }
 
-    /// How many.
+    /// Number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 }
 
-/// What became of what clients wanted, of one class or in one stretch of time. A client's tries count as one.
+/// How the clients' operations of a class or a time bin ended. All tries of an operation count as one operation.
 #[derive(Clone, Debug, Default)]
 pub struct OperationStats {
-    /// Wanted.
+    /// Operations that clients started.
     pub operations: u64,
-    /// Served within the aim.
+    /// Operations served within their class's latency objective.
     pub on_time: u64,
-    /// Served later.
+    /// Operations served after the latency objective.
     pub late: u64,
-    /// Last refused.
+    /// Operations whose last try was rejected.
     pub rejected: u64,
-    /// Failed, or the client left.
+    /// Operations whose last try failed, or whose client disconnected.
     pub failed: u64,
-    /// Never answered.
+    /// Operations whose last try was never answered.
     pub unanswered: u64,
-    /// Tries, those of clients' own included.
+    /// Tries of all operations, including the clients' own retries.
     pub tries: u64,
-    /// Attempts at hosts.
+    /// Attempts that proxies sent to hosts.
     pub attempts: u64,
-    /// Worth wanted, and earned.
+    /// Sum of the operations' priority weights, and the part of it that was earned by serving them.
     pub weight: (f64, f64),
-    /// Times of those served.
+    /// Latencies of the served operations.
     pub latencies: LatencyHistogram,
 }
 
 impl OperationStats {
-    /// Worth earned over worth wanted; 1 where nothing was.
+    /// Share of the priority weight that was earned; 1 if there were no operations.
     pub fn goodput(&self) -> f64 {
         if self.weight.0 > 0.0 {
             self.weight.1 / self.weight.0
@@ -83,125 +83,125 @@
     }
 }
 
-/// Hosts and proxies at one moment.
+/// The load of hosts and proxies at one moment.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sample {
-    /// When, in seconds.
+    /// Time since the start of the run, in seconds.
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    /// Calls in hand at each host, for each of its cores.
+    /// Calls in flight at each host, divided by its number of cores.
     #[serde(rename = "load")]
     pub in_flight_per_core: Vec<f64>,
     /// Open connections at each host.
     pub connections: Vec<u32>,
-    /// Calls open at all proxies, and those in their holds.
+    /// Calls open at all proxies.
     #[serde(rename = "open")]
     pub open_calls: u64,
-    /// ... of which held.
+    /// Those of the open calls that are in a proxy's wait queue.
     #[serde(rename = "held")]
     pub queued_calls: u64,
 }
 
-/// All that is measured of one course.
+/// All measurements of a simulation run.
 #[derive(Debug)]
 pub struct RunResult {
     scenario: Arc<Scenario>,
-    /// By class, in their order.
+    /// Operations by class, in the scenario's order.
     pub classes: Vec<OperationStats>,
-    /// By the second in which the first try was due.
+    /// Operations by the second in which their first try was due.
     pub bins: Vec<OperationStats>,
-    /// By the second.
+    /// One sample per second.
     pub samples: Vec<Sample>,
-    /// What was broken, the first ones word for word.
+    /// The first violations of invariants.
     pub violations: Vec<Violation>,
-    /// How often any rule was broken.
+    /// Number of all violations.
     pub violation_count: u64,
-    /// Questions to the list service.
+    /// Requests to the list service.
     pub list_requests: u64,
-    /// Most connections that any host had at once.
+    /// Highest number of connections that any host had open at once.
     pub max_connections: u32,
-    /// Most memory of any proxy, in KiB, and most descriptors, in a real play.
+    /// Highest resident memory of any proxy process, in KiB; 0 if proxies have no process of their own.
     pub max_memory_kib: u64,
-    /// As above.
+    /// Highest number of open file descriptors of any proxy process; 0 if proxies have no process of their own.
     pub max_descriptors: usize,
-    /// Work that hosts did, in microseconds of their cores, and that of answers that were served.
+    /// Work done by all hosts, in core-microseconds, and the part of it behind served answers.
     pub host_work: (u64, u64),
-    /// Steps of the play.
+    /// Number of recorded events.
     pub event_count: u64,
     digest: Sha256,
     buffer: Vec<u8>,
-    /// The course of one call, if it was asked for.
+    /// The trace of one operation, if the options asked for it.
     pub trace_lines: Vec<String>,
-    /// The first that was not served.
+    /// The first operation that was not served.
     pub first_unserved: Option<OpId>,
 }
 
-/// A few figures of a course, as a line of JSON.
+/// The main figures of a run. Results files hold one per line, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// How it was played.
+    /// Name of the backend that ran it.
     #[serde(rename = "play")]
     pub backend: String,
-    /// With which seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Worth earned over worth wanted.
+    /// Share of the operations' priority weight that was earned by serving them.
     pub goodput: f64,
-    /// That of the worst-served class.
+    /// Goodput of the class with the lowest goodput.
     #[serde(rename = "worst_class")]
     pub worst_class_goodput: f64,
-    /// That of the worst ten seconds.
+    /// Goodput of the ten seconds with the lowest goodput.
     #[serde(rename = "worst_window")]
     pub worst_window_goodput: f64,
-    /// What was wanted, and what came of it.
+    /// Operations that clients started.
     #[serde(rename = "wanted")]
     pub operations: u64,
-    /// Served within the aim.
+    /// Operations served within the latency objective.
     #[serde(rename = "good")]
     pub on_time: u64,
-    /// Served later.
+    /// Operations served after the latency objective.
     pub late: u64,
-    /// Refused in the end.
+    /// Operations whose last try was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed in the end.
+    /// Operations whose last try failed, or whose client disconnected.
     pub failed: u64,
-    /// Never answered.
+    /// Operations whose last try was never answered.
     #[serde(rename = "lost")]
     pub unanswered: u64,
-    /// Attempts at hosts for each thing wanted.
+    /// Attempts per operation.
     pub amplification: f64,
-    /// Times of those served, in milliseconds.
+    /// Median latency of the served operations, in milliseconds.
     pub p50_ms: f64,
-    /// As above.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// As above.
+    /// 99.9th percentile of the latency, in milliseconds.
     pub p999_ms: f64,
-    /// Questions to the list service.
+    /// Requests to the list service.
     #[serde(rename = "list_asked")]
     pub list_requests: u64,
-    /// Most connections at any host.
+    /// Highest number of connections that any host had open at once.
     #[serde(rename = "connections_most")]
     pub max_connections: u32,
-    /// Most memory of any proxy, in KiB; 0 where it has no process of its own.
+    /// Highest resident memory of any proxy process, in KiB; 0 if proxies have no process of their own.
     #[serde(rename = "memory_most")]
     pub max_memory_kib: u64,
-    /// Most descriptors of any proxy; likewise.
+    /// Highest number of open file descriptors of any proxy process; 0 if proxies have no process of their own.
     #[serde(rename = "descriptors_most")]
     pub max_descriptors: usize,
-    /// How often any rule was broken.
+    /// Number of violations of invariants.
     #[serde(rename = "broken")]
     pub violation_count: u64,
-    /// The first that was.
+    /// The first violation.
     #[serde(rename = "first_broken")]
     pub first_violation: Option<String>,
-    /// Of all that happened, in its order; empty for a play in real time.
+    /// Digest of all events in their order; empty for a run in real time.
     pub digest: String,
 }
 
 impl RunResult {
-    /// Nothing measured yet.
+    /// The result of a run in which nothing has happened yet.
     pub fn new(scenario: Arc<Scenario>) -> Self {
         let bins = scenario.duration.div_ceil(BIN_WIDTH).max(1) as usize;
         RunResult {
@@ -224,69 +224,72 @@
         }
     }
 
-    fn both(&mut self, ask: &ClientRequest) -> [&mut OperationStats; 2] {
-        let bin = ((ask.first_due / BIN_WIDTH) as usize).min(self.bins.len() - 1);
-        [&mut self.classes[ask.class], &mut self.bins[bin]]
+    /// The statistics that count a request: those of its class and of its time bin.
+    fn stats_of(&mut self, request: &ClientRequest) -> [&mut OperationStats; 2] {
+        let bin = ((request.first_due / BIN_WIDTH) as usize).min(self.bins.len() - 1);
+        [&mut self.classes[request.class], &mut self.bins[bin]]
     }
 
-    /// A client wants something for the first time, or tries again.
-    pub fn record_try(&mut self, ask: &ClientRequest) {
-        let worth = self.scenario.classes[ask.class].priority_weight;
-        for tally in self.both(ask) {
-            tally.tries += 1;
-            if ask.try_number == 0 {
-                tally.operations += 1;
-                tally.weight.0 += worth;
+    /// Records a try of a client: the first one of an operation, or a retry.
+    pub fn record_try(&mut self, request: &ClientRequest) {
+        let weight = self.scenario.classes[request.class].priority_weight;
+        for stats in self.stats_of(request) {
+            stats.tries += 1;
+            if request.try_number == 0 {
+                stats.operations += 1;
+                stats.weight.0 += weight;
             }
         }
     }
 
-    /// An attempt went to a host for it.
-    pub fn record_attempt(&mut self, ask: &ClientRequest) {
-        self.both(ask).into_iter().for_each(|t| t.attempts += 1);
+    /// Records an attempt that was sent to a host for this try.
+    pub fn record_attempt(&mut self, request: &ClientRequest) {
+        self.stats_of(request)
+            .into_iter()
+            .for_each(|s| s.attempts += 1);
     }
 
-    /// The last of a client's tries has ended at `now`; None: never answered.
+    /// Records that an operation's last try ended at `now` with this answer; None: it was never answered.
     pub fn record_operation_end(
         &mut self,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         now: Micros,
-        answered: Option<FinalAnswer>,
+        answer: Option<FinalAnswer>,
     ) {
-        let class = &self.scenario.classes[ask.class];
-        let (aim, worth, late) = (
+        let class = &self.scenario.classes[request.class];
+        let (objective, weight, late_weight) = (
             class.latency_objective,
             class.priority_weight,
             class.priority_weight * class.late_weight,
         );
-        let time = now.saturating_sub(ask.first_due);
-        if answered != Some(FinalAnswer::Served) {
-            self.first_unserved.get_or_insert(ask.op);
+        let latency = now.saturating_sub(request.first_due);
+        if answer != Some(FinalAnswer::Served) {
+            self.first_unserved.get_or_insert(request.op);
         }
-        for tally in self.both(ask) {
-            match answered {
+        for stats in self.stats_of(request) {
+            match answer {
                 Some(FinalAnswer::Served) => {
-                    tally.latencies.record(time);
-                    if time <= aim {
-                        tally.on_time += 1;
-                        tally.weight.1 += worth;
+                    stats.latencies.record(latency);
+                    if latency <= objective {
+                        stats.on_time += 1;
+                        stats.weight.1 += weight;
                     } else {
-                        tally.late += 1;
-                        tally.weight.1 += late;
+                        stats.late += 1;
+                        stats.weight.1 += late_weight;
                     }
                 }
-                Some(FinalAnswer::Refused) => tally.rejected += 1,
-                Some(FinalAnswer::Failed | FinalAnswer::Overdue) => tally.failed += 1,
-                None => tally.unanswered += 1,
+                Some(FinalAnswer::Refused) => stats.rejected += 1,
+                Some(FinalAnswer::Failed | FinalAnswer::Overdue) => stats.failed += 1,
+                None => stats.unanswered += 1,
             }
         }
     }
 
-    /// Takes a step into the digest. Whatever differs between two courses shows in one of these.
-    pub fn record_event(&mut self, at: Micros, what: u8, a: u64, b: u64) {
+    /// Adds an event to the digest. Any difference between two runs shows in at least one of these events.
+    pub fn record_event(&mut self, at: Micros, kind: u8, a: u64, b: u64) {
         self.event_count += 1;
         self.buffer.extend_from_slice(&at.to_le_bytes());
-        self.buffer.push(what);
+        self.buffer.push(kind);
         self.buffer.extend_from_slice(&a.to_le_bytes());
         self.buffer.extend_from_slice(&b.to_le_bytes());
         if self.buffer.len() > 1 << 15 {
@@ -295,7 +298,7 @@
         }
     }
 
-    /// The digest of all steps, in hexadecimal digits.
+    /// The digest of all events, in hexadecimal digits.
     pub fn digest(&self) -> String {
         let mut digest = self.digest.clone();
         digest.update(&self.buffer);
@@ -307,66 +310,66 @@
             .collect()
     }
 
-    /// All classes as one.
+    /// The sum over all classes.
     pub fn total(&self) -> OperationStats {
         let mut sum = OperationStats::default();
-        for t in &self.classes {
-            sum.operations += t.operations;
-            sum.on_time += t.on_time;
-            sum.late += t.late;
-            sum.rejected += t.rejected;
-            sum.failed += t.failed;
-            sum.unanswered += t.unanswered;
-            sum.tries += t.tries;
-            sum.attempts += t.attempts;
-            sum.weight = (sum.weight.0 + t.weight.0, sum.weight.1 + t.weight.1);
-            let _ = sum.latencies.0.add(&t.latencies.0);
+        for class in &self.classes {
+            sum.operations += class.operations;
+            sum.on_time += class.on_time;
+            sum.late += class.late;
+            sum.rejected += class.rejected;
+            sum.failed += class.failed;
+            sum.unanswered += class.unanswered;
+            sum.tries += class.tries;
+            sum.attempts += class.attempts;
+            sum.weight = (sum.weight.0 + class.weight.0, sum.weight.1 + class.weight.1);
+            let _ = sum.latencies.0.add(&class.latencies.0);
         }
         sum
     }
 
-    /// Worth earned over worth wanted of what was first due in this stretch of time, and how much was wanted.
+    /// The goodput of the operations whose first try was due in this time span, and the number of these operations.
     pub fn goodput_between(&self, from: Micros, until: Micros) -> (f64, u64) {
         let bins = self
             .bins
             .iter()
             .zip(0..)
             .filter(|(_, n)| n * BIN_WIDTH >= from && (n + 1) * BIN_WIDTH <= until);
-        let (mut worth, mut wanted) = ((0.0, 0.0), 0);
+        let (mut weight, mut operations) = ((0.0, 0.0), 0);
         for (bin, _) in bins {
-            worth = (worth.0 + bin.weight.0, worth.1 + bin.weight.1);
-            wanted += bin.operations;
+            weight = (weight.0 + bin.weight.0, weight.1 + bin.weight.1);
+            operations += bin.operations;
         }
         (
-            if worth.0 > 0.0 {
-                worth.1 / worth.0
+            if weight.0 > 0.0 {
+                weight.1 / weight.0
             } else {
                 1.0
             },
-            wanted,
+            operations,
         )
     }
 
-    /// The goodput of the worst ten seconds, or of all where it was shorter.
-    pub fn worst_window(&self) -> f64 {
+    /// The lowest goodput of any ten seconds, or the goodput of the whole run if it was shorter.
+    pub fn worst_window_goodput(&self) -> f64 {
         let window = 10.min(self.bins.len());
-        let all = self.bins.windows(window).map(|bins| {
-            let worth = bins
+        let windows = self.bins.windows(window).map(|bins| {
+            let weight = bins
                 .iter()
                 .fold((0.0, 0.0), |w, b| (w.0 + b.weight.0, w.1 + b.weight.1));
-            if worth.0 > 0.0 {
-                worth.1 / worth.0
+            if weight.0 > 0.0 {
+                weight.1 / weight.0
             } else {
                 1.0
             }
         });
-        all.fold(1.0, f64::min)
+        windows.fold(1.0, f64::min)
     }
 
-    /// A few figures.
+    /// The main figures of this run.
     pub fn summary(&self, backend: &str, seed: u64) -> Summary {
         let total = self.total();
-        let ms = |share| total.latencies.quantile(share) as f64 / 1e3;
+        let ms = |quantile| total.latencies.quantile(quantile) as f64 / 1e3;
         Summary {
             scenario: self.scenario.name.clone(),
             backend: backend.to_owned(),
@@ -377,7 +380,7 @@
                 .iter()
                 .map(OperationStats::goodput)
                 .fold(1.0, f64::min),
-            worst_window_goodput: self.worst_window(),
+            worst_window_goodput: self.worst_window_goodput(),
             operations: total.operations,
             on_time: total.on_time,
             late: total.late,
@@ -396,7 +399,7 @@
             first_violation: self
                 .violations
                 .first()
-                .map(|b| format!("{}: {}", b.invariant, b.text)),
+                .map(|v| format!("{}: {}", v.invariant, v.text)),
             digest: if backend == "real" {
                 String::new()
             } else {
@@ -405,13 +408,13 @@
         }
     }
 
-    /// The scenario that was played.
+    /// The scenario of this run.
     pub fn scenario(&self) -> &Arc<Scenario> {
         &self.scenario
     }
 
-    /// Notes a line of the traced call.
-    pub fn trace_call(
+    /// Adds a line to the trace if `op` is the traced operation.
+    pub fn trace_operation(
         &mut self,
         traced: Option<OpId>,
         op: OpId,
--- a/crates/simulator/src/simulation/virtual_time.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -594,7 +594,7 @@
             .record_event(self.now, 1, ask.op.0, u64::from(ask.try_number));
         let class = &self.scenario.classes[ask.class].name;
         self.course
-            .trace_call(self.options.trace, ask.op, self.now, || {
+            .trace_operation(self.options.trace, ask.op, self.now, || {
                 format!(
                     "try {} of {class} at proxy {}, waits {} us",
                     ask.try_number, ask.proxy, ask.timeout
@@ -678,7 +678,7 @@
         self.course
             .record_event(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
         self.course
-            .trace_call(self.options.trace, ask.op, self.now, || match answered {
+            .trace_operation(self.options.trace, ask.op, self.now, || match answered {
                 Some(answer) => format!("try {}: {answer:?}", ask.try_number),
                 None => format!("try {}: no answer", ask.try_number),
             });
@@ -705,7 +705,7 @@
         self.course
             .record_operation_end(&ask, self.now, Some(FinalAnswer::Failed));
         self.course
-            .trace_call(self.options.trace, ask.op, self.now, || {
+            .trace_operation(self.options.trace, ask.op, self.now, || {
                 "its client leaves".to_owned()
             });
         self.tell(proxy, Event::ClientDisconnected { call });
@@ -814,7 +814,7 @@
             });
             let line = format!("attempt {attempt} to {name} until {until}{knew}");
             self.course
-                .trace_call(self.options.trace, ask.op, self.now, || line);
+                .trace_operation(self.options.trace, ask.op, self.now, || line);
         }
         self.judge
             .attempt_sent(self.now, ask.op, ask.try_number, host);
@@ -1025,7 +1025,7 @@
         let fell = self.hosts[host].collapsed().is_some();
         let arrival = self.hosts[host].arrive(self.now, job, &mut self.memory);
         self.course
-            .trace_call(self.options.trace, ask.op, self.now, || {
+            .trace_operation(self.options.trace, ask.op, self.now, || {
                 format!(
                     "attempt {} reaches {}: {arrival:?}",
                     wire.attempt, self.scenario.hosts[host].name
@@ -1075,7 +1075,7 @@
                 self.judge.effect_executed(ended.at, ended.job.op, host);
             }
             self.course
-                .trace_call(self.options.trace, ask.op, ended.at, || {
+                .trace_operation(self.options.trace, ask.op, ended.at, || {
                     let ran = if ended.took_effect {
                         ", its effect came about"
                     } else {
@@ -1243,7 +1243,7 @@
             (u64::from(number) << 8) | outcome as u64,
         );
         self.course
-            .trace_call(self.options.trace, ask.op, self.now, || {
+            .trace_operation(self.options.trace, ask.op, self.now, || {
                 format!("attempt {number} is over: {outcome:?} after {elapsed} us")
             });
         let mut closed = call.answered;
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -316,7 +316,7 @@
     fn note(&self, op: OpId, line: impl FnOnce() -> String) {
         self.course
             .borrow_mut()
-            .trace_call(self.options.trace, op, self.now(), line);
+            .trace_operation(self.options.trace, op, self.now(), line);
     }
 
     /// Are answers being spoilt now?
