--- a/crates/simulator/src/bench.rs
+++ b/crates/simulator/src/bench.rs
@@ -1,8 +1,8 @@
 //! How fast scenarios are played, and in how much memory.
 
 use crate::generate;
-use crate::play::{virtually, Fault, Options};
-use badgerramp_sim_model::{Effect, Scenario, SecondCopy};
+use crate::simulation::{run_in_virtual_time, RunOptions, SimulationError};
+use badgerramp_sim_model::{Effect, Hedging, Scenario};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -15,15 +15,15 @@
         group: 0,
         kind: "m".to_owned(),
         cores: 4,
-        waiting: 100,
+        queue_capacity: 100,
         speed: 1.0,
-        connections: 1_000_000,
+        max_connections: 1_000_000,
         connection_cost: 0,
-        idle: 15_000_000,
-        cold: None,
-        crowding: None,
-        jam: None,
-        joins: 0,
+        idle_timeout: 15_000_000,
+        cold_start: None,
+        concurrency_penalty: None,
+        congestion_collapse: None,
+        joins_at: 0,
     };
     scenario.name = format!("{proxies} proxies, {hosts} hosts");
     scenario.hosts = (0..hosts)
@@ -37,14 +37,22 @@
     scenario.faults.clear();
     scenario.classes.truncate(1);
     let class = &mut scenario.classes[0];
-    (class.aim, class.deadline, class.attempts, class.attempt) = (500_000, 1_000_000, 3, None);
-    (class.effect, class.second_copy, class.backoff, class.work) =
-        (Effect::Safe, SecondCopy::Off, 0, (5_000, 5_000));
+    (
+        class.latency_objective,
+        class.deadline,
+        class.max_attempts,
+        class.attempt_timeout,
+    ) = (500_000, 1_000_000, 3, None);
+    (class.effect, class.hedging, class.backoff, class.work) =
+        (Effect::Safe, Hedging::Off, 0, (5_000, 5_000));
     scenario.clients.rate = rate;
-    scenario.clients.retries = 0;
-    (scenario.clients.leaves, scenario.clients.tide.0) = (0.0, 0.0);
-    scenario.judged.recovers = None;
-    scenario.list.capacity = 100_000.0;
+    scenario.clients.max_retries = 0;
+    (
+        scenario.clients.disconnect_share,
+        scenario.clients.load_swing.0,
+    ) = (0.0, 0.0);
+    scenario.criteria.recovery_time = None;
+    scenario.list.requests_per_s = 100_000.0;
     scenario
 }
 
@@ -66,7 +74,7 @@
 ///
 /// # Errors
 /// If one can't be played.
-pub fn speed(large: bool) -> Result<(), Fault> {
+pub fn speed(large: bool) -> Result<(), SimulationError> {
     println!(
         "{:<28}{:>10}{:>12}{:>16}{:>18}",
         "world", "requests", "seconds", "requests a s", "memory MiB, most"
@@ -83,11 +91,11 @@
     for world in worlds {
         let world = Arc::new(world);
         let began = Instant::now();
-        let course = virtually(
+        let course = run_in_virtual_time(
             &world,
-            Options {
+            RunOptions {
                 seed: 1,
-                ..Options::default()
+                ..RunOptions::default()
             },
         )?;
         let (took, total) = (began.elapsed().as_secs_f64(), course.total());
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -1,9 +1,9 @@
 //! Looks for broken rules in random scenarios, tells each kind once, and cuts what it finds down.
 
-use crate::course::Course;
 use crate::generate;
-use crate::play::{Fault, Options};
-use badgerramp_sim_model::{Broken, Clients, Draws, Micros, Rule, Scenario};
+use crate::run_result::RunResult;
+use crate::simulation::{RunOptions, SimulationError};
+use badgerramp_sim_model::{Invariant, LoadGenerator, Micros, RandomStreams, Scenario, Violation};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,31 +11,35 @@
 use std::time::{Duration, Instant};
 
 /// A way to play a scenario.
-pub type Play = fn(&Arc<Scenario>, Options) -> Result<Course, Fault>;
+pub type Play = fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError>;
 
 /// Plays a scenario; code that panics is a find like any other.
-fn guarded(play: Play, scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
+fn guarded(
+    play: Play,
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
     let played = catch_unwind(AssertUnwindSafe(|| play(scenario, options)));
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text
             .or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()))
             .unwrap_or_default();
-        let mut course = Course::new(Arc::clone(scenario));
+        let mut course = RunResult::new(Arc::clone(scenario));
         // When it was is not known: nothing that comes later may be left out because of it.
-        course.broken = vec![Broken {
-            rule: Rule::Crashed,
+        course.violations = vec![Violation {
+            invariant: Invariant::Crashed,
             at: Micros::MAX,
             op: None,
             text,
         }];
-        course.broken_count = 1;
+        course.violation_count = 1;
         Ok(course)
     })
 }
 
 /// What makes two finds the same: the rule, and its words without their numbers.
-pub fn signature(broken: &Broken) -> String {
+pub fn signature(broken: &Violation) -> String {
     let mut words = String::new();
     for part in broken.text.split_whitespace() {
         let plain: String = part.chars().filter(|c| c.is_alphabetic()).collect();
@@ -44,7 +48,7 @@
         words.push_str(if name { "#" } else { &plain });
         words.push(' ');
     }
-    format!("{}: {}", broken.rule, words.trim_end())
+    format!("{}: {}", broken.invariant, words.trim_end())
 }
 
 /// A kind of failure.
@@ -53,7 +57,7 @@
     /// The first scenario that showed it, by its number.
     pub number: u64,
     /// What was broken there.
-    pub broken: Broken,
+    pub broken: Violation,
     /// How many scenarios showed it.
     pub count: u64,
 }
@@ -90,11 +94,11 @@
 const LOSSES: usize = 5;
 
 /// How a drawn scenario is played: half of them with a drawn order of what falls on one instant.
-pub fn options(number: u64) -> Options {
-    Options {
+pub fn options(number: u64) -> RunOptions {
+    RunOptions {
         seed: number,
         shuffle: number % 2 == 1,
-        ..Options::default()
+        ..RunOptions::default()
     }
 }
 
@@ -107,7 +111,7 @@
     hunt: Hunt,
     stop: &AtomicBool,
     progress: impl Fn(u64, usize) + Sync,
-) -> Result<Found, Fault> {
+) -> Result<Found, SimulationError> {
     let next = AtomicU64::new(hunt.first);
     let end = hunt.first.saturating_add(hunt.count);
     let began = Instant::now();
@@ -155,12 +159,12 @@
     }
 }
 
-fn take(found: &mut Found, number: u64, course: &Course) {
+fn take(found: &mut Found, number: u64, course: &RunResult) {
     found.played += 1;
     let total = course.total();
     found.requests += total.tries;
     let mut seen = Vec::new();
-    for broken in &course.broken {
+    for broken in &course.violations {
         let signature = signature(broken);
         if seen.contains(&signature) {
             continue;
@@ -195,9 +199,9 @@
     /// What still fails.
     pub scenario: Scenario,
     /// With which seed.
-    pub options: Options,
+    pub options: RunOptions,
     /// What is broken there.
-    pub broken: Broken,
+    pub broken: Violation,
     /// Plays that it took.
     pub plays: u64,
 }
@@ -209,15 +213,15 @@
 pub fn shrink(
     play: Play,
     scenario: &Scenario,
-    options: Options,
-    rule: Rule,
+    options: RunOptions,
+    rule: Invariant,
     most: u64,
 ) -> Option<Shrunk> {
     let mut search = Search {
         play,
         rule,
-        options: Options {
-            stop: false,
+        options: RunOptions {
+            stop_at_violation: false,
             ..options
         },
         plays: 0,
@@ -238,7 +242,7 @@
 }
 
 fn size(scenario: &Scenario) -> usize {
-    scenario.events() * 100 + scenario.hosts.len() + scenario.proxies as usize
+    scenario.event_count() * 100 + scenario.hosts.len() + scenario.proxies as usize
 }
 
 /// The same load as single requests.
@@ -246,11 +250,11 @@
     if scenario.requests.is_some() {
         return scenario.clone();
     }
-    let mut clients = Clients::new(Arc::new(scenario.clone()), Draws::new(seed));
+    let mut clients = LoadGenerator::new(Arc::new(scenario.clone()), RandomStreams::new(seed));
     let mut requests = Vec::new();
-    while let Some(ask) = clients.next_first() {
-        let (at, proxy, class, id) = (ask.at, ask.proxy, ask.class, ask.op.0);
-        requests.push(badgerramp_sim_model::Request {
+    while let Some(ask) = clients.next_operation() {
+        let (at, proxy, class, id) = (ask.due, ask.proxy, ask.class, ask.op.0);
+        requests.push(badgerramp_sim_model::ScriptedRequest {
             at,
             proxy,
             class,
@@ -265,8 +269,8 @@
 
 struct Search {
     play: Play,
-    rule: Rule,
-    options: Options,
+    rule: Invariant,
+    options: RunOptions,
     plays: u64,
     most: u64,
 }
@@ -281,12 +285,12 @@
                 return None;
             }
             self.plays += 1;
-            let options = Options {
+            let options = RunOptions {
                 seed,
                 ..self.options
             };
             let course = guarded(self.play, &scenario, options).ok()?;
-            if let Some(broken) = course.broken.iter().find(|b| b.rule == self.rule) {
+            if let Some(broken) = course.violations.iter().find(|b| b.invariant == self.rule) {
                 self.options = options;
                 let scenario = Scenario::clone(&scenario);
                 return Some(Shrunk {
@@ -355,7 +359,7 @@
         let mut host = best.scenario.hosts.len();
         while host > 0 {
             host -= 1;
-            let used = |f: &badgerramp_sim_model::Fault| f.trouble.host() == Some(host);
+            let used = |f: &badgerramp_sim_model::Fault| f.kind.host() == Some(host);
             if best.scenario.hosts.len() < 2 || best.scenario.faults.iter().any(used) {
                 continue;
             }
@@ -373,21 +377,21 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let crashed = best.scenario.faults.iter().filter_map(|f| match f.trouble {
-            badgerramp_sim_model::Trouble::ProxyCrash { proxy } => Some(proxy + 1),
+        let crashed = best.scenario.faults.iter().filter_map(|f| match f.kind {
+            badgerramp_sim_model::FaultKind::ProxyCrash { proxy } => Some(proxy + 1),
             _ => None,
         });
         let proxies = crashed.max().unwrap_or(0).max(proxies);
         let changes: [&dyn Fn(&mut Scenario); 6] = [
             &|s| s.proxies = proxies,
-            &|s| s.clients.retries = 0,
-            &|s| s.clients.leaves = 0.0,
+            &|s| s.clients.max_retries = 0,
+            &|s| s.clients.disconnect_share = 0.0,
             &|s| {
                 s.hosts
                     .iter_mut()
-                    .for_each(|h| (h.crowding, h.jam) = (None, None));
+                    .for_each(|h| (h.concurrency_penalty, h.congestion_collapse) = (None, None));
             },
-            &|s| s.list.lag = 0,
+            &|s| s.list.publish_delay = 0,
             &|s| {
                 let last: Micros = s.requests.iter().flatten().map(|r| r.at).max().unwrap_or(0);
                 s.duration = s.duration.min(last + 1_000_000);
@@ -406,16 +410,16 @@
 
 /// Places of hosts after one that has gone move up.
 fn move_host(fault: &mut badgerramp_sim_model::Fault, gone: usize) {
-    use badgerramp_sim_model::Trouble as T;
-    if let T::Fails { host, .. }
-    | T::Stalls { host }
-    | T::Slow { host, .. }
-    | T::Resets { host, .. }
-    | T::Spoils { host, .. }
+    use badgerramp_sim_model::FaultKind as T;
+    if let T::Errors { host, .. }
+    | T::Stall { host }
+    | T::Slowdown { host, .. }
+    | T::ConnectionResets { host, .. }
+    | T::CorruptResponses { host, .. }
     | T::Crash { host }
     | T::Drain { host }
     | T::Partition { host }
-    | T::HalfOpen { host } = &mut fault.trouble
+    | T::HalfOpen { host } = &mut fault.kind
     {
         if *host > gone {
             *host -= 1;
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -3,27 +3,26 @@
 //! clock, so that the same seed gives the same course. Really: the built program, as processes on loopback. Hosts, list
 //! service and clients are the same code in both.
 
-mod around;
-mod memory;
-mod peers;
-mod wire;
+mod http_message;
+mod memory_network;
+mod stand_ins;
+mod transport;
 
-use crate::course::{Course, Sample, BIN};
-use crate::operator;
-use crate::play::{judge_recovery, proxy_zone, Fault, Options};
-use around::{Around, Door, Io, Loopback};
+use crate::operator_file;
+use crate::run_result::{RunResult, Sample, BIN_WIDTH};
+use crate::simulation::{check_recovery, proxy_zone, RunOptions, SimulationError};
 use badgerramp::net::clock::Clock;
 use badgerramp::net::driver::Driver;
 use badgerramp::net::Descriptors;
 use badgerramp::program::{serve_in, Surroundings};
 use badgerramp::sidecar;
 use badgerramp_sim_model::{
-    Ask, Clients, Draws, Entry, Host, Judge, ListService, Memory, Micros, Network as Ways, OpId,
-    Rule, Scenario, Trouble,
+    ClientRequest, DedupStore, FaultKind, Host, Invariant, InvariantChecker, ListEntry,
+    ListService, LoadGenerator, Micros, Network as Ways, OpId, RandomStreams, Scenario,
 };
 use badgerramp_testkit::Proxy;
-use memory::{Time, Who, World};
-use peers::{host_address, list_address, proxy_address, HostCell};
+use memory_network::{Time, Who, World};
+use stand_ins::{host_address, list_address, proxy_address, HostCell};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,6 +32,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet};
+use transport::{Around, Door, Io, Loopback};
 
 /// The Unix time at which each course starts, in microseconds.
 const UNIX: Micros = 1_700_000_000_000_000;
@@ -66,8 +66,8 @@
 /// What all peers share.
 struct Shared {
     scenario: Arc<Scenario>,
-    draws: Draws,
-    options: Options,
+    draws: RandomStreams,
+    options: RunOptions,
     around: Around,
     /// Unix time at the start of the course.
     unix: Micros,
@@ -78,14 +78,14 @@
     /// Where each proxy finds the list service.
     lists: RefCell<BTreeMap<u32, SocketAddr>>,
     hosts: Vec<Rc<HostCell>>,
-    memory: RefCell<Memory>,
+    memory: RefCell<DedupStore>,
     list: RefCell<ListService>,
     listed: Notify,
-    clients: RefCell<Clients>,
-    judge: RefCell<Judge>,
-    course: RefCell<Course>,
+    clients: RefCell<LoadGenerator>,
+    judge: RefCell<InvariantChecker>,
+    course: RefCell<RunResult>,
     /// Tries by their names.
-    asks: RefCell<BTreeMap<(OpId, u32), Ask>>,
+    asks: RefCell<BTreeMap<(OpId, u32), ClientRequest>>,
     /// Connections that clients keep to each proxy.
     kept: RefCell<BTreeMap<u32, Vec<Io>>>,
     /// Which start of which host each proxy was told of.
@@ -116,15 +116,18 @@
 ///
 /// # Errors
 /// If the operator's file that it makes is refused, or the runtime can't be made.
-pub fn play(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    operator::read(scenario)?;
+pub fn run_in_memory(
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
+    operator_file::parse(scenario)?;
     note_panics();
     PANICS.with(|p| p.borrow_mut().clear());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
     set.block_on(&runtime, course(Arc::clone(scenario), options, None))
 }
@@ -134,11 +137,14 @@
 ///
 /// # Errors
 /// If the operator's file that it makes is refused, the program does not start, or the load would be beyond all bounds.
-pub fn really(scenario: &Arc<Scenario>, options: Options) -> Result<Course, Fault> {
-    operator::read(scenario)?;
+pub fn run_on_loopback(
+    scenario: &Arc<Scenario>,
+    options: RunOptions,
+) -> Result<RunResult, SimulationError> {
+    operator_file::parse(scenario)?;
     let requests = scenario.clients.rate * scenario.duration as f64 / 1e6;
     if requests > REQUESTS_MOST || scenario.duration > REAL_MOST {
-        return Err(Fault::Other(format!(
+        return Err(SimulationError::Other(format!(
             "{requests:.0} requests in {} s: a real play has at most {REQUESTS_MOST:.0} and {} s",
             scenario.duration / 1_000_000,
             REAL_MOST / 1_000_000
@@ -146,12 +152,13 @@
     }
     let named = std::env::var_os("BADGERRAMP_PROGRAM").map(PathBuf::from);
     let own = || {
-        std::env::current_exe().map_err(|e| Fault::Other(format!("this program's own path: {e}")))
+        std::env::current_exe()
+            .map_err(|e| SimulationError::Other(format!("this program's own path: {e}")))
     };
     let program = match named {
         Some(path) if path.is_file() => (path, Vec::new()),
         Some(path) => {
-            return Err(Fault::Other(format!(
+            return Err(SimulationError::Other(format!(
                 "BADGERRAMP_PROGRAM: {} is no file",
                 path.display()
             )));
@@ -161,7 +168,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| Fault::Other(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
     set.block_on(
         &runtime,
@@ -171,10 +178,10 @@
 
 async fn course(
     scenario: Arc<Scenario>,
-    options: Options,
+    options: RunOptions,
     program: Option<Program>,
-) -> Result<Course, Fault> {
-    let (draws, time) = (Draws::new(options.seed), Time::start());
+) -> Result<RunResult, SimulationError> {
+    let (draws, time) = (RandomStreams::new(options.seed), Time::start());
     let zone = |name: &str| {
         scenario
             .hosts
@@ -189,7 +196,7 @@
     let zones = (proxy_zones, host_zones);
     let ways = Ways::new(scenario.network, &scenario.faults, draws);
     let real = program.is_some();
-    let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.longest();
+    let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.max_delay();
     let (faults, unix) = (
         scenario.faults.clone(),
         SystemTime::now()
@@ -203,12 +210,12 @@
     };
     let models =
         (0..scenario.hosts.len()).map(|n| HostCell::new(n, Host::new(&scenario, n, draws)));
-    let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins == 0);
+    let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
     let first = there
-        .map(|host| Entry {
+        .map(|host| ListEntry {
             host,
             state: 0,
-            started: 0,
+            started_at: 0,
         })
         .collect();
     let shared = Rc::new(Shared {
@@ -227,9 +234,9 @@
         memory: RefCell::default(),
         list: RefCell::new(ListService::new(scenario.list, &scenario.faults, first)),
         listed: Notify::new(),
-        clients: RefCell::new(Clients::new(Arc::clone(&scenario), draws)),
-        judge: RefCell::new(Judge::outside(Arc::clone(&scenario), slack)),
-        course: RefCell::new(Course::new(Arc::clone(&scenario))),
+        clients: RefCell::new(LoadGenerator::new(Arc::clone(&scenario), draws)),
+        judge: RefCell::new(InvariantChecker::external(Arc::clone(&scenario), slack)),
+        course: RefCell::new(RunResult::new(Arc::clone(&scenario))),
         asks: RefCell::default(),
         kept: RefCell::default(),
         told: RefCell::default(),
@@ -238,11 +245,11 @@
         tokens: Cell::new(0),
         scenario,
     });
-    let io = |e: std::io::Error| Fault::Other(format!("loopback: {e}"));
+    let io = |e: std::io::Error| SimulationError::Other(format!("loopback: {e}"));
     match &shared.around {
         Around::Memory(world) => {
             let door = Door::Memory(world.listen(list_address(), Who::List));
-            tokio::task::spawn_local(peers::list(Rc::clone(&shared), door));
+            tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
         }
         // Each proxy has a door of its own: so it is known who asks.
         Around::Real(loopback) => {
@@ -253,13 +260,13 @@
                     .borrow_mut()
                     .insert(proxy, listener.local_addr().map_err(io)?);
                 let door = Door::Real(listener, Who::Proxy(proxy), loopback.time);
-                tokio::task::spawn_local(peers::list(Rc::clone(&shared), door));
+                tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
             }
         }
     }
     for (place, cell) in shared.hosts.iter().enumerate() {
         tokio::task::spawn_local(Rc::clone(cell).run(Rc::clone(&shared)));
-        if shared.scenario.hosts[place].joins == 0 {
+        if shared.scenario.hosts[place].joins_at == 0 {
             shared.opens(place);
         } else if let Around::Real(loopback) = &shared.around {
             // Its place is known before it is there.
@@ -269,14 +276,14 @@
     for proxy in 0..shared.scenario.proxies {
         shared.start_proxy(proxy).await;
     }
-    tokio::task::spawn_local(peers::troubles(Rc::clone(&shared)));
-    tokio::task::spawn_local(peers::clients(Rc::clone(&shared)));
-    let end = shared.scenario.duration + shared.scenario.longest();
-    let mut at = BIN;
+    tokio::task::spawn_local(stand_ins::troubles(Rc::clone(&shared)));
+    tokio::task::spawn_local(stand_ins::clients(Rc::clone(&shared)));
+    let end = shared.scenario.duration + shared.scenario.max_deadline();
+    let mut at = BIN_WIDTH;
     while at <= end {
         tokio::time::sleep_until(time.instant(at)).await;
         shared.sample();
-        at += BIN;
+        at += BIN_WIDTH;
     }
     tokio::time::sleep_until(time.instant(end) + AFTERMATH).await;
     // Clients go; what the proxies still hold then is their own.
@@ -309,7 +316,7 @@
     fn note(&self, op: OpId, line: impl FnOnce() -> String) {
         self.course
             .borrow_mut()
-            .note(self.options.trace, op, self.now(), line);
+            .trace_operation(self.options.trace, op, self.now(), line);
     }
 
     /// Are answers being spoilt now?
@@ -320,7 +327,7 @@
             .faults
             .iter()
             .filter(on)
-            .any(|f| matches!(f.trouble, Trouble::Spoils { .. }))
+            .any(|f| matches!(f.kind, FaultKind::CorruptResponses { .. }))
     }
 
     /// Which process of a proxy runs.
@@ -328,8 +335,8 @@
         self.epochs.borrow().get(&proxy).copied().unwrap_or(0)
     }
 
-    fn list_changes(&self, entry: Entry) {
-        self.list.borrow_mut().change(self.now(), entry);
+    fn list_changes(&self, entry: ListEntry) {
+        self.list.borrow_mut().record_change(self.now(), entry);
         self.listed.notify_waiters();
     }
 
@@ -349,7 +356,7 @@
                     let text = format!("the stand-in {host} can't listen: {fault}");
                     self.judge
                         .borrow_mut()
-                        .note(Rule::Crashed, self.now(), None, text);
+                        .record(Invariant::Crashed, self.now(), None, text);
                     return;
                 }
             },
@@ -360,12 +367,12 @@
 
     fn host_starts(self: &Rc<Self>, host: usize) {
         self.hosts[host].host.borrow_mut().start(self.now());
-        let started = self.hosts[host].host.borrow().started();
+        let started = self.hosts[host].host.borrow().started_at();
         self.opens(host);
-        self.list_changes(Entry {
+        self.list_changes(ListEntry {
             host,
             state: 0,
-            started,
+            started_at: started,
         });
     }
 
@@ -375,11 +382,11 @@
         }
         self.hosts[host].die(self);
         if listed {
-            let started = self.hosts[host].host.borrow().started();
-            self.list_changes(Entry {
+            let started = self.hosts[host].host.borrow().started_at();
+            self.list_changes(ListEntry {
                 host,
                 state: 2,
-                started,
+                started_at: started,
             });
         }
     }
@@ -388,7 +395,7 @@
         let zone = proxy_zone(&self.scenario, proxy);
         let running = match &self.around {
             Around::Memory(world) => {
-                let text = operator::text(
+                let text = operator_file::render(
                     &self.scenario,
                     (proxy, zone),
                     proxy_address(proxy),
@@ -404,9 +411,9 @@
                     .get(&proxy)
                     .copied()
                     .unwrap_or_else(list_address);
-                let mut text = operator::text(&self.scenario, (proxy, zone), listen, list);
+                let mut text = operator_file::render(&self.scenario, (proxy, zone), listen, list);
                 if self.options.trace.is_some() {
-                    text.push_str(operator::FOLLOWED);
+                    text.push_str(operator_file::CALL_LOG_SECTION);
                 }
                 let (program, before) =
                     (self.program.0.display().to_string(), self.program.1.clone());
@@ -422,7 +429,7 @@
                         let text = format!("proxy {proxy} does not start: {fault}");
                         self.judge
                             .borrow_mut()
-                            .note(Rule::Crashed, self.now(), None, text);
+                            .record(Invariant::Crashed, self.now(), None, text);
                         return;
                     }
                 }
@@ -439,10 +446,10 @@
         };
         let seed = self
             .draws
-            .between((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
+            .integer((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
         let setup = sidecar::setup_once(config, seed);
         let listener = world.listen(proxy_address(proxy), Who::Proxy(proxy));
-        let network = Rc::new(memory::From(Rc::clone(world), Who::Proxy(proxy)));
+        let network = Rc::new(memory_network::From(Rc::clone(world), Who::Proxy(proxy)));
         let clock = Clock::starting_at(self.unix + self.now());
         let seen = Seen::default();
         let shown = Rc::clone(&seen);
@@ -486,16 +493,16 @@
             task.abort();
         }
         self.kept.borrow_mut().remove(&proxy);
-        self.judge.borrow_mut().died(proxy);
+        self.judge.borrow_mut().proxy_crashed(proxy);
         self.told.borrow_mut().retain(|(of, _), _| *of != proxy);
     }
 
     fn sample(&self) {
         let now = self.now();
-        self.judge.borrow_mut().pass(now);
+        self.judge.borrow_mut().advance(now);
         let hosts = || self.hosts.iter().map(|h| h.host.borrow());
         let load = hosts()
-            .map(|h| f64::from(h.report().in_hand) / f64::from(h.spec().cores.max(1)))
+            .map(|h| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1)))
             .collect();
         let connections = hosts().map(|h| h.connections()).collect();
         let mut open = 0;
@@ -512,17 +519,17 @@
         }
         let at = now as f64 / 1e6;
         self.course.borrow_mut().samples.push(Sample {
-            at,
-            load,
+            at_seconds: at,
+            in_flight_per_core: load,
             connections,
-            open,
-            held: 0,
+            open_calls: open,
+            queued_calls: 0,
         });
         self.audit();
         // What ended long ago is asked for no more.
         self.asks
             .borrow_mut()
-            .retain(|_, ask| ask.first + 60_000_000 > now);
+            .retain(|_, ask| ask.first_due + 60_000_000 > now);
     }
 
     /// Holds a process to the memory and the descriptors that its file promises.
@@ -535,13 +542,13 @@
             .unwrap_or(0);
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
         let mut course = self.course.borrow_mut();
-        course.memory_most = course.memory_most.max(kib);
-        course.descriptors_most = course.descriptors_most.max(descriptors);
-        if kib > operator::MEMORY_MIB << 10 || descriptors > operator::DESCRIPTORS {
+        course.max_memory_kib = course.max_memory_kib.max(kib);
+        course.max_descriptors = course.max_descriptors.max(descriptors);
+        if kib > operator_file::MEMORY_MIB << 10 || descriptors > operator_file::DESCRIPTORS {
             let text = format!("a proxy has {kib} KiB and {descriptors} descriptors");
             self.judge
                 .borrow_mut()
-                .note(Rule::Leaked, self.now(), None, text);
+                .record(Invariant::Leaked, self.now(), None, text);
         }
     }
 
@@ -553,8 +560,8 @@
                 continue;
             };
             for text in seen.borrow().iter().flat_map(|s| s.0.audit()) {
-                self.judge.borrow_mut().note(
-                    Rule::Miscounted,
+                self.judge.borrow_mut().record(
+                    Invariant::Miscounted,
                     now,
                     None,
                     format!("proxy {proxy}: {text}"),
@@ -563,11 +570,11 @@
         }
     }
 
-    fn finish(&self) -> Course {
+    fn finish(&self) -> RunResult {
         let now = self.now();
         self.audit();
         let mut judge = self.judge.borrow_mut();
-        judge.pass(Micros::MAX / 2);
+        judge.advance(Micros::MAX / 2);
         for (proxy, running) in &mut *self.proxies.borrow_mut() {
             let (task, seen) = match running {
                 Running::Inside { task, seen } => (task, seen),
@@ -575,12 +582,12 @@
                     if let Some(op) = self.options.trace {
                         self.course
                             .borrow_mut()
-                            .trace
-                            .extend(followed(&process.log(), op));
+                            .trace_lines
+                            .extend(followed(&process.unread_log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
-                        judge.note(
-                            Rule::Crashed,
+                        judge.record(
+                            Invariant::Crashed,
                             now,
                             None,
                             format!("proxy {proxy} has ended by itself"),
@@ -590,8 +597,8 @@
                 }
             };
             if task.is_finished() {
-                judge.note(
-                    Rule::Crashed,
+                judge.record(
+                    Invariant::Crashed,
                     now,
                     None,
                     format!("proxy {proxy} has ended by itself"),
@@ -608,7 +615,7 @@
                     driver.open_calls(),
                     driver.calls()
                 );
-                judge.note(Rule::Leaked, now, None, text);
+                judge.record(Invariant::Leaked, now, None, text);
             }
             // Two more may lead to the list service: a watch, and the question beside it.
             let (counted, there) = (descriptors.open(), world.open_at(*proxy));
@@ -616,18 +623,20 @@
                 let text = format!(
                     "proxy {proxy}: {counted} descriptors counted, {there} connections open"
                 );
-                judge.note(Rule::Leaked, now, None, text);
+                judge.record(Invariant::Leaked, now, None, text);
             }
         }
         for panicked in PANICS.with(|p| std::mem::take(&mut *p.borrow_mut())) {
-            judge.note(Rule::Crashed, now, None, panicked);
+            judge.record(Invariant::Crashed, now, None, panicked);
         }
-        let mut course = self.course.replace(Course::new(Arc::clone(&self.scenario)));
-        judge_recovery(&self.scenario, &course, &mut judge);
-        course.list_asked = self.list.borrow().asked;
-        course.broken = judge.broken().to_vec();
-        course.broken_count = judge.count();
-        course.worked.0 = self.hosts.iter().map(|h| h.host.borrow().worked).sum();
+        let mut course = self
+            .course
+            .replace(RunResult::new(Arc::clone(&self.scenario)));
+        check_recovery(&self.scenario, &course, &mut judge);
+        course.list_requests = self.list.borrow().request_count;
+        course.violations = judge.violations().to_vec();
+        course.violation_count = judge.violation_count();
+        course.host_work.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
         // What refers to itself in a circle is let go.
         if let Around::Memory(world) = &self.around {
             world.close();
