--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! A process and its log.
+//! A child process and its log.
 
 use crate::now;
 use badgerramp_policy::Micros;
@@ -12,83 +12,93 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-/// Longest wait for a process to say that it listens.
-const LONG: Duration = Duration::from_secs(30);
+/// Longest wait for a process to listen after its start, or to end after SIGTERM.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A line of a log and when it was read.
-pub type Line = (Micros, String);
+/// The time at which a log line was read, and the line.
+pub type LogLine = (Micros, String);
 
-/// What is started: a program, its arguments, where its log goes.
+/// The program to start, its arguments and environment, and which of its log lines are kept.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// The program.
+pub struct ProcessSpec {
+    /// Path of the executable.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Lines that hold one of these words are kept.
-    pub keep: Vec<&'static str>,
-    /// Variables of its own.
-    pub variables: Vec<(&'static str, PathBuf)>,
+    /// DEBUG lines are kept only if they contain one of these strings; all other lines are kept.
+    pub debug_filter: Vec<&'static str>,
+    /// Additional environment variables.
+    pub environment: Vec<(&'static str, PathBuf)>,
 }
 
-/// A process; killed with its owner.
+/// A child process, which is killed when this value is dropped.
 pub struct Process {
-    plan: Plan,
+    spec: ProcessSpec,
     child: Option<(Child, Pid)>,
     listening: watch::Receiver<Option<SocketAddr>>,
-    hearing: watch::Sender<Option<SocketAddr>>,
-    log: Arc<Mutex<Vec<Line>>>,
+    datagram_address: watch::Sender<Option<SocketAddr>>,
+    log: Arc<Mutex<Vec<LogLine>>>,
     readers: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Process {
-    /// Starts it, and waits until it listens.
+    /// Starts a process and waits until it listens.
     ///
     /// # Errors
-    /// If it does not start, or does not listen: with the end of its log.
-    pub async fn start(plan: Plan) -> Result<Process, String> {
-        let mut process = Process::waiting(plan, watch::channel(None).0);
-        process.again()?;
-        process.listens().await?;
+    /// Returns an error with the end of the log if the process does not start or does not listen in time.
+    pub async fn start(spec: ProcessSpec) -> Result<Process, String> {
+        let mut process = Process::unstarted(spec, watch::channel(None).0);
+        process.spawn()?;
+        process.listen_address().await?;
         Ok(process)
     }
 
-    /// One that is not started yet: see [`Process::again`]. Where it hears datagrams comes into `hearing`, with each
-    /// start.
-    pub fn waiting(plan: Plan, hearing: watch::Sender<Option<SocketAddr>>) -> Process {
+    /// A process that has not been started; see [`Process::spawn`]. Each time it starts, the address it receives
+    /// datagrams on is sent to `datagram_address`.
+    pub fn unstarted(
+        spec: ProcessSpec,
+        datagram_address: watch::Sender<Option<SocketAddr>>,
+    ) -> Process {
         let (_, listening) = watch::channel(None);
         let (log, readers) = (Arc::new(Mutex::new(Vec::new())), Vec::new());
         Process {
-            plan,
+            spec,
             child: None,
             listening,
-            hearing,
+            datagram_address,
             log,
             readers,
         }
     }
 
-    /// Waits until it listens, and tells where.
+    /// Waits until the process listens, and returns its address.
     ///
     /// # Errors
-    /// If it does not.
-    pub async fn listens(&mut self) -> Result<SocketAddr, String> {
-        let listens = tokio::time::timeout(LONG, self.listening.wait_for(Option::is_some)).await;
-        let address = listens
+    /// Returns an error with the end of the log if it does not listen in time.
+    pub async fn listen_address(&mut self) -> Result<SocketAddr, String> {
+        let listening =
+            tokio::time::timeout(TIMEOUT, self.listening.wait_for(Option::is_some)).await;
+        let address = listening
             .ok()
             .and_then(Result::ok)
             .and_then(|address| *address);
-        address.ok_or_else(|| format!("{:?} does not listen: {}", self.plan.arguments, self.end()))
+        address.ok_or_else(|| {
+            format!(
+                "process {:?} did not start to listen in time: {}",
+                self.spec.arguments,
+                self.log_tail()
+            )
+        })
     }
 
-    /// Sends a signal. One to a process that has ended does nothing.
+    /// Sends a signal. Does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some((_, pid)) = &self.child {
             let _ = kill_process(*pid, signal);
         }
     }
 
-    /// Ends it (SIGKILL), and waits until it has gone and its log was read.
+    /// Kills the process (SIGKILL) and waits until it has ended and its log has been read to the end.
     pub async fn kill(&mut self) {
         if let Some((child, _)) = &mut self.child {
             let _ = child.kill().await;
@@ -98,76 +108,82 @@
         }
     }
 
-    /// Asks it to end (SIGTERM), and waits until it has.
+    /// Asks the process to end (SIGTERM) and waits until it has.
     ///
     /// # Errors
-    /// If it does not.
+    /// Returns an error if it does not end in time.
     pub async fn terminate(&mut self) -> Result<(), String> {
         self.signal(Signal::TERM);
         if let Some((child, _)) = &mut self.child {
-            let ended = tokio::time::timeout(LONG, child.wait()).await;
+            let ended = tokio::time::timeout(TIMEOUT, child.wait()).await;
             ended
-                .map_err(|_| format!("{:?} does not end", self.plan.arguments))?
+                .map_err(|_| {
+                    format!(
+                        "process {:?} did not end after SIGTERM in time",
+                        self.spec.arguments
+                    )
+                })?
                 .map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
-    /// Starts it, also again after its end. It is not waited for.
+    /// Starts the process, or restarts it after it has ended. Does not wait until it listens.
     ///
     /// # Errors
-    /// If it does not start.
-    pub fn again(&mut self) -> Result<(), String> {
-        let (child, pid, listening, reader) = spawn(&self.plan, &self.log, &self.hearing)?;
+    /// Returns an error if it cannot be started.
+    pub fn spawn(&mut self) -> Result<(), String> {
+        let (child, pid, listening, reader) =
+            spawn_process(&self.spec, &self.log, &self.datagram_address)?;
         (self.child, self.listening) = (Some((child, pid)), listening);
         self.readers.push(reader);
         Ok(())
     }
 
-    /// CPU time that it has used so far, in microseconds, and memory that it holds, in KiB, as the system counts them.
+    /// CPU time used so far, in microseconds, and resident memory, in KiB.
     pub fn usage(&self) -> Option<(u64, u64)> {
         usage_of(self.child.as_ref()?.1)
     }
 
-    /// Its number, while it runs.
+    /// The process id, while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref()?.0.id()
     }
 
-    /// The lines kept so far.
-    pub fn log(&self) -> Vec<Line> {
+    /// The log lines kept so far.
+    pub fn log(&self) -> Vec<LogLine> {
         self.log
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// Has it ended by itself? With the end of its log.
-    pub fn ended(&mut self) -> Option<String> {
+    /// The exit status and the end of the log, if the process has ended without being killed by the test.
+    pub fn exit_report(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.0.try_wait().ok().flatten()?;
-        Some(format!("{status}: {}", self.end()))
+        Some(format!("{status}: {}", self.log_tail()))
     }
 
-    fn end(&self) -> String {
+    fn log_tail(&self) -> String {
         let log = self.log();
         let last: Vec<&str> = log.iter().rev().take(5).map(|(_, l)| l.as_str()).collect();
         last.join(" / ")
     }
 }
 
-/// CPU time that a process has used so far, in microseconds, and memory that it holds, in KiB.
+/// CPU time used so far by a process, in microseconds, and its resident memory, in KiB.
 pub(crate) fn usage_of(pid: Pid) -> Option<(u64, u64)> {
-    let own =
+    let proc_file =
         |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero())).ok();
-    let stat = own("stat")?;
-    // The name, in brackets, may have blanks of its own.
+    let stat = proc_file("stat")?;
+    // The process name, in parentheses, may contain spaces.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-    let hertz = rustix::param::clock_ticks_per_second();
-    let status = own("status")?;
-    let held = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-    let held = held.split_whitespace().next()?.parse().ok()?;
-    Some((ticks * 1_000_000 / hertz.max(1), held))
+    let ticks_per_second = rustix::param::clock_ticks_per_second();
+    let status = proc_file("status")?;
+    let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+    let resident = resident.split_whitespace().next()?.parse().ok()?;
+    Some((ticks * 1_000_000 / ticks_per_second.max(1), resident))
 }
 
 type Spawned = (
@@ -177,14 +193,14 @@
     tokio::task::JoinHandle<()>,
 );
 
-fn spawn(
-    plan: &Plan,
-    log: &Arc<Mutex<Vec<Line>>>,
-    hearing: &watch::Sender<Option<SocketAddr>>,
+fn spawn_process(
+    spec: &ProcessSpec,
+    log: &Arc<Mutex<Vec<LogLine>>>,
+    datagram_address: &watch::Sender<Option<SocketAddr>>,
 ) -> Result<Spawned, String> {
-    let mut command = Command::new(&plan.program);
+    let mut command = Command::new(&spec.program);
     command
-        .args(&plan.arguments)
+        .args(&spec.arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
@@ -196,28 +212,38 @@
     ] {
         command.env_remove(name);
     }
-    command.envs(plan.variables.iter().map(|(name, value)| (name, value)));
+    command.envs(spec.environment.iter().map(|(name, value)| (name, value)));
     let mut child = command
         .kill_on_drop(true)
         .spawn()
-        .map_err(|e| format!("{}: {e}", plan.program.display()))?;
+        .map_err(|e| format!("{}: {e}", spec.program.display()))?;
     let pid = child
         .id()
         .and_then(|id| Pid::from_raw(id as i32))
-        .ok_or("a process without a number")?;
-    let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
-    let (says, listening) = watch::channel(None);
-    let (log, keep, hearing) = (Arc::clone(log), plan.keep.clone(), hearing.clone());
+        .ok_or("the process has no process id")?;
+    let mut lines = BufReader::new(
+        child
+            .stderr
+            .take()
+            .ok_or("the process has no standard error stream")?,
+    )
+    .lines();
+    let (listening_updates, listening) = watch::channel(None);
+    let (log, debug_filter, datagram_address) = (
+        Arc::clone(log),
+        spec.debug_filter.clone(),
+        datagram_address.clone(),
+    );
     let reader = tokio::spawn(async move {
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some(address) = address(&line, "listening on ") {
-                let _ = says.send(Some(address));
+            if let Some(address) = address_after(&line, "listening on ") {
+                let _ = listening_updates.send(Some(address));
             }
-            if let Some(address) = address(&line, "hearing on ") {
-                hearing.send_replace(Some(address));
+            if let Some(address) = address_after(&line, "hearing on ") {
+                datagram_address.send_replace(Some(address));
             }
-            let loud = !line.contains("\"DEBUG\"");
-            if loud || keep.iter().any(|word| line.contains(word)) {
+            let above_debug = !line.contains("\"DEBUG\"");
+            if above_debug || debug_filter.iter().any(|word| line.contains(word)) {
                 log.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push((now(), line));
@@ -227,8 +253,8 @@
     Ok((child, pid, listening, reader))
 }
 
-/// The address that follows on these words.
-pub(crate) fn address(line: &str, words: &str) -> Option<SocketAddr> {
+/// Parses the socket address that follows `words` in a log line.
+pub(crate) fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, after) = line.split_once(words)?;
     let text: String = after
         .chars()
@@ -237,8 +263,9 @@
     text.parse().ok()
 }
 
-/// Lets this process have as many descriptors as the system allows: a trial has thousands of links. Tells how many.
-pub fn all_descriptors() -> u64 {
+/// Raises the soft limit of open file descriptors to the hard limit, since a run has thousands of links. Returns the
+/// new limit.
+pub fn raise_descriptor_limit() -> u64 {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let Rlimit { maximum, .. } = getrlimit(Resource::Nofile);
     let _ = setrlimit(
@@ -251,32 +278,32 @@
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
-/// Lets this process have as many descriptors as the system allows, if these are so many.
+/// Raises the limit of open file descriptors as far as the system allows.
 ///
 /// # Errors
-/// If they are fewer.
-pub fn want_descriptors(wanted: u64) -> Result<(), String> {
-    let allowed = all_descriptors();
-    if wanted > allowed {
+/// Returns an error if fewer than `required` are allowed.
+pub fn require_descriptors(required: u64) -> Result<(), String> {
+    let allowed = raise_descriptor_limit();
+    if required > allowed {
         return Err(format!(
-            "{wanted} descriptors are wanted and the system allows {allowed}: fewer courses at once, or fewer proxies"
+            "{required} file descriptors are needed and the system allows {allowed}: use fewer proxies or fewer concurrent runs"
         ));
     }
     Ok(())
 }
 
-/// A folder for one course; it goes with its owner, unless it is to be kept.
+/// A temporary directory for one run, removed when dropped unless [`Folder::keep`] is set.
 pub struct Folder {
     path: PathBuf,
-    /// It stays.
+    /// Keeps the directory when this value is dropped.
     pub keep: bool,
 }
 
 impl Folder {
-    /// A new one.
+    /// Creates an empty directory.
     ///
     /// # Errors
-    /// If it can't be made.
+    /// Returns an error if it cannot be created.
     pub fn new(name: &str) -> Result<Folder, String> {
         let path =
             std::env::temp_dir().join(format!("badgerramp-trial-{}-{name}", std::process::id()));
@@ -285,15 +312,15 @@
         Ok(Folder { path, keep: false })
     }
 
-    /// Where it is.
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Writes a file in it; `private`: for its owner alone.
+    /// Writes a file in the directory; `private` makes it readable by its owner alone.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// Returns an error if the file cannot be written.
     pub fn write(&self, name: &str, text: &str, private: bool) -> Result<PathBuf, String> {
         use std::os::unix::fs::PermissionsExt;
         let path = self.path.join(name);
