--- a/crates/simulator/src/bench.rs
+++ b/crates/simulator/src/bench.rs
@@ -1,4 +1,4 @@
-//! How fast scenarios are played, and in how much memory.
+//! Measures the simulation's throughput and memory use in virtual time.
 
 use crate::generate;
 use crate::simulation::{run_in_virtual_time, RunOptions, SimulationError};
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A calm world of so many hosts and proxies: each host has ten requests a second of 5 ms.
-pub fn plain(hosts: usize, proxies: u32, seconds: u64, rate: f64) -> Scenario {
+/// A scenario without faults: `hosts` identical hosts, `proxies` proxies, and one class of safe requests that take 5 ms of
+/// work each. Clients send `rate` requests per second in total, for `seconds` seconds.
+pub fn fault_free_scenario(hosts: usize, proxies: u32, seconds: u64, rate: f64) -> Scenario {
     let mut scenario = generate::scenario(0);
     let spec = badgerramp_sim_model::HostSpec {
         name: String::new(),
@@ -56,10 +57,10 @@
     scenario
 }
 
-/// Resident memory of this process in MiB, now and at the most; None where the system does not tell.
+/// Current and peak resident memory of this process in MiB; None where the system doesn't report it.
 fn memory() -> Option<(f64, f64)> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
-    let of = |name: &str| -> Option<f64> {
+    let field = |name: &str| -> Option<f64> {
         let line = text.lines().find(|l| l.starts_with(name))?;
         line.split_whitespace()
             .nth(1)?
@@ -67,44 +68,44 @@
             .ok()
             .map(|kib| kib / 1024.0)
     };
-    Some((of("VmRSS:")?, of("VmHWM:")?))
+    Some((field("VmRSS:")?, field("VmHWM:")?))
 }
 
-/// Plays calm worlds of growing size on one thread and prints what each cost.
+/// Runs fault-free scenarios of growing size on one thread, and prints the throughput and peak memory of each.
 ///
 /// # Errors
-/// If one can't be played.
+/// If a scenario can't be run.
 pub fn speed(large: bool) -> Result<(), SimulationError> {
     println!(
         "{:<28}{:>10}{:>12}{:>16}{:>18}",
         "world", "requests", "seconds", "requests a s", "memory MiB, most"
     );
-    let mut worlds = vec![
-        plain(12, 1, 60, 1_000.0),
-        plain(12, 4, 60, 1_000.0),
-        plain(100, 4, 60, 5_000.0),
+    let mut scenarios = vec![
+        fault_free_scenario(12, 1, 60, 1_000.0),
+        fault_free_scenario(12, 4, 60, 1_000.0),
+        fault_free_scenario(100, 4, 60, 5_000.0),
     ];
-    worlds.push(plain(1_000, 4, 30, 5_000.0));
+    scenarios.push(fault_free_scenario(1_000, 4, 30, 5_000.0));
     if large {
-        worlds.push(plain(1_000, 2_000, 60, 10_000.0));
+        scenarios.push(fault_free_scenario(1_000, 2_000, 60, 10_000.0));
     }
-    for world in worlds {
-        let world = Arc::new(world);
-        let began = Instant::now();
-        let course = run_in_virtual_time(
-            &world,
+    for scenario in scenarios {
+        let scenario = Arc::new(scenario);
+        let started = Instant::now();
+        let result = run_in_virtual_time(
+            &scenario,
             RunOptions {
                 seed: 1,
                 ..RunOptions::default()
             },
         )?;
-        let (took, total) = (began.elapsed().as_secs_f64(), course.total());
-        let memory = memory().map_or_else(|| "not told".to_owned(), |m| format!("{:.0}", m.1));
+        let (elapsed, total) = (started.elapsed().as_secs_f64(), result.total());
+        let memory = memory().map_or_else(|| "unknown".to_owned(), |m| format!("{:.0}", m.1));
         println!(
-            "{:<28}{:>10}{took:>12.2}{:>16.0}{memory:>18}",
-            world.name,
+            "{:<28}{:>10}{elapsed:>12.2}{:>16.0}{memory:>18}",
+            scenario.name,
             total.tries,
-            total.tries as f64 / took
+            total.tries as f64 / elapsed
         );
     }
     Ok(())
--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The `badgerramp-sim` command line.
 
 use crate::experiment::{self, Comparison, SweepPoint, Template};
 use crate::run_result::{RunResult, Summary};
@@ -16,9 +16,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Scenarios played in virtual time or on sockets, measured, and held against the rules.
+/// Runs load-balancing scenarios in virtual time or over sockets, measures them and checks their invariants.
 ///
-/// Exits 0 if no rule broke, 1 if one did, 2 for bad usage or a bad file. Ctrl-C keeps what was measured.
+/// The exit status is 0 if no invariant was violated, 1 if one was, and 2 for invalid usage or an invalid file. After Ctrl-C,
+/// the results of the finished runs are still reported.
 #[derive(Parser)]
 #[command(name = "badgerramp-sim", version)]
 struct Cli {
@@ -27,274 +28,282 @@
 }
 
 #[derive(Args, Clone)]
-struct Played {
-    /// How it is played.
-    #[arg(long, value_enum, default_value_t = Backend::Virtual)]
-    play: Backend,
-    /// What falls on one instant comes in a drawn order.
+struct RunArgs {
+    /// Backend that runs the scenario.
+    #[arg(long = "play", value_name = "PLAY", value_enum, default_value_t = Backend::Virtual)]
+    backend: Backend,
+    /// Process simultaneous events in a random order drawn from the seed.
     #[arg(long)]
     shuffle: bool,
 }
 
 #[derive(Args, Clone)]
-struct Told {
-    /// Results as JSON lines, into this file.
+struct OutputArgs {
+    /// Write the results to this file, as JSON lines.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// One page with plots that needs nothing else, into this file.
+    /// Write a self-contained HTML page with plots to this file.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
 
 #[derive(Args, Clone)]
-struct Many {
-    /// Seeds, from 1 on.
+struct RepeatArgs {
+    /// Number of seeds; they are 1, 2 and so on.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=100_000))]
     seeds: u64,
-    /// Threads; a play on real sockets has one.
-    #[arg(long, default_value_t = threads())]
+    /// Number of threads; runs of the real backend always use one.
+    #[arg(long, default_value_t = default_threads())]
     threads: usize,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario.
+    /// Run a scenario.
     Run {
-        /// The scenario.
+        /// Scenario file.
         scenario: PathBuf,
-        /// All chance is drawn from it.
+        /// Seed of all random streams.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Another value for a key of the file, like clients.rate=400; can be given more than once.
+        /// Override a value of the file, such as clients.rate=400; can be repeated.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
         #[command(flatten)]
-        told: Told,
+        output: OutputArgs,
     },
-    /// Play a scenario over values of one or two keys and over seeds.
+    /// Run a scenario with a range of values for one or two keys, each with several seeds.
     Sweep {
-        /// The scenario.
+        /// Scenario file.
         scenario: PathBuf,
-        /// KEY=FROM..TO:STEPS or KEY=A,B,C; once or twice.
+        /// Key and its values, as KEY=FROM..TO:STEPS or KEY=A,B,C; given once or twice.
         #[arg(long, required = true, value_name = "VALUES")]
         over: Vec<String>,
         #[command(flatten)]
-        many: Many,
+        repeat: RepeatArgs,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
         #[command(flatten)]
-        told: Told,
+        output: OutputArgs,
     },
-    /// Play two scenarios, or one with other values, or another build of this program, seed by seed.
+    /// Compare two scenarios, overridden values or another build of this program, with the same seeds.
     Compare {
-        /// The first scenario.
+        /// First scenario file.
         first: PathBuf,
-        /// The second; left out: the first.
+        /// Second scenario file; by default the first one.
         second: Option<PathBuf>,
-        /// Other values for the second.
+        /// Override a value in the second scenario; can be repeated.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Another build of badgerramp-sim that plays the second.
+        /// Another build of badgerramp-sim that runs the second scenario.
         #[arg(long, value_name = "PROGRAM")]
         binary: Option<PathBuf>,
         #[command(flatten)]
-        many: Many,
+        repeat: RepeatArgs,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
         #[command(flatten)]
-        told: Told,
+        output: OutputArgs,
     },
-    /// Play courses of faults between processes of the real program.
+    /// Inject faults into a fleet of real processes and check its invariants.
     FaultTest {
         #[command(subcommand)]
-        trial: crate::trial::Trial,
+        test: crate::fault_test::FaultTest,
     },
-    /// Play random scenarios and look for broken rules; each kind is told once.
+    /// Run random scenarios and search for violations; each kind is reported once.
     Hunt {
-        /// Number of the first scenario.
+        /// Number of the first random scenario.
         #[arg(long, default_value_t = 0)]
         first: u64,
-        /// How many at the most.
+        /// Maximum number of scenarios.
         #[arg(long, default_value_t = 10_000)]
         count: u64,
-        /// For how many seconds at the most.
+        /// Maximum duration in seconds.
         #[arg(long, default_value_t = 600)]
         seconds: u64,
-        /// Threads.
-        #[arg(long, default_value_t = threads())]
+        /// Number of threads.
+        #[arg(long, default_value_t = default_threads())]
         threads: usize,
-        /// End at the first find.
-        #[arg(long)]
-        stop: bool,
-        /// Cut each find down and write it as a scenario into this folder.
+        /// Stop at the first violation.
+        #[arg(long = "stop")]
+        stop_at_first: bool,
+        /// Shrink each finding and write it to this directory, as a scenario file.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// How they are played.
-        #[arg(long, value_enum, default_value_t = Backend::Virtual)]
-        play: Backend,
+        /// Backend that runs the scenarios.
+        #[arg(long = "play", value_name = "PLAY", value_enum, default_value_t = Backend::Virtual)]
+        backend: Backend,
     },
-    /// Play the random scenario of this number again.
+    /// Run a random scenario again.
     Replay {
-        /// Its number.
+        /// Number of the random scenario.
         number: u64,
-        /// Write it as a file.
+        /// Write the scenario to this file.
         #[arg(long, value_name = "FILE")]
         write: Option<PathBuf>,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
         #[command(flatten)]
-        told: Told,
+        output: OutputArgs,
     },
-    /// Cut a scenario that breaks a rule down to the least that still does.
+    /// Shrink a scenario that violates an invariant to a minimal one that still does.
     Shrink {
-        /// A scenario's file, or the number of a random one.
+        /// Scenario file, or the number of a random scenario.
         scenario: String,
-        /// Which rule; left out: the first that is broken.
-        #[arg(long)]
-        rule: Option<String>,
-        /// With which seed; a random scenario has its own.
+        /// Name of the invariant; by default that of the first violation.
+        #[arg(long = "rule", value_name = "RULE")]
+        invariant: Option<String>,
+        /// Seed of the run; a random scenario has its own.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Plays at the most.
-        #[arg(long, default_value_t = 5_000)]
-        plays: u64,
-        /// Write what is left into this file.
+        /// Maximum number of runs.
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 5_000)]
+        max_runs: u64,
+        /// Write the shrunk scenario to this file.
         #[arg(long, value_name = "FILE")]
         write: Option<PathBuf>,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
     },
-    /// The course of one call, attempt by attempt, with what the decisions knew.
+    /// Trace one call: its attempts, and the state on which the decisions about them were based.
     Trace {
-        /// A scenario's file, or the number of a random one.
+        /// Scenario file, or the number of a random scenario.
         scenario: String,
-        /// The call's number; left out: that of the first broken rule, or else of the first that was not served.
+        /// Number of the call; by default the call of the first violation, or else the first call that was not served.
         #[arg(long)]
         call: Option<u64>,
-        /// With which seed; a random scenario has its own.
+        /// Seed of the run; a random scenario has its own.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[command(flatten)]
-        played: Played,
+        run_args: RunArgs,
     },
-    /// Make the page of results that were written as JSON lines.
+    /// Make an HTML page from results that were written as JSON lines.
     Report {
-        /// The results.
+        /// File with the results.
         results: PathBuf,
-        /// The page.
+        /// Write the page to this file.
         #[arg(long, value_name = "FILE")]
         html: PathBuf,
     },
-    /// Play scenarios twice and on one and several threads: all digests must be equal.
+    /// Run random scenarios repeatedly, on one and on several threads, and check that the digests are equal.
     Determinism {
-        /// How many random scenarios.
+        /// Number of random scenarios.
         #[arg(long, default_value_t = 100)]
         count: u64,
-        /// How they are played.
-        #[arg(long, value_enum, default_value_t = Backend::Virtual)]
-        play: Backend,
+        /// Backend that runs the scenarios.
+        #[arg(long = "play", value_name = "PLAY", value_enum, default_value_t = Backend::Virtual)]
+        backend: Backend,
     },
-    /// Build this program with each seeded defect and hunt for it.
+    /// Build this program with each seeded defect and search for violations.
     Defects {
-        /// The root of the source tree.
+        /// Root of the source tree.
         #[arg(long, default_value = ".")]
         root: PathBuf,
-        /// Only those whose name has this in it.
-        #[arg(long)]
-        only: Option<String>,
-        /// Seconds of hunting for each.
+        /// Restrict the defects to those whose name contains this text.
+        #[arg(long = "only", value_name = "ONLY")]
+        name_filter: Option<String>,
+        /// Maximum duration of the search for each defect, in seconds.
         #[arg(long, default_value_t = 60)]
         seconds: u64,
     },
-    /// Go through every order of events in small worlds, on the decisions alone.
+    /// Model-check the decisions: explore every order of events in small worlds.
     Check {
-        /// Events in a row.
+        /// Number of events in a sequence.
         #[arg(long, default_value_t = 7)]
         depth: usize,
-        /// States of one world at the most.
-        #[arg(long, default_value_t = 400_000)]
-        states: usize,
+        /// Maximum number of states of one world.
+        #[arg(long = "states", value_name = "STATES", default_value_t = 400_000)]
+        max_states: usize,
     },
-    /// Requests a second and memory, by fleet and proxies.
+    /// Measure the simulation's throughput and memory use with fleets of several sizes.
     Speed {
-        /// Also the large one: 2,000 proxies and 1,000 hosts for a minute.
+        /// Also measure a large fleet: 2,000 proxies and 1,000 hosts for a minute.
         #[arg(long)]
         large: bool,
     },
 }
 
-fn threads() -> usize {
+fn default_threads() -> usize {
     std::thread::available_parallelism().map_or(1, std::num::NonZero::get)
 }
 
-/// Runs the program with these arguments, its own name first.
+/// Runs the program with these arguments, the first of which is its name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
-        Err(told) => {
-            // Help and version are told in this way too.
-            let _ = told.print();
-            return ExitCode::from(u8::try_from(told.exit_code()).unwrap_or(2));
+        Err(error) => {
+            // Help and version texts are reported as errors too; their exit code is 0.
+            let _ = error.print();
+            return ExitCode::from(u8::try_from(error.exit_code()).unwrap_or(2));
         }
     };
     let stop = Arc::new(AtomicBool::new(false));
-    // The second Ctrl-C ends it as ever.
+    // The first Ctrl-C requests a stop; the second one terminates the program at once.
     let _ = signal_hook::flag::register_conditional_shutdown(
         signal_hook::consts::SIGINT,
         130,
         Arc::clone(&stop),
     );
     let _ = signal_hook::flag::register(signal_hook::consts::SIGINT, Arc::clone(&stop));
-    match command(cli.command, &stop) {
+    match execute(cli.command, &stop) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(fault) => {
-            eprintln!("badgerramp-sim: {fault}");
+        Err(error) => {
+            eprintln!("badgerramp-sim: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// True if no rule broke.
-fn command(command: Command, stop: &AtomicBool) -> Result<bool, SimulationError> {
+/// Executes a command. Returns whether no invariant was violated.
+fn execute(command: Command, stop: &AtomicBool) -> Result<bool, SimulationError> {
     match command {
         Command::Run {
             scenario,
             seed,
             set,
-            played,
-            told,
+            run_args,
+            output,
         } => {
-            let scenario = changed(&Template::load(&scenario)?, &set)?;
-            run(&scenario, seed, &played, &told)
+            let scenario = with_overrides(&Template::load(&scenario)?, &set)?;
+            run(&scenario, seed, &run_args, &output)
         }
         Command::Replay {
             number,
             write,
-            played,
-            told,
+            run_args,
+            output,
         } => {
             let scenario = generate::scenario(number);
             if let Some(path) = write {
-                save(&path, &scenario_file::write(&scenario))?;
+                write_file(&path, &scenario_file::write(&scenario))?;
             }
-            let shuffle = hunt::options(number).shuffle || played.shuffle;
-            run(&scenario, number, &Played { shuffle, ..played }, &told)
+            let shuffle = hunt::run_options(number).shuffle || run_args.shuffle;
+            run(
+                &scenario,
+                number,
+                &RunArgs {
+                    shuffle,
+                    ..run_args
+                },
+                &output,
+            )
         }
         Command::Sweep {
             scenario,
             over,
-            many,
-            played,
-            told,
+            repeat,
+            run_args,
+            output,
         } => sweep(
             &Template::load(&scenario)?,
             &over,
-            &many,
-            &played,
-            &told,
+            &repeat,
+            &run_args,
+            &output,
             stop,
         ),
         Command::Compare {
@@ -302,88 +311,101 @@
             second,
             set,
             binary,
-            many,
-            played,
-            told,
+            repeat,
+            run_args,
+            output,
         } => {
             let files = (first.as_path(), second.as_deref().unwrap_or(&first));
-            compare(files, &set, binary.as_deref(), &many, &played, &told, stop)
+            compare(
+                files,
+                &set,
+                binary.as_deref(),
+                &repeat,
+                &run_args,
+                &output,
+                stop,
+            )
         }
-        Command::FaultTest { trial } => crate::trial::run(trial),
+        Command::FaultTest { test } => crate::fault_test::run(test),
         Command::Hunt {
             first,
             count,
             seconds,
             threads,
-            stop: first_only,
+            stop_at_first,
             out,
-            play,
+            backend,
         } => {
-            let wanted = hunt::Hunt {
+            let options = hunt::HuntOptions {
                 first,
                 count,
-                time: Duration::from_secs(seconds),
+                max_duration: Duration::from_secs(seconds),
                 threads,
-                stop: first_only,
+                stop_at_first,
             };
-            hunting(wanted, play, out.as_deref(), stop)
+            run_hunt(options, backend, out.as_deref(), stop)
         }
         Command::Shrink {
             scenario,
-            rule,
+            invariant,
             seed,
-            plays,
+            max_runs,
             write,
-            played,
+            run_args,
         } => shrink(
             &scenario,
-            rule.as_deref(),
+            invariant.as_deref(),
             seed,
-            plays,
+            max_runs,
             write.as_deref(),
-            &played,
+            &run_args,
         ),
         Command::Trace {
             scenario,
             call,
             seed,
-            played,
-        } => trace(&scenario, call, seed, &played),
-        Command::Report { results, html } => page_of(&results, &html),
-        Command::Determinism { count, play } => determinism(count, play, stop),
+            run_args,
+        } => trace(&scenario, call, seed, &run_args),
+        Command::Report { results, html } => write_report(&results, &html),
+        Command::Determinism { count, backend } => determinism(count, backend, stop),
         Command::Defects {
             root,
-            only,
+            name_filter,
             seconds,
-        } => defects::table(&root, only.as_deref(), seconds),
-        Command::Check { depth, states } => Ok(checked(depth, states)),
+        } => defects::table(&root, name_filter.as_deref(), seconds),
+        Command::Check { depth, max_states } => Ok(model_check(depth, max_states)),
         Command::Speed { large } => bench::speed(large).map(|()| true),
     }
 }
 
-fn changed(template: &Template, changes: &[String]) -> Result<Scenario, SimulationError> {
-    let changed = changes
+fn with_overrides(template: &Template, changes: &[String]) -> Result<Scenario, SimulationError> {
+    let overridden = changes
         .iter()
         .try_fold(template.clone(), |t, change| t.with_override(change))?;
-    changed.scenario()
+    overridden.scenario()
 }
 
-fn save(path: &Path, text: &str) -> Result<(), SimulationError> {
+fn write_file(path: &Path, text: &str) -> Result<(), SimulationError> {
     std::fs::write(path, text)
         .map_err(|e| SimulationError::Other(format!("{}: {e}", path.display())))
 }
 
-fn bar(length: u64) -> ProgressBar {
+fn progress_bar(length: u64) -> ProgressBar {
     let bar = ProgressBar::new(length);
-    let style =
-        ProgressStyle::with_template("{bar:30} {pos}/{len} {msg} {elapsed} gone, {eta} left");
+    let style = ProgressStyle::with_template(
+        "{bar:30} {pos}/{len} {msg} {elapsed} elapsed, {eta} remaining",
+    );
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
 
-/// A scenario's file, or the number of a random one, with the options that it is played with.
-fn named(name: &str, seed: u64, shuffle: bool) -> Result<(Scenario, RunOptions), SimulationError> {
+/// The scenario of a file, or the random scenario with this number, and the options of its run.
+fn load_or_generate(
+    name: &str,
+    seed: u64,
+    shuffle: bool,
+) -> Result<(Scenario, RunOptions), SimulationError> {
     match name.parse::<u64>() {
-        Ok(number) => Ok((generate::scenario(number), hunt::options(number))),
+        Ok(number) => Ok((generate::scenario(number), hunt::run_options(number))),
         Err(_) => {
             let scenario = scenario_file::load(Path::new(name))?;
             Ok((
@@ -401,76 +423,76 @@
 fn run(
     scenario: &Scenario,
     seed: u64,
-    played: &Played,
-    told: &Told,
+    run_args: &RunArgs,
+    output: &OutputArgs,
 ) -> Result<bool, SimulationError> {
     let scenario = Arc::new(scenario.clone());
-    let began = Instant::now();
-    let course = played.play.run(
+    let started = Instant::now();
+    let result = run_args.backend.run(
         &scenario,
         RunOptions {
             seed,
-            shuffle: played.shuffle,
+            shuffle: run_args.shuffle,
             ..RunOptions::default()
         },
     )?;
-    let took = began.elapsed().as_secs_f64();
-    let summary = course.summary(played.play.name(), seed);
-    show(&course, &summary);
+    let elapsed = started.elapsed().as_secs_f64();
+    let summary = result.summary(run_args.backend.name(), seed);
+    print_result(&result, &summary);
     println!(
-        "{:.2} s, {:.0} requests a second",
-        took,
-        course.total().tries as f64 / took.max(1e-9)
+        "{:.2} s, {:.0} requests per second",
+        elapsed,
+        result.total().tries as f64 / elapsed.max(1e-9)
     );
-    lines(told.json.as_deref(), std::slice::from_ref(&summary))?;
-    if let Some(path) = &told.html {
-        save(
+    write_json_lines(output.json.as_deref(), std::slice::from_ref(&summary))?;
+    if let Some(path) = &output.html {
+        write_file(
             path,
-            &report::page(&scenario.name, &[report::course(&course, &summary)]),
+            &report::page(&scenario.name, &[report::run_section(&result, &summary)]),
         )?;
     }
     Ok(summary.violation_count == 0)
 }
 
-fn show(course: &RunResult, summary: &Summary) {
-    let head = [
+fn print_result(result: &RunResult, summary: &Summary) {
+    let columns = [
         "class", "wanted", "in time", "late", "refused", "failed", "lost", "p50 ms", "p99 ms",
         "p99.9 ms",
     ];
     println!(
         "{:<20}{}",
-        head[0],
-        head[1..]
+        columns[0],
+        columns[1..]
             .iter()
-            .map(|h| format!("{h:>10}"))
+            .map(|column| format!("{column:>10}"))
             .collect::<String>()
     );
-    for (class, t) in course.scenario().classes.iter().zip(&course.classes) {
-        let ms = |share| t.latencies.quantile(share) as f64 / 1e3;
+    for (class, stats) in result.scenario().classes.iter().zip(&result.classes) {
+        let ms = |share| stats.latencies.quantile(share) as f64 / 1e3;
         println!(
             "{:<20}{:>10}{:>10}{:>10}{:>10}{:>10}{:>10}{:>10.1}{:>10.1}{:>10.1}",
             class.name,
-            t.operations,
-            t.on_time,
-            t.late,
-            t.rejected,
-            t.failed,
-            t.unanswered,
+            stats.operations,
+            stats.on_time,
+            stats.late,
+            stats.rejected,
+            stats.failed,
+            stats.unanswered,
             ms(0.5),
             ms(0.99),
             ms(0.999)
         );
     }
     println!(
-        "\ngoodput {:.4}, worst class {:.4}, worst ten seconds {:.4}; {:.3} attempts a request; utilisation {:.2}",
+        "\ngoodput {:.4}, worst class {:.4}, worst ten seconds {:.4}; {:.3} attempts per operation; utilisation {:.2}",
         summary.goodput,
         summary.worst_class_goodput,
         summary.worst_window_goodput,
         summary.amplification,
-        course.scenario().utilisation()
+        result.scenario().utilisation()
     );
     println!(
-        "{} questions to the list service, at most {} connections at a host",
+        "{} requests to the list service, at most {} connections per host",
         summary.list_requests, summary.max_connections
     );
     if summary.max_descriptors > 0 {
@@ -482,71 +504,73 @@
     if !summary.digest.is_empty() {
         println!("digest {}", summary.digest);
     }
-    for broken in &course.violations {
-        let op = broken
+    for violation in &result.violations {
+        let op = violation
             .op
             .map_or(String::new(), |op| format!(", call {}", op.0));
         println!(
             "BROKEN {} at {:.3} s{op}: {}",
-            broken.invariant,
-            broken.at as f64 / 1e6,
-            broken.text
+            violation.invariant,
+            violation.at as f64 / 1e6,
+            violation.text
         );
     }
-    if course.violation_count > course.violations.len() as u64 {
-        println!("... {} times in all", course.violation_count);
+    if result.violation_count > result.violations.len() as u64 {
+        println!("... {} violations in total", result.violation_count);
     }
 }
 
 /// Writes results as JSON lines.
-fn lines<T: Serialize>(path: Option<&Path>, all: &[T]) -> Result<(), SimulationError> {
+fn write_json_lines<T: Serialize>(path: Option<&Path>, all: &[T]) -> Result<(), SimulationError> {
     let Some(path) = path else { return Ok(()) };
     let name =
         |e: &dyn std::fmt::Display| SimulationError::Other(format!("{}: {e}", path.display()));
     let mut file = std::fs::File::create(path).map_err(|e| name(&e))?;
-    for one in all {
-        let line = serde_json::to_string(one).map_err(|e| name(&e))?;
+    for result in all {
+        let line = serde_json::to_string(result).map_err(|e| name(&e))?;
         writeln!(file, "{line}").map_err(|e| name(&e))?;
     }
     Ok(())
 }
 
-/// The courses of a scenario over its seeds.
+/// Runs a scenario with each of its seeds. Returns the summaries of the runs that finished before a stop.
 fn over_seeds(
     scenario: Scenario,
-    many: &Many,
-    played: &Played,
+    repeat: &RepeatArgs,
+    run_args: &RunArgs,
     stop: &AtomicBool,
     bar: &ProgressBar,
 ) -> Result<Vec<Summary>, SimulationError> {
     let scenario = Arc::new(scenario);
-    let threads = if played.play.needs_idle_machine() {
+    let threads = if run_args.backend.needs_idle_machine() {
         1
     } else {
-        many.threads
+        repeat.threads
     };
-    let play = |n: usize| {
+    let run_seed = |n: usize| {
         let seed = n as u64 + 1;
-        let course = played.play.run(
+        let result = run_args.backend.run(
             &scenario,
             RunOptions {
                 seed,
-                shuffle: played.shuffle,
+                shuffle: run_args.shuffle,
                 ..RunOptions::default()
             },
         )?;
-        Ok(course.summary(played.play.name(), seed))
+        Ok(result.summary(run_args.backend.name(), seed))
     };
-    let all = experiment::run_all(many.seeds as usize, threads, stop, play, || bar.inc(1))?;
+    let all = experiment::run_all(repeat.seeds as usize, threads, stop, run_seed, || {
+        bar.inc(1)
+    })?;
     Ok(all.into_iter().map(|(_, summary)| summary).collect())
 }
 
 fn sweep(
     template: &Template,
     over: &[String],
-    many: &Many,
-    played: &Played,
-    told: &Told,
+    repeat: &RepeatArgs,
+    run_args: &RunArgs,
+    output: &OutputArgs,
     stop: &AtomicBool,
 ) -> Result<bool, SimulationError> {
     let first = experiment::sweep_values(&over[0])?;
@@ -558,7 +582,7 @@
             .collect(),
         _ => {
             return Err(SimulationError::Other(
-                "--over: once or twice, not more".to_owned(),
+                "--over: expected at most two keys".to_owned(),
             ))
         }
     };
@@ -570,15 +594,15 @@
                 .map(|a| std::iter::once(a.clone()).chain(b.clone()).collect()),
         );
     }
-    // All of them are good before any is played.
+    // All scenarios are checked before the first run starts.
     let scenarios = settings
         .iter()
-        .map(|s| changed(template, s))
+        .map(|s| with_overrides(template, s))
         .collect::<Result<Vec<_>, _>>()?;
-    let bar = bar(settings.len() as u64 * many.seeds);
+    let bar = progress_bar(settings.len() as u64 * repeat.seeds);
     let (mut points, mut all) = (Vec::new(), Vec::new());
     for (changes, scenario) in settings.into_iter().zip(scenarios) {
-        let summaries = over_seeds(scenario, many, played, stop, &bar)?;
+        let summaries = over_seeds(scenario, repeat, run_args, stop, &bar)?;
         if summaries.is_empty() {
             break;
         }
@@ -601,13 +625,13 @@
             p.violation_count
         );
     }
-    lines(told.json.as_deref(), &all)?;
-    if let Some(path) = &told.html {
-        save(
+    write_json_lines(output.json.as_deref(), &all)?;
+    if let Some(path) = &output.html {
+        write_file(
             path,
             &report::page(
                 &format!("Sweep over {}", over.join(" and ")),
-                &[report::sweep(&points)],
+                &[report::sweep_section(&points)],
             ),
         )?;
     }
@@ -618,19 +642,25 @@
     (first, second): (&Path, &Path),
     set: &[String],
     binary: Option<&Path>,
-    many: &Many,
-    played: &Played,
-    told: &Told,
+    repeat: &RepeatArgs,
+    run_args: &RunArgs,
+    output: &OutputArgs,
     stop: &AtomicBool,
 ) -> Result<bool, SimulationError> {
-    let bar = bar(many.seeds * 2);
-    let a = over_seeds(Template::load(first)?.scenario()?, many, played, stop, &bar)?;
+    let bar = progress_bar(repeat.seeds * 2);
+    let a = over_seeds(
+        Template::load(first)?.scenario()?,
+        repeat,
+        run_args,
+        stop,
+        &bar,
+    )?;
     let b = match binary {
-        Some(binary) => other_build(binary, second, set, many, played, stop, &bar)?,
+        Some(binary) => other_build(binary, second, set, repeat, run_args, stop, &bar)?,
         None => over_seeds(
-            changed(&Template::load(second)?, set)?,
-            many,
-            played,
+            with_overrides(&Template::load(second)?, set)?,
+            repeat,
+            run_args,
             stop,
             &bar,
         )?,
@@ -670,33 +700,36 @@
         );
     }
     println!(
-        "rules broken: {} and {}; {} pairs",
+        "violations: {} and {}; {} pairs",
         one.violation_count, two.violation_count, difference.goodput.count
     );
     let all: Vec<&Summary> = a.iter().chain(&b).collect();
-    lines(told.json.as_deref(), &all)?;
-    if let Some(path) = &told.html {
-        save(
+    write_json_lines(output.json.as_deref(), &all)?;
+    if let Some(path) = &output.html {
+        write_file(
             path,
-            &report::page("Compared", &[report::sweep(&[one.clone(), two.clone()])]),
+            &report::page(
+                "Comparison",
+                &[report::sweep_section(&[one.clone(), two.clone()])],
+            ),
         )?;
     }
     Ok(one.violation_count + two.violation_count == 0)
 }
 
-/// The second half of a comparison, by another build of this program.
+/// Runs the second side of a comparison with another build of this program.
 fn other_build(
     binary: &Path,
     scenario: &Path,
     set: &[String],
-    many: &Many,
-    played: &Played,
+    repeat: &RepeatArgs,
+    run_args: &RunArgs,
     stop: &AtomicBool,
     bar: &ProgressBar,
 ) -> Result<Vec<Summary>, SimulationError> {
     let out = std::env::temp_dir().join(format!("badgerramp-sim-{}.jsonl", std::process::id()));
     let mut all = Vec::new();
-    for seed in 1..=many.seeds {
+    for seed in 1..=repeat.seeds {
         if stop.load(std::sync::atomic::Ordering::Relaxed) {
             break;
         }
@@ -705,24 +738,24 @@
             "--seed",
             &seed.to_string(),
             "--play",
-            played.play.name(),
+            run_args.backend.name(),
         ]);
         command
             .args(set.iter().flat_map(|s| ["--set", s]))
             .arg("--json")
             .arg(&out);
-        let shown = binary.display();
-        let told = command
+        let program = binary.display();
+        let process_output = command
             .output()
-            .map_err(|e| SimulationError::Other(format!("{shown}: {e}")))?;
+            .map_err(|e| SimulationError::Other(format!("{program}: {e}")))?;
         let text = std::fs::read_to_string(&out).map_err(|e| {
             SimulationError::Other(format!(
-                "{shown} wrote no results ({e}): {}",
-                String::from_utf8_lossy(&told.stderr)
+                "{program} wrote no results ({e}): {}",
+                String::from_utf8_lossy(&process_output.stderr)
             ))
         })?;
         let summary = serde_json::from_str(text.trim())
-            .map_err(|e| SimulationError::Other(format!("{shown}: {e}")))?;
+            .map_err(|e| SimulationError::Other(format!("{program}: {e}")))?;
         all.push(summary);
         bar.inc(1);
     }
@@ -730,77 +763,75 @@
     Ok(all)
 }
 
-fn hunting(
-    wanted: hunt::Hunt,
-    play: Backend,
+fn run_hunt(
+    options: hunt::HuntOptions,
+    backend: Backend,
     out: Option<&Path>,
     stop: &AtomicBool,
 ) -> Result<bool, SimulationError> {
-    let bar = bar(wanted.count);
-    let began = Instant::now();
-    let found = hunt::hunt(play.run_function(), wanted, stop, |played, kinds| {
-        bar.set_position(played);
+    let bar = progress_bar(options.count);
+    let started = Instant::now();
+    let report = hunt::hunt(backend.run_function(), options, stop, |runs, kinds| {
+        bar.set_position(runs);
         bar.set_message(format!("{kinds} kinds found,"));
     })?;
     bar.finish_and_clear();
     println!(
         "{} scenarios, {} requests in {:.1} s; {} kinds of failure",
-        found.played,
-        found.requests,
-        began.elapsed().as_secs_f64(),
-        found.finds.len()
+        report.runs,
+        report.requests,
+        started.elapsed().as_secs_f64(),
+        report.findings.len()
     );
     if let Some(dir) = out {
         std::fs::create_dir_all(dir)
             .map_err(|e| SimulationError::Other(format!("{}: {e}", dir.display())))?;
     }
-    for (signature, find) in &found.finds {
+    for (signature, finding) in &report.findings {
         println!(
             "\n{signature}\n  in {} scenarios, first {}: {}",
-            find.count, find.number, find.broken.text
+            finding.count, finding.number, finding.violation.text
         );
         if let Some(dir) = out {
-            let scenario = generate::scenario(find.number);
-            let options = hunt::options(find.number);
+            let scenario = generate::scenario(finding.number);
+            let options = hunt::run_options(finding.number);
             match hunt::shrink(
-                play.run_function(),
+                backend.run_function(),
                 &scenario,
                 options,
-                find.broken.invariant,
+                finding.violation.invariant,
                 5_000,
             ) {
                 Some(shrunk) => {
-                    let path = dir.join(format!("{}-{}.toml", find.broken.invariant, find.number));
-                    save(&path, &kept(&shrunk))?;
+                    let path = dir.join(format!("{}-{}.toml", finding.violation.invariant, finding.number));
+                    write_file(&path, &shrunk_scenario_text(&shrunk))?;
                     println!(
-                        "  cut down to {} events in {} plays: {}",
+                        "  cut down to {} events in {} runs: {}",
                         shrunk.scenario.event_count(),
-                        shrunk.plays,
+                        shrunk.runs,
                         path.display()
                     );
                 }
-                None => println!("  it can't be cut down: as single requests it does not fail"),
+                None => println!("  not shrunk: the violation does not occur when the load is replayed as scripted requests"),
             }
         }
     }
-    println!("\nleast goodput among those whose hosts bear the load:");
-    for (goodput, number) in &found.losses {
+    println!("\nlowest goodput among scenarios with sufficient capacity:");
+    for (goodput, number) in &report.lowest_goodput {
         println!("  {goodput:.3}  badgerramp-sim replay {number}");
     }
-    Ok(found.finds.is_empty())
+    Ok(report.findings.is_empty())
 }
 
-/// A scenario that was cut down, with how it fails.
-fn kept(shrunk: &hunt::Shrunk) -> String {
+/// The text of a shrunk scenario. Comments at its head state the violation and how to reproduce it.
+fn shrunk_scenario_text(shrunk: &hunt::Shrunk) -> String {
     let RunOptions { seed, shuffle, .. } = shrunk.options;
-    let how = if shuffle { " --shuffle" } else { "" };
+    let shuffle_flag = if shuffle { " --shuffle" } else { "" };
     let Violation {
-        invariant: rule,
-        text,
-        ..
-    } = &shrunk.broken;
+        invariant, text, ..
+    } = &shrunk.violation;
     format!(
-        "# {rule}: {text}\n# run with --seed {seed}{how}\n{}",
+        "# {invariant}: {text}\n# run with --seed {seed}{shuffle_flag}\n{}",
         scenario_file::write(&shrunk.scenario)
     )
 }
@@ -809,42 +840,47 @@
 
 fn shrink(
     name: &str,
-    rule: Option<&str>,
+    invariant: Option<&str>,
     seed: u64,
-    plays: u64,
+    max_runs: u64,
     write: Option<&Path>,
-    played: &Played,
+    run_args: &RunArgs,
 ) -> Result<bool, SimulationError> {
-    let (scenario, options) = named(name, seed, played.shuffle)?;
-    let course = played.play.run(&Arc::new(scenario.clone()), options)?;
-    let rule = match rule {
-        Some(word) => Invariant::from_name(word).ok_or_else(|| {
+    let (scenario, options) = load_or_generate(name, seed, run_args.shuffle)?;
+    let result = run_args.backend.run(&Arc::new(scenario.clone()), options)?;
+    let invariant = match invariant {
+        Some(name) => Invariant::from_name(name).ok_or_else(|| {
             let known: Vec<String> = Invariant::ALL.iter().map(ToString::to_string).collect();
-            SimulationError::Other(format!("--rule {word}: allowed are {}", known.join(", ")))
+            SimulationError::Other(format!("--rule {name}: allowed are {}", known.join(", ")))
         })?,
-        None => match course.violations.first() {
-            Some(broken) => broken.invariant,
+        None => match result.violations.first() {
+            Some(violation) => violation.invariant,
             None => {
-                println!("it breaks no rule");
+                println!("no invariant was violated");
                 return Ok(true);
             }
         },
     };
-    let Some(shrunk) = hunt::shrink(played.play.run_function(), &scenario, options, rule, plays)
-    else {
-        println!("it does not break {rule} as single requests");
+    let Some(shrunk) = hunt::shrink(
+        run_args.backend.run_function(),
+        &scenario,
+        options,
+        invariant,
+        max_runs,
+    ) else {
+        println!("{invariant} is not violated when the load is replayed as scripted requests");
         return Ok(true);
     };
-    let text = kept(&shrunk);
+    let text = shrunk_scenario_text(&shrunk);
     match write {
-        Some(path) => save(path, &text)?,
+        Some(path) => write_file(path, &text)?,
         None => println!("{text}"),
     }
     println!(
-        "{} events in {} plays; {rule}: {}",
+        "{} events in {} runs; {invariant}: {}",
         shrunk.scenario.event_count(),
-        shrunk.plays,
-        shrunk.broken.text
+        shrunk.runs,
+        shrunk.violation.text
     );
     Ok(false)
 }
@@ -853,56 +889,56 @@
     name: &str,
     call: Option<u64>,
     seed: u64,
-    played: &Played,
+    run_args: &RunArgs,
 ) -> Result<bool, SimulationError> {
-    let (scenario, options) = named(name, seed, played.shuffle)?;
+    let (scenario, options) = load_or_generate(name, seed, run_args.shuffle)?;
     let scenario = Arc::new(scenario);
     let op = match call {
         Some(call) => OpId(call),
         None => {
-            let course = played.play.run(&scenario, options)?;
-            let broken = course.violations.iter().find_map(|b| b.op);
-            match broken.or(course.first_unserved) {
+            let result = run_args.backend.run(&scenario, options)?;
+            let violating = result.violations.iter().find_map(|violation| violation.op);
+            match violating.or(result.first_unserved) {
                 Some(op) => op,
                 None => {
-                    println!("all were served and no rule broke: name a call with --call");
+                    println!("all calls were served and no invariant was violated; select a call with --call");
                     return Ok(true);
                 }
             }
         }
     };
-    let course = played.play.run(
+    let result = run_args.backend.run(
         &scenario,
         RunOptions {
             trace: Some(op),
             ..options
         },
     )?;
-    if course.trace_lines.is_empty() {
-        println!("no call {} in this course", op.0);
+    if result.trace_lines.is_empty() {
+        println!("call {} does not occur in this run", op.0);
     }
     println!("call {}", op.0);
-    course
+    result
         .trace_lines
         .iter()
         .for_each(|line| println!("{line}"));
-    let broken: Vec<&Violation> = course
+    let violations: Vec<&Violation> = result
         .violations
         .iter()
-        .filter(|b| b.op == Some(op))
+        .filter(|violation| violation.op == Some(op))
         .collect();
-    broken.iter().for_each(|b| {
+    violations.iter().for_each(|violation| {
         println!(
             "{:>12.3} ms  BROKEN {}: {}",
-            b.at as f64 / 1e3,
-            b.invariant,
-            b.text
+            violation.at as f64 / 1e3,
+            violation.invariant,
+            violation.text
         );
     });
-    Ok(broken.is_empty())
+    Ok(violations.is_empty())
 }
 
-fn page_of(results: &Path, html: &Path) -> Result<bool, SimulationError> {
+fn write_report(results: &Path, html: &Path) -> Result<bool, SimulationError> {
     let name =
         |e: &dyn std::fmt::Display| SimulationError::Other(format!("{}: {e}", results.display()));
     let text = std::fs::read_to_string(results).map_err(|e| name(&e))?;
@@ -924,57 +960,60 @@
         .iter()
         .map(|(key, all)| SweepPoint::of(vec![key.clone()], all))
         .collect();
-    save(html, &report::page("Results", &[report::sweep(&points)]))?;
+    write_file(
+        html,
+        &report::page("Results", &[report::sweep_section(&points)]),
+    )?;
     Ok(points.iter().all(|p| p.violation_count == 0))
 }
 
-fn checked(depth: usize, states: usize) -> bool {
-    let mut good = true;
-    for world in check::default_worlds(depth, states) {
-        let began = Instant::now();
-        let told = check::check(&world);
+fn model_check(depth: usize, max_states: usize) -> bool {
+    let mut passed = true;
+    for world in check::default_worlds(depth, max_states) {
+        let started = Instant::now();
+        let exploration = check::check(&world);
         println!(
-            "{} servers, {} second copies, {:?}: {} states, {} steps, all orders of {} events{}, {:.1} s",
+            "{} servers, {} hedged requests, {:?}: {} states, {} steps, all orders of {} events{}, {:.1} s",
             world.servers,
             if world.copies { "with" } else { "without" },
             world.calls,
-            told.states,
-            told.steps,
-            told.depth,
-            if told.truncated { " (cut at the bound of states)" } else { "" },
-            began.elapsed().as_secs_f64()
+            exploration.states,
+            exploration.steps,
+            exploration.depth,
+            if exploration.truncated { " (stopped at the maximum number of states)" } else { "" },
+            started.elapsed().as_secs_f64()
         );
-        if let Some(found) = &told.counterexample {
-            good = false;
+        if let Some(counterexample) = &exploration.counterexample {
+            passed = false;
             println!(
                 "BROKEN {}\n{}",
-                found.violation,
-                check::as_test(&world, found)
+                counterexample.violation,
+                check::as_test(&world, counterexample)
             );
         }
     }
-    good
+    passed
 }
 
-fn determinism(count: u64, play: Backend, stop: &AtomicBool) -> Result<bool, SimulationError> {
+fn determinism(count: u64, backend: Backend, stop: &AtomicBool) -> Result<bool, SimulationError> {
     let digests = |threads: usize| -> Result<Vec<String>, SimulationError> {
-        let bar = bar(count);
-        let one = |n: usize| {
-            let course = play.run(
+        let bar = progress_bar(count);
+        let run_digest = |n: usize| {
+            let result = backend.run(
                 &Arc::new(generate::scenario(n as u64)),
-                hunt::options(n as u64),
+                hunt::run_options(n as u64),
             )?;
-            Ok(course.digest())
+            Ok(result.digest())
         };
-        let all = experiment::run_all(count as usize, threads, stop, one, || bar.inc(1))?;
+        let all = experiment::run_all(count as usize, threads, stop, run_digest, || bar.inc(1))?;
         bar.finish_and_clear();
         Ok(all.into_iter().map(|d| d.1).collect())
     };
-    let courses = [digests(1)?, digests(1)?, digests(4)?];
-    let short = courses.iter().map(Vec::len).min().unwrap_or(0);
-    let differ = (0..short)
-        .filter(|&n| courses.iter().any(|c| c[n] != courses[0][n]))
+    let series = [digests(1)?, digests(1)?, digests(4)?];
+    let compared = series.iter().map(Vec::len).min().unwrap_or(0);
+    let differing = (0..compared)
+        .filter(|&n| series.iter().any(|digests| digests[n] != series[0][n]))
         .count();
-    println!("{short} scenarios, twice on one thread and once on four: {differ} differ");
-    Ok(differ == 0)
+    println!("{compared} scenarios, twice on one thread and once on four: {differing} differ");
+    Ok(differing == 0)
 }
--- a/crates/simulator/src/defects/source_match.rs
+++ b/crates/simulator/src/defects/source_match.rs
@@ -1,16 +1,16 @@
-//! Finds a piece of code in a source file whatever its layout: the formatter may break a line anywhere.
+//! Finds excerpts of code in source files regardless of their formatting, since the formatter may break a line anywhere.
 
 use std::ops::Range;
 
-/// Text without white space and without commas before a closing bracket, and where each byte of it stood.
-struct Compact {
+/// Text without white space and without commas before closing brackets, and the original position of each byte.
+struct CompactText {
     bytes: Vec<u8>,
     positions: Vec<usize>,
 }
 
-impl Compact {
+impl CompactText {
     fn new(text: &str) -> Self {
-        let mut compact = Compact {
+        let mut compact = CompactText {
             bytes: Vec::new(),
             positions: Vec::new(),
         };
@@ -29,14 +29,14 @@
     }
 }
 
-/// Where `piece` stands in `source`, in order. An empty piece stands nowhere.
-pub(super) fn find_all(source: &str, piece: &str) -> Vec<Range<usize>> {
-    let (source, piece) = (Compact::new(source), Compact::new(piece));
-    if piece.bytes.is_empty() {
+/// The ranges at which `excerpt` occurs in `source`, in order. An empty excerpt has no matches.
+pub(super) fn find_all(source: &str, excerpt: &str) -> Vec<Range<usize>> {
+    let (source, excerpt) = (CompactText::new(source), CompactText::new(excerpt));
+    if excerpt.bytes.is_empty() {
         return Vec::new();
     }
-    let windows = source.bytes.windows(piece.bytes.len()).enumerate();
-    let matches = windows.filter(|(_, window)| *window == piece.bytes);
+    let windows = source.bytes.windows(excerpt.bytes.len()).enumerate();
+    let matches = windows.filter(|(_, window)| *window == excerpt.bytes);
     matches
         .map(|(first, window)| {
             let last = first + window.len() - 1;
--- a/crates/simulator/src/defects/source_match/tests.rs
+++ b/crates/simulator/src/defects/source_match/tests.rs
@@ -1,9 +1,9 @@
-//! Pieces of code and where they are found.
+//! Tests of finding excerpts in source code.
 
 use super::find_all;
 
 #[test]
-fn a_piece_is_found_over_line_breaks_and_trailing_commas() {
+fn excerpt_matches_across_line_breaks_and_trailing_commas() {
     let source = "fn f() {\n    call(\n        one,\n        two,\n    );\n}\n";
     let found = find_all(source, "call(one, two);");
     assert_eq!(found.len(), 1);
@@ -14,12 +14,12 @@
 }
 
 #[test]
-fn every_place_of_a_piece_is_found() {
+fn all_occurrences_of_an_excerpt_are_found() {
     assert_eq!(find_all("a + b; a+b; a + c", "a + b"), [0..5, 7..10]);
 }
 
 #[test]
-fn other_code_and_nothing_are_not_found() {
+fn different_code_and_empty_excerpts_do_not_match() {
     assert!(find_all("call(one, two)", "call(two, one)").is_empty());
     assert!(find_all("call(one, two)", " ").is_empty());
 }
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -1,4 +1,4 @@
-//! Looks for broken rules in random scenarios, tells each kind once, and cuts what it finds down.
+//! Searches random scenarios for violations of invariants, groups equal violations, and shrinks failing scenarios.
 
 use crate::generate;
 use crate::run_result::RunResult;
@@ -10,91 +10,93 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A way to play a scenario.
-pub type Play = fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError>;
+/// Runs a scenario with the given options.
+pub type RunFunction = fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError>;
 
-/// Plays a scenario; code that panics is a find like any other.
-fn guarded(
-    play: Play,
+/// Runs a scenario. A panic of the code under test becomes a violation of [`Invariant::Crashed`].
+fn run_catching_panics(
+    run: RunFunction,
     scenario: &Arc<Scenario>,
     options: RunOptions,
 ) -> Result<RunResult, SimulationError> {
-    let played = catch_unwind(AssertUnwindSafe(|| play(scenario, options)));
-    played.unwrap_or_else(|panic| {
+    let outcome = catch_unwind(AssertUnwindSafe(|| run(scenario, options)));
+    outcome.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text
             .or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()))
             .unwrap_or_default();
-        let mut course = RunResult::new(Arc::clone(scenario));
-        // When it was is not known: nothing that comes later may be left out because of it.
-        course.violations = vec![Violation {
+        let mut result = RunResult::new(Arc::clone(scenario));
+        // The time of the panic is unknown. The latest possible time keeps `Shrinker::requests` from dropping requests
+        // that might have caused it.
+        result.violations = vec![Violation {
             invariant: Invariant::Crashed,
             at: Micros::MAX,
             op: None,
             text,
         }];
-        course.violation_count = 1;
-        Ok(course)
+        result.violation_count = 1;
+        Ok(result)
     })
 }
 
-/// What makes two finds the same: the rule, and its words without their numbers.
-pub fn signature(broken: &Violation) -> String {
+/// Identifies the kind of a violation: its invariant, and its text without numbers. Violations with the same signature are
+/// reported once.
+pub fn signature(violation: &Violation) -> String {
     let mut words = String::new();
-    for part in broken.text.split_whitespace() {
-        let plain: String = part.chars().filter(|c| c.is_alphabetic()).collect();
-        // Names of hosts and proxies are as good as numbers.
-        let name = part.chars().any(|c| c.is_ascii_digit());
-        words.push_str(if name { "#" } else { &plain });
+    for part in violation.text.split_whitespace() {
+        let letters: String = part.chars().filter(|c| c.is_alphabetic()).collect();
+        // Words with digits are numbers or the names of hosts and proxies, which differ between scenarios.
+        let has_digit = part.chars().any(|c| c.is_ascii_digit());
+        words.push_str(if has_digit { "#" } else { &letters });
         words.push(' ');
     }
-    format!("{}: {}", broken.invariant, words.trim_end())
+    format!("{}: {}", violation.invariant, words.trim_end())
 }
 
-/// A kind of failure.
+/// A kind of violation that a search found.
 #[derive(Clone, Debug)]
-pub struct Find {
-    /// The first scenario that showed it, by its number.
+pub struct Finding {
+    /// Lowest number of a random scenario with this kind of violation.
     pub number: u64,
-    /// What was broken there.
-    pub broken: Violation,
-    /// How many scenarios showed it.
+    /// The violation in that scenario.
+    pub violation: Violation,
+    /// Number of scenarios with this kind of violation.
     pub count: u64,
 }
 
-/// What a hunt looks through, and how long.
+/// Extent and limits of a search.
 #[derive(Clone, Copy, Debug)]
-pub struct Hunt {
-    /// Scenarios from this number on.
+pub struct HuntOptions {
+    /// Number of the first random scenario.
     pub first: u64,
-    /// How many at the most.
+    /// Maximum number of scenarios.
     pub count: u64,
-    /// For how long at the most.
-    pub time: Duration,
-    /// Threads.
+    /// Maximum duration.
+    pub max_duration: Duration,
+    /// Number of threads.
     pub threads: usize,
-    /// Stop at the first find.
-    pub stop: bool,
+    /// Whether to stop at the first violation.
+    pub stop_at_first: bool,
 }
 
-/// What a hunt found.
+/// Result of a search.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Scenarios played.
-    pub played: u64,
-    /// Requests in them.
+pub struct HuntReport {
+    /// Number of scenarios that were run.
+    pub runs: u64,
+    /// Number of requests in these runs.
     pub requests: u64,
-    /// Each kind of failure once, by its signature.
-    pub finds: BTreeMap<String, Find>,
-    /// The scenarios with the least goodput among those whose hosts bear the load: goodput and number.
-    pub losses: Vec<(f64, u64)>,
+    /// The kinds of violations by their signatures.
+    pub findings: BTreeMap<String, Finding>,
+    /// Goodput and number of the scenarios with the lowest goodput, among those whose hosts have sufficient capacity.
+    pub lowest_goodput: Vec<(f64, u64)>,
 }
 
-/// Losses that are kept.
-const LOSSES: usize = 5;
+/// Number of entries in [`HuntReport::lowest_goodput`].
+const LOWEST_GOODPUT_ENTRIES: usize = 5;
 
-/// How a drawn scenario is played: half of them with a drawn order of what falls on one instant.
-pub fn options(number: u64) -> RunOptions {
+/// Options for the run of a random scenario. Every other scenario has its simultaneous events shuffled.
+pub fn run_options(number: u64) -> RunOptions {
     RunOptions {
         seed: number,
         shuffle: number % 2 == 1,
@@ -102,158 +104,162 @@
     }
 }
 
-/// Hunts. `progress` is called with scenarios played and kinds found; `stop` ends it early.
+/// Runs random scenarios and collects their violations. `progress` is called after each run, with the number of runs and
+/// of kinds of violations so far. Once `stop` is set, no further run starts.
 ///
 /// # Errors
-/// If a scenario can't be played at all.
+/// If a scenario can't be run.
 pub fn hunt(
-    play: Play,
-    hunt: Hunt,
+    run: RunFunction,
+    options: HuntOptions,
     stop: &AtomicBool,
     progress: impl Fn(u64, usize) + Sync,
-) -> Result<Found, SimulationError> {
-    let next = AtomicU64::new(hunt.first);
-    let end = hunt.first.saturating_add(hunt.count);
-    let began = Instant::now();
-    let found = Mutex::new(Found::default());
-    let fault = Mutex::new(None);
+) -> Result<HuntReport, SimulationError> {
+    let next = AtomicU64::new(options.first);
+    let end = options.first.saturating_add(options.count);
+    let started = Instant::now();
+    let report = Mutex::new(HuntReport::default());
+    let run_error = Mutex::new(None);
     let done = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for _ in 0..hunt.threads.max(1) {
+        for _ in 0..options.threads.max(1) {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let over = began.elapsed() >= hunt.time || done.load(Ordering::Relaxed);
+                let over =
+                    started.elapsed() >= options.max_duration || done.load(Ordering::Relaxed);
                 if number >= end || over || stop.load(Ordering::Relaxed) {
                     return;
                 }
                 let scenario = Arc::new(generate::scenario(number));
-                match guarded(play, &scenario, options(number)) {
-                    Ok(course) => {
-                        let mut found = found
+                match run_catching_panics(run, &scenario, run_options(number)) {
+                    Ok(result) => {
+                        let mut report = report
                             .lock()
                             .unwrap_or_else(std::sync::PoisonError::into_inner);
-                        take(&mut found, number, &course);
-                        if hunt.stop && !found.finds.is_empty() {
+                        record_run(&mut report, number, &result);
+                        if options.stop_at_first && !report.findings.is_empty() {
                             done.store(true, Ordering::Relaxed);
                         }
-                        progress(found.played, found.finds.len());
+                        progress(report.runs, report.findings.len());
                     }
-                    Err(told) => {
-                        *fault
+                    Err(error) => {
+                        *run_error
                             .lock()
-                            .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(told);
+                            .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(error);
                         done.store(true, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    match fault
+    match run_error
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
     {
-        Some(fault) => Err(fault),
-        None => Ok(found
+        Some(error) => Err(error),
+        None => Ok(report
             .into_inner()
             .unwrap_or_else(std::sync::PoisonError::into_inner)),
     }
 }
 
-fn take(found: &mut Found, number: u64, course: &RunResult) {
-    found.played += 1;
-    let total = course.total();
-    found.requests += total.tries;
+/// Adds the result of the random scenario with this number to the report.
+fn record_run(report: &mut HuntReport, number: u64, result: &RunResult) {
+    report.runs += 1;
+    let total = result.total();
+    report.requests += total.tries;
     let mut seen = Vec::new();
-    for broken in &course.violations {
-        let signature = signature(broken);
+    for violation in &result.violations {
+        let signature = signature(violation);
         if seen.contains(&signature) {
             continue;
         }
-        let find = found
-            .finds
+        let finding = report
+            .findings
             .entry(signature.clone())
-            .or_insert_with(|| Find {
+            .or_insert_with(|| Finding {
                 number,
-                broken: broken.clone(),
+                violation: violation.clone(),
                 count: 0,
             });
-        find.count += 1;
-        // The lowest number, whatever the order in which threads come by.
-        if number < find.number {
-            (find.number, find.broken) = (number, broken.clone());
+        finding.count += 1;
+        // Threads finish in any order; the finding keeps the lowest number.
+        if number < finding.number {
+            (finding.number, finding.violation) = (number, violation.clone());
         }
         seen.push(signature);
     }
-    if course.scenario().utilisation() < 0.8 {
-        found.losses.push((total.goodput(), number));
-        found
-            .losses
+    if result.scenario().utilisation() < 0.8 {
+        report.lowest_goodput.push((total.goodput(), number));
+        report
+            .lowest_goodput
             .sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        found.losses.truncate(LOSSES);
+        report.lowest_goodput.truncate(LOWEST_GOODPUT_ENTRIES);
     }
 }
 
-/// A failing schedule, cut down.
+/// A shrunk scenario that still violates the invariant.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
-    /// What still fails.
+    /// The shrunk scenario.
     pub scenario: Scenario,
-    /// With which seed.
+    /// Options of the run, with the seed that shows the violation.
     pub options: RunOptions,
-    /// What is broken there.
-    pub broken: Violation,
-    /// Plays that it took.
-    pub plays: u64,
+    /// The violation.
+    pub violation: Violation,
+    /// Number of runs that the shrinking took.
+    pub runs: u64,
 }
 
-/// The least that still breaks `rule`, as far as taking away parts one after the other leads. The load is written out
-/// as single requests first, so that each of them can go.
+/// Shrinks a scenario to a minimal one that still violates `invariant`, by removing one part after the other, with at most
+/// `max_runs` runs. The generated load is converted to scripted requests first, so that requests can be removed one by one.
 ///
-/// Returns None if the scenario does not break the rule.
+/// Returns None if the scenario with scripted requests does not violate the invariant.
 pub fn shrink(
-    play: Play,
+    run: RunFunction,
     scenario: &Scenario,
     options: RunOptions,
-    rule: Invariant,
-    most: u64,
+    invariant: Invariant,
+    max_runs: u64,
 ) -> Option<Shrunk> {
-    let mut search = Search {
-        play,
-        rule,
+    let mut shrinker = Shrinker {
+        run,
+        invariant,
         options: RunOptions {
             stop_at_violation: false,
             ..options
         },
-        plays: 0,
-        most,
+        runs: 0,
+        max_runs,
     };
-    let mut best = search.fails(scripted(scenario, options.seed))?;
+    let mut best = shrinker.reproduce(with_scripted_requests(scenario, options.seed))?;
     loop {
         let before = size(&best.scenario);
-        best = search.requests(best);
-        best = search.faults(best);
-        best = search.simpler(best);
-        if size(&best.scenario) >= before || search.plays >= most {
+        best = shrinker.remove_requests(best);
+        best = shrinker.remove_faults(best);
+        best = shrinker.simplify(best);
+        if size(&best.scenario) >= before || shrinker.runs >= max_runs {
             break;
         }
     }
-    best.plays = search.plays;
+    best.runs = shrinker.runs;
     Some(best)
 }
 
+/// Measure of a scenario's size. An event weighs more than a host or a proxy.
 fn size(scenario: &Scenario) -> usize {
     scenario.event_count() * 100 + scenario.hosts.len() + scenario.proxies as usize
 }
 
-/// The same load as single requests.
-pub fn scripted(scenario: &Scenario, seed: u64) -> Scenario {
+/// The scenario with its generated load written out as scripted requests.
+pub fn with_scripted_requests(scenario: &Scenario, seed: u64) -> Scenario {
     if scenario.requests.is_some() {
         return scenario.clone();
     }
     let mut clients = LoadGenerator::new(Arc::new(scenario.clone()), RandomStreams::new(seed));
     let mut requests = Vec::new();
-    while let Some(ask) = clients.next_operation() {
-        let (at, proxy, class, id) = (ask.due, ask.proxy, ask.class, ask.op.0);
+    while let Some(request) = clients.next_operation() {
+        let (at, proxy, class, id) = (request.due, request.proxy, request.class, request.op.0);
         requests.push(badgerramp_sim_model::ScriptedRequest {
             at,
             proxy,
@@ -267,86 +273,92 @@
     }
 }
 
-struct Search {
-    play: Play,
-    rule: Invariant,
+struct Shrinker {
+    run: RunFunction,
+    invariant: Invariant,
     options: RunOptions,
-    plays: u64,
-    most: u64,
+    runs: u64,
+    max_runs: u64,
 }
 
-impl Search {
-    /// Does it break the rule, with this seed or one of a few others? What is left out shifts what the decisions draw.
-    fn fails(&mut self, scenario: Scenario) -> Option<Shrunk> {
+impl Shrinker {
+    /// Runs the scenario with the current seed and up to three following ones, until the invariant is violated. Other seeds
+    /// are tried because removed parts of a scenario shift the random numbers that the decisions draw.
+    fn reproduce(&mut self, scenario: Scenario) -> Option<Shrunk> {
         let scenario = Arc::new(scenario);
         let first = self.options.seed;
         for seed in std::iter::once(first).chain(first.wrapping_add(1)..first.wrapping_add(4)) {
-            if self.plays >= self.most {
+            if self.runs >= self.max_runs {
                 return None;
             }
-            self.plays += 1;
+            self.runs += 1;
             let options = RunOptions {
                 seed,
                 ..self.options
             };
-            let course = guarded(self.play, &scenario, options).ok()?;
-            if let Some(broken) = course.violations.iter().find(|b| b.invariant == self.rule) {
+            let result = run_catching_panics(self.run, &scenario, options).ok()?;
+            if let Some(violation) = result
+                .violations
+                .iter()
+                .find(|v| v.invariant == self.invariant)
+            {
                 self.options = options;
                 let scenario = Scenario::clone(&scenario);
                 return Some(Shrunk {
                     scenario,
                     options,
-                    broken: broken.clone(),
-                    plays: self.plays,
+                    violation: violation.clone(),
+                    runs: self.runs,
                 });
             }
         }
         None
     }
 
-    /// Takes away runs of requests, long ones first, then ever shorter ones.
-    fn requests(&mut self, mut best: Shrunk) -> Shrunk {
+    /// Removes chunks of consecutive requests. The chunks become shorter down to a single request.
+    fn remove_requests(&mut self, mut best: Shrunk) -> Shrunk {
         let all = |s: &Shrunk| s.scenario.requests.clone().unwrap_or_default();
-        // What comes after the failure has no part in it, where that is a moment.
+        // Requests after the violation cannot have caused it.
         let kept: Vec<_> = all(&best)
             .into_iter()
-            .filter(|r| r.at <= best.broken.at)
+            .filter(|r| r.at <= best.violation.at)
             .collect();
         if kept.len() < all(&best).len() {
             let shorter = Scenario {
                 requests: Some(kept),
                 ..best.scenario.clone()
             };
-            best = self.fails(shorter).unwrap_or(best);
+            best = self.reproduce(shorter).unwrap_or(best);
         }
-        let mut run = all(&best).len().div_ceil(2).max(1);
+        let mut chunk_len = all(&best).len().div_ceil(2).max(1);
         loop {
             let mut at = 0;
             while at < all(&best).len() {
                 let mut fewer = all(&best);
-                let end = (at + run).min(fewer.len());
+                let end = (at + chunk_len).min(fewer.len());
                 fewer.drain(at..end);
-                match self.fails(Scenario {
+                match self.reproduce(Scenario {
                     requests: Some(fewer),
                     ..best.scenario.clone()
                 }) {
                     Some(smaller) => best = smaller,
-                    None => at += run,
+                    None => at += chunk_len,
                 }
             }
-            if run == 1 || self.plays >= self.most {
+            if chunk_len == 1 || self.runs >= self.max_runs {
                 return best;
             }
-            run = run.div_ceil(2);
+            chunk_len = chunk_len.div_ceil(2);
         }
     }
 
-    fn faults(&mut self, mut best: Shrunk) -> Shrunk {
+    /// Removes faults, one at a time.
+    fn remove_faults(&mut self, mut best: Shrunk) -> Shrunk {
         let mut at = 0;
         while at < best.scenario.faults.len() {
             let mut fewer = best.scenario.clone();
             fewer.faults.remove(at);
-            match self.fails(fewer) {
+            match self.reproduce(fewer) {
                 Some(smaller) => best = smaller,
                 None => at += 1,
             }
@@ -354,8 +366,8 @@
         best
     }
 
-    /// Fewer hosts and proxies, and clients that do less.
-    fn simpler(&mut self, mut best: Shrunk) -> Shrunk {
+    /// Removes hosts and proxies, and simplifies clients, hosts, the endpoint list and the duration.
+    fn simplify(&mut self, mut best: Shrunk) -> Shrunk {
         let mut host = best.scenario.hosts.len();
         while host > 0 {
             host -= 1;
@@ -365,8 +377,8 @@
             }
             let mut fewer = best.scenario.clone();
             fewer.hosts.remove(host);
-            fewer.faults.iter_mut().for_each(|f| move_host(f, host));
-            best = self.fails(fewer).unwrap_or(best);
+            fewer.faults.iter_mut().for_each(|f| renumber_host(f, host));
+            best = self.reproduce(fewer).unwrap_or(best);
         }
         let proxies = best
             .scenario
@@ -401,15 +413,15 @@
             let mut simpler = best.scenario.clone();
             change(&mut simpler);
             if simpler != best.scenario {
-                best = self.fails(simpler).unwrap_or(best);
+                best = self.reproduce(simpler).unwrap_or(best);
             }
         }
         best
     }
 }
 
-/// Places of hosts after one that has gone move up.
-fn move_host(fault: &mut badgerramp_sim_model::Fault, gone: usize) {
+/// Adjusts the host index of a fault after the host with index `removed` was removed.
+fn renumber_host(fault: &mut badgerramp_sim_model::Fault, removed: usize) {
     use badgerramp_sim_model::FaultKind as T;
     if let T::Errors { host, .. }
     | T::Stall { host }
@@ -421,7 +433,7 @@
     | T::Partition { host }
     | T::HalfOpen { host } = &mut fault.kind
     {
-        if *host > gone {
+        if *host > removed {
             *host -= 1;
         }
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,6 @@
-//! The lab: one scenario, played in virtual time or on sockets, measured and held against the rules.
+//! The simulator behind `badgerramp-sim`. It runs a scenario in virtual time, on the socket code over a network in memory,
+//! or with the built programs, measures the run and checks it against the invariants. It also generates scenarios to search
+//! for violations, and runs the fault tests.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::needless_pass_by_value,
@@ -10,16 +12,16 @@
     reason = "long functions are still to be split"
 )]
 
-/// The word that makes `badgerramp-sim` the client proxy.
+/// First argument with which `badgerramp-sim` runs as a client proxy.
 pub const AS_PROXY: &str = "as-proxy";
 
-/// The word that starts this very program as a replica of control.
+/// First argument with which `badgerramp-sim` runs as a replica of the control plane.
 pub const AS_CONTROL: &str = "as-control";
 
-/// The word that starts this very program as a process with many client proxies.
+/// First argument with which `badgerramp-sim` runs as a process with many hollow proxies.
 pub const AS_HOLLOW_PROXIES: &str = "as-hollow-proxies";
 
-/// The word that starts this very program as a list service.
+/// First argument with which `badgerramp-sim` runs as a list service.
 pub const AS_LIST_SERVICE: &str = "as-list-service";
 
 pub mod bench;
@@ -27,18 +29,18 @@
 pub mod cli;
 pub mod defects;
 pub mod experiment;
+mod fault_filter;
+pub mod fault_test;
+mod fault_test_cold_start;
+mod fault_test_drains;
+mod fault_test_scale;
 pub mod generate;
 pub mod hollow_proxies;
 pub mod hunt;
 pub mod list_service;
-mod only;
 pub mod operator_file;
 pub mod report;
 pub mod run_result;
 pub mod scenario_file;
 pub mod simulation;
 pub mod sockets;
-pub mod trial;
-mod trial_drains;
-mod trial_scale;
-mod trial_start;
--- a/crates/simulator/src/list_service.rs
+++ b/crates/simulator/src/list_service.rs
@@ -1,18 +1,18 @@
-//! The list service of a trial as a process of its own.
+//! The list service of a fault test as a separate process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Runs the process: the argument is a file with the hosts' addresses.
+/// Runs the process. The first argument names the file with the hosts' addresses.
 pub fn main(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> ExitCode {
     let Some(file) = arguments.next() else {
-        eprintln!("badgerramp-sim: list service: no file");
+        eprintln!("badgerramp-sim: list service: expected a file with the hosts' addresses as the argument");
         return ExitCode::from(2);
     };
     match run(PathBuf::from(file)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("badgerramp-sim: list service: {fault}");
+        Err(error) => {
+            eprintln!("badgerramp-sim: list service: {error}");
             ExitCode::FAILURE
         }
     }
@@ -23,7 +23,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("failed to start the runtime: {e}"))?;
     runtime.block_on(badgerramp_fault_injection::scale::list_service::serve(
         &file,
     ))
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,16 +1,16 @@
-//! `badgerramp-sim`: see `docs/simulator.md`.
+//! The `badgerramp-sim` program. `docs/simulator.md` describes its use.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
     let mut arguments = std::env::args_os();
-    let own = arguments.next();
-    // A real play starts this very program as its proxies, and a trial as control too.
+    let program_name = arguments.next();
+    // Real-time runs start this program again as their proxies; fault tests also as the control plane and other roles.
     match std::env::args().nth(1).as_deref() {
         Some(badgerramp_simulator::AS_PROXY) => {
-            badgerramp::cli::main(own.into_iter().chain(arguments.skip(1)))
+            badgerramp::cli::main(program_name.into_iter().chain(arguments.skip(1)))
         }
         Some(badgerramp_simulator::AS_CONTROL) => {
-            badgerramp_control_plane::cli::main(own.into_iter().chain(arguments.skip(1)))
+            badgerramp_control_plane::cli::main(program_name.into_iter().chain(arguments.skip(1)))
         }
         Some(badgerramp_simulator::AS_HOLLOW_PROXIES) => {
             badgerramp_simulator::hollow_proxies::main(arguments.skip(1))
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,58 +1,59 @@
-//! Results as one HTML page that needs nothing else: figures, plots as SVG, and the lines that made them.
+//! Renders results as a self-contained HTML page with tables and SVG plots.
 
 use crate::experiment::SweepPoint;
 use crate::run_result::{RunResult, Summary};
 use plotters::prelude::*;
 use std::fmt::Write;
 
-const SIZE: (u32, u32) = (860, 260);
-/// Lines of one plot; more hosts than that are shown by their least, middle and most.
-const LINES_MOST: usize = 24;
+/// Width and height of a plot in pixels.
+const PLOT_SIZE: (u32, u32) = (860, 260);
+/// Maximum number of host lines in a plot. With more hosts, the plot shows their minimum, median and maximum.
+const MAX_HOST_LINES: usize = 24;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// A line of a plot: its name and its points.
+/// A line of a plot.
 pub struct Line {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot as SVG; an empty text where there is nothing to show.
+/// Draws a plot as SVG. Returns an empty string if the lines have no points.
 pub fn plot(title: &str, (x, y): (&str, &str), lines: &[Line]) -> String {
     let mut svg = String::new();
     let drawn = draw(&mut svg, title, (x, y), lines);
-    // Writing to memory fails only where the library can't draw at all; the page says so in its place.
+    // Drawing into memory fails only if the plotting library does; the page then shows the error in place of the plot.
     match drawn {
         Ok(()) => svg,
-        Err(fault) => format!(
-            "<p>{}: not drawn: {}</p>",
+        Err(error) => format!(
+            "<p>{}: failed to draw the plot: {}</p>",
             escape(title),
-            escape(&fault.to_string())
+            escape(&error.to_string())
         ),
     }
 }
 
-fn draw(svg: &mut String, title: &str, (x, y): (&str, &str), lines: &[Line]) -> Drawn {
+fn draw(svg: &mut String, title: &str, (x, y): (&str, &str), lines: &[Line]) -> DrawResult {
     let points = || lines.iter().flat_map(|l| &l.points);
-    let most = |pick: fn(&(f64, f64)) -> f64| points().map(pick).fold(0.0, f64::max);
-    let least = points().map(|p| p.0).fold(f64::MAX, f64::min);
+    let max = |pick: fn(&(f64, f64)) -> f64| points().map(pick).fold(0.0, f64::max);
+    let left = points().map(|p| p.0).fold(f64::MAX, f64::min);
     if points().next().is_none() {
         return Ok(());
     }
     let (right, top) = (
-        most(|p| p.0).max(least + 1e-9),
-        (most(|p| p.1) * 1.05).max(1e-9),
+        max(|p| p.0).max(left + 1e-9),
+        (max(|p| p.1) * 1.05).max(1e-9),
     );
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(32)
         .y_label_area_size(56)
-        .build_cartesian_2d(least..right, 0.0..top)?;
+        .build_cartesian_2d(left..right, 0.0..top)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -90,26 +91,26 @@
 table{border-collapse:collapse}td,th{padding:2px 10px;text-align:right;border-bottom:1px solid #ddd}\
 td:first-child,th:first-child{text-align:left}.bad{color:#b00;font-weight:bold}pre{background:#f6f6f6;padding:8px}";
 
-/// A page of these parts.
-pub fn page(title: &str, parts: &[String]) -> String {
+/// Renders a page with these sections.
+pub fn page(title: &str, sections: &[String]) -> String {
     format!(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style>\n<h1>{0}</h1>\n{1}\n</html>\n",
         escape(title),
-        parts.join("\n")
+        sections.join("\n")
     )
 }
 
-/// The part of a course.
-pub fn course(course: &RunResult, summary: &Summary) -> String {
+/// Renders the section of a single run.
+pub fn run_section(result: &RunResult, summary: &Summary) -> String {
     let mut out = format!(
-        "<h2>{}, {} play, seed {}</h2>\n",
+        "<h2>{}, {} backend, seed {}</h2>\n",
         escape(&summary.scenario),
         summary.backend,
         summary.seed
     );
     out += &format!(
-        "<p>Goodput {:.4}; worst class {:.4}; worst ten seconds {:.4}; {:.3} attempts for each request; {} questions to the \
-         list service; at most {} connections at a host.</p>\n",
+        "<p>Goodput {:.4}; worst class {:.4}; worst ten seconds {:.4}; {:.3} attempts per operation; {} requests to the \
+         list service; at most {} connections per host.</p>\n",
         summary.goodput,
         summary.worst_class_goodput,
         summary.worst_window_goodput,
@@ -120,35 +121,35 @@
     if summary.violation_count > 0 {
         let _ = write!(
             out,
-            "<p class=\"bad\">Rules broken: {}</p><ul>",
+            "<p class=\"bad\">Violations of invariants: {}</p><ul>",
             summary.violation_count
         );
-        for broken in &course.violations {
+        for violation in &result.violations {
             let _ = write!(
                 out,
                 "<li>{:.3} s, {}: {}</li>",
-                broken.at as f64 / 1e6,
-                broken.invariant,
-                escape(&broken.text)
+                violation.at as f64 / 1e6,
+                violation.invariant,
+                escape(&violation.text)
             );
         }
         out += "</ul>\n";
     } else {
-        out += "<p>No rule was broken.</p>\n";
+        out += "<p>No invariant was violated.</p>\n";
     }
     out += "<table><tr><th>class<th>wanted<th>in time<th>late<th>refused<th>failed<th>lost<th>p50 ms<th>p99 ms<th>p99.9 ms</tr>\n";
-    for (class, tally) in course.scenario().classes.iter().zip(&course.classes) {
-        let ms = |share| tally.latencies.quantile(share) as f64 / 1e3;
+    for (class, stats) in result.scenario().classes.iter().zip(&result.classes) {
+        let ms = |share| stats.latencies.quantile(share) as f64 / 1e3;
         let _ = writeln!(
             out,
             "<tr><td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{:.1}<td>{:.1}<td>{:.1}</tr>",
             escape(&class.name),
-            tally.operations,
-            tally.on_time,
-            tally.late,
-            tally.rejected,
-            tally.failed,
-            tally.unanswered,
+            stats.operations,
+            stats.on_time,
+            stats.late,
+            stats.rejected,
+            stats.failed,
+            stats.unanswered,
             ms(0.5),
             ms(0.99),
             ms(0.999)
@@ -156,15 +157,15 @@
     }
     out += "</table>\n";
     let bins = || {
-        course
+        result
             .bins
             .iter()
             .enumerate()
             .map(|(n, b)| (n as f64 + 0.5, b))
     };
-    let line = |name: &str, figure: &dyn Fn(&crate::run_result::OperationStats) -> f64| Line {
+    let line = |name: &str, metric: &dyn Fn(&crate::run_result::OperationStats) -> f64| Line {
         name: name.to_owned(),
-        points: bins().map(|(at, b)| (at, figure(b))).collect(),
+        points: bins().map(|(at, bin)| (at, metric(bin))).collect(),
     };
     out += &plot(
         "Goodput",
@@ -180,38 +181,38 @@
         line("attempts", &|b| b.attempts as f64),
     ];
     out += &plot(
-        "Answers by when they were first due",
-        ("s", "a second"),
+        "Operations by the time their first try was due",
+        ("s", "per second"),
         &counts,
     );
-    let times = |share: f64| {
-        move |b: &crate::run_result::OperationStats| b.latencies.quantile(share) as f64 / 1e3
+    let latency = |quantile: f64| {
+        move |b: &crate::run_result::OperationStats| b.latencies.quantile(quantile) as f64 / 1e3
     };
-    let waits = [
-        line("p50", &times(0.5)),
-        line("p99", &times(0.99)),
-        line("p99.9", &times(0.999)),
+    let latencies = [
+        line("p50", &latency(0.5)),
+        line("p99", &latency(0.99)),
+        line("p99.9", &latency(0.999)),
     ];
     out += &plot(
-        "Time to the answer, from when it was due",
+        "Latency, measured from the time the first try was due",
         ("s", "ms"),
-        &waits,
+        &latencies,
     );
     out += &plot(
-        "Calls in hand for each core",
+        "Calls in flight per core",
         ("s", "calls"),
-        &hosts(course, |s| s.in_flight_per_core.clone()),
+        &host_lines(result, |s| s.in_flight_per_core.clone()),
     );
     let connections =
         |s: &crate::run_result::Sample| s.connections.iter().map(|c| f64::from(*c)).collect();
     out += &plot(
         "Connections",
-        ("s", "at a host"),
-        &hosts(course, connections),
+        ("s", "per host"),
+        &host_lines(result, connections),
     );
     let calls = |name: &str, pick: fn(&crate::run_result::Sample) -> u64| Line {
         name: name.to_owned(),
-        points: course
+        points: result
             .samples
             .iter()
             .map(|s| (s.at_seconds, pick(s) as f64))
@@ -228,25 +229,28 @@
     out
 }
 
-/// A line for each host, or three for all of them.
-fn hosts(course: &RunResult, pick: impl Fn(&crate::run_result::Sample) -> Vec<f64>) -> Vec<Line> {
-    let count = course.scenario().hosts.len();
-    let samples: Vec<(f64, Vec<f64>)> = course
+/// One line per host, or three lines for the minimum, median and maximum if there are many hosts.
+fn host_lines(
+    result: &RunResult,
+    pick: impl Fn(&crate::run_result::Sample) -> Vec<f64>,
+) -> Vec<Line> {
+    let count = result.scenario().hosts.len();
+    let samples: Vec<(f64, Vec<f64>)> = result
         .samples
         .iter()
         .map(|s| (s.at_seconds, pick(s)))
         .collect();
-    if count <= LINES_MOST {
-        let one = |n: usize| Line {
-            name: course.scenario().hosts[n].name.clone(),
+    if count <= MAX_HOST_LINES {
+        let host_line = |n: usize| Line {
+            name: result.scenario().hosts[n].name.clone(),
             points: samples
                 .iter()
                 .filter_map(|(at, all)| Some((*at, *all.get(n)?)))
                 .collect(),
         };
-        return (0..count).map(one).collect();
+        return (0..count).map(host_line).collect();
     }
-    let share = |name: &str, share: f64| Line {
+    let quantile_line = |name: &str, quantile: f64| Line {
         name: name.to_owned(),
         points: samples
             .iter()
@@ -256,7 +260,7 @@
                 (
                     *at,
                     sorted
-                        .get((sorted.len().saturating_sub(1) as f64 * share) as usize)
+                        .get((sorted.len().saturating_sub(1) as f64 * quantile) as usize)
                         .copied()
                         .unwrap_or(0.0),
                 )
@@ -264,27 +268,28 @@
             .collect(),
     };
     vec![
-        share("least", 0.0),
-        share("middle", 0.5),
-        share("most", 1.0),
+        quantile_line("minimum", 0.0),
+        quantile_line("median", 0.5),
+        quantile_line("maximum", 1.0),
     ]
 }
 
-/// The part of a sweep over one key, or over two, of which the second makes lines.
-pub fn sweep(points: &[SweepPoint]) -> String {
+/// Renders the section of a sweep over one or two keys. The plot's x axis is the first key; each value of the second key is
+/// a line.
+pub fn sweep_section(points: &[SweepPoint]) -> String {
     let mut out =
         "<table><tr><th>changes<th>goodput<th>worst class<th>attempts<th>p99 ms<th>broken</tr>\n"
             .to_owned();
-    for p in points {
+    for point in points {
         let _ = writeln!(
             out,
             "<tr><td>{}<td>{}<td>{}<td>{}<td>{}<td>{}</tr>",
-            escape(&p.changes.join(", ")),
-            p.goodput,
-            p.worst_class,
-            p.amplification,
-            p.p99_ms,
-            p.violation_count
+            escape(&point.changes.join(", ")),
+            point.goodput,
+            point.worst_class,
+            point.amplification,
+            point.p99_ms,
+            point.violation_count
         );
     }
     out += "</table>\n";
--- a/crates/simulator/src/scenario_file.rs
+++ b/crates/simulator/src/scenario_file.rs
@@ -1,4 +1,5 @@
-//! Scenarios as TOML: read with all mistakes told at their places, and written so that what was read comes back.
+//! Scenario files in TOML. Parsing reports all mistakes with their positions; writing a scenario and parsing it again gives
+//! an equal scenario.
 
 use badgerramp_sim_model::{
     Class, ClientsSpec, ColdStart, ConcurrencyPenalty, CongestionCollapse, Criteria, DedupGroup,
@@ -12,11 +13,12 @@
 use std::fmt::Write;
 use std::path::Path;
 
-const FILE: [&str; 13] = [
+/// Known keys at the top level of a scenario file. The arrays below list the known keys of its tables.
+const TOP_LEVEL_KEYS: [&str; 13] = [
     "name", "duration", "proxies", "subset", "peers", "clients", "class", "host", "network",
     "list", "fault", "request", "judged",
 ];
-const CLIENTS: [&str; 9] = [
+const CLIENTS_KEYS: [&str; 9] = [
     "rate",
     "retries",
     "pause",
@@ -27,7 +29,7 @@
     "leaves",
     "tenants",
 ];
-const CLASS: [&str; 14] = [
+const CLASS_KEYS: [&str; 14] = [
     "share",
     "aim",
     "deadline",
@@ -43,7 +45,7 @@
     "work_least",
     "work_most",
 ];
-const HOST: [&str; 22] = [
+const HOST_KEYS: [&str; 22] = [
     "count",
     "name",
     "zone",
@@ -67,7 +69,7 @@
     "jam_rest",
     "joins",
 ];
-const NETWORK: [&str; 7] = [
+const NETWORK_KEYS: [&str; 7] = [
     "near_least",
     "near_most",
     "far_least",
@@ -76,13 +78,14 @@
     "idle",
     "connect",
 ];
-const LIST: [&str; 3] = ["lag", "capacity", "patience"];
-const FAULT: [&str; 11] = [
+const LIST_KEYS: [&str; 3] = ["lag", "capacity", "patience"];
+const FAULT_KEYS: [&str; 11] = [
     "from", "until", "trouble", "host", "proxy", "class", "share", "ran", "factor", "extra", "by",
 ];
-const REQUEST: [&str; 4] = ["at", "proxy", "class", "id"];
-const JUDGED: [&str; 3] = ["drain_grace", "recovers", "goodput"];
-const TROUBLES: [&str; 17] = [
+const REQUEST_KEYS: [&str; 4] = ["at", "proxy", "class", "id"];
+const CRITERIA_KEYS: [&str; 3] = ["drain_grace", "recovers", "goodput"];
+/// Names of the kinds of faults, the values of `trouble`.
+const FAULT_KINDS: [&str; 17] = [
     "fails",
     "stalls",
     "slow",
@@ -102,18 +105,21 @@
     "proxy-crash",
 ];
 
-/// A day, in microseconds: no course is longer.
+/// A day in microseconds, the maximum of all durations in a scenario.
 const DAY: Micros = 86_400_000_000;
+/// A minute in microseconds.
 const MINUTE: Micros = 60_000_000;
-/// Most hosts, proxies, faults and scripted requests.
-const HOSTS_MOST: usize = 20_000;
-const PROXIES_MOST: u64 = 100_000;
-const LIST_MOST: usize = 100_000;
-
-/// Reads a file.
+/// Maximum number of hosts.
+const MAX_HOSTS: usize = 20_000;
+/// Maximum number of proxies.
+const MAX_PROXIES: u64 = 100_000;
+/// Maximum number of tables in an array, such as faults and scripted requests.
+const MAX_TABLES: usize = 100_000;
+
+/// Reads a scenario file.
 ///
 /// # Errors
-/// All mistakes, with their places.
+/// All mistakes, with their positions.
 pub fn load(path: &Path) -> Result<Scenario, Diagnostics> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -121,59 +127,61 @@
     parse(&name, &text)
 }
 
-/// Reads a text; `name` is what mistakes call it.
+/// Parses the text of a scenario file. `name` is the file name in error messages.
 ///
 /// # Errors
-/// All mistakes, with their places.
+/// All mistakes, with their positions.
 pub fn parse(name: &str, text: &str) -> Result<Scenario, Diagnostics> {
-    let mut notes = DiagnosticSink::default();
-    let table = parse_document(&mut notes, text);
-    if !notes.is_empty() {
-        return Err(notes.into_diagnostics(name, text));
+    let mut sink = DiagnosticSink::default();
+    let table = parse_document(&mut sink, text);
+    if !sink.is_empty() {
+        return Err(sink.into_diagnostics(name, text));
     }
-    let scenario = scenario(&mut notes, &table);
+    let scenario = scenario(&mut sink, &table);
     match scenario {
-        Some(scenario) if notes.is_empty() => Ok(scenario),
-        _ => Err(notes.into_diagnostics(name, text)),
+        Some(scenario) if sink.is_empty() => Ok(scenario),
+        _ => Err(sink.into_diagnostics(name, text)),
     }
 }
 
-/// Reads single keys of one table, with what holds where they are left out.
+/// Reads the keys of a table, with default values for absent keys.
 struct Keys<'s, 't> {
     section: &'s Section<'t>,
-    notes: &'s mut DiagnosticSink,
+    sink: &'s mut DiagnosticSink,
 }
 
 impl Keys<'_, '_> {
-    fn time(&mut self, name: &str, plain: Micros) -> Micros {
-        self.set(|s, n| s.duration(n, name, 0..=DAY))
-            .unwrap_or(plain)
+    fn time(&mut self, name: &str, default: Micros) -> Micros {
+        self.value(|s, n| s.duration(n, name, 0..=DAY))
+            .unwrap_or(default)
     }
 
-    fn wanted_time(&mut self, name: &str) -> Micros {
+    fn required_time(&mut self, name: &str) -> Micros {
         self.section
-            .require(self.notes, name, "a time with its unit, like \"250ms\"");
+            .require(self.sink, name, "a time with its unit, like \"250ms\"");
         self.time(name, 1)
     }
 
-    fn number(&mut self, name: &str, range: std::ops::RangeInclusive<f64>, plain: f64) -> f64 {
-        self.set(|s, n| s.number(n, name, range)).unwrap_or(plain)
+    fn number(&mut self, name: &str, range: std::ops::RangeInclusive<f64>, default: f64) -> f64 {
+        self.value(|s, n| s.number(n, name, range))
+            .unwrap_or(default)
     }
 
-    fn integer(&mut self, name: &str, range: std::ops::RangeInclusive<u64>, plain: u64) -> u64 {
-        self.set(|s, n| s.integer(n, name, range)).unwrap_or(plain)
+    fn integer(&mut self, name: &str, range: std::ops::RangeInclusive<u64>, default: u64) -> u64 {
+        self.value(|s, n| s.integer(n, name, range))
+            .unwrap_or(default)
     }
 
-    fn text(&mut self, name: &str, plain: &str) -> String {
-        self.set(|s, n| s.text(n, name))
-            .unwrap_or_else(|| plain.to_owned())
+    fn text(&mut self, name: &str, default: &str) -> String {
+        self.value(|s, n| s.text(n, name))
+            .unwrap_or_else(|| default.to_owned())
     }
 
-    fn set<T>(
+    fn value<T>(
         &mut self,
         read: impl FnOnce(&Section<'_>, &mut DiagnosticSink) -> Option<Located<T>>,
     ) -> Option<T> {
-        read(self.section, self.notes).map(|s| s.value)
+        read(self.section, self.sink).map(|located| located.value)
     }
 
     fn has(&self, name: &str) -> bool {
@@ -181,43 +189,46 @@
     }
 }
 
-fn scenario(notes: &mut DiagnosticSink, table: &DeTable<'_>) -> Option<Scenario> {
-    let file = Section::new(notes, table, "", 0..0, &FILE);
-    file.require(notes, "duration", "a time with its unit, like \"30s\"");
-    file.require(notes, "class", "[class.NAME]: a kind of calls");
-    file.require(notes, "host", "[[host]]: hosts");
+fn scenario(sink: &mut DiagnosticSink, table: &DeTable<'_>) -> Option<Scenario> {
+    let file = Section::new(sink, table, "", 0..0, &TOP_LEVEL_KEYS);
+    file.require(sink, "duration", "a time with its unit, like \"30s\"");
+    file.require(sink, "class", "at least one [class.NAME]");
+    file.require(sink, "host", "at least one [[host]]");
     let mut keys = Keys {
         section: &file,
-        notes,
+        sink,
     };
     let name = keys.text("name", "a scenario");
     let duration = keys.time("duration", 1);
-    let proxies = keys.integer("proxies", 1..=PROXIES_MOST, 1) as u32;
-    // What the operator's file allows; 0 is no subset.
+    let proxies = keys.integer("proxies", 1..=MAX_PROXIES, 1) as u32;
+    // The operator's file allows the same range; 0 disables subsets.
     let subset = keys.integer("subset", 0..=10_000, 0) as u32;
-    // Seeds, as the operator's file allows them.
+    // Number of gossip seeds. The operator's file allows the same maximum.
     let peers = keys.integer("peers", 0..=16, 0) as u32;
-    let classes = classes(keys.notes, &file);
-    let hosts = hosts(keys.notes, &file);
+    let classes = classes(keys.sink, &file);
+    let hosts = hosts(keys.sink, &file);
     let empty = DeTable::new();
-    // A table that is left out is one in which nothing is set.
-    let part = |notes: &mut DiagnosticSink, name: &str, known: &[&str]| {
-        let found = file.section(notes, name, known);
-        found.unwrap_or_else(|| Section::new(notes, &empty, name, 0..0, known))
+    // An absent table is read like an empty one.
+    let table_or_empty = |sink: &mut DiagnosticSink, name: &str, known: &[&str]| {
+        let found = file.section(sink, name, known);
+        found.unwrap_or_else(|| Section::new(sink, &empty, name, 0..0, known))
     };
-    let notes = keys.notes;
-    let (section, of) = (
-        part(notes, "clients", &CLIENTS),
-        part(notes, "network", &NETWORK),
+    let sink = keys.sink;
+    let (clients_table, network_table) = (
+        table_or_empty(sink, "clients", &CLIENTS_KEYS),
+        table_or_empty(sink, "network", &NETWORK_KEYS),
+    );
+    let (clients, network) = (clients(sink, &clients_table), network(sink, &network_table));
+    let (list_table, criteria_table) = (
+        table_or_empty(sink, "list", &LIST_KEYS),
+        table_or_empty(sink, "judged", &CRITERIA_KEYS),
     );
-    let (clients, network) = (clients(notes, &section), network(notes, &of));
-    let (section, of) = (part(notes, "list", &LIST), part(notes, "judged", &JUDGED));
-    let (list, judged) = (list(notes, &section), judged(notes, &of));
+    let (list, criteria) = (list(sink, &list_table), criteria(sink, &criteria_table));
     let names: Vec<&str> = classes.iter().map(|c| c.name.as_str()).collect();
-    let faults = faults(notes, &file, &hosts, &names, proxies);
+    let faults = faults(sink, &file, &hosts, &names, proxies);
     let requests = file
         .has("request")
-        .then(|| requests(notes, &file, &names, proxies));
+        .then(|| requests(sink, &file, &names, proxies));
     Some(Scenario {
         name,
         duration,
@@ -231,12 +242,12 @@
         network,
         list,
         faults,
-        criteria: judged,
+        criteria,
     })
 }
 
-fn clients(notes: &mut DiagnosticSink, section: &Section<'_>) -> ClientsSpec {
-    let mut keys = Keys { section, notes };
+fn clients(sink: &mut DiagnosticSink, section: &Section<'_>) -> ClientsSpec {
+    let mut keys = Keys { section, sink };
     ClientsSpec {
         rate: keys.number("rate", 0.0..=10_000_000.0, 100.0),
         max_retries: keys.integer("retries", 0..=20, 0) as u32,
@@ -252,25 +263,25 @@
     }
 }
 
-fn network(notes: &mut DiagnosticSink, section: &Section<'_>) -> NetworkSpec {
-    let mut keys = Keys { section, notes };
-    let mut pair = |least: &str, most: &str, plain: (Micros, Micros)| {
-        let low = keys.time(least, plain.0);
-        (low, keys.time(most, plain.1.max(low)))
+fn network(sink: &mut DiagnosticSink, section: &Section<'_>) -> NetworkSpec {
+    let mut keys = Keys { section, sink };
+    let mut range = |min_key: &str, max_key: &str, default: (Micros, Micros)| {
+        let min = keys.time(min_key, default.0);
+        (min, keys.time(max_key, default.1.max(min)))
     };
-    let near = pair("near_least", "near_most", (100, 300));
-    let far = pair("far_least", "far_most", (1_400, 2_600));
+    let same_zone = range("near_least", "near_most", (100, 300));
+    let cross_zone = range("far_least", "far_most", (1_400, 2_600));
     NetworkSpec {
-        same_zone: near,
-        cross_zone: far,
+        same_zone,
+        cross_zone,
         retransmit_delay: keys.time("resend", 200_000),
         idle_timeout: keys.time("idle", 15_000_000),
         connect_timeout: keys.time("connect", 250_000),
     }
 }
 
-fn list(notes: &mut DiagnosticSink, section: &Section<'_>) -> ListSpec {
-    let mut keys = Keys { section, notes };
+fn list(sink: &mut DiagnosticSink, section: &Section<'_>) -> ListSpec {
+    let mut keys = Keys { section, sink };
     ListSpec {
         publish_delay: keys.time("lag", 1_000_000),
         requests_per_s: keys.number("capacity", 0.1..=1e9, 1_000.0),
@@ -278,90 +289,91 @@
     }
 }
 
-fn judged(notes: &mut DiagnosticSink, section: &Section<'_>) -> Criteria {
-    let mut keys = Keys { section, notes };
-    let recovers = keys.has("recovers").then(|| keys.time("recovers", 0));
+fn criteria(sink: &mut DiagnosticSink, section: &Section<'_>) -> Criteria {
+    let mut keys = Keys { section, sink };
+    let recovery_time = keys.has("recovers").then(|| keys.time("recovers", 0));
     Criteria {
         drain_grace: keys.time("drain_grace", 1_000_000),
-        recovery_time: recovers,
+        recovery_time,
         recovered_share: keys.number("goodput", 0.0..=1.0, 0.9),
     }
 }
 
-fn classes(notes: &mut DiagnosticSink, file: &Section<'_>) -> Vec<Class> {
+fn classes(sink: &mut DiagnosticSink, file: &Section<'_>) -> Vec<Class> {
     let Some(Ok(table)) = file.get("class").map(|v| v.get_ref().as_table().ok_or(())) else {
         return Vec::new();
     };
     let mut classes = Vec::new();
     for (name, value) in table.iter() {
         let key = format!("class.{}", name.get_ref());
-        let Some(of) = value.get_ref().as_table() else {
-            notes.add(
+        let Some(class_table) = value.get_ref().as_table() else {
+            sink.add(
                 &key,
                 &value.span(),
                 "this is not a table",
-                "something else",
+                "another type",
                 format!("a table: [{key}]"),
             );
             continue;
         };
-        let section = Section::new(notes, of, &key, name.span(), &CLASS);
+        let section = Section::new(sink, class_table, &key, name.span(), &CLASS_KEYS);
         let mut keys = Keys {
             section: &section,
-            notes,
+            sink,
         };
-        let (aim, deadline) = (keys.wanted_time("aim"), keys.wanted_time("deadline"));
-        let effect = effect(keys.notes, &section);
-        let least = keys.time("work_least", 10_000);
-        let attempt = keys.has("attempt").then(|| keys.time("attempt", 1));
-        let copy = second_copy(keys.notes, &section);
+        let (latency_objective, deadline) =
+            (keys.required_time("aim"), keys.required_time("deadline"));
+        let effect = effect(keys.sink, &section);
+        let min_work = keys.time("work_least", 10_000);
+        let attempt_timeout = keys.has("attempt").then(|| keys.time("attempt", 1));
+        let hedging = hedging(keys.sink, &section);
         classes.push(Class {
             name: name.get_ref().to_string(),
             share: keys.number("share", 0.0..=1e9, 1.0),
-            latency_objective: aim,
+            latency_objective,
             deadline,
             priority_weight: keys.number("worth", 0.001..=1e6, 1.0),
             late_weight: keys.number("late_worth", 0.0..=1.0, 0.0),
             effect,
             max_attempts: keys.integer("attempts", 1..=10, 3) as u32,
-            attempt_timeout: attempt,
+            attempt_timeout,
             backoff: keys.time("backoff", 0),
-            hedging: copy,
-            work: (least, keys.time("work_most", least).max(least)),
+            hedging,
+            work: (min_work, keys.time("work_most", min_work).max(min_work)),
         });
     }
     classes
 }
 
-fn effect(notes: &mut DiagnosticSink, section: &Section<'_>) -> Effect {
-    section.require(notes, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
-    let word = section.keyword(notes, "effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)]);
-    match word.map_or(2, |w| w.value) {
+fn effect(sink: &mut DiagnosticSink, section: &Section<'_>) -> Effect {
+    section.require(sink, "effect", "\"safe\", \"keyed\" or \"unsafe\"");
+    let keyword = section.keyword(sink, "effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)]);
+    match keyword.map_or(2, |k| k.value) {
         0 => Effect::Safe,
         1 => {
-            section.require(notes, "group", "\"all\", \"zone\" or \"group\"");
-            section.require(notes, "window", "a time with its unit");
-            let words = [
+            section.require(sink, "group", "\"all\", \"zone\" or \"group\"");
+            section.require(sink, "window", "a time with its unit");
+            let groups = [
                 ("all", DedupGroup::All),
                 ("zone", DedupGroup::Zone),
                 ("group", DedupGroup::Group),
             ];
             let group = section
-                .keyword(notes, "group", &words)
-                .map_or(DedupGroup::Group, |w| w.value);
+                .keyword(sink, "group", &groups)
+                .map_or(DedupGroup::Group, |k| k.value);
             let window = section
-                .duration(notes, "window", 1..=DAY)
-                .map_or(1, |w| w.value);
+                .duration(sink, "window", 1..=DAY)
+                .map_or(1, |located| located.value);
             Effect::Keyed { group, window }
         }
         _ => Effect::Unsafe,
     }
 }
 
-fn second_copy(notes: &mut DiagnosticSink, section: &Section<'_>) -> Hedging {
-    let reason = "this is no second copy";
+fn hedging(sink: &mut DiagnosticSink, section: &Section<'_>) -> Hedging {
+    let reason = "this does not specify hedged requests";
     let allowed = "\"off\", \"auto\" or \"after 120ms\"";
-    let read = section.read(notes, "second_copy", reason, allowed, |v| {
+    let read = section.read(sink, "second_copy", reason, allowed, |v| {
         match v.as_str()? {
             "off" => Some(Hedging::Off),
             "auto" => Some(Hedging::Auto),
@@ -371,37 +383,37 @@
             }
         }
     });
-    read.map_or(Hedging::Off, |r| r.value)
+    read.map_or(Hedging::Off, |located| located.value)
 }
 
-/// The tables of a list of tables.
-fn tables<'t>(
-    notes: &mut DiagnosticSink,
+/// The tables of an array of tables.
+fn array_of_tables<'t>(
+    sink: &mut DiagnosticSink,
     file: &Section<'t>,
     name: &str,
     known: &[&str],
 ) -> Vec<Section<'t>> {
-    let Some(list) = file.list(notes, name, "tables") else {
+    let Some(list) = file.list(sink, name, "tables") else {
         return Vec::new();
     };
     let mut sections = Vec::new();
-    if list.len() > LIST_MOST {
-        let found = format!("{} of them", list.len());
-        notes.add(
+    if list.len() > MAX_TABLES {
+        let found = format!("{} tables", list.len());
+        sink.add(
             name,
             &file.span,
-            "these are too many",
+            "too many tables",
             found,
-            format!("at most {LIST_MOST}"),
+            format!("at most {MAX_TABLES}"),
         );
         return sections;
     }
     for (key, value) in list {
         match value.get_ref().as_table() {
-            Some(table) => sections.push(Section::new(notes, table, &key, value.span(), known)),
+            Some(table) => sections.push(Section::new(sink, table, &key, value.span(), known)),
             None => {
                 let found = badgerramp_toml_diagnostics::display_value(value.get_ref());
-                notes.add(
+                sink.add(
                     &key,
                     &value.span(),
                     "this is not a table",
@@ -414,17 +426,17 @@
     sections
 }
 
-fn hosts(notes: &mut DiagnosticSink, file: &Section<'_>) -> Vec<HostSpec> {
+fn hosts(sink: &mut DiagnosticSink, file: &Section<'_>) -> Vec<HostSpec> {
     let mut hosts: Vec<HostSpec> = Vec::new();
-    for section in tables(notes, file, "host", &HOST) {
+    for section in array_of_tables(sink, file, "host", &HOST_KEYS) {
         let mut keys = Keys {
             section: &section,
-            notes,
+            sink,
         };
-        let count = keys.integer("count", 1..=HOSTS_MOST as u64, 1);
+        let count = keys.integer("count", 1..=MAX_HOSTS as u64, 1);
         let name = keys.text("name", &format!("h{}", hosts.len() + 1));
-        let any = |keys: &Keys<'_, '_>, of: &[&str]| of.iter().any(|k| keys.has(k));
-        let cold = any(
+        let has_any = |keys: &Keys<'_, '_>, names: &[&str]| names.iter().any(|name| keys.has(name));
+        let cold_start = has_any(
             &keys,
             &["cold_share", "cold_time", "fall_multiple", "fall_time"],
         )
@@ -434,12 +446,12 @@
             collapse_multiple: keys.number("fall_multiple", 1.0..=100.0, 3.0),
             collapse_window: keys.time("fall_time", 2_000_000).max(1),
         });
-        let crowding =
-            any(&keys, &["crowding_knee", "crowding_slope"]).then(|| ConcurrencyPenalty {
+        let concurrency_penalty =
+            has_any(&keys, &["crowding_knee", "crowding_slope"]).then(|| ConcurrencyPenalty {
                 knee: keys.number("crowding_knee", 0.0..=1e6, 2.0),
                 slope: keys.number("crowding_slope", 0.0..=100.0, 0.05),
             });
-        let jam = any(
+        let congestion_collapse = has_any(
             &keys,
             &["jam_waiting", "jam_after", "jam_slower", "jam_rest"],
         )
@@ -460,18 +472,18 @@
             max_connections: keys.integer("connections", 1..=10_000_000, 1_000_000) as u32,
             connection_cost: keys.time("connection_cost", 0),
             idle_timeout: keys.time("idle", 15_000_000),
-            cold_start: cold,
-            concurrency_penalty: crowding,
-            congestion_collapse: jam,
+            cold_start,
+            concurrency_penalty,
+            congestion_collapse,
             joins_at: keys.time("joins", 0),
         };
-        if hosts.len() + count as usize > HOSTS_MOST {
-            keys.notes.add(
+        if hosts.len() + count as usize > MAX_HOSTS {
+            keys.sink.add(
                 &section.key_path("count"),
                 &section.span,
-                "these are too many hosts",
-                format!("{} in all", hosts.len() + count as usize),
-                format!("at most {HOSTS_MOST}"),
+                "too many hosts",
+                format!("{} hosts in total", hosts.len() + count as usize),
+                format!("at most {MAX_HOSTS}"),
             );
             return hosts;
         }
@@ -483,12 +495,12 @@
             };
             if hosts.iter().rev().take(4_096).any(|h| h.name == name) {
                 let key = section.key_path("name");
-                keys.notes.add(
+                keys.sink.add(
                     &key,
                     &section.span,
-                    "two hosts have this name",
+                    "another host already has this name",
                     format!("{name:?}"),
-                    "a name of its own",
+                    "a unique name",
                 );
             }
             hosts.push(HostSpec {
@@ -500,21 +512,27 @@
     hosts
 }
 
-fn place(notes: &mut DiagnosticSink, section: &Section<'_>, key: &str, names: &[&str]) -> usize {
-    section.require(notes, key, &format!("the name of a {key}"));
-    let Some(set) = section.text(notes, key) else {
+/// Reads a key whose value is one of `names`, and returns the index of that name.
+fn name_index(
+    sink: &mut DiagnosticSink,
+    section: &Section<'_>,
+    key: &str,
+    names: &[&str],
+) -> usize {
+    section.require(sink, key, &format!("the name of a {key}"));
+    let Some(name) = section.text(sink, key) else {
         return 0;
     };
     names
         .iter()
-        .position(|n| *n == set.value)
+        .position(|known| *known == name.value)
         .unwrap_or_else(|| {
-            let allowed = suggest_names(&set.value, names);
-            notes.add(
-                &set.key,
-                &set.span,
+            let allowed = suggest_names(&name.value, names);
+            sink.add(
+                &name.key,
+                &name.span,
                 format!("there is no such {key}"),
-                format!("{:?}", set.value),
+                format!("{:?}", name.value),
                 allowed,
             );
             0
@@ -522,7 +540,7 @@
 }
 
 fn faults(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     file: &Section<'_>,
     hosts: &[HostSpec],
     classes: &[&str],
@@ -530,31 +548,31 @@
 ) -> Vec<Fault> {
     let names: Vec<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
     let mut faults = Vec::new();
-    for section in tables(notes, file, "fault", &FAULT) {
-        section.require(notes, "trouble", &TROUBLES.join(", "));
-        let words: Vec<(&str, &str)> = TROUBLES.iter().map(|t| (*t, *t)).collect();
-        let word = section.keyword(notes, "trouble", &words).map(|w| w.value);
+    for section in array_of_tables(sink, file, "fault", &FAULT_KEYS) {
+        section.require(sink, "trouble", &FAULT_KINDS.join(", "));
+        let kinds: Vec<(&str, &str)> = FAULT_KINDS.iter().map(|kind| (*kind, *kind)).collect();
+        let kind_name = section.keyword(sink, "trouble", &kinds).map(|k| k.value);
         let mut keys = Keys {
             section: &section,
-            notes,
+            sink,
         };
         let from = keys.time("from", 0);
         let until = keys.time("until", DAY);
         if until < from {
             let (key, found) = (section.key_path("until"), format_duration(until));
-            let allowed = format!("not before from, {}", format_duration(from));
-            keys.notes.add(
+            let allowed = format!("at least `from`, {}", format_duration(from));
+            keys.sink.add(
                 &key,
                 &section.span,
-                "it ends before it begins",
+                "the fault ends before it begins",
                 found,
                 allowed,
             );
         }
         let share = |keys: &mut Keys<'_, '_>| keys.number("share", 0.0..=1.0, 0.5);
-        let host = |keys: &mut Keys<'_, '_>| place(keys.notes, &section, "host", &names);
-        let Some(word) = word else { continue };
-        let trouble = match word {
+        let host = |keys: &mut Keys<'_, '_>| name_index(keys.sink, &section, "host", &names);
+        let Some(kind_name) = kind_name else { continue };
+        let kind = match kind_name {
             "fails" => FaultKind::Errors {
                 host: host(&mut keys),
                 share: share(&mut keys),
@@ -603,7 +621,7 @@
                 factor: keys.number("factor", 0.0..=1e3, 3.0),
             },
             "costly" => FaultKind::ExpensiveRequests {
-                class: place(keys.notes, &section, "class", classes),
+                class: name_index(keys.sink, &section, "class", classes),
                 share: share(&mut keys),
                 factor: keys.number("factor", 0.01..=1e4, 10.0),
             },
@@ -611,30 +629,26 @@
                 proxy: keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32,
             },
         };
-        faults.push(Fault {
-            from,
-            until,
-            kind: trouble,
-        });
+        faults.push(Fault { from, until, kind });
     }
     faults
 }
 
 fn requests(
-    notes: &mut DiagnosticSink,
+    sink: &mut DiagnosticSink,
     file: &Section<'_>,
     classes: &[&str],
     proxies: u32,
 ) -> Vec<ScriptedRequest> {
     let mut requests = Vec::new();
-    for (n, section) in tables(notes, file, "request", &REQUEST)
+    for (n, section) in array_of_tables(sink, file, "request", &REQUEST_KEYS)
         .into_iter()
         .enumerate()
     {
-        let class = place(notes, &section, "class", classes);
+        let class = name_index(sink, &section, "class", classes);
         let mut keys = Keys {
             section: &section,
-            notes,
+            sink,
         };
         let at = keys.time("at", 0);
         let proxy = keys.integer("proxy", 0..=u64::from(proxies.max(1) - 1), 0) as u32;
@@ -649,7 +663,7 @@
     requests
 }
 
-/// Writes a scenario; [`parse`] reads the same back.
+/// Formats a scenario as the text of a scenario file, which [`parse`] reads back to an equal scenario.
 pub fn write(scenario: &Scenario) -> String {
     let mut out = Writer(String::new());
     out.text("name", &scenario.name);
@@ -683,8 +697,8 @@
     out.time("patience", scenario.list.request_timeout);
     out.table("[judged]");
     out.time("drain_grace", scenario.criteria.drain_grace);
-    if let Some(recovers) = scenario.criteria.recovery_time {
-        out.time("recovers", recovers);
+    if let Some(recovery_time) = scenario.criteria.recovery_time {
+        out.time("recovers", recovery_time);
     }
     out.number("goodput", scenario.criteria.recovered_share);
     scenario
@@ -706,10 +720,11 @@
     out.0
 }
 
+/// Writes keys and table heads as TOML.
 struct Writer(String);
 
 impl Writer {
-    // Writing to a String does not fail.
+    // Writing to a `String` never fails, so the results of `write!` are ignored.
     fn raw(&mut self, key: &str, value: impl std::fmt::Display) {
         let _ = writeln!(self.0, "{key} = {value}");
     }
@@ -753,8 +768,8 @@
         }
     }
     out.raw("attempts", class.max_attempts);
-    if let Some(attempt) = class.attempt_timeout {
-        out.time("attempt", attempt);
+    if let Some(attempt_timeout) = class.attempt_timeout {
+        out.time("attempt", attempt_timeout);
     }
     out.time("backoff", class.backoff);
     match class.hedging {
@@ -780,21 +795,21 @@
     out.raw("connections", host.max_connections);
     out.time("connection_cost", host.connection_cost);
     out.time("idle", host.idle_timeout);
-    if let Some(cold) = host.cold_start {
-        out.number("cold_share", cold.initial_capacity);
-        out.time("cold_time", cold.warm_up);
-        out.number("fall_multiple", cold.collapse_multiple);
-        out.time("fall_time", cold.collapse_window);
-    }
-    if let Some(crowding) = host.concurrency_penalty {
-        out.number("crowding_knee", crowding.knee);
-        out.number("crowding_slope", crowding.slope);
-    }
-    if let Some(jam) = host.congestion_collapse {
-        out.number("jam_waiting", jam.queued_per_core);
-        out.time("jam_after", jam.onset);
-        out.number("jam_slower", jam.slowdown);
-        out.time("jam_rest", jam.recovery_idle);
+    if let Some(cold_start) = host.cold_start {
+        out.number("cold_share", cold_start.initial_capacity);
+        out.time("cold_time", cold_start.warm_up);
+        out.number("fall_multiple", cold_start.collapse_multiple);
+        out.time("fall_time", cold_start.collapse_window);
+    }
+    if let Some(penalty) = host.concurrency_penalty {
+        out.number("crowding_knee", penalty.knee);
+        out.number("crowding_slope", penalty.slope);
+    }
+    if let Some(collapse) = host.congestion_collapse {
+        out.number("jam_waiting", collapse.queued_per_core);
+        out.time("jam_after", collapse.onset);
+        out.number("jam_slower", collapse.slowdown);
+        out.time("jam_rest", collapse.recovery_idle);
     }
     out.time("joins", host.joins_at);
 }
@@ -803,23 +818,23 @@
     out.table("[[fault]]");
     out.time("from", fault.from);
     out.time("until", fault.until);
-    out.text("trouble", trouble_name(&fault.kind));
+    out.text("trouble", fault_kind_name(&fault.kind));
     if let Some(host) = fault.kind.host() {
         out.text("host", &scenario.hosts[host].name);
     }
     match fault.kind {
         FaultKind::Errors {
             share,
-            executed_share: ran,
+            executed_share,
             ..
         }
         | FaultKind::ConnectionResets {
             share,
-            executed_share: ran,
+            executed_share,
             ..
         } => {
             out.number("share", share);
-            out.number("ran", ran);
+            out.number("ran", executed_share);
         }
         FaultKind::CorruptResponses { share, .. } | FaultKind::PacketLoss { share } => {
             out.number("share", share)
@@ -828,7 +843,7 @@
             out.number("factor", factor)
         }
         FaultKind::NetworkDelay { extra } => out.time("extra", extra),
-        FaultKind::ListServiceStale { age: by } => out.time("by", by),
+        FaultKind::ListServiceStale { age } => out.time("by", age),
         FaultKind::ExpensiveRequests {
             class,
             share,
@@ -849,9 +864,9 @@
     }
 }
 
-/// The word for a trouble in a file.
-pub fn trouble_name(trouble: &FaultKind) -> &'static str {
-    match trouble {
+/// The name of a kind of fault in scenario files.
+pub fn fault_kind_name(kind: &FaultKind) -> &'static str {
+    match kind {
         FaultKind::Errors { .. } => "fails",
         FaultKind::Stall { .. } => "stalls",
         FaultKind::Slowdown { .. } => "slow",
--- a/crates/simulator/tests/keys.rs
+++ b/crates/simulator/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Every key that a table of a scenario file may hold. An unknown key is refused with the list of the known ones, so one
+//! Snapshot of the keys that the tables of a scenario file accept. The error for an unknown key lists the known ones, so one
 //! unknown key in each table shows them all.
 
 use badgerramp_simulator::scenario_file::parse;
@@ -33,7 +33,7 @@
 "#;
 
 #[test]
-fn every_table_of_a_scenario_takes_the_keys_it_took() {
+fn scenario_tables_accept_exactly_the_known_keys() {
     let mistakes = parse("keys.toml", FILE).expect_err("there are unknown keys");
     let unknown = mistakes
         .iter()
