--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -378,6 +378,7 @@
     }
 }
 
+/// The scenario of a file with overridden values.
 fn with_overrides(template: &Template, changes: &[String]) -> Result<Scenario, SimulationError> {
     let overridden = changes
         .iter()
@@ -533,8 +534,8 @@
     Ok(())
 }
 
-/// Runs a scenario with each of its seeds. Returns the summaries of the runs that finished before a stop.
-fn over_seeds(
+/// Runs a scenario with each seed. Returns the summaries of the runs that finished before a stop.
+fn run_seeds(
     scenario: Scenario,
     repeat: &RepeatArgs,
     run_args: &RunArgs,
@@ -565,6 +566,7 @@
     Ok(all.into_iter().map(|(_, summary)| summary).collect())
 }
 
+/// Runs a scenario with all combinations of the swept values, and prints the figures of each.
 fn sweep(
     template: &Template,
     over: &[String],
@@ -602,7 +604,7 @@
     let bar = progress_bar(settings.len() as u64 * repeat.seeds);
     let (mut points, mut all) = (Vec::new(), Vec::new());
     for (changes, scenario) in settings.into_iter().zip(scenarios) {
-        let summaries = over_seeds(scenario, repeat, run_args, stop, &bar)?;
+        let summaries = run_seeds(scenario, repeat, run_args, stop, &bar)?;
         if summaries.is_empty() {
             break;
         }
@@ -638,6 +640,7 @@
     Ok(points.iter().all(|p| p.violation_count == 0))
 }
 
+/// Compares two scenarios over the same seeds, and prints their figures and the differences with confidence intervals.
 fn compare(
     (first, second): (&Path, &Path),
     set: &[String],
@@ -648,7 +651,7 @@
     stop: &AtomicBool,
 ) -> Result<bool, SimulationError> {
     let bar = progress_bar(repeat.seeds * 2);
-    let a = over_seeds(
+    let a = run_seeds(
         Template::load(first)?.scenario()?,
         repeat,
         run_args,
@@ -656,8 +659,8 @@
         &bar,
     )?;
     let b = match binary {
-        Some(binary) => other_build(binary, second, set, repeat, run_args, stop, &bar)?,
-        None => over_seeds(
+        Some(binary) => run_with_other_build(binary, second, set, repeat, run_args, stop, &bar)?,
+        None => run_seeds(
             with_overrides(&Template::load(second)?, set)?,
             repeat,
             run_args,
@@ -718,7 +721,7 @@
 }
 
 /// Runs the second side of a comparison with another build of this program.
-fn other_build(
+fn run_with_other_build(
     binary: &Path,
     scenario: &Path,
     set: &[String],
@@ -763,6 +766,7 @@
     Ok(all)
 }
 
+/// Searches random scenarios for violations, prints each kind and, with `out`, writes shrunk scenarios into that directory.
 fn run_hunt(
     options: hunt::HuntOptions,
     backend: Backend,
@@ -838,6 +842,7 @@
 
 use badgerramp_sim_model::Violation;
 
+/// Shrinks a failing scenario, and writes it to a file or prints it. Returns whether there was nothing to shrink.
 fn shrink(
     name: &str,
     invariant: Option<&str>,
@@ -885,6 +890,7 @@
     Ok(false)
 }
 
+/// Prints the trace of a call. Returns whether the call violated no invariant.
 fn trace(
     name: &str,
     call: Option<u64>,
@@ -938,6 +944,7 @@
     Ok(violations.is_empty())
 }
 
+/// Writes the HTML page of results that were stored as JSON lines. Returns whether the results have no violations.
 fn write_report(results: &Path, html: &Path) -> Result<bool, SimulationError> {
     let name =
         |e: &dyn std::fmt::Display| SimulationError::Other(format!("{}: {e}", results.display()));
@@ -967,6 +974,7 @@
     Ok(points.iter().all(|p| p.violation_count == 0))
 }
 
+/// Runs the model checker on its default worlds. Returns whether it found no violation.
 fn model_check(depth: usize, max_states: usize) -> bool {
     let mut passed = true;
     for world in check::default_worlds(depth, max_states) {
@@ -995,6 +1003,7 @@
     passed
 }
 
+/// Runs random scenarios twice on one thread and once on four. Returns whether all digests are equal.
 fn determinism(count: u64, backend: Backend, stop: &AtomicBool) -> Result<bool, SimulationError> {
     let digests = |threads: usize| -> Result<Vec<String>, SimulationError> {
         let bar = progress_bar(count);
--- a/crates/simulator/src/fault_test_cold_start.rs
+++ b/crates/simulator/src/fault_test_cold_start.rs
@@ -23,11 +23,11 @@
     /// Number of hosts, all of which start cold.
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(2..=500))]
     hosts: u64,
-    /// Capacity of the list service in requests per second; it serves them one at a time.
+    /// Capacity of the list service in polls per second; it serves them one at a time.
     #[arg(long, default_value_t = 125.0)]
     capacity: f64,
-    /// How proxies get the endpoint list: from the list service at once, from the list service with a delay ([list]), or by
-    /// gossip ([peers]). Several values, separated by commas, are tested one after the other with the same seed.
+    /// How proxies get the endpoint list: all poll the list service at once, all poll it in turns ([list]), or a few poll it
+    /// and the others receive the list by gossip ([peers]). Several values, separated by commas, are tested with the same seed.
     #[arg(long = "way", value_name = "WAY", default_value = "peers", value_delimiter = ',', value_parser = ListSource::NAMES)]
     list_sources: Vec<String>,
     /// Number of runs for each list source.
@@ -60,7 +60,7 @@
     /// Write a JSON line for each run to this file.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Plot list requests, the share of proxies with a list, connections and served calls over time, and write the plot to this
+    /// Plot list polls, the share of proxies with a list, connections and served calls over time, and write the plot to this
     /// file as SVG.
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
@@ -269,7 +269,7 @@
                     writeln!(file, "{line}").map_err(|e| e.to_string())?;
                 }
                 println!(
-                    "run {seed} ({:?}): {}; list received after {:?} ms, {} list requests, goodput {:.3}",
+                    "run {seed} ({:?}): {}; list received after {:?} ms, {} list polls, goodput {:.3}",
                     report.list_source,
                     if report.held() { "held" } else { "BROKE" },
                     report.listed_ms,
--- a/crates/simulator/src/fault_test_scale.rs
+++ b/crates/simulator/src/fault_test_scale.rs
@@ -7,7 +7,7 @@
 use badgerramp_fault_injection::scale::files::ControlTimes;
 use badgerramp_fault_injection::scale::layout::Size;
 use badgerramp_fault_injection::scale::played::Played;
-use badgerramp_fault_injection::scale::{play as play_course, report, Programs};
+use badgerramp_fault_injection::scale::{play as run_scale, report, Programs};
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
@@ -202,7 +202,7 @@
                 settle,
                 ..Course::draw(seed, fault, &size, times, options.seconds)
             };
-            let outcome = play_course(&programs, size, times, &schedule).await;
+            let outcome = run_scale(&programs, size, times, &schedule).await;
             let run_report =
                 outcome.map_err(|reason| format!("run {seed} could not be executed: {reason}"))?;
             if let Some(file) = &mut json {
--- a/crates/simulator/src/hunt.rs
+++ b/crates/simulator/src/hunt.rs
@@ -26,8 +26,8 @@
             .or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()))
             .unwrap_or_default();
         let mut result = RunResult::new(Arc::clone(scenario));
-        // The time of the panic is unknown. The latest possible time keeps `Shrinker::requests` from dropping requests
-        // that might have caused it.
+        // The time of the panic is unknown. The latest possible time keeps `Shrinker::remove_requests` from
+        // discarding requests that might have caused it.
         result.violations = vec![Violation {
             invariant: Invariant::Crashed,
             at: Micros::MAX,
@@ -125,9 +125,9 @@
         for _ in 0..options.threads.max(1) {
             scope.spawn(|| loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let over =
+                let finished =
                     started.elapsed() >= options.max_duration || done.load(Ordering::Relaxed);
-                if number >= end || over || stop.load(Ordering::Relaxed) {
+                if number >= end || finished || stop.load(Ordering::Relaxed) {
                     return;
                 }
                 let scenario = Arc::new(generate::scenario(number));
@@ -273,6 +273,7 @@
     }
 }
 
+/// State of a shrinking: the violation to reproduce, and the runs so far.
 struct Shrinker {
     run: RunFunction,
     invariant: Invariant,
@@ -366,7 +367,8 @@
         best
     }
 
-    /// Removes hosts and proxies, and simplifies clients, hosts, the endpoint list and the duration.
+    /// Removes hosts and proxies that the violation does not need, simplifies clients, hosts and the endpoint list, and
+    /// shortens the run.
     fn simplify(&mut self, mut best: Shrunk) -> Shrunk {
         let mut host = best.scenario.hosts.len();
         while host > 0 {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,13 +4,13 @@
 #![forbid(unsafe_code)]
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "signatures are still to be narrowed"
+    reason = "some functions still take arguments by value that they could borrow"
 )]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
-    clippy::too_many_lines,
-    reason = "long functions are still to be split"
+    clippy::similar_names,
+    reason = "some names still differ only slightly"
 )]
+#![expect(clippy::too_many_lines, reason = "some functions are still too long")]
 
 /// First argument with which `badgerramp-sim` runs as a client proxy.
 pub const AS_PROXY: &str = "as-proxy";
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -23,9 +23,9 @@
 /// Draws a plot as SVG. Returns an empty string if the lines have no points.
 pub fn plot(title: &str, (x, y): (&str, &str), lines: &[Line]) -> String {
     let mut svg = String::new();
-    let drawn = draw(&mut svg, title, (x, y), lines);
+    let outcome = draw(&mut svg, title, (x, y), lines);
     // Drawing into memory fails only if the plotting library does; the page then shows the error in place of the plot.
-    match drawn {
+    match outcome {
         Ok(()) => svg,
         Err(error) => format!(
             "<p>{}: failed to draw the plot: {}</p>",
@@ -63,9 +63,9 @@
     for (n, line) in lines.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
         let series = LineSeries::new(line.points.iter().copied(), color.stroke_width(2));
-        let drawn = chart.draw_series(series)?;
+        let annotation = chart.draw_series(series)?;
         if lines.len() <= 8 {
-            drawn
+            annotation
                 .label(&line.name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
--- a/crates/simulator/src/scenario_file.rs
+++ b/crates/simulator/src/scenario_file.rs
@@ -202,9 +202,9 @@
     let duration = keys.time("duration", 1);
     let proxies = keys.integer("proxies", 1..=MAX_PROXIES, 1) as u32;
     // The operator's file allows the same range; 0 disables subsets.
-    let subset = keys.integer("subset", 0..=10_000, 0) as u32;
-    // Number of gossip seeds. The operator's file allows the same maximum.
-    let peers = keys.integer("peers", 0..=16, 0) as u32;
+    let subset_size = keys.integer("subset", 0..=10_000, 0) as u32;
+    // The operator's file allows the same number of seeds.
+    let gossip_seeds = keys.integer("peers", 0..=16, 0) as u32;
     let classes = classes(keys.sink, &file);
     let hosts = hosts(keys.sink, &file);
     let empty = DeTable::new();
@@ -233,8 +233,8 @@
         name,
         duration,
         proxies,
-        subset_size: subset,
-        gossip_seeds: peers,
+        subset_size,
+        gossip_seeds,
         classes,
         hosts,
         clients,
--- a/crates/simulator/tests/simulator.rs
+++ b/crates/simulator/tests/simulator.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// A proxy whose wait queue is full rejects requests before their bodies have arrived. Closing such a connection with unread
+/// An overloaded proxy rejects requests before their bodies have arrived. Closing such a connection with unread
 /// bytes resets it, and the client can lose the response.
 #[test]
 fn early_response_arrives_while_the_request_is_still_being_sent() {
@@ -154,7 +154,8 @@
                 )
                 .expect("the scenario runs");
             assert_eq!(result.violations, [], "{name}, {}, {seed}", backend.name());
-            // Proxies without an endpoint list serve nothing, so goodput is not checked in scenarios that delay the list.
+            // Proxies without an endpoint list serve nothing, so goodput is not checked where the list service is overloaded or
+            // all proxies restart.
             let has_list = !name.contains("list") && !name.contains("restart");
             assert!(
                 !has_list || result.total().goodput() > 0.85,
@@ -267,7 +268,7 @@
     assert_eq!(
         shrunk.scenario.event_count(),
         2,
-        "one request and one stderr"
+        "one request and one fault"
     );
     // The shrunk scenario shows the violation even after it was written and parsed again.
     let text = scenario_file::write(&shrunk.scenario);
@@ -465,7 +466,7 @@
         "badgerramp-sim-followed-{}.toml",
         std::process::id()
     ));
-    std::fs::write(&path, scenario_file::write(&short)).expect("a file");
+    std::fs::write(&path, scenario_file::write(&short)).expect("the scenario file is written");
     let (code, stdout, stderr) = run_program(&[
         "trace",
         path.to_str().expect("a path"),
@@ -474,7 +475,7 @@
         "--play",
         "real",
     ]);
-    std::fs::remove_file(&path).expect("its file");
+    std::fs::remove_file(&path).expect("the scenario file is removed");
     assert!(matches!(code, Some(0 | 1)), "{stdout}{stderr}");
     // The trace has the events at the stand-ins and the program's own log lines.
     for text in [
