--- a/crates/simulator/src/cli.rs
+++ b/crates/simulator/src/cli.rs
@@ -548,7 +548,7 @@
     } else {
         repeat.threads
     };
-    let run_seed = |n: usize| {
+    let run_one = |n: usize| {
         let seed = n as u64 + 1;
         let result = run_args.backend.run(
             &scenario,
@@ -560,9 +560,7 @@
         )?;
         Ok(result.summary(run_args.backend.name(), seed))
     };
-    let all = experiment::run_all(repeat.seeds as usize, threads, stop, run_seed, || {
-        bar.inc(1)
-    })?;
+    let all = experiment::run_all(repeat.seeds as usize, threads, stop, run_one, || bar.inc(1))?;
     Ok(all.into_iter().map(|(_, summary)| summary).collect())
 }
 
--- a/crates/simulator/src/scenario_file.rs
+++ b/crates/simulator/src/scenario_file.rs
@@ -837,10 +837,10 @@
             out.number("ran", executed_share);
         }
         FaultKind::CorruptResponses { share, .. } | FaultKind::PacketLoss { share } => {
-            out.number("share", share)
+            out.number("share", share);
         }
         FaultKind::Slowdown { factor, .. } | FaultKind::LoadSpike { factor } => {
-            out.number("factor", factor)
+            out.number("factor", factor);
         }
         FaultKind::NetworkDelay { extra } => out.time("extra", extra),
         FaultKind::ListServiceStale { age } => out.time("by", age),
--- a/crates/simulator/tests/simulator.rs
+++ b/crates/simulator/tests/simulator.rs
@@ -501,19 +501,19 @@
         std::env::temp_dir().join(format!("badgerramp-sim-test-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("the directory is created");
     let path = |name: &str| directory.join(name).display().to_string();
-    let (json, html, written) = (path("a.jsonl"), path("a.html"), path("a.toml"));
+    let (json, html, file) = (path("a.jsonl"), path("a.html"), path("a.toml"));
     let (code, stdout, _) = run_program(&[
-        "replay", "3", "--write", &written, "--json", &json, "--html", &html,
+        "replay", "3", "--write", &file, "--json", &json, "--html", &html,
     ]);
     assert_eq!(code, Some(0), "{stdout}");
     assert_eq!(
-        scenario_file::load(Path::new(&written)).expect("a scenario"),
+        scenario_file::load(Path::new(&file)).expect("a scenario"),
         generate::scenario(3)
     );
     assert_eq!(run_program(&["report", &json, "--html", &html]).0, Some(0));
     let (code, stdout, _) = run_program(&[
         "sweep",
-        &written,
+        &file,
         "--over",
         "clients.rate=20,40",
         "--seeds",
@@ -532,25 +532,18 @@
             .count(),
         6
     );
-    let (code, stdout, _) = run_program(&[
-        "compare",
-        &written,
-        "--set",
-        "clients.rate=20",
-        "--seeds",
-        "3",
-    ]);
+    let (code, stdout, _) =
+        run_program(&["compare", &file, "--set", "clients.rate=20", "--seeds", "3"]);
     assert!(
         code == Some(0) && stdout.contains("second over first"),
         "{stdout}"
     );
-    let (code, stdout, _) =
-        run_program(&["compare", &written, "--binary", PROGRAM, "--seeds", "2"]);
+    let (code, stdout, _) = run_program(&["compare", &file, "--binary", PROGRAM, "--seeds", "2"]);
     assert!(
         code == Some(0) && stdout.contains("0.0000 ± 0.0000"),
         "the same build gives the same results: {stdout}"
     );
-    let (code, stdout, _) = run_program(&["trace", &written, "--call", "1"]);
+    let (code, stdout, _) = run_program(&["trace", &file, "--call", "1"]);
     assert!(code == Some(0) && stdout.contains("call 1"), "{stdout}");
     std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
