--- a/crates/simulator/src/simulation/gossip.rs
+++ b/crates/simulator/src/simulation/gossip.rs
@@ -1,5 +1,4 @@
-//! Proxies that pass the list on among each other, in the play on the decisions: the program's own code, on the play's
-//! network.
+//! Gossip between the proxies of a simulation run in virtual time: the proxy's own gossip code on the modelled network.
 
 use badgerramp_gossip::endpoint_list::{EndpointChange, EndpointEntry};
 use badgerramp_gossip::peer::{Input, Member, Output, Peer, PeerConfig, PollAnswer};
@@ -8,22 +7,22 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The address of a proxy.
-pub(super) fn address(place: u32) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::from_bits(0x0a00_0000 + place), 7_946))
+pub(super) fn address(proxy: u32) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::from_bits(0x0a00_0000 + proxy), 7_946))
 }
 
-/// The proxy at an address.
-pub(super) fn place(address: SocketAddr) -> u32 {
+/// The index of the proxy at an address.
+pub(super) fn proxy_index(address: SocketAddr) -> u32 {
     match address.ip() {
         std::net::IpAddr::V4(ip) => ip.to_bits().wrapping_sub(0x0a00_0000),
         std::net::IpAddr::V6(_) => u32::MAX,
     }
 }
 
-/// One that starts now; the first `seeds` are seeds.
-pub(super) fn start(now: Micros, (place, seeds): (u32, u32), id: u64) -> Peer {
+/// A peer that starts now, for this proxy. The first `seeds` proxies are the seeds.
+pub(super) fn start(now: Micros, (proxy, seeds): (u32, u32), id: u64) -> Peer {
     let own = Member {
-        address: address(place),
+        address: address(proxy),
         id: PeerId(id),
         started: now,
     };
@@ -37,17 +36,19 @@
     )
 }
 
-const STATUS: [&str; 3] = ["up", "draining", "removed"];
+/// Names of the states of a [`ListEntry`].
+const STATUS_NAMES: [&str; 3] = ["up", "draining", "removed"];
 
-fn change(entry: ListEntry) -> EndpointChange {
+/// Converts an entry of the modelled list service into a change that peers understand.
+fn to_change(entry: ListEntry) -> EndpointChange {
     let ListEntry {
         host,
         state,
         started_at: started,
     } = entry;
-    let status = STATUS[usize::from(state.min(2))].to_owned();
-    let there = state < 2;
-    // The play's times are no Unix times; it is enough that they come back.
+    let status = STATUS_NAMES[usize::from(state.min(2))].to_owned();
+    let listed = state < 2;
+    // Times of a run are not Unix times, but `from_change` only has to return them unchanged.
     let entry = EndpointEntry {
         status,
         since_ms: started,
@@ -55,18 +56,18 @@
     };
     EndpointChange {
         name: host.to_string(),
-        entry: there.then_some(entry),
+        entry: listed.then_some(entry),
     }
 }
 
-/// What the list says, in the play's words.
-pub(super) fn entry(change: &EndpointChange) -> Option<ListEntry> {
+/// Converts a peer's change back into an entry of the modelled list service.
+pub(super) fn from_change(change: &EndpointChange) -> Option<ListEntry> {
     let host = change.name.parse().ok()?;
     Some(match &change.entry {
-        Some(told) => ListEntry {
+        Some(entry) => ListEntry {
             host,
-            state: u8::from(!told.is_up()),
-            started_at: told.since_ms,
+            state: u8::from(!entry.is_up()),
+            started_at: entry.since_ms,
         },
         None => ListEntry {
             host,
@@ -76,25 +77,29 @@
     })
 }
 
-/// What the service's answer is to a peer; `None`: it failed.
-pub(super) fn answer(told: ListResponse, took: Micros, at_once: bool) -> Option<PollAnswer> {
-    let (whole, index, entries) = match told {
+/// Converts the list service's response to a poll; `None`: the poll failed.
+pub(super) fn poll_answer(
+    response: ListResponse,
+    latency: Micros,
+    immediate: bool,
+) -> Option<PollAnswer> {
+    let (complete, index, entries) = match response {
         ListResponse::Full(index, entries) => (true, index, entries),
         ListResponse::Changes(index, entries) => (false, index, entries),
         ListResponse::Unchanged | ListResponse::Failed | ListResponse::NoResponse => return None,
     };
     Some(PollAnswer {
-        complete: whole,
+        complete,
         index,
-        changes: entries.into_iter().map(change).collect(),
-        latency: took,
-        immediate: at_once,
+        changes: entries.into_iter().map(to_change).collect(),
+        latency,
+        immediate,
     })
 }
 
-/// Tells a peer; what it wants done.
-pub(super) fn tell(peer: &mut Peer, now: Micros, input: Input<'_>) -> Vec<Output> {
-    let mut out = Vec::new();
-    peer.handle(now, input, &mut out);
-    out
+/// Passes an input to a peer and returns the outputs.
+pub(super) fn handle_input(peer: &mut Peer, now: Micros, input: Input<'_>) -> Vec<Output> {
+    let mut outputs = Vec::new();
+    peer.handle(now, input, &mut outputs);
+    outputs
 }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Ways to play a scenario.
+//! Simulation runs of a scenario, and the backends that they run on.
 
 mod event_queue;
 mod gossip;
@@ -14,32 +14,32 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// How a course is played.
+/// Options of a simulation run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunOptions {
-    /// All chance is drawn from it.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// A call whose course is written down.
+    /// The operation whose events are traced.
     pub trace: Option<OpId>,
-    /// What happens at one instant comes in a drawn order, in place of the order in which it was caused.
+    /// Whether events that are due at the same time happen in random order instead of the order in which they were caused.
     pub shuffle: bool,
-    /// Stop at the first broken rule.
+    /// Whether the run stops at the first violation of an invariant.
     pub stop_at_violation: bool,
 }
 
-/// How a scenario is played.
+/// What a scenario runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Backend {
-    /// The decisions, routes and operator's files in virtual time.
+    /// The proxy's decisions, routes and operator's file on modelled hosts, in virtual time.
     Virtual,
-    /// The program's own socket code over a network in memory, under paused time.
+    /// The proxy's socket code on an in-memory network, under paused time.
     Sockets,
-    /// The built program as processes on loopback, in real time.
+    /// The built program as processes on the loopback interface, in real time.
     Real,
 }
 
 impl Backend {
-    /// Its name on the command line and in results.
+    /// The backend's name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
             Backend::Virtual => "virtual",
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Does it want the machine to itself?
+    /// Whether other load on the machine would distort a run.
     pub fn needs_idle_machine(self) -> bool {
         match self {
             Backend::Virtual | Backend::Sockets => false,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The play itself.
+    /// The function that runs a scenario on this backend.
     pub fn run_function(
         self,
     ) -> fn(&Arc<Scenario>, RunOptions) -> Result<RunResult, SimulationError> {
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Plays a scenario.
+    /// Runs a scenario on this backend.
     ///
     /// # Errors
-    /// If it can't be played.
+    /// If the scenario can't be run.
     pub fn run(
         self,
         scenario: &Arc<Scenario>,
@@ -80,19 +80,19 @@
     }
 }
 
-/// Why a scenario can't be played.
+/// Why a scenario can't be run.
 #[derive(Debug)]
 pub enum SimulationError {
-    /// The operator's file that it makes is not good.
-    OperatorFile(Diagnostics),
-    /// Anything else.
+    /// The scenario's file, or the operator's file generated from it, is invalid.
+    InvalidFile(Diagnostics),
+    /// Any other reason.
     Other(String),
 }
 
 impl fmt::Display for SimulationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SimulationError::OperatorFile(mistakes) => write!(f, "{mistakes}"),
+            SimulationError::InvalidFile(diagnostics) => write!(f, "{diagnostics}"),
             SimulationError::Other(text) => f.write_str(text),
         }
     }
@@ -101,33 +101,33 @@
 impl std::error::Error for SimulationError {}
 
 impl From<Diagnostics> for SimulationError {
-    fn from(mistakes: Diagnostics) -> Self {
-        SimulationError::OperatorFile(mistakes)
+    fn from(diagnostics: Diagnostics) -> Self {
+        SimulationError::InvalidFile(diagnostics)
     }
 }
 
-/// Fewer things wanted than that say nothing of recovery.
-const RECOVERY_TOLD: u64 = 30;
+/// Minimum number of operations from which recovery is judged.
+const MIN_RECOVERY_OPERATIONS: u64 = 30;
 
-/// The liveness judge: after the last fault goodput is back within the stated time.
-pub fn check_recovery(scenario: &Scenario, course: &RunResult, judge: &mut InvariantChecker) {
+/// Checks the liveness invariant: goodput recovers within the scenario's recovery time after the last fault.
+pub fn check_recovery(scenario: &Scenario, result: &RunResult, invariants: &mut InvariantChecker) {
     let Some(within) = scenario.criteria.recovery_time else {
         return;
     };
     let from = scenario.last_fault_end() + within;
-    let (goodput, wanted) = course.goodput_between(from, scenario.duration);
-    if wanted >= RECOVERY_TOLD && goodput < scenario.criteria.recovered_share {
+    let (goodput, operations) = result.goodput_between(from, scenario.duration);
+    if operations >= MIN_RECOVERY_OPERATIONS && goodput < scenario.criteria.recovered_share {
         let text = format!(
-            "goodput {goodput:.3} from {:.1} s on, {:.1} s after the last fault; {:.3} is asked",
+            "goodput {goodput:.3} from {:.1} s on, {:.1} s after the last fault; required {:.3}",
             to_seconds(from),
             to_seconds(within),
             scenario.criteria.recovered_share
         );
-        judge.record(Invariant::NotRecovered, from, None, text);
+        invariants.record(Invariant::NotRecovered, from, None, text);
     }
 }
 
-/// Microseconds in seconds.
-pub fn to_seconds(at: Micros) -> f64 {
-    at as f64 / 1e6
+/// Converts microseconds to seconds.
+pub fn to_seconds(time: Micros) -> f64 {
+    time as f64 / 1e6
 }
--- a/crates/simulator/src/simulation/virtual_time.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -1,8 +1,9 @@
-//! A scenario in virtual time: the real decisions, routes and operator's files of all proxies on modelled hosts.
+//! The virtual-time backend: the decisions, routes and operator's file of all proxies, on modelled hosts, network and
+//! clients.
 
-use super::event_queue::{Events, Rank};
+use super::event_queue::{EventQueue, Priority};
 use super::gossip;
-use super::proxy::{self, Attempt, Call, Known, Link, Proxy, Routed};
+use super::proxy::{self, Attempt, Call, ClassRoute, Connection, KnownHost, Proxy};
 use super::{check_recovery, RunOptions, SimulationError};
 use crate::operator_file;
 use crate::run_result::{RunResult, Sample, BIN_WIDTH};
@@ -20,79 +21,84 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// The program's own figures for its watch on the list (`net/discovery.rs`).
-const WATCH: Micros = 10_000_000;
-const WATCH_SILENCE: Micros = 2_000_000;
-const FETCH: Micros = 3_500_000;
-/// What was on its way when the load ended has this long to end.
-const AFTERMATH: Micros = 4_000_000;
-const SWEEP: Micros = 1_000_000;
+/// Longest time that a watch waits for a list update, as in the proxy (`net/discovery.rs`).
+const WATCH_WAIT: Micros = 10_000_000;
+/// Time beyond the wait after which a watch counts as failed, as in the proxy.
+const WATCH_GRACE: Micros = 2_000_000;
+/// Timeout of a request for the full list, as in the proxy.
+const FETCH_TIMEOUT: Micros = 3_500_000;
+/// Time after the end of the load in which open calls and events can finish.
+const SETTLE_TIME: Micros = 4_000_000;
+/// Interval between two sweeps of a proxy's idle connections.
+const SWEEP_INTERVAL: Micros = 1_000_000;
 
-/// What happens.
-enum Ev {
-    /// The next first try is due.
-    First(ClientRequest),
-    /// A client tries again.
-    Again(ClientRequest),
-    /// A client leaves.
-    Leaves {
+/// An event of the simulation.
+enum SimulationEvent {
+    /// The first try of the next operation is due.
+    FirstTry(ClientRequest),
+    /// A retry of a client is due.
+    Retry(ClientRequest),
+    /// A client disconnects while its call is open.
+    ClientDisconnects {
         proxy: u32,
         epoch: u32,
         call: CallId,
     },
-    /// A connection reaches a host, or does not.
-    Syn(Wire, Micros),
-    /// The proxy hears of it.
-    Up(Wire, Option<Link>),
+    /// A connect that began at this time reaches its host.
+    ConnectArrives(AttemptRef, Micros),
+    /// The proxy learns how the connect ended; `None`: it failed.
+    ConnectEnds(AttemptRef, Option<Connection>),
     /// A request reaches a host.
-    Arrives(Wire, Link),
-    /// An answer, or the end of the connection, reaches the proxy.
-    Back(Wire, JobOutcome, HostLoad),
-    /// The host hears that nobody waits any more.
-    Dropped {
+    RequestArrives(AttemptRef, Connection),
+    /// A response, or the end of the connection, reaches the proxy.
+    ResponseArrives(AttemptRef, JobOutcome, HostLoad),
+    /// The close of a connection reaches its host. If a job with this token is still there, it is abandoned.
+    ConnectionClosed {
         token: u64,
         host: usize,
-        process: Micros,
+        process_start: Micros,
     },
-    HostDue(usize),
-    Attempt(Wire),
-    Timer {
-        proxy: u32,
-        epoch: u32,
-        at: Micros,
-    },
-    Backstop {
+    /// A job of this host may have completed.
+    JobCompletes(usize),
+    /// The deadline of an attempt has passed.
+    AttemptTimeout(AttemptRef),
+    /// The timer of a proxy's decisions fires.
+    DecisionTimer { proxy: u32, epoch: u32, at: Micros },
+    /// The deadline of a call has passed. The driver ends calls that the decisions have not ended by then.
+    CallDeadline {
         proxy: u32,
         epoch: u32,
         call: CallId,
     },
-    /// A question reaches the list service; its answer leaves it; comes back.
-    ListAsked(Question),
-    ListAnswers(Question),
-    ListTold(Question, ListResponse),
-    ListLate(Question),
-    /// Something new is listed.
-    Listed,
+    /// A request reaches the list service.
+    ListRequestArrives(ListRequest),
+    /// The list service answers a request.
+    ListResponseDue(ListRequest),
+    /// The list service's response reaches the proxy.
+    ListResponseArrives(ListRequest, ListResponse),
+    /// A request to the list service times out.
+    ListRequestTimeout(ListRequest),
+    /// The list service publishes a change.
+    ListPublished,
+    /// The fault with this index begins.
     FaultBegins(usize),
+    /// The fault with this index ends.
     FaultEnds(usize),
-    Joins(usize),
-    Sweep {
-        proxy: u32,
-        epoch: u32,
-    },
+    /// A host starts for the first time.
+    HostJoins(usize),
+    /// A proxy closes connections that were idle for too long.
+    SweepIdle { proxy: u32, epoch: u32 },
+    /// The load is sampled.
     Sample,
-    /// A message of one proxy reaches another; a proxy's own time among its peers.
-    Peer(u32, Vec<u8>),
-    PeerDue {
-        proxy: u32,
-        epoch: u32,
-        at: Micros,
-    },
+    /// A gossip message reaches this proxy.
+    GossipMessage(u32, Vec<u8>),
+    /// The timer of a proxy's gossip peer fires.
+    GossipTimer { proxy: u32, epoch: u32, at: Micros },
 }
 
-/// One attempt on its way.
+/// Identifies an attempt of a proxy's process.
 #[derive(Clone, Copy, Debug)]
-struct Wire {
+struct AttemptRef {
     proxy: u32,
     epoch: u32,
     call: CallId,
@@ -100,74 +106,82 @@
     host: usize,
 }
 
+/// A proxy's request to the list service.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct ListRequest {
     proxy: u32,
     epoch: u32,
     number: u64,
-    known: Option<u64>,
-    asked: Micros,
-    /// How long it may wait for news.
+    /// Version of the list that the proxy has.
+    known_version: Option<u64>,
+    sent_at: Micros,
+    /// How long the service may hold the request until there is a change.
     wait: Micros,
 }
 
-struct Play {
+/// A simulation run in virtual time.
+struct Simulation {
     scenario: Arc<Scenario>,
     options: RunOptions,
-    draws: RandomStreams,
+    random: RandomStreams,
     now: Micros,
-    events: Events<Ev>,
+    events: EventQueue<SimulationEvent>,
     hosts: Vec<Host>,
-    /// For each host: when it was last told to look for ended jobs.
-    due: Vec<Option<Micros>>,
-    zones: Vec<u32>,
-    memory: DedupStore,
-    list: ListService,
-    /// Proxies that watch, and since when.
-    watching: Vec<Question>,
+    /// For each host, the time of the next scheduled check for completed jobs.
+    completion_at: Vec<Option<Micros>>,
+    host_zones: Vec<u32>,
+    dedup: DedupStore,
+    list_service: ListService,
+    /// Requests that the list service holds until there is a change.
+    waiting_list_requests: Vec<ListRequest>,
     network: Network,
     clients: LoadGenerator,
-    judge: InvariantChecker,
-    course: RunResult,
+    invariants: InvariantChecker,
+    result: RunResult,
     proxies: Vec<Proxy>,
     proxy_zones: Vec<u32>,
-    routed: Vec<Routed>,
+    class_routes: Vec<ClassRoute>,
     settings: Settings,
-    max_open: usize,
-    advice: Micros,
-    spares: usize,
-    /// Jobs at hosts.
-    jobs: FxHashMap<u64, (Wire, Link, ClientRequest)>,
+    /// Maximum number of open calls of a proxy.
+    max_open_calls: usize,
+    /// `Retry-After` of rejections for which the decisions give none; 0: none.
+    default_retry_after: Micros,
+    /// Maximum number of idle connections that a proxy keeps to a host.
+    max_idle_connections: usize,
+    /// Jobs at hosts, by their tokens.
+    jobs: FxHashMap<u64, (AttemptRef, Connection, ClientRequest)>,
     next_token: u64,
+    /// Buffer that is reused between events.
     actions: Vec<Action>,
-    done: Vec<Completion>,
+    /// Buffer that is reused between events.
+    completions: Vec<Completion>,
 }
 
-/// Plays a scenario in virtual time.
+/// Runs a scenario in virtual time.
 ///
 /// # Errors
-/// If the operator's file that it makes is refused.
+/// If the operator's file generated from the scenario is invalid.
 pub fn run(scenario: &Arc<Scenario>, options: RunOptions) -> Result<RunResult, SimulationError> {
     let config = operator_file::parse(scenario)?;
-    let routed = proxy::routes(scenario, &config).map_err(SimulationError::Other)?;
-    let mut play = Play::new(Arc::clone(scenario), options, &config, routed);
-    play.run();
-    Ok(play.finish())
+    let class_routes = proxy::routes(scenario, &config).map_err(SimulationError::Other)?;
+    let mut simulation = Simulation::new(Arc::clone(scenario), options, &config, class_routes);
+    simulation.run();
+    Ok(simulation.finish())
 }
 
-impl Play {
+impl Simulation {
     fn new(
         scenario: Arc<Scenario>,
         options: RunOptions,
         config: &Config,
-        routed: Vec<Routed>,
+        class_routes: Vec<ClassRoute>,
     ) -> Self {
-        let draws = RandomStreams::new(options.seed);
+        let random = RandomStreams::new(options.seed);
         let hosts: Vec<Host> = (0..scenario.hosts.len())
-            .map(|n| Host::new(&scenario, n, draws))
+            .map(|n| Host::new(&scenario, n, random))
             .collect();
-        let there = (0..hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
-        let first = there
+        let present = (0..hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
+        let initial_list = present
             .map(|host| ListEntry {
                 host,
                 state: 0,
@@ -176,48 +190,49 @@
             .collect();
         let zone = |name: &str| settings::zone_id(name).0;
         let mut settings = config.settings();
-        // The program's step is its clock's; the file does not set it.
+        // The proxy's clock ticks every millisecond; the operator's file does not set this.
         settings.tick = 1_000;
-        Play {
+        Simulation {
             options,
-            draws,
+            random,
             now: 0,
-            events: Events::new(options.shuffle.then_some(draws)),
-            due: vec![None; hosts.len()],
-            zones: scenario.hosts.iter().map(|h| zone(&h.zone)).collect(),
-            memory: DedupStore::default(),
-            list: ListService::new(scenario.list, &scenario.faults, first),
-            watching: Vec::new(),
-            network: Network::new(scenario.network, &scenario.faults, draws),
-            clients: LoadGenerator::new(Arc::clone(&scenario), draws),
-            judge: InvariantChecker::new(Arc::clone(&scenario), 0),
-            course: RunResult::new(Arc::clone(&scenario)),
+            events: EventQueue::new(options.shuffle.then_some(random)),
+            completion_at: vec![None; hosts.len()],
+            host_zones: scenario.hosts.iter().map(|h| zone(&h.zone)).collect(),
+            dedup: DedupStore::default(),
+            list_service: ListService::new(scenario.list, &scenario.faults, initial_list),
+            waiting_list_requests: Vec::new(),
+            network: Network::new(scenario.network, &scenario.faults, random),
+            clients: LoadGenerator::new(Arc::clone(&scenario), random),
+            invariants: InvariantChecker::new(Arc::clone(&scenario), 0),
+            result: RunResult::new(Arc::clone(&scenario)),
             proxy_zones: (0..scenario.proxies)
                 .map(|n| zone(proxy::zone(&scenario, n)))
                 .collect(),
             proxies: Vec::new(),
-            routed,
-            max_open: config.limits.open_calls,
-            advice: config.limits.retry_after,
-            spares: connections_kept(settings.balancers),
+            class_routes,
+            max_open_calls: config.limits.open_calls,
+            default_retry_after: config.limits.retry_after,
+            max_idle_connections: connections_kept(settings.balancers),
             settings,
             jobs: FxHashMap::default(),
             next_token: 0,
             actions: Vec::new(),
-            done: Vec::new(),
+            completions: Vec::new(),
             hosts,
             scenario,
         }
     }
 
-    fn at(&mut self, at: Micros, event: Ev) {
-        self.events.push(at.max(self.now), Rank::World, event);
+    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+        self.events
+            .push(at.max(self.now), Priority::External, event);
     }
 
     fn run(&mut self) {
         for (n, fault) in self.scenario.faults.clone().iter().enumerate() {
-            self.at(fault.from, Ev::FaultBegins(n));
-            self.at(fault.until, Ev::FaultEnds(n));
+            self.schedule(fault.from, SimulationEvent::FaultBegins(n));
+            self.schedule(fault.until, SimulationEvent::FaultEnds(n));
         }
         for (n, host) in self
             .scenario
@@ -227,183 +242,208 @@
             .enumerate()
             .filter(|(_, h)| h.joins_at > 0)
         {
-            self.at(host.joins_at, Ev::Joins(n));
+            self.schedule(host.joins_at, SimulationEvent::HostJoins(n));
         }
         for proxy in 0..self.scenario.proxies {
             self.start_proxy(proxy, 0);
         }
-        if let Some(ask) = self.clients.next_operation() {
-            self.at(ask.due, Ev::First(ask));
+        if let Some(request) = self.clients.next_operation() {
+            self.schedule(request.due, SimulationEvent::FirstTry(request));
         }
-        self.at(BIN_WIDTH, Ev::Sample);
-        let end = self.scenario.duration + self.scenario.max_deadline() + AFTERMATH;
+        self.schedule(BIN_WIDTH, SimulationEvent::Sample);
+        let end = self.scenario.duration + self.scenario.max_deadline() + SETTLE_TIME;
         while let Some((at, event)) = self.events.pop() {
-            if at > end || (self.options.stop_at_violation && self.judge.violation_count() > 0) {
+            if at > end || (self.options.stop_at_violation && self.invariants.violation_count() > 0)
+            {
                 break;
             }
             self.now = at;
-            self.happens(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
     fn finish(mut self) -> RunResult {
-        self.judge.advance(Micros::MAX / 2);
-        if !(self.options.stop_at_violation && self.judge.violation_count() > 0) {
-            self.look_for_leaks(true);
-            let mut course =
-                std::mem::replace(&mut self.course, RunResult::new(Arc::clone(&self.scenario)));
-            check_recovery(&self.scenario, &course, &mut self.judge);
-            course.list_requests = self.list.request_count;
-            self.course = course;
-        }
-        self.course.violations = self.judge.violations().to_vec();
-        self.course.violation_count = self.judge.violation_count();
-        self.course.host_work.0 = self.hosts.iter().map(|h| h.work_done).sum();
-        self.course
+        self.invariants.advance(Micros::MAX / 2);
+        if !(self.options.stop_at_violation && self.invariants.violation_count() > 0) {
+            self.check_leaks(true);
+            let mut result =
+                std::mem::replace(&mut self.result, RunResult::new(Arc::clone(&self.scenario)));
+            check_recovery(&self.scenario, &result, &mut self.invariants);
+            result.list_requests = self.list_service.request_count;
+            self.result = result;
+        }
+        self.result.violations = self.invariants.violations().to_vec();
+        self.result.violation_count = self.invariants.violation_count();
+        self.result.host_work.0 = self.hosts.iter().map(|h| h.work_done).sum();
+        self.result
     }
 
-    /// What decisions and proxies hold against what is really there.
-    fn look_for_leaks(&mut self, last: bool) {
-        let mut found = Vec::new();
+    /// Compares the counters of the decisions with the actual numbers, and checks for leaked calls and connections. At the
+    /// end of the run no call may be left.
+    fn check_leaks(&mut self, at_end: bool) {
+        let mut violations = Vec::new();
         for proxy in self.proxies.iter().filter(|p| p.up) {
-            if last && !proxy.calls.is_empty() {
-                found.push((
+            if at_end && !proxy.calls.is_empty() {
+                violations.push((
                     Invariant::Leaked,
                     format!(
-                        "proxy {} still has {} calls",
-                        proxy.place,
+                        "proxy {}: {} calls left at the end of the run",
+                        proxy.index,
                         proxy.calls.len()
                     ),
                 ));
             }
             let totals = proxy.balancer.call_totals();
-            let (known, held) = (totals.open, totals.queued);
-            if last && known > 0 {
-                found.push((
+            let (known, queued) = (totals.open, totals.queued);
+            if at_end && known > 0 {
+                violations.push((
                     Invariant::Leaked,
                     format!(
-                        "proxy {}: the decisions still know {known} calls",
-                        proxy.place
+                        "proxy {}: the decisions know {known} calls at the end of the run",
+                        proxy.index
                     ),
                 ));
             }
-            if held > known || known > proxy.calls.len() {
+            if queued > known || known > proxy.calls.len() {
                 let text = format!(
-                    "proxy {}: {known} calls known, {held} held, {} there",
-                    proxy.place,
+                    "proxy {}: the decisions know {known} calls, {queued} of them queued; actual number {}",
+                    proxy.index,
                     proxy.calls.len()
                 );
-                found.push((Invariant::Miscounted, text));
+                violations.push((Invariant::Miscounted, text));
             }
-            if proxy.links.values().any(|l| l.len() > self.spares) {
-                found.push((
+            if proxy
+                .idle_connections
+                .values()
+                .any(|c| c.len() > self.max_idle_connections)
+            {
+                violations.push((
                     Invariant::Leaked,
-                    format!("proxy {} keeps too many connections", proxy.place),
+                    format!("proxy {}: too many idle connections", proxy.index),
                 ));
             }
-            // All hosts of all proxies at the end only, and before that where there are few.
-            if last || self.hosts.len() * self.scenario.proxies as usize <= 256 {
-                let mut out = vec![0u32; self.hosts.len()];
+            // During the run the counters of each host are compared in small scenarios only.
+            if at_end || self.hosts.len() * self.scenario.proxies as usize <= 256 {
+                let mut in_flight = vec![0u32; self.hosts.len()];
                 for attempt in proxy
                     .calls
                     .values()
                     .flat_map(|c| &c.attempts)
-                    .filter(|a| a.out)
+                    .filter(|a| a.in_flight)
                 {
-                    out[attempt.host] += 1;
+                    in_flight[attempt.host] += 1;
                 }
-                for (host, &out) in out.iter().enumerate() {
+                for (host, &in_flight) in in_flight.iter().enumerate() {
                     let view = proxy.balancer.view(self.now, EndpointId(host as u32));
-                    if let Some(view) = view.filter(|v| v.in_flight != out) {
+                    if let Some(view) = view.filter(|v| v.in_flight != in_flight) {
                         let text = format!(
-                            "proxy {}: the decisions count {} in flight at {}, and {out} are",
-                            proxy.place, view.in_flight, self.scenario.hosts[host].name
+                            "proxy {}: the decisions count {} attempts in flight at {}, actual number {in_flight}",
+                            proxy.index, view.in_flight, self.scenario.hosts[host].name
                         );
-                        found.push((Invariant::Miscounted, text));
+                        violations.push((Invariant::Miscounted, text));
                     }
                 }
             }
         }
-        found
+        violations
             .into_iter()
-            .for_each(|(rule, text)| self.judge.record(rule, self.now, None, text));
+            .for_each(|(invariant, text)| self.invariants.record(invariant, self.now, None, text));
     }
 
-    fn happens(&mut self, event: Ev) {
+    fn handle(&mut self, event: SimulationEvent) {
         match event {
-            Ev::First(ask) => {
+            SimulationEvent::FirstTry(request) => {
                 if let Some(next) = self.clients.next_operation() {
-                    self.at(next.due, Ev::First(next));
+                    self.schedule(next.due, SimulationEvent::FirstTry(next));
                 }
-                self.asks(ask);
+                self.start_try(request);
             }
-            Ev::Again(ask) => self.asks(ask),
-            Ev::Leaves { proxy, epoch, call } => self.leaves(proxy, epoch, call),
-            Ev::Syn(wire, began) => self.syn(wire, began),
-            Ev::Up(wire, link) => self.connected(wire, link),
-            Ev::Arrives(wire, link) => self.arrives(wire, link),
-            Ev::Back(wire, verdict, report) => self.back(wire, verdict, report),
-            Ev::Dropped {
+            SimulationEvent::Retry(request) => self.start_try(request),
+            SimulationEvent::ClientDisconnects { proxy, epoch, call } => {
+                self.client_disconnects(proxy, epoch, call)
+            }
+            SimulationEvent::ConnectArrives(attempt_ref, began_at) => {
+                self.connect_arrives(attempt_ref, began_at)
+            }
+            SimulationEvent::ConnectEnds(attempt_ref, connection) => {
+                self.connect_ends(attempt_ref, connection)
+            }
+            SimulationEvent::RequestArrives(attempt_ref, connection) => {
+                self.request_arrives(attempt_ref, connection)
+            }
+            SimulationEvent::ResponseArrives(attempt_ref, outcome, report) => {
+                self.response_arrives(attempt_ref, outcome, report)
+            }
+            SimulationEvent::ConnectionClosed {
                 token,
                 host,
-                process,
+                process_start,
             } => {
-                self.settle(host);
-                let there = self.hosts[host].is_up() && self.hosts[host].started_at() == process;
-                if there {
+                self.advance_host(host);
+                let same_process =
+                    self.hosts[host].is_up() && self.hosts[host].started_at() == process_start;
+                if same_process {
                     self.hosts[host].disconnect();
-                    if token != u64::MAX && self.hosts[host].abandon(token, &mut self.memory) {
+                    if token != u64::MAX && self.hosts[host].abandon(token, &mut self.dedup) {
                         self.jobs.remove(&token);
                     }
                 }
             }
-            Ev::HostDue(host) => {
-                self.due[host] = None;
-                self.settle(host);
+            SimulationEvent::JobCompletes(host) => {
+                self.completion_at[host] = None;
+                self.advance_host(host);
             }
-            Ev::Attempt(wire) => self.attempt_due(wire),
-            Ev::Timer { proxy, epoch, at } => {
-                let shell = &mut self.proxies[proxy as usize];
-                if shell.up && shell.epoch == epoch && shell.module_due == Some(at) {
-                    shell.module_due = None;
-                    self.tell(proxy, Event::Timer);
+            SimulationEvent::AttemptTimeout(attempt_ref) => self.attempt_times_out(attempt_ref),
+            SimulationEvent::DecisionTimer { proxy, epoch, at } => {
+                let state = &mut self.proxies[proxy as usize];
+                if state.up && state.epoch == epoch && state.timer_at == Some(at) {
+                    state.timer_at = None;
+                    self.handle_event(proxy, Event::Timer);
                 }
             }
-            Ev::Backstop { proxy, epoch, call } => {
-                let shell = &self.proxies[proxy as usize];
-                let forgotten = shell.calls.get(&call).is_some_and(|c| !c.answered);
-                if shell.up && shell.epoch == epoch && forgotten {
-                    self.answer(proxy, call, FinalAnswer::Overdue, None);
-                    self.tell(proxy, Event::ClientDisconnected { call });
+            SimulationEvent::CallDeadline { proxy, epoch, call } => {
+                let state = &self.proxies[proxy as usize];
+                let still_open = state.calls.get(&call).is_some_and(|c| !c.answered);
+                if state.up && state.epoch == epoch && still_open {
+                    self.answer_call(proxy, call, FinalAnswer::Overdue, None);
+                    self.handle_event(proxy, Event::ClientDisconnected { call });
                 }
             }
-            Ev::ListAsked(question) => {
-                let leaves = self.list.accept_request(self.now);
-                self.at(leaves, Ev::ListAnswers(question));
+            SimulationEvent::ListRequestArrives(list_request) => {
+                let answered_at = self.list_service.accept_request(self.now);
+                self.schedule(answered_at, SimulationEvent::ListResponseDue(list_request));
+            }
+            SimulationEvent::ListResponseDue(list_request) => {
+                self.answer_list_request(list_request)
             }
-            Ev::ListAnswers(question) => self.list_answers(question),
-            Ev::ListTold(question, told) => self.list_told(question, told),
-            Ev::ListLate(question) => {
-                if self.is_asking(&question) {
-                    self.list_failed(question.proxy);
+            SimulationEvent::ListResponseArrives(list_request, response) => {
+                self.list_response_arrives(list_request, response)
+            }
+            SimulationEvent::ListRequestTimeout(list_request) => {
+                if self.is_pending(&list_request) {
+                    self.list_request_fails(list_request.proxy);
                 }
             }
-            Ev::Listed => {
-                for question in std::mem::take(&mut self.watching) {
-                    self.list_answers(question);
+            SimulationEvent::ListPublished => {
+                for list_request in std::mem::take(&mut self.waiting_list_requests) {
+                    self.answer_list_request(list_request);
                 }
             }
-            Ev::FaultBegins(n) => self.fault_begins(n),
-            Ev::FaultEnds(n) => self.fault_ends(n),
-            Ev::Joins(host) => self.host_starts(host),
-            Ev::Sweep { proxy, epoch } => self.sweep(proxy, epoch),
-            Ev::Sample => self.sample(),
-            Ev::Peer(proxy, bytes) => self.among(proxy, Input::Message(&bytes)),
-            Ev::PeerDue { proxy, epoch, at } => {
-                let shell = &self.proxies[proxy as usize];
-                if shell.up && shell.epoch == epoch && shell.peer_due == at {
-                    self.among(proxy, Input::Timer);
+            SimulationEvent::FaultBegins(n) => self.begin_fault(n),
+            SimulationEvent::FaultEnds(n) => self.end_fault(n),
+            SimulationEvent::HostJoins(host) => self.start_host(host),
+            SimulationEvent::SweepIdle { proxy, epoch } => {
+                self.sweep_idle_connections(proxy, epoch)
+            }
+            SimulationEvent::Sample => self.take_sample(),
+            SimulationEvent::GossipMessage(proxy, bytes) => {
+                self.handle_gossip(proxy, Input::Message(&bytes))
+            }
+            SimulationEvent::GossipTimer { proxy, epoch, at } => {
+                let state = &self.proxies[proxy as usize];
+                if state.up && state.epoch == epoch && state.peer_timer_at == at {
+                    self.handle_gossip(proxy, Input::Timer);
                 }
             }
         }
@@ -411,26 +451,26 @@
 
     // Proxies.
 
-    fn start_proxy(&mut self, place: u32, epoch: u32) {
+    fn start_proxy(&mut self, proxy: u32, epoch: u32) {
         let mut settings = self.settings.clone();
-        settings.zone = decisions::ZoneId(self.proxy_zones[place as usize]);
+        settings.zone = decisions::ZoneId(self.proxy_zones[proxy as usize]);
         let seed = self
-            .draws
-            .integer((0x5eed, u64::from(place), u64::from(epoch)), (0, u64::MAX));
-        let proxy = Proxy::new(
-            place,
+            .random
+            .integer((0x5eed, u64::from(proxy), u64::from(epoch)), (0, u64::MAX));
+        let state = Proxy::new(
+            proxy,
             epoch,
             Balancer::new(seed, settings),
             self.hosts.len(),
         );
-        if (place as usize) < self.proxies.len() {
-            self.proxies[place as usize] = proxy;
+        if (proxy as usize) < self.proxies.len() {
+            self.proxies[proxy as usize] = state;
         } else {
-            self.proxies.push(proxy);
+            self.proxies.push(state);
         }
-        self.tell(place, Event::Start);
-        self.tell(
-            place,
+        self.handle_event(proxy, Event::Start);
+        self.handle_event(
+            proxy,
             Event::EndpointList {
                 kind: ListUpdateKind::Cached,
                 entries: Vec::new(),
@@ -438,59 +478,60 @@
         );
         if self.scenario.gossip_seeds > 0 {
             let id = self
-                .draws
-                .integer((0x9ee5, u64::from(place), u64::from(epoch)), (0, u64::MAX));
-            let peer = gossip::start(self.now, (place, self.scenario.gossip_seeds), id);
-            self.proxies[place as usize].peer = Some(peer);
-            self.among(place, Input::Timer);
+                .random
+                .integer((0x9ee5, u64::from(proxy), u64::from(epoch)), (0, u64::MAX));
+            let peer = gossip::start(self.now, (proxy, self.scenario.gossip_seeds), id);
+            self.proxies[proxy as usize].peer = Some(peer);
+            self.handle_gossip(proxy, Input::Timer);
         }
     }
 
-    // Peers.
+    // Gossip.
 
-    fn among(&mut self, place: u32, input: Input<'_>) {
-        let shell = &mut self.proxies[place as usize];
-        let Some(peer) = shell.peer.as_mut().filter(|_| shell.up) else {
+    /// Passes an input to a proxy's gossip peer and executes the outputs.
+    fn handle_gossip(&mut self, proxy: u32, input: Input<'_>) {
+        let state = &mut self.proxies[proxy as usize];
+        let Some(peer) = state.peer.as_mut().filter(|_| state.up) else {
             return;
         };
-        let out = gossip::tell(peer, self.now, input);
-        let (due, epoch) = (peer.next_deadline().max(self.now + 1), shell.epoch);
-        if due != shell.peer_due {
-            shell.peer_due = due;
-            self.at(
+        let outputs = gossip::handle_input(peer, self.now, input);
+        let (due, epoch) = (peer.next_deadline().max(self.now + 1), state.epoch);
+        if due != state.peer_timer_at {
+            state.peer_timer_at = due;
+            self.schedule(
                 due,
-                Ev::PeerDue {
-                    proxy: place,
+                SimulationEvent::GossipTimer {
+                    proxy,
                     epoch,
                     at: due,
                 },
             );
         }
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Send(to, bytes) => {
-                    let (shell, to) = (&mut self.proxies[place as usize], gossip::place(to));
-                    shell.letters += 1;
-                    let name = (
+                    let (state, to) = (&mut self.proxies[proxy as usize], gossip::proxy_index(to));
+                    state.gossip_messages_sent += 1;
+                    let key = (
                         0xda7a,
-                        u64::from(place),
-                        (u64::from(epoch) << 32) | shell.letters,
+                        u64::from(proxy),
+                        (u64::from(epoch) << 32) | state.gossip_messages_sent,
                     );
                     if let (Delivery::Arrives(at), true) = (
-                        self.network.send(self.now, None, false, name),
+                        self.network.send(self.now, None, false, key),
                         (to as usize) < self.proxies.len(),
                     ) {
-                        self.at(at, Ev::Peer(to, bytes));
+                        self.schedule(at, SimulationEvent::GossipMessage(to, bytes));
                     }
                 }
                 Output::Poll { index, wait } => {
-                    self.proxies[place as usize].version = index;
-                    self.ask_list_for(place, wait);
+                    self.proxies[proxy as usize].list_version = index;
+                    self.request_list_with_wait(proxy, wait);
                 }
                 Output::ListChanged { complete, changes } => {
-                    let entries = changes.iter().filter_map(gossip::entry).collect();
-                    self.learn(
-                        place,
+                    let entries = changes.iter().filter_map(gossip::from_change).collect();
+                    self.apply_list_update(
+                        proxy,
                         if complete {
                             ListUpdateKind::Full
                         } else {
@@ -504,11 +545,12 @@
         }
     }
 
-    fn tell(&mut self, proxy: u32, event: Event) {
+    /// Passes an event to a proxy's decisions and executes the resulting actions.
+    fn handle_event(&mut self, proxy: u32, event: Event) {
         let mut queue = std::collections::VecDeque::from([event]);
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(event) = queue.pop_front() {
-            let touched = match &event {
+            let ended_attempt_of = match &event {
                 Event::Outcome { call, .. } => Some(*call),
                 _ => None,
             };
@@ -516,39 +558,50 @@
                 .balancer
                 .handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(proxy, action, &mut queue);
+                self.execute(proxy, action, &mut queue);
             }
-            if let Some(call) = touched {
-                self.tidy(proxy, call);
+            if let Some(call) = ended_attempt_of {
+                self.remove_if_ended(proxy, call);
             }
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, proxy: u32, action: Action, queue: &mut std::collections::VecDeque<Event>) {
+    fn execute(
+        &mut self,
+        proxy: u32,
+        action: Action,
+        queue: &mut std::collections::VecDeque<Event>,
+    ) {
         match action {
             Action::Send {
                 call,
-                endpoint: server,
-                attempt_deadline: until,
+                endpoint,
+                attempt_deadline,
                 start_by,
             } => {
-                let sent = self.send(proxy, call, server.0 as usize, (until, start_by));
-                queue.extend(sent);
+                let event = self.send_attempt(
+                    proxy,
+                    call,
+                    endpoint.0 as usize,
+                    (attempt_deadline, start_by),
+                );
+                queue.extend(event);
             }
             Action::Reject { call, retry_after } => {
-                // As the program's front has it: its own advice where there is none, in whole seconds.
-                let wait = if retry_after == 0 {
-                    self.advice
+                // As in the proxy: its own default if the decisions give none, rounded up to whole seconds.
+                let retry_after = if retry_after == 0 {
+                    self.default_retry_after
                 } else {
                     retry_after
                 };
-                let told = (wait > 0).then(|| wait.div_ceil(1_000_000) * 1_000_000);
-                self.answer(proxy, call, FinalAnswer::Refused, told);
+                let retry_after =
+                    (retry_after > 0).then(|| retry_after.div_ceil(1_000_000) * 1_000_000);
+                self.answer_call(proxy, call, FinalAnswer::Refused, retry_after);
             }
-            Action::Fail { call } => self.answer(proxy, call, FinalAnswer::Failed, None),
+            Action::Fail { call } => self.answer_call(proxy, call, FinalAnswer::Failed, None),
             Action::Cancel { call, attempt } => {
-                queue.extend(self.outcome(
+                queue.extend(self.end_attempt(
                     proxy,
                     call,
                     attempt,
@@ -558,26 +611,29 @@
             }
             Action::Wake { after } => {
                 let at = self.now.saturating_add(after);
-                let shell = &mut self.proxies[proxy as usize];
-                if shell.module_due.is_none_or(|due| at < due) {
-                    shell.module_due = Some(at);
-                    let epoch = shell.epoch;
-                    self.events
-                        .push(at, Rank::Timer, Ev::Timer { proxy, epoch, at });
+                let state = &mut self.proxies[proxy as usize];
+                if state.timer_at.is_none_or(|due| at < due) {
+                    state.timer_at = Some(at);
+                    let epoch = state.epoch;
+                    self.events.push(
+                        at,
+                        Priority::DecisionTimer,
+                        SimulationEvent::DecisionTimer { proxy, epoch, at },
+                    );
                 }
             }
-            // Whoever asks for all does.
+            // With gossip, the proxies that poll request the list for all others.
             Action::Subscribe if self.scenario.gossip_seeds > 0 => {}
             Action::Subscribe => {
-                let shell = &mut self.proxies[proxy as usize];
-                if shell.asking.is_some() {
-                    shell.wanted = true;
+                let state = &mut self.proxies[proxy as usize];
+                if state.pending_list_request.is_some() {
+                    state.list_wanted = true;
                 } else {
-                    self.ask_list(proxy);
+                    self.request_list(proxy);
                 }
             }
-            Action::Probe { endpoint: server } => queue.push_back(Event::ProbeCompleted {
-                endpoint: server,
+            Action::Probe { endpoint } => queue.push_back(Event::ProbeCompleted {
+                endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: 0,
                 load: LoadReport::default(),
@@ -588,222 +644,241 @@
 
     // Clients.
 
-    fn asks(&mut self, ask: ClientRequest) {
-        self.course.record_try(&ask);
-        self.course
-            .record_event(self.now, 1, ask.op.0, u64::from(ask.try_number));
-        let class = &self.scenario.classes[ask.class].name;
-        self.course
-            .trace_operation(self.options.trace, ask.op, self.now, || {
+    fn start_try(&mut self, request: ClientRequest) {
+        self.result.record_try(&request);
+        self.result
+            .record_event(self.now, 1, request.op.0, u64::from(request.try_number));
+        let class = &self.scenario.classes[request.class].name;
+        self.result
+            .trace_operation(self.options.trace, request.op, self.now, || {
                 format!(
-                    "try {} of {class} at proxy {}, waits {} us",
-                    ask.try_number, ask.proxy, ask.timeout
+                    "try {} of {class} at proxy {}, timeout {} us",
+                    request.try_number, request.proxy, request.timeout
                 )
             });
-        let shell = &self.proxies[ask.proxy as usize];
-        if !shell.up {
-            // Nobody is there: that nothing ran is plain.
-            self.client_hears(ask, Some(FinalAnswer::Refused), None);
+        let state = &self.proxies[request.proxy as usize];
+        if !state.up {
+            // A refused connection proves that the request was not executed.
+            self.client_receives(request, Some(FinalAnswer::Refused), None);
             return;
         }
-        let until = self.now + ask.timeout;
-        self.judge.call_accepted(
+        let deadline = self.now + request.timeout;
+        self.invariants.call_accepted(
             self.now,
-            ask.op,
-            ask.try_number,
-            (ask.class, ask.proxy),
-            until,
+            request.op,
+            request.try_number,
+            (request.class, request.proxy),
+            deadline,
         );
-        if shell.open >= self.max_open {
-            self.judge
-                .call_answered(self.now, ask.op, ask.try_number, FinalAnswer::Refused);
-            self.client_hears(
-                ask,
+        if state.open_calls >= self.max_open_calls {
+            self.invariants.call_answered(
+                self.now,
+                request.op,
+                request.try_number,
+                FinalAnswer::Refused,
+            );
+            self.client_receives(
+                request,
                 Some(FinalAnswer::Refused),
-                Some(self.advice).filter(|&a| a > 0),
+                Some(self.default_retry_after).filter(|&after| after > 0),
             );
             return;
         }
-        let routed = self.routed[ask.class];
-        let time = ask
+        let route = self.class_routes[request.class];
+        let time_left = request
             .timeout
             .saturating_sub(ANSWER_ROOM)
             .max(1)
-            .min(routed.total);
-        let shell = &mut self.proxies[ask.proxy as usize];
-        let (call, epoch) = (CallId(shell.next_call), shell.epoch);
-        shell.next_call += 1;
-        shell.open += 1;
-        let deadline = self.now + time;
-        shell.calls.insert(
+            .min(route.total_timeout);
+        let state = &mut self.proxies[request.proxy as usize];
+        let (call, epoch) = (CallId(state.next_call), state.epoch);
+        state.next_call += 1;
+        state.open_calls += 1;
+        let deadline = self.now + time_left;
+        state.calls.insert(
             call,
             Call {
-                ask,
+                request,
                 deadline,
                 attempts: Vec::new(),
                 answered: false,
             },
         );
-        let proxy = ask.proxy;
+        let proxy = request.proxy;
         self.events.push(
             deadline,
-            Rank::Backstop,
-            Ev::Backstop { proxy, epoch, call },
+            Priority::CallDeadline,
+            SimulationEvent::CallDeadline { proxy, epoch, call },
         );
-        let leaves = self.scenario.clients.disconnect_share;
-        let name = (0x1ea5e, ask.op.0, u64::from(ask.try_number));
-        if self.draws.occurs(name, leaves) {
+        let disconnect_share = self.scenario.clients.disconnect_share;
+        let key = (0x1ea5e, request.op.0, u64::from(request.try_number));
+        if self.random.occurs(key, disconnect_share) {
             let after = self
-                .draws
-                .integer((0x1ea5f, name.1, name.2), (1, time.max(2) - 1));
-            self.at(self.now + after, Ev::Leaves { proxy, epoch, call });
+                .random
+                .integer((0x1ea5f, key.1, key.2), (1, time_left.max(2) - 1));
+            self.schedule(
+                self.now + after,
+                SimulationEvent::ClientDisconnects { proxy, epoch, call },
+            );
         }
         let event = Event::Request {
             call,
-            class: routed.class,
+            class: route.class,
             tenant: None,
-            time_left: time,
-            is_retry: ask.try_number > 0,
-            policy: routed.terms,
+            time_left,
+            is_retry: request.try_number > 0,
+            policy: route.policy,
         };
-        self.tell(proxy, event);
+        self.handle_event(proxy, event);
     }
 
-    fn client_hears(
+    /// A client receives the answer to a try; `None`: its connection ended without one.
+    fn client_receives(
         &mut self,
-        ask: ClientRequest,
-        answered: Option<FinalAnswer>,
-        told: Option<Micros>,
+        request: ClientRequest,
+        answer: Option<FinalAnswer>,
+        retry_after: Option<Micros>,
     ) {
-        self.course
-            .record_event(self.now, 2, ask.op.0, answered.map_or(9, |a| a as u64));
-        self.course
-            .trace_operation(self.options.trace, ask.op, self.now, || match answered {
-                Some(answer) => format!("try {}: {answer:?}", ask.try_number),
-                None => format!("try {}: no answer", ask.try_number),
+        self.result
+            .record_event(self.now, 2, request.op.0, answer.map_or(9, |a| a as u64));
+        self.result
+            .trace_operation(self.options.trace, request.op, self.now, || match answer {
+                Some(answer) => format!("try {}: {answer:?}", request.try_number),
+                None => format!("try {}: no answer", request.try_number),
             });
-        match self.clients.after_answer(&ask, answered, self.now, told) {
-            RetryDecision::Retry(next) => self.at(next.due, Ev::Again(next)),
-            RetryDecision::Stop => self.course.record_operation_end(&ask, self.now, answered),
+        match self
+            .clients
+            .after_answer(&request, answer, self.now, retry_after)
+        {
+            RetryDecision::Retry(next) => self.schedule(next.due, SimulationEvent::Retry(next)),
+            RetryDecision::Stop => self.result.record_operation_end(&request, self.now, answer),
         }
     }
 
-    fn leaves(&mut self, proxy: u32, epoch: u32, call: CallId) {
-        let shell = &mut self.proxies[proxy as usize];
-        if !shell.up || shell.epoch != epoch {
+    fn client_disconnects(&mut self, proxy: u32, epoch: u32, call: CallId) {
+        let state = &mut self.proxies[proxy as usize];
+        if !state.up || state.epoch != epoch {
             return;
         }
-        let Some(open) = shell.calls.get_mut(&call).filter(|c| !c.answered) else {
+        let Some(call_state) = state.calls.get_mut(&call).filter(|c| !c.answered) else {
             return;
         };
-        open.answered = true;
-        let ask = open.ask;
-        shell.open -= 1;
-        self.judge.client_left(self.now, ask.op, ask.try_number);
-        self.course
-            .record_event(self.now, 3, ask.op.0, u64::from(ask.try_number));
-        self.course
-            .record_operation_end(&ask, self.now, Some(FinalAnswer::Failed));
-        self.course
-            .trace_operation(self.options.trace, ask.op, self.now, || {
-                "its client leaves".to_owned()
+        call_state.answered = true;
+        let request = call_state.request;
+        state.open_calls -= 1;
+        self.invariants
+            .client_left(self.now, request.op, request.try_number);
+        self.result
+            .record_event(self.now, 3, request.op.0, u64::from(request.try_number));
+        self.result
+            .record_operation_end(&request, self.now, Some(FinalAnswer::Failed));
+        self.result
+            .trace_operation(self.options.trace, request.op, self.now, || {
+                "the client disconnects".to_owned()
             });
-        self.tell(proxy, Event::ClientDisconnected { call });
+        self.handle_event(proxy, Event::ClientDisconnected { call });
         let count = self.proxies[proxy as usize]
             .calls
             .get(&call)
             .map_or(0, |c| c.attempts.len());
         for attempt in 0..count as u32 {
-            if let Some(event) = self.outcome(
+            if let Some(event) = self.end_attempt(
                 proxy,
                 call,
                 attempt,
                 Outcome::Cancelled,
                 LoadReport::default(),
             ) {
-                self.tell(proxy, event);
+                self.handle_event(proxy, event);
             }
         }
-        self.tidy(proxy, call);
+        self.remove_if_ended(proxy, call);
     }
 
-    /// The one final answer.
-    fn answer(&mut self, proxy: u32, id: CallId, answer: FinalAnswer, told: Option<Micros>) {
-        let shell = &mut self.proxies[proxy as usize];
-        let Some(call) = shell.calls.get_mut(&id) else {
+    /// Sends the final answer of a call to its client.
+    fn answer_call(
+        &mut self,
+        proxy: u32,
+        id: CallId,
+        answer: FinalAnswer,
+        retry_after: Option<Micros>,
+    ) {
+        let state = &mut self.proxies[proxy as usize];
+        let Some(call) = state.calls.get_mut(&id) else {
             return;
         };
-        let ask = call.ask;
-        // The program's own guard lets a second one go nowhere; the judge is told all the same.
+        let request = call.request;
+        // The proxy's driver drops a second answer, but it violates an invariant of the decisions.
         if std::mem::replace(&mut call.answered, true) {
-            self.judge.record(
+            self.invariants.record(
                 Invariant::AnsweredTwice,
                 self.now,
-                Some(ask.op),
-                format!("the decisions say {answer:?} again"),
+                Some(request.op),
+                format!("the decisions gave a second answer: {answer:?}"),
             );
             return;
         }
-        shell.open -= 1;
-        self.judge
-            .call_answered(self.now, ask.op, ask.try_number, answer);
-        self.client_hears(ask, Some(answer), told);
-        self.tidy(proxy, id);
+        state.open_calls -= 1;
+        self.invariants
+            .call_answered(self.now, request.op, request.try_number, answer);
+        self.client_receives(request, Some(answer), retry_after);
+        self.remove_if_ended(proxy, id);
     }
 
     // Attempts.
 
-    fn send(
+    /// Sends an attempt. Returns the event of an attempt that ends at once.
+    fn send_attempt(
         &mut self,
         proxy: u32,
         id: CallId,
         host: usize,
-        (until, start_by): (Option<Micros>, Option<Micros>),
+        (attempt_deadline, start_by): (Option<Micros>, Option<Micros>),
     ) -> Option<Event> {
-        let shell = &mut self.proxies[proxy as usize];
-        let epoch = shell.epoch;
-        let Some(call) = shell.calls.get_mut(&id) else {
-            self.judge.record(
+        let state = &mut self.proxies[proxy as usize];
+        let epoch = state.epoch;
+        let Some(call) = state.calls.get_mut(&id) else {
+            self.invariants.record(
                 Invariant::AfterEnd,
                 self.now,
                 None,
-                "the decisions send for a call that has ended",
+                "the decisions sent an attempt of a call that has ended",
             );
             return None;
         };
-        let (attempt, ask) = (call.attempts.len() as u32, call.ask);
-        let until = until
-            .filter(|&u| u > 0)
+        let (attempt, request) = (call.attempts.len() as u32, call.request);
+        let deadline = attempt_deadline
+            .filter(|&at| at > 0)
             .unwrap_or(Micros::MAX)
             .min(call.deadline);
-        let (sent, answered) = (self.now, call.answered);
+        let (sent_at, answered) = (self.now, call.answered);
         let start_by = start_by.unwrap_or(Micros::MAX);
         call.attempts.push(Attempt {
             host,
-            sent,
-            until,
+            sent_at,
+            deadline,
             start_by,
             started: false,
-            out: true,
-            link: None,
+            in_flight: true,
+            connection: None,
             token: None,
         });
-        let known = shell.hosts.get(host).copied().unwrap_or_default();
-        self.course.record_attempt(&ask);
-        self.course.record_event(
+        let known = state.hosts.get(host).copied().unwrap_or_default();
+        self.result.record_attempt(&request);
+        self.result.record_event(
             self.now,
             4,
-            ask.op.0,
+            request.op.0,
             (u64::from(attempt) << 32) | host as u64,
         );
-        if self.options.trace == Some(ask.op) {
+        if self.options.trace == Some(request.op) {
             let name = self.scenario.hosts.get(host).map_or("?", |h| &h.name);
             let view = self.proxies[proxy as usize]
                 .balancer
                 .view(self.now, EndpointId(host as u32));
-            let knew = view.map_or_else(String::new, |v| {
+            let endpoint_view = view.map_or_else(String::new, |v| {
                 format!(
-                    "; known: {} in flight of {:.1}, latency ratio {:.2}, failure rate {:.2}, capacity {:.2}{}",
+                    "; balancer's view: {} in flight of {:.1}, latency ratio {:.2}, failure rate {:.2}, capacity {:.2}{}",
                     v.in_flight,
                     v.concurrency_limit,
                     v.latency_ratio,
@@ -812,298 +887,338 @@
                     if v.ejected { ", ejected" } else { "" }
                 )
             });
-            let line = format!("attempt {attempt} to {name} until {until}{knew}");
-            self.course
-                .trace_operation(self.options.trace, ask.op, self.now, || line);
+            let line = format!("attempt {attempt} to {name}, deadline {deadline}{endpoint_view}");
+            self.result
+                .trace_operation(self.options.trace, request.op, self.now, || line);
         }
-        self.judge
-            .attempt_sent(self.now, ask.op, ask.try_number, host);
-        if !known.ready || until <= self.now || answered {
-            return self.outcome(proxy, id, attempt, Outcome::NotSent, LoadReport::default());
+        self.invariants
+            .attempt_sent(self.now, request.op, request.try_number, host);
+        if !known.ready || deadline <= self.now || answered {
+            return self.end_attempt(proxy, id, attempt, Outcome::NotSent, LoadReport::default());
         }
-        let wire = Wire {
+        let attempt_ref = AttemptRef {
             proxy,
             epoch,
             call: id,
             attempt,
             host,
         };
-        self.events.push(until, Rank::Attempt, Ev::Attempt(wire));
-        match self.checkout(proxy, host) {
-            Some(link) => self.start(wire, link),
-            None => match self.way(&wire, 0) {
-                Delivery::Arrives(at) => self.at(at, Ev::Syn(wire, self.now)),
-                Delivery::Lost => self.at(
-                    self.now + self.routed[ask.class].connect,
-                    Ev::Up(wire, None),
+        self.events.push(
+            deadline,
+            Priority::AttemptTimeout,
+            SimulationEvent::AttemptTimeout(attempt_ref),
+        );
+        match self.take_idle_connection(proxy, host) {
+            Some(connection) => self.write_request(attempt_ref, connection),
+            None => match self.send_packet(&attempt_ref, 0) {
+                Delivery::Arrives(at) => {
+                    self.schedule(at, SimulationEvent::ConnectArrives(attempt_ref, self.now))
+                }
+                Delivery::Lost => self.schedule(
+                    self.now + self.class_routes[request.class].connect_timeout,
+                    SimulationEvent::ConnectEnds(attempt_ref, None),
                 ),
             },
         }
         None
     }
 
-    fn near(&self, proxy: u32, host: usize) -> bool {
-        self.proxy_zones[proxy as usize] == self.zones[host]
+    fn same_zone(&self, proxy: u32, host: usize) -> bool {
+        self.proxy_zones[proxy as usize] == self.host_zones[host]
     }
 
-    /// A packet of an attempt. It is named by that: what becomes of it does not hang on what else is played.
-    fn way(&self, wire: &Wire, leg: u64) -> Delivery {
+    /// Sends a packet of an attempt. Its key in the random streams depends on the attempt alone, so that its fate does not
+    /// depend on other traffic.
+    fn send_packet(&self, attempt_ref: &AttemptRef, leg: u64) -> Delivery {
         let (op, number) = self
-            .ask_of(wire)
-            .map_or((0, 0), |a| (a.op.0, u64::from(a.try_number)));
-        let near = self.near(wire.proxy, wire.host);
-        let name = (
+            .request_of(attempt_ref)
+            .map_or((0, 0), |r| (r.op.0, u64::from(r.try_number)));
+        let same_zone = self.same_zone(attempt_ref.proxy, attempt_ref.host);
+        let key = (
             0x9ac,
             op,
-            (number << 16) | (u64::from(wire.attempt) << 8) | leg,
+            (number << 16) | (u64::from(attempt_ref.attempt) << 8) | leg,
         );
-        self.network.send(self.now, Some(wire.host), near, name)
+        self.network
+            .send(self.now, Some(attempt_ref.host), same_zone, key)
     }
 
-    /// A packet between a proxy and the list service.
-    fn list_way(&self, question: &Question, leg: u64) -> Delivery {
-        let name = (
+    /// Sends a packet between a proxy and the list service.
+    fn send_list_packet(&self, list_request: &ListRequest, leg: u64) -> Delivery {
+        let key = (
             0x1157,
-            u64::from(question.proxy),
-            (question.number << 8) | leg,
+            u64::from(list_request.proxy),
+            (list_request.number << 8) | leg,
         );
-        self.network.send(self.now, None, false, name)
+        self.network.send(self.now, None, false, key)
     }
 
-    /// An idle connection that is open, as far as the proxy can see.
-    fn checkout(&mut self, proxy: u32, host: usize) -> Option<Link> {
-        // As the program has it: well ahead of the host.
-        let most = self.scenario.network.idle_timeout / 4 * 3;
+    /// Takes an idle connection that is open as far as the proxy can tell.
+    fn take_idle_connection(&mut self, proxy: u32, host: usize) -> Option<Connection> {
+        // As in the proxy: connections are closed well before the host's idle timeout.
+        let max_idle = self.scenario.network.idle_timeout / 4 * 3;
         loop {
-            let link = self.proxies[proxy as usize].links.get_mut(&host)?.pop()?;
-            let idle = self.now.saturating_sub(link.idle_since);
-            let there = self.hosts[host].is_up() && self.hosts[host].started_at() == link.process;
-            // A host's close reaches the proxy before it looks.
-            if there && idle < most && idle < self.scenario.hosts[host].idle_timeout {
-                return Some(link);
+            let connection = self.proxies[proxy as usize]
+                .idle_connections
+                .get_mut(&host)?
+                .pop()?;
+            let idle = self.now.saturating_sub(connection.idle_since);
+            let same_process = self.hosts[host].is_up()
+                && self.hosts[host].started_at() == connection.process_start;
+            // If the host has closed the connection, the proxy has seen the close.
+            if same_process && idle < max_idle && idle < self.scenario.hosts[host].idle_timeout {
+                return Some(connection);
             }
-            self.close(link, u64::MAX);
+            self.close_connection(connection, u64::MAX);
         }
     }
 
-    /// Closes a connection; the host hears of it.
-    fn close(&mut self, link: Link, token: u64) {
-        let event = Ev::Dropped {
+    /// Closes a connection, which the host notices. `token` is the job that is abandoned with it; `u64::MAX`: none.
+    fn close_connection(&mut self, connection: Connection, token: u64) {
+        let event = SimulationEvent::ConnectionClosed {
             token,
-            host: link.host,
-            process: link.process,
+            host: connection.host,
+            process_start: connection.process_start,
         };
-        let name = (
+        let key = (
             0xc105e,
-            link.host as u64,
-            link.opened ^ (link.idle_since << 1),
+            connection.host as u64,
+            connection.opened_at ^ (connection.idle_since << 1),
         );
-        if let Delivery::Arrives(at) = self.network.send(self.now, Some(link.host), true, name) {
-            self.at(at, event);
+        if let Delivery::Arrives(at) = self
+            .network
+            .send(self.now, Some(connection.host), true, key)
+        {
+            self.schedule(at, event);
         }
     }
 
-    fn syn(&mut self, wire: Wire, began: Micros) {
-        let host = wire.host;
-        self.settle(host);
-        let taken = self.hosts[host].connect(self.now);
-        self.watch_host(host);
-        self.course.max_connections = self
-            .course
+    fn connect_arrives(&mut self, attempt_ref: AttemptRef, began_at: Micros) {
+        let host = attempt_ref.host;
+        self.advance_host(host);
+        let accepted = self.hosts[host].connect(self.now);
+        self.schedule_completion(host);
+        self.result.max_connections = self
+            .result
             .max_connections
             .max(self.hosts[host].connections());
-        let process = self.hosts[host].started_at();
-        let link = taken.then_some(Link {
+        let process_start = self.hosts[host].started_at();
+        let connection = accepted.then_some(Connection {
             host,
-            process,
-            opened: self.now,
+            process_start,
+            opened_at: self.now,
             idle_since: 0,
         });
-        let class = self.ask_of(&wire).map_or(0, |a| a.class);
-        let give_up = began + self.routed[class].connect;
-        match self.way(&wire, 1) {
-            Delivery::Arrives(at) if at <= give_up => self.at(at, Ev::Up(wire, link)),
+        let class = self.request_of(&attempt_ref).map_or(0, |r| r.class);
+        let times_out_at = began_at + self.class_routes[class].connect_timeout;
+        match self.send_packet(&attempt_ref, 1) {
+            Delivery::Arrives(at) if at <= times_out_at => {
+                self.schedule(at, SimulationEvent::ConnectEnds(attempt_ref, connection))
+            }
             _ => {
-                if let Some(link) = link {
-                    self.close(link, u64::MAX);
+                if let Some(connection) = connection {
+                    self.close_connection(connection, u64::MAX);
                 }
-                self.at(give_up, Ev::Up(wire, None));
+                self.schedule(
+                    times_out_at,
+                    SimulationEvent::ConnectEnds(attempt_ref, None),
+                );
             }
         }
     }
 
-    fn ask_of(&self, wire: &Wire) -> Option<ClientRequest> {
-        let shell = &self.proxies[wire.proxy as usize];
-        (shell.up && shell.epoch == wire.epoch)
-            .then(|| shell.calls.get(&wire.call).map(|c| c.ask))
+    fn request_of(&self, attempt_ref: &AttemptRef) -> Option<ClientRequest> {
+        let state = &self.proxies[attempt_ref.proxy as usize];
+        (state.up && state.epoch == attempt_ref.epoch)
+            .then(|| state.calls.get(&attempt_ref.call).map(|c| c.request))
             .flatten()
     }
 
-    fn attempt(&mut self, wire: &Wire) -> Option<&mut Attempt> {
-        let shell = &mut self.proxies[wire.proxy as usize];
-        if !shell.up || shell.epoch != wire.epoch {
+    fn in_flight_attempt(&mut self, attempt_ref: &AttemptRef) -> Option<&mut Attempt> {
+        let state = &mut self.proxies[attempt_ref.proxy as usize];
+        if !state.up || state.epoch != attempt_ref.epoch {
             return None;
         }
-        shell
+        state
             .calls
-            .get_mut(&wire.call)?
+            .get_mut(&attempt_ref.call)?
             .attempts
-            .get_mut(wire.attempt as usize)
-            .filter(|a| a.out)
+            .get_mut(attempt_ref.attempt as usize)
+            .filter(|a| a.in_flight)
     }
 
-    fn connected(&mut self, wire: Wire, link: Option<Link>) {
-        if self.attempt(&wire).is_none() {
-            if let Some(link) = link {
-                self.close(link, u64::MAX);
+    fn connect_ends(&mut self, attempt_ref: AttemptRef, connection: Option<Connection>) {
+        if self.in_flight_attempt(&attempt_ref).is_none() {
+            if let Some(connection) = connection {
+                self.close_connection(connection, u64::MAX);
             }
             return;
         }
-        match link {
-            Some(link) => self.start(wire, link),
-            None => self.ends(wire, Outcome::ConnectFailed, LoadReport::default()),
+        match connection {
+            Some(connection) => self.write_request(attempt_ref, connection),
+            None => self.report_outcome(attempt_ref, Outcome::ConnectFailed, LoadReport::default()),
         }
     }
 
-    /// The connection is there: may the first byte be written? The program asks the same.
-    fn start(&mut self, wire: Wire, link: Link) {
+    /// Writes the request to an established connection, unless it is too late for that. The proxy has the same check.
+    fn write_request(&mut self, attempt_ref: AttemptRef, connection: Connection) {
         let now = self.now;
-        let shell = &mut self.proxies[wire.proxy as usize];
-        let known = shell.hosts[wire.host];
-        let open = shell.calls.get(&wire.call).is_some_and(|c| !c.answered);
-        let Some(attempt) = self.attempt(&wire) else {
+        let state = &mut self.proxies[attempt_ref.proxy as usize];
+        let known = state.hosts[attempt_ref.host];
+        let call_open = state
+            .calls
+            .get(&attempt_ref.call)
+            .is_some_and(|c| !c.answered);
+        let Some(attempt) = self.in_flight_attempt(&attempt_ref) else {
             return;
         };
-        attempt.started = open && now < attempt.until && now < attempt.start_by && known.ready;
+        attempt.started =
+            call_open && now < attempt.deadline && now < attempt.start_by && known.ready;
         if !attempt.started {
-            attempt.link = Some(link);
-            self.keep(wire);
-            self.ends(wire, Outcome::NotSent, LoadReport::default());
+            attempt.connection = Some(connection);
+            self.keep_connection(attempt_ref);
+            self.report_outcome(attempt_ref, Outcome::NotSent, LoadReport::default());
             return;
         }
-        attempt.link = Some(link);
-        if let Delivery::Arrives(at) = self.way(&wire, 2) {
-            self.at(at, Ev::Arrives(wire, link));
+        attempt.connection = Some(connection);
+        if let Delivery::Arrives(at) = self.send_packet(&attempt_ref, 2) {
+            self.schedule(at, SimulationEvent::RequestArrives(attempt_ref, connection));
         }
     }
 
-    fn arrives(&mut self, wire: Wire, link: Link) {
-        let host = wire.host;
-        self.settle(host);
-        let dead = |f: &badgerramp_sim_model::Fault| {
+    fn request_arrives(&mut self, attempt_ref: AttemptRef, connection: Connection) {
+        let host = attempt_ref.host;
+        self.advance_host(host);
+        let connection_dead = |f: &badgerramp_sim_model::Fault| {
             let half_open = matches!(f.kind, FaultKind::HalfOpen { host: at } if at == host);
-            half_open && f.from <= self.now && link.opened < f.from
+            half_open && f.from <= self.now && connection.opened_at < f.from
         };
-        if self.scenario.faults.iter().any(dead) {
-            // Nobody is told.
+        if self.scenario.faults.iter().any(connection_dead) {
+            // The request is lost, and neither side notices.
             return;
         }
-        let Some(ask) = self.ask_of(&wire) else {
+        let Some(request) = self.request_of(&attempt_ref) else {
             return;
         };
-        let stale = self.hosts[host].started_at() != link.process || !self.hosts[host].is_up();
-        // The host closed it while the request was on its way.
-        let idle = link.idle_since > 0
-            && self.now >= link.idle_since + self.scenario.hosts[host].idle_timeout;
-        if stale || idle {
-            self.goes_back(wire, JobOutcome::Reset, HostLoad::default());
+        let stale =
+            self.hosts[host].started_at() != connection.process_start || !self.hosts[host].is_up();
+        // The host closed the idle connection while the request was in transit.
+        let idle_closed = connection.idle_since > 0
+            && self.now >= connection.idle_since + self.scenario.hosts[host].idle_timeout;
+        if stale || idle_closed {
+            self.send_response(attempt_ref, JobOutcome::Reset, HostLoad::default());
             return;
         }
         let token = self.next_token;
         self.next_token += 1;
-        let known = self.proxies[wire.proxy as usize].hosts[host];
+        let known = self.proxies[attempt_ref.proxy as usize].hosts[host];
         let job = Job {
             token,
-            op: ask.op,
-            attempt_id: (u64::from(ask.try_number) << 8) | u64::from(wire.attempt),
-            effect: self.scenario.classes[ask.class].effect,
-            work: ask.work,
-            expected_work: ask.expected_work,
-            sender_knows_start: known.started == self.hosts[host].started_at(),
+            op: request.op,
+            attempt_id: (u64::from(request.try_number) << 8) | u64::from(attempt_ref.attempt),
+            effect: self.scenario.classes[request.class].effect,
+            work: request.work,
+            expected_work: request.expected_work,
+            sender_knows_start: known.started_at == self.hosts[host].started_at(),
         };
-        self.course.record_event(self.now, 5, ask.op.0, host as u64);
-        let fell = self.hosts[host].collapsed().is_some();
-        let arrival = self.hosts[host].arrive(self.now, job, &mut self.memory);
-        self.course
-            .trace_operation(self.options.trace, ask.op, self.now, || {
+        self.result
+            .record_event(self.now, 5, request.op.0, host as u64);
+        let was_collapsed = self.hosts[host].collapsed().is_some();
+        let arrival = self.hosts[host].arrive(self.now, job, &mut self.dedup);
+        self.result
+            .trace_operation(self.options.trace, request.op, self.now, || {
                 format!(
                     "attempt {} reaches {}: {arrival:?}",
-                    wire.attempt, self.scenario.hosts[host].name
+                    attempt_ref.attempt, self.scenario.hosts[host].name
                 )
             });
-        if let (false, Some(pushed)) = (fell, self.hosts[host].collapsed()) {
-            if pushed {
-                let text = format!("{} was pushed over", self.scenario.hosts[host].name);
-                self.judge
+        if let (false, Some(by_new_sender)) = (was_collapsed, self.hosts[host].collapsed()) {
+            if by_new_sender {
+                let text = format!(
+                    "{} collapsed during its cold start",
+                    self.scenario.hosts[host].name
+                );
+                self.invariants
                     .record(Invariant::ColdPushed, self.now, None, text);
             }
-            self.host_dies(host);
+            self.crash_host(host);
         }
         match arrival {
             Arrival::Taken => {
-                self.jobs.insert(token, (wire, link, ask));
-                if let Some(attempt) = self.attempt(&wire) {
+                self.jobs.insert(token, (attempt_ref, connection, request));
+                if let Some(attempt) = self.in_flight_attempt(&attempt_ref) {
                     attempt.token = Some(token);
                 }
-                self.watch_host(host);
+                self.schedule_completion(host);
             }
-            Arrival::Ended(verdict) => {
+            Arrival::Ended(outcome) => {
                 let report = self.hosts[host].load();
-                self.goes_back(wire, verdict, report);
+                self.send_response(attempt_ref, outcome, report);
+            }
+            Arrival::Nobody => {
+                self.send_response(attempt_ref, JobOutcome::Reset, HostLoad::default())
             }
-            Arrival::Nobody => self.goes_back(wire, JobOutcome::Reset, HostLoad::default()),
         }
     }
 
-    fn goes_back(&mut self, wire: Wire, verdict: JobOutcome, report: HostLoad) {
-        if let Delivery::Arrives(at) = self.way(&wire, 3) {
-            self.at(at, Ev::Back(wire, verdict, report));
+    fn send_response(&mut self, attempt_ref: AttemptRef, outcome: JobOutcome, report: HostLoad) {
+        if let Delivery::Arrives(at) = self.send_packet(&attempt_ref, 3) {
+            self.schedule(
+                at,
+                SimulationEvent::ResponseArrives(attempt_ref, outcome, report),
+            );
         }
     }
 
-    /// Lets a host's time pass up to now.
-    fn settle(&mut self, host: usize) {
-        let mut done = std::mem::take(&mut self.done);
-        self.hosts[host].advance(self.now, &mut self.memory, &mut done);
-        for ended in done.drain(..) {
-            let Some((wire, _, ask)) = self.jobs.remove(&ended.job.token) else {
+    /// Advances a host to the current time and sends the responses of completed jobs.
+    fn advance_host(&mut self, host: usize) {
+        let mut completions = std::mem::take(&mut self.completions);
+        self.hosts[host].advance(self.now, &mut self.dedup, &mut completions);
+        for completion in completions.drain(..) {
+            let Some((attempt_ref, _, request)) = self.jobs.remove(&completion.job.token) else {
                 continue;
             };
-            self.course
-                .record_event(ended.at, 6, ended.job.op.0, host as u64);
-            if ended.took_effect {
-                self.judge.effect_executed(ended.at, ended.job.op, host);
+            self.result
+                .record_event(completion.at, 6, completion.job.op.0, host as u64);
+            if completion.took_effect {
+                self.invariants
+                    .effect_executed(completion.at, completion.job.op, host);
             }
-            self.course
-                .trace_operation(self.options.trace, ask.op, ended.at, || {
-                    let ran = if ended.took_effect {
-                        ", its effect came about"
+            self.result
+                .trace_operation(self.options.trace, request.op, completion.at, || {
+                    let effect = if completion.took_effect {
+                        ", took effect"
                     } else {
                         ""
                     };
                     format!(
-                        "attempt {} ends at {}: {:?}{ran}",
-                        wire.attempt, self.scenario.hosts[host].name, ended.outcome
+                        "attempt {} ends at {}: {:?}{effect}",
+                        attempt_ref.attempt, self.scenario.hosts[host].name, completion.outcome
                     )
                 });
-            self.goes_back(wire, ended.outcome, ended.load);
+            self.send_response(attempt_ref, completion.outcome, completion.load);
         }
-        self.done = done;
-        self.watch_host(host);
+        self.completions = completions;
+        self.schedule_completion(host);
     }
 
-    /// Makes sure that somebody looks when its next job ends.
-    fn watch_host(&mut self, host: usize) {
+    /// Schedules an event for the host's next job completion.
+    fn schedule_completion(&mut self, host: usize) {
         if let Some(at) = self.hosts[host].next_completion() {
-            if self.due[host].is_none_or(|due| at < due) {
-                self.due[host] = Some(at);
-                self.at(at, Ev::HostDue(host));
+            if self.completion_at[host].is_none_or(|due| at < due) {
+                self.completion_at[host] = Some(at);
+                self.schedule(at, SimulationEvent::JobCompletes(host));
             }
         }
     }
 
-    fn back(&mut self, wire: Wire, verdict: JobOutcome, report: HostLoad) {
-        if self.attempt(&wire).is_none() {
+    fn response_arrives(
+        &mut self,
+        attempt_ref: AttemptRef,
+        job_outcome: JobOutcome,
+        report: HostLoad,
+    ) {
+        if self.in_flight_attempt(&attempt_ref).is_none() {
             return;
         }
         let load = LoadReport {
@@ -1111,112 +1226,129 @@
             queued: Some(f64::from(report.queued)),
             ..LoadReport::default()
         };
-        let (outcome, load) = match verdict {
+        let (outcome, load) = match job_outcome {
             JobOutcome::Served => (Outcome::Served, load),
             JobOutcome::Failed => (Outcome::Error, load),
             JobOutcome::TurnedAway => (Outcome::Rejected, load),
             JobOutcome::Reset => (Outcome::Reset, LoadReport::default()),
             JobOutcome::Spoilt => (Outcome::Error, LoadReport::default()),
         };
-        match verdict {
-            JobOutcome::Served | JobOutcome::Failed | JobOutcome::TurnedAway => self.keep(wire),
+        match job_outcome {
+            JobOutcome::Served | JobOutcome::Failed | JobOutcome::TurnedAway => {
+                self.keep_connection(attempt_ref)
+            }
             JobOutcome::Reset | JobOutcome::Spoilt => {}
         }
-        self.ends(wire, outcome, load);
+        self.report_outcome(attempt_ref, outcome, load);
     }
 
-    /// Keeps the connection of an attempt for the next.
-    fn keep(&mut self, wire: Wire) {
+    /// Keeps the connection of an attempt for later attempts.
+    fn keep_connection(&mut self, attempt_ref: AttemptRef) {
         let now = self.now;
-        let Some(link) = self.attempt(&wire).and_then(|a| a.link.take()) else {
+        let Some(connection) = self
+            .in_flight_attempt(&attempt_ref)
+            .and_then(|a| a.connection.take())
+        else {
             return;
         };
-        let spares = self.spares;
-        let shell = &mut self.proxies[wire.proxy as usize];
-        let known = shell.hosts[wire.host];
+        let max_idle_connections = self.max_idle_connections;
+        let state = &mut self.proxies[attempt_ref.proxy as usize];
+        let known = state.hosts[attempt_ref.host];
         if !known.ready {
-            self.close(link, u64::MAX);
+            self.close_connection(connection, u64::MAX);
             return;
         }
-        let links = shell.links.entry(wire.host).or_default();
-        links.push(Link {
+        let connections = state.idle_connections.entry(attempt_ref.host).or_default();
+        connections.push(Connection {
             idle_since: now,
-            ..link
+            ..connection
         });
-        let surplus = (links.len() > spares).then(|| links.remove(0));
-        let (epoch, sweeps) = (shell.epoch, !std::mem::replace(&mut shell.sweeping, true));
-        if let Some(link) = surplus {
-            self.close(link, u64::MAX);
-        }
-        if sweeps {
-            self.at(
-                now + SWEEP,
-                Ev::Sweep {
-                    proxy: wire.proxy,
+        let surplus = (connections.len() > max_idle_connections).then(|| connections.remove(0));
+        let (epoch, schedule_sweep) = (
+            state.epoch,
+            !std::mem::replace(&mut state.sweep_scheduled, true),
+        );
+        if let Some(connection) = surplus {
+            self.close_connection(connection, u64::MAX);
+        }
+        if schedule_sweep {
+            self.schedule(
+                now + SWEEP_INTERVAL,
+                SimulationEvent::SweepIdle {
+                    proxy: attempt_ref.proxy,
                     epoch,
                 },
             );
         }
     }
 
-    fn sweep(&mut self, proxy: u32, epoch: u32) {
-        let most = self.scenario.network.idle_timeout / 4 * 3;
+    fn sweep_idle_connections(&mut self, proxy: u32, epoch: u32) {
+        let max_idle = self.scenario.network.idle_timeout / 4 * 3;
         let now = self.now;
-        let shell = &mut self.proxies[proxy as usize];
-        if !shell.up || shell.epoch != epoch {
+        let state = &mut self.proxies[proxy as usize];
+        if !state.up || state.epoch != epoch {
             return;
         }
         let mut closed = Vec::new();
         let hosts = &self.scenario.hosts;
-        let mut places: Vec<usize> = shell.links.keys().copied().collect();
-        places.sort_unstable();
-        for host in places {
-            let Some(links) = shell.links.get_mut(&host) else {
+        let mut connected: Vec<usize> = state.idle_connections.keys().copied().collect();
+        connected.sort_unstable();
+        for host in connected {
+            let Some(connections) = state.idle_connections.get_mut(&host) else {
                 continue;
             };
-            let ready = shell.hosts[host].ready;
-            links.retain(|link| {
-                let idle = now.saturating_sub(link.idle_since);
-                let stays = ready && idle < most && idle < hosts[host].idle_timeout;
-                if !stays {
-                    closed.push(*link);
+            let ready = state.hosts[host].ready;
+            connections.retain(|connection| {
+                let idle = now.saturating_sub(connection.idle_since);
+                let keep = ready && idle < max_idle && idle < hosts[host].idle_timeout;
+                if !keep {
+                    closed.push(*connection);
                 }
-                stays
+                keep
             });
-            if links.is_empty() {
-                shell.links.remove(&host);
+            if connections.is_empty() {
+                state.idle_connections.remove(&host);
             }
         }
-        shell.sweeping = !shell.links.is_empty();
-        if shell.sweeping {
-            self.at(now + SWEEP, Ev::Sweep { proxy, epoch });
+        state.sweep_scheduled = !state.idle_connections.is_empty();
+        if state.sweep_scheduled {
+            self.schedule(
+                now + SWEEP_INTERVAL,
+                SimulationEvent::SweepIdle { proxy, epoch },
+            );
         }
         closed
             .into_iter()
-            .for_each(|link| self.close(link, u64::MAX));
+            .for_each(|connection| self.close_connection(connection, u64::MAX));
     }
 
-    fn attempt_due(&mut self, wire: Wire) {
-        let Some(attempt) = self.attempt(&wire) else {
+    fn attempt_times_out(&mut self, attempt_ref: AttemptRef) {
+        let Some(attempt) = self.in_flight_attempt(&attempt_ref) else {
             return;
         };
-        // As in the program: what still waits for its connection never ran.
+        // As in the proxy: an attempt that still waits for its connection was not executed.
         let outcome = if attempt.started {
             Outcome::TimedOut
         } else {
             Outcome::ConnectFailed
         };
-        self.ends(wire, outcome, LoadReport::default());
+        self.report_outcome(attempt_ref, outcome, LoadReport::default());
     }
 
-    fn ends(&mut self, wire: Wire, outcome: Outcome, load: LoadReport) {
-        if let Some(event) = self.outcome(wire.proxy, wire.call, wire.attempt, outcome, load) {
-            self.tell(wire.proxy, event);
+    fn report_outcome(&mut self, attempt_ref: AttemptRef, outcome: Outcome, load: LoadReport) {
+        if let Some(event) = self.end_attempt(
+            attempt_ref.proxy,
+            attempt_ref.call,
+            attempt_ref.attempt,
+            outcome,
+            load,
+        ) {
+            self.handle_event(attempt_ref.proxy, event);
         }
     }
 
-    /// Notes the end of an attempt; None if it had ended before.
-    fn outcome(
+    /// Ends an attempt. Returns the event that reports its outcome; `None` if the attempt had ended before.
+    fn end_attempt(
         &mut self,
         proxy: u32,
         id: CallId,
@@ -1224,40 +1356,51 @@
         outcome: Outcome,
         load: LoadReport,
     ) -> Option<Event> {
-        let shell = &mut self.proxies[proxy as usize];
-        let call = shell.calls.get_mut(&id)?;
-        let ask = call.ask;
-        let attempt = call.attempts.get_mut(number as usize).filter(|a| a.out)?;
-        attempt.out = false;
-        let (elapsed, link, token) = (self.now - attempt.sent, attempt.link.take(), attempt.token);
-        self.judge.attempt_ended(
-            ask.op,
-            ask.try_number,
+        let state = &mut self.proxies[proxy as usize];
+        let call = state.calls.get_mut(&id)?;
+        let request = call.request;
+        let attempt = call
+            .attempts
+            .get_mut(number as usize)
+            .filter(|a| a.in_flight)?;
+        attempt.in_flight = false;
+        let (elapsed, connection, token) = (
+            self.now - attempt.sent_at,
+            attempt.connection.take(),
+            attempt.token,
+        );
+        self.invariants.attempt_ended(
+            request.op,
+            request.try_number,
             number as usize,
             outcome.proves_not_executed(),
         );
-        self.course.record_event(
+        self.result.record_event(
             self.now,
             7,
-            ask.op.0,
+            request.op.0,
             (u64::from(number) << 8) | outcome as u64,
         );
-        self.course
-            .trace_operation(self.options.trace, ask.op, self.now, || {
-                format!("attempt {number} is over: {outcome:?} after {elapsed} us")
+        self.result
+            .trace_operation(self.options.trace, request.op, self.now, || {
+                format!("attempt {number} ended: {outcome:?} after {elapsed} us")
             });
         let mut closed = call.answered;
         if outcome == Outcome::Served && !call.answered {
             call.answered = true;
-            shell.open -= 1;
+            state.open_calls -= 1;
             closed = true;
-            self.judge
-                .call_answered(self.now, ask.op, ask.try_number, FinalAnswer::Served);
-            self.client_hears(ask, Some(FinalAnswer::Served), None);
+            self.invariants.call_answered(
+                self.now,
+                request.op,
+                request.try_number,
+                FinalAnswer::Served,
+            );
+            self.client_receives(request, Some(FinalAnswer::Served), None);
         }
-        if let Some(link) = link {
-            // Its connection goes with it: the host learns that nobody waits.
-            self.close(link, token.unwrap_or(u64::MAX));
+        if let Some(connection) = connection {
+            // The connection is closed with the attempt, which tells the host to abandon the job.
+            self.close_connection(connection, token.unwrap_or(u64::MAX));
         }
         Some(Event::Outcome {
             call: id,
@@ -1269,109 +1412,130 @@
         })
     }
 
-    fn tidy(&mut self, proxy: u32, id: CallId) {
-        let shell = &mut self.proxies[proxy as usize];
-        if shell
+    /// Removes a call that is answered and has no attempt in flight.
+    fn remove_if_ended(&mut self, proxy: u32, id: CallId) {
+        let state = &mut self.proxies[proxy as usize];
+        if state
             .calls
             .get(&id)
-            .is_some_and(|c| c.answered && c.attempts.iter().all(|a| !a.out))
+            .is_some_and(|c| c.answered && c.attempts.iter().all(|a| !a.in_flight))
         {
-            shell.calls.remove(&id);
+            state.calls.remove(&id);
         }
     }
 
-    // The list.
+    // Endpoint list.
 
-    fn is_asking(&self, question: &Question) -> bool {
-        let shell = &self.proxies[question.proxy as usize];
-        shell.up && shell.epoch == question.epoch && shell.asking == Some(question.number)
+    /// Whether the proxy still waits for the response to this request.
+    fn is_pending(&self, list_request: &ListRequest) -> bool {
+        let state = &self.proxies[list_request.proxy as usize];
+        state.up
+            && state.epoch == list_request.epoch
+            && state.pending_list_request == Some(list_request.number)
     }
 
-    fn ask_list(&mut self, proxy: u32) {
-        self.ask_list_for(proxy, WATCH);
+    fn request_list(&mut self, proxy: u32) {
+        self.request_list_with_wait(proxy, WATCH_WAIT);
     }
 
-    fn ask_list_for(&mut self, proxy: u32, wait: Micros) {
-        let shell = &mut self.proxies[proxy as usize];
-        shell.questions += 1;
-        shell.asking = Some(shell.questions);
-        let (number, known, epoch) = (shell.questions, shell.version, shell.epoch);
-        let question = Question {
+    fn request_list_with_wait(&mut self, proxy: u32, wait: Micros) {
+        let state = &mut self.proxies[proxy as usize];
+        state.list_requests += 1;
+        state.pending_list_request = Some(state.list_requests);
+        let (number, known_version, epoch) = (state.list_requests, state.list_version, state.epoch);
+        let list_request = ListRequest {
             proxy,
             epoch,
             number,
-            known,
-            asked: self.now,
+            known_version,
+            sent_at: self.now,
             wait,
         };
-        let patience = if known.is_some() {
-            wait + WATCH_SILENCE
+        let timeout = if known_version.is_some() {
+            wait + WATCH_GRACE
         } else {
-            FETCH
+            FETCH_TIMEOUT
         };
-        self.at(self.now + patience, Ev::ListLate(question));
-        if let Delivery::Arrives(at) = self.list_way(&question, 0) {
-            self.at(at, Ev::ListAsked(question));
+        self.schedule(
+            self.now + timeout,
+            SimulationEvent::ListRequestTimeout(list_request),
+        );
+        if let Delivery::Arrives(at) = self.send_list_packet(&list_request, 0) {
+            self.schedule(at, SimulationEvent::ListRequestArrives(list_request));
         }
     }
 
-    fn list_answers(&mut self, question: Question) {
-        if !self.is_asking(&question) {
+    fn answer_list_request(&mut self, list_request: ListRequest) {
+        if !self.is_pending(&list_request) {
             return;
         }
-        let told = match self.list.respond(self.now, question.known) {
+        let response = match self
+            .list_service
+            .respond(self.now, list_request.known_version)
+        {
             ListResponse::NoResponse => return,
-            ListResponse::Unchanged if self.now < question.asked + question.wait => {
-                self.watching.push(question);
-                self.at(question.asked + question.wait, Ev::ListAnswers(question));
+            ListResponse::Unchanged if self.now < list_request.sent_at + list_request.wait => {
+                self.waiting_list_requests.push(list_request);
+                self.schedule(
+                    list_request.sent_at + list_request.wait,
+                    SimulationEvent::ListResponseDue(list_request),
+                );
                 return;
             }
             ListResponse::Unchanged => {
-                ListResponse::Changes(question.known.unwrap_or_default(), Vec::new())
+                ListResponse::Changes(list_request.known_version.unwrap_or_default(), Vec::new())
             }
-            told => told,
+            response => response,
         };
-        self.watching.retain(|w| w.proxy != question.proxy);
-        if let Delivery::Arrives(at) = self.list_way(&question, 1) {
-            self.at(at, Ev::ListTold(question, told));
+        self.waiting_list_requests
+            .retain(|w| w.proxy != list_request.proxy);
+        if let Delivery::Arrives(at) = self.send_list_packet(&list_request, 1) {
+            self.schedule(
+                at,
+                SimulationEvent::ListResponseArrives(list_request, response),
+            );
         }
     }
 
-    fn list_told(&mut self, question: Question, told: ListResponse) {
-        if !self.is_asking(&question) {
+    fn list_response_arrives(&mut self, list_request: ListRequest, response: ListResponse) {
+        if !self.is_pending(&list_request) {
             return;
         }
         if self.scenario.gossip_seeds > 0 {
-            self.proxies[question.proxy as usize].asking = None;
-            let answer = gossip::answer(told, self.now - question.asked, question.known.is_none());
+            self.proxies[list_request.proxy as usize].pending_list_request = None;
+            let answer = gossip::poll_answer(
+                response,
+                self.now - list_request.sent_at,
+                list_request.known_version.is_none(),
+            );
             let input = answer.map_or(Input::PollFailed { retry_after: None }, Input::PollAnswered);
-            return self.among(question.proxy, input);
+            return self.handle_gossip(list_request.proxy, input);
         }
-        let (kind, version, list) = match told {
+        let (kind, version, list) = match response {
             ListResponse::Full(version, list) => (ListUpdateKind::Full, version, list),
             ListResponse::Changes(version, list) => (ListUpdateKind::Delta, version, list),
-            ListResponse::Failed => return self.list_failed(question.proxy),
+            ListResponse::Failed => return self.list_request_fails(list_request.proxy),
             ListResponse::Unchanged | ListResponse::NoResponse => return,
         };
-        let proxy = question.proxy;
-        self.course
+        let proxy = list_request.proxy;
+        self.result
             .record_event(self.now, 8, u64::from(proxy), version);
-        let shell = &mut self.proxies[proxy as usize];
-        shell.version = Some(version);
-        shell.asking = None;
-        // The watch goes on at once.
-        self.ask_list(proxy);
-        self.learn(proxy, kind, list);
+        let state = &mut self.proxies[proxy as usize];
+        state.list_version = Some(version);
+        state.pending_list_request = None;
+        // The next watch starts at once.
+        self.request_list(proxy);
+        self.apply_list_update(proxy, kind, list);
     }
 
-    /// A proxy's list is this, or has changed by this.
-    fn learn(&mut self, proxy: u32, kind: ListUpdateKind, list: Vec<ListEntry>) {
-        let shell = &mut self.proxies[proxy as usize];
+    /// Applies a full list or changes of the list to a proxy.
+    fn apply_list_update(&mut self, proxy: u32, kind: ListUpdateKind, list: Vec<ListEntry>) {
+        let proxy_state = &mut self.proxies[proxy as usize];
         if kind == ListUpdateKind::Full {
-            for (host, known) in shell.hosts.iter_mut().enumerate() {
+            for (host, known) in proxy_state.hosts.iter_mut().enumerate() {
                 if known.ready && !list.iter().any(|e| e.host == host) {
                     known.ready = false;
-                    self.judge
+                    self.invariants
                         .host_status_received(self.now, proxy, host, false);
                 }
             }
@@ -1380,12 +1544,12 @@
         for ListEntry {
             host,
             state,
-            started_at: started,
+            started_at,
         } in list
         {
             let ready = state == 0;
-            shell.hosts[host] = Known { ready, started };
-            self.judge
+            proxy_state.hosts[host] = KnownHost { ready, started_at };
+            self.invariants
                 .host_status_received(self.now, proxy, host, ready);
             let spec = &self.scenario.hosts[host];
             entries.push(decisions::EndpointEntry {
@@ -1399,36 +1563,38 @@
                 cell: CellId(spec.group),
                 kind: settings::kind_id(&spec.kind),
                 weight: 1.0,
-                started,
+                started: started_at,
             });
         }
-        // What leads to one that takes no more is closed.
-        let mut gone: Vec<usize> = shell
-            .links
+        // Idle connections to hosts that take no more calls are closed.
+        let mut unavailable: Vec<usize> = proxy_state
+            .idle_connections
             .keys()
             .copied()
-            .filter(|h| !shell.hosts[*h].ready)
+            .filter(|h| !proxy_state.hosts[*h].ready)
             .collect();
-        gone.sort_unstable();
-        let gone: Vec<Link> = gone
+        unavailable.sort_unstable();
+        let closed: Vec<Connection> = unavailable
             .into_iter()
-            .filter_map(|h| shell.links.remove(&h))
+            .filter_map(|h| proxy_state.idle_connections.remove(&h))
             .flatten()
             .collect();
-        gone.into_iter().for_each(|link| self.close(link, u64::MAX));
-        self.tell(proxy, Event::EndpointList { kind, entries });
+        closed
+            .into_iter()
+            .for_each(|connection| self.close_connection(connection, u64::MAX));
+        self.handle_event(proxy, Event::EndpointList { kind, entries });
     }
 
-    fn list_failed(&mut self, proxy: u32) {
-        let shell = &mut self.proxies[proxy as usize];
-        shell.asking = None;
+    fn list_request_fails(&mut self, proxy: u32) {
+        let state = &mut self.proxies[proxy as usize];
+        state.pending_list_request = None;
         if self.scenario.gossip_seeds > 0 {
-            return self.among(proxy, Input::PollFailed { retry_after: None });
+            return self.handle_gossip(proxy, Input::PollFailed { retry_after: None });
         }
-        if std::mem::take(&mut shell.wanted) {
-            self.ask_list(proxy);
+        if std::mem::take(&mut state.list_wanted) {
+            self.request_list(proxy);
         }
-        self.tell(
+        self.handle_event(
             proxy,
             Event::EndpointList {
                 kind: ListUpdateKind::Failed,
@@ -1437,45 +1603,45 @@
         );
     }
 
-    fn list_changes(&mut self, entry: ListEntry) {
-        self.list.record_change(self.now, entry);
-        let at = self.list.changes().last().map_or(self.now, |l| l.0);
-        self.at(at, Ev::Listed);
+    fn publish_list_change(&mut self, entry: ListEntry) {
+        self.list_service.record_change(self.now, entry);
+        let published_at = self.list_service.changes().last().map_or(self.now, |c| c.0);
+        self.schedule(published_at, SimulationEvent::ListPublished);
     }
 
     // Hosts and faults.
 
-    fn host_starts(&mut self, host: usize) {
+    fn start_host(&mut self, host: usize) {
         self.hosts[host].start(self.now);
-        self.course.record_event(self.now, 9, host as u64, 0);
-        let started = self.hosts[host].started_at();
-        self.list_changes(ListEntry {
+        self.result.record_event(self.now, 9, host as u64, 0);
+        let started_at = self.hosts[host].started_at();
+        self.publish_list_change(ListEntry {
             host,
             state: 0,
-            started_at: started,
+            started_at,
         });
     }
 
-    /// What it had in hand is gone; those that wait for it hear of the end of their connections.
-    fn host_dies(&mut self, host: usize) {
-        let lost = self.hosts[host].crash(&mut self.memory);
-        for job in lost {
-            if let Some((wire, ..)) = self.jobs.remove(&job.token) {
-                self.goes_back(wire, JobOutcome::Reset, HostLoad::default());
+    /// Crashes a host: its jobs are lost, and the proxies that wait for them see their connections reset.
+    fn crash_host(&mut self, host: usize) {
+        let lost_jobs = self.hosts[host].crash(&mut self.dedup);
+        for job in lost_jobs {
+            if let Some((attempt_ref, ..)) = self.jobs.remove(&job.token) {
+                self.send_response(attempt_ref, JobOutcome::Reset, HostLoad::default());
             }
         }
     }
 
-    fn fault_begins(&mut self, n: usize) {
+    fn begin_fault(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
-        self.course.record_event(self.now, 10, n as u64, 0);
+        self.result.record_event(self.now, 10, n as u64, 0);
         if let Some(host) = fault.kind.host() {
-            self.settle(host);
+            self.advance_host(host);
         }
         match fault.kind {
             FaultKind::Crash { host } => {
-                self.host_dies(host);
-                self.list_changes(ListEntry {
+                self.crash_host(host);
+                self.publish_list_change(ListEntry {
                     host,
                     state: 2,
                     started_at: self.hosts[host].started_at(),
@@ -1483,60 +1649,60 @@
             }
             FaultKind::Drain { host } => {
                 self.hosts[host].drain();
-                self.list_changes(ListEntry {
+                self.publish_list_change(ListEntry {
                     host,
                     state: 1,
                     started_at: self.hosts[host].started_at(),
                 });
             }
             FaultKind::ProxyCrash { proxy } => {
-                let shell = &mut self.proxies[proxy as usize];
-                (shell.up, shell.peer) = (false, None);
-                // What it held is its clients' to repeat: they see the connection end.
-                let mut calls: Vec<(CallId, Call)> = shell.calls.drain().collect();
+                let state = &mut self.proxies[proxy as usize];
+                (state.up, state.peer) = (false, None);
+                // Clients whose calls are lost see their connections end, and may retry.
+                let mut calls: Vec<(CallId, Call)> = state.calls.drain().collect();
                 calls.sort_by_key(|c| c.0);
-                let links: Vec<Link> = {
-                    let mut all: Vec<_> = shell.links.drain().collect();
-                    all.sort_by_key(|l| l.0);
-                    all.into_iter().flat_map(|l| l.1).collect()
+                let connections: Vec<Connection> = {
+                    let mut all: Vec<_> = state.idle_connections.drain().collect();
+                    all.sort_by_key(|c| c.0);
+                    all.into_iter().flat_map(|c| c.1).collect()
                 };
-                self.judge.proxy_crashed(proxy);
-                links
+                self.invariants.proxy_crashed(proxy);
+                connections
                     .into_iter()
-                    .for_each(|link| self.close(link, u64::MAX));
+                    .for_each(|connection| self.close_connection(connection, u64::MAX));
                 for (_, call) in calls {
-                    for attempt in call.attempts.iter().filter(|a| a.out) {
-                        if let Some(link) = attempt.link {
-                            self.close(link, u64::MAX);
+                    for attempt in call.attempts.iter().filter(|a| a.in_flight) {
+                        if let Some(connection) = attempt.connection {
+                            self.close_connection(connection, u64::MAX);
                         }
                     }
                     if !call.answered {
-                        self.client_hears(call.ask, None, None);
+                        self.client_receives(call.request, None, None);
                     }
                 }
             }
             _ => {
                 if let Some(host) = fault.kind.host() {
                     self.hosts[host].begin_fault(self.now, &fault);
-                    // What was due later now; what is due is looked for anew.
-                    self.due[host] = None;
-                    self.watch_host(host);
+                    // The fault moves the completion times of the host's jobs.
+                    self.completion_at[host] = None;
+                    self.schedule_completion(host);
                 }
             }
         }
     }
 
-    fn fault_ends(&mut self, n: usize) {
+    fn end_fault(&mut self, n: usize) {
         let fault = self.scenario.faults[n];
-        self.course.record_event(self.now, 11, n as u64, 0);
+        self.result.record_event(self.now, 11, n as u64, 0);
         if let Some(host) = fault.kind.host() {
-            self.settle(host);
+            self.advance_host(host);
         }
         match fault.kind {
-            FaultKind::Crash { host } => self.host_starts(host),
+            FaultKind::Crash { host } => self.start_host(host),
             FaultKind::Drain { host } => {
-                self.host_dies(host);
-                self.list_changes(ListEntry {
+                self.crash_host(host);
+                self.publish_list_change(ListEntry {
                     host,
                     state: 2,
                     started_at: self.hosts[host].started_at(),
@@ -1554,24 +1720,24 @@
         }
     }
 
-    fn sample(&mut self) {
-        let (mut open, mut held) = (0, 0);
+    fn take_sample(&mut self) {
+        let (mut open_calls, mut queued_calls) = (0, 0);
         for proxy in self.proxies.iter().filter(|p| p.up) {
-            open += proxy.open as u64;
-            held += proxy.balancer.call_totals().queued as u64;
+            open_calls += proxy.open_calls as u64;
+            queued_calls += proxy.balancer.call_totals().queued as u64;
         }
-        self.judge.advance(self.now);
-        self.look_for_leaks(false);
+        self.invariants.advance(self.now);
+        self.check_leaks(false);
         let load = |h: &Host| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1));
-        self.course.samples.push(Sample {
+        self.result.samples.push(Sample {
             at_seconds: self.now as f64 / 1e6,
             in_flight_per_core: self.hosts.iter().map(load).collect(),
             connections: self.hosts.iter().map(Host::connections).collect(),
-            open_calls: open,
-            queued_calls: held,
+            open_calls,
+            queued_calls,
         });
         if self.now < self.scenario.duration + self.scenario.max_deadline() {
-            self.at(self.now + BIN_WIDTH, Ev::Sample);
+            self.schedule(self.now + BIN_WIDTH, SimulationEvent::Sample);
         }
     }
 }
