--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -1,6 +1,6 @@
-//! Many client proxies as tasks of one process: each runs the program's own sidecar with its own peers, policy client and
-//! list, and takes no calls. Orders come on standard input, what each proxy admits goes to standard output, and the log,
-//! in which each line has its proxy's name in a span, to standard error.
+//! A process with many hollow proxies: each is a task that runs the proxy's own sidecar code, with its own gossip peer,
+//! policy client and endpoint list, and receives no calls. The process reads orders from standard input and writes to
+//! standard output what each proxy admits. The log goes to standard error; the span of each line names its proxy.
 
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::sidecar;
@@ -20,64 +20,66 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tracing::Instrument;
 
-/// Between two looks at what each proxy admits.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two observations of what the proxies admit.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a proxy was last seen to admit.
-struct Seen {
+/// What a proxy admitted at each observation in this time span.
+struct Observation {
     admits: Admits,
     from: u64,
     until: u64,
 }
 
-/// A proxy that runs.
+/// A running proxy.
 struct Running {
+    /// Stops the proxy; `None` once that was ordered.
     stop: Option<oneshot::Sender<()>>,
     task: AbortHandle,
     gate: Rc<RefCell<Option<Rc<AdmissionGate>>>>,
-    seen: Option<Seen>,
+    observation: Option<Observation>,
 }
 
 /// All proxies of the process.
 struct Proxies {
-    folder: PathBuf,
+    /// Directory of the proxies' configuration files.
+    config_dir: PathBuf,
     running: BTreeMap<String, Running>,
     ended: mpsc::UnboundedSender<(String, Result<(), String>)>,
 }
 
-/// Runs the process: the argument is the folder of the proxies' files.
+/// Runs the process. The argument is the directory of the proxies' configuration files.
 pub fn main(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> ExitCode {
-    let Some(folder) = arguments.next() else {
-        eprintln!("badgerramp-sim: hollow proxies: no folder");
+    let Some(config_dir) = arguments.next() else {
+        eprintln!("badgerramp-sim: hollow proxies: directory of the configuration files missing");
         return ExitCode::from(2);
     };
     all_descriptors();
-    match run(PathBuf::from(folder)) {
+    match run(PathBuf::from(config_dir)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("badgerramp-sim: hollow proxies: {fault}");
+        Err(error) => {
+            eprintln!("badgerramp-sim: hollow proxies: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(folder: PathBuf) -> Result<(), String> {
+fn run(config_dir: PathBuf) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(folder))
+    LocalSet::new().block_on(&runtime, serve(config_dir))
 }
 
-/// Reads orders on a thread of its own: standard input can't be waited for otherwise.
-fn orders() -> mpsc::UnboundedReceiver<Order> {
+/// Reads the orders from standard input, on its own thread as the reads block.
+fn read_orders() -> mpsc::UnboundedReceiver<Order> {
     let (sender, receiver) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             let order = match serde_json::from_str(&line) {
                 Ok(order) => order,
-                Err(fault) => {
-                    eprintln!("badgerramp-sim: hollow proxies: {line:?}: {fault}");
+                Err(error) => {
+                    eprintln!("badgerramp-sim: hollow proxies: invalid order {line:?}: {error}");
                     continue;
                 }
             };
@@ -89,40 +91,41 @@
     receiver
 }
 
-async fn serve(folder: PathBuf) -> Result<(), String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let mut orders = orders();
+async fn serve(config_dir: PathBuf) -> Result<(), String> {
+    let mut sigterm = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+    let mut orders = read_orders();
     let (sender, mut ended) = mpsc::unbounded_channel();
     let mut proxies = Proxies {
-        folder,
+        config_dir,
         running: BTreeMap::new(),
         ended: sender,
     };
-    let mut looks = tokio::time::interval(LOOK_EVERY);
+    let mut observations = tokio::time::interval(OBSERVATION_INTERVAL);
     loop {
         tokio::select! {
-            _ = term.recv() => break,
+            _ = sigterm.recv() => break,
             order = orders.recv() => match order {
-                Some(order) => proxies.obey(order)?,
-                // Whoever gave orders has gone.
+                Some(order) => proxies.execute(order)?,
+                // The process that gives orders has ended.
                 None => break,
             },
-            Some((name, result)) = ended.recv() => proxies.has_ended(&name, result),
-            _ = looks.tick(), if !proxies.running.is_empty() => proxies.look(),
+            Some((name, result)) = ended.recv() => proxies.proxy_ended(&name, result),
+            _ = observations.tick(), if !proxies.running.is_empty() => proxies.observe(),
         }
     }
     Ok(())
 }
 
-fn tell(event: &Event) {
+/// Writes an event to standard output.
+fn report(event: &Event) {
     if let Ok(line) = serde_json::to_string(event) {
-        // Nobody listens at the end of the trial.
+        // The reader may be gone at the end of a trial.
         let _ = writeln!(std::io::stdout(), "{line}");
     }
 }
 
 impl Proxies {
-    fn obey(&mut self, order: Order) -> Result<(), String> {
+    fn execute(&mut self, order: Order) -> Result<(), String> {
         match order {
             Order::Start(name) => self.start(name)?,
             Order::End(name) => {
@@ -136,31 +139,31 @@
             }
             Order::Kill(name) => {
                 if let Some(mut proxy) = self.running.remove(&name) {
-                    proxy.look(&name);
-                    proxy.tell_seen(&name);
+                    proxy.observe(&name);
+                    proxy.report_observation(&name);
                     proxy.task.abort();
                 }
             }
             Order::Tell => {
                 for (name, proxy) in &mut self.running {
-                    proxy.look(name);
-                    proxy.tell_seen(name);
+                    proxy.observe(name);
+                    proxy.report_observation(name);
                 }
-                tell(&Event::Told);
+                report(&Event::Told);
             }
         }
         Ok(())
     }
 
     fn start(&mut self, name: String) -> Result<(), String> {
-        let path = self.folder.join(format!("{name}.toml"));
-        let (stop, stopped) = oneshot::channel();
+        let path = self.config_dir.join(format!("{name}.toml"));
+        let (stop, stop_ordered) = oneshot::channel();
         let gate = Rc::new(RefCell::new(None));
-        let served = serve_proxy(path, stopped, Rc::clone(&gate));
+        let proxy = serve_proxy(path, stop_ordered, Rc::clone(&gate));
         let span = tracing::info_span!(target: "badgerramp", "proxy", proxy = name.as_str());
         let (ended, own) = (self.ended.clone(), name.clone());
         let task = async move {
-            let result = served.await;
+            let result = proxy.await;
             let _ = ended.send((own, result));
         };
         let task = tokio::task::spawn_local(task.instrument(span)).abort_handle();
@@ -170,43 +173,43 @@
                 stop: Some(stop),
                 task,
                 gate,
-                seen: None,
+                observation: None,
             },
         );
         Ok(())
     }
 
-    fn has_ended(&mut self, name: &str, result: Result<(), String>) {
+    fn proxy_ended(&mut self, name: &str, result: Result<(), String>) {
         let Some(proxy) = self.running.remove(name) else {
             return;
         };
-        proxy.tell_seen(name);
+        proxy.report_observation(name);
         let why = match result {
-            // It was told to.
+            // The proxy ended because it was ordered to.
             Ok(()) if proxy.stop.is_none() => {
-                return tell(&Event::Stopped {
+                return report(&Event::Stopped {
                     proxy: name.to_owned(),
                 })
             }
-            Ok(()) => "it ended without being told to".to_owned(),
-            Err(fault) => fault,
+            Ok(()) => "the proxy ended without an order to stop".to_owned(),
+            Err(error) => error,
         };
-        tell(&Event::Ended {
+        report(&Event::Ended {
             proxy: name.to_owned(),
             why,
         });
     }
 
-    fn look(&mut self) {
+    fn observe(&mut self) {
         for (name, proxy) in &mut self.running {
-            proxy.look(name);
+            proxy.observe(name);
         }
     }
 }
 
 impl Running {
-    /// Looks at what it admits; tells of what it admitted before, if that was something else.
-    fn look(&mut self, name: &str) {
+    /// Observes what the proxy admits. If that has changed, reports the earlier observation.
+    fn observe(&mut self, name: &str) {
         let now = now();
         let admission = self
             .gate
@@ -220,11 +223,11 @@
             },
             Some(Admission::Fallback(_) | Admission::Denied(_)) | None => Admits::Nothing,
         };
-        match &mut self.seen {
-            Some(seen) if seen.admits == admits => seen.until = now,
+        match &mut self.observation {
+            Some(observation) if observation.admits == admits => observation.until = now,
             _ => {
-                self.tell_seen(name);
-                self.seen = Some(Seen {
+                self.report_observation(name);
+                self.observation = Some(Observation {
                     admits,
                     from: now,
                     until: now,
@@ -233,16 +236,17 @@
         }
     }
 
-    fn tell_seen(&self, name: &str) {
-        let Some(Seen {
+    /// Reports the current observation, if there is one.
+    fn report_observation(&self, name: &str) {
+        let Some(Observation {
             admits,
             from,
             until,
-        }) = &self.seen
+        }) = &self.observation
         else {
             return;
         };
-        tell(&Event::Admitted {
+        report(&Event::Admitted {
             proxy: name.to_owned(),
             admits: *admits,
             from: *from,
@@ -251,28 +255,30 @@
     }
 }
 
-/// Runs one proxy in a set of tasks of its own: the caller's span is round all of them, so that each line of the log tells
-/// which proxy it is of, and they end with it.
+/// Runs one proxy in its own task set. The caller's span applies to all of its tasks, so that each line of the log names the
+/// proxy, and the tasks end together with this one.
 async fn serve_proxy(
     path: PathBuf,
-    stopped: oneshot::Receiver<()>,
+    stop_ordered: oneshot::Receiver<()>,
     gate: Rc<RefCell<Option<Rc<AdmissionGate>>>>,
 ) -> Result<(), String> {
     start_log(&path)?;
     let stop = async move {
-        let _ = stopped.await;
+        let _ = stop_ordered.await;
     };
     let tasks = LocalSet::new();
     let served = sidecar::serve(&path, stop, move |own| *gate.borrow_mut() = Some(own));
     tasks
         .run_until(served)
         .await
-        .map_err(|fault| format!("{fault:?}"))
+        .map_err(|error| format!("{error:?}"))
 }
 
-/// Only the first proxy's counts: all files say the same of it.
+/// Starts the log with the settings of this proxy's file. Only the first call has an effect; all files have the same
+/// settings.
 fn start_log(path: &Path) -> Result<(), String> {
-    let config = badgerramp_config::load(path).map_err(|mistakes| mistakes.to_single_line())?;
+    let config =
+        badgerramp_config::load(path).map_err(|diagnostics| diagnostics.to_single_line())?;
     badgerramp::log::start(&config.log);
     Ok(())
 }
--- a/crates/simulator/src/simulation/virtual_time.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -1132,10 +1132,10 @@
                     attempt_ref.attempt, self.scenario.hosts[host].name
                 )
             });
-        if let (false, Some(by_new_sender)) = (was_collapsed, self.hosts[host].collapsed()) {
-            if by_new_sender {
+        if let (false, Some(by_informed_senders)) = (was_collapsed, self.hosts[host].collapsed()) {
+            if by_informed_senders {
                 let text = format!(
-                    "{} collapsed during its cold start",
+                    "{} collapsed while cold, under load from proxies that knew of its start",
                     self.scenario.hosts[host].name
                 );
                 self.invariants
--- a/crates/simulator/src/sockets/http_message.rs
+++ b/crates/simulator/src/sockets/http_message.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 messages as peers read and write them, without the library that the program uses for its own.
+//! Reads HTTP/1.1 messages for the stand-ins. It does not use the proxy's own HTTP code, which is under test.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A message that was read whole.
+/// A complete message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Message {
-    /// Method and target, or an empty text and the status.
+    /// Method and target of a request; an empty string and the status code of a response.
     pub(crate) start: (String, String),
     pub(crate) fields: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
@@ -25,34 +25,34 @@
     }
 }
 
-/// Most bytes of a message.
-const MOST: usize = 1 << 20;
+/// Maximum length of a body, and of the bytes that are buffered for a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-fn odd(text: &str) -> io::Error {
+fn invalid(text: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text.to_owned())
 }
 
-/// Reads one message from `stream`; what has come behind it stays in `rest`. None: the end of the connection came before
-/// any byte.
+/// Reads one message from `stream`. `rest` holds the bytes that were read beyond it, before and after the call. Returns
+/// `None` if the connection ends before the first byte of a message.
 ///
 /// # Errors
-/// If the connection breaks, ends within a message, or brings what is none.
+/// If the connection fails or ends within a message, or if the bytes are not a valid message.
 pub(crate) async fn read<S: AsyncRead + Unpin>(
     stream: &mut S,
     rest: &mut Vec<u8>,
-    answer: bool,
+    is_response: bool,
 ) -> io::Result<Option<Message>> {
     loop {
-        if let Some((message, length)) = parse(rest, answer)? {
+        if let Some((message, length)) = parse(rest, is_response)? {
             rest.drain(..length);
-            // What says no more than that an answer will come is passed over.
-            if answer && (100..200).contains(&message.status()) {
+            // Informational responses are skipped.
+            if is_response && (100..200).contains(&message.status()) {
                 continue;
             }
             return Ok(Some(message));
         }
-        if rest.len() > MOST {
-            return Err(odd("too long"));
+        if rest.len() > MAX_MESSAGE_BYTES {
+            return Err(invalid("message too long"));
         }
         if stream.read_buf(rest).await? == 0 {
             return if rest.is_empty() {
@@ -64,11 +64,11 @@
     }
 }
 
-fn parse(bytes: &[u8], answer: bool) -> io::Result<Option<(Message, usize)>> {
+fn parse(bytes: &[u8], is_response: bool) -> io::Result<Option<(Message, usize)>> {
     let mut fields = [httparse::EMPTY_HEADER; 64];
-    let (head, start, fields) = if answer {
+    let (head, start, fields) = if is_response {
         let mut parsed = httparse::Response::new(&mut fields);
-        let status = parsed.parse(bytes).map_err(|e| odd(&e.to_string()))?;
+        let status = parsed.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
         let httparse::Status::Complete(head) = status else {
             return Ok(None);
         };
@@ -79,7 +79,7 @@
         )
     } else {
         let mut parsed = httparse::Request::new(&mut fields);
-        let status = parsed.parse(bytes).map_err(|e| odd(&e.to_string()))?;
+        let status = parsed.parse(bytes).map_err(|e| invalid(&e.to_string()))?;
         let httparse::Status::Complete(head) = status else {
             return Ok(None);
         };
@@ -101,14 +101,16 @@
         body: Vec::new(),
     };
     let length = match message.field("content-length") {
-        Some(length) => length.parse::<usize>().map_err(|_| odd("an odd length"))?,
+        Some(length) => length
+            .parse::<usize>()
+            .map_err(|_| invalid("invalid content-length"))?,
         None if message.field("transfer-encoding").is_some() => {
-            return Err(odd("a coding that no peer here uses"))
+            return Err(invalid("unsupported transfer-encoding"))
         }
         None => 0,
     };
-    if length > MOST {
-        return Err(odd("too long"));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(invalid("message too long"));
     }
     let Some(body) = bytes.get(head..head + length) else {
         return Ok(None);
--- a/crates/simulator/src/sockets/memory_network.rs
+++ b/crates/simulator/src/sockets/memory_network.rs
@@ -1,8 +1,8 @@
-//! A network in memory, in the runtime's own time: streams with the ways, losses, partitions and dead connections of a
-//! scenario. The program's socket code runs on it unchanged.
+//! An in-memory network in the runtime's paused time. Its streams have the delays, losses, partitions and dead connections
+//! of the scenario. The proxy's socket code runs on it unchanged.
 
 use badgerramp::net::socket::{Connecting, Listener, Network, Stream};
-use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as Ways};
+use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as NetworkModel};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -15,13 +15,13 @@
 use tokio::io::ReadBuf;
 use tokio::time::{Instant, Sleep};
 
-/// The time of a course: microseconds since its start.
+/// The clock of a run: microseconds since the start of the run.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Time(Instant);
+pub(crate) struct RunClock(Instant);
 
-impl Time {
+impl RunClock {
     pub(crate) fn start() -> Self {
-        Time(Instant::now())
+        RunClock(Instant::now())
     }
 
     pub(crate) fn now(&self) -> Micros {
@@ -33,43 +33,46 @@
     }
 }
 
-/// Who is at one end.
+/// A party of the network, at one end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Who {
+pub(crate) enum Party {
     Client,
     Proxy(u32),
     Host(usize),
-    List,
+    ListService,
 }
 
-/// What goes one way.
+/// One direction of a connection.
 #[derive(Default)]
 struct Pipe {
-    /// When it arrives, when it was sent, and what.
+    /// Chunks in transit: time of arrival, time of sending, and content.
     chunks: VecDeque<(Micros, Micros, Bytes)>,
-    /// Nothing arrives before that: bytes keep their order.
-    last: Micros,
-    /// The end, and a break, arrive then.
-    closed: Option<Micros>,
-    broken: Option<Micros>,
-    /// Nothing arrives any more, and nobody is told.
+    /// Arrival time of the last chunk. Later ones don't arrive earlier, so bytes keep their order.
+    last_arrival: Micros,
+    /// Time at which the end of the stream arrives.
+    closed_at: Option<Micros>,
+    /// Time at which a reset arrives.
+    reset_at: Option<Micros>,
+    /// Nothing arrives any more, and neither side notices.
     dead: bool,
+    /// Whether the reading end was dropped.
     reader_gone: bool,
-    /// When what was read last had been sent.
-    read_sent: Micros,
+    /// Time at which the bytes that were read last had been sent.
+    last_read_sent_at: Micros,
     waker: Option<Waker>,
-    sent: u64,
+    packets_sent: u64,
 }
 
 impl Pipe {
-    fn next(&self) -> Option<Micros> {
+    /// Time of the next arrival: of a chunk, the end of the stream, or a reset.
+    fn next_arrival(&self) -> Option<Micros> {
         let chunk = self.chunks.front().map(|c| c.0);
         let end = if self.chunks.is_empty() {
-            self.closed
+            self.closed_at
         } else {
             None
         };
-        [chunk, end, self.broken].into_iter().flatten().min()
+        [chunk, end, self.reset_at].into_iter().flatten().min()
     }
 
     fn wake(&mut self) {
@@ -79,22 +82,24 @@
     }
 }
 
-/// What a connection is, for both of its ends.
-struct Link {
-    world: Rc<World>,
+/// The properties of a connection that its two ends share.
+struct ConnectionInfo {
+    network: Rc<MemoryNetwork>,
+    /// Identifies the connection in the random streams.
     number: u64,
-    /// The proxy's and the host's zones are one.
-    near: bool,
+    /// Whether proxy and host are in the same zone.
+    same_zone: bool,
     host: Option<usize>,
+    /// Connections of clients have no delay and no loss.
     local: bool,
-    opened: Micros,
+    opened_at: Micros,
 }
 
 /// One end of a connection.
-pub(crate) struct End {
-    link: Rc<Link>,
-    pub(crate) peer: Who,
-    own: Who,
+pub(crate) struct MemoryStream {
+    connection: Rc<ConnectionInfo>,
+    pub(crate) peer: Party,
+    own: Party,
     read: Rc<RefCell<Pipe>>,
     write: Rc<RefCell<Pipe>>,
     timer: RefCell<Option<Pin<Box<Sleep>>>>,
@@ -103,160 +108,169 @@
 
 /// Connections that wait to be accepted at an address.
 #[derive(Default)]
-struct Door {
-    waiting: VecDeque<Rc<End>>,
+struct AcceptQueue {
+    waiting: VecDeque<Rc<MemoryStream>>,
     waker: Option<Waker>,
 }
 
-/// Who is at an address, and who waits to be taken in there.
-type Served = (Who, Rc<RefCell<Door>>);
+/// The party that listens at an address, and its accept queue.
+type ListeningParty = (Party, Rc<RefCell<AcceptQueue>>);
 
-/// A host's word on a connection that comes in: does it take it?
-type Gate = Box<dyn Fn() -> bool>;
+/// Asks a host whether it accepts an incoming connection.
+type AcceptCheck = Box<dyn Fn() -> bool>;
 
-/// All that the network knows.
-pub(crate) struct World {
-    pub(crate) time: Time,
-    ways: Ways,
+/// The in-memory network of a run.
+pub(crate) struct MemoryNetwork {
+    pub(crate) clock: RunClock,
+    model: NetworkModel,
     faults: Vec<Fault>,
-    doors: RefCell<BTreeMap<SocketAddr, Served>>,
-    gates: RefCell<BTreeMap<usize, Gate>>,
+    listeners: RefCell<BTreeMap<SocketAddr, ListeningParty>>,
+    accept_checks: RefCell<BTreeMap<usize, AcceptCheck>>,
+    /// Zones of the proxies, and of the hosts.
     zones: (Vec<u32>, Vec<u32>),
-    numbers: RefCell<BTreeMap<(u64, u64), u64>>,
-    /// Ends that each proxy has open.
-    open: RefCell<BTreeMap<u32, usize>>,
+    /// Number of connections between each two parties so far.
+    connection_counts: RefCell<BTreeMap<(u64, u64), u64>>,
+    /// Number of open connection ends of each proxy.
+    open_ends: RefCell<BTreeMap<u32, usize>>,
 }
 
-impl World {
+impl MemoryNetwork {
     pub(crate) fn new(
-        time: Time,
-        ways: Ways,
+        clock: RunClock,
+        model: NetworkModel,
         faults: Vec<Fault>,
         zones: (Vec<u32>, Vec<u32>),
     ) -> Rc<Self> {
-        Rc::new(World {
-            time,
-            ways,
+        Rc::new(MemoryNetwork {
+            clock,
+            model,
             faults,
-            doors: RefCell::default(),
-            gates: RefCell::default(),
+            listeners: RefCell::default(),
+            accept_checks: RefCell::default(),
             zones,
-            numbers: RefCell::default(),
-            open: RefCell::default(),
+            connection_counts: RefCell::default(),
+            open_ends: RefCell::default(),
         })
     }
 
-    /// Connections to this address are taken in from now on.
-    pub(crate) fn listen(&self, address: SocketAddr, who: Who) -> Rc<Accepting> {
-        let door = Rc::new(RefCell::new(Door::default()));
-        self.doors
+    /// Starts to accept connections to this address, for this party.
+    pub(crate) fn listen(&self, address: SocketAddr, party: Party) -> Rc<MemoryListener> {
+        let queue = Rc::new(RefCell::new(AcceptQueue::default()));
+        self.listeners
             .borrow_mut()
-            .insert(address, (who, Rc::clone(&door)));
-        Rc::new(Accepting(door))
+            .insert(address, (party, Rc::clone(&queue)));
+        Rc::new(MemoryListener(queue))
     }
 
-    /// ... and from now on not.
-    pub(crate) fn shut(&self, address: SocketAddr) {
-        self.doors.borrow_mut().remove(&address);
+    /// Stops accepting connections to this address.
+    pub(crate) fn stop_listening(&self, address: SocketAddr) {
+        self.listeners.borrow_mut().remove(&address);
     }
 
-    pub(crate) fn gate(&self, host: usize, gate: Gate) {
-        self.gates.borrow_mut().insert(host, gate);
+    /// Sets the check that decides whether a host accepts a connection.
+    pub(crate) fn set_accept_check(&self, host: usize, check: AcceptCheck) {
+        self.accept_checks.borrow_mut().insert(host, check);
     }
 
-    /// Ends that a proxy has open.
-    pub(crate) fn open_at(&self, proxy: u32) -> usize {
-        self.open.borrow().get(&proxy).copied().unwrap_or(0)
+    /// Number of connection ends that a proxy has open.
+    pub(crate) fn open_ends(&self, proxy: u32) -> usize {
+        self.open_ends.borrow().get(&proxy).copied().unwrap_or(0)
     }
 
-    /// Lets all go that still waits.
+    /// Drops all listeners and checks. They refer back to the network, and would keep it alive after the run.
     pub(crate) fn close(&self) {
-        self.doors.borrow_mut().clear();
-        self.gates.borrow_mut().clear();
+        self.listeners.borrow_mut().clear();
+        self.accept_checks.borrow_mut().clear();
     }
 
-    fn number(&self, from: Who, to: Who) -> u64 {
-        let name = |who| match who {
-            Who::Client => 0,
-            Who::List => 1,
-            Who::Proxy(n) => 2 + (u64::from(n) << 2),
-            Who::Host(n) => 3 + ((n as u64) << 2),
+    /// The number of the next connection between two parties. It identifies the connection in the random streams, and does not
+    /// depend on connections between others.
+    fn next_connection_number(&self, from: Party, to: Party) -> u64 {
+        let party_key = |party| match party {
+            Party::Client => 0,
+            Party::ListService => 1,
+            Party::Proxy(n) => 2 + (u64::from(n) << 2),
+            Party::Host(n) => 3 + ((n as u64) << 2),
         };
-        let key = (name(from), name(to));
-        let mut numbers = self.numbers.borrow_mut();
-        let next = numbers.entry(key).or_insert(0);
+        let key = (party_key(from), party_key(to));
+        let mut counts = self.connection_counts.borrow_mut();
+        let next = counts.entry(key).or_insert(0);
         *next += 1;
         (key.0 << 40) ^ (key.1 << 20) ^ *next
     }
 
-    /// Opens a connection, from one place to another.
+    /// Opens a connection from a party to an address.
     pub(crate) async fn connect(
         self: Rc<Self>,
-        from: Who,
+        from: Party,
         address: SocketAddr,
-    ) -> io::Result<Rc<End>> {
-        let found = self
-            .doors
+    ) -> io::Result<Rc<MemoryStream>> {
+        let listener = self
+            .listeners
             .borrow()
             .get(&address)
-            .map(|d| (d.0, Rc::clone(&d.1)));
-        let to = found.as_ref().map_or(Who::List, |f| f.0);
+            .map(|l| (l.0, Rc::clone(&l.1)));
+        let to = listener.as_ref().map_or(Party::ListService, |l| l.0);
         let (host, local) = match (from, to) {
-            (Who::Proxy(_), Who::Host(host)) => (Some(host), false),
-            (Who::Client, _) => (None, true),
+            (Party::Proxy(_), Party::Host(host)) => (Some(host), false),
+            (Party::Client, _) => (None, true),
             _ => (None, false),
         };
-        let near = match (from, host) {
-            (Who::Proxy(proxy), Some(host)) => self.zones.0[proxy as usize] == self.zones.1[host],
+        let same_zone = match (from, host) {
+            (Party::Proxy(proxy), Some(host)) => self.zones.0[proxy as usize] == self.zones.1[host],
             _ => false,
         };
-        let number = self.number(from, to);
+        let number = self.next_connection_number(from, to);
         for leg in 0..2 {
             if local {
                 break;
             }
             match self
-                .ways
-                .send(self.time.now(), host, near, (0x5711, number, leg))
+                .model
+                .send(self.clock.now(), host, same_zone, (0x5711, number, leg))
             {
-                Delivery::Arrives(at) => tokio::time::sleep_until(self.time.instant(at)).await,
+                Delivery::Arrives(at) => tokio::time::sleep_until(self.clock.instant(at)).await,
                 Delivery::Lost => std::future::pending().await,
             }
             if leg == 0 {
-                let taken =
-                    host.is_none_or(|h| self.gates.borrow().get(&h).is_none_or(|gate| gate()));
-                if found.is_none() || !taken {
+                let accepted = host.is_none_or(|h| {
+                    self.accept_checks
+                        .borrow()
+                        .get(&h)
+                        .is_none_or(|check| check())
+                });
+                if listener.is_none() || !accepted {
                     return Err(io::ErrorKind::ConnectionRefused.into());
                 }
             }
         }
-        // It may have gone while the answer was on its way.
-        let Some((_, door)) = self
-            .doors
+        // The listener may have stopped while the answer to the connect was in transit.
+        let Some((_, queue)) = self
+            .listeners
             .borrow()
             .get(&address)
-            .map(|d| (d.0, Rc::clone(&d.1)))
+            .map(|l| (l.0, Rc::clone(&l.1)))
         else {
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
-        let link = Rc::new(Link {
-            world: Rc::clone(&self),
+        let connection = Rc::new(ConnectionInfo {
+            network: Rc::clone(&self),
             number,
-            near,
+            same_zone,
             host,
             local,
-            opened: self.time.now(),
+            opened_at: self.clock.now(),
         });
         let pipes = [
             Rc::new(RefCell::new(Pipe::default())),
             Rc::new(RefCell::new(Pipe::default())),
         ];
         let end = |own, peer, read: usize| {
-            if let Who::Proxy(proxy) = own {
-                *self.open.borrow_mut().entry(proxy).or_default() += 1;
+            if let Party::Proxy(proxy) = own {
+                *self.open_ends.borrow_mut().entry(proxy).or_default() += 1;
             }
-            Rc::new(End {
-                link: Rc::clone(&link),
+            Rc::new(MemoryStream {
+                connection: Rc::clone(&connection),
                 peer,
                 own,
                 read: Rc::clone(&pipes[read]),
@@ -266,33 +280,34 @@
             })
         };
         let (near_end, far_end) = (end(from, to, 0), end(to, from, 1));
-        let mut door = door.borrow_mut();
-        door.waiting.push_back(far_end);
-        if let Some(waker) = door.waker.take() {
+        let mut queue = queue.borrow_mut();
+        queue.waiting.push_back(far_end);
+        if let Some(waker) = queue.waker.take() {
             waker.wake();
         }
         Ok(near_end)
     }
 }
 
-impl Link {
-    /// When what is sent now arrives; None: never.
-    fn arrives(&self, leg: u64) -> Option<Micros> {
-        let now = self.world.time.now();
+impl ConnectionInfo {
+    /// Time at which a packet that is sent now arrives; `None`: never.
+    fn arrival(&self, leg: u64) -> Option<Micros> {
+        let now = self.network.clock.now();
         if self.local {
             return Some(now);
         }
         let half_open = |f: &Fault| {
-            let here = matches!(f.kind, FaultKind::HalfOpen { host } if Some(host) == self.host);
-            here && f.from <= now && self.opened < f.from
+            let affects_host =
+                matches!(f.kind, FaultKind::HalfOpen { host } if Some(host) == self.host);
+            affects_host && f.from <= now && self.opened_at < f.from
         };
-        if self.world.faults.iter().any(half_open) {
+        if self.network.faults.iter().any(half_open) {
             return None;
         }
         match self
-            .world
-            .ways
-            .send(now, self.host, self.near, (0xb17e, self.number, leg))
+            .network
+            .model
+            .send(now, self.host, self.same_zone, (0xb17e, self.number, leg))
         {
             Delivery::Arrives(at) => Some(at),
             Delivery::Lost => None,
@@ -300,29 +315,29 @@
     }
 }
 
-impl End {
-    /// When what was read last had been sent.
-    pub(crate) fn read_sent(&self) -> Micros {
-        self.read.borrow().read_sent
+impl MemoryStream {
+    /// Time at which the bytes that were read last had been sent.
+    pub(crate) fn last_read_sent_at(&self) -> Micros {
+        self.read.borrow().last_read_sent_at
     }
 
-    /// Breaks the connection: the other side is told as far as anything reaches it.
+    /// Resets the connection. The other side notices unless the packet is lost.
     pub(crate) fn abort(&self) {
         self.aborted.set(true);
         let mut pipe = self.write.borrow_mut();
-        let leg = self.leg(&mut pipe);
-        match self.link.arrives(leg) {
-            Some(at) => pipe.broken = Some(at),
+        let leg = self.next_leg(&mut pipe);
+        match self.connection.arrival(leg) {
+            Some(at) => pipe.reset_at = Some(at),
             None => pipe.dead = true,
         }
         pipe.wake();
     }
 
-    /// Names a packet: its direction and its number.
-    fn leg(&self, pipe: &mut Pipe) -> u64 {
-        pipe.sent += 1;
-        pipe.sent * 4
-            + if matches!(self.own, Who::Proxy(_)) {
+    /// The key of the next packet in the random streams: its direction and its number.
+    fn next_leg(&self, pipe: &mut Pipe) -> u64 {
+        pipe.packets_sent += 1;
+        pipe.packets_sent * 4
+            + if matches!(self.own, Party::Proxy(_)) {
                 2
             } else {
                 3
@@ -330,41 +345,41 @@
     }
 }
 
-impl Stream for End {
+impl Stream for MemoryStream {
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let now = self.link.world.time.now();
+        let now = self.connection.network.clock.now();
         let mut pipe = self.read.borrow_mut();
-        if pipe.broken.is_some_and(|at| at <= now) {
+        if pipe.reset_at.is_some_and(|at| at <= now) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if let Some((_, sent, chunk)) = pipe.chunks.front_mut().filter(|c| c.0 <= now) {
+        if let Some((_, sent_at, chunk)) = pipe.chunks.front_mut().filter(|c| c.0 <= now) {
             let count = chunk.len().min(buf.remaining());
             buf.put_slice(&chunk.split_to(count));
-            let (sent, done) = (*sent, chunk.is_empty());
-            pipe.read_sent = sent;
+            let (sent_at, done) = (*sent_at, chunk.is_empty());
+            pipe.last_read_sent_at = sent_at;
             if done {
                 pipe.chunks.pop_front();
             }
             return Poll::Ready(Ok(()));
         }
-        if pipe.chunks.is_empty() && pipe.closed.is_some_and(|at| at <= now) {
+        if pipe.chunks.is_empty() && pipe.closed_at.is_some_and(|at| at <= now) {
             return Poll::Ready(Ok(()));
         }
         pipe.waker = Some(cx.waker().clone());
-        let next = pipe.next();
+        let next = pipe.next_arrival();
         drop(pipe);
         let mut timer = self.timer.borrow_mut();
         let Some(next) = next else {
             *timer = None;
             return Poll::Pending;
         };
-        let at = self.link.world.time.instant(next);
+        let at = self.connection.network.clock.instant(next);
         let sleep = timer.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(at)));
         if sleep.deadline() != at {
             sleep.as_mut().reset(at);
         }
         if std::future::Future::poll(sleep.as_mut(), cx).is_ready() {
-            // It is due now: look again.
+            // The arrival is due now: poll again.
             *timer = None;
             cx.waker().wake_by_ref();
         }
@@ -372,25 +387,25 @@
     }
 
     fn poll_write(&self, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let now = self.link.world.time.now();
-        if self.read.borrow().broken.is_some_and(|at| at <= now) || self.aborted.get() {
+        let now = self.connection.network.clock.now();
+        if self.read.borrow().reset_at.is_some_and(|at| at <= now) || self.aborted.get() {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         let mut pipe = self.write.borrow_mut();
-        let leg = self.leg(&mut pipe);
-        let arrives = self.link.arrives(leg).filter(|_| !pipe.dead);
-        match arrives {
-            // The system takes it all the same.
+        let leg = self.next_leg(&mut pipe);
+        let arrival = self.connection.arrival(leg).filter(|_| !pipe.dead);
+        match arrival {
+            // As on a real socket, the write succeeds although the bytes are lost.
             None => pipe.dead = true,
             Some(at) if pipe.reader_gone => {
-                // Nobody is there to read it: the answer to that is a break.
-                let mut back = self.read.borrow_mut();
-                back.broken.get_or_insert(at + at.saturating_sub(now));
-                back.wake();
+                // The other side has closed the connection, and answers with a reset.
+                let mut reverse = self.read.borrow_mut();
+                reverse.reset_at.get_or_insert(at + at.saturating_sub(now));
+                reverse.wake();
             }
             Some(at) => {
-                let at = at.max(pipe.last);
-                pipe.last = at;
+                let at = at.max(pipe.last_arrival);
+                pipe.last_arrival = at;
                 pipe.chunks
                     .push_back((at, now, Bytes::copy_from_slice(buf)));
                 pipe.wake();
@@ -401,27 +416,27 @@
 
     fn shutdown(&self) {
         let mut pipe = self.write.borrow_mut();
-        if pipe.closed.is_some() || pipe.dead {
+        if pipe.closed_at.is_some() || pipe.dead {
             return;
         }
-        let leg = self.leg(&mut pipe);
-        match self.link.arrives(leg) {
-            Some(at) => pipe.closed = Some(at.max(pipe.last)),
+        let leg = self.next_leg(&mut pipe);
+        match self.connection.arrival(leg) {
+            Some(at) => pipe.closed_at = Some(at.max(pipe.last_arrival)),
             None => pipe.dead = true,
         }
         pipe.wake();
     }
 
     fn quiet(&self) -> bool {
-        let now = self.link.world.time.now();
-        self.read.borrow().next().is_none_or(|at| at > now)
+        let now = self.connection.network.clock.now();
+        self.read.borrow().next_arrival().is_none_or(|at| at > now)
     }
 
     fn take(&self, buf: &mut [u8]) -> io::Result<usize> {
         if self.quiet() {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        // Something is due, so that nobody is to be woken.
+        // Something has arrived, so the read does not have to register a waker.
         let mut buf = ReadBuf::new(buf);
         match self.poll_read(&mut Context::from_waker(std::task::Waker::noop()), &mut buf) {
             Poll::Ready(read) => read.map(|()| buf.filled().len()),
@@ -434,66 +449,73 @@
     }
 }
 
-impl Drop for End {
+impl Drop for MemoryStream {
     fn drop(&mut self) {
-        let now = self.link.world.time.now();
+        let now = self.connection.network.clock.now();
         let mut read = self.read.borrow_mut();
         read.reader_gone = true;
         let unread = read.chunks.front().is_some_and(|c| c.0 <= now);
         drop(read);
         if !self.aborted.get() {
             if unread {
-                // What was not read is told by a break, as the system does it.
+                // As on a real socket, closing with unread bytes sends a reset.
                 self.abort();
             } else {
                 self.shutdown();
             }
         }
-        if let Who::Proxy(proxy) = self.own {
-            if let Some(open) = self.link.world.open.borrow_mut().get_mut(&proxy) {
+        if let Party::Proxy(proxy) = self.own {
+            if let Some(open) = self
+                .connection
+                .network
+                .open_ends
+                .borrow_mut()
+                .get_mut(&proxy)
+            {
                 *open -= 1;
             }
         }
     }
 }
 
-/// Takes connections in.
-pub(crate) struct Accepting(Rc<RefCell<Door>>);
+/// Accepts the connections to an address.
+pub(crate) struct MemoryListener(Rc<RefCell<AcceptQueue>>);
 
-impl Accepting {
-    pub(crate) fn poll_end(&self, cx: &mut Context<'_>) -> Poll<Rc<End>> {
-        let mut door = self.0.borrow_mut();
-        match door.waiting.pop_front() {
-            Some(end) => Poll::Ready(end),
+impl MemoryListener {
+    pub(crate) fn poll_stream(&self, cx: &mut Context<'_>) -> Poll<Rc<MemoryStream>> {
+        let mut queue = self.0.borrow_mut();
+        match queue.waiting.pop_front() {
+            Some(stream) => Poll::Ready(stream),
             None => {
-                door.waker = Some(cx.waker().clone());
+                queue.waker = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
     }
 
-    pub(crate) async fn accept(&self) -> Rc<End> {
-        std::future::poll_fn(|cx| self.poll_end(cx)).await
+    pub(crate) async fn accept(&self) -> Rc<MemoryStream> {
+        std::future::poll_fn(|cx| self.poll_stream(cx)).await
     }
 }
 
-impl Listener for Accepting {
+impl Listener for MemoryListener {
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>> {
-        self.poll_end(cx).map(|end| Ok(end as Rc<dyn Stream>))
+        self.poll_stream(cx)
+            .map(|stream| Ok(stream as Rc<dyn Stream>))
     }
 }
 
-/// The network as a proxy sees it.
-pub(crate) struct From(pub(crate) Rc<World>, pub(crate) Who);
+/// The network as one party connects to it.
+pub(crate) struct PartyNetwork(pub(crate) Rc<MemoryNetwork>, pub(crate) Party);
 
-impl Network for From {
+impl Network for PartyNetwork {
     fn connect(&self, address: SocketAddr) -> Connecting {
-        let (world, who) = (Rc::clone(&self.0), self.1);
+        let (network, party) = (Rc::clone(&self.0), self.1);
         Box::pin(async move {
-            world
-                .connect(who, address)
+            network
+                .connect(party, address)
                 .await
-                .map(|end| end as Rc<dyn Stream>)
+                .map(|stream| stream as Rc<dyn Stream>)
         })
     }
 }
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -1,7 +1,8 @@
-//! A scenario on sockets, in two ways. In memory: the program's own front, driver, hosts and discovery code over a network
-//! in memory, under the runtime's paused time; one thread, and nothing that hangs on hash seeds or on the machine's
-//! clock, so that the same seed gives the same course. Really: the built program, as processes on loopback. Hosts, list
-//! service and clients are the same code in both.
+//! The two backends that run a scenario on sockets. Hosts, list service and clients are the same stand-ins in both.
+//!
+//! - In memory: the proxy's socket code on an in-memory network, under the runtime's paused time. The run has a single thread
+//!   and depends neither on hash seeds nor on the machine's clock, so that the same seed gives the same run.
+//! - On loopback: the built program as processes, in real time.
 
 mod http_message;
 mod memory_network;
@@ -18,11 +19,11 @@
 use badgerramp::sidecar;
 use badgerramp_sim_model::{
     ClientRequest, DedupStore, FaultKind, Host, Invariant, InvariantChecker, ListEntry,
-    ListService, LoadGenerator, Micros, Network as Ways, OpId, RandomStreams, Scenario,
+    ListService, LoadGenerator, Micros, Network as NetworkModel, OpId, RandomStreams, Scenario,
 };
 use badgerramp_testkit::Proxy;
-use memory_network::{Time, Who, World};
-use stand_ins::{host_address, list_address, proxy_address, HostCell};
+use memory_network::{MemoryNetwork, Party, RunClock};
+use stand_ins::{host_address, list_address, proxy_address, HostStandIn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,96 +33,100 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet};
-use transport::{Around, Door, Io, Loopback};
+use transport::{Connection, Listener, Loopback, Transport};
 
-/// The Unix time at which each course starts, in microseconds.
-const UNIX: Micros = 1_700_000_000_000_000;
-/// The runtime's timers go by whole milliseconds, and a request passes several on its way.
+/// Unix time at which in-memory runs start, in microseconds.
+const UNIX_START: Micros = 1_700_000_000_000_000;
+/// Tolerance of the invariants for delays outside the proxy: the runtime's timers have a resolution of a millisecond, and a
+/// request passes several of them.
 const SLACK: Micros = 10_000;
-/// On a machine that does other things as well.
+/// The same on loopback, where other load on the machine adds delays.
 const REAL_SLACK: Micros = 150_000;
-/// Requests and time that a real play has at the most.
-const REQUESTS_MOST: f64 = 200_000.0;
-const REAL_MOST: Micros = 600_000_000;
-/// What was on its way when the load ended has this long to end.
-const AFTERMATH: Duration = Duration::from_secs(4);
+/// Maximum number of requests of a run on loopback.
+const MAX_REAL_REQUESTS: f64 = 200_000.0;
+/// Maximum duration of a run on loopback.
+const MAX_REAL_DURATION: Micros = 600_000_000;
+/// Time after the end of the load in which open calls can finish.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// A proxy that runs.
+/// A running proxy.
 enum Running {
-    /// In this process.
-    Inside {
+    /// Tasks of this process.
+    InProcess {
         task: JoinHandle<Result<(), String>>,
-        seen: Seen,
+        internals: ProxyInternals,
     },
-    /// As a process of its own.
+    /// A process of its own.
     Process(Proxy),
 }
 
-/// A program, and what comes before its own arguments.
+/// Path of a program, and the arguments that precede its own ones.
 type Program = (PathBuf, Vec<&'static str>);
 
-/// What can be seen of a proxy that runs in this process.
-type Seen = Rc<RefCell<Option<(Driver, Rc<Descriptors>)>>>;
+/// The parts of an in-process proxy that the invariants inspect; `None` until it has started.
+type ProxyInternals = Rc<RefCell<Option<(Driver, Rc<Descriptors>)>>>;
 
-/// What all peers share.
+/// The state of a run that all stand-ins share.
 struct Shared {
     scenario: Arc<Scenario>,
-    draws: RandomStreams,
+    random: RandomStreams,
     options: RunOptions,
-    around: Around,
-    /// Unix time at the start of the course.
-    unix: Micros,
-    /// What the ways outside the proxy may take.
+    transport: Transport,
+    /// Unix time at the start of the run.
+    unix_start: Micros,
+    /// Tolerance for delays outside the proxy.
     slack: Micros,
-    /// The built program, for a real play.
+    /// The built program, for a run on loopback.
     program: Program,
-    /// Where each proxy finds the list service.
-    lists: RefCell<BTreeMap<u32, SocketAddr>>,
-    hosts: Vec<Rc<HostCell>>,
-    memory: RefCell<DedupStore>,
-    list: RefCell<ListService>,
-    listed: Notify,
+    /// Address of the list service for each proxy, on loopback.
+    list_addresses: RefCell<BTreeMap<u32, SocketAddr>>,
+    hosts: Vec<Rc<HostStandIn>>,
+    dedup: RefCell<DedupStore>,
+    list_service: RefCell<ListService>,
+    list_changed: Notify,
     clients: RefCell<LoadGenerator>,
-    judge: RefCell<InvariantChecker>,
-    course: RefCell<RunResult>,
-    /// Tries by their names.
-    asks: RefCell<BTreeMap<(OpId, u32), ClientRequest>>,
-    /// Connections that clients keep to each proxy.
-    kept: RefCell<BTreeMap<u32, Vec<Io>>>,
-    /// Which start of which host each proxy was told of.
-    told: RefCell<BTreeMap<(u32, usize), Micros>>,
+    invariants: RefCell<InvariantChecker>,
+    result: RefCell<RunResult>,
+    /// The client requests, by operation and try.
+    requests: RefCell<BTreeMap<(OpId, u32), ClientRequest>>,
+    /// Idle connections of clients to each proxy.
+    idle_connections: RefCell<BTreeMap<u32, Vec<Connection>>>,
+    /// The start time of each host that each proxy was last told.
+    known_starts: RefCell<BTreeMap<(u32, usize), Micros>>,
     proxies: RefCell<BTreeMap<u32, Running>>,
+    /// Number of crashes of each proxy.
     epochs: RefCell<BTreeMap<u32, u64>>,
-    tokens: Cell<u64>,
+    /// Number of tokens given out to jobs.
+    token_count: Cell<u64>,
 }
 
 thread_local! {
-    /// What panicked on this thread, in words.
+    /// Messages of the panics on this thread.
     static PANICS: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Panics of the code under test are a find like any other.
-fn note_panics() {
+/// Records panics, so that a panic of the code under test counts as a violation.
+fn install_panic_hook() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
-        let before = std::panic::take_hook();
+        let previous = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
             PANICS.with(|p| p.borrow_mut().push(info.to_string()));
-            before(info);
+            previous(info);
         }));
     });
 }
 
-/// Plays a scenario on the program's socket code.
+/// Runs a scenario with the proxy's socket code on the in-memory network.
 ///
 /// # Errors
-/// If the operator's file that it makes is refused, or the runtime can't be made.
+/// If the operator's file generated from the scenario is invalid, or the runtime can't be built.
 pub fn run_in_memory(
     scenario: &Arc<Scenario>,
     options: RunOptions,
 ) -> Result<RunResult, SimulationError> {
     operator_file::parse(scenario)?;
-    note_panics();
+    install_panic_hook();
     PANICS.with(|p| p.borrow_mut().clear());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -129,37 +134,38 @@
         .build();
     let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
-    set.block_on(&runtime, course(Arc::clone(scenario), options, None))
+    set.block_on(&runtime, run(Arc::clone(scenario), options, None))
 }
 
-/// Plays a scenario with built programs on loopback. The program is this one itself, as `badgerramp-sim` can be the
-/// client proxy, or the `badgerramp` that `BADGERRAMP_PROGRAM` names.
+/// Runs a scenario with proxy processes on loopback. The program is the one that `BADGERRAMP_PROGRAM` names, or else this
+/// one, as `badgerramp-sim` can also be the client proxy.
 ///
 /// # Errors
-/// If the operator's file that it makes is refused, the program does not start, or the load would be beyond all bounds.
+/// If the operator's file generated from the scenario is invalid, the program does not exist, or the scenario exceeds the
+/// limits of a run in real time.
 pub fn run_on_loopback(
     scenario: &Arc<Scenario>,
     options: RunOptions,
 ) -> Result<RunResult, SimulationError> {
     operator_file::parse(scenario)?;
     let requests = scenario.clients.rate * scenario.duration as f64 / 1e6;
-    if requests > REQUESTS_MOST || scenario.duration > REAL_MOST {
+    if requests > MAX_REAL_REQUESTS || scenario.duration > MAX_REAL_DURATION {
         return Err(SimulationError::Other(format!(
-            "{requests:.0} requests in {} s: a real play has at most {REQUESTS_MOST:.0} and {} s",
+            "{requests:.0} requests in {} s: a run on loopback is limited to {MAX_REAL_REQUESTS:.0} requests and {} s",
             scenario.duration / 1_000_000,
-            REAL_MOST / 1_000_000
+            MAX_REAL_DURATION / 1_000_000
         )));
     }
-    let named = std::env::var_os("BADGERRAMP_PROGRAM").map(PathBuf::from);
+    let configured = std::env::var_os("BADGERRAMP_PROGRAM").map(PathBuf::from);
     let own = || {
         std::env::current_exe()
-            .map_err(|e| SimulationError::Other(format!("this program's own path: {e}")))
+            .map_err(|e| SimulationError::Other(format!("path of the current executable: {e}")))
     };
-    let program = match named {
+    let program = match configured {
         Some(path) if path.is_file() => (path, Vec::new()),
         Some(path) => {
             return Err(SimulationError::Other(format!(
-                "BADGERRAMP_PROGRAM: {} is no file",
+                "BADGERRAMP_PROGRAM: {} is not a file",
                 path.display()
             )));
         }
@@ -170,18 +176,15 @@
         .build();
     let runtime = runtime.map_err(|e| SimulationError::Other(format!("runtime: {e}")))?;
     let set = LocalSet::new();
-    set.block_on(
-        &runtime,
-        course(Arc::clone(scenario), options, Some(program)),
-    )
+    set.block_on(&runtime, run(Arc::clone(scenario), options, Some(program)))
 }
 
-async fn course(
+async fn run(
     scenario: Arc<Scenario>,
     options: RunOptions,
     program: Option<Program>,
 ) -> Result<RunResult, SimulationError> {
-    let (draws, time) = (RandomStreams::new(options.seed), Time::start());
+    let (random, clock) = (RandomStreams::new(options.seed), RunClock::start());
     let zone = |name: &str| {
         scenario
             .hosts
@@ -194,24 +197,24 @@
         .collect();
     let host_zones = scenario.hosts.iter().map(|h| zone(&h.zone)).collect();
     let zones = (proxy_zones, host_zones);
-    let ways = Ways::new(scenario.network, &scenario.faults, draws);
+    let network_model = NetworkModel::new(scenario.network, &scenario.faults, random);
     let real = program.is_some();
-    let slack = if real { REAL_SLACK } else { SLACK } + 2 * ways.max_delay();
+    let slack = if real { REAL_SLACK } else { SLACK } + 2 * network_model.max_delay();
     let (faults, unix) = (
         scenario.faults.clone(),
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default(),
     );
-    let around = if real {
-        Around::Real(Loopback::new(time, ways, faults, zones))
+    let transport = if real {
+        Transport::Real(Loopback::new(clock, network_model, faults, zones))
     } else {
-        Around::Memory(World::new(time, ways, faults, zones))
+        Transport::Memory(MemoryNetwork::new(clock, network_model, faults, zones))
     };
     let models =
-        (0..scenario.hosts.len()).map(|n| HostCell::new(n, Host::new(&scenario, n, draws)));
-    let there = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
-    let first = there
+        (0..scenario.hosts.len()).map(|n| HostStandIn::new(n, Host::new(&scenario, n, random)));
+    let present = (0..scenario.hosts.len()).filter(|&n| scenario.hosts[n].joins_at == 0);
+    let initial_list = present
         .map(|host| ListEntry {
             host,
             state: 0,
@@ -219,194 +222,202 @@
         })
         .collect();
     let shared = Rc::new(Shared {
-        draws,
+        random,
         options,
-        around,
-        unix: if real {
+        transport,
+        unix_start: if real {
             unix.as_micros() as Micros
         } else {
-            UNIX
+            UNIX_START
         },
         slack,
         program: program.unwrap_or_default(),
-        lists: RefCell::default(),
+        list_addresses: RefCell::default(),
         hosts: models.collect(),
-        memory: RefCell::default(),
-        list: RefCell::new(ListService::new(scenario.list, &scenario.faults, first)),
-        listed: Notify::new(),
-        clients: RefCell::new(LoadGenerator::new(Arc::clone(&scenario), draws)),
-        judge: RefCell::new(InvariantChecker::external(Arc::clone(&scenario), slack)),
-        course: RefCell::new(RunResult::new(Arc::clone(&scenario))),
-        asks: RefCell::default(),
-        kept: RefCell::default(),
-        told: RefCell::default(),
+        dedup: RefCell::default(),
+        list_service: RefCell::new(ListService::new(
+            scenario.list,
+            &scenario.faults,
+            initial_list,
+        )),
+        list_changed: Notify::new(),
+        clients: RefCell::new(LoadGenerator::new(Arc::clone(&scenario), random)),
+        invariants: RefCell::new(InvariantChecker::external(Arc::clone(&scenario), slack)),
+        result: RefCell::new(RunResult::new(Arc::clone(&scenario))),
+        requests: RefCell::default(),
+        idle_connections: RefCell::default(),
+        known_starts: RefCell::default(),
         proxies: RefCell::default(),
         epochs: RefCell::default(),
-        tokens: Cell::new(0),
+        token_count: Cell::new(0),
         scenario,
     });
     let io = |e: std::io::Error| SimulationError::Other(format!("loopback: {e}"));
-    match &shared.around {
-        Around::Memory(world) => {
-            let door = Door::Memory(world.listen(list_address(), Who::List));
-            tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
+    match &shared.transport {
+        Transport::Memory(network) => {
+            let listener = Listener::Memory(network.listen(list_address(), Party::ListService));
+            tokio::task::spawn_local(stand_ins::serve_list(Rc::clone(&shared), listener));
         }
-        // Each proxy has a door of its own: so it is known who asks.
-        Around::Real(loopback) => {
+        // Each proxy has its own listener, which identifies the proxy of a request.
+        Transport::Real(loopback) => {
             for proxy in 0..shared.scenario.proxies {
                 let listener = loopback.listen(None).map_err(io)?;
                 shared
-                    .lists
+                    .list_addresses
                     .borrow_mut()
                     .insert(proxy, listener.local_addr().map_err(io)?);
-                let door = Door::Real(listener, Who::Proxy(proxy), loopback.time);
-                tokio::task::spawn_local(stand_ins::list(Rc::clone(&shared), door));
+                let listener = Listener::Real(listener, Party::Proxy(proxy), loopback.clock);
+                tokio::task::spawn_local(stand_ins::serve_list(Rc::clone(&shared), listener));
             }
         }
     }
-    for (place, cell) in shared.hosts.iter().enumerate() {
-        tokio::task::spawn_local(Rc::clone(cell).run(Rc::clone(&shared)));
-        if shared.scenario.hosts[place].joins_at == 0 {
-            shared.opens(place);
-        } else if let Around::Real(loopback) = &shared.around {
-            // Its place is known before it is there.
-            drop(loopback.listen(Some(place)).map_err(io)?);
+    for (index, host) in shared.hosts.iter().enumerate() {
+        tokio::task::spawn_local(Rc::clone(host).run_completions(Rc::clone(&shared)));
+        if shared.scenario.hosts[index].joins_at == 0 {
+            shared.open_listener(index);
+        } else if let Transport::Real(loopback) = &shared.transport {
+            // Reserves the host's address, which the list service may need before the host starts.
+            drop(loopback.listen(Some(index)).map_err(io)?);
         }
     }
     for proxy in 0..shared.scenario.proxies {
         shared.start_proxy(proxy).await;
     }
-    tokio::task::spawn_local(stand_ins::troubles(Rc::clone(&shared)));
-    tokio::task::spawn_local(stand_ins::clients(Rc::clone(&shared)));
+    tokio::task::spawn_local(stand_ins::run_faults(Rc::clone(&shared)));
+    tokio::task::spawn_local(stand_ins::run_clients(Rc::clone(&shared)));
     let end = shared.scenario.duration + shared.scenario.max_deadline();
     let mut at = BIN_WIDTH;
     while at <= end {
-        tokio::time::sleep_until(time.instant(at)).await;
-        shared.sample();
+        tokio::time::sleep_until(clock.instant(at)).await;
+        shared.take_sample();
         at += BIN_WIDTH;
     }
-    tokio::time::sleep_until(time.instant(end) + AFTERMATH).await;
-    // Clients go; what the proxies still hold then is their own.
-    shared.kept.borrow_mut().clear();
+    tokio::time::sleep_until(clock.instant(end) + SETTLE_TIME).await;
+    // The clients close their connections: what the proxies still hold after that has leaked.
+    shared.idle_connections.borrow_mut().clear();
     tokio::time::sleep(Duration::from_secs(1)).await;
     Ok(shared.finish())
 }
 
 impl Shared {
     fn now(&self) -> Micros {
-        self.time().now()
+        self.clock().now()
     }
 
-    fn time(&self) -> Time {
-        self.around.time()
+    fn clock(&self) -> RunClock {
+        self.transport.clock()
     }
 
-    /// Where a host listens.
+    /// The address of a host.
     fn host_address(&self, host: usize) -> SocketAddr {
-        match &self.around {
-            Around::Memory(_) => host_address(host),
-            Around::Real(loopback) => loopback.host(host).unwrap_or_else(|| host_address(host)),
+        match &self.transport {
+            Transport::Memory(_) => host_address(host),
+            Transport::Real(loopback) => loopback
+                .host_address(host)
+                .unwrap_or_else(|| host_address(host)),
         }
     }
 
-    fn token(&self) -> u64 {
-        self.tokens.replace(self.tokens.get() + 1)
+    fn next_token(&self) -> u64 {
+        self.token_count.replace(self.token_count.get() + 1)
     }
 
-    fn note(&self, op: OpId, line: impl FnOnce() -> String) {
-        self.course
+    /// Adds a line to the trace if `op` is the traced operation.
+    fn trace(&self, op: OpId, line: impl FnOnce() -> String) {
+        self.result
             .borrow_mut()
             .trace_operation(self.options.trace, op, self.now(), line);
     }
 
-    /// Are answers being spoilt now?
-    fn spoils(&self) -> bool {
+    /// Whether a fault that corrupts responses is active.
+    fn corrupts_responses(&self) -> bool {
         let now = self.now();
-        let on = |f: &&badgerramp_sim_model::Fault| f.from <= now && now < f.until;
+        let is_active = |f: &&badgerramp_sim_model::Fault| f.from <= now && now < f.until;
         self.scenario
             .faults
             .iter()
-            .filter(on)
+            .filter(is_active)
             .any(|f| matches!(f.kind, FaultKind::CorruptResponses { .. }))
     }
 
-    /// Which process of a proxy runs.
+    /// Number of the proxy's current process.
     fn epoch(&self, proxy: u32) -> u64 {
         self.epochs.borrow().get(&proxy).copied().unwrap_or(0)
     }
 
-    fn list_changes(&self, entry: ListEntry) {
-        self.list.borrow_mut().record_change(self.now(), entry);
-        self.listed.notify_waiters();
+    fn publish_list_change(&self, entry: ListEntry) {
+        self.list_service
+            .borrow_mut()
+            .record_change(self.now(), entry);
+        self.list_changed.notify_waiters();
     }
 
-    /// A host takes connections from now on.
-    fn opens(self: &Rc<Self>, host: usize) {
-        let cell = Rc::clone(&self.hosts[host]);
-        let door = match &self.around {
-            Around::Memory(world) => {
+    /// Starts to accept connections to a host, until its process ends.
+    fn open_listener(self: &Rc<Self>, host: usize) {
+        let stand_in = Rc::clone(&self.hosts[host]);
+        let listener = match &self.transport {
+            Transport::Memory(network) => {
                 let shared = Rc::clone(self);
-                let gated = Rc::clone(&cell);
-                world.gate(host, Box::new(move || gated.takes(&shared)));
-                Door::Memory(world.listen(host_address(host), Who::Host(host)))
+                let checked = Rc::clone(&stand_in);
+                network.set_accept_check(host, Box::new(move || checked.accepts(&shared)));
+                Listener::Memory(network.listen(host_address(host), Party::Host(host)))
             }
-            Around::Real(loopback) => match loopback.listen(Some(host)) {
-                Ok(listener) => Door::Real(listener, Who::Client, loopback.time),
-                Err(fault) => {
-                    let text = format!("the stand-in {host} can't listen: {fault}");
-                    self.judge
+            Transport::Real(loopback) => match loopback.listen(Some(host)) {
+                Ok(listener) => Listener::Real(listener, Party::Client, loopback.clock),
+                Err(error) => {
+                    let text = format!("the stand-in of host {host} can't listen: {error}");
+                    self.invariants
                         .borrow_mut()
                         .record(Invariant::Crashed, self.now(), None, text);
                     return;
                 }
             },
         };
-        // It serves until its process dies.
-        tokio::task::spawn_local(cell.serve_until_death(Rc::clone(self), door));
+        tokio::task::spawn_local(stand_in.serve_until_crash(Rc::clone(self), listener));
     }
 
-    fn host_starts(self: &Rc<Self>, host: usize) {
+    fn start_host(self: &Rc<Self>, host: usize) {
         self.hosts[host].host.borrow_mut().start(self.now());
-        let started = self.hosts[host].host.borrow().started_at();
-        self.opens(host);
-        self.list_changes(ListEntry {
+        let started_at = self.hosts[host].host.borrow().started_at();
+        self.open_listener(host);
+        self.publish_list_change(ListEntry {
             host,
             state: 0,
-            started_at: started,
+            started_at,
         });
     }
 
-    fn host_ends(&self, host: usize, listed: bool) {
-        if let Around::Memory(world) = &self.around {
-            world.shut(host_address(host));
+    fn stop_host(&self, host: usize, listed: bool) {
+        if let Transport::Memory(network) = &self.transport {
+            network.stop_listening(host_address(host));
         }
-        self.hosts[host].die(self);
+        self.hosts[host].crash(self);
         if listed {
-            let started = self.hosts[host].host.borrow().started_at();
-            self.list_changes(ListEntry {
+            let started_at = self.hosts[host].host.borrow().started_at();
+            self.publish_list_change(ListEntry {
                 host,
                 state: 2,
-                started_at: started,
+                started_at,
             });
         }
     }
 
     async fn start_proxy(self: &Rc<Self>, proxy: u32) {
         let zone = proxy_zone(&self.scenario, proxy);
-        let running = match &self.around {
-            Around::Memory(world) => {
+        let running = match &self.transport {
+            Transport::Memory(network) => {
                 let text = operator_file::render(
                     &self.scenario,
                     (proxy, zone),
                     proxy_address(proxy),
                     list_address(),
                 );
-                self.start_inside(world, proxy, &text)
+                self.start_in_process(network, proxy, &text)
             }
-            Around::Real(loopback) => {
+            Transport::Real(loopback) => {
                 let listen = SocketAddr::from(([127, 0, 0, 1], 0));
                 let list = self
-                    .lists
+                    .list_addresses
                     .borrow()
                     .get(&proxy)
                     .copied()
@@ -415,21 +426,25 @@
                 if self.options.trace.is_some() {
                     text.push_str(operator_file::CALL_LOG_SECTION);
                 }
-                let (program, before) =
+                let (program, arguments) =
                     (self.program.0.display().to_string(), self.program.1.clone());
-                // Its start is waited for elsewhere: the stand-ins go on meanwhile.
-                let start =
-                    tokio::task::spawn_blocking(move || Proxy::sidecar(&program, &before, &text));
+                // Runs on another thread, so that the stand-ins serve the starting proxy meanwhile.
+                let start = tokio::task::spawn_blocking(move || {
+                    Proxy::sidecar(&program, &arguments, &text)
+                });
                 match start.await {
                     Ok(process) => {
                         loopback.proxies.borrow_mut().insert(proxy, process.address);
                         Running::Process(process)
                     }
-                    Err(fault) => {
-                        let text = format!("proxy {proxy} does not start: {fault}");
-                        self.judge
-                            .borrow_mut()
-                            .record(Invariant::Crashed, self.now(), None, text);
+                    Err(error) => {
+                        let text = format!("proxy {proxy} did not start: {error}");
+                        self.invariants.borrow_mut().record(
+                            Invariant::Crashed,
+                            self.now(),
+                            None,
+                            text,
+                        );
                         return;
                     }
                 }
@@ -438,32 +453,34 @@
         self.proxies.borrow_mut().insert(proxy, running);
     }
 
-    /// The program's own code as tasks of this process.
-    fn start_inside(&self, world: &Rc<World>, proxy: u32, text: &str) -> Running {
+    /// Starts a proxy as tasks of this process.
+    fn start_in_process(&self, network: &Rc<MemoryNetwork>, proxy: u32, text: &str) -> Running {
         let Ok(config) = badgerramp_config::parse("a simulated proxy", text) else {
-            // It was read and found good before the course began.
-            unreachable!("the operator's file of a scenario that plays")
+            unreachable!("the operator's file was validated before the run")
         };
         let seed = self
-            .draws
+            .random
             .integer((0x5eed, u64::from(proxy), self.epoch(proxy)), (0, u64::MAX));
         let setup = sidecar::setup_once(config, seed);
-        let listener = world.listen(proxy_address(proxy), Who::Proxy(proxy));
-        let network = Rc::new(memory_network::From(Rc::clone(world), Who::Proxy(proxy)));
-        let clock = Clock::starting_at(self.unix + self.now());
-        let seen = Seen::default();
-        let shown = Rc::clone(&seen);
+        let listener = network.listen(proxy_address(proxy), Party::Proxy(proxy));
+        let network = Rc::new(memory_network::PartyNetwork(
+            Rc::clone(network),
+            Party::Proxy(proxy),
+        ));
+        let clock = Clock::starting_at(self.unix_start + self.now());
+        let internals = ProxyInternals::default();
+        let exposed = Rc::clone(&internals);
         let task = tokio::task::spawn_local(async move {
-            let around = Surroundings {
+            let surroundings = Surroundings {
                 network,
                 listener,
                 clock,
             };
-            // All of its tasks go with it: that is what a process's death is.
-            let own = LocalSet::new();
+            // The proxy's tasks end with this one, as with a process.
+            let tasks = LocalSet::new();
             let serve = serve_in(
                 setup,
-                around,
+                surroundings,
                 async || std::future::pending().await,
                 std::future::pending(),
                 |_| Ok(()),
@@ -472,68 +489,70 @@
                         running.driver.clone(),
                         Rc::clone(&running.server.descriptors),
                     );
-                    *shown.borrow_mut() = Some(parts);
+                    *exposed.borrow_mut() = Some(parts);
                 },
             );
-            own.run_until(serve).await
+            tasks.run_until(serve).await
         });
-        Running::Inside { task, seen }
+        Running::InProcess { task, internals }
     }
 
-    fn proxy_dies(&self, proxy: u32) {
+    fn crash_proxy(&self, proxy: u32) {
         *self.epochs.borrow_mut().entry(proxy).or_default() += 1;
-        match &self.around {
-            Around::Memory(world) => world.shut(proxy_address(proxy)),
-            Around::Real(loopback) => {
+        match &self.transport {
+            Transport::Memory(network) => network.stop_listening(proxy_address(proxy)),
+            Transport::Real(loopback) => {
                 loopback.proxies.borrow_mut().remove(&proxy);
             }
         }
-        // A process is killed as it is dropped.
-        if let Some(Running::Inside { task, .. }) = self.proxies.borrow_mut().remove(&proxy) {
+        // A proxy process is killed when it is dropped.
+        if let Some(Running::InProcess { task, .. }) = self.proxies.borrow_mut().remove(&proxy) {
             task.abort();
         }
-        self.kept.borrow_mut().remove(&proxy);
-        self.judge.borrow_mut().proxy_crashed(proxy);
-        self.told.borrow_mut().retain(|(of, _), _| *of != proxy);
+        self.idle_connections.borrow_mut().remove(&proxy);
+        self.invariants.borrow_mut().proxy_crashed(proxy);
+        self.known_starts
+            .borrow_mut()
+            .retain(|(of, _), _| *of != proxy);
     }
 
-    fn sample(&self) {
+    fn take_sample(&self) {
         let now = self.now();
-        self.judge.borrow_mut().advance(now);
+        self.invariants.borrow_mut().advance(now);
         let hosts = || self.hosts.iter().map(|h| h.host.borrow());
         let load = hosts()
             .map(|h| f64::from(h.load().in_flight) / f64::from(h.spec().cores.max(1)))
             .collect();
         let connections = hosts().map(|h| h.connections()).collect();
-        let mut open = 0;
+        let mut open_calls = 0;
         for running in self.proxies.borrow().values() {
             match running {
-                Running::Inside { seen, .. } => {
-                    open += seen
+                Running::InProcess { internals, .. } => {
+                    open_calls += internals
                         .borrow()
                         .as_ref()
                         .map_or(0, |s| s.0.open_calls() as u64);
                 }
-                Running::Process(process) => self.measure(process),
+                Running::Process(process) => self.check_resources(process),
             }
         }
         let at = now as f64 / 1e6;
-        self.course.borrow_mut().samples.push(Sample {
+        self.result.borrow_mut().samples.push(Sample {
             at_seconds: at,
             in_flight_per_core: load,
             connections,
-            open_calls: open,
+            open_calls,
             queued_calls: 0,
         });
-        self.audit();
-        // What ended long ago is asked for no more.
-        self.asks
+        self.check_counters();
+        // Requests of operations that ended long ago are not needed any more.
+        self.requests
             .borrow_mut()
-            .retain(|_, ask| ask.first_due + 60_000_000 > now);
+            .retain(|_, request| request.first_due + 60_000_000 > now);
     }
 
-    /// Holds a process to the memory and the descriptors that its file promises.
-    fn measure(&self, process: &Proxy) {
+    /// Checks a process against the memory and descriptor limits of its file.
+    fn check_resources(&self, process: &Proxy) {
         let id = process.child.id();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -541,26 +560,28 @@
             .and_then(|l| l.split_whitespace().next()?.parse::<u64>().ok())
             .unwrap_or(0);
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
-        let mut course = self.course.borrow_mut();
-        course.max_memory_kib = course.max_memory_kib.max(kib);
-        course.max_descriptors = course.max_descriptors.max(descriptors);
+        let mut result = self.result.borrow_mut();
+        result.max_memory_kib = result.max_memory_kib.max(kib);
+        result.max_descriptors = result.max_descriptors.max(descriptors);
         if kib > operator_file::MEMORY_MIB << 10 || descriptors > operator_file::DESCRIPTORS {
-            let text = format!("a proxy has {kib} KiB and {descriptors} descriptors");
-            self.judge
+            let text = format!(
+                "a proxy uses {kib} KiB and {descriptors} descriptors, more than its limits"
+            );
+            self.invariants
                 .borrow_mut()
                 .record(Invariant::Leaked, self.now(), None, text);
         }
     }
 
-    /// What each proxy counts against what is there.
-    fn audit(&self) {
+    /// Compares the counters of each in-process proxy with the actual numbers.
+    fn check_counters(&self) {
         let now = self.now();
         for (proxy, running) in &*self.proxies.borrow() {
-            let Running::Inside { seen, .. } = running else {
+            let Running::InProcess { internals, .. } = running else {
                 continue;
             };
-            for text in seen.borrow().iter().flat_map(|s| s.0.audit()) {
-                self.judge.borrow_mut().record(
+            for text in internals.borrow().iter().flat_map(|s| s.0.audit()) {
+                self.invariants.borrow_mut().record(
                     Invariant::Miscounted,
                     now,
                     None,
@@ -572,81 +593,82 @@
 
     fn finish(&self) -> RunResult {
         let now = self.now();
-        self.audit();
-        let mut judge = self.judge.borrow_mut();
-        judge.advance(Micros::MAX / 2);
+        self.check_counters();
+        let mut invariants = self.invariants.borrow_mut();
+        invariants.advance(Micros::MAX / 2);
         for (proxy, running) in &mut *self.proxies.borrow_mut() {
-            let (task, seen) = match running {
-                Running::Inside { task, seen } => (task, seen),
+            let (task, internals) = match running {
+                Running::InProcess { task, internals } => (task, internals),
                 Running::Process(process) => {
                     if let Some(op) = self.options.trace {
-                        self.course
+                        self.result
                             .borrow_mut()
                             .trace_lines
-                            .extend(followed(&process.unread_log(), op));
+                            .extend(call_log_lines(&process.unread_log(), op));
                     }
                     if !matches!(process.child.try_wait(), Ok(None)) {
-                        judge.record(
+                        invariants.record(
                             Invariant::Crashed,
                             now,
                             None,
-                            format!("proxy {proxy} has ended by itself"),
+                            format!("proxy {proxy} exited unexpectedly"),
                         );
                     }
                     continue;
                 }
             };
             if task.is_finished() {
-                judge.record(
+                invariants.record(
                     Invariant::Crashed,
                     now,
                     None,
-                    format!("proxy {proxy} has ended by itself"),
+                    format!("proxy {proxy} exited unexpectedly"),
                 );
             }
-            let seen = seen.borrow();
-            let (Some((driver, descriptors)), Around::Memory(world)) = (&*seen, &self.around)
+            let internals = internals.borrow();
+            let (Some((driver, descriptors)), Transport::Memory(network)) =
+                (&*internals, &self.transport)
             else {
                 continue;
             };
             if driver.open_calls() + driver.calls() > 0 {
                 let text = format!(
-                    "proxy {proxy}: {} calls open, {} known",
+                    "proxy {proxy}: {} open calls and {} known calls at the end of the run",
                     driver.open_calls(),
                     driver.calls()
                 );
-                judge.record(Invariant::Leaked, now, None, text);
+                invariants.record(Invariant::Leaked, now, None, text);
             }
-            // Two more may lead to the list service: a watch, and the question beside it.
-            let (counted, there) = (descriptors.open(), world.open_at(*proxy));
-            if counted > there || counted + 2 < there {
+            // Up to two connections to the list service are not counted: a watch, and a request beside it.
+            let (counted, actual) = (descriptors.open(), network.open_ends(*proxy));
+            if counted > actual || counted + 2 < actual {
                 let text = format!(
-                    "proxy {proxy}: {counted} descriptors counted, {there} connections open"
+                    "proxy {proxy}: {counted} descriptors counted, actual number of connections {actual}"
                 );
-                judge.record(Invariant::Leaked, now, None, text);
+                invariants.record(Invariant::Leaked, now, None, text);
             }
         }
-        for panicked in PANICS.with(|p| std::mem::take(&mut *p.borrow_mut())) {
-            judge.record(Invariant::Crashed, now, None, panicked);
+        for message in PANICS.with(|p| std::mem::take(&mut *p.borrow_mut())) {
+            invariants.record(Invariant::Crashed, now, None, message);
         }
-        let mut course = self
-            .course
+        let mut result = self
+            .result
             .replace(RunResult::new(Arc::clone(&self.scenario)));
-        check_recovery(&self.scenario, &course, &mut judge);
-        course.list_requests = self.list.borrow().request_count;
-        course.violations = judge.violations().to_vec();
-        course.violation_count = judge.violation_count();
-        course.host_work.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
-        // What refers to itself in a circle is let go.
-        if let Around::Memory(world) = &self.around {
-            world.close();
+        check_recovery(&self.scenario, &result, &mut invariants);
+        result.list_requests = self.list_service.borrow().request_count;
+        result.violations = invariants.violations().to_vec();
+        result.violation_count = invariants.violation_count();
+        result.host_work.0 = self.hosts.iter().map(|h| h.host.borrow().work_done).sum();
+        // Breaks the reference cycles between network and stand-ins.
+        if let Transport::Memory(network) = &self.transport {
+            network.close();
         }
-        course
+        result
     }
 }
 
-/// The lines of a program's log that are of one call, in all of its tries.
-fn followed(log: &[String], op: OpId) -> Vec<String> {
+/// The lines of a proxy's log that belong to an operation, with all of its tries.
+fn call_log_lines(log: &[String], op: OpId) -> Vec<String> {
     let (mut calls, mut lines) = (Vec::new(), Vec::new());
     for line in log {
         let Ok(event) = serde_json::from_str::<serde_json::Value>(line) else {
--- a/crates/simulator/src/sockets/transport.rs
+++ b/crates/simulator/src/sockets/transport.rs
@@ -1,8 +1,9 @@
-//! What peers run in: the network in memory, or the machine's loopback. Peers are the same in both.
+//! The transport between stand-ins and proxies: the in-memory network or the loopback interface. The stand-ins are the same
+//! on both.
 
-use super::memory_network::{Accepting, End, Time, Who, World};
+use super::memory_network::{MemoryListener, MemoryNetwork, MemoryStream, Party, RunClock};
 use badgerramp::net::socket::Stream;
-use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as Ways};
+use badgerramp_sim_model::{Delivery, Fault, FaultKind, Micros, Network as NetworkModel};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -13,68 +14,68 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// One end of a connection, in either.
+/// A stand-in's end of a connection, on either transport.
 #[derive(Clone)]
-pub(crate) struct Io {
+pub(crate) struct Connection {
     stream: Rc<dyn Stream>,
-    kind: Kind,
-    pub(crate) peer: Who,
+    kind: ConnectionKind,
+    pub(crate) peer: Party,
 }
 
 #[derive(Clone)]
-enum Kind {
-    Memory(Rc<End>),
-    /// The socket, and when it was opened.
+enum ConnectionKind {
+    Memory(Rc<MemoryStream>),
+    /// The socket, and the time at which it was opened.
     Real(Rc<TcpStream>, Micros),
 }
 
-impl Io {
-    fn memory(end: Rc<End>) -> Self {
-        let peer = end.peer;
-        Io {
-            stream: Rc::<End>::clone(&end),
-            kind: Kind::Memory(end),
+impl Connection {
+    fn memory(stream: Rc<MemoryStream>) -> Self {
+        let peer = stream.peer;
+        Connection {
+            stream: Rc::<MemoryStream>::clone(&stream),
+            kind: ConnectionKind::Memory(stream),
             peer,
         }
     }
 
-    fn real(stream: TcpStream, peer: Who, now: Micros) -> Self {
+    fn real(stream: TcpStream, peer: Party, now: Micros) -> Self {
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
-        Io {
+        Connection {
             stream: Rc::<TcpStream>::clone(&stream),
-            kind: Kind::Real(stream, now),
+            kind: ConnectionKind::Real(stream, now),
             peer,
         }
     }
 
-    /// Breaks the connection.
+    /// Resets the connection.
     pub(crate) fn abort(&self) {
         match &self.kind {
-            Kind::Memory(end) => end.abort(),
-            // Closed at once, with a break in place of an end.
-            Kind::Real(stream, _) => {
+            ConnectionKind::Memory(stream) => stream.abort(),
+            // With a zero linger time the close sends a reset.
+            ConnectionKind::Real(stream, _) => {
                 let _ =
                     socket2::SockRef::from(&**stream).set_linger(Some(std::time::Duration::ZERO));
             }
         }
     }
 
-    /// Has nothing come in that was not read?
+    /// Whether nothing has arrived that was not read yet.
     pub(crate) fn quiet(&self) -> bool {
         self.stream.quiet()
     }
 
-    /// When what was read last had been sent, as far as it is known.
-    pub(crate) fn read_sent(&self, now: Micros) -> Micros {
+    /// Time at which the bytes that were read last had been sent; on loopback this is not known, and `now` is returned.
+    pub(crate) fn last_read_sent_at(&self, now: Micros) -> Micros {
         match &self.kind {
-            Kind::Memory(end) => end.read_sent(),
-            Kind::Real(..) => now,
+            ConnectionKind::Memory(stream) => stream.last_read_sent_at(),
+            ConnectionKind::Real(..) => now,
         }
     }
 }
 
-impl AsyncRead for Io {
+impl AsyncRead for Connection {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -84,7 +85,7 @@
     }
 }
 
-impl AsyncWrite for Io {
+impl AsyncWrite for Connection {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -103,38 +104,41 @@
     }
 }
 
-/// Takes connections in.
-pub(crate) enum Door {
-    Memory(Rc<Accepting>),
-    /// A listener, whom it serves, and the time.
-    Real(TcpListener, Who, Time),
+/// A stand-in's listener.
+pub(crate) enum Listener {
+    Memory(Rc<MemoryListener>),
+    /// The socket, the party that connects to it, and the clock of the run.
+    Real(TcpListener, Party, RunClock),
 }
 
-impl Door {
-    pub(crate) async fn accept(&self) -> Io {
+impl Listener {
+    pub(crate) async fn accept(&self) -> Connection {
         match self {
-            Door::Memory(door) => Io::memory(door.accept().await),
-            Door::Real(listener, peer, time) => loop {
+            Listener::Memory(listener) => Connection::memory(listener.accept().await),
+            Listener::Real(listener, peer, clock) => loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => return Io::real(stream, *peer, time.now()),
-                    // No descriptor is free: one will be.
+                    Ok((stream, _)) => return Connection::real(stream, *peer, clock.now()),
+                    // No file descriptor is free: try again after some have been closed.
                     Err(_) => tokio::time::sleep(std::time::Duration::from_millis(5)).await,
                 }
             },
         }
     }
 
-    /// The network asks the host itself whether it takes a connection; on loopback it is asked here.
-    pub(crate) fn gated(&self) -> bool {
-        matches!(self, Door::Memory(_))
+    /// Whether the network asks the host if it accepts a connection before `accept` returns it. On loopback the host has to
+    /// be asked afterwards.
+    pub(crate) fn checks_acceptance(&self) -> bool {
+        matches!(self, Listener::Memory(_))
     }
 }
 
-/// The machine's loopback, with a scenario's ways laid over it where hosts read and write.
+/// The loopback interface. Delays and losses of the modelled network are added where hosts read requests and write
+/// responses.
 pub(crate) struct Loopback {
-    pub(crate) time: Time,
-    ways: Ways,
+    pub(crate) clock: RunClock,
+    network: NetworkModel,
     faults: Vec<Fault>,
+    /// Zones of the proxies, and of the hosts.
     zones: (Vec<u32>, Vec<u32>),
     hosts: RefCell<BTreeMap<usize, SocketAddr>>,
     pub(crate) proxies: RefCell<BTreeMap<u32, SocketAddr>>,
@@ -142,15 +146,15 @@
 
 impl Loopback {
     pub(crate) fn new(
-        time: Time,
-        ways: Ways,
+        clock: RunClock,
+        network: NetworkModel,
         faults: Vec<Fault>,
         zones: (Vec<u32>, Vec<u32>),
     ) -> Rc<Self> {
         let (hosts, proxies) = (RefCell::default(), RefCell::default());
         Rc::new(Loopback {
-            time,
-            ways,
+            clock,
+            network,
             faults,
             zones,
             hosts,
@@ -158,10 +162,10 @@
         })
     }
 
-    /// A listener on a port of the system's choice; a host that comes back has the one it had.
+    /// Listens on a port that the system chooses. A host that starts again gets its earlier port.
     pub(crate) fn listen(&self, host: Option<usize>) -> io::Result<TcpListener> {
-        let before = host.and_then(|h| self.hosts.borrow().get(&h).copied());
-        let address = before.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
+        let earlier = host.and_then(|h| self.hosts.borrow().get(&h).copied());
+        let address = earlier.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
@@ -172,60 +176,73 @@
         Ok(listener)
     }
 
-    pub(crate) fn host(&self, host: usize) -> Option<SocketAddr> {
+    /// The address of a host that has listened before.
+    pub(crate) fn host_address(&self, host: usize) -> Option<SocketAddr> {
         self.hosts.borrow().get(&host).copied()
     }
 }
 
-/// What peers run in.
-pub(crate) enum Around {
-    Memory(Rc<World>),
+/// The network that the stand-ins and the proxies of a run are connected by.
+pub(crate) enum Transport {
+    Memory(Rc<MemoryNetwork>),
     Real(Rc<Loopback>),
 }
 
-impl Around {
-    pub(crate) fn time(&self) -> Time {
+impl Transport {
+    pub(crate) fn clock(&self) -> RunClock {
         match self {
-            Around::Memory(world) => world.time,
-            Around::Real(loopback) => loopback.time,
+            Transport::Memory(network) => network.clock,
+            Transport::Real(loopback) => loopback.clock,
         }
     }
 
-    /// A client's connection to a proxy.
-    pub(crate) async fn to_proxy(&self, proxy: u32) -> io::Result<Io> {
+    /// Connects a client to a proxy.
+    pub(crate) async fn connect_to_proxy(&self, proxy: u32) -> io::Result<Connection> {
         match self {
-            Around::Memory(world) => {
+            Transport::Memory(network) => {
                 let address = super::stand_ins::proxy_address(proxy);
-                Rc::clone(world)
-                    .connect(Who::Client, address)
+                Rc::clone(network)
+                    .connect(Party::Client, address)
                     .await
-                    .map(Io::memory)
+                    .map(Connection::memory)
             }
-            Around::Real(loopback) => {
+            Transport::Real(loopback) => {
                 let address = loopback.proxies.borrow().get(&proxy).copied();
                 let address = address.ok_or(io::ErrorKind::ConnectionRefused)?;
                 let stream = TcpStream::connect(address).await?;
-                Ok(Io::real(stream, Who::Proxy(proxy), loopback.time.now()))
+                Ok(Connection::real(
+                    stream,
+                    Party::Proxy(proxy),
+                    loopback.clock.now(),
+                ))
             }
         }
     }
 
-    /// What the way between a proxy and a host costs, on loopback, where the network has none of its own.
-    pub(crate) async fn way(&self, (proxy, host): (u32, usize), io: &Io, name: (u64, u64, u64)) {
-        let (Around::Real(loopback), Kind::Real(_, opened)) = (self, &io.kind) else {
+    /// Applies the modelled delay or loss between a proxy and a host to a message on loopback. The in-memory network applies
+    /// them itself. For a lost message the future never completes.
+    pub(crate) async fn apply_network_model(
+        &self,
+        (proxy, host): (u32, usize),
+        connection: &Connection,
+        key: (u64, u64, u64),
+    ) {
+        let (Transport::Real(loopback), ConnectionKind::Real(_, opened_at)) =
+            (self, &connection.kind)
+        else {
             return;
         };
-        let now = loopback.time.now();
+        let now = loopback.clock.now();
         let half_open = |f: &Fault| {
-            let here = matches!(f.kind, FaultKind::HalfOpen { host: at } if at == host);
-            here && f.from <= now && *opened < f.from
+            let affects_host = matches!(f.kind, FaultKind::HalfOpen { host: at } if at == host);
+            affects_host && f.from <= now && *opened_at < f.from
         };
         if loopback.faults.iter().any(half_open) {
             std::future::pending::<()>().await;
         }
-        let near = loopback.zones.0[proxy as usize] == loopback.zones.1[host];
-        match loopback.ways.send(now, Some(host), near, name) {
-            Delivery::Arrives(at) => tokio::time::sleep_until(loopback.time.instant(at)).await,
+        let same_zone = loopback.zones.0[proxy as usize] == loopback.zones.1[host];
+        match loopback.network.send(now, Some(host), same_zone, key) {
+            Delivery::Arrives(at) => tokio::time::sleep_until(loopback.clock.instant(at)).await,
             Delivery::Lost => std::future::pending().await,
         }
     }
