--- a/crates/simulator/src/simulation/virtual_time.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -361,19 +361,19 @@
             }
             SimulationEvent::Retry(request) => self.start_try(request),
             SimulationEvent::ClientDisconnects { proxy, epoch, call } => {
-                self.client_disconnects(proxy, epoch, call)
+                self.client_disconnects(proxy, epoch, call);
             }
             SimulationEvent::ConnectArrives(attempt_ref, began_at) => {
-                self.connect_arrives(attempt_ref, began_at)
+                self.connect_arrives(attempt_ref, began_at);
             }
             SimulationEvent::ConnectEnds(attempt_ref, connection) => {
-                self.connect_ends(attempt_ref, connection)
+                self.connect_ends(attempt_ref, connection);
             }
             SimulationEvent::RequestArrives(attempt_ref, connection) => {
-                self.request_arrives(attempt_ref, connection)
+                self.request_arrives(attempt_ref, connection);
             }
             SimulationEvent::ResponseArrives(attempt_ref, outcome, report) => {
-                self.response_arrives(attempt_ref, outcome, report)
+                self.response_arrives(attempt_ref, outcome, report);
             }
             SimulationEvent::ConnectionClosed {
                 token,
@@ -415,10 +415,10 @@
                 self.schedule(answered_at, SimulationEvent::ListResponseDue(list_request));
             }
             SimulationEvent::ListResponseDue(list_request) => {
-                self.answer_list_request(list_request)
+                self.answer_list_request(list_request);
             }
             SimulationEvent::ListResponseArrives(list_request, response) => {
-                self.list_response_arrives(list_request, response)
+                self.list_response_arrives(list_request, response);
             }
             SimulationEvent::ListRequestTimeout(list_request) => {
                 if self.is_pending(&list_request) {
@@ -434,11 +434,11 @@
             SimulationEvent::FaultEnds(n) => self.end_fault(n),
             SimulationEvent::HostJoins(host) => self.start_host(host),
             SimulationEvent::SweepIdle { proxy, epoch } => {
-                self.sweep_idle_connections(proxy, epoch)
+                self.sweep_idle_connections(proxy, epoch);
             }
             SimulationEvent::Sample => self.take_sample(),
             SimulationEvent::GossipMessage(proxy, bytes) => {
-                self.handle_gossip(proxy, Input::Message(&bytes))
+                self.handle_gossip(proxy, Input::Message(&bytes));
             }
             SimulationEvent::GossipTimer { proxy, epoch, at } => {
                 let state = &self.proxies[proxy as usize];
@@ -912,7 +912,7 @@
             Some(connection) => self.write_request(attempt_ref, connection),
             None => match self.send_packet(&attempt_ref, 0) {
                 Delivery::Arrives(at) => {
-                    self.schedule(at, SimulationEvent::ConnectArrives(attempt_ref, self.now))
+                    self.schedule(at, SimulationEvent::ConnectArrives(attempt_ref, self.now));
                 }
                 Delivery::Lost => self.schedule(
                     self.now + self.class_routes[request.class].connect_timeout,
@@ -1013,7 +1013,7 @@
         let times_out_at = began_at + self.class_routes[class].connect_timeout;
         match self.send_packet(&attempt_ref, 1) {
             Delivery::Arrives(at) if at <= times_out_at => {
-                self.schedule(at, SimulationEvent::ConnectEnds(attempt_ref, connection))
+                self.schedule(at, SimulationEvent::ConnectEnds(attempt_ref, connection));
             }
             _ => {
                 if let Some(connection) = connection {
@@ -1156,7 +1156,7 @@
                 self.send_response(attempt_ref, outcome, report);
             }
             Arrival::Nobody => {
-                self.send_response(attempt_ref, JobOutcome::Reset, HostLoad::default())
+                self.send_response(attempt_ref, JobOutcome::Reset, HostLoad::default());
             }
         }
     }
@@ -1235,7 +1235,7 @@
         };
         match job_outcome {
             JobOutcome::Served | JobOutcome::Failed | JobOutcome::TurnedAway => {
-                self.keep_connection(attempt_ref)
+                self.keep_connection(attempt_ref);
             }
             JobOutcome::Reset | JobOutcome::Spoilt => {}
         }
