--- a/crates/control-plane/tests/regions.rs
+++ b/crates/control-plane/tests/regions.rs
@@ -292,14 +292,14 @@
     /// Cuts all links between the regions.
     fn partition(&self) {
         [NORTE, SUR].into_iter().for_each(|region_index| {
-            self.set_links_to(region_index, Forwarding::Cut, Forwarding::Cut)
+            self.set_links_to(region_index, Forwarding::Cut, Forwarding::Cut);
         });
     }
 
     /// Restores all links between the regions.
     fn heal(&self) {
         [NORTE, SUR].into_iter().for_each(|region_index| {
-            self.set_links_to(region_index, Forwarding::Normal, Forwarding::Normal)
+            self.set_links_to(region_index, Forwarding::Normal, Forwarding::Normal);
         });
     }
 
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -54,7 +54,7 @@
         return ExitCode::from(2);
     };
     raise_descriptor_limit();
-    match run(PathBuf::from(folder)) {
+    match run(PathBuf::from(config_dir)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("badgerramp-sim: hollow proxies: {error}");
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -6,10 +6,6 @@
     clippy::needless_pass_by_value,
     reason = "some functions still take arguments by value that they could borrow"
 )]
-#![expect(
-    clippy::similar_names,
-    reason = "some names still differ only slightly"
-)]
 #![expect(clippy::too_many_lines, reason = "some functions are still too long")]
 
 /// First argument with which `badgerramp-sim` runs as a client proxy.
--- a/crates/simulator/src/simulation/proxy.rs
+++ b/crates/simulator/src/simulation/proxy.rs
@@ -39,9 +39,9 @@
             .key
             .as_ref()
             .is_none_or(|key| config.routes.source_value(key, &head).is_some());
-        let terms = route.timing.call_policy(!keyed);
-        let (total, connect) = (route.timing.total, route.timing.connect);
-        Ok(Routed {
+        let policy = route.timing.call_policy(!has_key);
+        let (total_timeout, connect_timeout) = (route.timing.total, route.timing.connect);
+        Ok(ClassRoute {
             class: ClassId(route.class),
             policy,
             total_timeout,
--- a/crates/simulator/src/simulation/virtual_time.rs
+++ b/crates/simulator/src/simulation/virtual_time.rs
@@ -7,7 +7,7 @@
 use super::{check_recovery, RunOptions, SimulationError};
 use crate::operator_file;
 use crate::run_result::{RunResult, Sample, BIN_WIDTH};
-use badgerramp_config::{connections_kept, Config, ANSWER_ROOM};
+use badgerramp_config::{max_idle_connections, Config, RESPONSE_RESERVE};
 use badgerramp_decisions::{
     self as decisions, settings, Action, Balancer, CallId, CellId, EndpointId, EndpointStatus,
     Event, ListUpdateKind, LoadReport, Outcome, Settings,
@@ -210,10 +210,10 @@
                 .map(|n| zone(proxy::zone(&scenario, n)))
                 .collect(),
             proxies: Vec::new(),
-            routed,
-            max_open: config.limits.open_calls,
-            advice: config.limits.retry_after,
-            spares: max_idle_connections(settings.balancers),
+            class_routes,
+            max_open_calls: config.limits.open_calls,
+            default_retry_after: config.limits.retry_after,
+            max_idle_connections: max_idle_connections(settings.balancers),
             settings,
             jobs: FxHashMap::default(),
             next_token: 0,
--- a/crates/simulator/src/sockets/memory_network.rs
+++ b/crates/simulator/src/sockets/memory_network.rs
@@ -428,8 +428,8 @@
     }
 
     fn nothing_to_read(&self) -> bool {
-        let now = self.link.world.time.now();
-        self.read.borrow().next().is_none_or(|at| at > now)
+        let now = self.connection.network.clock.now();
+        self.read.borrow().next_arrival().is_none_or(|at| at > now)
     }
 
     fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -471,7 +471,7 @@
         let internals = ProxyInternals::default();
         let exposed = Rc::clone(&internals);
         let task = tokio::task::spawn_local(async move {
-            let around = Environment {
+            let environment = Environment {
                 network,
                 listener,
                 clock,
@@ -480,7 +480,7 @@
             let tasks = LocalSet::new();
             let serve = serve_in(
                 setup,
-                surroundings,
+                environment,
                 async || std::future::pending().await,
                 std::future::pending(),
                 |_| Ok(()),
--- a/crates/simulator/src/sockets/stand_ins.rs
+++ b/crates/simulator/src/sockets/stand_ins.rs
@@ -639,7 +639,7 @@
         .or_default()
         .pop();
     // An idle connection that the proxy has closed meanwhile is not used.
-    let idle = idle.filter(|connection: &Connection| connection.quiet());
+    let idle = idle.filter(|connection: &Connection| connection.nothing_to_read());
     let (stream, reused) = match idle {
         Some(connection) => (connection, true),
         None => match shared.transport.connect_to_proxy(request.proxy).await {
--- a/crates/simulator/src/sockets/transport.rs
+++ b/crates/simulator/src/sockets/transport.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether nothing has arrived that was not read yet.
-    pub(crate) fn quiet(&self) -> bool {
+    pub(crate) fn nothing_to_read(&self) -> bool {
         self.stream.nothing_to_read()
     }
 
--- a/crates/simulator/tests/simulator.rs
+++ b/crates/simulator/tests/simulator.rs
@@ -481,7 +481,7 @@
     for text in [
         "try 0 at proxy 0",
         "in the log: {",
-        "\"taken\"",
+        "\"call accepted\"",
         "\"in_flight\":",
         "\"outcome\":",
     ] {
