--- a/crates/proxy/tests/regions.rs
+++ b/crates/proxy/tests/regions.rs
@@ -128,7 +128,7 @@
     // With the address of one region and the name of the other the proxy gets no lease.
     let wrong_region = Proxy::sidecar(PROXY, &[], &file(path, &host, (&sur, norte.name), "/own"));
     wrong_region.wait_for_log(
-        "policy.region of this proxy is \"norte\", and the control that it asks is of region \"sur\"",
+        "policy.region of this proxy is \"norte\", but this control plane belongs to region \"sur\"",
     );
     get_until_status(&wrong_region, "/norte", "503");
     get_until_status(&wrong_region, "/sur", "503");
