--- a/crates/fault-injection/src/scale/faults.rs
+++ b/crates/fault-injection/src/scale/faults.rs
@@ -1,35 +1,39 @@
-//! Carries out the fault of a course.
+//! Injects the fault of a run.
 
-use super::course::{Course, Kind};
 use super::fleet::Fleet;
+use super::schedule::{FaultSchedule, Kind};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Between two proxies that are restarted one after the other.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between the restarts of two proxies.
+const RESTART_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Plays the fault, from `began` on.
+/// Injects the scheduled fault; its times count from `began`.
 ///
 /// # Errors
-/// If a process can't be ended or started.
-pub async fn inflict(fleet: Arc<Fleet>, course: Course, began: Instant) -> Result<(), String> {
-    let Some(kind) = course.fault else {
+/// If a process can't be stopped or started.
+pub async fn inject(
+    fleet: Arc<Fleet>,
+    schedule: FaultSchedule,
+    calls_started_at: Instant,
+) -> Result<(), String> {
+    let Some(kind) = schedule.fault else {
         return Ok(());
     };
-    tokio::time::sleep_until(began + course.from).await;
+    tokio::time::sleep_until(calls_started_at + schedule.from).await;
     match kind {
-        Kind::Restart => restart_each(&fleet, &course.proxies).await,
-        Kind::Machines => kill(&fleet, &course).await,
+        Kind::Restart => restart_each(&fleet, &schedule.proxies).await,
+        Kind::Machines => kill_all(&fleet, &schedule).await,
         Kind::Rack | Kind::Zone => {
-            kill(&fleet, &course).await?;
-            tokio::time::sleep_until(began + course.until).await;
-            start_again(&fleet, &course).await
+            kill_all(&fleet, &schedule).await?;
+            tokio::time::sleep_until(calls_started_at + schedule.until).await;
+            restart_all(&fleet, &schedule).await
         }
         Kind::CutRegion => {
-            fleet.wiring.cut_first_region(true);
-            tokio::time::sleep_until(began + course.until).await;
-            fleet.wiring.cut_first_region(false);
+            fleet.network.cut_first_region(true);
+            tokio::time::sleep_until(calls_started_at + schedule.until).await;
+            fleet.network.cut_first_region(false);
             Ok(())
         }
     }
@@ -37,29 +41,29 @@
 
 async fn restart_each(fleet: &Fleet, proxies: &[usize]) -> Result<(), String> {
     for &proxy in proxies {
-        fleet.end(proxy).await?;
-        fleet.again(proxy).await?;
-        tokio::time::sleep(RESTART_PAUSE).await;
+        fleet.terminate_proxy(proxy).await?;
+        fleet.restart_proxy(proxy).await?;
+        tokio::time::sleep(RESTART_INTERVAL).await;
     }
     Ok(())
 }
 
-async fn kill(fleet: &Fleet, course: &Course) -> Result<(), String> {
-    for &replica in &course.replicas {
+async fn kill_all(fleet: &Fleet, schedule: &FaultSchedule) -> Result<(), String> {
+    for &replica in &schedule.replicas {
         fleet.kill_replica(replica).await;
     }
-    for &proxy in &course.proxies {
-        fleet.kill(proxy).await?;
+    for &proxy in &schedule.proxies {
+        fleet.kill_proxy(proxy).await?;
     }
     Ok(())
 }
 
-async fn start_again(fleet: &Fleet, course: &Course) -> Result<(), String> {
-    for &replica in &course.replicas {
+async fn restart_all(fleet: &Fleet, schedule: &FaultSchedule) -> Result<(), String> {
+    for &replica in &schedule.replicas {
         fleet.start_replica(replica).await?;
     }
-    for &proxy in &course.proxies {
-        fleet.again(proxy).await?;
+    for &proxy in &schedule.proxies {
+        fleet.restart_proxy(proxy).await?;
     }
     Ok(())
 }
--- a/crates/fault-injection/src/scale/files.rs
+++ b/crates/fault-injection/src/scale/files.rs
@@ -1,31 +1,31 @@
-//! The files of a fleet: the policy, a proxy's own, a replica's.
+//! The files of a fleet: policies, and the configuration files of proxies and replicas.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The name of the policy's application.
+/// The application that the policy belongs to.
 pub const APPLICATION: &str = "caja";
-/// Services that the policy speaks of.
+/// Number of services in the policy, each with a class and a route.
 const SERVICES: usize = 22;
-/// Paths that the trial's clients call.
+/// The paths that the clients call.
 pub const PATHS: [&str; 2] = ["/service-1", "/service-2"];
 
-/// What a trial's replicas go by, in milliseconds.
+/// Timeouts of the control-plane replicas, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct ControlTimes {
-    /// How long a mode is lent.
+    /// Duration of a lease.
     pub lease_ms: u64,
-    /// A change that is not in force by then comes to nothing.
+    /// Timeout after which a change that is not in force is aborted.
     pub wait_ms: u64,
-    /// A leader that is silent for so long is replaced, at the least.
+    /// Minimum election timeout: how long a leader must be silent before it is replaced.
     pub election_ms: u64,
-    /// A change of all regions that lacks the vote of one by then comes to nothing.
+    /// Timeout after which a cross-region change that lacks the vote of a region is aborted.
     pub regions_wait_ms: u64,
 }
 
 impl Default for ControlTimes {
-    /// The product's own.
+    /// The defaults of the control plane.
     fn default() -> Self {
         ControlTimes {
             lease_ms: 10_000,
@@ -41,7 +41,7 @@
     quoted.join(", ")
 }
 
-/// The classes and routes of a policy. Policies with different numbers differ in the first service's worth.
+/// The classes of a policy. Policies with different numbers differ in the `worth` of the first service.
 fn classes(number: usize) -> String {
     let mut text = String::new();
     for service in 1..=SERVICES {
@@ -72,7 +72,7 @@
                       retry_after = \"1s\"\n";
 const DEFAULTS: &str = "[defaults]\nconnect = \"250ms\"\nsecond_copy = \"off\"\n";
 
-/// The policy of this number, as it is published.
+/// The text of the policy with this number.
 pub fn policy(number: usize) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\n{LIMITS}[upstream]\nendpoints = [{{ name = \"s-1\", address = \"127.0.0.1:9001\" }}]\n\
@@ -82,30 +82,30 @@
     )
 }
 
-/// What a proxy's own file names.
+/// The values in the configuration file of a proxy.
 pub struct ProxyFile<'a> {
-    /// Its name.
+    /// The name of the proxy.
     pub name: &'a str,
-    /// The zone that it stands in.
+    /// The zone of the proxy.
     pub zone: usize,
-    /// The region of its control, where there are several.
+    /// The region of the proxy; `None` in a fleet with one region.
     pub region: Option<usize>,
-    /// Proxies of the fleet.
+    /// Number of proxies in the fleet.
     pub proxies: usize,
-    /// Replicas of control.
+    /// Addresses of the control-plane replicas.
     pub control: &'a [SocketAddr],
-    /// The list service.
+    /// Address of the list service.
     pub list: SocketAddr,
-    /// Where other proxies reach it.
+    /// The address at which other proxies reach the proxy.
     pub advertise: SocketAddr,
-    /// Where it meets others.
+    /// Addresses of the seed proxies, at which the proxy joins the gossip.
     pub seeds: &'a [SocketAddr],
-    /// What all share.
+    /// The file with the secret that the fleet shares.
     pub secret: &'a Path,
 }
 
 impl ProxyFile<'_> {
-    /// The file's text.
+    /// The text of the file.
     pub fn text(&self) -> String {
         let secret = self.secret.display();
         let region = self.region.map_or_else(String::new, |number| {
@@ -131,29 +131,29 @@
     }
 }
 
-/// The name of a region, in the order of their numbers.
+/// The name of a region. The order of the names is that of the indexes.
 pub fn region(number: usize) -> String {
     format!("region-{}", number + 1)
 }
 
-/// What the file of a replica names.
+/// The values in the configuration file of a replica.
 pub struct ReplicaFile<'a> {
-    /// Its place among all replicas: its store is called after it.
-    pub place: usize,
-    /// Its number in its region, counted from 1.
+    /// Index among all replicas, which is part of the name of its store.
+    pub index: usize,
+    /// Number within the region, counted from 1.
     pub number: usize,
-    /// The replicas of its region.
+    /// Addresses of the replicas of the region.
     pub replicas: &'a [SocketAddr],
-    /// Its region, where there are several.
+    /// The region of the replica; `None` in a fleet with one region.
     pub region: Option<usize>,
-    /// The other regions, and their replicas.
+    /// The other regions, each with the addresses of its replicas.
     pub others: &'a [(usize, Vec<SocketAddr>)],
-    /// Times.
+    /// The timeouts.
     pub times: ControlTimes,
 }
 
 impl ReplicaFile<'_> {
-    /// The file's text.
+    /// The text of the file.
     pub fn text(&self) -> String {
         let named = |(n, address): (usize, &SocketAddr)| format!("{} = \"{address}\"", n + 1);
         let named: Vec<String> = self.replicas.iter().enumerate().map(named).collect();
@@ -168,7 +168,7 @@
              secret = \"secret\"\nlease_ms = {lease_ms}\nwait_ms = {wait_ms}\nelection_ms = {election_ms}\n",
             self.number,
             named.join(", "),
-            self.place
+            self.index
         );
         if let Some(own) = self.region {
             let _ = writeln!(
--- a/crates/fault-injection/src/scale/fleet.rs
+++ b/crates/fault-injection/src/scale/fleet.rs
@@ -1,9 +1,9 @@
-//! The processes of a fleet: started, killed, started again.
+//! The processes of a fleet, which can be started, terminated, killed and restarted.
 
 use super::files::{ControlTimes, ProxyFile, ReplicaFile};
 use super::hollow::{HollowProcess, Line, Order};
 use super::layout::Size;
-use super::wiring::{Group, Wiring};
+use super::network::{Group, Network};
 use super::Programs;
 use crate::clients::Addresses;
 use crate::hosts::Hosts;
@@ -20,68 +20,72 @@
 use tokio::sync::{watch, Mutex as AsyncMutex};
 use tokio::time::Instant;
 
-/// Longest wait for what must come.
-pub const LONG: Duration = Duration::from_secs(60);
-/// Most hollow proxies in one process.
-const HOLLOW_EACH: usize = 150;
-/// Pause between two starts of proxies, so that they do not all begin in one moment.
-const SPREAD: Duration = Duration::from_millis(4);
-/// Proxies where others meet the fleet.
-const SEEDS: usize = 3;
-/// Share of answers that are lost: none, nothing but control is tried.
-const SPOILT: f64 = 0.0;
-/// Where nobody listens.
-const NOBODY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
+/// Timeout for a state that the fleet has to reach.
+pub const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of hollow proxies in one process.
+const MAX_HOLLOW_PER_PROCESS: usize = 150;
+/// Pause between the starts of two proxies, so that they do not all start at once.
+const START_INTERVAL: Duration = Duration::from_millis(4);
+/// Number of seed proxies, at which the others join the gossip.
+const SEED_PROXIES: usize = 3;
+/// Share of answers that hosts lose. None are lost, because this test covers only the control plane.
+const ANSWER_LOSS: f64 = 0.0;
+/// An address at which no process listens.
+const UNUSED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
-/// A span in which the trial kept a proxy from working: from its end until it was started again.
+/// A time in which a proxy was down because the test stopped it.
 #[derive(Clone, Copy, Debug)]
-pub struct Down {
-    /// The proxy.
+pub struct Downtime {
+    /// Index of the proxy.
     pub proxy: usize,
-    /// From when on.
+    /// When the proxy was stopped.
     pub from: Micros,
-    /// When it was started again, if it was.
+    /// When the proxy was restarted, if it was.
     pub until: Option<Micros>,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct Fleet {
-    /// What was asked for.
+    /// The size of the fleet.
     pub size: Size,
-    /// Its files.
+    /// The folder with all files of the fleet.
     pub folder: Folder,
-    /// What is behind the proxies.
+    /// The hosts behind the proxies.
     pub hosts: Hosts,
-    /// All ways between.
-    pub wiring: Wiring,
-    /// Proxies that are processes of their own.
+    /// The links between the processes.
+    pub network: Network,
+    /// Proxies that are separate processes.
     pub real: Vec<AsyncMutex<Process>>,
-    /// Processes with hollow proxies.
+    /// Processes that run hollow proxies.
     pub hollow: Vec<AsyncMutex<HollowProcess>>,
-    /// One without any, to know what a process holds by itself.
+    /// A process without hollow proxies, to measure the memory of the process itself.
     pub empty: HollowProcess,
-    /// Replicas of control.
+    /// Replicas of the control plane.
     pub replicas: Vec<AsyncMutex<Process>>,
-    replica_at: Vec<watch::Sender<Option<SocketAddr>>>,
+    replica_addresses: Vec<watch::Sender<Option<SocketAddr>>>,
     /// The list service.
     pub list: Process,
-    /// Where real proxies take calls.
+    /// The addresses at which the real proxies accept calls.
     pub addresses: Addresses,
-    down: Mutex<Vec<Down>>,
+    downtimes: Mutex<Vec<Downtime>>,
 }
 
-/// The name of a proxy.
-pub fn name(proxy: usize) -> String {
+/// The name of the proxy with this index.
+pub fn proxy_name(proxy: usize) -> String {
     format!("p{proxy}")
 }
 
-/// The proxy of this name.
-pub fn proxy_named(name: &str) -> Option<usize> {
+/// The index of the proxy with this name.
+pub fn proxy_index(name: &str) -> Option<usize> {
     name.strip_prefix('p')?.parse().ok()
 }
 
-fn plan((program, before): &(PathBuf, Vec<String>), arguments: &[String]) -> ProcessSpec {
-    let arguments = before.iter().chain(arguments).cloned().collect();
+fn process_spec(
+    (program, leading_arguments): &(PathBuf, Vec<String>),
+    arguments: &[String],
+) -> ProcessSpec {
+    let arguments = leading_arguments.iter().chain(arguments).cloned().collect();
     ProcessSpec {
         program: program.clone(),
         arguments,
@@ -91,10 +95,10 @@
 }
 
 impl Fleet {
-    /// Starts control and the list service, and prepares the proxies: see [`Fleet::start_proxies`].
+    /// Starts the control plane and the list service, and prepares the proxies, which [`Fleet::start_proxies`] starts.
     ///
     /// # Errors
-    /// If something does not start.
+    /// If a process does not start.
     pub async fn start(
         programs: &Programs,
         size: Size,
@@ -107,57 +111,63 @@
             &format!("a secret of the trial {seed:016x}"),
             true,
         )?;
-        let hosts = Hosts::start(size.proxies, SPOILT, &[], seed).await?;
-        let list = start_list(programs, &folder, &hosts.addresses).await?;
+        let hosts = Hosts::start(size.proxies, ANSWER_LOSS, &[], seed).await?;
+        let list = start_list_service(programs, &folder, &hosts.addresses).await?;
         let (_, list_at) = watch::channel(Some(list.1));
-        let count = size.replica_places().len();
-        let (replica_at, replica_targets): (Vec<_>, Vec<_>) =
+        let count = size.replica_locations().len();
+        let (replica_addresses, replica_targets): (Vec<_>, Vec<_>) =
             (0..count).map(|_| watch::channel(None)).unzip();
-        let (hearing, hears): (Vec<_>, Vec<_>) =
+        let (datagram_senders, datagram_targets): (Vec<_>, Vec<_>) =
             (0..size.proxies).map(|_| watch::channel(None)).unzip();
-        let wiring = Wiring::new(&size, &replica_targets, list_at, hears, seed).await?;
-        write_proxy_files(&folder, &size, &wiring, &secret)?;
-        let mut hearing: HashMap<usize, watch::Sender<Option<SocketAddr>>> =
-            hearing.into_iter().enumerate().collect();
+        let network =
+            Network::new(&size, &replica_targets, list_at, datagram_targets, seed).await?;
+        write_proxy_files(&folder, &size, &network, &secret)?;
+        let mut datagram_senders: HashMap<usize, watch::Sender<Option<SocketAddr>>> =
+            datagram_senders.into_iter().enumerate().collect();
         let mut real = Vec::new();
         for proxy in 0..size.real {
             let file = folder
                 .path()
-                .join(format!("{}.toml", name(proxy)))
+                .join(format!("{}.toml", proxy_name(proxy)))
                 .display()
                 .to_string();
-            let tells = hearing.remove(&proxy).ok_or("a proxy without a way in")?;
-            let plan = plan(&programs.proxy, &["run".to_owned(), file]);
-            real.push(AsyncMutex::new(Process::unstarted(plan, tells)));
+            let datagram_sender = datagram_senders
+                .remove(&proxy)
+                .ok_or("no datagram link exists for the proxy")?;
+            let process_spec = process_spec(&programs.proxy, &["run".to_owned(), file]);
+            real.push(AsyncMutex::new(Process::unstarted(
+                process_spec,
+                datagram_sender,
+            )));
         }
         let mut hollow = Vec::new();
-        let places: Vec<usize> = (size.real..size.proxies).collect();
-        for some in places.chunks(HOLLOW_EACH) {
-            let tells = some
+        let hollow_proxies: Vec<usize> = (size.real..size.proxies).collect();
+        for chunk in hollow_proxies.chunks(MAX_HOLLOW_PER_PROCESS) {
+            let datagram_sender = chunk
                 .iter()
-                .filter_map(|proxy| Some((name(*proxy), hearing.remove(proxy)?)))
+                .filter_map(|proxy| Some((proxy_name(*proxy), datagram_senders.remove(proxy)?)))
                 .collect();
             hollow.push(AsyncMutex::new(HollowProcess::start(
                 &programs.hollow,
                 folder.path(),
-                tells,
+                datagram_sender,
             )?));
         }
         let empty = HollowProcess::start(&programs.hollow, folder.path(), HashMap::new())?;
-        let replicas = prepare_replicas(programs, &folder, (&size, &wiring), times).await?;
+        let replicas = prepare_replicas(programs, &folder, (&size, &network), times).await?;
         let fleet = Fleet {
-            addresses: Arc::new(RwLock::new(vec![NOBODY; size.real])),
+            addresses: Arc::new(RwLock::new(vec![UNUSED_ADDRESS; size.real])),
             size,
             folder,
             hosts,
-            wiring,
+            network,
             real,
             hollow,
             empty,
             replicas,
-            replica_at,
+            replica_addresses,
             list: list.0,
-            down: Mutex::default(),
+            downtimes: Mutex::default(),
         };
         for replica in 0..count {
             fleet.start_replica(replica).await?;
@@ -165,14 +175,14 @@
         Ok(fleet)
     }
 
-    /// Starts all proxies, one shortly after the other.
+    /// Starts all proxies, with a short pause between two starts.
     ///
     /// # Errors
-    /// If one does not start.
+    /// If a proxy does not start.
     pub async fn start_proxies(&self) -> Result<(), String> {
         for proxy in 0..self.size.proxies {
             self.order(proxy, Order::Start).await?;
-            tokio::time::sleep(SPREAD).await;
+            tokio::time::sleep(START_INTERVAL).await;
         }
         Ok(())
     }
@@ -181,10 +191,10 @@
         if self.size.is_real(proxy) {
             return self.order_real(proxy, &order(String::new())).await;
         }
-        let process = &self.hollow[(proxy - self.size.real) / HOLLOW_EACH];
-        match order(name(proxy)) {
-            Order::End(name) => process.lock().await.end(name).await,
-            order => process.lock().await.order(&order).await,
+        let process = &self.hollow[(proxy - self.size.real) / MAX_HOLLOW_PER_PROCESS];
+        match order(proxy_name(proxy)) {
+            Order::End(name) => process.lock().await.terminate_proxy(name).await,
+            order => process.lock().await.send_order(&order).await,
         }
     }
 
@@ -195,9 +205,9 @@
                 process.spawn()?;
                 process.listen_address().await?
             }
-            _ => NOBODY,
+            _ => UNUSED_ADDRESS,
         };
-        // Its port may be another process's at once.
+        // Another process may reuse the port of a stopped proxy at once, so clients must not call it any more.
         self.addresses
             .write()
             .unwrap_or_else(PoisonError::into_inner)[proxy] = address;
@@ -207,25 +217,27 @@
                 process.kill().await;
                 Ok(())
             }
-            Order::Start(_) | Order::Tell => Ok(()),
+            Order::Start(_) | Order::ReportAdmissions => Ok(()),
         }
     }
 
-    fn downs(&self) -> std::sync::MutexGuard<'_, Vec<Down>> {
-        self.down.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_downtimes(&self) -> std::sync::MutexGuard<'_, Vec<Downtime>> {
+        self.downtimes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When the trial kept proxies from working.
-    pub fn down(&self) -> Vec<Down> {
-        self.downs().clone()
+    /// The times in which proxies were down because the test stopped them.
+    pub fn downtimes(&self) -> Vec<Downtime> {
+        self.lock_downtimes().clone()
     }
 
-    /// Ends a proxy as an operator does.
+    /// Terminates a proxy gracefully, as SIGTERM does.
     ///
     /// # Errors
-    /// If it can't be told.
-    pub async fn end(&self, proxy: usize) -> Result<(), String> {
-        self.downs().push(Down {
+    /// If the proxy can't be stopped.
+    pub async fn terminate_proxy(&self, proxy: usize) -> Result<(), String> {
+        self.lock_downtimes().push(Downtime {
             proxy,
             from: now(),
             until: None,
@@ -233,12 +245,12 @@
         self.order(proxy, Order::End).await
     }
 
-    /// Kills a proxy.
+    /// Kills a proxy, as SIGKILL does.
     ///
     /// # Errors
-    /// If it can't be told.
-    pub async fn kill(&self, proxy: usize) -> Result<(), String> {
-        self.downs().push(Down {
+    /// If the proxy can't be stopped.
+    pub async fn kill_proxy(&self, proxy: usize) -> Result<(), String> {
+        self.lock_downtimes().push(Downtime {
             proxy,
             from: now(),
             until: None,
@@ -246,29 +258,33 @@
         self.order(proxy, Order::Kill).await
     }
 
-    /// Starts a proxy again that was ended or killed.
+    /// Restarts a proxy that was terminated or killed.
     ///
     /// # Errors
-    /// If it does not start.
-    pub async fn again(&self, proxy: usize) -> Result<(), String> {
+    /// If the process does not start.
+    pub async fn restart_proxy(&self, proxy: usize) -> Result<(), String> {
         let started = now();
         self.order(proxy, Order::Start).await?;
-        let mut downs = self.downs();
-        if let Some(down) = downs.iter_mut().rev().find(|down| down.proxy == proxy) {
-            down.until = Some(started);
+        let mut downtimes = self.lock_downtimes();
+        if let Some(downtime) = downtimes
+            .iter_mut()
+            .rev()
+            .find(|downtime| downtime.proxy == proxy)
+        {
+            downtime.until = Some(started);
         }
         Ok(())
     }
 
-    /// Starts a replica, also again.
+    /// Starts or restarts a replica.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the process does not start.
     pub async fn start_replica(&self, replica: usize) -> Result<(), String> {
         let mut process = self.replicas[replica].lock().await;
         process.spawn()?;
         let address = process.listen_address().await?;
-        self.replica_at[replica].send_replace(Some(address));
+        self.replica_addresses[replica].send_replace(Some(address));
         Ok(())
     }
 
@@ -277,86 +293,90 @@
         let mut process = self.replicas[replica].lock().await;
         process.signal(Signal::KILL);
         process.kill().await;
-        self.replica_at[replica].send_replace(None);
+        self.replica_addresses[replica].send_replace(None);
     }
 
-    /// The way of a publisher to the control of a region.
+    /// A publisher's client of the control plane of a region.
     ///
     /// # Errors
-    /// If there is no secret.
-    pub fn publisher(&self, region: usize) -> Result<Control, String> {
+    /// If the secret can't be read.
+    pub fn control_client(&self, region: usize) -> Result<Control, String> {
         Control::new(&At {
-            control: self.wiring.publisher(region),
+            control: self.network.publisher_addresses(region),
             secret: self.folder.path().join("secret"),
-            timeout: LONG.as_secs(),
+            timeout: STATE_TIMEOUT.as_secs(),
         })
     }
 
-    /// Waits until all proxies that run act under what is in force in their region, and tells which replica leads in the
-    /// first one.
+    /// Waits until all running proxies act under the revision in force in their region. Returns the index of the replica that
+    /// leads the first region.
     ///
     /// # Errors
-    /// If they do not in a minute.
-    pub async fn settled(&self) -> Result<Option<usize>, String> {
-        let end = Instant::now() + LONG;
+    /// If this takes longer than [`STATE_TIMEOUT`].
+    pub async fn wait_until_settled(&self) -> Result<Option<usize>, String> {
+        let deadline = Instant::now() + STATE_TIMEOUT;
         let mut leader = None;
         for region in (0..self.size.regions).rev() {
-            leader = self.region_settled(region, end).await?;
+            leader = self.wait_until_region_settled(region, deadline).await?;
         }
         Ok(leader)
     }
 
-    async fn region_settled(&self, region: usize, end: Instant) -> Result<Option<usize>, String> {
-        let away: HashSet<usize> = self
-            .down()
+    async fn wait_until_region_settled(
+        &self,
+        region: usize,
+        deadline: Instant,
+    ) -> Result<Option<usize>, String> {
+        let stopped: HashSet<usize> = self
+            .downtimes()
             .iter()
-            .filter(|down| down.until.is_none())
-            .map(|down| down.proxy)
+            .filter(|downtime| downtime.until.is_none())
+            .map(|downtime| downtime.proxy)
             .collect();
         let proxies = self
             .size
             .proxies_of(region)
             .into_iter()
-            .filter(|proxy| !away.contains(proxy))
+            .filter(|proxy| !stopped.contains(proxy))
             .count();
-        let mut control = self.publisher(region)?;
+        let mut control = self.control_client(region)?;
         loop {
             let standing = control.standing().await.map_err(|e| e.to_string())?;
-            let there = standing
+            let current = standing
                 .proxies
                 .iter()
                 .filter(|p| p.acting == standing.revision)
                 .count();
-            if there >= proxies && standing.to_come.is_none() {
+            if current >= proxies && standing.to_come.is_none() {
                 let replicas = 0..self.replicas.len();
-                return Ok(replicas
-                    .into_iter()
-                    .find(|&replica| self.wiring.replica(replica).to_string() == standing.leader));
+                return Ok(replicas.into_iter().find(|&replica| {
+                    self.network.replica_address(replica).to_string() == standing.leader
+                }));
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(format!(
-                    "{there} of {proxies} proxies act under what is in force"
+                    "only {current} of {proxies} proxies act under the revision in force"
                 ));
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
     }
 
-    /// The log of a proxy.
+    /// The log lines of a proxy.
     pub async fn log(&self, proxy: usize) -> Vec<Line> {
         if self.size.is_real(proxy) {
             return self.real[proxy].lock().await.log();
         }
-        self.hollow[(proxy - self.size.real) / HOLLOW_EACH]
+        self.hollow[(proxy - self.size.real) / MAX_HOLLOW_PER_PROCESS]
             .lock()
             .await
-            .log(&name(proxy))
+            .log(&proxy_name(proxy))
     }
 
-    /// Ends all processes in order, those that are still there.
+    /// Stops all running processes: first the proxies, then the replicas and the list service.
     ///
     /// # Errors
-    /// If a process for hollow proxies does not end.
+    /// If a process that runs hollow proxies does not end.
     pub async fn stop(&mut self) -> Result<(), String> {
         for proxy in &self.real {
             proxy.lock().await.kill().await;
@@ -373,7 +393,7 @@
     }
 }
 
-async fn start_list(
+async fn start_list_service(
     programs: &Programs,
     folder: &Folder,
     hosts: &[SocketAddr],
@@ -383,7 +403,7 @@
         .write("hosts", &text.join("\n"), false)?
         .display()
         .to_string();
-    let mut process = Process::start(plan(&programs.list, &[file])).await?;
+    let mut process = Process::start(process_spec(&programs.list, &[file])).await?;
     let address = process.listen_address().await?;
     Ok((process, address))
 }
@@ -391,73 +411,82 @@
 fn write_proxy_files(
     folder: &Folder,
     size: &Size,
-    wiring: &Wiring,
+    network: &Network,
     secret: &std::path::Path,
 ) -> Result<(), String> {
-    let seeds: Vec<SocketAddr> = (0..SEEDS.min(size.proxies))
-        .map(|p| wiring.advertised(p))
+    let seeds: Vec<SocketAddr> = (0..SEED_PROXIES.min(size.proxies))
+        .map(|p| network.advertised_address(p))
         .collect();
     for proxy in 0..size.proxies {
-        let place = size.proxy(proxy);
+        let location = size.proxy(proxy);
         let group = Group {
             real: size.is_real(proxy),
-            region: place.region,
+            region: location.region,
         };
         let file = ProxyFile {
-            name: &name(proxy),
-            zone: place.zone,
-            region: (size.regions > 1).then_some(place.region),
+            name: &proxy_name(proxy),
+            zone: location.zone,
+            region: (size.regions > 1).then_some(location.region),
             proxies: size.proxies,
-            control: &wiring.control(group),
-            list: wiring.list(group).ok_or("a group without links")?,
-            advertise: wiring.advertised(proxy),
+            control: &network.control_addresses(group),
+            list: network
+                .list_address(group)
+                .ok_or("no links exist for the group of the proxy")?,
+            advertise: network.advertised_address(proxy),
             seeds: &seeds,
             secret,
         };
-        folder.write(&format!("{}.toml", name(proxy)), &file.text(), false)?;
+        folder.write(&format!("{}.toml", proxy_name(proxy)), &file.text(), false)?;
     }
     Ok(())
 }
 
-/// Makes the stores of all replicas; they are not started yet.
+/// Creates the stores of all replicas, without starting the replicas.
 async fn prepare_replicas(
     programs: &Programs,
     folder: &Folder,
-    (size, wiring): (&Size, &Wiring),
+    (size, network): (&Size, &Network),
     times: ControlTimes,
 ) -> Result<Vec<AsyncMutex<Process>>, String> {
     let mut all = Vec::new();
-    for (place, stands) in size.replica_places().into_iter().enumerate() {
+    for (index, location) in size.replica_locations().into_iter().enumerate() {
         let several = size.regions > 1;
-        let others = (0..size.regions).filter(|&region| region != stands.region);
+        let others = (0..size.regions).filter(|&region| region != location.region);
         let others: Vec<(usize, Vec<SocketAddr>)> = others
-            .map(|region| (region, wiring.between(stands.region, region)))
+            .map(|region| {
+                (
+                    region,
+                    network.cross_region_addresses(location.region, region),
+                )
+            })
             .collect();
         let file = ReplicaFile {
-            place,
-            number: place % size.replicas + 1,
-            replicas: &wiring.replicas(stands.region),
-            region: several.then_some(stands.region),
+            index,
+            number: index % size.replicas + 1,
+            replicas: &network.replica_addresses(location.region),
+            region: several.then_some(location.region),
             others: &others,
             times,
         };
         let file = folder
-            .write(&format!("control-{place}.toml"), &file.text(), false)?
+            .write(&format!("control-{index}.toml"), &file.text(), false)?
             .display()
             .to_string();
-        let (program, before) = &programs.control;
-        let made = tokio::process::Command::new(program)
-            .args(before)
+        let (program, leading_arguments) = &programs.control;
+        let created = tokio::process::Command::new(program)
+            .args(leading_arguments)
             .args(["create", &file])
             .stdout(std::process::Stdio::null())
             .status()
             .await;
-        if !made.map_err(|e| e.to_string())?.success() {
-            return Err(format!("{file}: its store could not be made"));
+        if !created.map_err(|e| e.to_string())?.success() {
+            return Err(format!(
+                "failed to create the store of the replica configured in {file}"
+            ));
         }
-        let plan = plan(&programs.control, &["serve".to_owned(), file]);
+        let process_spec = process_spec(&programs.control, &["serve".to_owned(), file]);
         all.push(AsyncMutex::new(Process::unstarted(
-            plan,
+            process_spec,
             watch::channel(None).0,
         )));
     }
--- a/crates/fault-injection/src/scale/hollow.rs
+++ b/crates/fault-injection/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! A process that runs many client proxies as tasks: what is said to it and what it says.
+//! A process that runs many client proxies as tasks, and the protocol with it on its standard streams.
 
 use crate::now;
 use crate::process::usage_of;
@@ -15,110 +15,114 @@
 use tokio::process::{Child, ChildStdin, Command};
 use tokio::sync::watch;
 
-/// Longest wait for a process to end.
-const LONG: Duration = Duration::from_secs(30);
+/// Timeout for an answer of the process, and for its end.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the process is told, a line of JSON each, on its standard input.
+/// An order to the process: a line of JSON on its standard input.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
-    /// Start the proxy of this name, whose file is `NAME.toml` in the process's folder.
+    /// Start the proxy with this name, whose configuration file is `NAME.toml` in the folder of the process.
     Start(String),
-    /// End it as SIGTERM ends a process.
+    /// Terminate the proxy with this name gracefully, as SIGTERM does.
     End(String),
-    /// End it as SIGKILL ends a process.
+    /// Kill the proxy with this name, as SIGKILL does.
     Kill(String),
-    /// Tell what each proxy admits now.
-    Tell,
+    /// Report what each proxy admits now.
+    #[serde(rename = "tell")]
+    ReportAdmissions,
 }
 
-/// What a proxy admits.
+/// The calls that a proxy admits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admits {
-    /// Calls under these generations.
+    /// The proxy admits calls under these generations.
     Under {
-        /// The older.
+        /// The older generation.
         old: u64,
-        /// The newer; the same outside a change.
+        /// The newer generation; outside a change it equals the older one.
         new: u64,
     },
-    /// Nothing.
+    /// The proxy admits no calls.
     Nothing,
 }
 
-/// What the process tells, a line of JSON each, on its standard output.
+/// An event that the process reports: a line of JSON on its standard output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// A proxy admitted this at each look within this span. The next look found something else, or it was asked.
+    /// All admission checks of a proxy within a span had the same result. The event is reported when a check has another
+    /// result, when the proxy stops, and on [`Order::ReportAdmissions`].
     Admitted {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// What.
+        /// The result of the checks.
         admits: Admits,
-        /// The first look.
+        /// The time of the first check.
         from: Micros,
-        /// The last one.
+        /// The time of the last check.
         until: Micros,
     },
-    /// All that was asked for with [`Order::Tell`] has been told.
-    Told,
-    /// A proxy ended as it was told to.
+    /// All admissions requested with [`Order::ReportAdmissions`] have been reported.
+    #[serde(rename = "told")]
+    AdmissionsReported,
+    /// A proxy ended because it was ordered to.
     Stopped {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
     },
-    /// A proxy ended by itself.
+    /// A proxy ended without an order.
     Ended {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// A line of a log that tells of one proxy, and when it was read.
+/// A line of a proxy's log, and when it was read.
 pub type Line = (Micros, String);
 
 #[derive(Default)]
-struct Heard {
+struct Output {
     events: Vec<Event>,
     logs: HashMap<String, Vec<Line>>,
 }
 
-/// Between two looks at whether a proxy has ended.
-const LOOK_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+/// Interval at which a waiting caller checks whether a proxy has ended.
+const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// The process.
+/// A process that runs hollow proxies.
 pub struct HollowProcess {
     child: Child,
     pid: Pid,
     orders: ChildStdin,
-    heard: Arc<Mutex<Heard>>,
-    told: watch::Receiver<usize>,
+    output: Arc<Mutex<Output>>,
+    admission_reports: watch::Receiver<usize>,
     readers: Vec<tokio::task::JoinHandle<()>>,
 }
 
-fn locked(heard: &Mutex<Heard>) -> std::sync::MutexGuard<'_, Heard> {
-    heard.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(output: &Mutex<Output>) -> std::sync::MutexGuard<'_, Output> {
+    output.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The proxy that a line of a log tells of: the process logs each proxy in a span of its name.
+/// The proxy that logged a line: the process logs each proxy in a span with the proxy's name.
 fn proxy_of(line: &str) -> Option<String> {
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
     value.get("span")?.get("proxy")?.as_str().map(str::to_owned)
 }
 
 impl HollowProcess {
-    /// Starts it without proxies. Where each proxy hears datagrams comes into `hearing`.
+    /// Starts the process without proxies. Once a proxy has logged the address on which it receives datagrams, the address is
+    /// sent to the proxy's channel in `datagram_addresses`.
     ///
     /// # Errors
-    /// If it does not start.
+    /// If the process does not start.
     pub fn start(
         (program, arguments): &(PathBuf, Vec<String>),
         folder: &Path,
-        hearing: HashMap<String, watch::Sender<Option<SocketAddr>>>,
+        datagram_addresses: HashMap<String, watch::Sender<Option<SocketAddr>>>,
     ) -> Result<HollowProcess, String> {
         let mut child = Command::new(program)
             .args(arguments)
@@ -132,110 +136,132 @@
         let pid = child
             .id()
             .and_then(|id| Pid::from_raw(id as i32))
-            .ok_or("a process without a number")?;
-        let orders = child.stdin.take().ok_or("no standard input")?;
-        let events = child.stdout.take().ok_or("no standard output")?;
-        let log = child.stderr.take().ok_or("no log")?;
-        let heard = Arc::new(Mutex::new(Heard::default()));
-        let (tells, told) = watch::channel(0);
+            .ok_or("the process has no process id")?;
+        let orders = child
+            .stdin
+            .take()
+            .ok_or("standard input of the process is not piped")?;
+        let events = child
+            .stdout
+            .take()
+            .ok_or("standard output of the process is not piped")?;
+        let log = child
+            .stderr
+            .take()
+            .ok_or("standard error of the process is not piped")?;
+        let output = Arc::new(Mutex::new(Output::default()));
+        let (sender, admission_reports) = watch::channel(0);
         let readers = vec![
             tokio::spawn(read_events(
                 BufReader::new(events),
-                Arc::clone(&heard),
-                tells,
+                Arc::clone(&output),
+                sender,
+            )),
+            tokio::spawn(read_log(
+                BufReader::new(log),
+                Arc::clone(&output),
+                datagram_addresses,
             )),
-            tokio::spawn(read_log(BufReader::new(log), Arc::clone(&heard), hearing)),
         ];
         Ok(HollowProcess {
             child,
             pid,
             orders,
-            heard,
-            told,
+            output,
+            admission_reports,
             readers,
         })
     }
 
-    /// Tells it something.
+    /// Sends an order to the process.
     ///
     /// # Errors
-    /// If it has ended.
-    pub async fn order(&mut self, order: &Order) -> Result<(), String> {
+    /// If the process has ended.
+    pub async fn send_order(&mut self, order: &Order) -> Result<(), String> {
         let line = serde_json::to_string(order).map_err(|e| e.to_string())? + "\n";
         self.orders
             .write_all(line.as_bytes())
             .await
-            .map_err(|e| format!("hollow proxies: {e}"))
+            .map_err(|e| format!("failed to send an order to the process of hollow proxies: {e}"))
     }
 
-    /// Tells a proxy to end, and waits until it has.
+    /// Terminates a proxy, and waits until it has ended.
     ///
     /// # Errors
-    /// If it does not.
-    pub async fn end(&mut self, proxy: String) -> Result<(), String> {
+    /// If it does not end in time.
+    pub async fn terminate_proxy(&mut self, proxy: String) -> Result<(), String> {
         let stopped = Event::Stopped {
             proxy: proxy.clone(),
         };
-        let count = |heard: &Mutex<Heard>| {
-            locked(heard)
+        let count = |output: &Mutex<Output>| {
+            lock(output)
                 .events
                 .iter()
                 .filter(|e| **e == stopped)
                 .count()
         };
-        let before = count(&self.heard);
-        self.order(&Order::End(proxy)).await?;
-        let end = tokio::time::Instant::now() + LONG;
-        while count(&self.heard) == before {
+        let before = count(&self.output);
+        self.send_order(&Order::End(proxy)).await?;
+        let end = tokio::time::Instant::now() + PROCESS_TIMEOUT;
+        while count(&self.output) == before {
             if tokio::time::Instant::now() >= end {
-                return Err("a hollow proxy does not end".to_owned());
+                return Err(
+                    "a hollow proxy did not end in time after its termination was ordered"
+                        .to_owned(),
+                );
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Waits until each proxy's admission has been told up to now.
+    /// Waits until the admissions of all proxies have been reported up to now.
     ///
     /// # Errors
-    /// If it is not told.
-    pub async fn tell(&mut self) -> Result<(), String> {
-        let before = *self.told.borrow();
-        self.order(&Order::Tell).await?;
-        let told = tokio::time::timeout(LONG, self.told.wait_for(|told| *told > before)).await;
-        told.map_err(|_| "hollow proxies do not tell")?
+    /// If the process does not report them in time.
+    pub async fn report_admissions(&mut self) -> Result<(), String> {
+        let before = *self.admission_reports.borrow();
+        self.send_order(&Order::ReportAdmissions).await?;
+        let result = tokio::time::timeout(
+            PROCESS_TIMEOUT,
+            self.admission_reports
+                .wait_for(|admission_reports| *admission_reports > before),
+        )
+        .await;
+        result
+            .map_err(|_| "a process of hollow proxies did not report admissions in time")?
             .map(|_| ())
             .map_err(|e| e.to_string())
     }
 
-    /// Processor time so far in microseconds, and memory in KiB.
+    /// CPU time so far, in microseconds, and memory, in KiB.
     pub fn usage(&self) -> Option<(u64, u64)> {
         usage_of(self.pid)
     }
 
-    /// What was told so far.
+    /// The events reported so far.
     pub fn events(&self) -> Vec<Event> {
-        locked(&self.heard).events.clone()
+        lock(&self.output).events.clone()
     }
 
-    /// The log of a proxy.
+    /// The log lines of a proxy.
     pub fn log(&self, proxy: &str) -> Vec<Line> {
-        locked(&self.heard)
+        lock(&self.output)
             .logs
             .get(proxy)
             .cloned()
             .unwrap_or_default()
     }
 
-    /// Asks it to end, and waits until it has.
+    /// Sends SIGTERM to the process, and waits until it has ended.
     ///
     /// # Errors
-    /// If it does not.
+    /// If it does not end in time.
     pub async fn terminate(&mut self) -> Result<(), String> {
         let _ = kill_process(self.pid, Signal::TERM);
-        let ended = tokio::time::timeout(LONG, self.child.wait()).await;
+        let ended = tokio::time::timeout(PROCESS_TIMEOUT, self.child.wait()).await;
         ended
-            .map_err(|_| "hollow proxies do not end")?
+            .map_err(|_| "a process of hollow proxies did not end in time after SIGTERM")?
             .map_err(|e| e.to_string())?;
         for reader in self.readers.drain(..) {
             let _ = reader.await;
@@ -246,39 +272,39 @@
 
 async fn read_events(
     events: BufReader<tokio::process::ChildStdout>,
-    heard: Arc<Mutex<Heard>>,
-    tells: watch::Sender<usize>,
+    output: Arc<Mutex<Output>>,
+    sender: watch::Sender<usize>,
 ) {
     let mut lines = events.lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let Ok(event) = serde_json::from_str::<Event>(&line) else {
             continue;
         };
-        let told = event == Event::Told;
-        locked(&heard).events.push(event);
-        if told {
-            tells.send_modify(|told| *told += 1);
+        let is_report = event == Event::AdmissionsReported;
+        lock(&output).events.push(event);
+        if is_report {
+            sender.send_modify(|admission_reports| *admission_reports += 1);
         }
     }
 }
 
 async fn read_log(
     log: BufReader<tokio::process::ChildStderr>,
-    heard: Arc<Mutex<Heard>>,
-    hearing: HashMap<String, watch::Sender<Option<SocketAddr>>>,
+    output: Arc<Mutex<Output>>,
+    datagram_addresses: HashMap<String, watch::Sender<Option<SocketAddr>>>,
 ) {
     let mut lines = log.lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let Some(proxy) = proxy_of(&line) else {
             continue;
         };
-        if let (Some(address), Some(tells)) = (
+        if let (Some(address), Some(sender)) = (
             crate::process::address_after(&line, "hearing on "),
-            hearing.get(&proxy),
+            datagram_addresses.get(&proxy),
         ) {
-            tells.send_replace(Some(address));
+            sender.send_replace(Some(address));
         }
-        locked(&heard)
+        lock(&output)
             .logs
             .entry(proxy)
             .or_default()
--- a/crates/fault-injection/src/scale/layout.rs
+++ b/crates/fault-injection/src/scale/layout.rs
@@ -1,49 +1,49 @@
-//! Where each proxy and each replica of control stands: region, zone, rack.
+//! Placement of the proxies and the control-plane replicas in regions, zones and racks.
 
 use serde::Serialize;
 
-/// A rack is a twentieth of the fleet.
+/// Number of racks that the fleet is divided into.
 const RACKS: usize = 20;
 
-/// The fleet to be played.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Size {
-    /// Client proxies in all.
+    /// Number of client proxies.
     pub proxies: usize,
-    /// Those of them that are processes of their own; the others share processes.
+    /// Number of proxies that are separate processes; the others are hollow and share processes.
     pub real: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones over all regions.
+    /// Number of zones, over all regions.
     pub zones: usize,
-    /// Replicas of control in each region.
+    /// Number of control-plane replicas in each region.
     pub replicas: usize,
 }
 
-/// Where something stands.
+/// The location of a proxy or a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
-    /// The region, from 0.
+pub struct Location {
+    /// Index of the region.
     pub region: usize,
-    /// The zone, from 0 over all regions.
+    /// Index of the zone, over all regions.
     pub zone: usize,
 }
 
 impl Size {
-    /// Proxies that share processes.
+    /// Number of hollow proxies.
     pub fn hollow(&self) -> usize {
         self.proxies - self.real
     }
 
-    /// Is this proxy a process of its own?
+    /// Whether this proxy is a separate process.
     pub fn is_real(&self, proxy: usize) -> bool {
         proxy < self.real
     }
 
-    /// Where a proxy stands: one after the other in each zone, so that every zone has some of either kind.
-    pub fn proxy(&self, proxy: usize) -> Place {
+    /// The location of a proxy. Proxies are assigned to the zones in turn, so that every zone has both real and hollow ones.
+    pub fn proxy(&self, proxy: usize) -> Location {
         let zone = proxy % self.zones;
-        Place {
+        Location {
             region: self.region_of(zone),
             zone,
         }
@@ -59,12 +59,12 @@
             .collect()
     }
 
-    /// Where the replicas stand: each region has a group of its own.
-    pub fn replica_places(&self) -> Vec<Place> {
+    /// The locations of the replicas; each region has its own replica group.
+    pub fn replica_locations(&self) -> Vec<Location> {
         let mut places = Vec::new();
         for region in 0..self.regions {
             let zones = self.zones_of(region);
-            places.extend((0..self.replicas).map(|n| Place {
+            places.extend((0..self.replicas).map(|n| Location {
                 region,
                 zone: zones[n % zones.len()],
             }));
@@ -79,13 +79,13 @@
             .collect()
     }
 
-    /// The proxies of a rack in this zone.
+    /// The proxies of one rack in this zone.
     pub fn rack(&self, zone: usize) -> Vec<usize> {
         let count = (self.proxies / RACKS).max(1);
         self.proxies_in(zone).into_iter().take(count).collect()
     }
 
-    /// The proxies of a rack in this zone, and the zone's last one, which is hollow if any is.
+    /// The proxies of one rack in this zone, and the last proxy of the zone, which is hollow if any of them is.
     pub fn some_of_either_kind(&self, zone: usize) -> Vec<usize> {
         let mut proxies = self.rack(zone);
         let last = self.proxies_in(zone).last().copied();
@@ -102,7 +102,7 @@
 
     /// The replicas of a zone.
     pub fn replicas_in(&self, zone: usize) -> Vec<usize> {
-        let places = self.replica_places();
+        let places = self.replica_locations();
         (0..places.len())
             .filter(|&replica| places[replica].zone == zone)
             .collect()
--- a/crates/fault-injection/src/scale/list_service.rs
+++ b/crates/fault-injection/src/scale/list_service.rs
@@ -1,16 +1,17 @@
-//! The list service as a process of its own, so that what it spends can be measured.
+//! The list service as a separate process, so that its resource usage can be measured.
 
 use crate::start::service::Service;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Questions a second that it bears.
+/// Maximum rate of requests that the service handles, per second.
 const CAPACITY: f64 = 5_000.0;
 
-/// Lists the addresses of a file, one a line, until the process ends. Where it listens is written to standard error.
+/// Serves a list of the addresses in a file, one per line, until the process ends. Writes its listen address to standard
+/// error.
 ///
 /// # Errors
-/// If the file can't be read, or no port can be had.
+/// If the file can't be read or parsed, or the service can't bind a port.
 pub async fn serve(file: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let read = |line: &str| {
--- a/crates/fault-injection/src/scale/publisher.rs
+++ b/crates/fault-injection/src/scale/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes one policy after the other, and notes what became of each.
+//! Publishes policies and records the outcome of each change.
 
 use super::files;
 use super::fleet::Fleet;
@@ -8,99 +8,106 @@
 use std::collections::HashMap;
 use tokio::time::Instant;
 
-/// The region that coordinates changes of all regions: the first one by name.
+/// The region that coordinates cross-region changes: the first one by name.
 pub const COORDINATOR: usize = 0;
-/// What a region that has voted for a change of all regions says to a change of its own.
+/// Part of the message with which a region that awaits the decision on a cross-region change rejects a change of its own.
 const AWAITS_DECISION: &str = "change of all regions";
 
-/// For whom a policy is published.
+/// The regions that a policy is published for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum For {
-    /// All regions, or the only one.
+pub enum PublishScope {
+    /// All regions.
     All,
-    /// One of several regions.
+    /// The region with this index, in a fleet with several regions.
     Region(usize),
 }
 
-/// A change, and what its publisher heard of it.
+/// A published change.
 #[derive(Clone, Debug)]
 pub struct Published {
-    /// For whom.
-    pub scope: For,
-    /// What was heard.
-    pub heard: PublishRecord,
-    /// How it ended.
+    /// The regions of the change.
+    pub scope: PublishScope,
+    /// The outcome as recorded for the invariant checker.
+    pub record: PublishRecord,
+    /// The outcome.
     pub outcome: Outcome,
 }
 
 impl Published {
-    /// A change of one region that did not come into force, though no change of all regions stood in its way.
+    /// Whether this is a change of one region that did not come into force although no cross-region change was pending.
     pub fn failed_in_its_region(&self) -> bool {
-        let own = matches!(self.scope, For::Region(_));
-        own && self.outcome != Outcome::InForce && !self.heard.why.contains(AWAITS_DECISION)
+        let is_regional = matches!(self.scope, PublishScope::Region(_));
+        is_regional
+            && self.outcome != Outcome::InForce
+            && !self.record.why.contains(AWAITS_DECISION)
     }
 }
 
-/// A publisher with a way to the control of each region.
+/// Publishes policies to the control planes of all regions.
 #[derive(Default)]
 pub struct Publisher {
     number: usize,
-    /// All that was published.
+    /// All published changes.
     pub published: Vec<Published>,
 }
 
 impl Publisher {
-    /// Publishes the next policy and follows it to its end. Control that can't be asked is no fault of the trial's.
+    /// Publishes the next policy and waits for its outcome. A control plane that can't be queried is not an error of the
+    /// test: the outcome is then unknown.
     ///
     /// # Errors
-    /// If there is no secret.
-    pub async fn publish(&mut self, fleet: &Fleet, scope: For) -> Result<Outcome, String> {
+    /// If the secret can't be read.
+    pub async fn publish(&mut self, fleet: &Fleet, scope: PublishScope) -> Result<Outcome, String> {
         self.number += 1;
-        let begun = Instant::now();
-        let (region, asked) = match scope {
-            For::All if fleet.size.regions > 1 => (COORDINATOR, Scope::All),
-            For::All => (COORDINATOR, Scope::Region),
-            For::Region(region) => (region, Scope::Region),
+        let started_at = Instant::now();
+        let (region, requested_scope) = match scope {
+            PublishScope::All if fleet.size.regions > 1 => (COORDINATOR, Scope::All),
+            PublishScope::All => (COORDINATOR, Scope::Region),
+            PublishScope::Region(region) => (region, Scope::Region),
         };
-        let mut control = fleet.publisher(region)?;
+        let mut control = fleet.control_client(region)?;
         let (outcome, generation, why) = match control.standing().await {
             Ok(standing) => {
                 let policy = files::policy(self.number);
                 let files = HashMap::from([(files::APPLICATION.to_owned(), policy)]);
-                let done = control
-                    .publish_for(asked, &files, standing.revision, |_| {})
+                let completed = control
+                    .publish_for(requested_scope, &files, standing.revision, |_| {})
                     .await;
-                (done.outcome, done.generation.unwrap_or(0), done.why)
+                (
+                    completed.outcome,
+                    completed.generation.unwrap_or(0),
+                    completed.why,
+                )
             }
-            Err(fault) => (Outcome::NotKnown, 0, fault.to_string()),
+            Err(error) => (Outcome::NotKnown, 0, error.to_string()),
         };
-        let heard = PublishRecord {
+        let record = PublishRecord {
             generation,
             at: now(),
             in_force: outcome == Outcome::InForce,
-            took_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
+            took_ms: u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             why,
         };
         self.published.push(Published {
             scope,
-            heard,
+            record,
             outcome,
         });
         Ok(outcome)
     }
 
-    /// What was heard of the changes whose end is known and whose generations are those of a region.
-    pub fn heard_in(&self, region: usize) -> Vec<PublishRecord> {
-        let numbered_here = |scope: For| match scope {
-            For::All => region == COORDINATOR,
-            For::Region(own) => own == region,
+    /// The changes with a known outcome whose generations are numbered by this region.
+    pub fn records_of(&self, region: usize) -> Vec<PublishRecord> {
+        let numbered_in_region = |scope: PublishScope| match scope {
+            PublishScope::All => region == COORDINATOR,
+            PublishScope::Region(published_for) => published_for == region,
         };
-        let known = |p: &&Published| p.outcome != Outcome::NotKnown && p.heard.generation > 0;
-        let here = self
+        let known = |p: &&Published| p.outcome != Outcome::NotKnown && p.record.generation > 0;
+        let in_region = self
             .published
             .iter()
-            .filter(|p| numbered_here(p.scope))
+            .filter(|p| numbered_in_region(p.scope))
             .filter(known);
-        here.map(|p| p.heard.clone()).collect()
+        in_region.map(|p| p.record.clone()).collect()
     }
 }
--- a/crates/fault-injection/src/scale/report.rs
+++ b/crates/fault-injection/src/scale/report.rs
@@ -1,26 +1,27 @@
-//! What courses came to: a table, fits by the size of the fleet, and a plot.
+//! Reports of several runs: a table, linear fits by fleet size, and a plot.
 
-use super::played::Played;
+use super::run_report::RunReport;
 use plotters::prelude::*;
 use statrs::statistics::Statistics;
 use std::fmt::Write;
 use std::path::Path;
 
-/// What is fitted: its name and unit, and its value in a course.
-type Measure = (&'static str, fn(&Played) -> Option<f64>);
+/// A measure: its name, and its value in a run.
+type Measure = (&'static str, fn(&RunReport) -> Option<f64>);
 
-/// Measures of one plot: its title, and what is drawn.
+/// A panel of the plot: its title with the unit, and its measures.
 type Panel = (&'static str, &'static [Measure]);
 
-const PROCESSOR: Panel = (
+const CPU: Panel = (
     "processor time, us a second",
     &[
         ("a proxy", |p| Some(p.proxy_cpu_us_per_s)),
         ("control's leader", |p| p.leader_cpu_us_per_s),
         ("another replica", |p| {
-            p.cost.other_replica(&p.cost.control_cpu_us_per_s, p.leader)
+            p.usage
+                .other_replica(&p.usage.control_cpu_us_per_s, p.leader)
         }),
-        ("the list service", |p| Some(p.cost.list_cpu_us_per_s)),
+        ("the list service", |p| Some(p.usage.list_cpu_us_per_s)),
     ],
 );
 const BYTES: Panel = (
@@ -29,9 +30,10 @@
         ("a proxy", |p| Some(p.proxy_bytes_per_s)),
         ("control's leader", |p| p.leader_bytes_per_s),
         ("another replica", |p| {
-            p.cost.other_replica(&p.cost.control_bytes_per_s, p.leader)
+            p.usage
+                .other_replica(&p.usage.control_bytes_per_s, p.leader)
         }),
-        ("the list service", |p| Some(p.cost.list_bytes_per_s)),
+        ("the list service", |p| Some(p.usage.list_bytes_per_s)),
     ],
 );
 const MEMORY: Panel = (
@@ -40,7 +42,7 @@
         ("a proxy", |p| Some(p.proxy_memory_kib)),
         ("a replica", |p| {
             Some(
-                p.cost
+                p.usage
                     .control_memory_kib
                     .iter()
                     .map(|&kib| kib as f64)
@@ -49,23 +51,23 @@
         }),
     ],
 );
-const PANELS: [Panel; 3] = [PROCESSOR, BYTES, MEMORY];
+const PANELS: [Panel; 3] = [CPU, BYTES, MEMORY];
 
-/// A straight line through points by least squares.
+/// A linear least-squares fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Value at size 0.
+    /// Value at fleet size 0.
     pub constant: f64,
-    /// What each more adds.
+    /// Increase per proxy.
     pub slope: f64,
-    /// Standard error of the slope; `None` with two points.
+    /// Standard error of the slope; `None` for two points.
     pub slope_error: Option<f64>,
-    /// Standard deviation of the points from the line; `None` with two points.
+    /// Standard deviation of the points from the line; `None` for two points.
     pub residual: Option<f64>,
 }
 
 impl Fit {
-    /// Through these points; `None` if they have fewer than two places.
+    /// Fits a line through these points; `None` if there are fewer than two different sizes.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let sizes: Vec<f64> = points.iter().map(|p| p.0).collect();
         let values: Vec<f64> = points.iter().map(|p| p.1).collect();
@@ -75,14 +77,15 @@
         let variance = (&sizes).variance();
         let slope = (&sizes).covariance(&values) / variance;
         let constant = (&values).mean() - slope * (&sizes).mean();
-        let left: f64 = points
+        let squared_residuals: f64 = points
             .iter()
             .map(|(size, value)| (value - constant - slope * size).powi(2))
             .sum();
-        let free = points.len() as f64 - 2.0;
-        let residual = (free > 0.0).then(|| (left / free).sqrt());
-        let spread = variance * (points.len() as f64 - 1.0);
-        let slope_error = residual.map(|residual| residual / spread.sqrt());
+        let degrees_of_freedom = points.len() as f64 - 2.0;
+        let residual =
+            (degrees_of_freedom > 0.0).then(|| (squared_residuals / degrees_of_freedom).sqrt());
+        let squared_deviations = variance * (points.len() as f64 - 1.0);
+        let slope_error = residual.map(|residual| residual / squared_deviations.sqrt());
         Some(Fit {
             constant,
             slope,
@@ -92,14 +95,15 @@
     }
 }
 
-fn points(all: &[Played], value: fn(&Played) -> Option<f64>) -> Vec<(f64, f64)> {
-    all.iter()
-        .filter_map(|played| Some((played.proxies as f64, value(played)?)))
+fn points(reports: &[RunReport], value: fn(&RunReport) -> Option<f64>) -> Vec<(f64, f64)> {
+    reports
+        .iter()
+        .filter_map(|run_report| Some((run_report.proxies as f64, value(run_report)?)))
         .collect()
 }
 
-/// A line for each course.
-pub fn table(all: &[Played]) -> String {
+/// A table with one row per run.
+pub fn table(reports: &[RunReport]) -> String {
     let mut text = format!(
         "{:>8}{:>6}{:>12}{:>7}{:>10}{:>10}{:>10}{:>10}{:>11}{:>10}{:>12}{:>12}\n",
         "proxies",
@@ -115,8 +119,8 @@
         "leader us",
         "leader B/s"
     );
-    for played in all {
-        let most = |times: &[u64]| {
+    for run_report in reports {
+        let max = |times: &[u64]| {
             times
                 .iter()
                 .max()
@@ -127,29 +131,29 @@
         let _ = writeln!(
             text,
             "{:>8}{:>6}{:>12}{:>7}{:>10}{:>10}{:>10}{:>10.0}{:>11.0}{:>10.0}{:>12}{:>12}",
-            played.proxies,
-            played.real,
-            played.fault,
-            if played.held { "yes" } else { "NO" },
-            most(&played.changes.in_force_ms),
-            most(&played.ready_ms),
-            played.refused_well,
-            played.proxy_cpu_us_per_s,
-            played.proxy_bytes_per_s,
-            played.proxy_memory_kib,
-            number(played.leader_cpu_us_per_s),
-            number(played.leader_bytes_per_s),
+            run_report.proxies,
+            run_report.real,
+            run_report.fault,
+            if run_report.held { "yes" } else { "NO" },
+            max(&run_report.changes.in_force_ms),
+            max(&run_report.ready_ms),
+            run_report.refused_well,
+            run_report.proxy_cpu_us_per_s,
+            run_report.proxy_bytes_per_s,
+            run_report.proxy_memory_kib,
+            number(run_report.leader_cpu_us_per_s),
+            number(run_report.leader_bytes_per_s),
         );
     }
     text
 }
 
-/// How each measure goes with the size of the fleet; empty if there was one size.
-pub fn fits(all: &[Played]) -> String {
+/// The linear fits of all measures by fleet size; empty if all runs had the same size.
+pub fn fits(reports: &[RunReport]) -> String {
     let mut text = String::new();
     for (title, measures) in PANELS {
         for (name, value) in measures {
-            let Some(fit) = Fit::of(&points(all, *value)) else {
+            let Some(fit) = Fit::of(&points(reports, *value)) else {
                 continue;
             };
             let error =
@@ -167,16 +171,16 @@
     text
 }
 
-/// What each role spends by the size of the fleet, with the fits, as SVG.
+/// Plots the resource usage of each role by fleet size, with the linear fits, as SVG.
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn plot(all: &[Played], file: &Path) -> Result<(), String> {
+pub fn plot(reports: &[RunReport], file: &Path) -> Result<(), String> {
     let root = SVGBackend::new(file, (640, 960)).into_drawing_area();
     let drawn = || -> Result<(), Box<dyn std::error::Error>> {
         root.fill(&WHITE)?;
         for (area, panel) in root.split_evenly((PANELS.len(), 1)).iter().zip(PANELS) {
-            plot_panel(all, panel, area)?;
+            plot_panel(reports, panel, area)?;
         }
         root.present()?;
         Ok(())
@@ -187,12 +191,18 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
 fn plot_panel(
-    all: &[Played],
+    reports: &[RunReport],
     (title, measures): Panel,
     area: &Area<'_>,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let largest = all.iter().map(|played| played.proxies).max().unwrap_or(1) as f64;
-    let values = measures.iter().flat_map(|(_, value)| points(all, *value));
+    let largest = reports
+        .iter()
+        .map(|run_report| run_report.proxies)
+        .max()
+        .unwrap_or(1) as f64;
+    let values = measures
+        .iter()
+        .flat_map(|(_, value)| points(reports, *value));
     let highest = values.map(|point| point.1).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .margin(10)
@@ -205,7 +215,7 @@
         .y_desc(title)
         .draw()?;
     for ((name, value), colour) in measures.iter().zip([BLUE, RED, GREEN, MAGENTA]) {
-        let points = points(all, *value);
+        let points = points(reports, *value);
         chart.draw_series(
             points
                 .iter()
--- a/crates/fault-injection/src/scale/verdict.rs
+++ b/crates/fault-injection/src/scale/verdict.rs
@@ -1,114 +1,120 @@
-//! What broke, out of what the proxies' logs, the hollow proxies' admissions and the clients tell.
+//! Evaluation of the proxies' logs, the admissions of hollow proxies and the clients' attempts.
 
-use super::fleet::{proxy_named, Down};
+use super::fleet::{proxy_index, Downtime};
 use super::hollow::{Admits, Event, Line as LogLine};
 use super::layout::Size;
 use crate::checker::StartRecord;
 use crate::clients::{Ended, Try};
 use badgerramp_policy::{Generation, Micros, Mode};
 
-/// The status of a refusal.
+/// The HTTP status of a rejected call.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// When a proxy that was started again could take calls, and what kept others.
+/// When restarted proxies became ready, and when proxies were not healthy.
 #[derive(Clone, Debug, Default)]
-pub struct Ready {
-    /// From the start to list and lease, in milliseconds.
+pub struct Readiness {
+    /// For each restarted proxy: time from the start until it had both an endpoint list and a lease, in milliseconds.
     pub ready_ms: Vec<u64>,
-    /// Proxies that were started again and never got there.
+    /// Restarted proxies that never had both an endpoint list and a lease.
     pub not_ready: usize,
-    /// Spans in which proxies were down or not ready yet.
-    pub unwell: Vec<(usize, Micros, Micros)>,
+    /// Spans in which a proxy was down or not ready yet: its index, the start and the end.
+    pub unhealthy: Vec<(usize, Micros, Micros)>,
 }
 
-impl Ready {
-    /// From the spans in which proxies did not run, and their logs from then on.
-    pub fn of(downs: &[Down], log: impl Fn(usize) -> Vec<LogLine>) -> Ready {
-        let mut ready = Ready::default();
-        for down in downs {
-            let Some(started) = down.until else {
-                ready.unwell.push((down.proxy, down.from, Micros::MAX));
+impl Readiness {
+    /// Evaluates the times in which proxies were down, and the logs of the proxies.
+    pub fn of(downtimes: &[Downtime], log: impl Fn(usize) -> Vec<LogLine>) -> Readiness {
+        let mut readiness = Readiness::default();
+        for downtime in downtimes {
+            let Some(started) = downtime.until else {
+                readiness
+                    .unhealthy
+                    .push((downtime.proxy, downtime.from, Micros::MAX));
                 continue;
             };
-            let next = downs
+            let next = downtimes
                 .iter()
-                .filter(|d| d.proxy == down.proxy && d.from > started)
+                .filter(|d| d.proxy == downtime.proxy && d.from > started)
                 .map(|d| d.from)
                 .min();
-            match ready_at(&log(down.proxy), started, next.unwrap_or(Micros::MAX)) {
+            match ready_at(&log(downtime.proxy), started, next.unwrap_or(Micros::MAX)) {
                 Some(at) => {
-                    ready.ready_ms.push((at - started) / 1_000);
-                    ready.unwell.push((down.proxy, down.from, at));
+                    readiness.ready_ms.push((at - started) / 1_000);
+                    readiness
+                        .unhealthy
+                        .push((downtime.proxy, downtime.from, at));
                 }
                 None => {
-                    ready.not_ready += 1;
-                    ready.unwell.push((down.proxy, down.from, Micros::MAX));
+                    readiness.not_ready += 1;
+                    readiness
+                        .unhealthy
+                        .push((downtime.proxy, downtime.from, Micros::MAX));
                 }
             }
         }
-        ready.ready_ms.sort_unstable();
-        ready
+        readiness.ready_ms.sort_unstable();
+        readiness
     }
 
-    /// Was this proxy well all through a span?
-    pub fn well(&self, proxy: usize, from: Micros, until: Micros) -> bool {
+    /// Whether a proxy was healthy during a whole span.
+    pub fn is_healthy(&self, proxy: usize, from: Micros, until: Micros) -> bool {
         !self
-            .unwell
+            .unhealthy
             .iter()
-            .any(|u| u.0 == proxy && u.1 <= until && from <= u.2)
+            .any(|span| span.0 == proxy && span.1 <= until && from <= span.2)
     }
 }
 
-/// What proxies refused though they were well.
+/// Rejections by healthy proxies.
 #[derive(Clone, Debug, Default)]
-pub struct Refused {
-    /// Calls that real proxies refused and spans in which hollow ones admitted nothing, by region.
+pub struct Rejections {
+    /// By region: calls rejected by real proxies, plus spans in which hollow proxies admitted nothing.
     pub by_region: Vec<usize>,
-    /// Those spans.
+    /// Spans in which hollow proxies admitted nothing.
     pub hollow: usize,
 }
 
-impl Refused {
-    /// Counts the tries of clients that were refused, and these spans of hollow proxies.
+impl Rejections {
+    /// Counts the rejected attempts of clients, and these spans in which hollow proxies admitted nothing.
     pub fn of(
         size: &Size,
-        tries: &[Try],
-        closed: &[(usize, Micros, Micros)],
-        ready: &Ready,
-    ) -> Refused {
-        let mut refused = Refused {
+        attempts: &[Try],
+        denied_spans: &[(usize, Micros, Micros)],
+        readiness: &Readiness,
+    ) -> Rejections {
+        let mut rejections = Rejections {
             by_region: vec![0; size.regions],
             hollow: 0,
         };
-        let tries = tries
+        let attempts = attempts
             .iter()
             .filter(|t| t.ended == Ended::Status(SERVICE_UNAVAILABLE));
-        for done in tries.filter(|t| ready.well(t.proxy, t.from, t.until)) {
-            refused.by_region[size.proxy(done.proxy).region] += 1;
+        for attempt in attempts.filter(|t| readiness.is_healthy(t.proxy, t.from, t.until)) {
+            rejections.by_region[size.proxy(attempt.proxy).region] += 1;
         }
-        for span in closed
+        for span in denied_spans
             .iter()
-            .filter(|span| ready.well(span.0, span.1, span.2))
+            .filter(|span| readiness.is_healthy(span.0, span.1, span.2))
         {
-            refused.by_region[size.proxy(span.0).region] += 1;
-            refused.hollow += 1;
+            rejections.by_region[size.proxy(span.0).region] += 1;
+            rejections.hollow += 1;
         }
-        refused
+        rejections
     }
 }
 
-/// When a proxy that started at `from` had both its list and a lease.
+/// When a proxy that started at `from` had both an endpoint list and a lease.
 fn ready_at(log: &[LogLine], from: Micros, until: Micros) -> Option<Micros> {
-    let first = |words: &str| {
-        let told = |(at, line): &&LogLine| *at >= from && *at < until && line.contains(words);
-        log.iter().find(told).map(|(at, _)| *at)
+    let first = |text: &str| {
+        let matching = |(at, line): &&LogLine| *at >= from && *at < until && line.contains(text);
+        log.iter().find(matching).map(|(at, _)| *at)
     };
     Some(first("endpoint list received")?.max(first("\"policy: ")?))
 }
 
-/// What the hollow proxies admitted: as calls that began at the first and at the last look at each.
-pub fn begun(events: &[Event]) -> Vec<StartRecord> {
-    let mut lines = Vec::new();
+/// The admissions of hollow proxies as started calls: one at the first and one at the last check of each span.
+pub fn started_calls(events: &[Event]) -> Vec<StartRecord> {
+    let mut starts = Vec::new();
     for event in events {
         let Event::Admitted {
             proxy,
@@ -119,7 +125,7 @@
         else {
             continue;
         };
-        let Some(proxy) = proxy_named(proxy) else {
+        let Some(proxy) = proxy_index(proxy) else {
             continue;
         };
         let mode = Mode {
@@ -127,28 +133,28 @@
             old: Generation(*old),
             new: Generation(*new),
         };
-        let request = format!("a look at p{proxy}");
-        let line = |at| StartRecord {
+        let request = format!("admission check of p{proxy}");
+        let start = |at| StartRecord {
             at,
             proxy,
             mode,
             floor: false,
             request: request.clone(),
         };
-        lines.extend([line(*from), line(*until)]);
+        starts.extend([start(*from), start(*until)]);
     }
-    lines
+    starts
 }
 
-/// Spans in which a hollow proxy admitted nothing: who, from when, until when.
-pub fn closed(events: &[Event]) -> Vec<(usize, Micros, Micros)> {
+/// Spans in which a hollow proxy admitted nothing: the index of the proxy, the start and the end.
+pub fn denied_spans(events: &[Event]) -> Vec<(usize, Micros, Micros)> {
     let span = |event: &Event| match event {
         Event::Admitted {
             proxy,
             admits: Admits::Nothing,
             from,
             until,
-        } => Some((proxy_named(proxy)?, *from, *until)),
+        } => Some((proxy_index(proxy)?, *from, *until)),
         _ => None,
     };
     events.iter().filter_map(span).collect()
--- a/crates/fault-injection/tests/scale.rs
+++ b/crates/fault-injection/tests/scale.rs
@@ -3,14 +3,16 @@
 use badgerramp_config_tool::fleet::Change;
 use badgerramp_fault_injection::checker::StartRecord;
 use badgerramp_fault_injection::clients::{Ended, Try};
-use badgerramp_fault_injection::scale::across::Across;
-use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
+use badgerramp_fault_injection::scale::cross_region::CrossRegionOutcomes;
 use badgerramp_fault_injection::scale::files::ControlTimes;
-use badgerramp_fault_injection::scale::fleet::Down;
+use badgerramp_fault_injection::scale::fleet::Downtime;
 use badgerramp_fault_injection::scale::hollow::{Admits, Event, Order};
 use badgerramp_fault_injection::scale::layout::Size;
 use badgerramp_fault_injection::scale::report::Fit;
-use badgerramp_fault_injection::scale::verdict::{begun, closed, Ready, Refused};
+use badgerramp_fault_injection::scale::schedule::{FaultSchedule, Kind, KINDS};
+use badgerramp_fault_injection::scale::verdict::{
+    denied_spans, started_calls, Readiness, Rejections,
+};
 use badgerramp_policy::{Generation, Micros, Mode};
 
 const SIZE: Size = Size {
@@ -40,7 +42,7 @@
 
 #[test]
 fn each_region_has_its_own_replicas_spread_over_its_zones() {
-    let places = SIZE.replica_places();
+    let places = SIZE.replica_locations();
     let regions: Vec<usize> = places.iter().map(|place| place.region).collect();
     assert_eq!(regions, [0, 0, 0, 1, 1, 1]);
     let in_zones: Vec<usize> = (0..SIZE.zones)
@@ -53,20 +55,20 @@
 fn a_seed_determines_the_fault_schedule_and_targets_exist() {
     for kind in KINDS.into_iter().map(Some).chain([None]) {
         for seed in 0..50 {
-            let draw = || Course::draw(seed, kind, &SIZE, ControlTimes::default(), 30);
-            let course = draw();
-            assert_eq!(format!("{course:?}"), format!("{:?}", draw()));
-            assert!(course.proxies.iter().all(|&proxy| proxy < SIZE.proxies));
-            assert!(course.replicas.iter().all(|&replica| replica < 6));
+            let draw = || FaultSchedule::draw(seed, kind, &SIZE, ControlTimes::default(), 30);
+            let schedule = draw();
+            assert_eq!(format!("{schedule:?}"), format!("{:?}", draw()));
+            assert!(schedule.proxies.iter().all(|&proxy| proxy < SIZE.proxies));
+            assert!(schedule.replicas.iter().all(|&replica| replica < 6));
             assert!(
-                course.from < course.until && course.until <= course.called,
-                "{course:?}"
+                schedule.from < schedule.until && schedule.until <= schedule.call_duration,
+                "{schedule:?}"
             );
         }
     }
     assert!(KINDS
         .into_iter()
-        .all(|kind| Kind::named(&kind.name()) == Some(kind)));
+        .all(|kind| Kind::from_name(&kind.name()) == Some(kind)));
 }
 
 #[test]
@@ -77,8 +79,8 @@
         election_ms: 1_000,
         regions_wait_ms: 4_000,
     };
-    let course = Course::draw(1, Some(Kind::CutRegion), &SIZE, times, 10);
-    assert!((course.until - course.from).as_millis() > 3_000 + 6_000 + 1_000);
+    let schedule = FaultSchedule::draw(1, Some(Kind::CutRegion), &SIZE, times, 10);
+    assert!((schedule.until - schedule.from).as_millis() > 3_000 + 6_000 + 1_000);
 }
 
 fn admitted(proxy: &str, admits: Admits, from: Micros, until: Micros) -> Event {
@@ -95,22 +97,22 @@
     let events = [
         admitted("p9", Admits::Nothing, 1, 2),
         admitted("p9", Admits::Under { old: 3, new: 4 }, 5, 8),
-        Event::Told,
+        Event::AdmissionsReported,
     ];
-    let lines = begun(&events);
+    let starts = started_calls(&events);
     let mode = Mode {
         revision: 0,
         old: Generation(3),
         new: Generation(4),
     };
     assert_eq!(
-        lines
+        starts
             .iter()
             .map(|l| (l.at, l.proxy, l.mode))
             .collect::<Vec<_>>(),
         [(5, 9, mode), (8, 9, mode)]
     );
-    assert_eq!(closed(&events), [(9, 1, 2)]);
+    assert_eq!(denied_spans(&events), [(9, 1, 2)]);
 }
 
 #[test]
@@ -122,25 +124,36 @@
         line(5_000, "endpoint list received"),
         line(9_000, "policy: generation 1"),
     ];
-    let down = |proxy, until| Down {
+    let downtime = |proxy, until| Downtime {
         proxy,
         from: 1_000,
         until,
     };
-    let downs = [down(1, Some(2_000)), down(2, Some(2_000)), down(3, None)];
-    let ready = Ready::of(&downs, |proxy| {
+    let downtimes = [
+        downtime(1, Some(2_000)),
+        downtime(2, Some(2_000)),
+        downtime(3, None),
+    ];
+    let readiness = Readiness::of(&downtimes, |proxy| {
         if proxy == 1 {
             log.to_vec()
         } else {
             log[..3].to_vec()
         }
     });
-    assert_eq!((ready.ready_ms.as_slice(), ready.not_ready), (&[7][..], 1));
-    assert!(!ready.well(1, 8_000, 8_001) && ready.well(1, 9_001, 9_002) && ready.well(1, 0, 999));
+    assert_eq!(
+        (readiness.ready_ms.as_slice(), readiness.not_ready),
+        (&[7][..], 1)
+    );
     assert!(
-        !ready.well(2, 10_000, 10_001)
-            && !ready.well(3, 10_000, 10_001)
-            && ready.well(4, 0, 10_000)
+        !readiness.is_healthy(1, 8_000, 8_001)
+            && readiness.is_healthy(1, 9_001, 9_002)
+            && readiness.is_healthy(1, 0, 999)
+    );
+    assert!(
+        !readiness.is_healthy(2, 10_000, 10_001)
+            && !readiness.is_healthy(3, 10_000, 10_001)
+            && readiness.is_healthy(4, 0, 10_000)
     );
 }
 
@@ -153,9 +166,9 @@
         until: 60,
         ended: Ended::Status(status),
     };
-    let ready = Ready {
-        unwell: vec![(4, 40, 70)],
-        ..Ready::default()
+    let readiness = Readiness {
+        unhealthy: vec![(4, 40, 70)],
+        ..Readiness::default()
     };
     let attempts = [
         attempt(0, 503),
@@ -164,8 +177,8 @@
         attempt(3, 503),
         attempt(4, 503),
     ];
-    let refused = Refused::of(&SIZE, &attempts, &[(11, 1, 2), (4, 41, 42)], &ready);
-    assert_eq!((refused.by_region, refused.hollow), (vec![1, 3], 1));
+    let rejections = Rejections::of(&SIZE, &attempts, &[(11, 1, 2), (4, 41, 42)], &readiness);
+    assert_eq!((rejections.by_region, rejections.hollow), (vec![1, 3], 1));
 }
 
 #[test]
@@ -235,36 +248,40 @@
         call(first, 20, 4, 4),
         call(second, 30, 6, 7),
     ];
-    let across = Across::of(&SIZE, &histories, &consistent);
+    let cross_region = CrossRegionOutcomes::of(&SIZE, &histories, &consistent);
     assert_eq!(
         (
-            across.mixed_across,
-            across.ended_apart,
-            across.all_regions_in_force
+            cross_region.mixed_across,
+            cross_region.diverged,
+            cross_region.all_regions_in_force
         ),
         (0, 0, 1)
     );
     let violating = [call(first, 20, 4, 4), call(second, 21, 6, 6)];
-    assert_eq!(Across::of(&SIZE, &histories, &violating).mixed_across, 1);
+    assert_eq!(
+        CrossRegionOutcomes::of(&SIZE, &histories, &violating).mixed_across,
+        1
+    );
 }
 
 #[test]
 fn a_change_with_different_outcomes_in_two_regions_is_counted() {
     let count = |first, second| {
-        let across = Across::of(
+        let cross_region = CrossRegionOutcomes::of(
             &SIZE,
             &[vec![change(2, first, "a")], vec![change(2, second, "a")]],
             &[],
         );
-        across.ended_apart
+        cross_region.diverged
     };
     assert_eq!(count("in force", "in force"), 0);
     assert_eq!(count("not in force", "not in force"), 0);
     assert_eq!(count("in force", "not in force"), 1);
     assert_eq!(count("in force", "under way"), 1);
     // A change unknown to one region must not be in force in the others.
-    let unknown_to_one =
-        |outcome| Across::of(&SIZE, &[vec![change(2, outcome, "a")], Vec::new()], &[]).ended_apart;
+    let unknown_to_one = |outcome| {
+        CrossRegionOutcomes::of(&SIZE, &[vec![change(2, outcome, "a")], Vec::new()], &[]).diverged
+    };
     assert_eq!(
         (unknown_to_one("not in force"), unknown_to_one("in force")),
         (0, 1)
--- a/crates/simulator/src/fault_test_scale.rs
+++ b/crates/simulator/src/fault_test_scale.rs
@@ -3,11 +3,11 @@
 use crate::fault_filter::FaultFilter;
 use crate::simulation;
 use badgerramp_fault_injection::process::require_descriptors;
-use badgerramp_fault_injection::scale::course::{Course, Kind, KINDS};
 use badgerramp_fault_injection::scale::files::ControlTimes;
 use badgerramp_fault_injection::scale::layout::Size;
-use badgerramp_fault_injection::scale::played::Played;
-use badgerramp_fault_injection::scale::{play as run_scale, report, Programs};
+use badgerramp_fault_injection::scale::run_report::RunReport;
+use badgerramp_fault_injection::scale::schedule::{FaultSchedule, Kind, KINDS};
+use badgerramp_fault_injection::scale::{report, run as run_scale, Programs};
 use clap::Args;
 use std::io::Write;
 use std::path::PathBuf;
@@ -72,7 +72,11 @@
 }
 
 fn parse_fault_filter(name: &str) -> Result<FaultFilter<Kind>, String> {
-    FaultFilter::parse(name, Kind::named(name), KINDS.into_iter().map(Kind::name))
+    FaultFilter::parse(
+        name,
+        Kind::from_name(name),
+        KINDS.into_iter().map(Kind::name),
+    )
 }
 
 /// Runs the test. Returns whether no run violated an invariant or exceeded a limit.
@@ -143,7 +147,7 @@
     }
 
     /// The command line that repeats a run.
-    fn reproduce_command(&self, run_report: &Played) -> String {
+    fn reproduce_command(&self, run_report: &RunReport) -> String {
         let Scale {
             regions,
             zones,
@@ -198,9 +202,9 @@
             let fault = options.fault(index);
             let times = options.times(fault);
             let settle = Duration::from_secs(options.settle);
-            let schedule = Course {
+            let schedule = FaultSchedule {
                 settle,
-                ..Course::draw(seed, fault, &size, times, options.seconds)
+                ..FaultSchedule::draw(seed, fault, &size, times, options.seconds)
             };
             let outcome = run_scale(&programs, size, times, &schedule).await;
             let run_report =
@@ -220,7 +224,7 @@
     Ok(reports.iter().all(|report| report.held))
 }
 
-fn print_report(run_report: &Played, options: &Scale) {
+fn print_report(run_report: &RunReport, options: &Scale) {
     let state = if run_report.held { "held" } else { "BROKE" };
     println!(
         "run {} ({}): {state}; {} proxies, {} checks, {} calls, {:?} refused by healthy proxies, by region; in force after {:?} ms, \
@@ -237,9 +241,9 @@
     );
     if !run_report.held {
         run_report
-            .broke
+            .violations
             .iter()
-            .chain(&run_report.crossed)
+            .chain(&run_report.exceeded_limits)
             .chain(&run_report.first)
             .for_each(|line| println!("  {line}"));
         println!(
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -141,12 +141,12 @@
                     proxy.task.abort();
                 }
             }
-            Order::Tell => {
+            Order::ReportAdmissions => {
                 for (name, proxy) in &mut self.running {
                     proxy.look(name);
                     proxy.tell_seen(name);
                 }
-                tell(&Event::Told);
+                tell(&Event::AdmissionsReported);
             }
         }
         Ok(())
