--- a/crates/bench/src/chain.rs
+++ b/crates/bench/src/chain.rs
@@ -1,13 +1,13 @@
-//! A chain of services, each called through a sidecar: what one call at the top makes of a failing service at the
-//! bottom.
+//! A chain of services, each called through a sidecar: the number of requests that one call at the top causes while the
+//! last service fails.
 //!
-//! A chain of depth `n` has `n` sidecars, each a process of the program with an operator's file of its own, and `n`
-//! stand-in services. The client calls the first sidecar, which calls the first service, which calls the second sidecar
-//! to answer, and so on; the last service fails every request. Every service counts what reaches it.
+//! A chain of depth `n` has `n` sidecars, each a process of the program with its own operator's file, and `n` stand-in
+//! services. The client calls the first sidecar, which calls the first service. To answer, that service calls the second
+//! sidecar, and so on; the last service fails every request. Every service counts the requests that reach it.
 
 use crate::plain::{self, Pool};
 use crate::process::{Process, TemporaryFile};
-use crate::Fault;
+use crate::BenchError;
 use bytes::Bytes;
 use clap::{Args, ValueEnum};
 use http_body_util::Full;
@@ -24,13 +24,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// How often requests are looked for after the final answer, and how many looks in a row must find none.
-const LOOK: Duration = Duration::from_millis(50);
-const QUIET_LOOKS: u32 = 8;
-/// The client waits for its answer for so long beyond the deadline.
-const BEYOND_DEADLINE: Duration = Duration::from_secs(5);
+/// Interval at which the request count is checked after the final answer.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of successive checks without a new request after which a chain is stable.
+const STABLE_POLLS: u32 = 8;
+/// Time beyond the deadline for which the client waits for its answer.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Whether calls of the measured class may run twice.
+/// Whether calls of the measured class may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Effect {
     Safe,
@@ -39,8 +40,8 @@
 }
 
 impl Effect {
-    /// The lines of the class in the operator's file.
-    fn lines(self, deadline: Duration) -> String {
+    /// The lines for the class in the operator's file.
+    fn class_lines(self, deadline: Duration) -> String {
         match self {
             Effect::Safe => "effect = \"safe\"\n".to_owned(),
             Effect::Keyed => {
@@ -54,56 +55,56 @@
     }
 }
 
-/// What the last service does with each request.
+/// How the last service fails each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Failure {
-    /// Answers 503 at once; the request may have run.
+    /// Answer 503 at once; the request may have been executed.
     Error,
-    /// Answers 503 at once with the proof that the request never ran.
+    /// Answer 503 at once, with the header that proves that the request was not executed.
     NeverRan,
-    /// Never answers.
+    /// Never answer.
     Hang,
 }
 
-/// What is measured.
+/// Options of the benchmark.
 #[derive(Args, Clone, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct Options {
     /// Depths of the chain.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3,4,6,13", value_parser = clap::value_parser!(u32).range(1..=20))]
     depth: Vec<u32>,
-    /// Attempts that every sidecar may make for a call; left out: the program's default.
+    /// Maximum number of attempts of each sidecar for a call [default: the program's default].
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=10))]
     attempts: Option<u32>,
-    /// Whether a call may run twice.
+    /// Whether a call may be executed twice.
     #[arg(long, value_delimiter = ',', default_value = "safe,unsafe")]
     effect: Vec<Effect>,
-    /// What the last service does.
+    /// How the last service fails.
     #[arg(long, value_delimiter = ',', default_value = "error,hang")]
     failure: Vec<Failure>,
-    /// Calls at the top, one after the other.
+    /// Number of calls at the top, one after the other.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     calls: u32,
-    /// Aim of the class, in milliseconds.
+    /// Latency objective of the class, in milliseconds.
     #[arg(long, default_value_t = 500)]
     aim_ms: u64,
     /// Deadline of the class, in milliseconds.
     #[arg(long, default_value_t = 1_200)]
     deadline_ms: u64,
-    /// Lines that are added to the class in every sidecar's file.
+    /// Lines to add to the class in the operator's file of every sidecar.
     #[arg(long, default_value = "")]
     extra: String,
-    /// Services do not pass the remaining time (`X-Timeout`) on.
+    /// Services do not propagate the remaining time (`X-Timeout`).
     #[arg(long)]
     no_deadline: bool,
-    /// Services go on with a request whose caller has gone.
+    /// Services continue with a request whose caller has disconnected.
     #[arg(long)]
     no_cancel: bool,
-    /// A chain stops when so many requests have reached its services.
-    #[arg(long, default_value_t = 200_000)]
-    most: u64,
+    /// Stop a chain when this many requests have reached its services.
+    #[arg(long = "most", value_name = "MOST", default_value_t = 200_000)]
+    max_requests: u64,
 }
 
-impl Plan {
+impl Options {
     fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
@@ -120,7 +121,7 @@
              [[route]]\nname = \"call\"\nprefix = \"/call\"\nclass = \"call\"\n",
             self.aim_ms,
             self.deadline_ms,
-            effect.lines(self.deadline()),
+            effect.class_lines(self.deadline()),
             self.extra,
         )
     }
@@ -129,23 +130,23 @@
 /// Requests that have reached the services of a chain.
 struct Counter {
     by_depth: Vec<Cell<u64>>,
-    most: u64,
-    full: Notify,
+    max_requests: u64,
+    limit_reached: Notify,
 }
 
 impl Counter {
-    fn new(depth: usize, most: u64) -> Self {
+    fn new(depth: usize, max_requests: u64) -> Self {
         Counter {
             by_depth: vec![Cell::new(0); depth],
-            most,
-            full: Notify::new(),
+            max_requests,
+            limit_reached: Notify::new(),
         }
     }
 
     fn count(&self, depth: usize) {
         self.by_depth[depth].set(self.by_depth[depth].get() + 1);
-        if self.sum() >= self.most {
-            self.full.notify_one();
+        if self.sum() >= self.max_requests {
+            self.limit_reached.notify_one();
         }
     }
 
@@ -167,11 +168,11 @@
     no_cancel: bool,
 }
 
-/// How a service comes to its answer.
+/// How a service answers.
 enum Role {
-    /// It asks the next service, through that one's sidecar.
+    /// The service calls the next one through its sidecar.
     Calls(Rc<Pool>),
-    /// It is the last one, and fails.
+    /// The service is the last one, and fails.
     Fails(Failure),
 }
 
@@ -199,10 +200,11 @@
         if self.no_deadline {
             request.headers_mut().remove("x-timeout");
         }
-        let passed = tokio::task::spawn_local(async move { plain::pass(&next, request).await });
-        // A task goes on when nobody waits for it, unless it is told to end.
-        let _ended = (!self.no_cancel).then(|| AbortOnDrop(passed.abort_handle()));
-        passed
+        let forwarded =
+            tokio::task::spawn_local(async move { plain::forward(&next, request).await });
+        // A task continues when its handle is dropped, so it is aborted explicitly.
+        let _ended = (!self.no_cancel).then(|| AbortOnDrop(forwarded.abort_handle()));
+        forwarded
             .await
             .unwrap_or_else(|_| status(StatusCode::INTERNAL_SERVER_ERROR))
     }
@@ -237,7 +239,7 @@
     response
 }
 
-/// The processes of a chain; ended with this.
+/// The processes of a chain, which are killed on drop.
 struct Chain {
     top: Rc<Pool>,
     counter: Rc<Counter>,
@@ -247,25 +249,25 @@
 
 impl Chain {
     async fn start(
-        plan: &Plan,
+        options: &Options,
         depth: usize,
         effect: Effect,
         failure: Failure,
-    ) -> Result<Self, Fault> {
-        let counter = Rc::new(Counter::new(depth, plan.most));
+    ) -> Result<Self, BenchError> {
+        let counter = Rc::new(Counter::new(depth, options.max_requests));
         let (mut sidecars, mut files) = (Vec::new(), Vec::new());
-        // From the bottom up: each service must know the sidecar below it.
+        // Started from the bottom up, because each service needs the address of the sidecar below it.
         let mut below: Option<SocketAddr> = None;
-        for place in (0..depth).rev() {
+        for level in (0..depth).rev() {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let address = listener.local_addr()?;
             let role = match below {
                 Some(sidecar) => Role::Calls(Rc::new(Pool::new(vec![sidecar]))),
                 None => Role::Fails(failure),
             };
-            let (no_deadline, no_cancel) = (plan.no_deadline, plan.no_cancel);
+            let (no_deadline, no_cancel) = (options.no_deadline, options.no_cancel);
             let service = Service {
-                depth: place,
+                depth: level,
                 counter: Rc::clone(&counter),
                 role,
                 no_deadline,
@@ -277,13 +279,15 @@
                 std::process::id(),
                 address.port()
             );
-            let file = TemporaryFile::write(&name, &plan.operators_file(address, effect))?;
+            let file = TemporaryFile::write(&name, &options.operators_file(address, effect))?;
             let sidecar = Process::sidecar(&file)?;
             below = Some(sidecar.address);
             sidecars.push(sidecar);
             files.push(file);
         }
-        let top = Rc::new(Pool::new(vec![below.ok_or("a chain has a depth")?]));
+        let top = Rc::new(Pool::new(vec![
+            below.ok_or("the depth of a chain must be at least 1")?
+        ]));
         Ok(Chain {
             top,
             counter,
@@ -292,49 +296,53 @@
         })
     }
 
-    /// One call at the top.
-    async fn call(&self, plan: &Plan, number: u32) -> Result<Answered, Fault> {
+    /// Makes one call at the top.
+    async fn call(&self, options: &Options, number: u32) -> Result<CallResult, BenchError> {
         let request = Request::builder()
             .method(Method::POST)
             .uri("/call")
             .header("host", "service.internal")
             .header("idempotency-key", format!("call-{number}"))
             .body(Full::new(Bytes::from_static(b"body")))?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let exchange = plain::exchange(&self.top, 0, request);
         let answer = tokio::select! {
-            answer = tokio::time::timeout(plan.deadline() + BEYOND_DEADLINE, exchange) => match answer {
+            answer = tokio::time::timeout(options.deadline() + DEADLINE_MARGIN, exchange) => match answer {
                 Ok(answer) => Answer::Status(answer?.status()),
                 Err(_) => Answer::None,
             },
-            () = self.counter.full.notified() => Answer::Stopped,
+            () = self.counter.limit_reached.notified() => Answer::Stopped,
         };
-        Ok(Answered {
+        Ok(CallResult {
             answer,
-            after: began.elapsed(),
+            elapsed: started_at.elapsed(),
             requests: self.counter.counts(),
         })
     }
 
-    /// Waits until no further request reaches a service.
-    async fn quiet(&self) {
-        let (mut seen, mut looks) = (self.counter.sum(), 0);
-        while looks < QUIET_LOOKS && seen < self.counter.most {
-            tokio::time::sleep(LOOK).await;
+    /// Waits until no more requests reach the services.
+    async fn wait_until_stable(&self) {
+        let (mut last_sum, mut unchanged_polls) = (self.counter.sum(), 0);
+        while unchanged_polls < STABLE_POLLS && last_sum < self.counter.max_requests {
+            tokio::time::sleep(POLL_INTERVAL).await;
             let now = self.counter.sum();
-            looks = if now == seen { looks + 1 } else { 0 };
-            seen = now;
+            unchanged_polls = if now == last_sum {
+                unchanged_polls + 1
+            } else {
+                0
+            };
+            last_sum = now;
         }
     }
 }
 
-/// How a call at the top ended.
+/// The result of a call at the top.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Answer {
     Status(StatusCode),
-    /// There was none in time.
+    /// No answer arrived in time.
     None,
-    /// The chain was stopped, as too many requests had reached its services.
+    /// The chain was stopped, because too many requests had reached its services.
     Stopped,
 }
 
@@ -348,60 +356,68 @@
     }
 }
 
-/// What a call at the top came to.
-struct Answered {
+/// The result of a call at the top, with its time and the requests counted until then.
+struct CallResult {
     answer: Answer,
-    after: Duration,
-    /// Requests that had reached each depth when the answer came, of all calls so far.
+    elapsed: Duration,
+    /// Requests of all calls so far that had reached each depth when the answer arrived.
     requests: Vec<u64>,
 }
 
-fn joined<T: ToString>(all: impl Iterator<Item = T>) -> String {
-    all.map(|one| one.to_string()).collect::<Vec<_>>().join(" ")
+fn join<T: ToString>(counts: impl Iterator<Item = T>) -> String {
+    counts
+        .map(|item| item.to_string())
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
-/// Measures one chain and prints its row, and a second one for the calls after the first.
-async fn measure(plan: &Plan, depth: u32, effect: Effect, failure: Failure) -> Result<(), Fault> {
-    let chain = Chain::start(plan, depth as usize, effect, failure).await?;
-    let first = chain.call(plan, 0).await?;
-    chain.quiet().await;
-    let all = chain.counter.counts();
-    let late = all.iter().sum::<u64>() - first.requests.iter().sum::<u64>();
-    let what = format!("{depth:>5}  {:<8}{:<10}", name(effect), name(failure));
+/// Measures one chain. Prints a row for the first call, and another one for the later calls.
+async fn measure(
+    options: &Options,
+    depth: u32,
+    effect: Effect,
+    failure: Failure,
+) -> Result<(), BenchError> {
+    let chain = Chain::start(options, depth as usize, effect, failure).await?;
+    let first = chain.call(options, 0).await?;
+    chain.wait_until_stable().await;
+    let counts = chain.counter.counts();
+    let later_requests = counts.iter().sum::<u64>() - first.requests.iter().sum::<u64>();
+    let row_head = format!("{depth:>5}  {:<8}{:<10}", name(effect), name(failure));
     println!(
-        "{what}{:>7} {:>8.1} {:>8} {late:>6}  {}",
+        "{row_head}{:>7} {:>8.1} {:>8} {later_requests:>6}  {}",
         first.answer.text(),
-        first.after.as_secs_f64() * 1e3,
-        all.iter().sum::<u64>(),
-        joined(all.iter())
+        first.elapsed.as_secs_f64() * 1e3,
+        counts.iter().sum::<u64>(),
+        join(counts.iter())
     );
-    let mut longest = Duration::ZERO;
+    let mut max_elapsed = Duration::ZERO;
     let mut last = first.answer;
-    for number in 1..plan.calls {
+    for number in 1..options.calls {
         if last == Answer::Stopped {
             break;
         }
-        let answered = chain.call(plan, number).await?;
-        longest = longest.max(answered.after);
-        last = answered.answer;
+        let result = chain.call(options, number).await?;
+        max_elapsed = max_elapsed.max(result.elapsed);
+        last = result.answer;
     }
-    if plan.calls > 1 && last != Answer::Stopped {
-        chain.quiet().await;
-        let calls = f64::from(plan.calls - 1);
-        let each = chain
+    if options.calls > 1 && last != Answer::Stopped {
+        chain.wait_until_stable().await;
+        let calls = f64::from(options.calls - 1);
+        let per_call = chain
             .counter
             .counts()
             .into_iter()
-            .zip(&all)
+            .zip(&counts)
             .map(|(now, then)| (now - then) as f64 / calls);
-        let each: Vec<f64> = each.collect();
+        let per_call: Vec<f64> = per_call.collect();
         println!(
             "{:<23}{:>7} {:>8.1} {:>8.2}         {}",
             "  each later call",
             last.text(),
-            longest.as_secs_f64() * 1e3,
-            each.iter().sum::<f64>(),
-            joined(each.iter().map(|n| format!("{n:.2}")))
+            max_elapsed.as_secs_f64() * 1e3,
+            per_call.iter().sum::<f64>(),
+            join(per_call.iter().map(|n| format!("{n:.2}")))
         );
     }
     Ok(())
@@ -415,12 +431,12 @@
 }
 
 /// Measures every depth with every effect and failure, and prints the table.
-pub(crate) async fn run(plan: &Plan) -> Result<(), Fault> {
+pub(crate) async fn run(options: &Options) -> Result<(), BenchError> {
     println!("depth  effect  failure    answer       ms requests  later  requests by depth");
-    for &failure in &plan.failure {
-        for &effect in &plan.effect {
-            for &depth in &plan.depth {
-                measure(plan, depth, effect, failure).await?;
+    for &failure in &options.failure {
+        for &effect in &options.effect {
+            for &depth in &options.depth {
+                measure(options, depth, effect, failure).await?;
             }
         }
     }
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,6 +1,6 @@
-//! A control for the platform's bench: a client proxy with nothing in it that could lose a request. It takes every
-//! connection, answers each request as refused in the moment in which it is read, and logs its id. What the bench calls
-//! lost with this in the program's place, the program did not lose.
+//! A control experiment for the platform's benchmark: a minimal client proxy that cannot lose a request. It accepts every
+//! connection, rejects each request as soon as it has read the head, and logs the request's id. Requests that the
+//! benchmark reports as lost with this proxy are not lost by the program.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,18 +18,18 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Connections waiting to be accepted; as many as the program has.
+/// Length of the listen backlog; the same as the program's.
 const BACKLOG: u32 = 1_024;
 
-/// Most bytes of a body on the platform.
-const BODY: usize = 64 * 1024;
+/// Maximum size of a request body on the platform, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// One request of one client proxy that is read and never answered, so that the bench can be seen to name it.
+/// A request that a client proxy reads and never answers, to verify that the benchmark reports it as lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Ignored {
-    /// The client proxy, as `RELAY_NAME` names it.
+    /// The name of the client proxy, as in `RELAY_NAME`.
     proxy: String,
-    /// Which of its requests, from 1.
+    /// The number of the request at this proxy, counted from 1.
     number: u64,
 }
 
@@ -37,12 +37,16 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wanted =
+        let invalid_value =
             || format!("found {text:?}, allowed is NAME:NUMBER with a number from 1, like n0:5");
-        let (proxy, number) = text.split_once(':').ok_or_else(wanted)?;
-        let number = number.parse().ok().filter(|&n| n > 0).ok_or_else(wanted)?;
+        let (proxy, number) = text.split_once(':').ok_or_else(invalid_value)?;
+        let number = number
+            .parse()
+            .ok()
+            .filter(|&n| n > 0)
+            .ok_or_else(invalid_value)?;
         match proxy {
-            "" => Err(wanted()),
+            "" => Err(invalid_value()),
             proxy => Ok(Ignored {
                 proxy: proxy.to_owned(),
                 number,
@@ -51,59 +55,60 @@
     }
 }
 
-struct Control {
+/// The state of the proxy.
+struct ControlProxy {
     ignored: Option<u64>,
-    read: Cell<u64>,
+    requests_read: Cell<u64>,
 }
 
-/// What is done with a request.
+/// How a request is handled. The variants are written to the log.
 #[derive(Debug, PartialEq, Eq)]
-enum Fate {
+enum Disposition {
     Well,
     Refused,
     Ignored,
 }
 
-impl Control {
-    fn fate(&self, path: &str) -> Fate {
+impl ControlProxy {
+    fn handle(&self, path: &str) -> Disposition {
         if path == "/_health" {
-            return Fate::Well;
+            return Disposition::Well;
         }
-        self.read.set(self.read.get() + 1);
-        if self.ignored == Some(self.read.get()) {
-            Fate::Ignored
+        self.requests_read.set(self.requests_read.get() + 1);
+        if self.ignored == Some(self.requests_read.get()) {
+            Disposition::Ignored
         } else {
-            Fate::Refused
+            Disposition::Refused
         }
     }
 }
 
-/// Serves at `RELAY_LISTEN` until it is told to stop (SIGTERM) or killed. SIGHUP is taken and changes nothing.
+/// Serves at `RELAY_LISTEN` until SIGTERM arrives. SIGHUP is ignored.
 ///
 /// # Errors
-/// If the variable names no address, or nothing can listen there.
+/// If the variable is not an address, or the address can't be bound.
 pub(crate) fn serve(ignored: Option<Ignored>) -> io::Result<()> {
-    let odd = |fault: String| {
+    let invalid_variable = |error: String| {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            format!("RELAY_LISTEN: {fault}"),
+            format!("RELAY_LISTEN: {error}"),
         )
     };
-    let listen = std::env::var("RELAY_LISTEN").map_err(|e| odd(e.to_string()))?;
+    let listen = std::env::var("RELAY_LISTEN").map_err(|e| invalid_variable(e.to_string()))?;
     let listen: SocketAddr = listen
         .parse()
-        .map_err(|e| odd(format!("{listen:?}: {e}")))?;
+        .map_err(|e| invalid_variable(format!("{listen:?}: {e}")))?;
     let name = std::env::var("RELAY_NAME").unwrap_or_default();
     let ignored = ignored.filter(|i| i.proxy == name).map(|i| i.number);
-    let control = Rc::new(Control {
+    let control = Rc::new(ControlProxy {
         ignored,
-        read: Cell::new(0),
+        requests_read: Cell::new(0),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (mut term, mut hangup) = (
+        let (mut terminate, mut hangup) = (
             signal(SignalKind::terminate())?,
             signal(SignalKind::hangup())?,
         );
@@ -115,56 +120,58 @@
         socket.set_reuseaddr(true)?;
         socket.bind(listen)?;
         let listener = socket.listen(BACKLOG)?;
-        note(format_args!("listening on {}", listener.local_addr()?));
+        log_line(format_args!("listening on {}", listener.local_addr()?));
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok((stream, client)) => {
-                        note(format_args!("accepted {client}"));
-                        tokio::task::spawn_local(connection(Rc::clone(&control), stream));
+                        log_line(format_args!("accepted {client}"));
+                        tokio::task::spawn_local(handle_connection(Rc::clone(&control), stream));
                     }
-                    Err(fault) => note(format_args!("accept: {fault}")),
+                    Err(error) => log_line(format_args!("accept: {error}")),
                 },
                 _ = hangup.recv() => {}
-                _ = term.recv() => return Ok(()),
+                _ = terminate.recv() => return Ok(()),
             }
         }
     })
 }
 
-/// One line in one write: lines of many processes go to logs of their own.
-fn note(line: std::fmt::Arguments<'_>) {
+/// Writes a log line to standard error with a single write.
+fn log_line(line: std::fmt::Arguments<'_>) {
     let _ = io::stderr().write_all(format!("{line}\n").as_bytes());
 }
 
-async fn connection(control: Rc<Control>, stream: TcpStream) {
+async fn handle_connection(control: Rc<ControlProxy>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request: Request<Incoming>| {
         let control = Rc::clone(&control);
         async move {
-            let fate = control.fate(request.uri().path());
+            let disposition = control.handle(request.uri().path());
             let id = request
                 .headers()
                 .get("x-request-id")
                 .and_then(|v| v.to_str().ok())
                 .unwrap_or("-");
-            note(format_args!("{fate:?} {id}"));
-            // The body is taken, so that the connection can be used again; bad clients send more than they may.
-            let _ = Limited::new(request.into_body(), BODY).collect().await;
+            log_line(format_args!("{disposition:?} {id}"));
+            // The body is read, so that the connection can be reused. It is limited, because faulty clients exceed the maximum.
+            let _ = Limited::new(request.into_body(), MAX_BODY_BYTES)
+                .collect()
+                .await;
             let mut response = Response::new(Full::new(Bytes::from_static(b"control")));
-            match fate {
-                Fate::Well => {}
-                Fate::Refused => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
-                Fate::Ignored => std::future::pending::<()>().await,
+            match disposition {
+                Disposition::Well => {}
+                Disposition::Refused => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
+                Disposition::Ignored => std::future::pending::<()>().await,
             }
             Ok::<_, Infallible>(response)
         }
     });
-    if let Err(fault) = http1::Builder::new()
+    if let Err(error) = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await
     {
-        note(format_args!("connection: {fault}"));
+        log_line(format_args!("connection: {error}"));
     }
 }
 
@@ -173,20 +180,25 @@
     use super::*;
 
     #[test]
-    fn one_request_is_ignored_and_health_never() {
-        let control = Control {
+    fn only_the_selected_request_is_ignored_and_health_checks_are_answered() {
+        let control = ControlProxy {
             ignored: Some(2),
-            read: Cell::new(0),
+            requests_read: Cell::new(0),
         };
-        let fates = ["/a", "/_health", "/a", "/a"].map(|path| control.fate(path));
+        let dispositions = ["/a", "/_health", "/a", "/a"].map(|path| control.handle(path));
         assert_eq!(
-            fates,
-            [Fate::Refused, Fate::Well, Fate::Ignored, Fate::Refused]
+            dispositions,
+            [
+                Disposition::Refused,
+                Disposition::Well,
+                Disposition::Ignored,
+                Disposition::Refused
+            ]
         );
     }
 
     #[test]
-    fn the_one_to_ignore_is_read_with_reasons() {
+    fn the_ignored_request_is_parsed_and_invalid_values_are_named_in_the_error() {
         assert_eq!(
             "n0:5".parse(),
             Ok(Ignored {
@@ -194,11 +206,11 @@
                 number: 5
             })
         );
-        for odd in ["n0", "n0:", "n0:0", ":5", "n0:x", ""] {
-            let fault = odd.parse::<Ignored>().unwrap_err();
+        for invalid in ["n0", "n0:", "n0:0", ":5", "n0:x", ""] {
+            let error = invalid.parse::<Ignored>().unwrap_err();
             assert!(
-                fault.contains(&format!("{odd:?}")) && fault.contains("NAME:NUMBER"),
-                "{fault}"
+                error.contains(&format!("{invalid:?}")) && error.contains("NAME:NUMBER"),
+                "{error}"
             );
         }
     }
--- a/crates/bench/src/hosts.rs
+++ b/crates/bench/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that cost as little as may be: hosts that answer at once, and the list service that names them.
+//! Stand-ins with minimal cost: hosts that answer at once, and the list service that lists them.
 
 use crate::plain;
 use bytes::Bytes;
@@ -15,10 +15,10 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Ports that all hosts share: a host is known by its name, and costs the other side its own connections.
+/// Number of ports that all hosts share. The proxy identifies hosts by name, and opens separate connections to each.
 const PORTS: usize = 16;
 
-/// Serves until it is ended. Prints the ports of the hosts on one line.
+/// Serves until the process ends. Prints the ports of the hosts on one line.
 pub(crate) fn serve() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -50,7 +50,7 @@
     let mut filled = 0;
     while let Ok(count @ 1..) = stream.read(&mut buffer[filled..]).await {
         filled += count;
-        // Requests of the benchmark have no body, and none comes before the answer to the last.
+        // Requests of the benchmark have no body and are not pipelined.
         if buffer[..filled].ends_with(b"\r\n\r\n") {
             filled = 0;
             if stream.write_all(ANSWER).await.is_err() {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The list of so many hosts over these ports, in the form of the list service.
+/// The list of this many hosts on these ports, in the format of the list service.
 fn list(endpoints: usize, ports: &[u16]) -> String {
     let mut text = String::from(r#"{"index":1,"snapshot":true,"endpoints":["#);
     for n in 0..endpoints {
@@ -75,7 +75,7 @@
     text + "]}"
 }
 
-/// Serves the list: at once to who has none, and nothing more to who watches.
+/// Serves the list. A client without a list gets it at once; a watch gets empty updates.
 pub(crate) async fn discovery(endpoints: usize, ports: &[u16]) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -85,7 +85,7 @@
             let text = text.clone();
             let service = service_fn(move |request: Request<hyper::body::Incoming>| {
                 let text = text.clone();
-                async move { Ok::<_, Infallible>(question(&request, text).await) }
+                async move { Ok::<_, Infallible>(answer_poll(&request, text).await) }
             });
             tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
         }
@@ -93,7 +93,7 @@
     Ok(address)
 }
 
-async fn question(request: &Request<Incoming>, text: Bytes) -> Response<Full<Bytes>> {
+async fn answer_poll(request: &Request<Incoming>, text: Bytes) -> Response<Full<Bytes>> {
     if request.uri().query().is_some() {
         tokio::time::sleep(Duration::from_secs(10)).await;
         return plain::answer(Bytes::from_static(
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -1,12 +1,13 @@
-//! What a sidecar adds to a call: an open loop through the program and straight to the stand-in hosts, in turn.
+//! The latency that a sidecar adds to a call. An open-loop load generator calls the stand-in hosts alternately through the
+//! program and directly.
 //!
-//! Calls are due at even distances. A call's time is counted from the moment at which it was due, so that one that waits
-//! behind a slow call is counted with its wait. Each connection has a thread of its own with plain blocking sockets: the
-//! timers of an asynchronous runtime are no finer than a millisecond.
+//! Calls are due at regular intervals, and latency counts from the time at which a call was due, so that time spent waiting
+//! behind a slow call is included. Each connection has its own thread with a blocking socket, because the timers of an
+//! asynchronous runtime have a resolution of only one millisecond.
 
-use crate::load::{histogram, whole, REQUEST};
+use crate::load::{histogram, is_complete, REQUEST};
 use crate::process::{start_hosts, Process, TemporaryFile};
-use crate::Fault;
+use crate::BenchError;
 use clap::Args;
 use hdrhistogram::Histogram;
 use std::io::{self, Read, Write};
@@ -14,39 +15,39 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A socket that hangs for so long has failed.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// The first call of a course is due so long after its start, when all connections are up.
-const LEAD: Duration = Duration::from_millis(100);
-/// Seconds of load before anything counts.
-const WARM_UP: f64 = 2.0;
-/// Quantiles that are printed.
+/// Read timeout of a socket.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay of the first call of a run, in which all connections are opened.
+const START_DELAY: Duration = Duration::from_millis(100);
+/// Duration of the warm-up load before the measurement, in seconds.
+const WARM_UP_SECONDS: f64 = 2.0;
+/// The quantiles in the table.
 const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
 
-/// What is measured.
+/// Options of the benchmark.
 #[derive(Args, Clone, Debug)]
-pub(crate) struct Plan {
-    /// Calls a second.
+pub(crate) struct Options {
+    /// Calls per second.
     #[arg(long, value_delimiter = ',', default_value = "333,666,1332")]
     rate: Vec<f64>,
-    /// Seconds of each course.
+    /// Duration of each run, in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Courses of each kind, taken in turn.
+    /// Number of runs of each kind, in turn.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Connections of the client.
+    /// Number of client connections.
     #[arg(long, default_value_t = 32, value_parser = clap::value_parser!(u16).range(1..=256))]
     connections: u16,
-    /// Endpoints that the sidecar knows; the stand-in hosts have sixteen addresses.
+    /// Number of endpoints of the sidecar; the stand-in hosts have sixteen addresses.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(1..=16))]
     endpoints: u16,
-    /// Lines that are added before the first table of the operator's file.
+    /// Lines to add before the first table of the operator's file.
     #[arg(long, default_value = "")]
     extra: String,
 }
 
-/// When calls are due: `connections` take them in turn.
+/// When calls are due. The connections make the calls in turn.
 #[derive(Clone, Copy)]
 struct Schedule {
     start: Instant,
@@ -61,14 +62,14 @@
     }
 }
 
-/// Times of calls, in microseconds.
+/// Latencies of calls, in microseconds.
 struct Times {
-    /// From the moment at which a call was due to its answer.
+    /// From the time at which a call was due until it was answered.
     answered: Histogram<u64>,
-    /// ... to the moment at which it was sent: what the generator itself was late by.
+    /// From the time at which a call was due until it was sent: the delay of the load generator itself.
     sent: Histogram<u64>,
-    /// Answers with another status than 200.
-    odd: u64,
+    /// Answers with a status other than 200.
+    not_ok: u64,
 }
 
 impl Times {
@@ -76,14 +77,14 @@
         Times {
             answered: histogram(),
             sent: histogram(),
-            odd: 0,
+            not_ok: 0,
         }
     }
 
-    fn add(&mut self, other: &Times) -> Result<(), Fault> {
+    fn add(&mut self, other: &Times) -> Result<(), BenchError> {
         self.answered.add(&other.answered)?;
         self.sent.add(&other.sent)?;
-        self.odd += other.odd;
+        self.not_ok += other.not_ok;
         Ok(())
     }
 
@@ -92,50 +93,55 @@
     }
 }
 
-fn micros_since(then: Instant) -> u64 {
-    u64::try_from(then.elapsed().as_micros()).unwrap_or(u64::MAX)
+fn micros_since(earlier: Instant) -> u64 {
+    u64::try_from(earlier.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
 /// Makes the calls of one connection.
-fn client(to: SocketAddr, schedule: Schedule, own: u64) -> io::Result<Times> {
+fn client(to: SocketAddr, schedule: Schedule, connection: u64) -> io::Result<Times> {
     let mut stream = TcpStream::connect(to)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     let (mut times, mut buffer) = (Times::new(), vec![0; 4096]);
-    for call in (own..schedule.calls).step_by(schedule.connections as usize) {
+    for call in (connection..schedule.calls).step_by(schedule.connections as usize) {
         let due = schedule.due(call);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         times.sent.saturating_record(micros_since(due));
         stream.write_all(REQUEST)?;
         let mut filled = 0;
-        while !whole(&buffer[..filled]) {
+        while !is_complete(&buffer[..filled]) {
             match stream.read(&mut buffer[filled..])? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 count => filled += count,
             }
         }
         times.answered.saturating_record(micros_since(due));
-        times.odd += u64::from(!buffer.starts_with(b"HTTP/1.1 200"));
+        times.not_ok += u64::from(!buffer.starts_with(b"HTTP/1.1 200"));
     }
     Ok(times)
 }
 
-/// One course of calls to these addresses, to which connections go in turn.
-fn course(to: &[SocketAddr], rate: f64, seconds: f64, connections: u16) -> Result<Times, Fault> {
+/// One run of calls. The connections are distributed over these addresses in turn.
+fn run_calls(
+    to: &[SocketAddr],
+    rate: f64,
+    seconds: f64,
+    connections: u16,
+) -> Result<Times, BenchError> {
     assert!(
         to.iter().all(|a| a.ip().is_loopback()),
         "load goes to loopback only"
     );
     let schedule = Schedule {
-        start: Instant::now() + LEAD,
+        start: Instant::now() + START_DELAY,
         rate,
         calls: (rate * seconds) as u64,
         connections: u64::from(connections),
     };
     let clients: Vec<_> = (0..schedule.connections)
-        .map(|own| {
-            let to = to[own as usize % to.len()];
-            thread::spawn(move || client(to, schedule, own))
+        .map(|connection| {
+            let to = to[connection as usize % to.len()];
+            thread::spawn(move || client(to, schedule, connection))
         })
         .collect();
     let mut times = Times::new();
@@ -145,24 +151,24 @@
     Ok(times)
 }
 
-fn operators_file(plan: &Plan, ports: &[u16]) -> String {
+fn operators_file(options: &Options, ports: &[u16]) -> String {
     let endpoint = |n: u16| {
         let port = ports[usize::from(n) % ports.len()];
         format!("{{ name = \"h{n}\", address = \"127.0.0.1:{port}\" }}")
     };
-    // Two endpoints may not share an address, and there are only so many ports.
-    let endpoints: Vec<String> = (0..plan.endpoints.min(ports.len() as u16))
+    // Two endpoints may not share an address, so there are at most as many endpoints as ports.
+    let endpoints: Vec<String> = (0..options.endpoints.min(ports.len() as u16))
         .map(endpoint)
         .collect();
     format!(
         "listen = \"127.0.0.1:0\"\n{}\n[upstream]\nendpoints = [{}]\n[class.safe]\naim = \"500ms\"\n\
          deadline = \"1200ms\"\neffect = \"safe\"\n[[route]]\nname = \"safe\"\nprefix = \"/safe\"\nclass = \"safe\"\n",
-        plan.extra,
+        options.extra,
         endpoints.join(", ")
     )
 }
 
-/// The machine's load, as the system tells it: means of 1, 5 and 15 minutes, and runnable threads of all.
+/// The load of the machine from `/proc/loadavg`: averages over 1, 5 and 15 minutes, and runnable of all threads.
 fn machine_load() -> String {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     load.split_whitespace()
@@ -172,10 +178,10 @@
 }
 
 /// Measures every rate and prints the table.
-pub(crate) fn run(plan: &Plan) -> Result<(), Fault> {
+pub(crate) fn run(options: &Options) -> Result<(), BenchError> {
     let (_hosts, ports) = start_hosts()?;
     let name = format!("badgerramp-latency-{}.toml", std::process::id());
-    let file = TemporaryFile::write(&name, &operators_file(plan, &ports))?;
+    let file = TemporaryFile::write(&name, &operators_file(options, &ports))?;
     let sidecar = Process::sidecar(&file)?;
     let hosts: Vec<SocketAddr> = ports
         .iter()
@@ -186,8 +192,8 @@
     println!(
         "  rate  way        calls   p50 ms   p99 ms p99.9 ms  sent late p99 ms  not 200  CPU us/call  load"
     );
-    for &rate in &plan.rate {
-        measure(plan, rate, &hosts, &sidecar)?;
+    for &rate in &options.rate {
+        measure(options, rate, &hosts, &sidecar)?;
     }
     println!(
         "load {} after; memory of the sidecar {} KiB",
@@ -198,27 +204,32 @@
 }
 
 /// Measures one rate and prints its rows.
-fn measure(plan: &Plan, rate: f64, hosts: &[SocketAddr], sidecar: &Process) -> Result<(), Fault> {
-    let through = [sidecar.address];
-    for to in [hosts, &through] {
-        course(to, rate, WARM_UP, plan.connections)?;
+fn measure(
+    options: &Options,
+    rate: f64,
+    hosts: &[SocketAddr],
+    sidecar: &Process,
+) -> Result<(), BenchError> {
+    let sidecar_address = [sidecar.address];
+    for to in [hosts, &sidecar_address] {
+        run_calls(to, rate, WARM_UP_SECONDS, options.connections)?;
     }
-    let (mut direct, mut proxied, mut cpu) = (Times::new(), Times::new(), 0.0);
+    let (mut direct, mut via_sidecar, mut cpu) = (Times::new(), Times::new(), 0.0);
     let mut by_round = Vec::new();
-    for _ in 0..plan.rounds {
-        let straight = course(hosts, rate, plan.seconds, plan.connections)?;
+    for _ in 0..options.rounds {
+        let direct_run = run_calls(hosts, rate, options.seconds, options.connections)?;
         let before = sidecar.cpu()?;
-        let passed = course(&through, rate, plan.seconds, plan.connections)?;
+        let sidecar_run = run_calls(&sidecar_address, rate, options.seconds, options.connections)?;
         cpu += sidecar.cpu()? - before;
-        by_round.push(format!("{:.3}", passed.at(0.99) - straight.at(0.99)));
-        direct.add(&straight)?;
-        proxied.add(&passed)?;
+        by_round.push(format!("{:.3}", sidecar_run.at(0.99) - direct_run.at(0.99)));
+        direct.add(&direct_run)?;
+        via_sidecar.add(&sidecar_run)?;
     }
-    let cpu = cpu / proxied.answered.len().max(1) as f64;
+    let cpu = cpu / via_sidecar.answered.len().max(1) as f64;
     print_row(rate, "direct", &direct, "");
-    print_row(rate, "sidecar", &proxied, &format!("{cpu:.0}"));
+    print_row(rate, "sidecar", &via_sidecar, &format!("{cpu:.0}"));
     let added = QUANTILES
-        .map(|q| format!("{:>9.3}", proxied.at(q) - direct.at(q)))
+        .map(|q| format!("{:>9.3}", via_sidecar.at(q) - direct.at(q)))
         .concat();
     println!(
         "{rate:>6.0}  {:<8}{:>8}{added}  p99 by round: {}",
@@ -229,13 +240,13 @@
     Ok(())
 }
 
-fn print_row(rate: f64, way: &str, times: &Times, cpu: &str) {
+fn print_row(rate: f64, target: &str, times: &Times, cpu: &str) {
     let quantiles = QUANTILES.map(|q| format!("{:>9.3}", times.at(q))).concat();
-    let late = times.sent.value_at_quantile(0.99) as f64 / 1e3;
+    let send_delay = times.sent.value_at_quantile(0.99) as f64 / 1e3;
     println!(
-        "{rate:>6.0}  {way:<8}{:>8}{quantiles}{late:>18.3}{:>9}{cpu:>13}  {}",
+        "{rate:>6.0}  {target:<8}{:>8}{quantiles}{send_delay:>18.3}{:>9}{cpu:>13}  {}",
         times.answered.len(),
-        times.odd,
+        times.not_ok,
         machine_load()
     );
 }
--- a/crates/bench/src/list.rs
+++ b/crates/bench/src/list.rs
@@ -1,12 +1,13 @@
-//! What news of a long list costs the decisions and a subset, by how much of it changed.
+//! Cost of updates of a long endpoint list for the balancer and for a subset, by the number of changed entries.
 
-use crate::Fault;
+use crate::BenchError;
 use badgerramp_decisions::{
     Balancer, EndpointEntry, EndpointId, EndpointStatus, Event, ListUpdateKind, Settings,
 };
 use badgerramp_subset::{Instance, Subset, SubsetConfig};
 use std::time::Instant;
 
+/// Number of measured steps.
 const ROUNDS: u32 = 200;
 
 fn entry(server: u32, started: u64) -> EndpointEntry {
@@ -18,15 +19,15 @@
     }
 }
 
-/// Mean microseconds of a step.
-fn timed(mut step: impl FnMut(u32)) -> f64 {
-    let began = Instant::now();
+/// Mean duration of a step, in microseconds.
+fn mean_duration_us(mut step: impl FnMut(u32)) -> f64 {
+    let started_at = Instant::now();
     (0..ROUNDS).for_each(&mut step);
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-/// Prints the table.
-pub(crate) fn play(sizes: &[usize]) -> Result<(), Fault> {
+/// Measures each list size, and prints the table.
+pub(crate) fn run(sizes: &[usize]) -> Result<(), BenchError> {
     println!("endpoints  what                            us each time");
     for &size in sizes {
         let size = u32::try_from(size)?;
@@ -41,17 +42,18 @@
             },
             &mut actions,
         );
-        let mut tell = |kind, entries, now| {
+        let mut apply_update = |kind, entries, now| {
             balancer.handle(now, Event::EndpointList { kind, entries }, &mut actions);
             actions.clear();
         };
-        let same = timed(|n| tell(ListUpdateKind::Full, all.clone(), u64::from(n)));
-        // Ten processes a time are new ones under their old names.
-        let few = timed(|n| {
+        let full_update =
+            mean_duration_us(|n| apply_update(ListUpdateKind::Full, all.clone(), u64::from(n)));
+        // In each update, ten endpoints are restarted: new processes with the same names.
+        let delta_update = mean_duration_us(|n| {
             let changed = (0..10)
                 .map(|k| entry((n * 10 + k) % size, u64::from(n) + 1))
                 .collect();
-            tell(ListUpdateKind::Delta, changed, u64::from(n));
+            apply_update(ListUpdateKind::Delta, changed, u64::from(n));
         });
         let mut subset = Subset::new(
             SubsetConfig::with_size(20),
@@ -62,7 +64,7 @@
         );
         (0..size).for_each(|n| subset.add(n, &format!("endpoint-{n}"), false));
         subset.apply_list_change(0, &(0..size).collect::<Vec<_>>());
-        let dealt = timed(|n| {
+        let subset_update = mean_duration_us(|n| {
             let touched: Vec<u32> = (0..10).map(|k| (n * 10 + k) % size).collect();
             for &id in &touched {
                 subset.remove(id);
@@ -70,9 +72,9 @@
             }
             subset.apply_list_change(u64::from(n), &touched);
         });
-        println!("{size:>9}  decisions, whole list as before {same:>12.1}");
-        println!("{size:>9}  decisions, ten changed          {few:>12.1}");
-        println!("{size:>9}  subset, ten changed             {dealt:>12.1}");
+        println!("{size:>9}  decisions, whole list as before {full_update:>12.1}");
+        println!("{size:>9}  decisions, ten changed          {delta_update:>12.1}");
+        println!("{size:>9}  subset, ten changed             {subset_update:>12.1}");
     }
     Ok(())
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load from clients that ask again as soon as they are answered, bounded in count and time, to loopback only.
+//! A closed-loop load generator, bounded in requests and time, for loopback addresses only.
 
 use hdrhistogram::Histogram;
 use std::io;
@@ -7,62 +7,66 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The request that is sent.
+/// The request that clients send.
 pub(crate) const REQUEST: &[u8] =
     b"GET /safe/member?id=7 HTTP/1.1\r\nHost: service.internal\r\nUser-Agent: bench\r\nAccept: */*\r\nX-Timeout: 9000m\r\n\r\n";
 
-const LENGTH: &[u8] = b"content-length:";
+const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// What came of a course.
+/// The results of a run.
 pub(crate) struct Outcome {
     pub answered: u64,
-    /// Answers with another status than 200.
-    pub odd: u64,
-    /// Times in microseconds.
+    /// Answers with a status other than 200.
+    pub not_ok: u64,
+    /// Latencies in microseconds.
     pub times: Histogram<u64>,
     pub elapsed: Duration,
 }
 
-/// Asks on so many connections until the time is up or so many are answered.
+/// Sends requests on this many connections until the time is up or `max_requests` have been answered.
 pub(crate) async fn run(
     to: SocketAddr,
     connections: usize,
-    time: Duration,
-    most: u64,
+    duration: Duration,
+    max_requests: u64,
 ) -> io::Result<Outcome> {
     assert!(to.ip().is_loopback(), "load goes to loopback only");
-    let began = Instant::now();
-    let (until, each) = (began + time, most / connections as u64);
+    let started_at = Instant::now();
+    let (deadline, max_per_connection) = (started_at + duration, max_requests / connections as u64);
     let clients: Vec<_> = (0..connections)
-        .map(|_| tokio::spawn(client(to, until, each)))
+        .map(|_| tokio::spawn(client(to, deadline, max_per_connection)))
         .collect();
-    let mut whole = Outcome {
+    let mut total = Outcome {
         answered: 0,
-        odd: 0,
+        not_ok: 0,
         times: histogram(),
         elapsed: Duration::ZERO,
     };
     for client in clients {
-        let (odd, times) = client.await.map_err(io::Error::other)??;
-        whole.answered += times.len();
-        whole.odd += odd;
-        whole.times.add(times).map_err(io::Error::other)?;
+        let (not_ok, times) = client.await.map_err(io::Error::other)??;
+        total.answered += times.len();
+        total.not_ok += not_ok;
+        total.times.add(times).map_err(io::Error::other)?;
     }
-    whole.elapsed = began.elapsed();
-    Ok(whole)
+    total.elapsed = started_at.elapsed();
+    Ok(total)
 }
 
-/// For times in microseconds.
+/// An empty histogram for times in microseconds.
 pub(crate) fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit")
 }
 
-async fn client(to: SocketAddr, until: Instant, most: u64) -> io::Result<(u64, Histogram<u64>)> {
+async fn client(
+    to: SocketAddr,
+    deadline: Instant,
+    max_requests: u64,
+) -> io::Result<(u64, Histogram<u64>)> {
     let mut stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
-    let (mut odd, mut times, mut buffer) = (0, histogram(), vec![0; 4096]);
-    while Instant::now() < until && times.len() < most {
-        let asked = Instant::now();
+    let (mut not_ok, mut times, mut buffer) = (0, histogram(), vec![0; 4096]);
+    while Instant::now() < deadline && times.len() < max_requests {
+        let sent_at = Instant::now();
         stream.write_all(REQUEST).await?;
         let mut filled = 0;
         loop {
@@ -71,25 +75,25 @@
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             filled += count;
-            if whole(&buffer[..filled]) {
+            if is_complete(&buffer[..filled]) {
                 break;
             }
         }
-        odd += u64::from(!buffer.starts_with(b"HTTP/1.1 200"));
-        times.saturating_record(asked.elapsed().as_micros() as u64);
+        not_ok += u64::from(!buffer.starts_with(b"HTTP/1.1 200"));
+        times.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
-    Ok((odd, times))
+    Ok((not_ok, times))
 }
 
-/// Is this an answer with all of its body? They all tell their length.
-pub(crate) fn whole(answer: &[u8]) -> bool {
+/// Whether an answer is complete, with all of its body. Every answer has a `Content-Length`.
+pub(crate) fn is_complete(answer: &[u8]) -> bool {
     let Some(head) = answer.windows(4).position(|w| w == b"\r\n\r\n") else {
         return false;
     };
     let length = answer[..head].split(|&b| b == b'\n').find_map(|line| {
-        let (name, value) = line.split_at_checked(LENGTH.len())?;
+        let (name, value) = line.split_at_checked(CONTENT_LENGTH.len())?;
         let value = name
-            .eq_ignore_ascii_case(LENGTH)
+            .eq_ignore_ascii_case(CONTENT_LENGTH)
             .then(|| value.trim_ascii())?;
         std::str::from_utf8(value).ok()?.parse::<usize>().ok()
     });
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,11 +1,11 @@
-//! The program beside a plain pass-through, in one run on one pinned core: throughput, times, CPU a request and
-//! memory, by size of the fleet and number of clients. `docs/large-fleets.md` has the command and its figures.
+//! Benchmarks of the program. The main one compares it with a plain reverse proxy, both pinned to one core, in throughput,
+//! latency, CPU time per request and memory, by the number of endpoints and of client connections. `docs/large-fleets.md`
+//! lists the commands and their results.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::needless_pass_by_value,
     reason = "signatures are still to be narrowed"
 )]
-#![expect(clippy::similar_names, reason = "names are still to be told apart")]
 #![expect(
     clippy::too_many_lines,
     reason = "long functions are still to be split"
@@ -16,14 +16,14 @@
 mod control;
 mod fleet;
 mod hosts;
+mod idle_fleet;
+mod idle_gossip;
 mod latency;
 mod list;
 mod load;
-mod peers_calm;
 mod plain;
 mod policy;
 mod process;
-mod quiet;
 
 use clap::{Parser, Subcommand};
 use std::error::Error;
@@ -31,114 +31,123 @@
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
-/// What went wrong.
-type Fault = Box<dyn Error>;
+/// The error of a benchmark.
+type BenchError = Box<dyn Error>;
 
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Measures and prints the tables.
+enum Benchmark {
+    /// Compare the program with a plain reverse proxy under load, and print a table.
     Fleet {
-        /// Sizes of the fleet.
+        /// Numbers of endpoints.
         #[arg(long, value_delimiter = ',', default_value = "12,100,1000,10000")]
         endpoints: Vec<usize>,
         /// Numbers of client connections.
         #[arg(long, value_delimiter = ',', default_value = "1,64,512")]
         connections: Vec<usize>,
-        /// Seconds of each course.
+        /// Duration of each run, in seconds.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Courses of each, taken in turn; middle figures and middle ratios count.
+        /// Number of runs of each program, in turn; the table shows medians of the results and of their ratios.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Another build of the program, measured as well.
+        /// Another build of the program to measure as well.
         #[arg(long)]
         other: Option<PathBuf>,
-        /// The program with `[policy]` too, beside a replica of control.
+        /// Also measure the program with a `[policy]` section and a control-plane replica.
         #[arg(long, conflicts_with = "other")]
         policy: bool,
-        /// Lines that are added to the operator's file.
+        /// Lines to add to the operator's file.
         #[arg(long, default_value = "")]
         extra: String,
     },
-    /// Many quiet proxies as real processes: connections and questions against the stated bounds.
-    Quiet {
+    /// Run many idle proxies as processes, and compare their connections and list polls with the documented bounds.
+    #[command(name = "quiet")]
+    IdleFleet {
+        /// Number of proxies.
         #[arg(long, default_value_t = 2_000)]
         proxies: u32,
+        /// Number of endpoints.
         #[arg(long, default_value_t = 1_000)]
         endpoints: usize,
-        /// Seconds of the calm scene.
+        /// Duration of the idle phase, in seconds.
         #[arg(long, default_value_t = 20)]
         seconds: u64,
-        /// Requests a second to all proxies together.
+        /// Requests per second to all proxies together.
         #[arg(long, default_value_t = 200.0)]
         rate: f64,
-        /// Where the chart of questions goes.
+        /// Write a chart of the list polls to this file, as SVG.
         #[arg(long)]
         svg: Option<PathBuf>,
     },
-    /// A chain of services through sidecars whose last service fails: requests that reach each depth.
-    Chain(chain::Plan),
-    /// What a sidecar adds to a call's time, in an open loop.
-    Latency(latency::Plan),
-    /// What peers send each other while nothing happens, in virtual time.
-    PeersCalm(peers_calm::Plan),
-    /// What it costs to look whether a call may begin, with and without a lease to look at.
+    /// Count the requests that reach each service of a chain, called through sidecars, whose last service fails.
+    Chain(chain::Options),
+    /// Measure the latency that a sidecar adds to a call, with an open-loop load generator.
+    Latency(latency::Options),
+    /// Measure the gossip traffic of an idle fleet in virtual time.
+    #[command(name = "peers-calm")]
+    IdleGossip(idle_gossip::Options),
+    /// Measure the cost of the lease checks that admit a call.
     Gate,
-    /// What news of a long list costs.
+    /// Measure the cost of updates of a long endpoint list.
     List {
+        /// Numbers of endpoints.
         #[arg(long, value_delimiter = ',', default_value = "100,1000,10000")]
         endpoints: Vec<usize>,
     },
-    /// Memory of the program that holds no connection, by size of the fleet.
+    /// Measure the memory of the program without connections, by the number of endpoints.
     Memory {
+        /// Numbers of endpoints.
         #[arg(long, value_delimiter = ',', default_value = "12,1000,10000")]
         endpoints: Vec<usize>,
     },
-    /// A client proxy for the platform's bench that refuses every request at once and logs its id: what is lost with
-    /// it in the program's place was not lost by the program.
+    /// Run a control experiment for the platform's benchmark: a client proxy that rejects every request at once and logs its
+    /// id. Requests that the benchmark loses with it are not lost by the program.
     Control {
-        /// Never answer one request, as NAME:NUMBER, so that the bench can be seen to name it.
+        /// Never answer one request, given as NAME:NUMBER, to verify that the benchmark reports it as lost.
         #[arg(long, value_name = "NAME:NUMBER")]
         ignore: Option<control::Ignored>,
     },
-    /// The program under measure, pinned to a core.
+    /// Run a program pinned to a core.
     #[command(hide = true)]
     Pinned {
         core: usize,
         program: PathBuf,
         arguments: Vec<String>,
     },
+    /// Run the program as a proxy.
     #[command(hide = true)]
     Proxy { file: PathBuf },
+    /// Run the stand-in hosts.
     #[command(hide = true)]
     Hosts,
+    /// Run the plain reverse proxy.
     #[command(hide = true)]
     Plain { endpoints: usize, ports: Vec<u16> },
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().what {
-        What::Proxy { file } => {
+    let result = match Arguments::parse().benchmark {
+        Benchmark::Proxy { file } => {
             return badgerramp::cli::main(["badgerramp".into(), "run".into(), file.into()])
         }
-        what => measure(what),
+        benchmark => measure(benchmark),
     };
-    if let Err(fault) = done {
-        eprintln!("{fault}");
+    if let Err(error) = result {
+        eprintln!("{error}");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
 }
 
-fn measure(what: What) -> Result<(), Fault> {
-    match what {
-        What::Fleet {
+fn measure(benchmark: Benchmark) -> Result<(), BenchError> {
+    match benchmark {
+        Benchmark::Fleet {
             endpoints,
             connections,
             seconds,
@@ -147,42 +156,44 @@
             policy,
             extra,
         } => {
-            let course = fleet::Course {
+            let options = fleet::Options {
                 seconds,
                 rounds,
                 other,
                 policy,
                 extra,
             };
-            runtime()?.block_on(fleet::fleet(&endpoints, &connections, &course))
+            build_runtime()?.block_on(fleet::run(&endpoints, &connections, &options))
         }
-        What::Quiet {
+        Benchmark::IdleFleet {
             proxies,
             endpoints,
             seconds,
             rate,
             svg,
         } => {
-            let plan = quiet::Plan {
+            let options = idle_fleet::Options {
                 proxies,
                 endpoints,
                 seconds,
                 rate,
                 svg,
             };
-            tokio::task::LocalSet::new().block_on(&runtime()?, quiet::play(&plan))
+            tokio::task::LocalSet::new().block_on(&build_runtime()?, idle_fleet::run(&options))
         }
-        What::Chain(plan) => tokio::task::LocalSet::new().block_on(&runtime()?, chain::run(&plan)),
-        What::Latency(plan) => latency::run(&plan),
-        What::PeersCalm(plan) => peers_calm::run(&plan),
-        What::Gate => {
-            policy::gate();
+        Benchmark::Chain(options) => {
+            tokio::task::LocalSet::new().block_on(&build_runtime()?, chain::run(&options))
+        }
+        Benchmark::Latency(options) => latency::run(&options),
+        Benchmark::IdleGossip(options) => idle_gossip::run(&options),
+        Benchmark::Gate => {
+            policy::bench_gate();
             Ok(())
         }
-        What::List { endpoints } => list::play(&endpoints),
-        What::Control { ignore } => Ok(control::serve(ignore)?),
-        What::Memory { endpoints } => runtime()?.block_on(fleet::memory(&endpoints)),
-        What::Pinned {
+        Benchmark::List { endpoints } => list::run(&endpoints),
+        Benchmark::Control { ignore } => Ok(control::serve(ignore)?),
+        Benchmark::Memory { endpoints } => build_runtime()?.block_on(fleet::memory(&endpoints)),
+        Benchmark::Pinned {
             core,
             program,
             arguments,
@@ -192,13 +203,13 @@
             rustix::thread::sched_setaffinity(None, &cores)?;
             Err(Command::new(program).args(arguments).exec().into())
         }
-        What::Proxy { .. } => Ok(()),
-        What::Hosts => Ok(hosts::serve()?),
-        What::Plain { endpoints, ports } => Ok(plain::serve(endpoints, &ports)?),
+        Benchmark::Proxy { .. } => Ok(()),
+        Benchmark::Hosts => Ok(hosts::serve()?),
+        Benchmark::Plain { endpoints, ports } => Ok(plain::serve(endpoints, &ports)?),
     }
 }
 
-fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
+fn build_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/bench/src/plain.rs
+++ b/crates/bench/src/plain.rs
@@ -1,7 +1,7 @@
-//! The measure: a pass-through of hyper's parts that takes the next host in turn and keeps connections. It decides
-//! nothing and knows no deadlines.
+//! The baseline: a reverse proxy built from hyper, with round-robin balancing and connection reuse. It makes no other
+//! decisions and has no deadlines.
 
-use crate::Fault;
+use crate::BenchError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -19,7 +19,7 @@
 
 type Sender = client::SendRequest<Full<Bytes>>;
 
-/// Connections to hosts, kept for the next request.
+/// A pool of idle connections to the hosts.
 pub(crate) struct Pool {
     addresses: Vec<SocketAddr>,
     idle: Vec<RefCell<Vec<Sender>>>,
@@ -27,7 +27,7 @@
 }
 
 impl Pool {
-    /// One without connections yet.
+    /// Creates a pool without connections.
     pub(crate) fn new(addresses: Vec<SocketAddr>) -> Self {
         let idle = addresses.iter().map(|_| RefCell::default()).collect();
         Pool {
@@ -38,12 +38,12 @@
     }
 }
 
-/// An answer with this body.
+/// A response with status 200 and this body.
 pub(crate) fn answer(body: Bytes) -> Response<Full<Bytes>> {
     Response::new(Full::new(body))
 }
 
-/// Serves until it is ended. Prints where it listens.
+/// Serves until the process ends. Prints the listen address to standard error.
 pub(crate) fn serve(endpoints: usize, ports: &[u16]) -> io::Result<()> {
     let addresses =
         (0..endpoints).map(|n| SocketAddr::from(([127, 0, 0, 1], ports[n % ports.len()])));
@@ -60,7 +60,7 @@
             let pool = Rc::clone(&pool);
             let service = service_fn(move |request| {
                 let pool = Rc::clone(&pool);
-                async move { Ok::<_, Infallible>(pass(&pool, request).await) }
+                async move { Ok::<_, Infallible>(forward(&pool, request).await) }
             });
             tokio::task::spawn_local(
                 server::Builder::new().serve_connection(TokioIo::new(stream), service),
@@ -69,33 +69,33 @@
     })
 }
 
-/// Passes a request to the next host in turn; 502 if that fails.
-pub(crate) async fn pass(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let place = pool.next.get();
-    pool.next.set((place + 1) % pool.addresses.len());
+/// Forwards a request to the next host in turn; the response is 502 if that fails.
+pub(crate) async fn forward(pool: &Pool, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let index = pool.next.get();
+    pool.next.set((index + 1) % pool.addresses.len());
     let (parts, body) = request.into_parts();
-    let passed = async {
+    let response = async {
         let body = body.collect().await?.to_bytes();
-        exchange(pool, place, Request::from_parts(parts, Full::new(body))).await
+        exchange(pool, index, Request::from_parts(parts, Full::new(body))).await
     };
-    passed.await.unwrap_or_else(|_| {
-        let mut failed = answer(Bytes::new());
-        *failed.status_mut() = StatusCode::BAD_GATEWAY;
-        failed
+    response.await.unwrap_or_else(|_| {
+        let mut bad_gateway = answer(Bytes::new());
+        *bad_gateway.status_mut() = StatusCode::BAD_GATEWAY;
+        bad_gateway
     })
 }
 
-/// Sends a request to the host of this place and reads its whole answer.
+/// Sends a request to the host with this index, and reads the whole response.
 pub(crate) async fn exchange(
     pool: &Pool,
-    place: usize,
+    index: usize,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Full<Bytes>>, Fault> {
-    let kept = pool.idle[place].borrow_mut().pop().filter(|s| s.is_ready());
-    let mut sender = match kept {
+) -> Result<Response<Full<Bytes>>, BenchError> {
+    let idle_sender = pool.idle[index].borrow_mut().pop().filter(|s| s.is_ready());
+    let mut sender = match idle_sender {
         Some(sender) => sender,
         None => {
-            let stream = TcpStream::connect(pool.addresses[place]).await?;
+            let stream = TcpStream::connect(pool.addresses[index]).await?;
             stream.set_nodelay(true)?;
             let (sender, connection) = client::handshake(TokioIo::new(stream)).await?;
             tokio::task::spawn_local(connection);
@@ -105,6 +105,6 @@
     let answer = sender.send_request(request).await?;
     let (parts, body) = answer.into_parts();
     let body = body.collect().await?.to_bytes();
-    pool.idle[place].borrow_mut().push(sender);
+    pool.idle[index].borrow_mut().push(sender);
     Ok(Response::from_parts(parts, Full::new(body)))
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,14 +1,14 @@
-//! A replica of control beside the measured program.
+//! A control-plane replica for the measured program, and the benchmark of the lease checks.
 
-use crate::Fault;
+use crate::BenchError;
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::net::rules::{Platform, Rules};
-use badgerramp_config_tool::fleet::{At, Control as Asked, Outcome};
+use badgerramp_config_tool::fleet::{At, Control as ControlClient, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
 use badgerramp_decisions::settings::{PlatformSettings, Transport};
-use badgerramp_decisions::Settings as Decided;
+use badgerramp_decisions::Settings as DecisionSettings;
 use badgerramp_policy::{
     Generation, Identity, LeaseGrant, LeaseHolder, LeaseHolderConfig, Mode, OnLeaseLoss,
 };
@@ -21,15 +21,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A replica in threads of this process; its folder goes with it.
+/// A replica in a thread of this process. Its folder is removed on drop.
 pub(crate) struct Control {
     address: SocketAddr,
     folder: PathBuf,
 }
 
 impl Control {
-    /// Starts one.
-    pub(crate) fn start() -> Result<Control, Fault> {
+    /// Starts a replica with a new store.
+    pub(crate) fn start() -> Result<Control, BenchError> {
         let folder =
             std::env::temp_dir().join(format!("badgerramp-bench-control-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -66,14 +66,14 @@
                 ))
                 .map_err(|e| e.to_string())
             });
-            if let Err(fault) = served {
-                eprintln!("control: {fault}");
+            if let Err(error) = served {
+                eprintln!("control-plane replica failed: {error}");
             }
         });
         Ok(Control { address, folder })
     }
 
-    /// What a proxy's file says of it.
+    /// The `[policy]` table of a proxy's configuration file.
     pub(crate) fn table(&self) -> String {
         let (address, secret) = (self.address, self.folder.join("secret"));
         format!(
@@ -82,43 +82,43 @@
         )
     }
 
-    /// Brings a policy into force.
-    pub(crate) async fn publish(&self, text: String) -> Result<(), Fault> {
-        let at = At {
+    /// Publishes a policy, and waits until it is in force.
+    pub(crate) async fn publish(&self, text: String) -> Result<(), BenchError> {
+        let endpoint = At {
             control: vec![self.address],
             secret: self.folder.join("secret"),
             timeout: 30,
         };
-        let mut control = Asked::new(&at)?;
+        let mut control = ControlClient::new(&endpoint)?;
         let revision = control.standing().await?.revision;
         let files = HashMap::from([("bench".to_owned(), text)]);
-        let done = control.publish(&files, revision, |_| {}).await;
-        match done.outcome {
+        let completed = control.publish(&files, revision, |_| {}).await;
+        match completed.outcome {
             Outcome::InForce => Ok(()),
-            _ => Err(done.why.into()),
+            _ => Err(completed.why.into()),
         }
     }
 }
 
-/// Prints the time of both looks at the lease that a call takes.
-pub(crate) fn gate() {
-    const TIMES: u32 = 2_000_000;
+/// Measures and prints the time of the two lease checks of a call.
+pub(crate) fn bench_gate() {
+    const CALLS: u32 = 2_000_000;
     let identity = Identity {
         name: "bench".to_owned(),
         incarnation: 1,
     };
-    let terms = LeaseHolderConfig {
+    let config = LeaseHolderConfig {
         on_lease_loss: OnLeaseLoss::Reject,
         request_timeout: 1,
         retry_delay: 1,
     };
-    let mut holder = LeaseHolder::new(identity, terms, [Generation(1)].into());
+    let mut holder = LeaseHolder::new(identity, config, [Generation(1)].into());
     let mode = Mode::stable(1, Generation(1));
-    let asked = holder.request(clock::now());
+    let request = holder.request(clock::now());
     holder.on_grant(
         clock::now(),
         LeaseGrant {
-            sequence: asked.sequence,
+            sequence: request.sequence,
             mode,
             duration: 3_600_000_000,
         },
@@ -129,26 +129,26 @@
         conn_idle: 1,
         connect_timeout: 1,
     };
-    let (settings, classes, tenants) = (Decided::default(), Vec::new(), Vec::new());
-    let facts = PlatformSettings {
+    let (settings, classes, tenants) = (DecisionSettings::default(), Vec::new(), Vec::new());
+    let platform_settings = PlatformSettings {
         settings,
         classes,
         tenants,
         transport,
     };
-    let rules = Rc::new(Rules::Platform(Platform::new(&facts, None)));
+    let rules = Rc::new(Rules::Platform(Platform::new(&platform_settings, None)));
     gate.install(mode, Rc::clone(&rules), rules);
     let headers = HeaderMap::new();
-    let mut begun = 0_u32;
-    let began = Instant::now();
-    for _ in 0..TIMES {
+    let mut admitted = 0_u32;
+    let started_at = Instant::now();
+    for _ in 0..CALLS {
         if let Ok((rules, stamp)) = gate.admit() {
             std::hint::black_box(&rules);
-            begun += u32::from(gate.confirm(stamp, &headers));
+            admitted += u32::from(gate.confirm(stamp, &headers));
         }
     }
-    let each = began.elapsed().as_nanos() as f64 / f64::from(TIMES);
-    println!("{begun} calls begun, {each:.0} ns each for both looks at the lease");
+    let ns_per_call = started_at.elapsed().as_nanos() as f64 / f64::from(CALLS);
+    println!("{admitted} calls begun, {ns_per_call:.0} ns each for both looks at the lease");
 }
 
 impl Drop for Control {
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,16 +1,17 @@
-//! Processes that a benchmark starts, and files that it writes; all of them go with the value that holds them.
+//! Processes that a benchmark starts, and files that it writes. Dropping a value ends its process or removes its file.
 
-use crate::Fault;
+use crate::BenchError;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Microseconds of a tick of the process clock: `CLK_TCK` is 100 on Linux.
-const TICK: f64 = 10_000.0;
+/// Microseconds per tick of the process clock: `CLK_TCK` is 100 on Linux.
+const TICK_US: f64 = 10_000.0;
+/// Size of a memory page, in KiB.
 const PAGE_KIB: u64 = 4;
 
-/// A process that listens; ended with this.
+/// A listening process, which is killed on drop.
 pub(crate) struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -24,32 +25,38 @@
 }
 
 impl Process {
-    /// Starts a program on the first core and waits until it tells where it listens.
-    pub(crate) fn start(program: &Path, arguments: &[String]) -> Result<Self, Fault> {
+    /// Starts a program pinned to the first core, and waits until it has logged its listen address.
+    pub(crate) fn start(program: &Path, arguments: &[String]) -> Result<Self, BenchError> {
         let mut command = Command::new(std::env::current_exe()?);
         command
             .args(["pinned", "0"])
             .arg(program)
             .arg("--")
             .args(arguments);
-        Process::listening(command)
+        Process::spawn_listening(command)
     }
 
-    /// Starts the program as a sidecar with this operator's file, on any core.
-    pub(crate) fn sidecar(file: &TemporaryFile) -> Result<Self, Fault> {
+    /// Starts the program as a sidecar with this operator's file, not pinned to a core.
+    pub(crate) fn sidecar(file: &TemporaryFile) -> Result<Self, BenchError> {
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("proxy").arg(file.path());
-        Process::listening(command)
+        Process::spawn_listening(command)
     }
 
-    /// Starts a command and waits for the line of its log that tells where it listens.
-    fn listening(mut command: Command) -> Result<Self, Fault> {
+    /// Starts a command, and waits for the log line with its listen address.
+    fn spawn_listening(mut command: Command) -> Result<Self, BenchError> {
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        let mut lines = BufReader::new(child.stderr.take().ok_or("piped")?).lines();
+        let mut lines = BufReader::new(
+            child
+                .stderr
+                .take()
+                .ok_or("standard error of the process is not piped")?,
+        )
+        .lines();
         while let Some(Ok(line)) = lines.next() {
             if let Some((_, address)) = line.split_once("listening on ") {
                 let address = address.trim().parse()?;
-                // A full pipe would hold the program up.
+                // The log is read to its end, because the program would block on a full pipe.
                 std::thread::spawn(move || lines.for_each(drop));
                 return Ok(Process { child, address });
             }
@@ -57,18 +64,18 @@
         }
         let _ = child.kill();
         let _ = child.wait();
-        Err("it does not listen".into())
+        Err("the process ended without logging a listen address".into())
     }
 
-    fn stat(&self, file: &str) -> Result<String, Fault> {
+    fn stat(&self, file: &str) -> Result<String, BenchError> {
         Ok(std::fs::read_to_string(format!(
             "/proc/{}/{file}",
             self.child.id()
         ))?)
     }
 
-    /// CPU used so far, in microseconds.
-    pub(crate) fn cpu(&self) -> Result<f64, Fault> {
+    /// CPU time used so far, in microseconds.
+    pub(crate) fn cpu(&self) -> Result<f64, BenchError> {
         let stat = self.stat("stat")?;
         let fields: Vec<&str> = stat
             .rsplit(')')
@@ -76,17 +83,17 @@
             .unwrap_or_default()
             .split_whitespace()
             .collect();
-        let ticks = |place: usize| {
+        let ticks = |index: usize| {
             fields
-                .get(place)
+                .get(index)
                 .and_then(|f| f.parse::<f64>().ok())
                 .unwrap_or(0.0)
         };
-        Ok((ticks(11) + ticks(12)) * TICK)
+        Ok((ticks(11) + ticks(12)) * TICK_US)
     }
 
     /// Resident memory in KiB.
-    pub(crate) fn memory(&self) -> Result<u64, Fault> {
+    pub(crate) fn memory(&self) -> Result<u64, BenchError> {
         let pages = self
             .stat("statm")?
             .split(' ')
@@ -96,14 +103,20 @@
     }
 }
 
-/// The stand-in hosts, in a process of their own, and their ports.
-pub(crate) fn start_hosts() -> Result<(HostProcess, Vec<u16>), Fault> {
+/// Starts the stand-in hosts in a separate process. Returns the process and the hosts' ports.
+pub(crate) fn start_hosts() -> Result<(HostProcess, Vec<u16>), BenchError> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg("hosts")
         .stdout(Stdio::piped())
         .spawn()?;
     let mut line = String::new();
-    BufReader::new(child.stdout.take().ok_or("piped")?).read_line(&mut line)?;
+    BufReader::new(
+        child
+            .stdout
+            .take()
+            .ok_or("standard output of the process is not piped")?,
+    )
+    .read_line(&mut line)?;
     let ports = line
         .split_whitespace()
         .map(str::parse)
@@ -111,7 +124,7 @@
     Ok((HostProcess(child), ports))
 }
 
-/// The process of the stand-in hosts; ended with this.
+/// The process of the stand-in hosts, which is killed on drop.
 pub(crate) struct HostProcess(Child);
 
 impl Drop for HostProcess {
@@ -121,18 +134,18 @@
     }
 }
 
-/// A file that is removed with this.
+/// A file that is removed on drop.
 pub(crate) struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
-    /// Writes a file of this name into the folder for temporary files.
-    pub(crate) fn write(name: &str, text: &str) -> Result<Self, Fault> {
+    /// Writes a file with this name to the system's folder for temporary files.
+    pub(crate) fn write(name: &str, text: &str) -> Result<Self, BenchError> {
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text)?;
         Ok(TemporaryFile(path))
     }
 
-    /// Where it is.
+    /// The path of the file.
     pub(crate) fn path(&self) -> String {
         self.0.display().to_string()
     }
--- a/crates/bench/tests/chain.rs
+++ b/crates/bench/tests/chain.rs
@@ -1,11 +1,12 @@
-//! How the work of one call multiplies along a chain of sidecars whose last service fails. The counts are those of
-//! today's program: whoever changes how often sidecars repeat a call changes them here knowingly.
+//! Tests that retries of one call multiply along a chain of sidecars as expected while the last service fails. A change to
+//! how often sidecars retry a call has to change these counts deliberately.
 
 use std::process::Command;
 
-/// Times that no machine takes, so that attempts and the budget of repeats alone bound the counts. The aim is short, as
-/// a host that turns a call away is left alone for a quarter of it.
-const LONG_TIMES: [&str; 6] = [
+/// Options with such long times that only the number of attempts and the retry budget limit the counts, even on a slow
+/// machine. The latency objective is shorter, because a sidecar pauses calls to a host that rejected one for a quarter of
+/// it.
+const LONG_TIMEOUT_OPTIONS: [&str; 6] = [
     "--aim-ms",
     "2000",
     "--deadline-ms",
@@ -14,11 +15,11 @@
     "connect = \"60s\"",
 ];
 
-/// Requests that reached each depth for one call at the top.
+/// The number of requests that reached each depth for one call at the top.
 fn requests_by_depth(arguments: &[&str]) -> Vec<u64> {
     let bench = Command::new(env!("CARGO_BIN_EXE_badgerramp-bench"))
         .arg("chain")
-        .args(LONG_TIMES)
+        .args(LONG_TIMEOUT_OPTIONS)
         .args(arguments)
         .output()
         .expect("the benchmark starts");
@@ -31,16 +32,19 @@
     let row = table
         .lines()
         .nth(1)
-        .unwrap_or_else(|| panic!("no row: {table}"));
-    // Depth, effect, failure, answer, milliseconds, requests, later ones; then one count for each depth.
+        .unwrap_or_else(|| panic!("expected a row in the table: {table}"));
+    // Columns: depth, effect, failure, answer, milliseconds, requests, later requests; then one count for each depth.
     row.split_whitespace()
         .skip(7)
-        .map(|n| n.parse().unwrap_or_else(|_| panic!("odd row: {row}")))
+        .map(|n| {
+            n.parse()
+                .unwrap_or_else(|_| panic!("expected counts in the row: {row}"))
+        })
         .collect()
 }
 
 #[test]
-fn a_call_that_may_run_twice_multiplies_at_each_depth() {
+fn attempts_of_a_safe_call_multiply_at_each_depth() {
     let counts = requests_by_depth(&[
         "--depth",
         "3",
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn a_keyed_call_multiplies_as_a_safe_one_does() {
+fn attempts_of_a_keyed_call_multiply_like_those_of_a_safe_call() {
     let counts = requests_by_depth(&[
         "--depth",
         "3",
@@ -69,10 +73,10 @@
     assert_eq!(counts, [3, 9, 27]);
 }
 
-/// Each sidecar starts with twenty repeats saved up and earns one with every fifth call: from the fourth depth on that
-/// is less than three attempts for each call.
+/// Each sidecar starts with a budget of twenty retries, and every fifth call adds one. From the fourth depth on this is
+/// less than three attempts for each call.
 #[test]
-fn the_budget_of_repeats_bounds_each_sidecar() {
+fn the_retry_budget_limits_each_sidecar() {
     let counts = requests_by_depth(&[
         "--depth",
         "5",
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn a_call_that_must_not_run_twice_reaches_each_depth_once() {
+fn an_unsafe_call_reaches_each_depth_once() {
     let counts = requests_by_depth(&[
         "--depth",
         "3",
@@ -101,9 +105,9 @@
     assert_eq!(counts, [1, 1, 1]);
 }
 
-/// The proof that an attempt never ran holds for the sidecar that hears it, and goes no further up.
+/// The proof that an attempt was not executed applies only to the sidecar that receives it; it is not forwarded upwards.
 #[test]
-fn a_refusal_of_a_call_that_must_not_run_twice_multiplies_at_the_last_depth_alone() {
+fn a_rejected_unsafe_call_is_retried_only_at_the_last_depth() {
     let counts = requests_by_depth(&[
         "--depth",
         "3",
