--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -3,7 +3,7 @@
 use crate::BenchError;
 use badgerramp::net::admission_gate::AdmissionGate;
 use badgerramp::net::rules::{Platform, Rules};
-use badgerramp_config_tool::fleet::{At, Control as ControlClient, Outcome};
+use badgerramp_config_tool::fleet::{ControlArgs, ControlClient, Outcome};
 use badgerramp_control_plane::settings::Settings;
 use badgerramp_control_plane::store::Store;
 use badgerramp_control_protocol::clock;
@@ -84,18 +84,18 @@
 
     /// Publishes a policy, and waits until it is in force.
     pub(crate) async fn publish(&self, text: String) -> Result<(), BenchError> {
-        let endpoint = At {
+        let endpoint = ControlArgs {
             control: vec![self.address],
             secret: self.folder.join("secret"),
             timeout: 30,
         };
         let mut control = ControlClient::new(&endpoint)?;
-        let revision = control.standing().await?.revision;
+        let revision = control.status().await?.revision;
         let files = HashMap::from([("bench".to_owned(), text)]);
         let completed = control.publish(&files, revision, |_| {}).await;
         match completed.outcome {
             Outcome::InForce => Ok(()),
-            _ => Err(completed.why.into()),
+            _ => Err(completed.reason.into()),
         }
     }
 }
--- a/crates/fault-injection/src/scale/cross_region.rs
+++ b/crates/fault-injection/src/scale/cross_region.rs
@@ -52,7 +52,7 @@
     for region in 0..fleet.size.regions {
         let standing = fleet
             .control_client(region)?
-            .standing()
+            .status()
             .await
             .map_err(|e| e.to_string())?;
         all.push(standing.changes);
@@ -153,7 +153,7 @@
         at: 0,
         in_force: false,
         took_ms: 0,
-        why: change.why.clone(),
+        why: change.reason.clone(),
     }));
     publish_records
 }
--- a/crates/fault-injection/src/scale/fleet.rs
+++ b/crates/fault-injection/src/scale/fleet.rs
@@ -300,8 +300,8 @@
     ///
     /// # Errors
     /// If the secret can't be read.
-    pub fn control_client(&self, region: usize) -> Result<Control, String> {
-        Control::new(&At {
+    pub fn control_client(&self, region: usize) -> Result<ControlClient, String> {
+        ControlClient::new(&ControlArgs {
             control: self.network.publisher_addresses(region),
             secret: self.folder.path().join("secret"),
             timeout: STATE_TIMEOUT.as_secs(),
@@ -341,13 +341,13 @@
             .count();
         let mut control = self.control_client(region)?;
         loop {
-            let standing = control.standing().await.map_err(|e| e.to_string())?;
+            let standing = control.status().await.map_err(|e| e.to_string())?;
             let current = standing
                 .proxies
                 .iter()
                 .filter(|p| p.active_revision == standing.revision)
                 .count();
-            if current >= proxies && standing.to_come.is_none() {
+            if current >= proxies && standing.pending_generation.is_none() {
                 let replicas = 0..self.replicas.len();
                 return Ok(replicas.into_iter().find(|&replica| {
                     self.network.replica_address(replica).to_string() == standing.leader
--- a/crates/fault-injection/src/scale/publisher.rs
+++ b/crates/fault-injection/src/scale/publisher.rs
@@ -66,7 +66,7 @@
             PublishScope::Region(region) => (region, Scope::Region),
         };
         let mut control = fleet.control_client(region)?;
-        let (outcome, generation, why) = match control.standing().await {
+        let (outcome, generation, why) = match control.status().await {
             Ok(standing) => {
                 let policy = files::policy(self.number);
                 let files = HashMap::from([(files::APPLICATION.to_owned(), policy)]);
@@ -76,7 +76,7 @@
                 (
                     completed.outcome,
                     completed.generation.unwrap_or(0),
-                    completed.why,
+                    completed.reason,
                 )
             }
             Err(error) => (Outcome::NotKnown, 0, error.to_string()),
--- a/crates/gossip/src/peer/message.rs
+++ b/crates/gossip/src/peer/message.rs
@@ -43,6 +43,7 @@
     /// The version of the sender's accepted list.
     pub(super) version: Option<ListVersion>,
     /// The version of the list that the sender has partly received.
+    #[serde(rename = "of")]
     pub(super) partial_version: Option<ListVersion>,
     /// Numbers of the parts that are missing from that list.
     pub(super) parts: Vec<u16>,
--- a/crates/proxy/tests/fleet.rs
+++ b/crates/proxy/tests/fleet.rs
@@ -273,7 +273,10 @@
         control.evict("p", None).await
     })
     .expect_err("two");
-    assert!(reason.contains("there are several proxies \"p\""), "{reason}");
+    assert!(
+        reason.contains("there are several proxies \"p\""),
+        "{reason}"
+    );
     let keep_proxy = status
         .proxies
         .iter()
--- a/crates/simulator/src/hollow_proxies.rs
+++ b/crates/simulator/src/hollow_proxies.rs
@@ -144,12 +144,12 @@
                     proxy.task.abort();
                 }
             }
-            Order::Tell => {
+            Order::ReportAdmissions => {
                 for (name, proxy) in &mut self.running {
                     proxy.observe(name);
                     proxy.report_observation(name);
                 }
-                report(&Event::Told);
+                report(&Event::AdmissionsReported);
             }
         }
         Ok(())
