--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -67,8 +67,7 @@
         extra: String,
     },
     /// Run many idle proxies as processes, and compare their connections and list polls with the documented bounds.
-    #[command(name = "quiet")]
-    IdleFleet {
+    Quiet {
         /// Number of proxies.
         #[arg(long, default_value_t = 2_000)]
         proxies: u32,
@@ -165,7 +164,7 @@
             };
             build_runtime()?.block_on(fleet::run(&endpoints, &connections, &options))
         }
-        Benchmark::IdleFleet {
+        Benchmark::Quiet {
             proxies,
             endpoints,
             seconds,
